--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -81,12 +81,13 @@
         let world = &day.world;
         let unserved = world.unserved();
         println!(
-            "seed {seed}: {} starts, {} writes, {} rules broken, {} unserved, {} starts after a cancellation",
+            "seed {seed}: {} starts, {} writes, {} rules broken, {} unserved, {} starts after a cancellation, digest {:016x}",
             world.check.starts,
             world.writes(),
             world.check.broken.len(),
             unserved.len(),
-            world.check.starts_after_cancel.len()
+            world.check.starts_after_cancel.len(),
+            world.digest()
         );
         if !world.check.broken.is_empty() || !unserved.is_empty() {
             bad += 1;
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -1,5 +1,6 @@
 //! The world around the controllers, in virtual time.
 
+mod digest;
 mod fleet;
 mod inject;
 mod network;
@@ -16,6 +17,7 @@
 use crate::state::State;
 use crate::worker::{Truth, Worker};
 use crate::Ms;
+use digest::Digest;
 use forkshift_core::{Config, Effect, Input, Node, Operator, Target, Token};
 use forkshift_wire::settings::Settings;
 use forkshift_wire::users::JobKind;
@@ -268,6 +270,7 @@
     /// How many there were, and how many got an answer in time.
     asides_answered: (u64, u64),
     reports: u64,
+    digest: Digest,
     /// Watches what truly happens.
     pub check: Checker,
 }
@@ -325,6 +328,7 @@
             next_aside: 0,
             asides_answered: (0, 0),
             reports: 0,
+            digest: Digest::default(),
             check: Checker::new(limits, size.cancel_ms),
         };
         for n in 0..size.nodes {
@@ -518,6 +522,7 @@
             }
         }
         for (to, message) in tells {
+            self.digest.peer(now, n, to.as_str(), &message);
             self.tell(n, to.as_str(), message);
         }
         for (time, to) in late {
@@ -531,9 +536,11 @@
             );
         }
         for message in sends {
+            self.digest.call(now, &message);
             self.send(message);
         }
         for (to, status, body) in replies {
+            self.digest.reply(now, n, status, &body);
             self.reply(&Dest::Node(n), to, status, body);
         }
     }
@@ -593,6 +600,12 @@
         self.most_machines
     }
 
+    /// A digest of everything that the controllers have sent, which is the
+    /// same for two runs in which they did the same at the same times.
+    pub fn digest(&self) -> u64 {
+        self.digest.value()
+    }
+
     /// Puts and deletes that the state service has carried out.
     pub fn writes(&self) -> u64 {
         self.state.writes
