--- /dev/null
+++ b/crates/core/src/leader/lending.rs
@@ -0,0 +1,142 @@
+//! Moves free machines between shares, to where tasks wait.
+
+use super::{total_in, Leader};
+use crate::ctx::{Ctx, Pending};
+use crate::records::{machine_key, DemandRec, ShapeRec, ShareId};
+use crate::store::Urgency;
+use crate::view::View;
+use crate::Ms;
+use forkshift_sched::Resources;
+use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::MachineId;
+use serde_json::to_value;
+use std::collections::BTreeMap;
+
+/// What a holder told of its share counts for this many rounds.
+const TOLD_ROUNDS: f64 = 4.0;
+
+impl Leader {
+    /// A holder tells what its share lacks.
+    pub(crate) fn on_demand(&mut self, now: Ms, k: ShareId, epoch: u64, rec: DemandRec) {
+        if self.told.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
+            self.told.insert(k, (epoch, now, rec));
+            self.told_new = true;
+        }
+    }
+
+    /// What shares lack: what their holders told lately, or else have written.
+    pub(super) fn demands(&self, ctx: &Ctx, view: &View) -> BTreeMap<ShareId, DemandRec> {
+        let valid = crate::ms(ctx.cfg.ops.round_s * TOLD_ROUNDS);
+        let written = view.demands.iter().map(|(k, d)| (*k, d.rec.clone()));
+        let mut demands: BTreeMap<ShareId, DemandRec> = written.collect();
+        for (k, (epoch, at, rec)) in &self.told {
+            let current = view.shares.get(k).is_some_and(|s| s.rec.epoch == *epoch);
+            if current && ctx.now <= at + valid {
+                demands.insert(*k, rec.clone());
+            }
+        }
+        demands
+    }
+
+    /// Moves free machines to shares with waiting tasks: what waits takes any
+    /// that is free, and spare places take what nobody else needs.
+    pub(super) fn lend(
+        &mut self,
+        ctx: &mut Ctx,
+        view: &View,
+        demands: &BTreeMap<ShareId, DemandRec>,
+    ) {
+        self.lending
+            .retain(|id, v| view.machines.get(id).is_some_and(|m| m.version <= *v));
+        for (k, demand) in demands {
+            let spare = demand.shapes.iter().filter(|s| s.spare);
+            let wanted = demand.now.iter().map(|s| (s, true));
+            let wanted: Vec<(&ShapeRec, bool)> = wanted.chain(spare.map(|s| (s, false))).collect();
+            let mut coming: Vec<Resources> = self
+                .lending
+                .keys()
+                .filter_map(|id| view.machines.get(id))
+                .filter(|m| m.rec.want == Some(*k))
+                .filter_map(|m| total_in(view, &m.rec.machine_type))
+                .collect();
+            for (shape, waits) in wanted {
+                let task = shape.resources();
+                let mut left = shape.n;
+                for room in &mut coming {
+                    left -= book(room, &task, left);
+                }
+                while left > 0 {
+                    let Some(id) = self.lendable(view, demands, *k, shape, waits) else {
+                        break;
+                    };
+                    let Some(machine) = view.machines.get(&id) else {
+                        break;
+                    };
+                    let mut room = total_in(view, &machine.rec.machine_type).unwrap_or_default();
+                    left -= book(&mut room, &task, left);
+                    coming.push(room);
+                    log::info!(
+                        "machine {id}: asked of share {} for share {k}",
+                        machine.rec.share
+                    );
+                    let mut rec = machine.rec.clone();
+                    rec.want = Some(*k);
+                    let key = machine_key(&id);
+                    let txn = Txn {
+                        conds: self.conds(view, key.clone(), machine.version),
+                        writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
+                    };
+                    self.lending.insert(id, machine.version);
+                    ctx.txn(Urgency::Work, &txn, Pending::Housekeeping);
+                }
+            }
+        }
+    }
+
+    /// A free machine of another share that a shape may use.
+    fn lendable(
+        &self,
+        view: &View,
+        demands: &BTreeMap<ShareId, DemandRec>,
+        k: ShareId,
+        shape: &ShapeRec,
+        waits: bool,
+    ) -> Option<MachineId> {
+        let others = demands.iter().filter(|(j, _)| **j != k);
+        let lists = others.flat_map(|(j, d)| {
+            // A share that has waiting tasks itself gives nothing away.
+            let keeps = waits && !d.now.is_empty();
+            let free = d.free.iter().filter(move |_| waits && !keeps);
+            d.surplus.iter().chain(free).map(move |id| (j, id))
+        });
+        lists
+            .filter_map(|(j, id)| Some((j, id, view.machines.get(id)?)))
+            .filter(|(j, id, m)| {
+                let rec = &m.rec;
+                rec.share == **j
+                    && rec.want.is_none()
+                    && rec.condemned.is_none()
+                    && !self.lending.contains_key(*id)
+                    && (shape.spot || !rec.spot)
+                    && shape
+                        .types
+                        .as_ref()
+                        .is_none_or(|t| t.contains(&rec.machine_type))
+                    && shape.zones.as_ref().is_none_or(|z| z.contains(&rec.zone))
+                    && total_in(view, &rec.machine_type)
+                        .is_some_and(|total| shape.resources().fits(&total))
+            })
+            .map(|(_, id, _)| id.clone())
+            .next()
+    }
+}
+
+/// Books up to `most` tasks, and says how many.
+fn book(room: &mut Resources, task: &Resources, most: u32) -> u32 {
+    let mut n = 0;
+    while n < most && task.fits(room) && !task.is_zero() {
+        *room -= *task;
+        n += 1;
+    }
+    n
+}
--- /dev/null
+++ b/crates/core/src/leader/renting.rs
@@ -0,0 +1,355 @@
+//! Renting of machines.
+//!
+//! An intent is written before its request is sent to the cloud, and the
+//! machines that the cloud names are recorded in parts, each on condition of
+//! the intent's version. So a new leader can repeat any request, and goes on
+//! recording where the last one stopped.
+
+use super::Leader;
+use crate::ctx::{revision_of, Ctx, Pending};
+use crate::records::{
+    charter_key, machine_key, total_of, CharterRec, DemandRec, MachineRec, ShareId,
+};
+use crate::store::Urgency;
+use crate::view::View;
+use forkshift_sched::{plan, Offer, Shape};
+use forkshift_wire::cloud::{Machines, Rent, RENT_MOST};
+use forkshift_wire::state::{Cond, Txn, Write};
+use forkshift_wire::MachineId;
+use serde_json::to_value;
+use std::collections::{BTreeMap, HashMap};
+
+/// What the cloud has answered to a rental request, while it is written.
+pub(super) struct Outcome {
+    rec: CharterRec,
+    /// Version of the intent's record.
+    version: u64,
+    machines: Vec<MachineId>,
+}
+
+/// Machines that shares hold, by type and zone.
+type Held<'a> = HashMap<(ShareId, &'a str, &'a str), u32>;
+
+impl Leader {
+    /// Turns what shares lack into rental intents. The cloud takes few calls
+    /// a second: no intent is made while others wait to be carried out, so
+    /// that what shares lack meanwhile comes together in larger ones.
+    pub(super) fn charter(
+        &mut self,
+        ctx: &mut Ctx,
+        view: &View,
+        demands: &BTreeMap<ShareId, DemandRec>,
+    ) {
+        let under_way = view.charters.len() + self.chartering.len();
+        if under_way as f64 >= ctx.cfg.cloud_rps.ceil() {
+            return;
+        }
+        let kinds: Vec<String> = view.types.keys().cloned().collect();
+        let zones = zone_names(view);
+        let mut held: Option<Held> = None;
+        let mut together: BTreeMap<(u16, u16, bool), Vec<(ShareId, u32)>> = BTreeMap::new();
+        for (k, demand) in demands {
+            let seen = self.acted.get(k).copied().unwrap_or(0);
+            if demand.shapes.is_empty() || demand.rev < seen {
+                continue;
+            }
+            let held = held.get_or_insert_with(|| held_of(view));
+            let offers = self.offers(ctx, view, *k, held);
+            let type_no = |name: &String| kinds.iter().position(|t| t == name).map(|i| i as u16);
+            let zone_no = |name: &String| zones.iter().position(|z| z == name).map(|i| i as u16);
+            let shapes: Vec<Shape> = demand
+                .shapes
+                .iter()
+                .map(|s| Shape {
+                    task: s.resources(),
+                    count: s.n,
+                    types: s
+                        .types
+                        .as_ref()
+                        .map(|t| t.iter().filter_map(type_no).collect()),
+                    zones: s
+                        .zones
+                        .as_ref()
+                        .map(|z| z.iter().filter_map(zone_no).collect()),
+                    spot: s.spot,
+                })
+                .collect();
+            let anywhere = shapes.iter().all(|s| s.zones.is_none());
+            let offers = if anywhere { few_zones(offers) } else { offers };
+            for rental in plan(&shapes, &offers, RENT_MOST) {
+                let o = &offers[rental.offer];
+                let key = (o.machine_type, o.zone, o.spot);
+                together.entry(key).or_default().push((*k, rental.count));
+            }
+        }
+        for ((machine_type, zone, spot), parts) in together {
+            let rec = CharterRec {
+                parts: cut(parts, RENT_MOST),
+                machine_type: kinds[machine_type as usize].clone(),
+                zone: zones[zone as usize].clone(),
+                spot,
+                placed: 0,
+            };
+            self.charters += 1;
+            let request = format!("r-{:x}-{}", ctx.inc, self.charters);
+            let key = charter_key(&request);
+            let txn = Txn {
+                conds: self.conds(view, key.clone(), 0),
+                writes: vec![Write::put(key, to_value(&rec).unwrap_or_default())],
+            };
+            let shares = rec.parts.iter().map(|(k, _)| *k).collect();
+            self.chartering.insert(request.clone(), shares);
+            ctx.txn(Urgency::Lead, &txn, Pending::CharterPut { request });
+        }
+    }
+
+    /// What may be had, as far as is known.
+    fn offers(&self, ctx: &Ctx, view: &View, k: ShareId, held: &Held) -> Vec<Offer> {
+        let zones = zone_names(view);
+        let mut offers = Vec::new();
+        for (i, t) in view.types.values().map(|t| &t.rec).enumerate() {
+            for zone in &t.zones {
+                for spot in [false, true] {
+                    let price = match (spot, t.spot_price) {
+                        (false, _) => t.price,
+                        (true, Some(price)) => price,
+                        (true, None) => continue,
+                    };
+                    let kind = (t.name.clone(), zone.clone(), spot);
+                    if self
+                        .refused
+                        .get(&kind)
+                        .is_some_and(|(until, _)| ctx.now < *until)
+                    {
+                        continue;
+                    }
+                    let held = held.get(&(k, t.name.as_str(), zone.as_str()));
+                    offers.push(Offer {
+                        machine_type: i as u16,
+                        zone: zones.iter().position(|z| z == zone).unwrap_or(0) as u16,
+                        spot,
+                        total: total_of(t),
+                        price,
+                        held: held.copied().unwrap_or(0),
+                    });
+                }
+            }
+        }
+        offers
+    }
+
+    /// The write of an intent was answered.
+    pub(crate) fn on_charter_put(&mut self, request: &str, body: &[u8]) {
+        let shares = self.chartering.remove(request).unwrap_or_default();
+        // A demand counts again once it was made in sight of this charter.
+        let revision = revision_of(body);
+        for k in shares {
+            let acted = self.acted.entry(k).or_default();
+            *acted = (*acted).max(revision);
+        }
+    }
+
+    /// Carries intents out, those of an earlier leader too: a request that
+    /// had an answer before gets the same one again and rents nothing.
+    pub(super) fn rent(&mut self, ctx: &mut Ctx, view: &View) {
+        for (request, charter) in &view.charters {
+            if self.renting.contains(request) || !self.may_call(ctx) {
+                continue;
+            }
+            let rec = &charter.rec;
+            let body = Rent {
+                request: request.clone(),
+                machine_type: rec.machine_type.clone(),
+                zone: rec.zone.clone(),
+                spot: rec.spot,
+                count: rec.count(),
+            };
+            let body = serde_json::to_vec(&body).unwrap_or_default();
+            self.renting.insert(request.clone());
+            let request = request.clone();
+            ctx.cloud(
+                "POST",
+                "/machines".to_owned(),
+                Some(body),
+                Pending::Rent { request },
+            );
+        }
+    }
+
+    /// The cloud has answered a rental request.
+    pub(crate) fn on_rent(
+        &mut self,
+        ctx: &mut Ctx,
+        view: &View,
+        request: &str,
+        status: u16,
+        body: &[u8],
+    ) {
+        let Some(charter) = view.charters.get(request).cloned() else {
+            self.renting.remove(request);
+            return;
+        };
+        if self.trouble(ctx, status, body) {
+            self.renting.remove(request);
+            return;
+        }
+        let rec = charter.rec;
+        let rented: Machines = serde_json::from_slice(body).unwrap_or_default();
+        let machines = if status == 200 {
+            rented.machines
+        } else {
+            Vec::new()
+        };
+        let kind = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
+        if (machines.len() as u32) < rec.count() {
+            // The pause grows while there is none, up to some boots.
+            let boot = view
+                .types
+                .get(&rec.machine_type)
+                .map_or(60.0, |t| t.rec.boot_s);
+            let (_, last) = self.refused.get(&kind).copied().unwrap_or((0, 0));
+            let least = crate::ms(boot / 5.0).max(1);
+            let pause = (last * 2).clamp(least, crate::ms(boot).max(least));
+            self.refused.insert(kind, (ctx.now + pause, pause));
+        } else {
+            self.refused.remove(&kind);
+        }
+        log::info!(
+            "{} of {} {} rented in {}{}",
+            machines.len(),
+            rec.count(),
+            rec.machine_type,
+            rec.zone,
+            if rec.spot { ", spot" } else { "" }
+        );
+        let outcome = Outcome {
+            rec,
+            version: charter.version,
+            machines,
+        };
+        self.outcomes.insert(request.to_owned(), outcome);
+        self.record(ctx, view, request);
+    }
+
+    /// Writes the next part of an outcome: records of machines, and how far
+    /// the intent has been carried out. The last part removes the intent.
+    fn record(&mut self, ctx: &mut Ctx, view: &View, request: &str) {
+        let Some(outcome) = self.outcomes.get(request) else {
+            return;
+        };
+        let rec = &outcome.rec;
+        let key = charter_key(request);
+        let mut txn = Txn {
+            conds: self.conds(view, key.clone(), outcome.version),
+            writes: Vec::new(),
+        };
+        let from = rec.placed as usize;
+        let to = outcome.machines.len().min(from + ctx.cfg.txn_ops - 1);
+        let shares = rec.in_turn();
+        for (id, share) in outcome.machines.iter().zip(shares).take(to).skip(from) {
+            let key = machine_key(id);
+            let machine = MachineRec {
+                share,
+                machine_type: rec.machine_type.clone(),
+                zone: rec.zone.clone(),
+                spot: rec.spot,
+                addr: None,
+                condemned: None,
+                want: None,
+                floor: 0,
+                images: Vec::new(),
+            };
+            txn.conds.push(Cond {
+                key: key.clone(),
+                version: 0,
+            });
+            txn.writes
+                .push(Write::put(key, to_value(machine).unwrap_or_default()));
+        }
+        txn.writes.push(if to < outcome.machines.len() {
+            let rec = CharterRec {
+                placed: to as u32,
+                ..rec.clone()
+            };
+            Write::put(key, to_value(rec).unwrap_or_default())
+        } else {
+            Write::Remove { remove: key }
+        });
+        let request = request.to_owned();
+        ctx.txn(Urgency::Lead, &txn, Pending::Rented { request });
+    }
+
+    /// The write of a part of an outcome was answered.
+    pub(crate) fn on_rented(
+        &mut self,
+        ctx: &mut Ctx,
+        view: &View,
+        request: &str,
+        status: u16,
+        body: &[u8],
+    ) {
+        let Some(outcome) = self.outcomes.get_mut(request) else {
+            return;
+        };
+        match status {
+            200 => {
+                outcome.version = revision_of(body);
+                outcome.rec.placed += (ctx.cfg.txn_ops - 1) as u32;
+                if (outcome.rec.placed as usize) < outcome.machines.len() {
+                    self.record(ctx, view, request);
+                } else {
+                    // The name is done with. It must not be used again while
+                    // the view still shows it.
+                    self.outcomes.remove(request);
+                }
+            }
+            // Writing again on the same conditions is safe: if an earlier
+            // copy was carried out, this one fails.
+            0 | 429 | 503 if Self::is_leader(ctx, view) => self.record(ctx, view, request),
+            // The record is not as we know it: the request is repeated, the
+            // cloud gives the same answer, and the view tells how far we are.
+            _ => {
+                self.outcomes.remove(request);
+                self.renting.remove(request);
+            }
+        }
+    }
+}
+
+/// Counts the machines that shares hold.
+fn held_of(view: &View) -> Held<'_> {
+    let mut held = Held::new();
+    for rec in view.machines.values().map(|m| &m.rec) {
+        let kind = (rec.share, rec.machine_type.as_str(), rec.zone.as_str());
+        *held.entry(kind).or_default() += 1;
+    }
+    held
+}
+
+/// Keeps of each type and kind only the two zones where the fewest machines
+/// are held: two are enough for what must be spread, and few calls are made.
+fn few_zones(mut offers: Vec<Offer>) -> Vec<Offer> {
+    offers.sort_by_key(|o| (o.machine_type, o.spot, o.held));
+    let mut seen: BTreeMap<(u16, bool), u32> = BTreeMap::new();
+    offers.retain(|o| {
+        let n = seen.entry((o.machine_type, o.spot)).or_default();
+        *n += 1;
+        *n <= 2
+    });
+    offers
+}
+
+/// Cuts parts down to `most` in all, evenly.
+fn cut(mut parts: Vec<(ShareId, u32)>, most: u32) -> Vec<(ShareId, u32)> {
+    while parts.iter().map(|(_, n)| n).sum::<u32>() > most {
+        if let Some((_, n)) = parts.iter_mut().max_by_key(|(_, n)| *n) {
+            *n -= 1;
+        }
+    }
+    parts
+}
+
+/// Names of all zones, in the order of their numbers in offers.
+fn zone_names(view: &View) -> Vec<String> {
+    view.zones().into_iter().map(str::to_owned).collect()
+}
