--- /dev/null
+++ b/crates/core/src/share/handover.rs
@@ -0,0 +1,51 @@
+//! Handover of shares between controllers.
+
+use crate::ctx::{Ctx, Pending};
+use crate::records::{node_key, share_key, ShareId, ShareRec, EPOCH};
+use crate::store::Urgency;
+use crate::view::View;
+use forkshift_wire::state::{Cond, Txn, Write};
+use forkshift_wire::NodeName;
+use serde_json::to_value;
+use std::collections::BTreeMap;
+
+/// Hands shares to starts of controllers, each under a new epoch. It takes
+/// hold only if the controllers that held them are as the view shows them:
+/// gone, or started anew, or willing.
+pub(crate) fn hand_over(ctx: &mut Ctx, view: &View, given: &[(ShareId, NodeName)]) {
+    let (epoch_version, mut epoch) = view.epoch();
+    let mut conds: BTreeMap<String, u64> = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
+    let mut writes = Vec::new();
+    let mut shares = Vec::new();
+    for (k, to) in given {
+        let Some(node) = view.nodes.get(to) else {
+            continue;
+        };
+        epoch += 1;
+        let rec = ShareRec {
+            holder: to.clone(),
+            inc: node.rec.inc,
+            epoch,
+            want: None,
+        };
+        let share = view.shares.get(k);
+        conds.insert(share_key(*k), share.map_or(0, |s| s.version));
+        conds.insert(node_key(to), node.version);
+        if let Some(old) = share.map(|s| &s.rec.holder) {
+            conds.insert(node_key(old), view.nodes.get(old).map_or(0, |n| n.version));
+        }
+        writes.push(Write::put(share_key(*k), to_value(rec).unwrap_or_default()));
+        shares.push(*k);
+    }
+    if shares.is_empty() {
+        return;
+    }
+    writes.push(Write::put(EPOCH.to_owned(), epoch.into()));
+    let conds = conds.into_iter();
+    let conds = conds.map(|(key, version)| Cond { key, version }).collect();
+    ctx.txn(
+        Urgency::Member,
+        &Txn { conds, writes },
+        Pending::SharePut(shares),
+    );
+}
--- /dev/null
+++ b/crates/core/src/share/jobs.rs
@@ -0,0 +1,118 @@
+//! The jobs of a share, and which of their tasks are booked on which machine.
+//!
+//! A task that may have been started is booked on its machine and counts
+//! against its team's quota until there is evidence that it is gone.
+
+use super::{Phase, Share};
+use crate::ctx::Ctx;
+use crate::job::{Binding, Job, Sent, Stop};
+use crate::Ms;
+use forkshift_wire::users::JobSpec;
+use forkshift_wire::{JobId, TaskRef};
+
+impl Share {
+    /// Takes a new job on, unless it is known or over.
+    pub(crate) fn add_job(&mut self, ctx: &mut Ctx, spec: JobSpec, at: Ms, stamp: u64) {
+        let over = self.gone.get(&spec.id).is_some_and(|rev| stamp <= *rev);
+        if over || self.jobs.contains_key(&spec.id) || !self.teams.contains_key(&spec.team) {
+            return;
+        }
+        let image = ctx.intern(&spec.image);
+        if self.counting_since.is_some() {
+            self.count_arrival(&spec, ctx.now);
+        }
+        let mut job = Job::new(spec, image, stamp, ctx.cfg.value_bytes, ctx.now);
+        job.at = at;
+        job.waited = ctx.wall.saturating_sub(at);
+        if ctx.cfg.waits.contains_key(&job.spec.class) {
+            self.hurry(ctx);
+        }
+        self.jobs.insert(job.spec.id.clone(), job);
+        self.look_for_aborts = true;
+    }
+
+    /// Takes a job on that another controller tells of, if the watch has not
+    /// shown it yet. What the watch has passed is known, or over: a late copy
+    /// of the message must not bring it back.
+    pub(crate) fn told_of(&mut self, ctx: &mut Ctx, spec: JobSpec, at: Ms, revision: u64) {
+        if self.phase == Phase::Active && revision > self.live_rev {
+            self.add_job(ctx, spec, at, revision);
+        }
+    }
+
+    /// Drops a job that is over, removed at a revision.
+    pub(crate) fn forget_job(&mut self, id: &JobId, revision: u64) {
+        self.jobs.remove(id);
+        self.dirty.forget(id);
+        self.cancels.forget(id);
+        self.progress.remove(id);
+        self.broken.remove(id);
+        self.gone.insert(id.clone(), revision);
+    }
+
+    /// Books a task on a machine.
+    pub(crate) fn bind(&mut self, id: &JobId, index: u32, binding: Binding) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if let Some(machine) = self.machines.get_mut(&binding.machine) {
+            machine.used += job.task;
+            machine.tasks.insert(TaskRef {
+                job: id.clone(),
+                index,
+            });
+            machine.use_image(job.image, job.spec.image_gb);
+        }
+        if let Some(team) = self.teams.get(&job.spec.team) {
+            self.quotas[*team].used += job.task;
+        }
+        job.bound.insert(index, binding);
+    }
+
+    /// Takes a task off its machine, and has the change written.
+    pub(crate) fn unbind(&mut self, id: &JobId, index: u32) -> Option<Binding> {
+        let job = self.jobs.get_mut(id)?;
+        let binding = job.bound.remove(&index)?;
+        let block = job.block_of(index);
+        job.touch(block);
+        if let Some(machine) = self.machines.get_mut(&binding.machine) {
+            machine.used -= job.task;
+            machine.tasks.remove(&TaskRef {
+                job: id.clone(),
+                index,
+            });
+        }
+        if let Some(team) = self.teams.get(&job.spec.team) {
+            self.quotas[*team].used -= job.task;
+        }
+        if job.is_gang() {
+            self.broken.insert(id.clone());
+        }
+        self.dirty.touch(id);
+        Some(binding)
+    }
+
+    /// Takes tasks that were never sent off their machine.
+    pub(crate) fn drop_unsent_of(&mut self, tasks: Vec<TaskRef>) {
+        for task in tasks {
+            let job = self.jobs.get_mut(&task.job);
+            let binding = job.and_then(|j| j.bound.get_mut(&task.index));
+            if let Some(binding) = binding.filter(|b| b.sent == Sent::No) {
+                binding.stop = Some(Stop::after(0.0));
+                self.drop_unsent(&task.job);
+            }
+        }
+    }
+
+    /// Has a task stopped, with the time that it needs to save.
+    pub(crate) fn stop_task(&mut self, task: &TaskRef) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let stop = Stop::after(job.spec.save_s);
+        if let Some(binding) = job.bound.get_mut(&task.index) {
+            binding.stop = Some(stop);
+            self.look.touch(&binding.machine);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/share/loading.rs
@@ -0,0 +1,209 @@
+//! Loading of a share's jobs when it is taken over, and the watch that shows
+//! new ones afterwards.
+//!
+//! A share is used only once the view is as new as the jobs that were read:
+//! then a machine that the view lacks does not exist any more.
+
+use super::{remove_key, Phase, Share};
+use crate::ctx::{is_watch_lost, Ctx, Pending};
+use crate::records::{live_prefix, BlockRec, HeadRec};
+use crate::store::Urgency;
+use crate::view::{Changed, View};
+use crate::Ms;
+use forkshift_wire::state::{Change, Changes, Page};
+use forkshift_wire::JobId;
+use serde_json::{from_value, Value};
+
+/// The part of the requests to the state service that goes into watches on
+/// shares' jobs.
+const WATCH_PART: f64 = 0.1;
+/// Least pause between two of them.
+const WATCH_GAP: Ms = 200;
+/// Pause before its jobs are read again: without one, a controller that was
+/// refused while it took a share over asked as fast as it was answered.
+const LIST_PAUSE: Ms = 200;
+
+impl Share {
+    /// Reads a page of the jobs' records from behind a key.
+    pub(super) fn list(&self, ctx: &mut Ctx, from: &str) {
+        let prefix = live_prefix(self.id);
+        let mut path = format!("/kv?starts={prefix}&most=400");
+        if !from.is_empty() {
+            path.push_str(&format!("&from={from}"));
+        }
+        let (share, epoch) = (self.id, self.epoch);
+        ctx.read(Urgency::Member, path, Pending::ShareList { share, epoch });
+    }
+
+    /// Reads the jobs anew, when that is due.
+    pub(crate) fn list_again(&mut self, ctx: &mut Ctx) {
+        if self.list_at.take_if(|t| ctx.now >= *t).is_some() {
+            self.list(ctx, "");
+        }
+    }
+
+    /// A page of the jobs' records has come, or could not be had.
+    pub(crate) fn on_list(&mut self, ctx: &mut Ctx, status: u16, body: &[u8]) {
+        let page: Option<Page> = serde_json::from_slice(body).ok().filter(|_| status == 200);
+        let Some(mut page) = page else {
+            // Start over, after a pause; what was read may be old by now.
+            self.loaded.clear();
+            self.list_at = Some(ctx.now + LIST_PAUSE);
+            return;
+        };
+        if self.live_rev == 0 || self.loaded.is_empty() {
+            // Changes after the first page are shown by the watch.
+            self.live_rev = page.revision;
+        }
+        self.loaded.append(&mut page.items);
+        match self.loaded.last() {
+            Some(last) if page.more => {
+                let from = last.key.clone();
+                self.list(ctx, &from);
+            }
+            _ => self.phase = Phase::Waiting(page.revision),
+        }
+    }
+
+    /// Starts to use the share, once the view is as new as what was read.
+    /// Only then does a machine that the view lacks not exist any more.
+    pub(crate) fn activate(&mut self, ctx: &mut Ctx, view: &View) {
+        // A machine of a type that is not known would be taken for gone.
+        let mut ours = view.machines.values().filter(|m| m.rec.share == self.id);
+        if !ours.all(|m| view.types.contains_key(&m.rec.machine_type)) {
+            log::error!("share {}: a machine's type is not known", self.id);
+            return;
+        }
+        self.phase = Phase::Active;
+        self.active_since = ctx.now;
+        self.sync_machines(ctx, view, &Changed::everything());
+        let prefix = live_prefix(self.id);
+        let items = std::mem::take(&mut self.loaded);
+        let mut blocks = Vec::new();
+        for item in items {
+            let name = item.key.strip_prefix(&prefix).unwrap_or_default();
+            match name.split_once('/') {
+                None => self.load_head(ctx, item.value, item.version),
+                Some((id, block)) => {
+                    let id = JobId::new(id);
+                    blocks.push((id, block.parse().unwrap_or(0), item));
+                }
+            }
+        }
+        for (id, block, item) in blocks {
+            match from_value::<BlockRec>(item.value) {
+                Ok(rec) if self.jobs.contains_key(&id) => {
+                    self.restore(ctx, &id, block, rec, item.version);
+                }
+                _ => remove_key(ctx, item.key, item.version),
+            }
+        }
+        for (id, job) in &self.jobs {
+            self.dirty.touch(id);
+            if job.is_gang() {
+                self.broken.insert(id.clone());
+            }
+        }
+        log::info!(
+            "share {}: {} jobs and {} machines taken over",
+            self.id,
+            self.jobs.len(),
+            self.machines.len()
+        );
+    }
+
+    /// Restores a job from its first record.
+    fn load_head(&mut self, ctx: &mut Ctx, value: Value, stamp: u64) {
+        let head: HeadRec = match from_value(value) {
+            Ok(head) => head,
+            Err(e) => {
+                log::error!("a job's record is not understood: {e}");
+                return;
+            }
+        };
+        let id = head.spec.id.clone();
+        self.add_job(ctx, head.spec, head.at, stamp);
+        self.restore(ctx, &id, 0, head.block, stamp);
+        if head.cancelled {
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.cancelled = true;
+                job.cancel_durable = true;
+                job.cancelled_wall = head.cancelled_at;
+                job.cancelled_for = ctx.since_wall(head.cancelled_at);
+                job.cancelled_since = ctx.now;
+                self.cancels.touch(&id);
+            }
+        }
+    }
+
+    /// Restores a block of a job's tasks.
+    fn restore(&mut self, ctx: &Ctx, id: &JobId, block: u32, rec: BlockRec, stamp: u64) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        for (index, binding) in job.restore(block, rec, stamp, ctx.now) {
+            if self.machines.contains_key(&binding.machine) {
+                self.bind(id, index, binding);
+            } else if let Some(job) = self.jobs.get_mut(id) {
+                // Its machine's record is gone, so the machine is.
+                let block = job.block_of(index);
+                job.touch(block);
+            }
+        }
+    }
+
+    /// Keeps a watch on the share's jobs, for those that other controllers accept.
+    pub(crate) fn watch(&mut self, ctx: &mut Ctx) {
+        if self.watching || self.live_rev == 0 || ctx.now < self.watch_at {
+            return;
+        }
+        self.watching = true;
+        self.watch_at = ctx.now + ctx.watch_pause(WATCH_PART);
+        let pending = Pending::ShareWatch {
+            share: self.id,
+            epoch: self.epoch,
+        };
+        ctx.watch(&live_prefix(self.id), self.live_rev, 10_000, pending);
+    }
+
+    /// The watch has shown changes, or has ended.
+    pub(crate) fn on_watch(&mut self, ctx: &mut Ctx, status: u16, body: &[u8]) {
+        self.watching = false;
+        // Our own writes come back here; a pause lets them come together. Of
+        // new jobs we are told by whoever accepted them.
+        self.watch_at = self.watch_at.max(ctx.now + WATCH_GAP);
+        if is_watch_lost(status) {
+            self.reload = true;
+        }
+        let changes: Option<Changes> = serde_json::from_slice(body).ok().filter(|_| status == 200);
+        let Some(changes) = changes else { return };
+        let prefix = live_prefix(self.id);
+        for event in changes.events {
+            let Change::Put {
+                put,
+                value,
+                version,
+            } = event
+            else {
+                continue;
+            };
+            let Some(name) = put.strip_prefix(&prefix) else {
+                continue;
+            };
+            let id = JobId::new(name);
+            if name.contains('/') || version <= self.live_rev || self.jobs.contains_key(&id) {
+                continue;
+            }
+            // Others write heads of new jobs only: all else is an old write of
+            // ours, of a job that may be over.
+            let head = from_value::<HeadRec>(value).ok();
+            let head = head.filter(|h| !h.cancelled && h.block == BlockRec::default());
+            if let Some(head) = head {
+                self.add_job(ctx, head.spec, head.at, version);
+            }
+        }
+        self.live_rev = self.live_rev.max(changes.revision);
+        let seen = self.live_rev;
+        self.gone.retain(|_, rev| *rev >= seen);
+    }
+}
--- /dev/null
+++ b/crates/core/src/share/machines.rs
@@ -0,0 +1,254 @@
+//! The machines of a share: they follow the records that the view shows, are
+//! given up, and change to another share.
+
+use super::Share;
+use crate::ctx::{Ctx, Pending};
+use crate::machine::Machine;
+use crate::records::{machine_key, share_key, total_of, MachineRec};
+use crate::store::Urgency;
+use crate::view::{Changed, View};
+use forkshift_sched::Resources;
+use forkshift_wire::state::{Cond, Txn, Write};
+use forkshift_wire::{MachineId, TaskRef};
+use serde_json::to_value;
+use std::collections::{BTreeMap, BTreeSet};
+
+impl Share {
+    /// Follows the view: new machines, changed records, machines that are gone.
+    pub(crate) fn sync_machines(&mut self, ctx: &mut Ctx, view: &View, changed: &Changed) {
+        if changed.all {
+            let known = self.machines.keys().chain(view.machines.keys());
+            let all: BTreeSet<MachineId> = known.cloned().collect();
+            for id in &all {
+                self.sync_machine(ctx, view, id);
+            }
+        } else {
+            for id in &changed.machines {
+                self.sync_machine(ctx, view, id);
+            }
+        }
+    }
+
+    /// Follows one machine's record.
+    fn sync_machine(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+        ctx.visits += 1;
+        let ours = view.machines.get(id).filter(|m| m.rec.share == self.id);
+        let Some(stamped) = ours else {
+            self.drop_machine(ctx, id);
+            return;
+        };
+        self.look.touch(id);
+        if let Some(machine) = self.machines.get_mut(id) {
+            if machine.version != stamped.version {
+                machine.version = stamped.version;
+                machine.leaving = None;
+                if stamped.rec.condemned.is_some() {
+                    machine.condemned = stamped.rec.condemned.clone();
+                }
+                machine.addr = stamped.rec.addr.clone().or(machine.addr.take());
+            }
+        } else if let Some(machine) = self.new_machine(ctx, view, id, &stamped.rec, stamped.version)
+        {
+            self.machines.insert(id.clone(), machine);
+        }
+    }
+
+    /// A machine of which nothing is known but its record.
+    fn new_machine(
+        &self,
+        ctx: &mut Ctx,
+        view: &View,
+        id: &MachineId,
+        rec: &MachineRec,
+        version: u64,
+    ) -> Option<Machine> {
+        let of_type = &view.types.get(&rec.machine_type)?.rec;
+        let hourly = if rec.spot {
+            of_type.spot_price.unwrap_or(of_type.price)
+        } else {
+            of_type.price
+        };
+        Some(Machine {
+            id: id.clone(),
+            machine_type: ctx.intern(&rec.machine_type) as u16,
+            zone: ctx.intern(&rec.zone) as u16,
+            spot: rec.spot,
+            total: total_of(of_type),
+            price: hourly / 3600.0,
+            fetch_rate: of_type.fetch_gb_per_s,
+            cache_gb: of_type.cache_gb,
+            boot_ms: crate::ms(of_type.boot_s),
+            addr: rec.addr.clone(),
+            condemned: rec.condemned.clone(),
+            version,
+            putting: false,
+            put_from: 0,
+            session: 0,
+            seq: 0,
+            echo: 0,
+            token: self.first_token(rec),
+            unechoed_since: None,
+            heard: None,
+            since: ctx.now,
+            taken_at: None,
+            calling: false,
+            retry_at: 0,
+            unanswered: false,
+            push: rec.addr.is_some(),
+            tasks: BTreeSet::new(),
+            used: Resources::default(),
+            orphans: Vec::new(),
+            exited: Vec::new(),
+            fates: BTreeMap::new(),
+            images: rec
+                .images
+                .iter()
+                .map(|(name, gb)| (ctx.intern(name), *gb))
+                .collect(),
+            errors: BTreeSet::new(),
+            full_until: 0,
+            leaving: None,
+            deleted: false,
+            delete_at: 0,
+            full_house_until: 0,
+            draining: false,
+            idle_since: None,
+        })
+    }
+
+    /// The machine's record is gone: the cloud has answered that it was
+    /// deleted, so nothing that was on it is left.
+    fn drop_machine(&mut self, ctx: &Ctx, id: &MachineId) {
+        if !self.machines.contains_key(id) {
+            return;
+        }
+        self.unbind_all(ctx, id);
+        self.machines.remove(id);
+        self.look.forget(id);
+    }
+
+    /// Nothing that was on a machine is left.
+    pub(crate) fn unbind_all(&mut self, ctx: &Ctx, id: &MachineId) {
+        let tasks = self.machines.get(id).map(|m| m.tasks.clone());
+        for task in tasks.into_iter().flatten() {
+            self.unbind(&task.job, task.index);
+        }
+        self.hurry(ctx);
+    }
+
+    /// Gives a machine that the leader asks for to another share, if it is
+    /// free. From the moment the write is sent nothing is placed there until
+    /// the record has changed: a write without an answer may land late, and
+    /// the other share then owns whatever is on the machine.
+    pub(crate) fn give_away(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+        let Some(to) = view.machines.get(id).and_then(|m| m.rec.want) else {
+            return;
+        };
+        let names = self.image_names(ctx, id);
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        if machine.putting || view.revision < machine.put_from || to == self.id {
+            return;
+        }
+        let free = machine.tasks.is_empty()
+            && machine.exited.is_empty()
+            && machine.orphans.is_empty()
+            && !machine.calling
+            && !machine.unanswered
+            && machine.condemned.is_none()
+            && machine.is_confirmed();
+        let floor = machine.token;
+        if free || machine.leaving.is_some() {
+            machine.leaving = Some(machine.version);
+            self.put_machine(ctx, view, id, |rec| {
+                rec.share = to;
+                rec.want = None;
+                rec.floor = floor;
+                rec.images = names;
+            });
+        } else {
+            self.put_machine(ctx, view, id, |rec| rec.want = None);
+        }
+    }
+
+    /// Names and sizes of the images that are on a machine.
+    fn image_names(&self, ctx: &Ctx, id: &MachineId) -> Vec<(String, f64)> {
+        let images = self.machines.get(id).map(|m| m.images.as_slice());
+        let images = images.unwrap_or_default().iter();
+        images
+            .filter_map(|(i, gb)| Some((ctx.name_of(*i)?, *gb)))
+            .collect()
+    }
+
+    /// Writes a machine's record, on condition that it and the share are as we know them.
+    pub(crate) fn put_machine(
+        &mut self,
+        ctx: &mut Ctx,
+        view: &View,
+        id: &MachineId,
+        change: impl FnOnce(&mut MachineRec),
+    ) {
+        let (Some(machine), Some(stamped)) = (self.machines.get_mut(id), view.machines.get(id))
+        else {
+            return;
+        };
+        if machine.putting || view.revision < machine.put_from {
+            return;
+        }
+        machine.putting = true;
+        let mut rec = stamped.rec.clone();
+        change(&mut rec);
+        // Only a takeover needs an address; all else frees a machine.
+        let moves = rec.share != stamped.rec.share || rec.condemned != stamped.rec.condemned;
+        let urgency = if moves { Urgency::Work } else { Urgency::Later };
+        let key = machine_key(id);
+        let txn = Txn {
+            conds: vec![
+                Cond {
+                    key: share_key(self.id),
+                    version: self.version,
+                },
+                Cond {
+                    key: key.clone(),
+                    version: stamped.version,
+                },
+            ],
+            writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
+        };
+        ctx.txn(urgency, &txn, Pending::MachinePut(id.clone()));
+    }
+
+    /// Gives a machine up: nothing more is placed there, and the leader
+    /// deletes it once the record says so.
+    pub(crate) fn condemn(&mut self, id: &MachineId, why: &str) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        if machine.condemned.is_none() {
+            log::info!(
+                "machine {id}: condemned, {why}, {} tasks",
+                machine.tasks.len()
+            );
+            machine.condemned = Some(why.to_owned());
+            self.look.touch(id);
+        }
+    }
+
+    /// Writes that a machine is given up, until the record says so, and takes
+    /// away from it what was never sent there.
+    pub(crate) fn record_condemned(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
+        let Some(why) = machine.condemned.clone() else {
+            return;
+        };
+        let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
+        self.drop_unsent_of(tasks);
+        let recorded = view.machines.get(id);
+        if recorded.is_some_and(|m| m.rec.condemned.is_none()) {
+            self.put_machine(ctx, view, id, |rec| rec.condemned = Some(why));
+        }
+    }
+}
