--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,12 +25,12 @@
 mod peers;
 mod preempt;
 mod ranges;
+mod reconcile;
 pub mod records;
 mod rounds;
 mod share;
 mod silence;
 mod store;
-mod tend;
 mod view;
 mod vouch;
 
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -216,7 +216,7 @@
                     share.cancel(&self.ctx, id);
                 }
             }
-            share.tend(&mut self.ctx, &self.view);
+            share.reconcile(&mut self.ctx, &self.view);
         }
         for (share, epoch, rec) in std::mem::take(&mut self.ctx.lacking) {
             self.leader.on_demand(self.ctx.now, share, epoch, rec);
--- a/crates/core/src/tend.rs
+++ b/crates/core/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! What a holder does for its share between the messages.
+//! Reconciliation of a share: brings what machines do in line with what is
+//! recorded of jobs, after every batch of messages.
 
 use crate::ctx::{Ctx, Pending};
 use crate::job::Sent;
@@ -86,7 +87,8 @@
         money
     }
 
-    pub(crate) fn tend(&mut self, ctx: &mut Ctx, view: &View) {
+    /// Does what is due for gangs, cancellations, machines and records.
+    pub(crate) fn reconcile(&mut self, ctx: &mut Ctx, view: &View) {
         self.stop_broken_gangs();
         self.follow_cancelled(ctx);
         self.round(ctx, view);
--- a/crates/core/src/tend/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `tend`.
+//! Tests of `reconcile`.
 
 use super::*;
 use crate::ctx::Effect;
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -1,7 +1,7 @@
 //! A share that this controller holds: its jobs and its machines.
 //!
 //! [`Share`] is the state; what is done with it is in the modules below by
-//! concern, and in `tend`, `evidence`, `rounds`, `drain` and `commit`.
+//! concern, and in `reconcile`, `evidence`, `rounds`, `drain` and `commit`.
 
 mod arrivals;
 mod explain;
