--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,7 +5,6 @@
 //! numbers come from a seed. The daemon runs it against the real services,
 //! the testkit against stand-ins in virtual time.
 
-mod agenda;
 mod api;
 mod budget;
 mod commit;
@@ -31,6 +30,7 @@
 mod share;
 mod silence;
 mod store;
+mod timers;
 mod view;
 mod vouch;
 
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -13,12 +13,12 @@
 pub(crate) use arrivals::ClassStats;
 pub(crate) use handover::hand_over;
 
-use crate::agenda::Agenda;
 use crate::ctx::{Ctx, Pending, Reply};
 use crate::job::Job;
 use crate::machine::Machine;
 use crate::records::{DemandRec, MachineRec, ShareId};
 use crate::store::Urgency;
+use crate::timers::TimerQueue;
 use crate::Ms;
 use forkshift_sched::{Quota, Resources};
 use forkshift_wire::state::{Cond, Item, Txn, Write};
@@ -60,15 +60,15 @@
     /// Guarantees, limits and use of its teams.
     pub(crate) quotas: Vec<Quota>,
     /// Machines to be looked at.
-    pub(crate) look: Agenda<MachineId>,
+    pub(crate) look: TimerQueue<MachineId>,
     /// Jobs that may have to be written.
-    pub(crate) dirty: Agenda<JobId>,
+    pub(crate) dirty: TimerQueue<JobId>,
     /// Jobs of which mere progress is to be written, once a round.
     pub(crate) progress: BTreeSet<JobId>,
     /// Gangs that may have lost a task.
     pub(crate) broken: BTreeSet<JobId>,
     /// Cancelled jobs, for when their tasks must be gone.
-    pub(crate) cancels: Agenda<JobId>,
+    pub(crate) cancels: TimerQueue<JobId>,
     /// Jobs that are over, with the revision that removed them: a watch may
     /// still show how they were created.
     gone: HashMap<JobId, u64>,
@@ -142,11 +142,11 @@
             machines: BTreeMap::new(),
             teams,
             quotas,
-            look: Agenda::default(),
-            dirty: Agenda::default(),
+            look: TimerQueue::default(),
+            dirty: TimerQueue::default(),
             progress: BTreeSet::new(),
             broken: BTreeSet::new(),
-            cancels: Agenda::default(),
+            cancels: TimerQueue::default(),
             gone: HashMap::new(),
             loaded: Vec::new(),
             list_at: None,
--- a/crates/core/src/agenda.rs
+++ b/crates/core/src/timers.rs
@@ -1,4 +1,4 @@
-//! What is to be looked at, and when.
+//! Timer queues: which machines and jobs are due to be looked at.
 //!
 //! A controller is woken by every message. What runs then must touch what has
 //! changed and what is due, not the whole fleet: with 1,240 machines, passes
@@ -7,15 +7,15 @@
 use crate::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Things that something has happened to, and others at their time.
+/// Keys that are due: those that were touched, and others at their deadlines.
 #[derive(Debug)]
-pub(crate) struct Agenda<K> {
+pub(crate) struct TimerQueue<K> {
     touched: BTreeSet<K>,
     due: BTreeSet<(Ms, K)>,
     times: BTreeMap<K, Ms>,
 }
 
-impl<K> Default for Agenda<K> {
+impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
         Self {
             touched: BTreeSet::new(),
@@ -25,15 +25,15 @@
     }
 }
 
-impl<K: Ord + Clone> Agenda<K> {
-    /// Has something looked at the next time.
+impl<K: Ord + Clone> TimerQueue<K> {
+    /// Makes a key due at once.
     pub(crate) fn touch(&mut self, k: &K) {
         if !self.touched.contains(k) {
             self.touched.insert(k.clone());
         }
     }
 
-    /// Has something looked at by a time, instead of any that was set before.
+    /// Sets the deadline of a key, in place of any that was set before.
     pub(crate) fn wake(&mut self, k: &K, at: Ms) {
         match self.times.insert(k.clone(), at) {
             Some(old) if old == at => return,
@@ -43,7 +43,7 @@
         self.due.insert((at, k.clone()));
     }
 
-    /// It is no more.
+    /// Drops a key and its deadline.
     pub(crate) fn forget(&mut self, k: &K) {
         self.touched.remove(k);
         if let Some(old) = self.times.remove(k) {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// What is to be looked at now. Nothing is kept of it: whatever has to be
-    /// looked at again must be given a new time.
+    /// Takes all keys that are due. Their deadlines are dropped with them:
+    /// whatever has to be looked at again must be given a new one.
     pub(crate) fn take(&mut self, now: Ms) -> Vec<K> {
         while let Some((at, _)) = self.due.first() {
             if *at > now {
