--- a/crates/core/src/ctx.rs
+++ b/crates/core/src/ctx.rs
@@ -1,8 +1,8 @@
 //! What every part of the controller needs: time, settings, a way out.
 
 use crate::config::Config;
+use crate::failure_detector::FailureDetector;
 use crate::records::{DemandRec, ShareId};
-use crate::silence::Silence;
 use crate::store::{StateCall, Store, Urgency};
 use crate::vouch::{Peer, Vouched};
 use crate::Ms;
@@ -304,7 +304,7 @@
     pub(crate) entitled: bool,
     /// When we last went on after standing still.
     pub(crate) awake_since: Ms,
-    pub(crate) silence: Silence,
+    pub(crate) failure_detector: FailureDetector,
     /// Until then we say that we hear no machine.
     pub(crate) blind_until: Ms,
     /// Peers that were heard.
@@ -350,7 +350,7 @@
             remote: BTreeMap::new(),
             entitled: false,
             awake_since: 0,
-            silence: Silence::default(),
+            failure_detector: FailureDetector::default(),
             blind_until: 0,
             peers: BTreeMap::new(),
             vouched: Vouched::default(),
--- a/crates/core/src/silence.rs
+++ b/crates/core/src/failure_detector.rs
@@ -1,8 +1,7 @@
-//! What the silence of many machines means.
+//! Failure detection: what it means that machines send no reports.
 //!
 //! One machine that is silent has failed, as far as its holder can tell, and
-//! is replaced. Many at once tell of something else. If all of them are
-//! silent, the holder itself is cut off from its workers: it gives its shares
+//! is replaced. Many at once have another cause. If all of them are silent, the holder itself is cut off from its workers: it gives its shares
 //! to a controller that may hear them, and does not have a whole fleet
 //! deleted. If nearly all machines of one zone are, the zone is cut off; what
 //! runs there goes on while controllers inside answer (`Node::keeps`), and
@@ -35,9 +34,9 @@
 /// How long a blind controller is given nothing, in leases of a worker.
 const BLIND_LEASES: Ms = 2;
 
-/// What silence has been taken for.
+/// What the detector has concluded last.
 #[derive(Default)]
-pub(crate) struct Silence {
+pub(crate) struct FailureDetector {
     /// Zones that are cut off, and worth waiting for.
     cut: BTreeSet<u16>,
     /// No machine is heard.
@@ -52,8 +51,8 @@
     /// inside before their leases end, what ran there is lost anyway, and is
     /// better begun elsewhere at once.
     pub(crate) fn silent_after(&self, machine: &Machine) -> Ms {
-        let silence = &self.silence;
-        let patient = silence.blind || !self.entitled || silence.cut.contains(&machine.zone);
+        let detector = &self.failure_detector;
+        let patient = detector.blind || !self.entitled || detector.cut.contains(&machine.zone);
         if patient {
             let replaced = (machine.boot_ms as f64 * REPLACED_BOOTS) as Ms;
             replaced.max(self.silent_ms())
@@ -62,13 +61,15 @@
         }
     }
 
-    /// From then on silence counts: while we stood still we heard nobody.
-    pub(crate) fn note_gap(&mut self, now: Ms) {
+    /// After this process stood still, silence is counted from now on: it
+    /// heard nobody meanwhile.
+    pub(crate) fn note_pause(&mut self, now: Ms) {
         if now > self.now + self.cfg.report_ms / 2 {
             self.awake_since = now;
         }
     }
 
+    /// Whether a start of another controller was heard lately.
     pub(crate) fn is_peer_there(&self, node: &NodeName, inc: u64) -> bool {
         let peer = self.peers.get(node).filter(|p| p.inc == inc);
         peer.is_some_and(|p| self.now < p.heard + self.beat_ms() * PEER_LOOKS)
@@ -98,16 +99,17 @@
 }
 
 impl Node {
-    /// Tells peers that we are here, and judges the silence of machines.
-    pub(crate) fn follow_silence(&mut self) {
+    /// Sends heartbeats to peers, and decides which zones are cut off, or
+    /// whether this controller is.
+    pub(crate) fn run_failure_detector(&mut self) {
         self.ctx.entitled = self.member.has_right(&self.ctx, &self.view);
         if self.ctx.entitled {
             self.ctx.vouched.prove(self.member.right_until(&self.ctx));
         }
-        if self.ctx.now < self.silence_at {
+        if self.ctx.now < self.failure_detector_at {
             return;
         }
-        self.silence_at = self.ctx.now + self.ctx.beat_ms();
+        self.failure_detector_at = self.ctx.now + self.ctx.beat_ms();
         let cfg = self.ctx.cfg.clone();
         self.send_heartbeats();
         let mut zones = BTreeMap::new();
@@ -129,10 +131,10 @@
             .filter(|(zone, (all, silent))| most(*silent, *all, ZONE_PART) && kept(*zone))
             .map(|(zone, _)| zone)
             .collect();
-        if blind && !self.ctx.silence.blind {
+        if blind && !self.ctx.failure_detector.blind {
             log::info!("{silent} of {all} machines are silent: we are cut off from them");
         }
-        self.ctx.silence = Silence { cut, blind };
+        self.ctx.failure_detector = FailureDetector { cut, blind };
         if blind {
             self.ctx.blind_until = self.ctx.now + self.ctx.cfg.lease_ms * BLIND_LEASES;
         }
@@ -143,7 +145,7 @@
     pub(crate) fn relief(&self) -> Option<NodeName> {
         let us = &self.ctx.cfg.node;
         let told = self.view.nodes.get(us).is_some_and(|n| n.rec.blind);
-        if !self.ctx.silence.blind || !told {
+        if !self.ctx.failure_detector.blind || !told {
             return None;
         }
         let held = |n: &NodeName| {
--- a/crates/core/src/silence/tests.rs
+++ b/crates/core/src/failure_detector/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `silence`.
+//! Tests of `failure_detector`.
 
 use super::*;
 use crate::config::{Config, Operator};
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -84,7 +84,7 @@
         ours.phase = Phase::Waiting(5);
         ours.activate(&mut node.ctx, &node.view);
         node.shares.insert(share, ours);
-        node.follow_silence();
+        node.run_failure_detector();
         let mut fixture = Self {
             node,
             share,
@@ -109,7 +109,7 @@
     /// The controller loses its right.
     pub(crate) fn lose_right(&mut self) {
         self.node.ctx.now += self.node.ctx.cfg.node_lease_ms();
-        self.node.follow_silence();
+        self.node.run_failure_detector();
     }
 
     /// A new job of the share.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,6 +12,7 @@
 mod ctx;
 mod drain;
 mod evidence;
+mod failure_detector;
 #[cfg(test)]
 mod fixture;
 mod forward;
@@ -28,7 +29,6 @@
 pub mod records;
 mod rounds;
 mod share;
-mod silence;
 mod store;
 mod timers;
 mod view;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -83,7 +83,7 @@
     moving: BTreeMap<ShareId, Ms>,
     seen: u64,
     status_at: Ms,
-    pub(crate) silence_at: Ms,
+    pub(crate) failure_detector_at: Ms,
     /// Looks at cancellations that are to be repeated.
     pub(crate) later_polls: Vec<(Ms, AbortPoll)>,
     /// Until when users wait for cancellations of ours to be written.
@@ -125,7 +125,7 @@
             moving: BTreeMap::new(),
             seen: 0,
             status_at: 0,
-            silence_at: 0,
+            failure_detector_at: 0,
             later_polls: Vec::new(),
             cancel_ends: VecDeque::new(),
         }
@@ -135,7 +135,7 @@
     /// clock, `wall` the time of day, which may be off by some and is used
     /// only to tell how long ago a job was submitted.
     pub fn step(&mut self, now: Ms, wall: Ms, inputs: Vec<Input>) -> Vec<Effect> {
-        self.ctx.note_gap(now);
+        self.ctx.note_pause(now);
         self.ctx.now = self.ctx.now.max(now);
         self.ctx.wall = wall;
         for input in inputs {
@@ -187,7 +187,7 @@
     fn tick(&mut self) {
         self.member.tick(&mut self.ctx, &self.view);
         self.follow_view();
-        self.follow_silence();
+        self.run_failure_detector();
         let machines = self.view.take_changed();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
         self.follow_shares();
