--- a/crates/core/src/vouch.rs
+++ b/crates/core/src/attestation.rs
@@ -1,5 +1,5 @@
-//! What other controllers vouch for, and for how long workers may be answered
-//! on it without a right.
+//! Attestations of other controllers, and for how long workers may be answered
+//! on them without a valid lease.
 //!
 //! Whoever answers a worker's report keeps its lease alive, and with it a task
 //! whose cancellation another controller may have confirmed. By `cancel_ms`
@@ -63,9 +63,9 @@
     machines: BTreeSet<MachineId>,
 }
 
-/// What other controllers have stated.
+/// What other controllers have attested, each as of some moment.
 #[derive(Debug, Default)]
-pub(crate) struct Vouched {
+pub(crate) struct Attestations {
     peers: BTreeMap<NodeName, Seen>,
     refused: BTreeMap<NodeName, Refused>,
     shares: BTreeMap<ShareId, Unsettled>,
@@ -73,7 +73,7 @@
     proven: Ms,
 }
 
-impl Vouched {
+impl Attestations {
     /// We have a right until then.
     pub(crate) fn prove(&mut self, until: Ms) {
         self.proven = self.proven.max(until);
@@ -81,15 +81,15 @@
 
     /// Before this moment nobody can have confirmed a cancellation in our
     /// stead. Only a holder of the share under a higher epoch can, once it has
-    /// seen that epoch in its view. As long as every other controller vouches
-    /// for not having seen one, nobody has. A controller that is not heard
-    /// vouches for nothing, nor does one that has restarted and was not served
+    /// seen that epoch in its view. As long as every other controller
+    /// attests that it has not seen one, nobody has. A controller that is not heard
+    /// attests nothing, nor does one that has restarted and was not served
     /// since. One whose view is complete has read it after its start, so it
-    /// vouches for its earlier starts as well.
+    /// attests this for its earlier starts as well.
     fn unclaimed_until(&self, ctx: &Ctx, share: &Share) -> Ms {
         let cfg = &ctx.cfg;
         let others = cfg.nodes.iter().filter(|n| **n != cfg.node);
-        let vouched = others.map(|n| {
+        let attested = others.map(|n| {
             let seen = self.peers.get(n);
             let unclaimed = seen.filter(|s| {
                 let epoch = s.epochs.get(&share.id).copied().unwrap_or(0);
@@ -97,8 +97,8 @@
             });
             unclaimed.map_or(0, |s| s.since)
         });
-        let vouched = vouched.min().unwrap_or(Ms::MAX);
-        self.proven.max(vouched).max(self.out_until(ctx))
+        let attested = attested.min().unwrap_or(Ms::MAX);
+        self.proven.max(attested).max(self.out_until(ctx))
     }
 
     /// Until then the state service was out for everybody, and has been since
@@ -212,26 +212,32 @@
         let Some(since) = echo.map(|e| e.sent.min(self.ctx.now)) else {
             return;
         };
-        let vouched = &mut self.ctx.vouched;
-        let newer = vouched.peers.get(from).is_none_or(|s| since > s.since);
+        let attestations = &mut self.ctx.attestations;
+        let newer = attestations.peers.get(from).is_none_or(|s| since > s.since);
         if beat.epochs.is_some() && newer {
-            vouched.peers.insert(from.clone(), Seen { since, epochs });
+            attestations
+                .peers
+                .insert(from.clone(), Seen { since, epochs });
         }
-        if vouched.refused.get(from).is_none_or(|r| since > r.since) {
+        if attestations
+            .refused
+            .get(from)
+            .is_none_or(|r| since > r.since)
+        {
             // The message took some time, so it began before that.
             let from_when = beat.refused_for.map(|t| self.ctx.now.saturating_sub(t));
             let refused = Refused {
                 since,
                 from: from_when,
             };
-            vouched.refused.insert(from.clone(), refused);
+            attestations.refused.insert(from.clone(), refused);
         }
         for settled in beat.settled {
             let k = ShareId(settled.share);
             let machines = settled.unsettled.iter().map(|m| MachineId::new(m));
             let machines = machines.collect();
-            if vouched.shares.get(&k).is_none_or(|u| since > u.since) {
-                vouched.shares.insert(k, Unsettled { since, machines });
+            if attestations.shares.get(&k).is_none_or(|u| since > u.since) {
+                attestations.shares.insert(k, Unsettled { since, machines });
             }
         }
     }
@@ -240,7 +246,7 @@
     /// any more. Once our lease has run out another controller may be given the
     /// share and confirm cancellations that we never hear of.
     pub(crate) fn holds_on(&self, share: &Share) -> bool {
-        let until = self.ctx.vouched.unclaimed_until(&self.ctx, share);
+        let until = self.ctx.attestations.unclaimed_until(&self.ctx, share);
         !share.superseded && self.ctx.now < until.saturating_add(self.ctx.cfg.grace_ms())
     }
 
@@ -248,7 +254,7 @@
     /// its tasks are cancelled: the last holder that had a right has stated that
     /// none is that was cancelled before.
     fn is_settled(&self, share: ShareId, machine: &MachineId) -> bool {
-        let until = self.ctx.vouched.settled_until(share, machine);
+        let until = self.ctx.attestations.settled_until(share, machine);
         until.is_some_and(|t| self.ctx.now < t + self.ctx.cfg.grace_ms())
     }
 
--- a/crates/core/src/vouch/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `vouch`.
+//! Tests of `attestation`.
 
 use super::*;
 use crate::config::{Config, Operator};
@@ -37,7 +37,7 @@
     node.shares.insert(OURS, share);
     node.member.on_extend(&node.ctx, SENT, 200);
     let until = node.member.right_until(&node.ctx);
-    node.ctx.vouched.prove(until);
+    node.ctx.attestations.prove(until);
     node
 }
 
@@ -97,20 +97,20 @@
         ("nobody is heard, in time", vec![], end - 1, true),
         ("nobody is heard, too late", vec![], end, false),
         (
-            "one of two vouches",
+            "one of two attests",
             vec![says("north", later, seen)],
             end,
             false,
         ),
-        ("both vouch", both(later, later), later, true),
+        ("both attest", both(later, later), later, true),
         (
-            "both vouched for a while",
+            "both attested for a while",
             both(end, later),
             end + grace - 1,
             true,
         ),
         (
-            "both vouched too long ago",
+            "both attested too long ago",
             both(end, later),
             end + grace,
             false,
@@ -122,7 +122,7 @@
             false,
         ),
         (
-            "one vouched before it restarted",
+            "one attested before it restarted",
             vec![
                 says("north", later, seen),
                 says("south", end, seen),
@@ -144,7 +144,7 @@
             false,
         ),
         (
-            "what they vouch for is of our clock before a restart",
+            "attestations are of our clock before a restart",
             vec![
                 says("north", later, seen),
                 Says {
--- a/crates/core/src/ctx.rs
+++ b/crates/core/src/ctx.rs
@@ -1,10 +1,10 @@
 //! What every part of the controller needs: time, settings, a way out.
 
+use crate::attestation::{Attestations, Peer};
 use crate::config::Config;
 use crate::failure_detector::FailureDetector;
 use crate::records::{DemandRec, ShareId};
 use crate::store::{StateCall, Store, Urgency};
-use crate::vouch::{Peer, Vouched};
 use crate::Ms;
 use forkshift_wire::peer::{Body, Envelope, VERSION};
 use forkshift_wire::state::{Txn, TxnReply};
@@ -309,7 +309,7 @@
     pub(crate) blind_until: Ms,
     /// Peers that were heard.
     pub(crate) peers: BTreeMap<NodeName, Peer>,
-    pub(crate) vouched: Vouched,
+    pub(crate) attestations: Attestations,
     /// Calls to workers that are under way.
     pub(crate) worker_calls: usize,
     /// Machines, jobs and tasks looked at: the work of a step, counted.
@@ -353,7 +353,7 @@
             failure_detector: FailureDetector::default(),
             blind_until: 0,
             peers: BTreeMap::new(),
-            vouched: Vouched::default(),
+            attestations: Attestations::default(),
             worker_calls: 0,
             visits: 0,
             next_call: 0,
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -104,7 +104,9 @@
     pub(crate) fn run_failure_detector(&mut self) {
         self.ctx.entitled = self.member.has_right(&self.ctx, &self.view);
         if self.ctx.entitled {
-            self.ctx.vouched.prove(self.member.right_until(&self.ctx));
+            self.ctx
+                .attestations
+                .prove(self.member.right_until(&self.ctx));
         }
         if self.ctx.now < self.failure_detector_at {
             return;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,6 +6,7 @@
 //! the testkit against stand-ins in virtual time.
 
 mod api;
+mod attestation;
 mod budget;
 mod commit;
 pub mod config;
@@ -32,7 +33,6 @@
 mod store;
 mod timers;
 mod view;
-mod vouch;
 
 pub use config::{Config, Operator};
 pub use ctx::{CallId, Effect, Input, Reply, Target, Token};
