--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,6 +1,6 @@
 //! Requests from users, workers and probes.
 
-use crate::ctx::{revision_of, AbortPoll, Creation, Ctx, Lookup, Pending, Reply, Token};
+use crate::context::{revision_of, AbortPoll, Context, Creation, Lookup, Pending, Reply, Token};
 use crate::node::Node;
 use crate::records::{abort_key, job_key, live_key, total_of, BlockRec, HeadRec, JobRec, ShareId};
 use crate::share::{Phase, TOKEN_BITS};
@@ -541,7 +541,7 @@
     JobId::parse(value.get("uid")?.as_str()?)
 }
 
-impl Ctx {
+impl Context {
     pub(crate) fn silent_ms(&self) -> Ms {
         (self.cfg.lease_ms as f64 * self.cfg.ops.silent_leases) as Ms
     }
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/attestation.rs
@@ -15,7 +15,7 @@
 //! own clock. However late it comes, it proves nothing about a later time, and
 //! no two clocks are compared.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::node::Node;
 use crate::records::ShareId;
 use crate::share::{Phase, Share};
@@ -86,7 +86,7 @@
     /// attests nothing, nor does one that has restarted and was not served
     /// since. One whose view is complete has read it after its start, so it
     /// attests this for its earlier starts as well.
-    fn unclaimed_until(&self, ctx: &Ctx, share: &Share) -> Ms {
+    fn unclaimed_until(&self, ctx: &Context, share: &Share) -> Ms {
         let cfg = &ctx.cfg;
         let others = cfg.nodes.iter().filter(|n| **n != cfg.node);
         let attested = others.map(|n| {
@@ -106,7 +106,7 @@
     /// shares, whoever is not heard. The service refuses a single controller
     /// alone, so two that are refused at a time would do; a majority is asked
     /// for, and that nobody says otherwise.
-    fn out_until(&self, ctx: &Ctx) -> Ms {
+    fn out_until(&self, ctx: &Context) -> Ms {
         let in_time = |from: Option<Ms>| from.is_some_and(|t| t < self.proven);
         let served = |r: &Refused| r.from.is_none() && r.since > self.proven;
         if !in_time(ctx.store.out_since()) || self.refused.values().any(served) {
--- a/crates/core/src/attestation/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -245,7 +245,7 @@
     ];
     for (name, ours, told, holds) in cases {
         let mut node = node();
-        let Ctx { store, rng, .. } = &mut node.ctx;
+        let Context { store, rng, .. } = &mut node.ctx;
         if let Some(since) = ours {
             store.heard(503, since, rng);
         }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -8,7 +8,7 @@
 //! Without that, the one that leads, or that holds what is busy, starves while
 //! others leave theirs unused.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::leader::Leader;
 use crate::store::Use;
 use crate::view::View;
@@ -52,7 +52,7 @@
 }
 
 /// The most that all controllers use together, and the part that follows need.
-fn limits(ctx: &Ctx) -> (Use, Use) {
+fn limits(ctx: &Context) -> (Use, Use) {
     let all = Use {
         requests: ctx.cfg.state_rps * REQUESTS_PART,
         writes: ctx.cfg.write_rps * WRITES_PART,
@@ -61,7 +61,7 @@
 }
 
 /// A grant that begins now.
-fn grant(ctx: &Ctx, leader: NodeName, inc: u64, rate: Use) -> Grant {
+fn grant(ctx: &Context, leader: NodeName, inc: u64, rate: Use) -> Grant {
     Grant {
         leader,
         inc,
@@ -72,7 +72,7 @@
 
 impl Budget {
     /// What this controller may use a second.
-    pub(crate) fn rate(&self, ctx: &Ctx, view: &View) -> Use {
+    pub(crate) fn rate(&self, ctx: &Context, view: &View) -> Use {
         let n = ctx.cfg.nodes.len().max(1) as f64;
         let (all, pool) = limits(ctx);
         let fixed = all.times(FIXED_PART / n);
@@ -83,7 +83,7 @@
     }
 
     /// The grant, as long as whoever gave it leads.
-    fn live(&self, ctx: &Ctx, view: &View) -> Option<&Grant> {
+    fn live(&self, ctx: &Context, view: &View) -> Option<&Grant> {
         let leader = view.leader.as_ref().map(|l| &l.rec);
         let of_leader = |g: &&Grant| leader.is_some_and(|l| l.node == g.leader && l.inc == g.inc);
         self.grant
@@ -93,7 +93,7 @@
     }
 
     /// Tells the leader what is needed here; if we lead, grants what there is.
-    pub(crate) fn tick(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View) {
         if ctx.now < self.next {
             return;
         }
@@ -168,7 +168,7 @@
         self.needs.insert(from, need);
     }
 
-    pub(crate) fn on_grant(&mut self, ctx: &Ctx, leader: NodeName, inc: u64, rate: Use) {
+    pub(crate) fn on_grant(&mut self, ctx: &Context, leader: NodeName, inc: u64, rate: Use) {
         self.grant = Some(grant(ctx, leader, inc, rate));
     }
 }
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -10,12 +10,12 @@
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 
-fn ctx(node: &str, names: &[&str]) -> Ctx {
+fn ctx(node: &str, names: &[&str]) -> Context {
     let settings = Settings::parse(SETTINGS).expect("the example is good");
     let mut cfg = Config::new(&settings, Operator::default());
     cfg.node = NodeName::new(node);
     cfg.nodes = names.iter().map(|n| NodeName::new(n)).collect();
-    let mut ctx = Ctx::new(Rc::new(cfg), 1, 1);
+    let mut ctx = Context::new(Rc::new(cfg), 1, 1);
     ctx.now = 10_000;
     ctx
 }
@@ -72,7 +72,7 @@
             let member = ctx(n, &names);
             let mut own = Budget::default();
             for effect in &leader.out {
-                let crate::ctx::Effect::Tell { node, message } = effect else {
+                let crate::context::Effect::Tell { node, message } = effect else {
                     continue;
                 };
                 let body = Envelope::decode(message).map(|e| e.body);
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -5,7 +5,7 @@
 //! the version that is known to be written.
 
 use crate::api::status;
-use crate::ctx::{Ctx, JobWrite, Pending, Reply, Token};
+use crate::context::{Context, JobWrite, Pending, Reply, Token};
 use crate::job::{Job, Sent};
 use crate::node::Finals;
 use crate::records::{job_key, live_key, share_key, JobRec};
@@ -34,7 +34,7 @@
 impl Share {
     /// Writes what has changed. Mere progress waits for `progress`, so that a
     /// job is written at most once a round.
-    pub(crate) fn flush(&mut self, ctx: &mut Ctx, progress: bool) {
+    pub(crate) fn flush(&mut self, ctx: &mut Context, progress: bool) {
         if progress {
             for id in std::mem::take(&mut self.progress) {
                 self.dirty.touch(&id);
@@ -81,7 +81,7 @@
         }
     }
 
-    fn send_group(&mut self, ctx: &mut Ctx, group: Vec<Part>) {
+    fn send_group(&mut self, ctx: &mut Context, group: Vec<Part>) {
         let urgency = group[0].urgency;
         let mut txn = Txn {
             conds: vec![Cond {
@@ -113,7 +113,7 @@
 
     pub(crate) fn on_txn(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         finals: &mut Finals,
         jobs: Vec<JobWrite>,
         status: u16,
@@ -165,7 +165,7 @@
     /// the share is ours.
     pub(crate) fn on_fix(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: &JobId,
         block: u32,
         status: u16,
@@ -202,7 +202,7 @@
     /// What became of a job whose live record is gone.
     pub(crate) fn on_final(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         finals: &mut Finals,
         id: &JobId,
         status: u16,
@@ -234,7 +234,7 @@
         }
     }
 
-    fn written(&mut self, ctx: &mut Ctx, finals: &mut Finals, write: &JobWrite, revision: u64) {
+    fn written(&mut self, ctx: &mut Context, finals: &mut Finals, write: &JobWrite, revision: u64) {
         let Some(job) = self.jobs.get_mut(&write.id) else {
             return;
         };
@@ -278,14 +278,14 @@
 }
 
 /// Tells users who wait for a cancellation how the job ended.
-fn answer(ctx: &mut Ctx, waiters: Vec<Token>, id: &JobId, stage: JobStage) {
+fn answer(ctx: &mut Context, waiters: Vec<Token>, id: &JobId, stage: JobStage) {
     for token in waiters {
         ctx.respond(token, Reply::json(200, &status(id, stage)));
     }
 }
 
 /// A job's part of the next transaction, if it has any.
-fn part(share: &Share, job: &Job, ctx: &Ctx, progress: bool) -> Option<Part> {
+fn part(share: &Share, job: &Job, ctx: &Context, progress: bool) -> Option<Part> {
     let id = &job.spec.id;
     let last = job.is_over();
     let cancel = job.cancelled && !job.cancel_durable;
--- a/crates/core/src/ctx.rs
+++ b/crates/core/src/context.rs
@@ -1,4 +1,5 @@
-//! What every part of the controller needs: time, settings, a way out.
+//! The context of every part of the controller: time, settings, and the
+//! effects that it wants carried out.
 
 use crate::attestation::{Attestations, Peer};
 use crate::config::Config;
@@ -285,7 +286,7 @@
 }
 
 /// Time, settings, and a way out.
-pub(crate) struct Ctx {
+pub(crate) struct Context {
     pub(crate) now: Ms,
     pub(crate) wall: Ms,
     pub(crate) cfg: Rc<Config>,
@@ -333,7 +334,7 @@
 /// Time that the state service has for an answer.
 const STATE_TIMEOUT: Ms = 2_000;
 
-impl Ctx {
+impl Context {
     pub(crate) fn new(cfg: Rc<Config>, inc: u64, seed: u64) -> Self {
         let n = cfg.nodes.len() as f64;
         Self {
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -4,7 +4,7 @@
 //! of them is never idle by itself. A replica is moved when it finds a place
 //! at once where its image is; whatever completes by itself is waited for.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::job::Job;
 use crate::records::total_of;
 use crate::rounds::want_of;
@@ -49,7 +49,7 @@
     /// that waits, and the spare places, are booked.
     pub(crate) fn drain(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         usable: &[MachineId],
         hosts: &mut [Host],
@@ -113,7 +113,7 @@
 
     fn choose_drain(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         usable: &[MachineId],
         hosts: &mut [Host],
         places: &Places,
@@ -172,7 +172,7 @@
     /// Books a place for one task of another machine, and says where and how much.
     fn fits_elsewhere(
         &self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         task: &TaskRef,
         hosts: &mut [Host],
         from: f64,
@@ -209,7 +209,7 @@
     /// Moves one replica at a time, so that no service is thinned out.
     fn move_one(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: &MachineId,
         hosts: &mut [Host],
         places: &Places,
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -5,7 +5,7 @@
 //! a token minted after the start was last sent, and does not list the task;
 //! or if the machine's deletion was answered. FailureDetector proves nothing.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::job::{Binding, Sent, Stop};
 use crate::share::Share;
 use crate::Ms;
@@ -23,7 +23,7 @@
 impl Share {
     /// Takes in a message. Returns false if it is an old copy, or is not
     /// about a machine of this share.
-    pub(crate) fn ingest(&mut self, ctx: &mut Ctx, report: &Report) -> bool {
+    pub(crate) fn ingest(&mut self, ctx: &mut Context, report: &Report) -> bool {
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return false;
         };
@@ -79,7 +79,7 @@
     /// Decides what a message says about a task that may be on the machine.
     fn judge(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         report: &Report,
         task: &TaskRef,
         listed: &BTreeMap<(&TaskRef, u64), &TaskReport>,
@@ -134,7 +134,13 @@
         }
     }
 
-    fn exited(&mut self, ctx: &mut Ctx, machine: &MachineId, task: &TaskRef, found: &TaskReport) {
+    fn exited(
+        &mut self,
+        ctx: &mut Context,
+        machine: &MachineId,
+        task: &TaskRef,
+        found: &TaskReport,
+    ) {
         let Some(binding) = self.unbind(&task.job, task.index) else {
             return;
         };
@@ -175,7 +181,7 @@
     }
 
     /// A task failed: is it the machine, or the job?
-    fn failed(&mut self, ctx: &Ctx, machine: &MachineId, id: &JobId) {
+    fn failed(&mut self, ctx: &Context, machine: &MachineId, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -237,7 +243,7 @@
     }
 
     /// A task that the machine reports and that is not bound to it in this attempt.
-    fn judge_stray(&mut self, ctx: &Ctx, id: &MachineId, found: &TaskReport) {
+    fn judge_stray(&mut self, ctx: &Context, id: &MachineId, found: &TaskReport) {
         let task = &found.task;
         let job = self.jobs.get(&task.job);
         let known = job.and_then(|j| j.bound.get(&task.index));
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -7,7 +7,7 @@
 //! runs there goes on while controllers inside answer (`Node::keeps`), and
 //! comes back sooner than other machines could boot.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::machine::Machine;
 use crate::node::Node;
 use crate::share::{Phase, Share};
@@ -43,7 +43,7 @@
     blind: bool,
 }
 
-impl Ctx {
+impl Context {
     /// How long a machine may be silent before it is given up. Nobody knows
     /// for how long a zone stays cut off: its machines are waited for as long
     /// as others would take to replace them, so that in no case more than
@@ -78,7 +78,7 @@
 
 impl Share {
     /// Counts machines that should report, and those that do not, by zone.
-    fn count_silent(&self, ctx: &Ctx, zones: &mut BTreeMap<u16, (u32, u32)>) {
+    fn count_silent(&self, ctx: &Context, zones: &mut BTreeMap<u16, (u32, u32)>) {
         let longest = (ctx.cfg.report_ms as f64 * MISSED) as Ms;
         let quiet = (ctx.silent_ms() / 2).max(longest);
         for m in self.machines.values().filter(|m| m.condemned.is_none()) {
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -1,7 +1,7 @@
 //! A controller that holds a share with a machine, for tests of what it does.
 
 use crate::config::{Config, Operator};
-use crate::ctx::{Effect, Input, Pending, Reply, Token};
+use crate::context::{Effect, Input, Pending, Reply, Token};
 use crate::job::{Binding, Sent};
 use crate::node::Node;
 use crate::records::{
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -8,7 +8,7 @@
 //! it. Without an answer in time the request is dealt with here.
 
 use crate::api::status;
-use crate::ctx::{Reply, Token};
+use crate::context::{Reply, Token};
 use crate::node::Node;
 use crate::Ms;
 use forkshift_wire::peer::Body;
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -1,6 +1,6 @@
 //! An unfinished job in its holder's memory.
 
-use crate::ctx::Token;
+use crate::context::Token;
 use crate::ranges::Ranges;
 use crate::records::{BlockRec, HeadRec};
 use crate::Ms;
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -10,7 +10,7 @@
 mod lending;
 mod renting;
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::records::{abort_key, total_of, DemandRec, ShareId, LEADER};
 use crate::share::remove_key;
 use crate::store::Bucket;
@@ -111,13 +111,13 @@
     }
 
     /// Whether this start of this controller is the recorded leader.
-    pub(crate) fn is_leader(ctx: &Ctx, view: &View) -> bool {
+    pub(crate) fn is_leader(ctx: &Context, view: &View) -> bool {
         let leader = view.leader.as_ref();
         leader.is_some_and(|l| l.rec.node == ctx.cfg.node && l.rec.inc == ctx.inc)
     }
 
     /// Does what is due, as long as this controller leads.
-    pub(crate) fn tick(&mut self, ctx: &mut Ctx, view: &View, changed: &Changed) {
+    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View, changed: &Changed) {
         self.follow_nodes(ctx, view);
         if !view.ready || !Self::is_leader(ctx, view) {
             self.active = false;
@@ -171,7 +171,7 @@
 
     /// Notes since when machines have been known. A deletion of what the view
     /// lacks may be repeated: the cloud ignores names that it does not know.
-    fn follow_all_machines(&mut self, ctx: &Ctx, view: &View) {
+    fn follow_all_machines(&mut self, ctx: &Context, view: &View) {
         for id in view.machines.keys() {
             self.seen.entry(id.clone()).or_insert(ctx.now);
         }
@@ -179,7 +179,7 @@
     }
 
     /// Notes since when every start of a controller has been there.
-    fn follow_nodes(&mut self, ctx: &Ctx, view: &View) {
+    fn follow_nodes(&mut self, ctx: &Context, view: &View) {
         self.nodes
             .retain(|name, (inc, _)| view.is_alive(name, *inc));
         for (name, node) in &view.nodes {
@@ -192,7 +192,7 @@
     /// Removes what whoever asked for a cancellation has not: it has ended
     /// since, or the write of its key was carried out late. Users who were not
     /// told yet ask again.
-    fn sweep_aborts(&mut self, ctx: &mut Ctx, view: &View) {
+    fn sweep_aborts(&mut self, ctx: &mut Context, view: &View) {
         let known = std::mem::take(&mut self.aborts);
         for (id, version) in &view.aborts {
             let seen = known.get(id).filter(|(v, _)| v == version);
@@ -215,13 +215,13 @@
     }
 
     /// Whether the cloud may be called now; counts the call.
-    fn may_call(&mut self, ctx: &Ctx) -> bool {
+    fn may_call(&mut self, ctx: &Context) -> bool {
         ctx.now >= self.pause_until && self.bucket.take(1.0, false)
     }
 
     /// Returns true if the cloud refused the call for a reason that may pass,
     /// and pauses all calls then. A lack of capacity is an answer.
-    fn trouble(&mut self, ctx: &Ctx, status: u16, body: &[u8]) -> bool {
+    fn trouble(&mut self, ctx: &Context, status: u16, body: &[u8]) -> bool {
         let trouble = match status {
             0 | 429 => true,
             503 => !String::from_utf8_lossy(body).contains("capacity"),
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -2,7 +2,7 @@
 //! came back get their part again.
 
 use super::Leader;
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::records::{share_key, ShareId};
 use crate::share::hand_over;
 use crate::store::Urgency;
@@ -18,7 +18,7 @@
 impl Leader {
     /// Gives every share a holder that is alive, and brings shares back to
     /// controllers that have none.
-    pub(super) fn assign(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(super) fn assign(&mut self, ctx: &mut Context, view: &View) {
         // Who hears no worker is given nothing, as long as there are others.
         let all_blind = view.nodes.values().all(|n| n.rec.blind);
         let blind = |n: &NodeName| !all_blind && view.nodes.get(n).is_some_and(|n| n.rec.blind);
@@ -71,7 +71,7 @@
 
     /// Asks for one share at a time from the controller that holds most, for the
     /// one that holds least, if the difference is more than one share.
-    fn balance(&mut self, ctx: &mut Ctx, view: &View, load: &BTreeMap<&NodeName, u32>) {
+    fn balance(&mut self, ctx: &mut Context, view: &View, load: &BTreeMap<&NodeName, u32>) {
         let steady = ctx.cfg.node_lease_ms() * STEADY_LEASES;
         let ready = |n: &NodeName| {
             self.nodes
--- a/crates/core/src/leader/deletion.rs
+++ b/crates/core/src/leader/deletion.rs
@@ -3,7 +3,7 @@
 //! The removed record proves to the holder that nothing is left there.
 
 use super::Leader;
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::records::{machine_key, LEADER};
 use crate::store::Urgency;
 use crate::view::View;
@@ -14,7 +14,7 @@
 
 impl Leader {
     /// Writes that a machine is given up.
-    pub(super) fn condemn(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId, why: &str) {
+    pub(super) fn condemn(&mut self, ctx: &mut Context, view: &View, id: &MachineId, why: &str) {
         let Some(machine) = view.machines.get(id) else {
             return;
         };
@@ -33,7 +33,7 @@
     }
 
     /// Has machines deleted that were given up in their records.
-    pub(super) fn delete(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(super) fn delete(&mut self, ctx: &mut Context, view: &View) {
         let condemned = view.condemned.iter();
         let condemned: Vec<MachineId> = condemned
             .filter(|id| !self.deleting.contains(*id))
@@ -46,7 +46,7 @@
     }
 
     /// Sends one request for the deletion of some machines.
-    pub(super) fn send_delete(&mut self, ctx: &mut Ctx, machines: Vec<MachineId>) {
+    pub(super) fn send_delete(&mut self, ctx: &mut Context, machines: Vec<MachineId>) {
         self.deleting.extend(machines.iter().cloned());
         let body = Machines {
             machines: machines.clone(),
@@ -60,7 +60,7 @@
     /// are removed.
     pub(crate) fn on_delete(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         machines: Vec<MachineId>,
         status: u16,
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -3,7 +3,7 @@
 //! the records of machines.
 
 use super::Leader;
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::records::type_key;
 use crate::store::Urgency;
 use crate::view::View;
@@ -20,7 +20,7 @@
 
 impl Leader {
     /// Reads the catalogue and the list of machines when they are due.
-    pub(super) fn look(&mut self, ctx: &mut Ctx) {
+    pub(super) fn look(&mut self, ctx: &mut Context) {
         if ctx.now >= self.catalog_at && self.may_call(ctx) {
             self.catalog_at = ctx.now + 5_000;
             ctx.cloud("GET", "/catalog".to_owned(), None, Pending::Catalog);
@@ -33,7 +33,7 @@
     }
 
     /// Reads the list of machines from behind the last one of `page`.
-    fn list(&mut self, ctx: &mut Ctx, page: Vec<Listed>) {
+    fn list(&mut self, ctx: &mut Context, page: Vec<Listed>) {
         let mut path = format!("/machines?most={LIST_MOST}");
         if let Some(last) = page.last() {
             path.push_str(&format!("&from={}", last.id));
@@ -42,7 +42,7 @@
     }
 
     /// The cloud has sent its catalogue: types that changed are written.
-    pub(crate) fn on_catalog(&mut self, ctx: &mut Ctx, view: &View, status: u16, body: &[u8]) {
+    pub(crate) fn on_catalog(&mut self, ctx: &mut Context, view: &View, status: u16, body: &[u8]) {
         if self.trouble(ctx, status, body) || status != 200 {
             return;
         }
@@ -79,7 +79,7 @@
     /// failed, are late or are missing are given up, and unknown ones returned.
     pub(crate) fn on_list(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         mut page: Vec<Listed>,
         status: u16,
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -1,7 +1,7 @@
 //! Moves free machines between shares, to where tasks wait.
 
 use super::{total_in, Leader};
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::records::{machine_key, DemandRec, ShapeRec, ShareId};
 use crate::store::Urgency;
 use crate::view::View;
@@ -25,7 +25,7 @@
     }
 
     /// What shares lack: what their holders told lately, or else have written.
-    pub(super) fn demands(&self, ctx: &Ctx, view: &View) -> BTreeMap<ShareId, DemandRec> {
+    pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShareId, DemandRec> {
         let valid = crate::ms(ctx.cfg.ops.round_s * TOLD_ROUNDS);
         let written = view.demands.iter().map(|(k, d)| (*k, d.rec.clone()));
         let mut demands: BTreeMap<ShareId, DemandRec> = written.collect();
@@ -42,7 +42,7 @@
     /// that is free, and spare places take what nobody else needs.
     pub(super) fn lend(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         demands: &BTreeMap<ShareId, DemandRec>,
     ) {
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -6,7 +6,7 @@
 //! recording where the last one stopped.
 
 use super::Leader;
-use crate::ctx::{revision_of, Ctx, Pending};
+use crate::context::{revision_of, Context, Pending};
 use crate::records::{
     charter_key, machine_key, total_of, CharterRec, DemandRec, MachineRec, ShareId,
 };
@@ -36,7 +36,7 @@
     /// that what shares lack meanwhile comes together in larger ones.
     pub(super) fn charter(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         demands: &BTreeMap<ShareId, DemandRec>,
     ) {
@@ -104,7 +104,7 @@
     }
 
     /// What may be had, as far as is known.
-    fn offers(&self, ctx: &Ctx, view: &View, k: ShareId, held: &Held) -> Vec<Offer> {
+    fn offers(&self, ctx: &Context, view: &View, k: ShareId, held: &Held) -> Vec<Offer> {
         let zones = zone_names(view);
         let mut offers = Vec::new();
         for (i, t) in view.types.values().map(|t| &t.rec).enumerate() {
@@ -151,7 +151,7 @@
 
     /// Carries intents out, those of an earlier leader too: a request that
     /// had an answer before gets the same one again and rents nothing.
-    pub(super) fn rent(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(super) fn rent(&mut self, ctx: &mut Context, view: &View) {
         for (request, charter) in &view.charters {
             if self.renting.contains(request) || !self.may_call(ctx) {
                 continue;
@@ -179,7 +179,7 @@
     /// The cloud has answered a rental request.
     pub(crate) fn on_rent(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         request: &str,
         status: u16,
@@ -233,7 +233,7 @@
 
     /// Writes the next part of an outcome: records of machines, and how far
     /// the intent has been carried out. The last part removes the intent.
-    fn record(&mut self, ctx: &mut Ctx, view: &View, request: &str) {
+    fn record(&mut self, ctx: &mut Context, view: &View, request: &str) {
         let Some(outcome) = self.outcomes.get(request) else {
             return;
         };
@@ -282,7 +282,7 @@
     /// The write of a part of an outcome was answered.
     pub(crate) fn on_rented(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         request: &str,
         status: u16,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,7 +10,7 @@
 mod budget;
 mod commit;
 pub mod config;
-mod ctx;
+mod context;
 mod drain;
 mod evidence;
 mod failure_detector;
@@ -35,7 +35,7 @@
 mod view;
 
 pub use config::{Config, Operator};
-pub use ctx::{CallId, Effect, Input, Reply, Target, Token};
+pub use context::{CallId, Effect, Input, Reply, Target, Token};
 pub use node::Node;
 
 /// Milliseconds of a steady clock.
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,6 +1,6 @@
 //! A machine of a share, in its holder's memory.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::{JobId, MachineId, TaskRef};
@@ -99,7 +99,7 @@
     }
 
     /// Whether it has reported lately.
-    pub(crate) fn is_heard(&self, ctx: &Ctx) -> bool {
+    pub(crate) fn is_heard(&self, ctx: &Context) -> bool {
         let heard = self.heard;
         heard.is_some_and(|t| ctx.now < t + ctx.cfg.report_ms * MISSED_MOST)
     }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,6 +1,6 @@
 //! Membership: this controller's lease, its record, and leadership.
 
-use crate::ctx::{revision_of, Ctx, Pending};
+use crate::context::{revision_of, Context, Pending};
 use crate::records::{node_key, LeaderRec, NodeRec, LEADER};
 use crate::store::Urgency;
 use crate::view::View;
@@ -34,7 +34,7 @@
     /// moment the last extension was *sent*, less what clocks may drift: by
     /// then the lease is still alive at the state service, so nobody else can
     /// have been given our shares.
-    pub(crate) fn right_until(&self, ctx: &Ctx) -> Ms {
+    pub(crate) fn right_until(&self, ctx: &Context) -> Ms {
         let ttl = ctx.cfg.node_lease_ms();
         self.extended + ttl - ttl / 500
     }
@@ -42,7 +42,7 @@
     /// Whether this controller may answer from memory. A lease that was lost
     /// and replaced gives no right until the view has caught up with our new
     /// record: while we had no lease, our shares may have been given away.
-    pub(crate) fn has_right(&self, ctx: &Ctx, view: &View) -> bool {
+    pub(crate) fn has_right(&self, ctx: &Context, view: &View) -> bool {
         self.registered
             && self.lease.is_some()
             && ctx.now < self.right_until(ctx)
@@ -68,7 +68,7 @@
         self.registered
     }
 
-    pub(crate) fn tick(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View) {
         if !self.asked && ctx.now >= self.next {
             self.ask(ctx);
         }
@@ -114,7 +114,7 @@
         }
     }
 
-    fn ask(&mut self, ctx: &mut Ctx) {
+    fn ask(&mut self, ctx: &mut Context) {
         self.asked = true;
         let sent = ctx.now;
         match self.lease {
@@ -135,7 +135,7 @@
         }
     }
 
-    pub(crate) fn on_lease(&mut self, ctx: &Ctx, sent: Ms, status: u16, body: &[u8]) {
+    pub(crate) fn on_lease(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
         self.asked = false;
         let ttl = ctx.cfg.node_lease_ms();
         match serde_json::from_slice::<LeaseReply>(body) {
@@ -149,7 +149,7 @@
         }
     }
 
-    pub(crate) fn on_extend(&mut self, ctx: &Ctx, sent: Ms, status: u16) {
+    pub(crate) fn on_extend(&mut self, ctx: &Context, sent: Ms, status: u16) {
         self.asked = false;
         let ttl = ctx.cfg.node_lease_ms();
         match status {
@@ -199,7 +199,7 @@
 }
 
 fn put_leased(
-    ctx: &mut Ctx,
+    ctx: &mut Context,
     key: String,
     version: u64,
     rec: &impl Serialize,
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -2,7 +2,9 @@
 
 use crate::budget::Budget;
 use crate::config::Config;
-use crate::ctx::{is_watch_lost, revision_of, AbortPoll, Ctx, Effect, Input, Pending, Token};
+use crate::context::{
+    is_watch_lost, revision_of, AbortPoll, Context, Effect, Input, Pending, Token,
+};
 use crate::forward::Forward;
 use crate::leader::Leader;
 use crate::member::Member;
@@ -56,7 +58,7 @@
 
 /// A controller.
 pub struct Node {
-    pub(crate) ctx: Ctx,
+    pub(crate) ctx: Context,
     pub(crate) view: View,
     pub(crate) member: Member,
     pub(crate) leader: Leader,
@@ -103,7 +105,7 @@
         let cfg = Rc::new(cfg);
         Self {
             leader: Leader::new(cfg.cloud_rps),
-            ctx: Ctx::new(cfg, inc, seed),
+            ctx: Context::new(cfg, inc, seed),
             view: View::default(),
             member: Member::default(),
             budget: Budget::default(),
@@ -154,7 +156,7 @@
                         }
                         if is_state(&pending) {
                             let now = self.ctx.now;
-                            let Ctx { store, rng, .. } = &mut self.ctx;
+                            let Context { store, rng, .. } = &mut self.ctx;
                             store.heard(status, now, rng);
                         }
                         self.on_answer(pending, status, &body);
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -4,7 +4,7 @@
 //! of them. They never ride on the answer to a report: that can be lost
 //! without anybody knowing.
 
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::job::{Sent, Stop};
 use crate::records::ShareId;
 use crate::share::Share;
@@ -18,7 +18,7 @@
 
 impl Share {
     /// Sends what is due to a machine that has no call under way.
-    pub(crate) fn send_to(&mut self, ctx: &mut Ctx, id: &MachineId) {
+    pub(crate) fn send_to(&mut self, ctx: &mut Context, id: &MachineId) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
@@ -67,7 +67,7 @@
 
     /// Orders that do no harm however often and late they arrive: `forget`
     /// for what is durable, and stops.
-    pub(crate) fn calm_orders(&mut self, ctx: &Ctx, id: &MachineId) -> Vec<Order> {
+    pub(crate) fn calm_orders(&mut self, ctx: &Context, id: &MachineId) -> Vec<Order> {
         let Some(machine) = self.machines.get_mut(id) else {
             return Vec::new();
         };
@@ -142,7 +142,7 @@
 
     pub(crate) fn on_commands(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: &MachineId,
         token: u64,
         orders: &[Order],
@@ -204,7 +204,7 @@
     }
 
     /// Cancels a job. Its user is answered when that is written.
-    pub(crate) fn cancel(&mut self, ctx: &Ctx, id: &JobId) {
+    pub(crate) fn cancel(&mut self, ctx: &Context, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -225,7 +225,11 @@
     }
 
     /// Token for a worker's report, and the orders that may ride on the answer.
-    pub(crate) fn report_reply(&mut self, ctx: &Ctx, id: &MachineId) -> Option<(u64, Vec<Order>)> {
+    pub(crate) fn report_reply(
+        &mut self,
+        ctx: &Context,
+        id: &MachineId,
+    ) -> Option<(u64, Vec<Order>)> {
         let token = self.machines.get(id)?.token;
         Some((token, self.calm_orders(ctx, id)))
     }
--- a/crates/core/src/orders/tests.rs
+++ b/crates/core/src/orders/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `orders`.
 
 use super::*;
-use crate::ctx::Effect;
+use crate::context::Effect;
 use crate::fixture::Fixture;
 use forkshift_wire::users::JobKind;
 use forkshift_wire::workers::TaskStage;
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -6,7 +6,7 @@
 //! so once they have waited for a part of a boot: by then no machine is to be
 //! had, or theirs is long in coming.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::job::Sent;
 use crate::share::Share;
 use forkshift_sched::{Quota, Resources, Want};
@@ -23,7 +23,7 @@
     /// Makes room for the first production task that has found none.
     pub(crate) fn preempt(
         &mut self,
-        ctx: &Ctx,
+        ctx: &Context,
         ids: &[JobId],
         wants: &[Want],
         usable: &[MachineId],
@@ -59,7 +59,7 @@
 
     /// The tasks to be stopped on a machine for a place for one task, those
     /// that ran for the shortest first, and the time that is lost with them.
-    fn victims(&self, ctx: &Ctx, want: &Want, id: &MachineId) -> Option<(u64, Vec<TaskRef>)> {
+    fn victims(&self, ctx: &Context, want: &Want, id: &MachineId) -> Option<(u64, Vec<TaskRef>)> {
         let machine = self.machines.get(id)?;
         let fits = want.allowed(machine.machine_type, machine.zone, machine.spot)
             && want.task.fits(&machine.total);
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -1,7 +1,7 @@
 //! Reconciliation of a share: brings what machines do in line with what is
 //! recorded of jobs, after every batch of messages.
 
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::job::Sent;
 use crate::machine::Machine;
 use crate::share::Share;
@@ -88,7 +88,7 @@
     }
 
     /// Does what is due for gangs, cancellations, machines and records.
-    pub(crate) fn reconcile(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &View) {
         self.stop_broken_gangs();
         self.follow_cancelled(ctx);
         self.round(ctx, view);
@@ -131,7 +131,7 @@
     /// time is nearly up. The time counts from the first request, also when
     /// that came to an earlier holder. If the record of a machine cannot be
     /// written, or the leader does not act on it, we have it deleted ourselves.
-    fn follow_cancelled(&mut self, ctx: &mut Ctx) {
+    fn follow_cancelled(&mut self, ctx: &mut Context) {
         let part = |part: f64| (ctx.cfg.cancel_ms as f64 * part) as Ms;
         let (give_up, patience, evict) = (part(CANCEL_PART), part(PATIENCE_PART), part(EVICT_PART));
         // Whoever takes a job over tries to stop its tasks first, if there is time.
@@ -172,7 +172,7 @@
     /// machines with records from which nothing is heard, and starts nothing
     /// there. What they held counts as being there until the cloud has answered
     /// us, or until the record is gone.
-    fn evict(&mut self, ctx: &mut Ctx, overdue: BTreeSet<MachineId>) {
+    fn evict(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
         let mut due = Vec::new();
         for id in overdue {
             let machine = self.machines.get_mut(&id);
@@ -204,7 +204,7 @@
     }
 
     /// What the cloud has answered to a deletion of ours.
-    pub(crate) fn on_evicted(&mut self, ctx: &Ctx, machines: &[MachineId], status: u16) {
+    pub(crate) fn on_evicted(&mut self, ctx: &Context, machines: &[MachineId], status: u16) {
         for id in machines.iter().filter(|_| status == 200) {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.deleted = true;
@@ -218,7 +218,7 @@
     /// Does for a machine what is due: gives it up, has its record written,
     /// sends it orders. Then it is left alone until something happens to it
     /// or one of its deadlines comes.
-    fn look_at(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+    fn look_at(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -246,7 +246,7 @@
 
     /// What was never sent to a machine that is not heard any more goes
     /// elsewhere: it needs no evidence, and the machine may be waited for long.
-    fn take_back(&mut self, ctx: &Ctx, id: &MachineId) {
+    fn take_back(&mut self, ctx: &Context, id: &MachineId) {
         let silent = |m: &&Machine| m.heard.is_some() && !m.is_heard(ctx);
         if let Some(machine) = self.machines.get(id).filter(silent) {
             let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
@@ -274,7 +274,7 @@
             || m.tasks.iter().any(stopping)
     }
 
-    fn note_address(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+    fn note_address(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
@@ -289,7 +289,7 @@
 
 /// Until when a machine is kept if nothing happens to it, or why it is given
 /// up: it is silent, deaf, faulty, taken or of no use.
-fn verdict(ctx: &Ctx, m: &Machine) -> Result<Ms, &'static str> {
+fn verdict(ctx: &Context, m: &Machine) -> Result<Ms, &'static str> {
     if m.condemned.is_some() {
         return Ok(Ms::MAX);
     }
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `reconcile`.
 
 use super::*;
-use crate::ctx::Effect;
+use crate::context::Effect;
 use crate::fixture::{Fixture, WALL};
 use crate::records::{live_key, HeadRec};
 use forkshift_wire::state::Item;
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -1,6 +1,6 @@
 //! Rounds of a share: placing what waits, and saying what is lacking.
 
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::job::{Binding, Job, Sent};
 use crate::machine::Machine;
 use crate::records::{demand_key, share_key, total_of, DemandRec, ShapeRec};
@@ -33,7 +33,7 @@
 
 impl Share {
     /// Runs a round if one is due.
-    pub(crate) fn round(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(crate) fn round(&mut self, ctx: &mut Context, view: &View) {
         if ctx.now < self.next_round {
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     /// What waits, as a round sees it.
-    fn wants(&mut self, ctx: &mut Ctx, usable: &[MachineId]) -> (Vec<JobId>, Vec<Want>) {
+    fn wants(&mut self, ctx: &mut Context, usable: &[MachineId]) -> (Vec<JobId>, Vec<Want>) {
         let zones = self.zones();
         let boot_ms = self.boot_ms();
         let lasting = self.lasting();
@@ -150,7 +150,7 @@
     /// left then, and spare places, are what the share lacks.
     fn lack(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         usable: &[MachineId],
         mut hosts: Vec<Host>,
@@ -226,7 +226,7 @@
     /// The tasks that wait, as shapes, as far as the quotas allow.
     fn shapes_of(
         &self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         wants: &[Want],
         quotas: &mut [Quota],
@@ -275,7 +275,7 @@
         shapes
     }
 
-    fn push_charters(&self, ctx: &mut Ctx, view: &View, hosts: &mut Vec<Host>) {
+    fn push_charters(&self, ctx: &mut Context, view: &View, hosts: &mut Vec<Host>) {
         for charter in view.charters.values().map(|c| &c.rec) {
             let Some(of_type) = view.types.get(&charter.machine_type) else {
                 continue;
@@ -301,7 +301,7 @@
 
     /// Books spare places for classes whose tasks must start sooner than a
     /// machine boots, and returns those that found none.
-    fn spare(&mut self, ctx: &mut Ctx, hosts: &mut [Host]) -> Vec<ShapeRec> {
+    fn spare(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRec> {
         let boot_s = self.boot_ms() as f64 / 1000.0;
         let mut lacking = Vec::new();
         let now = ctx.now;
@@ -363,7 +363,7 @@
     }
 
     /// Notes since when a machine has been of no use.
-    fn note_idle(&mut self, ctx: &Ctx, usable: &[MachineId], hosts: &[Host]) {
+    fn note_idle(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[Host]) {
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             if machine.note_empty(machine.tasks.is_empty(), ctx.now) {
                 self.look.touch(&machine.id);
@@ -382,7 +382,7 @@
 
     /// Tells the leader what is lacking, whenever that changes, and now and
     /// then that it has not.
-    fn tell_demand(&mut self, ctx: &mut Ctx, view: &View, rec: &DemandRec) {
+    fn tell_demand(&mut self, ctx: &mut Context, view: &View, rec: &DemandRec) {
         let Some(leader) = view.leader.as_ref().map(|l| l.rec.clone()) else {
             return;
         };
@@ -403,7 +403,7 @@
         ctx.tell(&leader.node, self.epoch, body);
     }
 
-    fn show_demand(&mut self, ctx: &mut Ctx, view: &View, rec: DemandRec) {
+    fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRec) {
         self.tell_demand(ctx, view, &rec);
         let none = DemandRec::default();
         let shown = view.demands.get(&self.id).map_or(&none, |d| &d.rec);
@@ -441,7 +441,7 @@
 
 /// A job as a round sees it, with no tasks that wait.
 pub(crate) fn want_of(
-    ctx: &mut Ctx,
+    ctx: &mut Context,
     job: &Job,
     team: usize,
     zones: &BTreeMap<MachineId, u16>,
@@ -487,11 +487,11 @@
     }
 }
 
-pub(crate) fn names(ctx: &mut Ctx, types: Option<&[String]>) -> Option<Vec<u16>> {
+pub(crate) fn names(ctx: &mut Context, types: Option<&[String]>) -> Option<Vec<u16>> {
     types.map(|t| t.iter().map(|name| ctx.intern(name) as u16).collect())
 }
 
-fn type_names(ctx: &mut Ctx, view: &View) -> BTreeMap<u16, String> {
+fn type_names(ctx: &mut Context, view: &View) -> BTreeMap<u16, String> {
     let types = view.types.keys();
     types.map(|t| (ctx.intern(t) as u16, t.clone())).collect()
 }
@@ -517,7 +517,7 @@
 }
 
 /// Whether tasks may be placed on a machine.
-fn is_usable(m: &Machine, ctx: &Ctx) -> bool {
+fn is_usable(m: &Machine, ctx: &Context) -> bool {
     m.is_heard(ctx)
         && m.condemned.is_none()
         && !m.draining
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -13,7 +13,7 @@
 pub(crate) use arrivals::ClassStats;
 pub(crate) use handover::hand_over;
 
-use crate::ctx::{Ctx, Pending, Reply};
+use crate::context::{Context, Pending, Reply};
 use crate::job::Job;
 use crate::machine::Machine;
 use crate::records::{DemandRec, MachineRec, ShareId};
@@ -120,7 +120,7 @@
 
 impl Share {
     /// A share that was just assigned to this controller; its jobs are read.
-    pub(crate) fn new(ctx: &mut Ctx, id: ShareId, epoch: u64, version: u64) -> Self {
+    pub(crate) fn new(ctx: &mut Context, id: ShareId, epoch: u64, version: u64) -> Self {
         log::info!("share {id}: ours from epoch {epoch}");
         let mut teams = BTreeMap::new();
         let mut quotas = Vec::new();
@@ -189,13 +189,13 @@
     }
 
     /// Asks for a round before its time.
-    pub(crate) fn hurry(&mut self, ctx: &Ctx) {
+    pub(crate) fn hurry(&mut self, ctx: &Context) {
         let gap = crate::ms(ctx.cfg.ops.round_gap_s);
         self.next_round = self.next_round.min(ctx.now.max(self.last_round + gap));
     }
 
     /// The share is not ours any more: users who wait ask whoever has it.
-    pub(crate) fn let_go(self, ctx: &mut Ctx) {
+    pub(crate) fn let_go(self, ctx: &mut Context) {
         let waiters = self.jobs.into_values().flat_map(|j| j.cancel_waiters);
         for token in waiters {
             ctx.respond(token, Reply::later("try again"));
@@ -209,7 +209,7 @@
 }
 
 /// Removes a record that nothing refers to any more.
-pub(crate) fn remove_key(ctx: &mut Ctx, key: String, version: u64) {
+pub(crate) fn remove_key(ctx: &mut Context, key: String, version: u64) {
     let txn = Txn {
         conds: vec![Cond {
             key: key.clone(),
--- a/crates/core/src/share/handover.rs
+++ b/crates/core/src/share/handover.rs
@@ -1,6 +1,6 @@
 //! Handover of shares between controllers.
 
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::records::{node_key, share_key, ShareId, ShareRec, EPOCH};
 use crate::store::Urgency;
 use crate::view::View;
@@ -12,7 +12,7 @@
 /// Hands shares to starts of controllers, each under a new epoch. It takes
 /// hold only if the controllers that held them are as the view shows them:
 /// gone, or started anew, or willing.
-pub(crate) fn hand_over(ctx: &mut Ctx, view: &View, given: &[(ShareId, NodeName)]) {
+pub(crate) fn hand_over(ctx: &mut Context, view: &View, given: &[(ShareId, NodeName)]) {
     let (epoch_version, mut epoch) = view.epoch();
     let mut conds: BTreeMap<String, u64> = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
     let mut writes = Vec::new();
--- a/crates/core/src/share/jobs.rs
+++ b/crates/core/src/share/jobs.rs
@@ -4,7 +4,7 @@
 //! against its team's quota until there is evidence that it is gone.
 
 use super::{Phase, Share};
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::job::{Binding, Job, Sent, Stop};
 use crate::Ms;
 use forkshift_wire::users::JobSpec;
@@ -12,7 +12,7 @@
 
 impl Share {
     /// Takes a new job on, unless it is known or over.
-    pub(crate) fn add_job(&mut self, ctx: &mut Ctx, spec: JobSpec, at: Ms, stamp: u64) {
+    pub(crate) fn add_job(&mut self, ctx: &mut Context, spec: JobSpec, at: Ms, stamp: u64) {
         let over = self.gone.get(&spec.id).is_some_and(|rev| stamp <= *rev);
         if over || self.jobs.contains_key(&spec.id) || !self.teams.contains_key(&spec.team) {
             return;
@@ -34,7 +34,7 @@
     /// Takes a job on that another controller tells of, if the watch has not
     /// shown it yet. What the watch has passed is known, or over: a late copy
     /// of the message must not bring it back.
-    pub(crate) fn told_of(&mut self, ctx: &mut Ctx, spec: JobSpec, at: Ms, revision: u64) {
+    pub(crate) fn told_of(&mut self, ctx: &mut Context, spec: JobSpec, at: Ms, revision: u64) {
         if self.phase == Phase::Active && revision > self.live_rev {
             self.add_job(ctx, spec, at, revision);
         }
--- a/crates/core/src/share/loading.rs
+++ b/crates/core/src/share/loading.rs
@@ -5,7 +5,7 @@
 //! then a machine that the view lacks does not exist any more.
 
 use super::{remove_key, Phase, Share};
-use crate::ctx::{is_watch_lost, Ctx, Pending};
+use crate::context::{is_watch_lost, Context, Pending};
 use crate::records::{live_prefix, BlockRec, HeadRec};
 use crate::store::Urgency;
 use crate::view::{Changed, View};
@@ -25,7 +25,7 @@
 
 impl Share {
     /// Reads a page of the jobs' records from behind a key.
-    pub(super) fn list(&self, ctx: &mut Ctx, from: &str) {
+    pub(super) fn list(&self, ctx: &mut Context, from: &str) {
         let prefix = live_prefix(self.id);
         let mut path = format!("/kv?starts={prefix}&most=400");
         if !from.is_empty() {
@@ -36,14 +36,14 @@
     }
 
     /// Reads the jobs anew, when that is due.
-    pub(crate) fn list_again(&mut self, ctx: &mut Ctx) {
+    pub(crate) fn list_again(&mut self, ctx: &mut Context) {
         if self.list_at.take_if(|t| ctx.now >= *t).is_some() {
             self.list(ctx, "");
         }
     }
 
     /// A page of the jobs' records has come, or could not be had.
-    pub(crate) fn on_list(&mut self, ctx: &mut Ctx, status: u16, body: &[u8]) {
+    pub(crate) fn on_list(&mut self, ctx: &mut Context, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(mut page) = page else {
             // Start over, after a pause; what was read may be old by now.
@@ -67,7 +67,7 @@
 
     /// Starts to use the share, once the view is as new as what was read.
     /// Only then does a machine that the view lacks not exist any more.
-    pub(crate) fn activate(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(crate) fn activate(&mut self, ctx: &mut Context, view: &View) {
         // A machine of a type that is not known would be taken for gone.
         let mut ours = view.machines.values().filter(|m| m.rec.share == self.id);
         if !ours.all(|m| view.types.contains_key(&m.rec.machine_type)) {
@@ -113,7 +113,7 @@
     }
 
     /// Restores a job from its first record.
-    fn load_head(&mut self, ctx: &mut Ctx, value: Value, stamp: u64) {
+    fn load_head(&mut self, ctx: &mut Context, value: Value, stamp: u64) {
         let head: HeadRec = match from_value(value) {
             Ok(head) => head,
             Err(e) => {
@@ -137,7 +137,7 @@
     }
 
     /// Restores a block of a job's tasks.
-    fn restore(&mut self, ctx: &Ctx, id: &JobId, block: u32, rec: BlockRec, stamp: u64) {
+    fn restore(&mut self, ctx: &Context, id: &JobId, block: u32, rec: BlockRec, stamp: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -153,7 +153,7 @@
     }
 
     /// Keeps a watch on the share's jobs, for those that other controllers accept.
-    pub(crate) fn watch(&mut self, ctx: &mut Ctx) {
+    pub(crate) fn watch(&mut self, ctx: &mut Context) {
         if self.watching || self.live_rev == 0 || ctx.now < self.watch_at {
             return;
         }
@@ -167,7 +167,7 @@
     }
 
     /// The watch has shown changes, or has ended.
-    pub(crate) fn on_watch(&mut self, ctx: &mut Ctx, status: u16, body: &[u8]) {
+    pub(crate) fn on_watch(&mut self, ctx: &mut Context, status: u16, body: &[u8]) {
         self.watching = false;
         // Our own writes come back here; a pause lets them come together. Of
         // new jobs we are told by whoever accepted them.
--- a/crates/core/src/share/machines.rs
+++ b/crates/core/src/share/machines.rs
@@ -2,7 +2,7 @@
 //! given up, and change to another share.
 
 use super::Share;
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::machine::Machine;
 use crate::records::{machine_key, share_key, total_of, MachineRec};
 use crate::store::Urgency;
@@ -15,7 +15,7 @@
 
 impl Share {
     /// Follows the view: new machines, changed records, machines that are gone.
-    pub(crate) fn sync_machines(&mut self, ctx: &mut Ctx, view: &View, changed: &Changed) {
+    pub(crate) fn sync_machines(&mut self, ctx: &mut Context, view: &View, changed: &Changed) {
         if changed.all {
             let known = self.machines.keys().chain(view.machines.keys());
             let all: BTreeSet<MachineId> = known.cloned().collect();
@@ -30,7 +30,7 @@
     }
 
     /// Follows one machine's record.
-    fn sync_machine(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+    fn sync_machine(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         ctx.visits += 1;
         let ours = view.machines.get(id).filter(|m| m.rec.share == self.id);
         let Some(stamped) = ours else {
@@ -56,7 +56,7 @@
     /// A machine of which nothing is known but its record.
     fn new_machine(
         &self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         id: &MachineId,
         rec: &MachineRec,
@@ -118,7 +118,7 @@
 
     /// The machine's record is gone: the cloud has answered that it was
     /// deleted, so nothing that was on it is left.
-    fn drop_machine(&mut self, ctx: &Ctx, id: &MachineId) {
+    fn drop_machine(&mut self, ctx: &Context, id: &MachineId) {
         if !self.machines.contains_key(id) {
             return;
         }
@@ -128,7 +128,7 @@
     }
 
     /// Nothing that was on a machine is left.
-    pub(crate) fn unbind_all(&mut self, ctx: &Ctx, id: &MachineId) {
+    pub(crate) fn unbind_all(&mut self, ctx: &Context, id: &MachineId) {
         let tasks = self.machines.get(id).map(|m| m.tasks.clone());
         for task in tasks.into_iter().flatten() {
             self.unbind(&task.job, task.index);
@@ -140,7 +140,7 @@
     /// free. From the moment the write is sent nothing is placed there until
     /// the record has changed: a write without an answer may land late, and
     /// the other share then owns whatever is on the machine.
-    pub(crate) fn give_away(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+    pub(crate) fn give_away(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(to) = view.machines.get(id).and_then(|m| m.rec.want) else {
             return;
         };
@@ -173,7 +173,7 @@
     }
 
     /// Names and sizes of the images that are on a machine.
-    fn image_names(&self, ctx: &Ctx, id: &MachineId) -> Vec<(String, f64)> {
+    fn image_names(&self, ctx: &Context, id: &MachineId) -> Vec<(String, f64)> {
         let images = self.machines.get(id).map(|m| m.images.as_slice());
         let images = images.unwrap_or_default().iter();
         images
@@ -184,7 +184,7 @@
     /// Writes a machine's record, on condition that it and the share are as we know them.
     pub(crate) fn put_machine(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         id: &MachineId,
         change: impl FnOnce(&mut MachineRec),
@@ -237,7 +237,7 @@
 
     /// Writes that a machine is given up, until the record says so, and takes
     /// away from it what was never sent there.
-    pub(crate) fn record_condemned(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+    pub(crate) fn record_condemned(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
