--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -483,8 +483,8 @@
         let k = record.rec.share;
         if !self.shares.contains_key(&k) {
             if self.keeps(k, &report.machine) {
-                let (token, orders) = (report.token, Vec::new());
-                return Reply::json(200, &ReportReply { token, orders });
+                let (token, commands) = (report.token, Vec::new());
+                return Reply::json(200, &ReportReply { token, commands });
             }
             let holder = self.view.holder(k).filter(|n| **n != self.ctx.cfg.node);
             let report_to = holder.map(|n| n.to_string());
@@ -503,8 +503,8 @@
             let token = first.filter(|t| report.token <= *t && bridges);
             return match token {
                 Some(token) => {
-                    let orders = Vec::new();
-                    Reply::json(200, &ReportReply { token, orders })
+                    let commands = Vec::new();
+                    Reply::json(200, &ReportReply { token, commands })
                 }
                 None => Reply::json(421, &Redirect::default()),
             };
@@ -524,7 +524,7 @@
         }
         share.ingest(ctx, &report);
         match share.report_reply(ctx, &report.machine) {
-            Some((token, orders)) => Reply::json(200, &ReportReply { token, orders }),
+            Some((token, commands)) => Reply::json(200, &ReportReply { token, commands }),
             None => Reply::json(421, &Redirect::default()),
         }
     }
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/attestation.rs
@@ -4,7 +4,7 @@
 //! Whoever answers a worker's report keeps its lease alive, and with it a task
 //! whose cancellation another controller may have confirmed. By `cancel_ms`
 //! after that the task must be gone, whatever else fails: so the last answer
-//! that carries no order to stop it must come `cancel_ms` less a worker's lease
+//! that carries no command to stop it must come `cancel_ms` less a worker's lease
 //! after the confirmation at the latest (`Config::grace_ms`). All bounds here
 //! have this form: nothing can have been confirmed before some moment, and
 //! workers are answered until that moment and the grace. Only the moment moves.
@@ -261,7 +261,7 @@
     /// Whether a worker of a share that we are still loading is answered. What
     /// an earlier holder confirmed and could not carry out is not known yet.
     /// The worker's last answer from that holder came before the
-    /// confirmation, else it would have carried the order to stop; it is less
+    /// confirmation, else it would have carried the command to stop; it is less
     /// than a lease old, or the worker's session would be over.
     pub(crate) fn bridges(&self, share: &Share, machine: &MachineId) -> bool {
         self.ctx.now < share.active_since + self.ctx.cfg.bridge_ms()
@@ -270,7 +270,7 @@
 
     /// Whether we keep the lease of a worker alive that another controller
     /// holds: we are cut off from the state service and from that controller,
-    /// and so, it seems, is the worker. It is given no orders, and its own
+    /// and so, it seems, is the worker. It is given no commands, and its own
     /// token back.
     pub(crate) fn keeps(&self, share: ShareId, machine: &MachineId) -> bool {
         let Some(holder) = self.view.shares.get(&share).map(|s| &s.rec) else {
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/commands.rs
@@ -8,11 +8,11 @@
 use crate::job::{Sent, Stop};
 use crate::records::ShareId;
 use crate::share::Share;
-use forkshift_wire::workers::{Commands, Order, Report, Verb};
+use forkshift_wire::workers::{Command, CommandRequest, Report, Verb};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
-/// Most orders in one call, so that no line gets near 64 KiB.
-const ORDERS_MOST: usize = 200;
+/// Most commands in one call, so that no line gets near 64 KiB.
+const COMMANDS_MOST: usize = 200;
 /// A stop that shows no effect is repeated after this many reports.
 const REPEAT_REPORTS: u64 = 2;
 
@@ -28,15 +28,15 @@
         if m.calling || m.addr.is_none() || ctx.now < m.retry_at || !any || full {
             return;
         }
-        let mut orders = self.calm_orders(ctx, id);
+        let mut commands = self.safe_commands(ctx, id);
         // Without a right somebody else may have confirmed a cancellation.
         if ctx.entitled {
-            orders.extend(self.starts(id));
+            commands.extend(self.starts(id));
         }
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if orders.is_empty() && !machine.push {
+        if commands.is_empty() && !machine.push {
             return;
         }
         let Some(addr) = machine.addr.clone() else {
@@ -45,33 +45,33 @@
         // A fresh holder does not know the session yet. Most workers are in
         // their first; the others answer 409 with a report that tells.
         let session = machine.session.max(1);
-        let commands = Commands {
+        let request = CommandRequest {
             token: machine.token,
             session,
-            orders,
+            commands,
         };
         machine.calling = true;
         machine.push = false;
-        let body = serde_json::to_vec(&commands).unwrap_or_default();
+        let body = serde_json::to_vec(&request).unwrap_or_default();
         let pending = Pending::Commands {
             share: self.id,
             epoch: self.epoch,
             machine: id.clone(),
-            token: commands.token,
-            orders: commands.orders,
+            token: request.token,
+            commands: request.commands,
         };
         // A start whose call is given up late holds its task up for as long.
         let timeout = (ctx.cfg.report_ms * 2).clamp(1_000, 4_000);
         ctx.worker(&addr, body, timeout, pending);
     }
 
-    /// Orders that do no harm however often and late they arrive: `forget`
+    /// Commands that do no harm however often and late they arrive: `forget`
     /// for what is durable, and stops.
-    pub(crate) fn calm_orders(&mut self, ctx: &Context, id: &MachineId) -> Vec<Order> {
+    pub(crate) fn safe_commands(&mut self, ctx: &Context, id: &MachineId) -> Vec<Command> {
         let Some(machine) = self.machines.get_mut(id) else {
             return Vec::new();
         };
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         // Once a worker has forgotten an attempt, a start that is still on
         // its way would run it anew.
         if !machine.unanswered && !machine.calling {
@@ -81,8 +81,8 @@
                 let bound = job.and_then(|j| j.bound.get(&task.index));
                 let still_ours = bound.is_some_and(|b| b.machine == *id && b.attempt == *attempt);
                 let durable = job.is_none_or(|j| fate.is_none_or(|v| j.is_durable(task.index, v)));
-                if durable && !still_ours && orders.len() < ORDERS_MOST {
-                    orders.push(order(Verb::Forget, task, *attempt, None));
+                if durable && !still_ours && commands.len() < COMMANDS_MOST {
+                    commands.push(command(Verb::Forget, task, *attempt, None));
                 }
             }
         }
@@ -98,22 +98,22 @@
             let attempt = binding.attempt;
             if let (Some(stop), false) = (&mut binding.stop, binding.sent == Sent::No) {
                 let due = stop.told.is_none_or(|t| ctx.now >= t + again);
-                if due && orders.len() < ORDERS_MOST {
+                if due && commands.len() < COMMANDS_MOST {
                     stop.told = Some(ctx.now);
-                    orders.push(order(Verb::Stop, task, attempt, Some(stop.grace_s)));
+                    commands.push(command(Verb::Stop, task, attempt, Some(stop.grace_s)));
                 }
             }
         }
         for (task, attempt, _) in &machine.orphans {
-            if orders.len() < ORDERS_MOST {
-                orders.push(order(Verb::Stop, task, *attempt, Some(0.0)));
+            if commands.len() < COMMANDS_MOST {
+                commands.push(command(Verb::Stop, task, *attempt, Some(0.0)));
             }
         }
-        orders
+        commands
     }
 
     /// Starts that are recorded and were never sent.
-    fn starts(&mut self, id: &MachineId) -> Vec<Order> {
+    fn starts(&mut self, id: &MachineId) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
@@ -121,7 +121,7 @@
             return Vec::new();
         }
         let (token, session) = (machine.token, machine.session);
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for task in &machine.tasks {
             let Some(job) = self.jobs.get_mut(&task.job) else {
                 continue;
@@ -130,14 +130,15 @@
                 continue;
             };
             let due = binding.sent == Sent::No && binding.stop.is_none() && !job.cancelled;
-            if due && job.is_durable(task.index, binding.version) && orders.len() < ORDERS_MOST {
-                orders.push(order(Verb::Start, task, binding.attempt, None));
+            if due && job.is_durable(task.index, binding.version) && commands.len() < COMMANDS_MOST
+            {
+                commands.push(command(Verb::Start, task, binding.attempt, None));
                 if let Some(binding) = job.bound.get_mut(&task.index) {
                     binding.sent = Sent::Ours { token, session };
                 }
             }
         }
-        orders
+        commands
     }
 
     pub(crate) fn on_commands(
@@ -145,7 +146,7 @@
         ctx: &mut Context,
         id: &MachineId,
         token: u64,
-        orders: &[Order],
+        commands: &[Command],
         status: u16,
         body: &[u8],
     ) {
@@ -165,14 +166,14 @@
                         // calls without a pause would only load both ends.
                         machine.retry_at = ctx.now + ctx.cfg.report_ms;
                     }
-                    self.unsend(id, token, orders);
+                    self.unsend(id, token, commands);
                 }
                 self.ingest(ctx, &report);
             }
             _ => {
                 log::debug!("machine {id}: commands had no answer ({status})");
                 machine.retry_at = ctx.now + ctx.cfg.report_ms / 2;
-                if orders.is_empty() {
+                if commands.is_empty() {
                     machine.push = true;
                 } else {
                     // It may be carried out late, unless a newer token is
@@ -184,20 +185,20 @@
         }
     }
 
-    fn unsend(&mut self, id: &MachineId, token: u64, orders: &[Order]) {
-        for order in orders.iter().filter(|o| o.verb == Verb::Start) {
+    fn unsend(&mut self, id: &MachineId, token: u64, commands: &[Command]) {
+        for command in commands.iter().filter(|o| o.verb == Verb::Start) {
             let binding = self
                 .jobs
-                .get_mut(&order.task.job)
-                .and_then(|j| j.bound.get_mut(&order.task.index));
+                .get_mut(&command.task.job)
+                .and_then(|j| j.bound.get_mut(&command.task.index));
             let Some(binding) = binding else { continue };
             let ours = matches!(binding.sent, Sent::Ours { token: t, .. } if t == token);
-            if ours && binding.machine == *id && binding.attempt == order.attempt {
+            if ours && binding.machine == *id && binding.attempt == command.attempt {
                 binding.sent = Sent::No;
                 // What was to be stopped meanwhile needs no evidence any more.
                 // Kept, it once held its place for ever: nothing was sent for it.
                 if binding.stop.is_some() {
-                    self.drop_unsent(&order.task.job);
+                    self.drop_unsent(&command.task.job);
                 }
             }
         }
@@ -224,14 +225,14 @@
         self.drop_unsent(id);
     }
 
-    /// Token for a worker's report, and the orders that may ride on the answer.
+    /// Token for a worker's report, and the commands that may ride on the answer.
     pub(crate) fn report_reply(
         &mut self,
         ctx: &Context,
         id: &MachineId,
-    ) -> Option<(u64, Vec<Order>)> {
+    ) -> Option<(u64, Vec<Command>)> {
         let token = self.machines.get(id)?.token;
-        Some((token, self.calm_orders(ctx, id)))
+        Some((token, self.safe_commands(ctx, id)))
     }
 
     pub(crate) fn id(&self) -> ShareId {
@@ -239,8 +240,8 @@
     }
 }
 
-fn order(verb: Verb, task: &TaskRef, attempt: u64, grace_s: Option<f64>) -> Order {
-    Order {
+fn command(verb: Verb, task: &TaskRef, attempt: u64, grace_s: Option<f64>) -> Command {
+    Command {
         verb,
         task: task.clone(),
         attempt,
--- a/crates/core/src/orders/tests.rs
+++ b/crates/core/src/commands/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `orders`.
+//! Tests of `commands`.
 
 use super::*;
 use crate::context::Effect;
@@ -7,15 +7,15 @@
 use forkshift_wire::workers::TaskStage;
 use serde_json::to_value;
 
-/// Verbs of the orders that go straight to workers.
+/// Verbs of the commands that go straight to workers.
 fn sent(effects: &[Effect]) -> Vec<Verb> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { path, body, .. } if path == "/commands" => body.as_deref(),
         _ => None,
     });
-    let commands = bodies.map(|b| serde_json::from_slice::<Commands>(b).expect("commands"));
+    let commands = bodies.map(|b| serde_json::from_slice::<CommandRequest>(b).expect("commands"));
     commands
-        .flat_map(|c| c.orders.into_iter().map(|o| o.verb))
+        .flat_map(|c| c.commands.into_iter().map(|o| o.verb))
         .collect()
 }
 
@@ -50,8 +50,8 @@
             f.lose_right();
         }
         f.ask(1, "POST", "/submissions/j-1/abort");
-        let orders = f.share().machines.values().any(|m| m.calling);
-        assert!(orders, "entitled: {entitled}");
+        let calling = f.share().machines.values().any(|m| m.calling);
+        assert!(calling, "entitled: {entitled}");
     }
 }
 
@@ -106,8 +106,8 @@
         (m.calling, m.unanswered) = (calling, unanswered);
         let Fixture { node, share, .. } = &mut f;
         let ours = node.shares.get_mut(share).expect("it is ours");
-        let orders = ours.calm_orders(&node.ctx, &machine);
-        let n = orders.iter().filter(|o| o.verb == Verb::Forget).count();
+        let commands = ours.safe_commands(&node.ctx, &machine);
+        let n = commands.iter().filter(|o| o.verb == Verb::Forget).count();
         assert_eq!(n, forgets, "calling: {calling}, unanswered: {unanswered}");
     }
 }
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -10,7 +10,7 @@
 use forkshift_wire::peer::{Body, Envelope, VERSION};
 use forkshift_wire::state::{Txn, TxnReply};
 use forkshift_wire::users::JobSpec;
-use forkshift_wire::workers::Order;
+use forkshift_wire::workers::Command;
 use forkshift_wire::{JobId, MachineId, NodeName};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -203,7 +203,7 @@
         epoch: u64,
         machine: MachineId,
         token: u64,
-        orders: Vec<Order>,
+        commands: Vec<Command>,
     },
     Catalog,
     MachineList {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,6 +8,7 @@
 mod api;
 mod attestation;
 mod budget;
+mod commands;
 mod commit;
 pub mod config;
 mod context;
@@ -22,7 +23,6 @@
 mod machine;
 mod member;
 mod node;
-mod orders;
 mod peers;
 mod preempt;
 mod ranges;
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -50,9 +50,9 @@
     /// A call is under way.
     pub(crate) calling: bool,
     pub(crate) retry_at: Ms,
-    /// A call with orders had no answer and may be carried out late.
+    /// A call with commands had no answer and may be carried out late.
     pub(crate) unanswered: bool,
-    /// The token must be told, even without orders.
+    /// The token must be told, even without commands.
     pub(crate) push: bool,
 
     /// Tasks that may be here.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -471,10 +471,10 @@
                 epoch,
                 machine,
                 token,
-                orders,
+                commands,
             } => {
                 if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
-                    s.on_commands(&mut self.ctx, &machine, token, &orders, status, body);
+                    s.on_commands(&mut self.ctx, &machine, token, &commands, status, body);
                 }
             }
             Pending::Catalog => self
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -216,7 +216,7 @@
     }
 
     /// Does for a machine what is due: gives it up, has its record written,
-    /// sends it orders. Then it is left alone until something happens to it
+    /// sends it commands. Then it is left alone until something happens to it
     /// or one of its deadlines comes.
     fn look_at(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -3,7 +3,9 @@
 use crate::check::{Checker, Place};
 use crate::Ms;
 use forkshift_wire::users::{JobKind, JobSpec};
-use forkshift_wire::workers::{Commands, ExitCause, Order, Report, TaskReport, TaskStage, Verb};
+use forkshift_wire::workers::{
+    Command, CommandRequest, ExitCause, Report, TaskReport, TaskStage, Verb,
+};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
 
@@ -164,20 +166,20 @@
 
     /// `POST /commands`.
     pub(crate) fn commands(&mut self, a: &mut Around, body: &[u8]) -> (u16, Vec<u8>) {
-        let Ok(commands) = serde_json::from_slice::<Commands>(body) else {
+        let Ok(request) = serde_json::from_slice::<CommandRequest>(body) else {
             return (400, Vec::new());
         };
-        let good = commands.token >= self.token && commands.session == self.session;
+        let good = request.token >= self.token && request.session == self.session;
         if good {
-            self.token = commands.token;
-            self.execute(a, &commands.orders);
+            self.token = request.token;
+            self.execute(a, &request.commands);
         }
         let report = serde_json::to_vec(&self.report(a.now)).unwrap_or_default();
         (if good { 200 } else { 409 }, report)
     }
 
     /// A 200 to the report under way.
-    pub(crate) fn replied(&mut self, a: &mut Around, token: u64, orders: &[Order]) {
+    pub(crate) fn replied(&mut self, a: &mut Around, token: u64, commands: &[Command]) {
         let Some((_, session, sent)) = self.open.take() else {
             return;
         };
@@ -186,16 +188,16 @@
         }
         self.token = token;
         self.answered = sent;
-        self.execute(a, orders);
+        self.execute(a, commands);
     }
 
-    fn execute(&mut self, a: &mut Around, orders: &[Order]) {
+    fn execute(&mut self, a: &mut Around, commands: &[Command]) {
         let before = self.tasks.len();
-        for order in orders {
-            let key = (order.task.clone(), order.attempt);
-            match order.verb {
+        for command in commands {
+            let key = (command.task.clone(), command.attempt);
+            match command.verb {
                 Verb::Start => self.start(a, key),
-                Verb::Stop => self.stop(a, &key, order.grace_s.unwrap_or(0.0)),
+                Verb::Stop => self.stop(a, &key, command.grace_s.unwrap_or(0.0)),
                 Verb::Forget => {
                     let exited = self
                         .tasks
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -50,7 +50,7 @@
         let mut check = Checker::new(BTreeMap::new(), cancel_ms);
         check.submitted(&spec);
         let mut worker = Worker::new(MachineId::new("m"), "c8", "a", false, 0);
-        let start = Order {
+        let start = Command {
             verb: Verb::Start,
             task: TaskRef {
                 job: spec.id.clone(),
@@ -59,12 +59,12 @@
             attempt: 1,
             grace_s: None,
         };
-        let commands = Commands {
+        let request = CommandRequest {
             token: 1,
             session: 1,
-            orders: vec![start],
+            commands: vec![start],
         };
-        let body = serde_json::to_vec(&commands).unwrap();
+        let body = serde_json::to_vec(&request).unwrap();
         let step = |worker: &mut Worker, check: &mut Checker, now: Ms| {
             let mut around = Around {
                 now,
--- a/crates/testkit/src/world/fleet.rs
+++ b/crates/testkit/src/world/fleet.rs
@@ -160,7 +160,7 @@
                     check: &mut self.check,
                     lease_ms: self.size.lease_ms,
                 };
-                w.replied(&mut around, reply.token, &reply.orders);
+                w.replied(&mut around, reply.token, &reply.commands);
                 return;
             }
         }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -108,7 +108,7 @@
 
 /// A command to a worker.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// What is to be done.
     pub verb: Verb,
     /// To which task.
@@ -138,7 +138,7 @@
 
 /// Body of `POST /commands`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Commands {
+pub struct CommandRequest {
     /// Token that entitles to give commands.
     #[serde(rename = "baton")]
     pub token: u64,
@@ -146,7 +146,8 @@
     #[serde(rename = "watch")]
     pub session: u64,
     /// Executed in this order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Answer to a report that is accepted.
@@ -156,7 +157,8 @@
     #[serde(rename = "baton")]
     pub token: u64,
     /// Executed in this order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Answer to a report that another controller should get.
--- a/crates/wire/src/workers/tests.rs
+++ b/crates/wire/src/workers/tests.rs
@@ -18,14 +18,14 @@
 
 #[test]
 fn commands_are_written_in_the_platform_s_words() {
-    let order = Order {
+    let command = Command {
         verb: Verb::Stop,
         task: "j-000377/1".parse().unwrap(),
         attempt: 1,
         grace_s: Some(10.0),
     };
     assert_eq!(
-        serde_json::to_value(&order).unwrap(),
+        serde_json::to_value(&command).unwrap(),
         serde_json::json!({"verb":"kill","shift":"j-000377/1","try":1,"leave_s":10.0})
     );
 }
