--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,6 +1,8 @@
 //! Requests from users, workers and probes.
 
-use crate::context::{revision_of, AbortPoll, Context, Creation, Lookup, Pending, Reply, Token};
+use crate::context::{
+    revision_of, AbortPoll, Context, Creation, Lookup, Pending, Reply, RequestId,
+};
 use crate::node::Node;
 use crate::records::{abort_key, job_key, live_key, total_of, BlockRec, HeadRec, JobRec, ShareId};
 use crate::share::{Phase, TOKEN_BITS};
@@ -35,21 +37,21 @@
 impl Node {
     pub(crate) fn on_request(
         &mut self,
-        token: Token,
+        request: RequestId,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
     ) {
         let path = path.split('?').next().unwrap_or_default();
-        if let Err(body) = self.pass_on(token, method, path, body) {
-            self.serve_here(token, method, path, body);
+        if let Err(body) = self.pass_on(request, method, path, body) {
+            self.serve_here(request, method, path, body);
         }
     }
 
     /// Answers a request without asking another controller.
     pub(crate) fn serve_here(
         &mut self,
-        token: Token,
+        request: RequestId,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
@@ -58,9 +60,9 @@
         let reply = match (method, parts.as_slice()) {
             ("GET", ["up"]) => Some(self.up()),
             ("POST", ["v1", "report"]) => Some(self.report(body)),
-            ("POST", ["submissions"]) => self.submit(token, body),
-            ("GET", ["submissions", id]) => self.question(token, id),
-            ("POST", ["submissions", id, "abort"]) => self.abort(token, id),
+            ("POST", ["submissions"]) => self.submit(request, body),
+            ("GET", ["submissions", id]) => self.question(request, id),
+            ("POST", ["submissions", id, "abort"]) => self.abort(request, id),
             (
                 _,
                 ["up"]
@@ -72,7 +74,7 @@
             _ => Some(Reply::error(404, "no such path")),
         };
         if let Some(reply) = reply {
-            self.ctx.respond(token, reply);
+            self.ctx.respond(request, reply);
         }
     }
 
@@ -86,7 +88,7 @@
 
     // Submissions.
 
-    fn submit(&mut self, token: Token, body: Option<Vec<u8>>) -> Option<Reply> {
+    fn submit(&mut self, request: RequestId, body: Option<Vec<u8>>) -> Option<Reply> {
         let Some(body) = body else {
             return Some(Reply::error(413, "too large"));
         };
@@ -97,7 +99,7 @@
                 // it would not be accepted today.
                 let refusal = Reply::error(400, &e.to_string());
                 return match id_of(&body) {
-                    Some(id) => self.look_up(token, id, Lookup::Submission(refusal)),
+                    Some(id) => self.look_up(request, id, Lookup::Submission(refusal)),
                     None => Some(refusal),
                 };
             }
@@ -112,14 +114,14 @@
             }
             if self.share_of(&id).is_some() {
                 let unknown = Lookup::Submission(Reply::later("try again"));
-                return self.look_up(token, id, unknown);
+                return self.look_up(request, id, unknown);
             }
         }
         match self.judge(&spec) {
             Ok(share) => {
                 let until = self.ctx.now + ANSWER_MS;
                 let creation = Creation {
-                    token,
+                    request,
                     spec,
                     share,
                     until,
@@ -127,7 +129,7 @@
                 self.create(creation);
                 None
             }
-            Err(refusal) => self.look_up(token, id, Lookup::Submission(refusal)),
+            Err(refusal) => self.look_up(request, id, Lookup::Submission(refusal)),
         }
     }
 
@@ -199,7 +201,7 @@
 
     pub(crate) fn on_created(&mut self, creation: Creation, code: u16, body: &[u8]) {
         let Creation {
-            token,
+            request,
             spec,
             share,
             until,
@@ -215,31 +217,31 @@
                     share.told_of(&mut self.ctx, spec, at, revision);
                 }
                 let reply = Reply::json(201, &status(&id, JobStage::Queued));
-                self.ctx.respond(token, reply);
+                self.ctx.respond(request, reply);
             }
             409 => {
                 let lost = Reply::later("try again");
-                if let Some(reply) = self.look_up(token, id, Lookup::Submission(lost)) {
-                    self.ctx.respond(token, reply);
+                if let Some(reply) = self.look_up(request, id, Lookup::Submission(lost)) {
+                    self.ctx.respond(request, reply);
                 }
             }
             0 | 429 if self.ctx.now < until => {
                 // If an earlier copy is carried out after all, the condition
                 // fails and the job is found.
                 self.create(Creation {
-                    token,
+                    request,
                     spec,
                     share,
                     until,
                 });
             }
-            _ => self.ctx.respond(token, Reply::later("not now")),
+            _ => self.ctx.respond(request, Reply::later("not now")),
         }
     }
 
     // Questions.
 
-    fn question(&mut self, token: Token, id: &str) -> Option<Reply> {
+    fn question(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
         };
@@ -251,7 +253,7 @@
                 return Some(reply);
             }
         }
-        self.look_up(token, id, Lookup::Question)
+        self.look_up(request, id, Lookup::Question)
     }
 
     /// What memory says of a job of ours: nothing, if its record may say more.
@@ -270,16 +272,16 @@
 
     /// Reads a job's record, for an answer that must not be older than what
     /// any node has told.
-    fn look_up(&mut self, token: Token, id: JobId, why: Lookup) -> Option<Reply> {
+    fn look_up(&mut self, request: RequestId, id: JobId, why: Lookup) -> Option<Reply> {
         let until = self.ctx.now + LOOKUP_MS;
-        self.read_job(token, id, why, until);
+        self.read_job(request, id, why, until);
         None
     }
 
-    fn read_job(&mut self, token: Token, id: JobId, why: Lookup, until: Ms) {
+    fn read_job(&mut self, request: RequestId, id: JobId, why: Lookup, until: Ms) {
         let path = format!("/kv/{}", job_key(&id));
         let pending = Pending::Lookup {
-            token,
+            request,
             id,
             why,
             until,
@@ -289,7 +291,7 @@
 
     pub(crate) fn on_lookup(
         &mut self,
-        token: Token,
+        request: RequestId,
         id: JobId,
         why: Lookup,
         until: Ms,
@@ -299,14 +301,14 @@
         // What was told meanwhile is newer than what was read.
         if let Some(stage) = self.finals.get(&id) {
             let reply = Reply::json(200, &status(&id, stage));
-            return self.ctx.respond(token, reply);
+            return self.ctx.respond(request, reply);
         }
         let record = match code {
             200 => read_job(body),
             // It was accepted after the read.
             404 if self.homes.get(&id).is_some() || self.share_of(&id).is_some() => {
                 if self.ctx.now < until {
-                    return self.read_job(token, id, why, until);
+                    return self.read_job(request, id, why, until);
                 }
                 None
             }
@@ -315,14 +317,14 @@
                     Lookup::Submission(otherwise) => otherwise,
                     Lookup::Question | Lookup::Abort => Reply::error(404, "no such job"),
                 };
-                return self.ctx.respond(token, reply);
+                return self.ctx.respond(request, reply);
             }
             // A connection that broke is no outage: a read may be repeated.
-            0 if self.ctx.now < until => return self.read_job(token, id, why, until),
+            0 if self.ctx.now < until => return self.read_job(request, id, why, until),
             _ => None,
         };
         let Some(record) = record else {
-            return self.ctx.respond(token, Reply::later("not now"));
+            return self.ctx.respond(request, Reply::later("not now"));
         };
         if record.stage.is_final() {
             self.finals.insert(id.clone(), record.stage);
@@ -330,15 +332,15 @@
             self.homes.insert(id.clone(), record.share);
         }
         if !record.stage.is_final() && matches!(why, Lookup::Abort) {
-            return self.pass_abort(token, id, record.share);
+            return self.pass_abort(request, id, record.share);
         }
         self.ctx
-            .respond(token, Reply::json(200, &status(&id, record.stage)));
+            .respond(request, Reply::json(200, &status(&id, record.stage)));
     }
 
     // Cancellations.
 
-    fn abort(&mut self, token: Token, id: &str) -> Option<Reply> {
+    fn abort(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
         };
@@ -362,22 +364,22 @@
             if !right {
                 return Some(Reply::later("not now"));
             }
-            job.cancel_waiters.push(token);
+            job.cancel_waiters.push(request);
             let until = ctx.now + ANSWER_MS;
-            self.cancel_ends.push_back((until, token, id));
+            self.cancel_ends.push_back((until, request, id));
             return None;
         }
-        self.look_up(token, id, Lookup::Abort)
+        self.look_up(request, id, Lookup::Abort)
     }
 
     /// Leaves word for the holder, in the place that it watches.
-    fn pass_abort(&mut self, token: Token, id: JobId, share: ShareId) {
+    fn pass_abort(&mut self, request: RequestId, id: JobId, share: ShareId) {
         let until = self.ctx.now + ANSWER_MS * 3 / 4;
         self.tell_cancel(&id, share);
         let known = self.view.aborts.get(&id).copied();
         let key = abort_key(&id);
         let poll = AbortPoll {
-            token,
+            request,
             id,
             version: known.unwrap_or(0),
             until,
@@ -397,7 +399,7 @@
             poll.version = revision_of(body);
             self.poll_abort(poll);
         } else {
-            self.ctx.respond(poll.token, Reply::later("not now"));
+            self.ctx.respond(poll.request, Reply::later("not now"));
         }
     }
 
@@ -408,7 +410,7 @@
 
     pub(crate) fn on_abort_poll(&mut self, poll: AbortPoll, code: u16, body: &[u8]) {
         let AbortPoll {
-            token,
+            request,
             id,
             version,
             until,
@@ -418,14 +420,14 @@
             Some(record) if record.stage.is_final() => {
                 self.finals.insert(id.clone(), record.stage);
                 let reply = Reply::json(200, &status(id, record.stage));
-                self.ctx.respond(*token, reply);
+                self.ctx.respond(*request, reply);
                 // The holder may have been told by message, and have done it
                 // before any view showed the key: it is for us to remove.
                 crate::share::remove_key(&mut self.ctx, abort_key(id), *version);
             }
-            _ if code == 503 => self.ctx.respond(*token, Reply::later("not now")),
+            _ if code == 503 => self.ctx.respond(*request, Reply::later("not now")),
             _ if self.ctx.now < *until => self.later_polls.push((self.ctx.now + POLL_MS, poll)),
-            _ => self.ctx.respond(*token, Reply::later("being cancelled")),
+            _ => self.ctx.respond(*request, Reply::later("being cancelled")),
         }
     }
 
@@ -437,16 +439,16 @@
             .front()
             .is_some_and(|(until, ..)| now >= *until)
         {
-            let Some((_, token, id)) = self.cancel_ends.pop_front() else {
+            let Some((_, request, id)) = self.cancel_ends.pop_front() else {
                 return;
             };
             let Some(job) = self.share_of(&id).and_then(|s| s.jobs.get_mut(&id)) else {
                 continue;
             };
             let waiting = job.cancel_waiters.len();
-            job.cancel_waiters.retain(|t| *t != token);
+            job.cancel_waiters.retain(|waiter| *waiter != request);
             if job.cancel_waiters.len() < waiting {
-                self.ctx.respond(token, Reply::later("being cancelled"));
+                self.ctx.respond(request, Reply::later("being cancelled"));
             }
         }
     }
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -5,7 +5,7 @@
 //! the version that is known to be written.
 
 use crate::api::status;
-use crate::context::{Context, JobWrite, Pending, Reply, Token};
+use crate::context::{Context, JobWrite, Pending, Reply, RequestId};
 use crate::job::{Job, Sent};
 use crate::node::Finals;
 use crate::records::{job_key, live_key, share_key, JobRec};
@@ -133,8 +133,8 @@
             if status == 503 {
                 // The write is tried again all the same; whoever waits for it
                 // is told at once to come back.
-                for token in std::mem::take(&mut job.cancel_waiters) {
-                    ctx.respond(token, Reply::later("not now"));
+                for request in std::mem::take(&mut job.cancel_waiters) {
+                    ctx.respond(request, Reply::later("not now"));
                 }
             }
             // Without an answer, perhaps it was carried out, perhaps it will
@@ -278,9 +278,9 @@
 }
 
 /// Tells users who wait for a cancellation how the job ended.
-fn answer(ctx: &mut Context, waiters: Vec<Token>, id: &JobId, stage: JobStage) {
-    for token in waiters {
-        ctx.respond(token, Reply::json(200, &status(id, stage)));
+fn answer(ctx: &mut Context, waiters: Vec<RequestId>, id: &JobId, stage: JobStage) {
+    for request in waiters {
+        ctx.respond(request, Reply::json(200, &status(id, stage)));
     }
 }
 
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -23,14 +23,14 @@
 
 /// Names a request that waits for its answer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct Token(pub u64);
+pub struct RequestId(pub u64);
 
 /// Set in the names of requests that other controllers have passed on.
 const REMOTE: u64 = 1 << 63;
 /// A request that was passed on is of no use after this.
 const REMOTE_MS: Ms = 5_000;
 
-impl Token {
+impl RequestId {
     /// Whether another controller waits for the answer.
     pub(crate) fn is_remote(self) -> bool {
         self.0 & REMOTE != 0
@@ -43,7 +43,7 @@
     /// A request from a user, a worker or a probe.
     Request {
         /// To be named in the answer.
-        token: Token,
+        request: RequestId,
         /// `GET`, `POST`, …
         method: String,
         /// Path and query.
@@ -115,7 +115,7 @@
     /// Answer a request.
     Respond {
         /// Which request.
-        token: Token,
+        request: RequestId,
         /// The answer.
         reply: Reply,
     },
@@ -170,7 +170,7 @@
     },
     Create(Box<Creation>),
     Lookup {
-        token: Token,
+        request: RequestId,
         id: JobId,
         why: Lookup,
         until: Ms,
@@ -235,7 +235,7 @@
 /// A submission that is being written.
 #[derive(Debug)]
 pub(crate) struct Creation {
-    pub(crate) token: Token,
+    pub(crate) request: RequestId,
     pub(crate) spec: JobSpec,
     pub(crate) share: ShareId,
     pub(crate) until: Ms,
@@ -244,7 +244,7 @@
 /// A cancellation that another controller is to carry out.
 #[derive(Clone, Debug)]
 pub(crate) struct AbortPoll {
-    pub(crate) token: Token,
+    pub(crate) request: RequestId,
     pub(crate) id: JobId,
     /// Version of the key that tells of it, for its removal.
     pub(crate) version: u64,
@@ -300,7 +300,7 @@
     /// What shares of ours lack, for the leader that we are.
     pub(crate) lacking: Vec<(ShareId, u64, DemandRec)>,
     /// Requests that other controllers have passed on.
-    pub(crate) remote: BTreeMap<Token, Remote>,
+    pub(crate) remote: BTreeMap<RequestId, Remote>,
     /// Whether we may answer from memory, as of this step.
     pub(crate) entitled: bool,
     /// When we last went on after standing still.
@@ -409,9 +409,9 @@
     }
 
     /// A name for a request that another controller has passed on.
-    pub(crate) fn remote_token(&mut self, from: NodeName, inc: u64, ask: u64) -> Token {
+    pub(crate) fn remote_request(&mut self, from: NodeName, inc: u64, ask: u64) -> RequestId {
         self.next_call += 1;
-        let token = Token(self.next_call | REMOTE);
+        let request = RequestId(self.next_call | REMOTE);
         let until = self.now + REMOTE_MS;
         let remote = Remote {
             from,
@@ -419,8 +419,8 @@
             ask,
             until,
         };
-        self.remote.insert(token, remote);
-        token
+        self.remote.insert(request, remote);
+        request
     }
 
     pub(crate) fn forget_remote(&mut self) {
@@ -428,9 +428,9 @@
         self.remote.retain(|_, r| now < r.until);
     }
 
-    pub(crate) fn respond(&mut self, token: Token, reply: Reply) {
-        if token.is_remote() {
-            if let Some(remote) = self.remote.remove(&token) {
+    pub(crate) fn respond(&mut self, request: RequestId, reply: Reply) {
+        if request.is_remote() {
+            if let Some(remote) = self.remote.remove(&request) {
                 let body = Body::Answer {
                     inc: remote.inc,
                     ask: remote.ask,
@@ -442,7 +442,7 @@
             }
             return;
         }
-        self.out.push(Effect::Respond { token, reply });
+        self.out.push(Effect::Respond { request, reply });
     }
 
     fn call(
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -1,7 +1,7 @@
 //! A controller that holds a share with a machine, for tests of what it does.
 
 use crate::config::{Config, Operator};
-use crate::context::{Effect, Input, Pending, Reply, Token};
+use crate::context::{Effect, Input, Pending, Reply, RequestId};
 use crate::job::{Binding, Sent};
 use crate::node::Node;
 use crate::records::{
@@ -196,16 +196,16 @@
     }
 
     /// A request, and its answer if that comes at once.
-    pub(crate) fn ask(&mut self, token: u64, method: &str, path: &str) -> Option<(u16, String)> {
-        let request = Input::Request {
-            token: Token(token),
+    pub(crate) fn ask(&mut self, request: u64, method: &str, path: &str) -> Option<(u16, String)> {
+        let input = Input::Request {
+            request: RequestId(request),
             method: method.to_owned(),
             path: path.to_owned(),
             body: Some(Vec::new()),
         };
         let now = self.node.ctx.now;
-        let effects = self.node.step(now, WALL + now - NOW, vec![request]);
-        answer_to(&effects, token)
+        let effects = self.node.step(now, WALL + now - NOW, vec![input]);
+        answer_to(&effects, request)
     }
 
     /// Ends the last call of a kind that waits.
@@ -234,10 +234,10 @@
 }
 
 /// Status and body of the answer to a request.
-pub(crate) fn answer_to(effects: &[Effect], token: u64) -> Option<(u16, String)> {
+pub(crate) fn answer_to(effects: &[Effect], request: u64) -> Option<(u16, String)> {
     let text = |r: &Reply| (r.status, String::from_utf8_lossy(&r.body).into_owned());
     effects.iter().find_map(|e| match e {
-        Effect::Respond { token: t, reply } if t.0 == token => Some(text(reply)),
+        Effect::Respond { request: id, reply } if id.0 == request => Some(text(reply)),
         _ => None,
     })
 }
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -8,7 +8,7 @@
 //! it. Without an answer in time the request is dealt with here.
 
 use crate::api::status;
-use crate::context::{Reply, Token};
+use crate::context::{Reply, RequestId};
 use crate::node::Node;
 use crate::Ms;
 use forkshift_wire::peer::Body;
@@ -26,7 +26,7 @@
 
 /// A request that was passed on.
 pub(crate) struct Forward {
-    token: Token,
+    request: RequestId,
     method: String,
     path: String,
     body: Option<Vec<u8>>,
@@ -38,12 +38,12 @@
     /// the body if not.
     pub(crate) fn pass_on(
         &mut self,
-        token: Token,
+        request: RequestId,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<(), Option<Vec<u8>>> {
-        if token.is_remote() {
+        if request.is_remote() {
             return Err(body);
         }
         let Some(to) = self.better(method, path) else {
@@ -57,7 +57,7 @@
         self.asks += 1;
         let ask = self.asks;
         let forward = Forward {
-            token,
+            request,
             method: method.to_owned(),
             path: path.to_owned(),
             body: body.clone(),
@@ -118,8 +118,8 @@
         if self.ctx.remote.len() >= REMOTE_MOST || !path.starts_with("/submissions") {
             return;
         }
-        let token = self.ctx.remote_token(from, inc, ask);
-        self.on_request(token, method, path, body);
+        let request = self.ctx.remote_request(from, inc, ask);
+        self.on_request(request, method, path, body);
     }
 
     pub(crate) fn on_forwarded(&mut self, ask: u64, reply: Reply) {
@@ -140,10 +140,10 @@
             } else if let Some(stage) = self.finals.get(&told.id) {
                 // The answer was overtaken by a newer one.
                 let newer = Reply::json(200, &status(&told.id, stage));
-                return self.ctx.respond(forward.token, newer);
+                return self.ctx.respond(forward.request, newer);
             }
         }
-        self.ctx.respond(forward.token, reply);
+        self.ctx.respond(forward.request, reply);
     }
 
     /// Deals here with what had no answer elsewhere, and forgets requests of
@@ -166,12 +166,12 @@
 
     fn deal_with(&mut self, forward: Forward) {
         let Forward {
-            token,
+            request,
             method,
             path,
             body,
             ..
         } = forward;
-        self.serve_here(token, &method, &path, body);
+        self.serve_here(request, &method, &path, body);
     }
 }
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -1,6 +1,6 @@
 //! An unfinished job in its holder's memory.
 
-use crate::context::Token;
+use crate::context::RequestId;
 use crate::ranges::Ranges;
 use crate::records::{BlockRec, HeadRec};
 use crate::Ms;
@@ -92,7 +92,7 @@
     pub(crate) cancelled_since: Ms,
     /// The cancellation is written.
     pub(crate) cancel_durable: bool,
-    pub(crate) cancel_waiters: Vec<Token>,
+    pub(crate) cancel_waiters: Vec<RequestId>,
     /// A write is under way.
     pub(crate) writing: bool,
     pub(crate) retry_at: Ms,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -35,7 +35,7 @@
 mod view;
 
 pub use config::{Config, Operator};
-pub use context::{CallId, Effect, Input, Reply, Target, Token};
+pub use context::{CallId, Effect, Input, Reply, RequestId, Target};
 pub use node::Node;
 
 /// Milliseconds of a steady clock.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -3,7 +3,7 @@
 use crate::budget::Budget;
 use crate::config::Config;
 use crate::context::{
-    is_watch_lost, revision_of, AbortPoll, Context, Effect, Input, Pending, Token,
+    is_watch_lost, revision_of, AbortPoll, Context, Effect, Input, Pending, RequestId,
 };
 use crate::forward::Forward;
 use crate::leader::Leader;
@@ -89,7 +89,7 @@
     /// Looks at cancellations that are to be repeated.
     pub(crate) later_polls: Vec<(Ms, AbortPoll)>,
     /// Until when users wait for cancellations of ours to be written.
-    pub(crate) cancel_ends: VecDeque<(Ms, Token, JobId)>,
+    pub(crate) cancel_ends: VecDeque<(Ms, RequestId, JobId)>,
 }
 
 /// Longest wait of the watch on what all controllers share.
@@ -143,11 +143,11 @@
         for input in inputs {
             match input {
                 Input::Request {
-                    token,
+                    request,
                     method,
                     path,
                     body,
-                } => self.on_request(token, &method, &path, body),
+                } => self.on_request(request, &method, &path, body),
                 Input::Peer(message) => self.on_peer(&message),
                 Input::Answer { call, status, body } => {
                     if let Some(pending) = self.ctx.pending.remove(&call) {
@@ -429,11 +429,11 @@
             }
             Pending::Create(creation) => self.on_created(*creation, status, body),
             Pending::Lookup {
-                token,
+                request,
                 id,
                 why,
                 until,
-            } => self.on_lookup(token, id, why, until, status, body),
+            } => self.on_lookup(request, id, why, until, status, body),
             Pending::Abort(poll) => self.on_abort_put(poll, status, body),
             Pending::AbortPoll(poll) => self.on_abort_poll(poll, status, body),
             Pending::JobTxn { share, epoch, jobs } => {
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -197,8 +197,8 @@
     /// The share is not ours any more: users who wait ask whoever has it.
     pub(crate) fn let_go(self, ctx: &mut Context) {
         let waiters = self.jobs.into_values().flat_map(|j| j.cancel_waiters);
-        for token in waiters {
-            ctx.respond(token, Reply::later("try again"));
+        for request in waiters {
+            ctx.respond(request, Reply::later("try again"));
         }
     }
 
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -3,7 +3,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use forkshift_core::{Config, Effect, Input, Node, Reply, Target, Token};
+use forkshift_core::{Config, Effect, Input, Node, Reply, RequestId, Target};
 use forkshift_net::{
     Call, Client, ClientLimits, Executor, PeerLink, Request, Response, ServerLimits,
 };
@@ -38,7 +38,7 @@
 /// The part that may be kept open to workers and services while idle.
 const IDLE_PART: f64 = 0.1;
 
-type Waiting = Rc<RefCell<HashMap<Token, Sender<Reply>>>>;
+type Waiting = Rc<RefCell<HashMap<RequestId, Sender<Reply>>>>;
 
 /// Runs a controller until the process ends.
 pub fn run(settings: &Settings, config: Config) -> io::Result<()> {
@@ -99,14 +99,14 @@
     let next = Rc::new(Cell::new(0_u64));
     move |req: Request| {
         let (sender, waiting) = (sender.clone(), waiting.clone());
-        let token = Token(next.get());
-        next.set(token.0 + 1);
+        let request = RequestId(next.get());
+        next.set(request.0 + 1);
         Box::pin(async move {
             let (reply, answer) = async_channel::bounded(1);
-            waiting.borrow_mut().insert(token, reply);
-            let guard = Forget(waiting, token);
+            waiting.borrow_mut().insert(request, reply);
+            let guard = Forget(waiting, request);
             let input = Input::Request {
-                token,
+                request,
                 method: req.method,
                 path: req.path,
                 body: req.body,
@@ -131,7 +131,7 @@
 }
 
 /// A request whose connection is gone waits for nothing any more.
-struct Forget(Waiting, Token);
+struct Forget(Waiting, RequestId);
 
 impl Drop for Forget {
     fn drop(&mut self) {
@@ -180,8 +180,8 @@
 
     fn carry_out(&self, effect: Effect) {
         match effect {
-            Effect::Respond { token, reply } => {
-                if let Some(sender) = self.waiting.borrow_mut().remove(&token) {
+            Effect::Respond { request, reply } => {
+                if let Some(sender) = self.waiting.borrow_mut().remove(&request) {
                     let _ = sender.try_send(reply);
                 }
             }
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -18,7 +18,7 @@
 use crate::worker::{Truth, Worker};
 use crate::Ms;
 use digest::Digest;
-use forkshift_core::{Config, Effect, Input, Node, Operator, Target, Token};
+use forkshift_core::{Config, Effect, Input, Node, Operator, RequestId, Target};
 use forkshift_wire::settings::Settings;
 use forkshift_wire::users::JobKind;
 use forkshift_wire::{JobId, MachineId, TaskRef};
@@ -230,8 +230,8 @@
     /// Calls whose end has not been told.
     open: BTreeSet<u64>,
     /// Requests that wait for an answer.
-    requests: HashMap<Token, Origin>,
-    next_token: u64,
+    requests: HashMap<RequestId, Origin>,
+    next_request: u64,
     cuts: Cuts,
 }
 
@@ -339,7 +339,7 @@
                 stepped: 0,
                 open: BTreeSet::new(),
                 requests: HashMap::new(),
-                next_token: 0,
+                next_request: 0,
                 cuts: Cuts::default(),
             });
             world.start(n);
@@ -485,8 +485,8 @@
         let mut tells = Vec::new();
         for effect in node.step(now, now + WALL_OFF, inbox) {
             match effect {
-                Effect::Respond { token, reply } => {
-                    if let Some(origin) = host.requests.remove(&token) {
+                Effect::Respond { request, reply } => {
+                    if let Some(origin) = host.requests.remove(&request) {
                         replies.push((origin, reply.status, reply.body));
                     }
                 }
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -3,7 +3,7 @@
 use super::{zone_of, Event, World};
 use crate::worker::Around;
 use crate::Ms;
-use forkshift_core::{Input, Token};
+use forkshift_core::{Input, RequestId};
 use forkshift_wire::MachineId;
 use rand::Rng;
 
@@ -221,11 +221,11 @@
                     self.reply(&m.dest, m.origin, 0, Vec::new());
                     return;
                 }
-                let token = Token(host.next_token);
-                host.next_token += 1;
-                host.requests.insert(token, m.origin);
+                let request = RequestId(host.next_request);
+                host.next_request += 1;
+                host.requests.insert(request, m.origin);
                 host.inbox.push(Input::Request {
-                    token,
+                    request,
                     method: m.method,
                     path: m.path,
                     body: Some(m.body),
