--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -209,7 +209,7 @@
     MachineList {
         page: Vec<forkshift_wire::cloud::Listed>,
     },
-    CharterPut {
+    RentalIntentPut {
         request: String,
     },
     Rent {
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -46,12 +46,12 @@
     renting: BTreeSet<String>,
     /// Answers of the cloud that are being written.
     outcomes: BTreeMap<String, Outcome>,
-    /// Charters that the view must show before a share's demand is looked at again.
+    /// Intents that the view must show before a share's demand is looked at again.
     acted: BTreeMap<ShareId, u64>,
     /// Intents that are being written, with the shares that they are for.
-    chartering: BTreeMap<String, Vec<ShareId>>,
+    intents_being_written: BTreeMap<String, Vec<ShareId>>,
     /// How many intents this start has written; part of their names.
-    charters: u64,
+    intents_written: u64,
     /// Machines whose deletion or removal is under way.
     deleting: BTreeSet<MachineId>,
     /// Since when machines have been known.
@@ -94,8 +94,8 @@
             renting: BTreeSet::new(),
             outcomes: BTreeMap::new(),
             acted: BTreeMap::new(),
-            chartering: BTreeMap::new(),
-            charters: 0,
+            intents_being_written: BTreeMap::new(),
+            intents_written: 0,
             deleting: BTreeSet::new(),
             seen: HashMap::new(),
             absent: HashMap::new(),
@@ -130,7 +130,7 @@
                 nodes: std::mem::take(&mut self.nodes),
                 // A controller that leads for a second time must not use a
                 // request's name again: the cloud would repeat its old answer.
-                charters: self.charters,
+                intents_written: self.intents_written,
                 active: true,
                 active_since: ctx.now,
                 ..Self::new(ctx.cfg.cloud_rps)
@@ -152,7 +152,7 @@
             self.sweep_aborts(ctx, view);
         }
         self.bucket.refill(ctx.now);
-        self.renting.retain(|r| view.charters.contains_key(r));
+        self.renting.retain(|r| view.rental_intents.contains_key(r));
         self.delete(ctx, view);
         self.rent(ctx, view);
         let gap = crate::ms(ctx.cfg.ops.round_gap_s);
@@ -164,7 +164,7 @@
                 self.told_new = false;
                 self.lend(ctx, view, &demands);
             }
-            self.charter(ctx, view, &demands);
+            self.write_rental_intents(ctx, view, &demands);
         }
         self.look(ctx);
     }
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -135,7 +135,8 @@
         // came late. Nothing was ever started there.
         // Without a right we may have a successor, whose machines our view
         // does not show.
-        let settled = ctx.entitled && view.charters.is_empty() && self.chartering.is_empty();
+        let settled =
+            ctx.entitled && view.rental_intents.is_empty() && self.intents_being_written.is_empty();
         let unknown: Vec<MachineId> = page
             .iter()
             .filter(|m| !view.machines.contains_key(&m.id) && !self.deleting.contains(&m.id))
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -8,7 +8,7 @@
 use super::Leader;
 use crate::context::{revision_of, Context, Pending};
 use crate::records::{
-    charter_key, machine_key, total_of, CharterRec, DemandRec, MachineRec, ShareId,
+    machine_key, rental_intent_key, total_of, DemandRec, MachineRec, RentalIntent, ShareId,
 };
 use crate::store::Urgency;
 use crate::view::View;
@@ -21,7 +21,7 @@
 
 /// What the cloud has answered to a rental request, while it is written.
 pub(super) struct Outcome {
-    rec: CharterRec,
+    rec: RentalIntent,
     /// Version of the intent's record.
     version: u64,
     machines: Vec<MachineId>,
@@ -34,13 +34,13 @@
     /// Turns what shares lack into rental intents. The cloud takes few calls
     /// a second: no intent is made while others wait to be carried out, so
     /// that what shares lack meanwhile comes together in larger ones.
-    pub(super) fn charter(
+    pub(super) fn write_rental_intents(
         &mut self,
         ctx: &mut Context,
         view: &View,
         demands: &BTreeMap<ShareId, DemandRec>,
     ) {
-        let under_way = view.charters.len() + self.chartering.len();
+        let under_way = view.rental_intents.len() + self.intents_being_written.len();
         if under_way as f64 >= ctx.cfg.cloud_rps.ceil() {
             return;
         }
@@ -83,23 +83,23 @@
             }
         }
         for ((machine_type, zone, spot), parts) in together {
-            let rec = CharterRec {
+            let rec = RentalIntent {
                 parts: cut(parts, RENT_MOST),
                 machine_type: kinds[machine_type as usize].clone(),
                 zone: zones[zone as usize].clone(),
                 spot,
                 placed: 0,
             };
-            self.charters += 1;
-            let request = format!("r-{:x}-{}", ctx.inc, self.charters);
-            let key = charter_key(&request);
+            self.intents_written += 1;
+            let request = format!("r-{:x}-{}", ctx.inc, self.intents_written);
+            let key = rental_intent_key(&request);
             let txn = Txn {
                 conds: self.conds(view, key.clone(), 0),
                 writes: vec![Write::put(key, to_value(&rec).unwrap_or_default())],
             };
             let shares = rec.parts.iter().map(|(k, _)| *k).collect();
-            self.chartering.insert(request.clone(), shares);
-            ctx.txn(Urgency::Lead, &txn, Pending::CharterPut { request });
+            self.intents_being_written.insert(request.clone(), shares);
+            ctx.txn(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
         }
     }
 
@@ -139,9 +139,12 @@
     }
 
     /// The write of an intent was answered.
-    pub(crate) fn on_charter_put(&mut self, request: &str, body: &[u8]) {
-        let shares = self.chartering.remove(request).unwrap_or_default();
-        // A demand counts again once it was made in sight of this charter.
+    pub(crate) fn on_rental_intent_put(&mut self, request: &str, body: &[u8]) {
+        let shares = self
+            .intents_being_written
+            .remove(request)
+            .unwrap_or_default();
+        // A demand counts again once it was made in sight of this intent.
         let revision = revision_of(body);
         for k in shares {
             let acted = self.acted.entry(k).or_default();
@@ -152,11 +155,11 @@
     /// Carries intents out, those of an earlier leader too: a request that
     /// had an answer before gets the same one again and rents nothing.
     pub(super) fn rent(&mut self, ctx: &mut Context, view: &View) {
-        for (request, charter) in &view.charters {
+        for (request, intent) in &view.rental_intents {
             if self.renting.contains(request) || !self.may_call(ctx) {
                 continue;
             }
-            let rec = &charter.rec;
+            let rec = &intent.rec;
             let body = Rent {
                 request: request.clone(),
                 machine_type: rec.machine_type.clone(),
@@ -185,7 +188,7 @@
         status: u16,
         body: &[u8],
     ) {
-        let Some(charter) = view.charters.get(request).cloned() else {
+        let Some(intent) = view.rental_intents.get(request).cloned() else {
             self.renting.remove(request);
             return;
         };
@@ -193,7 +196,7 @@
             self.renting.remove(request);
             return;
         }
-        let rec = charter.rec;
+        let rec = intent.rec;
         let rented: Machines = serde_json::from_slice(body).unwrap_or_default();
         let machines = if status == 200 {
             rented.machines
@@ -224,7 +227,7 @@
         );
         let outcome = Outcome {
             rec,
-            version: charter.version,
+            version: intent.version,
             machines,
         };
         self.outcomes.insert(request.to_owned(), outcome);
@@ -238,7 +241,7 @@
             return;
         };
         let rec = &outcome.rec;
-        let key = charter_key(request);
+        let key = rental_intent_key(request);
         let mut txn = Txn {
             conds: self.conds(view, key.clone(), outcome.version),
             writes: Vec::new(),
@@ -267,7 +270,7 @@
                 .push(Write::put(key, to_value(machine).unwrap_or_default()));
         }
         txn.writes.push(if to < outcome.machines.len() {
-            let rec = CharterRec {
+            let rec = RentalIntent {
                 placed: to as u32,
                 ..rec.clone()
             };
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -484,7 +484,9 @@
                 self.leader
                     .on_list(&mut self.ctx, &self.view, page, status, body);
             }
-            Pending::CharterPut { request } => self.leader.on_charter_put(&request, body),
+            Pending::RentalIntentPut { request } => {
+                self.leader.on_rental_intent_put(&request, body)
+            }
             Pending::Rent { request } => {
                 self.leader
                     .on_rent(&mut self.ctx, &self.view, &request, status, body);
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -50,7 +50,7 @@
 }
 
 /// Key of a rental intent.
-pub fn charter_key(request: &str) -> String {
+pub fn rental_intent_key(request: &str) -> String {
     format!("c/charter/{request}")
 }
 
@@ -152,7 +152,7 @@
 
 /// A rental intent, written before the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CharterRec {
+pub struct RentalIntent {
     /// How many for which share.
     pub parts: Vec<(ShareId, u32)>,
     /// Type.
@@ -177,7 +177,7 @@
     *n == 0
 }
 
-impl CharterRec {
+impl RentalIntent {
     /// How many machines it asks for.
     pub fn count(&self) -> u32 {
         self.parts.iter().map(|(_, n)| n).sum()
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -177,7 +177,7 @@
                 hosts.push(coming(machine.total, machine, ctx.now));
             }
         }
-        self.push_charters(ctx, view, &mut hosts);
+        self.push_rental_intents(ctx, view, &mut hosts);
         for want in &mut wants {
             want.avoid.clear();
         }
@@ -275,20 +275,20 @@
         shapes
     }
 
-    fn push_charters(&self, ctx: &mut Context, view: &View, hosts: &mut Vec<Host>) {
-        for charter in view.charters.values().map(|c| &c.rec) {
-            let Some(of_type) = view.types.get(&charter.machine_type) else {
+    fn push_rental_intents(&self, ctx: &mut Context, view: &View, hosts: &mut Vec<Host>) {
+        for intent in view.rental_intents.values().map(|c| &c.rec) {
+            let Some(of_type) = view.types.get(&intent.machine_type) else {
                 continue;
             };
-            let left = charter.in_turn().into_iter().skip(charter.placed as usize);
+            let left = intent.in_turn().into_iter().skip(intent.placed as usize);
             let t = &of_type.rec;
             for _ in left.filter(|k| *k == self.id) {
                 hosts.push(Host {
                     free: total_of(t),
                     total: total_of(t),
-                    machine_type: ctx.intern(&charter.machine_type) as u16,
-                    zone: ctx.intern(&charter.zone) as u16,
-                    spot: charter.spot,
+                    machine_type: ctx.intern(&intent.machine_type) as u16,
+                    zone: ctx.intern(&intent.zone) as u16,
+                    spot: intent.spot,
                     price: t.price / 3600.0,
                     fetch_rate: t.fetch_gb_per_s,
                     images: BTreeSet::new(),
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,7 +1,7 @@
 //! The controller's copy of what all controllers share.
 
 use crate::records::{
-    CharterRec, DemandRec, LeaderRec, MachineRec, NodeRec, ShareId, ShareRec, EPOCH, LEADER,
+    DemandRec, LeaderRec, MachineRec, NodeRec, RentalIntent, ShareId, ShareRec, EPOCH, LEADER,
 };
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Change, Item};
@@ -27,7 +27,7 @@
     pub(crate) epoch: Option<Stamped<u64>>,
     pub(crate) shares: BTreeMap<ShareId, Stamped<ShareRec>>,
     pub(crate) machines: BTreeMap<MachineId, Stamped<MachineRec>>,
-    pub(crate) charters: BTreeMap<String, Stamped<CharterRec>>,
+    pub(crate) rental_intents: BTreeMap<String, Stamped<RentalIntent>>,
     pub(crate) types: BTreeMap<String, Stamped<MachineType>>,
     pub(crate) demands: BTreeMap<ShareId, Stamped<DemandRec>>,
     pub(crate) aborts: BTreeMap<JobId, u64>,
@@ -128,7 +128,7 @@
                 set(&mut self.machines, id.clone(), key, value, v);
                 self.machine_changed(id);
             }
-            "charter" => set(&mut self.charters, name.to_owned(), key, value, v),
+            "charter" => set(&mut self.rental_intents, name.to_owned(), key, value, v),
             "rig" => {
                 // What a machine has is known by its type.
                 self.changed.all = true;
@@ -167,7 +167,7 @@
                 self.machines.remove(&id);
                 self.machine_changed(id);
             }
-            "charter" => drop(self.charters.remove(name)),
+            "charter" => drop(self.rental_intents.remove(name)),
             "rig" => drop(self.types.remove(name)),
             "abort" => drop(self.aborts.remove(&JobId::new(name))),
             "share" => drop(name.parse().map(|k| self.shares.remove(&ShareId(k)))),
