--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -297,8 +297,8 @@
     pub(crate) pending: HashMap<CallId, Pending>,
     /// Inputs that the controller makes for itself: calls that never went out.
     pub(crate) refused: Vec<Pending>,
-    /// What shares of ours lack, for the leader that we are.
-    pub(crate) lacking: Vec<(ShareId, u64, DemandRec)>,
+    /// Unmet demand of our own shares, while we are the leader.
+    pub(crate) unmet_demand: Vec<(ShareId, u64, DemandRec)>,
     /// Requests that other controllers have passed on.
     pub(crate) remote: BTreeMap<RequestId, Remote>,
     /// Whether we may answer from memory, as of this step.
@@ -347,7 +347,7 @@
             rng: StdRng::seed_from_u64(seed),
             pending: HashMap::new(),
             refused: Vec::new(),
-            lacking: Vec::new(),
+            unmet_demand: Vec::new(),
             remote: BTreeMap::new(),
             entitled: false,
             awake_since: 0,
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -7,11 +7,11 @@
 use crate::context::Context;
 use crate::job::Job;
 use crate::records::total_of;
-use crate::rounds::want_of;
+use crate::rounds::pending_tasks_of;
 use crate::share::Share;
 use crate::view::View;
 use crate::Ms;
-use forkshift_sched::{run_round, Host, Quota, Resources, Want};
+use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::{JobId, MachineId, TaskRef};
@@ -180,7 +180,7 @@
     ) -> Option<(usize, Resources)> {
         let job = self.jobs.get(&task.job)?;
         let binding = job.bound.get(&task.index)?;
-        let mut want: Want = want_of(ctx, job, 0, &places.zones);
+        let mut want: PendingTasks = pending_tasks_of(ctx, job, 0, &places.zones);
         if let Some(n) = places
             .zones
             .get(&binding.machine)
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -16,7 +16,7 @@
 const TOLD_ROUNDS: f64 = 4.0;
 
 impl Leader {
-    /// A holder tells what its share lacks.
+    /// A holder tells the unmet demand of its share.
     pub(crate) fn on_demand(&mut self, now: Ms, k: ShareId, epoch: u64, rec: DemandRec) {
         if self.told.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
             self.told.insert(k, (epoch, now, rec));
@@ -24,7 +24,7 @@
         }
     }
 
-    /// What shares lack: what their holders told lately, or else have written.
+    /// Unmet demand: what holders told lately, or else have written.
     pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShareId, DemandRec> {
         let valid = crate::ms(ctx.cfg.ops.round_s * TOLD_ROUNDS);
         let written = view.demands.iter().map(|(k, d)| (*k, d.rec.clone()));
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -31,9 +31,9 @@
 type Held<'a> = HashMap<(ShareId, &'a str, &'a str), u32>;
 
 impl Leader {
-    /// Turns what shares lack into rental intents. The cloud takes few calls
+    /// Turns the unmet demand of shares into rental intents. The cloud takes few calls
     /// a second: no intent is made while others wait to be carried out, so
-    /// that what shares lack meanwhile comes together in larger ones.
+    /// that what comes up meanwhile is put together in larger ones.
     pub(super) fn write_rental_intents(
         &mut self,
         ctx: &mut Context,
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -220,7 +220,7 @@
             }
             share.reconcile(&mut self.ctx, &self.view);
         }
-        for (share, epoch, rec) in std::mem::take(&mut self.ctx.lacking) {
+        for (share, epoch, rec) in std::mem::take(&mut self.ctx.unmet_demand) {
             self.leader.on_demand(self.ctx.now, share, epoch, rec);
         }
         self.follow_forwards();
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -9,7 +9,7 @@
 use crate::context::Context;
 use crate::job::Sent;
 use crate::share::Share;
-use forkshift_sched::{Quota, Resources, Want};
+use forkshift_sched::{PendingTasks, Quota, Resources};
 use forkshift_wire::users::Priority;
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
@@ -25,7 +25,7 @@
         &mut self,
         ctx: &Context,
         ids: &[JobId],
-        wants: &[Want],
+        wants: &[PendingTasks],
         usable: &[MachineId],
         quotas: &[Quota],
     ) {
@@ -59,7 +59,12 @@
 
     /// The tasks to be stopped on a machine for a place for one task, those
     /// that ran for the shortest first, and the time that is lost with them.
-    fn victims(&self, ctx: &Context, want: &Want, id: &MachineId) -> Option<(u64, Vec<TaskRef>)> {
+    fn victims(
+        &self,
+        ctx: &Context,
+        want: &PendingTasks,
+        id: &MachineId,
+    ) -> Option<(u64, Vec<TaskRef>)> {
         let machine = self.machines.get(id)?;
         let fits = want.allowed(machine.machine_type, machine.zone, machine.spot)
             && want.task.fits(&machine.total);
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -279,9 +279,9 @@
             return;
         };
         let record = view.machines.get(id);
-        let lacking = record.is_some_and(|r| r.rec.addr.is_none());
+        let unrecorded = record.is_some_and(|r| r.rec.addr.is_none());
         let addr = m.addr.clone().filter(|_| m.heard.is_some());
-        if let Some(addr) = addr.filter(|_| lacking && m.condemned.is_none()) {
+        if let Some(addr) = addr.filter(|_| unrecorded && m.condemned.is_none()) {
             self.put_machine(ctx, view, id, |rec| rec.addr = Some(addr));
         }
     }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -59,7 +59,7 @@
     format!("c/rig/{name}")
 }
 
-/// Key of what a share lacks.
+/// Key of a share's unmet demand.
 pub fn demand_key(k: ShareId) -> String {
     format!("c/demand/{k}")
 }
@@ -194,13 +194,13 @@
     }
 }
 
-/// What a share lacks.
+/// The unmet demand of a share.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandRec {
     /// Revision that the share's holder had seen.
     pub rev: u64,
-    /// Tasks without a place even on machines that are to come, and spare
-    /// places that are lacking, the most urgent first.
+    /// Tasks without a place even on machines that are to come, and
+    /// missing spare places, the most urgent first.
     pub shapes: Vec<ShapeRec>,
     /// Tasks that wait for a place now.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of a share: placing what waits, and saying what is lacking.
+//! Rounds of a share: places waiting tasks, and computes the unmet demand.
 
 use crate::context::{Context, Pending};
 use crate::job::{Binding, Job, Sent};
@@ -8,7 +8,7 @@
 use crate::store::Urgency;
 use crate::view::View;
 use crate::Ms;
-use forkshift_sched::{run_round, Host, Quota, Resources, Short, Want};
+use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources, Shortfall};
 use forkshift_wire::peer::Body;
 use forkshift_wire::state::{Cond, Txn, Write};
 use forkshift_wire::users::{JobKind, Priority};
@@ -18,7 +18,7 @@
 
 /// Most tasks of one job that a round places.
 const TASKS_A_ROUND: usize = 256;
-/// Most shapes in what a share says that it lacks.
+/// Most shapes in the unmet demand of a share.
 const SHAPES_MOST: usize = 24;
 /// A running task that should end within this many boots leaves a spare place.
 const SOON_BOOTS: f64 = 0.8;
@@ -28,7 +28,7 @@
 /// do not starve.
 const AGED_BOOTS: f64 = 2.0;
 
-/// The part of the changes at the state service that goes into what shares lack.
+/// The part of the changes at the state service that goes into records of unmet demand.
 const DEMAND_PART: f64 = 0.05;
 
 impl Share {
@@ -52,13 +52,13 @@
         let placed = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         let mut attempts: BTreeMap<usize, u64> = BTreeMap::new();
         for p in &placed {
-            let id = &ids[p.want];
+            let id = &ids[p.job];
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
             let attempt = if job.is_gang() {
                 *attempts
-                    .entry(p.want)
+                    .entry(p.job)
                     .or_insert_with(|| job.next_gang_attempt())
             } else {
                 job.next_attempt(p.task)
@@ -79,7 +79,7 @@
             self.dirty.touch(id);
         }
         self.preempt(ctx, &ids, &wants, &usable, &quotas);
-        self.lack(ctx, view, &usable, hosts, wants, quotas);
+        self.compute_unmet_demand(ctx, view, &usable, hosts, wants, quotas);
     }
 
     /// The zone of every machine.
@@ -101,7 +101,11 @@
     }
 
     /// What waits, as a round sees it.
-    fn wants(&mut self, ctx: &mut Context, usable: &[MachineId]) -> (Vec<JobId>, Vec<Want>) {
+    fn wants(
+        &mut self,
+        ctx: &mut Context,
+        usable: &[MachineId],
+    ) -> (Vec<JobId>, Vec<PendingTasks>) {
         let zones = self.zones();
         let boot_ms = self.boot_ms();
         let lasting = self.lasting();
@@ -124,7 +128,7 @@
             let Some(&team) = self.teams.get(&job.spec.team) else {
                 continue;
             };
-            let mut want = want_of(ctx, job, team, &zones);
+            let mut want = pending_tasks_of(ctx, job, team, &zones);
             let aged = is_aged(job, ctx.now, boot_ms);
             // Kept free for it, the quota must come free some day: what services
             // hold does not. A whole team once waited for one job in vain.
@@ -147,14 +151,14 @@
     }
 
     /// Books what found no room on machines that are still to come; what is
-    /// left then, and spare places, are what the share lacks.
-    fn lack(
+    /// left then, and spare places, are the share's unmet demand.
+    fn compute_unmet_demand(
         &mut self,
         ctx: &mut Context,
         view: &View,
         usable: &[MachineId],
         mut hosts: Vec<Host>,
-        mut wants: Vec<Want>,
+        mut wants: Vec<PendingTasks>,
         mut quotas: Vec<Quota>,
     ) {
         wants.sort_by_key(|w| std::cmp::Reverse(w.band));
@@ -202,7 +206,7 @@
         shapes.extend(spare);
         shapes.truncate(SHAPES_MOST);
         self.note_idle(ctx, usable, &hosts);
-        // A spare place that is lacking fits on no machine that is here, or it
+        // A missing spare place fits on no machine that is here, or it
         // would have been booked there; only what waits speaks against it.
         if shapes.iter().all(|s| s.spare) {
             hosts.truncate(usable.len());
@@ -228,7 +232,7 @@
         &self,
         ctx: &mut Context,
         view: &View,
-        wants: &[Want],
+        wants: &[PendingTasks],
         quotas: &mut [Quota],
     ) -> Vec<ShapeRec> {
         let mut shapes: Vec<ShapeRec> = Vec::new();
@@ -238,7 +242,7 @@
             .into_iter()
             .map(|z| (ctx.intern(z) as u16, z.to_owned()))
             .collect();
-        let mut held: BTreeMap<usize, Short> = BTreeMap::new();
+        let mut held: BTreeMap<usize, Shortfall> = BTreeMap::new();
         for want in wants {
             // What a round keeps from being placed needs no machine either.
             if held.get(&want.team).is_some_and(|s| s.concerns(&want.task)) {
@@ -246,7 +250,7 @@
             }
             if want.reserves && !want.waiting.is_empty() {
                 let short = held.entry(want.team).or_default();
-                *short = short.or(&quotas[want.team].short_of(&want.task));
+                *short = short.or(&quotas[want.team].shortfall(&want.task));
             }
             let mut n = 0;
             while n < want.waiting.len() && quotas[want.team].allows(&want.task) {
@@ -303,7 +307,7 @@
     /// machine boots, and returns those that found none.
     fn spare(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRec> {
         let boot_s = self.boot_ms() as f64 / 1000.0;
-        let mut lacking = Vec::new();
+        let mut missing = Vec::new();
         let now = ctx.now;
         let factor = ctx.cfg.ops.spare;
         if self.counting_since.is_none() && self.machines.values().any(|m| m.heard.is_some()) {
@@ -337,10 +341,10 @@
                 }
             }
             if left > 0 {
-                add_shape(&mut lacking, ShapeRec { n: left, ..shape });
+                add_shape(&mut missing, ShapeRec { n: left, ..shape });
             }
         }
-        lacking
+        missing
     }
 
     /// What will be free on a machine before another could be up, as far as
@@ -380,7 +384,7 @@
         }
     }
 
-    /// Tells the leader what is lacking, whenever that changes, and now and
+    /// Tells the leader the unmet demand, whenever that changes, and now and
     /// then that it has not.
     fn tell_demand(&mut self, ctx: &mut Context, view: &View, rec: &DemandRec) {
         let Some(leader) = view.leader.as_ref().map(|l| l.rec.clone()) else {
@@ -393,7 +397,7 @@
         self.told = rec.clone();
         self.told_at = ctx.now;
         if leader.node == ctx.cfg.node {
-            ctx.lacking.push((self.id, self.epoch, rec.clone()));
+            ctx.unmet_demand.push((self.id, self.epoch, rec.clone()));
             return;
         }
         let body = Body::Demand {
@@ -419,7 +423,7 @@
         self.demand_putting = true;
         self.demand_at = ctx.now;
         log::debug!(
-            "share {}: lacks {:?}, {:?} wait now",
+            "share {}: unmet demand {:?}, {:?} wait now",
             self.id,
             rec.shapes,
             rec.now
@@ -440,12 +444,12 @@
 }
 
 /// A job as a round sees it, with no tasks that wait.
-pub(crate) fn want_of(
+pub(crate) fn pending_tasks_of(
     ctx: &mut Context,
     job: &Job,
     team: usize,
     zones: &BTreeMap<MachineId, u16>,
-) -> Want {
+) -> PendingTasks {
     let spec = &job.spec;
     let mut at: BTreeMap<u16, u32> = BTreeMap::new();
     for binding in job.bound.values() {
@@ -453,7 +457,7 @@
             *at.entry(*zone).or_default() += 1;
         }
     }
-    Want {
+    PendingTasks {
         task: job.task,
         band: 0,
         reserves: false,
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod score;
 
 pub use provision::{plan, Offer, Rental, Shape};
-pub use quota::{Quota, Short};
+pub use quota::{Quota, Shortfall};
 pub use resources::Resources;
-pub use round::{run_round, Host, Placement, Want};
+pub use round::{run_round, Host, PendingTasks, Placement};
 pub use score::{choose, Candidate, Weights};
--- a/crates/sched/src/quota.rs
+++ b/crates/sched/src/quota.rs
@@ -37,12 +37,12 @@
 
 /// Resources that a team's quota is short of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Short {
+pub struct Shortfall {
     cpus: bool,
     gpus: bool,
 }
 
-impl Short {
+impl Shortfall {
     /// Whether a task would take some of what is short.
     pub fn concerns(&self, task: &Resources) -> bool {
         (self.cpus && task.cpus > 0) || (self.gpus && task.gpus > 0)
@@ -59,9 +59,9 @@
 
 impl Quota {
     /// What keeps something from being added.
-    pub fn short_of(&self, more: &Resources) -> Short {
+    pub fn shortfall(&self, more: &Resources) -> Shortfall {
         let sum = self.used + *more;
-        Short {
+        Shortfall {
             cpus: !holds(sum.cpus, self.limit.cpus),
             gpus: !holds(sum.gpus, self.limit.gpus),
         }
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -1,6 +1,6 @@
 //! A round: waiting tasks are placed greedily, longest first.
 
-use crate::quota::{Quota, Short};
+use crate::quota::{Quota, Shortfall};
 use crate::resources::Resources;
 use crate::score::{choose, Candidate, Weights};
 use std::cmp::Reverse;
@@ -31,9 +31,9 @@
     pub delay: f64,
 }
 
-/// A job's waiting tasks.
+/// The tasks of one job that wait for a place.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct PendingTasks {
     /// What each task takes.
     pub task: Resources,
     /// Tasks that wait, at most as many as the round may place.
@@ -71,7 +71,7 @@
     pub avoid: BTreeSet<usize>,
 }
 
-impl Want {
+impl PendingTasks {
     /// Whether a task may go to a zone, given the job's other tasks.
     pub fn zone_allowed(&self, zone: u16) -> bool {
         if self.zone.is_some_and(|z| z != zone) {
@@ -98,8 +98,8 @@
 /// A task's place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Index of the job.
-    pub want: usize,
+    /// Index of the job's pending tasks.
+    pub job: usize,
     /// The task's number.
     pub task: u32,
     /// Index of the host.
@@ -109,7 +109,7 @@
 /// Places what has room. Placed tasks leave `waiting`; what has no room stays
 /// there for the next round.
 pub fn run_round(
-    wants: &mut [Want],
+    wants: &mut [PendingTasks],
     hosts: &mut [Host],
     quotas: &mut [Quota],
     weights: &Weights,
@@ -122,7 +122,7 @@
             .then(wants[b].estimate.total_cmp(&wants[a].estimate))
     });
     let mut placed = Vec::new();
-    let mut held: BTreeMap<usize, Short> = BTreeMap::new();
+    let mut held: BTreeMap<usize, Shortfall> = BTreeMap::new();
     for i in order {
         let want = &mut wants[i];
         // What does not use what is kept for another need not wait for it: a
@@ -140,7 +140,7 @@
             let need = want.task.times(n as i64);
             if !team.allows(&need) {
                 let short = held.entry(want.team).or_default();
-                *short = short.or(&team.short_of(&need));
+                *short = short.or(&team.shortfall(&need));
             } else {
                 hold_host(want, hosts);
             }
@@ -151,7 +151,7 @@
 
 /// Keeps the machine that comes closest to having room for a task that has
 /// waited for long from being filled up by what is behind it.
-fn hold_host(want: &Want, hosts: &mut [Host]) {
+fn hold_host(want: &PendingTasks, hosts: &mut [Host]) {
     let fits =
         |h: &&mut Host| want.task.fits(&h.total) && want.allowed(h.machine_type, h.zone, h.spot);
     let free = |h: &Host| 1.0 - (h.total - h.free).largest_share(&h.total);
@@ -167,7 +167,7 @@
 /// Places the next task of a job, if there is one that has room.
 fn place_next(
     index: usize,
-    want: &mut Want,
+    want: &mut PendingTasks,
     hosts: &mut [Host],
     quotas: &mut [Quota],
     weights: &Weights,
@@ -181,7 +181,7 @@
     };
     want.waiting.remove(0);
     placed.push(Placement {
-        want: index,
+        job: index,
         task,
         host,
     });
@@ -190,7 +190,7 @@
 
 /// Chooses a host for one task and books it.
 fn place_one(
-    want: &mut Want,
+    want: &mut PendingTasks,
     hosts: &mut [Host],
     quotas: &mut [Quota],
     weights: &Weights,
@@ -234,7 +234,7 @@
 /// Places all waiting tasks of a gang, or undoes them together.
 fn place_gang(
     index: usize,
-    want: &mut Want,
+    want: &mut PendingTasks,
     hosts: &mut [Host],
     quotas: &mut [Quota],
     weights: &Weights,
@@ -261,7 +261,7 @@
             };
             booked.push((host, known.contains(&host)));
             placed.push(Placement {
-                want: index,
+                job: index,
                 task,
                 host,
             });
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -17,8 +17,8 @@
     }
 }
 
-fn want(tasks: u32, gpus: f64) -> Want {
-    Want {
+fn want(tasks: u32, gpus: f64) -> PendingTasks {
+    PendingTasks {
         task: Resources::new(1.0, gpus, 1.0),
         waiting: (0..tasks).collect(),
         total: tasks,
@@ -46,7 +46,7 @@
     }]
 }
 
-fn run(wants: &mut [Want], hosts: &mut [Host], gpus: f64) -> Vec<Placement> {
+fn run(wants: &mut [PendingTasks], hosts: &mut [Host], gpus: f64) -> Vec<Placement> {
     run_round(wants, hosts, &mut quota(gpus), &Weights::default())
 }
 
@@ -58,7 +58,7 @@
     wants[2].estimate = 1.0;
     let mut hosts = [host(8.0, 0), host(8.0, 0)];
     let placed = run(&mut wants, &mut hosts, 100.0);
-    let order: Vec<usize> = placed.iter().map(|p| p.want).collect();
+    let order: Vec<usize> = placed.iter().map(|p| p.job).collect();
     assert_eq!(order, [2, 1]);
     assert_eq!(wants[0].waiting, [0], "what has no room waits");
 }
@@ -73,7 +73,7 @@
 
 #[test]
 fn zones_are_kept_to() {
-    type Case = (&'static str, fn(&mut Want), usize);
+    type Case = (&'static str, fn(&mut PendingTasks), usize);
     let cases: [Case; 6] = [
         ("anywhere", |_| (), 4),
         ("one zone", |w| w.one_zone = true, 2),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -56,7 +56,7 @@
         /// Requests in a thousand seconds.
         requests: u32,
     },
-    /// What a share lacks, to the leader; the envelope has the share's epoch.
+    /// The unmet demand of a share, to the leader; the envelope has the share's epoch.
     Demand {
         /// The share.
         share: u32,
