--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -4,7 +4,9 @@
     revision_of, AbortPoll, Context, Creation, Lookup, Pending, Reply, RequestId,
 };
 use crate::node::Node;
-use crate::records::{abort_key, job_key, live_key, total_of, BlockRec, HeadRec, JobRec, ShareId};
+use crate::records::{
+    abort_key, job_key, live_key, total_of, JobHeadRecord, JobRecord, ShareId, TaskBlockRecord,
+};
 use crate::share::{Phase, TOKEN_BITS};
 use crate::store::Urgency;
 use crate::Ms;
@@ -169,17 +171,17 @@
 
     fn create(&mut self, creation: Creation) {
         let Creation { spec, share, .. } = &creation;
-        let record = JobRec {
+        let record = JobRecord {
             spec: spec.clone(),
             share: *share,
             stage: JobStage::Queued,
         };
-        let head = HeadRec {
+        let head = JobHeadRecord {
             spec: spec.clone(),
             cancelled: false,
             cancelled_at: 0,
             at: self.ctx.wall,
-            block: BlockRec::default(),
+            block: TaskBlockRecord::default(),
         };
         let key = job_key(&spec.id);
         let txn = Txn {
@@ -532,7 +534,7 @@
     }
 }
 
-fn read_job(body: &[u8]) -> Option<JobRec> {
+fn read_job(body: &[u8]) -> Option<JobRecord> {
     let item: Item = serde_json::from_slice(body).ok()?;
     from_value(item.value).ok()
 }
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -11,7 +11,7 @@
 
 fn record(f: &mut Fixture, id: &JobId, stage: JobStage) -> serde_json::Value {
     let spec = (*f.share().jobs[id].spec).clone();
-    let rec = JobRec {
+    let rec = JobRecord {
         spec,
         share: f.share,
         stage,
--- a/crates/core/src/attestation/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::{Config, Operator};
-use crate::records::ShareRec;
+use crate::records::ShareRecord;
 use crate::view::Stamped;
 use forkshift_wire::settings::Settings;
 
@@ -20,7 +20,7 @@
     cfg.nodes = [cfg.node.clone()].into_iter().chain(names).collect();
     let mut node = Node::new(cfg, 1, 1);
     let held = |holder: &NodeName, inc| Stamped {
-        rec: ShareRec {
+        rec: ShareRecord {
             holder: holder.clone(),
             inc,
             epoch: EPOCH,
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::{Config, Operator};
-use crate::records::{LeaderRec, NodeRec};
+use crate::records::{LeaderRecord, NodeRecord};
 use crate::view::Stamped;
 use forkshift_wire::peer::Envelope;
 use forkshift_wire::settings::Settings;
@@ -24,14 +24,14 @@
     let stamped = |rec| Stamped { rec, version: 1 };
     let mut view = View::default();
     for name in names {
-        let rec = stamped(NodeRec {
+        let rec = stamped(NodeRecord {
             inc: 1,
             blind: false,
         });
         view.nodes.insert(NodeName::new(name), rec);
     }
     view.leader = Some(Stamped {
-        rec: LeaderRec {
+        rec: LeaderRecord {
             node: NodeName::new(names[0]),
             inc: 1,
         },
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -8,7 +8,7 @@
 use crate::context::{Context, JobWrite, Pending, Reply, RequestId};
 use crate::job::{Job, Sent};
 use crate::node::Finals;
-use crate::records::{job_key, live_key, share_key, JobRec};
+use crate::records::{job_key, live_key, share_key, JobRecord};
 use crate::share::Share;
 use crate::store::Urgency;
 use crate::Ms;
@@ -214,7 +214,7 @@
         job.retry_at = ctx.now + RETRY;
         let item: Option<Item> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(item) = item else { return };
-        let Ok(rec) = serde_json::from_value::<JobRec>(item.value) else {
+        let Ok(rec) = serde_json::from_value::<JobRecord>(item.value) else {
             return;
         };
         if !rec.stage.is_final() {
@@ -343,7 +343,7 @@
         return None;
     }
     if cancel || (last && !job.cancelled) {
-        let rec = JobRec {
+        let rec = JobRecord {
             spec: (*job.spec).clone(),
             share: share.id,
             stage: job.final_stage(),
--- a/crates/core/src/commit/tests.rs
+++ b/crates/core/src/commit/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::fixture::Fixture;
 use crate::job::Binding;
-use crate::records::{BlockRec, HeadRec};
+use crate::records::{JobHeadRecord, TaskBlockRecord};
 use forkshift_wire::state::{Change, Changes};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::MachineId;
@@ -42,7 +42,7 @@
     f.answer(is_txn, 409, &failed);
     f.answer(is_fix, 404, &json!({"ledger_rev": 10}));
     let spec = f.share().jobs[&id].spec.clone();
-    let rec = JobRec {
+    let rec = JobRecord {
         spec: (*spec).clone(),
         share: f.share,
         stage: JobStage::Cancelled,
@@ -50,21 +50,21 @@
     let found = json!({"key": job_key(&id), "data": rec, "stamp": 7});
     f.answer(is_final, 200, &found);
     assert!(!f.share().jobs.contains_key(&id), "it is over");
-    let head = |cancelled, block| HeadRec {
+    let head = |cancelled, block| JobHeadRecord {
         spec: (*spec).clone(),
         cancelled,
         cancelled_at: 0,
         at: 0,
         block,
     };
-    let placed = BlockRec {
+    let placed = TaskBlockRecord {
         next: 1,
         bound: vec![(0, 1, MachineId::new("m-1"))],
-        ..BlockRec::default()
+        ..TaskBlockRecord::default()
     };
     for (name, version, head) in [
-        ("as it was last", 9, head(false, BlockRec::default())),
-        ("cancelled", 11, head(true, BlockRec::default())),
+        ("as it was last", 9, head(false, TaskBlockRecord::default())),
+        ("cancelled", 11, head(true, TaskBlockRecord::default())),
         ("with a place", 11, head(false, placed)),
     ] {
         let changes = Changes {
@@ -93,7 +93,7 @@
         f.bind(&id, 0, sent);
         let binding: &Binding = &f.share().jobs[&id].bound[&0];
         assert_eq!(binding.sent, sent);
-        let rec = JobRec {
+        let rec = JobRecord {
             spec: (*f.share().jobs[&id].spec).clone(),
             share: f.share,
             stage: JobStage::Cancelled,
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -4,7 +4,7 @@
 use crate::attestation::{Attestations, Peer};
 use crate::config::Config;
 use crate::failure_detector::FailureDetector;
-use crate::records::{DemandRec, ShareId};
+use crate::records::{DemandRecord, ShareId};
 use crate::store::{StateCall, Store, Urgency};
 use crate::Ms;
 use forkshift_wire::peer::{Body, Envelope, VERSION};
@@ -298,7 +298,7 @@
     /// Inputs that the controller makes for itself: calls that never went out.
     pub(crate) refused: Vec<Pending>,
     /// Unmet demand of our own shares, while we are the leader.
-    pub(crate) unmet_demand: Vec<(ShareId, u64, DemandRec)>,
+    pub(crate) unmet_demand: Vec<(ShareId, u64, DemandRecord)>,
     /// Requests that other controllers have passed on.
     pub(crate) remote: BTreeMap<RequestId, Remote>,
     /// Whether we may answer from memory, as of this step.
--- a/crates/core/src/evidence/tests.rs
+++ b/crates/core/src/evidence/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::fixture::Fixture;
-use crate::records::MachineRec;
+use crate::records::MachineRecord;
 use forkshift_wire::users::JobKind;
 
 /// What a message proves of a task that it does not list. Old reports reach a
@@ -129,7 +129,7 @@
 fn a_new_holders_tokens_are_above_all_earlier_ones() {
     let mut f = Fixture::new();
     let machine = f.machine.clone();
-    let rec: MachineRec = f.node.view.machines[&machine].rec.clone();
+    let rec: MachineRecord = f.node.view.machines[&machine].rec.clone();
     let ours = f.share().epoch << crate::share::TOKEN_BITS;
     for (floor, least) in [
         (0, ours),
@@ -137,7 +137,7 @@
         (ours, ours + 1),
         (ours + 7, ours + 8),
     ] {
-        let rec = MachineRec {
+        let rec = MachineRecord {
             floor,
             ..rec.clone()
         };
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -5,8 +5,8 @@
 use crate::job::{Binding, Sent};
 use crate::node::Node;
 use crate::records::{
-    machine_key, node_key, share_key, type_key, LeaderRec, MachineRec, NodeRec, ShareId, ShareRec,
-    LEADER,
+    machine_key, node_key, share_key, type_key, LeaderRecord, MachineRecord, NodeRecord, ShareId,
+    ShareRecord, LEADER,
 };
 use crate::share::{Phase, Share};
 use crate::Ms;
@@ -40,13 +40,13 @@
         let (share, zone) = (team.share, settings.zone.clone());
         let mut node = Node::new(cfg, 1, 1);
         let machine = MachineId::new("m-1");
-        let held = ShareRec {
+        let held = ShareRecord {
             holder: us.clone(),
             inc: 1,
             epoch: EPOCH,
             want: None,
         };
-        let record = MachineRec {
+        let record = MachineRecord {
             share,
             machine_type: "big".to_owned(),
             zone: zone.clone(),
@@ -60,11 +60,11 @@
         let of_type = json!({"name": "big", "cpus": 96.0, "accelerators": 8.0, "mem_gb": 768.0,
             "cache_gb": 200.0, "pull_gb_per_s": 1.0, "hourly": 12.0, "market_price": null,
             "boot_s": 45.0, "yards": [zone]});
-        let lead = LeaderRec {
+        let lead = LeaderRecord {
             node: us.clone(),
             inc: 1,
         };
-        let here = NodeRec {
+        let here = NodeRecord {
             inc: 1,
             blind: false,
         };
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -2,7 +2,7 @@
 
 use crate::context::RequestId;
 use crate::ranges::Ranges;
-use crate::records::{BlockRec, HeadRec};
+use crate::records::{JobHeadRecord, TaskBlockRecord};
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus};
@@ -154,7 +154,7 @@
     pub(crate) fn restore(
         &mut self,
         block: u32,
-        rec: BlockRec,
+        rec: TaskBlockRecord,
         stamp: u64,
         now: Ms,
     ) -> Vec<(u32, Binding)> {
@@ -286,11 +286,11 @@
     }
 
     /// A block as it is to be written.
-    pub(crate) fn block_rec(&self, block: u32) -> BlockRec {
+    pub(crate) fn block_rec(&self, block: u32) -> TaskBlockRecord {
         let from = block * self.block_size;
         let to = from.saturating_add(self.block_size);
         let bound = self.bound.range(from..to);
-        BlockRec {
+        TaskBlockRecord {
             next: self.blocks.get(&block).map_or(0, |b| b.next),
             done: self.done.within(from, to),
             bound: bound
@@ -300,8 +300,8 @@
     }
 
     /// The head as it is to be written.
-    pub(crate) fn head_rec(&self) -> HeadRec {
-        HeadRec {
+    pub(crate) fn head_rec(&self) -> JobHeadRecord {
+        JobHeadRecord {
             spec: (*self.spec).clone(),
             cancelled: self.cancelled,
             cancelled_at: self.cancelled_wall,
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -11,7 +11,7 @@
 mod renting;
 
 use crate::context::Context;
-use crate::records::{abort_key, total_of, DemandRec, ShareId, LEADER};
+use crate::records::{abort_key, total_of, DemandRecord, ShareId, LEADER};
 use crate::share::remove_key;
 use crate::store::Bucket;
 use crate::view::{Changed, View};
@@ -63,7 +63,7 @@
     /// The revision at which lending was last considered.
     lent_rev: u64,
     /// What holders told of their shares, under which epoch and when.
-    told: BTreeMap<ShareId, (u64, Ms, DemandRec)>,
+    told: BTreeMap<ShareId, (u64, Ms, DemandRecord)>,
     /// Whether something was told since lending was last considered.
     told_new: bool,
     /// When lending and renting were last thought about.
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -2,7 +2,7 @@
 
 use super::{total_in, Leader};
 use crate::context::{Context, Pending};
-use crate::records::{machine_key, DemandRec, ShapeRec, ShareId};
+use crate::records::{machine_key, DemandRecord, ShapeRecord, ShareId};
 use crate::store::Urgency;
 use crate::view::View;
 use crate::Ms;
@@ -17,7 +17,7 @@
 
 impl Leader {
     /// A holder tells the unmet demand of its share.
-    pub(crate) fn on_demand(&mut self, now: Ms, k: ShareId, epoch: u64, rec: DemandRec) {
+    pub(crate) fn on_demand(&mut self, now: Ms, k: ShareId, epoch: u64, rec: DemandRecord) {
         if self.told.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
             self.told.insert(k, (epoch, now, rec));
             self.told_new = true;
@@ -25,10 +25,10 @@
     }
 
     /// Unmet demand: what holders told lately, or else have written.
-    pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShareId, DemandRec> {
+    pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShareId, DemandRecord> {
         let valid = crate::ms(ctx.cfg.ops.round_s * TOLD_ROUNDS);
         let written = view.demands.iter().map(|(k, d)| (*k, d.rec.clone()));
-        let mut demands: BTreeMap<ShareId, DemandRec> = written.collect();
+        let mut demands: BTreeMap<ShareId, DemandRecord> = written.collect();
         for (k, (epoch, at, rec)) in &self.told {
             let current = view.shares.get(k).is_some_and(|s| s.rec.epoch == *epoch);
             if current && ctx.now <= at + valid {
@@ -44,14 +44,15 @@
         &mut self,
         ctx: &mut Context,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRec>,
+        demands: &BTreeMap<ShareId, DemandRecord>,
     ) {
         self.lending
             .retain(|id, v| view.machines.get(id).is_some_and(|m| m.version <= *v));
         for (k, demand) in demands {
             let spare = demand.shapes.iter().filter(|s| s.spare);
             let wanted = demand.now.iter().map(|s| (s, true));
-            let wanted: Vec<(&ShapeRec, bool)> = wanted.chain(spare.map(|s| (s, false))).collect();
+            let wanted: Vec<(&ShapeRecord, bool)> =
+                wanted.chain(spare.map(|s| (s, false))).collect();
             let mut coming: Vec<Resources> = self
                 .lending
                 .keys()
@@ -97,9 +98,9 @@
     fn lendable(
         &self,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRec>,
+        demands: &BTreeMap<ShareId, DemandRecord>,
         k: ShareId,
-        shape: &ShapeRec,
+        shape: &ShapeRecord,
         waits: bool,
     ) -> Option<MachineId> {
         let others = demands.iter().filter(|(j, _)| **j != k);
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -8,7 +8,7 @@
 use super::Leader;
 use crate::context::{revision_of, Context, Pending};
 use crate::records::{
-    machine_key, rental_intent_key, total_of, DemandRec, MachineRec, RentalIntent, ShareId,
+    machine_key, rental_intent_key, total_of, DemandRecord, MachineRecord, RentalIntent, ShareId,
 };
 use crate::store::Urgency;
 use crate::view::View;
@@ -38,7 +38,7 @@
         &mut self,
         ctx: &mut Context,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRec>,
+        demands: &BTreeMap<ShareId, DemandRecord>,
     ) {
         let under_way = view.rental_intents.len() + self.intents_being_written.len();
         if under_way as f64 >= ctx.cfg.cloud_rps.ceil() {
@@ -251,7 +251,7 @@
         let shares = rec.in_turn();
         for (id, share) in outcome.machines.iter().zip(shares).take(to).skip(from) {
             let key = machine_key(id);
-            let machine = MachineRec {
+            let machine = MachineRecord {
                 share,
                 machine_type: rec.machine_type.clone(),
                 zone: rec.zone.clone(),
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,7 +1,7 @@
 //! Membership: this controller's lease, its record, and leadership.
 
 use crate::context::{revision_of, Context, Pending};
-use crate::records::{node_key, LeaderRec, NodeRec, LEADER};
+use crate::records::{node_key, LeaderRecord, NodeRecord, LEADER};
 use crate::store::Urgency;
 use crate::view::View;
 use crate::Ms;
@@ -83,7 +83,7 @@
         if !self.putting && (!mine || !self.registered || !says) {
             let key = node_key(&ctx.cfg.node);
             let version = node.map_or(0, |n| n.version);
-            let rec = NodeRec {
+            let rec = NodeRecord {
                 inc: ctx.inc,
                 blind,
             };
@@ -98,7 +98,7 @@
                 Some(l) if l.rec.node == ctx.cfg.node && l.rec.inc != ctx.inc => l.version,
                 Some(_) => return,
             };
-            let rec = LeaderRec {
+            let rec = LeaderRecord {
                 node: ctx.cfg.node.clone(),
                 inc: ctx.inc,
             };
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::context::Effect;
 use crate::fixture::{Fixture, WALL};
-use crate::records::{live_key, HeadRec};
+use crate::records::{live_key, JobHeadRecord};
 use forkshift_wire::state::Item;
 use forkshift_wire::users::JobKind;
 use forkshift_wire::workers::TaskStage;
@@ -80,7 +80,7 @@
         let ago = (cancel as f64 * age) as Ms;
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, Sent::Inherited);
-        let mut head: HeadRec = f.share().jobs[&id].head_rec();
+        let mut head: JobHeadRecord = f.share().jobs[&id].head_rec();
         f.share().forget_job(&id, 0);
         head.cancelled = true;
         head.cancelled_at = WALL - ago;
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -90,7 +90,7 @@
 
 /// A controller, on its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NodeRec {
+pub struct NodeRecord {
     /// This start of it.
     pub inc: u64,
     /// It hears no worker, and should be given no share.
@@ -100,7 +100,7 @@
 
 /// The leader, on its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaderRec {
+pub struct LeaderRecord {
     /// The controller.
     pub node: NodeName,
     /// Its start.
@@ -109,7 +109,7 @@
 
 /// Who holds a share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShareRec {
+pub struct ShareRecord {
     /// The controller.
     pub holder: NodeName,
     /// Its start.
@@ -123,7 +123,7 @@
 
 /// A rented machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineRec {
+pub struct MachineRecord {
     /// The share that it works for.
     pub share: ShareId,
     /// Type.
@@ -196,15 +196,15 @@
 
 /// The unmet demand of a share.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct DemandRec {
+pub struct DemandRecord {
     /// Revision that the share's holder had seen.
     pub rev: u64,
     /// Tasks without a place even on machines that are to come, and
     /// missing spare places, the most urgent first.
-    pub shapes: Vec<ShapeRec>,
+    pub shapes: Vec<ShapeRecord>,
     /// Tasks that wait for a place now.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub now: Vec<ShapeRec>,
+    pub now: Vec<ShapeRecord>,
     /// Empty machines, kept as spare.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub free: Vec<MachineId>,
@@ -213,7 +213,7 @@
     pub surplus: Vec<MachineId>,
 }
 
-impl DemandRec {
+impl DemandRecord {
     /// Whether it says the same, whenever it was said.
     pub fn is_like(&self, other: &Self) -> bool {
         self.shapes == other.shapes
@@ -225,7 +225,7 @@
 
 /// Tasks of one shape.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShapeRec {
+pub struct ShapeRecord {
     /// CPUs of each, in thousandths; GPUs and memory likewise.
     pub res: (i64, i64, i64),
     /// How many.
@@ -244,7 +244,7 @@
     pub spare: bool,
 }
 
-impl ShapeRec {
+impl ShapeRecord {
     /// What each task takes.
     pub fn resources(&self) -> Resources {
         let (cpus, gpus, memory) = self.res;
@@ -254,7 +254,7 @@
 
 /// A job, for ever.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct JobRec {
+pub struct JobRecord {
     /// As it was submitted.
     pub spec: JobSpec,
     /// The share that it belongs to.
@@ -265,7 +265,7 @@
 
 /// An unfinished job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HeadRec {
+pub struct JobHeadRecord {
     /// As it was submitted.
     pub spec: JobSpec,
     /// Its user was told that it is cancelled.
@@ -280,12 +280,12 @@
     pub at: u64,
     /// Its first tasks.
     #[serde(default)]
-    pub block: BlockRec,
+    pub block: TaskBlockRecord,
 }
 
 /// A block of an unfinished job's tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BlockRec {
+pub struct TaskBlockRecord {
     /// The next attempt's number; none is used twice.
     #[serde(default)]
     pub next: u64,
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -3,7 +3,7 @@
 use crate::context::{Context, Pending};
 use crate::job::{Binding, Job, Sent};
 use crate::machine::Machine;
-use crate::records::{demand_key, share_key, total_of, DemandRec, ShapeRec};
+use crate::records::{demand_key, share_key, total_of, DemandRecord, ShapeRecord};
 use crate::share::Share;
 use crate::store::Urgency;
 use crate::view::View;
@@ -217,7 +217,7 @@
         let (surplus, free): (Vec<&Machine>, Vec<&Machine>) =
             empty.partition(|m| m.idle_since.is_some());
         let ids = |list: Vec<&Machine>| list.into_iter().map(|m| m.id.clone()).collect();
-        let rec = DemandRec {
+        let rec = DemandRecord {
             rev: view.revision,
             shapes,
             now,
@@ -234,8 +234,8 @@
         view: &View,
         wants: &[PendingTasks],
         quotas: &mut [Quota],
-    ) -> Vec<ShapeRec> {
-        let mut shapes: Vec<ShapeRec> = Vec::new();
+    ) -> Vec<ShapeRecord> {
+        let mut shapes: Vec<ShapeRecord> = Vec::new();
         let names: BTreeMap<u16, String> = type_names(ctx, view);
         let zone_names: BTreeMap<u16, String> = view
             .zones()
@@ -265,7 +265,7 @@
             let types = want.types.as_ref();
             add_shape(
                 &mut shapes,
-                ShapeRec {
+                ShapeRecord {
                     res: (want.task.cpus, want.task.gpus, want.task.memory),
                     n: n as u32,
                     types: types.map(|t| t.iter().filter_map(|t| names.get(t).cloned()).collect()),
@@ -305,7 +305,7 @@
 
     /// Books spare places for classes whose tasks must start sooner than a
     /// machine boots, and returns those that found none.
-    fn spare(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRec> {
+    fn spare(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRecord> {
         let boot_s = self.boot_ms() as f64 / 1000.0;
         let mut missing = Vec::new();
         let now = ctx.now;
@@ -314,7 +314,7 @@
             self.counting_since = Some(now);
         }
         let elapsed = self.counting_since.map_or(0, |t| now - t);
-        let mut classes: Vec<(f64, ShapeRec, f64)> = Vec::new();
+        let mut classes: Vec<(f64, ShapeRecord, f64)> = Vec::new();
         for (class, stats) in &mut self.classes {
             let Some(wait) = ctx.cfg.waits.get(class) else {
                 continue;
@@ -341,7 +341,7 @@
                 }
             }
             if left > 0 {
-                add_shape(&mut missing, ShapeRec { n: left, ..shape });
+                add_shape(&mut missing, ShapeRecord { n: left, ..shape });
             }
         }
         missing
@@ -386,7 +386,7 @@
 
     /// Tells the leader the unmet demand, whenever that changes, and now and
     /// then that it has not.
-    fn tell_demand(&mut self, ctx: &mut Context, view: &View, rec: &DemandRec) {
+    fn tell_demand(&mut self, ctx: &mut Context, view: &View, rec: &DemandRecord) {
         let Some(leader) = view.leader.as_ref().map(|l| l.rec.clone()) else {
             return;
         };
@@ -407,9 +407,9 @@
         ctx.tell(&leader.node, self.epoch, body);
     }
 
-    fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRec) {
+    fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRecord) {
         self.tell_demand(ctx, view, &rec);
-        let none = DemandRec::default();
+        let none = DemandRecord::default();
         let shown = view.demands.get(&self.id).map_or(&none, |d| &d.rec);
         let stale = !rec.shapes.is_empty() && shown.rev < view.revision;
         let changed = !rec.is_like(shown);
@@ -478,8 +478,8 @@
     }
 }
 
-fn add_shape(shapes: &mut Vec<ShapeRec>, shape: ShapeRec) {
-    let same = |s: &&mut ShapeRec| {
+fn add_shape(shapes: &mut Vec<ShapeRecord>, shape: ShapeRecord) {
+    let same = |s: &&mut ShapeRecord| {
         s.res == shape.res
             && s.types == shape.types
             && s.zones == shape.zones
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -16,7 +16,7 @@
 use crate::context::{Context, Pending, Reply};
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::records::{DemandRec, MachineRec, ShareId};
+use crate::records::{DemandRecord, MachineRecord, ShareId};
 use crate::store::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
@@ -102,7 +102,7 @@
     /// When the demand was last written to the state service.
     pub(crate) demand_at: Ms,
     /// The demand that the leader was told last.
-    pub(crate) told: DemandRec,
+    pub(crate) told: DemandRecord,
     /// When that was.
     pub(crate) told_at: Ms,
     /// Whether the record of the demand is being written.
@@ -162,7 +162,7 @@
             moved_at: 0,
             preempted_at: 0,
             demand_at: 0,
-            told: DemandRec::default(),
+            told: DemandRecord::default(),
             told_at: 0,
             demand_putting: false,
             demand_from: 0,
@@ -184,7 +184,7 @@
 
     /// The first token that is used for a machine: above those of earlier
     /// holders of the share, and of the machine's earlier shares.
-    pub(crate) fn first_token(&self, rec: &MachineRec) -> u64 {
+    pub(crate) fn first_token(&self, rec: &MachineRecord) -> u64 {
         (self.epoch << TOKEN_BITS).max(rec.floor + 1)
     }
 
--- a/crates/core/src/share/arrivals.rs
+++ b/crates/core/src/share/arrivals.rs
@@ -1,7 +1,7 @@
 //! Rates at which the jobs of each class arrive, to keep places for them.
 
 use super::Share;
-use crate::records::ShapeRec;
+use crate::records::ShapeRecord;
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::users::JobSpec;
@@ -15,7 +15,7 @@
     /// Tasks, fading out.
     weight: f64,
     at: Ms,
-    pub(crate) last: ShapeRec,
+    pub(crate) last: ShapeRecord,
 }
 
 impl ClassStats {
@@ -40,7 +40,7 @@
     /// Counts the tasks of a job that has just arrived.
     pub(super) fn count_arrival(&mut self, spec: &JobSpec, now: Ms) {
         let res = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let last = ShapeRec {
+        let last = ShapeRecord {
             res: (res.cpus, res.gpus, res.memory),
             n: 1,
             types: spec.types.clone(),
--- a/crates/core/src/share/handover.rs
+++ b/crates/core/src/share/handover.rs
@@ -1,7 +1,7 @@
 //! Handover of shares between controllers.
 
 use crate::context::{Context, Pending};
-use crate::records::{node_key, share_key, ShareId, ShareRec, EPOCH};
+use crate::records::{node_key, share_key, ShareId, ShareRecord, EPOCH};
 use crate::store::Urgency;
 use crate::view::View;
 use forkshift_wire::state::{Cond, Txn, Write};
@@ -22,7 +22,7 @@
             continue;
         };
         epoch += 1;
-        let rec = ShareRec {
+        let rec = ShareRecord {
             holder: to.clone(),
             inc: node.rec.inc,
             epoch,
--- a/crates/core/src/share/loading.rs
+++ b/crates/core/src/share/loading.rs
@@ -6,7 +6,7 @@
 
 use super::{remove_key, Phase, Share};
 use crate::context::{is_watch_lost, Context, Pending};
-use crate::records::{live_prefix, BlockRec, HeadRec};
+use crate::records::{live_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::store::Urgency;
 use crate::view::{Changed, View};
 use crate::Ms;
@@ -91,7 +91,7 @@
             }
         }
         for (id, block, item) in blocks {
-            match from_value::<BlockRec>(item.value) {
+            match from_value::<TaskBlockRecord>(item.value) {
                 Ok(rec) if self.jobs.contains_key(&id) => {
                     self.restore(ctx, &id, block, rec, item.version);
                 }
@@ -114,7 +114,7 @@
 
     /// Restores a job from its first record.
     fn load_head(&mut self, ctx: &mut Context, value: Value, stamp: u64) {
-        let head: HeadRec = match from_value(value) {
+        let head: JobHeadRecord = match from_value(value) {
             Ok(head) => head,
             Err(e) => {
                 log::error!("a job's record is not understood: {e}");
@@ -137,7 +137,7 @@
     }
 
     /// Restores a block of a job's tasks.
-    fn restore(&mut self, ctx: &Context, id: &JobId, block: u32, rec: BlockRec, stamp: u64) {
+    fn restore(&mut self, ctx: &Context, id: &JobId, block: u32, rec: TaskBlockRecord, stamp: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -196,8 +196,8 @@
             }
             // Others write heads of new jobs only: all else is an old write of
             // ours, of a job that may be over.
-            let head = from_value::<HeadRec>(value).ok();
-            let head = head.filter(|h| !h.cancelled && h.block == BlockRec::default());
+            let head = from_value::<JobHeadRecord>(value).ok();
+            let head = head.filter(|h| !h.cancelled && h.block == TaskBlockRecord::default());
             if let Some(head) = head {
                 self.add_job(ctx, head.spec, head.at, version);
             }
--- a/crates/core/src/share/machines.rs
+++ b/crates/core/src/share/machines.rs
@@ -4,7 +4,7 @@
 use super::Share;
 use crate::context::{Context, Pending};
 use crate::machine::Machine;
-use crate::records::{machine_key, share_key, total_of, MachineRec};
+use crate::records::{machine_key, share_key, total_of, MachineRecord};
 use crate::store::Urgency;
 use crate::view::{Changed, View};
 use forkshift_sched::Resources;
@@ -59,7 +59,7 @@
         ctx: &mut Context,
         view: &View,
         id: &MachineId,
-        rec: &MachineRec,
+        rec: &MachineRecord,
         version: u64,
     ) -> Option<Machine> {
         let of_type = &view.types.get(&rec.machine_type)?.rec;
@@ -187,7 +187,7 @@
         ctx: &mut Context,
         view: &View,
         id: &MachineId,
-        change: impl FnOnce(&mut MachineRec),
+        change: impl FnOnce(&mut MachineRecord),
     ) {
         let (Some(machine), Some(stamped)) = (self.machines.get_mut(id), view.machines.get(id))
         else {
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,7 +1,8 @@
 //! The controller's copy of what all controllers share.
 
 use crate::records::{
-    DemandRec, LeaderRec, MachineRec, NodeRec, RentalIntent, ShareId, ShareRec, EPOCH, LEADER,
+    DemandRecord, LeaderRecord, MachineRecord, NodeRecord, RentalIntent, ShareId, ShareRecord,
+    EPOCH, LEADER,
 };
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Change, Item};
@@ -22,14 +23,14 @@
 pub(crate) struct View {
     pub(crate) revision: u64,
     pub(crate) ready: bool,
-    pub(crate) nodes: BTreeMap<NodeName, Stamped<NodeRec>>,
-    pub(crate) leader: Option<Stamped<LeaderRec>>,
+    pub(crate) nodes: BTreeMap<NodeName, Stamped<NodeRecord>>,
+    pub(crate) leader: Option<Stamped<LeaderRecord>>,
     pub(crate) epoch: Option<Stamped<u64>>,
-    pub(crate) shares: BTreeMap<ShareId, Stamped<ShareRec>>,
-    pub(crate) machines: BTreeMap<MachineId, Stamped<MachineRec>>,
+    pub(crate) shares: BTreeMap<ShareId, Stamped<ShareRecord>>,
+    pub(crate) machines: BTreeMap<MachineId, Stamped<MachineRecord>>,
     pub(crate) rental_intents: BTreeMap<String, Stamped<RentalIntent>>,
     pub(crate) types: BTreeMap<String, Stamped<MachineType>>,
-    pub(crate) demands: BTreeMap<ShareId, Stamped<DemandRec>>,
+    pub(crate) demands: BTreeMap<ShareId, Stamped<DemandRecord>>,
     pub(crate) aborts: BTreeMap<JobId, u64>,
     /// Machines that are given up.
     pub(crate) condemned: BTreeSet<MachineId>,
