--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -1,4 +1,4 @@
-//! Emptying machines that are hardly used, so that they can be returned.
+//! Draining of machines that are hardly used, so that they can be returned.
 //!
 //! Replicas run until their users cancel them, so a machine that holds a few
 //! of them is never idle by itself. A replica is moved when it finds a place
@@ -17,16 +17,16 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
 
-/// A machine is worth emptying if what it holds could be had for no more than
+/// A machine is worth draining if what it holds could be had for no more than
 /// this part of its price.
 const WORTH_MOST: f64 = 0.75;
 /// Tasks are not moved to a dearer machine whose own tasks are worth less than
-/// this part of its price: it should be emptied itself.
+/// this part of its price: it should be drained itself.
 const TARGET_LEAST: f64 = 0.5;
 /// A replica is moved only to where its image is, or is fetched within this
 /// many reports.
 const FETCH_REPORTS: f64 = 1.0;
-/// Machines that are emptied at a time.
+/// Machines that are drained at a time.
 const DRAINING_MOST: usize = 3;
 /// One in so many machines is tried in a round: each try goes over all of them.
 const TRIES_PART: usize = 16;
@@ -44,7 +44,7 @@
 }
 
 impl Share {
-    /// Empties the machine that wastes most, if its tasks fit elsewhere.
+    /// Drains the machine that wastes most, if its tasks fit elsewhere.
     /// `hosts` shows what is left of the usable machines once everything
     /// that waits, and the spare places, are booked.
     pub(crate) fn drain(
@@ -157,7 +157,7 @@
                 continue;
             }
             log::info!(
-                "machine {}: to be emptied, {} tasks",
+                "machine {}: to be drained, {} tasks",
                 usable[i],
                 tasks.len()
             );
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -80,7 +80,7 @@
     pub(crate) delete_at: Ms,
     /// Before this it is not looked at again whether its tasks fit elsewhere.
     pub(crate) full_house_until: Ms,
-    /// It is being emptied, to be returned.
+    /// It is being drained, to be returned.
     pub(crate) draining: bool,
     /// Since when nothing has needed it.
     pub(crate) idle_since: Option<Ms>,
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -188,7 +188,7 @@
         let weights = ctx.cfg.ops.weights;
         let booked = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         for (i, id) in draining.iter().enumerate() {
-            // What is needed again is not emptied any further.
+            // What is needed again is not drained any further.
             if booked.iter().any(|b| b.host == usable.len() + i) {
                 self.stop_draining(id);
             }
