--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -19,7 +19,7 @@
     Single,
     /// Each by itself, of the kinds that there once were.
     Once,
-    /// In pairs and known meetings, of all kinds, on days that are longer and
+    /// In pairs and known combinations, of all kinds, on days that are longer and
     /// have longer jobs, more cancellations and tighter limits.
     Pairs,
 }
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -397,7 +397,7 @@
     for _ in 0..pairs {
         let at = rng.random_range(from..to);
         if rng.random_range(0..3) == 0 {
-            random_meeting(rng, at, jobs, &mut faults);
+            random_combination(rng, at, jobs, &mut faults);
             continue;
         }
         // Together, just after one another, or a little apart.
@@ -415,8 +415,8 @@
     faults
 }
 
-/// One of the meetings that once broke a rule, or were feared to.
-fn random_meeting(rng: &mut StdRng, at: Ms, jobs: u32, faults: &mut Vec<Fault>) {
+/// One of the combinations of faults that once broke a rule, or were feared to.
+fn random_combination(rng: &mut StdRng, at: Ms, jobs: u32, faults: &mut Vec<Fault>) {
     let node = 0;
     let soon = at + rng.random_range(0..4_000);
     let later = soon + rng.random_range(0..4_000);
@@ -465,7 +465,7 @@
         time: long,
         hold,
     };
-    let meeting: Vec<(Ms, FaultKind)> = match rng.random_range(0..15) {
+    let combination: Vec<(Ms, FaultKind)> = match rng.random_range(0..15) {
         // Refused alone, then an outage longer than a cancellation may take.
         0 | 1 => vec![
             (at, shut.at(who)),
@@ -553,7 +553,7 @@
             .chain([(later, cancels)])
             .collect(),
     };
-    faults.extend(meeting.into_iter().map(|(at, kind)| Fault { at, kind }));
+    faults.extend(combination.into_iter().map(|(at, kind)| Fault { at, kind }));
 }
 
 fn random_job(rng: &mut StdRng, jobs: u32) -> JobId {
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -13,7 +13,7 @@
     Single,
     /// Each by itself, of the kinds that there once were.
     Once,
-    /// In pairs and known meetings, of all kinds.
+    /// In pairs and known combinations, of all kinds.
     Pairs,
 }
 
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -1,6 +1,6 @@
-//! Meetings of two troubles, each brought about by faults at set moments.
+//! Combined faults: two at a time, each at a set moment.
 //! What every checker rule says must hold in all of them; besides, each test
-//! makes sure that its meeting took place.
+//! makes sure that its faults did coincide.
 
 use forkshift_testkit::{Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
 use forkshift_wire::users::{JobKind, JobSpec, Priority};
