--- a/crates/testkit/src/check.rs
+++ b/crates/testkit/src/check.rs
@@ -104,6 +104,8 @@
     /// Starts of tasks whose job's cancellation had been confirmed: when, how
     /// long after it, and which.
     pub starts_after_cancel: Vec<(Ms, Ms, TaskRef)>,
+    /// Tasks that failed: when, which, and on which machine.
+    pub failures: Vec<(Ms, TaskRef, MachineId)>,
     /// What was broken, with when and how.
     pub broken: Vec<(Rule, Ms, String)>,
 }
@@ -363,6 +365,16 @@
         news
     }
 
+    /// A task has failed on a machine.
+    pub(crate) fn failed(&mut self, now: Ms, task: &TaskRef, machine: &MachineId) {
+        self.failures.push((now, task.clone(), machine.clone()));
+    }
+
+    /// When a task of a job first started.
+    pub fn begun(&self, id: &JobId) -> Option<Ms> {
+        self.begun.get(id).copied()
+    }
+
     /// The longest time from a user's first try until a job was accepted.
     pub fn slowest_acceptance(&self) -> Ms {
         self.slowest
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -17,7 +17,7 @@
 pub use faults::{
     random_faults, random_faults_once, random_pairs, Fault, FaultKind, MachineFault, Which, Who,
 };
-pub use world::{settings, Plan, Size, World};
+pub use world::{settings, Mistake, Plan, Size, World};
 
 /// Milliseconds of virtual time.
 pub type Ms = u64;
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -2,6 +2,7 @@
 
 use crate::Ms;
 use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::MachineId;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -30,6 +31,8 @@
     pub(crate) down: bool,
     /// Puts and deletes so far.
     pub(crate) writes: u64,
+    /// Machines whose records said that they are given up, and why.
+    pub(crate) given_up: BTreeMap<MachineId, String>,
 }
 
 /// Changes that are kept for watches.
@@ -52,6 +55,7 @@
             waiting: Vec::new(),
             down: false,
             writes: 0,
+            given_up: BTreeMap::new(),
         }
     }
 
@@ -188,6 +192,7 @@
             return (409, json!({"failed": failed, "ledger_rev": self.revision}));
         }
         self.writes += txn.writes.len() as u64;
+        self.note_given_up(&txn);
         if !txn.writes.is_empty() {
             self.revision += 1;
         }
@@ -215,6 +220,19 @@
         (200, json!({"ledger_rev": self.revision}))
     }
 
+    fn note_given_up(&mut self, txn: &Txn) {
+        for write in &txn.writes {
+            let Write::Put { put, value, .. } = write else {
+                continue;
+            };
+            let why = value.get("condemned").and_then(Value::as_str);
+            if let (Some(id), Some(why)) = (put.strip_prefix("c/machine/"), why) {
+                let first = self.given_up.entry(MachineId::new(id));
+                first.or_insert_with(|| why.to_owned());
+            }
+        }
+    }
+
     fn remove(&mut self, key: String) {
         if self.entries.remove(&key).is_some() {
             self.log.push_back((self.revision, key, None));
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -40,6 +40,7 @@
         Truth {
             spec: spec.clone(),
             run_ms: 60_000,
+            mistake: None,
         },
     )]);
     for (hang, rules) in [
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -8,7 +8,7 @@
 mod users;
 mod waiting;
 
-pub use users::Plan;
+pub use users::{Mistake, Plan};
 
 use crate::check::{Calm, Checker};
 use crate::cloud::Cloud;
@@ -583,6 +583,16 @@
         (self.reports, nodes.map(Node::visits).sum())
     }
 
+    /// Machines that were rented.
+    pub fn rented(&self) -> usize {
+        self.cloud.n_ended + self.cloud.machines.len()
+    }
+
+    /// Machines that were given up as their records say, and why.
+    pub fn given_up(&self) -> &BTreeMap<MachineId, String> {
+        &self.state.given_up
+    }
+
     /// Machines that are up.
     pub fn machines(&self) -> usize {
         self.workers.len()
--- a/crates/testkit/src/world/fleet.rs
+++ b/crates/testkit/src/world/fleet.rs
@@ -116,6 +116,7 @@
                     None
                 }
                 _ if done => Some(ExitCause::Done),
+                Some(t) if whole && truth.fails_by(t, self.now) => Some(ExitCause::Error),
                 Some(t) if whole && self.now >= t + truth.run_ms => Some(ExitCause::Done),
                 Some(_) if !whole => Some(ExitCause::Peers),
                 _ => None,
@@ -131,6 +132,9 @@
                 if cause == ExitCause::Done {
                     around.check.completed(task);
                 }
+                if cause == ExitCause::Error {
+                    around.check.failed(self.now, task, m);
+                }
                 if let Some(w) = self.workers.get_mut(m).filter(|w| w.hung_until <= self.now) {
                     w.exit(&mut around, &(task.clone(), attempt), cause);
                 }
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -10,6 +10,15 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
+/// A mistake in a job, for which its tasks fail on every machine.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum Mistake {
+    /// They fail as soon as they have their image, and never run.
+    AtOnce,
+    /// They run for so long, and fail.
+    After(Ms),
+}
+
 /// A job that a user will submit.
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -24,6 +33,8 @@
     /// The controller that the user's requests go to; any if left out, or if
     /// there is none.
     pub at_node: Option<Who>,
+    /// The mistake that it was submitted with. No random draw has one.
+    pub mistake: Option<Mistake>,
 }
 
 impl Plan {
@@ -105,6 +116,7 @@
             run_ms,
             cancel_at,
             at_node: None,
+            mistake: None,
         }
     }
 }
@@ -152,6 +164,7 @@
                     let truth = Truth {
                         spec: user.plan.spec.clone(),
                         run_ms: user.plan.run_ms,
+                        mistake: user.plan.mistake,
                     };
                     self.truths.insert(id.clone(), truth);
                     let body = serde_json::to_vec(&user.plan.spec).unwrap_or_default();
--- a/crates/testkit/tests/arranged.rs
+++ b/crates/testkit/tests/arranged.rs
@@ -16,6 +16,7 @@
         run_ms: 200_000,
         cancel_at,
         at_node,
+        mistake: None,
         spec: JobSpec {
             id: id(n),
             class: "work".to_owned(),
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -204,6 +204,7 @@
         run_ms: 5_000,
         cancel_at: None,
         at_node: None,
+        mistake: None,
         spec: JobSpec {
             id: JobId::new(&format!("j-{n}")),
             class: "work".to_owned(),
--- a/crates/testkit/tests/gap.rs
+++ b/crates/testkit/tests/gap.rs
@@ -68,6 +68,7 @@
         run_ms: 300_000,
         cancel_at,
         at_node: Some(Who::HolderOf(id(n))),
+        mistake: None,
         spec: JobSpec {
             id: id(n),
             class: "work".to_owned(),
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -24,6 +24,7 @@
         run_ms,
         cancel_at,
         at_node: None,
+        mistake: None,
         spec: JobSpec {
             id: id(n),
             class: "work".to_owned(),
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -107,6 +107,7 @@
         run_ms,
         cancel_at: None,
         at_node: None,
+        mistake: None,
         spec: JobSpec {
             id: JobId::new(&format!("j-{n}")),
             class: "work".to_owned(),
