--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -5,6 +5,7 @@
 //! a token minted after the start was last sent, and does not list the task;
 //! or if the machine's deletion was answered. Silence proves nothing.
 
+use crate::blame::well_after;
 use crate::ctx::Ctx;
 use crate::job::{Binding, Sent, Stop};
 use crate::share::Share;
@@ -14,11 +15,8 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
 
-/// Pause before a job that failed on several machines is tried again; it doubles.
-const RETRY_LEAST: Ms = 2_000;
-const RETRY_MOST: Ms = 60_000;
-/// A job that failed on this many machines is itself to blame.
-const BLAME_JOB: usize = 3;
+/// Pause before a start that was refused for another reason is tried again.
+const REFUSED_PAUSE: Ms = 2_000;
 
 impl Share {
     /// Takes in a message. Returns false if it is an old copy, or is not
@@ -84,11 +82,10 @@
         task: &TaskRef,
         listed: &BTreeMap<(&TaskRef, u64), &TaskReport>,
     ) {
-        let Some(binding) = self
-            .jobs
-            .get_mut(&task.job)
-            .and_then(|j| j.bound.get_mut(&task.index))
-        else {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(binding) = job.bound.get_mut(&task.index) else {
             return;
         };
         if let Some(found) = listed.get(&(task, binding.attempt)) {
@@ -99,7 +96,9 @@
             if found.stage == TaskStage::Running && binding.running_since.is_none() {
                 binding.running_since = Some(ctx.now);
                 if let Some(machine) = self.machines.get_mut(&report.machine) {
-                    machine.errors.clear();
+                    if !job.failures.is_suspect() {
+                        machine.failures.begins(ctx.now);
+                    }
                 }
             }
             binding.stage = Some(found.stage);
@@ -112,6 +111,10 @@
                     };
                 }
             }
+            let running = found.stage == TaskStage::Running;
+            if let Some(began) = binding.running_since.filter(|_| running) {
+                self.runs(ctx, &report.machine, &task.job, began);
+            }
             return;
         }
         let Some(machine) = self.machines.get_mut(&report.machine) else {
@@ -144,7 +147,6 @@
         };
         if cause == ExitCause::Done {
             job.done.insert(task.index);
-            job.failed_on.clear();
         }
         let version = job.version;
         if let Some(machine) = self.machines.get_mut(machine) {
@@ -152,8 +154,14 @@
             machine.exited.push((task.clone(), found.attempt));
         }
         match cause {
-            ExitCause::Done => {}
-            ExitCause::Error => self.failed(ctx, machine, &task.job),
+            ExitCause::Done => {
+                let began = binding.running_since.unwrap_or(binding.since);
+                self.ran_well(machine, &task.job, began);
+                if let Some(job) = self.jobs.get_mut(&task.job) {
+                    job.failures.forgive();
+                }
+            }
+            ExitCause::Error => self.failed(ctx, machine, &task.job, &binding),
             ExitCause::Full => {
                 // Our booking and the worker's differ; it will settle.
                 if let Some(machine) = self.machines.get_mut(machine) {
@@ -161,7 +169,7 @@
                 }
             }
             ExitCause::InUse | ExitCause::NoSuch => {
-                job.not_before = job.not_before.max(ctx.now + RETRY_LEAST);
+                job.not_before = job.not_before.max(ctx.now + REFUSED_PAUSE);
             }
             ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => {}
         }
@@ -175,27 +183,54 @@
     }
 
     /// A task failed: is it the machine, or the job?
-    fn failed(&mut self, ctx: &Ctx, machine: &MachineId, id: &JobId) {
+    fn failed(&mut self, ctx: &Ctx, machine: &MachineId, id: &JobId, binding: &Binding) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.failed_on.insert(machine.clone());
-        job.failed_at = ctx.now;
-        let n = job.failed_on.len();
-        if n >= BLAME_JOB {
-            // It fails wherever it goes: its retries are slowed, and the
-            // machines are not held to account for it.
-            let pause = RETRY_LEAST << (n - BLAME_JOB).min(5);
-            job.not_before = ctx.now + pause.min(RETRY_MOST);
-            let blamed = job.failed_on.clone();
-            for m in blamed {
-                if let Some(machine) = self.machines.get_mut(&m) {
-                    machine.errors.remove(id);
+        let ran = binding.running_since.map_or(0, |t| ctx.now - t);
+        job.failures.add(machine, binding.since, ran, ctx.now);
+        job.not_before = job.not_before.max(ctx.now + job.failures.pause());
+        // It fails wherever it goes: the machines are not held to account.
+        if job.failures.is_blamed() {
+            for blamed in job.failures.machines() {
+                if let Some(machine) = self.machines.get_mut(&blamed) {
+                    machine.failures.remove(id);
                 }
             }
         } else if let Some(machine) = self.machines.get_mut(machine) {
-            machine.errors.insert(id.clone());
+            machine.failures.add(id, ran, ctx.now);
+        }
+    }
+
+    /// A task is running: for long enough to tell for its job and its machine?
+    fn runs(&mut self, ctx: &Ctx, machine: &MachineId, id: &JobId, began: Ms) {
+        let (Some(job), Some(m)) = (self.jobs.get(id), self.machines.get(machine)) else {
+            return;
+        };
+        if !job.failures.is_suspect() && m.failures.is_empty() {
+            return;
+        }
+        let longest = job.failures.longest_run.max(m.failures.longest_run);
+        if ctx.now >= began + well_after(longest, ctx.cfg.report_ms) {
+            self.ran_well(machine, id, began);
+        }
+    }
+
+    /// A task has run well: where its job failed, the machine is to blame.
+    fn ran_well(&mut self, machine: &MachineId, id: &JobId, began: Ms) {
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.failures.ran_well(began);
+        }
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        for failed_on in job.failures.machines() {
+            if let Some(machine) = self.machines.get_mut(&failed_on) {
+                machine.failures.job_is_well(id);
+                self.look.touch(&failed_on);
+            }
         }
+        job.failures.ran_well(began);
     }
 
     /// Stops what is left of a gang's attempt: the next one begins when all
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -1,5 +1,6 @@
 //! An unfinished job in its holder's memory.
 
+use crate::blame::{well_after, JobFailures};
 use crate::ctx::Token;
 use crate::ranges::Ranges;
 use crate::records::{BlockRec, HeadRec};
@@ -8,7 +9,7 @@
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus};
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::MachineId;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Whether a start command for a task was ever sent.
@@ -103,10 +104,8 @@
     pub(crate) since: Ms,
     /// Nothing of it is placed before this.
     pub(crate) not_before: Ms,
-    /// Machines that it failed on since a task of it last succeeded.
-    pub(crate) failed_on: BTreeSet<MachineId>,
-    /// When it failed last.
-    pub(crate) failed_at: Ms,
+    /// What it failed since a task of it last ran well.
+    pub(crate) failures: JobFailures,
 }
 
 /// Bytes that one task may take in a record.
@@ -143,8 +142,7 @@
             waited: 0,
             since: now,
             not_before: 0,
-            failed_on: BTreeSet::new(),
-            failed_at: 0,
+            failures: JobFailures::default(),
             spec: Rc::new(spec),
         }
     }
@@ -254,6 +252,13 @@
         self.cancelled_for + now.saturating_sub(self.cancelled_since)
     }
 
+    /// Whether a task is being tried, and is not known to run well yet.
+    pub(crate) fn is_trying(&self, now: Ms, report_ms: Ms) -> bool {
+        let least = well_after(self.failures.longest_run, report_ms);
+        let runs_well = |b: &Binding| b.running_since.is_some_and(|t| now >= t + least);
+        self.bound.values().any(|b| !runs_well(b))
+    }
+
     /// Up to `most` tasks that wait for a place.
     pub(crate) fn waiting(&self, most: usize) -> Vec<u32> {
         if self.cancelled {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod agenda;
 mod api;
+mod blame;
 mod budget;
 mod commit;
 pub mod config;
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,9 +1,10 @@
 //! A machine of a share, in its holder's memory.
 
+use crate::blame::MachineFailures;
 use crate::ctx::Ctx;
 use crate::Ms;
 use forkshift_sched::Resources;
-use forkshift_wire::{JobId, MachineId, TaskRef};
+use forkshift_wire::{MachineId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Reports that a machine may miss and still be heard.
@@ -66,8 +67,8 @@
     pub(crate) fates: BTreeMap<(TaskRef, u64), u64>,
     /// Images, the most recently used last, with their sizes.
     pub(crate) images: Vec<(u32, f64)>,
-    /// Jobs that failed here since a task last ran well.
-    pub(crate) errors: BTreeSet<JobId>,
+    /// What failed here since a task last ran well.
+    pub(crate) failures: MachineFailures,
     /// Nothing more is placed here before this.
     pub(crate) full_until: Ms,
     /// It is being given to another share: nothing is placed here unless its
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -28,6 +28,11 @@
 /// do not starve.
 const AGED_BOOTS: f64 = 2.0;
 
+/// Jobs that failed again and again go behind all others.
+const PROBE_BAND: i32 = -1;
+/// For so long such a job waits for room before a machine is rented for it.
+const PROBE_WAIT: Ms = 60_000;
+
 /// The part of the changes at the state service that goes into what shares lack.
 const DEMAND_PART: f64 = 0.05;
 
@@ -51,8 +56,13 @@
         let weights = ctx.cfg.ops.weights;
         let placed = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         let mut attempts: BTreeMap<usize, u64> = BTreeMap::new();
+        let mut tried = BTreeSet::new();
         for p in &placed {
             let id = &ids[p.want];
+            // One that may be faulty is tried with one task at a time.
+            if self.on_probation(ctx, &usable[p.host]) && !tried.insert(p.host) {
+                continue;
+            }
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
@@ -78,6 +88,7 @@
             self.bind(id, p.task, binding);
             self.dirty.touch(id);
         }
+        self.spare_others(ctx, &ids, &mut wants);
         self.preempt(ctx, &ids, &wants, &usable, &quotas);
         self.lack(ctx, view, &usable, hosts, wants, quotas);
     }
@@ -105,6 +116,10 @@
         let zones = self.zones();
         let boot_ms = self.boot_ms();
         let lasting = self.lasting();
+        let on_probation = |i: &usize| self.on_probation(ctx, &usable[*i]);
+        let probation: Vec<usize> = (0..usable.len()).filter(on_probation).collect();
+        let is_tried = |i: &&usize| self.is_tried(ctx, &usable[**i]);
+        let not_tried: Vec<usize> = probation.iter().filter(|i| !is_tried(i)).copied().collect();
         let mut ids = Vec::new();
         let mut wants = Vec::new();
         for (id, job) in &self.jobs {
@@ -116,7 +131,13 @@
                 continue;
             }
             let gang = job.is_gang();
-            let waiting = job.waiting(if gang { usize::MAX } else { TASKS_A_ROUND });
+            // One that failed again and again, with all of its tasks at once,
+            // once took a fleet's room and its rentals.
+            let probed = job.failures.is_probed();
+            let mut waiting = job.waiting(if gang { usize::MAX } else { TASKS_A_ROUND });
+            if probed && !gang {
+                waiting.truncate(1);
+            }
             // What is left of a gang's last attempt must be gone first.
             if waiting.is_empty() || (gang && !job.bound.is_empty()) {
                 continue;
@@ -125,27 +146,73 @@
                 continue;
             };
             let mut want = want_of(ctx, job, team, &zones);
-            let aged = is_aged(job, ctx.now, boot_ms);
+            if probed && job.is_trying(ctx.now, ctx.cfg.report_ms) {
+                continue;
+            }
+            let aged = !probed && is_aged(job, ctx.now, boot_ms);
             // Kept free for it, the quota must come free some day: what services
             // hold does not. A whole team once waited for one job in vain.
             let at_once = if gang { waiting.len() as i64 } else { 1 };
             let need = lasting[team] + job.task.times(at_once);
             want.reserves = aged && self.quotas[team].could_allow(&need, 1);
-            want.band = band(job, &self.quotas[team], &waiting, aged);
+            want.band = match probed {
+                true => PROBE_BAND,
+                false => band(job, &self.quotas[team], &waiting, aged),
+            };
             want.waiting = waiting;
-            // For a while only: another machine may never come free, and this
-            // one may be well.
-            let avoids = ctx.now < job.failed_at + boot_ms;
-            let failed_on = job.failed_on.iter().filter(|_| avoids);
-            want.avoid = failed_on
+            let avoided = job.failures.avoided(ctx.now, boot_ms);
+            want.avoid = avoided
                 .filter_map(|m| usable.iter().position(|u| u == m))
                 .collect();
+            want.avoid.extend(&not_tried);
+            if gang || job.failures.is_suspect() {
+                want.avoid.extend(&probation);
+            }
             wants.push(want);
             ids.push(id.clone());
         }
         (ids, wants)
     }
 
+    /// Whether a machine may be faulty.
+    fn on_probation(&self, ctx: &Ctx, id: &MachineId) -> bool {
+        let machine = self.machines.get(id);
+        machine.is_some_and(|m| m.failures.on_probation(ctx.now, m.boot_ms))
+    }
+
+    /// Whether a machine on probation may be tried with one more task now.
+    fn is_tried(&self, ctx: &Ctx, id: &MachineId) -> bool {
+        let starts = |task: &TaskRef| {
+            let job = self.jobs.get(&task.job);
+            let binding = job.and_then(|j| j.bound.get(&task.index));
+            binding.is_some_and(|b| b.running_since.is_none())
+        };
+        let machine = self.machines.get(id);
+        machine.is_some_and(|m| {
+            m.failures.is_tried(ctx.now, ctx.cfg.report_ms) && !m.tasks.iter().any(starts)
+        })
+    }
+
+    /// A job that failed again and again waits for room on machines that are
+    /// there: nothing is stopped or rented for it, unless there is none for it,
+    /// or it has waited for long.
+    fn spare_others(&self, ctx: &Ctx, ids: &[JobId], wants: &mut [Want]) {
+        for (id, want) in ids.iter().zip(wants) {
+            let probed = self
+                .jobs
+                .get(id)
+                .is_some_and(|j| j.failures.is_probed() && ctx.now < j.not_before + PROBE_WAIT);
+            let fits = |m: &Machine| {
+                m.condemned.is_none()
+                    && want.allowed(m.machine_type, m.zone, m.spot)
+                    && want.task.fits(&m.total)
+            };
+            if probed && self.machines.values().any(fits) {
+                want.waiting.clear();
+            }
+        }
+    }
+
     /// Books what found no room on machines that are still to come; what is
     /// left then, and spare places, are what the share lacks.
     fn lack(
@@ -158,8 +225,12 @@
         mut quotas: Vec<Quota>,
     ) {
         wants.sort_by_key(|w| std::cmp::Reverse(w.band));
-        for host in &mut hosts {
+        for (id, host) in usable.iter().zip(&mut hosts) {
             host.held = false;
+            // It is tried with little, and may be given up.
+            if self.on_probation(ctx, id) {
+                host.free = Resources::default();
+            }
         }
         let now = self.shapes_of(ctx, view, &wants, &mut quotas.clone());
         let mut draining = Vec::new();
@@ -523,7 +594,6 @@
         && !m.draining
         && m.leaving.is_none()
         && m.taken_at.is_none()
-        && m.errors.len() < 2
         && m.is_confirmed()
         && !m.unanswered
         && ctx.now >= m.full_until
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -1,6 +1,7 @@
 //! A share that this controller holds: its jobs and its machines.
 
 use crate::agenda::Agenda;
+use crate::blame::MachineFailures;
 use crate::ctx::{is_watch_lost, Ctx, Pending, Reply};
 use crate::job::{Binding, Job, Sent, Stop};
 use crate::machine::Machine;
@@ -474,7 +475,7 @@
                 .iter()
                 .map(|(name, gb)| (ctx.intern(name), *gb))
                 .collect(),
-            errors: BTreeSet::new(),
+            failures: MachineFailures::default(),
             full_until: 0,
             leaving: None,
             deleted: false,
--- a/crates/core/src/tend.rs
+++ b/crates/core/src/tend.rs
@@ -22,9 +22,6 @@
 const EVICT_PART: f64 = 0.6;
 /// Reports that a new holder gives a machine to tell that a task is gone.
 const TRIES: u64 = 2;
-/// Jobs that failed on a machine, none of which ran there since, before the
-/// machine is given up.
-const ERRORS_MOST: usize = 2;
 /// Looks a report at a machine about which something is under way.
 const BUSY_LOOKS: Ms = 8;
 
@@ -291,7 +288,7 @@
     if m.condemned.is_some() {
         return Ok(Ms::MAX);
     }
-    if m.errors.len() >= ERRORS_MOST {
+    if m.failures.is_faulty() {
         return Err("it fails what it starts");
     }
     let silent = ctx.silent_ms();
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -152,14 +152,16 @@
 /// Keeps the machine that comes closest to having room for a task that has
 /// waited for long from being filled up by what is behind it.
 fn hold_host(want: &Want, hosts: &mut [Host]) {
-    let fits =
-        |h: &&mut Host| want.task.fits(&h.total) && want.allowed(h.machine_type, h.zone, h.spot);
+    let fits = |h: &Host| want.task.fits(&h.total) && want.allowed(h.machine_type, h.zone, h.spot);
     let free = |h: &Host| 1.0 - (h.total - h.free).largest_share(&h.total);
     let best = hosts
         .iter_mut()
-        .filter(fits)
-        .max_by(|a, b| free(a).total_cmp(&free(b)));
-    if let Some(host) = best {
+        .enumerate()
+        // What it may not use itself is not kept free for it: a gang that
+        // failed on the only machine once kept all others off it.
+        .filter(|(i, h)| fits(h) && !want.avoid.contains(i))
+        .max_by(|(_, a), (_, b)| free(a).total_cmp(&free(b)));
+    if let Some((_, host)) = best {
         host.held = true;
     }
 }
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -191,3 +191,21 @@
         assert_eq!(placed.len(), small, "{name}");
     }
 }
+
+/// A gang that had failed on the only machine, and was kept away from it for a
+/// while, had it kept free all that time.
+#[test]
+fn no_machine_is_kept_for_one_that_avoids_it() {
+    for (avoids, behind) in [(false, 0), (true, 1)] {
+        let mut wants = [want(1, 8.0), want(1, 2.0)];
+        wants[0].band = 1;
+        wants[0].reserves = true;
+        let mut hosts = [host(8.0, 0)];
+        hosts[0].free.gpus -= 1_000;
+        if avoids {
+            wants[0].avoid.insert(0);
+        }
+        let placed = run(&mut wants, &mut hosts, 100.0);
+        assert_eq!(placed.len(), behind, "avoids: {avoids}");
+    }
+}
--- /dev/null
+++ b/crates/testkit/tests/broken_jobs.rs
@@ -0,0 +1,406 @@
+//! Jobs that were submitted with a mistake and fail on every machine until
+//! their users cancel them: they are slowed down and not lost, no good machine
+//! is given up for them, faulty ones still are, and others do not wait.
+
+use forkshift_testkit::{
+    Fault, FaultKind, MachineFault, Mistake, Ms, Plan, Size, Which, Who, World,
+};
+use forkshift_wire::users::{JobKind, JobSpec, Priority};
+use forkshift_wire::{JobId, MachineId};
+use std::collections::BTreeMap;
+
+/// Why a machine is given up that fails what it starts.
+const FAULTY: &str = "it fails what it starts";
+/// Jobs with a mistake are submitted then, and cancelled then.
+const BROKEN_FROM: Ms = 40_000;
+const CANCEL_AT: Ms = 220_000;
+const END: Ms = 270_000;
+/// Good jobs are numbered from here.
+const GOOD_FROM: u32 = 100;
+const TWO_MINUTES: Ms = 120_000;
+
+fn id(n: u32) -> JobId {
+    JobId::new(&format!("j-{n}"))
+}
+
+fn plan(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms) -> Plan {
+    let estimate_s = match kind {
+        JobKind::Service => 0.0,
+        _ => run_ms as f64 / 1000.0,
+    };
+    Plan {
+        at,
+        run_ms,
+        cancel_at: None,
+        at_node: None,
+        mistake: None,
+        spec: JobSpec {
+            id: id(n),
+            class: "work".to_owned(),
+            team: "team-0".to_owned(),
+            kind,
+            priority: Priority::Normal,
+            tasks,
+            cpus: 2.0,
+            gpus: 0.0,
+            memory_gb: 4.0,
+            image: "img".to_owned(),
+            image_gb: 1.0,
+            types: None,
+            zone: None,
+            one_zone: false,
+            spread: false,
+            spot: false,
+            estimate_s,
+            checkpoint_s: 0.0,
+            save_s: 0.0,
+            deadline_s: None,
+        },
+    }
+}
+
+/// Which machines there are.
+#[derive(Clone, Copy, Debug)]
+enum Fleet {
+    Mixed,
+    OneType,
+    /// So many, and no more to be had.
+    Few(u32),
+}
+
+impl Fleet {
+    fn size(self) -> Size {
+        let usual = Size::default();
+        let capacity = match self {
+            Self::Few(n) => n,
+            _ => usual.capacity,
+        };
+        Size { capacity, ..usual }
+    }
+
+    fn restrict(self, spec: &mut JobSpec) {
+        if !matches!(self, Self::Mixed) {
+            spec.types = Some(vec!["c8".to_owned()]);
+        }
+        if matches!(self, Self::Few(_)) {
+            spec.zone = Some("b".to_owned());
+        }
+    }
+}
+
+/// Good jobs of two teams, one so often, and a service of each.
+fn good(fleet: Fleet, every: Ms) -> Vec<Plan> {
+    let mut plans = vec![plan(0, 1_000, JobKind::Service, 1, 0)];
+    // Else the other team's machine would come and go, with the boots of chance.
+    if !matches!(fleet, Fleet::Few(_)) {
+        let mut other = plan(50, 1_000, JobKind::Service, 1, 0);
+        other.spec.team = "team-1".to_owned();
+        plans.push(other);
+    }
+    for (n, at) in (5_000..200_000).step_by(every as usize).enumerate() {
+        let mut plan = plan(GOOD_FROM + n as u32, at, JobKind::Array, 1, 5_000);
+        // Two teams may belong to two controllers, one machine cannot.
+        if n % 2 == 1 && !matches!(fleet, Fleet::Few(_)) {
+            plan.spec.team = "team-1".to_owned();
+        }
+        plans.push(plan);
+    }
+    for plan in &mut plans {
+        fleet.restrict(&mut plan.spec);
+    }
+    plans
+}
+
+type Broken = (JobKind, u32, Mistake);
+
+fn broken(fleet: Fleet, jobs: &[Broken]) -> Vec<Plan> {
+    let one = |(n, (kind, tasks, mistake)): (usize, &Broken)| {
+        let at = BROKEN_FROM + 500 * n as Ms;
+        let mut plan = plan(1 + n as u32, at, *kind, *tasks, 30_000);
+        plan.mistake = Some(*mistake);
+        plan.cancel_at = Some(CANCEL_AT);
+        fleet.restrict(&mut plan.spec);
+        plan
+    };
+    jobs.iter().enumerate().map(one).collect()
+}
+
+/// What a day came to.
+struct Outcome {
+    world: World,
+    /// Machines that were given up as faulty, and when.
+    given_up: BTreeMap<MachineId, Ms>,
+    /// The longest wait of a good job for its first start.
+    longest_wait: Ms,
+}
+
+fn play(plans: Vec<Plan>, faults: Vec<Fault>, fleet: Fleet) -> Outcome {
+    let good: Vec<(JobId, Ms)> = plans
+        .iter()
+        .filter(|p| p.mistake.is_none())
+        .map(|p| (p.spec.id.clone(), p.at))
+        .collect();
+    let mut world = World::sized(7, plans, faults, fleet.size());
+    let mut given_up = BTreeMap::new();
+    while world.now() < END {
+        world.run_until(world.now() + 1_000);
+        for (machine, why) in world.given_up() {
+            if why == FAULTY && !given_up.contains_key(machine) {
+                given_up.insert(machine.clone(), world.now());
+            }
+        }
+    }
+    let wait = |(id, at): &(JobId, Ms)| world.check.begun(id).unwrap_or(END) - at;
+    let longest_wait = good.iter().map(wait).max().unwrap_or(0);
+    Outcome {
+        world,
+        given_up,
+        longest_wait,
+    }
+}
+
+/// What must hold on every day and does not.
+fn amiss(world: &World) -> Vec<String> {
+    let broken = world.check.broken.iter().map(|b| format!("{b:?}"));
+    broken.chain(world.unserved()).collect()
+}
+
+/// Failures of a job within a time.
+fn failures(world: &World, id: &JobId, from: Ms, to: Ms) -> usize {
+    let all = world.check.failures.iter();
+    all.filter(|(at, task, _)| task.job == *id && (from..to).contains(at))
+        .count()
+}
+
+/// Most failures of a broken job in the last two minutes.
+const FAILURES_LATE: usize = 8;
+/// Most failures of a broken job in all, beside its first wave.
+const FAILURES_MOST: usize = 40;
+/// How much longer than without them a good job may wait.
+const WAIT_MORE: Ms = 15_000;
+/// Machines that may be rented for each broken job, beside those for all the
+/// tasks that its team's limit allows at once: nothing tells them from good ones
+/// before they have failed.
+const RENTED_MORE: usize = 6;
+/// Tasks that one machine takes, and that a team's limit allows.
+const TASKS_A_MACHINE: u32 = 4;
+const TASKS_A_TEAM: u32 = 48;
+
+/// Machines that all the tasks of broken jobs take, before the first has failed.
+fn first_demand(jobs: &[Broken]) -> usize {
+    let tasks: u32 = jobs.iter().map(|(_, tasks, _)| tasks).sum();
+    tasks.min(TASKS_A_TEAM).div_ceil(TASKS_A_MACHINE) as usize
+}
+
+#[test]
+fn broken_jobs_are_slowed_down_and_cost_others_nothing() {
+    const GOOD_EVERY: Ms = 6_000;
+    use JobKind::{Array, Gang, Service};
+    use Mistake::{After, AtOnce};
+    let sets: [(&str, Vec<Broken>); 8] = [
+        ("array at once", vec![(Array, 200, AtOnce)]),
+        ("array after 4 s", vec![(Array, 200, After(4_000))]),
+        ("gang at once", vec![(Gang, 3, AtOnce)]),
+        ("gang after 4 s", vec![(Gang, 3, After(4_000))]),
+        ("service at once", vec![(Service, 3, AtOnce)]),
+        ("service after 4 s", vec![(Service, 3, After(4_000))]),
+        (
+            "four at once",
+            vec![
+                (Array, 5, AtOnce),
+                (Service, 1, AtOnce),
+                (Gang, 2, AtOnce),
+                (Service, 2, AtOnce),
+            ],
+        ),
+        (
+            "four of both kinds",
+            vec![
+                (Array, 5, After(3_000)),
+                (Service, 1, AtOnce),
+                (Gang, 2, After(6_000)),
+                (Service, 2, After(1_000)),
+            ],
+        ),
+    ];
+    let mut wrong = Vec::new();
+    for fleet in [Fleet::Mixed, Fleet::OneType, Fleet::Few(1), Fleet::Few(2)] {
+        let usual = play(good(fleet, GOOD_EVERY), vec![], fleet);
+        assert_eq!(amiss(&usual.world), Vec::<String>::new(), "{fleet:?}");
+        for (set, jobs) in &sets {
+            let name = format!("{set}, {fleet:?}");
+            let mut plans = good(fleet, GOOD_EVERY);
+            plans.extend(broken(fleet, jobs));
+            let day = play(plans, vec![], fleet);
+            let mut must = |holds: bool, what: String| {
+                if !holds {
+                    wrong.push(format!("{name}: {what}"));
+                }
+            };
+            for what in amiss(&day.world) {
+                must(false, what);
+            }
+            must(
+                day.given_up.is_empty(),
+                format!("good machines given up: {:?}", day.given_up),
+            );
+            let (wait, before) = (day.longest_wait, usual.longest_wait);
+            must(
+                wait <= before + WAIT_MORE,
+                format!("a good job waited {wait} ms, {before} without"),
+            );
+            let (rented, before) = (day.world.rented(), usual.world.rented());
+            must(
+                rented <= before + first_demand(jobs) + RENTED_MORE * jobs.len(),
+                format!("{rented} machines rented, {before} without"),
+            );
+            for n in 1..=jobs.len() as u32 {
+                let cancelled = day.world.cancelled_at(&id(n));
+                let Some(at) = cancelled else {
+                    must(false, format!("{} is not cancelled", id(n)));
+                    continue;
+                };
+                must(
+                    at < CANCEL_AT + 5_000,
+                    format!("{} cancelled at {at}", id(n)),
+                );
+                let count = |from, to| failures(&day.world, &id(n), from, to);
+                let late = count(at + 5_000, END);
+                must(late == 0, format!("{} failed after its end", id(n)));
+                let last = count(CANCEL_AT - TWO_MINUTES, CANCEL_AT);
+                let tasks = jobs[n as usize - 1].1 as usize;
+                let (of_gang, first) = match jobs[n as usize - 1].0 {
+                    Gang => (tasks, tasks),
+                    _ => (1, tasks),
+                };
+                must(
+                    (1..=FAILURES_LATE * of_gang).contains(&last),
+                    format!("{} failed {last} times in the last two minutes", id(n)),
+                );
+                let all = count(0, END);
+                must(
+                    all <= first + FAILURES_MOST * of_gang,
+                    format!("{} failed {all} times", id(n)),
+                );
+            }
+        }
+    }
+    assert_eq!(wrong, Vec::<String>::new());
+}
+
+/// A service whose replicas fill half of each of five machines.
+fn on_five_machines(fleet: Fleet) -> Plan {
+    let mut plan = plan(60, 1_000, JobKind::Service, 5, 0);
+    plan.spec.cpus = 5.0;
+    fleet.restrict(&mut plan.spec);
+    plan
+}
+
+/// A machine that turns faulty is found beside broken jobs about as fast as
+/// without them, and little is lost on it until then.
+#[test]
+fn faulty_machines_are_found_beside_broken_jobs() {
+    use JobKind::{Array, Service};
+    use Mistake::{After, AtOnce};
+    const GOOD_OFTEN: Ms = 1_500;
+    const SICK_AT: Ms = 80_000;
+    /// A good job that runs then: work is being placed on its machine.
+    const RUNS_THEN: u32 = 148;
+    /// Where jobs can run elsewhere at once, and where a machine must boot first.
+    const FOUND_WITHIN: [Ms; 2] = [16_000, 30_000];
+    /// Good tasks that may fail on it.
+    const LOST_MOST: usize = 4;
+    let sets: [(&str, Vec<Broken>); 3] = [
+        ("alone", vec![]),
+        ("a service at once", vec![(Service, 2, AtOnce)]),
+        (
+            "two of both kinds",
+            vec![(Array, 5, After(3_000)), (Service, 1, AtOnce)],
+        ),
+    ];
+    let mut wrong = Vec::new();
+    for (roomy, fleet) in [
+        (true, Fleet::Mixed),
+        (true, Fleet::OneType),
+        (false, Fleet::Mixed),
+        (false, Fleet::OneType),
+    ] {
+        for (set, jobs) in &sets {
+            let name = format!("{set}, {fleet:?}, room elsewhere: {roomy}");
+            let mut plans = good(fleet, GOOD_OFTEN);
+            plans.extend(broken(fleet, jobs));
+            if roomy {
+                plans.push(on_five_machines(fleet));
+            }
+            let which = Which::OfJob(id(RUNS_THEN));
+            let kind = FaultKind::Machines(which.clone(), MachineFault::Sick(END));
+            let fault = Fault { at: SICK_AT, kind };
+            let mut before = World::sized(7, plans.clone(), vec![fault.clone()], fleet.size());
+            before.run_until(SICK_AT - 10);
+            let sick = before.machines_of(&which);
+            assert_eq!(sick.len(), 1, "{name}");
+            let day = play(plans, vec![fault], fleet);
+            let mut must = |holds: bool, what: String| {
+                if !holds {
+                    wrong.push(format!("{name}: {what}"));
+                }
+            };
+            for what in amiss(&day.world) {
+                must(false, what);
+            }
+            for machine in day.given_up.keys() {
+                must(sick.contains(machine), format!("{machine} was good"));
+            }
+            let within = FOUND_WITHIN[usize::from(!roomy)];
+            let found = day.given_up.get(&sick[0]).map(|at| at - SICK_AT);
+            must(
+                found.is_some_and(|after| after <= within),
+                format!("found after {found:?} ms"),
+            );
+            let lost = day.world.check.failures.iter().filter(|(at, task, on)| {
+                *at >= SICK_AT && sick.contains(on) && task.job >= id(GOOD_FROM)
+            });
+            let lost = lost.count();
+            must(lost <= LOST_MOST, format!("{lost} good tasks failed"));
+            println!("{name}: found after {found:?} ms, {lost} good tasks failed");
+        }
+    }
+    assert_eq!(wrong, Vec::<String>::new());
+}
+
+/// A new holder knows nothing of what failed before: it learns it anew within a
+/// few tries, and gives up no machine for it.
+#[test]
+fn a_new_holder_learns_of_broken_jobs_within_a_few_tries() {
+    use JobKind::{Array, Gang, Service};
+    use Mistake::{After, AtOnce};
+    const CRASH_AT: Ms = 120_000;
+    /// Failures of one job in its new holder's time, tasks of a gang apart.
+    const LEARNT_MOST: usize = 24;
+    let jobs = [
+        (Array, 5, After(3_000)),
+        (Service, 1, AtOnce),
+        (Gang, 2, After(6_000)),
+        (Service, 2, AtOnce),
+    ];
+    for fleet in [Fleet::OneType, Fleet::Few(2)] {
+        let (node, count, back) = (0, 1, 8_000);
+        let kind = FaultKind::Crash { node, count, back }.at(Who::HolderOf(id(1)));
+        let fault = Fault { at: CRASH_AT, kind };
+        let mut plans = good(fleet, 6_000);
+        plans.extend(broken(fleet, &jobs));
+        let day = play(plans, vec![fault], fleet);
+        assert_eq!(amiss(&day.world), Vec::<String>::new(), "{fleet:?}");
+        assert!(day.given_up.is_empty(), "{fleet:?}: {:?}", day.given_up);
+        for (n, (_, tasks, _)) in (1..).zip(&jobs) {
+            let failed = failures(&day.world, &id(n), CRASH_AT, END);
+            let most = LEARNT_MOST + *tasks as usize;
+            assert!(
+                (1..=most).contains(&failed),
+                "{fleet:?}: {} failed {failed} times",
+                id(n)
+            );
+            assert!(day.world.cancelled_at(&id(n)).is_some(), "{fleet:?}");
+        }
+    }
+}
