--- a/crates/core/src/share/machines.rs
+++ b/crates/core/src/share/machines.rs
@@ -2,6 +2,7 @@
 //! given up, and change to another share.
 
 use super::Share;
+use crate::blame::MachineFailures;
 use crate::context::{Context, Pending};
 use crate::machine::Machine;
 use crate::records::{machine_key, share_key, total_of, MachineRecord};
@@ -105,7 +106,7 @@
                 .iter()
                 .map(|(name, gb)| (ctx.intern(name), *gb))
                 .collect(),
-            errors: BTreeSet::new(),
+            failures: MachineFailures::default(),
             full_until: 0,
             leaving: None,
             deleted: false,
