--- a/crates/testkit/src/check/tests.rs
+++ b/crates/testkit/src/check/tests.rs
@@ -1,30 +1,16 @@
 //! Each rule is shown to be caught.
 
 use super::*;
-use forkshift_wire::users::Priority;
+use crate::world::Plan;
 
 fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: JobId::parse(id).unwrap(),
-        class: "c".into(),
         team: "t".into(),
-        kind: JobKind::Array,
-        priority: Priority::Normal,
-        tasks,
         cpus: 1.0,
         gpus: 2.0,
-        memory_gb: 1.0,
-        image: "i".into(),
-        image_gb: 1.0,
         types: Some(vec!["g".into()]),
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
+        ..Plan::plain(0, 0, JobKind::Array, tasks, 1_000).spec
     }
 }
 
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -2,30 +2,16 @@
 
 use super::*;
 use crate::check::Rule;
-use forkshift_wire::users::{JobStage, Priority};
+use crate::world::Plan;
+use forkshift_wire::users::JobStage;
 
 fn spec() -> JobSpec {
     JobSpec {
-        id: JobId::new("j-1"),
-        class: "c".into(),
         team: "t".into(),
-        kind: JobKind::Array,
-        priority: Priority::Normal,
-        tasks: 1,
         cpus: 1.0,
         gpus: 0.0,
-        memory_gb: 1.0,
-        image: "i".into(),
         image_gb: 0.0,
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
+        ..Plan::plain(1, 0, JobKind::Array, 1, 1_000).spec
     }
 }
 
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -27,6 +27,44 @@
 }
 
 impl Plan {
+    /// A plain job, of which a test changes what matters to it: it may run on
+    /// any ordinary machine, and its estimate is exact.
+    pub fn plain(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms) -> Self {
+        let estimate_s = match kind {
+            JobKind::Service => 0.0,
+            _ => run_ms as f64 / 1000.0,
+        };
+        let spec = JobSpec {
+            id: JobId::new(&format!("j-{n}")),
+            class: "work".to_owned(),
+            team: "team-0".to_owned(),
+            kind,
+            priority: Priority::Normal,
+            tasks,
+            cpus: 2.0,
+            gpus: 4.0,
+            memory_gb: 4.0,
+            image: "img".to_owned(),
+            image_gb: 1.0,
+            types: None,
+            zone: None,
+            one_zone: false,
+            spread: false,
+            spot: false,
+            estimate_s,
+            checkpoint_s: 0.0,
+            save_s: 0.0,
+            deadline_s: None,
+        };
+        Self {
+            at,
+            spec,
+            run_ms,
+            cancel_at: None,
+            at_node: None,
+        }
+    }
+
     /// A job drawn at random that runs longer than most of `random`, and is
     /// cancelled more often.
     pub fn long(rng: &mut StdRng, n: u32, at: Ms) -> Self {
--- a/crates/testkit/tests/arranged.rs
+++ b/crates/testkit/tests/arranged.rs
@@ -2,7 +2,7 @@
 //! do what they say.
 
 use forkshift_testkit::{Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
-use forkshift_wire::users::{JobKind, JobSpec, Priority};
+use forkshift_wire::users::JobKind;
 use forkshift_wire::JobId;
 
 fn id(n: u32) -> JobId {
@@ -12,32 +12,9 @@
 /// A long array of two tasks.
 fn job(n: u32, cancel_at: Option<u64>, at_node: Option<Who>) -> Plan {
     Plan {
-        at: 2_000,
-        run_ms: 200_000,
         cancel_at,
         at_node,
-        spec: JobSpec {
-            id: id(n),
-            class: "work".to_owned(),
-            team: "team-0".to_owned(),
-            kind: JobKind::Array,
-            priority: Priority::Normal,
-            tasks: 2,
-            cpus: 2.0,
-            gpus: 4.0,
-            memory_gb: 4.0,
-            image: "img".to_owned(),
-            image_gb: 1.0,
-            types: None,
-            zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s: 200.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
-            deadline_s: None,
-        },
+        ..Plan::plain(n, 2_000, JobKind::Array, 2, 200_000)
     }
 }
 
--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -3,7 +3,7 @@
 //! makes sure that its faults did coincide.
 
 use forkshift_testkit::{Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
-use forkshift_wire::users::{JobKind, JobSpec, Priority};
+use forkshift_wire::users::JobKind;
 use forkshift_wire::JobId;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -15,38 +15,10 @@
 }
 
 fn job(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> Plan {
-    let estimate_s = match kind {
-        JobKind::Service => 0.0,
-        _ => run_ms as f64 / 1000.0,
-    };
-    Plan {
-        at,
-        run_ms,
-        cancel_at,
-        at_node: None,
-        spec: JobSpec {
-            id: id(n),
-            class: "work".to_owned(),
-            team: "team-0".to_owned(),
-            kind,
-            priority: Priority::Normal,
-            tasks,
-            cpus: 2.0,
-            gpus: 2.0,
-            memory_gb: 4.0,
-            image: "img".to_owned(),
-            image_gb: 1.0,
-            types: None,
-            zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
-            deadline_s: None,
-        },
-    }
+    let mut plan = Plan::plain(n, at, kind, tasks, run_ms);
+    plan.spec.gpus = 2.0;
+    plan.cancel_at = cancel_at;
+    plan
 }
 
 fn mixed(seed: u64, n: u32) -> Vec<Plan> {
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -2,8 +2,7 @@
 //! a job unserved, and some random ones from fixed seeds.
 
 use forkshift_testkit::{random_faults, random_faults_once, Fault, FaultKind, Plan, Size, World};
-use forkshift_wire::users::{JobKind, JobSpec, Priority};
-use forkshift_wire::JobId;
+use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -199,34 +198,7 @@
 /// its requests: the cloud would repeat old answers, and nothing would be rented.
 #[test]
 fn a_controller_that_leads_twice_still_rents() {
-    let job = |n: u32, at: u64| Plan {
-        at,
-        run_ms: 5_000,
-        cancel_at: None,
-        at_node: None,
-        spec: JobSpec {
-            id: JobId::new(&format!("j-{n}")),
-            class: "work".to_owned(),
-            team: "team-0".to_owned(),
-            kind: JobKind::Array,
-            priority: Priority::Normal,
-            tasks: 2,
-            cpus: 2.0,
-            gpus: 4.0,
-            memory_gb: 4.0,
-            image: "img".to_owned(),
-            image_gb: 1.0,
-            types: None,
-            zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s: 5.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
-            deadline_s: None,
-        },
-    };
+    let job = |n: u32, at: u64| Plan::plain(n, at, JobKind::Array, 2, 5_000);
     let refuse = |node, at, time| Fault {
         at,
         kind: FaultKind::Refuse { node, time },
--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -4,7 +4,7 @@
 //! the old holder. The task must be gone in time all the same.
 
 use forkshift_testkit::{Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
-use forkshift_wire::users::{JobKind, JobSpec, Priority};
+use forkshift_wire::users::JobKind;
 use forkshift_wire::JobId;
 
 /// When the service begins to refuse the holder.
@@ -64,32 +64,9 @@
 /// A long array of two tasks.
 fn job(n: u32, cancel_at: Option<u64>) -> Plan {
     Plan {
-        at: 2_000,
-        run_ms: 300_000,
         cancel_at,
         at_node: Some(Who::HolderOf(id(n))),
-        spec: JobSpec {
-            id: id(n),
-            class: "work".to_owned(),
-            team: "team-0".to_owned(),
-            kind: JobKind::Array,
-            priority: Priority::Normal,
-            tasks: 2,
-            cpus: 2.0,
-            gpus: 4.0,
-            memory_gb: 4.0,
-            image: "img".to_owned(),
-            image_gb: 1.0,
-            types: None,
-            zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s: 300.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
-            deadline_s: None,
-        },
+        ..Plan::plain(n, 2_000, JobKind::Array, 2, 300_000)
     }
 }
 
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -2,7 +2,7 @@
 //! in them.
 
 use forkshift_testkit::{Day, Draw, Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
-use forkshift_wire::users::{JobKind, JobSpec, JobStage, Priority};
+use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::JobId;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -102,34 +102,11 @@
 }
 
 fn job(n: u32, at: u64, run_ms: u64) -> Plan {
-    Plan {
-        at,
-        run_ms,
-        cancel_at: None,
-        at_node: None,
-        spec: JobSpec {
-            id: JobId::new(&format!("j-{n}")),
-            class: "work".to_owned(),
-            team: "team-0".to_owned(),
-            kind: JobKind::Array,
-            priority: Priority::Normal,
-            tasks: 1,
-            cpus: 1.0,
-            gpus: 1.0,
-            memory_gb: 1.0,
-            image: "img".to_owned(),
-            image_gb: 1.0,
-            types: None,
-            zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s: run_ms as f64 / 1000.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
-            deadline_s: None,
-        },
-    }
+    let mut plan = Plan::plain(n, at, JobKind::Array, 1, run_ms);
+    plan.spec.cpus = 1.0;
+    plan.spec.gpus = 1.0;
+    plan.spec.memory_gb = 1.0;
+    plan
 }
 
 /// A submission is written at once or seconds later, and in both cases nobody
