--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -7,6 +7,7 @@
 use crate::records::{DemandRecord, ShareId};
 use crate::store::{StateCall, Store, Urgency};
 use crate::Ms;
+use forkshift_wire::cloud::Machines;
 use forkshift_wire::peer::{Body, Envelope, VERSION};
 use forkshift_wire::state::{Txn, TxnReply};
 use forkshift_wire::users::JobSpec;
@@ -560,6 +561,13 @@
         self.call(Target::Cloud, method, path, body, 5_000, pending)
     }
 
+    /// Has the cloud delete machines.
+    pub(crate) fn delete_machines(&mut self, machines: Vec<MachineId>, pending: Pending) {
+        let body = serde_json::to_vec(&Machines { machines }).unwrap_or_default();
+        let path = "/machines/delete".to_owned();
+        self.cloud("POST", path, Some(body), pending);
+    }
+
     pub(crate) fn worker(
         &mut self,
         addr: &str,
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -3,7 +3,7 @@
 //! A task that may have been started is gone only if a message says that it
 //! exited; if the message is from a later session of the worker; if it echoes
 //! a token minted after the start was last sent, and does not list the task;
-//! or if the machine's deletion was answered. FailureDetector proves nothing.
+//! or if the machine's deletion was answered. Silence proves nothing.
 
 use crate::context::Context;
 use crate::job::{Binding, Sent, Stop};
--- a/crates/core/src/leader/deletion.rs
+++ b/crates/core/src/leader/deletion.rs
@@ -7,7 +7,7 @@
 use crate::records::{machine_key, LEADER};
 use crate::store::Urgency;
 use crate::view::View;
-use forkshift_wire::cloud::{Machines, DELETE_MOST};
+use forkshift_wire::cloud::DELETE_MOST;
 use forkshift_wire::state::{Cond, Txn, Write};
 use forkshift_wire::MachineId;
 use serde_json::to_value;
@@ -48,12 +48,10 @@
     /// Sends one request for the deletion of some machines.
     pub(super) fn send_delete(&mut self, ctx: &mut Context, machines: Vec<MachineId>) {
         self.deleting.extend(machines.iter().cloned());
-        let body = Machines {
+        let pending = Pending::Delete {
             machines: machines.clone(),
         };
-        let body = serde_json::to_vec(&body).unwrap_or_default();
-        let path = "/machines/delete".to_owned();
-        ctx.cloud("POST", path, Some(body), Pending::Delete { machines });
+        ctx.delete_machines(machines, pending);
     }
 
     /// The cloud has answered a deletion: the records of machines that are gone
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -1,4 +1,4 @@
-//! Hints between controllers.
+//! Messages between controllers.
 //!
 //! What they say can be read in the state service as well, so nothing rests
 //! on them: they save the time until a watch shows it.
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -8,7 +8,7 @@
 use crate::view::View;
 use crate::Ms;
 use forkshift_sched::Resources;
-use forkshift_wire::cloud::{Machines, DELETE_MOST};
+use forkshift_wire::cloud::DELETE_MOST;
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -192,15 +192,12 @@
             self.id,
             due.len()
         );
-        let machines = due.clone();
-        let body = serde_json::to_vec(&Machines { machines }).unwrap_or_default();
-        let (share, epoch, machines) = (self.id, self.epoch, due);
         let pending = Pending::Evict {
-            share,
-            epoch,
-            machines,
+            share: self.id,
+            epoch: self.epoch,
+            machines: due.clone(),
         };
-        ctx.cloud("POST", "/machines/delete".to_owned(), Some(body), pending);
+        ctx.delete_machines(due, pending);
     }
 
     /// What the cloud has answered to a deletion of ours.
