--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Messages that wait for a peer; more are dropped, since whatever they say is also in the state service.
+/// Messages that wait for a peer; more are dropped, since nothing rests on any
+/// single one of them.
 const QUEUE_MOST: usize = 128;
 /// Time for connecting, and for one message to go out.
 const SEND: Duration = Duration::from_secs(2);
