--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -35,19 +35,11 @@
                 None => free.push(k),
             }
         }
+        self.retain_assignable(ctx, view, &mut free);
         // All of them at once: after a crash of most controllers, workers are
         // left with what remains of their leases. Each share takes a value of
         // the epoch counter, which is written once.
-        // When all start at once, the leader waits a little for those that are
-        // not there yet, lest the first one be given everything. Where one
-        // has stayed, shares are not kept waiting for those that may return.
-        let all_free = free.len() == ctx.cfg.shares() as usize;
-        let early = all_free && ctx.now < self.active_since + ctx.cfg.node_lease_ms() / 2;
         let home = |k: &ShareId| ctx.cfg.nodes.get(k.0 as usize);
-        free.retain(|k| {
-            let there = home(k).is_some_and(|n| view.nodes.contains_key(n));
-            !self.assigning.contains(k) && (there || !early)
-        });
         let most = ctx.cfg.txn_ops - 1;
         let mut given = Vec::new();
         for k in free.into_iter().take(most) {
@@ -69,6 +61,20 @@
         }
     }
 
+    /// Keeps of the free shares those that can be given now. When all
+    /// controllers start at once, the leader waits a little for those that are
+    /// not there yet, lest the first one be given everything. Where one has
+    /// stayed, shares are not kept waiting for those that may return.
+    fn retain_assignable(&self, ctx: &Context, view: &View, free: &mut Vec<ShareId>) {
+        let all_free = free.len() == ctx.cfg.shares() as usize;
+        let early = all_free && ctx.now < self.active_since + ctx.cfg.node_lease_ms() / 2;
+        free.retain(|k| {
+            let home = ctx.cfg.nodes.get(k.0 as usize);
+            let there = home.is_some_and(|n| view.nodes.contains_key(n));
+            !self.assigning.contains(k) && (there || !early)
+        });
+    }
+
     /// Asks for one share at a time from the controller that holds most, for the
     /// one that holds least, if the difference is more than one share.
     fn balance(&mut self, ctx: &mut Context, view: &View, load: &BTreeMap<&NodeName, u32>) {
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -4,9 +4,10 @@
 
 use super::Leader;
 use crate::context::{Context, Pending};
-use crate::records::type_key;
+use crate::records::{type_key, MachineRecord};
 use crate::store::Urgency;
 use crate::view::View;
+use crate::Ms;
 use forkshift_wire::cloud::{Catalog, Listed, MachineList, MachineStage, DELETE_MOST, LIST_MOST};
 use forkshift_wire::state::{Txn, Write};
 use forkshift_wire::MachineId;
@@ -15,6 +16,19 @@
 
 /// A machine that has not come up after this many boots never will.
 const BOOTS_MOST: f64 = 3.0;
+/// Pause before the catalogue is read again if no answer came.
+const CATALOG_RETRY: Ms = 5_000;
+/// Pause between two looks at the prices.
+const CATALOG_PAUSE: Ms = 60_000;
+/// The same while a type's record is not seen yet.
+const CATALOG_UNKNOWN_PAUSE: Ms = 1_000;
+/// Least pause between two lists.
+const LIST_PAUSE_LEAST: Ms = 2_000;
+/// Boot time that is assumed of a type that is not known, in seconds.
+pub(super) const BOOT_S_UNKNOWN: f64 = 60.0;
+/// After this many times the list's lag a machine should be listed, and the
+/// record of a listed one seen.
+const SETTLED_LAGS: u64 = 4;
 /// A machine missing from this many lists in a row is gone.
 const ABSENT_LISTS: u32 = 3;
 
@@ -22,12 +36,12 @@
     /// Reads the catalogue and the list of machines when they are due.
     pub(super) fn look(&mut self, ctx: &mut Context) {
         if ctx.now >= self.catalog_at && self.may_call(ctx) {
-            self.catalog_at = ctx.now + 5_000;
+            self.catalog_at = ctx.now + CATALOG_RETRY;
             ctx.cloud("GET", "/catalog".to_owned(), None, Pending::Catalog);
         }
         if !self.listing && ctx.now >= self.list_at && self.may_call(ctx) {
             self.listing = true;
-            self.list_at = ctx.now + ctx.cfg.list_lag_ms.max(2_000);
+            self.list_at = ctx.now + ctx.cfg.list_lag_ms.max(LIST_PAUSE_LEAST);
             self.list(ctx, Vec::new());
         }
     }
@@ -60,7 +74,12 @@
             .types
             .iter()
             .all(|t| view.types.contains_key(&t.name));
-        self.catalog_at = ctx.now + if all_known { 60_000 } else { 1_000 };
+        self.catalog_at = ctx.now
+            + if all_known {
+                CATALOG_PAUSE
+            } else {
+                CATALOG_UNKNOWN_PAUSE
+            };
         for t in catalog.types {
             let known = view.types.get(&t.name);
             if known.is_some_and(|k| k.rec == t) {
@@ -100,47 +119,72 @@
             return;
         }
         let listed: BTreeMap<&MachineId, &Listed> = page.iter().map(|m| (&m.id, m)).collect();
-        let mut condemn: Vec<(MachineId, &str)> = Vec::new();
+        self.condemn_listed(ctx, view, &listed);
+        self.return_unknown(ctx, view, &page);
+        self.seen
+            .retain(|id, _| view.machines.contains_key(id) || listed.contains_key(id));
+        self.absent.retain(|id, _| view.machines.contains_key(id));
+    }
+
+    /// Gives up machines that failed, never came up, or are gone from the list.
+    fn condemn_listed(
+        &mut self,
+        ctx: &mut Context,
+        view: &View,
+        listed: &BTreeMap<&MachineId, &Listed>,
+    ) {
         for (id, machine) in &view.machines {
-            let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
-            let boot = view
-                .types
-                .get(&machine.rec.machine_type)
-                .map_or(60.0, |t| t.rec.boot_s);
-            let up = machine.rec.addr.is_some();
-            let late = !up && known_for > crate::ms(boot * BOOTS_MOST);
-            match listed.get(id) {
-                Some(l) if l.stage == MachineStage::Failed => {
-                    condemn.push((id.clone(), "it failed"))
-                }
-                _ if late => condemn.push((id.clone(), "it never came up")),
-                Some(_) => {
-                    self.absent.remove(id);
-                }
-                None if known_for > ctx.cfg.list_lag_ms * 4 => {
-                    // Lists may be older than those before them.
-                    let n = self.absent.entry(id.clone()).or_default();
-                    *n += 1;
-                    if *n >= ABSENT_LISTS {
-                        condemn.push((id.clone(), "it is gone from the list"));
-                    }
-                }
-                None => {}
+            let listed = listed.get(id).copied();
+            if let Some(why) = self.why_condemn(ctx, view, id, &machine.rec, listed) {
+                self.condemn(ctx, view, id, why);
             }
         }
-        for (id, why) in condemn {
-            self.condemn(ctx, view, &id, why);
+    }
+
+    /// Why a machine is to be given up, as far as a list shows.
+    fn why_condemn(
+        &mut self,
+        ctx: &Context,
+        view: &View,
+        id: &MachineId,
+        rec: &MachineRecord,
+        listed: Option<&Listed>,
+    ) -> Option<&'static str> {
+        let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
+        let of_type = view.types.get(&rec.machine_type);
+        let boot_s = of_type.map_or(BOOT_S_UNKNOWN, |t| t.rec.boot_s);
+        let late = rec.addr.is_none() && known_for > crate::ms(boot_s * BOOTS_MOST);
+        match listed {
+            Some(l) if l.stage == MachineStage::Failed => Some("it failed"),
+            _ if late => Some("it never came up"),
+            Some(_) => {
+                self.absent.remove(id);
+                None
+            }
+            None if known_for > ctx.cfg.list_lag_ms * SETTLED_LAGS => {
+                // Lists may be older than those before them.
+                let lists = self.absent.entry(id.clone()).or_default();
+                *lists += 1;
+                (*lists >= ABSENT_LISTS).then_some("it is gone from the list")
+            }
+            None => None,
         }
-        // What nobody rented as far as we know was rented by a request that
-        // came late. Nothing was ever started there.
-        // Without a right we may have a successor, whose machines our view
-        // does not show.
-        let settled =
-            ctx.entitled && view.rental_intents.is_empty() && self.intents_being_written.is_empty();
-        let unknown: Vec<MachineId> = page
+    }
+
+    /// Returns machines that nobody rented as far as we know: they were rented
+    /// by a request that came late, and nothing was ever started there. Without
+    /// a valid lease we may have a successor, whose machines our view does not
+    /// show.
+    fn return_unknown(&mut self, ctx: &mut Context, view: &View, listed: &[Listed]) {
+        let no_intents = view.rental_intents.is_empty() && self.intents_being_written.is_empty();
+        if !ctx.entitled || !no_intents {
+            return;
+        }
+        let settled_ms = ctx.cfg.list_lag_ms as f64 * SETTLED_LAGS as f64;
+        let unknown: Vec<MachineId> = listed
             .iter()
             .filter(|m| !view.machines.contains_key(&m.id) && !self.deleting.contains(&m.id))
-            .filter(|m| settled && m.age_s * 1000.0 > ctx.cfg.list_lag_ms as f64 * 4.0)
+            .filter(|m| m.age_s * 1000.0 > settled_ms)
             .filter(|m| !self.seen.contains_key(&m.id))
             .map(|m| m.id.clone())
             .take(DELETE_MOST)
@@ -149,8 +193,5 @@
             log::info!("{} unknown machines are returned", unknown.len());
             self.send_delete(ctx, unknown);
         }
-        self.seen
-            .retain(|id, _| view.machines.contains_key(id) || listed.contains_key(id));
-        self.absent.retain(|id, _| view.machines.contains_key(id));
     }
 }
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -2,9 +2,9 @@
 
 use super::{total_in, Leader};
 use crate::context::{Context, Pending};
-use crate::records::{machine_key, DemandRecord, ShapeRecord, ShareId};
+use crate::records::{machine_key, DemandRecord, MachineRecord, ShapeRecord, ShareId};
 use crate::store::Urgency;
-use crate::view::View;
+use crate::view::{Stamped, View};
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::state::{Txn, Write};
@@ -76,24 +76,34 @@
                     let mut room = total_in(view, &machine.rec.machine_type).unwrap_or_default();
                     left -= book(&mut room, &task, left);
                     coming.push(room);
-                    log::info!(
-                        "machine {id}: asked of share {} for share {k}",
-                        machine.rec.share
-                    );
-                    let mut rec = machine.rec.clone();
-                    rec.want = Some(*k);
-                    let key = machine_key(&id);
-                    let txn = Txn {
-                        conds: self.conds(view, key.clone(), machine.version),
-                        writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
-                    };
-                    self.lending.insert(id, machine.version);
-                    ctx.txn(Urgency::Work, &txn, Pending::Housekeeping);
+                    self.ask_for_machine(ctx, view, id, machine, *k);
                 }
             }
         }
     }
 
+    /// Asks the holder of a machine to hand it over to another share.
+    fn ask_for_machine(
+        &mut self,
+        ctx: &mut Context,
+        view: &View,
+        id: MachineId,
+        machine: &Stamped<MachineRecord>,
+        to: ShareId,
+    ) {
+        let from = machine.rec.share;
+        log::info!("machine {id}: asked of share {from} for share {to}");
+        let mut rec = machine.rec.clone();
+        rec.want = Some(to);
+        let key = machine_key(&id);
+        let txn = Txn {
+            conds: self.conds(view, key.clone(), machine.version),
+            writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
+        };
+        self.lending.insert(id, machine.version);
+        ctx.txn(Urgency::Work, &txn, Pending::Housekeeping);
+    }
+
     /// A free machine of another share that a shape may use.
     fn lendable(
         &self,
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -5,10 +5,12 @@
 //! the intent's version. So a new leader can repeat any request, and goes on
 //! recording where the last one stopped.
 
+use super::inventory::BOOT_S_UNKNOWN;
 use super::Leader;
 use crate::context::{revision_of, Context, Pending};
 use crate::records::{
-    machine_key, rental_intent_key, total_of, DemandRecord, MachineRecord, RentalIntent, ShareId,
+    machine_key, rental_intent_key, total_of, DemandRecord, MachineRecord, RentalIntent,
+    ShapeRecord, ShareId,
 };
 use crate::store::Urgency;
 use crate::view::View;
@@ -27,6 +29,9 @@
     machines: Vec<MachineId>,
 }
 
+/// Type and zone, by their numbers in offers, and whether it is a spot machine.
+type OfferedKind = (u16, u16, bool);
+
 /// Machines that shares hold, by type and zone.
 type Held<'a> = HashMap<(ShareId, &'a str, &'a str), u32>;
 
@@ -44,10 +49,20 @@
         if under_way as f64 >= ctx.cfg.cloud_rps.ceil() {
             return;
         }
-        let kinds: Vec<String> = view.types.keys().cloned().collect();
-        let zones = zone_names(view);
+        for (kind, parts) in self.plan_rentals(ctx, view, demands) {
+            self.write_rental_intent(ctx, view, kind, parts);
+        }
+    }
+
+    /// What is to be rented, with the shares that it is for.
+    fn plan_rentals(
+        &self,
+        ctx: &Context,
+        view: &View,
+        demands: &BTreeMap<ShareId, DemandRecord>,
+    ) -> BTreeMap<OfferedKind, Vec<(ShareId, u32)>> {
         let mut held: Option<Held> = None;
-        let mut together: BTreeMap<(u16, u16, bool), Vec<(ShareId, u32)>> = BTreeMap::new();
+        let mut together: BTreeMap<OfferedKind, Vec<(ShareId, u32)>> = BTreeMap::new();
         for (k, demand) in demands {
             let seen = self.acted.get(k).copied().unwrap_or(0);
             if demand.shapes.is_empty() || demand.rev < seen {
@@ -55,52 +70,44 @@
             }
             let held = held.get_or_insert_with(|| held_of(view));
             let offers = self.offers(ctx, view, *k, held);
-            let type_no = |name: &String| kinds.iter().position(|t| t == name).map(|i| i as u16);
-            let zone_no = |name: &String| zones.iter().position(|z| z == name).map(|i| i as u16);
-            let shapes: Vec<Shape> = demand
-                .shapes
-                .iter()
-                .map(|s| Shape {
-                    task: s.resources(),
-                    count: s.n,
-                    types: s
-                        .types
-                        .as_ref()
-                        .map(|t| t.iter().filter_map(type_no).collect()),
-                    zones: s
-                        .zones
-                        .as_ref()
-                        .map(|z| z.iter().filter_map(zone_no).collect()),
-                    spot: s.spot,
-                })
-                .collect();
+            let shapes = shapes_to_rent(view, &demand.shapes);
             let anywhere = shapes.iter().all(|s| s.zones.is_none());
             let offers = if anywhere { few_zones(offers) } else { offers };
             for rental in plan(&shapes, &offers, RENT_MOST) {
                 let o = &offers[rental.offer];
-                let key = (o.machine_type, o.zone, o.spot);
-                together.entry(key).or_default().push((*k, rental.count));
+                let kind = (o.machine_type, o.zone, o.spot);
+                together.entry(kind).or_default().push((*k, rental.count));
             }
         }
-        for ((machine_type, zone, spot), parts) in together {
-            let rec = RentalIntent {
-                parts: cut(parts, RENT_MOST),
-                machine_type: kinds[machine_type as usize].clone(),
-                zone: zones[zone as usize].clone(),
-                spot,
-                placed: 0,
-            };
-            self.intents_written += 1;
-            let request = format!("r-{:x}-{}", ctx.inc, self.intents_written);
-            let key = rental_intent_key(&request);
-            let txn = Txn {
-                conds: self.conds(view, key.clone(), 0),
-                writes: vec![Write::put(key, to_value(&rec).unwrap_or_default())],
-            };
-            let shares = rec.parts.iter().map(|(k, _)| *k).collect();
-            self.intents_being_written.insert(request.clone(), shares);
-            ctx.txn(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
-        }
+        together
+    }
+
+    /// Writes one intent. The name of its request is never used again.
+    fn write_rental_intent(
+        &mut self,
+        ctx: &mut Context,
+        view: &View,
+        (machine_type, zone, spot): OfferedKind,
+        parts: Vec<(ShareId, u32)>,
+    ) {
+        let type_names: Vec<&String> = view.types.keys().collect();
+        let rec = RentalIntent {
+            parts: cut(parts, RENT_MOST),
+            machine_type: type_names[machine_type as usize].clone(),
+            zone: zone_names(view)[zone as usize].clone(),
+            spot,
+            placed: 0,
+        };
+        self.intents_written += 1;
+        let request = format!("r-{:x}-{}", ctx.inc, self.intents_written);
+        let key = rental_intent_key(&request);
+        let txn = Txn {
+            conds: self.conds(view, key.clone(), 0),
+            writes: vec![Write::put(key, to_value(&rec).unwrap_or_default())],
+        };
+        let shares = rec.parts.iter().map(|(k, _)| *k).collect();
+        self.intents_being_written.insert(request.clone(), shares);
+        ctx.txn(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
     }
 
     /// What may be had, as far as is known.
@@ -209,7 +216,7 @@
             let boot = view
                 .types
                 .get(&rec.machine_type)
-                .map_or(60.0, |t| t.rec.boot_s);
+                .map_or(BOOT_S_UNKNOWN, |t| t.rec.boot_s);
             let (_, last) = self.refused.get(&kind).copied().unwrap_or((0, 0));
             let least = crate::ms(boot / 5.0).max(1);
             let pause = (last * 2).clamp(least, crate::ms(boot).max(least));
@@ -319,6 +326,24 @@
     }
 }
 
+/// The shapes of a demand, with types and zones by their numbers in offers.
+fn shapes_to_rent(view: &View, shapes: &[ShapeRecord]) -> Vec<Shape> {
+    let zones = zone_names(view);
+    let type_no = |name: &String| view.types.keys().position(|t| t == name).map(|i| i as u16);
+    let zone_no = |name: &String| zones.iter().position(|z| z == name).map(|i| i as u16);
+    let numbers_of = |names: &Vec<String>, no: &dyn Fn(&String) -> Option<u16>| {
+        names.iter().filter_map(no).collect()
+    };
+    let shape = |s: &ShapeRecord| Shape {
+        task: s.resources(),
+        count: s.n,
+        types: s.types.as_ref().map(|t| numbers_of(t, &type_no)),
+        zones: s.zones.as_ref().map(|z| numbers_of(z, &zone_no)),
+        spot: s.spot,
+    };
+    shapes.iter().map(shape).collect()
+}
+
 /// Counts the machines that shares hold.
 fn held_of(view: &View) -> Held<'_> {
     let mut held = Held::new();
