--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -37,6 +37,7 @@
 }
 
 impl Node {
+    /// Takes a request: passes it on to another controller, or deals with it here.
     pub(crate) fn on_request(
         &mut self,
         request: RequestId,
@@ -201,6 +202,7 @@
         self.ctx.txn(Urgency::User, &txn, pending);
     }
 
+    /// The transaction that accepts a job was answered.
     pub(crate) fn on_created(&mut self, creation: Creation, code: u16, body: &[u8]) {
         let Creation {
             request,
@@ -291,6 +293,7 @@
         self.ctx.read(Urgency::User, path, pending);
     }
 
+    /// The read of a job's record was answered.
     pub(crate) fn on_lookup(
         &mut self,
         request: RequestId,
@@ -396,6 +399,7 @@
         self.ctx.txn(Urgency::User, &txn, Pending::Abort(poll));
     }
 
+    /// The write of a key that asks for a cancellation was answered.
     pub(crate) fn on_abort_put(&mut self, mut poll: AbortPoll, code: u16, body: &[u8]) {
         if code == 200 {
             poll.version = revision_of(body);
@@ -410,6 +414,7 @@
         self.ctx.read(Urgency::User, path, Pending::AbortPoll(poll));
     }
 
+    /// The read that shows whether a cancellation was carried out was answered.
     pub(crate) fn on_abort_poll(&mut self, poll: AbortPoll, code: u16, body: &[u8]) {
         let AbortPoll {
             request,
@@ -546,6 +551,8 @@
 }
 
 impl Context {
+    /// How long a machine may be silent before it is given up, when nothing else
+    /// explains its silence.
     pub(crate) fn silent_ms(&self) -> Ms {
         (self.cfg.lease_ms as f64 * self.cfg.ops.silent_leases) as Ms
     }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -158,6 +158,7 @@
         }
     }
 
+    /// Another controller tells what it needs.
     pub(crate) fn on_need(&mut self, now: Ms, from: NodeName, inc: u64, rate: Use, granted: bool) {
         let need = Need {
             at: now,
@@ -168,6 +169,7 @@
         self.needs.insert(from, need);
     }
 
+    /// The leader grants a part of the budget.
     pub(crate) fn on_grant(&mut self, ctx: &Context, leader: NodeName, inc: u64, rate: Use) {
         self.grant = Some(grant(ctx, leader, inc, rate));
     }
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/commands.rs
@@ -141,6 +141,7 @@
         commands
     }
 
+    /// A call to a worker has ended, with or without an answer.
     pub(crate) fn on_commands(
         &mut self,
         ctx: &mut Context,
@@ -235,6 +236,7 @@
         Some((token, self.safe_commands(ctx, id)))
     }
 
+    /// The number of the share.
     pub(crate) fn id(&self) -> ShareId {
         self.id
     }
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -111,6 +111,7 @@
         Some(job)
     }
 
+    /// A transaction that writes jobs was answered.
     pub(crate) fn on_txn(
         &mut self,
         ctx: &mut Context,
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -88,6 +88,7 @@
 }
 
 impl Reply {
+    /// An answer with a JSON body.
     pub(crate) fn json(status: u16, body: &impl Serialize) -> Self {
         Self {
             status,
@@ -96,6 +97,7 @@
         }
     }
 
+    /// An answer that says what was wrong.
     pub(crate) fn error(status: u16, error: &str) -> Self {
         let error = error.to_owned();
         Self::json(status, &forkshift_wire::users::Refusal { error })
@@ -336,6 +338,7 @@
 const STATE_TIMEOUT: Ms = 2_000;
 
 impl Context {
+    /// The context of a controller that starts.
     pub(crate) fn new(cfg: Rc<Config>, inc: u64, seed: u64) -> Self {
         let n = cfg.nodes.len() as f64;
         Self {
@@ -424,11 +427,13 @@
         request
     }
 
+    /// Drops requests of other controllers that can have no answer in time.
     pub(crate) fn forget_remote(&mut self) {
         let now = self.now;
         self.remote.retain(|_, r| now < r.until);
     }
 
+    /// Answers a request, of a user or of another controller.
     pub(crate) fn respond(&mut self, request: RequestId, reply: Reply) {
         if request.is_remote() {
             if let Some(remote) = self.remote.remove(&request) {
@@ -485,6 +490,7 @@
         self.refused.extend(late.into_iter().map(|c| c.pending));
     }
 
+    /// Reads from the state service.
     pub(crate) fn read(&mut self, urgency: Urgency, path: String, pending: Pending) {
         let call = StateCall {
             method: "GET",
@@ -519,6 +525,7 @@
         self.store.push(Urgency::Member, call);
     }
 
+    /// Sends the state service something other than a transaction.
     pub(crate) fn post(
         &mut self,
         method: &'static str,
@@ -538,6 +545,7 @@
         self.store.push(Urgency::Member, call);
     }
 
+    /// Sends a transaction to the state service.
     pub(crate) fn txn(&mut self, urgency: Urgency, txn: &Txn, pending: Pending) {
         let call = StateCall {
             method: "POST",
@@ -551,6 +559,7 @@
         self.store.push(urgency, call);
     }
 
+    /// Calls the cloud.
     pub(crate) fn cloud(
         &mut self,
         method: &'static str,
@@ -568,6 +577,7 @@
         self.cloud("POST", path, Some(body), pending);
     }
 
+    /// Sends commands to a worker.
     pub(crate) fn worker(
         &mut self,
         addr: &str,
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -122,6 +122,7 @@
         self.on_request(request, method, path, body);
     }
 
+    /// Another controller has answered a request that was passed on.
     pub(crate) fn on_forwarded(&mut self, ask: u64, reply: Reply) {
         let Some(forward) = self.forwards.remove(&ask) else {
             return;
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -68,6 +68,7 @@
 }
 
 impl Block {
+    /// Whether something has changed that is not known to be written.
     pub(crate) fn is_dirty(&self) -> bool {
         self.version > self.committed
     }
@@ -182,10 +183,12 @@
             .collect()
     }
 
+    /// The block in which a task is recorded.
     pub(crate) fn block_of(&self, index: u32) -> u32 {
         index / self.block_size
     }
 
+    /// Whether the job's tasks all run at the same time or not at all.
     pub(crate) fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
@@ -220,6 +223,7 @@
         next
     }
 
+    /// Whether all tasks are done.
     pub(crate) fn is_complete(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
@@ -236,6 +240,7 @@
         !self.is_complete() && (!self.cancelled || self.cancel_durable)
     }
 
+    /// The stage in which the job ends.
     pub(crate) fn final_stage(&self) -> JobStage {
         if self.cancelled {
             JobStage::Cancelled
@@ -266,6 +271,7 @@
             .collect()
     }
 
+    /// What users are told of the job.
     pub(crate) fn status(&self) -> JobStatus {
         let running = self.bound.values();
         let running = running
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -64,10 +64,12 @@
         self.extended
     }
 
+    /// Whether this controller's record is known to be on its lease.
     pub(crate) fn is_registered(&self) -> bool {
         self.registered
     }
 
+    /// Keeps the lease, the record and, if this controller leads, leadership.
     pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View) {
         if !self.asked && ctx.now >= self.next {
             self.ask(ctx);
@@ -135,6 +137,7 @@
         }
     }
 
+    /// The request for a lease was answered.
     pub(crate) fn on_lease(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
         self.asked = false;
         let ttl = ctx.cfg.node_lease_ms();
@@ -149,6 +152,7 @@
         }
     }
 
+    /// The extension of the lease was answered.
     pub(crate) fn on_extend(&mut self, ctx: &Context, sent: Ms, status: u16) {
         self.asked = false;
         let ttl = ctx.cfg.node_lease_ms();
@@ -167,6 +171,7 @@
         }
     }
 
+    /// The write of this controller's record was answered.
     pub(crate) fn on_node_put(&mut self, lease: u64, status: u16, body: &[u8]) {
         self.putting = false;
         let revision = revision_of(body);
@@ -183,6 +188,7 @@
         }
     }
 
+    /// The write of the leader's record was answered.
     pub(crate) fn on_leader_put(&mut self, status: u16, body: &[u8]) {
         self.electing = false;
         let revision = revision_of(body);
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -12,6 +12,7 @@
 use forkshift_wire::{JobId, NodeName};
 
 impl Node {
+    /// Takes in a message from another controller.
     pub(crate) fn on_peer(&mut self, message: &[u8]) {
         let envelope = match Envelope::decode(message) {
             Ok(envelope) => envelope,
--- a/crates/core/src/ranges.rs
+++ b/crates/core/src/ranges.rs
@@ -11,12 +11,14 @@
 }
 
 impl Ranges {
+    /// Adds numbers from `from` up to, not including, `to`.
     pub(crate) fn insert_range(&mut self, from: u32, to: u32) {
         for x in from..to {
             self.insert(x);
         }
     }
 
+    /// Adds a number, and says whether it is new.
     pub(crate) fn insert(&mut self, x: u32) -> bool {
         if self.contains(x) {
             return false;
@@ -37,11 +39,13 @@
         true
     }
 
+    /// Whether a number is in the set.
     pub(crate) fn contains(&self, x: u32) -> bool {
         let run = self.runs.range(..=x).next_back();
         run.is_some_and(|(_, &end)| x < end)
     }
 
+    /// How many numbers are in the set.
     pub(crate) fn len(&self) -> u32 {
         self.len
     }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -177,6 +177,7 @@
         }
     }
 
+    /// Sets what may be used a second.
     pub(crate) fn set_rates(&mut self, rate: &Use) {
         self.requests.set_rate(rate.requests);
         self.writes.set_rate(rate.writes);
@@ -194,6 +195,7 @@
         sent.plus(&waits)
     }
 
+    /// Queues a call.
     pub(crate) fn push(&mut self, urgency: Urgency, call: StateCall) {
         self.next += 1;
         let place = (urgency, self.next);
@@ -235,6 +237,7 @@
         self.out_since
     }
 
+    /// How many calls wait.
     pub(crate) fn len(&self) -> usize {
         self.reads.len() + self.changes.len()
     }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -46,6 +46,7 @@
 }
 
 impl Changed {
+    /// Everything may have changed.
     pub(crate) fn everything() -> Self {
         Self {
             all: true,
