--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -74,13 +74,9 @@
                 let now = self.ctx.now;
                 self.budget.on_need(now, from, inc, rate, granted);
             }
-            Body::Demand { share, demand } => match serde_json::from_str(&demand) {
-                Ok(rec) => {
-                    let now = self.ctx.now;
-                    self.leader.on_demand(now, ShareId(share), epoch, rec);
-                }
-                Err(e) => log::error!("a peer's demand is not understood: {e}"),
-            },
+            Body::Demand { share, demand } => {
+                self.on_demand_message(ShareId(share), epoch, &demand);
+            }
             Body::Grant { writes, requests } => {
                 let rate = Use::from_milli(requests, writes);
                 self.budget.on_grant(&self.ctx, from, inc, rate);
@@ -97,13 +93,25 @@
                     share.told_of(&mut self.ctx, spec, at, revision);
                 }
             }
-            Body::Cancel { id } => {
-                let Some(id) = JobId::parse(&id) else { return };
-                let Node { shares, ctx, .. } = self;
-                for share in shares.values_mut().filter(|s| s.epoch == epoch) {
-                    share.cancel(ctx, &id);
-                }
-            }
+            Body::Cancel { id } => self.on_cancel_message(epoch, &id),
+        }
+    }
+
+    /// A holder tells the leader the unmet demand of its share.
+    fn on_demand_message(&mut self, share: ShareId, epoch: u64, demand: &str) {
+        match serde_json::from_str(demand) {
+            Ok(rec) => self.leader.on_demand(self.ctx.now, share, epoch, rec),
+            Err(e) => log::error!("a peer's demand is not understood: {e}"),
+        }
+    }
+
+    /// A user has asked another controller to cancel a job that is held here,
+    /// under an epoch.
+    fn on_cancel_message(&mut self, epoch: u64, id: &str) {
+        let Some(id) = JobId::parse(id) else { return };
+        let Node { shares, ctx, .. } = self;
+        for share in shares.values_mut().filter(|s| s.epoch == epoch) {
+            share.cancel(ctx, &id);
         }
     }
 
