--- a/crates/core/src/attestation/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -79,6 +79,16 @@
     node.on_heartbeat(&from, 7, beat);
 }
 
+/// Whether a controller goes on answering workers of its share, once peers have
+/// told it something.
+fn holds_on_after(mut node: Node, now: Ms, told: Vec<Says>) -> bool {
+    node.ctx.now = now;
+    for says in told {
+        tell(&mut node, says, vec![]);
+    }
+    node.holds_on(&node.shares[&OURS])
+}
+
 /// Once, an old holder answered its workers for as long as it heard any peer,
 /// though a third controller may have confirmed a cancellation in its stead
 /// just before an outage. It goes on only on the word of all of them.
@@ -166,13 +176,7 @@
         ),
     ];
     for (name, told, now, holds) in cases {
-        let mut node = node();
-        node.ctx.now = now;
-        for says in told {
-            tell(&mut node, says, vec![]);
-        }
-        let share = &node.shares[&OURS];
-        assert_eq!(node.holds_on(share), holds, "{name}");
+        assert_eq!(holds_on_after(node(), now, told), holds, "{name}");
     }
 }
 
@@ -249,12 +253,7 @@
         if let Some(since) = ours {
             store.heard(503, since, rng);
         }
-        node.ctx.now = now;
-        for says in told {
-            tell(&mut node, says, vec![]);
-        }
-        let share = &node.shares[&OURS];
-        assert_eq!(node.holds_on(share), holds, "{name}");
+        assert_eq!(holds_on_after(node, now, told), holds, "{name}");
     }
 }
 
