--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -218,7 +218,7 @@
                 self.tell_new_job(share, &spec, revision);
                 if let Some(share) = self.shares.get_mut(&share) {
                     let at = self.ctx.wall;
-                    share.told_of(&mut self.ctx, spec, at, revision);
+                    share.on_job_accepted(&mut self.ctx, spec, at, revision);
                 }
                 let reply = Reply::json(201, &status(&id, JobStage::Queued));
                 self.ctx.respond(request, reply);
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -62,11 +62,11 @@
     lending: HashMap<MachineId, u64>,
     /// The revision at which lending was last considered.
     lent_rev: u64,
-    /// What holders told of their shares, under which epoch and when.
-    told: BTreeMap<ShareId, (u64, Ms, DemandRecord)>,
-    /// Whether something was told since lending was last considered.
-    told_new: bool,
-    /// When lending and renting were last thought about.
+    /// Demands that holders reported of their shares, under which epoch and when.
+    reported: BTreeMap<ShareId, (u64, Ms, DemandRecord)>,
+    /// Whether a demand was reported since lending was last considered.
+    new_reports: bool,
+    /// When lending and renting were last considered.
     planned_at: Ms,
     /// Controllers that are alive, with their starts and since when.
     nodes: BTreeMap<NodeName, (u64, Ms)>,
@@ -101,8 +101,8 @@
             absent: HashMap::new(),
             lending: HashMap::new(),
             lent_rev: 0,
-            told: BTreeMap::new(),
-            told_new: false,
+            reported: BTreeMap::new(),
+            new_reports: false,
             planned_at: 0,
             nodes: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -159,14 +159,14 @@
         if ctx.now >= self.planned_at + gap {
             self.planned_at = ctx.now;
             let demands = self.demands(ctx, view);
-            if view.revision > self.lent_rev || self.told_new {
+            if view.revision > self.lent_rev || self.new_reports {
                 self.lent_rev = view.revision;
-                self.told_new = false;
+                self.new_reports = false;
                 self.lend(ctx, view, &demands);
             }
             self.write_rental_intents(ctx, view, &demands);
         }
-        self.look(ctx);
+        self.poll_cloud(ctx);
     }
 
     /// Notes since when machines have been known. A deletion of what the view
@@ -221,16 +221,16 @@
 
     /// Returns true if the cloud refused the call for a reason that may pass,
     /// and pauses all calls then. A lack of capacity is an answer.
-    fn trouble(&mut self, ctx: &Context, status: u16, body: &[u8]) -> bool {
-        let trouble = match status {
+    fn cloud_unavailable(&mut self, ctx: &Context, status: u16, body: &[u8]) -> bool {
+        let unavailable = match status {
             0 | 429 => true,
             503 => !String::from_utf8_lossy(body).contains("capacity"),
             _ => false,
         };
-        if trouble {
+        if unavailable {
             self.pause_until = ctx.now + 500;
         }
-        trouble
+        unavailable
     }
 }
 
--- a/crates/core/src/leader/deletion.rs
+++ b/crates/core/src/leader/deletion.rs
@@ -67,7 +67,7 @@
         for id in &machines {
             self.deleting.remove(id);
         }
-        if self.trouble(ctx, status, body) || status != 200 {
+        if self.cloud_unavailable(ctx, status, body) || status != 200 {
             return;
         }
         // The machines are gone: their records say so by going, too.
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -34,7 +34,7 @@
 
 impl Leader {
     /// Reads the catalogue and the list of machines when they are due.
-    pub(super) fn look(&mut self, ctx: &mut Context) {
+    pub(super) fn poll_cloud(&mut self, ctx: &mut Context) {
         if ctx.now >= self.catalog_at && self.may_call(ctx) {
             self.catalog_at = ctx.now + CATALOG_RETRY;
             ctx.cloud("GET", "/catalog".to_owned(), None, Pending::Catalog);
@@ -57,7 +57,7 @@
 
     /// The cloud has sent its catalogue: types that changed are written.
     pub(crate) fn on_catalog(&mut self, ctx: &mut Context, view: &View, status: u16, body: &[u8]) {
-        if self.trouble(ctx, status, body) || status != 200 {
+        if self.cloud_unavailable(ctx, status, body) || status != 200 {
             return;
         }
         let catalog: Catalog = match serde_json::from_slice(body) {
@@ -105,7 +105,7 @@
         body: &[u8],
     ) {
         self.listing = false;
-        if self.trouble(ctx, status, body) {
+        if self.cloud_unavailable(ctx, status, body) {
             return;
         }
         let list: Option<MachineList> = serde_json::from_slice(body).ok();
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -12,24 +12,24 @@
 use serde_json::to_value;
 use std::collections::BTreeMap;
 
-/// What a holder told of its share counts for this many rounds.
-const TOLD_ROUNDS: f64 = 4.0;
+/// A demand that a holder reported counts for this many rounds.
+const REPORT_ROUNDS: f64 = 4.0;
 
 impl Leader {
-    /// A holder tells the unmet demand of its share.
+    /// A holder reports the unmet demand of its share.
     pub(crate) fn on_demand(&mut self, now: Ms, k: ShareId, epoch: u64, rec: DemandRecord) {
-        if self.told.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
-            self.told.insert(k, (epoch, now, rec));
-            self.told_new = true;
+        if self.reported.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
+            self.reported.insert(k, (epoch, now, rec));
+            self.new_reports = true;
         }
     }
 
-    /// Unmet demand: what holders told lately, or else have written.
+    /// Unmet demand: what holders reported lately, or else have written.
     pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShareId, DemandRecord> {
-        let valid = crate::ms(ctx.cfg.ops.round_s * TOLD_ROUNDS);
+        let valid = crate::ms(ctx.cfg.ops.round_s * REPORT_ROUNDS);
         let written = view.demands.iter().map(|(k, d)| (*k, d.rec.clone()));
         let mut demands: BTreeMap<ShareId, DemandRecord> = written.collect();
-        for (k, (epoch, at, rec)) in &self.told {
+        for (k, (epoch, at, rec)) in &self.reported {
             let current = view.shares.get(k).is_some_and(|s| s.rec.epoch == *epoch);
             if current && ctx.now <= at + valid {
                 demands.insert(*k, rec.clone());
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -199,7 +199,7 @@
             self.renting.remove(request);
             return;
         };
-        if self.trouble(ctx, status, body) {
+        if self.cloud_unavailable(ctx, status, body) {
             self.renting.remove(request);
             return;
         }
@@ -238,12 +238,12 @@
             machines,
         };
         self.outcomes.insert(request.to_owned(), outcome);
-        self.record(ctx, view, request);
+        self.record_outcome(ctx, view, request);
     }
 
     /// Writes the next part of an outcome: records of machines, and how far
     /// the intent has been carried out. The last part removes the intent.
-    fn record(&mut self, ctx: &mut Context, view: &View, request: &str) {
+    fn record_outcome(&mut self, ctx: &mut Context, view: &View, request: &str) {
         let Some(outcome) = self.outcomes.get(request) else {
             return;
         };
@@ -306,7 +306,7 @@
                 outcome.version = revision_of(body);
                 outcome.rec.placed += (ctx.cfg.txn_ops - 1) as u32;
                 if (outcome.rec.placed as usize) < outcome.machines.len() {
-                    self.record(ctx, view, request);
+                    self.record_outcome(ctx, view, request);
                 } else {
                     // The name is done with. It must not be used again while
                     // the view still shows it.
@@ -315,7 +315,7 @@
             }
             // Writing again on the same conditions is safe: if an earlier
             // copy was carried out, this one fails.
-            0 | 429 | 503 if Self::is_leader(ctx, view) => self.record(ctx, view, request),
+            0 | 429 | 503 if Self::is_leader(ctx, view) => self.record_outcome(ctx, view, request),
             // The record is not as we know it: the request is repeated, the
             // cloud gives the same answer, and the view tells how far we are.
             _ => {
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -356,7 +356,7 @@
             if rec.holder != node || rec.inc != inc {
                 if let Some(share) = self.shares.remove(k) {
                     log::info!("share {k}: now with {}", rec.holder);
-                    share.let_go(&mut self.ctx);
+                    share.release(&mut self.ctx);
                 }
                 continue;
             }
@@ -376,7 +376,7 @@
                 }
             }
             if let Some(share) = self.shares.remove(k) {
-                share.let_go(&mut self.ctx);
+                share.release(&mut self.ctx);
             }
             let used = self.used.get(k).copied().unwrap_or(0);
             if rec.epoch > used {
@@ -398,7 +398,7 @@
             // From here on we answer for the share no more, whatever becomes
             // of the request.
             if let Some(share) = self.shares.remove(&k) {
-                share.let_go(&mut self.ctx);
+                share.release(&mut self.ctx);
             }
             hand_over(&mut self.ctx, &self.view, &[(k, to)]);
         }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -90,7 +90,7 @@
                 let share = self.shares.get_mut(&ShareId(share));
                 let share = share.filter(|s| s.epoch == epoch);
                 if let (Some(share), Ok(spec)) = (share, JobSpec::parse(spec.as_bytes())) {
-                    share.told_of(&mut self.ctx, spec, at, revision);
+                    share.on_job_accepted(&mut self.ctx, spec, at, revision);
                 }
             }
             Body::Cancel { id } => self.on_cancel_message(epoch, &id),
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -195,7 +195,7 @@
     }
 
     /// The share is not ours any more: users who wait ask whoever has it.
-    pub(crate) fn let_go(self, ctx: &mut Context) {
+    pub(crate) fn release(self, ctx: &mut Context) {
         let waiters = self.jobs.into_values().flat_map(|j| j.cancel_waiters);
         for request in waiters {
             ctx.respond(request, Reply::later("try again"));
--- a/crates/core/src/share/jobs.rs
+++ b/crates/core/src/share/jobs.rs
@@ -34,7 +34,13 @@
     /// Takes a job on that another controller tells of, if the watch has not
     /// shown it yet. What the watch has passed is known, or over: a late copy
     /// of the message must not bring it back.
-    pub(crate) fn told_of(&mut self, ctx: &mut Context, spec: JobSpec, at: Ms, revision: u64) {
+    pub(crate) fn on_job_accepted(
+        &mut self,
+        ctx: &mut Context,
+        spec: JobSpec,
+        at: Ms,
+        revision: u64,
+    ) {
         if self.phase == Phase::Active && revision > self.live_rev {
             self.add_job(ctx, spec, at, revision);
         }
