--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::fixture::{answer_to, Fixture, EPOCH};
 use crate::job::Sent;
+use forkshift_wire::NodeName;
 use serde_json::json;
 
 fn is_lookup(pending: &Pending) -> bool {
@@ -129,3 +130,48 @@
     let job = f.share().jobs.get(&id);
     assert!(job.is_none_or(|j| j.cancelled));
 }
+
+/// Reports that waited in the sockets while their holder stood still are
+/// answered by the right that it has as it goes on.
+#[test]
+fn a_report_that_waited_through_a_stop() {
+    let settings = Fixture::new().node.ctx.cfg.clone();
+    let right = settings.node_lease_ms();
+    // Without a right a holder goes on answering while nobody can have
+    // confirmed a cancellation in its stead for too long.
+    let grace = settings.grace_ms();
+    for (stop, status) in [(right / 2, 200), (right + grace + 1_000, 421)] {
+        let mut f = Fixture::new();
+        let cfg = std::rc::Rc::get_mut(&mut f.node.ctx.cfg).expect("nobody else has it");
+        cfg.nodes.push(NodeName::new("another"));
+        let token = f.token();
+        let report = f.message(1, token, &[]);
+        let request = crate::ctx::Input::Request {
+            token: Token(1),
+            method: "POST".to_owned(),
+            path: "/v1/report".to_owned(),
+            body: Some(serde_json::to_vec(&report).expect("a report")),
+        };
+        let now = f.node.ctx.now + stop;
+        let effects = f.node.step(now, 0, vec![request]);
+        let answer = answer_to(&effects, 1).expect("an answer");
+        assert_eq!(answer.0, status, "after {stop} ms");
+    }
+}
+
+/// An extension of the lease that was answered while its controller stood still
+/// counts from when it was sent: nothing is answered from memory.
+#[test]
+fn an_extension_that_was_answered_during_a_stop() {
+    let right = Fixture::new().node.ctx.cfg.node_lease_ms();
+    for (stop, from_memory) in [(right / 2, true), (right * 2, false)] {
+        let mut f = Fixture::new();
+        f.job("j-1", JobKind::Array, 1);
+        // It is sent, and everything stops.
+        f.step(right / 4);
+        f.node.ctx.now += stop;
+        f.answer(|p| matches!(p, Pending::Extend { .. }), 200, &json!({}));
+        let answer = f.ask(1, "GET", "/submissions/j-1");
+        assert_eq!(answer.is_some(), from_memory, "after {stop} ms");
+    }
+}
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -169,6 +169,11 @@
     }
 
     pub(crate) fn on_grant(&mut self, ctx: &Ctx, leader: NodeName, inc: u64, rate: Use) {
+        // Having stood still, we may find grants that have been given to others
+        // since: nobody knows how long they waited in the socket.
+        if ctx.now < ctx.awake_since + ctx.beat_ms() {
+            return;
+        }
         self.grant = Some(grant(ctx, leader, inc, rate));
     }
 }
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -119,3 +119,29 @@
     member.now += 60_000;
     assert!(own.rate(&member, &view).writes < 1_000.0);
 }
+
+/// A grant that waited while this controller stood still may have been given
+/// to others since. Until the next one the even share is used, which the leader
+/// keeps back for who has none.
+#[test]
+fn a_grant_from_before_a_stop_is_not_used() {
+    let names = ["n0", "n1"];
+    let view = view(&names);
+    let all = Use {
+        requests: 1e6,
+        writes: 1e6,
+    };
+    // How long it stood still, how long after that the grant is found, and
+    // whether it counts.
+    let cases = [(0, 0, true), (20_000, 0, false), (20_000, 2_000, true)];
+    for (stop, after, counts) in cases {
+        let mut ctx = ctx("n1", &names);
+        let mut budget = Budget::default();
+        let even = budget.rate(&ctx, &view);
+        ctx.note_gap(ctx.now + stop);
+        ctx.now += stop + after;
+        budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
+        let rate = budget.rate(&ctx, &view);
+        assert_eq!(rate != even, counts, "{stop} ms, {after} ms after it");
+    }
+}
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -138,6 +138,9 @@
         self.ctx.note_gap(now);
         self.ctx.now = self.ctx.now.max(now);
         self.ctx.wall = wall;
+        // What waited in the sockets while we stood still is looked at by the
+        // right that we have now, not by the one that we had before.
+        self.ctx.entitled = self.member.has_right(&self.ctx, &self.view);
         for input in inputs {
             match input {
                 Input::Request {
--- a/crates/core/src/silence/tests.rs
+++ b/crates/core/src/silence/tests.rs
@@ -29,3 +29,20 @@
         assert_eq!(cfg.kept_in_cut("in") >= KEPT_LEAST, waits, "{name}");
     }
 }
+
+/// While a controller stood still it could hear nobody: no machine is given up
+/// as it goes on, before the reports that wait in the sockets are read.
+#[test]
+fn a_stop_is_not_taken_for_silence() {
+    for (stands_still, given_up) in [(true, false), (false, true)] {
+        let mut f = crate::fixture::Fixture::new();
+        let patience = f.node.ctx.cfg.lease_ms * 10;
+        let steps = if stands_still { 1 } else { patience / 500 };
+        for _ in 0..steps {
+            f.step(patience / steps);
+        }
+        let id = f.machine.clone();
+        let condemned = f.share().machines[&id].condemned.is_some();
+        assert_eq!(condemned, given_up, "in {steps} steps");
+    }
+}
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -268,7 +268,8 @@
         self.requests.refill(now);
         self.writes.refill(now);
         let mut go = Vec::new();
-        let mut late = Vec::new();
+        // First of all: after standing still, what was decided before is old.
+        let mut late = self.expired(now);
         let mut changes = true;
         let mut from = (Urgency::Member, 0);
         while let Some(place) = self.first(from, changes) {
@@ -304,12 +305,21 @@
                 go.push(call);
             }
         }
+        (go, late)
+    }
+
+    /// Takes calls that waited too long out of the queue.
+    fn expired(&mut self, now: Ms) -> Vec<StateCall> {
+        let mut late = Vec::new();
         while let Some((at, place)) = self.expiries.first().copied() {
             if at > now {
                 break;
             }
             late.extend(self.remove(&place));
         }
-        (go, late)
+        late
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -74,8 +74,9 @@
 
     /// Makes a call, once.
     pub async fn call(&self, call: Call) -> Outcome {
+        let began = Instant::now();
         let work = async {
-            match self.attempt(&call).await {
+            match self.attempt(&call, began).await {
                 Ok(outcome) => outcome,
                 Err(e) => {
                     log::debug!("{} {} {}: {e}", call.addr, call.method, call.path);
@@ -111,12 +112,17 @@
         None
     }
 
-    async fn attempt(&self, call: &Call) -> http_types::Result<Outcome> {
+    async fn attempt(&self, call: &Call, began: Instant) -> http_types::Result<Outcome> {
         let stream = match self.reuse(call.addr) {
             Some(stream) => stream,
             None => Stream::connect(call.addr).await?,
         };
         let guard = CloseOnDrop(Some(stream));
+        // The process may have stood still while it connected. What was to be
+        // sent then is old, and the timer that ends the call has yet to fire.
+        if began.elapsed() >= call.timeout {
+            return Ok(NO_ANSWER);
+        }
         let method = match call.method {
             "GET" => Method::Get,
             "DELETE" => Method::Delete,
--- a/crates/testkit/src/check.rs
+++ b/crates/testkit/src/check.rs
@@ -234,6 +234,11 @@
         self.cancelled_at.get(id).copied()
     }
 
+    /// When a job began: an array with its first task, others with all.
+    pub fn began_at(&self, id: &JobId) -> Option<Ms> {
+        self.begun.get(id).copied()
+    }
+
     /// Tasks of a job that are on machines.
     pub fn running(&self, id: &JobId) -> usize {
         self.on.keys().filter(|t| t.job == *id).count()
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -19,6 +19,35 @@
     until: Ms,
 }
 
+/// A rate with bursts of one second's worth.
+struct Limit {
+    rate: f64,
+    tokens: f64,
+    at: Ms,
+}
+
+impl Limit {
+    fn new(rate: f64) -> Self {
+        Self {
+            rate,
+            tokens: rate,
+            at: 0,
+        }
+    }
+
+    /// Whether so many more are within it.
+    fn allows(&mut self, now: Ms, n: f64) -> bool {
+        let gained = now.saturating_sub(self.at) as f64 / 1000.0 * self.rate;
+        self.tokens = (self.tokens + gained).min(self.rate);
+        self.at = now;
+        let within = self.tokens >= n;
+        if within {
+            self.tokens -= n;
+        }
+        within
+    }
+}
+
 /// The store; `W` names those who wait at a watch.
 pub(crate) struct State<W> {
     entries: BTreeMap<String, Entry>,
@@ -30,6 +59,11 @@
     pub(crate) down: bool,
     /// Puts and deletes so far.
     pub(crate) writes: u64,
+    requests_limit: Limit,
+    writes_limit: Limit,
+    /// Requests beyond the limits, which are carried out all the same, and
+    /// requests in all.
+    pub(crate) over_limit: (u64, u64),
 }
 
 /// Changes that are kept for watches.
@@ -42,8 +76,11 @@
 }
 
 impl<W> State<W> {
-    pub(crate) fn new() -> Self {
+    pub(crate) fn new(rps: f64, write_rps: f64) -> Self {
         Self {
+            requests_limit: Limit::new(rps),
+            writes_limit: Limit::new(write_rps),
+            over_limit: (0, 0),
             entries: BTreeMap::new(),
             revision: 0,
             leases: BTreeMap::new(),
@@ -78,6 +115,14 @@
         }
         let bare = path.split('?').next().unwrap_or_default();
         let parts: Vec<&str> = bare.trim_start_matches('/').split('/').collect();
+        let txn: Option<Txn> = match parts.as_slice() {
+            ["txn"] => serde_json::from_slice(body).ok(),
+            _ => None,
+        };
+        let writes = txn.map_or(0, |t| t.writes.len()) as f64;
+        let within = self.requests_limit.allows(now, 1.0) && self.writes_limit.allows(now, writes);
+        self.over_limit.0 += u64::from(!within);
+        self.over_limit.1 += 1;
         let (status, value) = match (method, parts.as_slice()) {
             ("GET", ["kv"]) => self.list(path),
             ("GET", ["kv", ..]) => self.get(&bare["/kv/".len()..]),
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -23,6 +23,7 @@
 use network::{Dest, Message, Origin};
 use odd::{Aside, Ask};
 use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use troubles::Troubles;
@@ -225,6 +226,8 @@
     start: u64,
     inbox: Vec<Input>,
     stepped: Ms,
+    /// It stands still.
+    asleep: bool,
     /// Calls whose end has not been told.
     open: BTreeSet<u64>,
     /// Requests that wait for an answer.
@@ -288,7 +291,7 @@
             now: 0,
             rng: StdRng::seed_from_u64(seed),
             hosts: Vec::new(),
-            state: State::new(),
+            state: State::new(size.rps, size.write_rps),
             cloud: Cloud::new(size.capacity),
             size,
             workers: BTreeMap::new(),
@@ -333,6 +336,7 @@
                 start: 0,
                 inbox: Vec::new(),
                 stepped: 0,
+                asleep: false,
                 open: BTreeSet::new(),
                 requests: HashMap::new(),
                 next_token: 0,
@@ -350,6 +354,7 @@
         let seed = self.rng.random();
         let host = &mut self.hosts[n];
         host.start = self.starts;
+        host.asleep = false;
         host.inbox.clear();
         host.open.clear();
         host.requests.clear();
@@ -430,6 +435,17 @@
         self.now
     }
 
+    /// Something goes wrong now.
+    pub fn fault_now(&mut self, kind: FaultKind) {
+        self.inject(kind);
+    }
+
+    /// Requests that the state service would have refused by its limits with
+    /// 429, of how many.
+    pub fn over_limit(&self) -> (u64, u64) {
+        self.state.over_limit
+    }
+
     /// When a user was first told that a job is cancelled.
     pub fn cancelled_at(&self, id: &JobId) -> Option<Ms> {
         self.check.cancelled_at(id)
@@ -438,7 +454,14 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Arrive(message) => self.arrive(message),
-            Event::Answer { to, status, body } => self.answered(to, status, body),
+            Event::Answer { to, status, body } => match self.asleep_until(&to) {
+                // A controller that stands still gives no call up: by the time
+                // it goes on, the answer may have come.
+                Some(until) if status == 0 => {
+                    self.at(until + 1, Event::Answer { to, status, body })
+                }
+                _ => self.answered(to, status, body),
+            },
             Event::Peer { to, message } => {
                 if self.hosts[to].node.is_some() {
                     self.hosts[to].inbox.push(Input::Peer(message));
@@ -458,13 +481,36 @@
         }
     }
 
+    /// Until when the controller that made a call stands still.
+    fn asleep_until(&self, to: &Origin) -> Option<Ms> {
+        let Origin::Node { node, .. } = to else {
+            return None;
+        };
+        let until = self.hosts[*node].cuts.pause;
+        (until > self.now).then_some(until)
+    }
+
+    /// What a controller finds as it goes on after standing still: all that
+    /// has come meanwhile, from many connections, in any order; or nothing
+    /// yet, as the clock is looked at first.
+    fn wake(&mut self, n: usize) -> Vec<Input> {
+        let mut found = std::mem::take(&mut self.hosts[n].inbox);
+        found.shuffle(&mut self.rng);
+        if self.rng.random() {
+            self.hosts[n].inbox = found;
+            return Vec::new();
+        }
+        found
+    }
+
     fn step_node(&mut self, n: usize) {
         let now = self.now;
         let host = &mut self.hosts[n];
-        let Some(node) = host.node.as_mut() else {
+        if host.node.is_none() {
             return;
-        };
+        }
         if host.cuts.pause > now {
+            host.asleep = true;
             return;
         }
         let pause = if host.cuts.slow > now { 1_500 } else { 0 };
@@ -474,7 +520,14 @@
         }
         host.stepped = now;
         let start = host.start;
-        let inbox = std::mem::take(&mut host.inbox);
+        let inbox = match std::mem::take(&mut host.asleep) {
+            true => self.wake(n),
+            false => std::mem::take(&mut host.inbox),
+        };
+        let host = &mut self.hosts[n];
+        let Some(node) = host.node.as_mut() else {
+            return;
+        };
         let mut late = Vec::new();
         let mut sends = Vec::new();
         let mut replies = Vec::new();
--- /dev/null
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -0,0 +1,150 @@
+//! Controllers that stand still while their clocks run, and controllers that
+//! are away for a minute or more.
+//!
+//! What waits in the sockets of a controller that stands still is delivered at
+//! once when it goes on, in any order (`World::wake`). By then others may hold
+//! its shares and have told users what it does not know.
+
+use forkshift_testkit::{Fault, FaultKind, Plan, Size, Who, World};
+use forkshift_wire::users::{JobKind, JobSpec, Priority};
+use forkshift_wire::JobId;
+
+type Ms = u64;
+
+/// When the trouble begins: all jobs of the first seconds run by then.
+const TROUBLE: Ms = 60_000;
+/// A controller's lease at the state service with the usual settings.
+const NODE_LEASE: Ms = 2_500;
+
+fn id(n: u32) -> JobId {
+    JobId::new(&format!("j-{n}"))
+}
+
+/// An array whose tasks run for a while.
+fn job(n: u32, at: Ms, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> Plan {
+    Plan {
+        at,
+        run_ms,
+        cancel_at,
+        at_node: None,
+        spec: JobSpec {
+            id: id(n),
+            class: "work".to_owned(),
+            team: format!("team-{}", n % 4),
+            kind: JobKind::Array,
+            priority: Priority::Normal,
+            tasks,
+            cpus: 1.0,
+            gpus: 1.0,
+            memory_gb: 4.0,
+            image: "img".to_owned(),
+            image_gb: 1.0,
+            types: None,
+            zone: None,
+            one_zone: false,
+            spread: false,
+            spot: false,
+            estimate_s: run_ms as f64 / 1000.0,
+            checkpoint_s: 0.0,
+            save_s: 0.0,
+            deadline_s: None,
+        },
+    }
+}
+
+/// Jobs that run through the trouble, jobs that are submitted around its
+/// beginning and in it, and cancellations of both before, in and after it.
+fn through_the_trouble(stop: Ms) -> Vec<Plan> {
+    let mut plans = Vec::new();
+    for n in 0..8 {
+        let cancel_at = TROUBLE - 200 + u64::from(n) * (stop + 400) / 8;
+        let cancel_at = (n % 2 == 1).then_some(cancel_at);
+        plans.push(job(n, 2_000, 2, 150_000, cancel_at));
+    }
+    for n in 8..20 {
+        let at = TROUBLE - 600 + u64::from(n - 8) * 150;
+        let cancel_at = (n % 3 == 0).then_some(at + stop / 2 + 300);
+        plans.push(job(n, at, 2, 20_000, cancel_at));
+    }
+    for n in 20..26 {
+        let at = TROUBLE + stop * u64::from(n - 19) / 7;
+        plans.push(job(n, at, 1, 10_000, None));
+    }
+    plans
+}
+
+/// What a controller does as it stops.
+#[derive(Clone, Copy, PartialEq, Debug)]
+enum Role {
+    Leader,
+    Holder,
+    /// It has just been given the share of a controller that ended.
+    TakingOver,
+    /// All controllers stop.
+    All,
+}
+
+fn pause(node: usize, time: Ms) -> FaultKind {
+    FaultKind::Pause { node, time }
+}
+
+/// Plays until controllers in a role stop for a while.
+fn stop_in_role(world: &mut World, role: Role, time: Ms) {
+    world.run_until(TROUBLE);
+    match role {
+        Role::Leader => world.fault_now(pause(0, time).at(Who::Leader)),
+        Role::Holder => world.fault_now(pause(0, time).at(Who::HolderOf(id(0)))),
+        Role::TakingOver => {
+            let (node, count, back) = (0, 1, 30_000);
+            let before = world.epoch_of(&id(0));
+            let crash = FaultKind::Crash { node, count, back };
+            world.fault_now(crash.at(Who::HolderOf(id(0))));
+            while world.epoch_of(&id(0)) == before {
+                world.run_until(world.now() + 10);
+                assert!(world.now() < TROUBLE + 10_000, "nobody takes over");
+            }
+            world.fault_now(pause(0, time).at(Who::HolderOf(id(0))));
+        }
+        Role::All => {
+            for node in 0..3 {
+                world.fault_now(pause(node, time));
+            }
+        }
+    }
+}
+
+/// Whoever goes on after standing still answers nothing older than what others
+/// have told meanwhile, starts nothing that was cancelled meanwhile, and takes
+/// no machine for silent that it could not have heard.
+#[test]
+fn a_controller_that_stood_still() {
+    let stops = [NODE_LEASE / 2, NODE_LEASE + 500, 8_000, 40_000];
+    let roles = [Role::Leader, Role::Holder, Role::TakingOver, Role::All];
+    for (seed, (role, stop)) in (500..).zip(
+        roles
+            .iter()
+            .flat_map(|r| stops.iter().map(move |s| (*r, *s))),
+    ) {
+        let name = format!("{role:?} for {stop} ms");
+        let looks = FaultKind::CloseLooks(TROUBLE + stop + 20_000);
+        // Calls are under way as it stops.
+        let slow = FaultKind::SlowState(3_000);
+        let at = TROUBLE - 2_000;
+        let faults = vec![Fault { at: 0, kind: looks }, Fault { at, kind: slow }];
+        let plans = through_the_trouble(stop);
+        let mut world = World::sized(seed, plans, faults, Size::default());
+        stop_in_role(&mut world, role, stop);
+        let ended = world.ended();
+        world.run_until(TROUBLE + stop + 8_000);
+        if stop < 10_000 {
+            assert_eq!(world.ended(), ended, "{name}: a machine was given up");
+        }
+        world.run_until(TROUBLE + stop + 200_000);
+        assert_eq!(world.check.broken, vec![], "{name}");
+        let after_cancel = &world.check.starts_after_cancel;
+        assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
+        let (over, all) = world.over_limit();
+        assert_eq!(over, 0, "{name}: of {all} requests, beyond the limits");
+        assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+    }
+}
