--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -148,3 +148,104 @@
         assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
     }
 }
+
+/// How long controllers are away, from now on.
+type Away = [Option<Ms>; 3];
+
+/// What is seen of a day on which controllers were away.
+struct Seen {
+    /// From when the first was there to when all that had been lost ran again.
+    resumed: Ms,
+    /// Tasks of the long jobs that had to begin anew.
+    begun_anew: u64,
+}
+
+/// Long jobs, one of which is cancelled just before and two in the time, and
+/// a few short ones for that time.
+fn while_away() -> Vec<Plan> {
+    let long = (0..8).map(|n| {
+        let cancel_at = match n {
+            1 => Some(TROUBLE - 150),
+            3 => Some(TROUBLE + 500),
+            5 => Some(TROUBLE + 30_000),
+            _ => None,
+        };
+        job(n, 2_000, 2, 400_000, cancel_at)
+    });
+    let short = (8..14).map(|n| job(n, TROUBLE + u64::from(n - 8) * 10_000, 1, 2_000, None));
+    long.chain(short).collect()
+}
+
+fn play_away(name: &str, seed: u64, away: Away) -> Seen {
+    // The service takes little: a burst shows.
+    let size = Size {
+        rps: 80.0,
+        write_rps: 30.0,
+        ..Size::default()
+    };
+    let mut world = World::sized(seed, while_away(), Vec::new(), size);
+    world.run_until(TROUBLE);
+    let running = |world: &World| -> usize {
+        let kept = [0, 2, 4, 6].map(id);
+        kept.iter().map(|j| world.check.running(j)).sum()
+    };
+    assert_eq!(running(&world), 8, "{name}: the long jobs run");
+    let starts = world.check.starts;
+    for (node, back) in away.into_iter().enumerate() {
+        if let Some(back) = back {
+            let count = 1;
+            world.fault_now(FaultKind::Crash { node, count, back });
+        }
+    }
+    let first = away.iter().map(|a| a.unwrap_or(0)).min().unwrap_or(0);
+    world.run_until(TROUBLE + first);
+    let mut resumed = 0;
+    while world.now() < TROUBLE + 200_000 {
+        world.run_until(world.now() + 100);
+        if running(&world) < 8 {
+            resumed = world.now() - TROUBLE - first;
+        }
+    }
+    let short = (8..14).filter(|n| world.check.began_at(&id(*n)).is_some());
+    let begun_anew = world.check.starts - starts - short.count() as u64;
+    assert_eq!(world.check.broken, vec![], "{name}");
+    let after_cancel = &world.check.starts_after_cancel;
+    assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
+    for n in [1, 3, 5].map(id) {
+        assert!(world.cancelled_at(&n).is_some(), "{name}: {n} is cancelled");
+    }
+    let (over, all) = world.over_limit();
+    assert_eq!(over, 0, "{name}: of {all} requests, beyond the limits");
+    world.run_until(600_000);
+    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+    Seen {
+        resumed,
+        begun_anew,
+    }
+}
+
+/// Controllers are away for a minute or more, and come back together or one by
+/// one. What runs goes on if one has stayed; else it begins anew within
+/// seconds, what was cancelled does not, and the state service is not flooded.
+#[test]
+fn controllers_that_were_away_for_a_minute() {
+    let (minute, more) = (Some(60_000), Some(90_000));
+    let cases: [(&str, Away); 6] = [
+        ("one", [minute, None, None]),
+        ("most, together", [minute, minute, None]),
+        ("most, one by one", [Some(60_000), Some(75_000), None]),
+        ("all, together", [minute, minute, minute]),
+        ("all, one by one", [minute, Some(65_000), more]),
+        (
+            "all, in the same second",
+            [minute, Some(60_300), Some(60_900)],
+        ),
+    ];
+    for (seed, (name, away)) in (540..).zip(cases) {
+        let seen = play_away(name, seed, away);
+        if away.contains(&None) {
+            assert_eq!(seen.begun_anew, 0, "{name}: what ran goes on");
+        }
+        assert!(seen.resumed < 12_000, "{name}: {} ms", seen.resumed);
+    }
+}
