--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -22,6 +22,14 @@
 const STEADY_LEASES: u64 = 4;
 /// A machine that has not come up after this many boots never will.
 const BOOTS_MOST: f64 = 3.0;
+/// A machine that has not come up after this many boots is overdue: its share
+/// asks for another one.
+const BOOTS_OVERDUE: f64 = 1.5;
+/// Where a machine was overdue, others are asked for only if nothing as good
+/// is to be had elsewhere, for this many boots.
+const BOOTS_AVOIDED: f64 = 6.0;
+/// What an avoided zone counts for: more machines than a share ever holds.
+const AVOIDED: u32 = 1 << 20;
 /// What a holder told of its share counts for this many rounds.
 const TOLD_ROUNDS: f64 = 4.0;
 /// A machine missing from this many lists in a row is gone.
@@ -68,6 +76,11 @@
     /// Kinds of machines that could not be had, until when they are left
     /// alone, and the last pause.
     refused: BTreeMap<(String, String, bool), (Ms, Ms)>,
+    /// Kinds of which a machine was overdue, and until when they are avoided.
+    /// The zone with the fewest machines is preferred among equals, so one in
+    /// which none ever came up was asked again and again, while a replica
+    /// waited and there was room in others.
+    avoided: BTreeMap<(String, String, bool), Ms>,
     /// Since when cancellations have waited, with the versions of their keys.
     aborts: BTreeMap<JobId, (u64, Ms)>,
 }
@@ -99,6 +112,7 @@
             planned_at: 0,
             nodes: BTreeMap::new(),
             refused: BTreeMap::new(),
+            avoided: BTreeMap::new(),
             aborts: BTreeMap::new(),
         }
     }
@@ -665,6 +679,9 @@
             if demand.shapes.is_empty() || demand.rev < seen {
                 continue;
             }
+            if held.is_none() {
+                self.note_overdue(ctx, view);
+            }
             let held = held.get_or_insert_with(|| held_of(view));
             let offers = self.offers(ctx, view, *k, held);
             let type_no = |name: &String| kinds.iter().position(|t| t == name).map(|i| i as u16);
@@ -715,6 +732,24 @@
         }
     }
 
+    /// Notes of which kinds machines are overdue.
+    fn note_overdue(&mut self, ctx: &Ctx, view: &View) {
+        for (id, machine) in &view.machines {
+            let rec = &machine.rec;
+            if rec.addr.is_some() {
+                continue;
+            }
+            let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
+            let machine_type = view.types.get(&rec.machine_type);
+            let boot = machine_type.map_or(60.0, |t| t.rec.boot_s);
+            if known_for > crate::ms(boot * BOOTS_OVERDUE) {
+                let kind = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
+                let until = ctx.now + crate::ms(boot * BOOTS_AVOIDED);
+                self.avoided.insert(kind, until);
+            }
+        }
+    }
+
     /// What may be had, as far as is known.
     fn offers(&self, ctx: &Ctx, view: &View, k: ShareId, held: &Held) -> Vec<Offer> {
         let zones = zone_names(view);
@@ -736,13 +771,15 @@
                         continue;
                     }
                     let held = held.get(&(k, t.name.as_str(), zone.as_str()));
+                    let avoided = self.avoided.get(&kind).is_some_and(|t| ctx.now < *t);
+                    let held = held.copied().unwrap_or(0) + if avoided { AVOIDED } else { 0 };
                     offers.push(Offer {
                         machine_type: i as u16,
                         zone: zones.iter().position(|z| z == zone).unwrap_or(0) as u16,
                         spot,
                         total: total_of(t),
                         price,
-                        held: held.copied().unwrap_or(0),
+                        held,
                     });
                 }
             }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -29,12 +29,39 @@
     pub(crate) capacity: u32,
     /// Until when machines are up within two seconds.
     pub(crate) quick_until: Ms,
+    /// Until when new machines of a type (any if left out) in a zone (any if
+    /// left out) come late or never.
+    pub(crate) slow: Option<(Ms, SlowBoots)>,
+    /// What was asked for: when, type, zone, and how many were had.
+    pub(crate) rented: Vec<(Ms, String, String, u32)>,
     /// Machines that came to an end since this was last looked at.
     pub(crate) ended: Vec<MachineId>,
     /// How many in all.
     pub(crate) n_ended: usize,
 }
 
+/// New machines that come late or never.
+#[derive(Clone, Debug)]
+pub struct SlowBoots {
+    /// Of this type; of any if left out.
+    pub machine_type: Option<&'static str>,
+    /// In this zone; in any if left out.
+    pub zone: Option<&'static str>,
+    /// Boots that they take; never up if left out.
+    pub boots: Option<u32>,
+}
+
+impl SlowBoots {
+    fn hits(&self, rent: &Rent) -> bool {
+        self.machine_type.is_none_or(|t| t == rent.machine_type)
+            && self.zone.is_none_or(|z| z == rent.zone)
+    }
+
+    fn boot_ms(&self) -> Ms {
+        self.boots.map_or(Ms::MAX / 2, |n| BOOT_MS * Ms::from(n))
+    }
+}
+
 /// How far the list lags.
 const LIST_LAG: Ms = 4_000;
 /// Boot time of every type, nominally.
@@ -50,6 +77,8 @@
             down: false,
             capacity,
             quick_until: 0,
+            slow: None,
+            rented: Vec::new(),
             ended: Vec::new(),
             n_ended: 0,
         }
@@ -138,6 +167,11 @@
                 true => rng.random_range(200..2_000),
                 false => boot,
             };
+            let slow = self
+                .slow
+                .as_ref()
+                .filter(|(until, s)| *until > now && s.hits(&rent));
+            let boot = slow.map_or(boot, |(_, s)| s.boot_ms());
             let machine = Rented {
                 machine_type: rent.machine_type.clone(),
                 zone: rent.zone.clone(),
@@ -149,6 +183,8 @@
             self.machines.insert(id.clone(), machine);
             ids.push(id);
         }
+        let kind = (rent.machine_type, rent.zone);
+        self.rented.push((now, kind.0, kind.1, n));
         self.requests.insert(rent.request, ids.clone());
         (200, json!({"berths": ids}))
     }
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,5 +1,6 @@
 //! Faults, and schedules of them drawn from a seed.
 
+use crate::cloud::SlowBoots;
 use crate::Ms;
 use forkshift_wire::{JobId, MachineId};
 use rand::rngs::StdRng;
@@ -197,6 +198,13 @@
         /// For how long.
         time: Ms,
     },
+    /// New machines come late or never.
+    SlowBoots {
+        /// Which, and how late.
+        which: SlowBoots,
+        /// For how long.
+        time: Ms,
+    },
     /// Machines are up within two seconds.
     QuickBoots(Ms),
     /// Direct commands or their answers are held up for seconds.
@@ -246,6 +254,7 @@
             | Self::PeerCut { time, .. }
             | Self::DirectCut { time, .. }
             | Self::Pause { time, .. }
+            | Self::SlowBoots { time, .. }
             | Self::CancelAtEnd { time, .. } => *time,
             Self::Outage(time)
             | Self::SlowState(time)
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -13,6 +13,7 @@
 mod world;
 
 pub use check::{Calm, Checker, Rule};
+pub use cloud::SlowBoots;
 pub use day::{Day, Draw};
 pub use faults::{
     random_faults, random_faults_once, random_pairs, Fault, FaultKind, MachineFault, Which, Who,
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -636,6 +636,17 @@
         (self.reports, nodes.map(Node::visits).sum())
     }
 
+    /// Rentals so far: when, type, zone, and how many machines were had.
+    pub fn rentals(&self) -> &[(Ms, String, String, u32)] {
+        &self.cloud.rented
+    }
+
+    /// Machines that are paid for and not up.
+    pub fn booting(&self) -> usize {
+        let all = self.cloud.machines.values();
+        all.filter(|m| !m.failed && m.up_at > self.now).count()
+    }
+
     /// Machines that are up.
     pub fn machines(&self) -> usize {
         self.workers.len()
--- a/crates/testkit/src/world/inject.rs
+++ b/crates/testkit/src/world/inject.rs
@@ -202,6 +202,7 @@
                 for_next,
                 time,
             } => self.troubles.reports = (now + time, share, for_next),
+            FaultKind::SlowBoots { which, time } => self.cloud.slow = Some((now + time, which)),
             FaultKind::QuickBoots(time) => self.cloud.quick_until = now + time,
             FaultKind::HeldCommands { share, time } => {
                 self.troubles.held_commands = (now + time, share);
