--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -12,7 +12,7 @@
 
 fn record(f: &mut Fixture, id: &JobId, stage: JobStage) -> serde_json::Value {
     let spec = (*f.share().jobs[id].spec).clone();
-    let rec = JobRec {
+    let rec = JobRecord {
         spec,
         share: f.share,
         stage,
@@ -146,8 +146,8 @@
         cfg.nodes.push(NodeName::new("another"));
         let token = f.token();
         let report = f.message(1, token, &[]);
-        let request = crate::ctx::Input::Request {
-            token: Token(1),
+        let request = crate::context::Input::Request {
+            request: RequestId(1),
             method: "POST".to_owned(),
             path: "/v1/report".to_owned(),
             body: Some(serde_json::to_vec(&report).expect("a report")),
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::{Config, Operator};
-use crate::records::{LeaderRec, NodeRec};
+use crate::records::{LeaderRecord, NodeRecord};
 use crate::view::Stamped;
 use forkshift_wire::peer::Envelope;
 use forkshift_wire::settings::Settings;
@@ -10,12 +10,12 @@
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 
-fn ctx(node: &str, names: &[&str]) -> Ctx {
+fn ctx(node: &str, names: &[&str]) -> Context {
     let settings = Settings::parse(SETTINGS).expect("the example is good");
     let mut cfg = Config::new(&settings, Operator::default());
     cfg.node = NodeName::new(node);
     cfg.nodes = names.iter().map(|n| NodeName::new(n)).collect();
-    let mut ctx = Ctx::new(Rc::new(cfg), 1, 1);
+    let mut ctx = Context::new(Rc::new(cfg), 1, 1);
     ctx.now = 10_000;
     ctx
 }
@@ -24,14 +24,14 @@
     let stamped = |rec| Stamped { rec, version: 1 };
     let mut view = View::default();
     for name in names {
-        let rec = stamped(NodeRec {
+        let rec = stamped(NodeRecord {
             inc: 1,
             blind: false,
         });
         view.nodes.insert(NodeName::new(name), rec);
     }
     view.leader = Some(Stamped {
-        rec: LeaderRec {
+        rec: LeaderRecord {
             node: NodeName::new(names[0]),
             inc: 1,
         },
@@ -72,7 +72,7 @@
             let member = ctx(n, &names);
             let mut own = Budget::default();
             for effect in &leader.out {
-                let crate::ctx::Effect::Tell { node, message } = effect else {
+                let crate::context::Effect::Tell { node, message } = effect else {
                     continue;
                 };
                 let body = Envelope::decode(message).map(|e| e.body);
@@ -138,7 +138,7 @@
         let mut ctx = ctx("n1", &names);
         let mut budget = Budget::default();
         let even = budget.rate(&ctx, &view);
-        ctx.note_gap(ctx.now + stop);
+        ctx.note_pause(ctx.now + stop);
         ctx.now += stop + after;
         budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
         let rate = budget.rate(&ctx, &view);
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -1,5 +1,6 @@
 //! The world around the controllers, in virtual time.
 
+mod digest;
 mod fleet;
 mod inject;
 mod network;
@@ -16,7 +17,8 @@
 use crate::state::State;
 use crate::worker::{Truth, Worker};
 use crate::Ms;
-use forkshift_core::{Config, Effect, Input, Node, Operator, Target, Token};
+use digest::Digest;
+use forkshift_core::{Config, Effect, Input, Node, Operator, RequestId, Target};
 use forkshift_wire::settings::Settings;
 use forkshift_wire::users::JobKind;
 use forkshift_wire::{JobId, MachineId, TaskRef};
@@ -231,8 +233,8 @@
     /// Calls whose end has not been told.
     open: BTreeSet<u64>,
     /// Requests that wait for an answer.
-    requests: HashMap<Token, Origin>,
-    next_token: u64,
+    requests: HashMap<RequestId, Origin>,
+    next_request: u64,
     cuts: Cuts,
 }
 
@@ -271,6 +273,7 @@
     /// How many there were, and how many got an answer in time.
     asides_answered: (u64, u64),
     reports: u64,
+    digest: Digest,
     /// Watches what truly happens.
     pub check: Checker,
 }
@@ -328,6 +331,7 @@
             next_aside: 0,
             asides_answered: (0, 0),
             reports: 0,
+            digest: Digest::default(),
             check: Checker::new(limits, size.cancel_ms),
         };
         for n in 0..size.nodes {
@@ -339,7 +343,7 @@
                 asleep: false,
                 open: BTreeSet::new(),
                 requests: HashMap::new(),
-                next_token: 0,
+                next_request: 0,
                 cuts: Cuts::default(),
             });
             world.start(n);
@@ -534,8 +538,8 @@
         let mut tells = Vec::new();
         for effect in node.step(now, now + WALL_OFF, inbox) {
             match effect {
-                Effect::Respond { token, reply } => {
-                    if let Some(origin) = host.requests.remove(&token) {
+                Effect::Respond { request, reply } => {
+                    if let Some(origin) = host.requests.remove(&request) {
                         replies.push((origin, reply.status, reply.body));
                     }
                 }
@@ -571,6 +575,7 @@
             }
         }
         for (to, message) in tells {
+            self.digest.peer(now, n, to.as_str(), &message);
             self.tell(n, to.as_str(), message);
         }
         for (time, to) in late {
@@ -584,9 +589,11 @@
             );
         }
         for message in sends {
+            self.digest.call(now, &message);
             self.send(message);
         }
         for (to, status, body) in replies {
+            self.digest.reply(now, n, status, &body);
             self.reply(&Dest::Node(n), to, status, body);
         }
     }
@@ -657,6 +664,12 @@
         self.most_machines
     }
 
+    /// A digest of everything that the controllers have sent, which is the
+    /// same for two runs in which they did the same at the same times.
+    pub fn digest(&self) -> u64 {
+        self.digest.value()
+    }
+
     /// Puts and deletes that the state service has carried out.
     pub fn writes(&self) -> u64 {
         self.state.writes
