--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,8 +1,6 @@
 //! Requests from users, workers and probes.
 
-use crate::context::{
-    revision_of, AbortPoll, Context, Creation, Lookup, Pending, Reply, RequestId,
-};
+use crate::context::{revision_of, AbortPoll, Creation, Lookup, Pending, Reply, RequestId};
 use crate::node::Node;
 use crate::records::{
     abort_key, job_key, live_key, total_of, JobHeadRecord, JobRecord, ShareId, TaskBlockRecord,
@@ -550,13 +548,5 @@
     JobId::parse(value.get("uid")?.as_str()?)
 }
 
-impl Context {
-    /// How long a machine may be silent before it is given up, when nothing else
-    /// explains its silence.
-    pub(crate) fn silent_ms(&self) -> Ms {
-        (self.cfg.lease_ms as f64 * self.cfg.ops.silent_leases) as Ms
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/failure_detector/tests.rs
+++ b/crates/core/src/failure_detector/tests.rs
@@ -29,3 +29,39 @@
         assert_eq!(cfg.kept_in_cut("in") >= KEPT_LEAST, waits, "{name}");
     }
 }
+
+/// While a controller stood still it could hear nobody: no machine is given up
+/// as it goes on, before the reports that wait in the sockets are read.
+#[test]
+fn a_stop_is_not_taken_for_silence() {
+    for (stands_still, given_up) in [(true, false), (false, true)] {
+        let mut f = crate::fixture::Fixture::new();
+        let patience = f.node.ctx.cfg.lease_ms * 10;
+        let steps = if stands_still { 1 } else { patience / 500 };
+        for _ in 0..steps {
+            f.step(patience / steps);
+        }
+        let id = f.machine.clone();
+        let condemned = f.share().machines[&id].condemned.is_some();
+        assert_eq!(condemned, given_up, "in {steps} steps");
+    }
+}
+
+/// A worker whose report was lost is heard again before it is given up, unless
+/// its lease is too short for that.
+#[test]
+fn one_lost_report_is_no_silence() {
+    // Lease and pause between two reports, and what is waited for.
+    let cases = [
+        (24_000, 5_000, 14_400),
+        (13_000, 2_000, 8_500),
+        (10_000, 1_000, 7_250),
+        (5_000, 1_000, 4_500),
+    ];
+    for (lease, report, waited) in cases {
+        let mut f = crate::fixture::Fixture::new();
+        let cfg = std::rc::Rc::get_mut(&mut f.node.ctx.cfg).expect("nobody else has it");
+        (cfg.lease_ms, cfg.report_ms) = (lease, report);
+        assert_eq!(f.node.ctx.silent_ms(), waited, "lease of {lease} ms");
+    }
+}
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -73,6 +73,11 @@
     /// Kinds of machines that could not be had, until when they are left
     /// alone, and the last pause.
     refused: BTreeMap<(String, String, bool), (Ms, Ms)>,
+    /// Kinds of which a machine was overdue, and until when they are avoided.
+    /// The zone with the fewest machines is preferred among equals, so one in
+    /// which none ever came up was asked again and again, while a replica
+    /// waited and there was room in others.
+    avoided: BTreeMap<(String, String, bool), Ms>,
     /// Since when cancellations have waited, with the versions of their keys.
     aborts: BTreeMap<JobId, (u64, Ms)>,
 }
@@ -106,6 +111,7 @@
             planned_at: 0,
             nodes: BTreeMap::new(),
             refused: BTreeMap::new(),
+            avoided: BTreeMap::new(),
             aborts: BTreeMap::new(),
         }
     }
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -21,6 +21,15 @@
 use serde_json::to_value;
 use std::collections::{BTreeMap, HashMap};
 
+/// A machine that has not come up after this many boots is overdue: its share
+/// asks for another one.
+const BOOTS_OVERDUE: f64 = 1.5;
+/// Where a machine was overdue, others are asked for only if nothing as good
+/// is to be had elsewhere, for this many boots.
+const BOOTS_AVOIDED: f64 = 6.0;
+/// What an avoided zone counts for: more machines than a share ever holds.
+const AVOIDED: u32 = 1 << 20;
+
 /// What the cloud has answered to a rental request, while it is written.
 pub(super) struct Outcome {
     rec: RentalIntent,
@@ -56,7 +65,7 @@
 
     /// What is to be rented, with the shares that it is for.
     fn plan_rentals(
-        &self,
+        &mut self,
         ctx: &Context,
         view: &View,
         demands: &BTreeMap<ShareId, DemandRecord>,
@@ -68,6 +77,9 @@
             if demand.shapes.is_empty() || demand.rev < seen {
                 continue;
             }
+            if held.is_none() {
+                self.note_overdue(ctx, view);
+            }
             let held = held.get_or_insert_with(|| held_of(view));
             let offers = self.offers(ctx, view, *k, held);
             let shapes = shapes_to_rent(view, &demand.shapes);
@@ -110,6 +122,24 @@
         ctx.txn(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
     }
 
+    /// Notes of which kinds machines are overdue.
+    fn note_overdue(&mut self, ctx: &Context, view: &View) {
+        for (id, machine) in &view.machines {
+            let rec = &machine.rec;
+            if rec.addr.is_some() {
+                continue;
+            }
+            let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
+            let machine_type = view.types.get(&rec.machine_type);
+            let boot = machine_type.map_or(60.0, |t| t.rec.boot_s);
+            if known_for > crate::ms(boot * BOOTS_OVERDUE) {
+                let kind = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
+                let until = ctx.now + crate::ms(boot * BOOTS_AVOIDED);
+                self.avoided.insert(kind, until);
+            }
+        }
+    }
+
     /// What may be had, as far as is known.
     fn offers(&self, ctx: &Context, view: &View, k: ShareId, held: &Held) -> Vec<Offer> {
         let zones = zone_names(view);
@@ -131,13 +161,15 @@
                         continue;
                     }
                     let held = held.get(&(k, t.name.as_str(), zone.as_str()));
+                    let avoided = self.avoided.get(&kind).is_some_and(|t| ctx.now < *t);
+                    let held = held.copied().unwrap_or(0) + if avoided { AVOIDED } else { 0 };
                     offers.push(Offer {
                         machine_type: i as u16,
                         zone: zones.iter().position(|z| z == zone).unwrap_or(0) as u16,
                         spot,
                         total: total_of(t),
                         price,
-                        held: held.copied().unwrap_or(0),
+                        held,
                     });
                 }
             }
