--- a/crates/core/src/blame.rs
+++ b/crates/core/src/blame.rs
@@ -185,18 +185,23 @@
         self.jobs.values().map(|f| f.at).max().unwrap_or(0)
     }
 
-    /// Whether one on probation is to be tried again: ever more seldom, the
-    /// more jobs have failed on it.
-    pub(crate) fn is_tried(&self, now: Ms, report_ms: Ms) -> bool {
-        let doublings = self.jobs.len().saturating_sub(JOBS_MOST).min(8);
-        now >= self.last() + ((report_ms * TRY_REPORTS) << doublings)
-    }
-
     /// Whether it may be faulty: it is tried with one task at a time, of a job
     /// that did not fail elsewhere.
-    pub(crate) fn on_probation(&self, now: Ms, while_ms: Ms) -> bool {
-        let last = self.last();
-        self.jobs.len() >= JOBS_MOST && self.began <= last && now < last + while_ms
+    pub(crate) fn on_probation(&self) -> bool {
+        self.jobs.len() >= JOBS_MOST && self.began <= self.last()
+    }
+
+    /// Whether a job failed there within a time.
+    pub(crate) fn is_recent(&self, now: Ms, while_ms: Ms) -> bool {
+        now < self.last() + while_ms
+    }
+
+    /// Whether one on probation is to be tried again: ever more seldom, the
+    /// more jobs have failed on it, but once in a boot.
+    pub(crate) fn is_tried(&self, now: Ms, report_ms: Ms, boot_ms: Ms) -> bool {
+        let doublings = self.jobs.len().saturating_sub(JOBS_MOST).min(8);
+        let pause = (report_ms * TRY_REPORTS) << doublings;
+        !self.is_recent(now, pause.min(boot_ms))
     }
 }
 
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -28,8 +28,10 @@
 /// do not starve.
 const AGED_BOOTS: f64 = 2.0;
 
-/// Jobs that failed again and again go behind all others.
+/// Jobs that failed again and again go behind all others, for so long: it may
+/// be that they are well, and that nothing else ever leaves them room.
 const PROBE_BAND: i32 = -1;
+const PROBE_BEHIND: Ms = 180_000;
 /// For so long such a job waits for room before a machine is rented for it.
 const PROBE_WAIT: Ms = 60_000;
 
@@ -60,7 +62,7 @@
         for p in &placed {
             let id = &ids[p.want];
             // One that may be faulty is tried with one task at a time.
-            if self.on_probation(ctx, &usable[p.host]) && !tried.insert(p.host) {
+            if self.on_probation(&usable[p.host]) && !tried.insert(p.host) {
                 continue;
             }
             let Some(job) = self.jobs.get_mut(id) else {
@@ -116,8 +118,10 @@
         let zones = self.zones();
         let boot_ms = self.boot_ms();
         let lasting = self.lasting();
-        let on_probation = |i: &usize| self.on_probation(ctx, &usable[*i]);
+        let on_probation = |i: &usize| self.on_probation(&usable[*i]);
         let probation: Vec<usize> = (0..usable.len()).filter(on_probation).collect();
+        let is_new = |i: &&usize| self.newly_on_probation(ctx, &usable[**i]);
+        let new_on_it: Vec<usize> = probation.iter().filter(is_new).copied().collect();
         let is_tried = |i: &&usize| self.is_tried(ctx, &usable[**i]);
         let not_tried: Vec<usize> = probation.iter().filter(|i| !is_tried(i)).copied().collect();
         let mut ids = Vec::new();
@@ -149,13 +153,14 @@
             if probed && job.is_trying(ctx.now, ctx.cfg.report_ms) {
                 continue;
             }
-            let aged = !probed && is_aged(job, ctx.now, boot_ms);
+            let behind = probed && ctx.now < job.not_before + PROBE_BEHIND;
+            let aged = !behind && is_aged(job, ctx.now, boot_ms);
             // Kept free for it, the quota must come free some day: what services
             // hold does not. A whole team once waited for one job in vain.
             let at_once = if gang { waiting.len() as i64 } else { 1 };
             let need = lasting[team] + job.task.times(at_once);
             want.reserves = aged && self.quotas[team].could_allow(&need, 1);
-            want.band = match probed {
+            want.band = match behind {
                 true => PROBE_BAND,
                 false => band(job, &self.quotas[team], &waiting, aged),
             };
@@ -166,7 +171,7 @@
                 .collect();
             want.avoid.extend(&not_tried);
             if gang || job.failures.is_suspect() {
-                want.avoid.extend(&probation);
+                want.avoid.extend(&new_on_it);
             }
             wants.push(want);
             ids.push(id.clone());
@@ -175,9 +180,17 @@
     }
 
     /// Whether a machine may be faulty.
-    fn on_probation(&self, ctx: &Ctx, id: &MachineId) -> bool {
+    fn on_probation(&self, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
-        machine.is_some_and(|m| m.failures.on_probation(ctx.now, m.boot_ms))
+        machine.is_some_and(|m| m.failures.on_probation())
+    }
+
+    /// Whether it is, since less than a boot ago. For no longer: it may be well,
+    /// and another may never come.
+    fn newly_on_probation(&self, ctx: &Ctx, id: &MachineId) -> bool {
+        let machine = self.machines.get(id);
+        machine
+            .is_some_and(|m| m.failures.on_probation() && m.failures.is_recent(ctx.now, m.boot_ms))
     }
 
     /// Whether a machine on probation may be tried with one more task now.
@@ -189,7 +202,8 @@
         };
         let machine = self.machines.get(id);
         machine.is_some_and(|m| {
-            m.failures.is_tried(ctx.now, ctx.cfg.report_ms) && !m.tasks.iter().any(starts)
+            m.failures.is_tried(ctx.now, ctx.cfg.report_ms, m.boot_ms)
+                && !m.tasks.iter().any(starts)
         })
     }
 
@@ -228,7 +242,7 @@
         for (id, host) in usable.iter().zip(&mut hosts) {
             host.held = false;
             // It is tried with little, and may be given up.
-            if self.on_probation(ctx, id) {
+            if self.newly_on_probation(ctx, id) {
                 host.free = Resources::default();
             }
         }
