--- a/crates/core/src/vouch.rs
+++ b/crates/core/src/attestation.rs
@@ -1,10 +1,10 @@
-//! What other controllers vouch for, and for how long workers may be answered
-//! on it without a right.
+//! Attestations of other controllers, and for how long workers may be answered
+//! on them without a valid lease.
 //!
 //! Whoever answers a worker's report keeps its lease alive, and with it a task
 //! whose cancellation another controller may have confirmed. By `cancel_ms`
 //! after that the task must be gone, whatever else fails: so the last answer
-//! that carries no order to stop it must come `cancel_ms` less a worker's lease
+//! that carries no command to stop it must come `cancel_ms` less a worker's lease
 //! after the confirmation at the latest (`Config::grace_ms`). All bounds here
 //! have this form: nothing can have been confirmed before some moment, and
 //! workers are answered until that moment and the grace. Only the moment moves.
@@ -15,7 +15,7 @@
 //! own clock. However late it comes, it proves nothing about a later time, and
 //! no two clocks are compared.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::node::Node;
 use crate::records::ShareId;
 use crate::share::{Phase, Share};
@@ -63,9 +63,9 @@
     machines: BTreeSet<MachineId>,
 }
 
-/// What other controllers have stated.
+/// What other controllers have attested, each as of some moment.
 #[derive(Debug, Default)]
-pub(crate) struct Vouched {
+pub(crate) struct Attestations {
     peers: BTreeMap<NodeName, Seen>,
     refused: BTreeMap<NodeName, Refused>,
     shares: BTreeMap<ShareId, Unsettled>,
@@ -73,7 +73,7 @@
     proven: Ms,
 }
 
-impl Vouched {
+impl Attestations {
     /// We have a right until then.
     pub(crate) fn prove(&mut self, until: Ms) {
         self.proven = self.proven.max(until);
@@ -81,15 +81,15 @@
 
     /// Before this moment nobody can have confirmed a cancellation in our
     /// stead. Only a holder of the share under a higher epoch can, once it has
-    /// seen that epoch in its view. As long as every other controller vouches
-    /// for not having seen one, nobody has. A controller that is not heard
-    /// vouches for nothing, nor does one that has restarted and was not served
+    /// seen that epoch in its view. As long as every other controller
+    /// attests that it has not seen one, nobody has. A controller that is not heard
+    /// attests nothing, nor does one that has restarted and was not served
     /// since. One whose view is complete has read it after its start, so it
-    /// vouches for its earlier starts as well.
-    fn unclaimed_until(&self, ctx: &Ctx, share: &Share) -> Ms {
+    /// attests this for its earlier starts as well.
+    fn unclaimed_until(&self, ctx: &Context, share: &Share) -> Ms {
         let cfg = &ctx.cfg;
         let others = cfg.nodes.iter().filter(|n| **n != cfg.node);
-        let vouched = others.map(|n| {
+        let attested = others.map(|n| {
             let seen = self.peers.get(n);
             let unclaimed = seen.filter(|s| {
                 let epoch = s.epochs.get(&share.id).copied().unwrap_or(0);
@@ -97,8 +97,8 @@
             });
             unclaimed.map_or(0, |s| s.since)
         });
-        let vouched = vouched.min().unwrap_or(Ms::MAX);
-        self.proven.max(vouched).max(self.out_until(ctx))
+        let attested = attested.min().unwrap_or(Ms::MAX);
+        self.proven.max(attested).max(self.out_until(ctx))
     }
 
     /// Until then the state service was out for everybody, and has been since
@@ -106,7 +106,7 @@
     /// shares, whoever is not heard. The service refuses a single controller
     /// alone, so two that are refused at a time would do; a majority is asked
     /// for, and that nobody says otherwise.
-    fn out_until(&self, ctx: &Ctx) -> Ms {
+    fn out_until(&self, ctx: &Context) -> Ms {
         let in_time = |from: Option<Ms>| from.is_some_and(|t| t < self.proven);
         let served = |r: &Refused| r.from.is_none() && r.since > self.proven;
         if !in_time(ctx.store.out_since()) || self.refused.values().any(served) {
@@ -212,26 +212,32 @@
         let Some(since) = echo.map(|e| e.sent.min(self.ctx.now)) else {
             return;
         };
-        let vouched = &mut self.ctx.vouched;
-        let newer = vouched.peers.get(from).is_none_or(|s| since > s.since);
+        let attestations = &mut self.ctx.attestations;
+        let newer = attestations.peers.get(from).is_none_or(|s| since > s.since);
         if beat.epochs.is_some() && newer {
-            vouched.peers.insert(from.clone(), Seen { since, epochs });
+            attestations
+                .peers
+                .insert(from.clone(), Seen { since, epochs });
         }
-        if vouched.refused.get(from).is_none_or(|r| since > r.since) {
+        if attestations
+            .refused
+            .get(from)
+            .is_none_or(|r| since > r.since)
+        {
             // The message took some time, so it began before that.
             let from_when = beat.refused_for.map(|t| self.ctx.now.saturating_sub(t));
             let refused = Refused {
                 since,
                 from: from_when,
             };
-            vouched.refused.insert(from.clone(), refused);
+            attestations.refused.insert(from.clone(), refused);
         }
         for settled in beat.settled {
             let k = ShareId(settled.share);
             let machines = settled.unsettled.iter().map(|m| MachineId::new(m));
             let machines = machines.collect();
-            if vouched.shares.get(&k).is_none_or(|u| since > u.since) {
-                vouched.shares.insert(k, Unsettled { since, machines });
+            if attestations.shares.get(&k).is_none_or(|u| since > u.since) {
+                attestations.shares.insert(k, Unsettled { since, machines });
             }
         }
     }
@@ -240,7 +246,7 @@
     /// any more. Once our lease has run out another controller may be given the
     /// share and confirm cancellations that we never hear of.
     pub(crate) fn holds_on(&self, share: &Share) -> bool {
-        let until = self.ctx.vouched.unclaimed_until(&self.ctx, share);
+        let until = self.ctx.attestations.unclaimed_until(&self.ctx, share);
         !share.superseded && self.ctx.now < until.saturating_add(self.ctx.cfg.grace_ms())
     }
 
@@ -248,14 +254,14 @@
     /// its tasks are cancelled: the last holder that had a right has stated that
     /// none is that was cancelled before.
     fn is_settled(&self, share: ShareId, machine: &MachineId) -> bool {
-        let until = self.ctx.vouched.settled_until(share, machine);
+        let until = self.ctx.attestations.settled_until(share, machine);
         until.is_some_and(|t| self.ctx.now < t + self.ctx.cfg.grace_ms())
     }
 
     /// Whether a worker of a share that we are still loading is answered. What
     /// an earlier holder confirmed and could not carry out is not known yet.
     /// The worker's last answer from that holder came before the
-    /// confirmation, else it would have carried the order to stop; it is less
+    /// confirmation, else it would have carried the command to stop; it is less
     /// than a lease old, or the worker's session would be over.
     pub(crate) fn bridges(&self, share: &Share, machine: &MachineId) -> bool {
         self.ctx.now < share.active_since + self.ctx.cfg.bridge_ms()
@@ -264,7 +270,7 @@
 
     /// Whether we keep the lease of a worker alive that another controller
     /// holds: we are cut off from the state service and from that controller,
-    /// and so, it seems, is the worker. It is given no orders, and its own
+    /// and so, it seems, is the worker. It is given no commands, and its own
     /// token back.
     pub(crate) fn keeps(&self, share: ShareId, machine: &MachineId) -> bool {
         let Some(holder) = self.view.shares.get(&share).map(|s| &s.rec) else {
--- a/crates/core/src/vouch/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `vouch`.
+//! Tests of `attestation`.
 
 use super::*;
 use crate::config::{Config, Operator};
-use crate::records::ShareRec;
+use crate::records::ShareRecord;
 use crate::view::Stamped;
 use forkshift_wire::settings::Settings;
 
@@ -20,7 +20,7 @@
     cfg.nodes = [cfg.node.clone()].into_iter().chain(names).collect();
     let mut node = Node::new(cfg, 1, 1);
     let held = |holder: &NodeName, inc| Stamped {
-        rec: ShareRec {
+        rec: ShareRecord {
             holder: holder.clone(),
             inc,
             epoch: EPOCH,
@@ -37,7 +37,7 @@
     node.shares.insert(OURS, share);
     node.member.on_extend(&node.ctx, SENT, 200);
     let until = node.member.right_until(&node.ctx);
-    node.ctx.vouched.prove(until);
+    node.ctx.attestations.prove(until);
     node
 }
 
@@ -79,6 +79,16 @@
     node.on_heartbeat(&from, 7, beat);
 }
 
+/// Whether a controller goes on answering workers of its share, once peers have
+/// told it something.
+fn holds_on_after(mut node: Node, now: Ms, told: Vec<Says>) -> bool {
+    node.ctx.now = now;
+    for says in told {
+        tell(&mut node, says, vec![]);
+    }
+    node.holds_on(&node.shares[&OURS])
+}
+
 /// Once, an old holder answered its workers for as long as it heard any peer,
 /// though a third controller may have confirmed a cancellation in its stead
 /// just before an outage. It goes on only on the word of all of them.
@@ -97,20 +107,20 @@
         ("nobody is heard, in time", vec![], end - 1, true),
         ("nobody is heard, too late", vec![], end, false),
         (
-            "one of two vouches",
+            "one of two attests",
             vec![says("north", later, seen)],
             end,
             false,
         ),
-        ("both vouch", both(later, later), later, true),
+        ("both attest", both(later, later), later, true),
         (
-            "both vouched for a while",
+            "both attested for a while",
             both(end, later),
             end + grace - 1,
             true,
         ),
         (
-            "both vouched too long ago",
+            "both attested too long ago",
             both(end, later),
             end + grace,
             false,
@@ -122,7 +132,7 @@
             false,
         ),
         (
-            "one vouched before it restarted",
+            "one attested before it restarted",
             vec![
                 says("north", later, seen),
                 says("south", end, seen),
@@ -144,7 +154,7 @@
             false,
         ),
         (
-            "what they vouch for is of our clock before a restart",
+            "attestations are of our clock before a restart",
             vec![
                 says("north", later, seen),
                 Says {
@@ -166,13 +176,7 @@
         ),
     ];
     for (name, told, now, holds) in cases {
-        let mut node = node();
-        node.ctx.now = now;
-        for says in told {
-            tell(&mut node, says, vec![]);
-        }
-        let share = &node.shares[&OURS];
-        assert_eq!(node.holds_on(share), holds, "{name}");
+        assert_eq!(holds_on_after(node(), now, told), holds, "{name}");
     }
 }
 
@@ -245,16 +249,11 @@
     ];
     for (name, ours, told, holds) in cases {
         let mut node = node();
-        let Ctx { store, rng, .. } = &mut node.ctx;
+        let Context { store, rng, .. } = &mut node.ctx;
         if let Some(since) = ours {
             store.heard(503, since, rng);
         }
-        node.ctx.now = now;
-        for says in told {
-            tell(&mut node, says, vec![]);
-        }
-        let share = &node.shares[&OURS];
-        assert_eq!(node.holds_on(share), holds, "{name}");
+        assert_eq!(holds_on_after(node, now, told), holds, "{name}");
     }
 }
 
--- a/crates/core/src/ctx.rs
+++ b/crates/core/src/context.rs
@@ -1,15 +1,17 @@
-//! What every part of the controller needs: time, settings, a way out.
+//! The context of every part of the controller: time, settings, and the
+//! effects that it wants carried out.
 
+use crate::attestation::{Attestations, Peer};
 use crate::config::Config;
-use crate::records::{DemandRec, ShareId};
-use crate::silence::Silence;
+use crate::failure_detector::FailureDetector;
+use crate::records::{DemandRecord, ShareId};
 use crate::store::{StateCall, Store, Urgency};
-use crate::vouch::{Peer, Vouched};
 use crate::Ms;
+use forkshift_wire::cloud::Machines;
 use forkshift_wire::peer::{Body, Envelope, VERSION};
 use forkshift_wire::state::{Txn, TxnReply};
 use forkshift_wire::users::JobSpec;
-use forkshift_wire::workers::Order;
+use forkshift_wire::workers::Command;
 use forkshift_wire::{JobId, MachineId, NodeName};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -22,14 +24,14 @@
 
 /// Names a request that waits for its answer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct Token(pub u64);
+pub struct RequestId(pub u64);
 
 /// Set in the names of requests that other controllers have passed on.
 const REMOTE: u64 = 1 << 63;
 /// A request that was passed on is of no use after this.
 const REMOTE_MS: Ms = 5_000;
 
-impl Token {
+impl RequestId {
     /// Whether another controller waits for the answer.
     pub(crate) fn is_remote(self) -> bool {
         self.0 & REMOTE != 0
@@ -42,7 +44,7 @@
     /// A request from a user, a worker or a probe.
     Request {
         /// To be named in the answer.
-        token: Token,
+        request: RequestId,
         /// `GET`, `POST`, …
         method: String,
         /// Path and query.
@@ -86,6 +88,7 @@
 }
 
 impl Reply {
+    /// An answer with a JSON body.
     pub(crate) fn json(status: u16, body: &impl Serialize) -> Self {
         Self {
             status,
@@ -94,6 +97,7 @@
         }
     }
 
+    /// An answer that says what was wrong.
     pub(crate) fn error(status: u16, error: &str) -> Self {
         let error = error.to_owned();
         Self::json(status, &forkshift_wire::users::Refusal { error })
@@ -114,7 +118,7 @@
     /// Answer a request.
     Respond {
         /// Which request.
-        token: Token,
+        request: RequestId,
         /// The answer.
         reply: Reply,
     },
@@ -169,7 +173,7 @@
     },
     Create(Box<Creation>),
     Lookup {
-        token: Token,
+        request: RequestId,
         id: JobId,
         why: Lookup,
         until: Ms,
@@ -202,13 +206,13 @@
         epoch: u64,
         machine: MachineId,
         token: u64,
-        orders: Vec<Order>,
+        commands: Vec<Command>,
     },
     Catalog,
     MachineList {
         page: Vec<forkshift_wire::cloud::Listed>,
     },
-    CharterPut {
+    RentalIntentPut {
         request: String,
     },
     Rent {
@@ -234,7 +238,7 @@
 /// A submission that is being written.
 #[derive(Debug)]
 pub(crate) struct Creation {
-    pub(crate) token: Token,
+    pub(crate) request: RequestId,
     pub(crate) spec: JobSpec,
     pub(crate) share: ShareId,
     pub(crate) until: Ms,
@@ -243,7 +247,7 @@
 /// A cancellation that another controller is to carry out.
 #[derive(Clone, Debug)]
 pub(crate) struct AbortPoll {
-    pub(crate) token: Token,
+    pub(crate) request: RequestId,
     pub(crate) id: JobId,
     /// Version of the key that tells of it, for its removal.
     pub(crate) version: u64,
@@ -285,7 +289,7 @@
 }
 
 /// Time, settings, and a way out.
-pub(crate) struct Ctx {
+pub(crate) struct Context {
     pub(crate) now: Ms,
     pub(crate) wall: Ms,
     pub(crate) cfg: Rc<Config>,
@@ -296,20 +300,20 @@
     pub(crate) pending: HashMap<CallId, Pending>,
     /// Inputs that the controller makes for itself: calls that never went out.
     pub(crate) refused: Vec<Pending>,
-    /// What shares of ours lack, for the leader that we are.
-    pub(crate) lacking: Vec<(ShareId, u64, DemandRec)>,
+    /// Unmet demand of our own shares, while we are the leader.
+    pub(crate) unmet_demand: Vec<(ShareId, u64, DemandRecord)>,
     /// Requests that other controllers have passed on.
-    pub(crate) remote: BTreeMap<Token, Remote>,
+    pub(crate) remote: BTreeMap<RequestId, Remote>,
     /// Whether we may answer from memory, as of this step.
     pub(crate) entitled: bool,
     /// When we last went on after standing still.
     pub(crate) awake_since: Ms,
-    pub(crate) silence: Silence,
+    pub(crate) failure_detector: FailureDetector,
     /// Until then we say that we hear no machine.
     pub(crate) blind_until: Ms,
     /// Peers that were heard.
     pub(crate) peers: BTreeMap<NodeName, Peer>,
-    pub(crate) vouched: Vouched,
+    pub(crate) attestations: Attestations,
     /// Calls to workers that are under way.
     pub(crate) worker_calls: usize,
     /// Machines, jobs and tasks looked at: the work of a step, counted.
@@ -333,7 +337,8 @@
 /// Time that the state service has for an answer.
 const STATE_TIMEOUT: Ms = 2_000;
 
-impl Ctx {
+impl Context {
+    /// The context of a controller that starts.
     pub(crate) fn new(cfg: Rc<Config>, inc: u64, seed: u64) -> Self {
         let n = cfg.nodes.len() as f64;
         Self {
@@ -346,14 +351,14 @@
             rng: StdRng::seed_from_u64(seed),
             pending: HashMap::new(),
             refused: Vec::new(),
-            lacking: Vec::new(),
+            unmet_demand: Vec::new(),
             remote: BTreeMap::new(),
             entitled: false,
             awake_since: 0,
-            silence: Silence::default(),
+            failure_detector: FailureDetector::default(),
             blind_until: 0,
             peers: BTreeMap::new(),
-            vouched: Vouched::default(),
+            attestations: Attestations::default(),
             worker_calls: 0,
             visits: 0,
             next_call: 0,
@@ -408,9 +413,9 @@
     }
 
     /// A name for a request that another controller has passed on.
-    pub(crate) fn remote_token(&mut self, from: NodeName, inc: u64, ask: u64) -> Token {
+    pub(crate) fn remote_request(&mut self, from: NodeName, inc: u64, ask: u64) -> RequestId {
         self.next_call += 1;
-        let token = Token(self.next_call | REMOTE);
+        let request = RequestId(self.next_call | REMOTE);
         let until = self.now + REMOTE_MS;
         let remote = Remote {
             from,
@@ -418,18 +423,20 @@
             ask,
             until,
         };
-        self.remote.insert(token, remote);
-        token
+        self.remote.insert(request, remote);
+        request
     }
 
+    /// Drops requests of other controllers that can have no answer in time.
     pub(crate) fn forget_remote(&mut self) {
         let now = self.now;
         self.remote.retain(|_, r| now < r.until);
     }
 
-    pub(crate) fn respond(&mut self, token: Token, reply: Reply) {
-        if token.is_remote() {
-            if let Some(remote) = self.remote.remove(&token) {
+    /// Answers a request, of a user or of another controller.
+    pub(crate) fn respond(&mut self, request: RequestId, reply: Reply) {
+        if request.is_remote() {
+            if let Some(remote) = self.remote.remove(&request) {
                 let body = Body::Answer {
                     inc: remote.inc,
                     ask: remote.ask,
@@ -441,7 +448,7 @@
             }
             return;
         }
-        self.out.push(Effect::Respond { token, reply });
+        self.out.push(Effect::Respond { request, reply });
     }
 
     fn call(
@@ -483,6 +490,7 @@
         self.refused.extend(late.into_iter().map(|c| c.pending));
     }
 
+    /// Reads from the state service.
     pub(crate) fn read(&mut self, urgency: Urgency, path: String, pending: Pending) {
         let call = StateCall {
             method: "GET",
@@ -517,6 +525,7 @@
         self.store.push(Urgency::Member, call);
     }
 
+    /// Sends the state service something other than a transaction.
     pub(crate) fn post(
         &mut self,
         method: &'static str,
@@ -536,6 +545,7 @@
         self.store.push(Urgency::Member, call);
     }
 
+    /// Sends a transaction to the state service.
     pub(crate) fn txn(&mut self, urgency: Urgency, txn: &Txn, pending: Pending) {
         let call = StateCall {
             method: "POST",
@@ -549,6 +559,7 @@
         self.store.push(urgency, call);
     }
 
+    /// Calls the cloud.
     pub(crate) fn cloud(
         &mut self,
         method: &'static str,
@@ -559,6 +570,14 @@
         self.call(Target::Cloud, method, path, body, 5_000, pending)
     }
 
+    /// Has the cloud delete machines.
+    pub(crate) fn delete_machines(&mut self, machines: Vec<MachineId>, pending: Pending) {
+        let body = serde_json::to_vec(&Machines { machines }).unwrap_or_default();
+        let path = "/machines/delete".to_owned();
+        self.cloud("POST", path, Some(body), pending);
+    }
+
+    /// Sends commands to a worker.
     pub(crate) fn worker(
         &mut self,
         addr: &str,
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -1,32 +1,32 @@
-//! Emptying machines that are hardly used, so that they can be returned.
+//! Draining of machines that are hardly used, so that they can be returned.
 //!
 //! Replicas run until their users cancel them, so a machine that holds a few
 //! of them is never idle by itself. A replica is moved when it finds a place
 //! at once where its image is; whatever completes by itself is waited for.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::job::Job;
 use crate::records::total_of;
-use crate::rounds::want_of;
+use crate::rounds::pending_tasks_of;
 use crate::share::Share;
 use crate::view::View;
 use crate::Ms;
-use forkshift_sched::{run_round, Host, Quota, Resources, Want};
+use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
 
-/// A machine is worth emptying if what it holds could be had for no more than
+/// A machine is worth draining if what it holds could be had for no more than
 /// this part of its price.
 const WORTH_MOST: f64 = 0.75;
 /// Tasks are not moved to a dearer machine whose own tasks are worth less than
-/// this part of its price: it should be emptied itself.
+/// this part of its price: it should be drained itself.
 const TARGET_LEAST: f64 = 0.5;
 /// A replica is moved only to where its image is, or is fetched within this
 /// many reports.
 const FETCH_REPORTS: f64 = 1.0;
-/// Machines that are emptied at a time.
+/// Machines that are drained at a time.
 const DRAINING_MOST: usize = 3;
 /// One in so many machines is tried in a round: each try goes over all of them.
 const TRIES_PART: usize = 16;
@@ -44,12 +44,12 @@
 }
 
 impl Share {
-    /// Empties the machine that wastes most, if its tasks fit elsewhere.
+    /// Drains the machine that wastes most, if its tasks fit elsewhere.
     /// `hosts` shows what is left of the usable machines once everything
     /// that waits, and the spare places, are booked.
     pub(crate) fn drain(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         usable: &[MachineId],
         hosts: &mut [Host],
@@ -113,7 +113,7 @@
 
     fn choose_drain(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         usable: &[MachineId],
         hosts: &mut [Host],
         places: &Places,
@@ -157,7 +157,7 @@
                 continue;
             }
             log::info!(
-                "machine {}: to be emptied, {} tasks",
+                "machine {}: to be drained, {} tasks",
                 usable[i],
                 tasks.len()
             );
@@ -172,7 +172,7 @@
     /// Books a place for one task of another machine, and says where and how much.
     fn fits_elsewhere(
         &self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         task: &TaskRef,
         hosts: &mut [Host],
         from: f64,
@@ -180,7 +180,7 @@
     ) -> Option<(usize, Resources)> {
         let job = self.jobs.get(&task.job)?;
         let binding = job.bound.get(&task.index)?;
-        let mut want: Want = want_of(ctx, job, 0, &places.zones);
+        let mut want: PendingTasks = pending_tasks_of(ctx, job, 0, &places.zones);
         if let Some(n) = places
             .zones
             .get(&binding.machine)
@@ -209,7 +209,7 @@
     /// Moves one replica at a time, so that no service is thinned out.
     fn move_one(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: &MachineId,
         hosts: &mut [Host],
         places: &Places,
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -6,7 +6,7 @@
 //! or if the machine's deletion was answered. Silence proves nothing.
 
 use crate::blame::well_after;
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::job::{Binding, Sent, Stop};
 use crate::share::Share;
 use crate::Ms;
@@ -21,7 +21,7 @@
 impl Share {
     /// Takes in a message. Returns false if it is an old copy, or is not
     /// about a machine of this share.
-    pub(crate) fn ingest(&mut self, ctx: &mut Ctx, report: &Report) -> bool {
+    pub(crate) fn ingest(&mut self, ctx: &mut Context, report: &Report) -> bool {
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return false;
         };
@@ -77,7 +77,7 @@
     /// Decides what a message says about a task that may be on the machine.
     fn judge(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         report: &Report,
         task: &TaskRef,
         listed: &BTreeMap<(&TaskRef, u64), &TaskReport>,
@@ -137,7 +137,13 @@
         }
     }
 
-    fn exited(&mut self, ctx: &mut Ctx, machine: &MachineId, task: &TaskRef, found: &TaskReport) {
+    fn exited(
+        &mut self,
+        ctx: &mut Context,
+        machine: &MachineId,
+        task: &TaskRef,
+        found: &TaskReport,
+    ) {
         let Some(binding) = self.unbind(&task.job, task.index) else {
             return;
         };
@@ -183,7 +189,7 @@
     }
 
     /// A task failed: is it the machine, or the job?
-    fn failed(&mut self, ctx: &Ctx, machine: &MachineId, id: &JobId, binding: &Binding) {
+    fn failed(&mut self, ctx: &Context, machine: &MachineId, id: &JobId, binding: &Binding) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -203,7 +209,7 @@
     }
 
     /// A task is running: for long enough to tell for its job and its machine?
-    fn runs(&mut self, ctx: &Ctx, machine: &MachineId, id: &JobId, began: Ms) {
+    fn runs(&mut self, ctx: &Context, machine: &MachineId, id: &JobId, began: Ms) {
         let (Some(job), Some(m)) = (self.jobs.get(id), self.machines.get(machine)) else {
             return;
         };
@@ -272,7 +278,7 @@
     }
 
     /// A task that the machine reports and that is not bound to it in this attempt.
-    fn judge_stray(&mut self, ctx: &Ctx, id: &MachineId, found: &TaskReport) {
+    fn judge_stray(&mut self, ctx: &Context, id: &MachineId, found: &TaskReport) {
         let task = &found.task;
         let job = self.jobs.get(&task.job);
         let known = job.and_then(|j| j.bound.get(&task.index));
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -1,9 +1,9 @@
 //! An unfinished job in its holder's memory.
 
 use crate::blame::{well_after, JobFailures};
-use crate::ctx::Token;
+use crate::context::RequestId;
 use crate::ranges::Ranges;
-use crate::records::{BlockRec, HeadRec};
+use crate::records::{JobHeadRecord, TaskBlockRecord};
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus};
@@ -69,6 +69,7 @@
 }
 
 impl Block {
+    /// Whether something has changed that is not known to be written.
     pub(crate) fn is_dirty(&self) -> bool {
         self.version > self.committed
     }
@@ -93,7 +94,7 @@
     pub(crate) cancelled_since: Ms,
     /// The cancellation is written.
     pub(crate) cancel_durable: bool,
-    pub(crate) cancel_waiters: Vec<Token>,
+    pub(crate) cancel_waiters: Vec<RequestId>,
     /// A write is under way.
     pub(crate) writing: bool,
     pub(crate) retry_at: Ms,
@@ -152,7 +153,7 @@
     pub(crate) fn restore(
         &mut self,
         block: u32,
-        rec: BlockRec,
+        rec: TaskBlockRecord,
         stamp: u64,
         now: Ms,
     ) -> Vec<(u32, Binding)> {
@@ -180,10 +181,12 @@
             .collect()
     }
 
+    /// The block in which a task is recorded.
     pub(crate) fn block_of(&self, index: u32) -> u32 {
         index / self.block_size
     }
 
+    /// Whether the job's tasks all run at the same time or not at all.
     pub(crate) fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
@@ -218,6 +221,7 @@
         next
     }
 
+    /// Whether all tasks are done.
     pub(crate) fn is_complete(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
@@ -234,6 +238,7 @@
         !self.is_complete() && (!self.cancelled || self.cancel_durable)
     }
 
+    /// The stage in which the job ends.
     pub(crate) fn final_stage(&self) -> JobStage {
         if self.cancelled {
             JobStage::Cancelled
@@ -271,6 +276,7 @@
             .collect()
     }
 
+    /// What users are told of the job.
     pub(crate) fn status(&self) -> JobStatus {
         let running = self.bound.values();
         let running = running
@@ -291,11 +297,11 @@
     }
 
     /// A block as it is to be written.
-    pub(crate) fn block_rec(&self, block: u32) -> BlockRec {
+    pub(crate) fn block_rec(&self, block: u32) -> TaskBlockRecord {
         let from = block * self.block_size;
         let to = from.saturating_add(self.block_size);
         let bound = self.bound.range(from..to);
-        BlockRec {
+        TaskBlockRecord {
             next: self.blocks.get(&block).map_or(0, |b| b.next),
             done: self.done.within(from, to),
             bound: bound
@@ -305,8 +311,8 @@
     }
 
     /// The head as it is to be written.
-    pub(crate) fn head_rec(&self) -> HeadRec {
-        HeadRec {
+    pub(crate) fn head_rec(&self) -> JobHeadRecord {
+        JobHeadRecord {
             spec: (*self.spec).clone(),
             cancelled: self.cancelled,
             cancelled_at: self.cancelled_wall,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,15 +5,17 @@
 //! numbers come from a seed. The daemon runs it against the real services,
 //! the testkit against stand-ins in virtual time.
 
-mod agenda;
 mod api;
+mod attestation;
 mod blame;
 mod budget;
+mod commands;
 mod commit;
 pub mod config;
-mod ctx;
+mod context;
 mod drain;
 mod evidence;
+mod failure_detector;
 #[cfg(test)]
 mod fixture;
 mod forward;
@@ -22,21 +24,19 @@
 mod machine;
 mod member;
 mod node;
-mod orders;
 mod peers;
 mod preempt;
 mod ranges;
+mod reconcile;
 pub mod records;
 mod rounds;
 mod share;
-mod silence;
 mod store;
-mod tend;
+mod timers;
 mod view;
-mod vouch;
 
 pub use config::{Config, Operator};
-pub use ctx::{CallId, Effect, Input, Reply, Target, Token};
+pub use context::{CallId, Effect, Input, Reply, RequestId, Target};
 pub use node::Node;
 
 /// Milliseconds of a steady clock.
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,7 +1,7 @@
 //! A machine of a share, in its holder's memory.
 
 use crate::blame::MachineFailures;
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::{MachineId, TaskRef};
@@ -51,9 +51,9 @@
     /// A call is under way.
     pub(crate) calling: bool,
     pub(crate) retry_at: Ms,
-    /// A call with orders had no answer and may be carried out late.
+    /// A call with commands had no answer and may be carried out late.
     pub(crate) unanswered: bool,
-    /// The token must be told, even without orders.
+    /// The token must be told, even without commands.
     pub(crate) push: bool,
 
     /// Tasks that may be here.
@@ -81,7 +81,7 @@
     pub(crate) delete_at: Ms,
     /// Before this it is not looked at again whether its tasks fit elsewhere.
     pub(crate) full_house_until: Ms,
-    /// It is being emptied, to be returned.
+    /// It is being drained, to be returned.
     pub(crate) draining: bool,
     /// Since when nothing has needed it.
     pub(crate) idle_since: Option<Ms>,
@@ -100,7 +100,7 @@
     }
 
     /// Whether it has reported lately.
-    pub(crate) fn is_heard(&self, ctx: &Ctx) -> bool {
+    pub(crate) fn is_heard(&self, ctx: &Context) -> bool {
         let heard = self.heard;
         heard.is_some_and(|t| ctx.now < t + ctx.cfg.report_ms * MISSED_MOST)
     }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,7 +1,7 @@
 //! Membership: this controller's lease, its record, and leadership.
 
-use crate::ctx::{revision_of, Ctx, Pending};
-use crate::records::{node_key, LeaderRec, NodeRec, LEADER};
+use crate::context::{revision_of, Context, Pending};
+use crate::records::{node_key, LeaderRecord, NodeRecord, LEADER};
 use crate::store::Urgency;
 use crate::view::View;
 use crate::Ms;
@@ -34,7 +34,7 @@
     /// moment the last extension was *sent*, less what clocks may drift: by
     /// then the lease is still alive at the state service, so nobody else can
     /// have been given our shares.
-    pub(crate) fn right_until(&self, ctx: &Ctx) -> Ms {
+    pub(crate) fn right_until(&self, ctx: &Context) -> Ms {
         let ttl = ctx.cfg.node_lease_ms();
         self.extended + ttl - ttl / 500
     }
@@ -42,7 +42,7 @@
     /// Whether this controller may answer from memory. A lease that was lost
     /// and replaced gives no right until the view has caught up with our new
     /// record: while we had no lease, our shares may have been given away.
-    pub(crate) fn has_right(&self, ctx: &Ctx, view: &View) -> bool {
+    pub(crate) fn has_right(&self, ctx: &Context, view: &View) -> bool {
         self.registered
             && self.lease.is_some()
             && ctx.now < self.right_until(ctx)
@@ -64,11 +64,13 @@
         self.extended
     }
 
+    /// Whether this controller's record is known to be on its lease.
     pub(crate) fn is_registered(&self) -> bool {
         self.registered
     }
 
-    pub(crate) fn tick(&mut self, ctx: &mut Ctx, view: &View) {
+    /// Keeps the lease, the record and, if this controller leads, leadership.
+    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View) {
         if !self.asked && ctx.now >= self.next {
             self.ask(ctx);
         }
@@ -83,7 +85,7 @@
         if !self.putting && (!mine || !self.registered || !says) {
             let key = node_key(&ctx.cfg.node);
             let version = node.map_or(0, |n| n.version);
-            let rec = NodeRec {
+            let rec = NodeRecord {
                 inc: ctx.inc,
                 blind,
             };
@@ -98,7 +100,7 @@
                 Some(l) if l.rec.node == ctx.cfg.node && l.rec.inc != ctx.inc => l.version,
                 Some(_) => return,
             };
-            let rec = LeaderRec {
+            let rec = LeaderRecord {
                 node: ctx.cfg.node.clone(),
                 inc: ctx.inc,
             };
@@ -114,7 +116,7 @@
         }
     }
 
-    fn ask(&mut self, ctx: &mut Ctx) {
+    fn ask(&mut self, ctx: &mut Context) {
         self.asked = true;
         let sent = ctx.now;
         match self.lease {
@@ -135,7 +137,8 @@
         }
     }
 
-    pub(crate) fn on_lease(&mut self, ctx: &Ctx, sent: Ms, status: u16, body: &[u8]) {
+    /// The request for a lease was answered.
+    pub(crate) fn on_lease(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
         self.asked = false;
         let ttl = ctx.cfg.node_lease_ms();
         match serde_json::from_slice::<LeaseReply>(body) {
@@ -149,7 +152,8 @@
         }
     }
 
-    pub(crate) fn on_extend(&mut self, ctx: &Ctx, sent: Ms, status: u16) {
+    /// The extension of the lease was answered.
+    pub(crate) fn on_extend(&mut self, ctx: &Context, sent: Ms, status: u16) {
         self.asked = false;
         let ttl = ctx.cfg.node_lease_ms();
         match status {
@@ -167,6 +171,7 @@
         }
     }
 
+    /// The write of this controller's record was answered.
     pub(crate) fn on_node_put(&mut self, lease: u64, status: u16, body: &[u8]) {
         self.putting = false;
         let revision = revision_of(body);
@@ -183,6 +188,7 @@
         }
     }
 
+    /// The write of the leader's record was answered.
     pub(crate) fn on_leader_put(&mut self, status: u16, body: &[u8]) {
         self.electing = false;
         let revision = revision_of(body);
@@ -199,7 +205,7 @@
 }
 
 fn put_leased(
-    ctx: &mut Ctx,
+    ctx: &mut Context,
     key: String,
     version: u64,
     rec: &impl Serialize,
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -2,7 +2,9 @@
 
 use crate::budget::Budget;
 use crate::config::Config;
-use crate::ctx::{is_watch_lost, revision_of, AbortPoll, Ctx, Effect, Input, Pending, Token};
+use crate::context::{
+    is_watch_lost, revision_of, AbortPoll, Context, Effect, Input, Pending, RequestId,
+};
 use crate::forward::Forward;
 use crate::leader::Leader;
 use crate::member::Member;
@@ -56,7 +58,7 @@
 
 /// A controller.
 pub struct Node {
-    pub(crate) ctx: Ctx,
+    pub(crate) ctx: Context,
     pub(crate) view: View,
     pub(crate) member: Member,
     pub(crate) leader: Leader,
@@ -83,11 +85,11 @@
     moving: BTreeMap<ShareId, Ms>,
     seen: u64,
     status_at: Ms,
-    pub(crate) silence_at: Ms,
+    pub(crate) failure_detector_at: Ms,
     /// Looks at cancellations that are to be repeated.
     pub(crate) later_polls: Vec<(Ms, AbortPoll)>,
     /// Until when users wait for cancellations of ours to be written.
-    pub(crate) cancel_ends: VecDeque<(Ms, Token, JobId)>,
+    pub(crate) cancel_ends: VecDeque<(Ms, RequestId, JobId)>,
 }
 
 /// Longest wait of the watch on what all controllers share.
@@ -103,7 +105,7 @@
         let cfg = Rc::new(cfg);
         Self {
             leader: Leader::new(cfg.cloud_rps),
-            ctx: Ctx::new(cfg, inc, seed),
+            ctx: Context::new(cfg, inc, seed),
             view: View::default(),
             member: Member::default(),
             budget: Budget::default(),
@@ -125,7 +127,7 @@
             moving: BTreeMap::new(),
             seen: 0,
             status_at: 0,
-            silence_at: 0,
+            failure_detector_at: 0,
             later_polls: Vec::new(),
             cancel_ends: VecDeque::new(),
         }
@@ -135,17 +137,17 @@
     /// clock, `wall` the time of day, which may be off by some and is used
     /// only to tell how long ago a job was submitted.
     pub fn step(&mut self, now: Ms, wall: Ms, inputs: Vec<Input>) -> Vec<Effect> {
-        self.ctx.note_gap(now);
+        self.ctx.note_pause(now);
         self.ctx.now = self.ctx.now.max(now);
         self.ctx.wall = wall;
         for input in inputs {
             match input {
                 Input::Request {
-                    token,
+                    request,
                     method,
                     path,
                     body,
-                } => self.on_request(token, &method, &path, body),
+                } => self.on_request(request, &method, &path, body),
                 Input::Peer(message) => self.on_peer(&message),
                 Input::Answer { call, status, body } => {
                     if let Some(pending) = self.ctx.pending.remove(&call) {
@@ -154,7 +156,7 @@
                         }
                         if is_state(&pending) {
                             let now = self.ctx.now;
-                            let Ctx { store, rng, .. } = &mut self.ctx;
+                            let Context { store, rng, .. } = &mut self.ctx;
                             store.heard(status, now, rng);
                         }
                         self.on_answer(pending, status, &body);
@@ -187,7 +189,7 @@
     fn tick(&mut self) {
         self.member.tick(&mut self.ctx, &self.view);
         self.follow_view();
-        self.follow_silence();
+        self.run_failure_detector();
         let machines = self.view.take_changed();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
         self.follow_shares();
@@ -216,9 +218,9 @@
                     share.cancel(&self.ctx, id);
                 }
             }
-            share.tend(&mut self.ctx, &self.view);
+            share.reconcile(&mut self.ctx, &self.view);
         }
-        for (share, epoch, rec) in std::mem::take(&mut self.ctx.lacking) {
+        for (share, epoch, rec) in std::mem::take(&mut self.ctx.unmet_demand) {
             self.leader.on_demand(self.ctx.now, share, epoch, rec);
         }
         self.follow_forwards();
@@ -354,7 +356,7 @@
             if rec.holder != node || rec.inc != inc {
                 if let Some(share) = self.shares.remove(k) {
                     log::info!("share {k}: now with {}", rec.holder);
-                    share.let_go(&mut self.ctx);
+                    share.release(&mut self.ctx);
                 }
                 continue;
             }
@@ -374,7 +376,7 @@
                 }
             }
             if let Some(share) = self.shares.remove(k) {
-                share.let_go(&mut self.ctx);
+                share.release(&mut self.ctx);
             }
             let used = self.used.get(k).copied().unwrap_or(0);
             if rec.epoch > used {
@@ -396,7 +398,7 @@
             // From here on we answer for the share no more, whatever becomes
             // of the request.
             if let Some(share) = self.shares.remove(&k) {
-                share.let_go(&mut self.ctx);
+                share.release(&mut self.ctx);
             }
             hand_over(&mut self.ctx, &self.view, &[(k, to)]);
         }
@@ -427,11 +429,11 @@
             }
             Pending::Create(creation) => self.on_created(*creation, status, body),
             Pending::Lookup {
-                token,
+                request,
                 id,
                 why,
                 until,
-            } => self.on_lookup(token, id, why, until, status, body),
+            } => self.on_lookup(request, id, why, until, status, body),
             Pending::Abort(poll) => self.on_abort_put(poll, status, body),
             Pending::AbortPoll(poll) => self.on_abort_poll(poll, status, body),
             Pending::JobTxn { share, epoch, jobs } => {
@@ -469,10 +471,10 @@
                 epoch,
                 machine,
                 token,
-                orders,
+                commands,
             } => {
                 if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
-                    s.on_commands(&mut self.ctx, &machine, token, &orders, status, body);
+                    s.on_commands(&mut self.ctx, &machine, token, &commands, status, body);
                 }
             }
             Pending::Catalog => self
@@ -482,7 +484,9 @@
                 self.leader
                     .on_list(&mut self.ctx, &self.view, page, status, body);
             }
-            Pending::CharterPut { request } => self.leader.on_charter_put(&request, body),
+            Pending::RentalIntentPut { request } => {
+                self.leader.on_rental_intent_put(&request, body)
+            }
             Pending::Rent { request } => {
                 self.leader
                     .on_rent(&mut self.ctx, &self.view, &request, status, body);
--- a/crates/core/src/tend.rs
+++ b/crates/core/src/reconcile.rs
@@ -1,13 +1,14 @@
-//! What a holder does for its share between the messages.
+//! Reconciliation of a share: brings what machines do in line with what is
+//! recorded of jobs, after every batch of messages.
 
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::job::Sent;
 use crate::machine::Machine;
 use crate::share::Share;
 use crate::view::View;
 use crate::Ms;
 use forkshift_sched::Resources;
-use forkshift_wire::cloud::{Machines, DELETE_MOST};
+use forkshift_wire::cloud::DELETE_MOST;
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -83,7 +84,8 @@
         money
     }
 
-    pub(crate) fn tend(&mut self, ctx: &mut Ctx, view: &View) {
+    /// Does what is due for gangs, cancellations, machines and records.
+    pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &View) {
         self.stop_broken_gangs();
         self.follow_cancelled(ctx);
         self.round(ctx, view);
@@ -126,7 +128,7 @@
     /// time is nearly up. The time counts from the first request, also when
     /// that came to an earlier holder. If the record of a machine cannot be
     /// written, or the leader does not act on it, we have it deleted ourselves.
-    fn follow_cancelled(&mut self, ctx: &mut Ctx) {
+    fn follow_cancelled(&mut self, ctx: &mut Context) {
         let part = |part: f64| (ctx.cfg.cancel_ms as f64 * part) as Ms;
         let (give_up, patience, evict) = (part(CANCEL_PART), part(PATIENCE_PART), part(EVICT_PART));
         // Whoever takes a job over tries to stop its tasks first, if there is time.
@@ -167,7 +169,7 @@
     /// machines with records from which nothing is heard, and starts nothing
     /// there. What they held counts as being there until the cloud has answered
     /// us, or until the record is gone.
-    fn evict(&mut self, ctx: &mut Ctx, overdue: BTreeSet<MachineId>) {
+    fn evict(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
         let mut due = Vec::new();
         for id in overdue {
             let machine = self.machines.get_mut(&id);
@@ -187,19 +189,16 @@
             self.id,
             due.len()
         );
-        let machines = due.clone();
-        let body = serde_json::to_vec(&Machines { machines }).unwrap_or_default();
-        let (share, epoch, machines) = (self.id, self.epoch, due);
         let pending = Pending::Evict {
-            share,
-            epoch,
-            machines,
+            share: self.id,
+            epoch: self.epoch,
+            machines: due.clone(),
         };
-        ctx.cloud("POST", "/machines/delete".to_owned(), Some(body), pending);
+        ctx.delete_machines(due, pending);
     }
 
     /// What the cloud has answered to a deletion of ours.
-    pub(crate) fn on_evicted(&mut self, ctx: &Ctx, machines: &[MachineId], status: u16) {
+    pub(crate) fn on_evicted(&mut self, ctx: &Context, machines: &[MachineId], status: u16) {
         for id in machines.iter().filter(|_| status == 200) {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.deleted = true;
@@ -211,9 +210,9 @@
     }
 
     /// Does for a machine what is due: gives it up, has its record written,
-    /// sends it orders. Then it is left alone until something happens to it
+    /// sends it commands. Then it is left alone until something happens to it
     /// or one of its deadlines comes.
-    fn look_at(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+    fn look_at(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -241,7 +240,7 @@
 
     /// What was never sent to a machine that is not heard any more goes
     /// elsewhere: it needs no evidence, and the machine may be waited for long.
-    fn take_back(&mut self, ctx: &Ctx, id: &MachineId) {
+    fn take_back(&mut self, ctx: &Context, id: &MachineId) {
         let silent = |m: &&Machine| m.heard.is_some() && !m.is_heard(ctx);
         if let Some(machine) = self.machines.get(id).filter(silent) {
             let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
@@ -269,14 +268,14 @@
             || m.tasks.iter().any(stopping)
     }
 
-    fn note_address(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
+    fn note_address(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
         let record = view.machines.get(id);
-        let lacking = record.is_some_and(|r| r.rec.addr.is_none());
+        let unrecorded = record.is_some_and(|r| r.rec.addr.is_none());
         let addr = m.addr.clone().filter(|_| m.heard.is_some());
-        if let Some(addr) = addr.filter(|_| lacking && m.condemned.is_none()) {
+        if let Some(addr) = addr.filter(|_| unrecorded && m.condemned.is_none()) {
             self.put_machine(ctx, view, id, |rec| rec.addr = Some(addr));
         }
     }
@@ -284,7 +283,7 @@
 
 /// Until when a machine is kept if nothing happens to it, or why it is given
 /// up: it is silent, deaf, faulty, taken or of no use.
-fn verdict(ctx: &Ctx, m: &Machine) -> Result<Ms, &'static str> {
+fn verdict(ctx: &Context, m: &Machine) -> Result<Ms, &'static str> {
     if m.condemned.is_some() {
         return Ok(Ms::MAX);
     }
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -1,14 +1,14 @@
-//! Rounds of a share: placing what waits, and saying what is lacking.
+//! Rounds of a share: places waiting tasks, and computes the unmet demand.
 
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::job::{Binding, Job, Sent};
 use crate::machine::Machine;
-use crate::records::{demand_key, share_key, total_of, DemandRec, ShapeRec};
+use crate::records::{demand_key, share_key, total_of, DemandRecord, ShapeRecord};
 use crate::share::Share;
 use crate::store::Urgency;
 use crate::view::View;
 use crate::Ms;
-use forkshift_sched::{run_round, Host, Quota, Resources, Short, Want};
+use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources, Shortfall};
 use forkshift_wire::peer::Body;
 use forkshift_wire::state::{Cond, Txn, Write};
 use forkshift_wire::users::{JobKind, Priority};
@@ -18,7 +18,7 @@
 
 /// Most tasks of one job that a round places.
 const TASKS_A_ROUND: usize = 256;
-/// Most shapes in what a share says that it lacks.
+/// Most shapes in the unmet demand of a share.
 const SHAPES_MOST: usize = 24;
 /// A running task that should end within this many boots leaves a spare place.
 const SOON_BOOTS: f64 = 0.8;
@@ -35,12 +35,12 @@
 /// For so long such a job waits for room before a machine is rented for it.
 const PROBE_WAIT: Ms = 60_000;
 
-/// The part of the changes at the state service that goes into what shares lack.
+/// The part of the changes at the state service that goes into records of unmet demand.
 const DEMAND_PART: f64 = 0.05;
 
 impl Share {
     /// Runs a round if one is due.
-    pub(crate) fn round(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(crate) fn round(&mut self, ctx: &mut Context, view: &View) {
         if ctx.now < self.next_round {
             return;
         }
@@ -60,7 +60,7 @@
         let mut attempts: BTreeMap<usize, u64> = BTreeMap::new();
         let mut tried = BTreeSet::new();
         for p in &placed {
-            let id = &ids[p.want];
+            let id = &ids[p.job];
             // One that may be faulty is tried with one task at a time.
             if self.on_probation(&usable[p.host]) && !tried.insert(p.host) {
                 continue;
@@ -70,7 +70,7 @@
             };
             let attempt = if job.is_gang() {
                 *attempts
-                    .entry(p.want)
+                    .entry(p.job)
                     .or_insert_with(|| job.next_gang_attempt())
             } else {
                 job.next_attempt(p.task)
@@ -92,7 +92,7 @@
         }
         self.spare_others(ctx, &ids, &mut wants);
         self.preempt(ctx, &ids, &wants, &usable, &quotas);
-        self.lack(ctx, view, &usable, hosts, wants, quotas);
+        self.compute_unmet_demand(ctx, view, &usable, hosts, wants, quotas);
     }
 
     /// The zone of every machine.
@@ -114,7 +114,11 @@
     }
 
     /// What waits, as a round sees it.
-    fn wants(&mut self, ctx: &mut Ctx, usable: &[MachineId]) -> (Vec<JobId>, Vec<Want>) {
+    fn wants(
+        &mut self,
+        ctx: &mut Context,
+        usable: &[MachineId],
+    ) -> (Vec<JobId>, Vec<PendingTasks>) {
         let zones = self.zones();
         let boot_ms = self.boot_ms();
         let lasting = self.lasting();
@@ -149,7 +153,7 @@
             let Some(&team) = self.teams.get(&job.spec.team) else {
                 continue;
             };
-            let mut want = want_of(ctx, job, team, &zones);
+            let mut want = pending_tasks_of(ctx, job, team, &zones);
             if probed && job.is_trying(ctx.now, ctx.cfg.report_ms) {
                 continue;
             }
@@ -187,14 +191,14 @@
 
     /// Whether it is, since less than a boot ago. For no longer: it may be well,
     /// and another may never come.
-    fn newly_on_probation(&self, ctx: &Ctx, id: &MachineId) -> bool {
+    fn newly_on_probation(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
         machine
             .is_some_and(|m| m.failures.on_probation() && m.failures.is_recent(ctx.now, m.boot_ms))
     }
 
     /// Whether a machine on probation may be tried with one more task now.
-    fn is_tried(&self, ctx: &Ctx, id: &MachineId) -> bool {
+    fn is_tried(&self, ctx: &Context, id: &MachineId) -> bool {
         let starts = |task: &TaskRef| {
             let job = self.jobs.get(&task.job);
             let binding = job.and_then(|j| j.bound.get(&task.index));
@@ -210,7 +214,7 @@
     /// A job that failed again and again waits for room on machines that are
     /// there: nothing is stopped or rented for it, unless there is none for it,
     /// or it has waited for long.
-    fn spare_others(&self, ctx: &Ctx, ids: &[JobId], wants: &mut [Want]) {
+    fn spare_others(&self, ctx: &Context, ids: &[JobId], wants: &mut [PendingTasks]) {
         for (id, want) in ids.iter().zip(wants) {
             let probed = self
                 .jobs
@@ -228,14 +232,14 @@
     }
 
     /// Books what found no room on machines that are still to come; what is
-    /// left then, and spare places, are what the share lacks.
-    fn lack(
+    /// left then, and spare places, are the share's unmet demand.
+    fn compute_unmet_demand(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         usable: &[MachineId],
         mut hosts: Vec<Host>,
-        mut wants: Vec<Want>,
+        mut wants: Vec<PendingTasks>,
         mut quotas: Vec<Quota>,
     ) {
         wants.sort_by_key(|w| std::cmp::Reverse(w.band));
@@ -262,14 +266,14 @@
                 hosts.push(coming(machine.total, machine, ctx.now));
             }
         }
-        self.push_charters(ctx, view, &mut hosts);
+        self.push_rental_intents(ctx, view, &mut hosts);
         for want in &mut wants {
             want.avoid.clear();
         }
         let weights = ctx.cfg.ops.weights;
         let booked = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         for (i, id) in draining.iter().enumerate() {
-            // What is needed again is not emptied any further.
+            // What is needed again is not drained any further.
             if booked.iter().any(|b| b.host == usable.len() + i) {
                 self.stop_draining(id);
             }
@@ -287,7 +291,7 @@
         shapes.extend(spare);
         shapes.truncate(SHAPES_MOST);
         self.note_idle(ctx, usable, &hosts);
-        // A spare place that is lacking fits on no machine that is here, or it
+        // A missing spare place fits on no machine that is here, or it
         // would have been booked there; only what waits speaks against it.
         if shapes.iter().all(|s| s.spare) {
             hosts.truncate(usable.len());
@@ -298,7 +302,7 @@
         let (surplus, free): (Vec<&Machine>, Vec<&Machine>) =
             empty.partition(|m| m.idle_since.is_some());
         let ids = |list: Vec<&Machine>| list.into_iter().map(|m| m.id.clone()).collect();
-        let rec = DemandRec {
+        let rec = DemandRecord {
             rev: view.revision,
             shapes,
             now,
@@ -311,19 +315,19 @@
     /// The tasks that wait, as shapes, as far as the quotas allow.
     fn shapes_of(
         &self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
-        wants: &[Want],
+        wants: &[PendingTasks],
         quotas: &mut [Quota],
-    ) -> Vec<ShapeRec> {
-        let mut shapes: Vec<ShapeRec> = Vec::new();
+    ) -> Vec<ShapeRecord> {
+        let mut shapes: Vec<ShapeRecord> = Vec::new();
         let names: BTreeMap<u16, String> = type_names(ctx, view);
         let zone_names: BTreeMap<u16, String> = view
             .zones()
             .into_iter()
             .map(|z| (ctx.intern(z) as u16, z.to_owned()))
             .collect();
-        let mut held: BTreeMap<usize, Short> = BTreeMap::new();
+        let mut held: BTreeMap<usize, Shortfall> = BTreeMap::new();
         for want in wants {
             // What a round keeps from being placed needs no machine either.
             if held.get(&want.team).is_some_and(|s| s.concerns(&want.task)) {
@@ -331,7 +335,7 @@
             }
             if want.reserves && !want.waiting.is_empty() {
                 let short = held.entry(want.team).or_default();
-                *short = short.or(&quotas[want.team].short_of(&want.task));
+                *short = short.or(&quotas[want.team].shortfall(&want.task));
             }
             let mut n = 0;
             while n < want.waiting.len() && quotas[want.team].allows(&want.task) {
@@ -346,7 +350,7 @@
             let types = want.types.as_ref();
             add_shape(
                 &mut shapes,
-                ShapeRec {
+                ShapeRecord {
                     res: (want.task.cpus, want.task.gpus, want.task.memory),
                     n: n as u32,
                     types: types.map(|t| t.iter().filter_map(|t| names.get(t).cloned()).collect()),
@@ -360,20 +364,20 @@
         shapes
     }
 
-    fn push_charters(&self, ctx: &mut Ctx, view: &View, hosts: &mut Vec<Host>) {
-        for charter in view.charters.values().map(|c| &c.rec) {
-            let Some(of_type) = view.types.get(&charter.machine_type) else {
+    fn push_rental_intents(&self, ctx: &mut Context, view: &View, hosts: &mut Vec<Host>) {
+        for intent in view.rental_intents.values().map(|c| &c.rec) {
+            let Some(of_type) = view.types.get(&intent.machine_type) else {
                 continue;
             };
-            let left = charter.in_turn().into_iter().skip(charter.placed as usize);
+            let left = intent.in_turn().into_iter().skip(intent.placed as usize);
             let t = &of_type.rec;
             for _ in left.filter(|k| *k == self.id) {
                 hosts.push(Host {
                     free: total_of(t),
                     total: total_of(t),
-                    machine_type: ctx.intern(&charter.machine_type) as u16,
-                    zone: ctx.intern(&charter.zone) as u16,
-                    spot: charter.spot,
+                    machine_type: ctx.intern(&intent.machine_type) as u16,
+                    zone: ctx.intern(&intent.zone) as u16,
+                    spot: intent.spot,
                     price: t.price / 3600.0,
                     fetch_rate: t.fetch_gb_per_s,
                     images: BTreeSet::new(),
@@ -386,16 +390,16 @@
 
     /// Books spare places for classes whose tasks must start sooner than a
     /// machine boots, and returns those that found none.
-    fn spare(&mut self, ctx: &mut Ctx, hosts: &mut [Host]) -> Vec<ShapeRec> {
+    fn spare(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRecord> {
         let boot_s = self.boot_ms() as f64 / 1000.0;
-        let mut lacking = Vec::new();
+        let mut missing = Vec::new();
         let now = ctx.now;
         let factor = ctx.cfg.ops.spare;
         if self.counting_since.is_none() && self.machines.values().any(|m| m.heard.is_some()) {
             self.counting_since = Some(now);
         }
         let elapsed = self.counting_since.map_or(0, |t| now - t);
-        let mut classes: Vec<(f64, ShapeRec, f64)> = Vec::new();
+        let mut classes: Vec<(f64, ShapeRecord, f64)> = Vec::new();
         for (class, stats) in &mut self.classes {
             let Some(wait) = ctx.cfg.waits.get(class) else {
                 continue;
@@ -422,10 +426,10 @@
                 }
             }
             if left > 0 {
-                add_shape(&mut lacking, ShapeRec { n: left, ..shape });
+                add_shape(&mut missing, ShapeRecord { n: left, ..shape });
             }
         }
-        lacking
+        missing
     }
 
     /// What will be free on a machine before another could be up, as far as
@@ -448,7 +452,7 @@
     }
 
     /// Notes since when a machine has been of no use.
-    fn note_idle(&mut self, ctx: &Ctx, usable: &[MachineId], hosts: &[Host]) {
+    fn note_idle(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[Host]) {
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             if machine.note_empty(machine.tasks.is_empty(), ctx.now) {
                 self.look.touch(&machine.id);
@@ -465,9 +469,9 @@
         }
     }
 
-    /// Tells the leader what is lacking, whenever that changes, and now and
+    /// Tells the leader the unmet demand, whenever that changes, and now and
     /// then that it has not.
-    fn tell_demand(&mut self, ctx: &mut Ctx, view: &View, rec: &DemandRec) {
+    fn tell_demand(&mut self, ctx: &mut Context, view: &View, rec: &DemandRecord) {
         let Some(leader) = view.leader.as_ref().map(|l| l.rec.clone()) else {
             return;
         };
@@ -478,7 +482,7 @@
         self.told = rec.clone();
         self.told_at = ctx.now;
         if leader.node == ctx.cfg.node {
-            ctx.lacking.push((self.id, self.epoch, rec.clone()));
+            ctx.unmet_demand.push((self.id, self.epoch, rec.clone()));
             return;
         }
         let body = Body::Demand {
@@ -488,9 +492,9 @@
         ctx.tell(&leader.node, self.epoch, body);
     }
 
-    fn show_demand(&mut self, ctx: &mut Ctx, view: &View, rec: DemandRec) {
+    fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRecord) {
         self.tell_demand(ctx, view, &rec);
-        let none = DemandRec::default();
+        let none = DemandRecord::default();
         let shown = view.demands.get(&self.id).map_or(&none, |d| &d.rec);
         let stale = !rec.shapes.is_empty() && shown.rev < view.revision;
         let changed = !rec.is_like(shown);
@@ -504,7 +508,7 @@
         self.demand_putting = true;
         self.demand_at = ctx.now;
         log::debug!(
-            "share {}: lacks {:?}, {:?} wait now",
+            "share {}: unmet demand {:?}, {:?} wait now",
             self.id,
             rec.shapes,
             rec.now
@@ -525,12 +529,12 @@
 }
 
 /// A job as a round sees it, with no tasks that wait.
-pub(crate) fn want_of(
-    ctx: &mut Ctx,
+pub(crate) fn pending_tasks_of(
+    ctx: &mut Context,
     job: &Job,
     team: usize,
     zones: &BTreeMap<MachineId, u16>,
-) -> Want {
+) -> PendingTasks {
     let spec = &job.spec;
     let mut at: BTreeMap<u16, u32> = BTreeMap::new();
     for binding in job.bound.values() {
@@ -538,7 +542,7 @@
             *at.entry(*zone).or_default() += 1;
         }
     }
-    Want {
+    PendingTasks {
         task: job.task,
         band: 0,
         reserves: false,
@@ -559,8 +563,8 @@
     }
 }
 
-fn add_shape(shapes: &mut Vec<ShapeRec>, shape: ShapeRec) {
-    let same = |s: &&mut ShapeRec| {
+fn add_shape(shapes: &mut Vec<ShapeRecord>, shape: ShapeRecord) {
+    let same = |s: &&mut ShapeRecord| {
         s.res == shape.res
             && s.types == shape.types
             && s.zones == shape.zones
@@ -572,11 +576,11 @@
     }
 }
 
-pub(crate) fn names(ctx: &mut Ctx, types: Option<&[String]>) -> Option<Vec<u16>> {
+pub(crate) fn names(ctx: &mut Context, types: Option<&[String]>) -> Option<Vec<u16>> {
     types.map(|t| t.iter().map(|name| ctx.intern(name) as u16).collect())
 }
 
-fn type_names(ctx: &mut Ctx, view: &View) -> BTreeMap<u16, String> {
+fn type_names(ctx: &mut Context, view: &View) -> BTreeMap<u16, String> {
     let types = view.types.keys();
     types.map(|t| (ctx.intern(t) as u16, t.clone())).collect()
 }
@@ -602,7 +606,7 @@
 }
 
 /// Whether tasks may be placed on a machine.
-fn is_usable(m: &Machine, ctx: &Ctx) -> bool {
+fn is_usable(m: &Machine, ctx: &Context) -> bool {
     m.is_heard(ctx)
         && m.condemned.is_none()
         && !m.draining
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -2,30 +2,16 @@
 
 use super::*;
 use crate::check::Rule;
-use forkshift_wire::users::{JobStage, Priority};
+use crate::world::Plan;
+use forkshift_wire::users::JobStage;
 
 fn spec() -> JobSpec {
     JobSpec {
-        id: JobId::new("j-1"),
-        class: "c".into(),
         team: "t".into(),
-        kind: JobKind::Array,
-        priority: Priority::Normal,
-        tasks: 1,
         cpus: 1.0,
         gpus: 0.0,
-        memory_gb: 1.0,
-        image: "i".into(),
         image_gb: 0.0,
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
+        ..Plan::plain(1, 0, JobKind::Array, 1, 1_000).spec
     }
 }
 
@@ -51,7 +37,7 @@
         let mut check = Checker::new(BTreeMap::new(), cancel_ms);
         check.submitted(&spec);
         let mut worker = Worker::new(MachineId::new("m"), "c8", "a", false, 0);
-        let start = Order {
+        let start = Command {
             verb: Verb::Start,
             task: TaskRef {
                 job: spec.id.clone(),
@@ -60,12 +46,12 @@
             attempt: 1,
             grace_s: None,
         };
-        let commands = Commands {
+        let request = CommandRequest {
             token: 1,
             session: 1,
-            orders: vec![start],
+            commands: vec![start],
         };
-        let body = serde_json::to_vec(&commands).unwrap();
+        let body = serde_json::to_vec(&request).unwrap();
         let step = |worker: &mut Worker, check: &mut Checker, now: Ms| {
             let mut around = Around {
                 now,
