--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -27,6 +27,7 @@
         run_ms,
         cancel_at,
         at_node: None,
+        mistake: None,
         spec: JobSpec {
             id: id(n),
             class: "work".to_owned(),
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -26,6 +26,7 @@
         run_ms: 0,
         cancel_at: None,
         at_node: None,
+        mistake: None,
         spec: JobSpec {
             id: id(n),
             class: "work".to_owned(),
