--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -153,6 +153,7 @@
         };
         if cause == ExitCause::Done {
             job.done.insert(task.index);
+            job.served_at = Some(ctx.now);
         }
         let version = job.version;
         if let Some(machine) = self.machines.get_mut(machine) {
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -57,6 +57,7 @@
         let mut quotas = self.quotas.clone();
         let weights = ctx.cfg.ops.weights;
         let placed = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
+        self.note_lacking_room(ctx.now, &ids, &wants);
         let mut attempts: BTreeMap<usize, u64> = BTreeMap::new();
         let mut tried = BTreeSet::new();
         for p in &placed {
@@ -95,6 +96,16 @@
         self.compute_unmet_demand(ctx, view, &usable, hosts, wants, quotas);
     }
 
+    /// Notes for which jobs that waited long machines are all that is lacking.
+    fn note_lacking_room(&mut self, now: Ms, ids: &[JobId], wants: &[PendingTasks]) {
+        let lacking = ids.iter().zip(wants).filter(|(_, w)| w.lacks_room);
+        for (id, _) in lacking {
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.lacking_room_since.get_or_insert(now);
+            }
+        }
+    }
+
     /// The zone of every machine.
     pub(crate) fn zones(&self) -> BTreeMap<MachineId, u16> {
         let machines = self.machines.values();
@@ -168,6 +179,10 @@
                 true => PROBE_BAND,
                 false => band(job, &self.quotas[team], &waiting, aged),
             };
+            if aged {
+                want.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
+            }
+            want.keeps_quota = want.reserves && job.may_keep_quota(ctx.now, boot_ms);
             want.waiting = waiting;
             let avoided = job.failures.avoided(ctx.now, boot_ms);
             want.avoid = avoided
@@ -242,7 +257,7 @@
         mut wants: Vec<PendingTasks>,
         mut quotas: Vec<Quota>,
     ) {
-        wants.sort_by_key(|w| std::cmp::Reverse(w.band));
+        wants.sort_by(PendingTasks::by_claim);
         for (id, host) in usable.iter().zip(&mut hosts) {
             host.held = false;
             // It is tried with little, and may be given up.
@@ -278,7 +293,7 @@
                 self.stop_draining(id);
             }
         }
-        wants.sort_by_key(|w| std::cmp::Reverse(w.band));
+        wants.sort_by(PendingTasks::by_claim);
         let mut shapes = self.shapes_of(ctx, view, &wants, &mut quotas);
         let mut soon = hosts.clone();
         for (id, host) in usable.iter().zip(&mut soon) {
@@ -545,7 +560,10 @@
     PendingTasks {
         task: job.task,
         band: 0,
+        waited_s: 0.0,
         reserves: false,
+        keeps_quota: false,
+        lacks_room: false,
         waiting: Vec::new(),
         total: spec.tasks,
         gang: job.is_gang(),
@@ -590,7 +608,7 @@
     job.spec.kind != JobKind::Service
         && job.bound.is_empty()
         && boot_ms > 0
-        && job.age(now) as f64 > AGED_BOOTS * boot_ms as f64
+        && job.waiting_for(now) as f64 > AGED_BOOTS * boot_ms as f64
 }
 
 /// Priority, the guarantee, and for how long a job has waited.
