--- a/crates/testkit/src/check.rs
+++ b/crates/testkit/src/check.rs
@@ -436,16 +436,19 @@
         }
     }
 
-    /// Looks at what must not last.
-    pub fn tick(&mut self, now: Ms) {
+    /// Looks at what must not last. `expired` are machines that hang and whose
+    /// lease is over: nothing on them may go on, as the worker's first act will
+    /// be to kill all its tasks. What is there once they do go on counts again.
+    pub fn tick(&mut self, now: Ms, expired: &BTreeSet<MachineId>) {
         let late: Vec<TaskRef> = self
             .on
-            .keys()
-            .filter(|t| {
+            .iter()
+            .filter(|(t, places)| {
                 let at = self.cancelled_at.get(&t.job);
-                at.is_some_and(|at| now > at + self.cancel_ms)
+                let may_go_on = places.iter().any(|p| !expired.contains(&p.machine));
+                may_go_on && at.is_some_and(|at| now > at + self.cancel_ms)
             })
-            .cloned()
+            .map(|(t, _)| t.clone())
             .collect();
         for task in late {
             self.fail(Rule::RanCancelled, now, format!("{task} is still there"));
--- a/crates/testkit/src/check/tests.rs
+++ b/crates/testkit/src/check/tests.rs
@@ -107,7 +107,7 @@
             if !bad {
                 c.ended(&task(0), &MachineId::new("m1"));
             }
-            c.tick(5 + 101);
+            c.tick(5 + 101, &BTreeSet::new());
         }),
         (Rule::Forgotten, |c, id, bad| {
             c.answered(1, id, true, 201, Some(JobStage::Queued));
@@ -193,12 +193,12 @@
         (Rule::Unanswered, |c, id, bad| {
             c.answered(1, id, true, 201, Some(JobStage::Queued));
             c.ask(10, id);
-            c.tick(90_000);
+            c.tick(90_000, &BTreeSet::new());
             c.calm(Calm::Since(100_000));
             c.answered(110_000, id, false, 503, None);
             let status = if bad { 504 } else { 200 };
             c.answered(174_000, id, false, status, Some(JobStage::Queued));
-            c.tick(175_001);
+            c.tick(175_001, &BTreeSet::new());
         }),
         (Rule::LeftWaiting, |c, id, bad| {
             c.waits(1, id, true);
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -162,8 +162,26 @@
         }
     }
 
-    /// `POST /commands`.
+    /// Whether it hangs, and its lease is over: it kills all its tasks before
+    /// it does anything else.
+    pub(crate) fn is_hung_without_lease(&self, now: Ms, lease_ms: Ms) -> bool {
+        self.hung_until > now && now > self.answered + lease_ms
+    }
+
+    /// Kills and forgets all tasks if the lease is over.
+    fn expire(&mut self, a: &mut Around) {
+        if a.now > self.answered + a.lease_ms {
+            self.wipe(a.check);
+            self.session += 1;
+            self.answered = a.now;
+            self.open = None;
+        }
+    }
+
+    /// `POST /commands`. What was held up while it hung finds the next session
+    /// if the lease has run out meanwhile.
     pub(crate) fn commands(&mut self, a: &mut Around, body: &[u8]) -> (u16, Vec<u8>) {
+        self.expire(a);
         let Ok(commands) = serde_json::from_slice::<Commands>(body) else {
             return (400, Vec::new());
         };
@@ -335,12 +353,7 @@
 
     /// Lets time pass.
     pub(crate) fn tick(&mut self, a: &mut Around) {
-        if a.now > self.answered + a.lease_ms {
-            self.wipe(a.check);
-            self.session += 1;
-            self.answered = a.now;
-            self.open = None;
-        }
+        self.expire(a);
         let due: Vec<(TaskRef, u64)> = self
             .tasks
             .iter()
