--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -144,6 +144,7 @@
         };
         if cause == ExitCause::Done {
             job.done.insert(task.index);
+            job.served_at = Some(ctx.now);
             job.failed_on.clear();
         }
         let version = job.version;
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -101,6 +101,11 @@
     /// How long it had waited when this holder learnt of it, and when that was.
     pub(crate) waited: Ms,
     pub(crate) since: Ms,
+    /// When a task of it last completed, or, if an earlier holder saw that,
+    /// when it was taken over.
+    pub(crate) served_at: Option<Ms>,
+    /// Since when, having waited long, it has lacked nothing but machines.
+    pub(crate) lacking_room_since: Option<Ms>,
     /// Nothing of it is placed before this.
     pub(crate) not_before: Ms,
     /// Machines that it failed on since a task of it last succeeded.
@@ -109,6 +114,8 @@
     pub(crate) failed_at: Ms,
 }
 
+/// Boots for which a team's quota is kept for a job that waits for machines.
+const KEEPS_QUOTA_BOOTS: f64 = 2.0;
 /// Bytes that one task may take in a record.
 const TASK_BYTES: usize = 40;
 
@@ -142,6 +149,8 @@
             at: 0,
             waited: 0,
             since: now,
+            served_at: None,
+            lacking_room_since: None,
             not_before: 0,
             failed_on: BTreeSet::new(),
             failed_at: 0,
@@ -163,6 +172,7 @@
         entry.next = rec.next;
         for (from, to) in rec.done {
             self.done.insert_range(from, to.min(self.spec.tasks));
+            self.served_at = Some(now);
         }
         let bound = rec.bound.into_iter();
         bound
@@ -249,6 +259,25 @@
         self.waited + now.saturating_sub(self.since)
     }
 
+    /// For how long nothing of it has been served: since a task of it last
+    /// completed, or since it was submitted. A large array between two of its
+    /// tasks, counted by its whole age, once went before jobs that had not
+    /// begun at all.
+    pub(crate) fn waiting_for(&self, now: Ms) -> Ms {
+        match self.served_at {
+            Some(at) => now.saturating_sub(at),
+            None => self.age(now),
+        }
+    }
+
+    /// Whether its team's quota is kept for it while machines are all that it
+    /// lacks. For as long as rented ones should take to come, and only once:
+    /// where there are none to be had, its team must not stand idle.
+    pub(crate) fn may_keep_quota(&self, now: Ms, boot_ms: Ms) -> bool {
+        let most = (boot_ms as f64 * KEEPS_QUOTA_BOOTS) as Ms;
+        self.lacking_room_since.is_none_or(|t| now < t + most)
+    }
+
     /// How long ago its cancellation was asked for.
     pub(crate) fn cancel_age(&self, now: Ms) -> Ms {
         self.cancelled_for + now.saturating_sub(self.cancelled_since)
@@ -310,3 +339,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/job/tests.rs
@@ -0,0 +1,67 @@
+//! Tests of `job`.
+
+use super::*;
+use crate::fixture::spec;
+use forkshift_wire::JobId;
+
+const VALUE_BYTES: usize = 16_384;
+const SINCE: Ms = 50_000;
+const BOOT_MS: Ms = 10_000;
+
+fn job(id: &str) -> Job {
+    let spec = spec(&JobId::new(id), "team", JobKind::Array, 3);
+    Job {
+        waited: 5_000,
+        ..Job::new(spec, 0, 1, VALUE_BYTES, SINCE)
+    }
+}
+
+/// A large array between two of its tasks was counted by its whole age and
+/// went before jobs that had not begun at all.
+#[test]
+fn a_job_that_is_being_served_has_not_waited_since_its_submission() {
+    let done = |from: u32, to: u32| BlockRec {
+        next: 1,
+        done: vec![(from, to)],
+        bound: Vec::new(),
+    };
+    type Case = (&'static str, fn(&mut Job, BlockRec), Ms);
+    let cases: [Case; 3] = [
+        ("nothing has completed", |_, _| (), 35_000),
+        (
+            "a task has completed",
+            |j, _| j.served_at = Some(SINCE + 20_000),
+            10_000,
+        ),
+        (
+            "taken over with a completed task",
+            |j, rec| {
+                j.restore(0, rec, 2, SINCE);
+            },
+            30_000,
+        ),
+    ];
+    for (name, change, expected) in cases {
+        let mut job = job("j-1");
+        change(&mut job, done(0, 1));
+        assert_eq!(job.waiting_for(SINCE + 30_000), expected, "{name}");
+        assert_eq!(job.age(SINCE + 30_000), 35_000, "{name}: its age stays");
+    }
+}
+
+/// Where there are no machines to be had, a team must not stand idle for the
+/// one job that needs them.
+#[test]
+fn quota_is_kept_for_a_job_only_while_machines_may_come() {
+    let cases = [
+        ("never lacked machines", None, true),
+        ("has just begun to", Some(SINCE), true),
+        ("for less than they take", Some(SINCE - BOOT_MS), true),
+        ("for longer", Some(SINCE - 3 * BOOT_MS), false),
+    ];
+    for (name, since, kept) in cases {
+        let mut job = job("j-1");
+        job.lacking_room_since = since;
+        assert_eq!(job.may_keep_quota(SINCE, BOOT_MS), kept, "{name}");
+    }
+}
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -50,6 +50,7 @@
         let mut quotas = self.quotas.clone();
         let weights = ctx.cfg.ops.weights;
         let placed = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
+        self.note_lacking_room(ctx.now, &ids, &wants);
         let mut attempts: BTreeMap<usize, u64> = BTreeMap::new();
         for p in &placed {
             let id = &ids[p.want];
@@ -82,6 +83,16 @@
         self.lack(ctx, view, &usable, hosts, wants, quotas);
     }
 
+    /// Notes for which jobs that waited long machines are all that is lacking.
+    fn note_lacking_room(&mut self, now: Ms, ids: &[JobId], wants: &[Want]) {
+        let lacking = ids.iter().zip(wants).filter(|(_, w)| w.lacks_room);
+        for (id, _) in lacking {
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.lacking_room_since.get_or_insert(now);
+            }
+        }
+    }
+
     /// The zone of every machine.
     pub(crate) fn zones(&self) -> BTreeMap<MachineId, u16> {
         let machines = self.machines.values();
@@ -132,6 +143,10 @@
             let need = lasting[team] + job.task.times(at_once);
             want.reserves = aged && self.quotas[team].could_allow(&need, 1);
             want.band = band(job, &self.quotas[team], &waiting, aged);
+            if aged {
+                want.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
+            }
+            want.keeps_quota = want.reserves && job.may_keep_quota(ctx.now, boot_ms);
             want.waiting = waiting;
             // For a while only: another machine may never come free, and this
             // one may be well.
@@ -157,7 +172,7 @@
         mut wants: Vec<Want>,
         mut quotas: Vec<Quota>,
     ) {
-        wants.sort_by_key(|w| std::cmp::Reverse(w.band));
+        wants.sort_by(Want::by_claim);
         for host in &mut hosts {
             host.held = false;
         }
@@ -189,7 +204,7 @@
                 self.stop_draining(id);
             }
         }
-        wants.sort_by_key(|w| std::cmp::Reverse(w.band));
+        wants.sort_by(Want::by_claim);
         let mut shapes = self.shapes_of(ctx, view, &wants, &mut quotas);
         let mut soon = hosts.clone();
         for (id, host) in usable.iter().zip(&mut soon) {
@@ -456,7 +471,10 @@
     Want {
         task: job.task,
         band: 0,
+        waited_s: 0.0,
         reserves: false,
+        keeps_quota: false,
+        lacks_room: false,
         waiting: Vec::new(),
         total: spec.tasks,
         gang: job.is_gang(),
@@ -501,7 +519,7 @@
     job.spec.kind != JobKind::Service
         && job.bound.is_empty()
         && boot_ms > 0
-        && job.age(now) as f64 > AGED_BOOTS * boot_ms as f64
+        && job.waiting_for(now) as f64 > AGED_BOOTS * boot_ms as f64
 }
 
 /// Priority, the guarantee, and for how long a job has waited.
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -1,9 +1,10 @@
-//! A round: waiting tasks are placed greedily, longest first.
+//! A round: waiting tasks are placed greedily, longest first; among jobs that
+//! have waited long, the oldest first.
 
 use crate::quota::{Quota, Short};
 use crate::resources::Resources;
 use crate::score::{choose, Candidate, Weights};
-use std::cmp::Reverse;
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine as a round sees it: a local booking that shrinks with each choice.
@@ -42,11 +43,20 @@
     pub total: u32,
     /// Place all of `waiting`, or none.
     pub gang: bool,
-    /// Larger goes first; within a band, the longest estimate.
+    /// Larger goes first; within a band the longest wait, then the longest
+    /// estimate.
     pub band: i32,
+    /// Seconds since the submission of a job that has waited long; 0 for all
+    /// others, among which the longest estimate goes first.
+    pub waited_s: f64,
     /// It has waited for so long that nothing behind it may take what it
     /// waits for: its team's quota, or a machine that could hold it.
     pub reserves: bool,
+    /// It reserves, and its team's quota is kept for it also while no machine
+    /// has room: those that it needs may be on their way.
+    pub keeps_quota: bool,
+    /// Set by a round: it reserves, and machines are all that it lacks.
+    pub lacks_room: bool,
     /// Predicted run time.
     pub estimate: f64,
     /// The team's place in the quotas.
@@ -72,6 +82,26 @@
 }
 
 impl Want {
+    /// Which of two goes first, by what they are owed: the band, and within it
+    /// the longest wait. By estimate alone, a short job that had waited for
+    /// minutes was overtaken by every longer one that came to wait long, too.
+    pub fn by_claim(&self, other: &Self) -> Ordering {
+        let band = other.band.cmp(&self.band);
+        band.then(other.waited_s.total_cmp(&self.waited_s))
+    }
+
+    /// The order of a round: by claim, then the longest estimate first.
+    fn by_round(&self, other: &Self) -> Ordering {
+        let claim = self.by_claim(other);
+        claim.then(other.estimate.total_cmp(&self.estimate))
+    }
+
+    /// What must be free at once for anything of it to be placed.
+    pub fn at_once(&self) -> Resources {
+        let tasks = if self.gang { self.waiting.len() } else { 1 };
+        self.task.times(tasks as i64)
+    }
+
     /// Whether a task may go to a zone, given the job's other tasks.
     pub fn zone_allowed(&self, zone: u16) -> bool {
         if self.zone.is_some_and(|z| z != zone) {
@@ -115,14 +145,10 @@
     weights: &Weights,
 ) -> Vec<Placement> {
     let mut order: Vec<usize> = (0..wants.len()).collect();
-    order.sort_by(|&a, &b| {
-        let key = |i: usize| Reverse(wants[i].band);
-        key(a)
-            .cmp(&key(b))
-            .then(wants[b].estimate.total_cmp(&wants[a].estimate))
-    });
+    order.sort_by(|&a, &b| wants[a].by_round(&wants[b]));
     let mut placed = Vec::new();
     let mut held: BTreeMap<usize, Short> = BTreeMap::new();
+    let mut kept: Vec<(usize, Resources)> = Vec::new();
     for i in order {
         let want = &mut wants[i];
         // What does not use what is kept for another need not wait for it: a
@@ -135,17 +161,24 @@
         }
         while !want.gang && place_next(i, want, hosts, quotas, weights, &mut placed) {}
         if want.reserves && !want.waiting.is_empty() {
-            let team = &quotas[want.team];
-            let n = if want.gang { want.waiting.len() } else { 1 };
-            let need = want.task.times(n as i64);
+            let team = &mut quotas[want.team];
+            let need = want.at_once();
             if !team.allows(&need) {
                 let short = held.entry(want.team).or_default();
                 *short = short.or(&team.short_of(&need));
-            } else {
-                hold_host(want, hosts);
+                continue;
+            }
+            want.lacks_room = true;
+            hold_host(want, hosts);
+            if want.keeps_quota {
+                team.used += need;
+                kept.push((want.team, need));
             }
         }
     }
+    for (team, need) in kept {
+        quotas[team].used -= need;
+    }
     placed
 }
 
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -24,7 +24,10 @@
         total: tasks,
         gang: false,
         band: 0,
+        waited_s: 0.0,
         reserves: false,
+        keeps_quota: false,
+        lacks_room: false,
         estimate: 10.0,
         team: 0,
         image: 0,
@@ -63,6 +66,36 @@
     assert_eq!(wants[0].waiting, [0], "what has no room waits");
 }
 
+/// One of the largest jobs of a class once began after 289 s: longer jobs of
+/// its team that had come later went first each time something came free.
+#[test]
+fn among_jobs_that_waited_long_the_oldest_goes_first() {
+    // Band, wait and estimate of two jobs, and which is placed.
+    let cases = [
+        ("both fresh: the longest", (0, 0.0, 5.0), (0, 0.0, 20.0), 1),
+        ("both aged: the oldest", (8, 90.0, 5.0), (8, 70.0, 20.0), 0),
+        (
+            "aged equally: the longest",
+            (8, 70.0, 5.0),
+            (8, 70.0, 20.0),
+            1,
+        ),
+        ("one aged: that one", (8, 70.0, 5.0), (0, 0.0, 20.0), 0),
+        ("bands go before waits", (8, 90.0, 5.0), (9, 70.0, 20.0), 1),
+    ];
+    for (name, first, second, expected) in cases {
+        let mut wants = [want(1, 8.0), want(1, 8.0)];
+        for (want, (band, waited_s, estimate)) in wants.iter_mut().zip([first, second]) {
+            want.band = band;
+            want.waited_s = waited_s;
+            want.estimate = estimate;
+        }
+        let placed = run(&mut wants, &mut [host(8.0, 0)], 100.0);
+        let placed: Vec<usize> = placed.iter().map(|p| p.want).collect();
+        assert_eq!(placed, [expected], "{name}");
+    }
+}
+
 #[test]
 fn each_choice_is_booked_before_the_next() {
     let mut wants = [want(5, 4.0)];
@@ -134,6 +167,39 @@
     }
 }
 
+/// A gang that needed all of its team's limit and two machines saw it free
+/// again and again, and each time a task behind it took some of it while the
+/// second machine was booting.
+#[test]
+fn quota_is_kept_while_machines_are_on_their_way() {
+    // Whether it is kept, the team's limit, and how many others are placed.
+    let cases = [
+        ("not kept: a task behind takes it", false, 12.0, 1),
+        ("kept", true, 12.0, 0),
+        ("what is beyond the need is free", true, 16.0, 1),
+    ];
+    for (name, keeps, limit, placed_behind) in cases {
+        let mut wants = [want(3, 4.0), want(1, 4.0)];
+        wants[0].gang = true;
+        wants[0].band = 8;
+        wants[0].reserves = true;
+        wants[0].keeps_quota = keeps;
+        wants[0].types = Some(vec![0]);
+        let mut other = host(4.0, 0);
+        other.machine_type = 1;
+        let mut hosts = [host(8.0, 0), other];
+        let mut quotas = quota(limit);
+        let placed = run_round(&mut wants, &mut hosts, &mut quotas, &Weights::default());
+        assert_eq!(placed.len(), placed_behind, "{name}");
+        assert!(wants[0].lacks_room, "{name}");
+        let used = 4_000 * placed_behind as i64;
+        assert_eq!(
+            quotas[0].used.gpus, used,
+            "{name}: only what is placed is used"
+        );
+    }
+}
+
 #[test]
 fn a_gang_is_placed_whole_or_undone() {
     let cases = [
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -25,6 +25,12 @@
         // A team at its limit of GPUs, with an aged job that waited for some,
         // kept its jobs without GPUs waiting.
         (8_000_057, 8),
+        // Machines hung with cancelled tasks beyond their leases, while no
+        // controller was there; what had ended with the lease was counted.
+        (200_152, 8),
+        // One of the largest jobs began after 289 s: a long array went before
+        // it each time a task of that ended.
+        (200_195, 8),
     ] {
         let mut day = Day::new(seed, faults, Draw::Pairs);
         day.play();
