--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -568,7 +568,8 @@
             .retain(|id, v| view.machines.get(id).is_some_and(|m| m.version <= *v));
         for (k, demand) in demands {
             let spare = demand.shapes.iter().filter(|s| s.spare);
-            let wanted = demand.now.iter().map(|s| (s, true));
+            // Borrowed work takes only what nobody needs.
+            let wanted = demand.now.iter().map(|s| (s, !s.borrows));
             let wanted: Vec<(&ShapeRec, bool)> = wanted.chain(spare.map(|s| (s, false))).collect();
             let mut coming: Vec<Resources> = self
                 .lending
@@ -584,7 +585,9 @@
                     left -= book(room, &task, left);
                 }
                 while left > 0 {
-                    let Some(id) = self.lendable(view, demands, *k, shape, waits) else {
+                    let free = self.lendable(view, demands, *k, shape, waits);
+                    let found = free.or_else(|| self.reclaimable(view, demands, *k, shape));
+                    let Some(id) = found else {
                         break;
                     };
                     let Some(machine) = view.machines.get(&id) else {
@@ -628,26 +631,47 @@
             d.surplus.iter().chain(free).map(move |id| (j, id))
         });
         lists
-            .filter_map(|(j, id)| Some((j, id, view.machines.get(id)?)))
-            .filter(|(j, id, m)| {
-                let rec = &m.rec;
-                rec.share == **j
-                    && rec.want.is_none()
-                    && rec.condemned.is_none()
-                    && !self.lending.contains_key(*id)
-                    && (shape.spot || !rec.spot)
-                    && shape
-                        .types
-                        .as_ref()
-                        .is_none_or(|t| t.contains(&rec.machine_type))
-                    && shape.zones.as_ref().is_none_or(|z| z.contains(&rec.zone))
-                    && total_in(view, &rec.machine_type)
-                        .is_some_and(|total| shape.resources().fits(&total))
-            })
-            .map(|(_, id, _)| id.clone())
+            .filter(|(j, id)| self.may_move(view, **j, id, shape))
+            .map(|(_, id)| id.clone())
             .next()
     }
 
+    /// A machine of another share that holds nothing but borrowed work, for a
+    /// shape that may have it given back.
+    fn reclaimable(
+        &self,
+        view: &View,
+        demands: &BTreeMap<ShareId, DemandRec>,
+        k: ShareId,
+        shape: &ShapeRec,
+    ) -> Option<MachineId> {
+        if !shape.reclaims {
+            return None;
+        }
+        let others = demands.iter().filter(|(j, _)| **j != k);
+        others
+            .flat_map(|(j, d)| d.borrowed.iter().map(move |id| (j, id)))
+            .find(|(j, id)| self.may_move(view, **j, id, shape))
+            .map(|(_, id)| id.clone())
+    }
+
+    /// Whether a share may be asked for a machine that suits a shape.
+    fn may_move(&self, view: &View, from: ShareId, id: &MachineId, shape: &ShapeRec) -> bool {
+        let Some(rec) = view.machines.get(id).map(|m| &m.rec) else {
+            return false;
+        };
+        let types = shape.types.as_ref();
+        rec.share == from
+            && rec.want.is_none()
+            && rec.condemned.is_none()
+            && !self.lending.contains_key(id)
+            && (shape.spot || !rec.spot)
+            && types.is_none_or(|t| t.contains(&rec.machine_type))
+            && shape.zones.as_ref().is_none_or(|z| z.contains(&rec.zone))
+            && total_in(view, &rec.machine_type)
+                .is_some_and(|total| shape.resources().fits(&total))
+    }
+
     /// Turns what shares lack into rental intents. The cloud takes few calls
     /// a second: no intent is made while others wait to be carried out, so
     /// that what shares lack meanwhile comes together in larger ones.
@@ -684,6 +708,7 @@
                         .as_ref()
                         .map(|z| z.iter().filter_map(zone_no).collect()),
                     spot: s.spot,
+                    spot_only: s.borrows,
                 })
                 .collect();
             let anywhere = shapes.iter().all(|s| s.zones.is_none());
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,6 +25,7 @@
 mod peers;
 mod preempt;
 mod ranges;
+mod reclaim;
 pub mod records;
 mod rounds;
 mod share;
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -73,6 +73,9 @@
     /// It is being given to another share: nothing is placed here unless its
     /// record comes back changed, and still ours.
     pub(crate) leaving: Option<u64>,
+    /// Its borrowed work is being stopped, as another share has asked for it:
+    /// nothing is placed here.
+    pub(crate) vacating: bool,
     /// The cloud has answered our own deletion of it: nothing is on it, and
     /// nothing will be. Its record may say so only later.
     pub(crate) deleted: bool,
--- /dev/null
+++ b/crates/core/src/reclaim.rs
@@ -0,0 +1,295 @@
+//! Taking borrowed resources back.
+//!
+//! Low-priority work beyond its team's guarantee runs on what others leave
+//! unused. As soon as a job within its own team's guarantee, or an urgent one,
+//! finds no room, such work is stopped for it: on the machines of the same
+//! share directly, and on those of other shares by giving a whole machine
+//! away when the leader asks for it. Without this, one guest team with much
+//! idle work filled the fleet, and the jobs of all other teams waited for it.
+
+use crate::ctx::Ctx;
+use crate::job::{Binding, Job, Sent};
+use crate::machine::Machine;
+use crate::rounds::is_usable;
+use crate::share::Share;
+use crate::Ms;
+use forkshift_sched::{Quota, Resources, Want};
+use forkshift_wire::users::Priority;
+use forkshift_wire::{MachineId, TaskRef};
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+
+/// Most machines that a share offers to others at a time.
+const OFFERED_MOST: usize = 16;
+
+/// A task that may be stopped so that its resources are given back.
+struct Victim {
+    task: TaskRef,
+    team: usize,
+    resources: Resources,
+    /// Run time that is lost with it.
+    lost: Ms,
+}
+
+/// What a machine has free, and what could be freed there.
+struct Room {
+    machine_type: u16,
+    zone: u16,
+    spot: bool,
+    /// What is free already, or about to be: tasks that are being stopped
+    /// count as gone, so that no more is stopped than is needed.
+    free: Resources,
+    /// In the order in which they should be stopped.
+    victims: Vec<Victim>,
+}
+
+/// The places found for one job.
+#[derive(Default)]
+struct Plan {
+    /// Indices of rooms, with how many of each room's victims must be stopped.
+    places: Vec<(usize, usize)>,
+    lost: Ms,
+}
+
+impl Share {
+    /// Makes room for pending jobs that may reclaim it, the most urgent first.
+    pub(crate) fn reclaim(
+        &mut self,
+        ctx: &Ctx,
+        wants: &[Want],
+        usable: &[MachineId],
+        quotas: &[Quota],
+    ) {
+        let waits = |w: &&Want| w.reclaims && !w.waiting.is_empty();
+        if !self.lends_to_borrowers() || !wants.iter().any(|w| waits(&w)) {
+            return;
+        }
+        let mut rooms = self.rooms(ctx, usable);
+        let mut quotas = quotas.to_vec();
+        let mut order: Vec<&Want> = wants.iter().filter(waits).collect();
+        order.sort_by_key(|w| Reverse(w.band));
+        for want in order {
+            if want.gang {
+                let count = want.waiting.len();
+                self.reclaim_for(want, count, &mut rooms, &mut quotas);
+                continue;
+            }
+            let mut left = want.waiting.len();
+            while left > 0 && self.reclaim_for(want, 1, &mut rooms, &mut quotas) {
+                left -= 1;
+            }
+        }
+    }
+
+    /// Stops what is in the way of `count` tasks of a job, if that makes room
+    /// for all of them. Returns whether there is, or will be, room.
+    fn reclaim_for(
+        &mut self,
+        want: &Want,
+        count: usize,
+        rooms: &mut [Room],
+        quotas: &mut [Quota],
+    ) -> bool {
+        let need = want.task.times(count as i64);
+        if !quotas[want.team].allows(&need) {
+            return false;
+        }
+        let Some(plan) = cheapest_plan(want, count, rooms, quotas) else {
+            return false;
+        };
+        quotas[want.team].used += need;
+        for (index, stopped) in plan.places {
+            let room = &mut rooms[index];
+            for victim in room.victims.drain(..stopped) {
+                room.free += victim.resources;
+                quotas[victim.team].used -= victim.resources;
+                log::info!("{}: stopped, its resources are reclaimed", victim.task);
+                self.stop_task(&victim.task);
+            }
+            room.free -= want.task;
+        }
+        true
+    }
+
+    /// Whether any team uses more than it is guaranteed.
+    fn lends_to_borrowers(&self) -> bool {
+        self.quotas.iter().any(Quota::is_borrowing)
+    }
+
+    fn rooms(&self, ctx: &Ctx, usable: &[MachineId]) -> Vec<Room> {
+        let machines = usable.iter().filter_map(|id| self.machines.get(id));
+        machines.map(|m| self.room(ctx, m)).collect()
+    }
+
+    fn room(&self, ctx: &Ctx, machine: &Machine) -> Room {
+        let mut free = machine.free();
+        let mut victims = Vec::new();
+        for task in &machine.tasks {
+            let Some((job, binding)) = self.binding(task) else {
+                continue;
+            };
+            if binding.stop.is_some() {
+                free += job.task;
+            } else if let Some(team) = self.borrower(job, binding) {
+                victims.push(Victim {
+                    task: task.clone(),
+                    team,
+                    resources: job.task,
+                    lost: lost_with(ctx, job, binding),
+                });
+            }
+        }
+        victims.sort_by_key(|v| v.lost);
+        Room {
+            machine_type: machine.machine_type,
+            zone: machine.zone,
+            spot: machine.spot,
+            free,
+            victims,
+        }
+    }
+
+    fn binding(&self, task: &TaskRef) -> Option<(&Job, &Binding)> {
+        let job = self.jobs.get(&task.job)?;
+        Some((job, job.bound.get(&task.index)?))
+    }
+
+    /// The team of a task that runs on borrowed resources and may be stopped
+    /// to give them back. A gang would be lost whole with one of its tasks.
+    fn borrower(&self, job: &Job, binding: &Binding) -> Option<usize> {
+        let team = *self.teams.get(&job.spec.team)?;
+        let stoppable =
+            job.spec.priority == Priority::Low && !job.is_gang() && binding.sent != Sent::No;
+        (stoppable && self.quotas[team].is_borrowing()).then_some(team)
+    }
+
+    /// Machines on which nothing but borrowed work runs, those first that lose
+    /// the least of it. Others may ask for them.
+    pub(crate) fn borrowed_machines(&self, ctx: &Ctx, usable: &[MachineId]) -> Vec<MachineId> {
+        if !self.lends_to_borrowers() {
+            return Vec::new();
+        }
+        let machines = usable.iter().filter_map(|id| self.machines.get(id));
+        let mut offered: Vec<(Ms, &MachineId)> = machines
+            .filter_map(|m| Some((self.lost_if_given_away(ctx, m)?, &m.id)))
+            .collect();
+        offered.sort();
+        offered.truncate(OFFERED_MOST);
+        offered.into_iter().map(|(_, id)| id.clone()).collect()
+    }
+
+    /// Run time that is lost if all tasks of a machine are stopped; none if
+    /// one of them must not be, or there are none.
+    fn lost_if_given_away(&self, ctx: &Ctx, machine: &Machine) -> Option<Ms> {
+        if machine.tasks.is_empty() || !machine.orphans.is_empty() {
+            return None;
+        }
+        let mut lost = 0;
+        for task in &machine.tasks {
+            let (job, binding) = self.binding(task)?;
+            if binding.stop.is_some() {
+                continue;
+            }
+            self.borrower(job, binding)?;
+            lost += lost_with(ctx, job, binding);
+        }
+        Some(lost)
+    }
+
+    /// Stops the borrowed work on a machine that another share has asked for.
+    /// Returns whether the machine will be free for it.
+    pub(crate) fn vacate(&mut self, ctx: &Ctx, id: &MachineId) -> bool {
+        let Some(machine) = self.machines.get(id) else {
+            return false;
+        };
+        let offered = machine.condemned.is_none() && (machine.vacating || is_usable(machine, ctx));
+        if !offered || self.lost_if_given_away(ctx, machine).is_none() {
+            return false;
+        }
+        let running = |task: &&TaskRef| self.binding(task).is_some_and(|(_, b)| b.stop.is_none());
+        let tasks: BTreeSet<TaskRef> = machine.tasks.iter().filter(running).cloned().collect();
+        for task in &tasks {
+            self.stop_task(task);
+        }
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.vacating = true;
+        }
+        true
+    }
+}
+
+/// Run time that a task loses if it is stopped now: all of it, or less than
+/// the interval of its checkpoints.
+fn lost_with(ctx: &Ctx, job: &Job, binding: &Binding) -> Ms {
+    let ran = ctx.now - binding.running_since.unwrap_or(ctx.now).min(ctx.now);
+    let checkpoint = crate::ms(job.spec.checkpoint_s);
+    if checkpoint > 0 {
+        ran.min(checkpoint)
+    } else {
+        ran
+    }
+}
+
+/// The places for `count` tasks with which the least run time is lost; all of
+/// them in one zone if the job needs that.
+fn cheapest_plan(want: &Want, count: usize, rooms: &[Room], quotas: &[Quota]) -> Option<Plan> {
+    if !want.one_zone || count == 1 {
+        return plan_in(want, count, rooms, quotas, None);
+    }
+    let zones: BTreeSet<u16> = rooms.iter().map(|r| r.zone).collect();
+    let plans = zones
+        .into_iter()
+        .filter_map(|zone| plan_in(want, count, rooms, quotas, Some(zone)));
+    plans.min_by_key(|plan| plan.lost)
+}
+
+fn plan_in(
+    want: &Want,
+    count: usize,
+    rooms: &[Room],
+    quotas: &[Quota],
+    zone: Option<u16>,
+) -> Option<Plan> {
+    let mut options: Vec<(Ms, usize, usize)> = Vec::new();
+    for (index, room) in rooms.iter().enumerate() {
+        let allowed = zone.is_none_or(|z| z == room.zone)
+            && want.allowed(room.machine_type, room.zone, room.spot);
+        if !allowed {
+            continue;
+        }
+        if let Some((lost, stopped)) = cost_of_place(want, room, quotas) {
+            options.push((lost, index, stopped));
+        }
+    }
+    options.sort_unstable();
+    if options.len() < count {
+        return None;
+    }
+    let mut plan = Plan::default();
+    for (lost, index, stopped) in options.into_iter().take(count) {
+        plan.lost += lost;
+        plan.places.push((index, stopped));
+    }
+    Some(plan)
+}
+
+/// How many of a room's victims must be stopped for one task, and what is lost
+/// with them. Teams are not pushed below their guarantees.
+fn cost_of_place(want: &Want, room: &Room, quotas: &[Quota]) -> Option<(Ms, usize)> {
+    let mut free = room.free;
+    let mut lost = 0;
+    for (stopped, victim) in room.victims.iter().enumerate() {
+        if want.task.fits(&free) {
+            return Some((lost, stopped));
+        }
+        if !quotas[victim.team].is_borrowing() {
+            return None;
+        }
+        free += victim.resources;
+        lost += victim.lost;
+    }
+    want.task.fits(&free).then_some((lost, room.victims.len()))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/reclaim/tests.rs
@@ -0,0 +1,210 @@
+//! Tests of `reclaim`.
+
+use super::*;
+use crate::ctx::Effect;
+use crate::fixture::{spec, Fixture, WALL};
+use crate::node::Node;
+use crate::records::{machine_key, MachineRec, ShareId};
+use forkshift_wire::state::Change;
+use forkshift_wire::users::{JobKind, JobSpec};
+use forkshift_wire::workers::TaskStage;
+use forkshift_wire::JobId;
+use serde_json::{from_slice, from_value, to_value, Value};
+
+const GUEST: &str = "guest";
+/// CPUs of one task; the fixture's machine has 96.
+const GUEST_CPUS: f64 = 12.0;
+const OWNER_CPUS: f64 = 30.0;
+
+/// Adds a job, described as a change of an ordinary one.
+fn add(f: &mut Fixture, id: &str, team: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
+    let id = JobId::new(id);
+    let mut spec = spec(&id, team, JobKind::Array, 8);
+    change(&mut spec);
+    let share_id = f.share;
+    let Node { shares, ctx, .. } = &mut f.node;
+    let share = shares.get_mut(&share_id).expect("the share is held");
+    share.add_job(ctx, spec, WALL, 6);
+    id
+}
+
+/// A share with a team without any guarantee, whose tasks fill the machine.
+/// Those with a higher index have run for a shorter time.
+fn with_guest(priority: Priority) -> (Fixture, JobId) {
+    let mut f = Fixture::new();
+    let index = f.share().quotas.len();
+    f.share().teams.insert(GUEST.to_owned(), index);
+    f.share().quotas.push(Quota::default());
+    let guest = add(&mut f, "j-1", GUEST, |s| {
+        s.cpus = GUEST_CPUS;
+        s.priority = priority;
+    });
+    let token = f.token();
+    for index in 0..8 {
+        f.bind(&guest, index, Sent::Ours { token, session: 1 });
+    }
+    let now = f.node.ctx.now;
+    let job = f.share().jobs.get_mut(&guest).expect("the guest's job");
+    for (index, binding) in &mut job.bound {
+        binding.stage = Some(TaskStage::Running);
+        binding.running_since = Some(now - 10_000 + Ms::from(*index));
+    }
+    (f, guest)
+}
+
+fn stopped(f: &mut Fixture, id: &JobId) -> Vec<u32> {
+    let bound = f.share().jobs[id].bound.iter();
+    bound
+        .filter(|(_, b)| b.stop.is_some())
+        .map(|(index, _)| *index)
+        .collect()
+}
+
+/// Idle work of a team without a guarantee once kept jobs of all other teams
+/// waiting, as nothing but production work could take its place.
+#[test]
+fn borrowed_work_gives_way_to_what_may_reclaim_its_resources() {
+    struct Case {
+        name: &'static str,
+        guest: Priority,
+        owner: fn(&mut JobSpec),
+        /// The guest's tasks that are stopped, those that lose least.
+        stopped: &'static [u32],
+    }
+    let cases = [
+        Case {
+            name: "one task within the guarantee takes three places",
+            guest: Priority::Low,
+            owner: |s| s.tasks = 1,
+            stopped: &[5, 6, 7],
+        },
+        Case {
+            name: "each task of a batch finds its room",
+            guest: Priority::Low,
+            owner: |s| s.tasks = 2,
+            stopped: &[3, 4, 5, 6, 7],
+        },
+        Case {
+            name: "a gang that fits on no machine together stops nothing",
+            guest: Priority::Low,
+            owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 2),
+            stopped: &[],
+        },
+        Case {
+            name: "a gang of one task",
+            guest: Priority::Low,
+            owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 1),
+            stopped: &[5, 6, 7],
+        },
+        Case {
+            name: "work of a higher priority is left alone",
+            guest: Priority::Normal,
+            owner: |s| s.tasks = 1,
+            stopped: &[],
+        },
+        Case {
+            name: "neither guaranteed nor urgent",
+            guest: Priority::Low,
+            owner: |s| (s.tasks, s.team) = (1, GUEST.to_owned()),
+            stopped: &[],
+        },
+        Case {
+            name: "what fits no machine",
+            guest: Priority::Low,
+            owner: |s| (s.tasks, s.gpus) = (1, 9.0),
+            stopped: &[],
+        },
+    ];
+    for case in cases {
+        let (mut f, guest) = with_guest(case.guest);
+        let teams: Vec<String> = f.share().teams.keys().cloned().collect();
+        let owner = teams.iter().find(|t| *t != GUEST).expect("a team");
+        add(&mut f, "j-2", owner, |s| {
+            s.cpus = OWNER_CPUS;
+            (case.owner)(s);
+        });
+        f.step(2_000);
+        assert_eq!(stopped(&mut f, &guest), case.stopped, "{}", case.name);
+        // What is being stopped counts as room: nothing more is stopped.
+        f.step(2_000);
+        assert_eq!(stopped(&mut f, &guest), case.stopped, "{}: later", case.name);
+    }
+}
+
+/// A machine is given to another share that reclaims it only if nothing but
+/// borrowed work is there; until that has exited the machine stays ours.
+#[test]
+fn a_machine_with_nothing_but_borrowed_work_is_given_away() {
+    for (with_owner, given) in [(false, true), (true, false)] {
+        let (mut f, guest) = with_guest(Priority::Low);
+        let machine = f.machine.clone();
+        let usable = [machine.clone()];
+        if with_owner {
+            let teams: Vec<String> = f.share().teams.keys().cloned().collect();
+            let owner = teams.iter().find(|t| *t != GUEST).expect("a team");
+            let id = add(&mut f, "j-2", owner, |s| s.tasks = 1);
+            let token = f.token();
+            f.bind(&id, 0, Sent::Ours { token, session: 1 });
+        }
+        let share_id = f.share;
+        let offered = f.node.shares[&share_id].borrowed_machines(&f.node.ctx, &usable);
+        assert_eq!(!offered.is_empty(), given, "offered, with other work: {with_owner}");
+
+        ask_for(&mut f, ShareId(share_id.0 + 1));
+        let mut effects = Vec::new();
+        for _ in 0..5 {
+            effects.extend(f.step(100));
+        }
+        let all_stopped = stopped(&mut f, &guest).len() == 8;
+        assert_eq!(all_stopped, given, "stopped, with other work: {with_owner}");
+        assert_eq!(f.share().machines[&machine].vacating, given);
+        // Given away only once empty; a request that is declined is taken back.
+        let written = machine_puts(&effects, &machine);
+        assert!(written.iter().all(|r| r.share == share_id));
+        assert_eq!(written.iter().any(|r| r.want.is_none()), !given);
+
+        if given {
+            let token = f.token();
+            f.report(1, token, &exited(&guest));
+            for _ in 0..5 {
+                f.step(100);
+            }
+            assert!(f.share().machines[&machine].tasks.is_empty());
+        }
+    }
+}
+
+fn exited(job: &JobId) -> Vec<(&JobId, u32, TaskStage)> {
+    let all = 0..8;
+    all.map(|index| (job, index, TaskStage::Exited)).collect()
+}
+
+/// What is written into a machine's record.
+fn machine_puts(effects: &[Effect], id: &MachineId) -> Vec<MachineRec> {
+    let bodies = effects.iter().filter_map(|e| match e {
+        Effect::Call { body, .. } => body.as_deref(),
+        _ => None,
+    });
+    let txns = bodies.filter_map(|b| from_slice::<Value>(b).ok());
+    let key = machine_key(id);
+    let mut records = Vec::new();
+    for txn in txns {
+        let writes = txn["writes"].as_array().cloned().unwrap_or_default();
+        let ours = writes.into_iter().filter(|w| w["put"] == key.as_str());
+        records.extend(ours.filter_map(|w| from_value(w["data"].clone()).ok()));
+    }
+    records
+}
+
+/// The leader asks for the machine on behalf of another share.
+fn ask_for(f: &mut Fixture, to: ShareId) {
+    let id = f.machine.clone();
+    let mut record = f.node.view.machines[&id].rec.clone();
+    record.want = Some(to);
+    let put = Change::Put {
+        put: machine_key(&id),
+        value: to_value(record).expect("a record"),
+        version: 6,
+    };
+    f.node.view.apply(vec![put], 6);
+}
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -211,6 +211,10 @@
     /// Empty machines that nothing needs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub surplus: Vec<MachineId>,
+    /// Machines that hold nothing but borrowed low-priority work, those that
+    /// lose the least of it first.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub borrowed: Vec<MachineId>,
 }
 
 impl DemandRec {
@@ -220,6 +224,7 @@
             && self.now == other.now
             && self.free == other.free
             && self.surplus == other.surplus
+            && self.borrowed == other.borrowed
     }
 }
 
@@ -242,6 +247,13 @@
     /// Nothing waits for it yet.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub spare: bool,
+    /// It may have machines of borrowed work given back to it.
+    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    pub reclaims: bool,
+    /// Borrowed work: it takes machines that nobody needs, and no ordinary
+    /// machine is rented for it.
+    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    pub borrows: bool,
 }
 
 impl ShapeRec {
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -79,6 +79,7 @@
             self.dirty.touch(id);
         }
         self.preempt(ctx, &ids, &wants, &usable, &quotas);
+        self.reclaim(ctx, &wants, &usable, &quotas);
         self.lack(ctx, view, &usable, hosts, wants, quotas);
     }
 
@@ -131,7 +132,13 @@
             let at_once = if gang { waiting.len() as i64 } else { 1 };
             let need = lasting[team] + job.task.times(at_once);
             want.reserves = aged && self.quotas[team].could_allow(&need, 1);
-            want.band = band(job, &self.quotas[team], &waiting, aged);
+            let guaranteed = self.quotas[team].guarantees(&job.task.times(waiting.len() as i64));
+            want.band = band(job, guaranteed, aged);
+            want.reclaims = guaranteed || job.spec.priority >= Priority::High;
+            // Once it has waited for long, machines are rented for it as for
+            // any other job, so that it is served however full the fleet is.
+            let patient = (job.age(ctx.now) as f64) < AGED_BOOTS * boot_ms as f64;
+            want.borrows = job.spec.priority == Priority::Low && !guaranteed && patient;
             want.waiting = waiting;
             // For a while only: another machine may never come free, and this
             // one may be well.
@@ -219,6 +226,7 @@
             now,
             free: ids(free),
             surplus: ids(surplus),
+            borrowed: self.borrowed_machines(ctx, usable),
         };
         self.show_demand(ctx, view, rec);
     }
@@ -268,6 +276,8 @@
                     zones: (allowed.len() < zone_names.len()).then_some(allowed),
                     spot: want.spot,
                     spare: false,
+                    reclaims: want.reclaims,
+                    borrows: want.borrows,
                 },
             );
         }
@@ -457,6 +467,8 @@
         task: job.task,
         band: 0,
         reserves: false,
+        reclaims: false,
+        borrows: false,
         waiting: Vec::new(),
         total: spec.tasks,
         gang: job.is_gang(),
@@ -480,6 +492,8 @@
             && s.types == shape.types
             && s.zones == shape.zones
             && s.spot == shape.spot
+            && s.reclaims == shape.reclaims
+            && s.borrows == shape.borrows
     };
     match shapes.iter_mut().find(same) {
         Some(known) => known.n += shape.n,
@@ -505,23 +519,23 @@
 }
 
 /// Priority, the guarantee, and for how long a job has waited.
-fn band(job: &Job, quota: &Quota, waiting: &[u32], aged: bool) -> i32 {
+fn band(job: &Job, guaranteed: bool, aged: bool) -> i32 {
     let priority = match job.spec.priority {
         Priority::Low => 0,
         Priority::Normal => 1,
         Priority::High => 2,
         Priority::Production => 3,
     };
-    let guaranteed = quota.guarantees(&job.task.times(waiting.len() as i64));
     priority + if guaranteed { 4 } else { 0 } + if aged { 8 } else { 0 }
 }
 
 /// Whether tasks may be placed on a machine.
-fn is_usable(m: &Machine, ctx: &Ctx) -> bool {
+pub(crate) fn is_usable(m: &Machine, ctx: &Ctx) -> bool {
     m.is_heard(ctx)
         && m.condemned.is_none()
         && !m.draining
         && m.leaving.is_none()
+        && !m.vacating
         && m.taken_at.is_none()
         && m.errors.len() < 2
         && m.is_confirmed()
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -477,6 +477,7 @@
             errors: BTreeSet::new(),
             full_until: 0,
             leaving: None,
+            vacating: false,
             deleted: false,
             delete_at: 0,
             full_house_until: 0,
@@ -511,6 +512,9 @@
     /// the other share then owns whatever is on the machine.
     pub(crate) fn give_away(&mut self, ctx: &mut Ctx, view: &View, id: &MachineId) {
         let Some(to) = view.machines.get(id).and_then(|m| m.rec.want) else {
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.vacating = false;
+            }
             return;
         };
         let names = self.image_names(ctx, id);
@@ -536,7 +540,7 @@
                 rec.floor = floor;
                 rec.images = names;
             });
-        } else {
+        } else if !self.vacate(ctx, id) {
             self.put_machine(ctx, view, id, |rec| rec.want = None);
         }
     }
@@ -773,6 +777,8 @@
             zones: None,
             spot: spec.spot,
             spare: true,
+            reclaims: false,
+            borrows: false,
         };
         let stats = self
             .classes
--- a/crates/sched/src/provision.rs
+++ b/crates/sched/src/provision.rs
@@ -15,11 +15,14 @@
     pub zones: Option<Vec<u16>>,
     /// May use spot machines.
     pub spot: bool,
+    /// No ordinary machine is rented for it.
+    pub spot_only: bool,
 }
 
 impl Shape {
     fn allows(&self, offer: &Offer) -> bool {
         (self.spot || !offer.spot)
+            && (offer.spot || !self.spot_only)
             && self
                 .types
                 .as_ref()
--- a/crates/sched/src/provision/tests.rs
+++ b/crates/sched/src/provision/tests.rs
@@ -20,6 +20,7 @@
         types: None,
         zones: None,
         spot: false,
+        spot_only: false,
     }
 }
 
--- a/crates/sched/src/quota.rs
+++ b/crates/sched/src/quota.rs
@@ -29,8 +29,12 @@
         !self.guarantee.is_zero() && within(&(self.used + *more), &self.guarantee)
     }
 
-    /// Whether the team uses more than its guarantee.
+    /// Whether the team uses more than its guarantee. A team without any
+    /// guarantee borrows all that it uses.
     pub fn is_borrowing(&self) -> bool {
+        if self.guarantee.is_zero() {
+            return !self.used.is_zero();
+        }
         !within(&self.used, &self.guarantee)
     }
 }
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -47,6 +47,12 @@
     /// It has waited for so long that nothing behind it may take what it
     /// waits for: its team's quota, or a machine that could hold it.
     pub reserves: bool,
+    /// May have borrowed resources given back to it: it lies within its
+    /// team's guarantee, or is urgent.
+    pub reclaims: bool,
+    /// Low-priority work beyond its team's guarantee: it uses what is there,
+    /// and nothing is taken from others for it.
+    pub borrows: bool,
     /// Predicted run time.
     pub estimate: f64,
     /// The team's place in the quotas.
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -25,6 +25,8 @@
         gang: false,
         band: 0,
         reserves: false,
+        reclaims: false,
+        borrows: false,
         estimate: 10.0,
         team: 0,
         image: 0,
