--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -3,7 +3,7 @@
 use crate::records::ShareId;
 use crate::Ms;
 use forkshift_sched::{Resources, Weights};
-use forkshift_wire::settings::Settings;
+use forkshift_wire::settings::{Objective, Settings};
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
@@ -71,6 +71,8 @@
     pub teams: BTreeMap<String, Team>,
     /// Shortest `wait` objective of each class, in seconds.
     pub waits: BTreeMap<String, f64>,
+    /// Shortest `finished` objective of each class, in seconds.
+    pub finishes: BTreeMap<String, f64>,
     /// Lease of a worker.
     pub lease_ms: Ms,
     /// Between two reports of a worker.
@@ -120,13 +122,8 @@
         let peers = settings.peers.iter().map(|p| (&p.node, &p.zone));
         let all = peers.chain([(&settings.node, &settings.zone)]);
         let zones = all.map(|(n, z)| (n.clone(), z.clone())).collect();
-        let mut waits = BTreeMap::new();
-        for o in c.objectives.iter().filter(|o| o.kind == "wait") {
-            if let Some(class) = &o.class {
-                let within = waits.entry(class.clone()).or_insert(o.within_s);
-                *within = o.within_s.min(*within);
-            }
-        }
+        let waits = shortest(&c.objectives, "wait");
+        let finishes = shortest(&c.objectives, "finished");
         let ms = |s: f64| (s * 1000.0) as Ms;
         Self {
             node: settings.node.clone(),
@@ -134,6 +131,7 @@
             nodes,
             zones,
             waits,
+            finishes,
             lease_ms: ms(c.workers.lease_s),
             report_ms: ms(c.workers.report_s),
             cancel_ms: ms(c.workers.cancel_s),
@@ -192,6 +190,18 @@
     }
 }
 
+/// The shortest time of each class among the objectives of a kind.
+fn shortest(objectives: &[Objective], kind: &str) -> BTreeMap<String, f64> {
+    let mut times = BTreeMap::new();
+    for objective in objectives.iter().filter(|o| o.kind == kind) {
+        if let Some(class) = &objective.class {
+            let within = times.entry(class.clone()).or_insert(objective.within_s);
+            *within = objective.within_s.min(*within);
+        }
+    }
+    times
+}
+
 /// Spreads the teams over the shares by their guarantees, the largest first.
 /// Every controller comes to the same result from the same settings.
 fn spread_teams(teams: &[forkshift_wire::settings::Team], shares: usize) -> BTreeMap<String, Team> {
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -1,11 +1,14 @@
-//! Taking borrowed resources back.
+//! Taking resources back from guest teams.
 //!
-//! Low-priority work beyond its team's guarantee runs on what others leave
-//! unused. As soon as a job within its own team's guarantee, or an urgent one,
-//! finds no room, such work is stopped for it: on the machines of the same
+//! The low-priority work of a team without a guarantee runs on what others
+//! leave unused. As soon as a job within its own team's guarantee, or an urgent
+//! one, finds no room, such work is stopped for it: on the machines of the same
 //! share directly, and on those of other shares by giving a whole machine
 //! away when the leader asks for it. Without this, one guest team with much
 //! idle work filled the fleet, and the jobs of all other teams waited for it.
+//!
+//! Teams that have a guarantee keep what they use beyond it: tried on them as
+//! well, this cost batch work that had no checkpoints more than others won.
 
 use crate::ctx::Ctx;
 use crate::job::{Binding, Job, Sent};
@@ -21,11 +24,15 @@
 
 /// Most machines that a share offers to others at a time.
 const OFFERED_MOST: usize = 16;
+/// A guest's job waits for unused machines for this part of the time in which
+/// it should be complete.
+const PATIENT_PART: f64 = 0.25;
+/// One of which no task has started waits for no more than this many boots.
+const BEGIN_BOOTS: f64 = 2.0;
 
 /// A task that may be stopped so that its resources are given back.
 struct Victim {
     task: TaskRef,
-    team: usize,
     resources: Resources,
     /// Run time that is lost with it.
     lost: Ms,
@@ -61,7 +68,7 @@
         quotas: &[Quota],
     ) {
         let waits = |w: &&Want| w.reclaims && !w.waiting.is_empty();
-        if !self.lends_to_borrowers() || !wants.iter().any(|w| waits(&w)) {
+        if !self.has_guests() || !wants.iter().any(|w| waits(&w)) {
             return;
         }
         let mut rooms = self.rooms(ctx, usable);
@@ -94,7 +101,7 @@
         if !quotas[want.team].allows(&need) {
             return false;
         }
-        let Some(plan) = cheapest_plan(want, count, rooms, quotas) else {
+        let Some(plan) = cheapest_plan(want, count, rooms) else {
             return false;
         };
         quotas[want.team].used += need;
@@ -102,7 +109,6 @@
             let room = &mut rooms[index];
             for victim in room.victims.drain(..stopped) {
                 room.free += victim.resources;
-                quotas[victim.team].used -= victim.resources;
                 log::info!("{}: stopped, its resources are reclaimed", victim.task);
                 self.stop_task(&victim.task);
             }
@@ -111,9 +117,10 @@
         true
     }
 
-    /// Whether any team uses more than it is guaranteed.
-    fn lends_to_borrowers(&self) -> bool {
-        self.quotas.iter().any(Quota::is_borrowing)
+    /// Whether a team without a guarantee uses anything.
+    fn has_guests(&self) -> bool {
+        let borrows = |quota: &Quota| quota.is_guest() && quota.is_borrowing();
+        self.quotas.iter().any(borrows)
     }
 
     fn rooms(&self, ctx: &Ctx, usable: &[MachineId]) -> Vec<Room> {
@@ -130,10 +137,9 @@
             };
             if binding.stop.is_some() {
                 free += job.task;
-            } else if let Some(team) = self.borrower(job, binding) {
+            } else if self.is_reclaimable(job, binding) {
                 victims.push(Victim {
                     task: task.clone(),
-                    team,
                     resources: job.task,
                     lost: lost_with(ctx, job, binding),
                 });
@@ -154,19 +160,38 @@
         Some((job, job.bound.get(&task.index)?))
     }
 
-    /// The team of a task that runs on borrowed resources and may be stopped
-    /// to give them back. A gang would be lost whole with one of its tasks.
-    fn borrower(&self, job: &Job, binding: &Binding) -> Option<usize> {
-        let team = *self.teams.get(&job.spec.team)?;
-        let stoppable =
-            job.spec.priority == Priority::Low && !job.is_gang() && binding.sent != Sent::No;
-        (stoppable && self.quotas[team].is_borrowing()).then_some(team)
+    /// Whether a task runs on borrowed resources and may be stopped to give
+    /// them back. A gang would be lost whole with one of its tasks.
+    fn is_reclaimable(&self, job: &Job, binding: &Binding) -> bool {
+        let team = self.teams.get(&job.spec.team);
+        let of_guest = team.is_some_and(|team| self.quotas[*team].is_guest());
+        let stoppable = job.spec.priority == Priority::Low && !job.is_gang();
+        of_guest && stoppable && binding.sent != Sent::No
+    }
+
+    /// Whether a job of a guest team is content with what others leave unused,
+    /// so that no ordinary machine is rented for it: it has begun, or came
+    /// lately, and there is time until it should be complete.
+    pub(crate) fn is_patient(&self, ctx: &Ctx, job: &Job) -> bool {
+        let spec = &job.spec;
+        let team = self.teams.get(&spec.team);
+        let of_guest = team.is_some_and(|team| self.quotas[*team].is_guest());
+        if !of_guest || spec.priority != Priority::Low {
+            return false;
+        }
+        let objective = ctx.cfg.finishes.get(&spec.class).copied();
+        let due = objective.into_iter().chain(spec.deadline_s);
+        let time = due.fold(f64::INFINITY, f64::min);
+        let age = job.age(ctx.now) as f64 / 1000.0;
+        let has_begun = !job.bound.is_empty() || job.done.len() > 0;
+        let boots = self.boot_ms() as f64 / 1000.0 * BEGIN_BOOTS;
+        age < time * PATIENT_PART && (has_begun || age < boots)
     }
 
     /// Machines on which nothing but borrowed work runs, those first that lose
     /// the least of it. Others may ask for them.
     pub(crate) fn borrowed_machines(&self, ctx: &Ctx, usable: &[MachineId]) -> Vec<MachineId> {
-        if !self.lends_to_borrowers() {
+        if !self.has_guests() {
             return Vec::new();
         }
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
@@ -190,7 +215,9 @@
             if binding.stop.is_some() {
                 continue;
             }
-            self.borrower(job, binding)?;
+            if !self.is_reclaimable(job, binding) {
+                return None;
+            }
             lost += lost_with(ctx, job, binding);
         }
         Some(lost)
@@ -232,14 +259,14 @@
 
 /// The places for `count` tasks with which the least run time is lost; all of
 /// them in one zone if the job needs that.
-fn cheapest_plan(want: &Want, count: usize, rooms: &[Room], quotas: &[Quota]) -> Option<Plan> {
+fn cheapest_plan(want: &Want, count: usize, rooms: &[Room]) -> Option<Plan> {
     if !want.one_zone || count == 1 {
-        return plan_in(want, count, rooms, quotas, None);
+        return plan_in(want, count, rooms, None);
     }
     let zones: BTreeSet<u16> = rooms.iter().map(|r| r.zone).collect();
     let plans = zones
         .into_iter()
-        .filter_map(|zone| plan_in(want, count, rooms, quotas, Some(zone)));
+        .filter_map(|zone| plan_in(want, count, rooms, Some(zone)));
     plans.min_by_key(|plan| plan.lost)
 }
 
@@ -247,7 +274,6 @@
     want: &Want,
     count: usize,
     rooms: &[Room],
-    quotas: &[Quota],
     zone: Option<u16>,
 ) -> Option<Plan> {
     let mut options: Vec<(Ms, usize, usize)> = Vec::new();
@@ -257,7 +283,7 @@
         if !allowed {
             continue;
         }
-        if let Some((lost, stopped)) = cost_of_place(want, room, quotas) {
+        if let Some((lost, stopped)) = cost_of_place(want, room) {
             options.push((lost, index, stopped));
         }
     }
@@ -274,17 +300,14 @@
 }
 
 /// How many of a room's victims must be stopped for one task, and what is lost
-/// with them. Teams are not pushed below their guarantees.
-fn cost_of_place(want: &Want, room: &Room, quotas: &[Quota]) -> Option<(Ms, usize)> {
+/// with them.
+fn cost_of_place(want: &Want, room: &Room) -> Option<(Ms, usize)> {
     let mut free = room.free;
     let mut lost = 0;
     for (stopped, victim) in room.victims.iter().enumerate() {
         if want.task.fits(&free) {
             return Some((lost, stopped));
         }
-        if !quotas[victim.team].is_borrowing() {
-            return None;
-        }
         free += victim.resources;
         lost += victim.lost;
     }
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -135,10 +135,7 @@
             let guaranteed = self.quotas[team].guarantees(&job.task.times(waiting.len() as i64));
             want.band = band(job, guaranteed, aged);
             want.reclaims = guaranteed || job.spec.priority >= Priority::High;
-            // Once it has waited for long, machines are rented for it as for
-            // any other job, so that it is served however full the fleet is.
-            let patient = (job.age(ctx.now) as f64) < AGED_BOOTS * boot_ms as f64;
-            want.borrows = job.spec.priority == Priority::Low && !guaranteed && patient;
+            want.borrows = self.is_patient(ctx, job);
             want.waiting = waiting;
             // For a while only: another machine may never come free, and this
             // one may be well.
--- a/crates/sched/src/quota.rs
+++ b/crates/sched/src/quota.rs
@@ -32,11 +32,16 @@
     /// Whether the team uses more than its guarantee. A team without any
     /// guarantee borrows all that it uses.
     pub fn is_borrowing(&self) -> bool {
-        if self.guarantee.is_zero() {
+        if self.is_guest() {
             return !self.used.is_zero();
         }
         !within(&self.used, &self.guarantee)
     }
+
+    /// Whether the team is guaranteed nothing.
+    pub fn is_guest(&self) -> bool {
+        self.guarantee.is_zero()
+    }
 }
 
 /// Resources that a team's quota is short of.
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -50,7 +50,7 @@
     /// May have borrowed resources given back to it: it lies within its
     /// team's guarantee, or is urgent.
     pub reclaims: bool,
-    /// Low-priority work beyond its team's guarantee: it uses what is there,
+    /// Low-priority work of a team without a guarantee: it uses what is there,
     /// and nothing is taken from others for it.
     pub borrows: bool,
     /// Predicted run time.
