--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -5,10 +5,10 @@
 //! the version that is known to be written.
 
 use crate::api::status;
-use crate::ctx::{Ctx, JobWrite, Pending, Reply, Token};
+use crate::context::{Context, JobWrite, Pending, Reply, RequestId};
 use crate::job::{Job, Sent};
 use crate::node::Finals;
-use crate::records::{job_key, live_key, share_key, JobRec};
+use crate::records::{job_key, live_key, share_key, JobRecord};
 use crate::share::Share;
 use crate::store::Urgency;
 use crate::Ms;
@@ -34,7 +34,7 @@
 impl Share {
     /// Writes what has changed. Mere progress waits for `progress`, so that a
     /// job is written at most once a round.
-    pub(crate) fn flush(&mut self, ctx: &mut Ctx, progress: bool) {
+    pub(crate) fn flush(&mut self, ctx: &mut Context, progress: bool) {
         if progress {
             for id in std::mem::take(&mut self.progress) {
                 self.dirty.touch(&id);
@@ -81,7 +81,7 @@
         }
     }
 
-    fn send_group(&mut self, ctx: &mut Ctx, group: Vec<Part>) {
+    fn send_group(&mut self, ctx: &mut Context, group: Vec<Part>) {
         let urgency = group[0].urgency;
         let mut txn = Txn {
             conds: vec![Cond {
@@ -113,7 +113,7 @@
 
     pub(crate) fn on_txn(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         finals: &mut Finals,
         jobs: Vec<JobWrite>,
         status: u16,
@@ -133,8 +133,8 @@
             if status == 503 {
                 // The write is tried again all the same; whoever waits for it
                 // is told at once to come back.
-                for token in std::mem::take(&mut job.cancel_waiters) {
-                    ctx.respond(token, Reply::later("not now"));
+                for request in std::mem::take(&mut job.cancel_waiters) {
+                    ctx.respond(request, Reply::later("not now"));
                 }
             }
             // Without an answer, perhaps it was carried out, perhaps it will
@@ -165,7 +165,7 @@
     /// the share is ours.
     pub(crate) fn on_fix(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: &JobId,
         block: u32,
         status: u16,
@@ -202,7 +202,7 @@
     /// What became of a job whose live record is gone.
     pub(crate) fn on_final(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         finals: &mut Finals,
         id: &JobId,
         status: u16,
@@ -214,7 +214,7 @@
         job.retry_at = ctx.now + RETRY;
         let item: Option<Item> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(item) = item else { return };
-        let Ok(rec) = serde_json::from_value::<JobRec>(item.value) else {
+        let Ok(rec) = serde_json::from_value::<JobRecord>(item.value) else {
             return;
         };
         if !rec.stage.is_final() {
@@ -234,7 +234,7 @@
         }
     }
 
-    fn written(&mut self, ctx: &mut Ctx, finals: &mut Finals, write: &JobWrite, revision: u64) {
+    fn written(&mut self, ctx: &mut Context, finals: &mut Finals, write: &JobWrite, revision: u64) {
         let Some(job) = self.jobs.get_mut(&write.id) else {
             return;
         };
@@ -278,14 +278,14 @@
 }
 
 /// Tells users who wait for a cancellation how the job ended.
-fn answer(ctx: &mut Ctx, waiters: Vec<Token>, id: &JobId, stage: JobStage) {
-    for token in waiters {
-        ctx.respond(token, Reply::json(200, &status(id, stage)));
+fn answer(ctx: &mut Context, waiters: Vec<RequestId>, id: &JobId, stage: JobStage) {
+    for request in waiters {
+        ctx.respond(request, Reply::json(200, &status(id, stage)));
     }
 }
 
 /// A job's part of the next transaction, if it has any.
-fn part(share: &Share, job: &Job, ctx: &Ctx, progress: bool) -> Option<Part> {
+fn part(share: &Share, job: &Job, ctx: &Context, progress: bool) -> Option<Part> {
     let id = &job.spec.id;
     let last = job.is_over();
     let cancel = job.cancelled && !job.cancel_durable;
@@ -343,7 +343,7 @@
         return None;
     }
     if cancel || (last && !job.cancelled) {
-        let rec = JobRec {
+        let rec = JobRecord {
             spec: (*job.spec).clone(),
             share: share.id,
             stage: job.final_stage(),
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -1,12 +1,12 @@
 //! A controller that holds a share with a machine, for tests of what it does.
 
 use crate::config::{Config, Operator};
-use crate::ctx::{Effect, Input, Pending, Reply, Token};
+use crate::context::{Effect, Input, Pending, Reply, RequestId};
 use crate::job::{Binding, Sent};
 use crate::node::Node;
 use crate::records::{
-    machine_key, node_key, share_key, type_key, LeaderRec, MachineRec, NodeRec, ShareId, ShareRec,
-    LEADER,
+    machine_key, node_key, share_key, type_key, LeaderRecord, MachineRecord, NodeRecord, ShareId,
+    ShareRecord, LEADER,
 };
 use crate::share::{Phase, Share};
 use crate::Ms;
@@ -40,13 +40,13 @@
         let (share, zone) = (team.share, settings.zone.clone());
         let mut node = Node::new(cfg, 1, 1);
         let machine = MachineId::new("m-1");
-        let held = ShareRec {
+        let held = ShareRecord {
             holder: us.clone(),
             inc: 1,
             epoch: EPOCH,
             want: None,
         };
-        let record = MachineRec {
+        let record = MachineRecord {
             share,
             machine_type: "big".to_owned(),
             zone: zone.clone(),
@@ -60,11 +60,11 @@
         let of_type = json!({"name": "big", "cpus": 96.0, "accelerators": 8.0, "mem_gb": 768.0,
             "cache_gb": 200.0, "pull_gb_per_s": 1.0, "hourly": 12.0, "market_price": null,
             "boot_s": 45.0, "yards": [zone]});
-        let lead = LeaderRec {
+        let lead = LeaderRecord {
             node: us.clone(),
             inc: 1,
         };
-        let here = NodeRec {
+        let here = NodeRecord {
             inc: 1,
             blind: false,
         };
@@ -84,7 +84,7 @@
         ours.phase = Phase::Waiting(5);
         ours.activate(&mut node.ctx, &node.view);
         node.shares.insert(share, ours);
-        node.follow_silence();
+        node.run_failure_detector();
         let mut fixture = Self {
             node,
             share,
@@ -109,7 +109,7 @@
     /// The controller loses its right.
     pub(crate) fn lose_right(&mut self) {
         self.node.ctx.now += self.node.ctx.cfg.node_lease_ms();
-        self.node.follow_silence();
+        self.node.run_failure_detector();
     }
 
     /// A new job of the share.
@@ -196,16 +196,16 @@
     }
 
     /// A request, and its answer if that comes at once.
-    pub(crate) fn ask(&mut self, token: u64, method: &str, path: &str) -> Option<(u16, String)> {
-        let request = Input::Request {
-            token: Token(token),
+    pub(crate) fn ask(&mut self, request: u64, method: &str, path: &str) -> Option<(u16, String)> {
+        let input = Input::Request {
+            request: RequestId(request),
             method: method.to_owned(),
             path: path.to_owned(),
             body: Some(Vec::new()),
         };
         let now = self.node.ctx.now;
-        let effects = self.node.step(now, WALL + now - NOW, vec![request]);
-        answer_to(&effects, token)
+        let effects = self.node.step(now, WALL + now - NOW, vec![input]);
+        answer_to(&effects, request)
     }
 
     /// Ends the last call of a kind that waits.
@@ -234,10 +234,10 @@
 }
 
 /// Status and body of the answer to a request.
-pub(crate) fn answer_to(effects: &[Effect], token: u64) -> Option<(u16, String)> {
+pub(crate) fn answer_to(effects: &[Effect], request: u64) -> Option<(u16, String)> {
     let text = |r: &Reply| (r.status, String::from_utf8_lossy(&r.body).into_owned());
     effects.iter().find_map(|e| match e {
-        Effect::Respond { token: t, reply } if t.0 == token => Some(text(reply)),
+        Effect::Respond { request: id, reply } if id.0 == request => Some(text(reply)),
         _ => None,
     })
 }
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -10,13 +10,13 @@
 //! Teams that have a guarantee keep what they use beyond it: tried on them as
 //! well, this cost batch work that had no checkpoints more than others won.
 
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::job::{Binding, Job, Sent};
 use crate::machine::Machine;
 use crate::rounds::is_usable;
 use crate::share::Share;
 use crate::Ms;
-use forkshift_sched::{Quota, Resources, Want};
+use forkshift_sched::{PendingTasks, Quota, Resources};
 use forkshift_wire::users::Priority;
 use forkshift_wire::{MachineId, TaskRef};
 use std::cmp::Reverse;
@@ -62,18 +62,18 @@
     /// Makes room for pending jobs that may reclaim it, the most urgent first.
     pub(crate) fn reclaim(
         &mut self,
-        ctx: &Ctx,
-        wants: &[Want],
+        ctx: &Context,
+        wants: &[PendingTasks],
         usable: &[MachineId],
         quotas: &[Quota],
     ) {
-        let waits = |w: &&Want| w.reclaims && !w.waiting.is_empty();
+        let waits = |w: &&PendingTasks| w.reclaims && !w.waiting.is_empty();
         if !self.has_guests() || !wants.iter().any(|w| waits(&w)) {
             return;
         }
         let mut rooms = self.rooms(ctx, usable);
         let mut quotas = quotas.to_vec();
-        let mut order: Vec<&Want> = wants.iter().filter(waits).collect();
+        let mut order: Vec<&PendingTasks> = wants.iter().filter(waits).collect();
         order.sort_by_key(|w| Reverse(w.band));
         for want in order {
             if want.gang {
@@ -92,7 +92,7 @@
     /// for all of them. Returns whether there is, or will be, room.
     fn reclaim_for(
         &mut self,
-        want: &Want,
+        want: &PendingTasks,
         count: usize,
         rooms: &mut [Room],
         quotas: &mut [Quota],
@@ -123,12 +123,12 @@
         self.quotas.iter().any(borrows)
     }
 
-    fn rooms(&self, ctx: &Ctx, usable: &[MachineId]) -> Vec<Room> {
+    fn rooms(&self, ctx: &Context, usable: &[MachineId]) -> Vec<Room> {
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
         machines.map(|m| self.room(ctx, m)).collect()
     }
 
-    fn room(&self, ctx: &Ctx, machine: &Machine) -> Room {
+    fn room(&self, ctx: &Context, machine: &Machine) -> Room {
         let mut free = machine.free();
         let mut victims = Vec::new();
         for task in &machine.tasks {
@@ -162,7 +162,7 @@
 
     /// Whether a task runs on borrowed resources and may be stopped to give
     /// them back. A gang would be lost whole with one of its tasks.
-    fn is_reclaimable(&self, job: &Job, binding: &Binding) -> bool {
+    pub(crate) fn is_reclaimable(&self, job: &Job, binding: &Binding) -> bool {
         let team = self.teams.get(&job.spec.team);
         let of_guest = team.is_some_and(|team| self.quotas[*team].is_guest());
         let stoppable = job.spec.priority == Priority::Low && !job.is_gang();
@@ -172,7 +172,7 @@
     /// Whether a job of a guest team is content with what others leave unused,
     /// so that no ordinary machine is rented for it: it has begun, or came
     /// lately, and there is time until it should be complete.
-    pub(crate) fn is_patient(&self, ctx: &Ctx, job: &Job) -> bool {
+    pub(crate) fn is_patient(&self, ctx: &Context, job: &Job) -> bool {
         let spec = &job.spec;
         let team = self.teams.get(&spec.team);
         let of_guest = team.is_some_and(|team| self.quotas[*team].is_guest());
@@ -188,9 +188,26 @@
         age < time * PATIENT_PART && (has_begun || age < boots)
     }
 
+    /// What could be reclaimed on a machine.
+    pub(crate) fn reclaimable_on(&self, id: &MachineId) -> Resources {
+        let mut sum = Resources::default();
+        let Some(machine) = self.machines.get(id).filter(|_| self.has_guests()) else {
+            return sum;
+        };
+        for task in &machine.tasks {
+            if let Some((job, binding)) = self.binding(task) {
+                let stops = binding.stop.is_some();
+                if stops || self.is_reclaimable(job, binding) {
+                    sum += job.task;
+                }
+            }
+        }
+        sum
+    }
+
     /// Machines on which nothing but borrowed work runs, those first that lose
     /// the least of it. Others may ask for them.
-    pub(crate) fn borrowed_machines(&self, ctx: &Ctx, usable: &[MachineId]) -> Vec<MachineId> {
+    pub(crate) fn borrowed_machines(&self, ctx: &Context, usable: &[MachineId]) -> Vec<MachineId> {
         if !self.has_guests() {
             return Vec::new();
         }
@@ -205,7 +222,7 @@
 
     /// Run time that is lost if all tasks of a machine are stopped; none if
     /// one of them must not be, or there are none.
-    fn lost_if_given_away(&self, ctx: &Ctx, machine: &Machine) -> Option<Ms> {
+    fn lost_if_given_away(&self, ctx: &Context, machine: &Machine) -> Option<Ms> {
         if machine.tasks.is_empty() || !machine.orphans.is_empty() {
             return None;
         }
@@ -225,7 +242,7 @@
 
     /// Stops the borrowed work on a machine that another share has asked for.
     /// Returns whether the machine will be free for it.
-    pub(crate) fn vacate(&mut self, ctx: &Ctx, id: &MachineId) -> bool {
+    pub(crate) fn vacate(&mut self, ctx: &Context, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get(id) else {
             return false;
         };
@@ -247,7 +264,7 @@
 
 /// Run time that a task loses if it is stopped now: all of it, or less than
 /// the interval of its checkpoints.
-fn lost_with(ctx: &Ctx, job: &Job, binding: &Binding) -> Ms {
+fn lost_with(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
     let ran = ctx.now - binding.running_since.unwrap_or(ctx.now).min(ctx.now);
     let checkpoint = crate::ms(job.spec.checkpoint_s);
     if checkpoint > 0 {
@@ -259,7 +276,7 @@
 
 /// The places for `count` tasks with which the least run time is lost; all of
 /// them in one zone if the job needs that.
-fn cheapest_plan(want: &Want, count: usize, rooms: &[Room]) -> Option<Plan> {
+fn cheapest_plan(want: &PendingTasks, count: usize, rooms: &[Room]) -> Option<Plan> {
     if !want.one_zone || count == 1 {
         return plan_in(want, count, rooms, None);
     }
@@ -270,12 +287,7 @@
     plans.min_by_key(|plan| plan.lost)
 }
 
-fn plan_in(
-    want: &Want,
-    count: usize,
-    rooms: &[Room],
-    zone: Option<u16>,
-) -> Option<Plan> {
+fn plan_in(want: &PendingTasks, count: usize, rooms: &[Room], zone: Option<u16>) -> Option<Plan> {
     let mut options: Vec<(Ms, usize, usize)> = Vec::new();
     for (index, room) in rooms.iter().enumerate() {
         let allowed = zone.is_none_or(|z| z == room.zone)
@@ -301,7 +313,7 @@
 
 /// How many of a room's victims must be stopped for one task, and what is lost
 /// with them.
-fn cost_of_place(want: &Want, room: &Room) -> Option<(Ms, usize)> {
+fn cost_of_place(want: &PendingTasks, room: &Room) -> Option<(Ms, usize)> {
     let mut free = room.free;
     let mut lost = 0;
     for (stopped, victim) in room.victims.iter().enumerate() {
--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of `reclaim`.
 
 use super::*;
-use crate::ctx::Effect;
+use crate::context::Effect;
 use crate::fixture::{spec, Fixture, WALL};
 use crate::node::Node;
-use crate::records::{machine_key, MachineRec, ShareId};
+use crate::records::{machine_key, MachineRecord, ShareId};
 use forkshift_wire::state::Change;
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::workers::TaskStage;
@@ -127,7 +127,12 @@
         assert_eq!(stopped(&mut f, &guest), case.stopped, "{}", case.name);
         // What is being stopped counts as room: nothing more is stopped.
         f.step(2_000);
-        assert_eq!(stopped(&mut f, &guest), case.stopped, "{}: later", case.name);
+        assert_eq!(
+            stopped(&mut f, &guest),
+            case.stopped,
+            "{}: later",
+            case.name
+        );
     }
 }
 
@@ -148,7 +153,11 @@
         }
         let share_id = f.share;
         let offered = f.node.shares[&share_id].borrowed_machines(&f.node.ctx, &usable);
-        assert_eq!(!offered.is_empty(), given, "offered, with other work: {with_owner}");
+        assert_eq!(
+            !offered.is_empty(),
+            given,
+            "offered, with other work: {with_owner}"
+        );
 
         ask_for(&mut f, ShareId(share_id.0 + 1));
         let mut effects = Vec::new();
@@ -180,7 +189,7 @@
 }
 
 /// What is written into a machine's record.
-fn machine_puts(effects: &[Effect], id: &MachineId) -> Vec<MachineRec> {
+fn machine_puts(effects: &[Effect], id: &MachineId) -> Vec<MachineRecord> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { body, .. } => body.as_deref(),
         _ => None,
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -1,14 +1,14 @@
-//! Rounds of a share: placing what waits, and saying what is lacking.
+//! Rounds of a share: places waiting tasks, and computes the unmet demand.
 
-use crate::ctx::{Ctx, Pending};
+use crate::context::{Context, Pending};
 use crate::job::{Binding, Job, Sent};
 use crate::machine::Machine;
-use crate::records::{demand_key, share_key, total_of, DemandRec, ShapeRec};
+use crate::records::{demand_key, share_key, total_of, DemandRecord, ShapeRecord};
 use crate::share::Share;
 use crate::store::Urgency;
 use crate::view::View;
 use crate::Ms;
-use forkshift_sched::{run_round, Host, Quota, Resources, Short, Want};
+use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources, Shortfall};
 use forkshift_wire::peer::Body;
 use forkshift_wire::state::{Cond, Txn, Write};
 use forkshift_wire::users::{JobKind, Priority};
@@ -18,7 +18,7 @@
 
 /// Most tasks of one job that a round places.
 const TASKS_A_ROUND: usize = 256;
-/// Most shapes in what a share says that it lacks.
+/// Most shapes in the unmet demand of a share.
 const SHAPES_MOST: usize = 24;
 /// A running task that should end within this many boots leaves a spare place.
 const SOON_BOOTS: f64 = 0.8;
@@ -28,12 +28,16 @@
 /// do not starve.
 const AGED_BOOTS: f64 = 2.0;
 
-/// The part of the changes at the state service that goes into what shares lack.
+/// A job reclaims machines of other shares after it has waited this many
+/// rounds: by then its own share has no room for it.
+const RECLAIM_ROUNDS: f64 = 2.0;
+
+/// The part of the changes at the state service that goes into records of unmet demand.
 const DEMAND_PART: f64 = 0.05;
 
 impl Share {
     /// Runs a round if one is due.
-    pub(crate) fn round(&mut self, ctx: &mut Ctx, view: &View) {
+    pub(crate) fn round(&mut self, ctx: &mut Context, view: &View) {
         if ctx.now < self.next_round {
             return;
         }
@@ -52,13 +56,13 @@
         let placed = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         let mut attempts: BTreeMap<usize, u64> = BTreeMap::new();
         for p in &placed {
-            let id = &ids[p.want];
+            let id = &ids[p.job];
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
             let attempt = if job.is_gang() {
                 *attempts
-                    .entry(p.want)
+                    .entry(p.job)
                     .or_insert_with(|| job.next_gang_attempt())
             } else {
                 job.next_attempt(p.task)
@@ -80,7 +84,7 @@
         }
         self.preempt(ctx, &ids, &wants, &usable, &quotas);
         self.reclaim(ctx, &wants, &usable, &quotas);
-        self.lack(ctx, view, &usable, hosts, wants, quotas);
+        self.compute_unmet_demand(ctx, view, &usable, hosts, wants, quotas);
     }
 
     /// The zone of every machine.
@@ -102,7 +106,11 @@
     }
 
     /// What waits, as a round sees it.
-    fn wants(&mut self, ctx: &mut Ctx, usable: &[MachineId]) -> (Vec<JobId>, Vec<Want>) {
+    fn wants(
+        &mut self,
+        ctx: &mut Context,
+        usable: &[MachineId],
+    ) -> (Vec<JobId>, Vec<PendingTasks>) {
         let zones = self.zones();
         let boot_ms = self.boot_ms();
         let lasting = self.lasting();
@@ -125,7 +133,7 @@
             let Some(&team) = self.teams.get(&job.spec.team) else {
                 continue;
             };
-            let mut want = want_of(ctx, job, team, &zones);
+            let mut want = pending_tasks_of(ctx, job, team, &zones);
             let aged = is_aged(job, ctx.now, boot_ms);
             // Kept free for it, the quota must come free some day: what services
             // hold does not. A whole team once waited for one job in vain.
@@ -135,6 +143,8 @@
             let guaranteed = self.quotas[team].guarantees(&job.task.times(waiting.len() as i64));
             want.band = band(job, guaranteed, aged);
             want.reclaims = guaranteed || job.spec.priority >= Priority::High;
+            let is_late = job.age(ctx.now) > crate::ms(ctx.cfg.ops.round_s * RECLAIM_ROUNDS);
+            want.reclaims_machines = want.reclaims && is_late;
             want.borrows = self.is_patient(ctx, job);
             want.waiting = waiting;
             // For a while only: another machine may never come free, and this
@@ -151,14 +161,14 @@
     }
 
     /// Books what found no room on machines that are still to come; what is
-    /// left then, and spare places, are what the share lacks.
-    fn lack(
+    /// left then, and spare places, are the share's unmet demand.
+    fn compute_unmet_demand(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
         usable: &[MachineId],
         mut hosts: Vec<Host>,
-        mut wants: Vec<Want>,
+        mut wants: Vec<PendingTasks>,
         mut quotas: Vec<Quota>,
     ) {
         wants.sort_by_key(|w| std::cmp::Reverse(w.band));
@@ -166,6 +176,15 @@
             host.held = false;
         }
         let now = self.shapes_of(ctx, view, &wants, &mut quotas.clone());
+        // What guest teams use here counts as room for all others: it can be
+        // reclaimed at once. Their tasks fill spare places as soon as these are
+        // free; when they counted as taken, machine after machine was rented.
+        let (mut guests, mut wants): (Vec<PendingTasks>, Vec<PendingTasks>) =
+            wants.into_iter().partition(|w| quotas[w.team].is_guest());
+        let reclaimable: Vec<Resources> = usable.iter().map(|id| self.reclaimable_on(id)).collect();
+        for (host, more) in hosts.iter_mut().zip(&reclaimable) {
+            host.free += *more;
+        }
         let mut draining = Vec::new();
         for machine in self.machines.values() {
             if machine.draining {
@@ -181,14 +200,14 @@
                 hosts.push(coming(machine.total, machine, ctx.now));
             }
         }
-        self.push_charters(ctx, view, &mut hosts);
+        self.push_rental_intents(ctx, view, &mut hosts);
         for want in &mut wants {
             want.avoid.clear();
         }
         let weights = ctx.cfg.ops.weights;
         let booked = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         for (i, id) in draining.iter().enumerate() {
-            // What is needed again is not emptied any further.
+            // What is needed again is not drained any further.
             if booked.iter().any(|b| b.host == usable.len() + i) {
                 self.stop_draining(id);
             }
@@ -204,11 +223,16 @@
             host.free = host.free.least(&after.free);
         }
         shapes.extend(spare);
+        for (host, more) in hosts.iter_mut().zip(&reclaimable) {
+            host.free = host.free.saturating_sub(more);
+        }
+        run_round(&mut guests, &mut hosts, &mut quotas, &weights);
+        shapes.extend(self.shapes_of(ctx, view, &guests, &mut quotas));
         shapes.truncate(SHAPES_MOST);
         self.note_idle(ctx, usable, &hosts);
-        // A spare place that is lacking fits on no machine that is here, or it
+        // A missing spare place fits on no machine that is here, or it
         // would have been booked there; only what waits speaks against it.
-        if shapes.iter().all(|s| s.spare) {
+        if shapes.iter().all(|s| s.spare || s.borrows) {
             hosts.truncate(usable.len());
             self.drain(ctx, view, usable, &mut hosts);
         }
@@ -217,7 +241,7 @@
         let (surplus, free): (Vec<&Machine>, Vec<&Machine>) =
             empty.partition(|m| m.idle_since.is_some());
         let ids = |list: Vec<&Machine>| list.into_iter().map(|m| m.id.clone()).collect();
-        let rec = DemandRec {
+        let rec = DemandRecord {
             rev: view.revision,
             shapes,
             now,
@@ -231,19 +255,19 @@
     /// The tasks that wait, as shapes, as far as the quotas allow.
     fn shapes_of(
         &self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         view: &View,
-        wants: &[Want],
+        wants: &[PendingTasks],
         quotas: &mut [Quota],
-    ) -> Vec<ShapeRec> {
-        let mut shapes: Vec<ShapeRec> = Vec::new();
+    ) -> Vec<ShapeRecord> {
+        let mut shapes: Vec<ShapeRecord> = Vec::new();
         let names: BTreeMap<u16, String> = type_names(ctx, view);
         let zone_names: BTreeMap<u16, String> = view
             .zones()
             .into_iter()
             .map(|z| (ctx.intern(z) as u16, z.to_owned()))
             .collect();
-        let mut held: BTreeMap<usize, Short> = BTreeMap::new();
+        let mut held: BTreeMap<usize, Shortfall> = BTreeMap::new();
         for want in wants {
             // What a round keeps from being placed needs no machine either.
             if held.get(&want.team).is_some_and(|s| s.concerns(&want.task)) {
@@ -251,7 +275,7 @@
             }
             if want.reserves && !want.waiting.is_empty() {
                 let short = held.entry(want.team).or_default();
-                *short = short.or(&quotas[want.team].short_of(&want.task));
+                *short = short.or(&quotas[want.team].shortfall(&want.task));
             }
             let mut n = 0;
             while n < want.waiting.len() && quotas[want.team].allows(&want.task) {
@@ -266,14 +290,14 @@
             let types = want.types.as_ref();
             add_shape(
                 &mut shapes,
-                ShapeRec {
+                ShapeRecord {
                     res: (want.task.cpus, want.task.gpus, want.task.memory),
                     n: n as u32,
                     types: types.map(|t| t.iter().filter_map(|t| names.get(t).cloned()).collect()),
                     zones: (allowed.len() < zone_names.len()).then_some(allowed),
                     spot: want.spot,
                     spare: false,
-                    reclaims: want.reclaims,
+                    reclaims: want.reclaims_machines,
                     borrows: want.borrows,
                 },
             );
@@ -282,20 +306,20 @@
         shapes
     }
 
-    fn push_charters(&self, ctx: &mut Ctx, view: &View, hosts: &mut Vec<Host>) {
-        for charter in view.charters.values().map(|c| &c.rec) {
-            let Some(of_type) = view.types.get(&charter.machine_type) else {
+    fn push_rental_intents(&self, ctx: &mut Context, view: &View, hosts: &mut Vec<Host>) {
+        for intent in view.rental_intents.values().map(|c| &c.rec) {
+            let Some(of_type) = view.types.get(&intent.machine_type) else {
                 continue;
             };
-            let left = charter.in_turn().into_iter().skip(charter.placed as usize);
+            let left = intent.in_turn().into_iter().skip(intent.placed as usize);
             let t = &of_type.rec;
             for _ in left.filter(|k| *k == self.id) {
                 hosts.push(Host {
                     free: total_of(t),
                     total: total_of(t),
-                    machine_type: ctx.intern(&charter.machine_type) as u16,
-                    zone: ctx.intern(&charter.zone) as u16,
-                    spot: charter.spot,
+                    machine_type: ctx.intern(&intent.machine_type) as u16,
+                    zone: ctx.intern(&intent.zone) as u16,
+                    spot: intent.spot,
                     price: t.price / 3600.0,
                     fetch_rate: t.fetch_gb_per_s,
                     images: BTreeSet::new(),
@@ -308,16 +332,16 @@
 
     /// Books spare places for classes whose tasks must start sooner than a
     /// machine boots, and returns those that found none.
-    fn spare(&mut self, ctx: &mut Ctx, hosts: &mut [Host]) -> Vec<ShapeRec> {
+    fn spare(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRecord> {
         let boot_s = self.boot_ms() as f64 / 1000.0;
-        let mut lacking = Vec::new();
+        let mut missing = Vec::new();
         let now = ctx.now;
         let factor = ctx.cfg.ops.spare;
         if self.counting_since.is_none() && self.machines.values().any(|m| m.heard.is_some()) {
             self.counting_since = Some(now);
         }
         let elapsed = self.counting_since.map_or(0, |t| now - t);
-        let mut classes: Vec<(f64, ShapeRec, f64)> = Vec::new();
+        let mut classes: Vec<(f64, ShapeRecord, f64)> = Vec::new();
         for (class, stats) in &mut self.classes {
             let Some(wait) = ctx.cfg.waits.get(class) else {
                 continue;
@@ -344,10 +368,10 @@
                 }
             }
             if left > 0 {
-                add_shape(&mut lacking, ShapeRec { n: left, ..shape });
+                add_shape(&mut missing, ShapeRecord { n: left, ..shape });
             }
         }
-        lacking
+        missing
     }
 
     /// What will be free on a machine before another could be up, as far as
@@ -361,7 +385,8 @@
             let job = self.jobs.get(&task.job)?;
             let binding = job.bound.get(&task.index)?;
             let end = binding.running_since? + crate::ms(job.spec.estimate_s);
-            (job.spec.kind != JobKind::Service && end < by).then_some(job.task)
+            let ends_soon = job.spec.kind != JobKind::Service && end < by;
+            (ends_soon && !self.is_reclaimable(job, binding)).then_some(job.task)
         };
         let tasks = machine.tasks.iter();
         tasks
@@ -370,7 +395,7 @@
     }
 
     /// Notes since when a machine has been of no use.
-    fn note_idle(&mut self, ctx: &Ctx, usable: &[MachineId], hosts: &[Host]) {
+    fn note_idle(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[Host]) {
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             if machine.note_empty(machine.tasks.is_empty(), ctx.now) {
                 self.look.touch(&machine.id);
@@ -387,9 +412,9 @@
         }
     }
 
-    /// Tells the leader what is lacking, whenever that changes, and now and
+    /// Tells the leader the unmet demand, whenever that changes, and now and
     /// then that it has not.
-    fn tell_demand(&mut self, ctx: &mut Ctx, view: &View, rec: &DemandRec) {
+    fn tell_demand(&mut self, ctx: &mut Context, view: &View, rec: &DemandRecord) {
         let Some(leader) = view.leader.as_ref().map(|l| l.rec.clone()) else {
             return;
         };
@@ -400,7 +425,7 @@
         self.told = rec.clone();
         self.told_at = ctx.now;
         if leader.node == ctx.cfg.node {
-            ctx.lacking.push((self.id, self.epoch, rec.clone()));
+            ctx.unmet_demand.push((self.id, self.epoch, rec.clone()));
             return;
         }
         let body = Body::Demand {
@@ -410,9 +435,9 @@
         ctx.tell(&leader.node, self.epoch, body);
     }
 
-    fn show_demand(&mut self, ctx: &mut Ctx, view: &View, rec: DemandRec) {
+    fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRecord) {
         self.tell_demand(ctx, view, &rec);
-        let none = DemandRec::default();
+        let none = DemandRecord::default();
         let shown = view.demands.get(&self.id).map_or(&none, |d| &d.rec);
         let stale = !rec.shapes.is_empty() && shown.rev < view.revision;
         let changed = !rec.is_like(shown);
@@ -426,7 +451,7 @@
         self.demand_putting = true;
         self.demand_at = ctx.now;
         log::debug!(
-            "share {}: lacks {:?}, {:?} wait now",
+            "share {}: unmet demand {:?}, {:?} wait now",
             self.id,
             rec.shapes,
             rec.now
@@ -447,12 +472,12 @@
 }
 
 /// A job as a round sees it, with no tasks that wait.
-pub(crate) fn want_of(
-    ctx: &mut Ctx,
+pub(crate) fn pending_tasks_of(
+    ctx: &mut Context,
     job: &Job,
     team: usize,
     zones: &BTreeMap<MachineId, u16>,
-) -> Want {
+) -> PendingTasks {
     let spec = &job.spec;
     let mut at: BTreeMap<u16, u32> = BTreeMap::new();
     for binding in job.bound.values() {
@@ -460,11 +485,12 @@
             *at.entry(*zone).or_default() += 1;
         }
     }
-    Want {
+    PendingTasks {
         task: job.task,
         band: 0,
         reserves: false,
         reclaims: false,
+        reclaims_machines: false,
         borrows: false,
         waiting: Vec::new(),
         total: spec.tasks,
@@ -483,8 +509,8 @@
     }
 }
 
-fn add_shape(shapes: &mut Vec<ShapeRec>, shape: ShapeRec) {
-    let same = |s: &&mut ShapeRec| {
+fn add_shape(shapes: &mut Vec<ShapeRecord>, shape: ShapeRecord) {
+    let same = |s: &&mut ShapeRecord| {
         s.res == shape.res
             && s.types == shape.types
             && s.zones == shape.zones
@@ -498,11 +524,11 @@
     }
 }
 
-pub(crate) fn names(ctx: &mut Ctx, types: Option<&[String]>) -> Option<Vec<u16>> {
+pub(crate) fn names(ctx: &mut Context, types: Option<&[String]>) -> Option<Vec<u16>> {
     types.map(|t| t.iter().map(|name| ctx.intern(name) as u16).collect())
 }
 
-fn type_names(ctx: &mut Ctx, view: &View) -> BTreeMap<u16, String> {
+fn type_names(ctx: &mut Context, view: &View) -> BTreeMap<u16, String> {
     let types = view.types.keys();
     types.map(|t| (ctx.intern(t) as u16, t.clone())).collect()
 }
@@ -527,7 +553,7 @@
 }
 
 /// Whether tasks may be placed on a machine.
-pub(crate) fn is_usable(m: &Machine, ctx: &Ctx) -> bool {
+pub(crate) fn is_usable(m: &Machine, ctx: &Context) -> bool {
     m.is_heard(ctx)
         && m.condemned.is_none()
         && !m.draining
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -41,6 +41,15 @@
         }
     }
 
+    /// What is left without `other`, and nothing less than zero.
+    pub fn saturating_sub(&self, other: &Self) -> Self {
+        Self {
+            cpus: (self.cpus - other.cpus).max(0),
+            gpus: (self.gpus - other.gpus).max(0),
+            memory: (self.memory - other.memory).max(0),
+        }
+    }
+
     /// `n` times this.
     pub fn times(&self, n: i64) -> Self {
         Self {
