--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod api;
 mod attestation;
+mod blame;
 mod budget;
 mod commands;
 mod commit;
