--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,8 +1,6 @@
 //! Requests from users, workers and probes.
 
-use crate::context::{
-    revision_of, AbortPoll, Context, Creation, Lookup, Pending, Reply, RequestId,
-};
+use crate::context::{revision_of, AbortPoll, Creation, Lookup, Pending, Reply, RequestId};
 use crate::node::Node;
 use crate::records::{
     abort_key, job_key, live_key, total_of, JobHeadRecord, JobRecord, ShareId, TaskBlockRecord,
@@ -37,6 +35,7 @@
 }
 
 impl Node {
+    /// Takes a request: passes it on to another controller, or deals with it here.
     pub(crate) fn on_request(
         &mut self,
         request: RequestId,
@@ -201,6 +200,7 @@
         self.ctx.txn(Urgency::User, &txn, pending);
     }
 
+    /// The transaction that accepts a job was answered.
     pub(crate) fn on_created(&mut self, creation: Creation, code: u16, body: &[u8]) {
         let Creation {
             request,
@@ -216,7 +216,7 @@
                 self.tell_new_job(share, &spec, revision);
                 if let Some(share) = self.shares.get_mut(&share) {
                     let at = self.ctx.wall;
-                    share.told_of(&mut self.ctx, spec, at, revision);
+                    share.on_job_accepted(&mut self.ctx, spec, at, revision);
                 }
                 let reply = Reply::json(201, &status(&id, JobStage::Queued));
                 self.ctx.respond(request, reply);
@@ -291,6 +291,7 @@
         self.ctx.read(Urgency::User, path, pending);
     }
 
+    /// The read of a job's record was answered.
     pub(crate) fn on_lookup(
         &mut self,
         request: RequestId,
@@ -396,6 +397,7 @@
         self.ctx.txn(Urgency::User, &txn, Pending::Abort(poll));
     }
 
+    /// The write of a key that asks for a cancellation was answered.
     pub(crate) fn on_abort_put(&mut self, mut poll: AbortPoll, code: u16, body: &[u8]) {
         if code == 200 {
             poll.version = revision_of(body);
@@ -410,6 +412,7 @@
         self.ctx.read(Urgency::User, path, Pending::AbortPoll(poll));
     }
 
+    /// The read that shows whether a cancellation was carried out was answered.
     pub(crate) fn on_abort_poll(&mut self, poll: AbortPoll, code: u16, body: &[u8]) {
         let AbortPoll {
             request,
@@ -545,11 +548,5 @@
     JobId::parse(value.get("uid")?.as_str()?)
 }
 
-impl Context {
-    pub(crate) fn silent_ms(&self) -> Ms {
-        (self.cfg.lease_ms as f64 * self.cfg.ops.silent_leases) as Ms
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -158,6 +158,7 @@
         }
     }
 
+    /// Another controller tells what it needs.
     pub(crate) fn on_need(&mut self, now: Ms, from: NodeName, inc: u64, rate: Use, granted: bool) {
         let need = Need {
             at: now,
@@ -168,7 +169,13 @@
         self.needs.insert(from, need);
     }
 
+    /// The leader grants a part of the budget.
     pub(crate) fn on_grant(&mut self, ctx: &Context, leader: NodeName, inc: u64, rate: Use) {
+        // Having stood still, we may find grants that have been given to others
+        // since: nobody knows how long they waited in the socket.
+        if ctx.now < ctx.awake_since + ctx.beat_ms() {
+            return;
+        }
         self.grant = Some(grant(ctx, leader, inc, rate));
     }
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -140,6 +140,9 @@
         self.ctx.note_pause(now);
         self.ctx.now = self.ctx.now.max(now);
         self.ctx.wall = wall;
+        // What waited in the sockets while we stood still is looked at by the
+        // right that we have now, not by the one that we had before.
+        self.ctx.entitled = self.member.has_right(&self.ctx, &self.view);
         for input in inputs {
             match input {
                 Input::Request {
@@ -356,7 +359,7 @@
             if rec.holder != node || rec.inc != inc {
                 if let Some(share) = self.shares.remove(k) {
                     log::info!("share {k}: now with {}", rec.holder);
-                    share.let_go(&mut self.ctx);
+                    share.release(&mut self.ctx);
                 }
                 continue;
             }
@@ -376,7 +379,7 @@
                 }
             }
             if let Some(share) = self.shares.remove(k) {
-                share.let_go(&mut self.ctx);
+                share.release(&mut self.ctx);
             }
             let used = self.used.get(k).copied().unwrap_or(0);
             if rec.epoch > used {
@@ -398,7 +401,7 @@
             // From here on we answer for the share no more, whatever becomes
             // of the request.
             if let Some(share) = self.shares.remove(&k) {
-                share.let_go(&mut self.ctx);
+                share.release(&mut self.ctx);
             }
             hand_over(&mut self.ctx, &self.view, &[(k, to)]);
         }
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -31,8 +31,10 @@
 /// A job reclaims machines of other shares after it has waited this many
 /// rounds: by then its own share has no room for it.
 const RECLAIM_ROUNDS: f64 = 2.0;
-/// Jobs that failed again and again go behind all others.
+/// Jobs that failed again and again go behind all others, for so long: it may
+/// be that they are well, and that nothing else ever leaves them room.
 const PROBE_BAND: i32 = -1;
+const PROBE_BEHIND: Ms = 180_000;
 /// For so long such a job waits for room before a machine is rented for it.
 const PROBE_WAIT: Ms = 60_000;
 
@@ -58,12 +60,13 @@
         let mut quotas = self.quotas.clone();
         let weights = ctx.cfg.ops.weights;
         let placed = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
+        self.note_lacking_room(ctx.now, &ids, &wants);
         let mut attempts: BTreeMap<usize, u64> = BTreeMap::new();
         let mut tried = BTreeSet::new();
         for p in &placed {
             let id = &ids[p.job];
             // One that may be faulty is tried with one task at a time.
-            if self.on_probation(ctx, &usable[p.host]) && !tried.insert(p.host) {
+            if self.on_probation(&usable[p.host]) && !tried.insert(p.host) {
                 continue;
             }
             let Some(job) = self.jobs.get_mut(id) else {
@@ -97,6 +100,16 @@
         self.compute_unmet_demand(ctx, view, &usable, hosts, wants, quotas);
     }
 
+    /// Notes for which jobs that waited long machines are all that is lacking.
+    fn note_lacking_room(&mut self, now: Ms, ids: &[JobId], wants: &[PendingTasks]) {
+        let lacking = ids.iter().zip(wants).filter(|(_, w)| w.lacks_room);
+        for (id, _) in lacking {
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.lacking_room_since.get_or_insert(now);
+            }
+        }
+    }
+
     /// The zone of every machine.
     pub(crate) fn zones(&self) -> BTreeMap<MachineId, u16> {
         let machines = self.machines.values();
@@ -124,8 +137,10 @@
         let zones = self.zones();
         let boot_ms = self.boot_ms();
         let lasting = self.lasting();
-        let on_probation = |i: &usize| self.on_probation(ctx, &usable[*i]);
+        let on_probation = |i: &usize| self.on_probation(&usable[*i]);
         let probation: Vec<usize> = (0..usable.len()).filter(on_probation).collect();
+        let is_new = |i: &&usize| self.newly_on_probation(ctx, &usable[**i]);
+        let new_on_it: Vec<usize> = probation.iter().filter(is_new).copied().collect();
         let is_tried = |i: &&usize| self.is_tried(ctx, &usable[**i]);
         let not_tried: Vec<usize> = probation.iter().filter(|i| !is_tried(i)).copied().collect();
         let mut ids = Vec::new();
@@ -157,14 +172,15 @@
             if probed && job.is_trying(ctx.now, ctx.cfg.report_ms) {
                 continue;
             }
-            let aged = !probed && is_aged(job, ctx.now, boot_ms);
+            let behind = probed && ctx.now < job.not_before + PROBE_BEHIND;
+            let aged = !behind && is_aged(job, ctx.now, boot_ms);
             // Kept free for it, the quota must come free some day: what services
             // hold does not. A whole team once waited for one job in vain.
             let at_once = if gang { waiting.len() as i64 } else { 1 };
             let need = lasting[team] + job.task.times(at_once);
             want.reserves = aged && self.quotas[team].could_allow(&need, 1);
             let guaranteed = self.quotas[team].guarantees(&job.task.times(waiting.len() as i64));
-            want.band = match probed {
+            want.band = match behind {
                 true => PROBE_BAND,
                 false => band(job, guaranteed, aged),
             };
@@ -172,6 +188,10 @@
             want.reclaims = !probed && (guaranteed || job.spec.priority >= Priority::High);
             want.reclaims_machines = want.reclaims && is_late;
             want.borrows = self.is_patient(ctx, job);
+            if aged {
+                want.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
+            }
+            want.keeps_quota = want.reserves && job.may_keep_quota(ctx.now, boot_ms);
             want.waiting = waiting;
             let avoided = job.failures.avoided(ctx.now, boot_ms);
             want.avoid = avoided
@@ -179,7 +199,7 @@
                 .collect();
             want.avoid.extend(&not_tried);
             if gang || job.failures.is_suspect() {
-                want.avoid.extend(&probation);
+                want.avoid.extend(&new_on_it);
             }
             wants.push(want);
             ids.push(id.clone());
@@ -188,9 +208,17 @@
     }
 
     /// Whether a machine may be faulty.
-    fn on_probation(&self, ctx: &Context, id: &MachineId) -> bool {
+    fn on_probation(&self, id: &MachineId) -> bool {
+        let machine = self.machines.get(id);
+        machine.is_some_and(|m| m.failures.on_probation())
+    }
+
+    /// Whether it is, since less than a boot ago. For no longer: it may be well,
+    /// and another may never come.
+    fn newly_on_probation(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
-        machine.is_some_and(|m| m.failures.on_probation(ctx.now, m.boot_ms))
+        machine
+            .is_some_and(|m| m.failures.on_probation() && m.failures.is_recent(ctx.now, m.boot_ms))
     }
 
     /// Whether a machine on probation may be tried with one more task now.
@@ -202,7 +230,8 @@
         };
         let machine = self.machines.get(id);
         machine.is_some_and(|m| {
-            m.failures.is_tried(ctx.now, ctx.cfg.report_ms) && !m.tasks.iter().any(starts)
+            m.failures.is_tried(ctx.now, ctx.cfg.report_ms, m.boot_ms)
+                && !m.tasks.iter().any(starts)
         })
     }
 
@@ -237,11 +266,11 @@
         mut wants: Vec<PendingTasks>,
         mut quotas: Vec<Quota>,
     ) {
-        wants.sort_by_key(|w| std::cmp::Reverse(w.band));
+        wants.sort_by(PendingTasks::by_claim);
         for (id, host) in usable.iter().zip(&mut hosts) {
             host.held = false;
             // It is tried with little, and may be given up.
-            if self.on_probation(ctx, id) {
+            if self.newly_on_probation(ctx, id) {
                 host.free = Resources::default();
             }
         }
@@ -282,7 +311,7 @@
                 self.stop_draining(id);
             }
         }
-        wants.sort_by_key(|w| std::cmp::Reverse(w.band));
+        wants.sort_by(PendingTasks::by_claim);
         let mut shapes = self.shapes_of(ctx, view, &wants, &mut quotas);
         let mut soon = hosts.clone();
         for (id, host) in usable.iter().zip(&mut soon) {
@@ -558,10 +587,13 @@
     PendingTasks {
         task: job.task,
         band: 0,
+        waited_s: 0.0,
         reserves: false,
         reclaims: false,
         reclaims_machines: false,
         borrows: false,
+        keeps_quota: false,
+        lacks_room: false,
         waiting: Vec::new(),
         total: spec.tasks,
         gang: job.is_gang(),
@@ -608,7 +640,7 @@
     job.spec.kind != JobKind::Service
         && job.bound.is_empty()
         && boot_ms > 0
-        && job.age(now) as f64 > AGED_BOOTS * boot_ms as f64
+        && job.waiting_for(now) as f64 > AGED_BOOTS * boot_ms as f64
 }
 
 /// Priority, the guarantee, and for how long a job has waited.
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -177,6 +177,7 @@
         }
     }
 
+    /// Sets what may be used a second.
     pub(crate) fn set_rates(&mut self, rate: &Use) {
         self.requests.set_rate(rate.requests);
         self.writes.set_rate(rate.writes);
@@ -194,6 +195,7 @@
         sent.plus(&waits)
     }
 
+    /// Queues a call.
     pub(crate) fn push(&mut self, urgency: Urgency, call: StateCall) {
         self.next += 1;
         let place = (urgency, self.next);
@@ -235,6 +237,7 @@
         self.out_since
     }
 
+    /// How many calls wait.
     pub(crate) fn len(&self) -> usize {
         self.reads.len() + self.changes.len()
     }
@@ -268,7 +271,8 @@
         self.requests.refill(now);
         self.writes.refill(now);
         let mut go = Vec::new();
-        let mut late = Vec::new();
+        // First of all: after standing still, what was decided before is old.
+        let mut late = self.expired(now);
         let mut changes = true;
         let mut from = (Urgency::Member, 0);
         while let Some(place) = self.first(from, changes) {
@@ -304,12 +308,21 @@
                 go.push(call);
             }
         }
+        (go, late)
+    }
+
+    /// Takes calls that waited too long out of the queue.
+    fn expired(&mut self, now: Ms) -> Vec<StateCall> {
+        let mut late = Vec::new();
         while let Some((at, place)) = self.expiries.first().copied() {
             if at > now {
                 break;
             }
             late.extend(self.remove(&place));
         }
-        (go, late)
+        late
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/testkit/src/check/tests.rs
+++ b/crates/testkit/src/check/tests.rs
@@ -1,30 +1,16 @@
 //! Each rule is shown to be caught.
 
 use super::*;
-use forkshift_wire::users::Priority;
+use crate::world::Plan;
 
 fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: JobId::parse(id).unwrap(),
-        class: "c".into(),
         team: "t".into(),
-        kind: JobKind::Array,
-        priority: Priority::Normal,
-        tasks,
         cpus: 1.0,
         gpus: 2.0,
-        memory_gb: 1.0,
-        image: "i".into(),
-        image_gb: 1.0,
         types: Some(vec!["g".into()]),
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
+        ..Plan::plain(0, 0, JobKind::Array, tasks, 1_000).spec
     }
 }
 
@@ -107,7 +93,7 @@
             if !bad {
                 c.ended(&task(0), &MachineId::new("m1"));
             }
-            c.tick(5 + 101);
+            c.tick(5 + 101, &BTreeSet::new());
         }),
         (Rule::Forgotten, |c, id, bad| {
             c.answered(1, id, true, 201, Some(JobStage::Queued));
@@ -193,12 +179,12 @@
         (Rule::Unanswered, |c, id, bad| {
             c.answered(1, id, true, 201, Some(JobStage::Queued));
             c.ask(10, id);
-            c.tick(90_000);
+            c.tick(90_000, &BTreeSet::new());
             c.calm(Calm::Since(100_000));
             c.answered(110_000, id, false, 503, None);
             let status = if bad { 504 } else { 200 };
             c.answered(174_000, id, false, status, Some(JobStage::Queued));
-            c.tick(175_001);
+            c.tick(175_001, &BTreeSet::new());
         }),
         (Rule::LeftWaiting, |c, id, bad| {
             c.waits(1, id, true);
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -2,7 +2,7 @@
 //! in them.
 
 use forkshift_testkit::{Day, Draw, Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
-use forkshift_wire::users::{JobKind, JobSpec, JobStage, Priority};
+use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::JobId;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -25,6 +25,12 @@
         // A team at its limit of GPUs, with an aged job that waited for some,
         // kept its jobs without GPUs waiting.
         (8_000_057, 8),
+        // Machines hung with cancelled tasks beyond their leases, while no
+        // controller was there; what had ended with the lease was counted.
+        (200_152, 8),
+        // One of the largest jobs began after 289 s: a long array went before
+        // it each time a task of that ended.
+        (200_195, 8),
     ] {
         let mut day = Day::new(seed, faults, Draw::Pairs);
         day.play();
@@ -102,35 +108,11 @@
 }
 
 fn job(n: u32, at: u64, run_ms: u64) -> Plan {
-    Plan {
-        at,
-        run_ms,
-        cancel_at: None,
-        at_node: None,
-        mistake: None,
-        spec: JobSpec {
-            id: JobId::new(&format!("j-{n}")),
-            class: "work".to_owned(),
-            team: "team-0".to_owned(),
-            kind: JobKind::Array,
-            priority: Priority::Normal,
-            tasks: 1,
-            cpus: 1.0,
-            gpus: 1.0,
-            memory_gb: 1.0,
-            image: "img".to_owned(),
-            image_gb: 1.0,
-            types: None,
-            zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s: run_ms as f64 / 1000.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
-            deadline_s: None,
-        },
-    }
+    let mut plan = Plan::plain(n, at, JobKind::Array, 1, run_ms);
+    plan.spec.cpus = 1.0;
+    plan.spec.gpus = 1.0;
+    plan.spec.memory_gb = 1.0;
+    plan
 }
 
 /// A submission is written at once or seconds later, and in both cases nobody
