--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -372,7 +372,7 @@
         types: s.types.as_ref().map(|t| numbers_of(t, &type_no)),
         zones: s.zones.as_ref().map(|z| numbers_of(z, &zone_no)),
         spot: s.spot,
-            spot_only: s.borrows,
+        spot_only: s.borrows,
     };
     shapes.iter().map(shape).collect()
 }
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -16,7 +16,7 @@
 use crate::rounds::is_usable;
 use crate::share::Share;
 use crate::Ms;
-use forkshift_sched::{PendingTasks, Quota, Resources};
+use forkshift_sched::{Host, PendingTasks, Quota, Resources};
 use forkshift_wire::users::Priority;
 use forkshift_wire::{MachineId, TaskRef};
 use std::cmp::Reverse;
@@ -27,6 +27,8 @@
 /// A guest's job waits for unused machines for this part of the time in which
 /// it should be complete.
 const PATIENT_PART: f64 = 0.25;
+/// Most machines that are drained of guests' work in a round.
+const DRAINED_MOST: usize = 4;
 /// One of which no task has started waits for no more than this many boots.
 const BEGIN_BOOTS: f64 = 2.0;
 
@@ -205,6 +207,48 @@
         sum
     }
 
+    /// Whether a machine is ordinary and runs nothing but work that is content
+    /// with unused machines.
+    fn is_kept_by_guests(&self, ctx: &Context, machine: &Machine) -> bool {
+        let of_patient_guest = |task: &TaskRef| {
+            let found = self.binding(task);
+            found.is_some_and(|(job, binding)| {
+                self.is_reclaimable(job, binding) && self.is_patient(ctx, job)
+            })
+        };
+        !machine.spot && !machine.tasks.is_empty() && machine.tasks.iter().all(of_patient_guest)
+    }
+
+    /// Drains ordinary machines that nobody but guests needs: guests fill what
+    /// becomes free at once, and no machine would ever be returned. `hosts`
+    /// shows what is left of the usable machines once all other work and the
+    /// spare places are booked, with the guests' tasks counted as gone.
+    pub(crate) fn drain_guests(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[Host]) {
+        if !self.has_guests() {
+            return;
+        }
+        let unneeded = usable
+            .iter()
+            .zip(hosts)
+            .filter(|(_, host)| host.free == host.total);
+        let drained: Vec<MachineId> = unneeded
+            .filter_map(|(id, _)| self.machines.get(id))
+            .filter(|machine| self.is_kept_by_guests(ctx, machine))
+            .map(|machine| machine.id.clone())
+            .take(DRAINED_MOST)
+            .collect();
+        for id in drained {
+            log::info!("machine {id}: to be drained, only guests use it");
+            let tasks = self.machines.get(&id).map(|m| m.tasks.clone());
+            for task in tasks.into_iter().flatten() {
+                self.stop_task(&task);
+            }
+            if let Some(machine) = self.machines.get_mut(&id) {
+                machine.draining = true;
+            }
+        }
+    }
+
     /// Machines on which nothing but borrowed work runs, those first that lose
     /// the least of it. Others may ask for them.
     pub(crate) fn borrowed_machines(&self, ctx: &Context, usable: &[MachineId]) -> Vec<MachineId> {
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -322,6 +322,7 @@
             host.free = host.free.least(&after.free);
         }
         shapes.extend(spare);
+        self.drain_guests(ctx, usable, &hosts);
         for (host, more) in hosts.iter_mut().zip(&reclaimable) {
             host.free = host.free.saturating_sub(more);
         }
