--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -24,9 +24,11 @@
 
 /// Most machines that a share offers to others at a time.
 const OFFERED_MOST: usize = 16;
-/// A guest's job waits for unused machines for this part of the time in which
-/// it should be complete.
-const PATIENT_PART: f64 = 0.25;
+/// A guest's job is content with unused machines for this part of the time in
+/// which its class should finish, or of its own deadline. With a quarter of the
+/// former, a huge array of short tasks came too late.
+const PATIENT_OBJECTIVE_PART: f64 = 0.1;
+const PATIENT_DEADLINE_PART: f64 = 0.5;
 /// Most machines that are drained of guests' work in a round.
 const DRAINED_MOST: usize = 4;
 /// One of which no task has started waits for no more than this many boots.
@@ -181,13 +183,15 @@
         if !of_guest || spec.priority != Priority::Low {
             return false;
         }
-        let objective = ctx.cfg.finishes.get(&spec.class).copied();
-        let due = objective.into_iter().chain(spec.deadline_s);
-        let time = due.fold(f64::INFINITY, f64::min);
+        let objective = ctx.cfg.finishes.get(&spec.class);
+        let by_objective = objective.map(|s| s * PATIENT_OBJECTIVE_PART);
+        let by_deadline = spec.deadline_s.map(|s| s * PATIENT_DEADLINE_PART);
+        let ends = by_objective.into_iter().chain(by_deadline);
+        let patience = ends.fold(f64::INFINITY, f64::min);
         let age = job.age(ctx.now) as f64 / 1000.0;
         let has_begun = !job.bound.is_empty() || job.done.len() > 0;
         let boots = self.boot_ms() as f64 / 1000.0 * BEGIN_BOOTS;
-        age < time * PATIENT_PART && (has_begun || age < boots)
+        age < patience && (has_begun || age < boots)
     }
 
     /// What could be reclaimed on a machine.
