--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,6 +27,7 @@
 mod peers;
 mod preempt;
 mod ranges;
+mod reclaim;
 mod reconcile;
 pub mod records;
 mod rounds;
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -28,6 +28,9 @@
 /// do not starve.
 const AGED_BOOTS: f64 = 2.0;
 
+/// A job reclaims machines of other shares after it has waited this many
+/// rounds: by then its own share has no room for it.
+const RECLAIM_ROUNDS: f64 = 2.0;
 /// Jobs that failed again and again go behind all others, for so long: it may
 /// be that they are well, and that nothing else ever leaves them room.
 const PROBE_BAND: i32 = -1;
@@ -93,6 +96,7 @@
         }
         self.spare_others(ctx, &ids, &mut wants);
         self.preempt(ctx, &ids, &wants, &usable, &quotas);
+        self.reclaim(ctx, &wants, &usable, &quotas);
         self.compute_unmet_demand(ctx, view, &usable, hosts, wants, quotas);
     }
 
@@ -175,10 +179,15 @@
             let at_once = if gang { waiting.len() as i64 } else { 1 };
             let need = lasting[team] + job.task.times(at_once);
             want.reserves = aged && self.quotas[team].could_allow(&need, 1);
+            let guaranteed = self.quotas[team].guarantees(&job.task.times(waiting.len() as i64));
             want.band = match behind {
                 true => PROBE_BAND,
-                false => band(job, &self.quotas[team], &waiting, aged),
+                false => band(job, guaranteed, aged),
             };
+            let is_late = job.age(ctx.now) > crate::ms(ctx.cfg.ops.round_s * RECLAIM_ROUNDS);
+            want.reclaims = !probed && (guaranteed || job.spec.priority >= Priority::High);
+            want.reclaims_machines = want.reclaims && is_late;
+            want.borrows = self.is_patient(ctx, job);
             if aged {
                 want.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
             }
@@ -266,6 +275,15 @@
             }
         }
         let now = self.shapes_of(ctx, view, &wants, &mut quotas.clone());
+        // What guest teams use here counts as room for all others: it can be
+        // reclaimed at once. Their tasks fill spare places as soon as these are
+        // free; when they counted as taken, machine after machine was rented.
+        let (mut guests, mut wants): (Vec<PendingTasks>, Vec<PendingTasks>) =
+            wants.into_iter().partition(|w| quotas[w.team].is_guest());
+        let reclaimable: Vec<Resources> = usable.iter().map(|id| self.reclaimable_on(id)).collect();
+        for (host, more) in hosts.iter_mut().zip(&reclaimable) {
+            host.free += *more;
+        }
         let mut draining = Vec::new();
         for machine in self.machines.values() {
             if machine.draining {
@@ -304,11 +322,17 @@
             host.free = host.free.least(&after.free);
         }
         shapes.extend(spare);
+        self.drain_guests(ctx, usable, &hosts);
+        for (host, more) in hosts.iter_mut().zip(&reclaimable) {
+            host.free = host.free.saturating_sub(more);
+        }
+        run_round(&mut guests, &mut hosts, &mut quotas, &weights);
+        shapes.extend(self.shapes_of(ctx, view, &guests, &mut quotas));
         shapes.truncate(SHAPES_MOST);
         self.note_idle(ctx, usable, &hosts);
         // A missing spare place fits on no machine that is here, or it
         // would have been booked there; only what waits speaks against it.
-        if shapes.iter().all(|s| s.spare) {
+        if shapes.iter().all(|s| s.spare || s.borrows) {
             hosts.truncate(usable.len());
             self.drain(ctx, view, usable, &mut hosts);
         }
@@ -323,6 +347,7 @@
             now,
             free: ids(free),
             surplus: ids(surplus),
+            borrowed: self.borrowed_machines(ctx, usable),
         };
         self.show_demand(ctx, view, rec);
     }
@@ -372,6 +397,8 @@
                     zones: (allowed.len() < zone_names.len()).then_some(allowed),
                     spot: want.spot,
                     spare: false,
+                    reclaims: want.reclaims_machines,
+                    borrows: want.borrows,
                 },
             );
         }
@@ -458,7 +485,8 @@
             let job = self.jobs.get(&task.job)?;
             let binding = job.bound.get(&task.index)?;
             let end = binding.running_since? + crate::ms(job.spec.estimate_s);
-            (job.spec.kind != JobKind::Service && end < by).then_some(job.task)
+            let ends_soon = job.spec.kind != JobKind::Service && end < by;
+            (ends_soon && !self.is_reclaimable(job, binding)).then_some(job.task)
         };
         let tasks = machine.tasks.iter();
         tasks
@@ -562,6 +590,9 @@
         band: 0,
         waited_s: 0.0,
         reserves: false,
+        reclaims: false,
+        reclaims_machines: false,
+        borrows: false,
         keeps_quota: false,
         lacks_room: false,
         waiting: Vec::new(),
@@ -587,6 +618,8 @@
             && s.types == shape.types
             && s.zones == shape.zones
             && s.spot == shape.spot
+            && s.reclaims == shape.reclaims
+            && s.borrows == shape.borrows
     };
     match shapes.iter_mut().find(same) {
         Some(known) => known.n += shape.n,
@@ -612,23 +645,23 @@
 }
 
 /// Priority, the guarantee, and for how long a job has waited.
-fn band(job: &Job, quota: &Quota, waiting: &[u32], aged: bool) -> i32 {
+fn band(job: &Job, guaranteed: bool, aged: bool) -> i32 {
     let priority = match job.spec.priority {
         Priority::Low => 0,
         Priority::Normal => 1,
         Priority::High => 2,
         Priority::Production => 3,
     };
-    let guaranteed = quota.guarantees(&job.task.times(waiting.len() as i64));
     priority + if guaranteed { 4 } else { 0 } + if aged { 8 } else { 0 }
 }
 
 /// Whether tasks may be placed on a machine.
-fn is_usable(m: &Machine, ctx: &Context) -> bool {
+pub(crate) fn is_usable(m: &Machine, ctx: &Context) -> bool {
     m.is_heard(ctx)
         && m.condemned.is_none()
         && !m.draining
         && m.leaving.is_none()
+        && !m.vacating
         && m.taken_at.is_none()
         && m.is_confirmed()
         && !m.unanswered
--- a/crates/core/src/share/arrivals.rs
+++ b/crates/core/src/share/arrivals.rs
@@ -47,6 +47,8 @@
             zones: None,
             spot: spec.spot,
             spare: true,
+            reclaims: false,
+            borrows: false,
         };
         let stats = self
             .classes
--- a/crates/core/src/share/machines.rs
+++ b/crates/core/src/share/machines.rs
@@ -109,6 +109,7 @@
             failures: MachineFailures::default(),
             full_until: 0,
             leaving: None,
+            vacating: false,
             deleted: false,
             delete_at: 0,
             full_house_until: 0,
@@ -143,6 +144,9 @@
     /// the other share then owns whatever is on the machine.
     pub(crate) fn give_away(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(to) = view.machines.get(id).and_then(|m| m.rec.want) else {
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.vacating = false;
+            }
             return;
         };
         let names = self.image_names(ctx, id);
@@ -168,7 +172,7 @@
                 rec.floor = floor;
                 rec.images = names;
             });
-        } else {
+        } else if !self.vacate(ctx, id) {
             self.put_machine(ctx, view, id, |rec| rec.want = None);
         }
     }
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -52,6 +52,14 @@
     /// It has waited for so long that nothing behind it may take what it
     /// waits for: its team's quota, or a machine that could hold it.
     pub reserves: bool,
+    /// May have borrowed resources given back to it: it lies within its
+    /// team's guarantee, or is urgent.
+    pub reclaims: bool,
+    /// It has waited, so whole machines of other shares may be given back too.
+    pub reclaims_machines: bool,
+    /// Low-priority work of a team without a guarantee: it uses what is there,
+    /// and nothing is taken from others for it.
+    pub borrows: bool,
     /// It reserves, and its team's quota is kept for it also while no machine
     /// has room: those that it needs may be on their way.
     pub keeps_quota: bool,
