--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -181,12 +181,8 @@
 }
 
 fn other_team(f: &mut Fixture) -> String {
-    let teams = f.share().teams.keys();
-    teams
-        .filter(|t| *t != GUEST)
-        .cloned()
-        .next()
-        .expect("a team")
+    let mut teams = f.share().teams.keys();
+    teams.find(|t| *t != GUEST).cloned().expect("a team")
 }
 
 fn running(job: &JobId) -> Vec<(&JobId, u32, TaskStage)> {
