--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -69,6 +69,8 @@
     pub zones: BTreeMap<NodeName, String>,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
+    /// Whether some teams are guests: they are guaranteed nothing, others are.
+    pub has_guests: bool,
     /// Shortest `wait` objective of each class, in seconds.
     pub waits: BTreeMap<String, f64>,
     /// Shortest `finished` objective of each class, in seconds.
@@ -130,6 +132,7 @@
             teams: spread_teams(&c.teams, nodes.len().max(c.nodes as usize)),
             nodes,
             zones,
+            has_guests: has_guests(&c.teams),
             waits,
             finishes,
             lease_ms: ms(c.workers.lease_s),
@@ -190,6 +193,12 @@
     }
 }
 
+/// Whether some teams are guaranteed nothing, and others something.
+fn has_guests(teams: &[forkshift_wire::settings::Team]) -> bool {
+    let is_guest = |t: &forkshift_wire::settings::Team| t.cpus <= 0.0 && t.gpus <= 0.0;
+    teams.iter().any(is_guest) && !teams.iter().all(is_guest)
+}
+
 /// The shortest time of each class among the objectives of a kind.
 fn shortest(objectives: &[Objective], kind: &str) -> BTreeMap<String, f64> {
     let mut times = BTreeMap::new();
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -141,7 +141,7 @@
             };
             if binding.stop.is_some() {
                 free += job.task;
-            } else if self.is_reclaimable(job, binding) {
+            } else if self.is_reclaimable(ctx, job, binding) {
                 victims.push(Victim {
                     task: task.clone(),
                     resources: job.task,
@@ -166,23 +166,26 @@
 
     /// Whether a task runs on borrowed resources and may be stopped to give
     /// them back. A gang would be lost whole with one of its tasks.
-    pub(crate) fn is_reclaimable(&self, job: &Job, binding: &Binding) -> bool {
+    pub(crate) fn is_reclaimable(&self, ctx: &Context, job: &Job, binding: &Binding) -> bool {
+        self.is_guest_work(ctx, job) && !job.is_gang() && binding.sent != Sent::No
+    }
+
+    /// Whether a job is the low-priority work of a team without a guarantee.
+    /// Where no team has one, none is a guest.
+    pub(crate) fn is_guest_work(&self, ctx: &Context, job: &Job) -> bool {
         let team = self.teams.get(&job.spec.team);
         let of_guest = team.is_some_and(|team| self.quotas[*team].is_guest());
-        let stoppable = job.spec.priority == Priority::Low && !job.is_gang();
-        of_guest && stoppable && binding.sent != Sent::No
+        ctx.cfg.has_guests && of_guest && job.spec.priority == Priority::Low
     }
 
     /// Whether a job of a guest team is content with what others leave unused,
     /// so that no ordinary machine is rented for it: it has begun, or came
     /// lately, and there is time until it should be complete.
     pub(crate) fn is_patient(&self, ctx: &Context, job: &Job) -> bool {
-        let spec = &job.spec;
-        let team = self.teams.get(&spec.team);
-        let of_guest = team.is_some_and(|team| self.quotas[*team].is_guest());
-        if !of_guest || spec.priority != Priority::Low {
+        if !self.is_guest_work(ctx, job) {
             return false;
         }
+        let spec = &job.spec;
         let objective = ctx.cfg.finishes.get(&spec.class);
         let by_objective = objective.map(|s| s * PATIENT_OBJECTIVE_PART);
         let by_deadline = spec.deadline_s.map(|s| s * PATIENT_DEADLINE_PART);
@@ -195,7 +198,7 @@
     }
 
     /// What could be reclaimed on a machine.
-    pub(crate) fn reclaimable_on(&self, id: &MachineId) -> Resources {
+    pub(crate) fn reclaimable_on(&self, ctx: &Context, id: &MachineId) -> Resources {
         let mut sum = Resources::default();
         let Some(machine) = self.machines.get(id).filter(|_| self.has_guests()) else {
             return sum;
@@ -203,7 +206,7 @@
         for task in &machine.tasks {
             if let Some((job, binding)) = self.binding(task) {
                 let stops = binding.stop.is_some();
-                if stops || self.is_reclaimable(job, binding) {
+                if stops || self.is_reclaimable(ctx, job, binding) {
                     sum += job.task;
                 }
             }
@@ -217,7 +220,7 @@
         let of_patient_guest = |task: &TaskRef| {
             let found = self.binding(task);
             found.is_some_and(|(job, binding)| {
-                self.is_reclaimable(job, binding) && self.is_patient(ctx, job)
+                self.is_reclaimable(ctx, job, binding) && self.is_patient(ctx, job)
             })
         };
         !machine.spot && !machine.tasks.is_empty() && machine.tasks.iter().all(of_patient_guest)
@@ -280,7 +283,7 @@
             if binding.stop.is_some() {
                 continue;
             }
-            if !self.is_reclaimable(job, binding) {
+            if !self.is_reclaimable(ctx, job, binding) {
                 return None;
             }
             lost += lost_with(ctx, job, binding);
--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -10,6 +10,7 @@
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::JobId;
 use serde_json::{from_slice, from_value, to_value, Value};
+use std::rc::Rc;
 
 const GUEST: &str = "guest";
 /// CPUs of one task; the fixture's machine has 96.
@@ -33,6 +34,7 @@
 fn with_guest(priority: Priority) -> (Fixture, JobId) {
     let mut f = Fixture::new();
     set_spot(&mut f, true);
+    Rc::make_mut(&mut f.node.ctx.cfg).has_guests = true;
     let index = f.share().quotas.len();
     f.share().teams.insert(GUEST.to_owned(), index);
     f.share().quotas.push(Quota::default());
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -185,8 +185,11 @@
                 false => band(job, guaranteed, aged),
             };
             let is_late = job.age(ctx.now) > crate::ms(ctx.cfg.ops.round_s * RECLAIM_ROUNDS);
-            want.reclaims = !probed && (guaranteed || job.spec.priority >= Priority::High);
+            want.reclaims = ctx.cfg.has_guests
+                && !probed
+                && (guaranteed || job.spec.priority >= Priority::High);
             want.reclaims_machines = want.reclaims && is_late;
+            want.is_guest_work = self.is_guest_work(ctx, job);
             want.borrows = self.is_patient(ctx, job);
             if aged {
                 want.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
@@ -279,8 +282,11 @@
         // reclaimed at once. Their tasks fill spare places as soon as these are
         // free; when they counted as taken, machine after machine was rented.
         let (mut guests, mut wants): (Vec<PendingTasks>, Vec<PendingTasks>) =
-            wants.into_iter().partition(|w| quotas[w.team].is_guest());
-        let reclaimable: Vec<Resources> = usable.iter().map(|id| self.reclaimable_on(id)).collect();
+            wants.into_iter().partition(|w| w.is_guest_work);
+        let reclaimable: Vec<Resources> = usable
+            .iter()
+            .map(|id| self.reclaimable_on(ctx, id))
+            .collect();
         for (host, more) in hosts.iter_mut().zip(&reclaimable) {
             host.free += *more;
         }
@@ -315,7 +321,7 @@
         let mut shapes = self.shapes_of(ctx, view, &wants, &mut quotas);
         let mut soon = hosts.clone();
         for (id, host) in usable.iter().zip(&mut soon) {
-            host.free += self.free_soon(id, ctx.now);
+            host.free += self.free_soon(ctx, id);
         }
         let spare = self.spare(ctx, &mut soon);
         for (host, after) in hosts.iter_mut().zip(&soon) {
@@ -476,17 +482,17 @@
 
     /// What will be free on a machine before another could be up, as far as
     /// estimates tell: it serves as spare as well as a new machine would.
-    fn free_soon(&self, id: &MachineId, now: Ms) -> Resources {
+    fn free_soon(&self, ctx: &Context, id: &MachineId) -> Resources {
         let Some(machine) = self.machines.get(id) else {
             return Resources::default();
         };
-        let by = now + (machine.boot_ms as f64 * SOON_BOOTS) as Ms;
+        let by = ctx.now + (machine.boot_ms as f64 * SOON_BOOTS) as Ms;
         let ends = |task: &&TaskRef| {
             let job = self.jobs.get(&task.job)?;
             let binding = job.bound.get(&task.index)?;
             let end = binding.running_since? + crate::ms(job.spec.estimate_s);
             let ends_soon = job.spec.kind != JobKind::Service && end < by;
-            (ends_soon && !self.is_reclaimable(job, binding)).then_some(job.task)
+            (ends_soon && !self.is_reclaimable(ctx, job, binding)).then_some(job.task)
         };
         let tasks = machine.tasks.iter();
         tasks
@@ -592,6 +598,7 @@
         reserves: false,
         reclaims: false,
         reclaims_machines: false,
+        is_guest_work: false,
         borrows: false,
         keeps_quota: false,
         lacks_room: false,
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -57,8 +57,9 @@
     pub reclaims: bool,
     /// It has waited, so whole machines of other shares may be given back too.
     pub reclaims_machines: bool,
-    /// Low-priority work of a team without a guarantee: it uses what is there,
-    /// and nothing is taken from others for it.
+    /// Low-priority work of a team without a guarantee.
+    pub is_guest_work: bool,
+    /// It uses what is there, and nothing is taken from others for it.
     pub borrows: bool,
     /// It reserves, and its team's quota is kept for it also while no machine
     /// has room: those that it needs may be on their way.
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -28,6 +28,7 @@
         reserves: false,
         reclaims: false,
         reclaims_machines: false,
+        is_guest_work: false,
         borrows: false,
         keeps_quota: false,
         lacks_room: false,
