--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -90,3 +90,51 @@
     let off = include_str!("../../../../deploy/operator.textproto");
     assert!(parse(off).expect("it is good").pools.is_empty());
 }
+
+/// An operators' file as it was read: each value behind its name in the file.
+fn show(ops: &Operator) -> String {
+    let mut text = format!(
+        "weights.fit {:.4}\nweights.cost {:.4}\nweights.latency {:.4}\n",
+        ops.weights.fit, ops.weights.cost, ops.weights.latency
+    );
+    text += &format!("round_s {}\nround_gap_s {}\n", ops.round_s, ops.round_gap_s);
+    text += &format!("assign_s {}\nspare {}\n", ops.assign_s, ops.spare);
+    text += &format!("idle_boots {}\n", ops.idle_boots);
+    text += &format!("silent_leases {}\n", ops.silent_leases);
+    text += &format!("machines {:?}\n", ops.machines);
+    for pool in ops.pools.iter() {
+        text += &format!("pool {} team {} ", pool.name, pool.team);
+        text += &format!("image {} image_gb {}\n", pool.image, pool.image_gb);
+        text += &format!("  types {:?} zones {:?}", pool.types, pool.zones);
+        text += &format!(" spot {}", pool.spot);
+        text += &format!(" cost_per_hour_most {:?}\n", pool.cost_per_hour_most);
+        // In the first window on its last minute, behind it, in the second, in none.
+        for minutes in [29_939_999, 29_940_000, 29_979_210, 29_962_680] {
+            let size = pool.calendar.size_at(minutes * 60_000);
+            text += &format!("  {minutes}: {} to {}\n", size.least, size.most);
+        }
+    }
+    text
+}
+
+/// The files are read to the values in `golden/values.txt`.
+#[test]
+fn golden_files_keep_their_values() {
+    let files = [
+        (
+            "operator",
+            include_str!("../../../../deploy/operator.textproto"),
+        ),
+        (
+            "warm-pools",
+            include_str!("../../../../deploy/warm-pools.textproto"),
+        ),
+        ("full", include_str!("golden/full.textproto")),
+    ];
+    let mut seen = String::new();
+    for (name, text) in files {
+        let ops = parse(text).expect("it is good");
+        seen += &format!("== {name}\n{}", show(&ops));
+    }
+    assert!(seen == include_str!("golden/values.txt"), "{seen}");
+}
--- a/crates/emulator/src/sweep/tests.rs
+++ b/crates/emulator/src/sweep/tests.rs
@@ -32,3 +32,18 @@
     let (points, _) = of("busiest_controller_cores");
     assert!((points[1].1 - 0.3).abs() < 1e-9, "the busiest alone");
 }
+
+/// The fits of a sweep have the form in `golden/fits.txt`.
+#[test]
+fn golden_fits_keep_their_form() {
+    let reports = [report(100, 0.25), report(200, 0.5)];
+    let mut all = growth(Dimension::Workers, &reports);
+    // The last bits of logarithms are the machine's.
+    let fits = all.iter_mut().filter_map(|g| g.fit.as_mut());
+    fits.for_each(|fit| fit.exponent = fit.exponent.map(f64::round));
+    let mut seen = serde_json::to_string_pretty(&all[..3]).expect("JSON") + "\n";
+    for growth in &all {
+        seen += &format!("{} over {}\n", growth.figure, growth.dimension);
+    }
+    assert!(seen == include_str!("golden/fits.txt"), "{seen}");
+}
--- /dev/null
+++ b/crates/emulator/tests/golden.rs
@@ -0,0 +1,46 @@
+//! Golden names of the emulator's command line, and its exit codes where nothing runs.
+//! The expected names are in `golden/options.txt`.
+
+#[path = "../../testkit/tests/golden/help.rs"]
+mod help;
+
+use std::process::{Command, Output};
+
+fn emulator(arguments: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_forkshift-emulator"));
+    let ran = command.args(arguments).env_remove("LOG_LEVEL").output();
+    ran.expect("the program runs")
+}
+
+#[test]
+fn the_command_line_has_these_names() {
+    let mut seen = String::new();
+    for command in ["", "run", "sweep"] {
+        let mut arguments: Vec<&str> = command.split_whitespace().collect();
+        arguments.push("--help");
+        let ran = emulator(&arguments);
+        assert_eq!(ran.status.code(), Some(0), "{command}");
+        let names = help::option_names(&String::from_utf8_lossy(&ran.stdout));
+        seen += &format!("== forkshift-emulator {command}\n{names}");
+    }
+    assert!(seen == include_str!("golden/options.txt"), "{seen}");
+}
+
+#[test]
+fn what_can_not_be_run_ends_with_this_code() {
+    let cases: [(&[&str], &str); 4] = [
+        (&["run", "--speed"], "--speed"),
+        (&["run", "no/such/site.toml"], "no/such/site.toml"),
+        (
+            &["sweep", "no/such/site.toml", "--sizes", "1,2"],
+            "no/such/site.toml",
+        ),
+        (&["sweep", "site.toml"], "--sizes"),
+    ];
+    for (arguments, named) in cases {
+        let ran = emulator(arguments);
+        let errors = String::from_utf8_lossy(&ran.stderr);
+        assert_eq!(ran.status.code(), Some(2), "{arguments:?}: {errors}");
+        assert!(errors.contains(named), "{arguments:?}: {errors}");
+    }
+}
--- /dev/null
+++ b/crates/pools/tests/golden.rs
@@ -0,0 +1,219 @@
+//! Golden bytes of warm pools: stored account rows with their keys, the report as JSON,
+//! and how declarations are read. The expected forms are in `golden/`.
+
+use forkshift_pools::account::{Price, Row, PRICES};
+use forkshift_pools::report::{report, Accounts, Span};
+use forkshift_pools::{Pool, PoolName, PoolSpec, Pools, WindowSpec};
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+const ACCOUNT: &str = include_str!("golden/account.jsonl");
+const HOUR_MS: u64 = 3_600_000;
+
+/// The rows of the fixture: each key with its stored value.
+fn rows() -> impl Iterator<Item = (String, Value)> {
+    ACCOUNT.lines().map(|line| {
+        let row: Value = serde_json::from_str(line).expect("JSON");
+        (
+            row["key"].as_str().expect("a key").to_owned(),
+            row["data"].clone(),
+        )
+    })
+}
+
+fn accounts() -> Accounts {
+    let nights = PoolName::parse("nights").expect("a name");
+    let mut accounts = Accounts {
+        teams: BTreeMap::from([(nights, "writers".to_owned())]),
+        ..Accounts::default()
+    };
+    for (key, data) in rows() {
+        if key.starts_with(PRICES) {
+            accounts
+                .prices
+                .push(serde_json::from_value(data).expect("a price"));
+            continue;
+        }
+        match Row::parse(&key, &data.to_string()).expect("a row") {
+            Row::Interval(interval) => accounts.intervals.push(interval),
+            Row::Asked(asked) => accounts.asked.push(asked),
+            Row::Miss(miss) => accounts.misses.push(miss),
+        }
+    }
+    accounts
+}
+
+/// A row's key and its bytes as they would be stored now.
+fn stored(key: &str, data: &Value) -> (String, String) {
+    let text = data.to_string();
+    if key.starts_with(PRICES) {
+        let price: Price = serde_json::from_str(&text).expect("a price");
+        return (price.key(), serde_json::to_string(&price).expect("JSON"));
+    }
+    match Row::parse(key, &text).expect("a row") {
+        Row::Interval(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
+        Row::Asked(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
+        Row::Miss(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
+    }
+}
+
+/// Rows are written as they are read. One line leaves out `spot`, which is then written.
+#[test]
+fn stored_rows_keep_their_keys_and_bytes() {
+    let mut seen = Vec::new();
+    for line in ACCOUNT.lines() {
+        let row: Value = serde_json::from_str(line).expect("JSON");
+        let (key, bytes) = stored(row["key"].as_str().expect("a key"), &row["data"]);
+        seen.push(format!(r#"{{"key":"{key}","data":{bytes}}}"#));
+    }
+    let expected = ACCOUNT.replace(
+        r#""type":"g8","state""#,
+        r#""type":"g8","spot":false,"state""#,
+    );
+    assert_eq!(seen, expected.lines().collect::<Vec<_>>());
+}
+
+#[test]
+fn the_report_has_this_json() {
+    let span = |from, to| Span {
+        from_ms: from * HOUR_MS,
+        to_ms: to * HOUR_MS,
+    };
+    let accounts = accounts();
+    let mut seen = String::new();
+    for span in [span(0, 10), span(2, 4), span(20, 21)] {
+        let found = report(&accounts, span, 8 * HOUR_MS);
+        seen += &serde_json::to_string(&found).expect("JSON");
+        seen += "\n";
+    }
+    assert!(seen == include_str!("golden/report.jsonl"), "{seen}");
+}
+
+/// A declaration with every field.
+fn full() -> PoolSpec {
+    let text = str::to_owned;
+    PoolSpec {
+        name: text("exam-help"),
+        team: text("readers"),
+        image: text("img-07"),
+        image_gb: 34.5,
+        types: vec![text("g8"), text("g16")],
+        zones: vec![text("hall-a")],
+        spot: true,
+        least: 2,
+        most: 6,
+        cost_per_hour_most: Some(100.5),
+        time_zone: text("Africa/Lagos"),
+        windows: vec![
+            WindowSpec {
+                weekdays: vec![text("mon"), text("fri")],
+                from: text("08:30"),
+                to: text("17:00"),
+                first_date: text("2026-12-01"),
+                last_date: text("2026-12-18"),
+                last_days_of_month: None,
+                least: Some(3),
+                most: Some(9),
+            },
+            WindowSpec {
+                from: text("22:00"),
+                to: text("02:00"),
+                last_days_of_month: Some(2),
+                ..WindowSpec::default()
+            },
+        ],
+    }
+}
+
+fn parse(specs: &[PoolSpec]) -> Result<Pools, forkshift_pools::BadPool> {
+    Pools::parse(specs, &["readers"], &["hall-a".to_owned()])
+}
+
+/// Moments at which the size of a pool is looked up.
+const MOMENTS: [&str; 8] = [
+    "2026-11-30T08:00:00Z",
+    "2026-12-04T07:29:59Z",
+    "2026-12-04T07:30:00Z",
+    "2026-12-04T15:59:59Z",
+    "2026-12-04T16:00:00Z",
+    "2026-12-05T08:00:00Z",
+    "2026-12-31T21:30:00Z",
+    "2027-01-01T00:30:00Z",
+];
+
+fn show(pool: &Pool) -> String {
+    let mut text = format!(
+        "name {}\nteam {}\nimage {}\nimage_gb {}\n",
+        pool.name, pool.team, pool.image, pool.image_gb
+    );
+    text += &format!(
+        "types {:?}\nzones {:?}\nspot {}\n",
+        pool.types, pool.zones, pool.spot
+    );
+    text += &format!("cost_per_hour_most {:?}\n", pool.cost_per_hour_most);
+    for moment in MOMENTS {
+        let time: jiff::Timestamp = moment.parse().expect("a time");
+        let size = pool.calendar.size_at(time.as_millisecond() as u64);
+        text += &format!("{moment} {} to {}\n", size.least, size.most);
+    }
+    text
+}
+
+#[test]
+fn a_declaration_is_read_to_these_values() {
+    let short = PoolSpec {
+        name: "short".to_owned(),
+        types: Vec::new(),
+        zones: Vec::new(),
+        spot: false,
+        cost_per_hour_most: None,
+        time_zone: String::new(),
+        windows: Vec::new(),
+        ..full()
+    };
+    let pools = parse(&[full(), short]).expect("both are good");
+    let seen: Vec<String> = pools.iter().map(show).collect();
+    let seen = seen.join("\n");
+    assert!(seen == include_str!("golden/declaration.txt"), "{seen}");
+}
+
+/// What makes a declaration wrong.
+type Change = fn(&mut PoolSpec);
+
+/// The fields that refusals name, in the order of the fixture's lines.
+#[test]
+fn a_wrong_declaration_names_this_field() {
+    let changes: [Change; 18] = [
+        |p| p.name = "Exam Help".to_owned(),
+        |p| p.team = "reader".to_owned(),
+        |p| p.image.clear(),
+        |p| p.image_gb = 0.0,
+        |p| p.zones = vec!["hall-a".to_owned(), "hall-x".to_owned()],
+        |p| p.least = 7,
+        |p| p.cost_per_hour_most = Some(0.0),
+        |p| p.time_zone = "Africa/Lagoss".to_owned(),
+        |p| p.windows = vec![WindowSpec::default(); 33],
+        |p| p.windows[0].weekdays = vec!["monday".to_owned()],
+        |p| p.windows[0].from = "8:30".to_owned(),
+        |p| p.windows[0].to = "24:01".to_owned(),
+        |p| p.windows[0].first_date = "2026-13-01".to_owned(),
+        |p| p.windows[0].last_date = "2026-11-01".to_owned(),
+        |p| p.windows[1].last_days_of_month = Some(29),
+        |p| p.windows[1].least = Some(10),
+        |p| p.windows[1].most = Some(0),
+        |p| {
+            p.windows[1] = WindowSpec {
+                least: Some(1),
+                ..p.windows[0].clone()
+            }
+        },
+    ];
+    let mut seen = String::new();
+    for change in changes {
+        let mut spec = full();
+        change(&mut spec);
+        let refused = parse(&[spec]).expect_err("it is wrong");
+        seen += &format!("{}: {}\n", refused.pool, refused.field);
+    }
+    assert!(seen == include_str!("golden/wrong_fields.txt"), "{seen}");
+}
