--- /dev/null
+++ b/crates/core/src/golden/calls.rs
@@ -0,0 +1,339 @@
+//! Golden requests and answers: what a controller sends in some scripted situations.
+
+use super::{compare, Case};
+use crate::config::{Config, Operator};
+use crate::fixture::{spec, team_of, Fixture, NOW, WALL};
+use crate::format::FormatVersion;
+use crate::io::{Effect, Input, RequestId, Target};
+use crate::node::Node;
+use crate::pending::Pending;
+use crate::records::RentalIntent;
+use crate::view::Stamped;
+use forkshift_pools::{PoolSpec, Pools};
+use forkshift_wire::settings::Settings;
+use forkshift_wire::users::{JobKind, JobSpec};
+use forkshift_wire::{JobId, MachineId};
+use serde_json::{json, to_string, to_value, Value};
+use std::rc::Rc;
+
+/// All that was sent, in order.
+#[derive(Default)]
+struct Transcript(Vec<Case>);
+
+impl Transcript {
+    fn add(&mut self, step: &str, effects: &[Effect]) {
+        let lines = effects.iter().enumerate();
+        let lines = lines.map(|(i, effect)| (format!("{step}/{i}"), text_of(effect)));
+        self.0.extend(lines);
+    }
+}
+
+fn text_of(effect: &Effect) -> String {
+    let utf8 = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
+    match effect {
+        Effect::Respond { reply, .. } => {
+            let wait = reply.retry_after_s;
+            let wait = wait.map_or(String::new(), |s| format!(" retry after {s}"));
+            format!("{}{wait} {}", reply.status, utf8(&reply.body))
+        }
+        Effect::Tell { node, message } => {
+            let hex: String = message.iter().map(|b| format!("{b:02x}")).collect();
+            format!("to {node} {hex}")
+        }
+        Effect::Call {
+            target,
+            method,
+            path,
+            body,
+            ..
+        } => {
+            let target = match target {
+                Target::State => "state",
+                Target::Cloud => "cloud",
+                Target::Worker(addr) => addr,
+            };
+            let body = body.as_deref().map(utf8).unwrap_or_default();
+            format!("{target} {method} {path} {body}")
+                .trim_end()
+                .to_owned()
+        }
+    }
+}
+
+/// What the state service answers: to a controller that starts, and to one that works.
+fn answer_to(path: &str) -> Option<Value> {
+    let epoch = json!({"key": "c/epoch", "data": 3, "stamp": 2});
+    let registered = json!({"put": "c/node/berth-0", "data": {"inc": 1, "format": 2}, "stamp": 6});
+    match path {
+        "/grants" => Some(json!({"hold": 7})),
+        "/grants/7/extend" => Some(json!({})),
+        "/kv?starts=c/&most=500" => {
+            Some(json!({"items": [epoch], "has_next": true, "ledger_rev": 5}))
+        }
+        "/kv?starts=c/&most=500&from=c/epoch" => {
+            Some(json!({"items": [], "has_next": false, "ledger_rev": 5}))
+        }
+        "/txn" => Some(json!({"ledger_rev": 6})),
+        "/changes?starts=c/&from=5&wait_ms=0" => {
+            Some(json!({"news": [registered], "ledger_rev": 6}))
+        }
+        _ => None,
+    }
+}
+
+/// Lets time pass, while calls are answered.
+fn run(node: &mut Node, turns: u64, transcript: &mut Transcript) {
+    let start = node.ctx.now.max(NOW);
+    let mut inputs = Vec::new();
+    for turn in 0..turns {
+        let now = start + turn * 300;
+        let effects = node.step(now, WALL + now - NOW, std::mem::take(&mut inputs));
+        transcript.add(&format!("turn_{turn}"), &effects);
+        for effect in effects {
+            let Effect::Call { id, path, .. } = effect else {
+                continue;
+            };
+            inputs.extend(answer_to(&path).map(|body| Input::Answer {
+                call: id,
+                status: 200,
+                body: body.to_string().into_bytes(),
+            }));
+        }
+    }
+}
+
+#[test]
+fn start() {
+    let settings = include_str!("../../../../examples/settings.toml");
+    let settings = Settings::parse(settings).expect("the example is good");
+    let mut node = Node::new(Config::new(&settings, Operator::default()), 1, 1);
+    let mut transcript = Transcript::default();
+    run(&mut node, 5, &mut transcript);
+    compare(include_str!("start.tsv"), &transcript.0);
+}
+
+/// A request to the controller, and all that it sends in return.
+fn request(f: &mut Fixture, method: &str, path: &str, body: &str) -> Vec<Effect> {
+    let input = Input::Request {
+        request: RequestId(1),
+        method: method.to_owned(),
+        path: path.to_owned(),
+        body: Some(body.as_bytes().to_vec()),
+    };
+    let now = f.node.ctx.now;
+    f.node.step(now, WALL + now - NOW, vec![input])
+}
+
+fn submission_of(team: &str, id: &str) -> JobSpec {
+    let id = JobId::parse(id).expect("an id");
+    spec(&id, team, JobKind::Array, 2)
+}
+
+fn submission(f: &mut Fixture, id: &str) -> JobSpec {
+    submission_of(&team_of(f), id)
+}
+
+#[test]
+fn answers() {
+    let mut f = Fixture::new();
+    f.step(0);
+    f.job("j-1", JobKind::Array, 2);
+    let mut unknown_team = submission(&mut f, "j-2");
+    unknown_team.team = "nobody".to_owned();
+    let mut too_large = submission(&mut f, "j-3");
+    too_large.cpus = 1000.0;
+    let mut over_limit = submission(&mut f, "j-4");
+    (over_limit.gpus, over_limit.tasks) = (8.0, 100);
+    over_limit.kind = JobKind::Gang;
+    let mut awaits_itself = submission(&mut f, "j-5");
+    awaits_itself.dependencies = vec![awaits_itself.id.clone()];
+    let mut awaits = submission(&mut f, "j-6");
+    awaits.dependencies = vec![JobId::new("j-1")];
+    let report = to_string(&f.message(1, 0, &[])).expect("JSON");
+    let elsewhere = report.replace("\"m-1\"", "\"m-9\"");
+    let body = |spec: &JobSpec| to_string(spec).expect("JSON");
+    let requests = [
+        ("up", "GET", "/up", String::new()),
+        ("no_such_path", "GET", "/down", String::new()),
+        ("wrong_method", "GET", "/submissions", String::new()),
+        ("question", "GET", "/submissions/j-1", String::new()),
+        ("question_bad_id", "GET", "/submissions/x", String::new()),
+        ("question_unknown", "GET", "/submissions/j-9", String::new()),
+        ("report", "POST", "/v1/report", report),
+        ("report_elsewhere", "POST", "/v1/report", elsewhere),
+        ("report_bad", "POST", "/v1/report", "7".to_owned()),
+        ("submit_bad", "POST", "/submissions", "{}".to_owned()),
+        (
+            "submit_unknown_team",
+            "POST",
+            "/submissions",
+            body(&unknown_team),
+        ),
+        ("submit_too_large", "POST", "/submissions", body(&too_large)),
+        (
+            "submit_over_limit",
+            "POST",
+            "/submissions",
+            body(&over_limit),
+        ),
+        (
+            "submit_awaits_itself",
+            "POST",
+            "/submissions",
+            body(&awaits_itself),
+        ),
+        ("submit_awaits", "POST", "/submissions", body(&awaits)),
+        (
+            "abort_bad_id",
+            "POST",
+            "/submissions/x/abort",
+            String::new(),
+        ),
+        (
+            "abort_unknown",
+            "POST",
+            "/submissions/j-9/abort",
+            String::new(),
+        ),
+        ("abort", "POST", "/submissions/j-1/abort", String::new()),
+    ];
+    let mut transcript = Transcript::default();
+    for (name, method, path, body) in requests {
+        let effects = request(&mut f, method, path, &body);
+        transcript.add(name, &effects);
+        let is_lookup = |e: &Effect| matches!(e, Effect::Call { method: "GET", .. });
+        if effects.iter().any(is_lookup) {
+            let lookup = |p: &Pending| matches!(p, Pending::Lookup { .. });
+            let effects = f.answer(lookup, 404, &json!({"ledger_rev": 5}));
+            transcript.add(&format!("{name}_not_recorded"), &effects);
+        }
+    }
+    compare(include_str!("answers.tsv"), &transcript.0);
+}
+
+/// A job from its submission to the commands that start its tasks.
+#[test]
+fn job() {
+    let mut f = Fixture::new();
+    f.step(0);
+    let token = f.token();
+    let report = to_value(f.message(1, token, &[])).expect("JSON");
+    let is_command = |p: &Pending| matches!(p, Pending::Commands { .. });
+    f.answer(is_command, 200, &report);
+    let mut transcript = Transcript::default();
+    let body = submission(&mut f, "j-2");
+    let body = to_string(&body).expect("JSON");
+    transcript.add("submit", &request(&mut f, "POST", "/submissions", &body));
+    let is_submission = |p: &Pending| matches!(p, Pending::Create(_));
+    let accepted = f.answer(is_submission, 200, &json!({"ledger_rev": 8}));
+    transcript.add("accepted", &accepted);
+    run(&mut f.node, 10, &mut transcript);
+    let report = to_string(&f.message(1, token, &[])).expect("JSON");
+    transcript.add("report", &request(&mut f, "POST", "/v1/report", &report));
+    compare(include_str!("job.tsv"), &transcript.0);
+}
+
+/// The cloud tells of a new machine type.
+fn record_catalog(f: &mut Fixture) {
+    let catalog = json!({"rigs": [{"name": "new", "cpus": 1, "mem_gb": 2, "hourly": 3,
+        "market_price": 1.5}]});
+    let body = catalog.to_string().into_bytes();
+    let Node {
+        leader, ctx, view, ..
+    } = &mut f.node;
+    leader.on_catalog(ctx, view, 200, &body);
+}
+
+#[test]
+fn cloud_and_workers() {
+    let mut f = Fixture::new();
+    let mut transcript = Transcript::default();
+    for turn in 0..3 {
+        transcript.add(&format!("turn_{turn}"), &f.step(300));
+    }
+    let listed = json!({"berths": [{"uid": "m-1", "addr": "10.1.0.1:9000", "rig": "big",
+        "yard": "hall-a", "stage": "running"}], "has_next": true});
+    let is_list = |p: &Pending| matches!(p, Pending::MachineList { .. });
+    transcript.add("second_page", &f.answer(is_list, 200, &listed));
+    record_catalog(&mut f);
+    transcript.add("catalog", &f.step(0));
+    let intent = RentalIntent {
+        parts: vec![(f.share, 3)],
+        machine_type: "big".to_owned(),
+        zone: "hall-a".to_owned(),
+        spot: false,
+        placed: 0,
+    };
+    let stamped = Stamped {
+        rec: intent,
+        version: 9,
+    };
+    f.node.view.rental_intents.insert("r-1".to_owned(), stamped);
+    transcript.add("rent", &f.step(1000));
+    let ctx = &mut f.node.ctx;
+    ctx.delete_machines(vec![MachineId::new("m-8")], Pending::Catalog);
+    ctx.worker_status("10.1.0.1:9000", 100, Pending::Catalog);
+    transcript.add("delete_and_status", &std::mem::take(&mut ctx.out));
+    compare(include_str!("cloud_and_workers.tsv"), &transcript.0);
+}
+
+/// A share that is taken, and a job of it that is cancelled before it is loaded.
+#[test]
+fn share() {
+    let mut f = Fixture::new();
+    f.step(0);
+    let mut transcript = Transcript::default();
+    let share = f.share;
+    f.node.shares.remove(&share);
+    transcript.add("load", &f.step(10));
+    let abort = request(&mut f, "POST", "/submissions/j-5/abort", "");
+    transcript.add("abort", &abort);
+    let job = json!({"spec": submission_of("readers", "j-5"), "share": 0, "stage": "pending"});
+    let job = json!({"data": job, "stamp": 5});
+    let is_lookup = |p: &Pending| matches!(p, Pending::Lookup { .. });
+    transcript.add("abort_recorded", &f.answer(is_lookup, 200, &job));
+    let page = json!({"items": [{"key": "live/0/j-4", "data": {}, "stamp": 5}],
+        "has_next": true, "ledger_rev": 6});
+    let is_list = |p: &Pending| matches!(p, Pending::ShareList { .. });
+    transcript.add("second_page", &f.answer(is_list, 200, &page));
+    f.node.shares.remove(&share);
+    f.node.view.shares.remove(&share);
+    for turn in 0..5 {
+        transcript.add(&format!("assign_{turn}"), &f.step(300));
+    }
+    compare(include_str!("share.tsv"), &transcript.0);
+}
+
+/// A controller with a warm pool that is asked for two machines.
+#[test]
+fn warm_pool() {
+    let mut f = Fixture::new();
+    f.step(0);
+    let spec = PoolSpec {
+        name: "help".to_owned(),
+        team: team_of(&mut f),
+        image: "img".to_owned(),
+        image_gb: 1.0,
+        least: 2,
+        most: 2,
+        ..PoolSpec::default()
+    };
+    let teams = [spec.team.as_str()];
+    let mut cfg = (*f.node.ctx.cfg).clone();
+    cfg.ops.pools = Pools::parse(std::slice::from_ref(&spec), &teams, &[]).expect("a pool");
+    cfg.format = FormatVersion::POOLS;
+    f.node.ctx.cfg = Rc::new(cfg);
+    let mut transcript = Transcript::default();
+    f.node.view.finalized_format = Some(Stamped {
+        rec: FormatVersion::POOLS,
+        version: 5,
+    });
+    transcript.add("finalized", &f.step(0));
+    record_catalog(&mut f);
+    transcript.add("catalog", &f.step(200));
+    let is_heads = |p: &Pending| matches!(p, Pending::PoolHeads { .. });
+    let none = json!({"items": [], "has_next": false, "ledger_rev": 6});
+    transcript.add("no_heads", &f.answer(is_heads, 200, &none));
+    run(&mut f.node, 8, &mut transcript);
+    compare(include_str!("warm_pool.tsv"), &transcript.0);
+}
--- /dev/null
+++ b/crates/core/src/golden/keys.rs
@@ -0,0 +1,114 @@
+//! Golden keys of the state service.
+
+use super::{compare, Case};
+use crate::config::StateLimits;
+use crate::layout::Layout;
+use crate::records::{
+    abort_key, demand_key, job_key, live_key, live_prefix, machine_key, node_key,
+    rental_intent_key, share_key, type_key, ShareId, CLUSTER, EPOCH, FINALIZED_FORMAT, LEADER,
+};
+use crate::view::View;
+use forkshift_pools::account::{head_key, HEADS, POOLS, PRICES};
+use forkshift_pools::PoolName;
+use forkshift_wire::state::Item;
+use forkshift_wire::{JobId, MachineId, NodeName};
+use serde_json::{json, Value};
+
+const LIMITS: StateLimits = StateLimits {
+    rps: 80.0,
+    write_rps: 30.0,
+    value_bytes: 16_384,
+    txn_ops: 12,
+};
+
+fn key(name: &str, key: impl Into<String>) -> Case {
+    (name.to_owned(), key.into())
+}
+
+#[test]
+fn keys() {
+    let job = JobId::parse("j-412").expect("an id");
+    let share = ShareId(2);
+    let pool = PoolName::parse("exam-help").expect("a name");
+    let unnamed = Layout::recorded(None, &LIMITS);
+    let named = Layout::recorded(Some(40), &LIMITS);
+    let cases = [
+        key("cluster", CLUSTER),
+        key("epoch", EPOCH),
+        key("format", FINALIZED_FORMAT),
+        key("leader", LEADER),
+        key("share", share_key(share)),
+        key("node", node_key(&NodeName::new("berth-0"))),
+        key("machine", machine_key(&MachineId::new("m-1"))),
+        key("charter", rental_intent_key("r-1")),
+        key("rig", type_key("big")),
+        key("demand", demand_key(share)),
+        key("abort", abort_key(&job)),
+        key("job", job_key(&job)),
+        key("live", live_prefix(share)),
+        key("live_head", live_key(share, &job, 0)),
+        key("live_block", live_key(share, &job, 3)),
+        key("unnamed_layout_head", unnamed.key(share, &job, 0)),
+        key("unnamed_layout_block", unnamed.key(share, &job, 3)),
+        key("named_layout_head", named.key(share, &job, 0)),
+        key("named_layout_block", named.key(share, &job, 3)),
+        key(
+            "unnamed_layout_tasks_a_block",
+            unnamed.tasks_of(0).1.to_string(),
+        ),
+        key("pools", POOLS),
+        key("pool_heads", HEADS),
+        key("pool_head", head_key(&pool)),
+        key("prices", PRICES),
+    ];
+    compare(include_str!("keys.tsv"), &cases);
+    assert_eq!(unnamed.parse_block("3"), Some(3));
+    assert_eq!(named.parse_block("40-3"), Some(3));
+    assert_eq!(named.parse_block("3"), None);
+}
+
+/// Every kind of record below the common prefix is read from its key.
+#[test]
+fn keys_are_read() {
+    let records = [
+        ("c/node/berth-0", json!({"inc": 5})),
+        ("c/leader", json!({"node": "berth-0", "inc": 5})),
+        ("c/epoch", json!(7)),
+        ("c/format", json!(3)),
+        (
+            "c/share/2",
+            json!({"holder": "berth-0", "inc": 5, "epoch": 7}),
+        ),
+        (
+            "c/machine/m-1",
+            json!({"share": 2, "type": "big", "zone": "hall-a", "spot": false}),
+        ),
+        (
+            "c/charter/r-1",
+            json!({"parts": [[2, 1]], "type": "big", "zone": "hall-a", "spot": false}),
+        ),
+        (
+            "c/rig/big",
+            json!({"name": "big", "cpus": 1, "mem_gb": 2, "hourly": 3}),
+        ),
+        ("c/demand/2", json!({"rev": 1, "shapes": []})),
+        ("c/abort/j-412", json!({})),
+    ];
+    let item = |(key, value): (&str, Value)| Item {
+        key: key.to_owned(),
+        value,
+        version: 4,
+    };
+    let mut view = View::default();
+    view.replace(records.map(item).into(), 9);
+    assert_eq!(view.nodes[&NodeName::new("berth-0")].rec.inc, 5);
+    assert_eq!(view.leader.expect("a leader").rec.inc, 5);
+    assert_eq!(view.epoch.expect("an epoch").rec, 7);
+    assert_eq!(view.finalized_format.expect("a format").version, 4);
+    assert_eq!(view.shares[&ShareId(2)].rec.epoch, 7);
+    assert_eq!(view.machines[&MachineId::new("m-1")].rec.share, ShareId(2));
+    assert_eq!(view.rental_intents["r-1"].rec.count(), 1);
+    assert_eq!(view.types["big"].rec.name, "big");
+    assert_eq!(view.demands[&ShareId(2)].rec.rev, 1);
+    assert!(view.aborts.contains_key(&JobId::new("j-412")));
+}
--- /dev/null
+++ b/crates/core/src/golden/records.rs
@@ -0,0 +1,310 @@
+//! Golden bytes of the values at the state service.
+
+use super::{compare, Case};
+use crate::fixture::spec;
+use crate::format::FormatVersion;
+use crate::records::{
+    DemandRecord, JobHeadRecord, JobRecord, LeaderRecord, MachineRecord, NodeRecord, RentalIntent,
+    ShapeRecord, ShareId, ShareRecord, TaskBlockRecord,
+};
+use forkshift_pools::account::{Asked, Miss, Price};
+use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
+use forkshift_wire::cloud::MachineType;
+use forkshift_wire::users::{JobKind, JobSpec, JobStage};
+use forkshift_wire::{JobId, MachineId, NodeName};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::{from_str, from_value, to_string, to_value, Value};
+
+/// A record as a transaction holds it, read back to the same.
+fn stored<T: Serialize + DeserializeOwned>(name: &str, record: &T) -> Case {
+    let value = to_value(record).expect("JSON");
+    let bytes = value.to_string();
+    let parsed: Value = from_str(&bytes).expect("JSON");
+    let back: T = from_value(parsed).expect(name);
+    assert_eq!(to_value(&back).expect("JSON"), value, "{name}");
+    (name.to_owned(), bytes)
+}
+
+/// What is read from bytes, written again.
+fn read<T: Serialize + DeserializeOwned>(name: &str, bytes: &str) -> Case {
+    let record: T = from_str(bytes).expect(name);
+    (
+        name.to_owned(),
+        to_value(&record).expect("JSON").to_string(),
+    )
+}
+
+fn machines(names: &[&str]) -> Vec<MachineId> {
+    names.iter().map(|name| MachineId::new(name)).collect()
+}
+
+fn texts(names: &[&str]) -> Vec<String> {
+    names.iter().map(|&name| name.to_owned()).collect()
+}
+
+fn pool() -> PoolName {
+    PoolName::parse("exam-help").expect("a name")
+}
+
+#[test]
+fn controllers_and_shares() {
+    let node = |blind, format| NodeRecord {
+        inc: 5,
+        blind,
+        format,
+    };
+    let leader = LeaderRecord {
+        node: NodeName::new("berth-0"),
+        inc: 5,
+    };
+    let share = |want| ShareRecord {
+        holder: NodeName::new("berth-0"),
+        inc: 5,
+        epoch: 7,
+        want,
+    };
+    let cases = [
+        stored("node_full", &node(true, FormatVersion::POOLS)),
+        stored("node_least", &node(false, FormatVersion::FIRST)),
+        read::<NodeRecord>("node_fields_left_out", r#"{"inc":5}"#),
+        stored("leader", &leader),
+        stored("share_full", &share(Some(NodeName::new("berth-1")))),
+        stored("share_least", &share(None)),
+        stored("epoch", &7_u64),
+        stored("format_1", &FormatVersion::FIRST),
+        stored("format_2", &FormatVersion::DEPENDENCIES),
+        stored("format_3", &FormatVersion::POOLS),
+        stored("format_newest", &FormatVersion::CURRENT),
+    ];
+    compare(include_str!("controllers.tsv"), &cases);
+}
+
+fn machine() -> MachineRecord {
+    MachineRecord {
+        share: ShareId(2),
+        machine_type: "big".to_owned(),
+        zone: "hall-a".to_owned(),
+        spot: true,
+        addr: Some("10.1.0.1:9000".to_owned()),
+        condemned: Some("silent".to_owned()),
+        want: Some(ShareId(3)),
+        floor: 4,
+        images: vec![("train:7".to_owned(), 4.5)],
+        pool: Some(Membership {
+            pool: pool(),
+            state: PoolState::Warm,
+            since_ms: 1000,
+        }),
+        charged_until_ms: 900,
+    }
+}
+
+#[test]
+fn machines_and_rentals() {
+    let least = MachineRecord {
+        addr: None,
+        condemned: None,
+        want: None,
+        floor: 0,
+        images: Vec::new(),
+        pool: None,
+        charged_until_ms: 0,
+        ..machine()
+    };
+    let intent = |placed| RentalIntent {
+        parts: vec![(ShareId(2), 3), (ShareId(4), 1)],
+        machine_type: "big".to_owned(),
+        zone: "hall-a".to_owned(),
+        spot: true,
+        placed,
+    };
+    let rig = MachineType {
+        name: "big".to_owned(),
+        cpus: 96.0,
+        gpus: 8.0,
+        memory_gb: 768.0,
+        cache_gb: 200.0,
+        fetch_gb_per_s: 1.5,
+        price: 12.25,
+        spot_price: None,
+        boot_s: 45.0,
+        zones: texts(&["hall-a"]),
+    };
+    let cases = [
+        stored("machine_full", &machine()),
+        stored("machine_least", &least),
+        read::<MachineRecord>(
+            "machine_fields_left_out",
+            r#"{"share":2,"type":"big","zone":"hall-a","spot":false}"#,
+        ),
+        stored("charter_full", &intent(2)),
+        stored("charter_least", &intent(0)),
+        stored("rig", &rig),
+    ];
+    compare(include_str!("machines.tsv"), &cases);
+}
+
+fn shape() -> ShapeRecord {
+    ShapeRecord {
+        res: (1500, 2000, 3250),
+        n: 6,
+        types: Some(texts(&["big"])),
+        zones: Some(texts(&["hall-a"])),
+        spot: true,
+        spare: true,
+        reclaims: true,
+        borrows: true,
+        gang: true,
+    }
+}
+
+#[test]
+fn demand() {
+    let least = ShapeRecord {
+        types: None,
+        zones: None,
+        spot: false,
+        spare: false,
+        reclaims: false,
+        borrows: false,
+        gang: false,
+        ..shape()
+    };
+    let demand = DemandRecord {
+        rev: 17,
+        shapes: vec![shape(), least.clone()],
+        now: vec![least.clone()],
+        free: machines(&["m-1"]),
+        surplus: machines(&["m-2"]),
+        borrowed: machines(&["m-3"]),
+        pooled: machines(&["m-4"]),
+    };
+    let told = to_string(&demand).expect("JSON");
+    let cases = [
+        stored("shape_full", &shape()),
+        stored("shape_least", &least),
+        read::<ShapeRecord>("shape_fields_left_out", r#"{"res":[1,2,3],"n":4}"#),
+        stored("demand_full", &demand),
+        ("demand_full_in_a_message".to_owned(), told),
+        stored("demand_least", &DemandRecord::default()),
+        read::<DemandRecord>("demand_fields_left_out", r#"{"rev":1,"shapes":[]}"#),
+    ];
+    compare(include_str!("demand.tsv"), &cases);
+}
+
+fn submission() -> JobSpec {
+    let id = JobId::parse("j-412").expect("an id");
+    JobSpec {
+        zone: Some("hall-a".to_owned()),
+        deadline_s: Some(60.0),
+        dependencies: vec![JobId::parse("j-1").expect("an id")],
+        ..spec(&id, "vision", JobKind::Gang, 4)
+    }
+}
+
+#[test]
+fn jobs() {
+    let record = |stage| JobRecord {
+        spec: submission(),
+        share: ShareId(2),
+        stage,
+    };
+    let block = TaskBlockRecord {
+        next: 9,
+        done: vec![(0, 2), (3, 4)],
+        bound: vec![(2, 8, MachineId::new("m-1"))],
+    };
+    let head = JobHeadRecord {
+        spec: submission(),
+        cancelled: true,
+        cancelled_at: 2000,
+        at: 1000,
+        layout: Some(40),
+        block: block.clone(),
+    };
+    let least = JobHeadRecord {
+        cancelled: false,
+        cancelled_at: 0,
+        at: 0,
+        layout: None,
+        block: TaskBlockRecord::default(),
+        ..head.clone()
+    };
+    let mut head_left_out = to_value(&least).expect("JSON");
+    let fields = head_left_out.as_object_mut().expect("an object");
+    fields.retain(|field, _| field == "spec");
+    let cases = [
+        stored("job_pending", &record(JobStage::Queued)),
+        stored("job_done", &record(JobStage::Done)),
+        stored("job_aborted", &record(JobStage::Cancelled)),
+        stored("job_head_full", &head),
+        stored("job_head_least", &least),
+        read::<JobHeadRecord>("job_head_fields_left_out", &head_left_out.to_string()),
+        stored("task_block_full", &block),
+        stored("task_block_least", &TaskBlockRecord::default()),
+        read::<TaskBlockRecord>("task_block_fields_left_out", "{}"),
+    ];
+    compare(include_str!("jobs.tsv"), &cases);
+}
+
+#[test]
+fn pools() {
+    let interval = |ended| Interval {
+        pool: pool(),
+        machine: MachineId::new("m-1"),
+        machine_type: "big".to_owned(),
+        spot: true,
+        state: PoolState::Fetching,
+        from_ms: 1000,
+        to_ms: 2000,
+        ended,
+    };
+    let asked = |to_ms| Asked {
+        pool: pool(),
+        team: "vision".to_owned(),
+        machines: 3,
+        from_ms: 1000,
+        to_ms,
+    };
+    let miss = Miss {
+        pool: pool(),
+        job: "j-412".to_owned(),
+        tasks: 4,
+        at_ms: 1000,
+    };
+    let price = |spot_hourly| Price {
+        machine_type: "big".to_owned(),
+        from_ms: 1000,
+        hourly: 12.25,
+        spot_hourly,
+    };
+    let interval_left_out = r#"{"pool":"p","machine":"m","type":"t","state":"up",
+        "from_ms":1,"to_ms":2}"#;
+    let cases = [
+        stored("state_booting", &PoolState::Booting),
+        stored("state_up", &PoolState::Up),
+        stored("state_fetching", &PoolState::Fetching),
+        stored("state_warm", &PoolState::Warm),
+        stored("ended_handed_out", &Ended::HandedOut),
+        stored("ended_reclaimed", &Ended::Reclaimed),
+        stored("ended_surplus", &Ended::Surplus),
+        stored("ended_withdrawn", &Ended::Withdrawn),
+        stored("ended_stalled", &Ended::Stalled),
+        stored("ended_lost", &Ended::Lost),
+        stored("interval_full", &interval(Some(Ended::Lost))),
+        stored("interval_least", &interval(None)),
+        read::<Interval>("interval_fields_left_out", interval_left_out),
+        stored("asked_full", &asked(Some(2000))),
+        stored("asked_least", &asked(None)),
+        stored("miss", &miss),
+        stored("price_full", &price(Some(4.75))),
+        stored("price_least", &price(None)),
+        ("interval_key".to_owned(), interval(None).key()),
+        ("asked_over_key".to_owned(), asked(Some(2000)).key()),
+        ("asked_key".to_owned(), asked(None).key()),
+        ("miss_key".to_owned(), miss.key()),
+        ("price_key".to_owned(), price(None).key()),
+    ];
+    compare(include_str!("pools.tsv"), &cases);
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,6 +24,8 @@
 mod fixture;
 mod format;
 mod forward;
+#[cfg(test)]
+mod golden;
 mod io;
 mod job;
 mod known_jobs;
