--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -26,7 +26,7 @@
     let team = team_of(f);
     let rec = JobRecord {
         spec: spec(&id(n), &team, kind, 1),
-        share: f.share,
+        shard: f.shard,
         stage,
     };
     json!({"key": job_key(&id(n)), "data": rec, "stamp": 40 + n})
@@ -152,7 +152,7 @@
         assert_eq!(stage(&body), told, "{name}");
         assert!(f.node.admissions.is_empty(), "{name}");
         // What was cancelled with it never comes to its holder.
-        let holds = f.share().jobs.contains_key(&id(1));
+        let holds = f.shard().jobs.contains_key(&id(1));
         assert_eq!(holds, told == Some(Queued), "{name}");
     }
 }
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -7,7 +7,7 @@
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of_mut, Node};
 use crate::pending::{AbortPoll, Lookup, Pending};
-use crate::records::{abort_key, job_key, ShareId};
+use crate::records::{abort_key, job_key, ShardId};
 use crate::store::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Txn, Write};
@@ -27,11 +27,11 @@
             return Some(Reply::json(200, &status(&id, stage)));
         }
         let right = self.member.has_right(&self.ctx, &self.view);
-        let Node { shares, ctx, .. } = self;
-        let ours = holder_of_mut(shares, &id);
-        if let Some(share) = ours {
-            share.cancel(ctx, &id);
-            let job = share.jobs.get_mut(&id)?;
+        let Node { shards, ctx, .. } = self;
+        let ours = holder_of_mut(shards, &id);
+        if let Some(shard) = ours {
+            shard.cancel(ctx, &id);
+            let job = shard.jobs.get_mut(&id)?;
             // An earlier holder may have told the user already; what is left of
             // the job may take long to end.
             if job.cancel_durable {
@@ -50,9 +50,9 @@
     }
 
     /// Leaves word for the holder, in the place that it watches.
-    pub(crate) fn pass_abort(&mut self, request: RequestId, id: JobId, share: ShareId) {
+    pub(crate) fn pass_abort(&mut self, request: RequestId, id: JobId, shard: ShardId) {
         let until = self.ctx.now + ANSWER_MS * 3 / 4;
-        self.tell_cancel(&id, share);
+        self.tell_cancel(&id, shard);
         let known = self.view.aborts.get(&id).copied();
         let key = abort_key(&id);
         let poll = AbortPoll {
@@ -102,7 +102,7 @@
                 self.ctx.respond(*request, reply);
                 // The holder may have been told by message, and have done it
                 // before any view showed the key: it is for us to remove.
-                crate::share::remove_key(&mut self.ctx, abort_key(id), *version);
+                crate::shard::remove_key(&mut self.ctx, abort_key(id), *version);
             }
             _ if code == 503 => self.ctx.respond(*request, Reply::later("not now")),
             _ if self.ctx.now < *until => self.later_polls.push((self.ctx.now + POLL_MS, poll)),
@@ -121,7 +121,7 @@
             let Some((_, request, id)) = self.cancel_ends.pop_front() else {
                 return;
             };
-            let Some(job) = self.share_of(&id).and_then(|s| s.jobs.get_mut(&id)) else {
+            let Some(job) = self.shard_of(&id).and_then(|s| s.jobs.get_mut(&id)) else {
                 continue;
             };
             let waiting = job.cancel_waiters.len();
--- a/crates/core/src/api/questions.rs
+++ b/crates/core/src/api/questions.rs
@@ -35,11 +35,11 @@
 
     /// What memory says of a job of ours: nothing, if its record may say more.
     pub(crate) fn remembered(&self, id: &JobId) -> Option<Reply> {
-        let share = holder_of(&self.shares, id)?;
-        // The view may have gone on in this very batch, and the share with it.
-        let record = self.view.shares.get(&share.id);
-        let still_ours = record.is_some_and(|s| s.rec.epoch == share.epoch);
-        let job = share.jobs.get(id).filter(|_| still_ours)?;
+        let shard = holder_of(&self.shards, id)?;
+        // The view may have gone on in this very batch, and the shard with it.
+        let record = self.view.shards.get(&shard.id);
+        let still_ours = record.is_some_and(|s| s.rec.epoch == shard.epoch);
+        let job = shard.jobs.get(id).filter(|_| still_ours)?;
         if !job.is_certain() {
             return None;
         }
@@ -87,7 +87,7 @@
         let record = match code {
             200 => read_job(body),
             // It was accepted after the read.
-            404 if self.homes.get(&id).is_some() || self.share_of(&id).is_some() => {
+            404 if self.homes.get(&id).is_some() || self.shard_of(&id).is_some() => {
                 if self.ctx.now < until {
                     return self.read_job(request, id, why, until);
                 }
@@ -110,10 +110,10 @@
         if record.stage.is_final() {
             self.finals.insert(id.clone(), record.stage);
         } else {
-            self.homes.insert(id.clone(), record.share);
+            self.homes.insert(id.clone(), record.shard);
         }
         if !record.stage.is_final() && matches!(why, Lookup::Abort) {
-            return self.pass_abort(request, id, record.share);
+            return self.pass_abort(request, id, record.shard);
         }
         self.ctx
             .respond(request, Reply::json(200, &status(&id, record.stage)));
@@ -131,8 +131,8 @@
         if dependencies.iter().any(is_cancelled) {
             return true;
         }
-        let share = holder_of(&self.shares, &record.spec.id);
-        let job = share.and_then(|s| s.jobs.get(&record.spec.id));
+        let shard = holder_of(&self.shards, &record.spec.id);
+        let job = shard.and_then(|s| s.jobs.get(&record.spec.id));
         job.is_some_and(|j| j.cancelled)
     }
 }
--- a/crates/core/src/api/reports.rs
+++ b/crates/core/src/api/reports.rs
@@ -3,9 +3,9 @@
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::records::ShareId;
+use crate::records::ShardId;
 use crate::relay::Relaying;
-use crate::share::{epoch_of_token, Phase};
+use crate::shard::{epoch_of_token, Phase};
 use forkshift_links::Route;
 use forkshift_wire::workers::{Redirect, Report, ReportReply};
 use forkshift_wire::MachineId;
@@ -47,8 +47,8 @@
         let Some(record) = self.view.machines.get(&report.machine) else {
             return Reply::json(421, &Redirect::default());
         };
-        let k = record.rec.share;
-        if !self.shares.contains_key(&k) {
+        let k = record.rec.shard;
+        if !self.shards.contains_key(&k) {
             if self.keeps(k, &report.machine) {
                 let (token, commands) = (report.token, Vec::new());
                 return Reply::json(200, &ReportReply { token, commands });
@@ -56,16 +56,16 @@
             let report_to = self.redirect_to(k, &report.machine);
             return Reply::json(421, &Redirect { report_to });
         }
-        let share = self.shares.get(&k);
-        let entitled = share.is_some_and(|s| self.ctx.entitled || self.holds_on(s));
-        let bridges = share.is_some_and(|s| self.bridges(s, &report.machine));
+        let shard = self.shards.get(&k);
+        let entitled = shard.is_some_and(|s| self.ctx.entitled || self.holds_on(s));
+        let bridges = shard.is_some_and(|s| self.bridges(s, &report.machine));
         let newest = self.view.epoch().1;
-        let first = share.map(|s| s.first_token(&record.rec));
-        let Node { shares, ctx, .. } = self;
-        let Some(share) = shares.get_mut(&k).filter(|_| entitled) else {
+        let first = shard.map(|s| s.first_token(&record.rec));
+        let Node { shards, ctx, .. } = self;
+        let Some(shard) = shards.get_mut(&k).filter(|_| entitled) else {
             return Reply::json(421, &Redirect::default());
         };
-        if share.phase != Phase::Active {
+        if shard.phase != Phase::Active {
             let token = first.filter(|t| report.token <= *t && bridges);
             return match token {
                 Some(token) => {
@@ -75,7 +75,7 @@
                 None => Reply::json(421, &Redirect::default()),
             };
         }
-        if share
+        if shard
             .machines
             .get(&report.machine)
             .is_none_or(|m| report.token > m.token)
@@ -84,23 +84,23 @@
             // the worker would stay here while its lease runs out.
             let epoch = epoch_of_token(report.token);
             if epoch > newest {
-                share.supersede(&format!("{} has a token of epoch {epoch}", report.machine));
+                shard.supersede(&format!("{} has a token of epoch {epoch}", report.machine));
             }
             return Reply::json(421, &Redirect::default());
         }
         // A late copy tells nothing of the way by which reports come now.
-        if share.ingest(ctx, report) {
-            share.note_route(ctx, &report.machine, route);
+        if shard.ingest(ctx, report) {
+            shard.note_route(ctx, &report.machine, route);
         }
-        match share.report_reply(ctx, &report.machine) {
+        match shard.report_reply(ctx, &report.machine) {
             Some((token, commands)) => Reply::json(200, &ReportReply { token, commands }),
             None => Reply::json(421, &Redirect::default()),
         }
     }
 
     /// To which controller a worker is sent that has come to us; none: to the next one.
-    fn redirect_to(&mut self, share: ShareId, machine: &MachineId) -> Option<String> {
-        let holder = &self.view.shares.get(&share)?.rec;
+    fn redirect_to(&mut self, shard: ShardId, machine: &MachineId) -> Option<String> {
+        let holder = &self.view.shards.get(&shard)?.rec;
         let (to, inc) = (holder.holder.clone(), holder.inc);
         if to == self.ctx.cfg.node || self.deaf_holder(machine).is_some() {
             return None;
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -7,9 +7,9 @@
 use crate::node::Node;
 use crate::pending::{Creation, Lookup, Pending};
 use crate::records::{
-    job_key, live_key, total_of, JobHeadRecord, JobRecord, ShareId, TaskBlockRecord,
+    job_key, live_key, total_of, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
 };
-use crate::share::new_layout;
+use crate::shard::new_layout;
 use crate::store::Urgency;
 use forkshift_sched::{Quota, Resources};
 use forkshift_wire::state::{Cond, Txn, TxnReply, Write};
@@ -43,7 +43,7 @@
             if let Some(reply) = self.remembered(&id) {
                 return Some(reply);
             }
-            if self.share_of(&id).is_some() {
+            if self.shard_of(&id).is_some() {
                 let unknown = Lookup::Submission(Reply::later("try again"));
                 return self.look_up(request, id, unknown);
             }
@@ -52,12 +52,12 @@
             return self.look_up(request, id, Lookup::Submission(refusal));
         }
         match self.judge(&spec) {
-            Ok(share) => {
+            Ok(shard) => {
                 let until = self.ctx.now + ANSWER_MS;
                 let creation = Creation {
                     request,
                     spec,
-                    share,
+                    shard,
                     until,
                     dependencies: Vec::new(),
                     is_cancelled: false,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Whether a job can ever run, and in which share.
-    fn judge(&self, spec: &JobSpec) -> Result<ShareId, Reply> {
+    /// Whether a job can ever run, and in which shard.
+    fn judge(&self, spec: &JobSpec) -> Result<ShardId, Reply> {
         let Some(team) = self.ctx.cfg.teams.get(&spec.team) else {
             return Err(Reply::error(422, "unknown team"));
         };
@@ -103,15 +103,15 @@
         if !can_be_recorded(spec, &self.ctx.limits) {
             return Err(Reply::error(422, "too large to be recorded"));
         }
-        Ok(team.share)
+        Ok(team.shard)
     }
 
     /// Writes the records by which a job is accepted.
     pub(crate) fn create(&mut self, creation: Creation) {
-        let Creation { spec, share, .. } = &creation;
+        let Creation { spec, shard, .. } = &creation;
         let record = JobRecord {
             spec: spec.clone(),
-            share: *share,
+            shard: *shard,
             stage: creation.stage(),
         };
         let head = JobHeadRecord {
@@ -136,7 +136,7 @@
             version: *version,
         }));
         if !creation.is_cancelled {
-            let key = live_key(*share, &spec.id, 0);
+            let key = live_key(*shard, &spec.id, 0);
             let head = to_value(head).unwrap_or_default();
             txn.writes.push(Write::put(key, head));
         }
@@ -151,11 +151,11 @@
         let Creation {
             request,
             spec,
-            share,
+            shard,
             until,
             ..
         } = &creation;
-        let (request, share, until) = (*request, *share, *until);
+        let (request, shard, until) = (*request, *shard, *until);
         let id = spec.id.clone();
         match code {
             200 if stage.is_final() => {
@@ -165,11 +165,11 @@
             }
             200 => {
                 let revision = revision_of(body);
-                self.homes.insert(id.clone(), share);
-                self.tell_new_job(share, spec, revision);
-                if let Some(share) = self.shares.get_mut(&share) {
+                self.homes.insert(id.clone(), shard);
+                self.tell_new_job(shard, spec, revision);
+                if let Some(shard) = self.shards.get_mut(&shard) {
                     let at = self.ctx.wall;
-                    share.on_job_accepted(&mut self.ctx, creation.spec, at, revision);
+                    shard.on_job_accepted(&mut self.ctx, creation.spec, at, revision);
                 }
                 let reply = Reply::json(201, &status(&id, JobStage::Queued));
                 self.ctx.respond(request, reply);
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -14,10 +14,10 @@
 }
 
 fn record(f: &mut Fixture, id: &JobId, stage: JobStage) -> serde_json::Value {
-    let spec = (*f.share().jobs[id].spec).clone();
+    let spec = (*f.shard().jobs[id].spec).clone();
     let rec = JobRecord {
         spec,
-        share: f.share,
+        shard: f.shard,
         stage,
     };
     json!({"key": job_key(id), "data": rec, "stamp": 7})
@@ -47,7 +47,7 @@
         f.bind(&id, 0, Sent::Inherited);
         match case {
             Case::Written => {
-                let job = f.share().jobs.get_mut(&id).expect("it is there");
+                let job = f.shard().jobs.get_mut(&id).expect("it is there");
                 (job.cancelled, job.cancel_durable) = (true, true);
             }
             Case::New => {}
@@ -56,7 +56,7 @@
         let answer = f.ask(1, "POST", "/submissions/j-1/abort");
         assert_eq!(answer.as_ref().map(|a| a.0), status, "{case:?}");
         assert!(
-            f.share().jobs[&id].cancelled,
+            f.shard().jobs[&id].cancelled,
             "{case:?}: its tasks are stopped"
         );
         // Nobody waits for longer than users do.
@@ -82,7 +82,7 @@
     let mut f = Fixture::new();
     let id = f.job("j-1", JobKind::Service, 1);
     let old = record(&mut f, &id, JobStage::Queued);
-    f.share().forget_job(&id, 9);
+    f.shard().forget_job(&id, 9);
     assert_eq!(f.ask(1, "GET", "/submissions/j-1"), None);
     f.node.finals.insert(id.clone(), JobStage::Cancelled);
     let effects = f.answer(is_lookup, 200, &old);
@@ -93,8 +93,8 @@
     assert_eq!(f.ask(1, "GET", "/submissions/j-2"), None);
     let id = f.job("j-2", JobKind::Service, 1);
     let new = record(&mut f, &id, JobStage::Queued);
-    let share = f.share;
-    f.node.homes.insert(id, share);
+    let shard = f.shard;
+    f.node.homes.insert(id, shard);
     let effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
     assert_eq!(answer_to(&effects, 1), None, "accepted meanwhile");
     let effects = f.answer(is_lookup, 200, &new);
@@ -106,15 +106,15 @@
     assert_eq!(stage(answer_to(&effects, 1)), (404, None));
 }
 
-/// The view may show within a batch that the share has changed hands, before
-/// the share is let go.
+/// The view may show within a batch that the shard has changed hands, before
+/// the shard is let go.
 #[test]
 fn memory_answers_only_under_the_epoch_that_the_view_shows() {
     for (epoch, answers) in [(EPOCH, true), (EPOCH + 1, false)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        let share = f.share;
-        let rec = f.node.view.shares.get_mut(&share).expect("it is there");
+        let shard = f.shard;
+        let rec = f.node.view.shards.get_mut(&shard).expect("it is there");
         rec.rec.epoch = epoch;
         let answer = f.node.remembered(&id);
         assert_eq!(answer.is_some(), answers, "epoch {epoch}");
@@ -130,7 +130,7 @@
     f.step(1);
     f.job("j-1", JobKind::Service, 1);
     f.step(1);
-    let job = f.share().jobs.get(&id);
+    let job = f.shard().jobs.get(&id);
     assert!(job.is_none_or(|j| j.cancelled));
 }
 
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/attestation.rs
@@ -19,8 +19,8 @@
 use crate::context::Context;
 use crate::node::Node;
 use crate::overflow::Overflow;
-use crate::records::ShareId;
-use crate::share::{Phase, Share};
+use crate::records::ShardId;
+use crate::shard::{Phase, Shard};
 use crate::view::View;
 use crate::Ms;
 use forkshift_wire::peer::{Body, Echo, Heartbeat, Settled};
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 struct Seen {
     since: Ms,
-    epochs: BTreeMap<ShareId, u64>,
+    epochs: BTreeMap<ShardId, u64>,
 }
 
 /// Since when the state service has refused a controller, at the latest, as
@@ -53,7 +53,7 @@
     from: Option<Ms>,
 }
 
-/// Machines of a share that may hold a task of a job whose cancellation was
+/// Machines of a shard that may hold a task of a job whose cancellation was
 /// confirmed before some moment; no other machine of it does.
 #[derive(Debug)]
 struct Unsettled {
@@ -66,8 +66,8 @@
 pub(crate) struct Attestations {
     peers: BTreeMap<NodeName, Seen>,
     refused: BTreeMap<NodeName, Refused>,
-    shares: BTreeMap<ShareId, Unsettled>,
-    /// Until then nobody can have been given our shares, by our own lease.
+    shards: BTreeMap<ShardId, Unsettled>,
+    /// Until then nobody can have been given our shards, by our own lease.
     proven: Ms,
 }
 
@@ -84,20 +84,20 @@
     }
 
     /// Before this moment nobody can have confirmed a cancellation in our
-    /// stead. Only a holder of the share under a higher epoch can, once it has
+    /// stead. Only a holder of the shard under a higher epoch can, once it has
     /// seen that epoch in its view. As long as every other controller
     /// attests that it has not seen one, nobody has. A controller that is not heard
     /// attests nothing, nor does one that has restarted and was not served
     /// since. One whose view is complete has read it after its start, so it
     /// attests this for its earlier starts as well.
-    fn unclaimed_until(&self, ctx: &Context, share: &Share) -> Ms {
+    fn unclaimed_until(&self, ctx: &Context, shard: &Shard) -> Ms {
         let cfg = &ctx.cfg;
         let others = cfg.other_nodes();
         let attested = others.map(|n| {
             let seen = self.peers.get(n);
             let unclaimed = seen.filter(|s| {
-                let epoch = s.epochs.get(&share.id).copied().unwrap_or(0);
-                epoch <= share.epoch
+                let epoch = s.epochs.get(&shard.id).copied().unwrap_or(0);
+                epoch <= shard.epoch
             });
             unclaimed.map_or(0, |s| s.since)
         });
@@ -107,7 +107,7 @@
 
     /// Until then the state service was out for everybody, and has been since
     /// before our right ended: our lease has not run out, so nobody has our
-    /// shares, whoever is not heard. The service refuses a single controller
+    /// shards, whoever is not heard. The service refuses a single controller
     /// alone, so two that are refused at a time would do; a majority is asked
     /// for, and that nobody says otherwise.
     fn out_until(&self, ctx: &Context) -> Ms {
@@ -127,14 +127,14 @@
 
     /// Before this moment no cancellation can have been confirmed of a task
     /// that may still be on a machine.
-    fn settled_until(&self, share: ShareId, machine: &MachineId) -> Option<Ms> {
-        let settled = self.shares.get(&share);
+    fn settled_until(&self, shard: ShardId, machine: &MachineId) -> Option<Ms> {
+        let settled = self.shards.get(&shard);
         let settled = settled.filter(|u| !u.machines.contains(machine));
         settled.map(|u| u.since)
     }
 }
 
-impl Share {
+impl Shard {
     /// Machines that may hold a task of a cancelled job, or something that
     /// is not known here.
     fn unsettled(&self) -> BTreeSet<&MachineId> {
@@ -146,13 +146,13 @@
 
     fn settled(&self) -> Option<Settled> {
         (self.phase == Phase::Active).then(|| Settled {
-            share: self.id.0,
+            shard: self.id.0,
             unsettled: self.unsettled().iter().map(ToString::to_string).collect(),
         })
     }
 }
 
-/// Keeps the statements that have room in a heartbeat, the shortest first. A share
+/// Keeps the statements that have room in a heartbeat, the shortest first. A shard
 /// whose statement has none makes no statement about any of its machines. Returns
 /// how many were left out.
 fn keep_what_fits(settled: &mut Vec<Settled>, mut room: usize) -> usize {
@@ -161,21 +161,21 @@
         names.map(|name| listed_bytes(name)).sum()
     };
     let all = settled.len();
-    settled.sort_by_key(|s| (bytes(s), s.share));
+    settled.sort_by_key(|s| (bytes(s), s.shard));
     settled.retain(|s| {
         let fits = bytes(s) <= room;
         room = room.saturating_sub(bytes(s));
         fits
     });
-    settled.sort_by_key(|s| s.share);
+    settled.sort_by_key(|s| s.shard);
     all - settled.len()
 }
 
 impl View {
     /// The epochs that were seen; none while the view is not complete.
     fn epochs(&self) -> Option<Vec<(u32, u64)>> {
-        let shares = self.shares.iter();
-        let epochs = || shares.map(|(k, s)| (k.0, s.rec.epoch)).collect();
+        let shards = self.shards.iter();
+        let epochs = || shards.map(|(k, s)| (k.0, s.rec.epoch)).collect();
         self.ready.then(epochs)
     }
 }
@@ -196,12 +196,12 @@
         let cfg = self.ctx.cfg.clone();
         let epochs = self.view.epochs();
         // While we have a right nobody else can have confirmed anything, so
-        // what we know of our shares is all there is.
+        // what we know of our shards is all there is.
         let entitled = self.ctx.entitled;
-        let shares = self.shares.values().filter(|_| entitled);
+        let shards = self.shards.values().filter(|_| entitled);
         let refused_for = self.ctx.store.out_since();
         let refused_for = refused_for.map(|t| self.ctx.now.saturating_sub(t));
-        let mut settled: Vec<Settled> = shares.filter_map(Share::settled).collect();
+        let mut settled: Vec<Settled> = shards.filter_map(Shard::settled).collect();
         if keep_what_fits(&mut settled, cfg.bounds.list_bytes) > 0 {
             let now = self.ctx.now;
             self.ctx.overflows.note(now, Overflow::UnsettledMachines);
@@ -227,10 +227,10 @@
             peer.sent = peer.sent.max(Some(beat.sent));
         }
         let epochs = beat.epochs.iter().flatten();
-        let epochs: BTreeMap<ShareId, u64> = epochs.map(|(k, e)| (ShareId(*k), *e)).collect();
+        let epochs: BTreeMap<ShardId, u64> = epochs.map(|(k, e)| (ShardId(*k), *e)).collect();
         for (k, epoch) in &epochs {
-            if let Some(share) = self.shares.get_mut(k).filter(|s| s.epoch < *epoch) {
-                share.supersede(&format!("{from} has seen epoch {epoch}"));
+            if let Some(shard) = self.shards.get_mut(k).filter(|s| s.epoch < *epoch) {
+                shard.supersede(&format!("{from} has seen epoch {epoch}"));
             }
         }
         // An echo of an earlier start of ours is not of our clock.
@@ -259,53 +259,53 @@
             attestations.refused.insert(from.clone(), refused);
         }
         for settled in beat.settled {
-            let k = ShareId(settled.share);
+            let k = ShardId(settled.shard);
             let machines = settled.unsettled.iter().map(|m| MachineId::new(m));
             let machines = machines.collect();
-            if attestations.shares.get(&k).is_none_or(|u| since > u.since) {
-                attestations.shares.insert(k, Unsettled { since, machines });
+            if attestations.shards.get(&k).is_none_or(|u| since > u.since) {
+                attestations.shards.insert(k, Unsettled { since, machines });
             }
         }
     }
 
-    /// Whether we answer workers of a share of ours although we have no right
+    /// Whether we answer workers of a shard of ours although we have no right
     /// any more. Once our lease has run out another controller may be given the
-    /// share and confirm cancellations that we never hear of.
-    pub(crate) fn holds_on(&self, share: &Share) -> bool {
-        let until = self.ctx.attestations.unclaimed_until(&self.ctx, share);
-        !share.superseded && self.ctx.now < until.saturating_add(self.ctx.cfg.grace_ms())
+    /// shard and confirm cancellations that we never hear of.
+    pub(crate) fn holds_on(&self, shard: &Shard) -> bool {
+        let until = self.ctx.attestations.unclaimed_until(&self.ctx, shard);
+        !shard.superseded && self.ctx.now < until.saturating_add(self.ctx.cfg.grace_ms())
     }
 
     /// Whether a worker may be answered by somebody who does not know which of
     /// its tasks are cancelled: the last holder that had a right has stated that
     /// none is that was cancelled before.
-    fn is_settled(&self, share: ShareId, machine: &MachineId) -> bool {
-        let until = self.ctx.attestations.settled_until(share, machine);
+    fn is_settled(&self, shard: ShardId, machine: &MachineId) -> bool {
+        let until = self.ctx.attestations.settled_until(shard, machine);
         until.is_some_and(|t| self.ctx.now < t + self.ctx.cfg.grace_ms())
     }
 
-    /// Whether a worker of a share that we are still loading is answered. What
+    /// Whether a worker of a shard that we are still loading is answered. What
     /// an earlier holder confirmed and could not carry out is not known yet.
     /// The worker's last answer from that holder came before the
     /// confirmation, else it would have carried the command to stop; it is less
     /// than a lease old, or the worker's session would be over.
-    pub(crate) fn bridges(&self, share: &Share, machine: &MachineId) -> bool {
-        self.ctx.now < share.active_since + self.ctx.cfg.bridge_ms()
-            || self.is_settled(share.id, machine)
+    pub(crate) fn bridges(&self, shard: &Shard, machine: &MachineId) -> bool {
+        self.ctx.now < shard.active_since + self.ctx.cfg.bridge_ms()
+            || self.is_settled(shard.id, machine)
     }
 
     /// Whether we keep the lease of a worker alive that another controller
     /// holds: we are cut off from the state service and from that controller,
     /// and so, it seems, is the worker. It is given no commands, and its own
     /// token back.
-    pub(crate) fn keeps(&self, share: ShareId, machine: &MachineId) -> bool {
-        let Some(holder) = self.view.shares.get(&share).map(|s| &s.rec) else {
+    pub(crate) fn keeps(&self, shard: ShardId, machine: &MachineId) -> bool {
+        let Some(holder) = self.view.shards.get(&shard).map(|s| &s.rec) else {
             return false;
         };
         let lease = self.ctx.cfg.node_lease_ms();
         self.ctx.now > self.member.extended() + lease * 6 / 10
             && !self.ctx.is_peer_there(&holder.holder, holder.inc)
-            && self.is_settled(share, machine)
+            && self.is_settled(shard, machine)
     }
 }
 
--- a/crates/core/src/attestation/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 use crate::bounds::NAME_LENGTH_BYTES;
 use crate::config::{Config, Operator};
-use crate::records::ShareRecord;
+use crate::records::ShardRecord;
 use crate::view::Stamped;
 use forkshift_wire::settings::Settings;
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 /// When the last extension of our lease that succeeded was sent.
 const SENT: Ms = 50_000;
-const OURS: ShareId = ShareId(0);
-const THEIRS: ShareId = ShareId(1);
+const OURS: ShardId = ShardId(0);
+const THEIRS: ShardId = ShardId(1);
 const EPOCH: u64 = 5;
 
 fn node() -> Node {
@@ -21,7 +21,7 @@
     cfg.nodes = [cfg.node.clone()].into_iter().chain(names).collect();
     let mut node = Node::new(cfg, 1, 1);
     let held = |holder: &NodeName, inc| Stamped {
-        rec: ShareRecord {
+        rec: ShardRecord {
             holder: holder.clone(),
             inc,
             epoch: EPOCH,
@@ -30,12 +30,12 @@
         version: 1,
     };
     let us = node.ctx.cfg.node.clone();
-    node.view.shares.insert(OURS, held(&us, 1));
+    node.view.shards.insert(OURS, held(&us, 1));
     node.view
-        .shares
+        .shards
         .insert(THEIRS, held(&NodeName::new("north"), 7));
-    let share = Share::new(&mut node.ctx, OURS, EPOCH, 1);
-    node.shares.insert(OURS, share);
+    let shard = Shard::new(&mut node.ctx, OURS, EPOCH, 1);
+    node.shards.insert(OURS, shard);
     node.member.on_extend(&node.ctx, SENT, 200);
     let until = node.member.right_until(&node.ctx);
     node.ctx.attestations.prove(until);
@@ -43,7 +43,7 @@
 }
 
 /// What a peer states: as of which of our heartbeats, and which epoch of our
-/// share it has seen; none: it has read nothing since it started.
+/// shard it has seen; none: it has read nothing since it started.
 #[derive(Clone, Copy)]
 struct Says {
     from: &'static str,
@@ -80,14 +80,14 @@
     node.on_heartbeat(&from, 7, beat);
 }
 
-/// Whether a controller goes on answering workers of its share, once peers have
+/// Whether a controller goes on answering workers of its shard, once peers have
 /// told it something.
 fn holds_on_after(mut node: Node, now: Ms, told: Vec<Says>) -> bool {
     node.ctx.now = now;
     for says in told {
         tell(&mut node, says, vec![]);
     }
-    node.holds_on(&node.shares[&OURS])
+    node.holds_on(&node.shards[&OURS])
 }
 
 /// Once, an old holder answered its workers for as long as it heard any peer,
@@ -259,14 +259,14 @@
 }
 
 /// A worker whose holder is lost is answered by others only while nothing that
-/// was confirmed can still be on it; so is one whose share is being loaded.
+/// was confirmed can still be on it; so is one whose shard is being loaded.
 #[test]
 fn what_is_kept_for_others_ends_in_time() {
     let cfg = node().ctx.cfg.clone();
     let own = cfg.node_lease_ms();
     let grace = cfg.grace_ms();
-    let settled = |share: ShareId, unsettled: &[&str]| Settled {
-        share: share.0,
+    let settled = |shard: ShardId, unsettled: &[&str]| Settled {
+        shard: shard.0,
         unsettled: unsettled.iter().map(|m| (*m).to_owned()).collect(),
     };
     let none: &[&str] = &[];
@@ -320,28 +320,28 @@
         }
         let machine = MachineId::new("m-1");
         assert_eq!(node.keeps(THEIRS, &machine), keeps, "{name}: another's");
-        // While we load a share the same holds, whoever else is there; besides,
+        // While we load a shard the same holds, whoever else is there; besides,
         // what an earlier holder confirmed is a lease old at the most.
         let stated = stated.is_some_and(|(_, held)| held.is_empty());
         let in_time = (stated && now < SENT + grace) || now < SENT + cfg.bridge_ms();
-        let mut share = node.shares.remove(&OURS).expect("it is ours");
-        share.active_since = SENT;
-        assert_eq!(node.bridges(&share, &machine), in_time, "{name}: ours");
+        let mut shard = node.shards.remove(&OURS).expect("it is ours");
+        shard.active_since = SENT;
+        assert_eq!(node.bridges(&shard, &machine), in_time, "{name}: ours");
     }
     assert!(cfg.bridge_ms() + cfg.lease_ms * 2 < cfg.cancel_ms);
 }
 
-fn unsettled(share: u32, machines: usize) -> Settled {
+fn unsettled(shard: u32, machines: usize) -> Settled {
     let names = (0..machines).map(|n| format!("host-{n:06}"));
     Settled {
-        share,
+        shard,
         unsettled: names.collect(),
     }
 }
 
-/// A share with more than a hundred machines that might hold a cancelled task once
+/// A shard with more than a hundred machines that might hold a cancelled task once
 /// made no statement: one array cancelled on a large fleet was enough, and a holder
-/// that took the share over then could not vouch for any of its machines.
+/// that took the shard over then could not vouch for any of its machines.
 #[test]
 fn statements_are_left_out_only_where_a_heartbeat_has_no_room() {
     let name = "host-000000".len() + NAME_LENGTH_BYTES;
@@ -354,11 +354,11 @@
         (100, &[101, 0, 30], &[1, 2]),
     ];
     for (room, machines, kept) in cases {
-        let shares = machines.iter().enumerate();
-        let mut settled: Vec<Settled> = shares.map(|(k, n)| unsettled(k as u32, *n)).collect();
+        let shards = machines.iter().enumerate();
+        let mut settled: Vec<Settled> = shards.map(|(k, n)| unsettled(k as u32, *n)).collect();
         let left_out = keep_what_fits(&mut settled, room * name);
-        let shares: Vec<u32> = settled.iter().map(|s| s.share).collect();
-        assert_eq!(shares, kept, "{machines:?} with room for {room}");
+        let shards: Vec<u32> = settled.iter().map(|s| s.shard).collect();
+        assert_eq!(shards, kept, "{machines:?} with room for {room}");
         assert_eq!(left_out, machines.len() - kept.len());
     }
 }
--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -2,7 +2,7 @@
 //!
 //! Every queue, list and message is bounded, and no bound is a number of its own: it
 //! follows from the memory, the sockets or the message size that there is, or from
-//! the machines that a share has. `docs/CAPACITY.md` lists what lies beyond each.
+//! the machines that a shard has. `docs/CAPACITY.md` lists what lies beyond each.
 
 use crate::layout::TASK_BYTES;
 use forkshift_wire::peer::MESSAGE_MOST;
@@ -117,8 +117,8 @@
     name.len() + NAME_LENGTH_BYTES
 }
 
-/// One part in so many of a share's machines, at least `least`. For work that is done
-/// a few machines at a time: a larger share does more of it at once, so that it takes
+/// One part in so many of a shard's machines, at least `least`. For work that is done
+/// a few machines at a time: a larger shard does more of it at once, so that it takes
 /// no longer.
 pub(crate) fn part_of_machines(machines: usize, part: usize, least: usize) -> usize {
     (machines / part).max(least)
--- a/crates/core/src/bounds/tests.rs
+++ b/crates/core/src/bounds/tests.rs
@@ -53,7 +53,7 @@
     assert_eq!(bounds.answer_bytes, ANSWER_LEAST, "any page");
 }
 
-/// The names of all machines of a share must have room in a message, whoever
+/// The names of all machines of a shard must have room in a message, whoever
 /// holds the whole fleet.
 #[test]
 fn a_message_names_four_thousand_machines() {
@@ -83,7 +83,7 @@
     }
 }
 
-/// A round looked at 256 tasks of a job, whatever its share held: an array of thousands
+/// A round looked at 256 tasks of a job, whatever its shard held: an array of thousands
 /// was given machines for 256 tasks a boot.
 #[test]
 fn a_round_looks_at_as_many_tasks_as_can_be_recorded() {
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/commands.rs
@@ -7,8 +7,8 @@
 use crate::context::Context;
 use crate::job::{Sent, Stop};
 use crate::pending::Pending;
-use crate::records::ShareId;
-use crate::share::Share;
+use crate::records::ShardId;
+use crate::shard::Shard;
 use forkshift_links::Decision;
 use forkshift_wire::workers::{Command, CommandRequest, Report, Verb};
 use forkshift_wire::{JobId, MachineId, TaskRef};
@@ -18,7 +18,7 @@
 /// A stop that shows no effect is repeated after this many reports.
 const REPEAT_REPORTS: u64 = 2;
 
-impl Share {
+impl Shard {
     /// Sends what is due to a machine that has no call under way.
     pub(crate) fn send_to(&mut self, ctx: &mut Context, id: &MachineId) {
         let Some(m) = self.machines.get(id) else {
@@ -62,7 +62,7 @@
         machine.push = false;
         let body = serde_json::to_vec(&request).unwrap_or_default();
         let pending = Pending::Commands {
-            share: self.id,
+            shard: self.id,
             epoch: self.epoch,
             machine: id.clone(),
             token: request.token,
@@ -247,8 +247,8 @@
         Some((token, self.safe_commands(ctx, id)))
     }
 
-    /// The number of the share.
-    pub(crate) fn id(&self) -> ShareId {
+    /// The number of the shard.
+    pub(crate) fn id(&self) -> ShardId {
         self.id
     }
 }
--- a/crates/core/src/commands/tests.rs
+++ b/crates/core/src/commands/tests.rs
@@ -50,7 +50,7 @@
             f.lose_right();
         }
         f.ask(1, "POST", "/submissions/j-1/abort");
-        let calling = f.share().machines.values().any(|m| m.calling);
+        let calling = f.shard().machines.values().any(|m| m.calling);
         assert!(calling, "entitled: {entitled}");
     }
 }
@@ -66,12 +66,12 @@
         f.bind(&id, 1, Sent::No);
         assert_eq!(sent(&f.step(1)), [Verb::Start, Verb::Start]);
         if stopped {
-            f.share().stop_rest(&id);
+            f.shard().stop_rest(&id);
         }
         let token = f.token();
         let report = f.message(2, token, &[]);
         f.answer(is_call, 409, &to_value(report).expect("a report"));
-        let bound = f.share().jobs[&id].bound.len();
+        let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, if stopped { 0 } else { 2 }, "stopped: {stopped}");
     }
 }
@@ -102,10 +102,10 @@
         let token = f.token();
         f.report(1, token, &[(&id, 0, TaskStage::Exited)]);
         let machine = f.machine.clone();
-        let m = f.share().machines.get_mut(&machine).expect("it is there");
+        let m = f.shard().machines.get_mut(&machine).expect("it is there");
         (m.calling, m.unanswered) = (calling, unanswered);
-        let Fixture { node, share, .. } = &mut f;
-        let ours = node.shares.get_mut(share).expect("it is ours");
+        let Fixture { node, shard, .. } = &mut f;
+        let ours = node.shards.get_mut(shard).expect("it is ours");
         let commands = ours.safe_commands(&node.ctx, &machine);
         let n = commands.iter().filter(|o| o.verb == Verb::Forget).count();
         assert_eq!(n, forgets, "calling: {calling}, unanswered: {unanswered}");
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -10,8 +10,8 @@
 use crate::job::{Job, Sent};
 use crate::known_jobs::Finals;
 use crate::pending::{JobWrite, Pending};
-use crate::records::{job_key, share_key, JobRecord};
-use crate::share::Share;
+use crate::records::{job_key, shard_key, JobRecord};
+use crate::shard::Shard;
 use crate::store::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Cond, Item, Txn, TxnReply, Write};
@@ -36,7 +36,7 @@
     urgency: Urgency,
 }
 
-impl Share {
+impl Shard {
     /// Writes what has changed. Mere progress waits for `progress`, so that a
     /// job is written at most once a round.
     pub(crate) fn flush(&mut self, ctx: &mut Context, progress: bool) {
@@ -127,8 +127,8 @@
             }
             jobs.push(part.write);
         }
-        let (share, epoch) = (self.id, self.epoch);
-        ctx.txn(urgency, &txn, Pending::JobTxn { share, epoch, jobs });
+        let (shard, epoch) = (self.id, self.epoch);
+        ctx.txn(urgency, &txn, Pending::JobTxn { shard, epoch, jobs });
     }
 
     /// A job that was being written, or its record read, is looked at again.
@@ -149,7 +149,7 @@
         body: &[u8],
     ) {
         let reply: TxnReply = serde_json::from_slice(body).unwrap_or_default();
-        let (share, epoch) = (self.id, self.epoch);
+        let (shard, epoch) = (self.id, self.epoch);
         for write in jobs {
             let Some(job) = self.write_ended(&write.id) else {
                 continue;
@@ -168,17 +168,17 @@
             }
             // Without an answer, perhaps it was carried out, perhaps it will
             // be. Writing again on the same conditions is safe either way. If
-            // the share's record has changed, the view will tell whose it is.
-            if status != 409 || reply.failed.contains(&share_key(share)) {
+            // the shard's record has changed, the view will tell whose it is.
+            if status != 409 || reply.failed.contains(&shard_key(shard)) {
                 continue;
             }
             for block in &write.blocks {
-                let key = job.block_key(share, *block);
+                let key = job.block_key(shard, *block);
                 if reply.failed.contains(&key) {
                     job.writing = true;
                     let (id, block) = (write.id.clone(), *block);
                     let pending = Pending::JobFix {
-                        share,
+                        shard,
                         epoch,
                         id,
                         block,
@@ -191,7 +191,7 @@
 
     /// An earlier write of ours, which had no answer, was carried out after
     /// all: its version is taken from the record. Nobody else writes it while
-    /// the share is ours.
+    /// the shard is ours.
     pub(crate) fn on_fix(
         &mut self,
         ctx: &mut Context,
@@ -212,11 +212,11 @@
             }
             (404, _) if block == 0 => {
                 // The job is over, by our own last write or by that of a new
-                // holder of the share, whose outcome may differ from ours.
+                // holder of the shard, whose outcome may differ from ours.
                 job.writing = true;
-                let (share, epoch, id) = (self.id, self.epoch, id.clone());
+                let (shard, epoch, id) = (self.id, self.epoch, id.clone());
                 let path = format!("/kv/{}", job_key(&id));
-                let pending = Pending::JobFinal { share, epoch, id };
+                let pending = Pending::JobFinal { shard, epoch, id };
                 ctx.read(Urgency::Work, path, pending);
             }
             (404, _) => {
@@ -281,7 +281,7 @@
         let is_moved = job.is_moving && write.blocks.contains(&0) && !write.last;
         let left_over = if is_moved { job.end_move() } else { Vec::new() };
         for (key, version) in left_over {
-            crate::share::remove_key(ctx, key, version);
+            crate::shard::remove_key(ctx, key, version);
         }
         if write.cancel {
             job.cancel_durable = true;
@@ -310,7 +310,7 @@
                 .chain(job.old_blocks.iter().cloned())
                 .collect();
             for (key, version) in rest {
-                crate::share::remove_key(ctx, key, version);
+                crate::shard::remove_key(ctx, key, version);
             }
             self.forget_job(&write.id, revision);
         }
@@ -336,7 +336,7 @@
 }
 
 /// A job's part of the next transaction, if it has any.
-fn part(share: &Share, job: &Job, ctx: &Context, progress: bool) -> Option<Part> {
+fn part(shard: &Shard, job: &Job, ctx: &Context, progress: bool) -> Option<Part> {
     let id = &job.spec.id;
     let last = job.is_over();
     let cancel = job.cancelled && !job.cancel_durable;
@@ -359,7 +359,7 @@
     let mut bytes = 0;
     if last {
         let block = &job.blocks[&0];
-        let key = job.block_key(share.id, 0);
+        let key = job.block_key(shard.id, 0);
         conds.push(Cond {
             key: key.clone(),
             version: block.stamp,
@@ -383,7 +383,7 @@
             if writes.len() + 2 > ctx.limits.txn_ops {
                 break;
             }
-            let key = job.block_key(share.id, *b);
+            let key = job.block_key(shard.id, *b);
             let value = match b {
                 0 => to_value(job.head_rec()),
                 _ => to_value(job.block_rec(*b)),
@@ -405,7 +405,7 @@
     if cancel || (last && !job.cancelled) {
         let rec = JobRecord {
             spec: (*job.spec).clone(),
-            share: share.id,
+            shard: shard.id,
             stage: job.final_stage(),
         };
         bytes += 700;
--- a/crates/core/src/commit/tests.rs
+++ b/crates/core/src/commit/tests.rs
@@ -32,7 +32,7 @@
     // Cancelled at revision 7; the head was written again at 9; the last write
     // landed at 10.
     f.ask(1, "POST", "/submissions/j-1/abort");
-    f.share()
+    f.shard()
         .jobs
         .get_mut(&id)
         .expect("it is there")
@@ -40,18 +40,18 @@
         .get_mut(&0)
         .expect("a head")
         .stamp = 9;
-    let failed = json!({"failed": [live_key(f.share, &id, 0)], "ledger_rev": 10});
+    let failed = json!({"failed": [live_key(f.shard, &id, 0)], "ledger_rev": 10});
     f.answer(is_txn, 409, &failed);
     f.answer(is_fix, 404, &json!({"ledger_rev": 10}));
-    let spec = f.share().jobs[&id].spec.clone();
+    let spec = f.shard().jobs[&id].spec.clone();
     let rec = JobRecord {
         spec: (*spec).clone(),
-        share: f.share,
+        shard: f.shard,
         stage: JobStage::Cancelled,
     };
     let found = json!({"key": job_key(&id), "data": rec, "stamp": 7});
     f.answer(is_final, 200, &found);
-    assert!(!f.share().jobs.contains_key(&id), "it is over");
+    assert!(!f.shard().jobs.contains_key(&id), "it is over");
     let head = |cancelled, block| JobHeadRecord {
         spec: (*spec).clone(),
         cancelled,
@@ -73,14 +73,14 @@
         let changes = Changes {
             revision: version,
             events: vec![Change::Put {
-                put: live_key(f.share, &id, 0),
+                put: live_key(f.shard, &id, 0),
                 value: to_value(head).expect("a record"),
                 version,
             }],
         };
         let body = serde_json::to_vec(&changes).expect("changes");
-        let Fixture { node, share, .. } = &mut f;
-        let ours = node.shares.get_mut(share).expect("it is ours");
+        let Fixture { node, shard, .. } = &mut f;
+        let ours = node.shards.get_mut(shard).expect("it is ours");
         ours.on_watch(&mut node.ctx, 0, 200, &body);
         assert!(!ours.jobs.contains_key(&id), "{name}");
     }
@@ -94,29 +94,29 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, sent);
-        let binding: &Binding = &f.share().jobs[&id].bound[&0];
+        let binding: &Binding = &f.shard().jobs[&id].bound[&0];
         assert_eq!(binding.sent, sent);
         let rec = JobRecord {
-            spec: (*f.share().jobs[&id].spec).clone(),
-            share: f.share,
+            spec: (*f.shard().jobs[&id].spec).clone(),
+            shard: f.shard,
             stage: JobStage::Cancelled,
         };
         let body = json!({"key": job_key(&id), "data": rec, "stamp": 7}).to_string();
         let crate::node::Node {
-            shares,
+            shards,
             ctx,
             finals,
             ..
         } = &mut f.node;
-        let share = shares.get_mut(&f.share).expect("it is ours");
-        share.on_final(ctx, finals, &id, 200, body.as_bytes());
-        assert_eq!(share.jobs.contains_key(&id), kept, "{sent:?}");
-        let used = !share.quotas[0].used.is_zero();
+        let shard = shards.get_mut(&f.shard).expect("it is ours");
+        shard.on_final(ctx, finals, &id, 200, body.as_bytes());
+        assert_eq!(shard.jobs.contains_key(&id), kept, "{sent:?}");
+        let used = !shard.quotas[0].used.is_zero();
         assert_eq!(used, kept, "{sent:?}: the quota");
     }
 }
 
-/// The records of a share's jobs, as the state service would have them.
+/// The records of a shard's jobs, as the state service would have them.
 #[derive(Clone, Default)]
 struct Records {
     items: std::collections::BTreeMap<String, Item>,
@@ -125,9 +125,9 @@
 
 impl Records {
     /// Carries out a transaction, and answers it.
-    fn carry_out(&mut self, txn: &Txn, share_key: &str) -> (u16, serde_json::Value) {
+    fn carry_out(&mut self, txn: &Txn, shard_key: &str) -> (u16, serde_json::Value) {
         let version = |key: &str| self.items.get(key).map_or(0, |i| i.version);
-        let holds = |c: &&Cond| c.key != share_key && version(&c.key) != c.version;
+        let holds = |c: &&Cond| c.key != shard_key && version(&c.key) != c.version;
         let failed: Vec<String> = txn
             .conds
             .iter()
@@ -168,7 +168,7 @@
 type Tasks = (Vec<(u32, u32)>, Vec<(u32, u64)>);
 
 fn tasks_of(f: &mut Fixture, id: &JobId) -> Tasks {
-    let job = &f.share().jobs[id];
+    let job = &f.shard().jobs[id];
     let bound = job.bound.iter().map(|(i, b)| (*i, b.attempt)).collect();
     (job.done.within(0, job.spec.tasks), bound)
 }
@@ -176,7 +176,7 @@
 /// Answers every transaction that is sent until none is left; after each, all
 /// that is recorded is looked at.
 fn settle(f: &mut Fixture, records: &mut Records, mut look: impl FnMut(&Records)) {
-    let share_key = share_key(f.share);
+    let shard_key = shard_key(f.shard);
     let mut steps = 0;
     let mut effects = Vec::new();
     while steps < 200 || !effects.is_empty() {
@@ -190,7 +190,7 @@
             let is_of_jobs =
                 |w: &Write| w.key().starts_with("live/") || w.key().starts_with("job/");
             let (status, reply) = match txn.writes.iter().all(is_of_jobs) {
-                true => records.carry_out(&txn, &share_key),
+                true => records.carry_out(&txn, &shard_key),
                 false => (200, json!({"ledger_rev": records.revision})),
             };
             look(records);
@@ -260,10 +260,10 @@
         };
         records.items.insert(key, item);
     };
-    put(live_key(f.share, id, 0), to_value(head).expect("a head"));
+    put(live_key(f.shard, id, 0), to_value(head).expect("a head"));
     for b in 1..=layout.block_of(tasks - 1) {
         let value = to_value(block(b)).expect("a block");
-        put(live_key(f.share, id, b), value);
+        put(live_key(f.shard, id, b), value);
     }
     records
 }
@@ -334,23 +334,23 @@
     let mut records = old_records(&mut f, &id, 300);
     f.load(records.live());
     f.finalize_format();
-    let job = f.share().jobs.get_mut(&id).expect("it is there");
+    let job = f.shard().jobs.get_mut(&id).expect("it is there");
     let version = job.touch(job.block_of(index));
-    f.share().dirty.touch(&id);
-    let share_key = share_key(f.share);
+    f.shard().dirty.touch(&id);
+    let shard_key = shard_key(f.shard);
     let mut durable = Vec::new();
     let mut effects = f.step(1_000);
     for _ in 0..100 {
         for (call, body) in std::mem::take(&mut effects).iter().filter_map(txn_of) {
             let txn: Txn = serde_json::from_slice(&body).expect("a transaction");
-            let (status, reply) = records.carry_out(&txn, &share_key);
+            let (status, reply) = records.carry_out(&txn, &shard_key);
             let body = reply.to_string().into_bytes();
             let answer = Input::Answer { call, status, body };
             let now = f.node.ctx.now;
             effects.extend(f.node.step(now, WALL, vec![answer]));
-            let head = &records.items[&live_key(f.share, &id, 0)];
+            let head = &records.items[&live_key(f.shard, &id, 0)];
             let is_named = head.value.get("layout").is_some();
-            let is_durable = f.share().jobs[&id].is_durable(index, version);
+            let is_durable = f.shard().jobs[&id].is_durable(index, version);
             durable.push(is_durable);
             assert!(is_named || !is_durable, "before the head was written");
         }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::bounds::Bounds;
 use crate::format::FormatVersion;
-use crate::records::ShareId;
+use crate::records::ShardId;
 use crate::Ms;
 use forkshift_links::Timing;
 use forkshift_pools::Pools;
@@ -20,14 +20,14 @@
     pub round_s: f64,
     /// Least seconds between two rounds that arrivals set off.
     pub round_gap_s: f64,
-    /// Seconds between two looks of the leader at the shares.
+    /// Seconds between two looks of the leader at the shards.
     pub assign_s: f64,
     /// Spare places for classes with a short wait, as a multiple of what
     /// arrives while a machine boots.
     pub spare: f64,
-    /// An empty machine is returned after this share of its boot time.
+    /// An empty machine is returned after this shard of its boot time.
     pub idle_boots: f64,
-    /// A silent machine is given up after this share of a lease.
+    /// A silent machine is given up after this shard of a lease.
     pub silent_leases: f64,
     /// The largest fleet that is expected, in machines. Limits too small for it are
     /// reported.
@@ -65,8 +65,8 @@
     pub guarantee: Resources,
     /// Its limit.
     pub limit: Resources,
-    /// The share that its jobs belong to.
-    pub share: ShareId,
+    /// The shard that its jobs belong to.
+    pub shard: ShardId,
 }
 
 /// Limits of the state service.
@@ -224,8 +224,8 @@
         self.nodes.iter().filter(|n| **n != self.node)
     }
 
-    /// Number of shares.
-    pub fn shares(&self) -> u32 {
+    /// Number of shards.
+    pub fn shards(&self) -> u32 {
         self.nodes.len() as u32
     }
 
@@ -278,7 +278,7 @@
     }
 
     /// How long a controller's own lease at the state service lives: a crash
-    /// must be noticed, and its share loaded elsewhere, well within the lease
+    /// must be noticed, and its shard loaded elsewhere, well within the lease
     /// of the workers that reported to it.
     pub fn node_lease_ms(&self) -> Ms {
         (self.lease_ms / 4).clamp(2_000, 5_000)
@@ -303,32 +303,32 @@
     times
 }
 
-/// Spreads the teams over the shares by their guarantees, the largest first.
+/// Spreads the teams over the shards by their guarantees, the largest first.
 /// Every controller comes to the same result from the same settings.
-fn spread_teams(teams: &[forkshift_wire::settings::Team], shares: usize) -> BTreeMap<String, Team> {
+fn spread_teams(teams: &[forkshift_wire::settings::Team], shards: usize) -> BTreeMap<String, Team> {
     let sum =
         |f: fn(&forkshift_wire::settings::Team) -> f64| teams.iter().map(f).sum::<f64>().max(1e-9);
     let (cpus, gpus) = (sum(|t| t.cpus), sum(|t| t.gpus));
     let weight = |t: &forkshift_wire::settings::Team| t.cpus / cpus + t.gpus / gpus;
     let mut order: Vec<&forkshift_wire::settings::Team> = teams.iter().collect();
     order.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.name.cmp(&b.name)));
-    let mut load = vec![0.0; shares];
+    let mut load = vec![0.0; shards];
     let mut spread = BTreeMap::new();
     for team in order {
-        let mut share = 0;
-        for k in 1..shares {
-            if load[k] < load[share] {
-                share = k;
+        let mut shard = 0;
+        for k in 1..shards {
+            if load[k] < load[shard] {
+                shard = k;
             }
         }
-        load[share] += weight(team).max(1e-6);
+        load[shard] += weight(team).max(1e-6);
         spread.insert(
             team.name.clone(),
             Team {
                 name: team.name.clone(),
                 guarantee: Resources::new(team.cpus, team.gpus, 0.0),
                 limit: Resources::new(team.cpus_max, team.gpus_max, 0.0),
-                share: ShareId(share as u32),
+                shard: ShardId(shard as u32),
             },
         );
     }
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -9,7 +9,7 @@
 use crate::names::{ImageNames, PlaceNames};
 use crate::overflow::OverflowLog;
 use crate::pending::Pending;
-use crate::records::{DemandRecord, ShareId};
+use crate::records::{DemandRecord, ShardId};
 use crate::store::{StateCall, Store, Urgency};
 use crate::Ms;
 use forkshift_links::{CloudLink, Links, Redirects, RelayTable};
@@ -57,8 +57,8 @@
     pub(crate) pending: HashMap<CallId, Pending>,
     /// Inputs that the controller makes for itself: calls that never went out.
     pub(crate) refused: Vec<Pending>,
-    /// Unmet demand of our own shares, while we are the leader.
-    pub(crate) unmet_demand: Vec<(ShareId, u64, DemandRecord)>,
+    /// Unmet demand of our own shards, while we are the leader.
+    pub(crate) unmet_demand: Vec<(ShardId, u64, DemandRecord)>,
     /// Requests that other controllers have passed on.
     pub(crate) remote: BTreeMap<RequestId, Remote>,
     /// Whether we may answer from memory, as of this step.
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -1,4 +1,4 @@
-//! The unmet demand of a share: what found no room on machines that are there or
+//! The unmet demand of a shard: what found no room on machines that are there or
 //! to come, and spare places that are missing. The leader is told of it.
 
 use crate::context::Context;
@@ -8,7 +8,7 @@
 use crate::pools::{open_reservations, Coming};
 use crate::records::{demand_key, total_of, DemandRecord, ShapeRecord};
 use crate::rounds::{host, names};
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::store::Urgency;
 use crate::view::View;
 use crate::Ms;
@@ -24,15 +24,15 @@
 const SOON_BOOTS: f64 = 0.8;
 
 /// A machine that is not up after this many boots is overdue: it is not waited
-/// for, and its share asks for another one.
+/// for, and its shard asks for another one.
 pub(crate) const OVERDUE_BOOTS: f64 = 1.5;
 
 /// The part of the changes at the state service that goes into records of unmet demand.
 const DEMAND_PART: f64 = 0.05;
 
-impl Share {
+impl Shard {
     /// Books what found no room on machines that are still to come; what is
-    /// left then, and spare places, are the share's unmet demand.
+    /// left then, and spare places, are the shard's unmet demand.
     pub(crate) fn compute_unmet_demand(
         &mut self,
         ctx: &mut Context,
@@ -366,7 +366,7 @@
             ctx.overflows.note(ctx.now, Overflow::Demand);
         }
         let body = Body::Demand {
-            share: self.id.0,
+            shard: self.id.0,
             demand: serde_json::to_string(&cut).unwrap_or_default(),
         };
         ctx.tell(&leader.node, self.epoch, body);
@@ -375,8 +375,8 @@
     fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRecord) {
         self.tell_demand(ctx, view, &rec);
         // The record is for a leader that our messages do not reach.
-        let shares = f64::from(ctx.cfg.shares());
-        let pause = crate::ms(shares / (ctx.limits.write_rps * DEMAND_PART)).max(1_500);
+        let shards = f64::from(ctx.cfg.shards());
+        let pause = crate::ms(shards / (ctx.limits.write_rps * DEMAND_PART)).max(1_500);
         let unseen = self.demand_putting || view.revision < self.demand_from;
         if unseen || ctx.now < self.demand_at + pause {
             return;
@@ -392,7 +392,7 @@
         self.demand_putting = true;
         self.demand_at = ctx.now;
         log::debug!(
-            "share {}: unmet demand {:?}, {:?} wait now",
+            "shard {}: unmet demand {:?}, {:?} wait now",
             self.id,
             rec.shapes,
             rec.now
@@ -404,8 +404,8 @@
                 to_value(rec).unwrap_or_default(),
             )],
         };
-        let share = self.id;
-        ctx.txn(Urgency::Later, &txn, Pending::Demand { share });
+        let shard = self.id;
+        ctx.txn(Urgency::Later, &txn, Pending::Demand { shard });
     }
 }
 
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -18,8 +18,8 @@
 use crate::known_jobs::FinalStage;
 use crate::node::{holder_of, holder_of_mut, Node};
 use crate::pending::Pending;
-use crate::records::{job_key, ShareId};
-use crate::share::Phase;
+use crate::records::{job_key, ShardId};
+use crate::shard::Phase;
 use crate::store::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
@@ -47,8 +47,8 @@
     is_reading: bool,
     /// As of when it is known that it was not over.
     unfinished_at: Ms,
-    /// Its share, if it was read there.
-    share: Option<ShareId>,
+    /// Its shard, if it was read there.
+    shard: Option<ShardId>,
 }
 
 /// Jobs that jobs of ours wait for.
@@ -67,7 +67,7 @@
             dependents: BTreeSet::new(),
             is_reading: false,
             unfinished_at: now,
-            share: None,
+            shard: None,
         });
         entry.dependents.insert(dependent.clone());
         self.reads.touch(dependency);
@@ -134,15 +134,15 @@
     }
 
     fn register_blocked_jobs(&mut self) {
-        let mut new: Vec<(ShareId, JobId)> = Vec::new();
-        for (k, share) in &mut self.shares {
-            if share.phase == Phase::Active {
-                let ids = std::mem::take(&mut share.new_blocked_jobs);
+        let mut new: Vec<(ShardId, JobId)> = Vec::new();
+        for (k, shard) in &mut self.shards {
+            if shard.phase == Phase::Active {
+                let ids = std::mem::take(&mut shard.new_blocked_jobs);
                 new.extend(ids.into_iter().map(|id| (*k, id)));
             }
         }
         for (k, id) in new {
-            let job = self.shares.get(&k).and_then(|s| s.jobs.get(&id));
+            let job = self.shards.get(&k).and_then(|s| s.jobs.get(&id));
             let Some(job) = job.filter(|j| j.is_blocked() && !j.cancelled) else {
                 continue;
             };
@@ -174,28 +174,28 @@
     fn resolve(&mut self, dependent: &JobId, dependency: &JobId, stage: JobStage) {
         if stage != JobStage::Cancelled {
             let now = self.ctx.now;
-            let Node { shares, ctx, .. } = self;
-            let Some(share) = holder_of_mut(shares, dependent) else {
+            let Node { shards, ctx, .. } = self;
+            let Some(shard) = holder_of_mut(shards, dependent) else {
                 return;
             };
-            let job = share.jobs.get_mut(dependent);
+            let job = shard.jobs.get_mut(dependent);
             if job.is_some_and(|job| job.resolve(dependency, now)) {
                 log::debug!("job {dependent}: ready, {dependency} is done");
-                share.hurry(ctx);
+                shard.hurry(ctx);
             }
             return;
         }
         let mut cancelled = vec![dependent.clone()];
         while let Some(id) = cancelled.pop() {
-            let Node { shares, ctx, .. } = self;
-            let Some(share) = holder_of_mut(shares, &id) else {
+            let Node { shards, ctx, .. } = self;
+            let Some(shard) = holder_of_mut(shards, &id) else {
                 continue;
             };
-            if share.jobs.get(&id).is_none_or(|j| j.cancelled) {
+            if shard.jobs.get(&id).is_none_or(|j| j.cancelled) {
                 continue;
             }
             log::info!("job {id}: cancelled with {dependency}");
-            share.cancel(ctx, &id);
+            shard.cancel(ctx, &id);
             cancelled.extend(self.dependencies.dependents_of(&id).cloned());
         }
     }
@@ -233,15 +233,15 @@
         let pause = self.dependencies.pause(&self.ctx);
         for id in self.dependencies.reads.take(self.ctx.now) {
             self.ctx.visits += 1;
-            let shares = &self.shares;
+            let shards = &self.shards;
             let waits = |dependent: &JobId| {
-                let job = shares.values().find_map(|s| s.jobs.get(dependent));
+                let job = shards.values().find_map(|s| s.jobs.get(dependent));
                 job.is_some_and(|j| j.unresolved.contains(&id) && !j.cancelled)
             };
             let Some(dependency) = self.dependencies.waiting.get_mut(&id) else {
                 continue;
             };
-            // Their share may have gone to another holder.
+            // Their shard may have gone to another holder.
             dependency.dependents.retain(waits);
             if dependency.dependents.is_empty() {
                 self.dependencies.waiting.remove(&id);
@@ -249,7 +249,7 @@
             }
             self.dependencies.reads.wake(&id, self.ctx.now + pause);
             // Of our own jobs we know at once.
-            if dependency.is_reading || holder_of(shares, &id).is_some() {
+            if dependency.is_reading || holder_of(shards, &id).is_some() {
                 continue;
             }
             dependency.is_reading = true;
@@ -278,8 +278,8 @@
             return;
         }
         dependency.unfinished_at = dependency.unfinished_at.max(sent);
-        dependency.share = Some(record.share);
-        self.tell_needed(id, record.share);
+        dependency.shard = Some(record.shard);
+        self.tell_needed(id, record.shard);
     }
 
     /// Whether all that a blocked job waits for is known not to have been
@@ -289,7 +289,7 @@
         let is_certain = |id: &JobId| {
             let dependency = self.dependencies.waiting.get(id);
             let since = dependency.map(|d| d.unfinished_at);
-            holder_of(&self.shares, id).is_some() || since.is_none_or(|t| self.ctx.now < t + most)
+            holder_of(&self.shards, id).is_some() || since.is_none_or(|t| self.ctx.now < t + most)
         };
         job.unresolved.iter().all(is_certain)
     }
@@ -298,14 +298,14 @@
     /// themselves.
     fn raise(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
         while let Some(id) = jobs.pop() {
-            let Some(share) = holder_of_mut(&mut self.shares, &id) else {
-                let share = self.dependencies.waiting.get(&id).and_then(|d| d.share);
-                if let Some(share) = share {
-                    self.tell_needed(&id, share);
+            let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
+                let shard = self.dependencies.waiting.get(&id).and_then(|d| d.shard);
+                if let Some(shard) = shard {
+                    self.tell_needed(&id, shard);
                 }
                 continue;
             };
-            let Some(job) = share.jobs.get_mut(&id) else {
+            let Some(job) = shard.jobs.get_mut(&id) else {
                 continue;
             };
             if job.inherited_priority >= priority {
@@ -313,14 +313,14 @@
             }
             job.inherited_priority = priority;
             jobs.extend(job.unresolved.iter().cloned());
-            share.hurry(&self.ctx);
+            shard.hurry(&self.ctx);
         }
     }
 
     /// Tells the holder of a dependency how urgently it is needed here.
-    fn tell_needed(&mut self, id: &JobId, share: ShareId) {
+    fn tell_needed(&mut self, id: &JobId, shard: ShardId) {
         let dependents = self.dependencies.dependents_of(id);
-        let jobs = dependents.filter_map(|d| self.shares.values().find_map(|s| s.jobs.get(d)));
+        let jobs = dependents.filter_map(|d| self.shards.values().find_map(|s| s.jobs.get(d)));
         let Some(priority) = jobs.map(Job::priority).max() else {
             return;
         };
@@ -328,7 +328,7 @@
             id: id.to_string(),
             priority: priority as u8,
         };
-        self.tell_holder(share, body);
+        self.tell_holder(shard, body);
     }
 
     /// A job of ours is needed by one that another controller holds.
@@ -342,7 +342,7 @@
         let (Some(id), Some(priority)) = (JobId::parse(id), ALL.get(usize::from(priority))) else {
             return;
         };
-        if holder_of(&self.shares, &id).is_some() {
+        if holder_of(&self.shards, &id).is_some() {
             self.raise(vec![id], *priority);
         }
     }
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -13,7 +13,7 @@
     JobId::new(&format!("j-{n}"))
 }
 
-/// A job of the share that needs these, as it was accepted.
+/// A job of the shard that needs these, as it was accepted.
 fn add(f: &mut Fixture, n: u32, needs: &[u32], priority: Priority) {
     let team = team_of(f);
     let spec = JobSpec {
@@ -21,9 +21,9 @@
         priority,
         ..spec(&id(n), &team, JobKind::Array, 1)
     };
-    let Node { shares, ctx, .. } = &mut f.node;
-    let share = shares.get_mut(&f.share).expect("it is ours");
-    share.add_job(ctx, spec, None, 5_000_000, 6);
+    let Node { shards, ctx, .. } = &mut f.node;
+    let shard = shards.get_mut(&f.shard).expect("it is ours");
+    shard.add_job(ctx, spec, None, 5_000_000, 6);
     f.step(0);
 }
 
@@ -35,7 +35,7 @@
     let team = team_of(f);
     let rec = JobRecord {
         spec: spec(&id(n), &team, JobKind::Array, 1),
-        share: f.share,
+        shard: f.shard,
         stage,
     };
     json!({"key": job_key(&id(n)), "data": rec, "stamp": 7})
@@ -60,7 +60,7 @@
             f.finalize_format();
             add(&mut f, 1, &[2], Priority::Normal);
             f.step(2_000);
-            let job = &f.share().jobs[&id(1)];
+            let job = &f.shard().jobs[&id(1)];
             assert!(job.is_blocked() && job.bound.is_empty(), "{name}: blocked");
             match source {
                 Source::OwnWrite => f.node.finals.insert_written(id(2), stage),
@@ -86,7 +86,7 @@
             let token = f.token();
             f.report(1, token, &[]);
             f.step(1_000);
-            let job = &f.share().jobs[&id(1)];
+            let job = &f.shard().jobs[&id(1)];
             assert_eq!(job.cancelled, stage == JobStage::Cancelled, "{name}");
             assert_eq!(job.bound.len(), usize::from(!job.cancelled), "{name}");
         }
@@ -101,11 +101,11 @@
     add(&mut f, 1, &[2, 3], Priority::Normal);
     f.node.on_job_over_message("j-2", false);
     f.step(10_000);
-    assert!(f.share().jobs[&id(1)].is_blocked());
+    assert!(f.shard().jobs[&id(1)].is_blocked());
     f.node.on_job_over_message("j-3", false);
     f.step(0);
     let now = f.node.ctx.now;
-    let job = &f.share().jobs[&id(1)];
+    let job = &f.shard().jobs[&id(1)];
     assert!(!job.is_blocked());
     assert_eq!(job.age(now), 0);
 }
@@ -123,7 +123,7 @@
     }
     f.node.on_job_over_message("j-100", true);
     f.step(0);
-    let cancelled = |f: &mut Fixture, n| f.share().jobs.get(&id(n)).is_none_or(|j| j.cancelled);
+    let cancelled = |f: &mut Fixture, n| f.shard().jobs.get(&id(n)).is_none_or(|j| j.cancelled);
     let all: Vec<bool> = (1..=length).map(|n| cancelled(&mut f, n)).collect();
     assert!(all[100..].iter().all(|c| *c), "what follows");
     assert!(all[..99].iter().all(|c| !c), "what precedes");
@@ -144,20 +144,20 @@
         add(&mut f, 3, &[2], Priority::High);
         add(&mut f, 4, &[2], Priority::Normal);
         for n in 1..=3 {
-            let priority = f.share().jobs[&id(n)].priority();
+            let priority = f.shard().jobs[&id(n)].priority();
             assert_eq!(priority, Priority::High, "j-{n}, late {late}");
         }
-        assert_eq!(f.share().jobs[&id(4)].priority(), Priority::Normal);
+        assert_eq!(f.shard().jobs[&id(4)].priority(), Priority::Normal);
     }
     // Of another controller's jobs it is told.
     let mut f = Fixture::new();
     f.finalize_format();
     add(&mut f, 1, &[], Priority::Low);
     f.node.on_needed_message("j-1", Priority::High as u8);
-    assert_eq!(f.share().jobs[&id(1)].priority(), Priority::High);
+    assert_eq!(f.shard().jobs[&id(1)].priority(), Priority::High);
     f.node.on_needed_message("j-1", 200);
     f.node.on_needed_message("no id", 1);
-    assert_eq!(f.share().jobs[&id(1)].priority(), Priority::High);
+    assert_eq!(f.shard().jobs[&id(1)].priority(), Priority::High);
 }
 
 /// After a takeover a job that has begun waits for nothing; any other reads its
@@ -168,10 +168,10 @@
         let mut f = Fixture::new();
         f.finalize_format();
         add(&mut f, 1, &[2], Priority::Normal);
-        let job = f.share().jobs.get_mut(&id(1)).expect("it is there");
+        let job = f.shard().jobs.get_mut(&id(1)).expect("it is there");
         job.blocks.get_mut(&0).expect("a head").next = next;
         let head = job.head_rec();
-        let key = crate::records::live_key(f.share, &id(1), 0);
+        let key = crate::records::live_key(f.shard, &id(1), 0);
         let value = serde_json::to_value(head).expect("a record");
         let item = forkshift_wire::state::Item {
             key,
@@ -182,7 +182,7 @@
         f.finalize_format();
         f.load(vec![item]);
         f.step(0);
-        assert_eq!(f.share().jobs[&id(1)].is_blocked(), is_blocked, "{next}");
+        assert_eq!(f.shard().jobs[&id(1)].is_blocked(), is_blocked, "{next}");
         let reads = f.node.ctx.pending.values().filter(|p| is_read(p)).count();
         assert_eq!(reads, usize::from(is_blocked), "{next}");
     }
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -9,7 +9,7 @@
 use crate::job::Job;
 use crate::records::total_of;
 use crate::rounds::pending_tasks_of;
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::view::View;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources};
@@ -27,7 +27,7 @@
 /// A replica is moved only to where its image is, or is fetched within this
 /// many reports.
 const FETCH_REPORTS: f64 = 1.0;
-/// One in so many machines of a share is drained at a time, and at least three.
+/// One in so many machines of a shard is drained at a time, and at least three.
 const DRAINING_PART: usize = 64;
 const DRAINING_LEAST: usize = 3;
 /// One in so many machines is tried in a round: each try goes over all of them.
@@ -47,7 +47,7 @@
     zones: BTreeMap<MachineId, u16>,
 }
 
-impl Share {
+impl Shard {
     /// Drains the machine that wastes most, if its tasks fit elsewhere.
     /// `hosts` shows what is left of the usable machines once everything
     /// that waits, and the spare places, are booked.
@@ -84,7 +84,7 @@
         }
     }
 
-    /// One in so many of the share's machines.
+    /// One in so many of the shard's machines.
     fn at_a_time(&self, part: usize, least: usize) -> usize {
         part_of_machines(self.machines.len(), part, least)
     }
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -8,7 +8,7 @@
 use crate::blame::well_after;
 use crate::context::Context;
 use crate::job::{Binding, Sent, Stop};
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::workers::{ExitCause, Report, TaskReport, TaskStage};
@@ -18,9 +18,9 @@
 /// Pause before a start that was refused for another reason is tried again.
 const REFUSED_PAUSE: Ms = 2_000;
 
-impl Share {
+impl Shard {
     /// Takes in a message. Returns false if it is an old copy, or is not
-    /// about a machine of this share.
+    /// about a machine of this shard.
     pub(crate) fn ingest(&mut self, ctx: &mut Context, report: &Report) -> bool {
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return false;
--- a/crates/core/src/evidence/tests.rs
+++ b/crates/core/src/evidence/tests.rs
@@ -93,15 +93,15 @@
         let used = f.token();
         f.bind(&id, 0, sent(used));
         let machine = f.machine.clone();
-        f.share()
+        f.shard()
             .machines
             .get_mut(&machine)
             .expect("it is there")
             .calling = true;
         f.report(session, used.saturating_add_signed(token), &[]);
-        let is_gone = f.share().jobs[&id].bound.is_empty();
+        let is_gone = f.shard().jobs[&id].bound.is_empty();
         assert_eq!(is_gone, gone, "{name}");
-        let free = f.share().quotas[0].used.is_zero();
+        let free = f.shard().quotas[0].used.is_zero();
         assert_eq!(free, gone, "{name}: its place in the quota");
     }
 }
@@ -116,21 +116,21 @@
         let mut copy = f.message(session, token, &[]);
         f.report(1, token, &[]);
         copy.seq += later * 2;
-        let Fixture { node, share, .. } = &mut f;
-        let ours = node.shares.get_mut(share).expect("it is ours");
+        let Fixture { node, shard, .. } = &mut f;
+        let ours = node.shards.get_mut(shard).expect("it is ours");
         let is_taken = ours.ingest(&mut node.ctx, &copy);
         assert_eq!(is_taken, taken, "session {session}, {later} later");
     }
 }
 
-/// The tokens of a new holder are above those of earlier holders of the share,
-/// and of the shares that the machine belonged to before.
+/// The tokens of a new holder are above those of earlier holders of the shard,
+/// and of the shards that the machine belonged to before.
 #[test]
 fn a_new_holders_tokens_are_above_all_earlier_ones() {
     let mut f = Fixture::new();
     let machine = f.machine.clone();
     let rec: MachineRecord = f.node.view.machines[&machine].rec.clone();
-    let ours = f.share().epoch << crate::share::TOKEN_BITS;
+    let ours = f.shard().epoch << crate::shard::TOKEN_BITS;
     for (floor, least) in [
         (0, ours),
         (ours - 1, ours),
@@ -141,7 +141,7 @@
             floor,
             ..rec.clone()
         };
-        assert_eq!(f.share().first_token(&rec), least, "floor {floor}");
+        assert_eq!(f.shard().first_token(&rec), least, "floor {floor}");
     }
 }
 
@@ -152,13 +152,13 @@
     for cancelled in [false, true] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        f.share().jobs.get_mut(&id).expect("it is there").cancelled = cancelled;
+        f.shard().jobs.get_mut(&id).expect("it is there").cancelled = cancelled;
         let token = f.token();
         f.report(1, token, &[(&id, 0, TaskStage::Running)]);
-        let bound = f.share().jobs[&id].bound.len();
+        let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, usize::from(!cancelled), "cancelled: {cancelled}");
         let machine = f.machine.clone();
-        let orphans = f.share().machines[&machine].orphans.len();
+        let orphans = f.shard().machines[&machine].orphans.len();
         assert_eq!(orphans, usize::from(cancelled), "cancelled: {cancelled}");
     }
 }
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Failure detection: what it means that machines send no reports.
 //!
 //! One machine that is silent has failed, as far as its holder can tell, and
-//! is replaced. Many at once have another cause. If all of them are silent, the holder itself is cut off from its workers: it gives its shares
+//! is replaced. Many at once have another cause. If all of them are silent, the holder itself is cut off from its workers: it gives its shards
 //! to a controller that may hear them, and does not have a whole fleet
 //! deleted. If nearly all machines of one zone are, the zone is cut off; what
 //! runs there goes on while controllers inside answer (`Node::keeps`), and
@@ -11,7 +11,7 @@
 use crate::context::Context;
 use crate::machine::Machine;
 use crate::node::Node;
-use crate::share::{Phase, Share};
+use crate::shard::{Phase, Shard};
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
 use forkshift_wire::NodeName;
@@ -149,7 +149,7 @@
     }
 }
 
-impl Share {
+impl Shard {
     /// Counts machines that should report, and those that do not, by zone.
     fn count_machines(&self, ctx: &Context, zones: &mut BTreeMap<u16, Count>) {
         let quiet = (ctx.silent_part_ms() / 2).max(ctx.cfg.longest_report_ms());
@@ -175,7 +175,7 @@
             count.silent += u32::from(is_silent);
             if is_silent || unheard {
                 // That calls don't reach it tells nothing more. Counted, the machines
-                // of a zone that was cut off once had their holder hand its shares over.
+                // of a zone that was cut off once had their holder hand its shards over.
                 count.unheard += 1;
                 continue;
             }
@@ -204,8 +204,8 @@
         self.send_heartbeats();
         self.ask_for_relays();
         let mut zones: BTreeMap<u16, Count> = BTreeMap::new();
-        for share in self.shares.values().filter(|s| s.phase == Phase::Active) {
-            share.count_machines(&self.ctx, &mut zones);
+        for shard in self.shards.values().filter(|s| s.phase == Phase::Active) {
+            shard.count_machines(&self.ctx, &mut zones);
         }
         let sum = zones.values().fold(Count::default(), |sum, c| sum.plus(c));
         let all = sum.all;
@@ -259,9 +259,9 @@
     fn call_untried_machines(&mut self) {
         let timing = self.ctx.cfg.link_timing();
         let now = self.ctx.now;
-        let active = self.shares.values_mut();
-        for share in active.filter(|s| s.phase == Phase::Active) {
-            let Share { machines, look, .. } = share;
+        let active = self.shards.values_mut();
+        for shard in active.filter(|s| s.phase == Phase::Active) {
+            let Shard { machines, look, .. } = shard;
             let untried = machines
                 .values_mut()
                 .filter(|m| m.heard.is_some() && !m.calling && !m.link.is_tried(now, &timing));
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Who should hold our shares while we hear no machine: a controller that
+    /// Who should hold our shards while we hear no machine: a controller that
     /// is there and hears them, or has yet to try.
     pub(crate) fn relief(&self) -> Option<NodeName> {
         let us = &self.ctx.cfg.node;
@@ -281,8 +281,8 @@
             return None;
         }
         let held = |n: &NodeName| {
-            let shares = self.view.shares.values();
-            shares.filter(|s| s.rec.holder == *n).count()
+            let shards = self.view.shards.values();
+            shards.filter(|s| s.rec.holder == *n).count()
         };
         let others = self.view.nodes.iter().filter(|(n, rec)| {
             *n != us && !rec.rec.blind && self.ctx.is_peer_there(n, rec.rec.inc)
--- a/crates/core/src/failure_detector/tests.rs
+++ b/crates/core/src/failure_detector/tests.rs
@@ -42,7 +42,7 @@
             f.step(patience / steps);
         }
         let id = f.machine.clone();
-        let condemned = f.share().machines[&id].condemned.is_some();
+        let condemned = f.shard().machines[&id].condemned.is_some();
         assert_eq!(condemned, given_up, "in {steps} steps");
     }
 }
@@ -79,7 +79,7 @@
             ..FailureDetector::default()
         };
         f.node.note_link(Link::Reports, !blind);
-        let machine = &f.node.shares[&f.share].machines[&id];
+        let machine = &f.node.shards[&f.shard].machines[&id];
         f.node.ctx.silent_after(machine)
     };
     let (alone, others_hear, nobody_hears) = (
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -1,4 +1,4 @@
-//! A controller that holds a share with a machine, for tests of what it does.
+//! A controller that holds a shard with a machine, for tests of what it does.
 
 use crate::config::{Config, Operator};
 use crate::format::FormatVersion;
@@ -7,10 +7,10 @@
 use crate::node::Node;
 use crate::pending::Pending;
 use crate::records::{
-    machine_key, node_key, share_key, type_key, LeaderRecord, MachineRecord, NodeRecord, ShareId,
-    ShareRecord, LEADER,
+    machine_key, node_key, shard_key, type_key, LeaderRecord, MachineRecord, NodeRecord, ShardId,
+    ShardRecord, LEADER,
 };
-use crate::share::{Phase, Share};
+use crate::shard::{Phase, Shard};
 use crate::view::Stamped;
 use crate::Ms;
 use forkshift_wire::settings::Settings;
@@ -27,10 +27,10 @@
 pub(crate) const WALL: Ms = 5_000_000;
 pub(crate) const EPOCH: u64 = 3;
 
-/// A controller with a right, and a share in use with one machine.
+/// A controller with a right, and a shard in use with one machine.
 pub(crate) struct Fixture {
     pub(crate) node: Node,
-    pub(crate) share: ShareId,
+    pub(crate) shard: ShardId,
     pub(crate) machine: MachineId,
     seq: u64,
 }
@@ -41,17 +41,17 @@
         let cfg = Config::new(&settings, Operator::default());
         let us = cfg.node.clone();
         let team = cfg.teams.values().next().expect("a team");
-        let (share, zone) = (team.share, settings.zone.clone());
+        let (shard, zone) = (team.shard, settings.zone.clone());
         let mut node = Node::new(cfg, 1, 1);
         let machine = MachineId::new("m-1");
-        let held = ShareRecord {
+        let held = ShardRecord {
             holder: us.clone(),
             inc: 1,
             epoch: EPOCH,
             want: None,
         };
         let record = MachineRecord {
-            share,
+            shard,
             machine_type: "big".to_owned(),
             zone: zone.clone(),
             spot: false,
@@ -78,7 +78,7 @@
         let items = vec![
             item(node_key(&us), &here, 1),
             item(LEADER.to_owned(), &lead, 2),
-            item(share_key(share), &held, 3),
+            item(shard_key(shard), &held, 3),
             item(type_key("big"), &of_type, 4),
             item(machine_key(&machine), &record, 5),
         ];
@@ -87,14 +87,14 @@
         node.view.replace(items, 5);
         node.member.on_lease(&node.ctx, NOW, 200, br#"{"hold":7}"#);
         node.member.on_node_put(7, 200, br#"{"ledger_rev":1}"#);
-        let mut ours = Share::new(&mut node.ctx, share, EPOCH, 3);
+        let mut ours = Shard::new(&mut node.ctx, shard, EPOCH, 3);
         ours.phase = Phase::Waiting(5);
         ours.activate(&mut node.ctx, &node.view);
-        node.shares.insert(share, ours);
+        node.shards.insert(shard, ours);
         node.run_failure_detector();
         let mut fixture = Self {
             node,
-            share,
+            shard,
             machine,
             seq: 0,
         };
@@ -103,14 +103,14 @@
         fixture
     }
 
-    pub(crate) fn share(&mut self) -> &mut Share {
-        self.node.shares.get_mut(&self.share).expect("it is ours")
+    pub(crate) fn shard(&mut self) -> &mut Shard {
+        self.node.shards.get_mut(&self.shard).expect("it is ours")
     }
 
     /// The token that the machine's holder uses.
     pub(crate) fn token(&mut self) -> u64 {
         let id = self.machine.clone();
-        self.share().machines[&id].token
+        self.shard().machines[&id].token
     }
 
     /// The controller loses its right.
@@ -119,14 +119,14 @@
         self.node.run_failure_detector();
     }
 
-    /// A new job of the share.
+    /// A new job of the shard.
     pub(crate) fn job(&mut self, id: &str, kind: JobKind, tasks: u32) -> JobId {
         let id = JobId::parse(id).expect("an id");
-        let team = self.share().teams.keys().next().expect("a team").clone();
+        let team = self.shard().teams.keys().next().expect("a team").clone();
         let spec = spec(&id, &team, kind, tasks);
-        let Node { shares, ctx, .. } = &mut self.node;
-        let share = shares.get_mut(&self.share).expect("it is ours");
-        share.add_job(ctx, spec, None, WALL, 6);
+        let Node { shards, ctx, .. } = &mut self.node;
+        let shard = shards.get_mut(&self.shard).expect("it is ours");
+        shard.add_job(ctx, spec, None, WALL, 6);
         id
     }
 
@@ -143,15 +143,15 @@
             since,
             running_since: None,
         };
-        self.share().bind(id, index, binding);
+        self.shard().bind(id, index, binding);
     }
 
     /// A message of the machine that lists tasks in their first attempt.
     pub(crate) fn report(&mut self, session: u64, token: u64, tasks: &[(&JobId, u32, TaskStage)]) {
         let report = self.message(session, token, tasks);
-        let Node { shares, ctx, .. } = &mut self.node;
-        let share = shares.get_mut(&self.share).expect("it is ours");
-        share.ingest(ctx, &report);
+        let Node { shards, ctx, .. } = &mut self.node;
+        let shard = shards.get_mut(&self.shard).expect("it is ours");
+        shard.ingest(ctx, &report);
     }
 
     pub(crate) fn message(
@@ -202,21 +202,21 @@
 
     /// A task on the machine has completed.
     pub(crate) fn exit_task(&mut self, id: &JobId, index: u32) {
-        let share = self.share();
-        share.unbind(id, index);
-        let job = share.jobs.get_mut(id).expect("it is there");
+        let shard = self.shard();
+        shard.unbind(id, index);
+        let job = shard.jobs.get_mut(id).expect("it is there");
         job.done.insert(index);
     }
 
-    /// Takes the share over anew, with these records.
+    /// Takes the shard over anew, with these records.
     pub(crate) fn load(&mut self, items: Vec<Item>) {
         let Node { ctx, view, .. } = &mut self.node;
-        let mut share = Share::new(ctx, self.share, EPOCH, 3);
+        let mut shard = Shard::new(ctx, self.shard, EPOCH, 3);
         let page = json!({"items": items.iter().map(|i| json!({"key": i.key, "data": i.value,
             "stamp": i.version})).collect::<Vec<_>>(), "has_next": false, "ledger_rev": 5});
-        share.on_list(ctx, 200, page.to_string().as_bytes());
-        share.activate(ctx, view);
-        self.node.shares.insert(self.share, share);
+        shard.on_list(ctx, 200, page.to_string().as_bytes());
+        shard.activate(ctx, view);
+        self.node.shards.insert(self.shard, shard);
     }
 
     /// Lets time pass.
@@ -279,9 +279,9 @@
     }
 }
 
-/// A team whose jobs belong to the share.
+/// A team whose jobs belong to the shard.
 pub(crate) fn team_of(f: &mut Fixture) -> String {
-    f.share().teams.keys().next().expect("a team").clone()
+    f.shard().teams.keys().next().expect("a team").clone()
 }
 
 /// Status and body of the answer to a request.
@@ -321,7 +321,7 @@
 
 /// Tasks of a job that are to be stopped.
 pub(crate) fn stopped(f: &mut Fixture, id: &JobId) -> Vec<u32> {
-    let bound = f.share().jobs[id].bound.iter();
+    let bound = f.shard().jobs[id].bound.iter();
     bound
         .filter(|(_, b)| b.stop.is_some())
         .map(|(index, _)| *index)
--- a/crates/core/src/format.rs
+++ b/crates/core/src/format.rs
@@ -1,4 +1,4 @@
-//! Versions of the formats that controllers of different releases share.
+//! Versions of the formats that controllers of different releases shard.
 //!
 //! During an upgrade old and new releases serve side by side on each other's
 //! records. Each controller's record names the newest format that it knows;
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -1,6 +1,6 @@
 //! Requests that another controller can answer better.
 //!
-//! A question or a cancellation goes to the holder of the job's share, who
+//! A question or a cancellation goes to the holder of the job's shard, who
 //! answers from memory by right; that saves a read of the state service, which
 //! has few to spare. While the service refuses this controller alone, all
 //! requests go to another one. The answer counts from the moment between
@@ -140,7 +140,7 @@
         };
         let us = &self.ctx.cfg.node;
         if let Some(id) = &id {
-            let ours = self.shares.values().any(|s| s.jobs.contains_key(id));
+            let ours = self.shards.values().any(|s| s.jobs.contains_key(id));
             let right = self.member.has_right(&self.ctx, &self.view);
             if self.finals.get(id).is_some() || (ours && right) {
                 return None;
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -258,7 +258,7 @@
     record_catalog(&mut f);
     transcript.add("catalog", &f.step(0));
     let intent = RentalIntent {
-        parts: vec![(f.share, 3)],
+        parts: vec![(f.shard, 3)],
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
         spot: false,
@@ -277,14 +277,14 @@
     compare(include_str!("cloud_and_workers.tsv"), &transcript.0);
 }
 
-/// A share that is taken, and a job of it that is cancelled before it is loaded.
+/// A shard that is taken, and a job of it that is cancelled before it is loaded.
 #[test]
-fn share() {
+fn shard() {
     let mut f = Fixture::new();
     f.step(0);
     let mut transcript = Transcript::default();
-    let share = f.share;
-    f.node.shares.remove(&share);
+    let shard = f.shard;
+    f.node.shards.remove(&shard);
     transcript.add("load", &f.step(10));
     let abort = request(&mut f, "POST", "/submissions/j-5/abort", "");
     transcript.add("abort", &abort);
@@ -294,10 +294,10 @@
     transcript.add("abort_recorded", &f.answer(is_lookup, 200, &job));
     let page = json!({"items": [{"key": "live/0/j-4", "data": {}, "stamp": 5}],
         "has_next": true, "ledger_rev": 6});
-    let is_list = |p: &Pending| matches!(p, Pending::ShareList { .. });
+    let is_list = |p: &Pending| matches!(p, Pending::ShardList { .. });
     transcript.add("second_page", &f.answer(is_list, 200, &page));
-    f.node.shares.remove(&share);
-    f.node.view.shares.remove(&share);
+    f.node.shards.remove(&shard);
+    f.node.view.shards.remove(&shard);
     for turn in 0..5 {
         transcript.add(&format!("assign_{turn}"), &f.step(300));
     }
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -5,7 +5,7 @@
 use crate::layout::Layout;
 use crate::records::{
     abort_key, demand_key, job_key, live_key, live_prefix, machine_key, node_key,
-    rental_intent_key, share_key, type_key, ShareId, CLUSTER, EPOCH, FINALIZED_FORMAT, LEADER,
+    rental_intent_key, shard_key, type_key, ShardId, CLUSTER, EPOCH, FINALIZED_FORMAT, LEADER,
 };
 use crate::view::View;
 use forkshift_pools::account::{head_key, HEADS, POOLS, PRICES};
@@ -28,7 +28,7 @@
 #[test]
 fn keys() {
     let job = JobId::parse("j-412").expect("an id");
-    let share = ShareId(2);
+    let shard = ShardId(2);
     let pool = PoolName::parse("exam-help").expect("a name");
     let unnamed = Layout::recorded(None, &LIMITS);
     let named = Layout::recorded(Some(40), &LIMITS);
@@ -37,21 +37,21 @@
         key("epoch", EPOCH),
         key("format", FINALIZED_FORMAT),
         key("leader", LEADER),
-        key("share", share_key(share)),
+        key("share", shard_key(shard)),
         key("node", node_key(&NodeName::new("berth-0"))),
         key("machine", machine_key(&MachineId::new("m-1"))),
         key("charter", rental_intent_key("r-1")),
         key("rig", type_key("big")),
-        key("demand", demand_key(share)),
+        key("demand", demand_key(shard)),
         key("abort", abort_key(&job)),
         key("job", job_key(&job)),
-        key("live", live_prefix(share)),
-        key("live_head", live_key(share, &job, 0)),
-        key("live_block", live_key(share, &job, 3)),
-        key("unnamed_layout_head", unnamed.key(share, &job, 0)),
-        key("unnamed_layout_block", unnamed.key(share, &job, 3)),
-        key("named_layout_head", named.key(share, &job, 0)),
-        key("named_layout_block", named.key(share, &job, 3)),
+        key("live", live_prefix(shard)),
+        key("live_head", live_key(shard, &job, 0)),
+        key("live_block", live_key(shard, &job, 3)),
+        key("unnamed_layout_head", unnamed.key(shard, &job, 0)),
+        key("unnamed_layout_block", unnamed.key(shard, &job, 3)),
+        key("named_layout_head", named.key(shard, &job, 0)),
+        key("named_layout_block", named.key(shard, &job, 3)),
         key(
             "unnamed_layout_tasks_a_block",
             unnamed.tasks_of(0).1.to_string(),
@@ -105,10 +105,10 @@
     assert_eq!(view.leader.expect("a leader").rec.inc, 5);
     assert_eq!(view.epoch.expect("an epoch").rec, 7);
     assert_eq!(view.finalized_format.expect("a format").version, 4);
-    assert_eq!(view.shares[&ShareId(2)].rec.epoch, 7);
-    assert_eq!(view.machines[&MachineId::new("m-1")].rec.share, ShareId(2));
+    assert_eq!(view.shards[&ShardId(2)].rec.epoch, 7);
+    assert_eq!(view.machines[&MachineId::new("m-1")].rec.shard, ShardId(2));
     assert_eq!(view.rental_intents["r-1"].rec.count(), 1);
     assert_eq!(view.types["big"].rec.name, "big");
-    assert_eq!(view.demands[&ShareId(2)].rec.rev, 1);
+    assert_eq!(view.demands[&ShardId(2)].rec.rev, 1);
     assert!(view.aborts.contains_key(&JobId::new("j-412")));
 }
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -5,7 +5,7 @@
 use crate::format::FormatVersion;
 use crate::records::{
     DemandRecord, JobHeadRecord, JobRecord, LeaderRecord, MachineRecord, NodeRecord, RentalIntent,
-    ShapeRecord, ShareId, ShareRecord, TaskBlockRecord,
+    ShapeRecord, ShardId, ShardRecord, TaskBlockRecord,
 };
 use forkshift_pools::account::{Asked, Miss, Price};
 use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn controllers_and_shares() {
+fn controllers_and_shards() {
     let node = |blind, format| NodeRecord {
         inc: 5,
         blind,
@@ -58,7 +58,7 @@
         node: NodeName::new("berth-0"),
         inc: 5,
     };
-    let share = |want| ShareRecord {
+    let shard = |want| ShardRecord {
         holder: NodeName::new("berth-0"),
         inc: 5,
         epoch: 7,
@@ -69,8 +69,8 @@
         stored("node_least", &node(false, FormatVersion::FIRST)),
         read::<NodeRecord>("node_fields_left_out", r#"{"inc":5}"#),
         stored("leader", &leader),
-        stored("share_full", &share(Some(NodeName::new("berth-1")))),
-        stored("share_least", &share(None)),
+        stored("share_full", &shard(Some(NodeName::new("berth-1")))),
+        stored("share_least", &shard(None)),
         stored("epoch", &7_u64),
         stored("format_1", &FormatVersion::FIRST),
         stored("format_2", &FormatVersion::DEPENDENCIES),
@@ -82,13 +82,13 @@
 
 fn machine() -> MachineRecord {
     MachineRecord {
-        share: ShareId(2),
+        shard: ShardId(2),
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
         spot: true,
         addr: Some("10.1.0.1:9000".to_owned()),
         condemned: Some("silent".to_owned()),
-        want: Some(ShareId(3)),
+        want: Some(ShardId(3)),
         floor: 4,
         images: vec![("train:7".to_owned(), 4.5)],
         pool: Some(Membership {
@@ -113,7 +113,7 @@
         ..machine()
     };
     let intent = |placed| RentalIntent {
-        parts: vec![(ShareId(2), 3), (ShareId(4), 1)],
+        parts: vec![(ShardId(2), 3), (ShardId(4), 1)],
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
         spot: true,
@@ -207,7 +207,7 @@
 fn jobs() {
     let record = |stage| JobRecord {
         spec: submission(),
-        share: ShareId(2),
+        shard: ShardId(2),
         stage,
     };
     let block = TaskBlockRecord {
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -4,7 +4,7 @@
 use crate::io::RequestId;
 use crate::layout::Layout;
 use crate::ranges::Ranges;
-use crate::records::{JobHeadRecord, ShareId, TaskBlockRecord};
+use crate::records::{JobHeadRecord, ShardId, TaskBlockRecord};
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus, Priority};
@@ -167,7 +167,7 @@
     }
 
     /// Takes over a block that an earlier holder wrote. Where its tasks are
-    /// bound is returned for the share to book.
+    /// bound is returned for the shard to book.
     pub(crate) fn restore(
         &mut self,
         block: u32,
@@ -369,15 +369,15 @@
     }
 
     /// Key of a block.
-    pub(crate) fn block_key(&self, share: ShareId, block: u32) -> String {
-        self.layout.key(share, &self.spec.id, block)
+    pub(crate) fn block_key(&self, shard: ShardId, block: u32) -> String {
+        self.layout.key(shard, &self.spec.id, block)
     }
 
     /// Begins to move the job to another layout. The new blocks are written
     /// first; the head, which then names the layout, is the point of
     /// commitment, and the old blocks are removed after it. Whoever takes the
     /// job over in between finds the old head with its old blocks.
-    pub(crate) fn move_to(&mut self, layout: Layout, share: ShareId) {
+    pub(crate) fn move_to(&mut self, layout: Layout, shard: ShardId) {
         let old_layout = self.layout;
         let old = std::mem::take(&mut self.blocks);
         self.version += 1;
@@ -386,7 +386,7 @@
         for (block, old_block) in old {
             let head_stamp = if block == 0 { old_block.stamp } else { 0 };
             if block > 0 && old_block.stamp > 0 {
-                let key = old_layout.key(share, &self.spec.id, block);
+                let key = old_layout.key(shard, &self.spec.id, block);
                 self.old_blocks.push((key, old_block.stamp));
             }
             if block > 0 && old_block.next == 0 {
--- a/crates/core/src/layout/tests.rs
+++ b/crates/core/src/layout/tests.rs
@@ -25,8 +25,8 @@
         assert_eq!(layout.to_record(), None);
     }
     let layout = Layout::unnamed(&limits(8 * 1024));
-    assert_eq!(layout.key(ShareId(2), &id, 0), "live/2/j-1");
-    assert_eq!(layout.key(ShareId(2), &id, 3), "live/2/j-1/3");
+    assert_eq!(layout.key(ShardId(2), &id, 0), "live/2/j-1");
+    assert_eq!(layout.key(ShardId(2), &id, 3), "live/2/j-1/3");
 }
 
 /// Jobs that fit stay as they are; others get a layout with keys of its own,
@@ -44,7 +44,7 @@
         assert_eq!(new.to_record().is_some(), moves, "{tasks} tasks");
         assert_eq!(new.within(&small, &spec), new, "{tasks} tasks, again");
         if moves {
-            let key = new.key(ShareId(2), &id, 1);
+            let key = new.key(ShardId(2), &id, 1);
             let name = key.rsplit('/').next().unwrap_or_default();
             assert_eq!(new.parse_block(name), Some(1));
             assert_eq!(old.parse_block(name), None);
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: assigns shares to controllers, and alone speaks to the cloud.
+//! The leader: assigns shards to controllers, and alone speaks to the cloud.
 //!
 //! Its jobs are in the modules below; each is a part of [`Leader::tick`]. Every
 //! write is conditional on the leader's own record, so that a deposed leader
@@ -13,8 +13,8 @@
 mod renting;
 
 use crate::context::Context;
-use crate::records::{abort_key, total_of, DemandRecord, ShareId, LEADER};
-use crate::share::remove_key;
+use crate::records::{abort_key, total_of, DemandRecord, ShardId, LEADER};
+use crate::shard::remove_key;
 use crate::store::Bucket;
 use crate::view::{Changed, View};
 use crate::Ms;
@@ -35,10 +35,10 @@
     bucket: Bucket,
     /// The cloud is not called before this time.
     pause_until: Ms,
-    /// When shares are assigned next.
+    /// When shards are assigned next.
     assign_at: Ms,
-    /// Shares whose new assignment is being written.
-    assigning: BTreeSet<ShareId>,
+    /// Shards whose new assignment is being written.
+    assigning: BTreeSet<ShardId>,
     /// When the catalogue is read next.
     catalog_at: Ms,
     /// When the list of machines is read next.
@@ -49,10 +49,10 @@
     renting: BTreeSet<String>,
     /// Answers of the cloud that are being written.
     outcomes: BTreeMap<String, Outcome>,
-    /// Intents that the view must show before a share's demand is looked at again.
-    acted: BTreeMap<ShareId, u64>,
-    /// Intents that are being written, with the shares that they are for.
-    intents_being_written: BTreeMap<String, Vec<ShareId>>,
+    /// Intents that the view must show before a shard's demand is looked at again.
+    acted: BTreeMap<ShardId, u64>,
+    /// Intents that are being written, with the shards that they are for.
+    intents_being_written: BTreeMap<String, Vec<ShardId>>,
     /// How many intents this start has written; part of their names.
     intents_written: u64,
     /// Machines whose deletion or removal is under way.
@@ -61,12 +61,12 @@
     seen: HashMap<MachineId, Ms>,
     /// For how many lists in a row machines have been missing.
     absent: HashMap<MachineId, u32>,
-    /// Machines asked of their shares, with the version that was asked.
+    /// Machines asked of their shards, with the version that was asked.
     lending: BTreeMap<MachineId, u64>,
     /// The revision at which lending was last considered.
     lent_rev: u64,
-    /// Demands that holders reported of their shares, under which epoch and when.
-    reported: BTreeMap<ShareId, (u64, Ms, DemandRecord)>,
+    /// Demands that holders reported of their shards, under which epoch and when.
+    reported: BTreeMap<ShardId, (u64, Ms, DemandRecord)>,
     /// Whether a demand was reported since lending was last considered.
     new_reports: bool,
     /// When lending and renting were last considered.
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -1,11 +1,11 @@
-//! Assignment of shares: every share has a live holder, and controllers that
+//! Assignment of shards: every shard has a live holder, and controllers that
 //! came back get their part again.
 
 use super::Leader;
 use crate::context::Context;
 use crate::pending::Pending;
-use crate::records::{share_key, ShareId};
-use crate::share::hand_over;
+use crate::records::{shard_key, ShardId};
+use crate::shard::hand_over;
 use crate::store::Urgency;
 use crate::view::View;
 use forkshift_wire::state::{Txn, Write};
@@ -13,21 +13,21 @@
 use serde_json::to_value;
 use std::collections::BTreeMap;
 
-/// A controller that came back is given a share after this many of its leases.
+/// A controller that came back is given a shard after this many of its leases.
 const STEADY_LEASES: u64 = 4;
 
 impl Leader {
-    /// Gives every share a holder that is alive, and brings shares back to
+    /// Gives every shard a holder that is alive, and brings shards back to
     /// controllers that have none.
     pub(super) fn assign(&mut self, ctx: &mut Context, view: &View) {
         // Who hears no worker is given nothing, as long as there are others.
         let all_blind = view.are_all_blind();
         let blind = |n: &NodeName| !all_blind && view.nodes.get(n).is_some_and(|n| n.rec.blind);
         let able = view.nodes.keys().filter(|n| !blind(n));
-        let able = able.filter(|n| Self::may_hold_shares(view, n));
+        let able = able.filter(|n| Self::may_hold_shards(view, n));
         let mut load: BTreeMap<&NodeName, u32> = able.map(|n| (n, 0)).collect();
         let mut free = Vec::new();
-        for k in (0..ctx.cfg.shares()).map(ShareId) {
+        for k in (0..ctx.cfg.shards()).map(ShardId) {
             match view.holder(k) {
                 Some(holder) => {
                     if let Some(n) = load.get_mut(holder) {
@@ -39,9 +39,9 @@
         }
         self.retain_assignable(ctx, view, &mut free);
         // All of them at once: after a crash of most controllers, workers are
-        // left with what remains of their leases. Each share takes a value of
+        // left with what remains of their leases. Each shard takes a value of
         // the epoch counter, which is written once.
-        let home = |k: &ShareId| ctx.cfg.nodes.get(k.0 as usize);
+        let home = |k: &ShardId| ctx.cfg.nodes.get(k.0 as usize);
         let most = ctx.limits.txn_ops - 1;
         let mut given = Vec::new();
         for k in free.into_iter().take(most) {
@@ -52,7 +52,7 @@
                 return;
             };
             *n += 1;
-            log::info!("share {k}: to {to}");
+            log::info!("shard {k}: to {to}");
             given.push((k, (*to).clone()));
         }
         if given.is_empty() {
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Keeps of the free shares those that can be given now. When all
+    /// Keeps of the free shards those that can be given now. When all
     /// controllers start at once, the leader waits a little for those that are
     /// not there yet, lest the first one be given everything. Where one has
-    /// stayed, shares are not kept waiting for those that may return.
-    fn retain_assignable(&self, ctx: &Context, view: &View, free: &mut Vec<ShareId>) {
-        let all_free = free.len() == ctx.cfg.shares() as usize;
+    /// stayed, shards are not kept waiting for those that may return.
+    fn retain_assignable(&self, ctx: &Context, view: &View, free: &mut Vec<ShardId>) {
+        let all_free = free.len() == ctx.cfg.shards() as usize;
         let early = all_free && ctx.now < self.active_since + ctx.cfg.node_lease_ms() / 2;
         free.retain(|k| {
             let home = ctx.cfg.nodes.get(k.0 as usize);
@@ -77,8 +77,8 @@
         });
     }
 
-    /// Asks for one share at a time from the controller that holds most, for the
-    /// one that holds least, if the difference is more than one share.
+    /// Asks for one shard at a time from the controller that holds most, for the
+    /// one that holds least, if the difference is more than one shard.
     fn balance(&mut self, ctx: &mut Context, view: &View, load: &BTreeMap<&NodeName, u32>) {
         let steady = ctx.cfg.node_lease_ms() * STEADY_LEASES;
         let ready = |n: &NodeName| {
@@ -95,31 +95,31 @@
             return;
         };
         // A wish that names somebody who is gone holds nothing up.
-        let moving = view.shares.values().any(|s| {
+        let moving = view.shards.values().any(|s| {
             let want = s.rec.want.as_ref();
             want.is_some_and(|n| view.nodes.contains_key(n))
         });
         if *most < least + 2 || moving {
             return;
         }
-        let of = view.shares.iter().filter(|(_, s)| s.rec.holder == **from);
-        let home = |k: ShareId| ctx.cfg.nodes.get(k.0 as usize) == Some(*to);
-        let Some((k, share)) = of.max_by_key(|(k, _)| home(**k)) else {
+        let of = view.shards.iter().filter(|(_, s)| s.rec.holder == **from);
+        let home = |k: ShardId| ctx.cfg.nodes.get(k.0 as usize) == Some(*to);
+        let Some((k, shard)) = of.max_by_key(|(k, _)| home(**k)) else {
             return;
         };
-        log::info!("share {k}: {from} is asked to hand it over to {to}");
-        let mut rec = share.rec.clone();
+        log::info!("shard {k}: {from} is asked to hand it over to {to}");
+        let mut rec = shard.rec.clone();
         rec.want = Some((*to).clone());
         let txn = Txn {
-            conds: self.conds(view, share_key(*k), share.version),
-            writes: vec![Write::put(share_key(*k), to_value(rec).unwrap_or_default())],
+            conds: self.conds(view, shard_key(*k), shard.version),
+            writes: vec![Write::put(shard_key(*k), to_value(rec).unwrap_or_default())],
         };
         self.assigning.insert(*k);
-        ctx.txn(Urgency::Member, &txn, Pending::SharePut(vec![*k]));
+        ctx.txn(Urgency::Member, &txn, Pending::ShardPut(vec![*k]));
     }
 
     /// The write of assignments was answered, whatever the answer.
-    pub(crate) fn on_share_put(&mut self, shares: &[ShareId]) {
-        self.assigning.retain(|k| !shares.contains(k));
+    pub(crate) fn on_shard_put(&mut self, shards: &[ShardId]) {
+        self.assigning.retain(|k| !shards.contains(k));
     }
 }
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -14,7 +14,7 @@
 use forkshift_wire::NodeName;
 use serde_json::to_value;
 
-/// Looks at the shares between two tries, and between two log lines.
+/// Looks at the shards between two tries, and between two log lines.
 const TRY_LOOKS: u32 = 4;
 const LOG_LOOKS: u32 = 20;
 
@@ -56,9 +56,9 @@
         );
     }
 
-    /// Whether a controller may hold shares. One of a release that does not
+    /// Whether a controller may hold shards. One of a release that does not
     /// know the finalized format can't read what is written.
-    pub(super) fn may_hold_shares(view: &View, name: &NodeName) -> bool {
+    pub(super) fn may_hold_shards(view: &View, name: &NodeName) -> bool {
         let node = view.nodes.get(name);
         node.is_some_and(|n| n.rec.format >= view.format())
     }
@@ -69,13 +69,13 @@
             return;
         }
         let outdated = view.nodes.keys();
-        let outdated = outdated.filter(|n| !Self::may_hold_shares(view, n));
+        let outdated = outdated.filter(|n| !Self::may_hold_shards(view, n));
         for name in outdated {
             let pause = crate::ms(ctx.cfg.ops.assign_s) * Ms::from(LOG_LOOKS);
             self.outdated_logged_at = ctx.now + pause;
             let format = view.format();
             log::error!(
-                "{name} does not know format {format}, which is finalized: it gets no share"
+                "{name} does not know format {format}, which is finalized: it gets no shard"
             );
         }
     }
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -1,9 +1,9 @@
-//! Moves free machines between shares, to where tasks wait.
+//! Moves free machines between shards, to where tasks wait.
 
 use super::{total_in, Leader};
 use crate::context::Context;
 use crate::pending::Pending;
-use crate::records::{machine_key, DemandRecord, MachineRecord, ShapeRecord, ShareId};
+use crate::records::{machine_key, DemandRecord, MachineRecord, ShapeRecord, ShardId};
 use crate::store::Urgency;
 use crate::view::{Stamped, View};
 use crate::Ms;
@@ -17,8 +17,8 @@
 const REPORT_ROUNDS: f64 = 4.0;
 
 impl Leader {
-    /// A holder reports the unmet demand of its share.
-    pub(crate) fn on_demand(&mut self, now: Ms, k: ShareId, epoch: u64, rec: DemandRecord) {
+    /// A holder reports the unmet demand of its shard.
+    pub(crate) fn on_demand(&mut self, now: Ms, k: ShardId, epoch: u64, rec: DemandRecord) {
         if self.reported.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
             self.reported.insert(k, (epoch, now, rec));
             self.new_reports = true;
@@ -26,12 +26,12 @@
     }
 
     /// Unmet demand: what holders reported lately, or else have written.
-    pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShareId, DemandRecord> {
+    pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShardId, DemandRecord> {
         let valid = crate::ms(ctx.cfg.ops.round_s * REPORT_ROUNDS);
         let written = view.demands.iter().map(|(k, d)| (*k, d.rec.clone()));
-        let mut demands: BTreeMap<ShareId, DemandRecord> = written.collect();
+        let mut demands: BTreeMap<ShardId, DemandRecord> = written.collect();
         for (k, (epoch, at, rec)) in &self.reported {
-            let current = view.shares.get(k).is_some_and(|s| s.rec.epoch == *epoch);
+            let current = view.shards.get(k).is_some_and(|s| s.rec.epoch == *epoch);
             if current && ctx.now <= at + valid {
                 demands.insert(*k, rec.clone());
             }
@@ -39,13 +39,13 @@
         demands
     }
 
-    /// Moves free machines to shares with waiting tasks: what waits takes any
+    /// Moves free machines to shards with waiting tasks: what waits takes any
     /// that is free, and spare places take what nobody else needs.
     pub(super) fn lend(
         &mut self,
         ctx: &mut Context,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRecord>,
+        demands: &BTreeMap<ShardId, DemandRecord>,
     ) {
         self.lending
             .retain(|id, v| view.machines.get(id).is_some_and(|m| m.version <= *v));
@@ -86,17 +86,17 @@
         }
     }
 
-    /// Asks the holder of a machine to hand it over to another share.
+    /// Asks the holder of a machine to hand it over to another shard.
     fn ask_for_machine(
         &mut self,
         ctx: &mut Context,
         view: &View,
         id: MachineId,
         machine: &Stamped<MachineRecord>,
-        to: ShareId,
+        to: ShardId,
     ) {
-        let from = machine.rec.share;
-        log::info!("machine {id}: asked of share {from} for share {to}");
+        let from = machine.rec.shard;
+        log::info!("machine {id}: asked of shard {from} for shard {to}");
         let mut rec = machine.rec.clone();
         rec.want = Some(to);
         let key = machine_key(&id);
@@ -108,18 +108,18 @@
         ctx.txn(Urgency::Work, &txn, Pending::Housekeeping);
     }
 
-    /// A free machine of another share that a shape may use.
+    /// A free machine of another shard that a shape may use.
     fn lendable(
         &self,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRecord>,
-        k: ShareId,
+        demands: &BTreeMap<ShardId, DemandRecord>,
+        k: ShardId,
         shape: &ShapeRecord,
         waits: bool,
     ) -> Option<MachineId> {
         let others = demands.iter().filter(|(j, _)| **j != k);
         let lists = others.flat_map(|(j, d)| {
-            // A share that has waiting tasks itself gives nothing away.
+            // A shard that has waiting tasks itself gives nothing away.
             let keeps = waits && !d.now.is_empty();
             let free = d.free.iter().filter(move |_| waits && !keeps);
             d.surplus.iter().chain(free).map(move |id| (j, id))
@@ -130,13 +130,13 @@
             .next()
     }
 
-    /// A machine of another share that holds nothing but borrowed work, for a
+    /// A machine of another shard that holds nothing but borrowed work, for a
     /// shape that may have it given back.
     fn reclaimable(
         &self,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRecord>,
-        k: ShareId,
+        demands: &BTreeMap<ShardId, DemandRecord>,
+        k: ShardId,
         shape: &ShapeRecord,
     ) -> Option<MachineId> {
         if !shape.reclaims {
@@ -153,13 +153,13 @@
             .map(|(_, id)| id.clone())
     }
 
-    /// Whether a share may be asked for a machine that suits a shape.
-    fn may_move(&self, view: &View, from: ShareId, id: &MachineId, shape: &ShapeRecord) -> bool {
+    /// Whether a shard may be asked for a machine that suits a shape.
+    fn may_move(&self, view: &View, from: ShardId, id: &MachineId, shape: &ShapeRecord) -> bool {
         let Some(rec) = view.machines.get(id).map(|m| &m.rec) else {
             return false;
         };
         let types = shape.types.as_ref();
-        rec.share == from
+        rec.shard == from
             && rec.want.is_none()
             && rec.condemned.is_none()
             && !self.lending.contains_key(id)
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -12,7 +12,7 @@
 use crate::pending::Pending;
 use crate::records::{
     machine_key, rental_intent_key, total_of, DemandRecord, MachineRecord, RentalIntent,
-    ShapeRecord, ShareId,
+    ShapeRecord, ShardId,
 };
 use crate::store::Urgency;
 use crate::view::View;
@@ -26,7 +26,7 @@
 /// Where a machine was overdue, others are asked for only if nothing as good
 /// is to be had elsewhere, for this many boots.
 const BOOTS_AVOIDED: f64 = 6.0;
-/// What an avoided zone counts for: more machines than a share ever holds.
+/// What an avoided zone counts for: more machines than a shard ever holds.
 const AVOIDED: u32 = 1 << 20;
 
 /// What the cloud has answered to a rental request, while it is written.
@@ -43,18 +43,18 @@
 /// Type and zone, by their numbers in offers, and whether it is a spot machine.
 type OfferedKind = (u16, u16, bool);
 
-/// Machines that shares hold, by type and zone.
-type Held<'a> = HashMap<(ShareId, &'a str, &'a str), u32>;
+/// Machines that shards hold, by type and zone.
+type Held<'a> = HashMap<(ShardId, &'a str, &'a str), u32>;
 
 impl Leader {
-    /// Turns the unmet demand of shares into rental intents. The cloud takes few calls
+    /// Turns the unmet demand of shards into rental intents. The cloud takes few calls
     /// a second: no intent is made while others wait to be carried out, so
     /// that what comes up meanwhile is put together in larger ones.
     pub(super) fn write_rental_intents(
         &mut self,
         ctx: &mut Context,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRecord>,
+        demands: &BTreeMap<ShardId, DemandRecord>,
     ) {
         let under_way = view.rental_intents.len() + self.intents_being_written.len();
         if under_way as f64 >= ctx.cfg.cloud_rps.ceil() {
@@ -65,15 +65,15 @@
         }
     }
 
-    /// What is to be rented, with the shares that it is for.
+    /// What is to be rented, with the shards that it is for.
     fn plan_rentals(
         &mut self,
         ctx: &Context,
         view: &View,
-        demands: &BTreeMap<ShareId, DemandRecord>,
-    ) -> BTreeMap<OfferedKind, Vec<(ShareId, u32)>> {
+        demands: &BTreeMap<ShardId, DemandRecord>,
+    ) -> BTreeMap<OfferedKind, Vec<(ShardId, u32)>> {
         let mut held: Option<Held> = None;
-        let mut together: BTreeMap<OfferedKind, Vec<(ShareId, u32)>> = BTreeMap::new();
+        let mut together: BTreeMap<OfferedKind, Vec<(ShardId, u32)>> = BTreeMap::new();
         for (k, demand) in demands {
             let seen = self.acted.get(k).copied().unwrap_or(0);
             if demand.shapes.is_empty() || demand.rev < seen {
@@ -102,7 +102,7 @@
         ctx: &mut Context,
         view: &View,
         (machine_type, zone, spot): OfferedKind,
-        parts: Vec<(ShareId, u32)>,
+        parts: Vec<(ShardId, u32)>,
     ) {
         let type_names: Vec<&String> = view.types.keys().collect();
         let rec = RentalIntent {
@@ -119,8 +119,8 @@
             conds: self.conds(view, key.clone(), 0),
             writes: vec![Write::put(key, to_value(&rec).unwrap_or_default())],
         };
-        let shares = rec.parts.iter().map(|(k, _)| *k).collect();
-        self.intents_being_written.insert(request.clone(), shares);
+        let shards = rec.parts.iter().map(|(k, _)| *k).collect();
+        self.intents_being_written.insert(request.clone(), shards);
         ctx.txn(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// What may be had, as far as is known.
-    fn offers(&self, ctx: &Context, view: &View, k: ShareId, held: &Held) -> Vec<Offer> {
+    fn offers(&self, ctx: &Context, view: &View, k: ShardId, held: &Held) -> Vec<Offer> {
         let zones = zone_names(view);
         let mut offers = Vec::new();
         for (i, t) in view.types.values().map(|t| &t.rec).enumerate() {
@@ -181,13 +181,13 @@
 
     /// The write of an intent was answered.
     pub(crate) fn on_rental_intent_put(&mut self, request: &str, body: &[u8]) {
-        let shares = self
+        let shards = self
             .intents_being_written
             .remove(request)
             .unwrap_or_default();
         // A demand counts again once it was made in sight of this intent.
         let revision = revision_of(body);
-        for k in shares {
+        for k in shards {
             let acted = self.acted.entry(k).or_default();
             *acted = (*acted).max(revision);
         }
@@ -294,11 +294,11 @@
             conds: self.conds(view, key.clone(), outcome.version),
             writes: Vec::new(),
         };
-        let shares = rec.in_turn();
-        for (id, share) in outcome.machines.iter().zip(shares).take(to).skip(from) {
+        let shards = rec.in_turn();
+        for (id, shard) in outcome.machines.iter().zip(shards).take(to).skip(from) {
             let key = machine_key(id);
             let machine = MachineRecord {
-                share,
+                shard,
                 machine_type: rec.machine_type.clone(),
                 zone: rec.zone.clone(),
                 spot: rec.spot,
@@ -386,11 +386,11 @@
     shapes.iter().map(shape).collect()
 }
 
-/// Counts the machines that shares hold.
+/// Counts the machines that shards hold.
 fn held_of(view: &View) -> Held<'_> {
     let mut held = Held::new();
     for rec in view.machines.values().map(|m| &m.rec) {
-        let kind = (rec.share, rec.machine_type.as_str(), rec.zone.as_str());
+        let kind = (rec.shard, rec.machine_type.as_str(), rec.zone.as_str());
         *held.entry(kind).or_default() += 1;
     }
     held
@@ -410,7 +410,7 @@
 }
 
 /// Cuts parts down to `most` in all, evenly.
-fn cut(mut parts: Vec<(ShareId, u32)>, most: u32) -> Vec<(ShareId, u32)> {
+fn cut(mut parts: Vec<(ShardId, u32)>, most: u32) -> Vec<(ShardId, u32)> {
     while parts.iter().map(|(_, n)| n).sum::<u32>() > most {
         if let Some((_, n)) = parts.iter_mut().max_by_key(|(_, n)| *n) {
             *n -= 1;
--- a/crates/core/src/leader/renting/tests.rs
+++ b/crates/core/src/leader/renting/tests.rs
@@ -42,7 +42,7 @@
         let machine_type = "big".to_owned();
         let zone = "hall-a".to_owned();
         let intent = RentalIntent {
-            parts: vec![(f.share, rented)],
+            parts: vec![(f.shard, rented)],
             machine_type,
             zone,
             spot: false,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -46,7 +46,7 @@
 pub mod records;
 mod relay;
 mod rounds;
-mod share;
+mod shard;
 mod sizing;
 mod store;
 mod timers;
@@ -57,7 +57,7 @@
 pub use format::FormatVersion;
 pub use io::{CallId, Effect, Input, Reply, RequestId, Target};
 pub use node::Node;
-pub use share::epoch_of_token;
+pub use shard::epoch_of_token;
 pub use sizing::{shortfalls, Shortfall};
 
 /// Milliseconds of a steady clock.
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of a share, in its holder's memory.
+//! A machine of a shard, in its holder's memory.
 
 use crate::blame::MachineFailures;
 use crate::context::Context;
@@ -12,7 +12,7 @@
 /// Reports that a machine may miss and still be heard.
 const MISSED_MOST: Ms = 3;
 
-/// A machine of a share.
+/// A machine of a shard.
 pub(crate) struct Machine {
     pub(crate) id: MachineId,
     pub(crate) machine_type: u16,
@@ -75,10 +75,10 @@
     pub(crate) failures: MachineFailures,
     /// Nothing more is placed here before this.
     pub(crate) full_until: Ms,
-    /// It is being given to another share: nothing is placed here unless its
+    /// It is being given to another shard: nothing is placed here unless its
     /// record comes back changed, and still ours.
     pub(crate) leaving: Option<u64>,
-    /// Its borrowed work is being stopped, as another share has asked for it:
+    /// Its borrowed work is being stopped, as another shard has asked for it:
     /// nothing is placed here.
     pub(crate) vacating: bool,
     /// The cloud has answered our own deletion of it: nothing is on it, and
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -45,7 +45,7 @@
     /// Until when this controller may answer from memory. Counted from the
     /// moment the last extension was *sent*, less what clocks may drift: by
     /// then the lease is still alive at the state service, so nobody else can
-    /// have been given our shares.
+    /// have been given our shards.
     pub(crate) fn right_until(&self, ctx: &Context) -> Ms {
         let ttl = ctx.cfg.node_lease_ms();
         self.extended + ttl - ttl / 500
@@ -53,7 +53,7 @@
 
     /// Whether this controller may answer from memory. A lease that was lost
     /// and replaced gives no right until the view has caught up with our new
-    /// record: while we had no lease, our shares may have been given away.
+    /// record: while we had no lease, our shards may have been given away.
     pub(crate) fn has_right(&self, ctx: &Context, view: &View) -> bool {
         self.registered
             && self.lease.is_some()
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -15,8 +15,8 @@
 use crate::leader::Leader;
 use crate::member::Member;
 use crate::pending::{AbortPoll, Pending};
-use crate::records::ShareId;
-use crate::share::{Phase, Share};
+use crate::records::ShardId;
+use crate::shard::{Phase, Shard};
 use crate::view::View;
 use crate::Ms;
 use forkshift_links::{Decision, Link};
@@ -32,12 +32,12 @@
     pub(crate) member: Member,
     pub(crate) leader: Leader,
     pub(crate) budget: Budget,
-    pub(crate) shares: BTreeMap<ShareId, Share>,
+    pub(crate) shards: BTreeMap<ShardId, Shard>,
     /// Epochs that were ours, and are not to be used again.
-    used: BTreeMap<ShareId, u64>,
+    used: BTreeMap<ShardId, u64>,
     pub(crate) finals: Finals,
-    /// Shares of unfinished jobs of others.
-    pub(crate) homes: Known<ShareId>,
+    /// Shards of unfinished jobs of others.
+    pub(crate) homes: Known<ShardId>,
     pub(crate) dependencies: DependencyTracker,
     /// Submissions whose dependencies are being looked up.
     pub(crate) admissions: BTreeMap<RequestId, Admission>,
@@ -59,8 +59,8 @@
     /// Up to here the view has missed something.
     missed: u64,
     watch_at: Ms,
-    /// Shares that are being handed over.
-    moving: BTreeMap<ShareId, holdings::Handover>,
+    /// Shards that are being handed over.
+    moving: BTreeMap<ShardId, holdings::Handover>,
     seen: u64,
     status_at: Ms,
     pub(crate) failure_detector_at: Ms,
@@ -82,7 +82,7 @@
             view: View::default(),
             member: Member::default(),
             budget: Budget::default(),
-            shares: BTreeMap::new(),
+            shards: BTreeMap::new(),
             used: BTreeMap::new(),
             finals: Finals::new(remembered_jobs),
             homes: Known::new(remembered_jobs),
@@ -185,7 +185,7 @@
         self.follow_cloud_link();
         let machines = self.view.take_changed();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
-        self.follow_shares();
+        self.follow_shards();
         let changed = self.seen != self.view.revision;
         self.seen = self.view.revision;
         self.budget.tick(&mut self.ctx, &self.view);
@@ -194,30 +194,30 @@
         let in_advance = self.budget.allows_advance(&self.ctx, &self.view);
         self.ctx.store.allow_advance(in_advance);
         self.follow_dependencies();
-        for share in self.shares.values_mut() {
-            share.list_again(&mut self.ctx);
-            share.watch(&mut self.ctx);
-            if let Phase::Waiting(revision) = share.phase {
+        for shard in self.shards.values_mut() {
+            shard.list_again(&mut self.ctx);
+            shard.watch(&mut self.ctx);
+            if let Phase::Waiting(revision) = shard.phase {
                 if self.view.revision >= revision {
-                    share.activate(&mut self.ctx, &self.view);
+                    shard.activate(&mut self.ctx, &self.view);
                 }
             }
-            if share.phase != Phase::Active {
+            if shard.phase != Phase::Active {
                 continue;
             }
             if changed {
-                share.sync_machines(&mut self.ctx, &self.view, &machines);
+                shard.sync_machines(&mut self.ctx, &self.view, &machines);
             }
             // A cancellation may be seen before the job that it is for.
-            if changed || std::mem::take(&mut share.look_for_aborts) {
+            if changed || std::mem::take(&mut shard.look_for_aborts) {
                 for id in self.view.aborts.keys() {
-                    share.cancel(&self.ctx, id);
+                    shard.cancel(&self.ctx, id);
                 }
             }
-            share.reconcile(&mut self.ctx, &self.view);
+            shard.reconcile(&mut self.ctx, &self.view);
         }
-        for (share, epoch, rec) in std::mem::take(&mut self.ctx.unmet_demand) {
-            self.leader.on_demand(self.ctx.now, share, epoch, rec);
+        for (shard, epoch, rec) in std::mem::take(&mut self.ctx.unmet_demand) {
+            self.leader.on_demand(self.ctx.now, shard, epoch, rec);
         }
         self.follow_forwards();
         self.repeat_polls();
@@ -257,9 +257,9 @@
             return;
         }
         let mut used = BTreeSet::new();
-        for share in self.shares.values() {
-            used.extend(share.jobs.values().map(|job| job.image));
-            let machines = share.machines.values();
+        for shard in self.shards.values() {
+            used.extend(shard.jobs.values().map(|job| job.image));
+            let machines = shard.machines.values();
             used.extend(machines.flat_map(|m| m.images.iter().map(|(image, _)| *image)));
         }
         self.ctx.images.keep(&used);
@@ -270,45 +270,45 @@
             return;
         }
         self.status_at = self.ctx.now + 10_000;
-        for share in self.shares.values() {
-            let bound: usize = share.jobs.values().map(|j| j.bound.len()).sum();
-            let up = share
+        for shard in self.shards.values() {
+            let bound: usize = shard.jobs.values().map(|j| j.bound.len()).sum();
+            let up = shard
                 .machines
                 .values()
                 .filter(|m| m.heard.is_some())
                 .count();
-            share.explain();
-            let money = share.money();
+            shard.explain();
+            let money = shard.money();
             log::info!(
-                "share {}: {} jobs, {} tasks placed, {} of {} machines up, {money}, {} writes queued",
-                share.id(),
-                share.jobs.len(),
+                "shard {}: {} jobs, {} tasks placed, {} of {} machines up, {money}, {} writes queued",
+                shard.id(),
+                shard.jobs.len(),
                 bound,
                 up,
-                share.machines.len(),
+                shard.machines.len(),
                 self.ctx.store.len(),
             );
         }
     }
 
-    /// The share that holds an unfinished job, if it is here and in use.
-    pub(crate) fn share_of(&mut self, id: &JobId) -> Option<&mut Share> {
-        holder_of_mut(&mut self.shares, id)
+    /// The shard that holds an unfinished job, if it is here and in use.
+    pub(crate) fn shard_of(&mut self, id: &JobId) -> Option<&mut Shard> {
+        holder_of_mut(&mut self.shards, id)
     }
 }
 
-/// The share in use that holds an unfinished job.
-pub(crate) fn holder_of<'a>(shares: &'a BTreeMap<ShareId, Share>, id: &JobId) -> Option<&'a Share> {
-    let mut active = shares.values().filter(|s| s.phase == Phase::Active);
+/// The shard in use that holds an unfinished job.
+pub(crate) fn holder_of<'a>(shards: &'a BTreeMap<ShardId, Shard>, id: &JobId) -> Option<&'a Shard> {
+    let mut active = shards.values().filter(|s| s.phase == Phase::Active);
     active.find(|s| s.jobs.contains_key(id))
 }
 
 /// The same, to be changed.
 pub(crate) fn holder_of_mut<'a>(
-    shares: &'a mut BTreeMap<ShareId, Share>,
+    shards: &'a mut BTreeMap<ShardId, Shard>,
     id: &JobId,
-) -> Option<&'a mut Share> {
-    let mut active = shares.values_mut().filter(|s| s.phase == Phase::Active);
+) -> Option<&'a mut Shard> {
+    let mut active = shards.values_mut().filter(|s| s.phase == Phase::Active);
     active.find(|s| s.jobs.contains_key(id))
 }
 
--- a/crates/core/src/node/answers.rs
+++ b/crates/core/src/node/answers.rs
@@ -18,21 +18,21 @@
             Pending::ViewList => self.on_view_list(status, body),
             Pending::ViewWatch { serial } => self.on_view_watch(serial, status, body),
             Pending::ViewPeek => self.on_view_peek(status, body),
-            Pending::SharePut(shares) => {
-                self.leader.on_share_put(&shares);
-                self.on_handed_over(&shares, status, body);
+            Pending::ShardPut(shards) => {
+                self.leader.on_shard_put(&shards);
+                self.on_handed_over(&shards, status, body);
             }
-            Pending::ShareList { share, epoch } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+            Pending::ShardList { shard, epoch } => {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_list(&mut self.ctx, status, body);
                 }
             }
-            Pending::ShareWatch {
-                share,
+            Pending::ShardWatch {
+                shard,
                 epoch,
                 serial,
             } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_watch(&mut self.ctx, serial, status, body);
                 }
             }
@@ -51,64 +51,64 @@
             }
             Pending::Abort(poll) => self.on_abort_put(poll, status, body),
             Pending::AbortPoll(poll) => self.on_abort_poll(poll, status, body),
-            Pending::JobTxn { share, epoch, jobs } => {
+            Pending::JobTxn { shard, epoch, jobs } => {
                 self.missed(status, body);
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_txn(&mut self.ctx, &mut self.finals, jobs, status, body);
                 }
             }
             Pending::JobFix {
-                share,
+                shard,
                 epoch,
                 id,
                 block,
             } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_fix(&mut self.ctx, &id, block, status, body);
                 }
             }
-            Pending::JobFinal { share, epoch, id } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+            Pending::JobFinal { shard, epoch, id } => {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_final(&mut self.ctx, &mut self.finals, &id, status, body);
                 }
             }
             Pending::MachinePut(id) => self.on_machine_put(&id, status, body),
-            Pending::PoolHeads { share, epoch } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+            Pending::PoolHeads { shard, epoch } => {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_pool_heads(&self.ctx, status, body);
                 }
             }
             Pending::PoolAsked {
-                share,
+                shard,
                 epoch,
                 asked,
             } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_pool_asked(*asked, status, body);
                 }
             }
-            Pending::PoolRow { share, epoch, key } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+            Pending::PoolRow { shard, epoch, key } => {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_pool_row(&self.ctx, &key, status);
                 }
             }
             Pending::PriceRow(price) => self.leader.on_price_row(*price, status),
-            Pending::Demand { share } => {
+            Pending::Demand { shard } => {
                 self.missed(status, body);
-                if let Some(s) = self.shares.get_mut(&share) {
+                if let Some(s) = self.shards.get_mut(&shard) {
                     s.demand_putting = false;
                     s.demand_from = s.demand_from.max(revision_of(body));
                 }
             }
             Pending::Housekeeping => {}
             Pending::Commands {
-                share,
+                shard,
                 epoch,
                 machine,
                 token,
                 commands,
             } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_commands(&mut self.ctx, &machine, token, &commands, status, body);
                 }
             }
@@ -135,11 +135,11 @@
                     .on_delete(&mut self.ctx, &self.view, machines, status, body);
             }
             Pending::Evict {
-                share,
+                shard,
                 epoch,
                 machines,
             } => {
-                if let Some(s) = self.shares.get_mut(&share).filter(|s| s.epoch == epoch) {
+                if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
                     s.on_evicted(&self.ctx, &machines, status);
                 }
             }
@@ -149,11 +149,11 @@
 
     pub(super) fn on_machine_put(&mut self, id: &MachineId, status: u16, body: &[u8]) {
         self.missed(status, body);
-        for share in self.shares.values_mut() {
-            if let Some(machine) = share.machines.get_mut(id) {
+        for shard in self.shards.values_mut() {
+            if let Some(machine) = shard.machines.get_mut(id) {
                 machine.putting = false;
                 machine.put_from = machine.put_from.max(revision_of(body));
-                share.look.touch(id);
+                shard.look.touch(id);
             }
         }
     }
--- a/crates/core/src/node/holdings.rs
+++ b/crates/core/src/node/holdings.rs
@@ -1,9 +1,9 @@
-//! The shares that are held here: they follow the records that the view shows.
+//! The shards that are held here: they follow the records that the view shows.
 
 use super::Node;
 use crate::context::revision_of;
-use crate::records::ShareId;
-use crate::share::{hand_over, Share};
+use crate::records::ShardId;
+use crate::shard::{hand_over, Shard};
 use crate::Ms;
 
 /// A handover whose request has no answer is tried again after this, in milliseconds.
@@ -18,44 +18,44 @@
 }
 
 impl Node {
-    /// Takes up shares that became ours, lets go of those that are not.
-    pub(super) fn follow_shares(&mut self) {
+    /// Takes up shards that became ours, lets go of those that are not.
+    pub(super) fn follow_shards(&mut self) {
         let node = self.ctx.cfg.node.clone();
         let inc = self.ctx.inc;
         let mut handing = Vec::new();
         let relief = self.relief();
-        for (k, stamped) in &self.view.shares {
+        for (k, stamped) in &self.view.shards {
             let rec = &stamped.rec;
             if rec.holder != node || rec.inc != inc {
-                if let Some(share) = self.shares.remove(k) {
-                    log::info!("share {k}: now with {}", rec.holder);
-                    share.release(&mut self.ctx);
+                if let Some(shard) = self.shards.remove(k) {
+                    log::info!("shard {k}: now with {}", rec.holder);
+                    shard.release(&mut self.ctx);
                 }
                 continue;
             }
-            if let Some(share) = self.shares.get_mut(k) {
-                if share.epoch == rec.epoch && !share.reload {
-                    share.version = stamped.version;
+            if let Some(shard) = self.shards.get_mut(k) {
+                if shard.epoch == rec.epoch && !shard.reload {
+                    shard.version = stamped.version;
                     if let Some(to) = &relief {
                         // Calls to machines that we do not hear end late; the
                         // next holder's tokens make them void.
                         handing.push((*k, to.clone()));
                     } else if let Some(to) = rec.want.as_ref().filter(|w| **w != node) {
-                        if self.view.nodes.contains_key(to) && share.is_quiet() {
+                        if self.view.nodes.contains_key(to) && shard.is_quiet() {
                             handing.push((*k, to.clone()));
                         }
                     }
                     continue;
                 }
             }
-            if let Some(share) = self.shares.remove(k) {
-                share.release(&mut self.ctx);
+            if let Some(shard) = self.shards.remove(k) {
+                shard.release(&mut self.ctx);
             }
             let used = self.used.get(k).copied().unwrap_or(0);
             if rec.epoch > used {
                 self.used.insert(*k, rec.epoch);
-                let share = Share::new(&mut self.ctx, *k, rec.epoch, stamped.version);
-                self.shares.insert(*k, share);
+                let shard = Shard::new(&mut self.ctx, *k, rec.epoch, stamped.version);
+                self.shards.insert(*k, shard);
             } else {
                 // What we knew under this epoch is gone. Its tokens are not
                 // used again: a new epoch is taken first.
@@ -71,17 +71,17 @@
                 answered_at: 0,
             };
             self.moving.insert(k, handover);
-            // From here on we answer for the share no more, whatever becomes
+            // From here on we answer for the shard no more, whatever becomes
             // of the request.
-            if let Some(share) = self.shares.remove(&k) {
-                share.release(&mut self.ctx);
+            if let Some(shard) = self.shards.remove(&k) {
+                shard.release(&mut self.ctx);
             }
             hand_over(&mut self.ctx, &self.view, &[(k, to)]);
         }
     }
 
-    /// Whether a handover of a share is under way, or its outcome is not seen yet.
-    fn is_moving(&self, k: ShareId) -> bool {
+    /// Whether a handover of a shard is under way, or its outcome is not seen yet.
+    fn is_moving(&self, k: ShardId) -> bool {
         self.moving.get(&k).is_some_and(|handover| {
             self.ctx.now < handover.retry_at || self.view.revision < handover.answered_at
         })
@@ -90,12 +90,12 @@
     /// A handover was answered. Until the view shows what the answer rests on, its
     /// versions are old: the same request would fail again and again, as fast as
     /// the service answers, and use up the changes of all controllers.
-    pub(super) fn on_handed_over(&mut self, shares: &[ShareId], status: u16, body: &[u8]) {
+    pub(super) fn on_handed_over(&mut self, shards: &[ShardId], status: u16, body: &[u8]) {
         if !matches!(status, 200 | 409) {
             return;
         }
         self.missed(status, body);
-        for k in shares {
+        for k in shards {
             if let Some(handover) = self.moving.get_mut(k) {
                 handover.retry_at = self.ctx.now;
                 handover.answered_at = revision_of(body);
--- a/crates/core/src/node/holdings/tests.rs
+++ b/crates/core/src/node/holdings/tests.rs
@@ -11,21 +11,21 @@
     effects.iter().filter(is_handover).count()
 }
 
-/// A controller that has handed a share over sees it as its own until the watch
+/// A controller that has handed a shard over sees it as its own until the watch
 /// shows otherwise, and takes a new epoch for it. On loopback that request failed
 /// 75 times and was refused 250 times after one kill, and used up the changes that
 /// all controllers may make.
 #[test]
 fn a_handover_waits_until_its_answer_is_seen() {
     let mut f = Fixture::new();
-    let share = f.share;
+    let shard = f.shard;
     // What was known under the epoch is gone, as after a reload.
-    f.node.used.insert(share, crate::fixture::EPOCH);
-    f.node.shares.remove(&share);
+    f.node.used.insert(shard, crate::fixture::EPOCH);
+    f.node.shards.remove(&shard);
     assert_eq!(handovers(&f.step(10)), 1, "it is asked for once");
     let revision = f.node.view.revision;
     let failed = json!({"failed": ["c/epoch"], "ledger_rev": revision + 2});
-    let is_handover = |p: &Pending| matches!(p, Pending::SharePut(_));
+    let is_handover = |p: &Pending| matches!(p, Pending::ShardPut(_));
     let mut again = handovers(&f.answer(is_handover, 409, &failed));
     for _ in 0..50 {
         again += handovers(&f.step(10));
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -5,7 +5,7 @@
 use crate::context::{is_watch_lost, revision_of};
 use crate::pending::Pending;
 use crate::records::CLUSTER;
-use crate::share::{Phase, Share};
+use crate::shard::{Phase, Shard};
 use crate::store::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Changes, Page};
@@ -31,8 +31,8 @@
         }
         // Changes elsewhere in the service do not end the watch, so the view
         // may stay behind a revision that something waits for.
-        let behind = |s: &Share| matches!(s.phase, Phase::Waiting(r) if r > self.view.revision);
-        let wanting = self.shares.values().any(behind)
+        let behind = |s: &Shard| matches!(s.phase, Phase::Waiting(r) if r > self.view.revision);
+        let wanting = self.shards.values().any(behind)
             || self.member.waits_for_view(&self.view)
             || self.view.revision < self.missed;
         if wanting && !self.peeking && now >= self.peek_at {
@@ -103,8 +103,8 @@
             return;
         }
         self.watching = false;
-        for share in self.shares.values_mut() {
-            share.reopen_watch();
+        for shard in self.shards.values_mut() {
+            shard.reopen_watch();
         }
     }
 
--- a/crates/core/src/overflow.rs
+++ b/crates/core/src/overflow.rs
@@ -12,9 +12,9 @@
 pub(crate) enum Overflow {
     /// A request passed on by another controller was refused.
     ForwardedRequests,
-    /// A share has too many machines with cancelled tasks to name them in a heartbeat.
+    /// A shard has too many machines with cancelled tasks to name them in a heartbeat.
     UnsettledMachines,
-    /// Part of a share's unmet demand was left out of the message to the leader.
+    /// Part of a shard's unmet demand was left out of the message to the leader.
     Demand,
 }
 
@@ -23,9 +23,9 @@
         f.write_str(match self {
             Self::ForwardedRequests => "requests of other controllers were refused with 503",
             Self::UnsettledMachines => {
-                "heartbeats said nothing of a share's cancelled tasks, which are on too many machines"
+                "heartbeats said nothing of a shard's cancelled tasks, which are on too many machines"
             }
-            Self::Demand => "messages held only the most urgent part of a share's demand",
+            Self::Demand => "messages held only the most urgent part of a shard's demand",
         })
     }
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -5,7 +5,7 @@
 
 use crate::io::Reply;
 use crate::node::Node;
-use crate::records::ShareId;
+use crate::records::ShardId;
 use crate::store::Use;
 use forkshift_wire::peer::{Body, Envelope};
 use forkshift_wire::users::JobSpec;
@@ -76,23 +76,23 @@
                 let now = self.ctx.now;
                 self.budget.on_need(now, from, inc, rate, granted);
             }
-            Body::Demand { share, demand } => {
-                self.on_demand_message(ShareId(share), epoch, &demand);
+            Body::Demand { shard, demand } => {
+                self.on_demand_message(ShardId(shard), epoch, &demand);
             }
             Body::Grant { writes, requests } => {
                 let rate = Use::from_milli(requests, writes);
                 self.budget.on_grant(&self.ctx, from, inc, rate);
             }
             Body::NewJob {
-                share,
+                shard,
                 spec,
                 at,
                 revision,
             } => {
-                let share = self.shares.get_mut(&ShareId(share));
-                let share = share.filter(|s| s.epoch == epoch);
-                if let (Some(share), Ok(spec)) = (share, JobSpec::parse(spec.as_bytes())) {
-                    share.on_job_accepted(&mut self.ctx, spec, at, revision);
+                let shard = self.shards.get_mut(&ShardId(shard));
+                let shard = shard.filter(|s| s.epoch == epoch);
+                if let (Some(shard), Ok(spec)) = (shard, JobSpec::parse(spec.as_bytes())) {
+                    shard.on_job_accepted(&mut self.ctx, spec, at, revision);
                 }
             }
             Body::Cancel { id } => self.on_cancel_message(epoch, &id),
@@ -105,10 +105,10 @@
         }
     }
 
-    /// A holder tells the leader the unmet demand of its share.
-    fn on_demand_message(&mut self, share: ShareId, epoch: u64, demand: &str) {
+    /// A holder tells the leader the unmet demand of its shard.
+    fn on_demand_message(&mut self, shard: ShardId, epoch: u64, demand: &str) {
         match serde_json::from_str(demand) {
-            Ok(rec) => self.leader.on_demand(self.ctx.now, share, epoch, rec),
+            Ok(rec) => self.leader.on_demand(self.ctx.now, shard, epoch, rec),
             Err(e) => log::error!("a peer's demand is not understood: {e}"),
         }
     }
@@ -117,33 +117,33 @@
     /// under an epoch.
     fn on_cancel_message(&mut self, epoch: u64, id: &str) {
         let Some(id) = JobId::parse(id) else { return };
-        let Node { shares, ctx, .. } = self;
-        for share in shares.values_mut().filter(|s| s.epoch == epoch) {
-            share.cancel(ctx, &id);
+        let Node { shards, ctx, .. } = self;
+        for shard in shards.values_mut().filter(|s| s.epoch == epoch) {
+            shard.cancel(ctx, &id);
         }
     }
 
-    /// Tells a share's holder of a job that was accepted here.
-    pub(crate) fn tell_new_job(&mut self, share: ShareId, spec: &JobSpec, revision: u64) {
+    /// Tells a shard's holder of a job that was accepted here.
+    pub(crate) fn tell_new_job(&mut self, shard: ShardId, spec: &JobSpec, revision: u64) {
         let body = Body::NewJob {
-            share: share.0,
+            shard: shard.0,
             spec: serde_json::to_string(spec).unwrap_or_default(),
             at: self.ctx.wall,
             revision,
         };
-        self.tell_holder(share, body);
+        self.tell_holder(shard, body);
     }
 
-    /// Tells a share's holder of a cancellation that was asked for here.
-    pub(crate) fn tell_cancel(&mut self, id: &JobId, share: ShareId) {
+    /// Tells a shard's holder of a cancellation that was asked for here.
+    pub(crate) fn tell_cancel(&mut self, id: &JobId, shard: ShardId) {
         let id = id.to_string();
-        self.tell_holder(share, Body::Cancel { id });
+        self.tell_holder(shard, Body::Cancel { id });
     }
 
-    /// Tells a share's holder something, if that is another controller.
-    pub(crate) fn tell_holder(&mut self, share: ShareId, body: Body) {
-        let epoch = self.view.shares.get(&share).map_or(0, |s| s.rec.epoch);
-        let holder = self.view.holder(share).cloned();
+    /// Tells a shard's holder something, if that is another controller.
+    pub(crate) fn tell_holder(&mut self, shard: ShardId, body: Body) {
+        let epoch = self.view.shards.get(&shard).map_or(0, |s| s.rec.epoch);
+        let holder = self.view.holder(shard).cloned();
         if let Some(holder) = holder.filter(|h| *h != self.ctx.cfg.node) {
             self.ctx.tell(&holder, epoch, body);
         }
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -1,7 +1,7 @@
 //! Calls that are under way, and what is to be done when each of them ends.
 
 use crate::io::{Reply, RequestId};
-use crate::records::ShareId;
+use crate::records::ShardId;
 use crate::Ms;
 use forkshift_pools::account::{Asked, Price};
 use forkshift_wire::users::{JobSpec, JobStage};
@@ -31,13 +31,13 @@
         serial: u64,
     },
     ViewPeek,
-    SharePut(Vec<ShareId>),
-    ShareList {
-        share: ShareId,
+    ShardPut(Vec<ShardId>),
+    ShardList {
+        shard: ShardId,
         epoch: u64,
     },
-    ShareWatch {
-        share: ShareId,
+    ShardWatch {
+        shard: ShardId,
         epoch: u64,
         /// Which of them: an earlier one was given up.
         serial: u64,
@@ -60,47 +60,47 @@
     Abort(AbortPoll),
     AbortPoll(AbortPoll),
     JobTxn {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
         jobs: Vec<JobWrite>,
     },
     JobFix {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
         id: JobId,
         block: u32,
     },
     JobFinal {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
         id: JobId,
     },
     MachinePut(MachineId),
     /// Reads what pools are asked for.
     PoolHeads {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
     },
     /// Writes what a pool is asked for.
     PoolAsked {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
         asked: Box<Asked>,
     },
     /// Writes a row of a pool's account that stands by itself.
     PoolRow {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
         key: String,
     },
     /// Writes a machine type's price.
     PriceRow(Box<Price>),
     Demand {
-        share: ShareId,
+        shard: ShardId,
     },
     Housekeeping,
     Commands {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
         machine: MachineId,
         token: u64,
@@ -124,7 +124,7 @@
     },
     /// A holder's own deletion.
     Evict {
-        share: ShareId,
+        shard: ShardId,
         epoch: u64,
         machines: Vec<MachineId>,
     },
@@ -138,7 +138,7 @@
 pub(crate) struct Creation {
     pub(crate) request: RequestId,
     pub(crate) spec: JobSpec,
-    pub(crate) share: ShareId,
+    pub(crate) shard: ShardId,
     pub(crate) until: Ms,
     /// Versions of its dependencies' records that it was decided on.
     pub(crate) dependencies: Vec<(JobId, u64)>,
--- a/crates/core/src/pools.rs
+++ b/crates/core/src/pools.rs
@@ -1,6 +1,6 @@
-//! Warm pools of a share's teams.
+//! Warm pools of a shard's teams.
 //!
-//! The holder of a team's share owns the team's pools. `forkshift-pools` decides how many
+//! The holder of a team's shard owns the team's pools. `forkshift-pools` decides how many
 //! machines a pool has and which; here that is carried out:
 //!
 //! | module | concern |
@@ -19,7 +19,7 @@
 mod placement;
 mod sizing;
 
-pub(crate) use ledger::{add_row, SharePools};
+pub(crate) use ledger::{add_row, ShardPools};
 pub(crate) use membership::MachinePool;
 pub(crate) use placement::open_reservations;
 pub(crate) use sizing::Coming;
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -4,7 +4,7 @@
 use crate::context::{revision_of, Context};
 use crate::format::FormatVersion;
 use crate::pending::Pending;
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::store::Urgency;
 use crate::Ms;
 use forkshift_pools::account::{Asked, Miss, HEADS};
@@ -57,9 +57,9 @@
     retry_at: Ms,
 }
 
-/// What a share keeps of its teams' pools.
+/// What a shard keeps of its teams' pools.
 #[derive(Debug, Default)]
-pub(crate) struct SharePools {
+pub(crate) struct ShardPools {
     heads: BTreeMap<PoolName, Head>,
     reading: Reading,
     rows: BTreeMap<String, PendingRow>,
@@ -69,7 +69,7 @@
     pub(super) problems: BTreeMap<PoolName, BadPool>,
 }
 
-impl SharePools {
+impl ShardPools {
     /// A machine was handed out.
     pub(super) fn note_handed_out(&mut self, pool: &PoolName, now: Ms) {
         self.handed_out
@@ -113,7 +113,7 @@
     }
 }
 
-impl Share {
+impl Shard {
     /// Writes what a pool is asked for, if that changed. Pools that are not declared any
     /// more are asked for nothing.
     pub(super) fn note_asked(&mut self, ctx: &mut Context, pool: &Pool, machines: u32) {
@@ -192,7 +192,7 @@
             add_row(&mut txn, over.key(), &over);
         }
         let pending = Pending::PoolAsked {
-            share: self.id,
+            shard: self.id,
             epoch: self.epoch,
             asked: Box::new(next),
         };
@@ -227,9 +227,9 @@
         };
         if is_due {
             self.pools.reading = Reading::UnderWay;
-            let (share, epoch) = (self.id, self.epoch);
+            let (shard, epoch) = (self.id, self.epoch);
             let path = format!("/kv?starts={HEADS}&most=1000");
-            ctx.read(Urgency::Later, path, Pending::PoolHeads { share, epoch });
+            ctx.read(Urgency::Later, path, Pending::PoolHeads { shard, epoch });
         }
         let held = self.held();
         let rows = self.pools.rows.iter_mut();
@@ -243,7 +243,7 @@
             };
             add_row(&mut txn, key.clone(), &row.value);
             let pending = Pending::PoolRow {
-                share: self.id,
+                shard: self.id,
                 epoch: self.epoch,
                 key: key.clone(),
             };
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -4,7 +4,7 @@
 use crate::format::FormatVersion;
 use crate::machine::Machine;
 use crate::records::MachineRecord;
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::view::View;
 use crate::Ms;
 use forkshift_pools::{Ended, Membership, Pool, PoolName, PoolState};
@@ -107,7 +107,7 @@
     }
 }
 
-impl Share {
+impl Shard {
     /// Brings a machine's recorded membership in line with what it is doing: it joins,
     /// goes on to another state, or leaves. What is charged for ends and begins at the
     /// moment at which this is decided.
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -12,7 +12,7 @@
 use crate::machine::Machine;
 use crate::records::DemandRecord;
 use crate::rounds::{is_usable, RECLAIM_ROUNDS};
-use crate::share::Share;
+use crate::shard::Shard;
 use forkshift_pools::account::Miss;
 use forkshift_pools::choice::{core_members, Member};
 use forkshift_pools::{Pool, PoolName};
@@ -43,7 +43,7 @@
         .collect()
 }
 
-impl Share {
+impl Shard {
     /// Whether a job is one that a pool is kept for.
     pub(super) fn is_for_pool(&self, id: &JobId, pool: Option<&Pool>) -> bool {
         let job = self.jobs.get(id);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Offers pools' machines to other shares, for what has a right to room there.
+    /// Offers pools' machines to other shards, for what has a right to room there.
     pub(crate) fn with_offered_members(
         &self,
         ctx: &Context,
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -9,7 +9,7 @@
 use crate::format::FormatVersion;
 use crate::machine::Machine;
 use crate::records::{total_of, ShapeRecord};
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::view::View;
 use crate::Ms;
 use forkshift_pools::choice::{affordable, joining, leaving, target, Candidate};
@@ -54,8 +54,8 @@
     rentals: Vec<(u16, u16, bool)>,
 }
 
-impl Share {
-    /// Lets machines join and leave the share's pools, and returns what is to be rented
+impl Shard {
+    /// Lets machines join and leave the shard's pools, and returns what is to be rented
     /// for them. `hosts` shows what is left of machines once everything is booked.
     pub(crate) fn keep_pools(
         &mut self,
@@ -293,7 +293,7 @@
         types: Some(types.iter().map(|t| t.name.clone()).collect()),
         zones: (!pool.zones.is_empty()).then(|| pool.zones.clone()),
         spot: pool.spot,
-        // Machines that other shares don't need serve as well, unless only spot will do.
+        // Machines that other shards don't need serve as well, unless only spot will do.
         spare: !pool.spot,
         reclaims: false,
         borrows: pool.spot,
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::{Fixture, WALL};
 use crate::io::Effect;
-use crate::records::{machine_key, MachineRecord, ShareId};
+use crate::records::{machine_key, MachineRecord, ShardId};
 use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
 use forkshift_wire::state::{Txn, Write};
 use forkshift_wire::MachineId;
@@ -21,7 +21,7 @@
         since_ms: SINCE,
     });
     let rec = stamped.rec.clone();
-    let machine = f.share().machines.get_mut(&id).expect("it is ours");
+    let machine = f.shard().machines.get_mut(&id).expect("it is ours");
     machine.pool.follow(&rec);
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// A pool's machine goes to another share only if it was offered, and its time for the
+/// A pool's machine goes to another shard only if it was offered, and its time for the
 /// pool ends in the very transaction that gives it away.
 #[test]
 fn a_member_is_given_away_only_if_it_was_offered() {
@@ -96,21 +96,21 @@
         let mut f = Fixture::new();
         make_member(&mut f);
         let id = f.machine.clone();
-        let other = ShareId(f.share.0 + 1);
+        let other = ShardId(f.shard.0 + 1);
         if let Some(stamped) = f.node.view.machines.get_mut(&id) {
             stamped.rec.want = Some(other);
         }
         if is_offered {
-            f.share().told.pooled.push(id.clone());
+            f.shard().told.pooled.push(id.clone());
         }
         let node = &mut f.node;
-        let share = node.shares.get_mut(&f.share).expect("it is ours");
-        share.give_away(&mut node.ctx, &node.view, &id);
+        let shard = node.shards.get_mut(&f.shard).expect("it is ours");
+        shard.give_away(&mut node.ctx, &node.view, &id);
         node.ctx.pump();
         let (record, row) = change_of(&std::mem::take(&mut f.node.ctx.out), &id);
         let record = record.expect("it is written");
         assert_eq!(record.want, None);
-        assert_eq!(record.share == other, is_offered);
+        assert_eq!(record.shard == other, is_offered);
         assert_eq!(record.pool.is_none(), is_offered);
         let ended = row.map(|row| (row.to_ms, row.ended));
         let expected = is_offered.then_some((WALL, Some(Ended::Reclaimed)));
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -10,7 +10,7 @@
 use crate::job::{Job, Sent};
 use crate::machine::Machine;
 use crate::reclaim::Victim;
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::{PendingTasks, Quota, Requirement, Resources};
 use forkshift_wire::users::Priority;
@@ -58,7 +58,7 @@
     }
 }
 
-impl Share {
+impl Shard {
     /// Makes room for the first production task that has found none.
     pub(crate) fn preempt(
         &mut self,
--- a/crates/core/src/preempt/tests.rs
+++ b/crates/core/src/preempt/tests.rs
@@ -16,10 +16,10 @@
     let mut spec = spec(&id, &team, JobKind::Array, 8);
     spec.cpus = RUNNING_CPUS;
     change(&mut spec);
-    let share_id = f.share;
-    let Node { shares, ctx, .. } = &mut f.node;
-    let share = shares.get_mut(&share_id).expect("the share is held");
-    share.add_job(ctx, spec, None, WALL, 6);
+    let shard_id = f.shard;
+    let Node { shards, ctx, .. } = &mut f.node;
+    let shard = shards.get_mut(&shard_id).expect("the shard is held");
+    shard.add_job(ctx, spec, None, WALL, 6);
     id
 }
 
@@ -33,7 +33,7 @@
         f.bind(&job, index, Sent::Ours { token, session: 1 });
     }
     let now = f.node.ctx.now;
-    let running = f.share().jobs.get_mut(&job).expect("the job");
+    let running = f.shard().jobs.get_mut(&job).expect("the job");
     for (index, binding) in &mut running.bound {
         binding.stage = Some(TaskStage::Running);
         binding.running_since = Some(now - 10_000 + u64::from(*index));
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -3,7 +3,7 @@
 //! The low-priority work of a team without a guarantee runs on what others
 //! leave unused. As soon as a job within its own team's guarantee, or an urgent
 //! one, finds no room, such work is stopped for it: on the machines of the same
-//! share directly, and on those of other shares by giving a whole machine
+//! shard directly, and on those of other shards by giving a whole machine
 //! away when the leader asks for it. Without this, one guest team with much
 //! idle work filled the fleet, and the jobs of all other teams waited for it.
 //!
@@ -15,7 +15,7 @@
 use crate::job::{Binding, Job, Sent};
 use crate::machine::Machine;
 use crate::rounds::is_usable;
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::{Host, PendingTasks, Quota, Resources, Standing};
 use forkshift_wire::users::Priority;
@@ -23,7 +23,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// One in so many machines of a share is offered to others at a time, at least sixteen.
+/// One in so many machines of a shard is offered to others at a time, at least sixteen.
 const OFFERED_PART: usize = 16;
 const OFFERED_LEAST: usize = 16;
 /// A guest's job is content with unused machines for this part of the time in
@@ -31,7 +31,7 @@
 /// former, a huge array of short tasks came too late.
 const PATIENT_OBJECTIVE_PART: f64 = 0.1;
 const PATIENT_DEADLINE_PART: f64 = 0.5;
-/// One in so many machines of a share is drained of guests' work in a round, at least
+/// One in so many machines of a shard is drained of guests' work in a round, at least
 /// four.
 const DRAINED_PART: usize = 64;
 const DRAINED_LEAST: usize = 4;
@@ -68,7 +68,7 @@
     lost: Ms,
 }
 
-impl Share {
+impl Shard {
     /// Makes room for pending jobs that may reclaim it, the most urgent first.
     pub(crate) fn reclaim(
         &mut self,
@@ -292,7 +292,7 @@
         Some(lost)
     }
 
-    /// Stops the borrowed work on a machine that another share has asked for.
+    /// Stops the borrowed work on a machine that another shard has asked for.
     /// Returns whether the machine will be free for it.
     pub(crate) fn vacate(&mut self, ctx: &Context, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get(id) else {
--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixture::{spec, stopped, Fixture, WALL};
 use crate::io::Effect;
 use crate::node::Node;
-use crate::records::{machine_key, MachineRecord, ShareId};
+use crate::records::{machine_key, MachineRecord, ShardId};
 use forkshift_wire::state::Change;
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::workers::TaskStage;
@@ -22,22 +22,22 @@
     let id = JobId::new(id);
     let mut spec = spec(&id, team, JobKind::Array, 8);
     change(&mut spec);
-    let share_id = f.share;
-    let Node { shares, ctx, .. } = &mut f.node;
-    let share = shares.get_mut(&share_id).expect("the share is held");
-    share.add_job(ctx, spec, None, WALL, 6);
+    let shard_id = f.shard;
+    let Node { shards, ctx, .. } = &mut f.node;
+    let shard = shards.get_mut(&shard_id).expect("the shard is held");
+    shard.add_job(ctx, spec, None, WALL, 6);
     id
 }
 
-/// A share with a team without any guarantee, whose tasks fill the machine, a
+/// A shard with a team without any guarantee, whose tasks fill the machine, a
 /// spot one. Those with a higher index have run for a shorter time.
 fn with_guest(priority: Priority) -> (Fixture, JobId) {
     let mut f = Fixture::new();
     set_spot(&mut f, true);
     Rc::make_mut(&mut f.node.ctx.cfg).has_guests = true;
-    let index = f.share().quotas.len();
-    f.share().teams.insert(GUEST.to_owned(), index);
-    f.share().quotas.push(Quota::default());
+    let index = f.shard().quotas.len();
+    f.shard().teams.insert(GUEST.to_owned(), index);
+    f.shard().quotas.push(Quota::default());
     let guest = add(&mut f, "j-1", GUEST, |s| {
         s.cpus = GUEST_CPUS;
         s.priority = priority;
@@ -47,7 +47,7 @@
         f.bind(&guest, index, Sent::Ours { token, session: 1 });
     }
     let now = f.node.ctx.now;
-    let job = f.share().jobs.get_mut(&guest).expect("the guest's job");
+    let job = f.shard().jobs.get_mut(&guest).expect("the guest's job");
     for (index, binding) in &mut job.bound {
         binding.stage = Some(TaskStage::Running);
         binding.running_since = Some(now - 10_000 + Ms::from(*index));
@@ -133,7 +133,7 @@
 
 fn set_spot(f: &mut Fixture, spot: bool) {
     let id = f.machine.clone();
-    let machine = f.share().machines.get_mut(&id);
+    let machine = f.shard().machines.get_mut(&id);
     machine.expect("the machine").spot = spot;
 }
 
@@ -153,7 +153,7 @@
         f.node.ctx.now += 10_000;
         let token = f.token();
         f.report(1, token, &running(&guest));
-        if let Some(job) = f.share().jobs.get_mut(&guest) {
+        if let Some(job) = f.shard().jobs.get_mut(&guest) {
             let mut spec = (*job.spec).clone();
             spec.deadline_s = due_s;
             job.spec = spec.into();
@@ -165,7 +165,7 @@
         }
         f.step(2_000);
         let machine = f.machine.clone();
-        assert_eq!(f.share().machines[&machine].draining, drained, "{name}");
+        assert_eq!(f.shard().machines[&machine].draining, drained, "{name}");
         assert_eq!(
             stopped(&mut f, &guest).len() == 8,
             drained,
@@ -175,7 +175,7 @@
 }
 
 fn other_team(f: &mut Fixture) -> String {
-    let mut teams = f.share().teams.keys();
+    let mut teams = f.shard().teams.keys();
     teams.find(|t| *t != GUEST).cloned().expect("a team")
 }
 
@@ -184,7 +184,7 @@
     all.map(|index| (job, index, TaskStage::Running)).collect()
 }
 
-/// A machine is given to another share that reclaims it only if nothing but
+/// A machine is given to another shard that reclaims it only if nothing but
 /// borrowed work is there; until that has exited the machine stays ours.
 #[test]
 fn a_machine_with_nothing_but_borrowed_work_is_given_away() {
@@ -198,25 +198,25 @@
             let token = f.token();
             f.bind(&id, 0, Sent::Ours { token, session: 1 });
         }
-        let share_id = f.share;
-        let offered = f.node.shares[&share_id].borrowed_machines(&f.node.ctx, &usable);
+        let shard_id = f.shard;
+        let offered = f.node.shards[&shard_id].borrowed_machines(&f.node.ctx, &usable);
         assert_eq!(
             !offered.is_empty(),
             given,
             "offered, with other work: {with_owner}"
         );
 
-        ask_for(&mut f, ShareId(share_id.0 + 1));
+        ask_for(&mut f, ShardId(shard_id.0 + 1));
         let mut effects = Vec::new();
         for _ in 0..5 {
             effects.extend(f.step(100));
         }
         let all_stopped = stopped(&mut f, &guest).len() == 8;
         assert_eq!(all_stopped, given, "stopped, with other work: {with_owner}");
-        assert_eq!(f.share().machines[&machine].vacating, given);
+        assert_eq!(f.shard().machines[&machine].vacating, given);
         // Given away only once empty; a request that is declined is taken back.
         let written = machine_puts(&effects, &machine);
-        assert!(written.iter().all(|r| r.share == share_id));
+        assert!(written.iter().all(|r| r.shard == shard_id));
         assert_eq!(written.iter().any(|r| r.want.is_none()), !given);
 
         if given {
@@ -225,7 +225,7 @@
             for _ in 0..5 {
                 f.step(100);
             }
-            assert!(f.share().machines[&machine].tasks.is_empty());
+            assert!(f.shard().machines[&machine].tasks.is_empty());
         }
     }
 }
@@ -252,8 +252,8 @@
     records
 }
 
-/// The leader asks for the machine on behalf of another share.
-fn ask_for(f: &mut Fixture, to: ShareId) {
+/// The leader asks for the machine on behalf of another shard.
+fn ask_for(f: &mut Fixture, to: ShardId) {
     let id = f.machine.clone();
     let mut record = f.node.view.machines[&id].rec.clone();
     record.want = Some(to);
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -1,11 +1,11 @@
-//! Reconciliation of a share: brings what machines do in line with what is
+//! Reconciliation of a shard: brings what machines do in line with what is
 //! recorded of jobs, after every batch of messages.
 
 use crate::context::Context;
 use crate::job::Sent;
 use crate::machine::Machine;
 use crate::pending::Pending;
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::view::View;
 use crate::Ms;
 use forkshift_wire::cloud::DELETE_MOST;
@@ -25,7 +25,7 @@
 /// Looks a report at a machine about which something is under way.
 const BUSY_LOOKS: Ms = 8;
 
-impl Share {
+impl Shard {
     /// Does what is due for gangs, cancellations, machines and records.
     pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &View) {
         self.stop_broken_gangs();
@@ -128,12 +128,12 @@
             return;
         }
         log::info!(
-            "share {}: {} machines are returned at once, they may hold cancelled tasks",
+            "shard {}: {} machines are returned at once, they may hold cancelled tasks",
             self.id,
             due.len()
         );
         let pending = Pending::Evict {
-            share: self.id,
+            shard: self.id,
             epoch: self.epoch,
             machines: due.clone(),
         };
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -46,19 +46,19 @@
     );
     // Without an answer nothing is taken for gone, and it is tried again.
     f.answer(is_eviction, 0, &json!({}));
-    assert_eq!(f.share().jobs[&id].bound.len(), 1);
+    assert_eq!(f.shard().jobs[&id].bound.len(), 1);
     let report_ms = f.node.ctx.cfg.report_ms;
     let again = (0..4).any(|_| evicts(&f.step(report_ms)));
     assert!(again, "it is tried again");
     f.answer(is_eviction, 200, &json!({}));
     for job in [&id, &other] {
-        let bound = f.share().jobs.get(job).map_or(0, |j| j.bound.len());
+        let bound = f.shard().jobs.get(job).map_or(0, |j| j.bound.len());
         assert_eq!(bound, 0, "{job} is gone with the machine");
     }
     // A report from before does not bring it back, nor is it used again.
     f.report(1, token, &[(&other, 0, TaskStage::Running)]);
     f.step(2_000);
-    let bound = f.share().jobs.get(&other).map_or(0, |j| j.bound.len());
+    let bound = f.shard().jobs.get(&other).map_or(0, |j| j.bound.len());
     assert_eq!(bound, 0);
 }
 
@@ -80,12 +80,12 @@
         let ago = (cancel as f64 * age) as Ms;
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, Sent::Inherited);
-        let mut head: JobHeadRecord = f.share().jobs[&id].head_rec();
-        f.share().forget_job(&id, 0);
+        let mut head: JobHeadRecord = f.shard().jobs[&id].head_rec();
+        f.shard().forget_job(&id, 0);
         head.cancelled = true;
         head.cancelled_at = WALL - ago;
         let item = Item {
-            key: live_key(f.share, &id, 0),
+            key: live_key(f.shard, &id, 0),
             value: to_value(head).expect("a record"),
             version: 8,
         };
@@ -93,10 +93,10 @@
         let begun = f.node.ctx.now;
         let machine = f.machine.clone();
         let end = begun + (cancel as f64 * (by - age)) as Ms;
-        while f.node.ctx.now < end && f.share().machines[&machine].condemned.is_none() {
+        while f.node.ctx.now < end && f.shard().machines[&machine].condemned.is_none() {
             f.step(100);
         }
-        let condemned = f.share().machines[&machine].condemned.clone();
+        let condemned = f.shard().machines[&machine].condemned.clone();
         assert!(condemned.is_some(), "asked for {ago} of {cancel} ms ago");
     }
 }
@@ -112,11 +112,11 @@
             f.bind(&id, 0, Sent::Inherited);
         }
         let machine = f.machine.clone();
-        let m = f.share().machines.get_mut(&machine).expect("it is there");
+        let m = f.shard().machines.get_mut(&machine).expect("it is there");
         (m.addr, m.heard) = (None, None);
         f.node.ctx.now += f.node.ctx.cfg.lease_ms;
         f.node.ctx.entitled = true;
-        let given_up = verdict(&f.node.ctx, &f.node.shares[&f.share].machines[&machine]);
+        let given_up = verdict(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
         assert_eq!(given_up.is_err(), tasks, "with tasks: {tasks}");
     }
 }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -2,7 +2,7 @@
 //!
 //! Everything that all controllers must know lives below `c/`, so that one
 //! watch shows all of it, in order. Jobs live below `job/` for ever, and
-//! below `live/<share>/` while they are unfinished.
+//! below `live/<shard>/` while they are unfinished.
 
 use crate::format::FormatVersion;
 use forkshift_pools::account::MachineFacts;
@@ -23,12 +23,12 @@
 /// The leader's key.
 pub const LEADER: &str = "c/leader";
 
-/// A share: a set of teams and a set of machines.
+/// A shard: a set of teams and a set of machines.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ShareId(pub u32);
+pub struct ShardId(pub u32);
 
-impl fmt::Display for ShareId {
+impl fmt::Display for ShardId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -39,8 +39,8 @@
     Resources::new(t.cpus, t.gpus, t.memory_gb)
 }
 
-/// Key of a share's record.
-pub fn share_key(k: ShareId) -> String {
+/// Key of a shard's record.
+pub fn shard_key(k: ShardId) -> String {
     format!("c/share/{k}")
 }
 
@@ -64,12 +64,12 @@
     format!("c/rig/{name}")
 }
 
-/// Key of a share's unmet demand.
-pub fn demand_key(k: ShareId) -> String {
+/// Key of a shard's unmet demand.
+pub fn demand_key(k: ShardId) -> String {
     format!("c/demand/{k}")
 }
 
-/// Key of a cancellation that waits for its share's holder.
+/// Key of a cancellation that waits for its shard's holder.
 pub fn abort_key(id: &JobId) -> String {
     format!("c/abort/{id}")
 }
@@ -79,13 +79,13 @@
     format!("job/{id}")
 }
 
-/// Prefix of a share's unfinished jobs.
-pub fn live_prefix(k: ShareId) -> String {
+/// Prefix of a shard's unfinished jobs.
+pub fn live_prefix(k: ShardId) -> String {
     format!("live/{k}/")
 }
 
 /// Key of a block of an unfinished job; block 0 lives in its head.
-pub fn live_key(k: ShareId, id: &JobId, block: u32) -> String {
+pub fn live_key(k: ShardId, id: &JobId, block: u32) -> String {
     if block == 0 {
         format!("live/{k}/{id}")
     } else {
@@ -98,7 +98,7 @@
 pub struct NodeRecord {
     /// This start of it.
     pub inc: u64,
-    /// It hears no worker, and should be given no share.
+    /// It hears no worker, and should be given no shard.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub blind: bool,
     /// The newest format that it reads and writes.
@@ -115,9 +115,9 @@
     pub inc: u64,
 }
 
-/// Who holds a share.
+/// Who holds a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShareRecord {
+pub struct ShardRecord {
     /// The controller.
     pub holder: NodeName,
     /// Its start.
@@ -132,8 +132,9 @@
 /// A rented machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The share that it works for.
-    pub share: ShareId,
+    /// The shard that it works for.
+    #[serde(rename = "share")]
+    pub shard: ShardId,
     /// Type.
     #[serde(rename = "type")]
     pub machine_type: String,
@@ -147,13 +148,13 @@
     /// It is to be returned, and never used again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub condemned: Option<String>,
-    /// The share that it should go to, if it is free.
+    /// The shard that it should go to, if it is free.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub want: Option<ShareId>,
-    /// Tokens of its present share are above this.
+    pub want: Option<ShardId>,
+    /// Tokens of its present shard are above this.
     #[serde(default)]
     pub floor: u64,
-    /// Images that were there when it last changed shares, with their sizes.
+    /// Images that were there when it last changed shards, with their sizes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<(String, f64)>,
     /// Its membership in a warm pool. Since format 3.
@@ -193,8 +194,8 @@
 /// A rental intent, written before the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentalIntent {
-    /// How many for which share.
-    pub parts: Vec<(ShareId, u32)>,
+    /// How many for which shard.
+    pub parts: Vec<(ShardId, u32)>,
     /// Type.
     #[serde(rename = "type")]
     pub machine_type: String,
@@ -223,8 +224,8 @@
         self.parts.iter().map(|(_, n)| n).sum()
     }
 
-    /// The shares that get its machines, in turn, each as often as it asked.
-    pub fn in_turn(&self) -> Vec<ShareId> {
+    /// The shards that get its machines, in turn, each as often as it asked.
+    pub fn in_turn(&self) -> Vec<ShardId> {
         let rounds = self.parts.iter().map(|(_, n)| *n).max().unwrap_or(0);
         let one = |i: u32| {
             let some = self.parts.iter().filter(move |(_, n)| i < *n);
@@ -234,10 +235,10 @@
     }
 }
 
-/// The unmet demand of a share.
+/// The unmet demand of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandRecord {
-    /// Revision that the share's holder had seen.
+    /// Revision that the shard's holder had seen.
     pub rev: u64,
     /// Tasks without a place even on machines that are to come, and
     /// missing spare places, the most urgent first.
@@ -341,8 +342,9 @@
 pub struct JobRecord {
     /// As it was submitted.
     pub spec: JobSpec,
-    /// The share that it belongs to.
-    pub share: ShareId,
+    /// The shard that it belongs to.
+    #[serde(rename = "share")]
+    pub shard: ShardId,
     /// `pending`, or its final stage.
     pub stage: JobStage,
 }
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// The demand of a share that holds four thousand machines, all of them empty, has room in
+/// The demand of a shard that holds four thousand machines, all of them empty, has room in
 /// a message with more shapes than there once could be; one byte less, and the least
 /// useful list is halved.
 #[test]
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,4 +1,4 @@
-//! Reports of workers that reach another controller than the holder of their share.
+//! Reports of workers that reach another controller than the holder of their shard.
 //!
 //! Such a worker is usually sent to the holder. If the holder has said that it does not
 //! hear the machine, the way there is cut: the report is passed on, and the holder's answer
@@ -17,7 +17,7 @@
 use crate::io::RequestId;
 use crate::node::Node;
 use crate::pending::Pending;
-use crate::share::{Phase, Share};
+use crate::shard::{Phase, Shard};
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
 use forkshift_wire::peer::Body;
@@ -49,7 +49,7 @@
     probed: Vec<MachineId>,
 }
 
-impl Share {
+impl Shard {
     /// Adds machines that should report to us and are not heard.
     fn find_unheard(&mut self, now: Ms, awake_since: Ms, timing: &Timing, found: &mut Unheard) {
         let Self { machines, look, .. } = self;
@@ -79,9 +79,9 @@
         self.ctx.relays.forget_late(now);
         self.ctx.redirects.forget_late(now);
         let mut unheard = Unheard::default();
-        let active = self.shares.values_mut();
-        for share in active.filter(|s| s.phase == Phase::Active) {
-            share.find_unheard(now, awake_since, &timing, &mut unheard);
+        let active = self.shards.values_mut();
+        for shard in active.filter(|s| s.phase == Phase::Active) {
+            shard.find_unheard(now, awake_since, &timing, &mut unheard);
         }
         self.send_probes(unheard.probed);
         self.send_unheard(unheard.relayed);
@@ -153,10 +153,10 @@
             Ok(report) => report,
             Err(e) => return log::info!("a worker's status is not understood: {e}"),
         };
-        let Node { shares, ctx, .. } = self;
-        let active = shares.values_mut().filter(|s| s.phase == Phase::Active);
-        for share in active {
-            share.ingest(ctx, &report);
+        let Node { shards, ctx, .. } = self;
+        let active = shards.values_mut().filter(|s| s.phase == Phase::Active);
+        for shard in active {
+            shard.ingest(ctx, &report);
         }
     }
 
@@ -186,8 +186,8 @@
     /// The holder of a machine, if it has said that it does not hear it, or if the worker
     /// was sent there and came back.
     pub(crate) fn deaf_holder(&self, machine: &MachineId) -> Option<NodeName> {
-        let share = self.view.machines.get(machine)?.rec.share;
-        let holder = &self.view.shares.get(&share)?.rec;
+        let shard = self.view.machines.get(machine)?.rec.shard;
+        let holder = &self.view.shards.get(&shard)?.rec;
         let is_other = holder.holder != self.ctx.cfg.node;
         let Context {
             relays,
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -1,10 +1,10 @@
-//! Rounds of a share: places waiting tasks, and computes the unmet demand.
+//! Rounds of a shard: places waiting tasks, and computes the unmet demand.
 
 use crate::context::Context;
 use crate::job::{Binding, Job, Sent};
 use crate::machine::Machine;
 use crate::pools::open_reservations;
-use crate::share::Share;
+use crate::shard::Shard;
 use crate::view::View;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Reclaim, Reservation, Resources, Standing};
@@ -16,8 +16,8 @@
 /// do not starve.
 const AGED_BOOTS: f64 = 2.0;
 
-/// A job reclaims machines of other shares after it has waited this many
-/// rounds: by then its own share has no room for it.
+/// A job reclaims machines of other shards after it has waited this many
+/// rounds: by then its own shard has no room for it.
 pub(crate) const RECLAIM_ROUNDS: f64 = 2.0;
 /// Jobs that failed again and again go behind all others, for so long: it may
 /// be that they are well, and that nothing else ever leaves them room.
@@ -26,7 +26,7 @@
 /// For so long such a job waits for room before a machine is rented for it.
 const PROBE_WAIT: Ms = 60_000;
 
-impl Share {
+impl Shard {
     /// Runs a round if one is due.
     pub(crate) fn round(&mut self, ctx: &mut Context, view: &View) {
         if ctx.now < self.next_round {
@@ -272,7 +272,7 @@
     usable: &'a [MachineId],
     /// The zone of every machine.
     zones: BTreeMap<MachineId, u16>,
-    /// The longest boot of the share's machines.
+    /// The longest boot of the shard's machines.
     boot_ms: Ms,
     /// What services hold of each team's quota.
     lasting: Vec<Resources>,
--- a/crates/core/src/share.rs
+++ b/crates/core/src/shard.rs
@@ -1,6 +1,6 @@
-//! A share that this controller holds: its jobs and its machines.
+//! A shard that this controller holds: its jobs and its machines.
 //!
-//! [`Share`] is the state; what is done with it is in the modules below by
+//! [`Shard`] is the state; what is done with it is in the modules below by
 //! concern, and in `reconcile`, `evidence`, `rounds`, `drain` and `commit`.
 
 mod arrivals;
@@ -20,8 +20,8 @@
 use crate::job::Job;
 use crate::machine::Machine;
 use crate::pending::Pending;
-use crate::pools::SharePools;
-use crate::records::{share_key, DemandRecord, MachineRecord, ShareId};
+use crate::pools::ShardPools;
+use crate::records::{shard_key, DemandRecord, MachineRecord, ShardId};
 use crate::store::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
@@ -33,12 +33,12 @@
 /// A token is an epoch above a counter of this many bits.
 pub(crate) const TOKEN_BITS: u32 = 24;
 
-/// The epoch of a share's holding under which a fencing token was minted.
+/// The epoch of a shard's holding under which a fencing token was minted.
 pub fn epoch_of_token(token: u64) -> u64 {
     token >> TOKEN_BITS
 }
 
-/// How far a share is.
+/// How far a shard is.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Phase {
     /// Its jobs are being read.
@@ -49,10 +49,10 @@
     Active,
 }
 
-/// A share that this controller holds.
-pub(crate) struct Share {
+/// A shard that this controller holds.
+pub(crate) struct Shard {
     /// Its number.
-    pub(crate) id: ShareId,
+    pub(crate) id: ShardId,
     /// The epoch under which it is held: no other holder ever has the same.
     pub(crate) epoch: u64,
     /// Version of its record.
@@ -82,7 +82,7 @@
     /// Jobs that are over, with the revision that removed them: a watch may
     /// still show how they were created.
     gone: HashMap<JobId, u64>,
-    /// Records that were read before the share is active.
+    /// Records that were read before the shard is active.
     loaded: Vec<Item>,
     /// When its jobs are to be read anew.
     list_at: Option<Ms>,
@@ -121,7 +121,7 @@
     pub(crate) demand_putting: bool,
     /// Shown again only in sight of this revision.
     pub(crate) demand_from: u64,
-    /// The watch was lost: the share is to be loaded again.
+    /// The watch was lost: the shard is to be loaded again.
     pub(crate) reload: bool,
     /// Somebody has seen a higher epoch of it, which our view has not: without
     /// a right of our own we answer for it no more.
@@ -131,16 +131,16 @@
     /// Jobs that wait for others, and were just added.
     pub(crate) new_blocked_jobs: Vec<JobId>,
     /// Its teams' warm pools.
-    pub(crate) pools: SharePools,
+    pub(crate) pools: ShardPools,
 }
 
-impl Share {
-    /// A share that was just assigned to this controller; its jobs are read.
-    pub(crate) fn new(ctx: &mut Context, id: ShareId, epoch: u64, version: u64) -> Self {
-        log::info!("share {id}: ours from epoch {epoch}");
+impl Shard {
+    /// A shard that was just assigned to this controller; its jobs are read.
+    pub(crate) fn new(ctx: &mut Context, id: ShardId, epoch: u64, version: u64) -> Self {
+        log::info!("shard {id}: ours from epoch {epoch}");
         let mut teams = BTreeMap::new();
         let mut quotas = Vec::new();
-        for team in ctx.cfg.teams.values().filter(|t| t.share == id) {
+        for team in ctx.cfg.teams.values().filter(|t| t.shard == id) {
             teams.insert(team.name.clone(), quotas.len());
             quotas.push(Quota {
                 guarantee: team.guarantee,
@@ -148,7 +148,7 @@
                 used: Resources::default(),
             });
         }
-        let share = Self {
+        let shard = Self {
             id,
             epoch,
             version,
@@ -187,30 +187,30 @@
             superseded: false,
             look_for_aborts: false,
             new_blocked_jobs: Vec::new(),
-            pools: SharePools::default(),
+            pools: ShardPools::default(),
         };
-        share.list(ctx, "");
-        share
+        shard.list(ctx, "");
+        shard
     }
 
-    /// Somebody has seen a higher epoch of the share.
+    /// Somebody has seen a higher epoch of the shard.
     pub(crate) fn supersede(&mut self, how: &str) {
         if !self.superseded {
-            log::info!("share {}: not ours any more, {how}", self.id);
+            log::info!("shard {}: not ours any more, {how}", self.id);
             self.superseded = true;
         }
     }
 
     /// The first token that is used for a machine: above those of earlier
-    /// holders of the share, and of the machine's earlier shares.
+    /// holders of the shard, and of the machine's earlier shards.
     pub(crate) fn first_token(&self, rec: &MachineRecord) -> u64 {
         (self.epoch << TOKEN_BITS).max(rec.floor + 1)
     }
 
-    /// The condition that the share is still held under this epoch.
+    /// The condition that the shard is still held under this epoch.
     pub(crate) fn held(&self) -> Cond {
         Cond {
-            key: share_key(self.id),
+            key: shard_key(self.id),
             version: self.version,
         }
     }
@@ -221,7 +221,7 @@
         self.next_round = self.next_round.min(ctx.now.max(self.last_round + gap));
     }
 
-    /// The share is not ours any more: users who wait ask whoever has it.
+    /// The shard is not ours any more: users who wait ask whoever has it.
     pub(crate) fn release(self, ctx: &mut Context) {
         let waiters = self.jobs.into_values().flat_map(|j| j.cancel_waiters);
         for request in waiters {
--- a/crates/core/src/share/arrivals.rs
+++ b/crates/core/src/shard/arrivals.rs
@@ -1,6 +1,6 @@
 //! Rates at which the jobs of each class arrive, to keep places for them.
 
-use super::Share;
+use super::Shard;
 use crate::records::ShapeRecord;
 use crate::Ms;
 use forkshift_sched::Resources;
@@ -39,7 +39,7 @@
     }
 }
 
-impl Share {
+impl Shard {
     /// Counts the tasks of a job that has just arrived.
     pub(super) fn count_arrival(&mut self, spec: &JobSpec, now: Ms) {
         let res = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
--- a/crates/core/src/share/explain.rs
+++ b/crates/core/src/shard/explain.rs
@@ -1,8 +1,8 @@
-//! Debug lines on what the tasks of a share wait for.
+//! Debug lines on what the tasks of a shard wait for.
 
-use super::Share;
+use super::Shard;
 
-impl Share {
+impl Shard {
     /// Says at debug level what every task that is not running waits for.
     pub(crate) fn explain(&self) {
         if !log::log_enabled!(log::Level::Debug) {
