--- a/crates/core/src/share/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -1,8 +1,8 @@
-//! Handover of shares between controllers.
+//! Handover of shards between controllers.
 
 use crate::context::Context;
 use crate::pending::Pending;
-use crate::records::{node_key, share_key, ShareId, ShareRecord, EPOCH};
+use crate::records::{node_key, shard_key, ShardId, ShardRecord, EPOCH};
 use crate::store::Urgency;
 use crate::view::View;
 use forkshift_wire::state::{Cond, Txn, Write};
@@ -10,35 +10,35 @@
 use serde_json::to_value;
 use std::collections::BTreeMap;
 
-/// Hands shares to starts of controllers, each under a new epoch. It takes
+/// Hands shards to starts of controllers, each under a new epoch. It takes
 /// hold only if the controllers that held them are as the view shows them:
 /// gone, or started anew, or willing.
-pub(crate) fn hand_over(ctx: &mut Context, view: &View, given: &[(ShareId, NodeName)]) {
+pub(crate) fn hand_over(ctx: &mut Context, view: &View, given: &[(ShardId, NodeName)]) {
     let (epoch_version, mut epoch) = view.epoch();
     let mut conds: BTreeMap<String, u64> = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
     let mut writes = Vec::new();
-    let mut shares = Vec::new();
+    let mut shards = Vec::new();
     for (k, to) in given {
         let Some(node) = view.nodes.get(to) else {
             continue;
         };
         epoch += 1;
-        let rec = ShareRecord {
+        let rec = ShardRecord {
             holder: to.clone(),
             inc: node.rec.inc,
             epoch,
             want: None,
         };
-        let share = view.shares.get(k);
-        conds.insert(share_key(*k), share.map_or(0, |s| s.version));
+        let shard = view.shards.get(k);
+        conds.insert(shard_key(*k), shard.map_or(0, |s| s.version));
         conds.insert(node_key(to), node.version);
-        if let Some(old) = share.map(|s| &s.rec.holder) {
+        if let Some(old) = shard.map(|s| &s.rec.holder) {
             conds.insert(node_key(old), view.nodes.get(old).map_or(0, |n| n.version));
         }
-        writes.push(Write::put(share_key(*k), to_value(rec).unwrap_or_default()));
-        shares.push(*k);
+        writes.push(Write::put(shard_key(*k), to_value(rec).unwrap_or_default()));
+        shards.push(*k);
     }
-    if shares.is_empty() {
+    if shards.is_empty() {
         return;
     }
     writes.push(Write::put(EPOCH.to_owned(), epoch.into()));
@@ -47,6 +47,6 @@
     ctx.txn(
         Urgency::Member,
         &Txn { conds, writes },
-        Pending::SharePut(shares),
+        Pending::ShardPut(shards),
     );
 }
--- a/crates/core/src/share/jobs.rs
+++ b/crates/core/src/shard/jobs.rs
@@ -1,9 +1,9 @@
-//! The jobs of a share, and which of their tasks are booked on which machine.
+//! The jobs of a shard, and which of their tasks are booked on which machine.
 //!
 //! A task that may have been started is booked on its machine and counts
 //! against its team's quota until there is evidence that it is gone.
 
-use super::{Phase, Share};
+use super::{Phase, Shard};
 use crate::context::Context;
 use crate::job::{Binding, Job, Sent, Stop};
 use crate::layout::Layout;
@@ -11,7 +11,7 @@
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, TaskRef};
 
-impl Share {
+impl Shard {
     /// Takes a new job on, unless it is known or over.
     /// A job that nothing is recorded of but its submission has no layout yet.
     pub(crate) fn add_job(
--- a/crates/core/src/share/loading.rs
+++ b/crates/core/src/shard/loading.rs
@@ -1,10 +1,10 @@
-//! Loading of a share's jobs when it is taken over, and the watch that shows
+//! Loading of a shard's jobs when it is taken over, and the watch that shows
 //! new ones afterwards.
 //!
-//! A share is used only once the view is as new as the jobs that were read:
+//! A shard is used only once the view is as new as the jobs that were read:
 //! then a machine that the view lacks does not exist any more.
 
-use super::{remove_key, Phase, Share};
+use super::{remove_key, Phase, Shard};
 use crate::context::{is_watch_lost, Context};
 use crate::layout::Layout;
 use crate::pending::Pending;
@@ -17,15 +17,15 @@
 use serde_json::{from_value, Value};
 
 /// The part of the requests to the state service that goes into watches on
-/// shares' jobs.
+/// shards' jobs.
 const WATCH_PART: f64 = 0.1;
 /// Least pause between two of them.
 const WATCH_GAP: Ms = 200;
 /// Pause before its jobs are read again: without one, a controller that was
-/// refused while it took a share over asked as fast as it was answered.
+/// refused while it took a shard over asked as fast as it was answered.
 const LIST_PAUSE: Ms = 200;
 
-impl Share {
+impl Shard {
     /// Reads a page of the jobs' records from behind a key.
     pub(super) fn list(&self, ctx: &mut Context, from: &str) {
         let prefix = live_prefix(self.id);
@@ -33,8 +33,8 @@
         if !from.is_empty() {
             path.push_str(&format!("&from={from}"));
         }
-        let (share, epoch) = (self.id, self.epoch);
-        ctx.read(Urgency::Member, path, Pending::ShareList { share, epoch });
+        let (shard, epoch) = (self.id, self.epoch);
+        ctx.read(Urgency::Member, path, Pending::ShardList { shard, epoch });
     }
 
     /// Reads the jobs anew, when that is due.
@@ -67,13 +67,13 @@
         }
     }
 
-    /// Starts to use the share, once the view is as new as what was read.
+    /// Starts to use the shard, once the view is as new as what was read.
     /// Only then does a machine that the view lacks not exist any more.
     pub(crate) fn activate(&mut self, ctx: &mut Context, view: &View) {
         // A machine of a type that is not known would be taken for gone.
-        let mut ours = view.machines.values().filter(|m| m.rec.share == self.id);
+        let mut ours = view.machines.values().filter(|m| m.rec.shard == self.id);
         if !ours.all(|m| view.types.contains_key(&m.rec.machine_type)) {
-            log::error!("share {}: a machine's type is not known", self.id);
+            log::error!("shard {}: a machine's type is not known", self.id);
             return;
         }
         self.phase = Phase::Active;
@@ -104,7 +104,7 @@
             }
         }
         log::info!(
-            "share {}: {} jobs and {} machines taken over",
+            "shard {}: {} jobs and {} machines taken over",
             self.id,
             self.jobs.len(),
             self.machines.len()
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Keeps a watch on the share's jobs, for those that other controllers accept.
+    /// Keeps a watch on the shard's jobs, for those that other controllers accept.
     pub(crate) fn watch(&mut self, ctx: &mut Context) {
         if self.watching || self.live_rev == 0 || ctx.now < self.watch_at {
             return;
@@ -160,8 +160,8 @@
         self.watching = true;
         self.watch_serial += 1;
         self.watch_at = ctx.now + ctx.watch_pause(WATCH_PART);
-        let pending = Pending::ShareWatch {
-            share: self.id,
+        let pending = Pending::ShardWatch {
+            shard: self.id,
             epoch: self.epoch,
             serial: self.watch_serial,
         };
--- a/crates/core/src/share/machines.rs
+++ b/crates/core/src/shard/machines.rs
@@ -1,7 +1,7 @@
-//! The machines of a share: they follow the records that the view shows, are
-//! given up, and change to another share.
+//! The machines of a shard: they follow the records that the view shows, are
+//! given up, and change to another shard.
 
-use super::Share;
+use super::Shard;
 use crate::blame::MachineFailures;
 use crate::context::Context;
 use crate::machine::Machine;
@@ -18,7 +18,7 @@
 use serde_json::to_value;
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Share {
+impl Shard {
     /// Follows the view: new machines, changed records, machines that are gone.
     pub(crate) fn sync_machines(&mut self, ctx: &mut Context, view: &View, changed: &Changed) {
         if changed.all {
@@ -37,7 +37,7 @@
     /// Follows one machine's record.
     fn sync_machine(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         ctx.visits += 1;
-        let ours = view.machines.get(id).filter(|m| m.rec.share == self.id);
+        let ours = view.machines.get(id).filter(|m| m.rec.shard == self.id);
         let Some(stamped) = ours else {
             self.drop_machine(ctx, id);
             return;
@@ -162,10 +162,10 @@
         self.hurry(ctx);
     }
 
-    /// Gives a machine that the leader asks for to another share, if it is
+    /// Gives a machine that the leader asks for to another shard, if it is
     /// free. From the moment the write is sent nothing is placed there until
     /// the record has changed: a write without an answer may land late, and
-    /// the other share then owns whatever is on the machine.
+    /// the other shard then owns whatever is on the machine.
     pub(crate) fn give_away(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
         let Some(to) = view.machines.get(id).and_then(|m| m.rec.want) else {
             if let Some(machine) = self.machines.get_mut(id) {
@@ -194,7 +194,7 @@
             machine.leaving = Some(machine.version);
             let at_ms = ctx.wall;
             self.put_machine_with(ctx, view, id, |rec| {
-                rec.share = to;
+                rec.shard = to;
                 rec.want = None;
                 rec.floor = floor;
                 rec.images = names;
@@ -221,7 +221,7 @@
         names
     }
 
-    /// Writes a machine's record, on condition that it and the share are as we know them.
+    /// Writes a machine's record, on condition that it and the shard are as we know them.
     pub(crate) fn put_machine(
         &mut self,
         ctx: &mut Context,
@@ -254,7 +254,7 @@
         let mut rec = stamped.rec.clone();
         let row = change(&mut rec);
         // Only a takeover needs an address; all else frees a machine.
-        let moves = rec.share != stamped.rec.share || rec.condemned != stamped.rec.condemned;
+        let moves = rec.shard != stamped.rec.shard || rec.condemned != stamped.rec.condemned;
         let urgency = if moves { Urgency::Work } else { Urgency::Later };
         let key = machine_key(id);
         let mut txn = Txn {
--- a/crates/core/src/share/money.rs
+++ b/crates/core/src/shard/money.rs
@@ -1,10 +1,10 @@
-//! Where the price of a share's machines goes.
+//! Where the price of a shard's machines goes.
 
-use super::Share;
+use super::Shard;
 use forkshift_sched::Resources;
 use std::fmt;
 
-/// Where the price of a share's machines goes, an hour.
+/// Where the price of a shard's machines goes, an hour.
 #[derive(Default)]
 pub(crate) struct Money {
     total: f64,
@@ -33,7 +33,7 @@
     }
 }
 
-impl Share {
+impl Shard {
     /// Where the money goes at this moment.
     pub(crate) fn money(&self) -> Money {
         let mut money = Money::default();
--- a/crates/core/src/sizing.rs
+++ b/crates/core/src/sizing.rs
@@ -1,6 +1,6 @@
 //! Whether a controller's limits are enough for a fleet of some size.
 //!
-//! In the worst moment one controller holds every share and serves every worker: the
+//! In the worst moment one controller holds every shard and serves every worker: the
 //! others have ended. What it needs then follows from the measured slopes of
 //! `docs/CAPACITY.md`.
 
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -137,7 +137,7 @@
 /// How urgent a call is; the order is that of the queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Urgency {
-    /// Leases, leadership, shares: never held back.
+    /// Leases, leadership, shards: never held back.
     Member,
     /// The leader's rentals.
     Lead,
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::format::FormatVersion;
 use crate::records::{
-    DemandRecord, LeaderRecord, MachineRecord, NodeRecord, RentalIntent, ShareId, ShareRecord,
+    DemandRecord, LeaderRecord, MachineRecord, NodeRecord, RentalIntent, ShardId, ShardRecord,
     EPOCH, FINALIZED_FORMAT, LEADER,
 };
 use forkshift_wire::cloud::MachineType;
@@ -28,11 +28,11 @@
     pub(crate) leader: Option<Stamped<LeaderRecord>>,
     pub(crate) epoch: Option<Stamped<u64>>,
     pub(crate) finalized_format: Option<Stamped<FormatVersion>>,
-    pub(crate) shares: BTreeMap<ShareId, Stamped<ShareRecord>>,
+    pub(crate) shards: BTreeMap<ShardId, Stamped<ShardRecord>>,
     pub(crate) machines: BTreeMap<MachineId, Stamped<MachineRecord>>,
     pub(crate) rental_intents: BTreeMap<String, Stamped<RentalIntent>>,
     pub(crate) types: BTreeMap<String, Stamped<MachineType>>,
-    pub(crate) demands: BTreeMap<ShareId, Stamped<DemandRecord>>,
+    pub(crate) demands: BTreeMap<ShardId, Stamped<DemandRecord>>,
     pub(crate) aborts: BTreeMap<JobId, u64>,
     /// Machines that are given up.
     pub(crate) condemned: BTreeSet<MachineId>,
@@ -151,11 +151,11 @@
                 self.aborts.insert(JobId::new(name), v);
             }
             "share" | "demand" => {
-                let Ok(k) = name.parse().map(ShareId) else {
+                let Ok(k) = name.parse().map(ShardId) else {
                     return;
                 };
                 if kind == "share" {
-                    set(&mut self.shares, k, key, value, v);
+                    set(&mut self.shards, k, key, value, v);
                 } else {
                     set(&mut self.demands, k, key, value, v);
                 }
@@ -183,8 +183,8 @@
             "charter" => drop(self.rental_intents.remove(name)),
             "rig" => drop(self.types.remove(name)),
             "abort" => drop(self.aborts.remove(&JobId::new(name))),
-            "share" => drop(name.parse().map(|k| self.shares.remove(&ShareId(k)))),
-            "demand" => drop(name.parse().map(|k| self.demands.remove(&ShareId(k)))),
+            "share" => drop(name.parse().map(|k| self.shards.remove(&ShardId(k)))),
+            "demand" => drop(name.parse().map(|k| self.demands.remove(&ShardId(k)))),
             _ => {}
         }
     }
@@ -220,11 +220,11 @@
         self.nodes.get(node).is_some_and(|n| n.rec.inc == inc)
     }
 
-    /// The controller that holds a share, if it is alive.
-    pub(crate) fn holder(&self, k: ShareId) -> Option<&NodeName> {
-        let share = &self.shares.get(&k)?.rec;
-        self.is_alive(&share.holder, share.inc)
-            .then_some(&share.holder)
+    /// The controller that holds a shard, if it is alive.
+    pub(crate) fn holder(&self, k: ShardId) -> Option<&NodeName> {
+        let shard = &self.shards.get(&k)?.rec;
+        self.is_alive(&shard.holder, shard.inc)
+            .then_some(&shard.holder)
     }
 
     /// All zones in which machines can be had.
--- a/crates/emulator/src/bridge.rs
+++ b/crates/emulator/src/bridge.rs
@@ -144,7 +144,7 @@
         self.began_ms
     }
 
-    /// The controller that holds the share of the replicas that answer.
+    /// The controller that holds the shard of the replicas that answer.
     pub fn holder_of_answers(&self) -> Option<usize> {
         let job = self.jobs.all.first()?;
         self.with_world(|world| world.holder_of(job))
--- a/crates/emulator/src/purpose.rs
+++ b/crates/emulator/src/purpose.rs
@@ -13,7 +13,7 @@
     Lease,
     /// Reading records.
     Read,
-    /// Who is alive, leads, holds which share, and which format is written.
+    /// Who is alive, leads, holds which shard, and which format is written.
     Membership,
     /// Machines: rented, heard of, given up, gone.
     Machine,
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -361,7 +361,7 @@
     pub workers: Option<usize>,
     /// All workers of a zone, with their machines.
     pub zone: Option<String>,
-    /// The controller that holds the share of the replicas that answer.
+    /// The controller that holds the shard of the replicas that answer.
     #[serde(default)]
     pub holder: bool,
 }
@@ -374,7 +374,7 @@
     pub at_s: f64,
     /// For how long, in seconds.
     pub for_s: f64,
-    /// Index of the controller; if left out, the one that holds the share of the replicas
+    /// Index of the controller; if left out, the one that holds the shard of the replicas
     /// that answer.
     pub controller: Option<usize>,
     /// Which link.
--- a/crates/links/src/decision.rs
+++ b/crates/links/src/decision.rs
@@ -52,7 +52,7 @@
     /// To give a machine up because it is silent: silence tells nothing of a machine
     /// where most are not heard.
     GiveUpSilentMachines,
-    /// To keep shares that another controller could hold.
+    /// To keep shards that another controller could hold.
     HoldShares,
     /// To lead although another controller could: the leader alone rents and returns
     /// machines.
--- a/crates/links/src/machine_link.rs
+++ b/crates/links/src/machine_link.rs
@@ -1,4 +1,4 @@
-//! The link between the holder of a share and one of its machines.
+//! The link between the holder of a shard and one of its machines.
 
 use crate::Ms;
 
--- a/crates/links/src/redirect.rs
+++ b/crates/links/src/redirect.rs
@@ -1,4 +1,4 @@
-//! Workers that were sent to the holder of their share and came back.
+//! Workers that were sent to the holder of their shard and came back.
 
 use crate::Ms;
 use forkshift_wire::{MachineId, NodeName};
--- a/crates/links/tests/worker_and_controllers.rs
+++ b/crates/links/tests/worker_and_controllers.rs
@@ -1,4 +1,4 @@
-//! A worker, the holder of its share and three more controllers, with links that are cut
+//! A worker, the holder of its shard and three more controllers, with links that are cut
 //! and healed in any order, against the protocol's rules for workers.
 //!
 //! The reference state says which links are up and keeps to what can be survived: the worker
--- a/crates/sched/src/claim.rs
+++ b/crates/sched/src/claim.rs
@@ -27,9 +27,9 @@
     /// Nothing.
     #[default]
     Nothing,
-    /// What borrowed tasks use on machines of its own share.
+    /// What borrowed tasks use on machines of its own shard.
     Tasks,
-    /// It has waited, so whole machines of other shares, too.
+    /// It has waited, so whole machines of other shards, too.
     TasksAndMachines,
 }
 
@@ -39,7 +39,7 @@
         self != Self::Nothing
     }
 
-    /// Whether machines of other shares are.
+    /// Whether machines of other shards are.
     pub fn reclaims_machines(self) -> bool {
         self == Self::TasksAndMachines
     }
--- a/crates/sched/src/provision.rs
+++ b/crates/sched/src/provision.rs
@@ -45,7 +45,7 @@
     pub total: Resources,
     /// Price an hour.
     pub price: f64,
-    /// Machines of this share in the zone; fewer is preferred among equals.
+    /// Machines of this shard in the zone; fewer is preferred among equals.
     pub held: u32,
 }
 
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -25,7 +25,7 @@
 pub enum Which {
     /// Those with a task of a job that has not exited.
     OfJob(JobId),
-    /// Those of the shares that a controller holds.
+    /// Those of the shards that a controller holds.
     OfHolder(Who),
     /// Those of a zone.
     OfZone(&'static str),
--- a/crates/testkit/src/world/inject.rs
+++ b/crates/testkit/src/world/inject.rs
@@ -6,7 +6,7 @@
 use crate::state::SizeLimits;
 use crate::worker::Worker;
 use crate::Ms;
-use forkshift_core::records::{self, ShareId};
+use forkshift_core::records::{self, ShardId};
 use forkshift_wire::{JobId, MachineId};
 use rand::Rng;
 
@@ -34,27 +34,27 @@
         self.named(self.state.value(records::LEADER)?.get("node"))
     }
 
-    pub(super) fn share_of(&self, id: &JobId) -> Option<ShareId> {
-        let share = self.state.value(&records::job_key(id))?.get("share")?;
-        Some(ShareId(share.as_u64()? as u32))
+    pub(super) fn shard_of(&self, id: &JobId) -> Option<ShardId> {
+        let shard = self.state.value(&records::job_key(id))?.get("share")?;
+        Some(ShardId(shard.as_u64()? as u32))
     }
 
     /// The holder of a job's share, as the state service has it.
     pub fn holder_of(&self, id: &JobId) -> Option<usize> {
-        let key = records::share_key(self.share_of(id)?);
+        let key = records::shard_key(self.shard_of(id)?);
         self.named(self.state.value(&key)?.get("holder"))
     }
 
     /// Whether a controller holds a share, as the state service has it.
-    pub fn holds_shares(&self, node: usize) -> bool {
-        let shares = (0..self.size.nodes as u32).map(|k| records::share_key(ShareId(k)));
-        let mut records = shares.filter_map(|key| self.state.value(&key));
+    pub fn holds_shards(&self, node: usize) -> bool {
+        let shards = (0..self.size.nodes as u32).map(|k| records::shard_key(ShardId(k)));
+        let mut records = shards.filter_map(|key| self.state.value(&key));
         records.any(|r| self.named(r.get("holder")) == Some(node))
     }
 
     /// The epoch of a job's share, as the state service has it.
     pub fn epoch_of(&self, id: &JobId) -> Option<u64> {
-        let key = records::share_key(self.share_of(id)?);
+        let key = records::shard_key(self.shard_of(id)?);
         self.state.value(&key)?.get("epoch")?.as_u64()
     }
 
@@ -68,9 +68,9 @@
     pub fn machines_of(&self, which: &Which) -> Vec<MachineId> {
         let held = |w: &Worker, who: usize| {
             let machine = self.state.value(&records::machine_key(&w.id))?;
-            let share = ShareId(machine.get("share")?.as_u64()? as u32);
-            let share = self.state.value(&records::share_key(share))?;
-            Some(self.named(share.get("holder"))? == who)
+            let shard = ShardId(machine.get("share")?.as_u64()? as u32);
+            let shard = self.state.value(&records::shard_key(shard))?;
+            Some(self.named(shard.get("holder"))? == who)
         };
         let meant = |w: &Worker| match which {
             Which::OfJob(id) => w.has_task_of(id),
--- a/crates/testkit/src/world/remote.rs
+++ b/crates/testkit/src/world/remote.rs
@@ -8,7 +8,7 @@
 use super::{World, STEP};
 use crate::Ms;
 use forkshift_core::epoch_of_token;
-use forkshift_core::records::{self, ShareId};
+use forkshift_core::records::{self, ShardId};
 use forkshift_wire::workers::CommandRequest;
 use forkshift_wire::MachineId;
 use rand::Rng;
@@ -113,8 +113,8 @@
     fn sender_of(&self, body: &[u8]) -> Option<usize> {
         let request: CommandRequest = serde_json::from_slice(body).ok()?;
         let epoch = epoch_of_token(request.token);
-        let shares = (0..self.size.nodes as u32).map(|k| records::share_key(ShareId(k)));
-        let mut records = shares.filter_map(|key| self.state.value(&key));
+        let shards = (0..self.size.nodes as u32).map(|k| records::shard_key(ShardId(k)));
+        let mut records = shards.filter_map(|key| self.state.value(&key));
         let record = records.find(|r| r.get("epoch").and_then(Value::as_u64) == Some(epoch))?;
         self.named(record.get("holder"))
     }
--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -213,12 +213,12 @@
     }
 }
 
-/// A job is cancelled in the seconds in which its share changes hands, by a
+/// A job is cancelled in the seconds in which its shard changes hands, by a
 /// crash and in order, wherever in that time the request falls.
 #[test]
-fn cancelled_while_a_share_changes_hands() {
+fn cancelled_while_a_shard_changes_hands() {
     for step in 0..10 {
-        // The holder ends at 50 s and is back at 53 s; later it gets its share
+        // The holder ends at 50 s and is back at 53 s; later it gets its shard
         // back, in order.
         let at = 49_800 + 400 * step;
         let plans = (0..6).map(|n| {
--- a/crates/testkit/tests/controller_cuts.rs
+++ b/crates/testkit/tests/controller_cuts.rs
@@ -1,6 +1,6 @@
 //! A controller loses the network, or a part of it, while jobs are submitted
 //! and cancelled. Beside the rules it is asserted how long the work of its
-//! shares stands still, and that no healthy machine is given up.
+//! shards stands still, and that no healthy machine is given up.
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{FaultKind, Plan, Size, Which, Who, World};
@@ -21,7 +21,7 @@
 /// The longest time without a start: two leases of a controller.
 const STILL_MOST: Ms = 5_000;
 
-/// An array of a team, all of which are in one share.
+/// An array of a team, all of which are in one shard.
 fn job(n: u32, at: Ms, gpus: f64, run_ms: Ms, cancel_at: Option<Ms>) -> Plan {
     let mut plan = Plan::plain(n, at, JobKind::Array, 1, run_ms);
     plan.spec.cpus = 1.0;
--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -3,7 +3,7 @@
 //!
 //! What waits in the sockets of a controller that stands still is delivered at
 //! once when it goes on, in any order (`World::wake`). By then others may hold
-//! its shares and have told users what it does not know.
+//! its shards and have told users what it does not know.
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{Fault, FaultKind, Plan, Size, Who, World};
@@ -52,7 +52,7 @@
 enum Role {
     Leader,
     Holder,
-    /// It has just been given the share of a controller that ended.
+    /// It has just been given the shard of a controller that ended.
     TakingOver,
     /// All controllers stop.
     All,
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -92,7 +92,7 @@
     play("seven", size, (420, 80), 650, faults, 160_000);
 }
 
-/// A zone's machines stop, the holder of a team's share ends, and the leader is refused,
+/// A zone's machines stop, the holder of a team's shard ends, and the leader is refused,
 /// all within half a minute, where most machines are in use.
 #[test]
 fn four_thousand_machines_lose_a_zone_a_holder_and_a_leader() {
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -178,7 +178,7 @@
         let again = match parts.as_slice() {
             ["c", "node", _] => from_value::<new::NodeRecord>(value.clone()).and_then(to_value),
             ["c", "leader"] => from_value::<new::LeaderRecord>(value.clone()).and_then(to_value),
-            ["c", "share", _] => from_value::<new::ShareRecord>(value.clone()).and_then(to_value),
+            ["c", "share", _] => from_value::<new::ShardRecord>(value.clone()).and_then(to_value),
             ["c", "machine", _] => {
                 from_value::<new::MachineRecord>(value.clone()).and_then(to_value)
             }
@@ -215,7 +215,7 @@
 /// A controller that comes back as the old release after finalization can't
 /// read what is written: it gets no share, whatever it does.
 #[test]
-fn an_old_controller_after_finalization_gets_no_share() {
+fn an_old_controller_after_finalization_gets_no_shard() {
     let mut faults: Vec<Fault> = (0..3)
         .map(|n| upgrade(20_000 + n as u64 * 5_000, n))
         .collect();
@@ -225,8 +225,8 @@
     world.run_until(90_000);
     while world.now() < 200_000 {
         world.run_until(world.now() + 500);
-        let held = world.holds_shares(1);
-        assert!(!held, "it holds a share at {}", world.now());
+        let held = world.holds_shards(1);
+        assert!(!held, "it holds a shard at {}", world.now());
     }
     check("downgrade", &world);
 }
--- a/crates/testkit/tests/warm_pools.rs
+++ b/crates/testkit/tests/warm_pools.rs
@@ -176,7 +176,7 @@
 
 /// Three machines in all: two are in use, one is a pool's. A gang within its team's
 /// guarantee comes together with a burst for the pool, or alone: exactly one of them gets
-/// the machine, whether the gang's team is in the pool's share or in another.
+/// the machine, whether the gang's team is in the pool's shard or in another.
 #[test]
 fn a_machine_is_reclaimed_by_a_gang_or_handed_out_and_never_both() {
     const ALONE: Ms = 40_000;
@@ -334,7 +334,7 @@
         if n % 3 == 0 {
             faults.push(crash(Who::Leader, at));
         }
-        // A job of the team shows who holds its share.
+        // A job of the team shows who holds its shard.
         let mut steady = replicas(5, 2_000, 1, "plain");
         steady.spec.gpus = 0.0;
         let plans = vec![steady, replicas(0, FULL, 2, "weights")];
@@ -439,7 +439,7 @@
     assert_eq!(warm(&world), 2);
     let misses = audit(&world, "on").misses;
     assert_eq!(misses, vec![], "what came before pools began missed none");
-    // Whoever has no declaration gives the machines back, and still holds shares.
+    // Whoever has no declaration gives the machines back, and still holds shards.
     for node in 0..NODES {
         restart(&mut world, node, Vec::new());
     }
@@ -449,7 +449,7 @@
     assert!(ended(&accounts, Ended::Withdrawn).len() >= 2);
     let asked = accounts.asked.iter().filter(|a| a.to_ms.is_none());
     assert_eq!(asked.map(|a| a.machines).collect::<Vec<_>>(), vec![0]);
-    assert!((0..NODES).any(|n| world.holds_shares(n)));
+    assert!((0..NODES).any(|n| world.holds_shards(n)));
 }
 
 /// A declaration that changes its image or its size is followed by the next holder.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -24,7 +24,7 @@
     pub from: String,
     /// This start of the sender; messages of earlier ones are dropped.
     pub inc: u64,
-    /// Epoch of the share that the message is about, as the sender knows it.
+    /// Epoch of the shard that the message is about, as the sender knows it.
     pub epoch: u64,
     /// The message.
     pub body: Body,
@@ -33,10 +33,10 @@
 /// What one controller tells another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Body {
-    /// A job was accepted for a share that the receiver holds.
+    /// A job was accepted for a shard that the receiver holds.
     NewJob {
-        /// The share.
-        share: u32,
+        /// The shard.
+        shard: u32,
         /// The job as it was submitted, in JSON.
         spec: String,
         /// Time of day of the submission, in milliseconds.
@@ -61,10 +61,10 @@
         /// Requests in a thousand seconds.
         requests: u32,
     },
-    /// The unmet demand of a share, to the leader; the envelope has the share's epoch.
+    /// The unmet demand of a shard, to the leader; the envelope has the shard's epoch.
     Demand {
-        /// The share.
-        share: u32,
+        /// The shard.
+        shard: u32,
         /// The record, in JSON, as it is also written now and then.
         demand: String,
     },
@@ -155,13 +155,13 @@
     pub sent: u64,
     /// The last heartbeat that the sender had from the receiver.
     pub echo: Option<Echo>,
-    /// Shares with the highest epochs that the sender has seen; none while it
+    /// Shards with the highest epochs that the sender has seen; none while it
     /// has not read them since it started.
     pub epochs: Option<Vec<(u32, u64)>>,
     /// For how long the state service has refused the sender, in milliseconds;
     /// none: it was served last.
     pub refused_for: Option<u64>,
-    /// Shares that the sender holds by right.
+    /// Shards that the sender holds by right.
     pub settled: Vec<Settled>,
 }
 
@@ -177,8 +177,8 @@
 /// Where tasks of cancelled jobs may be left.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Settled {
-    /// The share.
-    pub share: u32,
+    /// The shard.
+    pub shard: u32,
     /// Its machines that may hold one; all others hold none.
     pub unsettled: Vec<String>,
 }
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -40,7 +40,7 @@
     }
     let spec = "x".repeat(MESSAGE_MOST);
     let body = Body::NewJob {
-        share: 0,
+        shard: 0,
         spec,
         at: 0,
         revision: 0,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -188,7 +188,7 @@
     pub sockets: usize,
 }
 
-/// A share changes hands, and a job ends, in this many changes at once.
+/// A shard changes hands, and a job ends, in this many changes at once.
 const TXN_OPS_LEAST: usize = 4;
 
 /// Why settings are refused.
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -459,7 +459,7 @@
         epochs: Some(vec![(1, 2), (3, 4)]),
         refused_for: Some(250),
         settled: vec![Settled {
-            share: 3,
+            shard: 3,
             unsettled: texts(&["m-1", "m-2"]),
         }],
     };
@@ -493,7 +493,7 @@
         granted,
     };
     let new_job = Body::NewJob {
-        share: 2,
+        shard: 2,
         spec: "{\"uid\":\"j-412\"}".to_owned(),
         at: 1000,
         revision: 77,
@@ -503,7 +503,7 @@
         requests: 2500,
     };
     let demand = Body::Demand {
-        share: 2,
+        shard: 2,
         demand: "{\"rev\":1,\"shapes\":[]}".to_owned(),
     };
     let needed = Body::Needed {
