--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -63,7 +63,7 @@
     fn read_for_admission(&mut self, request: RequestId, id: JobId) {
         let path = format!("/kv/{}", job_key(&id));
         let pending = Pending::AdmissionRead { request, id };
-        self.ctx.read(Urgency::User, path, pending);
+        self.ctx.read_store(Urgency::User, path, pending);
     }
 
     /// The record of a dependency of a new job was read.
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -26,7 +26,7 @@
         if let Some(stage) = self.finals.get(&id) {
             return Some(Reply::json(200, &status(&id, stage)));
         }
-        let right = self.member.has_right(&self.ctx, &self.view);
+        let right = self.membership.has_valid_lease(&self.ctx, &self.view);
         let Node { shards, ctx, .. } = self;
         let ours = holder_of_mut(shards, &id);
         if let Some(shard) = ours {
@@ -68,7 +68,7 @@
             conds: Vec::new(),
             writes: vec![Write::put(key, true.into())],
         };
-        self.ctx.txn(Urgency::User, &txn, Pending::Abort(poll));
+        self.ctx.transact(Urgency::User, &txn, Pending::Abort(poll));
     }
 
     /// The write of a key that asks for a cancellation was answered.
@@ -83,7 +83,8 @@
 
     fn poll_abort(&mut self, poll: AbortPoll) {
         let path = format!("/kv/{}", job_key(&poll.id));
-        self.ctx.read(Urgency::User, path, Pending::AbortPoll(poll));
+        self.ctx
+            .read_store(Urgency::User, path, Pending::AbortPoll(poll));
     }
 
     /// The read that shows whether a cancellation was carried out was answered.
--- a/crates/core/src/api/questions.rs
+++ b/crates/core/src/api/questions.rs
@@ -25,7 +25,7 @@
         if let Some(stage) = self.finals.get(&id) {
             return Some(Reply::json(200, &status(&id, stage)));
         }
-        if self.member.has_right(&self.ctx, &self.view) {
+        if self.membership.has_valid_lease(&self.ctx, &self.view) {
             if let Some(reply) = self.remembered(&id) {
                 return Some(reply);
             }
@@ -66,7 +66,7 @@
             why,
             until,
         };
-        self.ctx.read(Urgency::User, path, pending);
+        self.ctx.read_store(Urgency::User, path, pending);
     }
 
     /// The read of a job's record was answered.
--- a/crates/core/src/api/reports.rs
+++ b/crates/core/src/api/reports.rs
@@ -29,7 +29,7 @@
                 return Some(Reply::error(400, "not a report"));
             }
         };
-        if request.is_remote() {
+        if request.is_from_peer() {
             return Some(self.answer_report(&report, Route::Relayed));
         }
         let holder = match relaying {
@@ -49,7 +49,7 @@
         };
         let k = record.rec.shard;
         if !self.shards.contains_key(&k) {
-            if self.keeps(k, &report.machine) {
+            if self.may_keep_worker_alive(k, &report.machine) {
                 let (token, commands) = (report.token, Vec::new());
                 return Reply::json(200, &ReportReply { token, commands });
             }
@@ -57,12 +57,13 @@
             return Reply::json(421, &Redirect { report_to });
         }
         let shard = self.shards.get(&k);
-        let entitled = shard.is_some_and(|s| self.ctx.entitled || self.holds_on(s));
-        let bridges = shard.is_some_and(|s| self.bridges(s, &report.machine));
+        let has_valid_lease =
+            shard.is_some_and(|s| self.ctx.has_valid_lease || self.may_answer_without_lease(s));
+        let bridges = shard.is_some_and(|s| self.may_answer_while_loading(s, &report.machine));
         let newest = self.view.epoch().1;
         let first = shard.map(|s| s.first_token(&record.rec));
         let Node { shards, ctx, .. } = self;
-        let Some(shard) = shards.get_mut(&k).filter(|_| entitled) else {
+        let Some(shard) = shards.get_mut(&k).filter(|_| has_valid_lease) else {
             return Reply::json(421, &Redirect::default());
         };
         if shard.phase != Phase::Active {
@@ -101,21 +102,21 @@
     /// To which controller a worker is sent that has come to us; none: to the next one.
     fn redirect_to(&mut self, shard: ShardId, machine: &MachineId) -> Option<String> {
         let holder = &self.view.shards.get(&shard)?.rec;
-        let (to, inc) = (holder.holder.clone(), holder.inc);
+        let (to, incarnation) = (holder.holder.clone(), holder.holder_incarnation);
         if to == self.ctx.cfg.node || self.deaf_holder(machine).is_some() {
             return None;
         }
         // What we knew before we lost the state service may be over. A worker that was sent
         // to a holder that it could not reach came back here again and again, as the next one
         // in its list, until its lease was over.
-        if !self.ctx.entitled && !self.ctx.is_peer_answering(&to) {
+        if !self.ctx.has_valid_lease && !self.ctx.is_peer_answering(&to) {
             return None;
         }
         let Context { redirects, now, .. } = &mut self.ctx;
-        if redirects.came_back(machine, &to, inc, *now) {
+        if redirects.came_back(machine, &to, incarnation, *now) {
             return None;
         }
-        redirects.on_sent(machine.clone(), to.clone(), inc, *now);
+        redirects.on_sent(machine.clone(), to.clone(), incarnation, *now);
         Some(to.to_string())
     }
 }
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -39,7 +39,7 @@
         if let Some(stage) = self.finals.get(&id) {
             return Some(Reply::json(200, &status(&id, stage)));
         }
-        if self.member.has_right(&self.ctx, &self.view) {
+        if self.membership.has_valid_lease(&self.ctx, &self.view) {
             if let Some(reply) = self.remembered(&id) {
                 return Some(reply);
             }
@@ -118,7 +118,7 @@
             spec: spec.clone(),
             cancelled: false,
             cancelled_at: 0,
-            at: self.ctx.wall,
+            at: self.ctx.wall_clock_ms,
             layout: new_layout(&self.ctx, spec).to_record(),
             block: TaskBlockRecord::default(),
         };
@@ -141,7 +141,7 @@
             txn.writes.push(Write::put(key, head));
         }
         let pending = Pending::Create(Box::new(creation));
-        self.ctx.txn(Urgency::User, &txn, pending);
+        self.ctx.transact(Urgency::User, &txn, pending);
     }
 
     /// The transaction that accepts a job was answered.
@@ -168,7 +168,7 @@
                 self.homes.insert(id.clone(), shard);
                 self.tell_new_job(shard, spec, revision);
                 if let Some(shard) = self.shards.get_mut(&shard) {
-                    let at = self.ctx.wall;
+                    let at = self.ctx.wall_clock_ms;
                     shard.on_job_accepted(&mut self.ctx, creation.spec, at, revision);
                 }
                 let reply = Reply::json(201, &status(&id, JobStage::Queued));
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -173,7 +173,11 @@
         // It is sent, and everything stops.
         f.step(right / 4);
         f.node.ctx.now += stop;
-        f.answer(|p| matches!(p, Pending::Extend { .. }), 200, &json!({}));
+        f.answer(
+            |p| matches!(p, Pending::LeaseRenewal { .. }),
+            200,
+            &json!({}),
+        );
         let answer = f.ask(1, "GET", "/submissions/j-1");
         assert_eq!(answer.is_some(), from_memory, "after {stop} ms");
     }
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/attestation.rs
@@ -23,7 +23,7 @@
 use crate::shard::{Phase, Shard};
 use crate::view::View;
 use crate::Ms;
-use forkshift_wire::peer::{Body, Echo, Heartbeat, Settled};
+use forkshift_wire::peer::{Body, HeartbeatAck, PeerHeartbeat, SettledShard};
 use forkshift_wire::{MachineId, NodeName};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,56 +31,56 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
     /// This start of it.
-    pub(crate) inc: u64,
+    pub(crate) incarnation: u64,
     /// When it was heard last.
-    pub(crate) heard: Ms,
+    pub(crate) last_message_at: Ms,
     /// Its clock when it sent its last heartbeat.
-    pub(crate) sent: Option<u64>,
+    pub(crate) last_heartbeat_sent_at: Option<u64>,
 }
 
 /// Which epochs a controller had seen, as of some moment or later.
 #[derive(Debug)]
-struct Seen {
-    since: Ms,
+struct SeenEpochs {
+    as_of: Ms,
     epochs: BTreeMap<ShardId, u64>,
 }
 
 /// Since when the state service has refused a controller, at the latest, as
 /// of some moment or later; none: it was served last.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
-    since: Ms,
-    from: Option<Ms>,
+struct StoreRefusal {
+    as_of: Ms,
+    refused_since: Option<Ms>,
 }
 
 /// Machines of a shard that may hold a task of a job whose cancellation was
 /// confirmed before some moment; no other machine of it does.
 #[derive(Debug)]
-struct Unsettled {
-    since: Ms,
+struct UnsettledMachines {
+    as_of: Ms,
     machines: BTreeSet<MachineId>,
 }
 
 /// What other controllers have attested, each as of some moment.
 #[derive(Debug, Default)]
-pub(crate) struct Attestations {
-    peers: BTreeMap<NodeName, Seen>,
-    refused: BTreeMap<NodeName, Refused>,
-    shards: BTreeMap<ShardId, Unsettled>,
+pub(crate) struct PeerConfirmations {
+    seen_epochs: BTreeMap<NodeName, SeenEpochs>,
+    store_refusals: BTreeMap<NodeName, StoreRefusal>,
+    unsettled_machines: BTreeMap<ShardId, UnsettledMachines>,
     /// Until then nobody can have been given our shards, by our own lease.
-    proven: Ms,
+    lease_valid_until: Ms,
 }
 
-impl Attestations {
+impl PeerConfirmations {
     /// We have a right until then.
-    pub(crate) fn prove(&mut self, until: Ms) {
-        self.proven = self.proven.max(until);
+    pub(crate) fn note_lease_valid_until(&mut self, until: Ms) {
+        self.lease_valid_until = self.lease_valid_until.max(until);
     }
 
     /// As of which moment a peer was there: when the heartbeat of ours was sent that its
     /// last one answers. One that was held up on the way proves nothing about now.
-    pub(crate) fn there_as_of(&self, node: &NodeName) -> Option<Ms> {
-        self.refused.get(node).map(|r| r.since)
+    pub(crate) fn alive_as_of(&self, node: &NodeName) -> Option<Ms> {
+        self.store_refusals.get(node).map(|r| r.as_of)
     }
 
     /// Before this moment nobody can have confirmed a cancellation in our
@@ -94,15 +94,17 @@
         let cfg = &ctx.cfg;
         let others = cfg.other_nodes();
         let attested = others.map(|n| {
-            let seen = self.peers.get(n);
+            let seen = self.seen_epochs.get(n);
             let unclaimed = seen.filter(|s| {
                 let epoch = s.epochs.get(&shard.id).copied().unwrap_or(0);
                 epoch <= shard.epoch
             });
-            unclaimed.map_or(0, |s| s.since)
+            unclaimed.map_or(0, |s| s.as_of)
         });
         let attested = attested.min().unwrap_or(Ms::MAX);
-        self.proven.max(attested).max(self.out_until(ctx))
+        self.lease_valid_until
+            .max(attested)
+            .max(self.store_outage_confirmed_until(ctx))
     }
 
     /// Until then the state service was out for everybody, and has been since
@@ -110,14 +112,18 @@
     /// shards, whoever is not heard. The service refuses a single controller
     /// alone, so two that are refused at a time would do; a majority is asked
     /// for, and that nobody says otherwise.
-    fn out_until(&self, ctx: &Context) -> Ms {
-        let in_time = |from: Option<Ms>| from.is_some_and(|t| t < self.proven);
-        let served = |r: &Refused| r.from.is_none() && r.since > self.proven;
-        if !in_time(ctx.store.out_since()) || self.refused.values().any(served) {
+    fn store_outage_confirmed_until(&self, ctx: &Context) -> Ms {
+        let in_time = |from: Option<Ms>| from.is_some_and(|t| t < self.lease_valid_until);
+        let served =
+            |r: &StoreRefusal| r.refused_since.is_none() && r.as_of > self.lease_valid_until;
+        if !in_time(ctx.store.out_since()) || self.store_refusals.values().any(served) {
             return 0;
         }
-        let refused = self.refused.values().filter(|r| in_time(r.from));
-        let mut since: Vec<Ms> = refused.map(|r| r.since).collect();
+        let refused = self
+            .store_refusals
+            .values()
+            .filter(|r| in_time(r.refused_since));
+        let mut since: Vec<Ms> = refused.map(|r| r.as_of).collect();
         since.sort_unstable_by(|a, b| b.cmp(a));
         // With us they are a majority.
         let others = ctx.cfg.nodes.len() / 2;
@@ -128,9 +134,9 @@
     /// Before this moment no cancellation can have been confirmed of a task
     /// that may still be on a machine.
     fn settled_until(&self, shard: ShardId, machine: &MachineId) -> Option<Ms> {
-        let settled = self.shards.get(&shard);
+        let settled = self.unsettled_machines.get(&shard);
         let settled = settled.filter(|u| !u.machines.contains(machine));
-        settled.map(|u| u.since)
+        settled.map(|u| u.as_of)
     }
 }
 
@@ -144,10 +150,10 @@
         holding.chain(strays.map(|m| &m.id)).collect()
     }
 
-    fn settled(&self) -> Option<Settled> {
-        (self.phase == Phase::Active).then(|| Settled {
+    fn settled(&self) -> Option<SettledShard> {
+        (self.phase == Phase::Active).then(|| SettledShard {
             shard: self.id.0,
-            unsettled: self.unsettled().iter().map(ToString::to_string).collect(),
+            unsettled_machines: self.unsettled().iter().map(ToString::to_string).collect(),
         })
     }
 }
@@ -155,9 +161,9 @@
 /// Keeps the statements that have room in a heartbeat, the shortest first. A shard
 /// whose statement has none makes no statement about any of its machines. Returns
 /// how many were left out.
-fn keep_what_fits(settled: &mut Vec<Settled>, mut room: usize) -> usize {
-    let bytes = |s: &Settled| -> usize {
-        let names = s.unsettled.iter();
+fn keep_shortest_within(settled: &mut Vec<SettledShard>, mut room: usize) -> usize {
+    let bytes = |s: &SettledShard| -> usize {
+        let names = s.unsettled_machines.iter();
         names.map(|name| listed_bytes(name)).sum()
     };
     let all = settled.len();
@@ -182,13 +188,22 @@
 
 impl Node {
     /// Notes that a peer is there.
-    pub(crate) fn heard_peer(&mut self, from: &NodeName, inc: u64) {
+    pub(crate) fn note_peer_alive(&mut self, from: &NodeName, incarnation: u64) {
         let heard = self.ctx.now;
-        let known = self.ctx.peers.get(from).filter(|p| p.inc == inc);
-        let sent = known.and_then(|p| p.sent);
-        self.ctx
+        let known = self
+            .ctx
             .peers
-            .insert(from.clone(), Peer { inc, heard, sent });
+            .get(from)
+            .filter(|p| p.incarnation == incarnation);
+        let sent = known.and_then(|p| p.last_heartbeat_sent_at);
+        self.ctx.peers.insert(
+            from.clone(),
+            Peer {
+                incarnation,
+                last_message_at: heard,
+                last_heartbeat_sent_at: sent,
+            },
+        );
     }
 
     /// Tells all peers that we are here, and what they may rely on.
@@ -197,36 +212,51 @@
         let epochs = self.view.epochs();
         // While we have a right nobody else can have confirmed anything, so
         // what we know of our shards is all there is.
-        let entitled = self.ctx.entitled;
-        let shards = self.shards.values().filter(|_| entitled);
+        let has_valid_lease = self.ctx.has_valid_lease;
+        let shards = self.shards.values().filter(|_| has_valid_lease);
         let refused_for = self.ctx.store.out_since();
         let refused_for = refused_for.map(|t| self.ctx.now.saturating_sub(t));
-        let mut settled: Vec<Settled> = shards.filter_map(Shard::settled).collect();
-        if keep_what_fits(&mut settled, cfg.bounds.list_bytes) > 0 {
+        let mut settled: Vec<SettledShard> = shards.filter_map(Shard::settled).collect();
+        if keep_shortest_within(&mut settled, cfg.bounds.list_bytes) > 0 {
             let now = self.ctx.now;
             self.ctx.overflows.note(now, Overflow::UnsettledMachines);
         }
         for node in cfg.other_nodes() {
             let peer = self.ctx.peers.get(node);
-            let echo = peer.and_then(|p| p.sent.map(|sent| Echo { inc: p.inc, sent }));
-            let body = Body::Heartbeat(Heartbeat {
-                sent: self.ctx.now,
-                echo,
+            let acknowledged = peer.and_then(|p| {
+                p.last_heartbeat_sent_at.map(|sent| HeartbeatAck {
+                    incarnation: p.incarnation,
+                    sent_at: sent,
+                })
+            });
+            let body = Body::Heartbeat(PeerHeartbeat {
+                sent_at: self.ctx.now,
+                acknowledged,
                 epochs: epochs.clone(),
-                refused_for,
-                settled: settled.clone(),
+                store_refused_for_ms: refused_for,
+                settled_shards: settled.clone(),
             });
-            self.ctx.tell(node, 0, body);
+            self.ctx.send_to_peer(node, 0, body);
         }
     }
 
     /// Takes in what a peer states. Whether its lease lives does not matter:
     /// in an outage nobody can know.
-    pub(crate) fn on_heartbeat(&mut self, from: &NodeName, inc: u64, beat: Heartbeat) {
-        if let Some(peer) = self.ctx.peers.get_mut(from).filter(|p| p.inc == inc) {
-            peer.sent = peer.sent.max(Some(beat.sent));
+    pub(crate) fn on_heartbeat(
+        &mut self,
+        from: &NodeName,
+        incarnation: u64,
+        heartbeat: PeerHeartbeat,
+    ) {
+        if let Some(peer) = self
+            .ctx
+            .peers
+            .get_mut(from)
+            .filter(|p| p.incarnation == incarnation)
+        {
+            peer.last_heartbeat_sent_at = peer.last_heartbeat_sent_at.max(Some(heartbeat.sent_at));
         }
-        let epochs = beat.epochs.iter().flatten();
+        let epochs = heartbeat.epochs.iter().flatten();
         let epochs: BTreeMap<ShardId, u64> = epochs.map(|(k, e)| (ShardId(*k), *e)).collect();
         for (k, epoch) in &epochs {
             if let Some(shard) = self.shards.get_mut(k).filter(|s| s.epoch < *epoch) {
@@ -234,36 +264,57 @@
             }
         }
         // An echo of an earlier start of ours is not of our clock.
-        let echo = beat.echo.filter(|e| e.inc == self.ctx.inc);
-        let Some(since) = echo.map(|e| e.sent.min(self.ctx.now)) else {
+        let acknowledged = heartbeat
+            .acknowledged
+            .filter(|e| e.incarnation == self.ctx.incarnation);
+        let Some(since) = acknowledged.map(|e| e.sent_at.min(self.ctx.now)) else {
             return;
         };
-        let attestations = &mut self.ctx.attestations;
-        let newer = attestations.peers.get(from).is_none_or(|s| since > s.since);
-        if beat.epochs.is_some() && newer {
-            attestations
-                .peers
-                .insert(from.clone(), Seen { since, epochs });
+        let attestations = &mut self.ctx.peer_confirmations;
+        let newer = attestations
+            .seen_epochs
+            .get(from)
+            .is_none_or(|s| since > s.as_of);
+        if heartbeat.epochs.is_some() && newer {
+            attestations.seen_epochs.insert(
+                from.clone(),
+                SeenEpochs {
+                    as_of: since,
+                    epochs,
+                },
+            );
         }
         if attestations
-            .refused
+            .store_refusals
             .get(from)
-            .is_none_or(|r| since > r.since)
+            .is_none_or(|r| since > r.as_of)
         {
             // The message took some time, so it began before that.
-            let from_when = beat.refused_for.map(|t| self.ctx.now.saturating_sub(t));
-            let refused = Refused {
-                since,
-                from: from_when,
+            let from_when = heartbeat
+                .store_refused_for_ms
+                .map(|t| self.ctx.now.saturating_sub(t));
+            let refused = StoreRefusal {
+                as_of: since,
+                refused_since: from_when,
             };
-            attestations.refused.insert(from.clone(), refused);
+            attestations.store_refusals.insert(from.clone(), refused);
         }
-        for settled in beat.settled {
+        for settled in heartbeat.settled_shards {
             let k = ShardId(settled.shard);
-            let machines = settled.unsettled.iter().map(|m| MachineId::new(m));
+            let machines = settled.unsettled_machines.iter().map(|m| MachineId::new(m));
             let machines = machines.collect();
-            if attestations.shards.get(&k).is_none_or(|u| since > u.since) {
-                attestations.shards.insert(k, Unsettled { since, machines });
+            if attestations
+                .unsettled_machines
+                .get(&k)
+                .is_none_or(|u| since > u.as_of)
+            {
+                attestations.unsettled_machines.insert(
+                    k,
+                    UnsettledMachines {
+                        as_of: since,
+                        machines,
+                    },
+                );
             }
         }
     }
@@ -271,8 +322,11 @@
     /// Whether we answer workers of a shard of ours although we have no right
     /// any more. Once our lease has run out another controller may be given the
     /// shard and confirm cancellations that we never hear of.
-    pub(crate) fn holds_on(&self, shard: &Shard) -> bool {
-        let until = self.ctx.attestations.unclaimed_until(&self.ctx, shard);
+    pub(crate) fn may_answer_without_lease(&self, shard: &Shard) -> bool {
+        let until = self
+            .ctx
+            .peer_confirmations
+            .unclaimed_until(&self.ctx, shard);
         !shard.superseded && self.ctx.now < until.saturating_add(self.ctx.cfg.grace_ms())
     }
 
@@ -280,7 +334,7 @@
     /// its tasks are cancelled: the last holder that had a right has stated that
     /// none is that was cancelled before.
     fn is_settled(&self, shard: ShardId, machine: &MachineId) -> bool {
-        let until = self.ctx.attestations.settled_until(shard, machine);
+        let until = self.ctx.peer_confirmations.settled_until(shard, machine);
         until.is_some_and(|t| self.ctx.now < t + self.ctx.cfg.grace_ms())
     }
 
@@ -289,8 +343,8 @@
     /// The worker's last answer from that holder came before the
     /// confirmation, else it would have carried the command to stop; it is less
     /// than a lease old, or the worker's session would be over.
-    pub(crate) fn bridges(&self, shard: &Shard, machine: &MachineId) -> bool {
-        self.ctx.now < shard.active_since + self.ctx.cfg.bridge_ms()
+    pub(crate) fn may_answer_while_loading(&self, shard: &Shard, machine: &MachineId) -> bool {
+        self.ctx.now < shard.active_since + self.ctx.cfg.loading_grace_ms()
             || self.is_settled(shard.id, machine)
     }
 
@@ -298,13 +352,15 @@
     /// holds: we are cut off from the state service and from that controller,
     /// and so, it seems, is the worker. It is given no commands, and its own
     /// token back.
-    pub(crate) fn keeps(&self, shard: ShardId, machine: &MachineId) -> bool {
+    pub(crate) fn may_keep_worker_alive(&self, shard: ShardId, machine: &MachineId) -> bool {
         let Some(holder) = self.view.shards.get(&shard).map(|s| &s.rec) else {
             return false;
         };
         let lease = self.ctx.cfg.node_lease_ms();
-        self.ctx.now > self.member.extended() + lease * 6 / 10
-            && !self.ctx.is_peer_there(&holder.holder, holder.inc)
+        self.ctx.now > self.membership.last_renewal_sent_at() + lease * 6 / 10
+            && !self
+                .ctx
+                .is_peer_alive(&holder.holder, holder.holder_incarnation)
             && self.is_settled(shard, machine)
     }
 }
--- a/crates/core/src/attestation/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -20,12 +20,12 @@
     let names = ["north", "south"].map(NodeName::new);
     cfg.nodes = [cfg.node.clone()].into_iter().chain(names).collect();
     let mut node = Node::new(cfg, 1, 1);
-    let held = |holder: &NodeName, inc| Stamped {
+    let held = |holder: &NodeName, incarnation| Stamped {
         rec: ShardRecord {
             holder: holder.clone(),
-            inc,
+            holder_incarnation: incarnation,
             epoch: EPOCH,
-            want: None,
+            handover_to: None,
         },
         version: 1,
     };
@@ -36,9 +36,9 @@
         .insert(THEIRS, held(&NodeName::new("north"), 7));
     let shard = Shard::new(&mut node.ctx, OURS, EPOCH, 1);
     node.shards.insert(OURS, shard);
-    node.member.on_extend(&node.ctx, SENT, 200);
-    let until = node.member.right_until(&node.ctx);
-    node.ctx.attestations.prove(until);
+    node.membership.on_lease_renewed(&node.ctx, SENT, 200);
+    let until = node.membership.lease_valid_until(&node.ctx);
+    node.ctx.peer_confirmations.note_lease_valid_until(until);
     node
 }
 
@@ -64,19 +64,19 @@
     }
 }
 
-fn tell(node: &mut Node, says: Says, settled: Vec<Settled>) {
+fn tell(node: &mut Node, says: Says, settled: Vec<SettledShard>) {
     let from = NodeName::new(says.from);
-    let beat = Heartbeat {
-        sent: 1,
-        echo: Some(Echo {
-            inc: says.to_inc,
-            sent: says.as_of,
+    let beat = PeerHeartbeat {
+        sent_at: 1,
+        acknowledged: Some(HeartbeatAck {
+            incarnation: says.to_inc,
+            sent_at: says.as_of,
         }),
         epochs: says.epoch.map(|e| vec![(OURS.0, e)]),
-        refused_for: says.refused_for,
-        settled,
+        store_refused_for_ms: says.refused_for,
+        settled_shards: settled,
     };
-    node.heard_peer(&from, 7);
+    node.note_peer_alive(&from, 7);
     node.on_heartbeat(&from, 7, beat);
 }
 
@@ -87,7 +87,7 @@
     for says in told {
         tell(&mut node, says, vec![]);
     }
-    node.holds_on(&node.shards[&OURS])
+    node.may_answer_without_lease(&node.shards[&OURS])
 }
 
 /// Once, an old holder answered its workers for as long as it heard any peer,
@@ -252,7 +252,7 @@
         let mut node = node();
         let Context { store, rng, .. } = &mut node.ctx;
         if let Some(since) = ours {
-            store.heard(503, since, rng);
+            store.on_response(503, since, rng);
         }
         assert_eq!(holds_on_after(node, now, told), holds, "{name}");
     }
@@ -265,9 +265,9 @@
     let cfg = node().ctx.cfg.clone();
     let own = cfg.node_lease_ms();
     let grace = cfg.grace_ms();
-    let settled = |shard: ShardId, unsettled: &[&str]| Settled {
+    let settled = |shard: ShardId, unsettled: &[&str]| SettledShard {
         shard: shard.0,
-        unsettled: unsettled.iter().map(|m| (*m).to_owned()).collect(),
+        unsettled_machines: unsettled.iter().map(|m| (*m).to_owned()).collect(),
     };
     let none: &[&str] = &[];
     let held: &[&str] = &["m-1"];
@@ -314,28 +314,36 @@
         }
         node.ctx.now = now;
         if there {
-            node.heard_peer(&NodeName::new("north"), 7);
+            node.note_peer_alive(&NodeName::new("north"), 7);
         } else {
             node.ctx.peers.clear();
         }
         let machine = MachineId::new("m-1");
-        assert_eq!(node.keeps(THEIRS, &machine), keeps, "{name}: another's");
+        assert_eq!(
+            node.may_keep_worker_alive(THEIRS, &machine),
+            keeps,
+            "{name}: another's"
+        );
         // While we load a shard the same holds, whoever else is there; besides,
         // what an earlier holder confirmed is a lease old at the most.
         let stated = stated.is_some_and(|(_, held)| held.is_empty());
-        let in_time = (stated && now < SENT + grace) || now < SENT + cfg.bridge_ms();
+        let in_time = (stated && now < SENT + grace) || now < SENT + cfg.loading_grace_ms();
         let mut shard = node.shards.remove(&OURS).expect("it is ours");
         shard.active_since = SENT;
-        assert_eq!(node.bridges(&shard, &machine), in_time, "{name}: ours");
+        assert_eq!(
+            node.may_answer_while_loading(&shard, &machine),
+            in_time,
+            "{name}: ours"
+        );
     }
-    assert!(cfg.bridge_ms() + cfg.lease_ms * 2 < cfg.cancel_ms);
+    assert!(cfg.loading_grace_ms() + cfg.lease_ms * 2 < cfg.cancel_ms);
 }
 
-fn unsettled(shard: u32, machines: usize) -> Settled {
+fn unsettled(shard: u32, machines: usize) -> SettledShard {
     let names = (0..machines).map(|n| format!("host-{n:06}"));
-    Settled {
+    SettledShard {
         shard,
-        unsettled: names.collect(),
+        unsettled_machines: names.collect(),
     }
 }
 
@@ -355,8 +363,8 @@
     ];
     for (room, machines, kept) in cases {
         let shards = machines.iter().enumerate();
-        let mut settled: Vec<Settled> = shards.map(|(k, n)| unsettled(k as u32, *n)).collect();
-        let left_out = keep_what_fits(&mut settled, room * name);
+        let mut settled: Vec<SettledShard> = shards.map(|(k, n)| unsettled(k as u32, *n)).collect();
+        let left_out = keep_shortest_within(&mut settled, room * name);
         let shards: Vec<u32> = settled.iter().map(|s| s.shard).collect();
         assert_eq!(shards, kept, "{machines:?} with room for {room}");
         assert_eq!(left_out, machines.len() - kept.len());
@@ -369,17 +377,20 @@
     let room = Settings::parse(SETTINGS).map(|s| crate::Bounds::new(&s, 1.0).list_bytes);
     let machines = room.expect("the example is good") / ("host-000000".len() + NAME_LENGTH_BYTES);
     assert!(machines >= 4_000, "{machines} machines");
-    let body = Body::Heartbeat(Heartbeat {
-        sent: u64::MAX,
-        echo: Some(Echo { inc: 1, sent: 2 }),
+    let body = Body::Heartbeat(PeerHeartbeat {
+        sent_at: u64::MAX,
+        acknowledged: Some(HeartbeatAck {
+            incarnation: 1,
+            sent_at: 2,
+        }),
         epochs: Some((0..64).map(|k| (k, u64::MAX)).collect()),
-        refused_for: Some(1),
-        settled: vec![unsettled(0, machines)],
+        store_refused_for_ms: Some(1),
+        settled_shards: vec![unsettled(0, machines)],
     });
     let envelope = forkshift_wire::peer::Envelope {
         version: body.version(),
         from: "berth-0".to_owned(),
-        inc: 1,
+        incarnation: 1,
         epoch: 1,
         body,
     };
--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -5,7 +5,7 @@
 //! the machines that a shard has. `docs/CAPACITY.md` lists what lies beyond each.
 
 use crate::layout::TASK_BYTES;
-use forkshift_wire::peer::MESSAGE_MOST;
+use forkshift_wire::peer::MAX_MESSAGE_BYTES;
 use forkshift_wire::settings::Settings;
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
@@ -91,10 +91,10 @@
             remembered_jobs: at_least_one(memory(REMEMBERED_PART) / REMEMBERED_BYTES),
             image_names: at_least_one(memory(IMAGE_NAMES_PART) / IMAGE_NAME_BYTES),
             // Any one message has room.
-            peer_queue_bytes: ((memory(PEER_QUEUE_PART) / peers) as usize).max(MESSAGE_MOST),
+            peer_queue_bytes: ((memory(PEER_QUEUE_PART) / peers) as usize).max(MAX_MESSAGE_BYTES),
             answer_bytes: (memory(ANSWER_PART) as u64).max(ANSWER_LEAST),
             tasks_a_round: tasks_recorded_in(round_s, settings).max(TASKS_A_ROUND_LEAST),
-            list_bytes: (MESSAGE_MOST as f64 * LIST_PART) as usize,
+            list_bytes: (MAX_MESSAGE_BYTES as f64 * LIST_PART) as usize,
         }
     }
 }
--- a/crates/core/src/bounds/tests.rs
+++ b/crates/core/src/bounds/tests.rs
@@ -49,7 +49,10 @@
     let bounds = Bounds::new(&settings(0.001, 32, 64), 1.0);
     assert!(bounds.remembered_jobs >= 1 && bounds.image_names >= 1);
     assert!(bounds.worker_calls >= 1 && bounds.forwarded_requests >= 1);
-    assert_eq!(bounds.peer_queue_bytes, MESSAGE_MOST, "any one message");
+    assert_eq!(
+        bounds.peer_queue_bytes, MAX_MESSAGE_BYTES,
+        "any one message"
+    );
     assert_eq!(bounds.answer_bytes, ANSWER_LEAST, "any page");
 }
 
@@ -64,7 +67,7 @@
     let in_heartbeat: usize = names.iter().map(|name| name.len() + 4).sum();
     assert!(in_json <= bounds.list_bytes, "{in_json} bytes");
     assert!(in_heartbeat <= bounds.list_bytes, "{in_heartbeat} bytes");
-    assert!(bounds.list_bytes < MESSAGE_MOST);
+    assert!(bounds.list_bytes < MAX_MESSAGE_BYTES);
 }
 
 #[test]
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 struct Grant {
     leader: NodeName,
-    inc: u64,
+    incarnation: u64,
     until: Ms,
     rate: Use,
 }
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 struct Need {
     at: Ms,
-    inc: u64,
+    incarnation: u64,
     rate: Use,
     granted: bool,
 }
@@ -64,11 +64,11 @@
 }
 
 /// A grant that begins now.
-fn grant(ctx: &Context, leader: NodeName, inc: u64, rate: Use) -> Grant {
+fn grant(ctx: &Context, leader: NodeName, incarnation: u64, rate: Use) -> Grant {
     Grant {
         leader,
-        inc,
-        until: ctx.now + ctx.beat_ms() * VALID_LOOKS,
+        incarnation,
+        until: ctx.now + ctx.heartbeat_interval_ms() * VALID_LOOKS,
         rate,
     }
 }
@@ -89,14 +89,16 @@
     /// the leader knows what all controllers need. Having stood still, others
     /// may have, too, and all go on at once.
     pub(crate) fn allows_advance(&self, ctx: &Context, view: &View) -> bool {
-        let is_awake = ctx.awake_since == 0 || ctx.now >= ctx.awake_since + ADVANCE_PAUSE;
+        let is_awake = ctx.resumed_at == 0 || ctx.now >= ctx.resumed_at + ADVANCE_PAUSE;
         is_awake && self.live(ctx, view).is_some()
     }
 
     /// The grant, as long as whoever gave it leads.
     fn live(&self, ctx: &Context, view: &View) -> Option<&Grant> {
         let leader = view.leader.as_ref().map(|l| &l.rec);
-        let of_leader = |g: &&Grant| leader.is_some_and(|l| l.node == g.leader && l.inc == g.inc);
+        let of_leader = |g: &&Grant| {
+            leader.is_some_and(|l| l.node == g.leader && l.incarnation == g.incarnation)
+        };
         self.grant
             .as_ref()
             .filter(|g| ctx.now < g.until)
@@ -108,7 +110,7 @@
         if ctx.now < self.next {
             return;
         }
-        self.next = ctx.now + ctx.beat_ms();
+        self.next = ctx.now + ctx.heartbeat_interval_ms();
         // What was needed a moment ago may be needed again.
         let need = ctx.store.take_need(ctx.now);
         self.need = need.most(&self.need.times(0.7));
@@ -118,24 +120,24 @@
         if !Leader::is_leader(ctx, view) {
             self.needs.clear();
             let (requests, writes) = self.need.as_milli();
-            let body = Body::Need {
+            let body = Body::BudgetRequest {
                 writes,
                 requests,
                 granted: self.live(ctx, view).is_some(),
             };
-            ctx.tell(&leader.node, 0, body);
+            ctx.send_to_peer(&leader.node, 0, body);
             return;
         }
         let ours = Need {
             at: ctx.now,
-            inc: ctx.inc,
+            incarnation: ctx.incarnation,
             rate: self.need,
             granted: true,
         };
         self.needs.insert(ctx.cfg.node.clone(), ours);
-        let valid = ctx.beat_ms() * VALID_LOOKS;
+        let valid = ctx.heartbeat_interval_ms() * VALID_LOOKS;
         self.needs
-            .retain(|n, need| ctx.now < need.at + valid && view.is_alive(n, need.inc));
+            .retain(|n, need| ctx.now < need.at + valid && view.is_alive(n, need.incarnation));
         let n = ctx.cfg.nodes.len().max(1) as f64;
         let (all, pool) = limits(ctx);
         let even = pool.times(1.0 / n);
@@ -161,19 +163,26 @@
                 even
             };
             if *name == ctx.cfg.node {
-                self.grant = Some(grant(ctx, name.clone(), ctx.inc, rate));
+                self.grant = Some(grant(ctx, name.clone(), ctx.incarnation, rate));
             } else {
                 let (requests, writes) = rate.as_milli();
-                ctx.tell(name, 0, Body::Grant { writes, requests });
+                ctx.send_to_peer(name, 0, Body::BudgetGrant { writes, requests });
             }
         }
     }
 
     /// Another controller tells what it needs.
-    pub(crate) fn on_need(&mut self, now: Ms, from: NodeName, inc: u64, rate: Use, granted: bool) {
+    pub(crate) fn on_need(
+        &mut self,
+        now: Ms,
+        from: NodeName,
+        incarnation: u64,
+        rate: Use,
+        granted: bool,
+    ) {
         let need = Need {
             at: now,
-            inc,
+            incarnation,
             rate,
             granted,
         };
@@ -181,13 +190,19 @@
     }
 
     /// The leader grants a part of the budget.
-    pub(crate) fn on_grant(&mut self, ctx: &Context, leader: NodeName, inc: u64, rate: Use) {
+    pub(crate) fn on_grant(
+        &mut self,
+        ctx: &Context,
+        leader: NodeName,
+        incarnation: u64,
+        rate: Use,
+    ) {
         // Having stood still, we may find grants that have been given to others
         // since: nobody knows how long they waited in the socket.
-        if ctx.now < ctx.awake_since + ctx.beat_ms() {
+        if ctx.now < ctx.resumed_at + ctx.heartbeat_interval_ms() {
             return;
         }
-        self.grant = Some(grant(ctx, leader, inc, rate));
+        self.grant = Some(grant(ctx, leader, incarnation, rate));
     }
 }
 
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -26,8 +26,8 @@
     let mut view = View::default();
     for name in names {
         let rec = stamped(NodeRecord {
-            inc: 1,
-            blind: false,
+            incarnation: 1,
+            receives_no_heartbeats: false,
             format: FormatVersion::FIRST,
         });
         view.nodes.insert(NodeName::new(name), rec);
@@ -35,7 +35,7 @@
     view.leader = Some(Stamped {
         rec: LeaderRecord {
             node: NodeName::new(names[0]),
-            inc: 1,
+            incarnation: 1,
         },
         version: 1,
     });
@@ -73,12 +73,12 @@
         for ((n, _), granted) in others {
             let member = ctx(n, &names);
             let mut own = Budget::default();
-            for effect in &leader.out {
-                let crate::io::Effect::Tell { node, message } = effect else {
+            for effect in &leader.effects {
+                let crate::io::Effect::SendToPeer { node, message } = effect else {
                     continue;
                 };
                 let body = Envelope::decode(message).map(|e| e.body);
-                let Ok(Body::Grant { writes, requests }) = body else {
+                let Ok(Body::BudgetGrant { writes, requests }) = body else {
                     continue;
                 };
                 if node.to_string() == **n && granted {
@@ -112,11 +112,11 @@
     let mut view = view(&names);
     assert!(own.rate(&member, &view).writes > 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
-        leader.rec.inc = 2;
+        leader.rec.incarnation = 2;
     }
     assert!(own.rate(&member, &view).writes < 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
-        leader.rec.inc = 1;
+        leader.rec.incarnation = 1;
     }
     member.now += 60_000;
     assert!(own.rate(&member, &view).writes < 1_000.0);
@@ -140,7 +140,7 @@
         let mut ctx = ctx("n1", &names);
         let mut budget = Budget::default();
         let even = budget.rate(&ctx, &view);
-        ctx.note_pause(ctx.now + stop);
+        ctx.note_process_pause(ctx.now + stop);
         ctx.now += stop + after;
         budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
         let rate = budget.rate(&ctx, &view);
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/commands.rs
@@ -68,7 +68,7 @@
             token: request.token,
             commands: request.commands,
         };
-        ctx.worker(&addr, body, ctx.cfg.call_ms(), pending);
+        ctx.send_commands(&addr, body, ctx.cfg.call_ms(), pending);
     }
 
     /// Commands that do no harm however often and late they arrive: `forget`
@@ -225,7 +225,7 @@
             return;
         }
         job.cancelled = true;
-        job.cancelled_wall = ctx.wall;
+        job.cancelled_wall = ctx.wall_clock_ms;
         job.cancelled_since = ctx.now;
         job.touch(0);
         for binding in job.bound.values_mut() {
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -47,7 +47,7 @@
         }
         let mut parts: Vec<Part> = Vec::new();
         for id in self.dirty.take(ctx.now) {
-            ctx.visits += 1;
+            ctx.work_units += 1;
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -128,7 +128,7 @@
             jobs.push(part.write);
         }
         let (shard, epoch) = (self.id, self.epoch);
-        ctx.txn(urgency, &txn, Pending::JobTxn { shard, epoch, jobs });
+        ctx.transact(urgency, &txn, Pending::JobTxn { shard, epoch, jobs });
     }
 
     /// A job that was being written, or its record read, is looked at again.
@@ -183,7 +183,7 @@
                         id,
                         block,
                     };
-                    ctx.read(Urgency::Work, format!("/kv/{key}"), pending);
+                    ctx.read_store(Urgency::Work, format!("/kv/{key}"), pending);
                 }
             }
         }
@@ -217,7 +217,7 @@
                 let (shard, epoch, id) = (self.id, self.epoch, id.clone());
                 let path = format!("/kv/{}", job_key(&id));
                 let pending = Pending::JobFinal { shard, epoch, id };
-                ctx.read(Urgency::Work, path, pending);
+                ctx.read_store(Urgency::Work, path, pending);
             }
             (404, _) => {
                 if let Some(block) = job.blocks.get_mut(&block) {
--- a/crates/core/src/commit/tests.rs
+++ b/crates/core/src/commit/tests.rs
@@ -195,7 +195,7 @@
             };
             look(records);
             let body = reply.to_string().into_bytes();
-            let answer = Input::Answer { call, status, body };
+            let answer = Input::Response { call, status, body };
             let now = f.node.ctx.now;
             effects.extend(f.node.step(now, WALL, vec![answer]));
         }
@@ -345,7 +345,7 @@
             let txn: Txn = serde_json::from_slice(&body).expect("a transaction");
             let (status, reply) = records.carry_out(&txn, &shard_key);
             let body = reply.to_string().into_bytes();
-            let answer = Input::Answer { call, status, body };
+            let answer = Input::Response { call, status, body };
             let now = f.node.ctx.now;
             effects.extend(f.node.step(now, WALL, vec![answer]));
             let head = &records.items[&live_key(f.shard, &id, 0)];
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -237,7 +237,7 @@
 
     /// For how long a worker may be answered by a new holder that does not know
     /// yet what was cancelled: the cancellation may be a lease old.
-    pub fn bridge_ms(&self) -> Ms {
+    pub fn loading_grace_ms(&self) -> Ms {
         self.in_time_ms().saturating_sub(self.lease_ms * 2)
     }
 
@@ -269,7 +269,7 @@
     /// The part of a zone's workers that find a controller inside before their
     /// leases end, if the zone is cut off: each try at one outside takes them
     /// 4 s without an answer and 1 s more.
-    pub fn kept_in_cut(&self, zone: &str) -> f64 {
+    pub fn zones_kept_in_partition(&self, zone: &str) -> f64 {
         let inside = self.zones.values().filter(|z| *z == zone).count() as f64;
         let others = self.nodes.len().saturating_sub(1).max(1) as f64;
         let time = self.lease_ms.saturating_sub(self.report_ms) as f64;
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,11 +1,11 @@
 //! The context of every part of the controller: time, settings, and the
 //! effects that it wants carried out.
 
-use crate::attestation::{Attestations, Peer};
+use crate::attestation::{Peer, PeerConfirmations};
 use crate::config::{Config, StateLimits};
 use crate::failure_detector::FailureDetector;
 use crate::format::FormatVersion;
-use crate::io::{CallId, Effect, Reply, RequestId, Target, REMOTE};
+use crate::io::{CallId, Effect, Reply, RequestId, Target, PEER_REQUEST_BIT};
 use crate::names::{ImageNames, PlaceNames};
 use crate::overflow::OverflowLog;
 use crate::pending::Pending;
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 
 /// A request that was passed on is of no use after this.
-const REMOTE_MS: Ms = 5_000;
+const PEER_REQUEST_TTL_MS: Ms = 5_000;
 
 /// The revision of the state service when it answered a transaction; 0
 /// without an answer.
@@ -41,7 +41,7 @@
 /// Time, settings, and a way out.
 pub(crate) struct Context {
     pub(crate) now: Ms,
-    pub(crate) wall: Ms,
+    pub(crate) wall_clock_ms: Ms,
     pub(crate) cfg: Rc<Config>,
     /// The newest format that may be written: the finalized one, once the view
     /// has shown it.
@@ -50,21 +50,21 @@
     pub(crate) limits: StateLimits,
     /// The state service has refused a change for its size.
     pub(crate) is_size_refused: bool,
-    pub(crate) inc: u64,
-    pub(crate) out: Vec<Effect>,
+    pub(crate) incarnation: u64,
+    pub(crate) effects: Vec<Effect>,
     pub(crate) store: Store,
     pub(crate) rng: StdRng,
     pub(crate) pending: HashMap<CallId, Pending>,
     /// Inputs that the controller makes for itself: calls that never went out.
-    pub(crate) refused: Vec<Pending>,
+    pub(crate) unsent_calls: Vec<Pending>,
     /// Unmet demand of our own shards, while we are the leader.
     pub(crate) unmet_demand: Vec<(ShardId, u64, DemandRecord)>,
     /// Requests that other controllers have passed on.
-    pub(crate) remote: BTreeMap<RequestId, Remote>,
+    pub(crate) peer_requests: BTreeMap<RequestId, PeerRequest>,
     /// Whether we may answer from memory, as of this step.
-    pub(crate) entitled: bool,
+    pub(crate) has_valid_lease: bool,
     /// When we last went on after standing still.
-    pub(crate) awake_since: Ms,
+    pub(crate) resumed_at: Ms,
     pub(crate) failure_detector: FailureDetector,
     /// Which of our links are up.
     pub(crate) links: Links,
@@ -74,14 +74,14 @@
     /// Workers that were sent to other controllers lately.
     pub(crate) redirects: Redirects,
     /// Until then we say that we hear no machine.
-    pub(crate) blind_until: Ms,
+    pub(crate) reports_no_heartbeats_until: Ms,
     /// Peers that were heard.
     pub(crate) peers: BTreeMap<NodeName, Peer>,
-    pub(crate) attestations: Attestations,
+    pub(crate) peer_confirmations: PeerConfirmations,
     /// Calls to workers that are under way.
     pub(crate) worker_calls: usize,
     /// Machines, jobs and tasks looked at: the work of a step, counted.
-    pub(crate) visits: u64,
+    pub(crate) work_units: u64,
     next_call: CallId,
     /// Numbers of machine types and zones.
     pub(crate) places: PlaceNames,
@@ -91,13 +91,13 @@
 }
 
 /// A request that another controller has passed on.
-pub(crate) struct Remote {
+pub(crate) struct PeerRequest {
     from: NodeName,
     /// The start of it that did. Another start may use the same name for
     /// something else, and must not take the answer for its own.
-    inc: u64,
+    incarnation: u64,
     /// Its name for the request.
-    ask: u64,
+    request_number: u64,
     until: Ms,
 }
 
@@ -106,37 +106,37 @@
 
 impl Context {
     /// The context of a controller that starts.
-    pub(crate) fn new(cfg: Rc<Config>, inc: u64, seed: u64) -> Self {
+    pub(crate) fn new(cfg: Rc<Config>, incarnation: u64, seed: u64) -> Self {
         let n = cfg.nodes.len() as f64;
         let image_names = cfg.bounds.image_names;
         let redirects = Redirects::new(cfg.lease_ms);
         Self {
             now: 0,
-            wall: 0,
+            wall_clock_ms: 0,
             store: Store::new(cfg.state_limits.rps / n, cfg.state_limits.write_rps / n),
             format: FormatVersion::FIRST,
             limits: cfg.state_limits,
             is_size_refused: false,
             cfg,
-            inc,
-            out: Vec::new(),
+            incarnation,
+            effects: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
             pending: HashMap::new(),
-            refused: Vec::new(),
+            unsent_calls: Vec::new(),
             unmet_demand: Vec::new(),
-            remote: BTreeMap::new(),
-            entitled: false,
-            awake_since: 0,
+            peer_requests: BTreeMap::new(),
+            has_valid_lease: false,
+            resumed_at: 0,
             failure_detector: FailureDetector::default(),
             links: Links::default(),
             cloud_link: CloudLink::default(),
             relays: RelayTable::default(),
             redirects,
-            blind_until: 0,
+            reports_no_heartbeats_until: 0,
             peers: BTreeMap::new(),
-            attestations: Attestations::default(),
+            peer_confirmations: PeerConfirmations::default(),
             worker_calls: 0,
-            visits: 0,
+            work_units: 0,
             next_call: 0,
             places: PlaceNames::default(),
             images: ImageNames::new(image_names),
@@ -145,14 +145,14 @@
     }
 
     /// Milliseconds between two looks at who is there and what is needed.
-    pub(crate) fn beat_ms(&self) -> Ms {
+    pub(crate) fn heartbeat_interval_ms(&self) -> Ms {
         crate::ms(self.cfg.ops.assign_s).max(100)
     }
 
     /// How long ago a time of day was, at the most: it was read by another
     /// controller, and both clocks may be off.
-    pub(crate) fn since_wall(&self, wall: Ms) -> Ms {
-        self.wall.saturating_sub(wall) + self.cfg.clock_off_ms * 2
+    pub(crate) fn longest_age_of(&self, wall: Ms) -> Ms {
+        self.wall_clock_ms.saturating_sub(wall) + self.cfg.clock_off_ms * 2
     }
 
     /// Whether there are warm pools, and all controllers know them.
@@ -161,16 +161,16 @@
     }
 
     /// Tells another controller something that it will learn anyway.
-    pub(crate) fn tell(&mut self, node: &NodeName, epoch: u64, body: Body) {
+    pub(crate) fn send_to_peer(&mut self, node: &NodeName, epoch: u64, body: Body) {
         let envelope = Envelope {
             version: body.version(),
             from: self.cfg.node.to_string(),
-            inc: self.inc,
+            incarnation: self.incarnation,
             epoch,
             body,
         };
         match envelope.encode() {
-            Ok(message) => self.out.push(Effect::Tell {
+            Ok(message) => self.effects.push(Effect::SendToPeer {
                 node: node.clone(),
                 message,
             }),
@@ -179,42 +179,47 @@
     }
 
     /// A name for a request that another controller has passed on.
-    pub(crate) fn remote_request(&mut self, from: NodeName, inc: u64, ask: u64) -> RequestId {
+    pub(crate) fn add_peer_request(
+        &mut self,
+        from: NodeName,
+        incarnation: u64,
+        request_number: u64,
+    ) -> RequestId {
         self.next_call += 1;
-        let request = RequestId(self.next_call | REMOTE);
-        let until = self.now + REMOTE_MS;
-        let remote = Remote {
+        let request = RequestId(self.next_call | PEER_REQUEST_BIT);
+        let until = self.now + PEER_REQUEST_TTL_MS;
+        let peer_request = PeerRequest {
             from,
-            inc,
-            ask,
+            incarnation,
+            request_number,
             until,
         };
-        self.remote.insert(request, remote);
+        self.peer_requests.insert(request, peer_request);
         request
     }
 
     /// Drops requests of other controllers that can have no answer in time.
-    pub(crate) fn forget_remote(&mut self) {
+    pub(crate) fn expire_peer_requests(&mut self) {
         let now = self.now;
-        self.remote.retain(|_, r| now < r.until);
+        self.peer_requests.retain(|_, r| now < r.until);
     }
 
     /// Answers a request, of a user or of another controller.
     pub(crate) fn respond(&mut self, request: RequestId, reply: Reply) {
-        if request.is_remote() {
-            if let Some(remote) = self.remote.remove(&request) {
-                let body = Body::Answer {
-                    inc: remote.inc,
-                    ask: remote.ask,
+        if request.is_from_peer() {
+            if let Some(peer_request) = self.peer_requests.remove(&request) {
+                let body = Body::ForwardedResponse {
+                    incarnation: peer_request.incarnation,
+                    request_number: peer_request.request_number,
                     status: reply.status,
                     body: reply.body,
                     retry_after_s: reply.retry_after_s,
                 };
-                self.tell(&remote.from, 0, body);
+                self.send_to_peer(&peer_request.from, 0, body);
             }
             return;
         }
-        self.out.push(Effect::Respond { request, reply });
+        self.effects.push(Effect::Respond { request, reply });
     }
 
     fn call(
@@ -229,7 +234,7 @@
         self.next_call += 1;
         let id = self.next_call;
         self.pending.insert(id, pending);
-        self.out.push(Effect::Call {
+        self.effects.push(Effect::Call {
             id,
             target,
             method,
@@ -241,11 +246,11 @@
     }
 
     /// Sends what the budget of the state service allows.
-    pub(crate) fn pump(&mut self) {
+    pub(crate) fn send_due_store_calls(&mut self) {
         let (go, late) = self.store.due(self.now);
         for call in go {
             self.call(
-                Target::State,
+                Target::Store,
                 call.method,
                 call.path,
                 call.body,
@@ -253,11 +258,12 @@
                 call.pending,
             );
         }
-        self.refused.extend(late.into_iter().map(|c| c.pending));
+        self.unsent_calls
+            .extend(late.into_iter().map(|c| c.pending));
     }
 
     /// Reads from the state service.
-    pub(crate) fn read(&mut self, urgency: Urgency, path: String, pending: Pending) {
+    pub(crate) fn read_store(&mut self, urgency: Urgency, path: String, pending: Pending) {
         let call = StateCall {
             method: "GET",
             path,
@@ -278,7 +284,7 @@
     }
 
     /// Waits for changes below a prefix.
-    pub(crate) fn watch(&mut self, prefix: &str, from: u64, wait: Ms, pending: Pending) {
+    pub(crate) fn watch_store(&mut self, prefix: &str, from: u64, wait: Ms, pending: Pending) {
         let call = StateCall {
             method: "GET",
             path: format!("/changes?starts={prefix}&from={from}&wait_ms={wait}"),
@@ -292,7 +298,7 @@
     }
 
     /// Sends the state service something other than a transaction.
-    pub(crate) fn post(
+    pub(crate) fn call_store(
         &mut self,
         method: &'static str,
         path: String,
@@ -312,10 +318,10 @@
     }
 
     /// Sends a transaction to the state service.
-    pub(crate) fn txn(&mut self, urgency: Urgency, txn: &Txn, pending: Pending) {
+    pub(crate) fn transact(&mut self, urgency: Urgency, txn: &Txn, pending: Pending) {
         let body = serde_json::to_vec(txn).unwrap_or_default();
         if body.len() > self.limits.value_bytes || txn.writes.len() > self.limits.txn_ops {
-            self.look_for_excess(txn);
+            self.log_oversized_changes(txn);
         }
         let call = StateCall {
             method: "POST",
@@ -330,7 +336,7 @@
     }
 
     /// Logs what of a transaction goes beyond the limits of the state service.
-    fn look_for_excess(&self, txn: &Txn) {
+    fn log_oversized_changes(&self, txn: &Txn) {
         let (changes, most) = (txn.writes.len(), self.limits.txn_ops);
         if changes > most {
             log::error!("{changes} changes at once, of {most}");
@@ -347,7 +353,7 @@
     }
 
     /// Calls the cloud.
-    pub(crate) fn cloud(
+    pub(crate) fn call_cloud(
         &mut self,
         method: &'static str,
         path: String,
@@ -361,11 +367,11 @@
     pub(crate) fn delete_machines(&mut self, machines: Vec<MachineId>, pending: Pending) {
         let body = serde_json::to_vec(&Machines { machines }).unwrap_or_default();
         let path = "/machines/delete".to_owned();
-        self.cloud("POST", path, Some(body), pending);
+        self.call_cloud("POST", path, Some(body), pending);
     }
 
     /// Asks a worker for its report.
-    pub(crate) fn worker_status(&mut self, addr: &str, timeout: Ms, pending: Pending) {
+    pub(crate) fn request_worker_status(&mut self, addr: &str, timeout: Ms, pending: Pending) {
         self.worker_calls += 1;
         let target = Target::Worker(addr.to_owned());
         let path = "/status".to_owned();
@@ -373,7 +379,7 @@
     }
 
     /// Sends commands to a worker.
-    pub(crate) fn worker(
+    pub(crate) fn send_commands(
         &mut self,
         addr: &str,
         body: Vec<u8>,
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -365,11 +365,11 @@
         if !cut.is_like(rec) {
             ctx.overflows.note(ctx.now, Overflow::Demand);
         }
-        let body = Body::Demand {
+        let body = Body::UnmetDemand {
             shard: self.id.0,
             demand: serde_json::to_string(&cut).unwrap_or_default(),
         };
-        ctx.tell(&leader.node, self.epoch, body);
+        ctx.send_to_peer(&leader.node, self.epoch, body);
     }
 
     fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRecord) {
@@ -405,7 +405,7 @@
             )],
         };
         let shard = self.id;
-        ctx.txn(Urgency::Later, &txn, Pending::Demand { shard });
+        ctx.transact(Urgency::Later, &txn, Pending::Demand { shard });
     }
 }
 
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -209,11 +209,11 @@
         let us = self.ctx.cfg.node.clone();
         let peers: Vec<NodeName> = self.ctx.cfg.nodes.to_vec();
         for peer in peers.iter().filter(|n| **n != us) {
-            let body = Body::JobOver {
+            let body = Body::JobEnded {
                 id: end.id.to_string(),
                 cancelled: end.stage == JobStage::Cancelled,
             };
-            self.ctx.tell(peer, 0, body);
+            self.ctx.send_to_peer(peer, 0, body);
         }
     }
 
@@ -232,7 +232,7 @@
     fn read_dependencies(&mut self) {
         let pause = self.dependencies.pause(&self.ctx);
         for id in self.dependencies.reads.take(self.ctx.now) {
-            self.ctx.visits += 1;
+            self.ctx.work_units += 1;
             let shards = &self.shards;
             let waits = |dependent: &JobId| {
                 let job = shards.values().find_map(|s| s.jobs.get(dependent));
@@ -258,7 +258,7 @@
                 id: id.clone(),
                 sent: self.ctx.now,
             };
-            self.ctx.read(Urgency::Work, path, pending);
+            self.ctx.read_store(Urgency::Work, path, pending);
         }
     }
 
@@ -324,7 +324,7 @@
         let Some(priority) = jobs.map(Job::priority).max() else {
             return;
         };
-        let body = Body::Needed {
+        let body = Body::InheritPriority {
             id: id.to_string(),
             priority: priority as u8,
         };
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -68,14 +68,15 @@
                     let message = Envelope {
                         version: 6,
                         from: "berth-9".to_owned(),
-                        inc: 3,
+                        incarnation: 3,
                         epoch: 0,
-                        body: Body::JobOver {
+                        body: Body::JobEnded {
                             id: "j-2".to_owned(),
                             cancelled: stage == JobStage::Cancelled,
                         },
                     };
-                    f.node.on_peer(&message.encode().expect("a message"));
+                    f.node
+                        .on_peer_message(&message.encode().expect("a message"));
                 }
                 Source::Read => {
                     let body = record(&mut f, 2, stage);
@@ -207,7 +208,7 @@
         // The controller keeps its lease all the while.
         f.node.ctx.now += passes;
         let now = f.node.ctx.now;
-        f.node.member.on_extend(&f.node.ctx, now, 200);
+        f.node.membership.on_lease_renewed(&f.node.ctx, now, 200);
         let reply = f.node.remembered(&id(1)).expect("it is ours");
         assert_eq!(
             reply.status, answers,
@@ -231,11 +232,11 @@
         f.node.finals.insert_written(id(2), JobStage::Done);
         let effects = f.step(0);
         let tells = |e: &Effect| match e {
-            Effect::Tell { message, .. } => Envelope::decode(message).ok(),
+            Effect::SendToPeer { message, .. } => Envelope::decode(message).ok(),
             _ => None,
         };
         let told: Vec<Envelope> = effects.iter().filter_map(tells).collect();
-        let is_end = |e: &&Envelope| matches!(e.body, Body::JobOver { .. });
+        let is_end = |e: &&Envelope| matches!(e.body, Body::JobEnded { .. });
         assert_eq!(
             told.iter().filter(is_end).count(),
             usize::from(is_finalized)
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -70,7 +70,7 @@
         for task in &report.tasks {
             self.judge_stray(ctx, &report.machine, task);
         }
-        ctx.visits += 1 + report.tasks.len() as u64;
+        ctx.work_units += 1 + report.tasks.len() as u64;
         self.look.touch(&report.machine);
         true
     }
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -18,16 +18,16 @@
 use std::collections::BTreeMap;
 
 /// Fewer machines than this say nothing about their zone or their holder.
-const LEAST: u32 = 4;
+const MACHINES_LEAST: u32 = 4;
 /// Machines that are called to find out whether calls reach any.
-const CALLED_LEAST: u32 = LEAST * 2;
+const CALLED_LEAST: u32 = MACHINES_LEAST * 2;
 /// The part of a zone's machines that must be silent for it to be cut off.
 const ZONE_PART: f64 = 0.75;
 /// The part of all machines that must be silent for their holder to be.
-const BLIND_PART: f64 = 0.9;
+const ISOLATED_PART: f64 = 0.9;
 /// The part of a cut zone's workers that must be able to keep their leases for
 /// the zone to be waited for.
-const KEPT_LEAST: f64 = 0.6;
+const KEPT_ALIVE_PART_LEAST: f64 = 0.6;
 /// Boots until another machine runs what one has run: it has to be asked for
 /// and to fetch the images.
 const REPLACED_BOOTS: f64 = 1.3;
@@ -39,12 +39,12 @@
 /// The part of a lease in which a silent machine is given up in any case.
 const SILENT_MOST: f64 = 0.9;
 /// Looks that a peer may miss and still be there.
-const PEER_LOOKS: Ms = 5;
+const MISSED_PEER_HEARTBEATS: Ms = 5;
 /// Boots after which a silent machine is given up although no controller hears most of
 /// theirs: another could not be heard either, and the cloud tells of those that failed.
 const UNHEARD_BOOTS: f64 = 6.0;
 /// How long a blind controller is given nothing, in leases of a worker.
-const BLIND_LEASES: Ms = 2;
+const ISOLATED_LEASES: Ms = 2;
 
 /// What the detector has concluded last.
 #[derive(Default)]
@@ -52,13 +52,13 @@
     /// Zones that are cut off, and worth waiting for, or were, and until when. When a cut
     /// ends most workers are back at once and some are on the way: as soon as most were
     /// heard, the others were once given up.
-    cut: BTreeMap<u16, Ms>,
+    partitioned_zones: BTreeMap<u16, Ms>,
     /// Until when the same holds for all zones, as we were cut off.
-    was_blind_until: Ms,
+    recovering_until: Ms,
     /// Hardly any machine is heard, or reached by calls.
-    blind: bool,
+    is_isolated: bool,
     /// The same holds for all other controllers that are there.
-    all_blind: bool,
+    are_all_isolated: bool,
 }
 
 impl Context {
@@ -88,13 +88,13 @@
     /// twice the time is lost. Where most workers cannot find a controller
     /// inside before their leases end, what ran there is lost anyway, and is
     /// better begun elsewhere at once.
-    pub(crate) fn silent_after(&self, machine: &Machine) -> Ms {
+    pub(crate) fn removal_timeout_ms(&self, machine: &Machine) -> Ms {
         let detector = &self.failure_detector;
         let may_tell = self.links.allow(Decision::GiveUpSilentMachines);
         let boots = match () {
-            () if detector.all_blind => UNHEARD_BOOTS,
-            () if !may_tell || self.now < detector.was_blind_until => REPLACED_BOOTS,
-            () if detector.cut.contains_key(&machine.zone) => REPLACED_BOOTS,
+            () if detector.are_all_isolated => UNHEARD_BOOTS,
+            () if !may_tell || self.now < detector.recovering_until => REPLACED_BOOTS,
+            () if detector.partitioned_zones.contains_key(&machine.zone) => REPLACED_BOOTS,
             () => 0.0,
         };
         let waited = (machine.boot_ms as f64 * boots) as Ms;
@@ -103,23 +103,28 @@
 
     /// After this process stood still, silence is counted from now on: it
     /// heard nobody meanwhile.
-    pub(crate) fn note_pause(&mut self, now: Ms) {
+    pub(crate) fn note_process_pause(&mut self, now: Ms) {
         if now > self.now + self.cfg.report_ms / 2 {
-            self.awake_since = now;
+            self.resumed_at = now;
             self.store.note_pause(now);
         }
     }
 
     /// Whether a controller has answered a heartbeat of ours lately.
     pub(crate) fn is_peer_answering(&self, node: &NodeName) -> bool {
-        let as_of = self.attestations.there_as_of(node);
-        as_of.is_some_and(|t| self.now < t + self.beat_ms() * PEER_LOOKS)
+        let as_of = self.peer_confirmations.alive_as_of(node);
+        as_of.is_some_and(|t| self.now < t + self.heartbeat_interval_ms() * MISSED_PEER_HEARTBEATS)
     }
 
     /// Whether a start of another controller was heard lately.
-    pub(crate) fn is_peer_there(&self, node: &NodeName, inc: u64) -> bool {
-        let peer = self.peers.get(node).filter(|p| p.inc == inc);
-        peer.is_some_and(|p| self.now < p.heard + self.beat_ms() * PEER_LOOKS)
+    pub(crate) fn is_peer_alive(&self, node: &NodeName, incarnation: u64) -> bool {
+        let peer = self
+            .peers
+            .get(node)
+            .filter(|p| p.incarnation == incarnation);
+        peer.is_some_and(|p| {
+            self.now < p.last_message_at + self.heartbeat_interval_ms() * MISSED_PEER_HEARTBEATS
+        })
     }
 }
 
@@ -162,13 +167,13 @@
             if m.addr.is_none() && m.heard.is_none() {
                 continue;
             }
-            let is_silent = ctx.now > m.last_sign(ctx.awake_since) + quiet;
+            let is_silent = ctx.now > m.last_sign(ctx.resumed_at) + quiet;
             // Machines that have just been taken over say nothing yet. Counted
             // as heard, they once hid that a zone was cut off.
             if m.heard.is_none() && !is_silent {
                 continue;
             }
-            let since = m.since.max(ctx.awake_since);
+            let since = m.since.max(ctx.resumed_at);
             let unheard = m.link.is_unheard(ctx.now, since, &timing);
             let count = zones.entry(m.zone).or_default();
             count.all += 1;
@@ -189,17 +194,17 @@
     /// Sends heartbeats to peers, and decides which zones are cut off, or
     /// whether this controller is.
     pub(crate) fn run_failure_detector(&mut self) {
-        self.ctx.entitled = self.member.has_right(&self.ctx, &self.view);
-        self.note_link(Link::StateService, self.ctx.entitled);
-        if self.ctx.entitled {
+        self.ctx.has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
+        self.note_link(Link::StateService, self.ctx.has_valid_lease);
+        if self.ctx.has_valid_lease {
             self.ctx
-                .attestations
-                .prove(self.member.right_until(&self.ctx));
+                .peer_confirmations
+                .note_lease_valid_until(self.membership.lease_valid_until(&self.ctx));
         }
         if self.ctx.now < self.failure_detector_at {
             return;
         }
-        self.failure_detector_at = self.ctx.now + self.ctx.beat_ms();
+        self.failure_detector_at = self.ctx.now + self.ctx.heartbeat_interval_ms();
         let cfg = self.ctx.cfg.clone();
         self.send_heartbeats();
         self.ask_for_relays();
@@ -209,31 +214,32 @@
         }
         let sum = zones.values().fold(Count::default(), |sum, c| sum.plus(c));
         let all = sum.all;
-        let most =
-            |n: u32, all: u32, part: f64| all >= LEAST && f64::from(n) >= part * f64::from(all);
-        self.note_link(Link::Reports, !most(sum.unheard, all, BLIND_PART));
+        let most = |n: u32, all: u32, part: f64| {
+            all >= MACHINES_LEAST && f64::from(n) >= part * f64::from(all)
+        };
+        self.note_link(Link::Reports, !most(sum.unheard, all, ISOLATED_PART));
         // What was not called says nothing of calls.
-        self.note_link(Link::Calls, !most(sum.unreached, sum.tried, BLIND_PART));
+        self.note_link(Link::Calls, !most(sum.unreached, sum.tried, ISOLATED_PART));
         if sum.unreached > 0 && sum.tried < CALLED_LEAST.min(all) {
             self.call_untried_machines();
         }
-        let blind = self.ctx.entitled && !self.ctx.links.allow(Decision::HoldShares);
+        let is_isolated = self.ctx.has_valid_lease && !self.ctx.links.allow(Decision::HoldShares);
         let kept = |zone: u16| {
             let name = self.ctx.places.name(zone).unwrap_or_default();
-            cfg.kept_in_cut(name) >= KEPT_LEAST
+            cfg.zones_kept_in_partition(name) >= KEPT_ALIVE_PART_LEAST
         };
         let now = self.ctx.now;
         let until = now + self.ctx.return_ms();
-        let mut cut = std::mem::take(&mut self.ctx.failure_detector.cut);
+        let mut cut = std::mem::take(&mut self.ctx.failure_detector.partitioned_zones);
         cut.retain(|_, until| now < *until);
         let lost = zones.iter();
         let lost = lost.filter(|(zone, c)| most(c.silent, c.all, ZONE_PART) && kept(**zone));
         cut.extend(lost.map(|(zone, _)| (*zone, until)));
         let was_blind_until = match self.ctx.links.is_up(Link::Reports) {
-            true => self.ctx.failure_detector.was_blind_until,
+            true => self.ctx.failure_detector.recovering_until,
             false => until,
         };
-        if blind && !self.ctx.failure_detector.blind {
+        if is_isolated && !self.ctx.failure_detector.is_isolated {
             let Count {
                 unheard, unreached, ..
             } = sum;
@@ -242,15 +248,16 @@
                  we are cut off from them"
             );
         }
-        let all_blind = blind && self.view.are_all_blind();
+        let are_all_isolated = is_isolated && self.view.has_no_node_with_heartbeats();
         self.ctx.failure_detector = FailureDetector {
-            cut,
-            was_blind_until,
-            blind,
-            all_blind,
+            partitioned_zones: cut,
+            recovering_until: was_blind_until,
+            is_isolated,
+            are_all_isolated,
         };
-        if blind {
-            self.ctx.blind_until = self.ctx.now + self.ctx.cfg.lease_ms * BLIND_LEASES;
+        if is_isolated {
+            self.ctx.reports_no_heartbeats_until =
+                self.ctx.now + self.ctx.cfg.lease_ms * ISOLATED_LEASES;
         }
     }
 
@@ -274,10 +281,14 @@
 
     /// Who should hold our shards while we hear no machine: a controller that
     /// is there and hears them, or has yet to try.
-    pub(crate) fn relief(&self) -> Option<NodeName> {
+    pub(crate) fn handover_target(&self) -> Option<NodeName> {
         let us = &self.ctx.cfg.node;
-        let told = self.view.nodes.get(us).is_some_and(|n| n.rec.blind);
-        if !self.ctx.failure_detector.blind || !told {
+        let told = self
+            .view
+            .nodes
+            .get(us)
+            .is_some_and(|n| n.rec.receives_no_heartbeats);
+        if !self.ctx.failure_detector.is_isolated || !told {
             return None;
         }
         let held = |n: &NodeName| {
@@ -285,7 +296,9 @@
             shards.filter(|s| s.rec.holder == *n).count()
         };
         let others = self.view.nodes.iter().filter(|(n, rec)| {
-            *n != us && !rec.rec.blind && self.ctx.is_peer_there(n, rec.rec.inc)
+            *n != us
+                && !rec.rec.receives_no_heartbeats
+                && self.ctx.is_peer_alive(n, rec.rec.incarnation)
         });
         let least = others.min_by_key(|(n, _)| held(n));
         least.map(|(n, _)| n.clone())
--- a/crates/core/src/failure_detector/tests.rs
+++ b/crates/core/src/failure_detector/tests.rs
@@ -26,7 +26,11 @@
         let zones = cfg.nodes.iter().enumerate();
         cfg.zones = zones.map(|(n, name)| (name.clone(), zone(n))).collect();
         (cfg.lease_ms, cfg.report_ms) = (lease, report);
-        assert_eq!(cfg.kept_in_cut("in") >= KEPT_LEAST, waits, "{name}");
+        assert_eq!(
+            cfg.zones_kept_in_partition("in") >= KEPT_ALIVE_PART_LEAST,
+            waits,
+            "{name}"
+        );
     }
 }
 
@@ -72,15 +76,15 @@
 fn machines_are_kept_where_nobody_hears_any() {
     let mut f = crate::fixture::Fixture::new();
     let id = f.machine.clone();
-    let mut waited = |all_blind, blind| {
+    let mut waited = |are_all_isolated, is_isolated| {
         f.node.ctx.failure_detector = FailureDetector {
-            blind,
-            all_blind,
+            is_isolated,
+            are_all_isolated,
             ..FailureDetector::default()
         };
-        f.node.note_link(Link::Reports, !blind);
+        f.node.note_link(Link::Reports, !is_isolated);
         let machine = &f.node.shards[&f.shard].machines[&id];
-        f.node.ctx.silent_after(machine)
+        f.node.ctx.removal_timeout_ms(machine)
     };
     let (alone, others_hear, nobody_hears) = (
         waited(false, false),
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -46,9 +46,9 @@
         let machine = MachineId::new("m-1");
         let held = ShardRecord {
             holder: us.clone(),
-            inc: 1,
+            holder_incarnation: 1,
             epoch: EPOCH,
-            want: None,
+            handover_to: None,
         };
         let record = MachineRecord {
             shard,
@@ -68,11 +68,11 @@
             "boot_s": 45.0, "yards": [zone]});
         let lead = LeaderRecord {
             node: us.clone(),
-            inc: 1,
+            incarnation: 1,
         };
         let here = NodeRecord {
-            inc: 1,
-            blind: false,
+            incarnation: 1,
+            receives_no_heartbeats: false,
             format: FormatVersion::CURRENT,
         };
         let items = vec![
@@ -83,10 +83,12 @@
             item(machine_key(&machine), &record, 5),
         ];
         node.ctx.now = NOW;
-        node.ctx.wall = WALL;
+        node.ctx.wall_clock_ms = WALL;
         node.view.replace(items, 5);
-        node.member.on_lease(&node.ctx, NOW, 200, br#"{"hold":7}"#);
-        node.member.on_node_put(7, 200, br#"{"ledger_rev":1}"#);
+        node.membership
+            .on_lease_granted(&node.ctx, NOW, 200, br#"{"hold":7}"#);
+        node.membership
+            .on_node_record_written(7, 200, br#"{"ledger_rev":1}"#);
         let mut ours = Shard::new(&mut node.ctx, shard, EPOCH, 3);
         ours.phase = Phase::Waiting(5);
         ours.activate(&mut node.ctx, &node.view);
@@ -266,7 +268,7 @@
         let call = call.expect("a call waits");
         let body = body.to_string().into_bytes();
         let now = self.node.ctx.now;
-        let answer = Input::Answer { call, status, body };
+        let answer = Input::Response { call, status, body };
         self.node.step(now, WALL + now - NOW, vec![answer])
     }
 }
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -36,9 +36,9 @@
 }
 
 impl ForwardedRequest {
-    fn message(&self, ask: u64) -> Body {
-        Body::Forward {
-            ask,
+    fn message(&self, request_number: u64) -> Body {
+        Body::ForwardedRequest {
+            request_number,
             method: self.method.clone(),
             path: self.path.clone(),
             body: self.body.clone(),
@@ -75,7 +75,7 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<(), Option<Vec<u8>>> {
-        if request.is_remote() {
+        if request.is_from_peer() {
             return Err(body);
         }
         let Some(to) = self.better(method, path) else {
@@ -104,9 +104,9 @@
         time: Ms,
     ) {
         self.asks += 1;
-        let ask = self.asks;
+        let request_number = self.asks;
         let now = self.ctx.now;
-        self.ctx.tell(to, 0, what.message(ask));
+        self.ctx.send_to_peer(to, 0, what.message(request_number));
         let forward = Forward {
             request,
             to: to.clone(),
@@ -114,16 +114,17 @@
             resend_at: (what.path == REPORT_PATH).then_some(now + RESEND_MS),
             what,
         };
-        self.forwards.insert(ask, forward);
+        self.forwards.insert(request_number, forward);
     }
 
     /// Sends again what may be and has had no answer yet.
     fn resend_forwards(&mut self) {
         let now = self.ctx.now;
-        for (ask, forward) in &mut self.forwards {
+        for (request_number, forward) in &mut self.forwards {
             if forward.resend_at.is_some_and(|t| now >= t) {
                 forward.resend_at = Some(now + RESEND_MS);
-                self.ctx.tell(&forward.to, 0, forward.what.message(*ask));
+                self.ctx
+                    .send_to_peer(&forward.to, 0, forward.what.message(*request_number));
             }
         }
     }
@@ -141,7 +142,7 @@
         let us = &self.ctx.cfg.node;
         if let Some(id) = &id {
             let ours = self.shards.values().any(|s| s.jobs.contains_key(id));
-            let right = self.member.has_right(&self.ctx, &self.view);
+            let right = self.membership.has_valid_lease(&self.ctx, &self.view);
             if self.finals.get(id).is_some() || (ours && right) {
                 return None;
             }
@@ -162,8 +163,8 @@
     /// Another controller passes a request on to us.
     pub(crate) fn on_forward(
         &mut self,
-        (from, inc): (NodeName, u64),
-        ask: u64,
+        (from, incarnation): (NodeName, u64),
+        request_number: u64,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
@@ -171,8 +172,8 @@
         if !path.starts_with("/submissions") && path != REPORT_PATH {
             return;
         }
-        let is_full = self.ctx.remote.len() >= self.ctx.cfg.bounds.forwarded_requests;
-        let request = self.ctx.remote_request(from, inc, ask);
+        let is_full = self.ctx.peer_requests.len() >= self.ctx.cfg.bounds.forwarded_requests;
+        let request = self.ctx.add_peer_request(from, incarnation, request_number);
         if is_full {
             // Whoever passed it on deals with it, and need not wait to do so.
             let now = self.ctx.now;
@@ -183,8 +184,8 @@
     }
 
     /// Another controller has answered a request that was passed on.
-    pub(crate) fn on_forwarded(&mut self, ask: u64, reply: Reply) {
-        let Some(forward) = self.forwards.remove(&ask) else {
+    pub(crate) fn on_forwarded(&mut self, request_number: u64, reply: Reply) {
+        let Some(forward) = self.forwards.remove(&request_number) else {
             return;
         };
         if forward.what.path == REPORT_PATH {
@@ -218,15 +219,15 @@
             .forwards
             .iter()
             .filter(|(_, f)| now >= f.until)
-            .map(|(ask, _)| *ask)
+            .map(|(request_number, _)| *request_number)
             .collect();
-        for ask in late {
-            if let Some(forward) = self.forwards.remove(&ask) {
+        for request_number in late {
+            if let Some(forward) = self.forwards.remove(&request_number) {
                 self.deal_with(forward);
             }
         }
         self.resend_forwards();
-        self.ctx.forget_remote();
+        self.ctx.expire_peer_requests();
     }
 
     fn deal_with(&mut self, forward: Forward) {
--- a/crates/core/src/forward/tests.rs
+++ b/crates/core/src/forward/tests.rs
@@ -11,12 +11,12 @@
 /// Statuses that were sent back to the controller that passes requests on.
 fn refused(effects: &[Effect]) -> Vec<u16> {
     let messages = effects.iter().filter_map(|e| match e {
-        Effect::Tell { message, .. } => Envelope::decode(message).ok(),
+        Effect::SendToPeer { message, .. } => Envelope::decode(message).ok(),
         _ => None,
     });
     messages
         .filter_map(|m| match m.body {
-            Body::Answer { status, .. } => Some(status),
+            Body::ForwardedResponse { status, .. } => Some(status),
             _ => None,
         })
         .collect()
@@ -37,14 +37,14 @@
     for ask in 0..most {
         pass_on(&mut f.node, ask);
     }
-    assert_eq!(f.node.ctx.remote.len() as u64, most, "all wait");
+    assert_eq!(f.node.ctx.peer_requests.len() as u64, most, "all wait");
     assert_eq!(
-        refused(&std::mem::take(&mut f.node.ctx.out)),
+        refused(&std::mem::take(&mut f.node.ctx.effects)),
         Vec::<u16>::new()
     );
     pass_on(&mut f.node, most);
-    assert_eq!(f.node.ctx.remote.len() as u64, most, "no more wait");
-    assert_eq!(refused(&std::mem::take(&mut f.node.ctx.out)), vec![503]);
+    assert_eq!(f.node.ctx.peer_requests.len() as u64, most, "no more wait");
+    assert_eq!(refused(&std::mem::take(&mut f.node.ctx.effects)), vec![503]);
 }
 
 /// What was refused elsewhere is dealt with here, without waiting.
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -36,7 +36,7 @@
             let wait = wait.map_or(String::new(), |s| format!(" retry after {s}"));
             format!("{}{wait} {}", reply.status, utf8(&reply.body))
         }
-        Effect::Tell { node, message } => {
+        Effect::SendToPeer { node, message } => {
             let hex: String = message.iter().map(|b| format!("{b:02x}")).collect();
             format!("to {node} {hex}")
         }
@@ -48,7 +48,7 @@
             ..
         } => {
             let target = match target {
-                Target::State => "state",
+                Target::Store => "state",
                 Target::Cloud => "cloud",
                 Target::Worker(addr) => addr,
             };
@@ -93,7 +93,7 @@
             let Effect::Call { id, path, .. } = effect else {
                 continue;
             };
-            inputs.extend(answer_to(&path).map(|body| Input::Answer {
+            inputs.extend(answer_to(&path).map(|body| Input::Response {
                 call: id,
                 status: 200,
                 body: body.to_string().into_bytes(),
@@ -272,8 +272,8 @@
     transcript.add("rent", &f.step(1000));
     let ctx = &mut f.node.ctx;
     ctx.delete_machines(vec![MachineId::new("m-8")], Pending::Catalog);
-    ctx.worker_status("10.1.0.1:9000", 100, Pending::Catalog);
-    transcript.add("delete_and_status", &std::mem::take(&mut ctx.out));
+    ctx.request_worker_status("10.1.0.1:9000", 100, Pending::Catalog);
+    transcript.add("delete_and_status", &std::mem::take(&mut ctx.effects));
     compare(include_str!("cloud_and_workers.tsv"), &transcript.0);
 }
 
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -101,8 +101,8 @@
     };
     let mut view = View::default();
     view.replace(records.map(item).into(), 9);
-    assert_eq!(view.nodes[&NodeName::new("berth-0")].rec.inc, 5);
-    assert_eq!(view.leader.expect("a leader").rec.inc, 5);
+    assert_eq!(view.nodes[&NodeName::new("berth-0")].rec.incarnation, 5);
+    assert_eq!(view.leader.expect("a leader").rec.incarnation, 5);
     assert_eq!(view.epoch.expect("an epoch").rec, 7);
     assert_eq!(view.finalized_format.expect("a format").version, 4);
     assert_eq!(view.shards[&ShardId(2)].rec.epoch, 7);
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -50,19 +50,19 @@
 #[test]
 fn controllers_and_shards() {
     let node = |blind, format| NodeRecord {
-        inc: 5,
-        blind,
+        incarnation: 5,
+        receives_no_heartbeats: blind,
         format,
     };
     let leader = LeaderRecord {
         node: NodeName::new("berth-0"),
-        inc: 5,
+        incarnation: 5,
     };
     let shard = |want| ShardRecord {
         holder: NodeName::new("berth-0"),
-        inc: 5,
+        holder_incarnation: 5,
         epoch: 7,
-        want,
+        handover_to: want,
     };
     let cases = [
         stored("node_full", &node(true, FormatVersion::POOLS)),
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -13,12 +13,12 @@
 pub struct RequestId(pub u64);
 
 /// Set in the names of requests that other controllers have passed on.
-pub(crate) const REMOTE: u64 = 1 << 63;
+pub(crate) const PEER_REQUEST_BIT: u64 = 1 << 63;
 
 impl RequestId {
     /// Whether another controller waits for the answer.
-    pub(crate) fn is_remote(self) -> bool {
-        self.0 & REMOTE != 0
+    pub(crate) fn is_from_peer(self) -> bool {
+        self.0 & PEER_REQUEST_BIT != 0
     }
 }
 
@@ -39,7 +39,7 @@
     /// A message from another controller, as it came.
     Peer(Vec<u8>),
     /// The end of a call.
-    Answer {
+    Response {
         /// Which call.
         call: CallId,
         /// HTTP status; 0: no answer came.
@@ -53,7 +53,7 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Target {
     /// The state service.
-    State,
+    Store,
     /// The cloud.
     Cloud,
     /// A worker, by its address.
@@ -107,7 +107,7 @@
         reply: Reply,
     },
     /// Tell another controller something. It may get lost.
-    Tell {
+    SendToPeer {
         /// Whom.
         node: NodeName,
         /// What, ready to be sent.
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -134,7 +134,7 @@
     /// Whether this start of this controller is the recorded leader.
     pub(crate) fn is_leader(ctx: &Context, view: &View) -> bool {
         let leader = view.leader.as_ref();
-        leader.is_some_and(|l| l.rec.node == ctx.cfg.node && l.rec.inc == ctx.inc)
+        leader.is_some_and(|l| l.rec.node == ctx.cfg.node && l.rec.incarnation == ctx.incarnation)
     }
 
     /// Does what is due, as long as this controller leads.
@@ -206,11 +206,11 @@
     /// Notes since when every start of a controller has been there.
     fn follow_nodes(&mut self, ctx: &Context, view: &View) {
         self.nodes
-            .retain(|name, (inc, _)| view.is_alive(name, *inc));
+            .retain(|name, (incarnation, _)| view.is_alive(name, *incarnation));
         for (name, node) in &view.nodes {
             self.nodes
                 .entry(name.clone())
-                .or_insert((node.rec.inc, ctx.now));
+                .or_insert((node.rec.incarnation, ctx.now));
         }
     }
 
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -21,9 +21,15 @@
     /// controllers that have none.
     pub(super) fn assign(&mut self, ctx: &mut Context, view: &View) {
         // Who hears no worker is given nothing, as long as there are others.
-        let all_blind = view.are_all_blind();
-        let blind = |n: &NodeName| !all_blind && view.nodes.get(n).is_some_and(|n| n.rec.blind);
-        let able = view.nodes.keys().filter(|n| !blind(n));
+        let are_all_isolated = view.has_no_node_with_heartbeats();
+        let is_isolated = |n: &NodeName| {
+            !are_all_isolated
+                && view
+                    .nodes
+                    .get(n)
+                    .is_some_and(|n| n.rec.receives_no_heartbeats)
+        };
+        let able = view.nodes.keys().filter(|n| !is_isolated(n));
         let able = able.filter(|n| Self::may_hold_shards(view, n));
         let mut load: BTreeMap<&NodeName, u32> = able.map(|n| (n, 0)).collect();
         let mut free = Vec::new();
@@ -96,7 +102,7 @@
         };
         // A wish that names somebody who is gone holds nothing up.
         let moving = view.shards.values().any(|s| {
-            let want = s.rec.want.as_ref();
+            let want = s.rec.handover_to.as_ref();
             want.is_some_and(|n| view.nodes.contains_key(n))
         });
         if *most < least + 2 || moving {
@@ -109,13 +115,13 @@
         };
         log::info!("shard {k}: {from} is asked to hand it over to {to}");
         let mut rec = shard.rec.clone();
-        rec.want = Some((*to).clone());
+        rec.handover_to = Some((*to).clone());
         let txn = Txn {
             conds: self.conds(view, shard_key(*k), shard.version),
             writes: vec![Write::put(shard_key(*k), to_value(rec).unwrap_or_default())],
         };
         self.assigning.insert(*k);
-        ctx.txn(Urgency::Member, &txn, Pending::ShardPut(vec![*k]));
+        ctx.transact(Urgency::Member, &txn, Pending::ShardPut(vec![*k]));
     }
 
     /// The write of assignments was answered, whatever the answer.
--- a/crates/core/src/leader/deletion.rs
+++ b/crates/core/src/leader/deletion.rs
@@ -32,7 +32,7 @@
             conds: self.conds(view, key.clone(), machine.version),
             writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
         };
-        ctx.txn(Urgency::Work, &txn, Pending::Housekeeping);
+        ctx.transact(Urgency::Work, &txn, Pending::Housekeeping);
     }
 
     /// Has machines deleted that were given up in their records.
@@ -76,7 +76,7 @@
         // The machines are gone: their records say so by going, too.
         let gone: Vec<Gone> = machines
             .iter()
-            .filter_map(|id| Some(Gone::new(id, view.machines.get(id)?, ctx.wall)))
+            .filter_map(|id| Some(Gone::new(id, view.machines.get(id)?, ctx.wall_clock_ms)))
             .collect();
         for group in groups_of(gone, ctx.limits.txn_ops) {
             let leader = view.leader.as_ref().map_or(0, |l| l.version);
@@ -102,7 +102,7 @@
             }
             log::info!("{} machines returned", group.len());
             let machines = group.into_iter().map(|machine| machine.id).collect();
-            ctx.txn(Urgency::Work, &txn, Pending::Removed { machines });
+            ctx.transact(Urgency::Work, &txn, Pending::Removed { machines });
         }
     }
 
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -49,7 +49,7 @@
         conds.truncate(ctx.limits.conditions());
         let value = to_value(format).unwrap_or_default();
         let writes = vec![Write::put(FINALIZED_FORMAT.to_owned(), value)];
-        ctx.txn(
+        ctx.transact(
             Urgency::Member,
             &Txn { conds, writes },
             Pending::Housekeeping,
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -41,7 +41,7 @@
         }
         if ctx.now >= self.catalog_at && self.may_call(ctx) {
             self.catalog_at = ctx.now + CATALOG_RETRY;
-            ctx.cloud("GET", "/catalog".to_owned(), None, Pending::Catalog);
+            ctx.call_cloud("GET", "/catalog".to_owned(), None, Pending::Catalog);
         }
         if !self.listing && ctx.now >= self.list_at && self.may_call(ctx) {
             self.listing = true;
@@ -56,7 +56,7 @@
         if let Some(last) = page.last() {
             path.push_str(&format!("&from={}", last.id));
         }
-        ctx.cloud("GET", path, None, Pending::MachineList { page });
+        ctx.call_cloud("GET", path, None, Pending::MachineList { page });
     }
 
     /// The cloud has sent its catalogue: types that changed are written.
@@ -95,7 +95,7 @@
                 conds: self.conds(view, key.clone(), known.map_or(0, |k| k.version)),
                 writes: vec![Write::put(key, to_value(t).unwrap_or_default())],
             };
-            ctx.txn(Urgency::Work, &txn, Pending::Housekeeping);
+            ctx.transact(Urgency::Work, &txn, Pending::Housekeeping);
         }
     }
 
@@ -182,7 +182,7 @@
     /// show.
     fn return_unknown(&mut self, ctx: &mut Context, view: &View, listed: &[Listed]) {
         let no_intents = view.rental_intents.is_empty() && self.intents_being_written.is_empty();
-        if !ctx.entitled || !no_intents {
+        if !ctx.has_valid_lease || !no_intents {
             return;
         }
         let settled_ms = ctx.cfg.list_lag_ms as f64 * SETTLED_LAGS as f64;
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -105,7 +105,7 @@
             writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
         };
         self.lending.insert(id, machine.version);
-        ctx.txn(Urgency::Work, &txn, Pending::Housekeeping);
+        ctx.transact(Urgency::Work, &txn, Pending::Housekeeping);
     }
 
     /// A free machine of another shard that a shape may use.
--- a/crates/core/src/leader/prices.rs
+++ b/crates/core/src/leader/prices.rs
@@ -34,7 +34,7 @@
         for machine_type in catalog {
             let price = Price {
                 machine_type: machine_type.name.clone(),
-                from_ms: ctx.wall,
+                from_ms: ctx.wall_clock_ms,
                 hourly: machine_type.price,
                 spot_hourly: machine_type.spot_price,
             };
@@ -53,7 +53,7 @@
                 writes: Vec::new(),
             };
             add_row(&mut txn, price.key(), &price);
-            ctx.txn(Urgency::Later, &txn, Pending::PriceRow(Box::new(price)));
+            ctx.transact(Urgency::Later, &txn, Pending::PriceRow(Box::new(price)));
         }
     }
 
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -113,7 +113,7 @@
             placed: 0,
         };
         self.intents_written += 1;
-        let request = format!("r-{:x}-{}", ctx.inc, self.intents_written);
+        let request = format!("r-{:x}-{}", ctx.incarnation, self.intents_written);
         let key = rental_intent_key(&request);
         let txn = Txn {
             conds: self.conds(view, key.clone(), 0),
@@ -121,7 +121,7 @@
         };
         let shards = rec.parts.iter().map(|(k, _)| *k).collect();
         self.intents_being_written.insert(request.clone(), shards);
-        ctx.txn(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
+        ctx.transact(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
     }
 
     /// Notes of which kinds machines are overdue.
@@ -211,7 +211,7 @@
             let body = serde_json::to_vec(&body).unwrap_or_default();
             self.renting.insert(request.clone());
             let request = request.clone();
-            ctx.cloud(
+            ctx.call_cloud(
                 "POST",
                 "/machines".to_owned(),
                 Some(body),
@@ -327,7 +327,7 @@
             Write::Remove { remove: key }
         });
         let request = request.to_owned();
-        ctx.txn(Urgency::Lead, &txn, Pending::Rented { request });
+        ctx.transact(Urgency::Lead, &txn, Pending::Rented { request });
     }
 
     /// The write of a part of an outcome was answered.
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -116,7 +116,7 @@
 
     /// Whether its worker itself should have been heard and was not.
     pub(crate) fn is_unheard(&self, ctx: &Context) -> bool {
-        let since = self.since.max(ctx.awake_since);
+        let since = self.since.max(ctx.resumed_at);
         let timing = ctx.cfg.link_timing();
         self.link.is_unheard(ctx.now, since, &timing)
     }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -16,127 +16,141 @@
 
 /// How long a controller that has lost the cloud leaves it to others to lead, in leases of a
 /// controller: the first time, and at most.
-const ABSTAINED_LEASES: Ms = 4;
-const ABSTAINED_LEASES_MOST: Ms = 64;
+const FIRST_ABSTENTION_LEASES: Ms = 4;
+const LONGEST_ABSTENTION_LEASES: Ms = 64;
 
 /// Where this controller stands with the state service.
 #[derive(Default)]
-pub(crate) struct Member {
+pub(crate) struct Membership {
     lease: Option<u64>,
     /// When the last extension that succeeded was sent.
-    extended: Ms,
-    asked: bool,
-    next: Ms,
-    putting: bool,
-    electing: bool,
+    last_renewal_sent_at: Ms,
+    is_renewing: bool,
+    next_renewal_at: Ms,
+    is_registering: bool,
+    is_electing: bool,
     /// Since when nobody has led.
     leaderless_since: Option<Ms>,
     /// Our record is on our lease.
-    registered: bool,
+    is_registered: bool,
     /// The revision that put it there.
-    registered_at: u64,
+    registered_revision: u64,
     /// Our record and the leader's are written again only in sight of what
     /// became of the last try: the view is behind by the pause between two
     /// watches, and tries that must fail count against the budget all the same.
-    seen_from: u64,
+    required_revision: u64,
 }
 
-impl Member {
+impl Membership {
     /// Until when this controller may answer from memory. Counted from the
     /// moment the last extension was *sent*, less what clocks may drift: by
     /// then the lease is still alive at the state service, so nobody else can
     /// have been given our shards.
-    pub(crate) fn right_until(&self, ctx: &Context) -> Ms {
+    pub(crate) fn lease_valid_until(&self, ctx: &Context) -> Ms {
         let ttl = ctx.cfg.node_lease_ms();
-        self.extended + ttl - ttl / 500
+        self.last_renewal_sent_at + ttl - ttl / 500
     }
 
     /// Whether this controller may answer from memory. A lease that was lost
     /// and replaced gives no right until the view has caught up with our new
     /// record: while we had no lease, our shards may have been given away.
-    pub(crate) fn has_right(&self, ctx: &Context, view: &View) -> bool {
-        self.registered
+    pub(crate) fn has_valid_lease(&self, ctx: &Context, view: &View) -> bool {
+        self.is_registered
             && self.lease.is_some()
-            && ctx.now < self.right_until(ctx)
-            && !self.is_behind(view)
+            && ctx.now < self.lease_valid_until(ctx)
+            && !self.is_view_behind(view)
     }
 
     /// Whether the view is older than our own record.
-    pub(crate) fn is_behind(&self, view: &View) -> bool {
-        self.registered && view.revision < self.registered_at
+    pub(crate) fn is_view_behind(&self, view: &View) -> bool {
+        self.is_registered && view.revision < self.registered_revision
     }
 
     /// Whether something is to be done once the view has caught up.
     pub(crate) fn waits_for_view(&self, view: &View) -> bool {
-        view.revision < self.seen_from
+        view.revision < self.required_revision
     }
 
     /// When the last extension that succeeded was sent.
-    pub(crate) fn extended(&self) -> Ms {
-        self.extended
+    pub(crate) fn last_renewal_sent_at(&self) -> Ms {
+        self.last_renewal_sent_at
     }
 
     /// Whether this controller's record is known to be on its lease.
     pub(crate) fn is_registered(&self) -> bool {
-        self.registered
+        self.is_registered
     }
 
     /// Keeps the lease, the record and, if this controller leads, leadership.
     pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View) {
-        if !self.asked && ctx.now >= self.next {
-            self.ask(ctx);
+        if !self.is_renewing && ctx.now >= self.next_renewal_at {
+            self.renew(ctx);
         }
         let Some(lease) = self.lease else { return };
         if !view.ready || self.waits_for_view(view) {
             return;
         }
-        let mine = view.is_alive(&ctx.cfg.node, ctx.inc);
-        let blind = ctx.now < ctx.blind_until;
+        let mine = view.is_alive(&ctx.cfg.node, ctx.incarnation);
+        let blind = ctx.now < ctx.reports_no_heartbeats_until;
         let node = view.nodes.get(&ctx.cfg.node);
         let format = ctx.cfg.registered_format(view.format());
-        let says = node.is_some_and(|n| n.rec.blind == blind && n.rec.format == format);
-        if !self.putting && (!mine || !self.registered || !says) {
+        let says =
+            node.is_some_and(|n| n.rec.receives_no_heartbeats == blind && n.rec.format == format);
+        if !self.is_registering && (!mine || !self.is_registered || !says) {
             let key = node_key(&ctx.cfg.node);
             let version = node.map_or(0, |n| n.version);
             let rec = NodeRecord {
-                inc: ctx.inc,
-                blind,
+                incarnation: ctx.incarnation,
+                receives_no_heartbeats: blind,
                 format,
             };
-            self.putting = true;
-            put_leased(ctx, key, version, &rec, lease, Pending::NodePut { lease });
+            self.is_registering = true;
+            put_with_lease(
+                ctx,
+                key,
+                version,
+                &rec,
+                lease,
+                Pending::NodeRecordWrite { lease },
+            );
         }
         self.leaderless_since = match &view.leader {
             None => Some(self.leaderless_since.unwrap_or(ctx.now)),
             Some(_) => None,
         };
-        if mine && self.registered && !self.electing && !self.leaves_it_to_others(ctx, view) {
+        if mine
+            && self.is_registered
+            && !self.is_electing
+            && !self.abstains_from_election(ctx, view)
+        {
             // A leader's key left over from an earlier start of this very
             // controller belongs to a process that is gone for certain.
             let version = match &view.leader {
                 None => 0,
-                Some(l) if l.rec.node == ctx.cfg.node && l.rec.inc != ctx.inc => l.version,
+                Some(l) if l.rec.node == ctx.cfg.node && l.rec.incarnation != ctx.incarnation => {
+                    l.version
+                }
                 Some(_) => return,
             };
             let rec = LeaderRecord {
                 node: ctx.cfg.node.clone(),
-                inc: ctx.inc,
+                incarnation: ctx.incarnation,
             };
-            self.electing = true;
-            put_leased(
+            self.is_electing = true;
+            put_with_lease(
                 ctx,
                 LEADER.to_owned(),
                 version,
                 &rec,
                 lease,
-                Pending::LeaderPut,
+                Pending::LeaderRecordWrite,
             );
         }
     }
 
     /// Whether another controller should lead: we have lost the cloud, and others are
     /// there who may not have. If none of them has come forward in time, we do.
-    fn leaves_it_to_others(&self, ctx: &Context, view: &View) -> bool {
+    fn abstains_from_election(&self, ctx: &Context, view: &View) -> bool {
         let patience = ctx.cfg.node_lease_ms();
         let is_early = self
             .leaderless_since
@@ -147,15 +161,18 @@
     /// Gives leadership up, for others to take. The condition is the leader's record: what
     /// was recorded under it before stays, and nothing is written under it any more.
     pub(crate) fn resign(&mut self, ctx: &mut Context, view: &View) {
-        let Some(leader) = view.leader.as_ref().filter(|_| !self.electing) else {
+        let Some(leader) = view.leader.as_ref().filter(|_| !self.is_electing) else {
             return;
         };
         log::info!("we do not reach the cloud: another controller should lead");
         let lease = ctx.cfg.node_lease_ms();
         let now = ctx.now;
-        ctx.cloud_link
-            .on_resigned(now, lease * ABSTAINED_LEASES, lease * ABSTAINED_LEASES_MOST);
-        self.electing = true;
+        ctx.cloud_link.on_resigned(
+            now,
+            lease * FIRST_ABSTENTION_LEASES,
+            lease * LONGEST_ABSTENTION_LEASES,
+        );
+        self.is_electing = true;
         let txn = Txn {
             conds: vec![Cond {
                 key: LEADER.to_owned(),
@@ -165,89 +182,89 @@
                 remove: LEADER.to_owned(),
             }],
         };
-        ctx.txn(Urgency::Member, &txn, Pending::LeaderPut);
+        ctx.transact(Urgency::Member, &txn, Pending::LeaderRecordWrite);
     }
 
-    fn ask(&mut self, ctx: &mut Context) {
-        self.asked = true;
+    fn renew(&mut self, ctx: &mut Context) {
+        self.is_renewing = true;
         let sent = ctx.now;
         match self.lease {
             Some(lease) => {
                 let path = format!("/grants/{lease}/extend");
-                ctx.post("POST", path, None, Pending::Extend { sent });
+                ctx.call_store("POST", path, None, Pending::LeaseRenewal { sent });
             }
             None => {
                 let ttl_ms = ctx.cfg.node_lease_ms();
                 let body = serde_json::to_vec(&LeaseRequest { ttl_ms }).unwrap_or_default();
-                ctx.post(
+                ctx.call_store(
                     "POST",
                     "/grants".to_owned(),
                     Some(body),
-                    Pending::Lease { sent },
+                    Pending::LeaseGrant { sent },
                 );
             }
         }
     }
 
     /// The request for a lease was answered.
-    pub(crate) fn on_lease(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
-        self.asked = false;
+    pub(crate) fn on_lease_granted(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
+        self.is_renewing = false;
         let ttl = ctx.cfg.node_lease_ms();
         match serde_json::from_slice::<LeaseReply>(body) {
             Ok(reply) if status == 200 => {
                 self.lease = Some(reply.lease);
-                self.extended = sent;
-                self.registered = false;
-                self.next = sent + ttl / 4;
+                self.last_renewal_sent_at = sent;
+                self.is_registered = false;
+                self.next_renewal_at = sent + ttl / 4;
             }
-            _ => self.next = ctx.now + ttl / 10,
+            _ => self.next_renewal_at = ctx.now + ttl / 10,
         }
     }
 
     /// The extension of the lease was answered.
-    pub(crate) fn on_extend(&mut self, ctx: &Context, sent: Ms, status: u16) {
-        self.asked = false;
+    pub(crate) fn on_lease_renewed(&mut self, ctx: &Context, sent: Ms, status: u16) {
+        self.is_renewing = false;
         let ttl = ctx.cfg.node_lease_ms();
         match status {
             200 => {
-                self.extended = sent;
-                self.next = sent + ttl / 4;
+                self.last_renewal_sent_at = sent;
+                self.next_renewal_at = sent + ttl / 4;
             }
             404 => {
                 log::info!("our lease ran out");
                 self.lease = None;
-                self.registered = false;
-                self.next = ctx.now;
+                self.is_registered = false;
+                self.next_renewal_at = ctx.now;
             }
-            _ => self.next = ctx.now + ttl / 10,
+            _ => self.next_renewal_at = ctx.now + ttl / 10,
         }
     }
 
     /// The write of this controller's record was answered.
-    pub(crate) fn on_node_put(&mut self, lease: u64, status: u16, body: &[u8]) {
-        self.putting = false;
+    pub(crate) fn on_node_record_written(&mut self, lease: u64, status: u16, body: &[u8]) {
+        self.is_registering = false;
         let revision = revision_of(body);
-        self.seen_from = self.seen_from.max(revision);
+        self.required_revision = self.required_revision.max(revision);
         // A record on a lease that has ended since has gone with it.
         if self.lease != Some(lease) {
             return;
         }
         if status == 200 {
-            self.registered = true;
-            self.registered_at = revision;
-        } else if is_lease_gone(status, body) {
+            self.is_registered = true;
+            self.registered_revision = revision;
+        } else if is_lease_expired(status, body) {
             self.lease = None;
         }
     }
 
     /// The write of the leader's record was answered.
-    pub(crate) fn on_leader_put(&mut self, status: u16, body: &[u8]) {
-        self.electing = false;
+    pub(crate) fn on_leader_record_written(&mut self, status: u16, body: &[u8]) {
+        self.is_electing = false;
         let revision = revision_of(body);
-        self.seen_from = self.seen_from.max(revision);
-        if is_lease_gone(status, body) {
+        self.required_revision = self.required_revision.max(revision);
+        if is_lease_expired(status, body) {
             self.lease = None;
-            self.registered = false;
+            self.is_registered = false;
         }
     }
 }
@@ -258,11 +275,11 @@
     serde_json::from_slice::<Refusal>(body).is_ok_and(|r| r.error == NO_SUCH_LEASE)
 }
 
-fn is_lease_gone(status: u16, body: &[u8]) -> bool {
+fn is_lease_expired(status: u16, body: &[u8]) -> bool {
     status == 400 && is_no_such_lease(body)
 }
 
-fn put_leased(
+fn put_with_lease(
     ctx: &mut Context,
     key: String,
     version: u64,
@@ -282,5 +299,5 @@
             lease: Some(lease),
         }],
     };
-    ctx.txn(Urgency::Member, &txn, pending);
+    ctx.transact(Urgency::Member, &txn, pending);
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -13,7 +13,7 @@
 use crate::io::{Effect, Input, RequestId};
 use crate::known_jobs::{Finals, Known};
 use crate::leader::Leader;
-use crate::member::Member;
+use crate::member::Membership;
 use crate::pending::{AbortPoll, Pending};
 use crate::records::ShardId;
 use crate::shard::{Phase, Shard};
@@ -29,7 +29,7 @@
 pub struct Node {
     pub(crate) ctx: Context,
     pub(crate) view: View,
-    pub(crate) member: Member,
+    pub(crate) membership: Membership,
     pub(crate) leader: Leader,
     pub(crate) budget: Budget,
     pub(crate) shards: BTreeMap<ShardId, Shard>,
@@ -73,14 +73,14 @@
 impl Node {
     /// A controller that has just started. `inc` names this start, and must
     /// differ from that of every other start.
-    pub fn new(cfg: Config, inc: u64, seed: u64) -> Self {
+    pub fn new(cfg: Config, incarnation: u64, seed: u64) -> Self {
         let cfg = Rc::new(cfg);
         let remembered_jobs = cfg.bounds.remembered_jobs;
         Self {
             leader: Leader::new(cfg.cloud_rps),
-            ctx: Context::new(cfg, inc, seed),
+            ctx: Context::new(cfg, incarnation, seed),
             view: View::default(),
-            member: Member::default(),
+            membership: Membership::default(),
             budget: Budget::default(),
             shards: BTreeMap::new(),
             used: BTreeMap::new(),
@@ -89,7 +89,7 @@
             dependencies: DependencyTracker::default(),
             admissions: BTreeMap::new(),
             forwards: BTreeMap::new(),
-            asks: inc,
+            asks: incarnation,
             unheard_lists: 0,
             has_unheard: false,
             all_out_until: 0,
@@ -116,12 +116,12 @@
     /// only to tell how long ago a job was submitted.
     pub fn step(&mut self, now: Ms, wall: Ms, inputs: Vec<Input>) -> Vec<Effect> {
         let _span = tracing::debug_span!("step").entered();
-        self.ctx.note_pause(now);
+        self.ctx.note_process_pause(now);
         self.ctx.now = self.ctx.now.max(now);
-        self.ctx.wall = wall;
+        self.ctx.wall_clock_ms = wall;
         // What waited in the sockets while we stood still is looked at by the
         // right that we have now, not by the one that we had before.
-        self.ctx.entitled = self.member.has_right(&self.ctx, &self.view);
+        self.ctx.has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         for input in inputs {
             match input {
                 Input::Request {
@@ -130,8 +130,8 @@
                     path,
                     body,
                 } => self.on_request(request, &method, &path, body),
-                Input::Peer(message) => self.on_peer(&message),
-                Input::Answer { call, status, body } => {
+                Input::Peer(message) => self.on_peer_message(&message),
+                Input::Response { call, status, body } => {
                     if let Some(pending) = self.ctx.pending.remove(&call) {
                         if is_worker(&pending) {
                             self.ctx.worker_calls -= 1;
@@ -142,7 +142,7 @@
                         if is_state(&pending) {
                             let now = self.ctx.now;
                             let Context { store, rng, .. } = &mut self.ctx;
-                            store.heard(status, now, rng);
+                            store.on_response(status, now, rng);
                         }
                         if status == 400 {
                             self.note_refused(&pending, &body);
@@ -154,29 +154,29 @@
         }
         self.tick();
         let _pump = tracing::debug_span!("pump").entered();
-        self.ctx.pump();
-        while !self.ctx.refused.is_empty() {
-            for pending in std::mem::take(&mut self.ctx.refused) {
+        self.ctx.send_due_store_calls();
+        while !self.ctx.unsent_calls.is_empty() {
+            for pending in std::mem::take(&mut self.ctx.unsent_calls) {
                 self.on_answer(pending, 503, b"");
             }
-            self.ctx.pump();
+            self.ctx.send_due_store_calls();
         }
-        std::mem::take(&mut self.ctx.out)
+        std::mem::take(&mut self.ctx.effects)
     }
 
     /// How many machines, jobs and tasks were looked at between the rounds:
     /// the work that messages and the passing of time make.
     pub fn visits(&self) -> u64 {
-        self.ctx.visits
+        self.ctx.work_units
     }
 
     /// Whether this controller can take requests.
     pub(crate) fn is_up(&self) -> bool {
-        self.view.ready && self.member.is_registered() && !self.view.types.is_empty()
+        self.view.ready && self.membership.is_registered() && !self.view.types.is_empty()
     }
 
     fn tick(&mut self) {
-        self.member.tick(&mut self.ctx, &self.view);
+        self.membership.tick(&mut self.ctx, &self.view);
         self.reopen_watches();
         self.follow_view();
         self.follow_format();
@@ -232,7 +232,7 @@
         self.note_link(Link::Cloud, !is_lost);
         let may_lead = self.ctx.links.allow(Decision::Lead) || self.view.nodes.len() < 2;
         if !may_lead && Leader::is_leader(&self.ctx, &self.view) {
-            self.member.resign(&mut self.ctx, &self.view);
+            self.membership.resign(&mut self.ctx, &self.view);
         }
     }
 
--- a/crates/core/src/node/answers.rs
+++ b/crates/core/src/node/answers.rs
@@ -10,11 +10,17 @@
 impl Node {
     pub(super) fn on_answer(&mut self, pending: Pending, status: u16, body: &[u8]) {
         match pending {
-            Pending::Lease { sent } => self.member.on_lease(&self.ctx, sent, status, body),
-            Pending::Extend { sent } => self.member.on_extend(&self.ctx, sent, status),
-            Pending::NodePut { lease } => self.member.on_node_put(lease, status, body),
+            Pending::LeaseGrant { sent } => self
+                .membership
+                .on_lease_granted(&self.ctx, sent, status, body),
+            Pending::LeaseRenewal { sent } => {
+                self.membership.on_lease_renewed(&self.ctx, sent, status)
+            }
+            Pending::NodeRecordWrite { lease } => {
+                self.membership.on_node_record_written(lease, status, body)
+            }
             Pending::Probe { holder } => self.on_probe_answered(&holder, status, body),
-            Pending::LeaderPut => self.member.on_leader_put(status, body),
+            Pending::LeaderRecordWrite => self.membership.on_leader_record_written(status, body),
             Pending::ViewList => self.on_view_list(status, body),
             Pending::ViewWatch { serial } => self.on_view_watch(serial, status, body),
             Pending::ViewPeek => self.on_view_peek(status, body),
--- a/crates/core/src/node/holdings.rs
+++ b/crates/core/src/node/holdings.rs
@@ -21,12 +21,12 @@
     /// Takes up shards that became ours, lets go of those that are not.
     pub(super) fn follow_shards(&mut self) {
         let node = self.ctx.cfg.node.clone();
-        let inc = self.ctx.inc;
+        let incarnation = self.ctx.incarnation;
         let mut handing = Vec::new();
-        let relief = self.relief();
+        let relief = self.handover_target();
         for (k, stamped) in &self.view.shards {
             let rec = &stamped.rec;
-            if rec.holder != node || rec.inc != inc {
+            if rec.holder != node || rec.holder_incarnation != incarnation {
                 if let Some(shard) = self.shards.remove(k) {
                     log::info!("shard {k}: now with {}", rec.holder);
                     shard.release(&mut self.ctx);
@@ -40,7 +40,7 @@
                         // Calls to machines that we do not hear end late; the
                         // next holder's tokens make them void.
                         handing.push((*k, to.clone()));
-                    } else if let Some(to) = rec.want.as_ref().filter(|w| **w != node) {
+                    } else if let Some(to) = rec.handover_to.as_ref().filter(|w| **w != node) {
                         if self.view.nodes.contains_key(to) && shard.is_quiet() {
                             handing.push((*k, to.clone()));
                         }
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -33,12 +33,12 @@
         // may stay behind a revision that something waits for.
         let behind = |s: &Shard| matches!(s.phase, Phase::Waiting(r) if r > self.view.revision);
         let wanting = self.shards.values().any(behind)
-            || self.member.waits_for_view(&self.view)
+            || self.membership.waits_for_view(&self.view)
             || self.view.revision < self.missed;
         if wanting && !self.peeking && now >= self.peek_at {
             self.peeking = true;
             self.ctx
-                .watch(CLUSTER, self.view.revision, 0, Pending::ViewPeek);
+                .watch_store(CLUSTER, self.view.revision, 0, Pending::ViewPeek);
         }
         if !self.watching && now >= self.watch_at {
             self.watching = true;
@@ -48,7 +48,7 @@
             let pending = Pending::ViewWatch {
                 serial: self.watch_serial,
             };
-            self.ctx.watch(CLUSTER, revision, WATCH_MS, pending);
+            self.ctx.watch_store(CLUSTER, revision, WATCH_MS, pending);
         }
     }
 
@@ -57,7 +57,8 @@
         if !from.is_empty() {
             path.push_str(&format!("&from={from}"));
         }
-        self.ctx.read(Urgency::Member, path, Pending::ViewList);
+        self.ctx
+            .read_store(Urgency::Member, path, Pending::ViewList);
     }
 
     pub(super) fn on_view_list(&mut self, status: u16, body: &[u8]) {
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -13,7 +13,7 @@
 
 impl Node {
     /// Takes in a message from another controller.
-    pub(crate) fn on_peer(&mut self, message: &[u8]) {
+    pub(crate) fn on_peer_message(&mut self, message: &[u8]) {
         let envelope = match Envelope::decode(message) {
             Ok(envelope) => envelope,
             Err(e) => {
@@ -23,31 +23,33 @@
         };
         let Envelope {
             from,
-            inc,
+            incarnation,
             epoch,
             body,
             ..
         } = envelope;
         let from = NodeName::new(&from);
         // An earlier start of a peer may still have messages on the way.
-        let alive = self.view.is_alive(&from, inc);
+        let alive = self.view.is_alive(&from, incarnation);
         if self.ctx.cfg.nodes.contains(&from) {
-            self.heard_peer(&from, inc);
+            self.note_peer_alive(&from, incarnation);
         }
         match body {
             // What is passed on is as good as a user's own request, and its
             // answer is known by its number: the sender's lease does not matter.
-            Body::Forward {
-                ask,
+            Body::ForwardedRequest {
+                request_number,
                 method,
                 path,
                 body,
-            } => self.on_forward((from, inc), ask, &method, &path, body),
+            } => self.on_forward((from, incarnation), request_number, &method, &path, body),
             // Meant for an earlier start of ours.
-            Body::Answer { inc: to, .. } if to != self.ctx.inc => {}
-            Body::Answer {
-                inc: _,
-                ask,
+            Body::ForwardedResponse {
+                incarnation: to, ..
+            } if to != self.ctx.incarnation => {}
+            Body::ForwardedResponse {
+                incarnation: _,
+                request_number,
                 status,
                 body,
                 retry_after_s,
@@ -57,36 +59,36 @@
                     body,
                     retry_after_s,
                 };
-                self.on_forwarded(ask, reply);
+                self.on_forwarded(request_number, reply);
             }
-            Body::Heartbeat(beat) => {
+            Body::Heartbeat(heartbeat) => {
                 if self.ctx.cfg.nodes.contains(&from) {
-                    self.on_heartbeat(&from, inc, beat);
+                    self.on_heartbeat(&from, incarnation, heartbeat);
                 }
             }
             // What is recorded stays so, whoever tells of it.
-            Body::JobOver { id, cancelled } => self.on_job_over_message(&id, cancelled),
+            Body::JobEnded { id, cancelled } => self.on_job_over_message(&id, cancelled),
             _ if !alive => {}
-            Body::Need {
+            Body::BudgetRequest {
                 writes,
                 requests,
                 granted,
             } => {
                 let rate = Use::from_milli(requests, writes);
                 let now = self.ctx.now;
-                self.budget.on_need(now, from, inc, rate, granted);
+                self.budget.on_need(now, from, incarnation, rate, granted);
             }
-            Body::Demand { shard, demand } => {
+            Body::UnmetDemand { shard, demand } => {
                 self.on_demand_message(ShardId(shard), epoch, &demand);
             }
-            Body::Grant { writes, requests } => {
+            Body::BudgetGrant { writes, requests } => {
                 let rate = Use::from_milli(requests, writes);
-                self.budget.on_grant(&self.ctx, from, inc, rate);
+                self.budget.on_grant(&self.ctx, from, incarnation, rate);
             }
             Body::NewJob {
                 shard,
                 spec,
-                at,
+                submitted_at_ms: at,
                 revision,
             } => {
                 let shard = self.shards.get_mut(&ShardId(shard));
@@ -95,13 +97,13 @@
                     shard.on_job_accepted(&mut self.ctx, spec, at, revision);
                 }
             }
-            Body::Cancel { id } => self.on_cancel_message(epoch, &id),
-            Body::Unheard { list, machines } => {
-                self.on_unheard(&from, inc, list, &machines);
+            Body::CancelJob { id } => self.on_cancel_message(epoch, &id),
+            Body::RelayRequest { list, machines } => {
+                self.on_unheard(&from, incarnation, list, &machines);
             }
-            Body::Probe { machines } => self.on_probe(&from, &machines),
-            Body::Probed { report } => self.on_probed(&report),
-            Body::Needed { id, priority } => self.on_needed_message(&id, priority),
+            Body::ProbeRequest { machines } => self.on_probe(&from, &machines),
+            Body::ProbeResult { report } => self.on_probed(&report),
+            Body::InheritPriority { id, priority } => self.on_needed_message(&id, priority),
         }
     }
 
@@ -128,7 +130,7 @@
         let body = Body::NewJob {
             shard: shard.0,
             spec: serde_json::to_string(spec).unwrap_or_default(),
-            at: self.ctx.wall,
+            submitted_at_ms: self.ctx.wall_clock_ms,
             revision,
         };
         self.tell_holder(shard, body);
@@ -137,7 +139,7 @@
     /// Tells a shard's holder of a cancellation that was asked for here.
     pub(crate) fn tell_cancel(&mut self, id: &JobId, shard: ShardId) {
         let id = id.to_string();
-        self.tell_holder(shard, Body::Cancel { id });
+        self.tell_holder(shard, Body::CancelJob { id });
     }
 
     /// Tells a shard's holder something, if that is another controller.
@@ -145,7 +147,7 @@
         let epoch = self.view.shards.get(&shard).map_or(0, |s| s.rec.epoch);
         let holder = self.view.holder(shard).cloned();
         if let Some(holder) = holder.filter(|h| *h != self.ctx.cfg.node) {
-            self.ctx.tell(&holder, epoch, body);
+            self.ctx.send_to_peer(&holder, epoch, body);
         }
     }
 }
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -11,16 +11,16 @@
 /// What is to be done when a call ends.
 #[derive(Debug)]
 pub(crate) enum Pending {
-    Lease {
+    LeaseGrant {
         sent: Ms,
     },
-    Extend {
+    LeaseRenewal {
         sent: Ms,
     },
-    NodePut {
+    NodeRecordWrite {
         lease: u64,
     },
-    LeaderPut,
+    LeaderRecordWrite,
     /// A worker was called for the holder of its machine.
     Probe {
         holder: NodeName,
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -130,7 +130,7 @@
             pool: pool.name.clone(),
             team: pool.team.clone(),
             machines,
-            from_ms: ctx.wall,
+            from_ms: ctx.wall_clock_ms,
             to_ms: None,
         };
         let head = Head {
@@ -171,7 +171,7 @@
             head.asked.machines
         );
         let version = head.version;
-        let (over, mut next) = head.asked.clone().change(machines, ctx.wall);
+        let (over, mut next) = head.asked.clone().change(machines, ctx.wall_clock_ms);
         team.clone_into(&mut next.team);
         self.put_asked(ctx, next, version, Some(over));
     }
@@ -196,7 +196,7 @@
             epoch: self.epoch,
             asked: Box::new(next),
         };
-        ctx.txn(Urgency::Later, &txn, pending);
+        ctx.transact(Urgency::Later, &txn, pending);
     }
 
     /// The write of what a pool is asked for was answered. If it is not known what became
@@ -229,7 +229,7 @@
             self.pools.reading = Reading::UnderWay;
             let (shard, epoch) = (self.id, self.epoch);
             let path = format!("/kv?starts={HEADS}&most=1000");
-            ctx.read(Urgency::Later, path, Pending::PoolHeads { shard, epoch });
+            ctx.read_store(Urgency::Later, path, Pending::PoolHeads { shard, epoch });
         }
         let held = self.held();
         let rows = self.pools.rows.iter_mut();
@@ -247,7 +247,7 @@
                 epoch: self.epoch,
                 key: key.clone(),
             };
-            ctx.txn(Urgency::Later, &txn, pending);
+            ctx.transact(Urgency::Later, &txn, pending);
         }
     }
 
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -161,7 +161,7 @@
             return;
         };
         let state = machine.state_for(pool);
-        let at_ms = ctx.wall;
+        let at_ms = ctx.wall_clock_ms;
         if !machine.putting && view.revision >= machine.put_from {
             log::info!("machine {id}: joins pool {name}, {state:?}");
         }
@@ -224,9 +224,9 @@
         match next {
             Err(Ended::Lost) => {
                 let silent_for = heard.map_or(0, |heard| ctx.now.saturating_sub(heard));
-                ctx.wall.saturating_sub(silent_for)
+                ctx.wall_clock_ms.saturating_sub(silent_for)
             }
-            _ => ctx.wall,
+            _ => ctx.wall_clock_ms,
         }
     }
 
@@ -263,7 +263,7 @@
         };
         let member = machine.pool.membership.as_ref();
         let pool = member.and_then(|m| ctx.cfg.ops.pools.get(&m.pool));
-        let Some(pool) = pool.filter(|_| machine.is_pool_member() && ctx.entitled) else {
+        let Some(pool) = pool.filter(|_| machine.is_pool_member() && ctx.has_valid_lease) else {
             return Vec::new();
         };
         let is_told = machine
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -82,7 +82,7 @@
             let Some(ids) = members.get(&pool.name) else {
                 continue;
             };
-            let least = pool.calendar.size_at(ctx.wall).least;
+            let least = pool.calendar.size_at(ctx.wall_clock_ms).least;
             let in_order: Vec<&MachineId> = ids.iter().collect();
             let kept = core_members(&self.as_members(pool, &in_order), least);
             for (place, id) in ids.iter().enumerate() {
@@ -202,7 +202,7 @@
             let Some(pool) = ctx.cfg.ops.pools.iter().find(own) else {
                 continue;
             };
-            if pool.calendar.size_at(ctx.wall).most == 0 {
+            if pool.calendar.size_at(ctx.wall_clock_ms).most == 0 {
                 continue;
             }
             let Some(job) = self.jobs.get(id) else {
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -104,7 +104,9 @@
             }
         }
         let lead = ready_ms(pool, catalog);
-        let size = pool.calendar.size_within(ctx.wall, ctx.wall + lead);
+        let size = pool
+            .calendar
+            .size_within(ctx.wall_clock_ms, ctx.wall_clock_ms + lead);
         let handed_out = self.pools.handed_out_within(&pool.name, ctx.now, lead);
         target(size, handed_out)
     }
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -106,8 +106,8 @@
         let node = &mut f.node;
         let shard = node.shards.get_mut(&f.shard).expect("it is ours");
         shard.give_away(&mut node.ctx, &node.view, &id);
-        node.ctx.pump();
-        let (record, row) = change_of(&std::mem::take(&mut f.node.ctx.out), &id);
+        node.ctx.send_due_store_calls();
+        let (record, row) = change_of(&std::mem::take(&mut f.node.ctx.effects), &id);
         let record = record.expect("it is written");
         assert_eq!(record.want, None);
         assert_eq!(record.shard == other, is_offered);
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -159,7 +159,7 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        ctx.visits += 1;
+        ctx.work_units += 1;
         let deadline = verdict(ctx, machine).unwrap_or_else(|why| {
             self.condemn(id, why);
             Ms::MAX
@@ -239,14 +239,17 @@
         return Err("it fails what it starts");
     }
     let silent = ctx.silent_ms();
-    let last = m.last_sign(ctx.awake_since);
+    let last = m.last_sign(ctx.resumed_at);
     let keep = (m.boot_ms as f64 * ctx.cfg.ops.idle_boots) as Ms;
     // A task is only ever placed where something was heard, by an earlier
     // holder perhaps, who had no time to write the address.
     let known = m.addr.is_some() || m.heard.is_some() || !m.tasks.is_empty();
     let gone = ctx.cfg.report_ms * 2;
     let ends = [
-        (known.then_some(last + ctx.silent_after(m)), "it is silent"),
+        (
+            known.then_some(last + ctx.removal_timeout_ms(m)),
+            "it is silent",
+        ),
         (m.taken_at.map(|t| t.max(last) + gone), "it was taken"),
         (
             m.unechoed_since.map(|t| t + silent * 2),
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -115,7 +115,7 @@
         let m = f.shard().machines.get_mut(&machine).expect("it is there");
         (m.addr, m.heard) = (None, None);
         f.node.ctx.now += f.node.ctx.cfg.lease_ms;
-        f.node.ctx.entitled = true;
+        f.node.ctx.has_valid_lease = true;
         let given_up = verdict(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
         assert_eq!(given_up.is_err(), tasks, "with tasks: {tasks}");
     }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -97,10 +97,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// This start of it.
-    pub inc: u64,
+    #[serde(rename = "inc")]
+    pub incarnation: u64,
     /// It hears no worker, and should be given no shard.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub blind: bool,
+    #[serde(rename = "blind")]
+    pub receives_no_heartbeats: bool,
     /// The newest format that it reads and writes.
     #[serde(default, skip_serializing_if = "FormatVersion::is_first")]
     pub format: FormatVersion,
@@ -112,7 +114,8 @@
     /// The controller.
     pub node: NodeName,
     /// Its start.
-    pub inc: u64,
+    #[serde(rename = "inc")]
+    pub incarnation: u64,
 }
 
 /// Who holds a shard.
@@ -121,12 +124,14 @@
     /// The controller.
     pub holder: NodeName,
     /// Its start.
-    pub inc: u64,
+    #[serde(rename = "inc")]
+    pub holder_incarnation: u64,
     /// Grows with every change of hands.
     pub epoch: u64,
     /// To whom the holder should hand it over.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub want: Option<NodeName>,
+    #[serde(rename = "want")]
+    pub handover_to: Option<NodeName>,
 }
 
 /// A rented machine.
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -68,7 +68,7 @@
 /// useful list is halved.
 #[test]
 fn a_demand_with_four_thousand_machines_is_sent_whole() {
-    let most = forkshift_wire::peer::MESSAGE_MOST / 4 * 3;
+    let most = forkshift_wire::peer::MAX_MESSAGE_BYTES / 4 * 3;
     let mut full = DemandRecord {
         shapes: (1..=60).map(shape).collect(),
         surplus: machines(4_000),
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -75,7 +75,7 @@
     /// Asks the other controllers for the reports of machines that we do not hear.
     pub(crate) fn ask_for_relays(&mut self) {
         let timing = self.ctx.cfg.link_timing();
-        let (now, awake_since) = (self.ctx.now, self.ctx.awake_since);
+        let (now, awake_since) = (self.ctx.now, self.ctx.resumed_at);
         self.ctx.relays.forget_late(now);
         self.ctx.redirects.forget_late(now);
         let mut unheard = Unheard::default();
@@ -99,7 +99,8 @@
         for machines in in_messages(unheard, cfg.bounds.list_bytes) {
             for node in cfg.other_nodes() {
                 let machines = machines.clone();
-                self.ctx.tell(node, 0, Body::Unheard { list, machines });
+                self.ctx
+                    .send_to_peer(node, 0, Body::RelayRequest { list, machines });
             }
         }
     }
@@ -118,7 +119,8 @@
         for machines in in_messages(machines, cfg.bounds.list_bytes) {
             for node in &others {
                 let machines = machines.clone();
-                self.ctx.tell(node, 0, Body::Probe { machines });
+                self.ctx
+                    .send_to_peer(node, 0, Body::ProbeRequest { machines });
             }
         }
     }
@@ -135,7 +137,7 @@
             };
             let holder = from.clone();
             self.ctx
-                .worker_status(&addr, timeout, Pending::Probe { holder });
+                .request_worker_status(&addr, timeout, Pending::Probe { holder });
         }
     }
 
@@ -143,7 +145,8 @@
     pub(crate) fn on_probe_answered(&mut self, holder: &NodeName, status: u16, body: &[u8]) {
         if status == 200 {
             let report = body.to_vec();
-            self.ctx.tell(holder, 0, Body::Probed { report });
+            self.ctx
+                .send_to_peer(holder, 0, Body::ProbeResult { report });
         }
     }
 
@@ -161,13 +164,21 @@
     }
 
     /// Another controller does not hear these machines.
-    pub(crate) fn on_unheard(&mut self, from: &NodeName, inc: u64, list: u64, machines: &[String]) {
-        let until = self.ctx.now + self.ctx.beat_ms() * LIST_LOOKS;
+    pub(crate) fn on_unheard(
+        &mut self,
+        from: &NodeName,
+        incarnation: u64,
+        list: u64,
+        machines: &[String],
+    ) {
+        let until = self.ctx.now + self.ctx.heartbeat_interval_ms() * LIST_LOOKS;
         let view = &self.view;
         let machines = machines.iter().map(|id| MachineId::new(id));
         // What we do not know as a machine can't report to us as one.
         let known = machines.filter(|id| view.machines.contains_key(id));
-        self.ctx.relays.on_unheard(from, inc, list, known, until);
+        self.ctx
+            .relays
+            .on_unheard(from, incarnation, list, known, until);
     }
 
     /// The holder that a machine's report is passed on to, if it is. One that we can't
@@ -195,8 +206,8 @@
             now,
             ..
         } = &self.ctx;
-        let wanted = relays.wants(machine, &holder.holder, holder.inc, *now)
-            || redirects.came_back(machine, &holder.holder, holder.inc, *now);
+        let wanted = relays.wants(machine, &holder.holder, holder.holder_incarnation, *now)
+            || redirects.came_back(machine, &holder.holder, holder.holder_incarnation, *now);
         (is_other && wanted).then(|| holder.holder.clone())
     }
 
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -244,5 +244,5 @@
         }],
         writes: vec![Write::Remove { remove: key }],
     };
-    ctx.txn(Urgency::Later, &txn, Pending::Housekeeping);
+    ctx.transact(Urgency::Later, &txn, Pending::Housekeeping);
 }
--- a/crates/core/src/shard/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -25,9 +25,9 @@
         epoch += 1;
         let rec = ShardRecord {
             holder: to.clone(),
-            inc: node.rec.inc,
+            holder_incarnation: node.rec.incarnation,
             epoch,
-            want: None,
+            handover_to: None,
         };
         let shard = view.shards.get(k);
         conds.insert(shard_key(*k), shard.map_or(0, |s| s.version));
@@ -44,7 +44,7 @@
     writes.push(Write::put(EPOCH.to_owned(), epoch.into()));
     let conds = conds.into_iter();
     let conds = conds.map(|(key, version)| Cond { key, version }).collect();
-    ctx.txn(
+    ctx.transact(
         Urgency::Member,
         &Txn { conds, writes },
         Pending::ShardPut(shards),
--- a/crates/core/src/shard/jobs.rs
+++ b/crates/core/src/shard/jobs.rs
@@ -33,7 +33,7 @@
         let layout = layout.unwrap_or_else(|| new_layout(ctx, &spec));
         let mut job = Job::new(spec, image, stamp, layout, ctx.now);
         job.at = at;
-        job.waited = ctx.wall.saturating_sub(at);
+        job.waited = ctx.wall_clock_ms.saturating_sub(at);
         if ctx.cfg.waits.contains_key(&job.spec.class) {
             self.hurry(ctx);
         }
--- a/crates/core/src/shard/loading.rs
+++ b/crates/core/src/shard/loading.rs
@@ -34,7 +34,7 @@
             path.push_str(&format!("&from={from}"));
         }
         let (shard, epoch) = (self.id, self.epoch);
-        ctx.read(Urgency::Member, path, Pending::ShardList { shard, epoch });
+        ctx.read_store(Urgency::Member, path, Pending::ShardList { shard, epoch });
     }
 
     /// Reads the jobs anew, when that is due.
@@ -129,7 +129,7 @@
                 job.cancelled = true;
                 job.cancel_durable = true;
                 job.cancelled_wall = head.cancelled_at;
-                job.cancelled_for = ctx.since_wall(head.cancelled_at);
+                job.cancelled_for = ctx.longest_age_of(head.cancelled_at);
                 job.cancelled_since = ctx.now;
                 self.cancels.touch(&id);
             }
@@ -165,7 +165,7 @@
             epoch: self.epoch,
             serial: self.watch_serial,
         };
-        ctx.watch(&live_prefix(self.id), self.live_rev, 10_000, pending);
+        ctx.watch_store(&live_prefix(self.id), self.live_rev, 10_000, pending);
     }
 
     /// Gives up the watch that is open, so that another is opened.
--- a/crates/core/src/shard/machines.rs
+++ b/crates/core/src/shard/machines.rs
@@ -36,7 +36,7 @@
 
     /// Follows one machine's record.
     fn sync_machine(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
-        ctx.visits += 1;
+        ctx.work_units += 1;
         let ours = view.machines.get(id).filter(|m| m.rec.shard == self.id);
         let Some(stamped) = ours else {
             self.drop_machine(ctx, id);
@@ -192,7 +192,7 @@
         let floor = machine.token;
         if free || machine.leaving.is_some() {
             machine.leaving = Some(machine.version);
-            let at_ms = ctx.wall;
+            let at_ms = ctx.wall_clock_ms;
             self.put_machine_with(ctx, view, id, |rec| {
                 rec.shard = to;
                 rec.want = None;
@@ -270,7 +270,7 @@
         if let Some(row) = row {
             add_row(&mut txn, row.key(), &row);
         }
-        ctx.txn(urgency, &txn, Pending::MachinePut(id.clone()));
+        ctx.transact(urgency, &txn, Pending::MachinePut(id.clone()));
     }
 
     /// Gives a machine up: nothing more is placed there, and the leader
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -122,7 +122,7 @@
     }
 
     /// What a pause has filled it with counts in part only.
-    fn note_pause(&mut self, now: Ms) {
+    fn note_process_pause(&mut self, now: Ms) {
         self.refill(now);
         self.tokens = self.tokens.min(self.burst() * PAUSED_PART);
     }
@@ -294,8 +294,8 @@
 
     /// This controller has stood still until now.
     pub(crate) fn note_pause(&mut self, now: Ms) {
-        self.requests.note_pause(now);
-        self.writes.note_pause(now);
+        self.requests.note_process_pause(now);
+        self.writes.note_process_pause(now);
     }
 
     /// Whether the service was not reached for a while and answers again, once
@@ -321,7 +321,7 @@
     }
 
     /// Learns from a status how the service is.
-    pub(crate) fn heard(&mut self, status: u16, now: Ms, rng: &mut StdRng) {
+    pub(crate) fn on_response(&mut self, status: u16, now: Ms, rng: &mut StdRng) {
         if matches!(status, 0 | 503) {
             self.is_disturbed = true;
         } else if std::mem::take(&mut self.is_disturbed) {
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -110,7 +110,7 @@
     for (name, statuses, recovers) in cases {
         let mut store = Store::new(10.0, 10.0);
         for status in statuses {
-            store.heard(*status, 5_000, &mut rng);
+            store.on_response(*status, 5_000, &mut rng);
         }
         assert_eq!(store.take_recovered(5_000), recovers, "{name}");
         assert!(!store.take_recovered(5_000), "{name}: twice");
@@ -118,8 +118,8 @@
     let mut store = Store::new(10.0, 10.0);
     let mut noted = Vec::new();
     for now in [5_000, 5_400, 5_800, 6_200] {
-        store.heard(0, now, &mut rng);
-        store.heard(200, now, &mut rng);
+        store.on_response(0, now, &mut rng);
+        store.on_response(200, now, &mut rng);
         noted.push(store.take_recovered(now));
     }
     assert_eq!(noted, [true, false, false, true]);
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -69,8 +69,8 @@
 
 impl View {
     /// Whether all controllers say that they hear hardly any worker.
-    pub(crate) fn are_all_blind(&self) -> bool {
-        self.nodes.values().all(|n| n.rec.blind)
+    pub(crate) fn has_no_node_with_heartbeats(&self) -> bool {
+        self.nodes.values().all(|n| n.rec.receives_no_heartbeats)
     }
 
     /// Replaces everything by a full listing.
@@ -216,14 +216,16 @@
     }
 
     /// Whether this start of a controller is alive, as far as is known.
-    pub(crate) fn is_alive(&self, node: &NodeName, inc: u64) -> bool {
-        self.nodes.get(node).is_some_and(|n| n.rec.inc == inc)
+    pub(crate) fn is_alive(&self, node: &NodeName, incarnation: u64) -> bool {
+        self.nodes
+            .get(node)
+            .is_some_and(|n| n.rec.incarnation == incarnation)
     }
 
     /// The controller that holds a shard, if it is alive.
     pub(crate) fn holder(&self, k: ShardId) -> Option<&NodeName> {
         let shard = &self.shards.get(&k)?.rec;
-        self.is_alive(&shard.holder, shard.inc)
+        self.is_alive(&shard.holder, shard.holder_incarnation)
             .then_some(&shard.holder)
     }
 
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -8,7 +8,7 @@
 use forkshift_net::{
     Call, Client, ClientLimits, Executor, PeerLink, Request, Response, ServerLimits,
 };
-use forkshift_wire::peer::MESSAGE_MOST;
+use forkshift_wire::peer::MAX_MESSAGE_BYTES;
 use forkshift_wire::settings::Settings;
 use forkshift_wire::NodeName;
 use futures_lite::future;
@@ -56,8 +56,13 @@
         let _ = inbox.try_send(Input::Peer(message));
     };
     let connections = settings.peers.len() * 4;
-    let listening =
-        forkshift_net::listen(ex.clone(), peer_listener, connections, MESSAGE_MOST, take);
+    let listening = forkshift_net::listen(
+        ex.clone(),
+        peer_listener,
+        connections,
+        MAX_MESSAGE_BYTES,
+        take,
+    );
     ex.spawn(listening).detach();
     let links = settings.peers.iter();
     let links = links.map(|p| {
@@ -199,7 +204,7 @@
                     let _ = sender.try_send(reply);
                 }
             }
-            Effect::Tell { node, message } => {
+            Effect::SendToPeer { node, message } => {
                 if let Some(link) = self.links.get(&node) {
                     link.send(message);
                 }
@@ -213,7 +218,7 @@
                 timeout,
             } => {
                 let addr = match &target {
-                    Target::State => Some(self.state),
+                    Target::Store => Some(self.state),
                     Target::Cloud => Some(self.cloud),
                     Target::Worker(addr) => addr.parse().ok(),
                 };
@@ -235,7 +240,7 @@
                             }
                             None => (0, Vec::new()),
                         };
-                        let answer = Input::Answer {
+                        let answer = Input::Response {
                             call: id,
                             status,
                             body,
--- a/crates/links/src/redirect.rs
+++ b/crates/links/src/redirect.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 struct Redirect {
     holder: NodeName,
-    inc: u64,
+    incarnation: u64,
     at: Ms,
 }
 
@@ -32,19 +32,27 @@
     }
 
     /// A worker is sent to a start of a holder.
-    pub fn on_sent(&mut self, machine: MachineId, holder: NodeName, inc: u64, now: Ms) {
+    pub fn on_sent(&mut self, machine: MachineId, holder: NodeName, incarnation: u64, now: Ms) {
         let redirect = Redirect {
             holder,
-            inc,
+            incarnation,
             at: now,
         };
         self.sent.insert(machine, redirect);
     }
 
     /// Whether a worker that reports now was sent to that start of a holder before.
-    pub fn came_back(&self, machine: &MachineId, holder: &NodeName, inc: u64, now: Ms) -> bool {
+    pub fn came_back(
+        &self,
+        machine: &MachineId,
+        holder: &NodeName,
+        incarnation: u64,
+        now: Ms,
+    ) -> bool {
         let sent = self.sent.get(machine);
-        sent.is_some_and(|r| r.holder == *holder && r.inc == inc && now < r.at + self.lease_ms)
+        sent.is_some_and(|r| {
+            r.holder == *holder && r.incarnation == incarnation && now < r.at + self.lease_ms
+        })
     }
 
     /// Forgets workers that have not come back.
--- a/crates/links/src/relay.rs
+++ b/crates/links/src/relay.rs
@@ -7,7 +7,7 @@
 /// A holder that asks for reports of some machines.
 #[derive(Debug)]
 struct Request {
-    inc: u64,
+    incarnation: u64,
     until: Ms,
     /// Numbers the lists: one list may take several messages.
     list: u64,
@@ -28,31 +28,37 @@
     pub fn on_unheard(
         &mut self,
         from: &NodeName,
-        inc: u64,
+        incarnation: u64,
         list: u64,
         machines: impl IntoIterator<Item = MachineId>,
         until: Ms,
     ) {
         let known = self.holders.get(from);
-        if known.is_some_and(|r| r.inc == inc && r.list > list) {
+        if known.is_some_and(|r| r.incarnation == incarnation && r.list > list) {
             // An older list that came late.
             return;
         }
-        if known.is_some_and(|r| r.inc != inc || r.list < list) {
+        if known.is_some_and(|r| r.incarnation != incarnation || r.list < list) {
             self.machines.retain(|_, (holder, _)| holder != from);
         }
-        let request = Request { inc, until, list };
+        let request = Request {
+            incarnation,
+            until,
+            list,
+        };
         self.holders.insert(from.clone(), request);
-        let entries = machines.into_iter().map(|id| (id, (from.clone(), inc)));
+        let entries = machines
+            .into_iter()
+            .map(|id| (id, (from.clone(), incarnation)));
         self.machines.extend(entries);
     }
 
     /// Whether a start of a holder asks for a machine's reports.
-    pub fn wants(&self, machine: &MachineId, holder: &NodeName, inc: u64, now: Ms) -> bool {
+    pub fn wants(&self, machine: &MachineId, holder: &NodeName, incarnation: u64, now: Ms) -> bool {
         let asked = self.machines.get(machine);
-        let is_theirs = asked.is_some_and(|(node, start)| node == holder && *start == inc);
+        let is_theirs = asked.is_some_and(|(node, start)| node == holder && *start == incarnation);
         let request = self.holders.get(holder);
-        is_theirs && request.is_some_and(|r| r.inc == inc && now < r.until)
+        is_theirs && request.is_some_and(|r| r.incarnation == incarnation && now < r.until)
     }
 
     /// Forgets what holders do not ask for any more.
--- a/crates/links/tests/decisions.rs
+++ b/crates/links/tests/decisions.rs
@@ -133,8 +133,9 @@
     table.on_unheard(&holder, 1, 5, [machine(1)], 100);
     table.on_unheard(&holder, 1, 5, [machine(2)], 100);
     table.on_unheard(&holder, 1, 4, [machine(3)], 100);
-    let wanted =
-        |table: &RelayTable, n, holder, inc, now| table.wants(&machine(n), holder, inc, now);
+    let wanted = |table: &RelayTable, n, holder, incarnation, now| {
+        table.wants(&machine(n), holder, incarnation, now)
+    };
     assert!(wanted(&table, 1, &holder, 1, 99) && wanted(&table, 2, &holder, 1, 99));
     assert!(!wanted(&table, 3, &holder, 1, 99), "an older list");
     assert!(!wanted(&table, 1, &other, 1, 99) && !wanted(&table, 1, &holder, 2, 99));
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -536,7 +536,7 @@
                         replies.push((origin, reply.status, reply.body));
                     }
                 }
-                Effect::Tell { node, message } => tells.push((node, message)),
+                Effect::SendToPeer { node, message } => tells.push((node, message)),
                 Effect::Call {
                     id,
                     target,
@@ -553,7 +553,7 @@
                     };
                     late.push((now + timeout, origin.clone()));
                     let dest = match target {
-                        Target::State => Dest::State,
+                        Target::Store => Dest::State,
                         Target::Cloud => Dest::Cloud,
                         Target::Worker(addr) => Dest::Worker(MachineId::new(&addr)),
                     };
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -224,7 +224,7 @@
             Origin::Node { node, start, call } => {
                 let host = &mut self.hosts[node];
                 if host.start == start && host.open.remove(&call) {
-                    host.inbox.push(Input::Answer { call, status, body });
+                    host.inbox.push(Input::Response { call, status, body });
                 }
             }
             Origin::Worker { id, report } => self.worker_answered(&id, report, status, &body),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -13,7 +13,7 @@
 /// that has its body.
 pub const VERSION: u16 = 7;
 /// Largest message, in bytes.
-pub const MESSAGE_MOST: usize = 96 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 96 * 1024;
 
 /// A message and its sender.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -23,7 +23,7 @@
     /// Name of the sender.
     pub from: String,
     /// This start of the sender; messages of earlier ones are dropped.
-    pub inc: u64,
+    pub incarnation: u64,
     /// Epoch of the shard that the message is about, as the sender knows it.
     pub epoch: u64,
     /// The message.
@@ -40,12 +40,12 @@
         /// The job as it was submitted, in JSON.
         spec: String,
         /// Time of day of the submission, in milliseconds.
-        at: u64,
+        submitted_at_ms: u64,
         /// Revision that recorded it.
         revision: u64,
     },
     /// What the sender needs of the state service, to the leader.
-    Need {
+    BudgetRequest {
         /// Changes in a thousand seconds.
         writes: u32,
         /// Requests in a thousand seconds.
@@ -55,28 +55,28 @@
     },
     /// What the receiver may use of the state service beyond its fixed part,
     /// for a short while.
-    Grant {
+    BudgetGrant {
         /// Changes in a thousand seconds.
         writes: u32,
         /// Requests in a thousand seconds.
         requests: u32,
     },
     /// The unmet demand of a shard, to the leader; the envelope has the shard's epoch.
-    Demand {
+    UnmetDemand {
         /// The shard.
         shard: u32,
         /// The record, in JSON, as it is also written now and then.
         demand: String,
     },
     /// A user wants a job cancelled that the receiver holds.
-    Cancel {
+    CancelJob {
         /// The job.
         id: String,
     },
     /// A user's request that the receiver can answer better than the sender.
-    Forward {
+    ForwardedRequest {
         /// Names the request, for the answer.
-        ask: u64,
+        request_number: u64,
         /// `GET` or `POST`.
         method: String,
         /// Path.
@@ -85,13 +85,13 @@
         body: Option<Vec<u8>>,
     },
     /// The sender is there.
-    Heartbeat(Heartbeat),
+    Heartbeat(PeerHeartbeat),
     /// The answer to a request that was passed on.
-    Answer {
+    ForwardedResponse {
         /// The start of the receiver that passed it on.
-        inc: u64,
+        incarnation: u64,
         /// The request.
-        ask: u64,
+        request_number: u64,
         /// HTTP status.
         status: u16,
         /// JSON.
@@ -100,7 +100,7 @@
         retry_after_s: Option<u32>,
     },
     /// A job's final stage was recorded. Since version 6.
-    JobOver {
+    JobEnded {
         /// The job.
         id: String,
         /// It was cancelled; else it is done.
@@ -108,7 +108,7 @@
     },
     /// A job that the receiver holds is needed by one that the sender holds.
     /// Since version 6.
-    Needed {
+    InheritPriority {
         /// The job.
         id: String,
         /// The highest priority among those that need it, the lowest being 0.
@@ -116,7 +116,7 @@
     },
     /// The sender holds these machines and does not hear their workers: their reports
     /// are to be passed on to it. Since version 7.
-    Unheard {
+    RelayRequest {
         /// Grows with each list of a start. Messages with the same number add up; a
         /// list replaces those before it.
         list: u64,
@@ -125,12 +125,12 @@
     },
     /// The receiver is to call these machines' workers and pass on what they answer: the
     /// sender holds them and does not hear them. Since version 7.
-    Probe {
+    ProbeRequest {
         /// The machines.
         machines: Vec<String>,
     },
     /// What a worker has answered to a probe. Since version 7.
-    Probed {
+    ProbeResult {
         /// Its report, in JSON.
         report: Vec<u8>,
     },
@@ -140,8 +140,10 @@
     /// The oldest version of the format that has this body.
     pub fn version(&self) -> u16 {
         match self {
-            Self::JobOver { .. } | Self::Needed { .. } => DEPENDENCIES_VERSION,
-            Self::Unheard { .. } | Self::Probe { .. } | Self::Probed { .. } => VERSION,
+            Self::JobEnded { .. } | Self::InheritPriority { .. } => DEPENDENCIES_VERSION,
+            Self::RelayRequest { .. } | Self::ProbeRequest { .. } | Self::ProbeResult { .. } => {
+                VERSION
+            }
             _ => FIRST_VERSION,
         }
     }
@@ -150,72 +152,72 @@
 /// That a controller is there, and what the receiver may rely on. A statement
 /// is true as of the moment at which the heartbeat that it echoes was sent.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     /// The sender's steady clock, for the echo.
-    pub sent: u64,
+    pub sent_at: u64,
     /// The last heartbeat that the sender had from the receiver.
-    pub echo: Option<Echo>,
+    pub acknowledged: Option<HeartbeatAck>,
     /// Shards with the highest epochs that the sender has seen; none while it
     /// has not read them since it started.
     pub epochs: Option<Vec<(u32, u64)>>,
     /// For how long the state service has refused the sender, in milliseconds;
     /// none: it was served last.
-    pub refused_for: Option<u64>,
+    pub store_refused_for_ms: Option<u64>,
     /// Shards that the sender holds by right.
-    pub settled: Vec<Settled>,
+    pub settled_shards: Vec<SettledShard>,
 }
 
 /// Names a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Echo {
+pub struct HeartbeatAck {
     /// The start of the controller that sent it.
-    pub inc: u64,
+    pub incarnation: u64,
     /// That controller's steady clock.
-    pub sent: u64,
+    pub sent_at: u64,
 }
 
 /// Where tasks of cancelled jobs may be left.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Settled {
+pub struct SettledShard {
     /// The shard.
     pub shard: u32,
     /// Its machines that may hold one; all others hold none.
-    pub unsettled: Vec<String>,
+    pub unsettled_machines: Vec<String>,
 }
 
 /// Why a message is refused.
 #[derive(Debug, thiserror::Error)]
-pub enum BadMessage {
+pub enum MessageError {
     /// Longer than allowed.
     #[error("{0} bytes are too many")]
     TooLong(usize),
     /// Another version of the format.
     #[error("version {0} is not spoken here")]
-    Version(u16),
+    UnsupportedVersion(u16),
     /// Not a message.
     #[error("{0}")]
-    Borsh(#[from] std::io::Error),
+    Malformed(#[from] std::io::Error),
 }
 
 impl Envelope {
     /// As bytes, without their length.
-    pub fn encode(&self) -> Result<Vec<u8>, BadMessage> {
+    pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
         let bytes = borsh::to_vec(self)?;
         match bytes.len() {
-            n if n > MESSAGE_MOST => Err(BadMessage::TooLong(n)),
+            n if n > MAX_MESSAGE_BYTES => Err(MessageError::TooLong(n)),
             _ => Ok(bytes),
         }
     }
 
     /// From bytes, without their length.
-    pub fn decode(bytes: &[u8]) -> Result<Self, BadMessage> {
-        if bytes.len() > MESSAGE_MOST {
-            return Err(BadMessage::TooLong(bytes.len()));
+    pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::TooLong(bytes.len()));
         }
         // The version comes first, so that others are told from garbage.
         let version = u16::deserialize(&mut &bytes[..])?;
         if !(FIRST_VERSION..=VERSION).contains(&version) {
-            return Err(BadMessage::Version(version));
+            return Err(MessageError::UnsupportedVersion(version));
         }
         Ok(borsh::from_slice(bytes)?)
     }
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -7,9 +7,9 @@
     let message = Envelope {
         version: VERSION,
         from: "berth-1".to_owned(),
-        inc: 7,
+        incarnation: 7,
         epoch: 3,
-        body: Body::Cancel {
+        body: Body::CancelJob {
             id: "j-1".to_owned(),
         },
     };
@@ -33,16 +33,16 @@
         ("another version", newer),
         ("unknown body", tag),
         ("lying length", lies),
-        ("oversized", vec![0; MESSAGE_MOST + 1]),
+        ("oversized", vec![0; MAX_MESSAGE_BYTES + 1]),
     ];
     for (name, bytes) in cases {
         assert!(Envelope::decode(&bytes).is_err(), "{name}");
     }
-    let spec = "x".repeat(MESSAGE_MOST);
+    let spec = "x".repeat(MAX_MESSAGE_BYTES);
     let body = Body::NewJob {
         shard: 0,
         spec,
-        at: 0,
+        submitted_at_ms: 0,
         revision: 0,
     };
     assert!(Envelope { body, ..message }.encode().is_err());
@@ -52,15 +52,15 @@
 /// controllers of the first release understand all that they ever did.
 #[test]
 fn bodies_have_the_oldest_version_that_knows_them() {
-    let over = Body::JobOver {
+    let over = Body::JobEnded {
         id: "j-1".to_owned(),
         cancelled: true,
     };
-    let needed = Body::Needed {
+    let needed = Body::InheritPriority {
         id: "j-1".to_owned(),
         priority: 2,
     };
-    let grant = Body::Grant {
+    let grant = Body::BudgetGrant {
         writes: 1,
         requests: 2,
     };
@@ -69,7 +69,7 @@
         let message = Envelope {
             version,
             from: "berth-1".to_owned(),
-            inc: 7,
+            incarnation: 7,
             epoch: 3,
             body,
         };
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -435,7 +435,7 @@
     let envelope = Envelope {
         version: body.version(),
         from: "berth-0".to_owned(),
-        inc: 0x0102_0304_0506_0708,
+        incarnation: 0x0102_0304_0506_0708,
         epoch: 9,
         body,
     };
@@ -453,41 +453,44 @@
 #[test]
 fn peers() {
     let id = || "j-412".to_owned();
-    let heartbeat = Heartbeat {
-        sent: 100,
-        echo: Some(Echo { inc: 5, sent: 99 }),
+    let heartbeat = PeerHeartbeat {
+        sent_at: 100,
+        acknowledged: Some(HeartbeatAck {
+            incarnation: 5,
+            sent_at: 99,
+        }),
         epochs: Some(vec![(1, 2), (3, 4)]),
-        refused_for: Some(250),
-        settled: vec![Settled {
+        store_refused_for_ms: Some(250),
+        settled_shards: vec![SettledShard {
             shard: 3,
-            unsettled: texts(&["m-1", "m-2"]),
+            unsettled_machines: texts(&["m-1", "m-2"]),
         }],
     };
-    let least = Heartbeat {
-        sent: 100,
-        echo: None,
+    let least = PeerHeartbeat {
+        sent_at: 100,
+        acknowledged: None,
         epochs: None,
-        refused_for: None,
-        settled: Vec::new(),
+        store_refused_for_ms: None,
+        settled_shards: Vec::new(),
     };
-    let answer = |retry_after_s| Body::Answer {
-        inc: 5,
-        ask: 6,
+    let answer = |retry_after_s| Body::ForwardedResponse {
+        incarnation: 5,
+        request_number: 6,
         status: 503,
         body: b"{}".to_vec(),
         retry_after_s,
     };
-    let forward = |body| Body::Forward {
-        ask: 6,
+    let forward = |body| Body::ForwardedRequest {
+        request_number: 6,
         method: "POST".to_owned(),
         path: "/submissions".to_owned(),
         body,
     };
-    let over = |cancelled| Body::JobOver {
+    let over = |cancelled| Body::JobEnded {
         id: id(),
         cancelled,
     };
-    let need = |granted| Body::Need {
+    let need = |granted| Body::BudgetRequest {
         writes: 1500,
         requests: 2500,
         granted,
@@ -495,37 +498,37 @@
     let new_job = Body::NewJob {
         shard: 2,
         spec: "{\"uid\":\"j-412\"}".to_owned(),
-        at: 1000,
+        submitted_at_ms: 1000,
         revision: 77,
     };
-    let grant = Body::Grant {
+    let grant = Body::BudgetGrant {
         writes: 1500,
         requests: 2500,
     };
-    let demand = Body::Demand {
+    let demand = Body::UnmetDemand {
         shard: 2,
         demand: "{\"rev\":1,\"shapes\":[]}".to_owned(),
     };
-    let needed = Body::Needed {
+    let needed = Body::InheritPriority {
         id: id(),
         priority: 3,
     };
-    let unheard = Body::Unheard {
+    let unheard = Body::RelayRequest {
         list: 8,
         machines: texts(&["m-1", "m-2"]),
     };
-    let probe = Body::Probe {
+    let probe = Body::ProbeRequest {
         machines: texts(&["m-1"]),
     };
-    let probed = Body::Probed {
+    let probed = Body::ProbeResult {
         report: b"{\"berth\":\"m-1\"}".to_vec(),
     };
     let in_version = |version| Envelope {
         version,
         from: "b".to_owned(),
-        inc: 1,
+        incarnation: 1,
         epoch: 2,
-        body: Body::Cancel { id: id() },
+        body: Body::CancelJob { id: id() },
     };
     let cases = [
         message("00_new_job", new_job),
@@ -533,7 +536,7 @@
         message("01_need_granted", need(true)),
         message("02_grant", grant),
         message("03_demand", demand),
-        message("04_cancel", Body::Cancel { id: id() }),
+        message("04_cancel", Body::CancelJob { id: id() }),
         message("05_forward", forward(Some(b"{}".to_vec()))),
         message("05_forward_no_body", forward(None)),
         message("06_heartbeat_full", Body::Heartbeat(heartbeat)),
@@ -559,15 +562,15 @@
         let envelope = Envelope {
             version,
             from: "b".to_owned(),
-            inc: 1,
+            incarnation: 1,
             epoch: 2,
-            body: Body::Cancel {
+            body: Body::CancelJob {
                 id: "j-1".to_owned(),
             },
         };
         let bytes = envelope.encode().expect("a message");
         let refused = Envelope::decode(&bytes);
-        assert!(matches!(refused, Err(BadMessage::Version(v)) if v == version));
+        assert!(matches!(refused, Err(MessageError::UnsupportedVersion(v)) if v == version));
     }
 }
 
