--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::api::read_versioned_job;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::pending::{Creation, Lookup, Pending};
+use crate::pending::{Creation, Lookup, PendingCall};
 use crate::records::job_key;
 use crate::store::Urgency;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
@@ -62,7 +62,7 @@
 
     fn read_for_admission(&mut self, request: RequestId, id: JobId) {
         let path = format!("/kv/{}", job_key(&id));
-        let pending = Pending::AdmissionRead { request, id };
+        let pending = PendingCall::AdmissionRead { request, id };
         self.ctx.read_store(Urgency::User, path, pending);
     }
 
@@ -107,7 +107,7 @@
         version: u64,
     ) {
         if stage.is_final() {
-            self.finals.insert(id.clone(), stage);
+            self.final_stages.insert(id.clone(), stage);
         }
         let Some(admission) = self.admissions.get_mut(&request) else {
             return;
--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixture::{answer_to, spec, team_of, Fixture};
 use crate::io::Effect;
 use crate::records::JobRecord;
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::users::JobStatus;
 use serde_json::{json, Value};
 
@@ -24,24 +24,24 @@
 /// The record of a dependency, as the state service answers.
 fn record(f: &mut Fixture, n: u32, kind: JobKind, stage: JobStage) -> Value {
     let team = team_of(f);
-    let rec = JobRecord {
+    let record = JobRecord {
         spec: spec(&id(n), &team, kind, 1),
         shard: f.shard,
         stage,
     };
-    json!({"key": job_key(&id(n)), "data": rec, "stamp": 40 + n})
+    json!({"key": job_key(&id(n)), "data": record, "stamp": 40 + n})
 }
 
-fn reads(n: u32) -> impl Fn(&Pending) -> bool {
-    move |p| matches!(p, Pending::AdmissionRead { id: read, .. } if *read == id(n))
+fn reads(n: u32) -> impl Fn(&PendingCall) -> bool {
+    move |p| matches!(p, PendingCall::AdmissionRead { id: read, .. } if *read == id(n))
 }
 
-fn is_lookup(pending: &Pending) -> bool {
-    matches!(pending, Pending::Lookup { .. })
+fn is_lookup(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::JobLookup { .. })
 }
 
-fn is_create(pending: &Pending) -> bool {
-    matches!(pending, Pending::Create(_))
+fn is_create(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::JobCreation(_))
 }
 
 fn stage(body: &str) -> Option<JobStage> {
@@ -50,13 +50,13 @@
 }
 
 /// The transaction that is sent, if one is.
-fn txn(effects: &[Effect]) -> Option<Txn> {
+fn transaction(effects: &[Effect]) -> Option<Transaction> {
     effects.iter().find_map(|e| match e {
         Effect::Call { path, body, .. } if path == "/txn" => {
             let body = body.as_deref().unwrap_or_default();
-            let txn: Txn = serde_json::from_slice(body).ok()?;
+            let transaction: Transaction = serde_json::from_slice(body).ok()?;
             let is_job = |w: &Write| w.key().starts_with("job/");
-            txn.writes.iter().any(is_job).then_some(txn)
+            transaction.writes.iter().any(is_job).then_some(transaction)
         }
         _ => None,
     })
@@ -136,12 +136,16 @@
             None => json!({"error": "no"}),
         };
         let mut effects = f.answer(reads(2), read, &body);
-        if let Some(txn) = txn(&effects) {
+        if let Some(transaction) = transaction(&effects) {
             // On condition of just what was read.
-            let versions: Vec<u64> = txn.conds.iter().map(|c| c.version).collect();
+            let versions: Vec<u64> = transaction
+                .preconditions
+                .iter()
+                .map(|c| c.version)
+                .collect();
             assert_eq!(versions.len(), 3, "{name}");
             assert!(versions.contains(&42) && versions.contains(&43), "{name}");
-            let lives = txn.writes.len() == 2;
+            let lives = transaction.writes.len() == 2;
             assert_eq!(lives, told != Some(Cancelled), "{name}");
             effects = f.answer(is_create, 200, &json!({"ledger_rev": 50}));
         } else if answer_to(&effects, 1).is_none() {
@@ -170,8 +174,9 @@
         f.answer(reads(2), 200, &unfinished);
         let lost = json!({"failed": [job_key(&id(failed))], "ledger_rev": 60});
         f.answer(is_create, 409, &lost);
-        let waits =
-            |f: &Fixture, which: &dyn Fn(&Pending) -> bool| f.node.ctx.pending.values().any(which);
+        let waits = |f: &Fixture, which: &dyn Fn(&PendingCall) -> bool| {
+            f.node.ctx.pending.values().any(which)
+        };
         assert_eq!(waits(&f, &reads(2)), is_read_again, "{name}");
         assert_eq!(waits(&f, &is_lookup), !is_read_again, "{name}");
     }
--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -74,7 +74,7 @@
     }
 
     fn up(&self) -> Reply {
-        if self.is_up() {
+        if self.is_ready() {
             Reply::json(200, &serde_json::json!({}))
         } else {
             Reply::later("not ready")
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -6,11 +6,11 @@
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of_mut, Node};
-use crate::pending::{AbortPoll, Lookup, Pending};
+use crate::pending::{CancellationPoll, Lookup, PendingCall};
 use crate::records::{abort_key, job_key, ShardId};
 use crate::store::Urgency;
 use crate::Ms;
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::users::JobStage;
 use forkshift_wire::JobId;
 
@@ -23,7 +23,7 @@
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
         };
-        if let Some(stage) = self.finals.get(&id) {
+        if let Some(stage) = self.final_stages.get(&id) {
             return Some(Reply::json(200, &status(&id, stage)));
         }
         let right = self.membership.has_valid_lease(&self.ctx, &self.view);
@@ -43,19 +43,19 @@
             }
             job.cancel_waiters.push(request);
             let until = ctx.now + ANSWER_MS;
-            self.cancel_ends.push_back((until, request, id));
+            self.cancel_deadlines.push_back((until, request, id));
             return None;
         }
-        self.look_up(request, id, Lookup::Abort)
+        self.look_up(request, id, Lookup::Cancellation)
     }
 
     /// Leaves word for the holder, in the place that it watches.
     pub(crate) fn pass_abort(&mut self, request: RequestId, id: JobId, shard: ShardId) {
         let until = self.ctx.now + ANSWER_MS * 3 / 4;
         self.tell_cancel(&id, shard);
-        let known = self.view.aborts.get(&id).copied();
+        let known = self.view.cancellations.get(&id).copied();
         let key = abort_key(&id);
-        let poll = AbortPoll {
+        let poll = CancellationPoll {
             request,
             id,
             version: known.unwrap_or(0),
@@ -64,15 +64,19 @@
         if known.is_some() {
             return self.poll_abort(poll);
         }
-        let txn = Txn {
-            conds: Vec::new(),
+        let transaction = Transaction {
+            preconditions: Vec::new(),
             writes: vec![Write::put(key, true.into())],
         };
-        self.ctx.transact(Urgency::User, &txn, Pending::Abort(poll));
+        self.ctx.transact(
+            Urgency::User,
+            &transaction,
+            PendingCall::CancellationWrite(poll),
+        );
     }
 
     /// The write of a key that asks for a cancellation was answered.
-    pub(crate) fn on_abort_put(&mut self, mut poll: AbortPoll, code: u16, body: &[u8]) {
+    pub(crate) fn on_abort_put(&mut self, mut poll: CancellationPoll, code: u16, body: &[u8]) {
         if code == 200 {
             poll.version = revision_of(body);
             self.poll_abort(poll);
@@ -81,15 +85,15 @@
         }
     }
 
-    fn poll_abort(&mut self, poll: AbortPoll) {
+    fn poll_abort(&mut self, poll: CancellationPoll) {
         let path = format!("/kv/{}", job_key(&poll.id));
         self.ctx
-            .read_store(Urgency::User, path, Pending::AbortPoll(poll));
+            .read_store(Urgency::User, path, PendingCall::CancellationPoll(poll));
     }
 
     /// The read that shows whether a cancellation was carried out was answered.
-    pub(crate) fn on_abort_poll(&mut self, poll: AbortPoll, code: u16, body: &[u8]) {
-        let AbortPoll {
+    pub(crate) fn on_abort_poll(&mut self, poll: CancellationPoll, code: u16, body: &[u8]) {
+        let CancellationPoll {
             request,
             id,
             version,
@@ -98,7 +102,7 @@
         let record = if code == 200 { read_job(body) } else { None };
         match record {
             Some(record) if record.stage.is_final() => {
-                self.finals.insert(id.clone(), record.stage);
+                self.final_stages.insert(id.clone(), record.stage);
                 let reply = Reply::json(200, &status(id, record.stage));
                 self.ctx.respond(*request, reply);
                 // The holder may have been told by message, and have done it
@@ -106,7 +110,7 @@
                 crate::shard::remove_key(&mut self.ctx, abort_key(id), *version);
             }
             _ if code == 503 => self.ctx.respond(*request, Reply::later("not now")),
-            _ if self.ctx.now < *until => self.later_polls.push((self.ctx.now + POLL_MS, poll)),
+            _ if self.ctx.now < *until => self.delayed_polls.push((self.ctx.now + POLL_MS, poll)),
             _ => self.ctx.respond(*request, Reply::later("being cancelled")),
         }
     }
@@ -115,11 +119,11 @@
     pub(crate) fn end_waits(&mut self) {
         let now = self.ctx.now;
         while self
-            .cancel_ends
+            .cancel_deadlines
             .front()
             .is_some_and(|(until, ..)| now >= *until)
         {
-            let Some((_, request, id)) = self.cancel_ends.pop_front() else {
+            let Some((_, request, id)) = self.cancel_deadlines.pop_front() else {
                 return;
             };
             let Some(job) = self.shard_of(&id).and_then(|s| s.jobs.get_mut(&id)) else {
@@ -136,12 +140,12 @@
     /// Looks again at cancellations that others are to carry out.
     pub(crate) fn repeat_polls(&mut self) {
         let now = self.ctx.now;
-        let polls = std::mem::take(&mut self.later_polls);
+        let polls = std::mem::take(&mut self.delayed_polls);
         for (at, poll) in polls {
             if now >= at {
                 self.poll_abort(poll);
             } else {
-                self.later_polls.push((at, poll));
+                self.delayed_polls.push((at, poll));
             }
         }
     }
--- a/crates/core/src/api/questions.rs
+++ b/crates/core/src/api/questions.rs
@@ -3,7 +3,7 @@
 use crate::api::status;
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of, Node};
-use crate::pending::{Lookup, Pending};
+use crate::pending::{Lookup, PendingCall};
 use crate::records::{job_key, JobRecord};
 use crate::store::Urgency;
 use crate::Ms;
@@ -22,7 +22,7 @@
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
         };
-        if let Some(stage) = self.finals.get(&id) {
+        if let Some(stage) = self.final_stages.get(&id) {
             return Some(Reply::json(200, &status(&id, stage)));
         }
         if self.membership.has_valid_lease(&self.ctx, &self.view) {
@@ -38,7 +38,7 @@
         let shard = holder_of(&self.shards, id)?;
         // The view may have gone on in this very batch, and the shard with it.
         let record = self.view.shards.get(&shard.id);
-        let still_ours = record.is_some_and(|s| s.rec.epoch == shard.epoch);
+        let still_ours = record.is_some_and(|s| s.record.epoch == shard.epoch);
         let job = shard.jobs.get(id).filter(|_| still_ours)?;
         if !job.is_certain() {
             return None;
@@ -60,7 +60,7 @@
 
     fn read_job(&mut self, request: RequestId, id: JobId, why: Lookup, until: Ms) {
         let path = format!("/kv/{}", job_key(&id));
-        let pending = Pending::Lookup {
+        let pending = PendingCall::JobLookup {
             request,
             id,
             why,
@@ -80,14 +80,14 @@
         body: &[u8],
     ) {
         // What was told meanwhile is newer than what was read.
-        if let Some(stage) = self.finals.get(&id) {
+        if let Some(stage) = self.final_stages.get(&id) {
             let reply = Reply::json(200, &status(&id, stage));
             return self.ctx.respond(request, reply);
         }
         let record = match code {
             200 => read_job(body),
             // It was accepted after the read.
-            404 if self.homes.get(&id).is_some() || self.shard_of(&id).is_some() => {
+            404 if self.job_shards.get(&id).is_some() || self.shard_of(&id).is_some() => {
                 if self.ctx.now < until {
                     return self.read_job(request, id, why, until);
                 }
@@ -96,7 +96,7 @@
             404 => {
                 let reply = match why {
                     Lookup::Submission(otherwise) => otherwise,
-                    Lookup::Question | Lookup::Abort => Reply::error(404, "no such job"),
+                    Lookup::Question | Lookup::Cancellation => Reply::error(404, "no such job"),
                 };
                 return self.ctx.respond(request, reply);
             }
@@ -108,11 +108,11 @@
             return self.ctx.respond(request, Reply::later("not now"));
         };
         if record.stage.is_final() {
-            self.finals.insert(id.clone(), record.stage);
+            self.final_stages.insert(id.clone(), record.stage);
         } else {
-            self.homes.insert(id.clone(), record.shard);
+            self.job_shards.insert(id.clone(), record.shard);
         }
-        if !record.stage.is_final() && matches!(why, Lookup::Abort) {
+        if !record.stage.is_final() && matches!(why, Lookup::Cancellation) {
             return self.pass_abort(request, id, record.shard);
         }
         self.ctx
@@ -126,7 +126,7 @@
         if record.stage.is_final() || dependencies.is_empty() {
             return false;
         }
-        let finals = &self.finals;
+        let finals = &self.final_stages;
         let is_cancelled = |id: &JobId| finals.get(id) == Some(JobStage::Cancelled);
         if dependencies.iter().any(is_cancelled) {
             return true;
--- a/crates/core/src/api/reports.rs
+++ b/crates/core/src/api/reports.rs
@@ -47,7 +47,7 @@
         let Some(record) = self.view.machines.get(&report.machine) else {
             return Reply::json(421, &Redirect::default());
         };
-        let k = record.rec.shard;
+        let k = record.record.shard;
         if !self.shards.contains_key(&k) {
             if self.may_keep_worker_alive(k, &report.machine) {
                 let (token, commands) = (report.token, Vec::new());
@@ -61,7 +61,7 @@
             shard.is_some_and(|s| self.ctx.has_valid_lease || self.may_answer_without_lease(s));
         let bridges = shard.is_some_and(|s| self.may_answer_while_loading(s, &report.machine));
         let newest = self.view.epoch().1;
-        let first = shard.map(|s| s.first_token(&record.rec));
+        let first = shard.map(|s| s.first_token(&record.record));
         let Node { shards, ctx, .. } = self;
         let Some(shard) = shards.get_mut(&k).filter(|_| has_valid_lease) else {
             return Reply::json(421, &Redirect::default());
@@ -101,9 +101,9 @@
 
     /// To which controller a worker is sent that has come to us; none: to the next one.
     fn redirect_to(&mut self, shard: ShardId, machine: &MachineId) -> Option<String> {
-        let holder = &self.view.shards.get(&shard)?.rec;
+        let holder = &self.view.shards.get(&shard)?.record;
         let (to, incarnation) = (holder.holder.clone(), holder.holder_incarnation);
-        if to == self.ctx.cfg.node || self.deaf_holder(machine).is_some() {
+        if to == self.ctx.config.node || self.deaf_holder(machine).is_some() {
             return None;
         }
         // What we knew before we lost the state service may be over. A worker that was sent
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -5,14 +5,14 @@
 use crate::io::{Reply, RequestId};
 use crate::layout::can_be_recorded;
 use crate::node::Node;
-use crate::pending::{Creation, Lookup, Pending};
+use crate::pending::{Creation, Lookup, PendingCall};
 use crate::records::{
     job_key, live_key, total_of, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
 };
 use crate::shard::new_layout;
 use crate::store::Urgency;
 use forkshift_sched::{Quota, Resources};
-use forkshift_wire::state::{Cond, Txn, TxnReply, Write};
+use forkshift_wire::state::{Precondition, Transaction, TransactionReply, Write};
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
 use forkshift_wire::JobId;
 use serde_json::to_value;
@@ -36,7 +36,7 @@
             }
         };
         let id = spec.id.clone();
-        if let Some(stage) = self.finals.get(&id) {
+        if let Some(stage) = self.final_stages.get(&id) {
             return Some(Reply::json(200, &status(&id, stage)));
         }
         if self.membership.has_valid_lease(&self.ctx, &self.view) {
@@ -71,21 +71,26 @@
 
     /// Whether a job can ever run, and in which shard.
     fn judge(&self, spec: &JobSpec) -> Result<ShardId, Reply> {
-        let Some(team) = self.ctx.cfg.teams.get(&spec.team) else {
+        let Some(team) = self.ctx.config.teams.get(&spec.team) else {
             return Err(Reply::error(422, "unknown team"));
         };
-        if self.view.types.is_empty() {
+        if self.view.machine_types.is_empty() {
             return Err(Reply::later("the machine types are not known yet"));
         }
         let task = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let fits = self.view.types.values().map(|t| &t.rec).any(|t| {
-            let allowed = spec
-                .types
-                .as_ref()
-                .is_none_or(|names| names.contains(&t.name));
-            let there = spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
-            allowed && there && task.fits(&total_of(t))
-        });
+        let fits = self
+            .view
+            .machine_types
+            .values()
+            .map(|t| &t.record)
+            .any(|t| {
+                let allowed = spec
+                    .types
+                    .as_ref()
+                    .is_none_or(|names| names.contains(&t.name));
+                let there = spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
+                allowed && there && task.fits(&total_of(t))
+            });
         if !fits {
             return Err(Reply::error(422, "a task fits no allowed machine type"));
         }
@@ -123,25 +128,27 @@
             block: TaskBlockRecord::default(),
         };
         let key = job_key(&spec.id);
-        let mut txn = Txn {
-            conds: vec![Cond {
+        let mut transaction = Transaction {
+            preconditions: vec![Precondition {
                 key: key.clone(),
                 version: 0,
             }],
             writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
         };
         let dependencies = creation.dependencies.iter();
-        txn.conds.extend(dependencies.map(|(id, version)| Cond {
-            key: job_key(id),
-            version: *version,
-        }));
+        transaction
+            .preconditions
+            .extend(dependencies.map(|(id, version)| Precondition {
+                key: job_key(id),
+                version: *version,
+            }));
         if !creation.is_cancelled {
             let key = live_key(*shard, &spec.id, 0);
             let head = to_value(head).unwrap_or_default();
-            txn.writes.push(Write::put(key, head));
+            transaction.writes.push(Write::put(key, head));
         }
-        let pending = Pending::Create(Box::new(creation));
-        self.ctx.transact(Urgency::User, &txn, pending);
+        let pending = PendingCall::JobCreation(Box::new(creation));
+        self.ctx.transact(Urgency::User, &transaction, pending);
     }
 
     /// The transaction that accepts a job was answered.
@@ -159,13 +166,13 @@
         let id = spec.id.clone();
         match code {
             200 if stage.is_final() => {
-                self.finals.insert_written(id.clone(), stage);
+                self.final_stages.insert_written(id.clone(), stage);
                 let reply = Reply::json(201, &status(&id, stage));
                 self.ctx.respond(request, reply);
             }
             200 => {
                 let revision = revision_of(body);
-                self.homes.insert(id.clone(), shard);
+                self.job_shards.insert(id.clone(), shard);
                 self.tell_new_job(shard, spec, revision);
                 if let Some(shard) = self.shards.get_mut(&shard) {
                     let at = self.ctx.wall_clock_ms;
@@ -195,7 +202,7 @@
 /// Whether a transaction that was to accept a job failed because it was
 /// accepted before.
 fn is_known(creation: &Creation, body: &[u8]) -> bool {
-    let reply: TxnReply = serde_json::from_slice(body).unwrap_or_default();
+    let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
     let key = job_key(&creation.spec.id);
     reply.failed.is_empty() || reply.failed.contains(&key)
 }
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -3,24 +3,24 @@
 use super::*;
 use crate::fixture::{answer_to, Fixture, EPOCH};
 use crate::job::Sent;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{job_key, JobRecord};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::NodeName;
 use serde_json::json;
 
-fn is_lookup(pending: &Pending) -> bool {
-    matches!(pending, Pending::Lookup { .. })
+fn is_lookup(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::JobLookup { .. })
 }
 
 fn record(f: &mut Fixture, id: &JobId, stage: JobStage) -> serde_json::Value {
     let spec = (*f.shard().jobs[id].spec).clone();
-    let rec = JobRecord {
+    let record = JobRecord {
         spec,
         shard: f.shard,
         stage,
     };
-    json!({"key": job_key(id), "data": rec, "stamp": 7})
+    json!({"key": job_key(id), "data": record, "stamp": 7})
 }
 
 /// Who asks to cancel a job is answered at once where it is known how it
@@ -84,7 +84,7 @@
     let old = record(&mut f, &id, JobStage::Queued);
     f.shard().forget_job(&id, 9);
     assert_eq!(f.ask(1, "GET", "/submissions/j-1"), None);
-    f.node.finals.insert(id.clone(), JobStage::Cancelled);
+    f.node.final_stages.insert(id.clone(), JobStage::Cancelled);
     let effects = f.answer(is_lookup, 200, &old);
     let cancelled = (200, Some(JobStage::Cancelled));
     assert_eq!(stage(answer_to(&effects, 1)), cancelled, "over meanwhile");
@@ -94,7 +94,7 @@
     let id = f.job("j-2", JobKind::Service, 1);
     let new = record(&mut f, &id, JobStage::Queued);
     let shard = f.shard;
-    f.node.homes.insert(id, shard);
+    f.node.job_shards.insert(id, shard);
     let effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
     assert_eq!(answer_to(&effects, 1), None, "accepted meanwhile");
     let effects = f.answer(is_lookup, 200, &new);
@@ -114,8 +114,8 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let shard = f.shard;
-        let rec = f.node.view.shards.get_mut(&shard).expect("it is there");
-        rec.rec.epoch = epoch;
+        let record = f.node.view.shards.get_mut(&shard).expect("it is there");
+        record.record.epoch = epoch;
         let answer = f.node.remembered(&id);
         assert_eq!(answer.is_some(), answers, "epoch {epoch}");
     }
@@ -126,7 +126,7 @@
 fn a_cancellation_may_be_seen_before_its_job() {
     let mut f = Fixture::new();
     let id = JobId::parse("j-1").expect("an id");
-    f.node.view.aborts.insert(id.clone(), 6);
+    f.node.view.cancellations.insert(id.clone(), 6);
     f.step(1);
     f.job("j-1", JobKind::Service, 1);
     f.step(1);
@@ -138,15 +138,15 @@
 /// answered by the right that it has as it goes on.
 #[test]
 fn a_report_that_waited_through_a_stop() {
-    let settings = Fixture::new().node.ctx.cfg.clone();
+    let settings = Fixture::new().node.ctx.config.clone();
     let right = settings.node_lease_ms();
     // Without a right a holder goes on answering while nobody can have
     // confirmed a cancellation in its stead for too long.
     let grace = settings.grace_ms();
     for (stop, status) in [(right / 2, 200), (right + grace + 1_000, 421)] {
         let mut f = Fixture::new();
-        let cfg = std::rc::Rc::get_mut(&mut f.node.ctx.cfg).expect("nobody else has it");
-        cfg.nodes.push(NodeName::new("another"));
+        let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("nobody else has it");
+        config.nodes.push(NodeName::new("another"));
         let token = f.token();
         let report = f.message(1, token, &[]);
         let request = crate::io::Input::Request {
@@ -166,7 +166,7 @@
 /// counts from when it was sent: nothing is answered from memory.
 #[test]
 fn an_extension_that_was_answered_during_a_stop() {
-    let right = Fixture::new().node.ctx.cfg.node_lease_ms();
+    let right = Fixture::new().node.ctx.config.node_lease_ms();
     for (stop, from_memory) in [(right / 2, true), (right * 2, false)] {
         let mut f = Fixture::new();
         f.job("j-1", JobKind::Array, 1);
@@ -174,7 +174,7 @@
         f.step(right / 4);
         f.node.ctx.now += stop;
         f.answer(
-            |p| matches!(p, Pending::LeaseRenewal { .. }),
+            |p| matches!(p, PendingCall::LeaseRenewal { .. }),
             200,
             &json!({}),
         );
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/attestation.rs
@@ -21,7 +21,7 @@
 use crate::overflow::Overflow;
 use crate::records::ShardId;
 use crate::shard::{Phase, Shard};
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::peer::{Body, HeartbeatAck, PeerHeartbeat, SettledShard};
 use forkshift_wire::{MachineId, NodeName};
@@ -91,8 +91,8 @@
     /// since. One whose view is complete has read it after its start, so it
     /// attests this for its earlier starts as well.
     fn unclaimed_until(&self, ctx: &Context, shard: &Shard) -> Ms {
-        let cfg = &ctx.cfg;
-        let others = cfg.other_nodes();
+        let config = &ctx.config;
+        let others = config.other_nodes();
         let attested = others.map(|n| {
             let seen = self.seen_epochs.get(n);
             let unclaimed = seen.filter(|s| {
@@ -126,7 +126,7 @@
         let mut since: Vec<Ms> = refused.map(|r| r.as_of).collect();
         since.sort_unstable_by(|a, b| b.cmp(a));
         // With us they are a majority.
-        let others = ctx.cfg.nodes.len() / 2;
+        let others = ctx.config.nodes.len() / 2;
         let last = others.checked_sub(1).and_then(|n| since.get(n));
         last.copied().unwrap_or(0)
     }
@@ -177,12 +177,12 @@
     all - settled.len()
 }
 
-impl View {
+impl ClusterView {
     /// The epochs that were seen; none while the view is not complete.
     fn epochs(&self) -> Option<Vec<(u32, u64)>> {
         let shards = self.shards.iter();
-        let epochs = || shards.map(|(k, s)| (k.0, s.rec.epoch)).collect();
-        self.ready.then(epochs)
+        let epochs = || shards.map(|(k, s)| (k.0, s.record.epoch)).collect();
+        self.is_complete.then(epochs)
     }
 }
 
@@ -208,7 +208,7 @@
 
     /// Tells all peers that we are here, and what they may rely on.
     pub(crate) fn send_heartbeats(&mut self) {
-        let cfg = self.ctx.cfg.clone();
+        let config = self.ctx.config.clone();
         let epochs = self.view.epochs();
         // While we have a right nobody else can have confirmed anything, so
         // what we know of our shards is all there is.
@@ -217,11 +217,11 @@
         let refused_for = self.ctx.store.out_since();
         let refused_for = refused_for.map(|t| self.ctx.now.saturating_sub(t));
         let mut settled: Vec<SettledShard> = shards.filter_map(Shard::settled).collect();
-        if keep_shortest_within(&mut settled, cfg.bounds.list_bytes) > 0 {
+        if keep_shortest_within(&mut settled, config.bounds.list_bytes) > 0 {
             let now = self.ctx.now;
             self.ctx.overflows.note(now, Overflow::UnsettledMachines);
         }
-        for node in cfg.other_nodes() {
+        for node in config.other_nodes() {
             let peer = self.ctx.peers.get(node);
             let acknowledged = peer.and_then(|p| {
                 p.last_heartbeat_sent_at.map(|sent| HeartbeatAck {
@@ -327,7 +327,7 @@
             .ctx
             .peer_confirmations
             .unclaimed_until(&self.ctx, shard);
-        !shard.superseded && self.ctx.now < until.saturating_add(self.ctx.cfg.grace_ms())
+        !shard.superseded && self.ctx.now < until.saturating_add(self.ctx.config.grace_ms())
     }
 
     /// Whether a worker may be answered by somebody who does not know which of
@@ -335,7 +335,7 @@
     /// none is that was cancelled before.
     fn is_settled(&self, shard: ShardId, machine: &MachineId) -> bool {
         let until = self.ctx.peer_confirmations.settled_until(shard, machine);
-        until.is_some_and(|t| self.ctx.now < t + self.ctx.cfg.grace_ms())
+        until.is_some_and(|t| self.ctx.now < t + self.ctx.config.grace_ms())
     }
 
     /// Whether a worker of a shard that we are still loading is answered. What
@@ -344,7 +344,7 @@
     /// confirmation, else it would have carried the command to stop; it is less
     /// than a lease old, or the worker's session would be over.
     pub(crate) fn may_answer_while_loading(&self, shard: &Shard, machine: &MachineId) -> bool {
-        self.ctx.now < shard.active_since + self.ctx.cfg.loading_grace_ms()
+        self.ctx.now < shard.active_since + self.ctx.config.loading_grace_ms()
             || self.is_settled(shard.id, machine)
     }
 
@@ -353,10 +353,10 @@
     /// and so, it seems, is the worker. It is given no commands, and its own
     /// token back.
     pub(crate) fn may_keep_worker_alive(&self, shard: ShardId, machine: &MachineId) -> bool {
-        let Some(holder) = self.view.shards.get(&shard).map(|s| &s.rec) else {
+        let Some(holder) = self.view.shards.get(&shard).map(|s| &s.record) else {
             return false;
         };
-        let lease = self.ctx.cfg.node_lease_ms();
+        let lease = self.ctx.config.node_lease_ms();
         self.ctx.now > self.membership.last_renewal_sent_at() + lease * 6 / 10
             && !self
                 .ctx
--- a/crates/core/src/attestation/tests.rs
+++ b/crates/core/src/attestation/tests.rs
@@ -4,7 +4,7 @@
 use crate::bounds::NAME_LENGTH_BYTES;
 use crate::config::{Config, Operator};
 use crate::records::ShardRecord;
-use crate::view::Stamped;
+use crate::view::Versioned;
 use forkshift_wire::settings::Settings;
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
@@ -16,12 +16,12 @@
 
 fn node() -> Node {
     let settings = Settings::parse(SETTINGS).expect("the example is good");
-    let mut cfg = Config::new(&settings, Operator::default());
+    let mut config = Config::new(&settings, Operator::default());
     let names = ["north", "south"].map(NodeName::new);
-    cfg.nodes = [cfg.node.clone()].into_iter().chain(names).collect();
-    let mut node = Node::new(cfg, 1, 1);
-    let held = |holder: &NodeName, incarnation| Stamped {
-        rec: ShardRecord {
+    config.nodes = [config.node.clone()].into_iter().chain(names).collect();
+    let mut node = Node::new(config, 1, 1);
+    let held = |holder: &NodeName, incarnation| Versioned {
+        record: ShardRecord {
             holder: holder.clone(),
             holder_incarnation: incarnation,
             epoch: EPOCH,
@@ -29,7 +29,7 @@
         },
         version: 1,
     };
-    let us = node.ctx.cfg.node.clone();
+    let us = node.ctx.config.node.clone();
     node.view.shards.insert(OURS, held(&us, 1));
     node.view
         .shards
@@ -95,10 +95,10 @@
 /// just before an outage. It goes on only on the word of all of them.
 #[test]
 fn workers_are_answered_without_a_right_on_evidence_alone() {
-    let cfg = node().ctx.cfg.clone();
-    let own = cfg.node_lease_ms() - cfg.node_lease_ms() / 500;
-    let grace = cfg.grace_ms();
-    assert!(grace + cfg.lease_ms < cfg.cancel_ms);
+    let config = node().ctx.config.clone();
+    let own = config.node_lease_ms() - config.node_lease_ms() / 500;
+    let grace = config.grace_ms();
+    assert!(grace + config.lease_ms < config.cancel_ms);
     let end = SENT + own + grace;
     let later = end + 10_000;
     let seen = Some(EPOCH);
@@ -186,9 +186,9 @@
 /// until now, prove that nobody else can have been given anything.
 #[test]
 fn an_outage_that_a_majority_has_seen_from_the_start_is_one() {
-    let cfg = node().ctx.cfg.clone();
-    let right = SENT + cfg.node_lease_ms() - cfg.node_lease_ms() / 500;
-    let now = right + cfg.grace_ms() + 10_000;
+    let config = node().ctx.config.clone();
+    let right = SENT + config.node_lease_ms() - config.node_lease_ms() / 500;
+    let now = right + config.grace_ms() + 10_000;
     let seen = Some(EPOCH);
     let refused = |from, since: Ms| Says {
         refused_for: Some(now - since),
@@ -262,9 +262,9 @@
 /// was confirmed can still be on it; so is one whose shard is being loaded.
 #[test]
 fn what_is_kept_for_others_ends_in_time() {
-    let cfg = node().ctx.cfg.clone();
-    let own = cfg.node_lease_ms();
-    let grace = cfg.grace_ms();
+    let config = node().ctx.config.clone();
+    let own = config.node_lease_ms();
+    let grace = config.grace_ms();
     let settled = |shard: ShardId, unsettled: &[&str]| SettledShard {
         shard: shard.0,
         unsettled_machines: unsettled.iter().map(|m| (*m).to_owned()).collect(),
@@ -327,7 +327,7 @@
         // While we load a shard the same holds, whoever else is there; besides,
         // what an earlier holder confirmed is a lease old at the most.
         let stated = stated.is_some_and(|(_, held)| held.is_empty());
-        let in_time = (stated && now < SENT + grace) || now < SENT + cfg.loading_grace_ms();
+        let in_time = (stated && now < SENT + grace) || now < SENT + config.loading_grace_ms();
         let mut shard = node.shards.remove(&OURS).expect("it is ours");
         shard.active_since = SENT;
         assert_eq!(
@@ -336,7 +336,7 @@
             "{name}: ours"
         );
     }
-    assert!(cfg.loading_grace_ms() + cfg.lease_ms * 2 < cfg.cancel_ms);
+    assert!(config.loading_grace_ms() + config.lease_ms * 2 < config.cancel_ms);
 }
 
 fn unsettled(shard: u32, machines: usize) -> SettledShard {
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -4,7 +4,7 @@
 use crate::config::{Config, Operator};
 use crate::format::FormatVersion;
 use crate::records::{LeaderRecord, NodeRecord};
-use crate::view::Stamped;
+use crate::view::Versioned;
 use forkshift_wire::peer::Envelope;
 use forkshift_wire::settings::Settings;
 use std::rc::Rc;
@@ -13,27 +13,27 @@
 
 fn ctx(node: &str, names: &[&str]) -> Context {
     let settings = Settings::parse(SETTINGS).expect("the example is good");
-    let mut cfg = Config::new(&settings, Operator::default());
-    cfg.node = NodeName::new(node);
-    cfg.nodes = names.iter().map(|n| NodeName::new(n)).collect();
-    let mut ctx = Context::new(Rc::new(cfg), 1, 1);
+    let mut config = Config::new(&settings, Operator::default());
+    config.node = NodeName::new(node);
+    config.nodes = names.iter().map(|n| NodeName::new(n)).collect();
+    let mut ctx = Context::new(Rc::new(config), 1, 1);
     ctx.now = 10_000;
     ctx
 }
 
-fn view(names: &[&str]) -> View {
-    let stamped = |rec| Stamped { rec, version: 1 };
-    let mut view = View::default();
+fn view(names: &[&str]) -> ClusterView {
+    let versioned = |record| Versioned { record, version: 1 };
+    let mut view = ClusterView::default();
     for name in names {
-        let rec = stamped(NodeRecord {
+        let record = versioned(NodeRecord {
             incarnation: 1,
             receives_no_heartbeats: false,
             format: FormatVersion::FIRST,
         });
-        view.nodes.insert(NodeName::new(name), rec);
+        view.nodes.insert(NodeName::new(name), record);
     }
-    view.leader = Some(Stamped {
-        rec: LeaderRecord {
+    view.leader = Some(Versioned {
+        record: LeaderRecord {
             node: NodeName::new(names[0]),
             incarnation: 1,
         },
@@ -62,11 +62,11 @@
         let mut budget = Budget::default();
         let others = names.iter().skip(1).zip(needs).zip(granted);
         for ((n, writes), granted) in others.clone() {
-            let rate = Use {
+            let rate = StoreRate {
                 requests: 0.0,
                 writes,
             };
-            budget.on_need(10_000, NodeName::new(n), 1, rate, granted);
+            budget.on_budget_request(10_000, NodeName::new(n), 1, rate, granted);
         }
         budget.tick(&mut leader, &view);
         let mut rates = vec![budget.rate(&leader, &view).writes];
@@ -82,7 +82,7 @@
                     continue;
                 };
                 if node.to_string() == **n && granted {
-                    let rate = Use::from_milli(requests, writes);
+                    let rate = StoreRate::from_milli(requests, writes);
                     own.on_grant(&member, NodeName::new("n0"), 1, rate);
                 }
             }
@@ -104,7 +104,7 @@
     let names = ["n0", "n1"];
     let mut member = ctx("n1", &names);
     let mut own = Budget::default();
-    let rate = Use {
+    let rate = StoreRate {
         requests: 0.0,
         writes: 1_000.0,
     };
@@ -112,11 +112,11 @@
     let mut view = view(&names);
     assert!(own.rate(&member, &view).writes > 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
-        leader.rec.incarnation = 2;
+        leader.record.incarnation = 2;
     }
     assert!(own.rate(&member, &view).writes < 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
-        leader.rec.incarnation = 1;
+        leader.record.incarnation = 1;
     }
     member.now += 60_000;
     assert!(own.rate(&member, &view).writes < 1_000.0);
@@ -129,7 +129,7 @@
 fn a_grant_from_before_a_stop_is_not_used() {
     let names = ["n0", "n1"];
     let view = view(&names);
-    let all = Use {
+    let all = StoreRate {
         requests: 1e6,
         writes: 1e6,
     };
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/commands.rs
@@ -6,7 +6,7 @@
 
 use crate::context::Context;
 use crate::job::{Sent, Stop};
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::ShardId;
 use crate::shard::Shard;
 use forkshift_links::Decision;
@@ -30,7 +30,7 @@
             || !m.orphans.is_empty()
             || m.pool.membership.is_some();
         // What finds no free call is tried again soon: it is busy (`is_busy`).
-        let full = ctx.worker_calls >= ctx.cfg.bounds.worker_calls;
+        let full = ctx.worker_calls >= ctx.config.bounds.worker_calls;
         if m.calling || m.addr.is_none() || ctx.now < m.retry_at || !any || full {
             return;
         }
@@ -61,14 +61,14 @@
         machine.calling = true;
         machine.push = false;
         let body = serde_json::to_vec(&request).unwrap_or_default();
-        let pending = Pending::Commands {
+        let pending = PendingCall::Commands {
             shard: self.id,
             epoch: self.epoch,
             machine: id.clone(),
             token: request.token,
             commands: request.commands,
         };
-        ctx.send_commands(&addr, body, ctx.cfg.call_ms(), pending);
+        ctx.send_commands(&addr, body, ctx.config.call_ms(), pending);
     }
 
     /// Commands that do no harm however often and late they arrive: `forget`
@@ -92,7 +92,7 @@
                 }
             }
         }
-        let again = ctx.cfg.report_ms * REPEAT_REPORTS;
+        let again = ctx.config.report_ms * REPEAT_REPORTS;
         for task in &machine.tasks {
             let Some(binding) = self
                 .jobs
@@ -163,7 +163,7 @@
         };
         machine.calling = false;
         let is_answered = matches!(status, 200 | 409);
-        let timing = ctx.cfg.link_timing();
+        let timing = ctx.config.link_timing();
         machine.link.on_call(ctx.now, is_answered, &timing);
         self.look.touch(id);
         let report: Option<Report> = serde_json::from_slice(body).ok();
@@ -175,7 +175,7 @@
                     if report.token > machine.token {
                         // Somebody newer has the machine. The view will tell;
                         // calls without a pause would only load both ends.
-                        machine.retry_at = ctx.now + ctx.cfg.report_ms;
+                        machine.retry_at = ctx.now + ctx.config.report_ms;
                     }
                     self.unsend(id, token, commands);
                 }
@@ -183,7 +183,7 @@
             }
             _ => {
                 log::debug!("machine {id}: commands had no answer ({status})");
-                machine.retry_at = ctx.now + ctx.cfg.report_ms / 2;
+                machine.retry_at = ctx.now + ctx.config.report_ms / 2;
                 if commands.is_empty() {
                     // An unheard machine is called again at a pace (`find_unheard`).
                     machine.push = !machine.is_unheard(ctx);
--- a/crates/core/src/commands/tests.rs
+++ b/crates/core/src/commands/tests.rs
@@ -19,8 +19,8 @@
         .collect()
 }
 
-fn is_call(pending: &Pending) -> bool {
-    matches!(pending, Pending::Commands { .. })
+fn is_call(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::Commands { .. })
 }
 
 /// A holder that had lost its right without knowing once sent a start that it
@@ -140,10 +140,10 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, Sent::No);
-        f.node.ctx.worker_calls = f.node.ctx.cfg.bounds.worker_calls - beside;
+        f.node.ctx.worker_calls = f.node.ctx.config.bounds.worker_calls - beside;
         assert_eq!(sent(&f.step(1)).len(), starts, "{beside} free");
         f.node.ctx.worker_calls = 0;
-        let report_ms = f.node.ctx.cfg.report_ms;
+        let report_ms = f.node.ctx.config.report_ms;
         assert_eq!(
             sent(&f.step(report_ms)).len(),
             1 - starts,
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -8,13 +8,13 @@
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
 use crate::job::{Job, Sent};
-use crate::known_jobs::Finals;
-use crate::pending::{JobWrite, Pending};
+use crate::known_jobs::FinalStages;
+use crate::pending::{JobWrite, PendingCall};
 use crate::records::{job_key, shard_key, JobRecord};
 use crate::shard::Shard;
 use crate::store::Urgency;
 use crate::Ms;
-use forkshift_wire::state::{Cond, Item, Txn, TxnReply, Write};
+use forkshift_wire::state::{Item, Precondition, Transaction, TransactionReply, Write};
 use forkshift_wire::users::JobStage;
 use forkshift_wire::JobId;
 use serde_json::to_value;
@@ -30,7 +30,7 @@
 /// One job's part of a transaction.
 struct Part {
     write: JobWrite,
-    conds: Vec<Cond>,
+    preconditions: Vec<Precondition>,
     writes: Vec<Write>,
     bytes: usize,
     urgency: Urgency,
@@ -74,12 +74,12 @@
             }
         }
         parts.sort_by_key(|p| p.urgency);
-        let together_most = ctx.limits.txn_ops.min(ctx.store.together_most());
+        let together_most = ctx.limits.txn_ops.min(ctx.store.batch_limit());
         let mut group: Vec<Part> = Vec::new();
         let (mut ops, mut bytes) = (0, 0);
         for part in parts {
             let most = match part.urgency {
-                Urgency::Work | Urgency::Later => together_most,
+                Urgency::Tasks | Urgency::Background => together_most,
                 _ => ctx.limits.txn_ops,
             };
             let full = ops + part.writes.len() > most || bytes + part.bytes > TXN_BYTES;
@@ -114,21 +114,25 @@
 
     fn send_group(&mut self, ctx: &mut Context, group: Vec<Part>) {
         let urgency = group[0].urgency;
-        let mut txn = Txn {
-            conds: vec![self.held()],
+        let mut transaction = Transaction {
+            preconditions: vec![self.held()],
             writes: Vec::new(),
         };
         let mut jobs = Vec::new();
         for part in group {
-            txn.conds.extend(part.conds);
-            txn.writes.extend(part.writes);
+            transaction.preconditions.extend(part.preconditions);
+            transaction.writes.extend(part.writes);
             if let Some(job) = self.jobs.get_mut(&part.write.id) {
                 job.writing = true;
             }
             jobs.push(part.write);
         }
         let (shard, epoch) = (self.id, self.epoch);
-        ctx.transact(urgency, &txn, Pending::JobTxn { shard, epoch, jobs });
+        ctx.transact(
+            urgency,
+            &transaction,
+            PendingCall::JobTransaction { shard, epoch, jobs },
+        );
     }
 
     /// A job that was being written, or its record read, is looked at again.
@@ -143,12 +147,12 @@
     pub(crate) fn on_txn(
         &mut self,
         ctx: &mut Context,
-        finals: &mut Finals,
+        finals: &mut FinalStages,
         jobs: Vec<JobWrite>,
         status: u16,
         body: &[u8],
     ) {
-        let reply: TxnReply = serde_json::from_slice(body).unwrap_or_default();
+        let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
         let (shard, epoch) = (self.id, self.epoch);
         for write in jobs {
             let Some(job) = self.write_ended(&write.id) else {
@@ -177,13 +181,13 @@
                 if reply.failed.contains(&key) {
                     job.writing = true;
                     let (id, block) = (write.id.clone(), *block);
-                    let pending = Pending::JobFix {
+                    let pending = PendingCall::JobBlockRead {
                         shard,
                         epoch,
                         id,
                         block,
                     };
-                    ctx.read_store(Urgency::Work, format!("/kv/{key}"), pending);
+                    ctx.read_store(Urgency::Tasks, format!("/kv/{key}"), pending);
                 }
             }
         }
@@ -216,8 +220,8 @@
                 job.writing = true;
                 let (shard, epoch, id) = (self.id, self.epoch, id.clone());
                 let path = format!("/kv/{}", job_key(&id));
-                let pending = Pending::JobFinal { shard, epoch, id };
-                ctx.read_store(Urgency::Work, path, pending);
+                let pending = PendingCall::JobFinalRead { shard, epoch, id };
+                ctx.read_store(Urgency::Tasks, path, pending);
             }
             (404, _) => {
                 if let Some(block) = job.blocks.get_mut(&block) {
@@ -232,7 +236,7 @@
     pub(crate) fn on_final(
         &mut self,
         ctx: &mut Context,
-        finals: &mut Finals,
+        finals: &mut FinalStages,
         id: &JobId,
         status: u16,
         body: &[u8],
@@ -243,15 +247,15 @@
         job.retry_at = ctx.now + RETRY;
         let item: Option<Item> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(item) = item else { return };
-        let Ok(rec) = serde_json::from_value::<JobRecord>(item.value) else {
+        let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
             return;
         };
-        if !rec.stage.is_final() {
+        if !record.stage.is_final() {
             return;
         }
-        finals.insert(id.clone(), rec.stage);
+        finals.insert(id.clone(), record.stage);
         let waiters = std::mem::take(&mut job.cancel_waiters);
-        answer(ctx, waiters, id, rec.stage);
+        answer(ctx, waiters, id, record.stage);
         // The job's record may be older than its head was, which the watch may
         // still show: a job that was over once came back, for ever.
         let revision = job.blocks.values().map(|b| b.stamp).max().unwrap_or(0);
@@ -263,7 +267,13 @@
         }
     }
 
-    fn written(&mut self, ctx: &mut Context, finals: &mut Finals, write: &JobWrite, revision: u64) {
+    fn written(
+        &mut self,
+        ctx: &mut Context,
+        finals: &mut FinalStages,
+        write: &JobWrite,
+        revision: u64,
+    ) {
         let Some(job) = self.jobs.get_mut(&write.id) else {
             return;
         };
@@ -278,12 +288,12 @@
                 }
             }
         }
-        let is_moved = job.is_moving && write.blocks.contains(&0) && !write.last;
+        let is_moved = job.is_moving && write.blocks.contains(&0) && !write.is_final;
         let left_over = if is_moved { job.end_move() } else { Vec::new() };
         for (key, version) in left_over {
             crate::shard::remove_key(ctx, key, version);
         }
-        if write.cancel {
+        if write.records_cancellation {
             job.cancel_durable = true;
         }
         // What was recorded may be started now.
@@ -291,12 +301,12 @@
             self.look.touch(&binding.machine);
         }
         let stage = job.final_stage();
-        if write.last || write.cancel {
+        if write.is_final || write.records_cancellation {
             finals.insert_written(write.id.clone(), stage);
             let waiters = std::mem::take(&mut job.cancel_waiters);
             answer(ctx, waiters, &write.id, stage);
         }
-        if write.last {
+        if write.is_final {
             log::info!(
                 "job {}: {stage:?} after {} ms",
                 write.id,
@@ -320,7 +330,7 @@
 /// Pause before a write is tried again. One that is too large is cut to smaller
 /// limits next time, if there are any.
 fn retry_pause(ctx: &Context, status: u16) -> Ms {
-    let is_cut = ctx.limits == ctx.cfg.least_state_limits;
+    let is_cut = ctx.limits == ctx.config.least_state_limits;
     if status == 400 && is_cut {
         REFUSED_RETRY
     } else {
@@ -347,20 +357,20 @@
     let urgency = if last || cancel {
         Urgency::User
     } else if unsent {
-        Urgency::Work
+        Urgency::Tasks
     } else if progress {
-        Urgency::Later
+        Urgency::Background
     } else {
         return None;
     };
-    let mut conds = Vec::new();
+    let mut preconditions = Vec::new();
     let mut writes = Vec::new();
     let mut blocks = Vec::new();
     let mut bytes = 0;
     if last {
         let block = &job.blocks[&0];
         let key = job.block_key(shard.id, 0);
-        conds.push(Cond {
+        preconditions.push(Precondition {
             key: key.clone(),
             version: block.stamp,
         });
@@ -390,7 +400,7 @@
             };
             let value = value.unwrap_or_default();
             bytes += value.to_string().len() + key.len() * 2;
-            conds.push(Cond {
+            preconditions.push(Precondition {
                 key: key.clone(),
                 version: block.stamp,
             });
@@ -403,23 +413,26 @@
     }
     let cancel = cancel && blocks.contains(&0);
     if cancel || (last && !job.cancelled) {
-        let rec = JobRecord {
+        let record = JobRecord {
             spec: (*job.spec).clone(),
             shard: shard.id,
             stage: job.final_stage(),
         };
         bytes += 700;
-        writes.push(Write::put(job_key(id), to_value(rec).unwrap_or_default()));
+        writes.push(Write::put(
+            job_key(id),
+            to_value(record).unwrap_or_default(),
+        ));
     }
     Some(Part {
         write: JobWrite {
             id: id.clone(),
             version: job.version,
             blocks,
-            last,
-            cancel,
+            is_final: last,
+            records_cancellation: cancel,
         },
-        conds,
+        preconditions,
         writes,
         bytes,
         urgency,
--- a/crates/core/src/commit/tests.rs
+++ b/crates/core/src/commit/tests.rs
@@ -11,16 +11,16 @@
 use forkshift_wire::MachineId;
 use serde_json::json;
 
-fn is_txn(pending: &Pending) -> bool {
-    matches!(pending, Pending::JobTxn { .. })
+fn is_txn(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::JobTransaction { .. })
 }
 
-fn is_fix(pending: &Pending) -> bool {
-    matches!(pending, Pending::JobFix { .. })
+fn is_fix(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::JobBlockRead { .. })
 }
 
-fn is_final(pending: &Pending) -> bool {
-    matches!(pending, Pending::JobFinal { .. })
+fn is_final(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::JobFinalRead { .. })
 }
 
 /// A job whose last write landed without an answer once came back: its record
@@ -44,12 +44,12 @@
     f.answer(is_txn, 409, &failed);
     f.answer(is_fix, 404, &json!({"ledger_rev": 10}));
     let spec = f.shard().jobs[&id].spec.clone();
-    let rec = JobRecord {
+    let record = JobRecord {
         spec: (*spec).clone(),
         shard: f.shard,
         stage: JobStage::Cancelled,
     };
-    let found = json!({"key": job_key(&id), "data": rec, "stamp": 7});
+    let found = json!({"key": job_key(&id), "data": record, "stamp": 7});
     f.answer(is_final, 200, &found);
     assert!(!f.shard().jobs.contains_key(&id), "it is over");
     let head = |cancelled, block| JobHeadRecord {
@@ -96,16 +96,16 @@
         f.bind(&id, 0, sent);
         let binding: &Binding = &f.shard().jobs[&id].bound[&0];
         assert_eq!(binding.sent, sent);
-        let rec = JobRecord {
+        let record = JobRecord {
             spec: (*f.shard().jobs[&id].spec).clone(),
             shard: f.shard,
             stage: JobStage::Cancelled,
         };
-        let body = json!({"key": job_key(&id), "data": rec, "stamp": 7}).to_string();
+        let body = json!({"key": job_key(&id), "data": record, "stamp": 7}).to_string();
         let crate::node::Node {
             shards,
             ctx,
-            finals,
+            final_stages: finals,
             ..
         } = &mut f.node;
         let shard = shards.get_mut(&f.shard).expect("it is ours");
@@ -125,11 +125,15 @@
 
 impl Records {
     /// Carries out a transaction, and answers it.
-    fn carry_out(&mut self, txn: &Txn, shard_key: &str) -> (u16, serde_json::Value) {
+    fn carry_out(
+        &mut self,
+        transaction: &Transaction,
+        shard_key: &str,
+    ) -> (u16, serde_json::Value) {
         let version = |key: &str| self.items.get(key).map_or(0, |i| i.version);
-        let holds = |c: &&Cond| c.key != shard_key && version(&c.key) != c.version;
-        let failed: Vec<String> = txn
-            .conds
+        let holds = |c: &&Precondition| c.key != shard_key && version(&c.key) != c.version;
+        let failed: Vec<String> = transaction
+            .preconditions
             .iter()
             .filter(holds)
             .map(|c| c.key.clone())
@@ -138,7 +142,7 @@
             return (409, json!({"failed": failed, "ledger_rev": self.revision}));
         }
         self.revision += 1;
-        for write in &txn.writes {
+        for write in &transaction.writes {
             match write {
                 Write::Put { put, value, .. } => {
                     let (key, value, version) = (put.clone(), value.clone(), self.revision);
@@ -185,12 +189,12 @@
             steps += 1;
         }
         for (call, body) in std::mem::take(&mut effects).iter().filter_map(txn_of) {
-            let txn: Txn = serde_json::from_slice(&body).expect("a transaction");
-            check_limits(f, &txn);
+            let transaction: Transaction = serde_json::from_slice(&body).expect("a transaction");
+            check_limits(f, &transaction);
             let is_of_jobs =
                 |w: &Write| w.key().starts_with("live/") || w.key().starts_with("job/");
-            let (status, reply) = match txn.writes.iter().all(is_of_jobs) {
-                true => records.carry_out(&txn, &shard_key),
+            let (status, reply) = match transaction.writes.iter().all(is_of_jobs) {
+                true => records.carry_out(&transaction, &shard_key),
                 false => (200, json!({"ledger_rev": records.revision})),
             };
             look(records);
@@ -212,11 +216,14 @@
     }
 }
 
-fn check_limits(f: &Fixture, txn: &Txn) {
+fn check_limits(f: &Fixture, transaction: &Transaction) {
     let limits = &f.node.ctx.limits;
-    assert!(txn.writes.len() <= limits.txn_ops, "changes");
-    assert!(txn.conds.len() <= limits.conditions(), "conditions");
-    for write in &txn.writes {
+    assert!(transaction.writes.len() <= limits.txn_ops, "changes");
+    assert!(
+        transaction.preconditions.len() <= limits.conditions(),
+        "conditions"
+    );
+    for write in &transaction.writes {
         if let Write::Put { put, value, .. } = write {
             assert!(value.to_string().len() <= limits.value_bytes, "{put}");
         }
@@ -227,7 +234,7 @@
 /// done, one in three is on the machine.
 fn old_records(f: &mut Fixture, id: &JobId, tasks: u32) -> Records {
     let spec = spec(id, &team_of(f), JobKind::Array, tasks);
-    let layout = Layout::unnamed(&f.node.ctx.cfg.state_limits);
+    let layout = Layout::unnamed(&f.node.ctx.config.state_limits);
     let block = |b: u32| {
         let (from, to) = layout.tasks_of(b);
         let all = || from..to.min(tasks);
@@ -342,8 +349,8 @@
     let mut effects = f.step(1_000);
     for _ in 0..100 {
         for (call, body) in std::mem::take(&mut effects).iter().filter_map(txn_of) {
-            let txn: Txn = serde_json::from_slice(&body).expect("a transaction");
-            let (status, reply) = records.carry_out(&txn, &shard_key);
+            let transaction: Transaction = serde_json::from_slice(&body).expect("a transaction");
+            let (status, reply) = records.carry_out(&transaction, &shard_key);
             let body = reply.to_string().into_bytes();
             let answer = Input::Response { call, status, body };
             let now = f.node.ctx.now;
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -8,14 +8,14 @@
 use crate::io::{CallId, Effect, Reply, RequestId, Target, PEER_REQUEST_BIT};
 use crate::names::{ImageNames, PlaceNames};
 use crate::overflow::OverflowLog;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{DemandRecord, ShardId};
-use crate::store::{StateCall, Store, Urgency};
+use crate::store::{Store, StoreCall, Urgency};
 use crate::Ms;
 use forkshift_links::{CloudLink, Links, Redirects, RelayTable};
 use forkshift_wire::cloud::Machines;
 use forkshift_wire::peer::{Body, Envelope};
-use forkshift_wire::state::{Txn, TxnReply, Write};
+use forkshift_wire::state::{Transaction, TransactionReply, Write};
 use forkshift_wire::{MachineId, NodeName};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -28,7 +28,7 @@
 /// The revision of the state service when it answered a transaction; 0
 /// without an answer.
 pub(crate) fn revision_of(body: &[u8]) -> u64 {
-    let reply: TxnReply = serde_json::from_slice(body).unwrap_or_default();
+    let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
     reply.revision
 }
 
@@ -42,7 +42,7 @@
 pub(crate) struct Context {
     pub(crate) now: Ms,
     pub(crate) wall_clock_ms: Ms,
-    pub(crate) cfg: Rc<Config>,
+    pub(crate) config: Rc<Config>,
     /// The newest format that may be written: the finalized one, once the view
     /// has shown it.
     pub(crate) format: FormatVersion,
@@ -54,9 +54,9 @@
     pub(crate) effects: Vec<Effect>,
     pub(crate) store: Store,
     pub(crate) rng: StdRng,
-    pub(crate) pending: HashMap<CallId, Pending>,
+    pub(crate) pending: HashMap<CallId, PendingCall>,
     /// Inputs that the controller makes for itself: calls that never went out.
-    pub(crate) unsent_calls: Vec<Pending>,
+    pub(crate) unsent_calls: Vec<PendingCall>,
     /// Unmet demand of our own shards, while we are the leader.
     pub(crate) unmet_demand: Vec<(ShardId, u64, DemandRecord)>,
     /// Requests that other controllers have passed on.
@@ -106,18 +106,21 @@
 
 impl Context {
     /// The context of a controller that starts.
-    pub(crate) fn new(cfg: Rc<Config>, incarnation: u64, seed: u64) -> Self {
-        let n = cfg.nodes.len() as f64;
-        let image_names = cfg.bounds.image_names;
-        let redirects = Redirects::new(cfg.lease_ms);
+    pub(crate) fn new(config: Rc<Config>, incarnation: u64, seed: u64) -> Self {
+        let n = config.nodes.len() as f64;
+        let image_names = config.bounds.image_names;
+        let redirects = Redirects::new(config.lease_ms);
         Self {
             now: 0,
             wall_clock_ms: 0,
-            store: Store::new(cfg.state_limits.rps / n, cfg.state_limits.write_rps / n),
+            store: Store::new(
+                config.state_limits.rps / n,
+                config.state_limits.write_rps / n,
+            ),
             format: FormatVersion::FIRST,
-            limits: cfg.state_limits,
+            limits: config.state_limits,
             is_size_refused: false,
-            cfg,
+            config,
             incarnation,
             effects: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
@@ -146,25 +149,25 @@
 
     /// Milliseconds between two looks at who is there and what is needed.
     pub(crate) fn heartbeat_interval_ms(&self) -> Ms {
-        crate::ms(self.cfg.ops.assign_s).max(100)
+        crate::ms(self.config.ops.assign_s).max(100)
     }
 
     /// How long ago a time of day was, at the most: it was read by another
     /// controller, and both clocks may be off.
     pub(crate) fn longest_age_of(&self, wall: Ms) -> Ms {
-        self.wall_clock_ms.saturating_sub(wall) + self.cfg.clock_off_ms * 2
+        self.wall_clock_ms.saturating_sub(wall) + self.config.clock_off_ms * 2
     }
 
     /// Whether there are warm pools, and all controllers know them.
     pub(crate) fn has_pools(&self) -> bool {
-        self.format >= FormatVersion::POOLS && !self.cfg.ops.pools.is_empty()
+        self.format >= FormatVersion::POOLS && !self.config.ops.pools.is_empty()
     }
 
     /// Tells another controller something that it will learn anyway.
     pub(crate) fn send_to_peer(&mut self, node: &NodeName, epoch: u64, body: Body) {
         let envelope = Envelope {
             version: body.version(),
-            from: self.cfg.node.to_string(),
+            from: self.config.node.to_string(),
             incarnation: self.incarnation,
             epoch,
             body,
@@ -229,7 +232,7 @@
         path: String,
         body: Option<Vec<u8>>,
         timeout: Ms,
-        pending: Pending,
+        pending: PendingCall,
     ) -> CallId {
         self.next_call += 1;
         let id = self.next_call;
@@ -247,7 +250,7 @@
 
     /// Sends what the budget of the state service allows.
     pub(crate) fn send_due_store_calls(&mut self) {
-        let (go, late) = self.store.due(self.now);
+        let (go, late) = self.store.take_due(self.now);
         for call in go {
             self.call(
                 Target::Store,
@@ -263,8 +266,8 @@
     }
 
     /// Reads from the state service.
-    pub(crate) fn read_store(&mut self, urgency: Urgency, path: String, pending: Pending) {
-        let call = StateCall {
+    pub(crate) fn read_store(&mut self, urgency: Urgency, path: String, pending: PendingCall) {
+        let call = StoreCall {
             method: "GET",
             path,
             body: None,
@@ -280,12 +283,12 @@
     /// of, so that all of them take this part of the requests.
     pub(crate) fn watch_pause(&self, part: f64) -> Ms {
         let all = self.limits.rps * part;
-        (self.cfg.nodes.len() as f64 * 1000.0 / all.max(0.1)) as Ms
+        (self.config.nodes.len() as f64 * 1000.0 / all.max(0.1)) as Ms
     }
 
     /// Waits for changes below a prefix.
-    pub(crate) fn watch_store(&mut self, prefix: &str, from: u64, wait: Ms, pending: Pending) {
-        let call = StateCall {
+    pub(crate) fn watch_store(&mut self, prefix: &str, from: u64, wait: Ms, pending: PendingCall) {
+        let call = StoreCall {
             method: "GET",
             path: format!("/changes?starts={prefix}&from={from}&wait_ms={wait}"),
             body: None,
@@ -294,7 +297,7 @@
             expires: self.now + STATE_TIMEOUT,
             pending,
         };
-        self.store.push(Urgency::Member, call);
+        self.store.push(Urgency::Membership, call);
     }
 
     /// Sends the state service something other than a transaction.
@@ -303,9 +306,9 @@
         method: &'static str,
         path: String,
         body: Option<Vec<u8>>,
-        pending: Pending,
+        pending: PendingCall,
     ) {
-        let call = StateCall {
+        let call = StoreCall {
             method,
             path,
             body,
@@ -314,20 +317,25 @@
             expires: self.now + STATE_TIMEOUT,
             pending,
         };
-        self.store.push(Urgency::Member, call);
+        self.store.push(Urgency::Membership, call);
     }
 
     /// Sends a transaction to the state service.
-    pub(crate) fn transact(&mut self, urgency: Urgency, txn: &Txn, pending: Pending) {
-        let body = serde_json::to_vec(txn).unwrap_or_default();
-        if body.len() > self.limits.value_bytes || txn.writes.len() > self.limits.txn_ops {
-            self.log_oversized_changes(txn);
+    pub(crate) fn transact(
+        &mut self,
+        urgency: Urgency,
+        transaction: &Transaction,
+        pending: PendingCall,
+    ) {
+        let body = serde_json::to_vec(transaction).unwrap_or_default();
+        if body.len() > self.limits.value_bytes || transaction.writes.len() > self.limits.txn_ops {
+            self.log_oversized_changes(transaction);
         }
-        let call = StateCall {
+        let call = StoreCall {
             method: "POST",
             path: "/txn".to_owned(),
             body: Some(body),
-            writes: txn.writes.len(),
+            writes: transaction.writes.len(),
             timeout: STATE_TIMEOUT,
             expires: self.now + STATE_TIMEOUT,
             pending,
@@ -336,12 +344,12 @@
     }
 
     /// Logs what of a transaction goes beyond the limits of the state service.
-    fn log_oversized_changes(&self, txn: &Txn) {
-        let (changes, most) = (txn.writes.len(), self.limits.txn_ops);
+    fn log_oversized_changes(&self, transaction: &Transaction) {
+        let (changes, most) = (transaction.writes.len(), self.limits.txn_ops);
         if changes > most {
             log::error!("{changes} changes at once, of {most}");
         }
-        for write in &txn.writes {
+        for write in &transaction.writes {
             let Write::Put { put, value, .. } = write else {
                 continue;
             };
@@ -358,20 +366,20 @@
         method: &'static str,
         path: String,
         body: Option<Vec<u8>>,
-        pending: Pending,
+        pending: PendingCall,
     ) -> CallId {
         self.call(Target::Cloud, method, path, body, 5_000, pending)
     }
 
     /// Has the cloud delete machines.
-    pub(crate) fn delete_machines(&mut self, machines: Vec<MachineId>, pending: Pending) {
+    pub(crate) fn delete_machines(&mut self, machines: Vec<MachineId>, pending: PendingCall) {
         let body = serde_json::to_vec(&Machines { machines }).unwrap_or_default();
         let path = "/machines/delete".to_owned();
         self.call_cloud("POST", path, Some(body), pending);
     }
 
     /// Asks a worker for its report.
-    pub(crate) fn request_worker_status(&mut self, addr: &str, timeout: Ms, pending: Pending) {
+    pub(crate) fn request_worker_status(&mut self, addr: &str, timeout: Ms, pending: PendingCall) {
         self.worker_calls += 1;
         let target = Target::Worker(addr.to_owned());
         let path = "/status".to_owned();
@@ -384,7 +392,7 @@
         addr: &str,
         body: Vec<u8>,
         timeout: Ms,
-        pending: Pending,
+        pending: PendingCall,
     ) -> CallId {
         self.worker_calls += 1;
         self.call(
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -4,17 +4,17 @@
 use crate::context::Context;
 use crate::machine::Machine;
 use crate::overflow::Overflow;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::pools::{open_reservations, Coming};
 use crate::records::{demand_key, total_of, DemandRecord, ShapeRecord};
 use crate::rounds::{host, names};
 use crate::shard::Shard;
 use crate::store::Urgency;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources, Shortfall};
 use forkshift_wire::peer::Body;
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::{MachineId, TaskRef};
 use serde_json::to_value;
@@ -36,7 +36,7 @@
     pub(crate) fn compute_unmet_demand(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         usable: &[MachineId],
         mut hosts: Vec<Host>,
         mut wants: Vec<PendingTasks>,
@@ -62,7 +62,7 @@
         for want in &mut wants {
             want.avoid.clear();
         }
-        let weights = ctx.cfg.ops.weights;
+        let weights = ctx.config.ops.weights;
         let booked = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         for (i, id) in draining.iter().enumerate() {
             // What is needed again is not drained any further.
@@ -95,8 +95,8 @@
         // After everything that waits for room.
         shapes.extend(for_pools);
         let (free, surplus) = self.empty_machines(usable);
-        let rec = DemandRecord {
-            rev: view.revision,
+        let record = DemandRecord {
+            revision: view.revision,
             shapes,
             now,
             free,
@@ -104,8 +104,8 @@
             borrowed: self.borrowed_machines(ctx, usable),
             pooled: Vec::new(),
         };
-        let rec = self.with_offered_members(ctx, rec);
-        self.show_demand(ctx, view, rec);
+        let record = self.with_offered_members(ctx, record);
+        self.show_demand(ctx, view, record);
     }
 
     /// Counts on nothing from machines that may be faulty: they are tried with
@@ -181,7 +181,7 @@
     fn shapes_of(
         &self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         wants: &[PendingTasks],
         quotas: &mut [Quota],
     ) -> Vec<ShapeRecord> {
@@ -231,13 +231,13 @@
         shapes
     }
 
-    fn push_rental_intents(&self, ctx: &mut Context, view: &View, hosts: &mut Vec<Host>) {
-        for intent in view.rental_intents.values().map(|c| &c.rec) {
-            let Some(of_type) = view.types.get(&intent.machine_type) else {
+    fn push_rental_intents(&self, ctx: &mut Context, view: &ClusterView, hosts: &mut Vec<Host>) {
+        for intent in view.provisioning_intents.values().map(|c| &c.record) {
+            let Some(of_type) = view.machine_types.get(&intent.machine_type) else {
                 continue;
             };
             let left = intent.in_turn().into_iter().skip(intent.placed as usize);
-            let t = &of_type.rec;
+            let t = &of_type.record;
             for _ in left.filter(|k| *k == self.id) {
                 hosts.push(Host {
                     free: total_of(t),
@@ -262,14 +262,14 @@
         let boot_s = self.boot_ms() as f64 / 1000.0;
         let mut missing = Vec::new();
         let now = ctx.now;
-        let factor = ctx.cfg.ops.spare;
+        let factor = ctx.config.ops.spare;
         if self.counting_since.is_none() && self.machines.values().any(|m| m.heard.is_some()) {
             self.counting_since = Some(now);
         }
         let elapsed = self.counting_since.map_or(0, |t| now - t);
         let mut classes: Vec<(f64, ShapeRecord, f64, BTreeSet<u32>)> = Vec::new();
         for (class, stats) in &mut self.classes {
-            let Some(wait) = ctx.cfg.waits.get(class) else {
+            let Some(wait) = ctx.config.waits.get(class) else {
                 continue;
             };
             if *wait < boot_s {
@@ -347,22 +347,22 @@
 
     /// Tells the leader the unmet demand, whenever that changes, and now and
     /// then that it has not.
-    fn tell_demand(&mut self, ctx: &mut Context, view: &View, rec: &DemandRecord) {
-        let Some(leader) = view.leader.as_ref().map(|l| l.rec.clone()) else {
+    fn tell_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: &DemandRecord) {
+        let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
             return;
         };
-        let refresh = crate::ms(ctx.cfg.ops.round_s);
-        if rec.is_like(&self.told) && ctx.now < self.told_at + refresh {
+        let refresh = crate::ms(ctx.config.ops.round_s);
+        if record.is_like(&self.told) && ctx.now < self.told_at + refresh {
             return;
         }
-        self.told = rec.clone();
+        self.told = record.clone();
         self.told_at = ctx.now;
-        if leader.node == ctx.cfg.node {
-            ctx.unmet_demand.push((self.id, self.epoch, rec.clone()));
+        if leader.node == ctx.config.node {
+            ctx.unmet_demand.push((self.id, self.epoch, record.clone()));
             return;
         }
-        let cut = rec.clone().cut_to(ctx.cfg.bounds.list_bytes);
-        if !cut.is_like(rec) {
+        let cut = record.clone().cut_to(ctx.config.bounds.list_bytes);
+        if !cut.is_like(record) {
             ctx.overflows.note(ctx.now, Overflow::Demand);
         }
         let body = Body::UnmetDemand {
@@ -372,20 +372,20 @@
         ctx.send_to_peer(&leader.node, self.epoch, body);
     }
 
-    fn show_demand(&mut self, ctx: &mut Context, view: &View, rec: DemandRecord) {
-        self.tell_demand(ctx, view, &rec);
+    fn show_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
+        self.tell_demand(ctx, view, &record);
         // The record is for a leader that our messages do not reach.
-        let shards = f64::from(ctx.cfg.shards());
+        let shards = f64::from(ctx.config.shards());
         let pause = crate::ms(shards / (ctx.limits.write_rps * DEMAND_PART)).max(1_500);
         let unseen = self.demand_putting || view.revision < self.demand_from;
         if unseen || ctx.now < self.demand_at + pause {
             return;
         }
-        let rec = rec.cut_to(ctx.limits.value_bytes);
+        let record = record.cut_to(ctx.limits.value_bytes);
         let none = DemandRecord::default();
-        let shown = view.demands.get(&self.id).map_or(&none, |d| &d.rec);
-        let stale = !rec.shapes.is_empty() && shown.rev < view.revision;
-        let changed = !rec.is_like(shown);
+        let shown = view.demands.get(&self.id).map_or(&none, |d| &d.record);
+        let stale = !record.shapes.is_empty() && shown.revision < view.revision;
+        let changed = !record.is_like(shown);
         if !(changed || stale) {
             return;
         }
@@ -394,18 +394,22 @@
         log::debug!(
             "shard {}: unmet demand {:?}, {:?} wait now",
             self.id,
-            rec.shapes,
-            rec.now
+            record.shapes,
+            record.now
         );
-        let txn = Txn {
-            conds: vec![self.held()],
+        let transaction = Transaction {
+            preconditions: vec![self.held()],
             writes: vec![Write::put(
                 demand_key(self.id),
-                to_value(rec).unwrap_or_default(),
+                to_value(record).unwrap_or_default(),
             )],
         };
         let shard = self.id;
-        ctx.transact(Urgency::Later, &txn, Pending::Demand { shard });
+        ctx.transact(
+            Urgency::Background,
+            &transaction,
+            PendingCall::DemandWrite { shard },
+        );
     }
 }
 
@@ -425,8 +429,8 @@
     }
 }
 
-fn type_names(ctx: &mut Context, view: &View) -> BTreeMap<u16, String> {
-    let types = view.types.keys();
+fn type_names(ctx: &mut Context, view: &ClusterView) -> BTreeMap<u16, String> {
+    let types = view.machine_types.keys();
     types.map(|t| (ctx.places.number(t), t.clone())).collect()
 }
 
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -17,7 +17,7 @@
 use crate::job::Job;
 use crate::known_jobs::FinalStage;
 use crate::node::{holder_of, holder_of_mut, Node};
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{job_key, ShardId};
 use crate::shard::Phase;
 use crate::store::Urgency;
@@ -89,8 +89,8 @@
     /// Pause between two reads of a record, so that all controllers together
     /// keep within their part of the requests.
     fn pause(&self, ctx: &Context) -> Ms {
-        let least = ctx.cfg.cancel_ms as f64 * READ_PART;
-        let rate = ctx.limits.rps * REQUESTS_PART / ctx.cfg.nodes.len().max(1) as f64;
+        let least = ctx.config.cancel_ms as f64 * READ_PART;
+        let rate = ctx.limits.rps * REQUESTS_PART / ctx.config.nodes.len().max(1) as f64;
         let all = self.waiting.len() as f64 * 1000.0 / rate.max(1e-3);
         least.max(all) as Ms
     }
@@ -123,12 +123,12 @@
     /// Registers jobs that are new here, and acts on what has ended.
     pub(crate) fn follow_dependencies(&mut self) {
         self.register_blocked_jobs();
-        let mut news = self.finals.take_news();
+        let mut news = self.final_stages.take_unannounced();
         while !news.is_empty() {
             for end in &news {
                 self.on_job_over(end);
             }
-            news = self.finals.take_news();
+            news = self.final_stages.take_unannounced();
         }
         self.read_dependencies();
     }
@@ -149,7 +149,7 @@
             let priority = job.priority();
             let unresolved: Vec<JobId> = job.unresolved.iter().cloned().collect();
             for dependency in &unresolved {
-                match self.finals.get(dependency) {
+                match self.final_stages.get(dependency) {
                     Some(stage) => self.resolve(&id, dependency, stage),
                     None => self.dependencies.add(dependency, &id, self.ctx.now),
                 }
@@ -206,8 +206,8 @@
         if self.ctx.format.is_first() {
             return;
         }
-        let us = self.ctx.cfg.node.clone();
-        let peers: Vec<NodeName> = self.ctx.cfg.nodes.to_vec();
+        let us = self.ctx.config.node.clone();
+        let peers: Vec<NodeName> = self.ctx.config.nodes.to_vec();
         for peer in peers.iter().filter(|n| **n != us) {
             let body = Body::JobEnded {
                 id: end.id.to_string(),
@@ -225,7 +225,7 @@
         } else {
             JobStage::Done
         };
-        self.finals.insert(id, stage);
+        self.final_stages.insert(id, stage);
     }
 
     /// Reads the records of dependencies that are due.
@@ -254,11 +254,11 @@
             }
             dependency.is_reading = true;
             let path = format!("/kv/{}", job_key(&id));
-            let pending = Pending::DependencyRead {
+            let pending = PendingCall::DependencyRead {
                 id: id.clone(),
                 sent: self.ctx.now,
             };
-            self.ctx.read_store(Urgency::Work, path, pending);
+            self.ctx.read_store(Urgency::Tasks, path, pending);
         }
     }
 
@@ -274,7 +274,7 @@
             return;
         };
         if record.stage.is_final() {
-            self.finals.insert(id.clone(), record.stage);
+            self.final_stages.insert(id.clone(), record.stage);
             return;
         }
         dependency.unfinished_at = dependency.unfinished_at.max(sent);
@@ -285,7 +285,7 @@
     /// Whether all that a blocked job waits for is known not to have been
     /// cancelled for long.
     pub(crate) fn is_known_unfinished(&self, job: &Job) -> bool {
-        let most = (self.ctx.cfg.cancel_ms as f64 * CERTAIN_PART) as Ms;
+        let most = (self.ctx.config.cancel_ms as f64 * CERTAIN_PART) as Ms;
         let is_certain = |id: &JobId| {
             let dependency = self.dependencies.waiting.get(id);
             let since = dependency.map(|d| d.unfinished_at);
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -27,18 +27,18 @@
     f.step(0);
 }
 
-fn is_read(pending: &Pending) -> bool {
-    matches!(pending, Pending::DependencyRead { .. })
+fn is_read(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::DependencyRead { .. })
 }
 
 fn record(f: &mut Fixture, n: u32, stage: JobStage) -> serde_json::Value {
     let team = team_of(f);
-    let rec = JobRecord {
+    let record = JobRecord {
         spec: spec(&id(n), &team, JobKind::Array, 1),
         shard: f.shard,
         stage,
     };
-    json!({"key": job_key(&id(n)), "data": rec, "stamp": 7})
+    json!({"key": job_key(&id(n)), "data": record, "stamp": 7})
 }
 
 /// How a holder learns that a dependency is over.
@@ -63,7 +63,7 @@
             let job = &f.shard().jobs[&id(1)];
             assert!(job.is_blocked() && job.bound.is_empty(), "{name}: blocked");
             match source {
-                Source::OwnWrite => f.node.finals.insert_written(id(2), stage),
+                Source::OwnWrite => f.node.final_stages.insert_written(id(2), stage),
                 Source::Message => {
                     let message = Envelope {
                         version: 6,
@@ -193,7 +193,7 @@
 /// queued: it may have been cancelled.
 #[test]
 fn a_blocked_job_is_not_called_queued_on_old_knowledge() {
-    let half = |f: &Fixture| f.node.ctx.cfg.cancel_ms / 2;
+    let half = |f: &Fixture| f.node.ctx.config.cancel_ms / 2;
     for (is_held_here, after_half, answers) in
         [(false, false, 200), (false, true, 503), (true, true, 200)]
     {
@@ -223,13 +223,13 @@
 fn ends_are_told_only_to_controllers_that_know_dependencies() {
     for is_finalized in [false, true] {
         let mut f = Fixture::new();
-        let mut cfg = (*f.node.ctx.cfg).clone();
-        cfg.nodes.push(NodeName::new("berth-9"));
-        f.node.ctx.cfg = std::rc::Rc::new(cfg);
+        let mut config = (*f.node.ctx.config).clone();
+        config.nodes.push(NodeName::new("berth-9"));
+        f.node.ctx.config = std::rc::Rc::new(config);
         if is_finalized {
             f.finalize_format();
         }
-        f.node.finals.insert_written(id(2), JobStage::Done);
+        f.node.final_stages.insert_written(id(2), JobStage::Done);
         let effects = f.step(0);
         let tells = |e: &Effect| match e {
             Effect::SendToPeer { message, .. } => Envelope::decode(message).ok(),
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -10,7 +10,7 @@
 use crate::records::total_of;
 use crate::rounds::pending_tasks_of;
 use crate::shard::Shard;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources};
 use forkshift_wire::users::JobKind;
@@ -54,7 +54,7 @@
     pub(crate) fn drain(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         usable: &[MachineId],
         hosts: &mut [Host],
     ) {
@@ -71,7 +71,7 @@
         let most = self.at_a_time(DRAINING_PART, DRAINING_LEAST);
         let more = most.saturating_sub(draining.len());
         self.choose_drains(ctx, usable, hosts, &places, more);
-        let pause = crate::ms(ctx.cfg.ops.round_s * MOVE_ROUNDS);
+        let pause = crate::ms(ctx.config.ops.round_s * MOVE_ROUNDS);
         if ctx.now < self.moved_at + pause {
             return;
         }
@@ -100,7 +100,7 @@
     /// What the tasks of every usable machine are worth: the least that their
     /// parts of machines cost, as a part of its own price. GPUs that stand
     /// idle below replicas without any make a dear machine worth little.
-    fn worths(&self, view: &View, usable: &[MachineId]) -> Vec<f64> {
+    fn worths(&self, view: &ClusterView, usable: &[MachineId]) -> Vec<f64> {
         let mut of_job: BTreeMap<&JobId, f64> = BTreeMap::new();
         let mut worths = Vec::new();
         for id in usable {
@@ -223,7 +223,7 @@
         want.gang = false;
         want.waiting = vec![task.index];
         if job.spec.kind == JobKind::Service {
-            let most = ctx.cfg.report_ms as f64 / 1000.0 * FETCH_REPORTS;
+            let most = ctx.config.report_ms as f64 / 1000.0 * FETCH_REPORTS;
             let slow =
                 |h: &Host| !h.images.contains(&want.image) && want.image_gb > most * h.fetch_rate;
             let slow: Vec<usize> = (0..hosts.len()).filter(|i| slow(&hosts[*i])).collect();
@@ -232,7 +232,7 @@
         let waste = |i: &usize| hosts[*i].price > from * 1.001 && places.worth[*i] < TARGET_LEAST;
         want.avoid.extend((0..hosts.len()).filter(waste));
         let mut quota = [Quota::default()];
-        let weights = ctx.cfg.ops.weights;
+        let weights = ctx.config.ops.weights;
         let wants = std::slice::from_mut(&mut want);
         let placed = run_round(wants, hosts, &mut quota, &weights);
         Some((placed.first()?.host, job.task))
@@ -278,9 +278,9 @@
 }
 
 /// The least that a task's part of a machine costs an hour.
-fn cheapest(job: &Job, view: &View) -> f64 {
+fn cheapest(job: &Job, view: &ClusterView) -> f64 {
     let spec = &job.spec;
-    let types = view.types.values().map(|t| &t.rec);
+    let types = view.machine_types.values().map(|t| &t.record);
     types
         .filter(|t| {
             spec.types
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -173,7 +173,7 @@
             ExitCause::Full => {
                 // Our booking and the worker's differ; it will settle.
                 if let Some(machine) = self.machines.get_mut(machine) {
-                    machine.full_until = ctx.now + ctx.cfg.report_ms * 2;
+                    machine.full_until = ctx.now + ctx.config.report_ms * 2;
                 }
             }
             ExitCause::InUse | ExitCause::NoSuch => {
@@ -219,7 +219,7 @@
             return;
         }
         let longest = job.failures.longest_run.max(m.failures.longest_run);
-        if ctx.now >= began + well_after(longest, ctx.cfg.report_ms) {
+        if ctx.now >= began + well_after(longest, ctx.config.report_ms) {
             self.ran_well(machine, id, began);
         }
     }
--- a/crates/core/src/evidence/tests.rs
+++ b/crates/core/src/evidence/tests.rs
@@ -129,7 +129,7 @@
 fn a_new_holders_tokens_are_above_all_earlier_ones() {
     let mut f = Fixture::new();
     let machine = f.machine.clone();
-    let rec: MachineRecord = f.node.view.machines[&machine].rec.clone();
+    let record: MachineRecord = f.node.view.machines[&machine].record.clone();
     let ours = f.shard().epoch << crate::shard::TOKEN_BITS;
     for (floor, least) in [
         (0, ours),
@@ -137,11 +137,11 @@
         (ours, ours + 1),
         (ours + 7, ours + 8),
     ] {
-        let rec = MachineRecord {
+        let record = MachineRecord {
             floor,
-            ..rec.clone()
+            ..record.clone()
         };
-        assert_eq!(f.shard().first_token(&rec), least, "floor {floor}");
+        assert_eq!(f.shard().first_token(&record), least, "floor {floor}");
     }
 }
 
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -64,7 +64,7 @@
 impl Context {
     /// A part of a worker's lease, by the settings.
     fn silent_part_ms(&self) -> Ms {
-        (self.cfg.lease_ms as f64 * self.cfg.ops.silent_leases) as Ms
+        (self.config.lease_ms as f64 * self.config.ops.silent_leases) as Ms
     }
 
     /// How long a single machine may be silent. One lost report must not cost
@@ -73,13 +73,17 @@
     /// that took longer than the part of the lease, and a network that was gone
     /// for 1.5 s cost machines with all that ran there.
     pub(crate) fn silent_ms(&self) -> Ms {
-        let most = (self.cfg.lease_ms as f64 * SILENT_MOST) as Ms;
+        let most = (self.config.lease_ms as f64 * SILENT_MOST) as Ms;
         self.silent_part_ms().max(self.return_ms().min(most))
     }
 
     /// How long a worker takes that has sent a report in vain, until it is heard again.
     fn return_ms(&self) -> Ms {
-        self.cfg.longest_report_ms() + REPORT_TIMEOUT + NEXT_CONTROLLER + REDIRECT + REPORT_LATE_MS
+        self.config.longest_report_ms()
+            + REPORT_TIMEOUT
+            + NEXT_CONTROLLER
+            + REDIRECT
+            + REPORT_LATE_MS
     }
 
     /// How long a machine may be silent before it is given up. Nobody knows
@@ -104,7 +108,7 @@
     /// After this process stood still, silence is counted from now on: it
     /// heard nobody meanwhile.
     pub(crate) fn note_process_pause(&mut self, now: Ms) {
-        if now > self.now + self.cfg.report_ms / 2 {
+        if now > self.now + self.config.report_ms / 2 {
             self.resumed_at = now;
             self.store.note_pause(now);
         }
@@ -157,11 +161,11 @@
 impl Shard {
     /// Counts machines that should report, and those that do not, by zone.
     fn count_machines(&self, ctx: &Context, zones: &mut BTreeMap<u16, Count>) {
-        let quiet = (ctx.silent_part_ms() / 2).max(ctx.cfg.longest_report_ms());
+        let quiet = (ctx.silent_part_ms() / 2).max(ctx.config.longest_report_ms());
         // Who was never heard may still be on the way to us for a lease.
         let timing = Timing {
             report_ms: quiet,
-            lease_ms: ctx.cfg.lease_ms * 2,
+            lease_ms: ctx.config.lease_ms * 2,
         };
         for m in self.machines.values().filter(|m| m.condemned.is_none()) {
             if m.addr.is_none() && m.heard.is_none() {
@@ -201,11 +205,11 @@
                 .peer_confirmations
                 .note_lease_valid_until(self.membership.lease_valid_until(&self.ctx));
         }
-        if self.ctx.now < self.failure_detector_at {
+        if self.ctx.now < self.next_failure_detection_at {
             return;
         }
-        self.failure_detector_at = self.ctx.now + self.ctx.heartbeat_interval_ms();
-        let cfg = self.ctx.cfg.clone();
+        self.next_failure_detection_at = self.ctx.now + self.ctx.heartbeat_interval_ms();
+        let config = self.ctx.config.clone();
         self.send_heartbeats();
         self.ask_for_relays();
         let mut zones: BTreeMap<u16, Count> = BTreeMap::new();
@@ -226,7 +230,7 @@
         let is_isolated = self.ctx.has_valid_lease && !self.ctx.links.allow(Decision::HoldShares);
         let kept = |zone: u16| {
             let name = self.ctx.places.name(zone).unwrap_or_default();
-            cfg.zones_kept_in_partition(name) >= KEPT_ALIVE_PART_LEAST
+            config.zones_kept_in_partition(name) >= KEPT_ALIVE_PART_LEAST
         };
         let now = self.ctx.now;
         let until = now + self.ctx.return_ms();
@@ -257,14 +261,14 @@
         };
         if is_isolated {
             self.ctx.reports_no_heartbeats_until =
-                self.ctx.now + self.ctx.cfg.lease_ms * ISOLATED_LEASES;
+                self.ctx.now + self.ctx.config.lease_ms * ISOLATED_LEASES;
         }
     }
 
     /// Calls some machines that were not called lately: where few are called nobody could
     /// tell one that is lost from a controller whose calls are.
     fn call_untried_machines(&mut self) {
-        let timing = self.ctx.cfg.link_timing();
+        let timing = self.ctx.config.link_timing();
         let now = self.ctx.now;
         let active = self.shards.values_mut();
         for shard in active.filter(|s| s.phase == Phase::Active) {
@@ -282,23 +286,23 @@
     /// Who should hold our shards while we hear no machine: a controller that
     /// is there and hears them, or has yet to try.
     pub(crate) fn handover_target(&self) -> Option<NodeName> {
-        let us = &self.ctx.cfg.node;
+        let us = &self.ctx.config.node;
         let told = self
             .view
             .nodes
             .get(us)
-            .is_some_and(|n| n.rec.receives_no_heartbeats);
+            .is_some_and(|n| n.record.receives_no_heartbeats);
         if !self.ctx.failure_detector.is_isolated || !told {
             return None;
         }
         let held = |n: &NodeName| {
             let shards = self.view.shards.values();
-            shards.filter(|s| s.rec.holder == *n).count()
+            shards.filter(|s| s.record.holder == *n).count()
         };
-        let others = self.view.nodes.iter().filter(|(n, rec)| {
+        let others = self.view.nodes.iter().filter(|(n, record)| {
             *n != us
-                && !rec.rec.receives_no_heartbeats
-                && self.ctx.is_peer_alive(n, rec.rec.incarnation)
+                && !record.record.receives_no_heartbeats
+                && self.ctx.is_peer_alive(n, record.record.incarnation)
         });
         let least = others.min_by_key(|(n, _)| held(n));
         least.map(|(n, _)| n.clone())
--- a/crates/core/src/failure_detector/tests.rs
+++ b/crates/core/src/failure_detector/tests.rs
@@ -9,7 +9,7 @@
 /// Waiting for a zone where leases end anyway once cost more than the cut.
 #[test]
 fn a_zone_is_waited_for_where_leases_can_be_kept() {
-    let mut cfg = Config::new(
+    let mut config = Config::new(
         &Settings::parse(SETTINGS).expect("the example is good"),
         Operator::default(),
     );
@@ -21,13 +21,13 @@
         ("one of three, long leases", 3, 1, 24_000, 3_000, true),
     ];
     for (name, nodes, inside, lease, report, waits) in cases {
-        cfg.nodes = (0..nodes).map(|n| NodeName::new(&n.to_string())).collect();
+        config.nodes = (0..nodes).map(|n| NodeName::new(&n.to_string())).collect();
         let zone = |n: usize| if n < inside { "in" } else { "out" }.to_owned();
-        let zones = cfg.nodes.iter().enumerate();
-        cfg.zones = zones.map(|(n, name)| (name.clone(), zone(n))).collect();
-        (cfg.lease_ms, cfg.report_ms) = (lease, report);
+        let zones = config.nodes.iter().enumerate();
+        config.zones = zones.map(|(n, name)| (name.clone(), zone(n))).collect();
+        (config.lease_ms, config.report_ms) = (lease, report);
         assert_eq!(
-            cfg.zones_kept_in_partition("in") >= KEPT_ALIVE_PART_LEAST,
+            config.zones_kept_in_partition("in") >= KEPT_ALIVE_PART_LEAST,
             waits,
             "{name}"
         );
@@ -40,7 +40,7 @@
 fn a_stop_is_not_taken_for_silence() {
     for (stands_still, given_up) in [(true, false), (false, true)] {
         let mut f = crate::fixture::Fixture::new();
-        let patience = f.node.ctx.cfg.lease_ms * 10;
+        let patience = f.node.ctx.config.lease_ms * 10;
         let steps = if stands_still { 1 } else { patience / 500 };
         for _ in 0..steps {
             f.step(patience / steps);
@@ -64,8 +64,8 @@
     ];
     for (lease, report, waited) in cases {
         let mut f = crate::fixture::Fixture::new();
-        let cfg = std::rc::Rc::get_mut(&mut f.node.ctx.cfg).expect("nobody else has it");
-        (cfg.lease_ms, cfg.report_ms) = (lease, report);
+        let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("nobody else has it");
+        (config.lease_ms, config.report_ms) = (lease, report);
         assert_eq!(f.node.ctx.silent_ms(), waited, "lease of {lease} ms");
     }
 }
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -5,13 +5,13 @@
 use crate::io::{Effect, Input, Reply, RequestId};
 use crate::job::{Binding, Sent};
 use crate::node::Node;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{
     machine_key, node_key, shard_key, type_key, LeaderRecord, MachineRecord, NodeRecord, ShardId,
     ShardRecord, LEADER,
 };
 use crate::shard::{Phase, Shard};
-use crate::view::Stamped;
+use crate::view::Versioned;
 use crate::Ms;
 use forkshift_wire::settings::Settings;
 use forkshift_wire::state::Item;
@@ -38,11 +38,11 @@
 impl Fixture {
     pub(crate) fn new() -> Self {
         let settings = Settings::parse(SETTINGS).expect("the example is good");
-        let cfg = Config::new(&settings, Operator::default());
-        let us = cfg.node.clone();
-        let team = cfg.teams.values().next().expect("a team");
+        let config = Config::new(&settings, Operator::default());
+        let us = config.node.clone();
+        let team = config.teams.values().next().expect("a team");
         let (shard, zone) = (team.shard, settings.zone.clone());
-        let mut node = Node::new(cfg, 1, 1);
+        let mut node = Node::new(config, 1, 1);
         let machine = MachineId::new("m-1");
         let held = ShardRecord {
             holder: us.clone(),
@@ -117,7 +117,7 @@
 
     /// The controller loses its right.
     pub(crate) fn lose_right(&mut self) {
-        self.node.ctx.now += self.node.ctx.cfg.node_lease_ms();
+        self.node.ctx.now += self.node.ctx.config.node_lease_ms();
         self.node.run_failure_detector();
     }
 
@@ -191,12 +191,12 @@
     /// All controllers know the newest format, and the limits that are announced
     /// are those of the large deployments' next ones.
     pub(crate) fn finalize_format(&mut self) {
-        let mut cfg = (*self.node.ctx.cfg).clone();
-        cfg.least_state_limits.value_bytes = 2_048;
-        cfg.least_state_limits.txn_ops = 4;
-        self.node.ctx.cfg = Rc::new(cfg);
-        self.node.view.finalized_format = Some(Stamped {
-            rec: FormatVersion::CURRENT,
+        let mut config = (*self.node.ctx.config).clone();
+        config.least_state_limits.value_bytes = 2_048;
+        config.least_state_limits.txn_ops = 4;
+        self.node.ctx.config = Rc::new(config);
+        self.node.view.finalized_format = Some(Versioned {
+            record: FormatVersion::CURRENT,
             version: 5,
         });
         self.step(0);
@@ -259,7 +259,7 @@
     /// Ends the last call of a kind that waits.
     pub(crate) fn answer(
         &mut self,
-        which: impl Fn(&Pending) -> bool,
+        which: impl Fn(&PendingCall) -> bool,
         status: u16,
         body: &Value,
     ) -> Vec<Effect> {
@@ -273,10 +273,10 @@
     }
 }
 
-fn item(key: String, rec: &impl Serialize, version: u64) -> Item {
+fn item(key: String, record: &impl Serialize, version: u64) -> Item {
     Item {
         key,
-        value: to_value(rec).expect("a record"),
+        value: to_value(record).expect("a record"),
         version,
     }
 }
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -103,8 +103,8 @@
         what: ForwardedRequest,
         time: Ms,
     ) {
-        self.asks += 1;
-        let request_number = self.asks;
+        self.forwarded_count += 1;
+        let request_number = self.forwarded_count;
         let now = self.ctx.now;
         self.ctx.send_to_peer(to, 0, what.message(request_number));
         let forward = Forward {
@@ -139,25 +139,27 @@
             }
             _ => return None,
         };
-        let us = &self.ctx.cfg.node;
+        let us = &self.ctx.config.node;
         if let Some(id) = &id {
             let ours = self.shards.values().any(|s| s.jobs.contains_key(id));
             let right = self.membership.has_valid_lease(&self.ctx, &self.view);
-            if self.finals.get(id).is_some() || (ours && right) {
+            if self.final_stages.get(id).is_some() || (ours && right) {
                 return None;
             }
-            let home = self.homes.get(id);
+            let home = self.job_shards.get(id);
             let holder = home.and_then(|k| self.view.holder(k)).filter(|n| *n != us);
             if holder.is_some() && !ours {
                 return holder.cloned();
             }
         }
-        if !self.ctx.store.is_out() || self.ctx.now < self.all_out_until {
+        if !self.ctx.store.is_out() || self.ctx.now < self.store_down_everywhere_until {
             return None;
         }
         let others: Vec<&NodeName> = self.view.nodes.keys().filter(|n| *n != us).collect();
         let n = others.len().max(1) as u64;
-        others.get((self.asks % n) as usize).map(|n| (*n).clone())
+        others
+            .get((self.forwarded_count % n) as usize)
+            .map(|n| (*n).clone())
     }
 
     /// Another controller passes a request on to us.
@@ -172,7 +174,7 @@
         if !path.starts_with("/submissions") && path != REPORT_PATH {
             return;
         }
-        let is_full = self.ctx.peer_requests.len() >= self.ctx.cfg.bounds.forwarded_requests;
+        let is_full = self.ctx.peer_requests.len() >= self.ctx.config.bounds.forwarded_requests;
         let request = self.ctx.add_peer_request(from, incarnation, request_number);
         if is_full {
             // Whoever passed it on deals with it, and need not wait to do so.
@@ -194,15 +196,15 @@
         if reply.status == 503 {
             if self.ctx.store.is_out() {
                 // The service is out for others, too.
-                self.all_out_until = self.ctx.now + OUT_MS;
+                self.store_down_everywhere_until = self.ctx.now + OUT_MS;
             }
             return self.deal_with(forward);
         }
         let told = serde_json::from_slice::<JobStatus>(&reply.body).ok();
         if let Some(told) = told.filter(|_| reply.status == 200) {
             if told.stage.is_final() {
-                self.finals.insert(told.id, told.stage);
-            } else if let Some(stage) = self.finals.get(&told.id) {
+                self.final_stages.insert(told.id, told.stage);
+            } else if let Some(stage) = self.final_stages.get(&told.id) {
                 // The answer was overtaken by a newer one.
                 let newer = Reply::json(200, &status(&told.id, stage));
                 return self.ctx.respond(forward.request, newer);
--- a/crates/core/src/forward/tests.rs
+++ b/crates/core/src/forward/tests.rs
@@ -33,7 +33,7 @@
 #[test]
 fn one_request_too_many_is_refused_at_once() {
     let mut f = Fixture::new();
-    let most = f.node.ctx.cfg.bounds.forwarded_requests as u64;
+    let most = f.node.ctx.config.bounds.forwarded_requests as u64;
     for ask in 0..most {
         pass_on(&mut f.node, ask);
     }
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -6,9 +6,9 @@
 use crate::format::FormatVersion;
 use crate::io::{Effect, Input, RequestId, Target};
 use crate::node::Node;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::RentalIntent;
-use crate::view::Stamped;
+use crate::view::Versioned;
 use forkshift_pools::{PoolSpec, Pools};
 use forkshift_wire::settings::Settings;
 use forkshift_wire::users::{JobKind, JobSpec};
@@ -203,7 +203,7 @@
         transcript.add(name, &effects);
         let is_lookup = |e: &Effect| matches!(e, Effect::Call { method: "GET", .. });
         if effects.iter().any(is_lookup) {
-            let lookup = |p: &Pending| matches!(p, Pending::Lookup { .. });
+            let lookup = |p: &PendingCall| matches!(p, PendingCall::JobLookup { .. });
             let effects = f.answer(lookup, 404, &json!({"ledger_rev": 5}));
             transcript.add(&format!("{name}_not_recorded"), &effects);
         }
@@ -218,13 +218,13 @@
     f.step(0);
     let token = f.token();
     let report = to_value(f.message(1, token, &[])).expect("JSON");
-    let is_command = |p: &Pending| matches!(p, Pending::Commands { .. });
+    let is_command = |p: &PendingCall| matches!(p, PendingCall::Commands { .. });
     f.answer(is_command, 200, &report);
     let mut transcript = Transcript::default();
     let body = submission(&mut f, "j-2");
     let body = to_string(&body).expect("JSON");
     transcript.add("submit", &request(&mut f, "POST", "/submissions", &body));
-    let is_submission = |p: &Pending| matches!(p, Pending::Create(_));
+    let is_submission = |p: &PendingCall| matches!(p, PendingCall::JobCreation(_));
     let accepted = f.answer(is_submission, 200, &json!({"ledger_rev": 8}));
     transcript.add("accepted", &accepted);
     run(&mut f.node, 10, &mut transcript);
@@ -253,7 +253,7 @@
     }
     let listed = json!({"berths": [{"uid": "m-1", "addr": "10.1.0.1:9000", "rig": "big",
         "yard": "hall-a", "stage": "running"}], "has_next": true});
-    let is_list = |p: &Pending| matches!(p, Pending::MachineList { .. });
+    let is_list = |p: &PendingCall| matches!(p, PendingCall::MachineList { .. });
     transcript.add("second_page", &f.answer(is_list, 200, &listed));
     record_catalog(&mut f);
     transcript.add("catalog", &f.step(0));
@@ -264,15 +264,18 @@
         spot: false,
         placed: 0,
     };
-    let stamped = Stamped {
-        rec: intent,
+    let versioned = Versioned {
+        record: intent,
         version: 9,
     };
-    f.node.view.rental_intents.insert("r-1".to_owned(), stamped);
+    f.node
+        .view
+        .provisioning_intents
+        .insert("r-1".to_owned(), versioned);
     transcript.add("rent", &f.step(1000));
     let ctx = &mut f.node.ctx;
-    ctx.delete_machines(vec![MachineId::new("m-8")], Pending::Catalog);
-    ctx.request_worker_status("10.1.0.1:9000", 100, Pending::Catalog);
+    ctx.delete_machines(vec![MachineId::new("m-8")], PendingCall::Catalog);
+    ctx.request_worker_status("10.1.0.1:9000", 100, PendingCall::Catalog);
     transcript.add("delete_and_status", &std::mem::take(&mut ctx.effects));
     compare(include_str!("cloud_and_workers.tsv"), &transcript.0);
 }
@@ -290,11 +293,11 @@
     transcript.add("abort", &abort);
     let job = json!({"spec": submission_of("readers", "j-5"), "share": 0, "stage": "pending"});
     let job = json!({"data": job, "stamp": 5});
-    let is_lookup = |p: &Pending| matches!(p, Pending::Lookup { .. });
+    let is_lookup = |p: &PendingCall| matches!(p, PendingCall::JobLookup { .. });
     transcript.add("abort_recorded", &f.answer(is_lookup, 200, &job));
     let page = json!({"items": [{"key": "live/0/j-4", "data": {}, "stamp": 5}],
         "has_next": true, "ledger_rev": 6});
-    let is_list = |p: &Pending| matches!(p, Pending::ShardList { .. });
+    let is_list = |p: &PendingCall| matches!(p, PendingCall::ShardList { .. });
     transcript.add("second_page", &f.answer(is_list, 200, &page));
     f.node.shards.remove(&shard);
     f.node.view.shards.remove(&shard);
@@ -319,19 +322,19 @@
         ..PoolSpec::default()
     };
     let teams = [spec.team.as_str()];
-    let mut cfg = (*f.node.ctx.cfg).clone();
-    cfg.ops.pools = Pools::parse(std::slice::from_ref(&spec), &teams, &[]).expect("a pool");
-    cfg.format = FormatVersion::POOLS;
-    f.node.ctx.cfg = Rc::new(cfg);
+    let mut config = (*f.node.ctx.config).clone();
+    config.ops.pools = Pools::parse(std::slice::from_ref(&spec), &teams, &[]).expect("a pool");
+    config.format = FormatVersion::POOLS;
+    f.node.ctx.config = Rc::new(config);
     let mut transcript = Transcript::default();
-    f.node.view.finalized_format = Some(Stamped {
-        rec: FormatVersion::POOLS,
+    f.node.view.finalized_format = Some(Versioned {
+        record: FormatVersion::POOLS,
         version: 5,
     });
     transcript.add("finalized", &f.step(0));
     record_catalog(&mut f);
     transcript.add("catalog", &f.step(200));
-    let is_heads = |p: &Pending| matches!(p, Pending::PoolHeads { .. });
+    let is_heads = |p: &PendingCall| matches!(p, PendingCall::PoolRecordsRead { .. });
     let none = json!({"items": [], "has_next": false, "ledger_rev": 6});
     transcript.add("no_heads", &f.answer(is_heads, 200, &none));
     run(&mut f.node, 8, &mut transcript);
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -7,7 +7,7 @@
     abort_key, demand_key, job_key, live_key, live_prefix, machine_key, node_key,
     rental_intent_key, shard_key, type_key, ShardId, CLUSTER, EPOCH, FINALIZED_FORMAT, LEADER,
 };
-use crate::view::View;
+use crate::view::ClusterView;
 use forkshift_pools::account::{head_key, HEADS, POOLS, PRICES};
 use forkshift_pools::PoolName;
 use forkshift_wire::state::Item;
@@ -99,16 +99,19 @@
         value,
         version: 4,
     };
-    let mut view = View::default();
+    let mut view = ClusterView::default();
     view.replace(records.map(item).into(), 9);
-    assert_eq!(view.nodes[&NodeName::new("berth-0")].rec.incarnation, 5);
-    assert_eq!(view.leader.expect("a leader").rec.incarnation, 5);
-    assert_eq!(view.epoch.expect("an epoch").rec, 7);
+    assert_eq!(view.nodes[&NodeName::new("berth-0")].record.incarnation, 5);
+    assert_eq!(view.leader.expect("a leader").record.incarnation, 5);
+    assert_eq!(view.epoch.expect("an epoch").record, 7);
     assert_eq!(view.finalized_format.expect("a format").version, 4);
-    assert_eq!(view.shards[&ShardId(2)].rec.epoch, 7);
-    assert_eq!(view.machines[&MachineId::new("m-1")].rec.shard, ShardId(2));
-    assert_eq!(view.rental_intents["r-1"].rec.count(), 1);
-    assert_eq!(view.types["big"].rec.name, "big");
-    assert_eq!(view.demands[&ShardId(2)].rec.rev, 1);
-    assert!(view.aborts.contains_key(&JobId::new("j-412")));
+    assert_eq!(view.shards[&ShardId(2)].record.epoch, 7);
+    assert_eq!(
+        view.machines[&MachineId::new("m-1")].record.shard,
+        ShardId(2)
+    );
+    assert_eq!(view.provisioning_intents["r-1"].record.count(), 1);
+    assert_eq!(view.machine_types["big"].record.name, "big");
+    assert_eq!(view.demands[&ShardId(2)].record.revision, 1);
+    assert!(view.cancellations.contains_key(&JobId::new("j-412")));
 }
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -172,7 +172,7 @@
         ..shape()
     };
     let demand = DemandRecord {
-        rev: 17,
+        revision: 17,
         shapes: vec![shape(), least.clone()],
         now: vec![least.clone()],
         free: machines(&["m-1"]),
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -171,22 +171,22 @@
     pub(crate) fn restore(
         &mut self,
         block: u32,
-        rec: TaskBlockRecord,
+        record: TaskBlockRecord,
         stamp: u64,
         now: Ms,
     ) -> Vec<(u32, Binding)> {
         let entry = self.blocks.entry(block).or_default();
         entry.stamp = stamp;
-        entry.next = rec.next;
+        entry.next = record.next;
         // It has begun, so all that it needs was done.
-        if rec.next > 0 {
+        if record.next > 0 {
             self.unresolved.clear();
         }
-        for (from, to) in rec.done {
+        for (from, to) in record.done {
             self.done.insert_range(from, to.min(self.spec.tasks));
             self.served_at = Some(now);
         }
-        let bound = rec.bound.into_iter();
+        let bound = record.bound.into_iter();
         bound
             .map(|(index, attempt, machine)| {
                 let binding = Binding {
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -44,8 +44,8 @@
         ),
         (
             "taken over with a completed task",
-            |j, rec| {
-                j.restore(0, rec, 2, SINCE);
+            |j, record| {
+                j.restore(0, record, 2, SINCE);
             },
             30_000,
         ),
--- a/crates/core/src/known_jobs.rs
+++ b/crates/core/src/known_jobs.rs
@@ -5,18 +5,18 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Something that is known of jobs, of as many as are worth remembering.
-pub(crate) struct Known<T> {
+pub(crate) struct RecentJobs<T> {
     /// Most jobs that are remembered.
-    most: usize,
+    capacity: usize,
     of: HashMap<JobId, T>,
     order: VecDeque<JobId>,
 }
 
-impl<T: Copy> Known<T> {
+impl<T: Copy> RecentJobs<T> {
     /// Remembers up to `most` jobs.
     pub(crate) fn new(most: usize) -> Self {
         Self {
-            most,
+            capacity: most,
             of: HashMap::new(),
             order: VecDeque::new(),
         }
@@ -29,7 +29,7 @@
         if is_new {
             self.order.push_back(id);
         }
-        while self.order.len() > self.most {
+        while self.order.len() > self.capacity {
             if let Some(old) = self.order.pop_front() {
                 self.of.remove(&old);
             }
@@ -53,17 +53,17 @@
 }
 
 /// Final stages of jobs, as they are recorded.
-pub(crate) struct Finals {
-    stages: Known<JobStage>,
-    news: Vec<FinalStage>,
+pub(crate) struct FinalStages {
+    stages: RecentJobs<JobStage>,
+    unannounced: Vec<FinalStage>,
 }
 
-impl Finals {
+impl FinalStages {
     /// Remembers the final stages of up to `most` jobs.
     pub(crate) fn new(most: usize) -> Self {
         Self {
-            stages: Known::new(most),
-            news: Vec::new(),
+            stages: RecentJobs::new(most),
+            unannounced: Vec::new(),
         }
     }
 
@@ -79,7 +79,7 @@
 
     fn note(&mut self, id: JobId, stage: JobStage, is_ours: bool) {
         if self.stages.insert(id.clone(), stage) {
-            self.news.push(FinalStage { id, stage, is_ours });
+            self.unannounced.push(FinalStage { id, stage, is_ours });
         }
     }
 
@@ -89,8 +89,8 @@
     }
 
     /// What has become known since this was last asked for.
-    pub(crate) fn take_news(&mut self) -> Vec<FinalStage> {
-        std::mem::take(&mut self.news)
+    pub(crate) fn take_unannounced(&mut self) -> Vec<FinalStage> {
+        std::mem::take(&mut self.unannounced)
     }
 }
 
--- a/crates/core/src/known_jobs/tests.rs
+++ b/crates/core/src/known_jobs/tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn the_oldest_is_forgotten_first() {
     let most = 5;
-    let mut known = Known::new(most);
+    let mut known = RecentJobs::new(most);
     for n in 0..most {
         assert!(known.insert(id(n), n));
     }
@@ -25,11 +25,15 @@
 /// need the job are told, who may have forgotten it as well.
 #[test]
 fn a_forgotten_final_stage_is_news_again() {
-    let mut finals = Finals::new(1);
+    let mut finals = FinalStages::new(1);
     finals.insert(id(1), JobStage::Done);
     finals.insert(id(1), JobStage::Done);
     finals.insert(id(2), JobStage::Done);
     finals.insert(id(1), JobStage::Done);
-    let news: Vec<JobId> = finals.take_news().into_iter().map(|f| f.id).collect();
+    let news: Vec<JobId> = finals
+        .take_unannounced()
+        .into_iter()
+        .map(|f| f.id)
+        .collect();
     assert_eq!(news, vec![id(1), id(2), id(1)]);
 }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -15,12 +15,12 @@
 use crate::context::Context;
 use crate::records::{abort_key, total_of, DemandRecord, ShardId, LEADER};
 use crate::shard::remove_key;
-use crate::store::Bucket;
-use crate::view::{Changed, View};
+use crate::store::TokenBucket;
+use crate::view::{ChangedMachines, ClusterView};
 use crate::Ms;
 use forkshift_pools::account::Price;
 use forkshift_sched::Resources;
-use forkshift_wire::state::Cond;
+use forkshift_wire::state::Precondition;
 use forkshift_wire::{JobId, MachineId, NodeName};
 use renting::Outcome;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -32,7 +32,7 @@
     /// When it became leader.
     active_since: Ms,
     /// Rate limit of calls to the cloud.
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// The cloud is not called before this time.
     pause_until: Ms,
     /// When shards are assigned next.
@@ -100,7 +100,7 @@
         Self {
             active: false,
             active_since: 0,
-            bucket: Bucket::new(cloud_rps * 0.9),
+            bucket: TokenBucket::new(cloud_rps * 0.9),
             pause_until: 0,
             assign_at: 0,
             assigning: BTreeSet::new(),
@@ -132,15 +132,22 @@
     }
 
     /// Whether this start of this controller is the recorded leader.
-    pub(crate) fn is_leader(ctx: &Context, view: &View) -> bool {
+    pub(crate) fn is_leader(ctx: &Context, view: &ClusterView) -> bool {
         let leader = view.leader.as_ref();
-        leader.is_some_and(|l| l.rec.node == ctx.cfg.node && l.rec.incarnation == ctx.incarnation)
+        leader.is_some_and(|l| {
+            l.record.node == ctx.config.node && l.record.incarnation == ctx.incarnation
+        })
     }
 
     /// Does what is due, as long as this controller leads.
-    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View, changed: &Changed) {
+    pub(crate) fn tick(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        changed: &ChangedMachines,
+    ) {
         self.follow_nodes(ctx, view);
-        if !view.ready || !Self::is_leader(ctx, view) {
+        if !view.is_complete || !Self::is_leader(ctx, view) {
             self.active = false;
             return;
         }
@@ -156,7 +163,7 @@
                 intents_written: self.intents_written,
                 active: true,
                 active_since: ctx.now,
-                ..Self::new(ctx.cfg.cloud_rps)
+                ..Self::new(ctx.config.cloud_rps)
             };
         }
         if anew || changed.all {
@@ -170,17 +177,18 @@
             }
         }
         if ctx.now >= self.assign_at {
-            self.assign_at = ctx.now + crate::ms(ctx.cfg.ops.assign_s);
+            self.assign_at = ctx.now + crate::ms(ctx.config.ops.assign_s);
             self.finalize_format(ctx, view);
             self.log_outdated(ctx, view);
             self.assign(ctx, view);
             self.sweep_aborts(ctx, view);
         }
         self.bucket.refill(ctx.now);
-        self.renting.retain(|r| view.rental_intents.contains_key(r));
+        self.renting
+            .retain(|r| view.provisioning_intents.contains_key(r));
         self.delete(ctx, view);
         self.rent(ctx, view);
-        let gap = crate::ms(ctx.cfg.ops.round_gap_s);
+        let gap = crate::ms(ctx.config.ops.round_gap_s);
         if ctx.now >= self.planned_at + gap {
             self.planned_at = ctx.now;
             let demands = self.demands(ctx, view);
@@ -196,7 +204,7 @@
 
     /// Notes since when machines have been known. A deletion of what the view
     /// lacks may be repeated: the cloud ignores names that it does not know.
-    fn follow_all_machines(&mut self, ctx: &Context, view: &View) {
+    fn follow_all_machines(&mut self, ctx: &Context, view: &ClusterView) {
         for id in view.machines.keys() {
             self.seen.entry(id.clone()).or_insert(ctx.now);
         }
@@ -204,25 +212,25 @@
     }
 
     /// Notes since when every start of a controller has been there.
-    fn follow_nodes(&mut self, ctx: &Context, view: &View) {
+    fn follow_nodes(&mut self, ctx: &Context, view: &ClusterView) {
         self.nodes
             .retain(|name, (incarnation, _)| view.is_alive(name, *incarnation));
         for (name, node) in &view.nodes {
             self.nodes
                 .entry(name.clone())
-                .or_insert((node.rec.incarnation, ctx.now));
+                .or_insert((node.record.incarnation, ctx.now));
         }
     }
 
     /// Removes what whoever asked for a cancellation has not: it has ended
     /// since, or the write of its key was carried out late. Users who were not
     /// told yet ask again.
-    fn sweep_aborts(&mut self, ctx: &mut Context, view: &View) {
+    fn sweep_aborts(&mut self, ctx: &mut Context, view: &ClusterView) {
         let known = std::mem::take(&mut self.aborts);
-        for (id, version) in &view.aborts {
+        for (id, version) in &view.cancellations {
             let seen = known.get(id).filter(|(v, _)| v == version);
             let since = seen.map_or(ctx.now, |(_, t)| *t);
-            if ctx.now > since + ctx.cfg.cancel_ms {
+            if ctx.now > since + ctx.config.cancel_ms {
                 remove_key(ctx, abort_key(id), *version);
             } else {
                 self.aborts.insert(id.clone(), (*version, since));
@@ -231,12 +239,12 @@
     }
 
     /// Conditions of a leader's write: the record, and that we still lead.
-    fn conds(&self, view: &View, key: String, version: u64) -> Vec<Cond> {
-        let leader = Cond {
+    fn preconditions(&self, view: &ClusterView, key: String, version: u64) -> Vec<Precondition> {
+        let leader = Precondition {
             key: LEADER.to_owned(),
             version: view.leader.as_ref().map_or(0, |l| l.version),
         };
-        vec![leader, Cond { key, version }]
+        vec![leader, Precondition { key, version }]
     }
 
     /// Whether the cloud may be called now; counts the call.
@@ -260,6 +268,8 @@
 }
 
 /// The capacity of a machine of a type, if the type is known.
-fn total_in(view: &View, machine_type: &str) -> Option<Resources> {
-    view.types.get(machine_type).map(|t| total_of(&t.rec))
+fn total_in(view: &ClusterView, machine_type: &str) -> Option<Resources> {
+    view.machine_types
+        .get(machine_type)
+        .map(|t| total_of(&t.record))
 }
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -3,12 +3,12 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{shard_key, ShardId};
 use crate::shard::hand_over;
 use crate::store::Urgency;
-use crate::view::View;
-use forkshift_wire::state::{Txn, Write};
+use crate::view::ClusterView;
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::NodeName;
 use serde_json::to_value;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 impl Leader {
     /// Gives every shard a holder that is alive, and brings shards back to
     /// controllers that have none.
-    pub(super) fn assign(&mut self, ctx: &mut Context, view: &View) {
+    pub(super) fn assign(&mut self, ctx: &mut Context, view: &ClusterView) {
         // Who hears no worker is given nothing, as long as there are others.
         let are_all_isolated = view.has_no_node_with_heartbeats();
         let is_isolated = |n: &NodeName| {
@@ -27,13 +27,13 @@
                 && view
                     .nodes
                     .get(n)
-                    .is_some_and(|n| n.rec.receives_no_heartbeats)
+                    .is_some_and(|n| n.record.receives_no_heartbeats)
         };
         let able = view.nodes.keys().filter(|n| !is_isolated(n));
         let able = able.filter(|n| Self::may_hold_shards(view, n));
         let mut load: BTreeMap<&NodeName, u32> = able.map(|n| (n, 0)).collect();
         let mut free = Vec::new();
-        for k in (0..ctx.cfg.shards()).map(ShardId) {
+        for k in (0..ctx.config.shards()).map(ShardId) {
             match view.holder(k) {
                 Some(holder) => {
                     if let Some(n) = load.get_mut(holder) {
@@ -47,7 +47,7 @@
         // All of them at once: after a crash of most controllers, workers are
         // left with what remains of their leases. Each shard takes a value of
         // the epoch counter, which is written once.
-        let home = |k: &ShardId| ctx.cfg.nodes.get(k.0 as usize);
+        let home = |k: &ShardId| ctx.config.nodes.get(k.0 as usize);
         let most = ctx.limits.txn_ops - 1;
         let mut given = Vec::new();
         for k in free.into_iter().take(most) {
@@ -73,11 +73,11 @@
     /// controllers start at once, the leader waits a little for those that are
     /// not there yet, lest the first one be given everything. Where one has
     /// stayed, shards are not kept waiting for those that may return.
-    fn retain_assignable(&self, ctx: &Context, view: &View, free: &mut Vec<ShardId>) {
-        let all_free = free.len() == ctx.cfg.shards() as usize;
-        let early = all_free && ctx.now < self.active_since + ctx.cfg.node_lease_ms() / 2;
+    fn retain_assignable(&self, ctx: &Context, view: &ClusterView, free: &mut Vec<ShardId>) {
+        let all_free = free.len() == ctx.config.shards() as usize;
+        let early = all_free && ctx.now < self.active_since + ctx.config.node_lease_ms() / 2;
         free.retain(|k| {
-            let home = ctx.cfg.nodes.get(k.0 as usize);
+            let home = ctx.config.nodes.get(k.0 as usize);
             let there = home.is_some_and(|n| view.nodes.contains_key(n));
             !self.assigning.contains(k) && (there || !early)
         });
@@ -85,8 +85,8 @@
 
     /// Asks for one shard at a time from the controller that holds most, for the
     /// one that holds least, if the difference is more than one shard.
-    fn balance(&mut self, ctx: &mut Context, view: &View, load: &BTreeMap<&NodeName, u32>) {
-        let steady = ctx.cfg.node_lease_ms() * STEADY_LEASES;
+    fn balance(&mut self, ctx: &mut Context, view: &ClusterView, load: &BTreeMap<&NodeName, u32>) {
+        let steady = ctx.config.node_lease_ms() * STEADY_LEASES;
         let ready = |n: &NodeName| {
             self.nodes
                 .get(n)
@@ -102,26 +102,36 @@
         };
         // A wish that names somebody who is gone holds nothing up.
         let moving = view.shards.values().any(|s| {
-            let want = s.rec.handover_to.as_ref();
+            let want = s.record.handover_to.as_ref();
             want.is_some_and(|n| view.nodes.contains_key(n))
         });
         if *most < least + 2 || moving {
             return;
         }
-        let of = view.shards.iter().filter(|(_, s)| s.rec.holder == **from);
-        let home = |k: ShardId| ctx.cfg.nodes.get(k.0 as usize) == Some(*to);
+        let of = view
+            .shards
+            .iter()
+            .filter(|(_, s)| s.record.holder == **from);
+        let home = |k: ShardId| ctx.config.nodes.get(k.0 as usize) == Some(*to);
         let Some((k, shard)) = of.max_by_key(|(k, _)| home(**k)) else {
             return;
         };
         log::info!("shard {k}: {from} is asked to hand it over to {to}");
-        let mut rec = shard.rec.clone();
-        rec.handover_to = Some((*to).clone());
-        let txn = Txn {
-            conds: self.conds(view, shard_key(*k), shard.version),
-            writes: vec![Write::put(shard_key(*k), to_value(rec).unwrap_or_default())],
+        let mut record = shard.record.clone();
+        record.handover_to = Some((*to).clone());
+        let transaction = Transaction {
+            preconditions: self.preconditions(view, shard_key(*k), shard.version),
+            writes: vec![Write::put(
+                shard_key(*k),
+                to_value(record).unwrap_or_default(),
+            )],
         };
         self.assigning.insert(*k);
-        ctx.transact(Urgency::Member, &txn, Pending::ShardPut(vec![*k]));
+        ctx.transact(
+            Urgency::Membership,
+            &transaction,
+            PendingCall::ShardHandover(vec![*k]),
+        );
     }
 
     /// The write of assignments was answered, whatever the answer.
--- a/crates/core/src/leader/deletion.rs
+++ b/crates/core/src/leader/deletion.rs
@@ -4,40 +4,46 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::pools::add_row;
 use crate::records::{machine_key, MachineRecord, LEADER};
 use crate::store::Urgency;
-use crate::view::{Stamped, View};
+use crate::view::{ClusterView, Versioned};
 use forkshift_pools::{Ended, Interval};
 use forkshift_wire::cloud::DELETE_MOST;
-use forkshift_wire::state::{Cond, Txn, Write};
+use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::to_value;
 
 impl Leader {
     /// Writes that a machine is given up.
-    pub(super) fn condemn(&mut self, ctx: &mut Context, view: &View, id: &MachineId, why: &str) {
+    pub(super) fn condemn(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        id: &MachineId,
+        why: &str,
+    ) {
         let Some(machine) = view.machines.get(id) else {
             return;
         };
-        if machine.rec.condemned.is_some() {
+        if machine.record.condemned.is_some() {
             return;
         }
         log::info!("machine {id}: condemned, {why}");
-        let mut rec = machine.rec.clone();
-        rec.condemned = Some(why.to_owned());
+        let mut record = machine.record.clone();
+        record.condemned = Some(why.to_owned());
         let key = machine_key(id);
-        let txn = Txn {
-            conds: self.conds(view, key.clone(), machine.version),
-            writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
+        let transaction = Transaction {
+            preconditions: self.preconditions(view, key.clone(), machine.version),
+            writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
         };
-        ctx.transact(Urgency::Work, &txn, Pending::Housekeeping);
+        ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
     /// Has machines deleted that were given up in their records.
-    pub(super) fn delete(&mut self, ctx: &mut Context, view: &View) {
-        let condemned = view.condemned.iter();
+    pub(super) fn delete(&mut self, ctx: &mut Context, view: &ClusterView) {
+        let condemned = view.decommissioned.iter();
         let condemned: Vec<MachineId> = condemned
             .filter(|id| !self.deleting.contains(*id))
             .take(DELETE_MOST)
@@ -51,7 +57,7 @@
     /// Sends one request for the deletion of some machines.
     pub(super) fn send_delete(&mut self, ctx: &mut Context, machines: Vec<MachineId>) {
         self.deleting.extend(machines.iter().cloned());
-        let pending = Pending::Delete {
+        let pending = PendingCall::DeleteMachines {
             machines: machines.clone(),
         };
         ctx.delete_machines(machines, pending);
@@ -62,7 +68,7 @@
     pub(crate) fn on_delete(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         machines: Vec<MachineId>,
         status: u16,
         body: &[u8],
@@ -80,8 +86,8 @@
             .collect();
         for group in groups_of(gone, ctx.limits.txn_ops) {
             let leader = view.leader.as_ref().map_or(0, |l| l.version);
-            let mut txn = Txn {
-                conds: vec![Cond {
+            let mut transaction = Transaction {
+                preconditions: vec![Precondition {
                     key: LEADER.to_owned(),
                     version: leader,
                 }],
@@ -89,20 +95,24 @@
             };
             for machine in &group {
                 let key = machine_key(&machine.id);
-                txn.conds.push(Cond {
+                transaction.preconditions.push(Precondition {
                     key: key.clone(),
                     version: machine.version,
                 });
-                txn.writes.push(Write::Remove { remove: key });
+                transaction.writes.push(Write::Remove { remove: key });
                 if let Some(row) = &machine.row {
-                    add_row(&mut txn, row.key(), row);
+                    add_row(&mut transaction, row.key(), row);
                 }
                 // Until the view shows it, it must not be deleted again.
                 self.deleting.insert(machine.id.clone());
             }
             log::info!("{} machines returned", group.len());
             let machines = group.into_iter().map(|machine| machine.id).collect();
-            ctx.transact(Urgency::Work, &txn, Pending::Removed { machines });
+            ctx.transact(
+                Urgency::Tasks,
+                &transaction,
+                PendingCall::MachineRecordsRemoval { machines },
+            );
         }
     }
 
@@ -126,12 +136,12 @@
 }
 
 impl Gone {
-    fn new(id: &MachineId, stamped: &Stamped<MachineRecord>, wall: u64) -> Self {
-        let mut rec = stamped.rec.clone();
+    fn new(id: &MachineId, versioned: &Versioned<MachineRecord>, wall: u64) -> Self {
+        let mut record = versioned.record.clone();
         Self {
             id: id.clone(),
-            version: stamped.version,
-            row: rec.close_membership(id, wall, Err(Ended::Lost)),
+            version: versioned.version,
+            row: record.close_membership(id, wall, Err(Ended::Lost)),
         }
     }
 
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -5,12 +5,12 @@
 use super::Leader;
 use crate::context::Context;
 use crate::format::FormatVersion;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{node_key, FINALIZED_FORMAT};
 use crate::store::Urgency;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
-use forkshift_wire::state::{Cond, Txn, Write};
+use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::NodeName;
 use serde_json::to_value;
 
@@ -20,12 +20,12 @@
 
 impl Leader {
     /// Records the newest format that all controllers know, if it is not yet.
-    pub(super) fn finalize_format(&mut self, ctx: &mut Context, view: &View) {
-        let newest = ctx.cfg.registered_format(view.format());
+    pub(super) fn finalize_format(&mut self, ctx: &mut Context, view: &ClusterView) {
+        let newest = ctx.config.registered_format(view.format());
         if view.format() >= newest || ctx.now < self.finalize_at {
             return;
         }
-        let looks = crate::ms(ctx.cfg.ops.assign_s);
+        let looks = crate::ms(ctx.config.ops.assign_s);
         let lacking: Vec<NodeName> = lacking(ctx, view, newest);
         if !lacking.is_empty() && ctx.now >= self.blockers_logged_at {
             self.blockers_logged_at = ctx.now + looks * Ms::from(LOG_LOOKS);
@@ -40,38 +40,41 @@
         }
         self.finalize_at = ctx.now + looks * Ms::from(TRY_LOOKS);
         let version = view.finalized_format.as_ref().map_or(0, |f| f.version);
-        let mut conds = self.conds(view, FINALIZED_FORMAT.to_owned(), version);
+        let mut preconditions = self.preconditions(view, FINALIZED_FORMAT.to_owned(), version);
         // Each is still the process that said so.
         for (name, node) in &view.nodes {
             let (key, version) = (node_key(name), node.version);
-            conds.push(Cond { key, version });
+            preconditions.push(Precondition { key, version });
         }
-        conds.truncate(ctx.limits.conditions());
+        preconditions.truncate(ctx.limits.conditions());
         let value = to_value(format).unwrap_or_default();
         let writes = vec![Write::put(FINALIZED_FORMAT.to_owned(), value)];
         ctx.transact(
-            Urgency::Member,
-            &Txn { conds, writes },
-            Pending::Housekeeping,
+            Urgency::Membership,
+            &Transaction {
+                preconditions,
+                writes,
+            },
+            PendingCall::Housekeeping,
         );
     }
 
     /// Whether a controller may hold shards. One of a release that does not
     /// know the finalized format can't read what is written.
-    pub(super) fn may_hold_shards(view: &View, name: &NodeName) -> bool {
+    pub(super) fn may_hold_shards(view: &ClusterView, name: &NodeName) -> bool {
         let node = view.nodes.get(name);
-        node.is_some_and(|n| n.rec.format >= view.format())
+        node.is_some_and(|n| n.record.format >= view.format())
     }
 
     /// Logs controllers that came back as an old release after finalization.
-    pub(super) fn log_outdated(&mut self, ctx: &Context, view: &View) {
+    pub(super) fn log_outdated(&mut self, ctx: &Context, view: &ClusterView) {
         if ctx.now < self.outdated_logged_at {
             return;
         }
         let outdated = view.nodes.keys();
         let outdated = outdated.filter(|n| !Self::may_hold_shards(view, n));
         for name in outdated {
-            let pause = crate::ms(ctx.cfg.ops.assign_s) * Ms::from(LOG_LOOKS);
+            let pause = crate::ms(ctx.config.ops.assign_s) * Ms::from(LOG_LOOKS);
             self.outdated_logged_at = ctx.now + pause;
             let format = view.format();
             log::error!(
@@ -82,19 +85,23 @@
 }
 
 /// The newest format that all configured controllers have registered with.
-fn known_to_all(ctx: &Context, view: &View) -> FormatVersion {
+fn known_to_all(ctx: &Context, view: &ClusterView) -> FormatVersion {
     let of = |name: &NodeName| {
         view.nodes
             .get(name)
-            .map_or(FormatVersion::FIRST, |n| n.rec.format)
+            .map_or(FormatVersion::FIRST, |n| n.record.format)
     };
-    let all = ctx.cfg.nodes.iter().map(of);
+    let all = ctx.config.nodes.iter().map(of);
     all.min().unwrap_or(FormatVersion::FIRST)
 }
 
 /// Configured controllers that have not registered with a format.
-fn lacking(ctx: &Context, view: &View, format: FormatVersion) -> Vec<NodeName> {
-    let has = |name: &NodeName| view.nodes.get(name).is_some_and(|n| n.rec.format >= format);
-    let all = ctx.cfg.nodes.iter();
+fn lacking(ctx: &Context, view: &ClusterView, format: FormatVersion) -> Vec<NodeName> {
+    let has = |name: &NodeName| {
+        view.nodes
+            .get(name)
+            .is_some_and(|n| n.record.format >= format)
+    };
+    let all = ctx.config.nodes.iter();
     all.filter(|name| !has(name)).cloned().collect()
 }
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -4,13 +4,13 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{type_key, MachineRecord};
 use crate::store::Urgency;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::cloud::{Catalog, Listed, MachineList, MachineStage, DELETE_MOST, LIST_MOST};
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::to_value;
 use std::collections::BTreeMap;
@@ -41,11 +41,11 @@
         }
         if ctx.now >= self.catalog_at && self.may_call(ctx) {
             self.catalog_at = ctx.now + CATALOG_RETRY;
-            ctx.call_cloud("GET", "/catalog".to_owned(), None, Pending::Catalog);
+            ctx.call_cloud("GET", "/catalog".to_owned(), None, PendingCall::Catalog);
         }
         if !self.listing && ctx.now >= self.list_at && self.may_call(ctx) {
             self.listing = true;
-            self.list_at = ctx.now + ctx.cfg.list_lag_ms.max(LIST_PAUSE_LEAST);
+            self.list_at = ctx.now + ctx.config.list_lag_ms.max(LIST_PAUSE_LEAST);
             self.list(ctx, Vec::new());
         }
     }
@@ -56,11 +56,17 @@
         if let Some(last) = page.last() {
             path.push_str(&format!("&from={}", last.id));
         }
-        ctx.call_cloud("GET", path, None, Pending::MachineList { page });
+        ctx.call_cloud("GET", path, None, PendingCall::MachineList { page });
     }
 
     /// The cloud has sent its catalogue: types that changed are written.
-    pub(crate) fn on_catalog(&mut self, ctx: &mut Context, view: &View, status: u16, body: &[u8]) {
+    pub(crate) fn on_catalog(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        status: u16,
+        body: &[u8],
+    ) {
         if self.cloud_unavailable(ctx, status, body) || status != 200 {
             return;
         }
@@ -77,7 +83,7 @@
         let all_known = catalog
             .types
             .iter()
-            .all(|t| view.types.contains_key(&t.name));
+            .all(|t| view.machine_types.contains_key(&t.name));
         self.catalog_at = ctx.now
             + if all_known {
                 CATALOG_PAUSE
@@ -86,16 +92,20 @@
             };
         self.record_prices(ctx, view, &catalog.types);
         for t in catalog.types {
-            let known = view.types.get(&t.name);
-            if known.is_some_and(|k| k.rec == t) {
+            let known = view.machine_types.get(&t.name);
+            if known.is_some_and(|k| k.record == t) {
                 continue;
             }
             let key = type_key(&t.name);
-            let txn = Txn {
-                conds: self.conds(view, key.clone(), known.map_or(0, |k| k.version)),
+            let transaction = Transaction {
+                preconditions: self.preconditions(
+                    view,
+                    key.clone(),
+                    known.map_or(0, |k| k.version),
+                ),
                 writes: vec![Write::put(key, to_value(t).unwrap_or_default())],
             };
-            ctx.transact(Urgency::Work, &txn, Pending::Housekeeping);
+            ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
         }
     }
 
@@ -104,7 +114,7 @@
     pub(crate) fn on_list(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         mut page: Vec<Listed>,
         status: u16,
         body: &[u8],
@@ -135,12 +145,12 @@
     fn condemn_listed(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         listed: &BTreeMap<&MachineId, &Listed>,
     ) {
         for (id, machine) in &view.machines {
             let listed = listed.get(id).copied();
-            if let Some(why) = self.why_condemn(ctx, view, id, &machine.rec, listed) {
+            if let Some(why) = self.why_condemn(ctx, view, id, &machine.record, listed) {
                 self.condemn(ctx, view, id, why);
             }
         }
@@ -150,15 +160,15 @@
     fn why_condemn(
         &mut self,
         ctx: &Context,
-        view: &View,
+        view: &ClusterView,
         id: &MachineId,
-        rec: &MachineRecord,
+        record: &MachineRecord,
         listed: Option<&Listed>,
     ) -> Option<&'static str> {
         let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
-        let of_type = view.types.get(&rec.machine_type);
-        let boot_s = of_type.map_or(BOOT_S_UNKNOWN, |t| t.rec.boot_s);
-        let late = rec.addr.is_none() && known_for > crate::ms(boot_s * BOOTS_MOST);
+        let of_type = view.machine_types.get(&record.machine_type);
+        let boot_s = of_type.map_or(BOOT_S_UNKNOWN, |t| t.record.boot_s);
+        let late = record.addr.is_none() && known_for > crate::ms(boot_s * BOOTS_MOST);
         match listed {
             Some(l) if l.stage == MachineStage::Failed => Some("it failed"),
             _ if late => Some("it never came up"),
@@ -166,7 +176,7 @@
                 self.absent.remove(id);
                 None
             }
-            None if known_for > ctx.cfg.list_lag_ms * SETTLED_LAGS => {
+            None if known_for > ctx.config.list_lag_ms * SETTLED_LAGS => {
                 // Lists may be older than those before them.
                 let lists = self.absent.entry(id.clone()).or_default();
                 *lists += 1;
@@ -180,12 +190,13 @@
     /// by a request that came late, and nothing was ever started there. Without
     /// a valid lease we may have a successor, whose machines our view does not
     /// show.
-    fn return_unknown(&mut self, ctx: &mut Context, view: &View, listed: &[Listed]) {
-        let no_intents = view.rental_intents.is_empty() && self.intents_being_written.is_empty();
+    fn return_unknown(&mut self, ctx: &mut Context, view: &ClusterView, listed: &[Listed]) {
+        let no_intents =
+            view.provisioning_intents.is_empty() && self.intents_being_written.is_empty();
         if !ctx.has_valid_lease || !no_intents {
             return;
         }
-        let settled_ms = ctx.cfg.list_lag_ms as f64 * SETTLED_LAGS as f64;
+        let settled_ms = ctx.config.list_lag_ms as f64 * SETTLED_LAGS as f64;
         let unknown: Vec<MachineId> = listed
             .iter()
             .filter(|m| !view.machines.contains_key(&m.id) && !self.deleting.contains(&m.id))
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -2,13 +2,13 @@
 
 use super::{total_in, Leader};
 use crate::context::Context;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{machine_key, DemandRecord, MachineRecord, ShapeRecord, ShardId};
 use crate::store::Urgency;
-use crate::view::{Stamped, View};
+use crate::view::{ClusterView, Versioned};
 use crate::Ms;
 use forkshift_sched::Resources;
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::to_value;
 use std::collections::BTreeMap;
@@ -18,22 +18,26 @@
 
 impl Leader {
     /// A holder reports the unmet demand of its shard.
-    pub(crate) fn on_demand(&mut self, now: Ms, k: ShardId, epoch: u64, rec: DemandRecord) {
+    pub(crate) fn on_demand(&mut self, now: Ms, k: ShardId, epoch: u64, record: DemandRecord) {
         if self.reported.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
-            self.reported.insert(k, (epoch, now, rec));
+            self.reported.insert(k, (epoch, now, record));
             self.new_reports = true;
         }
     }
 
     /// Unmet demand: what holders reported lately, or else have written.
-    pub(super) fn demands(&self, ctx: &Context, view: &View) -> BTreeMap<ShardId, DemandRecord> {
-        let valid = crate::ms(ctx.cfg.ops.round_s * REPORT_ROUNDS);
-        let written = view.demands.iter().map(|(k, d)| (*k, d.rec.clone()));
+    pub(super) fn demands(
+        &self,
+        ctx: &Context,
+        view: &ClusterView,
+    ) -> BTreeMap<ShardId, DemandRecord> {
+        let valid = crate::ms(ctx.config.ops.round_s * REPORT_ROUNDS);
+        let written = view.demands.iter().map(|(k, d)| (*k, d.record.clone()));
         let mut demands: BTreeMap<ShardId, DemandRecord> = written.collect();
-        for (k, (epoch, at, rec)) in &self.reported {
-            let current = view.shards.get(k).is_some_and(|s| s.rec.epoch == *epoch);
+        for (k, (epoch, at, record)) in &self.reported {
+            let current = view.shards.get(k).is_some_and(|s| s.record.epoch == *epoch);
             if current && ctx.now <= at + valid {
-                demands.insert(*k, rec.clone());
+                demands.insert(*k, record.clone());
             }
         }
         demands
@@ -44,7 +48,7 @@
     pub(super) fn lend(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
     ) {
         self.lending
@@ -59,8 +63,8 @@
                 .lending
                 .keys()
                 .filter_map(|id| view.machines.get(id))
-                .filter(|m| m.rec.want == Some(*k))
-                .filter_map(|m| total_in(view, &m.rec.machine_type))
+                .filter(|m| m.record.want == Some(*k))
+                .filter_map(|m| total_in(view, &m.record.machine_type))
                 .collect();
             for (shape, waits) in wanted {
                 let task = shape.resources();
@@ -77,7 +81,7 @@
                     let Some(machine) = view.machines.get(&id) else {
                         break;
                     };
-                    let mut room = total_in(view, &machine.rec.machine_type).unwrap_or_default();
+                    let mut room = total_in(view, &machine.record.machine_type).unwrap_or_default();
                     left -= book(&mut room, &task, left);
                     coming.push(room);
                     self.ask_for_machine(ctx, view, id, machine, *k);
@@ -90,28 +94,28 @@
     fn ask_for_machine(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         id: MachineId,
-        machine: &Stamped<MachineRecord>,
+        machine: &Versioned<MachineRecord>,
         to: ShardId,
     ) {
-        let from = machine.rec.shard;
+        let from = machine.record.shard;
         log::info!("machine {id}: asked of shard {from} for shard {to}");
-        let mut rec = machine.rec.clone();
-        rec.want = Some(to);
+        let mut record = machine.record.clone();
+        record.want = Some(to);
         let key = machine_key(&id);
-        let txn = Txn {
-            conds: self.conds(view, key.clone(), machine.version),
-            writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
+        let transaction = Transaction {
+            preconditions: self.preconditions(view, key.clone(), machine.version),
+            writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
         };
         self.lending.insert(id, machine.version);
-        ctx.transact(Urgency::Work, &txn, Pending::Housekeeping);
+        ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
     /// A free machine of another shard that a shape may use.
     fn lendable(
         &self,
-        view: &View,
+        view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
         k: ShardId,
         shape: &ShapeRecord,
@@ -134,7 +138,7 @@
     /// shape that may have it given back.
     fn reclaimable(
         &self,
-        view: &View,
+        view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
         k: ShardId,
         shape: &ShapeRecord,
@@ -154,19 +158,29 @@
     }
 
     /// Whether a shard may be asked for a machine that suits a shape.
-    fn may_move(&self, view: &View, from: ShardId, id: &MachineId, shape: &ShapeRecord) -> bool {
-        let Some(rec) = view.machines.get(id).map(|m| &m.rec) else {
+    fn may_move(
+        &self,
+        view: &ClusterView,
+        from: ShardId,
+        id: &MachineId,
+        shape: &ShapeRecord,
+    ) -> bool {
+        let Some(record) = view.machines.get(id).map(|m| &m.record) else {
             return false;
         };
         let types = shape.types.as_ref();
-        rec.shard == from
-            && rec.want.is_none()
-            && rec.condemned.is_none()
+        record.shard == from
+            && record.want.is_none()
+            && record.condemned.is_none()
             && !self.lending.contains_key(id)
-            && (shape.spot || !rec.spot)
-            && types.is_none_or(|t| t.contains(&rec.machine_type))
-            && shape.zones.as_ref().is_none_or(|z| z.contains(&rec.zone))
-            && total_in(view, &rec.machine_type).is_some_and(|total| shape.resources().fits(&total))
+            && (shape.spot || !record.spot)
+            && types.is_none_or(|t| t.contains(&record.machine_type))
+            && shape
+                .zones
+                .as_ref()
+                .is_none_or(|z| z.contains(&record.zone))
+            && total_in(view, &record.machine_type)
+                .is_some_and(|total| shape.resources().fits(&total))
     }
 }
 
--- a/crates/core/src/leader/prices.rs
+++ b/crates/core/src/leader/prices.rs
@@ -6,14 +6,14 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::pools::add_row;
 use crate::records::LEADER;
 use crate::store::Urgency;
-use crate::view::View;
+use crate::view::ClusterView;
 use forkshift_pools::account::Price;
 use forkshift_wire::cloud::MachineType;
-use forkshift_wire::state::{Cond, Txn};
+use forkshift_wire::state::{Precondition, Transaction};
 
 impl Leader {
     /// Whether accounts may need prices of which none is recorded yet.
@@ -25,7 +25,7 @@
     pub(super) fn record_prices(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         catalog: &[MachineType],
     ) {
         if !ctx.has_pools() {
@@ -44,16 +44,20 @@
             if is_recorded {
                 continue;
             }
-            let leader = Cond {
+            let leader = Precondition {
                 key: LEADER.to_owned(),
                 version: view.leader.as_ref().map_or(0, |l| l.version),
             };
-            let mut txn = Txn {
-                conds: vec![leader],
+            let mut transaction = Transaction {
+                preconditions: vec![leader],
                 writes: Vec::new(),
             };
-            add_row(&mut txn, price.key(), &price);
-            ctx.transact(Urgency::Later, &txn, Pending::PriceRow(Box::new(price)));
+            add_row(&mut transaction, price.key(), &price);
+            ctx.transact(
+                Urgency::Background,
+                &transaction,
+                PendingCall::PriceRowWrite(Box::new(price)),
+            );
         }
     }
 
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -9,16 +9,16 @@
 use super::Leader;
 use crate::context::{revision_of, Context};
 use crate::demand::OVERDUE_BOOTS;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{
     machine_key, rental_intent_key, total_of, DemandRecord, MachineRecord, RentalIntent,
     ShapeRecord, ShardId,
 };
 use crate::store::Urgency;
-use crate::view::View;
+use crate::view::ClusterView;
 use forkshift_sched::{plan, Offer, Shape};
 use forkshift_wire::cloud::{Machines, Rent, RENT_MOST};
-use forkshift_wire::state::{Cond, Txn, Write};
+use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::to_value;
 use std::collections::{BTreeMap, HashMap};
@@ -31,7 +31,7 @@
 
 /// What the cloud has answered to a rental request, while it is written.
 pub(super) struct Outcome {
-    rec: RentalIntent,
+    record: RentalIntent,
     /// Version of the intent's record.
     version: u64,
     machines: Vec<MachineId>,
@@ -53,11 +53,11 @@
     pub(super) fn write_rental_intents(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
     ) {
-        let under_way = view.rental_intents.len() + self.intents_being_written.len();
-        if under_way as f64 >= ctx.cfg.cloud_rps.ceil() {
+        let under_way = view.provisioning_intents.len() + self.intents_being_written.len();
+        if under_way as f64 >= ctx.config.cloud_rps.ceil() {
             return;
         }
         for (kind, parts) in self.plan_rentals(ctx, view, demands) {
@@ -69,14 +69,14 @@
     fn plan_rentals(
         &mut self,
         ctx: &Context,
-        view: &View,
+        view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
     ) -> BTreeMap<OfferedKind, Vec<(ShardId, u32)>> {
         let mut held: Option<Held> = None;
         let mut together: BTreeMap<OfferedKind, Vec<(ShardId, u32)>> = BTreeMap::new();
         for (k, demand) in demands {
             let seen = self.acted.get(k).copied().unwrap_or(0);
-            if demand.shapes.is_empty() || demand.rev < seen {
+            if demand.shapes.is_empty() || demand.revision < seen {
                 continue;
             }
             if held.is_none() {
@@ -100,12 +100,12 @@
     fn write_rental_intent(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         (machine_type, zone, spot): OfferedKind,
         parts: Vec<(ShardId, u32)>,
     ) {
-        let type_names: Vec<&String> = view.types.keys().collect();
-        let rec = RentalIntent {
+        let type_names: Vec<&String> = view.machine_types.keys().collect();
+        let record = RentalIntent {
             parts: cut(parts, RENT_MOST),
             machine_type: type_names[machine_type as usize].clone(),
             zone: zone_names(view)[zone as usize].clone(),
@@ -115,27 +115,35 @@
         self.intents_written += 1;
         let request = format!("r-{:x}-{}", ctx.incarnation, self.intents_written);
         let key = rental_intent_key(&request);
-        let txn = Txn {
-            conds: self.conds(view, key.clone(), 0),
-            writes: vec![Write::put(key, to_value(&rec).unwrap_or_default())],
+        let transaction = Transaction {
+            preconditions: self.preconditions(view, key.clone(), 0),
+            writes: vec![Write::put(key, to_value(&record).unwrap_or_default())],
         };
-        let shards = rec.parts.iter().map(|(k, _)| *k).collect();
+        let shards = record.parts.iter().map(|(k, _)| *k).collect();
         self.intents_being_written.insert(request.clone(), shards);
-        ctx.transact(Urgency::Lead, &txn, Pending::RentalIntentPut { request });
+        ctx.transact(
+            Urgency::Leadership,
+            &transaction,
+            PendingCall::ProvisioningIntentWrite { request },
+        );
     }
 
     /// Notes of which kinds machines are overdue.
-    fn note_overdue(&mut self, ctx: &Context, view: &View) {
+    fn note_overdue(&mut self, ctx: &Context, view: &ClusterView) {
         for (id, machine) in &view.machines {
-            let rec = &machine.rec;
-            if rec.addr.is_some() {
+            let record = &machine.record;
+            if record.addr.is_some() {
                 continue;
             }
             let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
-            let machine_type = view.types.get(&rec.machine_type);
-            let boot = machine_type.map_or(BOOT_S_UNKNOWN, |t| t.rec.boot_s);
+            let machine_type = view.machine_types.get(&record.machine_type);
+            let boot = machine_type.map_or(BOOT_S_UNKNOWN, |t| t.record.boot_s);
             if known_for > crate::ms(boot * OVERDUE_BOOTS) {
-                let kind = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
+                let kind = (
+                    record.machine_type.clone(),
+                    record.zone.clone(),
+                    record.spot,
+                );
                 let until = ctx.now + crate::ms(boot * BOOTS_AVOIDED);
                 self.avoided.insert(kind, until);
             }
@@ -143,10 +151,10 @@
     }
 
     /// What may be had, as far as is known.
-    fn offers(&self, ctx: &Context, view: &View, k: ShardId, held: &Held) -> Vec<Offer> {
+    fn offers(&self, ctx: &Context, view: &ClusterView, k: ShardId, held: &Held) -> Vec<Offer> {
         let zones = zone_names(view);
         let mut offers = Vec::new();
-        for (i, t) in view.types.values().map(|t| &t.rec).enumerate() {
+        for (i, t) in view.machine_types.values().map(|t| &t.record).enumerate() {
             for zone in &t.zones {
                 for spot in [false, true] {
                     let price = match (spot, t.spot_price) {
@@ -195,18 +203,18 @@
 
     /// Carries intents out, those of an earlier leader too: a request that
     /// had an answer before gets the same one again and rents nothing.
-    pub(super) fn rent(&mut self, ctx: &mut Context, view: &View) {
-        for (request, intent) in &view.rental_intents {
+    pub(super) fn rent(&mut self, ctx: &mut Context, view: &ClusterView) {
+        for (request, intent) in &view.provisioning_intents {
             if self.renting.contains(request) || !self.may_call(ctx) {
                 continue;
             }
-            let rec = &intent.rec;
+            let record = &intent.record;
             let body = Rent {
                 request: request.clone(),
-                machine_type: rec.machine_type.clone(),
-                zone: rec.zone.clone(),
-                spot: rec.spot,
-                count: rec.count(),
+                machine_type: record.machine_type.clone(),
+                zone: record.zone.clone(),
+                spot: record.spot,
+                count: record.count(),
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
             self.renting.insert(request.clone());
@@ -215,7 +223,7 @@
                 "POST",
                 "/machines".to_owned(),
                 Some(body),
-                Pending::Rent { request },
+                PendingCall::Provision { request },
             );
         }
     }
@@ -224,12 +232,12 @@
     pub(crate) fn on_rent(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         request: &str,
         status: u16,
         body: &[u8],
     ) {
-        let Some(intent) = view.rental_intents.get(request).cloned() else {
+        let Some(intent) = view.provisioning_intents.get(request).cloned() else {
             self.renting.remove(request);
             return;
         };
@@ -237,20 +245,24 @@
             self.renting.remove(request);
             return;
         }
-        let rec = intent.rec;
+        let record = intent.record;
         let rented: Machines = serde_json::from_slice(body).unwrap_or_default();
         let machines = if status == 200 {
             rented.machines
         } else {
             Vec::new()
         };
-        let kind = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
-        if (machines.len() as u32) < rec.count() {
+        let kind = (
+            record.machine_type.clone(),
+            record.zone.clone(),
+            record.spot,
+        );
+        if (machines.len() as u32) < record.count() {
             // The pause grows while there is none, up to some boots.
             let boot = view
-                .types
-                .get(&rec.machine_type)
-                .map_or(BOOT_S_UNKNOWN, |t| t.rec.boot_s);
+                .machine_types
+                .get(&record.machine_type)
+                .map_or(BOOT_S_UNKNOWN, |t| t.record.boot_s);
             let (_, last) = self.refused.get(&kind).copied().unwrap_or((0, 0));
             let least = crate::ms(boot / 5.0).max(1);
             let pause = (last * 2).clamp(least, crate::ms(boot).max(least));
@@ -261,13 +273,13 @@
         log::info!(
             "{} of {} {} rented in {}{}",
             machines.len(),
-            rec.count(),
-            rec.machine_type,
-            rec.zone,
-            if rec.spot { ", spot" } else { "" }
+            record.count(),
+            record.machine_type,
+            record.zone,
+            if record.spot { ", spot" } else { "" }
         );
         let outcome = Outcome {
-            rec,
+            record,
             version: intent.version,
             machines,
             placing: 0,
@@ -278,30 +290,30 @@
 
     /// Writes the next part of an outcome: records of machines, and how far
     /// the intent has been carried out. The last part removes the intent.
-    fn record_outcome(&mut self, ctx: &mut Context, view: &View, request: &str) {
+    fn record_outcome(&mut self, ctx: &mut Context, view: &ClusterView, request: &str) {
         let Some(outcome) = self.outcomes.get_mut(request) else {
             return;
         };
-        let from = outcome.rec.placed as usize;
+        let from = outcome.record.placed as usize;
         let to = outcome.machines.len().min(from + ctx.limits.txn_ops - 1);
         outcome.placing = to as u32;
         let Some(outcome) = self.outcomes.get(request) else {
             return;
         };
-        let rec = &outcome.rec;
+        let record = &outcome.record;
         let key = rental_intent_key(request);
-        let mut txn = Txn {
-            conds: self.conds(view, key.clone(), outcome.version),
+        let mut transaction = Transaction {
+            preconditions: self.preconditions(view, key.clone(), outcome.version),
             writes: Vec::new(),
         };
-        let shards = rec.in_turn();
+        let shards = record.in_turn();
         for (id, shard) in outcome.machines.iter().zip(shards).take(to).skip(from) {
             let key = machine_key(id);
             let machine = MachineRecord {
                 shard,
-                machine_type: rec.machine_type.clone(),
-                zone: rec.zone.clone(),
-                spot: rec.spot,
+                machine_type: record.machine_type.clone(),
+                zone: record.zone.clone(),
+                spot: record.spot,
                 addr: None,
                 condemned: None,
                 want: None,
@@ -310,31 +322,36 @@
                 pool: None,
                 charged_until_ms: 0,
             };
-            txn.conds.push(Cond {
+            transaction.preconditions.push(Precondition {
                 key: key.clone(),
                 version: 0,
             });
-            txn.writes
+            transaction
+                .writes
                 .push(Write::put(key, to_value(machine).unwrap_or_default()));
         }
-        txn.writes.push(if to < outcome.machines.len() {
-            let rec = RentalIntent {
+        transaction.writes.push(if to < outcome.machines.len() {
+            let record = RentalIntent {
                 placed: to as u32,
-                ..rec.clone()
+                ..record.clone()
             };
-            Write::put(key, to_value(rec).unwrap_or_default())
+            Write::put(key, to_value(record).unwrap_or_default())
         } else {
             Write::Remove { remove: key }
         });
         let request = request.to_owned();
-        ctx.transact(Urgency::Lead, &txn, Pending::Rented { request });
+        ctx.transact(
+            Urgency::Leadership,
+            &transaction,
+            PendingCall::ProvisionedRecordsWrite { request },
+        );
     }
 
     /// The write of a part of an outcome was answered.
     pub(crate) fn on_rented(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         request: &str,
         status: u16,
         body: &[u8],
@@ -345,8 +362,8 @@
         match status {
             200 => {
                 outcome.version = revision_of(body);
-                outcome.rec.placed = outcome.placing;
-                if (outcome.rec.placed as usize) < outcome.machines.len() {
+                outcome.record.placed = outcome.placing;
+                if (outcome.record.placed as usize) < outcome.machines.len() {
                     self.record_outcome(ctx, view, request);
                 } else {
                     // The name is done with. It must not be used again while
@@ -368,9 +385,14 @@
 }
 
 /// The shapes of a demand, with types and zones by their numbers in offers.
-fn shapes_to_rent(view: &View, shapes: &[ShapeRecord]) -> Vec<Shape> {
+fn shapes_to_rent(view: &ClusterView, shapes: &[ShapeRecord]) -> Vec<Shape> {
     let zones = zone_names(view);
-    let type_no = |name: &String| view.types.keys().position(|t| t == name).map(|i| i as u16);
+    let type_no = |name: &String| {
+        view.machine_types
+            .keys()
+            .position(|t| t == name)
+            .map(|i| i as u16)
+    };
     let zone_no = |name: &String| zones.iter().position(|z| z == name).map(|i| i as u16);
     let numbers_of = |names: &Vec<String>, no: &dyn Fn(&String) -> Option<u16>| {
         names.iter().filter_map(no).collect()
@@ -387,10 +409,14 @@
 }
 
 /// Counts the machines that shards hold.
-fn held_of(view: &View) -> Held<'_> {
+fn held_of(view: &ClusterView) -> Held<'_> {
     let mut held = Held::new();
-    for rec in view.machines.values().map(|m| &m.rec) {
-        let kind = (rec.shard, rec.machine_type.as_str(), rec.zone.as_str());
+    for record in view.machines.values().map(|m| &m.record) {
+        let kind = (
+            record.shard,
+            record.machine_type.as_str(),
+            record.zone.as_str(),
+        );
         *held.entry(kind).or_default() += 1;
     }
     held
@@ -420,7 +446,7 @@
 }
 
 /// Names of all zones, in the order of their numbers in offers.
-fn zone_names(view: &View) -> Vec<String> {
+fn zone_names(view: &ClusterView) -> Vec<String> {
     view.zones().into_iter().map(str::to_owned).collect()
 }
 
--- a/crates/core/src/leader/renting/tests.rs
+++ b/crates/core/src/leader/renting/tests.rs
@@ -4,12 +4,12 @@
 use crate::fixture::Fixture;
 use crate::io::Effect;
 use crate::node::Node;
-use crate::view::Stamped;
+use crate::view::Versioned;
 use serde_json::json;
 use std::collections::BTreeSet;
 
-fn is_rented(pending: &Pending) -> bool {
-    matches!(pending, Pending::Rented { .. })
+fn is_rented(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::ProvisionedRecordsWrite { .. })
 }
 
 /// Machines whose records a transaction puts.
@@ -22,9 +22,9 @@
         if path != "/txn" {
             continue;
         }
-        let txn: Txn =
+        let transaction: Transaction =
             serde_json::from_slice(body.as_deref().unwrap_or_default()).expect("a transaction");
-        let keys = txn.writes.iter().map(Write::key);
+        let keys = transaction.writes.iter().map(Write::key);
         let new = keys.filter_map(|k| k.strip_prefix("c/machine/host-"));
         put.extend(new.map(str::to_owned));
     }
@@ -48,11 +48,14 @@
             spot: false,
             placed: 0,
         };
-        let stamped = Stamped {
-            rec: intent,
+        let versioned = Versioned {
+            record: intent,
             version: 9,
         };
-        f.node.view.rental_intents.insert("r-1".to_owned(), stamped);
+        f.node
+            .view
+            .provisioning_intents
+            .insert("r-1".to_owned(), versioned);
         let names: Vec<String> = (0..rented).map(|i| format!("host-{i:03}")).collect();
         let body = json!({"berths": names}).to_string();
         let Node {
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -111,13 +111,13 @@
     /// Whether it has reported lately.
     pub(crate) fn is_heard(&self, ctx: &Context) -> bool {
         let heard = self.heard;
-        heard.is_some_and(|t| ctx.now < t + ctx.cfg.report_ms * MISSED_MOST)
+        heard.is_some_and(|t| ctx.now < t + ctx.config.report_ms * MISSED_MOST)
     }
 
     /// Whether its worker itself should have been heard and was not.
     pub(crate) fn is_unheard(&self, ctx: &Context) -> bool {
         let since = self.since.max(ctx.resumed_at);
-        let timing = ctx.cfg.link_timing();
+        let timing = ctx.config.link_timing();
         self.link.is_unheard(ctx.now, since, &timing)
     }
 
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,12 +1,12 @@
 //! Membership: this controller's lease, its record, and leadership.
 
 use crate::context::{revision_of, Context};
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{node_key, LeaderRecord, NodeRecord, LEADER};
 use crate::store::Urgency;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
-use forkshift_wire::state::{Cond, LeaseReply, LeaseRequest, Txn, Write};
+use forkshift_wire::state::{LeaseReply, LeaseRequest, Precondition, Transaction, Write};
 use forkshift_wire::users::Refusal;
 use serde::Serialize;
 use serde_json::to_value;
@@ -47,14 +47,14 @@
     /// then the lease is still alive at the state service, so nobody else can
     /// have been given our shards.
     pub(crate) fn lease_valid_until(&self, ctx: &Context) -> Ms {
-        let ttl = ctx.cfg.node_lease_ms();
+        let ttl = ctx.config.node_lease_ms();
         self.last_renewal_sent_at + ttl - ttl / 500
     }
 
     /// Whether this controller may answer from memory. A lease that was lost
     /// and replaced gives no right until the view has caught up with our new
     /// record: while we had no lease, our shards may have been given away.
-    pub(crate) fn has_valid_lease(&self, ctx: &Context, view: &View) -> bool {
+    pub(crate) fn has_valid_lease(&self, ctx: &Context, view: &ClusterView) -> bool {
         self.is_registered
             && self.lease.is_some()
             && ctx.now < self.lease_valid_until(ctx)
@@ -62,12 +62,12 @@
     }
 
     /// Whether the view is older than our own record.
-    pub(crate) fn is_view_behind(&self, view: &View) -> bool {
+    pub(crate) fn is_view_behind(&self, view: &ClusterView) -> bool {
         self.is_registered && view.revision < self.registered_revision
     }
 
     /// Whether something is to be done once the view has caught up.
-    pub(crate) fn waits_for_view(&self, view: &View) -> bool {
+    pub(crate) fn waits_for_view(&self, view: &ClusterView) -> bool {
         view.revision < self.required_revision
     }
 
@@ -82,24 +82,24 @@
     }
 
     /// Keeps the lease, the record and, if this controller leads, leadership.
-    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &View) {
+    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &ClusterView) {
         if !self.is_renewing && ctx.now >= self.next_renewal_at {
             self.renew(ctx);
         }
         let Some(lease) = self.lease else { return };
-        if !view.ready || self.waits_for_view(view) {
+        if !view.is_complete || self.waits_for_view(view) {
             return;
         }
-        let mine = view.is_alive(&ctx.cfg.node, ctx.incarnation);
+        let mine = view.is_alive(&ctx.config.node, ctx.incarnation);
         let blind = ctx.now < ctx.reports_no_heartbeats_until;
-        let node = view.nodes.get(&ctx.cfg.node);
-        let format = ctx.cfg.registered_format(view.format());
-        let says =
-            node.is_some_and(|n| n.rec.receives_no_heartbeats == blind && n.rec.format == format);
+        let node = view.nodes.get(&ctx.config.node);
+        let format = ctx.config.registered_format(view.format());
+        let says = node
+            .is_some_and(|n| n.record.receives_no_heartbeats == blind && n.record.format == format);
         if !self.is_registering && (!mine || !self.is_registered || !says) {
-            let key = node_key(&ctx.cfg.node);
+            let key = node_key(&ctx.config.node);
             let version = node.map_or(0, |n| n.version);
-            let rec = NodeRecord {
+            let record = NodeRecord {
                 incarnation: ctx.incarnation,
                 receives_no_heartbeats: blind,
                 format,
@@ -109,9 +109,9 @@
                 ctx,
                 key,
                 version,
-                &rec,
+                &record,
                 lease,
-                Pending::NodeRecordWrite { lease },
+                PendingCall::NodeRecordWrite { lease },
             );
         }
         self.leaderless_since = match &view.leader {
@@ -127,13 +127,16 @@
             // controller belongs to a process that is gone for certain.
             let version = match &view.leader {
                 None => 0,
-                Some(l) if l.rec.node == ctx.cfg.node && l.rec.incarnation != ctx.incarnation => {
+                Some(l)
+                    if l.record.node == ctx.config.node
+                        && l.record.incarnation != ctx.incarnation =>
+                {
                     l.version
                 }
                 Some(_) => return,
             };
-            let rec = LeaderRecord {
-                node: ctx.cfg.node.clone(),
+            let record = LeaderRecord {
+                node: ctx.config.node.clone(),
                 incarnation: ctx.incarnation,
             };
             self.is_electing = true;
@@ -141,17 +144,17 @@
                 ctx,
                 LEADER.to_owned(),
                 version,
-                &rec,
+                &record,
                 lease,
-                Pending::LeaderRecordWrite,
+                PendingCall::LeaderRecordWrite,
             );
         }
     }
 
     /// Whether another controller should lead: we have lost the cloud, and others are
     /// there who may not have. If none of them has come forward in time, we do.
-    fn abstains_from_election(&self, ctx: &Context, view: &View) -> bool {
-        let patience = ctx.cfg.node_lease_ms();
+    fn abstains_from_election(&self, ctx: &Context, view: &ClusterView) -> bool {
+        let patience = ctx.config.node_lease_ms();
         let is_early = self
             .leaderless_since
             .is_some_and(|since| ctx.now < since + patience);
@@ -160,12 +163,12 @@
 
     /// Gives leadership up, for others to take. The condition is the leader's record: what
     /// was recorded under it before stays, and nothing is written under it any more.
-    pub(crate) fn resign(&mut self, ctx: &mut Context, view: &View) {
+    pub(crate) fn resign(&mut self, ctx: &mut Context, view: &ClusterView) {
         let Some(leader) = view.leader.as_ref().filter(|_| !self.is_electing) else {
             return;
         };
         log::info!("we do not reach the cloud: another controller should lead");
-        let lease = ctx.cfg.node_lease_ms();
+        let lease = ctx.config.node_lease_ms();
         let now = ctx.now;
         ctx.cloud_link.on_resigned(
             now,
@@ -173,8 +176,8 @@
             lease * LONGEST_ABSTENTION_LEASES,
         );
         self.is_electing = true;
-        let txn = Txn {
-            conds: vec![Cond {
+        let transaction = Transaction {
+            preconditions: vec![Precondition {
                 key: LEADER.to_owned(),
                 version: leader.version,
             }],
@@ -182,7 +185,11 @@
                 remove: LEADER.to_owned(),
             }],
         };
-        ctx.transact(Urgency::Member, &txn, Pending::LeaderRecordWrite);
+        ctx.transact(
+            Urgency::Membership,
+            &transaction,
+            PendingCall::LeaderRecordWrite,
+        );
     }
 
     fn renew(&mut self, ctx: &mut Context) {
@@ -191,16 +198,16 @@
         match self.lease {
             Some(lease) => {
                 let path = format!("/grants/{lease}/extend");
-                ctx.call_store("POST", path, None, Pending::LeaseRenewal { sent });
+                ctx.call_store("POST", path, None, PendingCall::LeaseRenewal { sent });
             }
             None => {
-                let ttl_ms = ctx.cfg.node_lease_ms();
+                let ttl_ms = ctx.config.node_lease_ms();
                 let body = serde_json::to_vec(&LeaseRequest { ttl_ms }).unwrap_or_default();
                 ctx.call_store(
                     "POST",
                     "/grants".to_owned(),
                     Some(body),
-                    Pending::LeaseGrant { sent },
+                    PendingCall::LeaseGrant { sent },
                 );
             }
         }
@@ -209,7 +216,7 @@
     /// The request for a lease was answered.
     pub(crate) fn on_lease_granted(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
         self.is_renewing = false;
-        let ttl = ctx.cfg.node_lease_ms();
+        let ttl = ctx.config.node_lease_ms();
         match serde_json::from_slice::<LeaseReply>(body) {
             Ok(reply) if status == 200 => {
                 self.lease = Some(reply.lease);
@@ -224,7 +231,7 @@
     /// The extension of the lease was answered.
     pub(crate) fn on_lease_renewed(&mut self, ctx: &Context, sent: Ms, status: u16) {
         self.is_renewing = false;
-        let ttl = ctx.cfg.node_lease_ms();
+        let ttl = ctx.config.node_lease_ms();
         match status {
             200 => {
                 self.last_renewal_sent_at = sent;
@@ -283,13 +290,13 @@
     ctx: &mut Context,
     key: String,
     version: u64,
-    rec: &impl Serialize,
+    record: &impl Serialize,
     lease: u64,
-    pending: Pending,
+    pending: PendingCall,
 ) {
-    let value = to_value(rec).unwrap_or_default();
-    let txn = Txn {
-        conds: vec![Cond {
+    let value = to_value(record).unwrap_or_default();
+    let transaction = Transaction {
+        preconditions: vec![Precondition {
             key: key.clone(),
             version,
         }],
@@ -299,5 +306,5 @@
             lease: Some(lease),
         }],
     };
-    ctx.transact(Urgency::Member, &txn, pending);
+    ctx.transact(Urgency::Membership, &transaction, pending);
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -11,13 +11,13 @@
 use crate::dependencies::DependencyTracker;
 use crate::forward::Forward;
 use crate::io::{Effect, Input, RequestId};
-use crate::known_jobs::{Finals, Known};
+use crate::known_jobs::{FinalStages, RecentJobs};
 use crate::leader::Leader;
 use crate::member::Membership;
-use crate::pending::{AbortPoll, Pending};
+use crate::pending::{CancellationPoll, PendingCall};
 use crate::records::ShardId;
 use crate::shard::{Phase, Shard};
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_links::{Decision, Link};
 use forkshift_wire::state::Item;
@@ -28,86 +28,86 @@
 /// A controller.
 pub struct Node {
     pub(crate) ctx: Context,
-    pub(crate) view: View,
+    pub(crate) view: ClusterView,
     pub(crate) membership: Membership,
     pub(crate) leader: Leader,
     pub(crate) budget: Budget,
     pub(crate) shards: BTreeMap<ShardId, Shard>,
     /// Epochs that were ours, and are not to be used again.
-    used: BTreeMap<ShardId, u64>,
-    pub(crate) finals: Finals,
+    used_epochs: BTreeMap<ShardId, u64>,
+    pub(crate) final_stages: FinalStages,
     /// Shards of unfinished jobs of others.
-    pub(crate) homes: Known<ShardId>,
+    pub(crate) job_shards: RecentJobs<ShardId>,
     pub(crate) dependencies: DependencyTracker,
     /// Submissions whose dependencies are being looked up.
     pub(crate) admissions: BTreeMap<RequestId, Admission>,
     pub(crate) forwards: BTreeMap<u64, Forward>,
-    pub(crate) asks: u64,
+    pub(crate) forwarded_count: u64,
     /// Lists of machines that we do not hear, and whether the last one named any.
-    pub(crate) unheard_lists: u64,
-    pub(crate) has_unheard: bool,
+    pub(crate) relay_request_count: u64,
+    pub(crate) has_relay_requests: bool,
     /// Until then no other controller is tried for what the service refuses.
-    pub(crate) all_out_until: Ms,
-    listed: Vec<Item>,
-    list_rev: u64,
-    watching: bool,
+    pub(crate) store_down_everywhere_until: Ms,
+    listed_items: Vec<Item>,
+    listed_revision: u64,
+    is_watching: bool,
     /// Numbers the watches on what all controllers share.
     watch_serial: u64,
-    listing: bool,
-    peeking: bool,
-    peek_at: Ms,
+    is_listing: bool,
+    is_polling_changes: bool,
+    poll_changes_at: Ms,
     /// Up to here the view has missed something.
-    missed: u64,
+    required_revision: u64,
     watch_at: Ms,
     /// Shards that are being handed over.
-    moving: BTreeMap<ShardId, holdings::Handover>,
-    seen: u64,
-    status_at: Ms,
-    pub(crate) failure_detector_at: Ms,
+    handovers: BTreeMap<ShardId, holdings::Handover>,
+    processed_revision: u64,
+    next_status_log_at: Ms,
+    pub(crate) next_failure_detection_at: Ms,
     /// Looks at cancellations that are to be repeated.
-    pub(crate) later_polls: Vec<(Ms, AbortPoll)>,
+    pub(crate) delayed_polls: Vec<(Ms, CancellationPoll)>,
     /// Until when users wait for cancellations of ours to be written.
-    pub(crate) cancel_ends: VecDeque<(Ms, RequestId, JobId)>,
+    pub(crate) cancel_deadlines: VecDeque<(Ms, RequestId, JobId)>,
 }
 
 impl Node {
     /// A controller that has just started. `inc` names this start, and must
     /// differ from that of every other start.
-    pub fn new(cfg: Config, incarnation: u64, seed: u64) -> Self {
-        let cfg = Rc::new(cfg);
-        let remembered_jobs = cfg.bounds.remembered_jobs;
+    pub fn new(config: Config, incarnation: u64, seed: u64) -> Self {
+        let config = Rc::new(config);
+        let remembered_jobs = config.bounds.remembered_jobs;
         Self {
-            leader: Leader::new(cfg.cloud_rps),
-            ctx: Context::new(cfg, incarnation, seed),
-            view: View::default(),
+            leader: Leader::new(config.cloud_rps),
+            ctx: Context::new(config, incarnation, seed),
+            view: ClusterView::default(),
             membership: Membership::default(),
             budget: Budget::default(),
             shards: BTreeMap::new(),
-            used: BTreeMap::new(),
-            finals: Finals::new(remembered_jobs),
-            homes: Known::new(remembered_jobs),
+            used_epochs: BTreeMap::new(),
+            final_stages: FinalStages::new(remembered_jobs),
+            job_shards: RecentJobs::new(remembered_jobs),
             dependencies: DependencyTracker::default(),
             admissions: BTreeMap::new(),
             forwards: BTreeMap::new(),
-            asks: incarnation,
-            unheard_lists: 0,
-            has_unheard: false,
-            all_out_until: 0,
-            listed: Vec::new(),
-            list_rev: 0,
-            watching: false,
+            forwarded_count: incarnation,
+            relay_request_count: 0,
+            has_relay_requests: false,
+            store_down_everywhere_until: 0,
+            listed_items: Vec::new(),
+            listed_revision: 0,
+            is_watching: false,
             watch_serial: 0,
-            listing: false,
-            peeking: false,
-            peek_at: 0,
-            missed: 0,
+            is_listing: false,
+            is_polling_changes: false,
+            poll_changes_at: 0,
+            required_revision: 0,
             watch_at: 0,
-            moving: BTreeMap::new(),
-            seen: 0,
-            status_at: 0,
-            failure_detector_at: 0,
-            later_polls: Vec::new(),
-            cancel_ends: VecDeque::new(),
+            handovers: BTreeMap::new(),
+            processed_revision: 0,
+            next_status_log_at: 0,
+            next_failure_detection_at: 0,
+            delayed_polls: Vec::new(),
+            cancel_deadlines: VecDeque::new(),
         }
     }
 
@@ -133,21 +133,21 @@
                 Input::Peer(message) => self.on_peer_message(&message),
                 Input::Response { call, status, body } => {
                     if let Some(pending) = self.ctx.pending.remove(&call) {
-                        if is_worker(&pending) {
+                        if is_worker_call(&pending) {
                             self.ctx.worker_calls -= 1;
                         }
-                        if is_cloud(&pending) {
+                        if is_cloud_call(&pending) {
                             self.ctx.cloud_link.on_call(self.ctx.now, status != 0);
                         }
-                        if is_state(&pending) {
+                        if is_store_call(&pending) {
                             let now = self.ctx.now;
                             let Context { store, rng, .. } = &mut self.ctx;
                             store.on_response(status, now, rng);
                         }
                         if status == 400 {
-                            self.note_refused(&pending, &body);
+                            self.note_rejected_change(&pending, &body);
                         }
-                        self.on_answer(pending, status, &body);
+                        self.on_response(pending, status, &body);
                     }
                 }
             }
@@ -157,7 +157,7 @@
         self.ctx.send_due_store_calls();
         while !self.ctx.unsent_calls.is_empty() {
             for pending in std::mem::take(&mut self.ctx.unsent_calls) {
-                self.on_answer(pending, 503, b"");
+                self.on_response(pending, 503, b"");
             }
             self.ctx.send_due_store_calls();
         }
@@ -171,8 +171,10 @@
     }
 
     /// Whether this controller can take requests.
-    pub(crate) fn is_up(&self) -> bool {
-        self.view.ready && self.membership.is_registered() && !self.view.types.is_empty()
+    pub(crate) fn is_ready(&self) -> bool {
+        self.view.is_complete
+            && self.membership.is_registered()
+            && !self.view.machine_types.is_empty()
     }
 
     fn tick(&mut self) {
@@ -186,8 +188,8 @@
         let machines = self.view.take_changed();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
         self.follow_shards();
-        let changed = self.seen != self.view.revision;
-        self.seen = self.view.revision;
+        let changed = self.processed_revision != self.view.revision;
+        self.processed_revision = self.view.revision;
         self.budget.tick(&mut self.ctx, &self.view);
         let rate = self.budget.rate(&self.ctx, &self.view);
         self.ctx.store.set_rates(&rate);
@@ -210,14 +212,14 @@
             }
             // A cancellation may be seen before the job that it is for.
             if changed || std::mem::take(&mut shard.look_for_aborts) {
-                for id in self.view.aborts.keys() {
+                for id in self.view.cancellations.keys() {
                     shard.cancel(&self.ctx, id);
                 }
             }
             shard.reconcile(&mut self.ctx, &self.view);
         }
-        for (shard, epoch, rec) in std::mem::take(&mut self.ctx.unmet_demand) {
-            self.leader.on_demand(self.ctx.now, shard, epoch, rec);
+        for (shard, epoch, record) in std::mem::take(&mut self.ctx.unmet_demand) {
+            self.leader.on_demand(self.ctx.now, shard, epoch, record);
         }
         self.follow_forwards();
         self.repeat_polls();
@@ -227,7 +229,7 @@
 
     /// Gives leadership up if no call reaches the cloud and others are there to try.
     fn follow_cloud_link(&mut self) {
-        let patience = self.ctx.cfg.node_lease_ms();
+        let patience = self.ctx.config.node_lease_ms();
         let is_lost = self.ctx.cloud_link.is_lost(self.ctx.now, patience);
         self.note_link(Link::Cloud, !is_lost);
         let may_lead = self.ctx.links.allow(Decision::Lead) || self.view.nodes.len() < 2;
@@ -240,13 +242,13 @@
     /// controllers know them. From then on everything fits the limits that are
     /// announced, too: nobody is told when those come into force.
     fn follow_format(&mut self) {
-        let known = self.view.format().min(self.ctx.cfg.format);
+        let known = self.view.format().min(self.ctx.config.format);
         if known > self.ctx.format {
             log::info!("format {known} is finalized");
             self.ctx.format = known;
         }
         if !self.ctx.format.is_first() || self.ctx.is_size_refused {
-            self.ctx.limits = self.ctx.cfg.least_state_limits;
+            self.ctx.limits = self.ctx.config.least_state_limits;
         }
     }
 
@@ -266,10 +268,10 @@
     }
 
     fn log_status(&mut self) {
-        if self.ctx.now < self.status_at {
+        if self.ctx.now < self.next_status_log_at {
             return;
         }
-        self.status_at = self.ctx.now + 10_000;
+        self.next_status_log_at = self.ctx.now + 10_000;
         for shard in self.shards.values() {
             let bound: usize = shard.jobs.values().map(|j| j.bound.len()).sum();
             let up = shard
@@ -313,23 +315,26 @@
 }
 
 /// Whether a call went to the cloud.
-fn is_cloud(pending: &Pending) -> bool {
+fn is_cloud_call(pending: &PendingCall) -> bool {
     matches!(
         pending,
-        Pending::Catalog
-            | Pending::MachineList { .. }
-            | Pending::Rent { .. }
-            | Pending::Delete { .. }
-            | Pending::Evict { .. }
+        PendingCall::Catalog
+            | PendingCall::MachineList { .. }
+            | PendingCall::Provision { .. }
+            | PendingCall::DeleteMachines { .. }
+            | PendingCall::DeleteOwnMachines { .. }
     )
 }
 
 /// Whether the answer to a call tells how the state service is.
-fn is_state(pending: &Pending) -> bool {
-    !is_cloud(pending) && !is_worker(pending)
+fn is_store_call(pending: &PendingCall) -> bool {
+    !is_cloud_call(pending) && !is_worker_call(pending)
 }
 
 /// Whether a call went to a worker.
-fn is_worker(pending: &Pending) -> bool {
-    matches!(pending, Pending::Commands { .. } | Pending::Probe { .. })
+fn is_worker_call(pending: &PendingCall) -> bool {
+    matches!(
+        pending,
+        PendingCall::Commands { .. } | PendingCall::ProbeWorker { .. }
+    )
 }
--- a/crates/core/src/node/holdings.rs
+++ b/crates/core/src/node/holdings.rs
@@ -20,27 +20,27 @@
 impl Node {
     /// Takes up shards that became ours, lets go of those that are not.
     pub(super) fn follow_shards(&mut self) {
-        let node = self.ctx.cfg.node.clone();
+        let node = self.ctx.config.node.clone();
         let incarnation = self.ctx.incarnation;
         let mut handing = Vec::new();
         let relief = self.handover_target();
-        for (k, stamped) in &self.view.shards {
-            let rec = &stamped.rec;
-            if rec.holder != node || rec.holder_incarnation != incarnation {
+        for (k, versioned) in &self.view.shards {
+            let record = &versioned.record;
+            if record.holder != node || record.holder_incarnation != incarnation {
                 if let Some(shard) = self.shards.remove(k) {
-                    log::info!("shard {k}: now with {}", rec.holder);
+                    log::info!("shard {k}: now with {}", record.holder);
                     shard.release(&mut self.ctx);
                 }
                 continue;
             }
             if let Some(shard) = self.shards.get_mut(k) {
-                if shard.epoch == rec.epoch && !shard.reload {
-                    shard.version = stamped.version;
+                if shard.epoch == record.epoch && !shard.reload {
+                    shard.version = versioned.version;
                     if let Some(to) = &relief {
                         // Calls to machines that we do not hear end late; the
                         // next holder's tokens make them void.
                         handing.push((*k, to.clone()));
-                    } else if let Some(to) = rec.handover_to.as_ref().filter(|w| **w != node) {
+                    } else if let Some(to) = record.handover_to.as_ref().filter(|w| **w != node) {
                         if self.view.nodes.contains_key(to) && shard.is_quiet() {
                             handing.push((*k, to.clone()));
                         }
@@ -51,10 +51,10 @@
             if let Some(shard) = self.shards.remove(k) {
                 shard.release(&mut self.ctx);
             }
-            let used = self.used.get(k).copied().unwrap_or(0);
-            if rec.epoch > used {
-                self.used.insert(*k, rec.epoch);
-                let shard = Shard::new(&mut self.ctx, *k, rec.epoch, stamped.version);
+            let used = self.used_epochs.get(k).copied().unwrap_or(0);
+            if record.epoch > used {
+                self.used_epochs.insert(*k, record.epoch);
+                let shard = Shard::new(&mut self.ctx, *k, record.epoch, versioned.version);
                 self.shards.insert(*k, shard);
             } else {
                 // What we knew under this epoch is gone. Its tokens are not
@@ -70,7 +70,7 @@
                 retry_at: self.ctx.now + RETRY_MS,
                 answered_at: 0,
             };
-            self.moving.insert(k, handover);
+            self.handovers.insert(k, handover);
             // From here on we answer for the shard no more, whatever becomes
             // of the request.
             if let Some(shard) = self.shards.remove(&k) {
@@ -82,7 +82,7 @@
 
     /// Whether a handover of a shard is under way, or its outcome is not seen yet.
     fn is_moving(&self, k: ShardId) -> bool {
-        self.moving.get(&k).is_some_and(|handover| {
+        self.handovers.get(&k).is_some_and(|handover| {
             self.ctx.now < handover.retry_at || self.view.revision < handover.answered_at
         })
     }
@@ -94,9 +94,9 @@
         if !matches!(status, 200 | 409) {
             return;
         }
-        self.missed(status, body);
+        self.require_revision_on_conflict(status, body);
         for k in shards {
-            if let Some(handover) = self.moving.get_mut(k) {
+            if let Some(handover) = self.handovers.get_mut(k) {
                 handover.retry_at = self.ctx.now;
                 handover.answered_at = revision_of(body);
             }
--- a/crates/core/src/node/holdings/tests.rs
+++ b/crates/core/src/node/holdings/tests.rs
@@ -1,6 +1,6 @@
 use crate::fixture::Fixture;
 use crate::io::Effect;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use serde_json::json;
 
 fn handovers(effects: &[Effect]) -> usize {
@@ -20,12 +20,12 @@
     let mut f = Fixture::new();
     let shard = f.shard;
     // What was known under the epoch is gone, as after a reload.
-    f.node.used.insert(shard, crate::fixture::EPOCH);
+    f.node.used_epochs.insert(shard, crate::fixture::EPOCH);
     f.node.shards.remove(&shard);
     assert_eq!(handovers(&f.step(10)), 1, "it is asked for once");
     let revision = f.node.view.revision;
     let failed = json!({"failed": ["c/epoch"], "ledger_rev": revision + 2});
-    let is_handover = |p: &Pending| matches!(p, Pending::ShardPut(_));
+    let is_handover = |p: &PendingCall| matches!(p, PendingCall::ShardHandover(_));
     let mut again = handovers(&f.answer(is_handover, 409, &failed));
     for _ in 0..50 {
         again += handovers(&f.step(10));
