--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -3,7 +3,7 @@
 
 use super::Node;
 use crate::context::{is_watch_lost, revision_of};
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::CLUSTER;
 use crate::shard::{Phase, Shard};
 use crate::store::Urgency;
@@ -21,10 +21,10 @@
     /// Keeps the view up to date.
     pub(super) fn follow_view(&mut self) {
         let now = self.ctx.now;
-        if !self.view.ready {
-            if !self.listing && now >= self.watch_at {
-                self.listing = true;
-                self.listed.clear();
+        if !self.view.is_complete {
+            if !self.is_listing && now >= self.watch_at {
+                self.is_listing = true;
+                self.listed_items.clear();
                 self.list("");
             }
             return;
@@ -34,18 +34,18 @@
         let behind = |s: &Shard| matches!(s.phase, Phase::Waiting(r) if r > self.view.revision);
         let wanting = self.shards.values().any(behind)
             || self.membership.waits_for_view(&self.view)
-            || self.view.revision < self.missed;
-        if wanting && !self.peeking && now >= self.peek_at {
-            self.peeking = true;
+            || self.view.revision < self.required_revision;
+        if wanting && !self.is_polling_changes && now >= self.poll_changes_at {
+            self.is_polling_changes = true;
             self.ctx
-                .watch_store(CLUSTER, self.view.revision, 0, Pending::ViewPeek);
+                .watch_store(CLUSTER, self.view.revision, 0, PendingCall::ViewPoll);
         }
-        if !self.watching && now >= self.watch_at {
-            self.watching = true;
+        if !self.is_watching && now >= self.watch_at {
+            self.is_watching = true;
             self.watch_serial += 1;
             self.watch_at = now + self.ctx.watch_pause(WATCH_PART);
             let revision = self.view.revision;
-            let pending = Pending::ViewWatch {
+            let pending = PendingCall::ViewWatch {
                 serial: self.watch_serial,
             };
             self.ctx.watch_store(CLUSTER, revision, WATCH_MS, pending);
@@ -58,38 +58,38 @@
             path.push_str(&format!("&from={from}"));
         }
         self.ctx
-            .read_store(Urgency::Member, path, Pending::ViewList);
+            .read_store(Urgency::Membership, path, PendingCall::ViewList);
     }
 
     pub(super) fn on_view_list(&mut self, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(mut page) = page else {
-            self.listing = false;
+            self.is_listing = false;
             self.watch_at = self.ctx.now + 200;
             return;
         };
-        if self.listed.is_empty() {
+        if self.listed_items.is_empty() {
             // What changes while the pages are read is shown by the watch.
-            self.list_rev = page.revision;
+            self.listed_revision = page.revision;
         }
-        self.listed.append(&mut page.items);
-        if page.more {
-            if let Some(last) = self.listed.last() {
+        self.listed_items.append(&mut page.items);
+        if page.has_next {
+            if let Some(last) = self.listed_items.last() {
                 let from = last.key.clone();
                 self.list(&from);
                 return;
             }
         }
-        self.listing = false;
-        let items = std::mem::take(&mut self.listed);
-        if self.list_rev > self.view.revision || !self.view.ready {
-            self.view.replace(items, self.list_rev);
+        self.is_listing = false;
+        let items = std::mem::take(&mut self.listed_items);
+        if self.listed_revision > self.view.revision || !self.view.is_complete {
+            self.view.replace(items, self.listed_revision);
         }
     }
 
     pub(super) fn on_view_watch(&mut self, serial: u64, status: u16, body: &[u8]) {
         let is_current = serial == self.watch_serial;
-        self.watching &= !is_current;
+        self.is_watching &= !is_current;
         if !self.take_changes(status, body) && is_current {
             self.watch_at = self.ctx.now + 250;
         }
@@ -103,16 +103,16 @@
         if !self.ctx.store.take_recovered(self.ctx.now) {
             return;
         }
-        self.watching = false;
+        self.is_watching = false;
         for shard in self.shards.values_mut() {
             shard.reopen_watch();
         }
     }
 
-    pub(super) fn on_view_peek(&mut self, status: u16, body: &[u8]) {
-        self.peeking = false;
+    pub(super) fn on_view_poll(&mut self, status: u16, body: &[u8]) {
+        self.is_polling_changes = false;
         if !self.take_changes(status, body) {
-            self.peek_at = self.ctx.now + 100;
+            self.poll_changes_at = self.ctx.now + 100;
         }
     }
 
@@ -121,7 +121,7 @@
         match serde_json::from_slice::<Changes>(body) {
             Ok(changes) if status == 200 => self.view.apply(changes.events, changes.revision),
             // All is read again, in pages.
-            _ if is_watch_lost(status) => self.view.ready = false,
+            _ if is_watch_lost(status) => self.view.is_complete = false,
             _ => return false,
         }
         true
@@ -129,9 +129,9 @@
 
     /// A condition did not hold: the view has missed something, and must see
     /// it before the next try.
-    pub(super) fn missed(&mut self, status: u16, body: &[u8]) {
+    pub(super) fn require_revision_on_conflict(&mut self, status: u16, body: &[u8]) {
         if status == 409 {
-            self.missed = self.missed.max(revision_of(body));
+            self.required_revision = self.required_revision.max(revision_of(body));
         }
     }
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -6,7 +6,7 @@
 use crate::io::Reply;
 use crate::node::Node;
 use crate::records::ShardId;
-use crate::store::Use;
+use crate::store::StoreRate;
 use forkshift_wire::peer::{Body, Envelope};
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, NodeName};
@@ -31,7 +31,7 @@
         let from = NodeName::new(&from);
         // An earlier start of a peer may still have messages on the way.
         let alive = self.view.is_alive(&from, incarnation);
-        if self.ctx.cfg.nodes.contains(&from) {
+        if self.ctx.config.nodes.contains(&from) {
             self.note_peer_alive(&from, incarnation);
         }
         match body {
@@ -62,7 +62,7 @@
                 self.on_forwarded(request_number, reply);
             }
             Body::Heartbeat(heartbeat) => {
-                if self.ctx.cfg.nodes.contains(&from) {
+                if self.ctx.config.nodes.contains(&from) {
                     self.on_heartbeat(&from, incarnation, heartbeat);
                 }
             }
@@ -74,15 +74,16 @@
                 requests,
                 granted,
             } => {
-                let rate = Use::from_milli(requests, writes);
+                let rate = StoreRate::from_milli(requests, writes);
                 let now = self.ctx.now;
-                self.budget.on_need(now, from, incarnation, rate, granted);
+                self.budget
+                    .on_budget_request(now, from, incarnation, rate, granted);
             }
             Body::UnmetDemand { shard, demand } => {
                 self.on_demand_message(ShardId(shard), epoch, &demand);
             }
             Body::BudgetGrant { writes, requests } => {
-                let rate = Use::from_milli(requests, writes);
+                let rate = StoreRate::from_milli(requests, writes);
                 self.budget.on_grant(&self.ctx, from, incarnation, rate);
             }
             Body::NewJob {
@@ -110,7 +111,7 @@
     /// A holder tells the leader the unmet demand of its shard.
     fn on_demand_message(&mut self, shard: ShardId, epoch: u64, demand: &str) {
         match serde_json::from_str(demand) {
-            Ok(rec) => self.leader.on_demand(self.ctx.now, shard, epoch, rec),
+            Ok(record) => self.leader.on_demand(self.ctx.now, shard, epoch, record),
             Err(e) => log::error!("a peer's demand is not understood: {e}"),
         }
     }
@@ -144,9 +145,9 @@
 
     /// Tells a shard's holder something, if that is another controller.
     pub(crate) fn tell_holder(&mut self, shard: ShardId, body: Body) {
-        let epoch = self.view.shards.get(&shard).map_or(0, |s| s.rec.epoch);
+        let epoch = self.view.shards.get(&shard).map_or(0, |s| s.record.epoch);
         let holder = self.view.holder(shard).cloned();
-        if let Some(holder) = holder.filter(|h| *h != self.ctx.cfg.node) {
+        if let Some(holder) = holder.filter(|h| *h != self.ctx.config.node) {
             self.ctx.send_to_peer(&holder, epoch, body);
         }
     }
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -10,7 +10,7 @@
 
 /// What is to be done when a call ends.
 #[derive(Debug)]
-pub(crate) enum Pending {
+pub(crate) enum PendingCall {
     LeaseGrant {
         sent: Ms,
     },
@@ -22,7 +22,7 @@
     },
     LeaderRecordWrite,
     /// A worker was called for the holder of its machine.
-    Probe {
+    ProbeWorker {
         holder: NodeName,
     },
     ViewList,
@@ -30,8 +30,8 @@
         /// Which of them: an earlier one was given up.
         serial: u64,
     },
-    ViewPeek,
-    ShardPut(Vec<ShardId>),
+    ViewPoll,
+    ShardHandover(Vec<ShardId>),
     ShardList {
         shard: ShardId,
         epoch: u64,
@@ -42,8 +42,8 @@
         /// Which of them: an earlier one was given up.
         serial: u64,
     },
-    Create(Box<Creation>),
-    Lookup {
+    JobCreation(Box<Creation>),
+    JobLookup {
         request: RequestId,
         id: JobId,
         why: Lookup,
@@ -57,45 +57,45 @@
         id: JobId,
         sent: Ms,
     },
-    Abort(AbortPoll),
-    AbortPoll(AbortPoll),
-    JobTxn {
+    CancellationWrite(CancellationPoll),
+    CancellationPoll(CancellationPoll),
+    JobTransaction {
         shard: ShardId,
         epoch: u64,
         jobs: Vec<JobWrite>,
     },
-    JobFix {
+    JobBlockRead {
         shard: ShardId,
         epoch: u64,
         id: JobId,
         block: u32,
     },
-    JobFinal {
+    JobFinalRead {
         shard: ShardId,
         epoch: u64,
         id: JobId,
     },
-    MachinePut(MachineId),
+    MachineRecordWrite(MachineId),
     /// Reads what pools are asked for.
-    PoolHeads {
+    PoolRecordsRead {
         shard: ShardId,
         epoch: u64,
     },
     /// Writes what a pool is asked for.
-    PoolAsked {
+    PoolRequestWrite {
         shard: ShardId,
         epoch: u64,
         asked: Box<Asked>,
     },
     /// Writes a row of a pool's account that stands by itself.
-    PoolRow {
+    PoolRowWrite {
         shard: ShardId,
         epoch: u64,
         key: String,
     },
     /// Writes a machine type's price.
-    PriceRow(Box<Price>),
-    Demand {
+    PriceRowWrite(Box<Price>),
+    DemandWrite {
         shard: ShardId,
     },
     Housekeeping,
@@ -110,25 +110,25 @@
     MachineList {
         page: Vec<forkshift_wire::cloud::Listed>,
     },
-    RentalIntentPut {
+    ProvisioningIntentWrite {
         request: String,
     },
-    Rent {
+    Provision {
         request: String,
     },
-    Rented {
+    ProvisionedRecordsWrite {
         request: String,
     },
-    Delete {
+    DeleteMachines {
         machines: Vec<MachineId>,
     },
     /// A holder's own deletion.
-    Evict {
+    DeleteOwnMachines {
         shard: ShardId,
         epoch: u64,
         machines: Vec<MachineId>,
     },
-    Removed {
+    MachineRecordsRemoval {
         machines: Vec<MachineId>,
     },
 }
@@ -159,7 +159,7 @@
 
 /// A cancellation that another controller is to carry out.
 #[derive(Clone, Debug)]
-pub(crate) struct AbortPoll {
+pub(crate) struct CancellationPoll {
     pub(crate) request: RequestId,
     pub(crate) id: JobId,
     /// Version of the key that tells of it, for its removal.
@@ -175,7 +175,7 @@
     /// A repeated submission; if the job is not known, this answer stands.
     Submission(Reply),
     /// A cancellation.
-    Abort,
+    Cancellation,
 }
 
 /// What a transaction writes of one job.
@@ -184,6 +184,6 @@
     pub(crate) id: JobId,
     pub(crate) version: u64,
     pub(crate) blocks: Vec<u32>,
-    pub(crate) last: bool,
-    pub(crate) cancel: bool,
+    pub(crate) is_final: bool,
+    pub(crate) records_cancellation: bool,
 }
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -3,13 +3,13 @@
 
 use crate::context::{revision_of, Context};
 use crate::format::FormatVersion;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::shard::Shard;
 use crate::store::Urgency;
 use crate::Ms;
 use forkshift_pools::account::{Asked, Miss, HEADS};
 use forkshift_pools::{BadPool, Pool, PoolName};
-use forkshift_wire::state::{Cond, Page, Txn, Write};
+use forkshift_wire::state::{Page, Precondition, Transaction, Write};
 use forkshift_wire::JobId;
 use serde::Serialize;
 use serde_json::{from_value, to_value, Value};
@@ -20,12 +20,13 @@
 
 /// Adds a row to a transaction, on condition that there is none: its key says of what it
 /// is, so a second copy is the same.
-pub(crate) fn add_row(txn: &mut Txn, key: String, row: &impl Serialize) {
-    txn.conds.push(Cond {
+pub(crate) fn add_row(transaction: &mut Transaction, key: String, row: &impl Serialize) {
+    transaction.preconditions.push(Precondition {
         key: key.clone(),
         version: 0,
     });
-    txn.writes
+    transaction
+        .writes
         .push(Write::put(key, to_value(row).unwrap_or_default()));
 }
 
@@ -147,7 +148,7 @@
 
     /// Asks withdrawn pools of our teams for nothing.
     pub(super) fn note_withdrawn(&mut self, ctx: &mut Context) {
-        let pools = &ctx.cfg.ops.pools;
+        let pools = &ctx.config.ops.pools;
         let is_withdrawn = |(name, head): &(&PoolName, &Head)| {
             head.asked.machines > 0 && pools.get(name).is_none()
         };
@@ -178,10 +179,10 @@
 
     fn put_asked(&mut self, ctx: &mut Context, next: Asked, version: u64, over: Option<Asked>) {
         let key = next.key();
-        let mut txn = Txn {
-            conds: vec![
+        let mut transaction = Transaction {
+            preconditions: vec![
                 self.held(),
-                Cond {
+                Precondition {
                     key: key.clone(),
                     version,
                 },
@@ -189,14 +190,14 @@
             writes: vec![Write::put(key, to_value(&next).unwrap_or_default())],
         };
         if let Some(over) = over {
-            add_row(&mut txn, over.key(), &over);
+            add_row(&mut transaction, over.key(), &over);
         }
-        let pending = Pending::PoolAsked {
+        let pending = PendingCall::PoolRequestWrite {
             shard: self.id,
             epoch: self.epoch,
             asked: Box::new(next),
         };
-        ctx.transact(Urgency::Later, &txn, pending);
+        ctx.transact(Urgency::Background, &transaction, pending);
     }
 
     /// The write of what a pool is asked for was answered. If it is not known what became
@@ -229,7 +230,11 @@
             self.pools.reading = Reading::UnderWay;
             let (shard, epoch) = (self.id, self.epoch);
             let path = format!("/kv?starts={HEADS}&most=1000");
-            ctx.read_store(Urgency::Later, path, Pending::PoolHeads { shard, epoch });
+            ctx.read_store(
+                Urgency::Background,
+                path,
+                PendingCall::PoolRecordsRead { shard, epoch },
+            );
         }
         let held = self.held();
         let rows = self.pools.rows.iter_mut();
@@ -237,17 +242,17 @@
         let due = rows.filter(|(_, row)| !row.is_writing && now >= row.retry_at);
         for (key, row) in due {
             row.is_writing = true;
-            let mut txn = Txn {
-                conds: vec![held.clone()],
+            let mut transaction = Transaction {
+                preconditions: vec![held.clone()],
                 writes: Vec::new(),
             };
-            add_row(&mut txn, key.clone(), &row.value);
-            let pending = Pending::PoolRow {
+            add_row(&mut transaction, key.clone(), &row.value);
+            let pending = PendingCall::PoolRowWrite {
                 shard: self.id,
                 epoch: self.epoch,
                 key: key.clone(),
             };
-            ctx.transact(Urgency::Later, &txn, pending);
+            ctx.transact(Urgency::Background, &transaction, pending);
         }
     }
 
@@ -264,7 +269,7 @@
     /// What pools are asked for was read, or could not be.
     pub(crate) fn on_pool_heads(&mut self, ctx: &Context, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok();
-        let Some(page) = page.filter(|page| status == 200 && !page.more) else {
+        let Some(page) = page.filter(|page| status == 200 && !page.has_next) else {
             self.pools.reading = Reading::Pause(ctx.now + RETRY_PAUSE);
             return;
         };
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -5,7 +5,7 @@
 use crate::machine::Machine;
 use crate::records::MachineRecord;
 use crate::shard::Shard;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_pools::{Ended, Membership, Pool, PoolName, PoolState};
 use forkshift_wire::workers::{HeldImages, Prefetch};
@@ -39,16 +39,16 @@
 
 impl MachinePool {
     /// As a machine's record has it.
-    pub(crate) fn new(rec: &MachineRecord) -> Self {
+    pub(crate) fn new(record: &MachineRecord) -> Self {
         Self {
-            membership: rec.pool.clone(),
+            membership: record.pool.clone(),
             ..Self::default()
         }
     }
 
     /// Follows a changed record.
-    pub(crate) fn follow(&mut self, rec: &MachineRecord) {
-        let had = std::mem::replace(&mut self.membership, rec.pool.clone());
+    pub(crate) fn follow(&mut self, record: &MachineRecord) {
+        let had = std::mem::replace(&mut self.membership, record.pool.clone());
         if had.map(|m| m.pool) != self.membership.as_ref().map(|m| m.pool.clone()) {
             self.joining = None;
             self.is_surplus = false;
@@ -103,7 +103,7 @@
     /// For how long a fetch of a pool's image may take.
     fn patience(&self, ctx: &Context, pool: &Pool) -> Ms {
         let fetch_s = pool.image_gb / self.fetch_rate.max(1e-9);
-        crate::ms(fetch_s * STALLED_FETCHES) + ctx.cfg.lease_ms
+        crate::ms(fetch_s * STALLED_FETCHES) + ctx.config.lease_ms
     }
 }
 
@@ -111,11 +111,17 @@
     /// Brings a machine's recorded membership in line with what it is doing: it joins,
     /// goes on to another state, or leaves. What is charged for ends and begins at the
     /// moment at which this is decided.
-    pub(crate) fn note_membership(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
-        let (Some(machine), Some(stamped)) = (self.machines.get(id), view.machines.get(id)) else {
+    pub(crate) fn note_membership(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        id: &MachineId,
+    ) {
+        let (Some(machine), Some(versioned)) = (self.machines.get(id), view.machines.get(id))
+        else {
             return;
         };
-        let Some(membership) = stamped.rec.pool.clone() else {
+        let Some(membership) = versioned.record.pool.clone() else {
             if machine.pool.joining.is_some() {
                 self.join(ctx, view, id);
             }
@@ -137,25 +143,30 @@
                 self.pools.note_handed_out(&membership.pool, ctx.now);
             }
         }
-        self.put_machine_with(ctx, view, id, |rec| rec.close_membership(id, at_ms, next));
+        self.put_machine_with(ctx, view, id, |record| {
+            record.close_membership(id, at_ms, next)
+        });
     }
 
     /// Writes that a machine joins the pool that was chosen for it, if nothing has
     /// come between.
-    fn join(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
+    fn join(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         let Some(name) = machine.pool.joining.clone() else {
             return;
         };
-        let wanted = view.machines.get(id).is_some_and(|m| m.rec.want.is_some());
+        let wanted = view
+            .machines
+            .get(id)
+            .is_some_and(|m| m.record.want.is_some());
         let is_free = machine.tasks.is_empty()
             && machine.condemned.is_none()
             && machine.leaving.is_none()
             && machine.orphans.is_empty()
             && !wanted;
-        let pool = ctx.cfg.ops.pools.get(&name);
+        let pool = ctx.config.ops.pools.get(&name);
         let (Some(pool), true, true) = (pool, is_free, ctx.format >= FormatVersion::POOLS) else {
             machine.pool.joining = None;
             return;
@@ -165,9 +176,9 @@
         if !machine.putting && view.revision >= machine.put_from {
             log::info!("machine {id}: joins pool {name}, {state:?}");
         }
-        self.put_machine_with(ctx, view, id, |rec| {
-            let begun = Membership::begin(name, state, at_ms, rec.charged_until_ms);
-            rec.pool = Some(begun);
+        self.put_machine_with(ctx, view, id, |record| {
+            let begun = Membership::begin(name, state, at_ms, record.charged_until_ms);
+            record.pool = Some(begun);
             None
         });
     }
@@ -183,7 +194,7 @@
         if machine.condemned.is_some() {
             return Err(self.end_of_membership(ctx, id).1);
         }
-        let pool = ctx.cfg.ops.pools.get(&membership.pool);
+        let pool = ctx.config.ops.pools.get(&membership.pool);
         if !machine.tasks.is_empty() {
             let is_own = |id| self.is_for_pool(id, pool);
             let handed_out = machine.tasks.iter().any(|task| is_own(&task.job));
@@ -248,7 +259,7 @@
             return;
         }
         let since = *machine.pool.missing_since.get_or_insert(ctx.now);
-        let Some(pool) = ctx.cfg.ops.pools.get(&membership.pool) else {
+        let Some(pool) = ctx.config.ops.pools.get(&membership.pool) else {
             return;
         };
         if ctx.now > since + machine.patience(ctx, pool) {
@@ -262,14 +273,14 @@
             return Vec::new();
         };
         let member = machine.pool.membership.as_ref();
-        let pool = member.and_then(|m| ctx.cfg.ops.pools.get(&m.pool));
+        let pool = member.and_then(|m| ctx.config.ops.pools.get(&m.pool));
         let Some(pool) = pool.filter(|_| machine.is_pool_member() && ctx.has_valid_lease) else {
             return Vec::new();
         };
         let is_told = machine
             .pool
             .told_at
-            .is_some_and(|at| ctx.now < at + ctx.cfg.report_ms * REPEAT_REPORTS);
+            .is_some_and(|at| ctx.now < at + ctx.config.report_ms * REPEAT_REPORTS);
         if machine.state_for(pool) != PoolState::Fetching || is_told {
             return Vec::new();
         }
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -37,7 +37,7 @@
 
 /// The reservations that are open to a job of a team with an image.
 pub(crate) fn open_reservations(ctx: &Context, team: &str, image: &str) -> BTreeSet<u32> {
-    let pools = ctx.cfg.ops.pools.iter().enumerate();
+    let pools = ctx.config.ops.pools.iter().enumerate();
     let own = pools.filter(|(_, pool)| pool.team == team && pool.image == image);
     own.flat_map(|(i, _)| [least_number(i), further_number(i)])
         .collect()
@@ -78,7 +78,7 @@
     fn member_reservations(&self, ctx: &Context) -> BTreeMap<MachineId, u32> {
         let mut numbers = BTreeMap::new();
         let members = self.members();
-        for (i, pool) in ctx.cfg.ops.pools.iter().enumerate() {
+        for (i, pool) in ctx.config.ops.pools.iter().enumerate() {
             let Some(ids) = members.get(&pool.name) else {
                 continue;
             };
@@ -153,7 +153,7 @@
             ..want.clone()
         };
         let mut opened: Vec<PendingTasks> = reclaiming.iter().map(|i| open(&wants[*i])).collect();
-        let placed = run_round(&mut opened, hosts, quotas, &ctx.cfg.ops.weights);
+        let placed = run_round(&mut opened, hosts, quotas, &ctx.config.ops.weights);
         for (i, want) in reclaiming.iter().zip(opened) {
             wants[*i].waiting = want.waiting;
             wants[*i].zones = want.zones;
@@ -174,7 +174,7 @@
         want: &PendingTasks,
         quotas: &[Quota],
     ) -> bool {
-        let patience = crate::ms(ctx.cfg.ops.round_s * RECLAIM_ROUNDS);
+        let patience = crate::ms(ctx.config.ops.round_s * RECLAIM_ROUNDS);
         let needed = if want.gang { want.waiting.len() } else { 1 };
         let has_waited = |job: &Job| job.age(ctx.now) > patience;
         !want.waiting.is_empty()
@@ -199,7 +199,7 @@
         }
         for (id, want) in ids.iter().zip(wants).filter(|(_, w)| !w.waiting.is_empty()) {
             let own = |pool: &&Pool| self.is_for_pool(id, Some(pool));
-            let Some(pool) = ctx.cfg.ops.pools.iter().find(own) else {
+            let Some(pool) = ctx.config.ops.pools.iter().find(own) else {
                 continue;
             };
             if pool.calendar.size_at(ctx.wall_clock_ms).most == 0 {
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -10,7 +10,7 @@
 use crate::machine::Machine;
 use crate::records::{total_of, ShapeRecord};
 use crate::shard::Shard;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_pools::choice::{affordable, joining, leaving, target, Candidate};
 use forkshift_pools::{Pool, PoolName};
@@ -60,7 +60,7 @@
     pub(crate) fn keep_pools(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         coming: &Coming,
         hosts: &[Host],
     ) -> Vec<ShapeRecord> {
@@ -68,7 +68,7 @@
             return Vec::new();
         }
         self.note_withdrawn(ctx);
-        let ours = ctx.cfg.ops.pools.iter();
+        let ours = ctx.config.ops.pools.iter();
         let ours = ours.filter(|pool| self.teams.contains_key(&pool.team));
         let pools: Vec<Pool> = ours.cloned().collect();
         if pools.is_empty() {
@@ -76,7 +76,11 @@
         }
         let members = self.members();
         let mut unneeded = self.unneeded(view, coming, hosts);
-        let catalog: Vec<MachineType> = view.types.values().map(|t| t.rec.clone()).collect();
+        let catalog: Vec<MachineType> = view
+            .machine_types
+            .values()
+            .map(|t| t.record.clone())
+            .collect();
         let mut shapes = Vec::new();
         for pool in &pools {
             let ids = members.get(&pool.name).map_or(&[][..], Vec::as_slice);
@@ -209,10 +213,13 @@
     }
 
     /// Machines that nothing needs, and rentals that nothing waits for.
-    fn unneeded(&self, view: &View, coming: &Coming, hosts: &[Host]) -> Unneeded {
+    fn unneeded(&self, view: &ClusterView, coming: &Coming, hosts: &[Host]) -> Unneeded {
         let is_whole = |host: &Host| host.free == host.total && !host.held;
         let may_join = |id: &&MachineId| {
-            let wanted = view.machines.get(*id).is_some_and(|m| m.rec.want.is_some());
+            let wanted = view
+                .machines
+                .get(*id)
+                .is_some_and(|m| m.record.want.is_some());
             let machine = self.machines.get(*id);
             !wanted && machine.is_some_and(is_unneeded)
         };
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -4,7 +4,7 @@
 use crate::io::Effect;
 use crate::records::{machine_key, MachineRecord, ShardId};
 use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::from_value;
 
@@ -14,19 +14,19 @@
 /// The machine's record says that it is a pool's.
 fn make_member(f: &mut Fixture) {
     let id = f.machine.clone();
-    let stamped = f.node.view.machines.get_mut(&id).expect("a record");
-    stamped.rec.pool = Some(Membership {
+    let versioned = f.node.view.machines.get_mut(&id).expect("a record");
+    versioned.record.pool = Some(Membership {
         pool: PoolName::parse("help").expect("a name"),
         state: PoolState::Warm,
         since_ms: SINCE,
     });
-    let rec = stamped.rec.clone();
+    let record = versioned.record.clone();
     let machine = f.shard().machines.get_mut(&id).expect("it is ours");
-    machine.pool.follow(&rec);
+    machine.pool.follow(&record);
 }
 
 /// Transactions that were sent.
-fn transactions(effects: &[Effect]) -> Vec<Txn> {
+fn transactions(effects: &[Effect]) -> Vec<Transaction> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { path, body, .. } if path == "/txn" => body.as_deref(),
         _ => None,
@@ -45,18 +45,21 @@
         Write::Remove { remove } => *remove == key,
     };
     let all = transactions(effects);
-    let txn = all
+    let transaction = all
         .iter()
-        .find(|txn| txn.writes.iter().any(touches))
+        .find(|transaction| transaction.writes.iter().any(touches))
         .expect("a change");
     let mut found = (None, None);
-    for write in &txn.writes {
+    for write in &transaction.writes {
         match write {
             Write::Put { put, value, .. } if *put == key => {
                 found.0 = from_value(value.clone()).ok();
             }
             Write::Put { put, value, .. } if put.starts_with("pool/") => {
-                let is_new = txn.conds.iter().any(|c| c.key == *put && c.version == 0);
+                let is_new = transaction
+                    .preconditions
+                    .iter()
+                    .any(|c| c.key == *put && c.version == 0);
                 assert!(is_new, "{put} may be there already");
                 found.1 = from_value(value.clone()).ok();
             }
@@ -97,8 +100,8 @@
         make_member(&mut f);
         let id = f.machine.clone();
         let other = ShardId(f.shard.0 + 1);
-        if let Some(stamped) = f.node.view.machines.get_mut(&id) {
-            stamped.rec.want = Some(other);
+        if let Some(versioned) = f.node.view.machines.get_mut(&id) {
+            versioned.record.want = Some(other);
         }
         if is_offered {
             f.shard().told.pooled.push(id.clone());
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -68,7 +68,7 @@
         usable: &[MachineId],
         quotas: &[Quota],
     ) {
-        if ctx.now < self.preempted_at + ctx.cfg.report_ms * PAUSE_REPORTS {
+        if ctx.now < self.preempted_at + ctx.config.report_ms * PAUSE_REPORTS {
             return;
         }
         let _span = tracing::debug_span!("preempt").entered();
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -182,7 +182,7 @@
     pub(crate) fn is_guest_work(&self, ctx: &Context, job: &Job) -> bool {
         let team = self.teams.get(&job.spec.team);
         let of_guest = team.is_some_and(|team| self.quotas[*team].is_guest());
-        ctx.cfg.has_guests && of_guest && job.priority() == Priority::Low
+        ctx.config.has_guests && of_guest && job.priority() == Priority::Low
     }
 
     /// Whether a job runs on what others leave unused, and whether it is content
@@ -383,7 +383,7 @@
 /// time until it should be complete.
 fn is_patient(ctx: &Context, job: &Job, boot_ms: Ms) -> bool {
     let spec = &job.spec;
-    let objective = ctx.cfg.finishes.get(&spec.class);
+    let objective = ctx.config.finishes.get(&spec.class);
     let by_objective = objective.map(|s| s * PATIENT_OBJECTIVE_PART);
     let by_deadline = spec.deadline_s.map(|s| s * PATIENT_DEADLINE_PART);
     let ends = by_objective.into_iter().chain(by_deadline);
--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -34,7 +34,7 @@
 fn with_guest(priority: Priority) -> (Fixture, JobId) {
     let mut f = Fixture::new();
     set_spot(&mut f, true);
-    Rc::make_mut(&mut f.node.ctx.cfg).has_guests = true;
+    Rc::make_mut(&mut f.node.ctx.config).has_guests = true;
     let index = f.shard().quotas.len();
     f.shard().teams.insert(GUEST.to_owned(), index);
     f.shard().quotas.push(Quota::default());
@@ -244,8 +244,11 @@
     let txns = bodies.filter_map(|b| from_slice::<Value>(b).ok());
     let key = machine_key(id);
     let mut records = Vec::new();
-    for txn in txns {
-        let writes = txn["writes"].as_array().cloned().unwrap_or_default();
+    for transaction in txns {
+        let writes = transaction["writes"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
         let ours = writes.into_iter().filter(|w| w["put"] == key.as_str());
         records.extend(ours.filter_map(|w| from_value(w["data"].clone()).ok()));
     }
@@ -255,7 +258,7 @@
 /// The leader asks for the machine on behalf of another shard.
 fn ask_for(f: &mut Fixture, to: ShardId) {
     let id = f.machine.clone();
-    let mut record = f.node.view.machines[&id].rec.clone();
+    let mut record = f.node.view.machines[&id].record.clone();
     record.want = Some(to);
     let put = Change::Put {
         put: machine_key(&id),
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -4,9 +4,9 @@
 use crate::context::Context;
 use crate::job::Sent;
 use crate::machine::Machine;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::shard::Shard;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::cloud::DELETE_MOST;
 use forkshift_wire::{MachineId, TaskRef};
@@ -27,7 +27,7 @@
 
 impl Shard {
     /// Does what is due for gangs, cancellations, machines and records.
-    pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &View) {
+    pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &ClusterView) {
         self.stop_broken_gangs();
         self.follow_cancelled(ctx);
         self.round(ctx, view);
@@ -37,7 +37,7 @@
         }
         let progress = ctx.now >= self.next_progress;
         if progress {
-            self.next_progress = ctx.now + crate::ms(ctx.cfg.ops.round_s);
+            self.next_progress = ctx.now + crate::ms(ctx.config.ops.round_s);
         }
         self.flush(ctx, progress);
     }
@@ -72,10 +72,10 @@
     /// that came to an earlier holder. If the record of a machine cannot be
     /// written, or the leader does not act on it, we have it deleted ourselves.
     fn follow_cancelled(&mut self, ctx: &mut Context) {
-        let part = |part: f64| (ctx.cfg.cancel_ms as f64 * part) as Ms;
+        let part = |part: f64| (ctx.config.cancel_ms as f64 * part) as Ms;
         let (give_up, patience, evict) = (part(CANCEL_PART), part(PATIENCE_PART), part(EVICT_PART));
         // Whoever takes a job over tries to stop its tasks first, if there is time.
-        let tries = ctx.cfg.report_ms * TRIES;
+        let tries = ctx.config.report_ms * TRIES;
         let mut overdue = BTreeSet::new();
         for id in self.cancels.take(ctx.now) {
             self.stop_rest(&id);
@@ -95,7 +95,7 @@
             if age >= evict {
                 overdue.extend(holding);
             }
-            let next = ctx.now + ctx.cfg.report_ms;
+            let next = ctx.now + ctx.config.report_ms;
             let wake = if age < due && next > ctx.now + due - age {
                 ctx.now + due - age
             } else {
@@ -120,7 +120,7 @@
                 continue;
             };
             if due.len() < DELETE_MOST {
-                m.delete_at = ctx.now + ctx.cfg.report_ms;
+                m.delete_at = ctx.now + ctx.config.report_ms;
                 due.push(id);
             }
         }
@@ -132,7 +132,7 @@
             self.id,
             due.len()
         );
-        let pending = Pending::Evict {
+        let pending = PendingCall::DeleteOwnMachines {
             shard: self.id,
             epoch: self.epoch,
             machines: due.clone(),
@@ -155,7 +155,7 @@
     /// Does for a machine what is due: gives it up, has its record written,
     /// sends it commands. Then it is left alone until something happens to it
     /// or one of its deadlines comes.
-    fn look_at(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
+    fn look_at(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -174,10 +174,10 @@
             return;
         };
         let again = if self.is_busy(view, machine) {
-            let soon = ctx.now + (ctx.cfg.report_ms / BUSY_LOOKS).max(1);
+            let soon = ctx.now + (ctx.config.report_ms / BUSY_LOOKS).max(1);
             soon.max(machine.retry_at)
         } else {
-            ctx.now + ctx.cfg.lease_ms
+            ctx.now + ctx.config.lease_ms
         };
         self.look.wake(id, again.min(deadline).max(ctx.now + 1));
     }
@@ -197,8 +197,8 @@
 
     /// Whether something about a machine is under way that no message may
     /// bring back to mind.
-    fn is_busy(&self, view: &View, m: &Machine) -> bool {
-        let record = view.machines.get(&m.id).map(|r| &r.rec);
+    fn is_busy(&self, view: &ClusterView, m: &Machine) -> bool {
+        let record = view.machines.get(&m.id).map(|r| &r.record);
         let unwritten = record.is_some_and(|r| {
             let condemned = m.condemned.is_some() && r.condemned.is_none();
             let addr = m.heard.is_some() && r.addr.is_none() && m.condemned.is_none();
@@ -216,15 +216,15 @@
             || m.tasks.iter().any(stopping)
     }
 
-    fn note_address(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
+    fn note_address(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
         let record = view.machines.get(id);
-        let unrecorded = record.is_some_and(|r| r.rec.addr.is_none());
+        let unrecorded = record.is_some_and(|r| r.record.addr.is_none());
         let addr = m.addr.clone().filter(|_| m.heard.is_some());
         if let Some(addr) = addr.filter(|_| unrecorded && m.condemned.is_none()) {
-            self.put_machine(ctx, view, id, |rec| rec.addr = Some(addr));
+            self.put_machine(ctx, view, id, |record| record.addr = Some(addr));
         }
     }
 }
@@ -240,11 +240,11 @@
     }
     let silent = ctx.silent_ms();
     let last = m.last_sign(ctx.resumed_at);
-    let keep = (m.boot_ms as f64 * ctx.cfg.ops.idle_boots) as Ms;
+    let keep = (m.boot_ms as f64 * ctx.config.ops.idle_boots) as Ms;
     // A task is only ever placed where something was heard, by an earlier
     // holder perhaps, who had no time to write the address.
     let known = m.addr.is_some() || m.heard.is_some() || !m.tasks.is_empty();
-    let gone = ctx.cfg.report_ms * 2;
+    let gone = ctx.config.report_ms * 2;
     let ends = [
         (
             known.then_some(last + ctx.removal_timeout_ms(m)),
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -9,8 +9,8 @@
 use forkshift_wire::workers::TaskStage;
 use serde_json::{json, to_value};
 
-fn is_eviction(pending: &Pending) -> bool {
-    matches!(pending, Pending::Evict { .. })
+fn is_eviction(pending: &PendingCall) -> bool {
+    matches!(pending, PendingCall::DeleteOwnMachines { .. })
 }
 
 fn evicts(effects: &[Effect]) -> bool {
@@ -23,7 +23,7 @@
 #[test]
 fn a_machine_with_a_cancelled_task_is_deleted_without_a_write() {
     let mut f = Fixture::new();
-    let cancel = f.node.ctx.cfg.cancel_ms;
+    let cancel = f.node.ctx.config.cancel_ms;
     let id = f.job("j-1", JobKind::Service, 1);
     let other = f.job("j-2", JobKind::Service, 1);
     let (token, session) = (f.token(), 1);
@@ -47,7 +47,7 @@
     // Without an answer nothing is taken for gone, and it is tried again.
     f.answer(is_eviction, 0, &json!({}));
     assert_eq!(f.shard().jobs[&id].bound.len(), 1);
-    let report_ms = f.node.ctx.cfg.report_ms;
+    let report_ms = f.node.ctx.config.report_ms;
     let again = (0..4).any(|_| evicts(&f.step(report_ms)));
     assert!(again, "it is tried again");
     f.answer(is_eviction, 200, &json!({}));
@@ -76,7 +76,7 @@
         (0.9, 0.95),
     ] {
         let mut f = Fixture::new();
-        let cancel = f.node.ctx.cfg.cancel_ms;
+        let cancel = f.node.ctx.config.cancel_ms;
         let ago = (cancel as f64 * age) as Ms;
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, Sent::Inherited);
@@ -114,7 +114,7 @@
         let machine = f.machine.clone();
         let m = f.shard().machines.get_mut(&machine).expect("it is there");
         (m.addr, m.heard) = (None, None);
-        f.node.ctx.now += f.node.ctx.cfg.lease_ms;
+        f.node.ctx.now += f.node.ctx.config.lease_ms;
         f.node.ctx.has_valid_lease = true;
         let given_up = verdict(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
         assert_eq!(given_up.is_err(), tasks, "with tasks: {tasks}");
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -244,7 +244,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandRecord {
     /// Revision that the shard's holder had seen.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     /// Tasks without a place even on machines that are to come, and
     /// missing spare places, the most urgent first.
     pub shapes: Vec<ShapeRecord>,
@@ -272,7 +273,7 @@
     /// now, then tasks without a place; of each the last, as the most urgent
     /// come first. Messages to the leader hold all of it.
     pub(crate) fn cut_to(mut self, bytes: usize) -> Self {
-        let size = |rec: &Self| serde_json::to_vec(rec).map_or(0, |json| json.len());
+        let size = |record: &Self| serde_json::to_vec(record).map_or(0, |json| json.len());
         while size(&self) > bytes && self.drop_last() {}
         self
     }
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -26,7 +26,7 @@
 #[test]
 fn a_demand_is_cut_by_what_is_least_missed() {
     let full = DemandRecord {
-        rev: 7,
+        revision: 7,
         shapes: (1..=24).map(shape).collect(),
         now: (1..=24).map(shape).collect(),
         free: machines(20),
@@ -34,7 +34,7 @@
         borrowed: machines(200),
         pooled: Vec::new(),
     };
-    let size = |rec: &DemandRecord| serde_json::to_vec(rec).expect("a record").len();
+    let size = |record: &DemandRecord| serde_json::to_vec(record).expect("a record").len();
     let whole = size(&full);
     // Bytes, and which lists are left whole, cut, or empty.
     let cases = [
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -16,7 +16,7 @@
 use crate::forward::ForwardedRequest;
 use crate::io::RequestId;
 use crate::node::Node;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::shard::{Phase, Shard};
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
@@ -74,7 +74,7 @@
 impl Node {
     /// Asks the other controllers for the reports of machines that we do not hear.
     pub(crate) fn ask_for_relays(&mut self) {
-        let timing = self.ctx.cfg.link_timing();
+        let timing = self.ctx.config.link_timing();
         let (now, awake_since) = (self.ctx.now, self.ctx.resumed_at);
         self.ctx.relays.forget_late(now);
         self.ctx.redirects.forget_late(now);
@@ -89,15 +89,15 @@
 
     fn send_unheard(&mut self, unheard: Vec<MachineId>) {
         // An empty list takes back the one before it.
-        if unheard.is_empty() && !std::mem::take(&mut self.has_unheard) {
+        if unheard.is_empty() && !std::mem::take(&mut self.has_relay_requests) {
             return;
         }
-        self.has_unheard = !unheard.is_empty();
-        self.unheard_lists += 1;
-        let list = self.unheard_lists;
-        let cfg = self.ctx.cfg.clone();
-        for machines in in_messages(unheard, cfg.bounds.list_bytes) {
-            for node in cfg.other_nodes() {
+        self.has_relay_requests = !unheard.is_empty();
+        self.relay_request_count += 1;
+        let list = self.relay_request_count;
+        let config = self.ctx.config.clone();
+        for machines in in_messages(unheard, config.bounds.list_bytes) {
+            for node in config.other_nodes() {
                 let machines = machines.clone();
                 self.ctx
                     .send_to_peer(node, 0, Body::RelayRequest { list, machines });
@@ -110,13 +110,15 @@
         if machines.is_empty() {
             return;
         }
-        let cfg = self.ctx.cfg.clone();
-        let others = cfg.other_nodes().filter(|n| self.ctx.is_peer_answering(n));
+        let config = self.ctx.config.clone();
+        let others = config
+            .other_nodes()
+            .filter(|n| self.ctx.is_peer_answering(n));
         let mut others: Vec<&NodeName> = others.collect();
-        let first = self.unheard_lists as usize % others.len().max(1);
+        let first = self.relay_request_count as usize % others.len().max(1);
         others.rotate_left(first);
         others.truncate(PROBERS);
-        for machines in in_messages(machines, cfg.bounds.list_bytes) {
+        for machines in in_messages(machines, config.bounds.list_bytes) {
             for node in &others {
                 let machines = machines.clone();
                 self.ctx
@@ -127,17 +129,17 @@
 
     /// Another controller does not hear these machines, and asks us to call them.
     pub(crate) fn on_probe(&mut self, from: &NodeName, machines: &[String]) {
-        let timeout = self.ctx.cfg.call_ms();
-        let most = self.ctx.cfg.bounds.worker_calls;
+        let timeout = self.ctx.config.call_ms();
+        let most = self.ctx.config.bounds.worker_calls;
         for id in machines.iter().map(|id| MachineId::new(id)) {
             let record = self.view.machines.get(&id);
-            let addr = record.and_then(|m| m.rec.addr.clone());
+            let addr = record.and_then(|m| m.record.addr.clone());
             let Some(addr) = addr.filter(|_| self.ctx.worker_calls < most) else {
                 continue;
             };
             let holder = from.clone();
             self.ctx
-                .request_worker_status(&addr, timeout, Pending::Probe { holder });
+                .request_worker_status(&addr, timeout, PendingCall::ProbeWorker { holder });
         }
     }
 
@@ -197,9 +199,9 @@
     /// The holder of a machine, if it has said that it does not hear it, or if the worker
     /// was sent there and came back.
     pub(crate) fn deaf_holder(&self, machine: &MachineId) -> Option<NodeName> {
-        let shard = self.view.machines.get(machine)?.rec.shard;
-        let holder = &self.view.shards.get(&shard)?.rec;
-        let is_other = holder.holder != self.ctx.cfg.node;
+        let shard = self.view.machines.get(machine)?.record.shard;
+        let holder = &self.view.shards.get(&shard)?.record;
+        let is_other = holder.holder != self.ctx.config.node;
         let Context {
             relays,
             redirects,
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -5,7 +5,7 @@
 use crate::machine::Machine;
 use crate::pools::open_reservations;
 use crate::shard::Shard;
-use crate::view::View;
+use crate::view::ClusterView;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Reclaim, Reservation, Resources, Standing};
 use forkshift_wire::users::{JobKind, Priority};
@@ -28,13 +28,13 @@
 
 impl Shard {
     /// Runs a round if one is due.
-    pub(crate) fn round(&mut self, ctx: &mut Context, view: &View) {
+    pub(crate) fn round(&mut self, ctx: &mut Context, view: &ClusterView) {
         if ctx.now < self.next_round {
             return;
         }
         let _span = tracing::debug_span!("round").entered();
         self.last_round = ctx.now;
-        self.next_round = ctx.now + crate::ms(ctx.cfg.ops.round_s);
+        self.next_round = ctx.now + crate::ms(ctx.config.ops.round_s);
         let usable: Vec<MachineId> = self
             .machines
             .values()
@@ -45,7 +45,7 @@
         self.reserve_members(ctx, &usable, &mut hosts);
         let (ids, mut wants) = self.pending_tasks(ctx, &usable);
         let mut quotas = self.quotas.clone();
-        let weights = ctx.cfg.ops.weights;
+        let weights = ctx.config.ops.weights;
         let mut placed = run_round(&mut wants, &mut hosts, &mut quotas, &weights);
         self.note_misses(ctx, &ids, &wants);
         placed.extend(self.reclaim_members(ctx, &ids, &mut wants, &mut hosts, &mut quotas));
@@ -168,7 +168,7 @@
         // One that failed again and again, with all of its tasks at once,
         // once took a fleet's room and its rentals.
         let probed = job.failures.is_probed();
-        let most = ctx.cfg.bounds.tasks_a_round;
+        let most = ctx.config.bounds.tasks_a_round;
         let mut waiting = job.waiting(if gang { usize::MAX } else { most });
         if probed && !gang {
             waiting.truncate(1);
@@ -179,7 +179,7 @@
         }
         let team = *self.teams.get(&job.spec.team)?;
         let mut pending = pending_tasks_of(ctx, job, team, &facts.zones);
-        if probed && job.is_trying(ctx.now, ctx.cfg.report_ms) {
+        if probed && job.is_trying(ctx.now, ctx.config.report_ms) {
             return None;
         }
         let behind = probed && ctx.now < job.not_before + PROBE_BEHIND;
@@ -199,8 +199,8 @@
             true => PROBE_BAND,
             false => band(job, guaranteed, aged),
         };
-        let is_late = job.age(ctx.now) > crate::ms(ctx.cfg.ops.round_s * RECLAIM_ROUNDS);
-        let from_guests = ctx.cfg.has_guests && (guaranteed || job.priority() >= Priority::High);
+        let is_late = job.age(ctx.now) > crate::ms(ctx.config.ops.round_s * RECLAIM_ROUNDS);
+        let from_guests = ctx.config.has_guests && (guaranteed || job.priority() >= Priority::High);
         let from_pools = ctx.has_pools() && guaranteed;
         let reclaims = !probed && (from_guests || from_pools);
         pending.reclaim = match reclaims {
@@ -240,7 +240,8 @@
         };
         let machine = self.machines.get(id);
         machine.is_some_and(|m| {
-            m.failures.is_tried(ctx.now, ctx.cfg.report_ms, m.boot_ms)
+            m.failures
+                .is_tried(ctx.now, ctx.config.report_ms, m.boot_ms)
                 && !m.tasks.iter().any(starts)
         })
     }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -19,14 +19,14 @@
 use crate::io::Reply;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::pools::ShardPools;
 use crate::records::{shard_key, DemandRecord, MachineRecord, ShardId};
 use crate::store::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
 use forkshift_sched::{Quota, Resources};
-use forkshift_wire::state::{Cond, Item, Txn, Write};
+use forkshift_wire::state::{Item, Precondition, Transaction, Write};
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -140,7 +140,7 @@
         log::info!("shard {id}: ours from epoch {epoch}");
         let mut teams = BTreeMap::new();
         let mut quotas = Vec::new();
-        for team in ctx.cfg.teams.values().filter(|t| t.shard == id) {
+        for team in ctx.config.teams.values().filter(|t| t.shard == id) {
             teams.insert(team.name.clone(), quotas.len());
             quotas.push(Quota {
                 guarantee: team.guarantee,
@@ -203,13 +203,13 @@
 
     /// The first token that is used for a machine: above those of earlier
     /// holders of the shard, and of the machine's earlier shards.
-    pub(crate) fn first_token(&self, rec: &MachineRecord) -> u64 {
-        (self.epoch << TOKEN_BITS).max(rec.floor + 1)
+    pub(crate) fn first_token(&self, record: &MachineRecord) -> u64 {
+        (self.epoch << TOKEN_BITS).max(record.floor + 1)
     }
 
     /// The condition that the shard is still held under this epoch.
-    pub(crate) fn held(&self) -> Cond {
-        Cond {
+    pub(crate) fn held(&self) -> Precondition {
+        Precondition {
             key: shard_key(self.id),
             version: self.version,
         }
@@ -217,7 +217,7 @@
 
     /// Asks for a round before its time.
     pub(crate) fn hurry(&mut self, ctx: &Context) {
-        let gap = crate::ms(ctx.cfg.ops.round_gap_s);
+        let gap = crate::ms(ctx.config.ops.round_gap_s);
         self.next_round = self.next_round.min(ctx.now.max(self.last_round + gap));
     }
 
@@ -237,12 +237,12 @@
 
 /// Removes a record that nothing refers to any more.
 pub(crate) fn remove_key(ctx: &mut Context, key: String, version: u64) {
-    let txn = Txn {
-        conds: vec![Cond {
+    let transaction = Transaction {
+        preconditions: vec![Precondition {
             key: key.clone(),
             version,
         }],
         writes: vec![Write::Remove { remove: key }],
     };
-    ctx.transact(Urgency::Later, &txn, Pending::Housekeeping);
+    ctx.transact(Urgency::Background, &transaction, PendingCall::Housekeeping);
 }
--- a/crates/core/src/shard/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -1,11 +1,11 @@
 //! Handover of shards between controllers.
 
 use crate::context::Context;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{node_key, shard_key, ShardId, ShardRecord, EPOCH};
 use crate::store::Urgency;
-use crate::view::View;
-use forkshift_wire::state::{Cond, Txn, Write};
+use crate::view::ClusterView;
+use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::NodeName;
 use serde_json::to_value;
 use std::collections::BTreeMap;
@@ -13,9 +13,10 @@
 /// Hands shards to starts of controllers, each under a new epoch. It takes
 /// hold only if the controllers that held them are as the view shows them:
 /// gone, or started anew, or willing.
-pub(crate) fn hand_over(ctx: &mut Context, view: &View, given: &[(ShardId, NodeName)]) {
+pub(crate) fn hand_over(ctx: &mut Context, view: &ClusterView, given: &[(ShardId, NodeName)]) {
     let (epoch_version, mut epoch) = view.epoch();
-    let mut conds: BTreeMap<String, u64> = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
+    let mut preconditions: BTreeMap<String, u64> =
+        BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
     let mut writes = Vec::new();
     let mut shards = Vec::new();
     for (k, to) in given {
@@ -23,30 +24,38 @@
             continue;
         };
         epoch += 1;
-        let rec = ShardRecord {
+        let record = ShardRecord {
             holder: to.clone(),
-            holder_incarnation: node.rec.incarnation,
+            holder_incarnation: node.record.incarnation,
             epoch,
             handover_to: None,
         };
         let shard = view.shards.get(k);
-        conds.insert(shard_key(*k), shard.map_or(0, |s| s.version));
-        conds.insert(node_key(to), node.version);
-        if let Some(old) = shard.map(|s| &s.rec.holder) {
-            conds.insert(node_key(old), view.nodes.get(old).map_or(0, |n| n.version));
+        preconditions.insert(shard_key(*k), shard.map_or(0, |s| s.version));
+        preconditions.insert(node_key(to), node.version);
+        if let Some(old) = shard.map(|s| &s.record.holder) {
+            preconditions.insert(node_key(old), view.nodes.get(old).map_or(0, |n| n.version));
         }
-        writes.push(Write::put(shard_key(*k), to_value(rec).unwrap_or_default()));
+        writes.push(Write::put(
+            shard_key(*k),
+            to_value(record).unwrap_or_default(),
+        ));
         shards.push(*k);
     }
     if shards.is_empty() {
         return;
     }
     writes.push(Write::put(EPOCH.to_owned(), epoch.into()));
-    let conds = conds.into_iter();
-    let conds = conds.map(|(key, version)| Cond { key, version }).collect();
+    let preconditions = preconditions.into_iter();
+    let preconditions = preconditions
+        .map(|(key, version)| Precondition { key, version })
+        .collect();
     ctx.transact(
-        Urgency::Member,
-        &Txn { conds, writes },
-        Pending::ShardPut(shards),
+        Urgency::Membership,
+        &Transaction {
+            preconditions,
+            writes,
+        },
+        PendingCall::ShardHandover(shards),
     );
 }
--- a/crates/core/src/shard/jobs.rs
+++ b/crates/core/src/shard/jobs.rs
@@ -22,7 +22,10 @@
         at: Ms,
         stamp: u64,
     ) {
-        let over = self.gone.get(&spec.id).is_some_and(|rev| stamp <= *rev);
+        let over = self
+            .gone
+            .get(&spec.id)
+            .is_some_and(|revision| stamp <= *revision);
         if over || self.jobs.contains_key(&spec.id) || !self.teams.contains_key(&spec.team) {
             return;
         }
@@ -34,7 +37,7 @@
         let mut job = Job::new(spec, image, stamp, layout, ctx.now);
         job.at = at;
         job.waited = ctx.wall_clock_ms.saturating_sub(at);
-        if ctx.cfg.waits.contains_key(&job.spec.class) {
+        if ctx.config.waits.contains_key(&job.spec.class) {
             self.hurry(ctx);
         }
         if job.is_blocked() {
@@ -138,7 +141,7 @@
 
 /// The layout of a job that is new. The old release knows one only.
 pub(crate) fn new_layout(ctx: &Context, spec: &JobSpec) -> Layout {
-    let unnamed = Layout::unnamed(&ctx.cfg.state_limits);
+    let unnamed = Layout::unnamed(&ctx.config.state_limits);
     if ctx.format.is_first() {
         return unnamed;
     }
--- a/crates/core/src/shard/loading.rs
+++ b/crates/core/src/shard/loading.rs
@@ -7,10 +7,10 @@
 use super::{remove_key, Phase, Shard};
 use crate::context::{is_watch_lost, Context};
 use crate::layout::Layout;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::records::{live_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::store::Urgency;
-use crate::view::{Changed, View};
+use crate::view::{ChangedMachines, ClusterView};
 use crate::Ms;
 use forkshift_wire::state::{Change, Changes, Page};
 use forkshift_wire::JobId;
@@ -34,7 +34,11 @@
             path.push_str(&format!("&from={from}"));
         }
         let (shard, epoch) = (self.id, self.epoch);
-        ctx.read_store(Urgency::Member, path, Pending::ShardList { shard, epoch });
+        ctx.read_store(
+            Urgency::Membership,
+            path,
+            PendingCall::ShardList { shard, epoch },
+        );
     }
 
     /// Reads the jobs anew, when that is due.
@@ -59,7 +63,7 @@
         }
         self.loaded.append(&mut page.items);
         match self.loaded.last() {
-            Some(last) if page.more => {
+            Some(last) if page.has_next => {
                 let from = last.key.clone();
                 self.list(ctx, &from);
             }
@@ -69,16 +73,16 @@
 
     /// Starts to use the shard, once the view is as new as what was read.
     /// Only then does a machine that the view lacks not exist any more.
-    pub(crate) fn activate(&mut self, ctx: &mut Context, view: &View) {
+    pub(crate) fn activate(&mut self, ctx: &mut Context, view: &ClusterView) {
         // A machine of a type that is not known would be taken for gone.
-        let mut ours = view.machines.values().filter(|m| m.rec.shard == self.id);
-        if !ours.all(|m| view.types.contains_key(&m.rec.machine_type)) {
+        let mut ours = view.machines.values().filter(|m| m.record.shard == self.id);
+        if !ours.all(|m| view.machine_types.contains_key(&m.record.machine_type)) {
             log::error!("shard {}: a machine's type is not known", self.id);
             return;
         }
         self.phase = Phase::Active;
         self.active_since = ctx.now;
-        self.sync_machines(ctx, view, &Changed::everything());
+        self.sync_machines(ctx, view, &ChangedMachines::everything());
         let prefix = live_prefix(self.id);
         let items = std::mem::take(&mut self.loaded);
         let mut blocks = Vec::new();
@@ -93,7 +97,7 @@
             let job = self.jobs.get(&id);
             let block = job.and_then(|j| j.layout().parse_block(&block));
             match (block, from_value::<TaskBlockRecord>(item.value)) {
-                (Some(block), Ok(rec)) => self.restore(ctx, &id, block, rec, item.version),
+                (Some(block), Ok(record)) => self.restore(ctx, &id, block, record, item.version),
                 _ => remove_key(ctx, item.key, item.version),
             }
         }
@@ -121,7 +125,7 @@
             }
         };
         let id = head.spec.id.clone();
-        let layout = Layout::recorded(head.layout, &ctx.cfg.state_limits);
+        let layout = Layout::recorded(head.layout, &ctx.config.state_limits);
         self.add_job(ctx, head.spec, Some(layout), head.at, stamp);
         self.restore(ctx, &id, 0, head.block, stamp);
         if head.cancelled {
@@ -137,11 +141,18 @@
     }
 
     /// Restores a block of a job's tasks.
-    fn restore(&mut self, ctx: &Context, id: &JobId, block: u32, rec: TaskBlockRecord, stamp: u64) {
+    fn restore(
+        &mut self,
+        ctx: &Context,
+        id: &JobId,
+        block: u32,
+        record: TaskBlockRecord,
+        stamp: u64,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        for (index, binding) in job.restore(block, rec, stamp, ctx.now) {
+        for (index, binding) in job.restore(block, record, stamp, ctx.now) {
             if self.machines.contains_key(&binding.machine) {
                 self.bind(id, index, binding);
             } else if let Some(job) = self.jobs.get_mut(id) {
@@ -160,7 +171,7 @@
         self.watching = true;
         self.watch_serial += 1;
         self.watch_at = ctx.now + ctx.watch_pause(WATCH_PART);
-        let pending = Pending::ShardWatch {
+        let pending = PendingCall::ShardWatch {
             shard: self.id,
             epoch: self.epoch,
             serial: self.watch_serial,
@@ -211,6 +222,6 @@
         }
         self.live_rev = self.live_rev.max(changes.revision);
         let seen = self.live_rev;
-        self.gone.retain(|_, rev| *rev >= seen);
+        self.gone.retain(|_, revision| *revision >= seen);
     }
 }
--- a/crates/core/src/shard/machines.rs
+++ b/crates/core/src/shard/machines.rs
@@ -5,22 +5,27 @@
 use crate::blame::MachineFailures;
 use crate::context::Context;
 use crate::machine::Machine;
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::pools::{add_row, MachinePool};
 use crate::records::{machine_key, total_of, MachineRecord};
 use crate::store::Urgency;
-use crate::view::{Changed, View};
+use crate::view::{ChangedMachines, ClusterView};
 use forkshift_links::{MachineLink, Route};
 use forkshift_pools::{Ended, Interval};
 use forkshift_sched::Resources;
-use forkshift_wire::state::{Cond, Txn, Write};
+use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::{MachineId, TaskRef};
 use serde_json::to_value;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Shard {
     /// Follows the view: new machines, changed records, machines that are gone.
-    pub(crate) fn sync_machines(&mut self, ctx: &mut Context, view: &View, changed: &Changed) {
+    pub(crate) fn sync_machines(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        changed: &ChangedMachines,
+    ) {
         if changed.all {
             let known = self.machines.keys().chain(view.machines.keys());
             let all: BTreeSet<MachineId> = known.cloned().collect();
@@ -35,25 +40,26 @@
     }
 
     /// Follows one machine's record.
-    fn sync_machine(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
+    fn sync_machine(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         ctx.work_units += 1;
-        let ours = view.machines.get(id).filter(|m| m.rec.shard == self.id);
-        let Some(stamped) = ours else {
+        let ours = view.machines.get(id).filter(|m| m.record.shard == self.id);
+        let Some(versioned) = ours else {
             self.drop_machine(ctx, id);
             return;
         };
         self.look.touch(id);
         if let Some(machine) = self.machines.get_mut(id) {
-            if machine.version != stamped.version {
-                machine.version = stamped.version;
+            if machine.version != versioned.version {
+                machine.version = versioned.version;
                 machine.leaving = None;
-                if stamped.rec.condemned.is_some() {
-                    machine.condemned = stamped.rec.condemned.clone();
+                if versioned.record.condemned.is_some() {
+                    machine.condemned = versioned.record.condemned.clone();
                 }
-                machine.addr = stamped.rec.addr.clone().or(machine.addr.take());
-                machine.pool.follow(&stamped.rec);
+                machine.addr = versioned.record.addr.clone().or(machine.addr.take());
+                machine.pool.follow(&versioned.record);
             }
-        } else if let Some(machine) = self.new_machine(ctx, view, id, &stamped.rec, stamped.version)
+        } else if let Some(machine) =
+            self.new_machine(ctx, view, id, &versioned.record, versioned.version)
         {
             self.machines.insert(id.clone(), machine);
         }
@@ -63,36 +69,36 @@
     fn new_machine(
         &self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         id: &MachineId,
-        rec: &MachineRecord,
+        record: &MachineRecord,
         version: u64,
     ) -> Option<Machine> {
-        let of_type = &view.types.get(&rec.machine_type)?.rec;
-        let hourly = if rec.spot {
+        let of_type = &view.machine_types.get(&record.machine_type)?.record;
+        let hourly = if record.spot {
             of_type.spot_price.unwrap_or(of_type.price)
         } else {
             of_type.price
         };
         Some(Machine {
             id: id.clone(),
-            machine_type: ctx.places.number(&rec.machine_type),
-            zone: ctx.places.number(&rec.zone),
-            spot: rec.spot,
+            machine_type: ctx.places.number(&record.machine_type),
+            zone: ctx.places.number(&record.zone),
+            spot: record.spot,
             total: total_of(of_type),
             price: hourly / 3600.0,
             fetch_rate: of_type.fetch_gb_per_s,
             cache_gb: of_type.cache_gb,
             boot_ms: crate::ms(of_type.boot_s),
-            addr: rec.addr.clone(),
-            condemned: rec.condemned.clone(),
+            addr: record.addr.clone(),
+            condemned: record.condemned.clone(),
             version,
             putting: false,
             put_from: 0,
             session: 0,
             seq: 0,
             echo: 0,
-            token: self.first_token(rec),
+            token: self.first_token(record),
             unechoed_since: None,
             heard: None,
             link: MachineLink::default(),
@@ -101,13 +107,13 @@
             calling: false,
             retry_at: 0,
             unanswered: false,
-            push: rec.addr.is_some(),
+            push: record.addr.is_some(),
             tasks: BTreeSet::new(),
             used: Resources::default(),
             orphans: Vec::new(),
             exited: Vec::new(),
             fates: BTreeMap::new(),
-            images: rec
+            images: record
                 .images
                 .iter()
                 .map(|(name, gb)| (ctx.images.number(name), *gb))
@@ -121,7 +127,7 @@
             full_house_until: 0,
             draining: false,
             idle_since: None,
-            pool: MachinePool::new(rec),
+            pool: MachinePool::new(record),
         })
     }
 
@@ -141,7 +147,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let timing = ctx.cfg.link_timing();
+        let timing = ctx.config.link_timing();
         let was_relayed = machine.link.is_relayed();
         machine.link.on_report(ctx.now, route, &timing);
         if was_relayed != machine.link.is_relayed() {
@@ -166,8 +172,8 @@
     /// free. From the moment the write is sent nothing is placed there until
     /// the record has changed: a write without an answer may land late, and
     /// the other shard then owns whatever is on the machine.
-    pub(crate) fn give_away(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
-        let Some(to) = view.machines.get(id).and_then(|m| m.rec.want) else {
+    pub(crate) fn give_away(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
+        let Some(to) = view.machines.get(id).and_then(|m| m.record.want) else {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.vacating = false;
             }
@@ -193,15 +199,15 @@
         if free || machine.leaving.is_some() {
             machine.leaving = Some(machine.version);
             let at_ms = ctx.wall_clock_ms;
-            self.put_machine_with(ctx, view, id, |rec| {
-                rec.shard = to;
-                rec.want = None;
-                rec.floor = floor;
-                rec.images = names;
-                rec.close_membership(id, at_ms, Err(Ended::Reclaimed))
+            self.put_machine_with(ctx, view, id, |record| {
+                record.shard = to;
+                record.want = None;
+                record.floor = floor;
+                record.images = names;
+                record.close_membership(id, at_ms, Err(Ended::Reclaimed))
             });
         } else if !self.vacate(ctx, id) {
-            self.put_machine(ctx, view, id, |rec| rec.want = None);
+            self.put_machine(ctx, view, id, |record| record.want = None);
         }
     }
 
@@ -225,12 +231,12 @@
     pub(crate) fn put_machine(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         id: &MachineId,
         change: impl FnOnce(&mut MachineRecord),
     ) {
-        self.put_machine_with(ctx, view, id, |rec| {
-            change(rec);
+        self.put_machine_with(ctx, view, id, |record| {
+            change(record);
             None
         });
     }
@@ -239,11 +245,11 @@
     pub(crate) fn put_machine_with(
         &mut self,
         ctx: &mut Context,
-        view: &View,
+        view: &ClusterView,
         id: &MachineId,
         change: impl FnOnce(&mut MachineRecord) -> Option<Interval>,
     ) {
-        let (Some(machine), Some(stamped)) = (self.machines.get_mut(id), view.machines.get(id))
+        let (Some(machine), Some(versioned)) = (self.machines.get_mut(id), view.machines.get(id))
         else {
             return;
         };
@@ -251,26 +257,35 @@
             return;
         }
         machine.putting = true;
-        let mut rec = stamped.rec.clone();
-        let row = change(&mut rec);
+        let mut record = versioned.record.clone();
+        let row = change(&mut record);
         // Only a takeover needs an address; all else frees a machine.
-        let moves = rec.shard != stamped.rec.shard || rec.condemned != stamped.rec.condemned;
-        let urgency = if moves { Urgency::Work } else { Urgency::Later };
+        let moves = record.shard != versioned.record.shard
+            || record.condemned != versioned.record.condemned;
+        let urgency = if moves {
+            Urgency::Tasks
+        } else {
+            Urgency::Background
+        };
         let key = machine_key(id);
-        let mut txn = Txn {
-            conds: vec![
+        let mut transaction = Transaction {
+            preconditions: vec![
                 self.held(),
-                Cond {
+                Precondition {
                     key: key.clone(),
-                    version: stamped.version,
+                    version: versioned.version,
                 },
             ],
-            writes: vec![Write::put(key, to_value(rec).unwrap_or_default())],
+            writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
         };
         if let Some(row) = row {
-            add_row(&mut txn, row.key(), &row);
+            add_row(&mut transaction, row.key(), &row);
         }
-        ctx.transact(urgency, &txn, Pending::MachinePut(id.clone()));
+        ctx.transact(
+            urgency,
+            &transaction,
+            PendingCall::MachineRecordWrite(id.clone()),
+        );
     }
 
     /// Gives a machine up: nothing more is placed there, and the leader
@@ -291,7 +306,12 @@
 
     /// Writes that a machine is given up, until the record says so, and takes
     /// away from it what was never sent there.
-    pub(crate) fn record_condemned(&mut self, ctx: &mut Context, view: &View, id: &MachineId) {
+    pub(crate) fn record_condemned(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        id: &MachineId,
+    ) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -301,12 +321,12 @@
         let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
         self.drop_unsent_of(tasks);
         let recorded = view.machines.get(id);
-        if recorded.is_some_and(|m| m.rec.condemned.is_none()) {
+        if recorded.is_some_and(|m| m.record.condemned.is_none()) {
             // The leader may remove the record at once, and knows less of when it ended.
             let (at_ms, ended) = self.end_of_membership(ctx, id);
-            self.put_machine_with(ctx, view, id, |rec| {
-                rec.condemned = Some(why);
-                rec.close_membership(id, at_ms, Err(ended))
+            self.put_machine_with(ctx, view, id, |record| {
+                record.condemned = Some(why);
+                record.close_membership(id, at_ms, Err(ended))
             });
         }
     }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,6 +1,6 @@
 //! The way to the state service: one queue, one budget, one backoff.
 
-use crate::pending::Pending;
+use crate::pending::PendingCall;
 use crate::Ms;
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -8,12 +8,12 @@
 
 /// Requests and changes, in a second.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
-pub(crate) struct Use {
+pub(crate) struct StoreRate {
     pub(crate) requests: f64,
     pub(crate) writes: f64,
 }
 
-impl Use {
+impl StoreRate {
     /// From what messages hold: each in a thousand seconds.
     pub(crate) fn from_milli(requests: u32, writes: u32) -> Self {
         Self {
@@ -28,7 +28,7 @@
         (milli(self.requests), milli(self.writes))
     }
 
-    fn each(&self, other: &Self, f: fn(f64, f64) -> f64) -> Self {
+    fn combine(&self, other: &Self, f: fn(f64, f64) -> f64) -> Self {
         Self {
             requests: f(self.requests, other.requests),
             writes: f(self.writes, other.writes),
@@ -36,19 +36,19 @@
     }
 
     pub(crate) fn plus(&self, other: &Self) -> Self {
-        self.each(other, |a, b| a + b)
+        self.combine(other, |a, b| a + b)
     }
 
-    pub(crate) fn most(&self, other: &Self) -> Self {
-        self.each(other, f64::max)
+    pub(crate) fn max(&self, other: &Self) -> Self {
+        self.combine(other, f64::max)
     }
 
     /// What of this goes beyond another.
-    pub(crate) fn beyond(&self, other: &Self) -> Self {
-        self.each(other, |a, b| (a - b).max(0.0))
+    pub(crate) fn saturating_sub(&self, other: &Self) -> Self {
+        self.combine(other, |a, b| (a - b).max(0.0))
     }
 
-    pub(crate) fn times(&self, x: f64) -> Self {
+    pub(crate) fn scaled(&self, x: f64) -> Self {
         Self {
             requests: self.requests * x,
             writes: self.writes * x,
@@ -58,13 +58,13 @@
 
 /// A rate with bursts of one second's worth.
 #[derive(Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate: f64,
     tokens: f64,
     at: Ms,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub(crate) fn new(rate: f64) -> Self {
         Self {
             rate,
@@ -109,28 +109,28 @@
             return self.take(n, true);
         }
         let keeps = match urgency {
-            Urgency::Member | Urgency::Lead | Urgency::User => 0.0,
-            Urgency::Work | Urgency::Later => SUBMISSION_WRITES,
+            Urgency::Membership | Urgency::Leadership | Urgency::User => 0.0,
+            Urgency::Tasks | Urgency::Background => SUBMISSION_WRITES,
         };
         let is_low = self.tokens < (n + keeps).min(self.burst());
-        let goes = !is_low || urgency == Urgency::Member;
+        let goes = !is_low || urgency == Urgency::Membership;
         goes && self.take(n, true)
     }
 
-    pub(crate) fn drain(&mut self) {
+    pub(crate) fn empty(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
 
     /// What a pause has filled it with counts in part only.
     fn note_process_pause(&mut self, now: Ms) {
         self.refill(now);
-        self.tokens = self.tokens.min(self.burst() * PAUSED_PART);
+        self.tokens = self.tokens.min(self.burst() * RESUMED_BURST_PART);
     }
 }
 
 /// The part of a burst that there is after standing still. All controllers may
 /// have stood still together, and each first sends what can't be held back.
-const PAUSED_PART: f64 = 0.5;
+const RESUMED_BURST_PART: f64 = 0.5;
 /// Changes of a transaction that accepts a job.
 const SUBMISSION_WRITES: f64 = 2.0;
 
@@ -138,21 +138,21 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Urgency {
     /// Leases, leadership, shards: never held back.
-    Member,
+    Membership,
     /// The leader's rentals.
-    Lead,
+    Leadership,
     /// A user waits for the answer. Refused at once while the service is out:
     /// the user is told when to come back rather than kept waiting.
     User,
     /// Starts and the fate of tasks.
-    Work,
+    Tasks,
     /// What can wait.
-    Later,
+    Background,
 }
 
 /// A call to the state service.
 #[derive(Debug)]
-pub(crate) struct StateCall {
+pub(crate) struct StoreCall {
     pub(crate) method: &'static str,
     pub(crate) path: String,
     pub(crate) body: Option<Vec<u8>>,
@@ -161,46 +161,46 @@
     pub(crate) timeout: Ms,
     /// If it has not been sent by then, it is answered with 503.
     pub(crate) expires: Ms,
-    pub(crate) pending: Pending,
+    pub(crate) pending: PendingCall,
 }
 
 /// A call's place in the queue.
-type Place = (Urgency, u64);
+type QueuePosition = (Urgency, u64);
 
 /// The queue in front of the state service.
 pub(crate) struct Store {
     /// Calls that change nothing, and those that do, each in order: while no
     /// change may be made, only the former need to be looked at.
-    reads: BTreeMap<Place, StateCall>,
-    changes: BTreeMap<Place, StateCall>,
+    reads: BTreeMap<QueuePosition, StoreCall>,
+    changes: BTreeMap<QueuePosition, StoreCall>,
     /// When which call is of no use any more.
-    expiries: BTreeSet<(Ms, Place)>,
+    expiries: BTreeSet<(Ms, QueuePosition)>,
     /// Changes that wait.
     writes_queued: usize,
-    next: u64,
-    requests: Bucket,
-    writes: Bucket,
+    next_sequence: u64,
+    requests: TokenBucket,
+    writes: TokenBucket,
     /// Nothing but `Member` calls before this.
     pause_until: Ms,
     backoff: Ms,
     /// The last answer was a 503.
     out_since: Option<Ms>,
     /// Whether users' changes may be made in advance of the budget.
-    in_advance: bool,
+    allows_advance: bool,
     /// A call had no answer, or was refused, since the last answer.
     is_disturbed: bool,
     /// The service answered again after that, at this time.
     recovered_at: Option<Ms>,
     /// When that was last taken note of.
-    noted_at: Ms,
+    recovery_noted_at: Ms,
     /// What was sent since the need was last asked for.
-    sent: Use,
+    sent: StoreRate,
     sent_since: Ms,
 }
 
 /// Longest pause between two tries at a service that refuses.
-const BACKOFF_MOST: Ms = 1_000;
-const BACKOFF_LEAST: Ms = 50;
+const MAX_BACKOFF: Ms = 1_000;
+const MIN_BACKOFF: Ms = 50;
 /// Least pause between two recoveries that are taken note of.
 const RECOVERY_PAUSE: Ms = 1_000;
 
@@ -211,23 +211,23 @@
             changes: BTreeMap::new(),
             expiries: BTreeSet::new(),
             writes_queued: 0,
-            next: 0,
-            requests: Bucket::new(rps),
-            writes: Bucket::new(write_rps),
+            next_sequence: 0,
+            requests: TokenBucket::new(rps),
+            writes: TokenBucket::new(write_rps),
             pause_until: 0,
-            backoff: BACKOFF_LEAST,
+            backoff: MIN_BACKOFF,
             out_since: None,
-            in_advance: false,
+            allows_advance: false,
             is_disturbed: false,
             recovered_at: None,
-            noted_at: 0,
-            sent: Use::default(),
+            recovery_noted_at: 0,
+            sent: StoreRate::default(),
             sent_since: 0,
         }
     }
 
     /// Sets what may be used a second.
-    pub(crate) fn set_rates(&mut self, rate: &Use) {
+    pub(crate) fn set_rates(&mut self, rate: &StoreRate) {
         self.requests.set_rate(rate.requests);
         self.writes.set_rate(rate.writes);
     }
@@ -235,15 +235,15 @@
     /// Sets whether users' changes may be made in advance: only while others are
     /// known to leave some of the budget unused.
     pub(crate) fn allow_advance(&mut self, allowed: bool) {
-        self.in_advance = allowed;
+        self.allows_advance = allowed;
     }
 
     /// What is needed a second: what was sent lately, and what waits.
-    pub(crate) fn take_need(&mut self, now: Ms) -> Use {
+    pub(crate) fn take_need(&mut self, now: Ms) -> StoreRate {
         let seconds = now.saturating_sub(self.sent_since).max(1) as f64 / 1000.0;
-        let sent = std::mem::take(&mut self.sent).times(1.0 / seconds);
+        let sent = std::mem::take(&mut self.sent).scaled(1.0 / seconds);
         self.sent_since = now;
-        let waits = Use {
+        let waits = StoreRate {
             requests: self.len() as f64,
             writes: self.writes_queued as f64,
         };
@@ -251,9 +251,9 @@
     }
 
     /// Queues a call.
-    pub(crate) fn push(&mut self, urgency: Urgency, call: StateCall) {
-        self.next += 1;
-        let place = (urgency, self.next);
+    pub(crate) fn push(&mut self, urgency: Urgency, call: StoreCall) {
+        self.next_sequence += 1;
+        let place = (urgency, self.next_sequence);
         self.expiries.insert((call.expires, place));
         self.writes_queued += call.writes;
         let queue = if call.writes > 0 {
@@ -264,7 +264,7 @@
         queue.insert(place, call);
     }
 
-    fn remove(&mut self, place: &Place) -> Option<StateCall> {
+    fn remove(&mut self, place: &QueuePosition) -> Option<StoreCall> {
         let call = self.reads.remove(place);
         let call = call.or_else(|| self.changes.remove(place))?;
         self.expiries.remove(&(call.expires, *place));
@@ -273,7 +273,7 @@
     }
 
     /// The first call at or behind a place, leaving changes out or not.
-    fn first(&self, from: Place, with_changes: bool) -> Option<Place> {
+    fn first(&self, from: QueuePosition, with_changes: bool) -> Option<QueuePosition> {
         let read = self.reads.range(from..).next().map(|(p, _)| *p);
         let change = self.changes.range(from..).next().map(|(p, _)| *p);
         match (read, change.filter(|_| with_changes)) {
@@ -301,17 +301,17 @@
     /// Whether the service was not reached for a while and answers again, once
     /// each time and not too often.
     pub(crate) fn take_recovered(&mut self, now: Ms) -> bool {
-        if self.recovered_at.is_none() || now < self.noted_at + RECOVERY_PAUSE {
+        if self.recovered_at.is_none() || now < self.recovery_noted_at + RECOVERY_PAUSE {
             return false;
         }
         self.recovered_at = None;
-        self.noted_at = now;
+        self.recovery_noted_at = now;
         true
     }
 
     /// Most changes that should go together where they can wait: more would use
     /// up what is kept for submissions.
-    pub(crate) fn together_most(&self) -> usize {
+    pub(crate) fn batch_limit(&self) -> usize {
         (self.writes.burst() - SUBMISSION_WRITES).max(SUBMISSION_WRITES) as usize
     }
 
@@ -330,18 +330,18 @@
         match status {
             0 => {}
             429 => {
-                self.requests.drain();
-                self.writes.drain();
+                self.requests.empty();
+                self.writes.empty();
             }
             503 => {
                 self.out_since.get_or_insert(now);
                 let pause = rng.random_range(self.backoff / 2..=self.backoff);
                 self.pause_until = self.pause_until.max(now + pause);
-                self.backoff = (self.backoff * 2).min(BACKOFF_MOST);
+                self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
             }
             _ => {
                 self.out_since = None;
-                self.backoff = BACKOFF_LEAST;
+                self.backoff = MIN_BACKOFF;
                 self.pause_until = 0;
             }
         }
@@ -350,21 +350,21 @@
     /// Calls that may go out now, and calls that waited too long. What may
     /// not go out is not walked over: the queue is long when many machines
     /// start or end at once.
-    pub(crate) fn due(&mut self, now: Ms) -> (Vec<StateCall>, Vec<StateCall>) {
+    pub(crate) fn take_due(&mut self, now: Ms) -> (Vec<StoreCall>, Vec<StoreCall>) {
         self.requests.refill(now);
         self.writes.refill(now);
         let mut go = Vec::new();
         // First of all: after standing still, what was decided before is old.
         let mut late = self.expired(now);
         let mut changes = true;
-        let mut from = (Urgency::Member, 0);
+        let mut from = (Urgency::Membership, 0);
         while let Some(place) = self.first(from, changes) {
             from = (place.0, place.1 + 1);
             if self.is_out() && place.0 == Urgency::User {
                 late.extend(self.remove(&place));
                 continue;
             }
-            let member = place.0 == Urgency::Member;
+            let member = place.0 == Urgency::Membership;
             if !member && now < self.pause_until {
                 if !self.is_out() || place.0 > Urgency::User {
                     break;
@@ -372,7 +372,7 @@
                 continue;
             }
             let n = self.changes.get(&place).map_or(0, |c| c.writes) as f64;
-            if n > 0.0 && !self.writes.take_for(n, place.0, self.in_advance) {
+            if n > 0.0 && !self.writes.take_for(n, place.0, self.allows_advance) {
                 // The order of changes is kept: none goes before this one.
                 changes = false;
                 continue;
@@ -383,7 +383,7 @@
                 break;
             }
             if let Some(call) = self.remove(&place) {
-                let sent = Use {
+                let sent = StoreRate {
                     requests: 1.0,
                     writes: n,
                 };
@@ -395,7 +395,7 @@
     }
 
     /// Takes calls that waited too long out of the queue.
-    fn expired(&mut self, now: Ms) -> Vec<StateCall> {
+    fn expired(&mut self, now: Ms) -> Vec<StoreCall> {
         let mut late = Vec::new();
         while let Some((at, place)) = self.expiries.first().copied() {
             if at > now {
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-fn call(expires: Ms, writes: usize) -> StateCall {
-    StateCall {
+fn call(expires: Ms, writes: usize) -> StoreCall {
+    StoreCall {
         method: "POST",
         path: "/txn".to_owned(),
         body: None,
         writes,
         timeout: 2_000,
         expires,
-        pending: Pending::Housekeeping,
+        pending: PendingCall::Housekeeping,
     }
 }
 
@@ -18,17 +18,17 @@
 /// though there is budget for it by then.
 #[test]
 fn what_waited_too_long_is_not_sent() {
-    for urgency in [Urgency::Member, Urgency::User, Urgency::Work] {
+    for urgency in [Urgency::Membership, Urgency::User, Urgency::Tasks] {
         for (stop, is_sent) in [(1_000, true), (30_000, false)] {
             let mut store = Store::new(10.0, 10.0);
             // The budget is used up, so the rest of the calls waits.
             for _ in 0..30 {
                 store.push(urgency, call(2_000, 1));
             }
-            let (first, _) = store.due(0);
-            let (sent, late) = store.due(stop);
-            assert_eq!(!sent.is_empty(), is_sent && urgency != Urgency::Member);
-            assert_eq!(late.is_empty(), is_sent || urgency == Urgency::Member);
+            let (first, _) = store.take_due(0);
+            let (sent, late) = store.take_due(stop);
+            assert_eq!(!sent.is_empty(), is_sent && urgency != Urgency::Membership);
+            assert_eq!(late.is_empty(), is_sent || urgency == Urgency::Membership);
             let all = first.len() + sent.len() + late.len();
             assert!(all <= 30, "{urgency:?}: {all}");
         }
@@ -39,16 +39,16 @@
 /// more sent than the rate and one second's burst allow.
 #[test]
 fn a_user_does_not_wait_for_what_can_wait() {
-    for (urgency, goes) in [(Urgency::User, true), (Urgency::Work, false)] {
+    for (urgency, goes) in [(Urgency::User, true), (Urgency::Tasks, false)] {
         let mut store = Store::new(100.0, 4.0);
         for _ in 0..10 {
-            store.push(Urgency::Work, call(10_000, 1));
+            store.push(Urgency::Tasks, call(10_000, 1));
         }
-        assert_eq!(store.due(0).0.len(), 2);
+        assert_eq!(store.take_due(0).0.len(), 2);
         store.push(urgency, call(10_000, 2));
-        let now = store.due(1).0;
+        let now = store.take_due(1).0;
         assert_eq!(!now.is_empty(), goes, "{urgency:?}");
-        let later = (2..2_001).flat_map(|now| store.due(now).0);
+        let later = (2..2_001).flat_map(|now| store.take_due(now).0);
         let sent: usize = 2 + now
             .into_iter()
             .chain(later)
@@ -66,7 +66,7 @@
     for (in_advance, urgency, first, in_all) in [
         (true, Urgency::User, 4, 10),
         (false, Urgency::User, 2, 8),
-        (true, Urgency::Work, 1, 7),
+        (true, Urgency::Tasks, 1, 7),
     ] {
         let mut store = Store::new(100.0, 4.0);
         store.allow_advance(in_advance);
@@ -74,8 +74,8 @@
             store.push(urgency, call(10_000, 2));
         }
         let name = format!("{in_advance}, {urgency:?}");
-        assert_eq!(store.due(0).0.len(), first, "{name}");
-        let later: usize = (1..3_001).map(|now| store.due(now).0.len()).sum();
+        assert_eq!(store.take_due(0).0.len(), first, "{name}");
+        let later: usize = (1..3_001).map(|now| store.take_due(now).0.len()).sum();
         assert_eq!(first + later, in_all, "{name}");
     }
 }
@@ -91,7 +91,7 @@
         if stops {
             store.note_pause(60_000);
         }
-        assert_eq!(store.due(60_000).0.len(), sent);
+        assert_eq!(store.take_due(60_000).0.len(), sent);
     }
 }
 
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -14,40 +14,40 @@
 
 /// A record and its version.
 #[derive(Clone, Debug)]
-pub(crate) struct Stamped<T> {
-    pub(crate) rec: T,
+pub(crate) struct Versioned<T> {
+    pub(crate) record: T,
     pub(crate) version: u64,
 }
 
 /// Everything below `c/`, as of one revision.
 #[derive(Default)]
-pub(crate) struct View {
+pub(crate) struct ClusterView {
     pub(crate) revision: u64,
-    pub(crate) ready: bool,
-    pub(crate) nodes: BTreeMap<NodeName, Stamped<NodeRecord>>,
-    pub(crate) leader: Option<Stamped<LeaderRecord>>,
-    pub(crate) epoch: Option<Stamped<u64>>,
-    pub(crate) finalized_format: Option<Stamped<FormatVersion>>,
-    pub(crate) shards: BTreeMap<ShardId, Stamped<ShardRecord>>,
-    pub(crate) machines: BTreeMap<MachineId, Stamped<MachineRecord>>,
-    pub(crate) rental_intents: BTreeMap<String, Stamped<RentalIntent>>,
-    pub(crate) types: BTreeMap<String, Stamped<MachineType>>,
-    pub(crate) demands: BTreeMap<ShardId, Stamped<DemandRecord>>,
-    pub(crate) aborts: BTreeMap<JobId, u64>,
+    pub(crate) is_complete: bool,
+    pub(crate) nodes: BTreeMap<NodeName, Versioned<NodeRecord>>,
+    pub(crate) leader: Option<Versioned<LeaderRecord>>,
+    pub(crate) epoch: Option<Versioned<u64>>,
+    pub(crate) finalized_format: Option<Versioned<FormatVersion>>,
+    pub(crate) shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
+    pub(crate) machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
+    pub(crate) provisioning_intents: BTreeMap<String, Versioned<RentalIntent>>,
+    pub(crate) machine_types: BTreeMap<String, Versioned<MachineType>>,
+    pub(crate) demands: BTreeMap<ShardId, Versioned<DemandRecord>>,
+    pub(crate) cancellations: BTreeMap<JobId, u64>,
     /// Machines that are given up.
-    pub(crate) condemned: BTreeSet<MachineId>,
-    changed: Changed,
+    pub(crate) decommissioned: BTreeSet<MachineId>,
+    changed: ChangedMachines,
 }
 
 /// Which machines' records changed since this was last asked for.
 #[derive(Default)]
-pub(crate) struct Changed {
+pub(crate) struct ChangedMachines {
     /// Perhaps all of them.
     pub(crate) all: bool,
     pub(crate) machines: BTreeSet<MachineId>,
 }
 
-impl Changed {
+impl ChangedMachines {
     /// Everything may have changed.
     pub(crate) fn everything() -> Self {
         Self {
@@ -57,9 +57,9 @@
     }
 }
 
-fn decode<T: DeserializeOwned>(key: &str, value: Value, version: u64) -> Option<Stamped<T>> {
+fn decode<T: DeserializeOwned>(key: &str, value: Value, version: u64) -> Option<Versioned<T>> {
     match serde_json::from_value(value) {
-        Ok(rec) => Some(Stamped { rec, version }),
+        Ok(record) => Some(Versioned { record, version }),
         Err(e) => {
             log::error!("record {key} is not understood: {e}");
             None
@@ -67,18 +67,18 @@
     }
 }
 
-impl View {
+impl ClusterView {
     /// Whether all controllers say that they hear hardly any worker.
     pub(crate) fn has_no_node_with_heartbeats(&self) -> bool {
-        self.nodes.values().all(|n| n.rec.receives_no_heartbeats)
+        self.nodes.values().all(|n| n.record.receives_no_heartbeats)
     }
 
     /// Replaces everything by a full listing.
     pub(crate) fn replace(&mut self, items: Vec<Item>, revision: u64) {
         *self = Self {
             revision,
-            ready: true,
-            changed: Changed::everything(),
+            is_complete: true,
+            changed: ChangedMachines::everything(),
             ..Self::default()
         };
         for item in items {
@@ -123,7 +123,7 @@
             return;
         };
         fn set<K: Ord, T: DeserializeOwned>(
-            map: &mut BTreeMap<K, Stamped<T>>,
+            map: &mut BTreeMap<K, Versioned<T>>,
             name: K,
             key: &str,
             value: Value,
@@ -141,14 +141,20 @@
                 set(&mut self.machines, id.clone(), key, value, v);
                 self.machine_changed(id);
             }
-            "charter" => set(&mut self.rental_intents, name.to_owned(), key, value, v),
+            "charter" => set(
+                &mut self.provisioning_intents,
+                name.to_owned(),
+                key,
+                value,
+                v,
+            ),
             "rig" => {
                 // What a machine has is known by its type.
                 self.changed.all = true;
-                set(&mut self.types, name.to_owned(), key, value, v);
+                set(&mut self.machine_types, name.to_owned(), key, value, v);
             }
             "abort" => {
-                self.aborts.insert(JobId::new(name), v);
+                self.cancellations.insert(JobId::new(name), v);
             }
             "share" | "demand" => {
                 let Ok(k) = name.parse().map(ShardId) else {
@@ -180,9 +186,9 @@
                 self.machines.remove(&id);
                 self.machine_changed(id);
             }
-            "charter" => drop(self.rental_intents.remove(name)),
-            "rig" => drop(self.types.remove(name)),
-            "abort" => drop(self.aborts.remove(&JobId::new(name))),
+            "charter" => drop(self.provisioning_intents.remove(name)),
+            "rig" => drop(self.machine_types.remove(name)),
+            "abort" => drop(self.cancellations.remove(&JobId::new(name))),
             "share" => drop(name.parse().map(|k| self.shards.remove(&ShardId(k)))),
             "demand" => drop(name.parse().map(|k| self.demands.remove(&ShardId(k)))),
             _ => {}
@@ -191,49 +197,51 @@
 
     fn machine_changed(&mut self, id: MachineId) {
         let record = self.machines.get(&id);
-        if record.is_some_and(|m| m.rec.condemned.is_some()) {
-            self.condemned.insert(id.clone());
+        if record.is_some_and(|m| m.record.condemned.is_some()) {
+            self.decommissioned.insert(id.clone());
         } else {
-            self.condemned.remove(&id);
+            self.decommissioned.remove(&id);
         }
         self.changed.machines.insert(id);
     }
 
     /// What changed since this was last asked for.
-    pub(crate) fn take_changed(&mut self) -> Changed {
+    pub(crate) fn take_changed(&mut self) -> ChangedMachines {
         std::mem::take(&mut self.changed)
     }
 
     /// The format that all controllers know.
     pub(crate) fn format(&self) -> FormatVersion {
         let finalized = self.finalized_format.as_ref();
-        finalized.map_or(FormatVersion::FIRST, |f| f.rec)
+        finalized.map_or(FormatVersion::FIRST, |f| f.record)
     }
 
     /// Version of the epoch counter, and its value.
     pub(crate) fn epoch(&self) -> (u64, u64) {
-        self.epoch.as_ref().map_or((0, 0), |e| (e.version, e.rec))
+        self.epoch
+            .as_ref()
+            .map_or((0, 0), |e| (e.version, e.record))
     }
 
     /// Whether this start of a controller is alive, as far as is known.
     pub(crate) fn is_alive(&self, node: &NodeName, incarnation: u64) -> bool {
         self.nodes
             .get(node)
-            .is_some_and(|n| n.rec.incarnation == incarnation)
+            .is_some_and(|n| n.record.incarnation == incarnation)
     }
 
     /// The controller that holds a shard, if it is alive.
     pub(crate) fn holder(&self, k: ShardId) -> Option<&NodeName> {
-        let shard = &self.shards.get(&k)?.rec;
+        let shard = &self.shards.get(&k)?.record;
         self.is_alive(&shard.holder, shard.holder_incarnation)
             .then_some(&shard.holder)
     }
 
     /// All zones in which machines can be had.
     pub(crate) fn zones(&self) -> BTreeSet<&str> {
-        let types = self.types.values();
+        let types = self.machine_types.values();
         types
-            .flat_map(|t| t.rec.zones.iter().map(String::as_str))
+            .flat_map(|t| t.record.zones.iter().map(String::as_str))
             .collect()
     }
 }
--- a/crates/daemon/src/pools/accounts.rs
+++ b/crates/daemon/src/pools/accounts.rs
@@ -182,7 +182,7 @@
         let machines: BTreeMap<String, MachineRecord> = self.named("machine")?;
         let machines = machines.into_iter();
         Ok(machines
-            .map(|(name, rec)| (MachineId::new(&name), rec))
+            .map(|(name, record)| (MachineId::new(&name), record))
             .collect())
     }
 
@@ -205,7 +205,7 @@
             let from = from.unwrap_or_default();
             let path = format!("/kv?starts={prefix}&most={PAGE_ITEMS}{from}");
             let page = self.page(path)?;
-            let is_last = !page.more || page.items.is_empty();
+            let is_last = !page.has_next || page.items.is_empty();
             items.extend(page.items);
             if is_last {
                 return Ok(items);
--- a/crates/emulator/src/purpose.rs
+++ b/crates/emulator/src/purpose.rs
@@ -1,6 +1,6 @@
 //! What a request to the state service is for, by its path and keys.
 
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use serde::Serialize;
 
 /// What a request or a change is for.
@@ -40,9 +40,9 @@
     if method == "GET" {
         return (Purpose::Read, Vec::new());
     }
-    let txn: Txn = serde_json::from_slice(body).unwrap_or_default();
+    let txn: Transaction = serde_json::from_slice(body).unwrap_or_default();
     let changes: Vec<Purpose> = txn.writes.iter().map(Write::key).map(of_key).collect();
-    let conditions = txn.conds.iter().map(|c| of_key(&c.key));
+    let conditions = txn.preconditions.iter().map(|c| of_key(&c.key));
     // A transaction of a job's records is named by the rarer kind.
     let all = changes.iter().copied().chain(conditions);
     let first = all.min_by_key(|p| (*p != Purpose::Job, *p));
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the state service.
 
 use crate::Ms;
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
@@ -105,12 +105,12 @@
 
 impl SizeLimits {
     /// What of a transaction goes beyond them.
-    fn excess(&self, txn: &Txn) -> Option<String> {
+    fn excess(&self, txn: &Transaction) -> Option<String> {
         if txn.writes.len() > self.txn_ops {
             return Some(format!("{} changes", txn.writes.len()));
         }
-        if txn.conds.len() > self.txn_ops * CONDITIONS_PER_CHANGE {
-            return Some(format!("{} conditions", txn.conds.len()));
+        if txn.preconditions.len() > self.txn_ops * CONDITIONS_PER_CHANGE {
+            return Some(format!("{} conditions", txn.preconditions.len()));
         }
         txn.writes.iter().find_map(|write| match write {
             Write::Put { put, value, .. } if value.to_string().len() > self.value_bytes => {
@@ -196,7 +196,7 @@
         }
         let bare = path.split('?').next().unwrap_or_default();
         let parts: Vec<&str> = bare.trim_start_matches('/').split('/').collect();
-        let txn: Option<serde_json::Result<Txn>> = match parts.as_slice() {
+        let txn: Option<serde_json::Result<Transaction>> = match parts.as_slice() {
             ["txn"] => Some(serde_json::from_slice(body)),
             _ => None,
         };
@@ -306,7 +306,7 @@
         )
     }
 
-    fn txn(&mut self, txn: Txn) -> (u16, Value) {
+    fn txn(&mut self, txn: Transaction) -> (u16, Value) {
         if let Some(excess) = self.sizes.excess(&txn) {
             self.too_large += 1;
             log::info!("refused: {excess}");
@@ -324,7 +324,7 @@
         }
         let version = |key: &str| self.entries.get(key).map_or(0, |e| e.version);
         let failed: Vec<&str> = txn
-            .conds
+            .preconditions
             .iter()
             .filter(|c| version(&c.key) != c.version)
             .map(|c| c.key.as_str())
@@ -364,7 +364,7 @@
         (200, json!({"ledger_rev": self.revision}))
     }
 
-    fn note_given_up(&mut self, txn: &Txn) {
+    fn note_given_up(&mut self, txn: &Transaction) {
         for write in &txn.writes {
             let Write::Put { put, value, .. } = write else {
                 continue;
--- a/crates/testkit/src/world/pools.rs
+++ b/crates/testkit/src/world/pools.rs
@@ -17,7 +17,7 @@
     pub fn pool_members(&self) -> Vec<(MachineId, Membership)> {
         let members = self.machine_records().into_iter();
         members
-            .filter_map(|(id, rec)| Some((id, rec.pool?)))
+            .filter_map(|(id, record)| Some((id, record.pool?)))
             .collect()
     }
 
@@ -42,14 +42,14 @@
                 serde_json::from_value(value).unwrap_or_else(|e| panic!("{key}: {e}"));
             accounts.prices.push(price);
         }
-        for (id, rec) in self.machine_records() {
-            let Some(membership) = rec.pool else {
+        for (id, record) in self.machine_records() {
+            let Some(membership) = record.pool else {
                 continue;
             };
             let machine = MachineFacts {
                 id,
-                machine_type: rec.machine_type,
-                spot: rec.spot,
+                machine_type: record.machine_type,
+                spot: record.spot,
             };
             let open = membership.close(&machine, now_ms, None);
             accounts.intervals.push(open);
--- a/crates/testkit/src/world/troubles.rs
+++ b/crates/testkit/src/world/troubles.rs
@@ -3,7 +3,7 @@
 use super::network::{Dest, Message, Origin};
 use super::{Event, World};
 use crate::Ms;
-use forkshift_wire::state::{Txn, Write};
+use forkshift_wire::state::{Transaction, Write};
 use rand::Rng;
 
 /// Most copies of reports that are kept for the next leader, a machine, and at least.
@@ -47,7 +47,7 @@
         }
         let puts = |w: &Write, of: &str| matches!(w, Write::Put { put, .. } if put.starts_with(of));
         let meant = of.is_none_or(|of| {
-            let txn = serde_json::from_slice::<Txn>(&m.body);
+            let txn = serde_json::from_slice::<Transaction>(&m.body);
             txn.is_ok_and(|txn| txn.writes.iter().any(|w| puts(w, of)))
         });
         (meant && self.chance(share)).then_some(at_once)
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -24,7 +24,7 @@
     pub items: Vec<Item>,
     /// Whether there is another page.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_next: bool,
     /// The store's revision.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
@@ -32,7 +32,7 @@
 
 /// Condition of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cond {
+pub struct Precondition {
     /// The key.
     pub key: String,
     /// The version it must have; 0: it must not exist.
@@ -83,10 +83,10 @@
 
 /// Body of `POST /txn`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// All must hold.
     #[serde(rename = "if", default)]
-    pub conds: Vec<Cond>,
+    pub preconditions: Vec<Precondition>,
     /// Carried out together.
     #[serde(rename = "writes", default, skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
@@ -94,7 +94,7 @@
 
 /// Answer of `POST /txn`, and of a read that finds nothing.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct TxnReply {
+pub struct TransactionReply {
     /// The store's revision.
     #[serde(rename = "ledger_rev", default)]
     pub revision: u64,
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -374,11 +374,11 @@
     };
     let page = Page {
         items: vec![item.clone()],
-        more: true,
+        has_next: true,
         revision: 18,
     };
-    let txn = Txn {
-        conds: vec![Cond {
+    let txn = Transaction {
+        preconditions: vec![Precondition {
             key: "c/leader".to_owned(),
             version: 3,
         }],
@@ -394,7 +394,7 @@
             },
         ],
     };
-    let reply = TxnReply {
+    let reply = TransactionReply {
         revision: 19,
         failed: texts(&["c/leader"]),
     };
@@ -418,10 +418,10 @@
         both("page", &page),
         read::<Page>("page_fields_left_out", r#"{"items":[],"ledger_rev":1}"#),
         both("txn_full", &txn),
-        both("txn_least", &Txn::default()),
-        read::<Txn>("txn_fields_left_out", "{}"),
+        both("txn_least", &Transaction::default()),
+        read::<Transaction>("txn_fields_left_out", "{}"),
         both("txn_reply", &reply),
-        read::<TxnReply>("txn_reply_fields_left_out", "{}"),
+        read::<TransactionReply>("txn_reply_fields_left_out", "{}"),
         both("grant", &LeaseRequest { ttl_ms: 4000 }),
         both("grant_reply", &LeaseReply { lease: 7 }),
         both("changes", &changes),
