--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -7,7 +7,7 @@
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of_mut, Node};
 use crate::pending::{CancellationPoll, Lookup, PendingCall};
-use crate::records::{abort_key, job_key, ShardId};
+use crate::records::{cancellation_key, job_key, ShardId};
 use crate::store::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Transaction, Write};
@@ -54,7 +54,7 @@
         let until = self.ctx.now + ANSWER_MS * 3 / 4;
         self.tell_cancel(&id, shard);
         let known = self.view.cancellations.get(&id).copied();
-        let key = abort_key(&id);
+        let key = cancellation_key(&id);
         let poll = CancellationPoll {
             request,
             id,
@@ -107,7 +107,7 @@
                 self.ctx.respond(*request, reply);
                 // The holder may have been told by message, and have done it
                 // before any view showed the key: it is for us to remove.
-                crate::shard::remove_key(&mut self.ctx, abort_key(id), *version);
+                crate::shard::remove_key(&mut self.ctx, cancellation_key(id), *version);
             }
             _ if code == 503 => self.ctx.respond(*request, Reply::later("not now")),
             _ if self.ctx.now < *until => self.delayed_polls.push((self.ctx.now + POLL_MS, poll)),
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::pending::{Creation, Lookup, PendingCall};
 use crate::records::{
-    job_key, live_key, total_of, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
+    capacity_of, job_key, unfinished_key, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
 };
 use crate::shard::new_layout;
 use crate::store::Urgency;
@@ -89,7 +89,7 @@
                     .as_ref()
                     .is_none_or(|names| names.contains(&t.name));
                 let there = spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
-                allowed && there && task.fits(&total_of(t))
+                allowed && there && task.fits(&capacity_of(t))
             });
         if !fits {
             return Err(Reply::error(422, "a task fits no allowed machine type"));
@@ -122,9 +122,9 @@
         let head = JobHeadRecord {
             spec: spec.clone(),
             cancelled: false,
-            cancelled_at: 0,
-            at: self.ctx.wall_clock_ms,
-            layout: new_layout(&self.ctx, spec).to_record(),
+            cancelled_at_ms: 0,
+            submitted_at_ms: self.ctx.wall_clock_ms,
+            tasks_per_block: new_layout(&self.ctx, spec).to_record(),
             block: TaskBlockRecord::default(),
         };
         let key = job_key(&spec.id);
@@ -143,7 +143,7 @@
                 version: *version,
             }));
         if !creation.is_cancelled {
-            let key = live_key(*shard, &spec.id, 0);
+            let key = unfinished_key(*shard, &spec.id, 0);
             let head = to_value(head).unwrap_or_default();
             transaction.writes.push(Write::put(key, head));
         }
--- a/crates/core/src/commit/tests.rs
+++ b/crates/core/src/commit/tests.rs
@@ -5,7 +5,7 @@
 use crate::io::{Effect, Input};
 use crate::job::Binding;
 use crate::layout::Layout;
-use crate::records::{live_key, JobHeadRecord, TaskBlockRecord};
+use crate::records::{unfinished_key, JobHeadRecord, TaskBlockRecord};
 use forkshift_wire::state::{Change, Changes};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::MachineId;
@@ -40,7 +40,7 @@
         .get_mut(&0)
         .expect("a head")
         .stamp = 9;
-    let failed = json!({"failed": [live_key(f.shard, &id, 0)], "ledger_rev": 10});
+    let failed = json!({"failed": [unfinished_key(f.shard, &id, 0)], "ledger_rev": 10});
     f.answer(is_txn, 409, &failed);
     f.answer(is_fix, 404, &json!({"ledger_rev": 10}));
     let spec = f.shard().jobs[&id].spec.clone();
@@ -55,13 +55,13 @@
     let head = |cancelled, block| JobHeadRecord {
         spec: (*spec).clone(),
         cancelled,
-        cancelled_at: 0,
-        at: 0,
-        layout: None,
+        cancelled_at_ms: 0,
+        submitted_at_ms: 0,
+        tasks_per_block: None,
         block,
     };
     let placed = TaskBlockRecord {
-        next: 1,
+        next_attempt: 1,
         bound: vec![(0, 1, MachineId::new("m-1"))],
         ..TaskBlockRecord::default()
     };
@@ -73,7 +73,7 @@
         let changes = Changes {
             revision: version,
             events: vec![Change::Put {
-                put: live_key(f.shard, &id, 0),
+                put: unfinished_key(f.shard, &id, 0),
                 value: to_value(head).expect("a record"),
                 version,
             }],
@@ -241,7 +241,7 @@
         let done = all().filter(|i| i % 3 == 0).map(|i| (i, i + 1));
         let bound = all().filter(|i| i % 3 == 1);
         TaskBlockRecord {
-            next: 2,
+            next_attempt: 2,
             done: done.collect(),
             bound: bound.map(|i| (i, 2, MachineId::new("m-1"))).collect(),
         }
@@ -249,9 +249,9 @@
     let head = JobHeadRecord {
         spec,
         cancelled: false,
-        cancelled_at: 0,
-        at: WALL,
-        layout: None,
+        cancelled_at_ms: 0,
+        submitted_at_ms: WALL,
+        tasks_per_block: None,
         block: block(0),
     };
     let mut records = Records {
@@ -267,10 +267,13 @@
         };
         records.items.insert(key, item);
     };
-    put(live_key(f.shard, id, 0), to_value(head).expect("a head"));
+    put(
+        unfinished_key(f.shard, id, 0),
+        to_value(head).expect("a head"),
+    );
     for b in 1..=layout.block_of(tasks - 1) {
         let value = to_value(block(b)).expect("a block");
-        put(live_key(f.shard, id, b), value);
+        put(unfinished_key(f.shard, id, b), value);
     }
     records
 }
@@ -355,7 +358,7 @@
             let answer = Input::Response { call, status, body };
             let now = f.node.ctx.now;
             effects.extend(f.node.step(now, WALL, vec![answer]));
-            let head = &records.items[&live_key(f.shard, &id, 0)];
+            let head = &records.items[&unfinished_key(f.shard, &id, 0)];
             let is_named = head.value.get("layout").is_some();
             let is_durable = f.shard().jobs[&id].is_durable(index, version);
             durable.push(is_durable);
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -6,7 +6,7 @@
 use crate::overflow::Overflow;
 use crate::pending::PendingCall;
 use crate::pools::{open_reservations, Coming};
-use crate::records::{demand_key, total_of, DemandRecord, ShapeRecord};
+use crate::records::{capacity_of, demand_key, DemandRecord, ShapeRecord};
 use crate::rounds::{host, names};
 use crate::shard::Shard;
 use crate::store::Urgency;
@@ -88,7 +88,7 @@
         let for_pools = self.keep_pools(ctx, view, &coming, &hosts);
         // A missing spare place fits on no machine that is here, or it
         // would have been booked there; only what waits speaks against it.
-        if shapes.iter().all(|s| s.spare || s.borrows) {
+        if shapes.iter().all(|s| s.is_spare || s.is_borrowing) {
             hosts.truncate(usable.len());
             self.drain(ctx, view, usable, &mut hosts);
         }
@@ -98,11 +98,11 @@
         let record = DemandRecord {
             revision: view.revision,
             shapes,
-            now,
-            free,
-            surplus,
-            borrowed: self.borrowed_machines(ctx, usable),
-            pooled: Vec::new(),
+            waiting: now,
+            spare_machines: free,
+            surplus_machines: surplus,
+            reclaimable_machines: self.borrowed_machines(ctx, usable),
+            pool_machines: Vec::new(),
         };
         let record = self.with_offered_members(ctx, record);
         self.show_demand(ctx, view, record);
@@ -216,15 +216,15 @@
             add_shape(
                 &mut shapes,
                 ShapeRecord {
-                    res: (want.task.cpus, want.task.gpus, want.task.memory),
-                    n: n as u32,
+                    milli_resources: (want.task.cpus, want.task.gpus, want.task.memory),
+                    count: n as u32,
                     types: types.map(|t| t.iter().filter_map(|t| names.get(t).cloned()).collect()),
                     zones: (allowed.len() < zone_names.len()).then_some(allowed),
                     spot: want.spot,
-                    spare: false,
-                    reclaims: want.reclaim.reclaims_machines(),
-                    borrows: want.standing.borrows(),
-                    gang: want.gang && ctx.has_pools(),
+                    is_spare: false,
+                    may_reclaim: want.reclaim.reclaims_machines(),
+                    is_borrowing: want.standing.borrows(),
+                    is_gang: want.gang && ctx.has_pools(),
                 },
             );
         }
@@ -236,12 +236,15 @@
             let Some(of_type) = view.machine_types.get(&intent.machine_type) else {
                 continue;
             };
-            let left = intent.in_turn().into_iter().skip(intent.placed as usize);
+            let left = intent
+                .shards_in_turn()
+                .into_iter()
+                .skip(intent.placed as usize);
             let t = &of_type.record;
             for _ in left.filter(|k| *k == self.id) {
                 hosts.push(Host {
-                    free: total_of(t),
-                    total: total_of(t),
+                    free: capacity_of(t),
+                    total: capacity_of(t),
                     machine_type: ctx.places.number(&intent.machine_type),
                     zone: ctx.places.number(&intent.zone),
                     spot: intent.spot,
@@ -300,7 +303,13 @@
                 }
             }
             if left > 0 {
-                add_shape(&mut missing, ShapeRecord { n: left, ..shape });
+                add_shape(
+                    &mut missing,
+                    ShapeRecord {
+                        count: left,
+                        ..shape
+                    },
+                );
             }
         }
         missing
@@ -352,7 +361,7 @@
             return;
         };
         let refresh = crate::ms(ctx.config.ops.round_s);
-        if record.is_like(&self.told) && ctx.now < self.told_at + refresh {
+        if record.has_same_demand(&self.told) && ctx.now < self.told_at + refresh {
             return;
         }
         self.told = record.clone();
@@ -361,8 +370,8 @@
             ctx.unmet_demand.push((self.id, self.epoch, record.clone()));
             return;
         }
-        let cut = record.clone().cut_to(ctx.config.bounds.list_bytes);
-        if !cut.is_like(record) {
+        let cut = record.clone().truncated_to(ctx.config.bounds.list_bytes);
+        if !cut.has_same_demand(record) {
             ctx.overflows.note(ctx.now, Overflow::Demand);
         }
         let body = Body::UnmetDemand {
@@ -381,11 +390,11 @@
         if unseen || ctx.now < self.demand_at + pause {
             return;
         }
-        let record = record.cut_to(ctx.limits.value_bytes);
+        let record = record.truncated_to(ctx.limits.value_bytes);
         let none = DemandRecord::default();
         let shown = view.demands.get(&self.id).map_or(&none, |d| &d.record);
         let stale = !record.shapes.is_empty() && shown.revision < view.revision;
-        let changed = !record.is_like(shown);
+        let changed = !record.has_same_demand(shown);
         if !(changed || stale) {
             return;
         }
@@ -395,7 +404,7 @@
             "shard {}: unmet demand {:?}, {:?} wait now",
             self.id,
             record.shapes,
-            record.now
+            record.waiting
         );
         let transaction = Transaction {
             preconditions: vec![self.held()],
@@ -415,16 +424,16 @@
 
 fn add_shape(shapes: &mut Vec<ShapeRecord>, shape: ShapeRecord) {
     let same = |s: &&mut ShapeRecord| {
-        s.res == shape.res
+        s.milli_resources == shape.milli_resources
             && s.types == shape.types
             && s.zones == shape.zones
             && s.spot == shape.spot
-            && s.reclaims == shape.reclaims
-            && s.borrows == shape.borrows
-            && s.gang == shape.gang
+            && s.may_reclaim == shape.may_reclaim
+            && s.is_borrowing == shape.is_borrowing
+            && s.is_gang == shape.is_gang
     };
     match shapes.iter_mut().find(same) {
-        Some(known) => known.n += shape.n,
+        Some(known) => known.count += shape.count,
         None => shapes.push(shape),
     }
 }
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -7,7 +7,7 @@
 use crate::bounds::part_of_machines;
 use crate::context::Context;
 use crate::job::Job;
-use crate::records::total_of;
+use crate::records::capacity_of;
 use crate::rounds::pending_tasks_of;
 use crate::shard::Shard;
 use crate::view::ClusterView;
@@ -288,7 +288,7 @@
                 .is_none_or(|names| names.contains(&t.name))
         })
         .filter_map(|t| {
-            let total = total_of(t);
+            let total = capacity_of(t);
             let price = t.spot_price.filter(|_| spec.spot).unwrap_or(t.price);
             let fits = job.task.fits(&total);
             fits.then(|| job.task.largest_share(&total) * price)
--- a/crates/core/src/evidence/tests.rs
+++ b/crates/core/src/evidence/tests.rs
@@ -138,7 +138,7 @@
         (ours + 7, ours + 8),
     ] {
         let record = MachineRecord {
-            floor,
+            token_floor: floor,
             ..record.clone()
         };
         assert_eq!(f.shard().first_token(&record), least, "floor {floor}");
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -7,7 +7,7 @@
 use crate::io::{Effect, Input, RequestId, Target};
 use crate::node::Node;
 use crate::pending::PendingCall;
-use crate::records::RentalIntent;
+use crate::records::ProvisioningIntent;
 use crate::view::Versioned;
 use forkshift_pools::{PoolSpec, Pools};
 use forkshift_wire::settings::Settings;
@@ -257,7 +257,7 @@
     transcript.add("second_page", &f.answer(is_list, 200, &listed));
     record_catalog(&mut f);
     transcript.add("catalog", &f.step(0));
-    let intent = RentalIntent {
+    let intent = ProvisioningIntent {
         parts: vec![(f.shard, 3)],
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -4,8 +4,9 @@
 use crate::config::StateLimits;
 use crate::layout::Layout;
 use crate::records::{
-    abort_key, demand_key, job_key, live_key, live_prefix, machine_key, node_key,
-    rental_intent_key, shard_key, type_key, ShardId, CLUSTER, EPOCH, FINALIZED_FORMAT, LEADER,
+    cancellation_key, demand_key, job_key, machine_key, node_key, provisioning_intent_key,
+    shard_key, type_key, unfinished_key, unfinished_prefix, ShardId, CLUSTER, EPOCH,
+    FINALIZED_FORMAT, LEADER,
 };
 use crate::view::ClusterView;
 use forkshift_pools::account::{head_key, HEADS, POOLS, PRICES};
@@ -40,14 +41,14 @@
         key("share", shard_key(shard)),
         key("node", node_key(&NodeName::new("berth-0"))),
         key("machine", machine_key(&MachineId::new("m-1"))),
-        key("charter", rental_intent_key("r-1")),
+        key("charter", provisioning_intent_key("r-1")),
         key("rig", type_key("big")),
         key("demand", demand_key(shard)),
-        key("abort", abort_key(&job)),
+        key("abort", cancellation_key(&job)),
         key("job", job_key(&job)),
-        key("live", live_prefix(shard)),
-        key("live_head", live_key(shard, &job, 0)),
-        key("live_block", live_key(shard, &job, 3)),
+        key("live", unfinished_prefix(shard)),
+        key("live_head", unfinished_key(shard, &job, 0)),
+        key("live_block", unfinished_key(shard, &job, 3)),
         key("unnamed_layout_head", unnamed.key(shard, &job, 0)),
         key("unnamed_layout_block", unnamed.key(shard, &job, 3)),
         key("named_layout_head", named.key(shard, &job, 0)),
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -4,8 +4,8 @@
 use crate::fixture::spec;
 use crate::format::FormatVersion;
 use crate::records::{
-    DemandRecord, JobHeadRecord, JobRecord, LeaderRecord, MachineRecord, NodeRecord, RentalIntent,
-    ShapeRecord, ShardId, ShardRecord, TaskBlockRecord,
+    DemandRecord, JobHeadRecord, JobRecord, LeaderRecord, MachineRecord, NodeRecord,
+    ProvisioningIntent, ShapeRecord, ShardId, ShardRecord, TaskBlockRecord,
 };
 use forkshift_pools::account::{Asked, Miss, Price};
 use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
@@ -87,9 +87,9 @@
         zone: "hall-a".to_owned(),
         spot: true,
         addr: Some("10.1.0.1:9000".to_owned()),
-        condemned: Some("silent".to_owned()),
-        want: Some(ShardId(3)),
-        floor: 4,
+        decommission_reason: Some("silent".to_owned()),
+        reassign_to: Some(ShardId(3)),
+        token_floor: 4,
         images: vec![("train:7".to_owned(), 4.5)],
         pool: Some(Membership {
             pool: pool(),
@@ -104,15 +104,15 @@
 fn machines_and_rentals() {
     let least = MachineRecord {
         addr: None,
-        condemned: None,
-        want: None,
-        floor: 0,
+        decommission_reason: None,
+        reassign_to: None,
+        token_floor: 0,
         images: Vec::new(),
         pool: None,
         charged_until_ms: 0,
         ..machine()
     };
-    let intent = |placed| RentalIntent {
+    let intent = |placed| ProvisioningIntent {
         parts: vec![(ShardId(2), 3), (ShardId(4), 1)],
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
@@ -147,15 +147,15 @@
 
 fn shape() -> ShapeRecord {
     ShapeRecord {
-        res: (1500, 2000, 3250),
-        n: 6,
+        milli_resources: (1500, 2000, 3250),
+        count: 6,
         types: Some(texts(&["big"])),
         zones: Some(texts(&["hall-a"])),
         spot: true,
-        spare: true,
-        reclaims: true,
-        borrows: true,
-        gang: true,
+        is_spare: true,
+        may_reclaim: true,
+        is_borrowing: true,
+        is_gang: true,
     }
 }
 
@@ -165,20 +165,20 @@
         types: None,
         zones: None,
         spot: false,
-        spare: false,
-        reclaims: false,
-        borrows: false,
-        gang: false,
+        is_spare: false,
+        may_reclaim: false,
+        is_borrowing: false,
+        is_gang: false,
         ..shape()
     };
     let demand = DemandRecord {
         revision: 17,
         shapes: vec![shape(), least.clone()],
-        now: vec![least.clone()],
-        free: machines(&["m-1"]),
-        surplus: machines(&["m-2"]),
-        borrowed: machines(&["m-3"]),
-        pooled: machines(&["m-4"]),
+        waiting: vec![least.clone()],
+        spare_machines: machines(&["m-1"]),
+        surplus_machines: machines(&["m-2"]),
+        reclaimable_machines: machines(&["m-3"]),
+        pool_machines: machines(&["m-4"]),
     };
     let told = to_string(&demand).expect("JSON");
     let cases = [
@@ -211,23 +211,23 @@
         stage,
     };
     let block = TaskBlockRecord {
-        next: 9,
+        next_attempt: 9,
         done: vec![(0, 2), (3, 4)],
         bound: vec![(2, 8, MachineId::new("m-1"))],
     };
     let head = JobHeadRecord {
         spec: submission(),
         cancelled: true,
-        cancelled_at: 2000,
-        at: 1000,
-        layout: Some(40),
+        cancelled_at_ms: 2000,
+        submitted_at_ms: 1000,
+        tasks_per_block: Some(40),
         block: block.clone(),
     };
     let least = JobHeadRecord {
         cancelled: false,
-        cancelled_at: 0,
-        at: 0,
-        layout: None,
+        cancelled_at_ms: 0,
+        submitted_at_ms: 0,
+        tasks_per_block: None,
         block: TaskBlockRecord::default(),
         ..head.clone()
     };
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -177,9 +177,9 @@
     ) -> Vec<(u32, Binding)> {
         let entry = self.blocks.entry(block).or_default();
         entry.stamp = stamp;
-        entry.next = record.next;
+        entry.next = record.next_attempt;
         // It has begun, so all that it needs was done.
-        if record.next > 0 {
+        if record.next_attempt > 0 {
             self.unresolved.clear();
         }
         for (from, to) in record.done {
@@ -343,7 +343,7 @@
         let (from, to) = self.layout.tasks_of(block);
         let bound = self.bound.range(from..to);
         TaskBlockRecord {
-            next: self.blocks.get(&block).map_or(0, |b| b.next),
+            next_attempt: self.blocks.get(&block).map_or(0, |b| b.next),
             done: self.done.within(from, to),
             bound: bound
                 .map(|(i, b)| (*i, b.attempt, b.machine.clone()))
@@ -356,9 +356,9 @@
         JobHeadRecord {
             spec: (*self.spec).clone(),
             cancelled: self.cancelled,
-            cancelled_at: self.cancelled_wall,
-            at: self.at,
-            layout: self.layout.to_record(),
+            cancelled_at_ms: self.cancelled_wall,
+            submitted_at_ms: self.at,
+            tasks_per_block: self.layout.to_record(),
             block: self.block_rec(0),
         }
     }
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_job_that_is_being_served_has_not_waited_since_its_submission() {
     let done = |from: u32, to: u32| TaskBlockRecord {
-        next: 1,
+        next_attempt: 1,
         done: vec![(from, to)],
         bound: Vec::new(),
     };
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -63,8 +63,9 @@
         }
         if given.is_empty() {
             self.balance(ctx, view, &load);
-        } else if self.assigning.is_empty() {
-            self.assigning.extend(given.iter().map(|(k, _)| *k));
+        } else if self.shards_being_assigned.is_empty() {
+            self.shards_being_assigned
+                .extend(given.iter().map(|(k, _)| *k));
             hand_over(ctx, view, &given);
         }
     }
@@ -75,11 +76,11 @@
     /// stayed, shards are not kept waiting for those that may return.
     fn retain_assignable(&self, ctx: &Context, view: &ClusterView, free: &mut Vec<ShardId>) {
         let all_free = free.len() == ctx.config.shards() as usize;
-        let early = all_free && ctx.now < self.active_since + ctx.config.node_lease_ms() / 2;
+        let early = all_free && ctx.now < self.leader_since + ctx.config.node_lease_ms() / 2;
         free.retain(|k| {
             let home = ctx.config.nodes.get(k.0 as usize);
             let there = home.is_some_and(|n| view.nodes.contains_key(n));
-            !self.assigning.contains(k) && (there || !early)
+            !self.shards_being_assigned.contains(k) && (there || !early)
         });
     }
 
@@ -126,7 +127,7 @@
                 to_value(record).unwrap_or_default(),
             )],
         };
-        self.assigning.insert(*k);
+        self.shards_being_assigned.insert(*k);
         ctx.transact(
             Urgency::Membership,
             &transaction,
@@ -135,7 +136,7 @@
     }
 
     /// The write of assignments was answered, whatever the answer.
-    pub(crate) fn on_shard_put(&mut self, shards: &[ShardId]) {
-        self.assigning.retain(|k| !shards.contains(k));
+    pub(crate) fn on_shard_record_written(&mut self, shards: &[ShardId]) {
+        self.shards_being_assigned.retain(|k| !shards.contains(k));
     }
 }
--- a/crates/core/src/leader/deletion.rs
+++ b/crates/core/src/leader/deletion.rs
@@ -17,7 +17,7 @@
 
 impl Leader {
     /// Writes that a machine is given up.
-    pub(super) fn condemn(
+    pub(super) fn decommission(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -27,12 +27,12 @@
         let Some(machine) = view.machines.get(id) else {
             return;
         };
-        if machine.record.condemned.is_some() {
+        if machine.record.decommission_reason.is_some() {
             return;
         }
         log::info!("machine {id}: condemned, {why}");
         let mut record = machine.record.clone();
-        record.condemned = Some(why.to_owned());
+        record.decommission_reason = Some(why.to_owned());
         let key = machine_key(id);
         let transaction = Transaction {
             preconditions: self.preconditions(view, key.clone(), machine.version),
@@ -42,10 +42,10 @@
     }
 
     /// Has machines deleted that were given up in their records.
-    pub(super) fn delete(&mut self, ctx: &mut Context, view: &ClusterView) {
+    pub(super) fn delete_decommissioned(&mut self, ctx: &mut Context, view: &ClusterView) {
         let condemned = view.decommissioned.iter();
         let condemned: Vec<MachineId> = condemned
-            .filter(|id| !self.deleting.contains(*id))
+            .filter(|id| !self.machines_being_deleted.contains(*id))
             .take(DELETE_MOST)
             .cloned()
             .collect();
@@ -56,7 +56,7 @@
 
     /// Sends one request for the deletion of some machines.
     pub(super) fn send_delete(&mut self, ctx: &mut Context, machines: Vec<MachineId>) {
-        self.deleting.extend(machines.iter().cloned());
+        self.machines_being_deleted.extend(machines.iter().cloned());
         let pending = PendingCall::DeleteMachines {
             machines: machines.clone(),
         };
@@ -65,7 +65,7 @@
 
     /// The cloud has answered a deletion: the records of machines that are gone
     /// are removed.
-    pub(crate) fn on_delete(
+    pub(crate) fn on_machines_deleted(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -74,15 +74,21 @@
         body: &[u8],
     ) {
         for id in &machines {
-            self.deleting.remove(id);
+            self.machines_being_deleted.remove(id);
         }
         if self.cloud_unavailable(ctx, status, body) || status != 200 {
             return;
         }
         // The machines are gone: their records say so by going, too.
-        let gone: Vec<Gone> = machines
+        let gone: Vec<DeletedMachine> = machines
             .iter()
-            .filter_map(|id| Some(Gone::new(id, view.machines.get(id)?, ctx.wall_clock_ms)))
+            .filter_map(|id| {
+                Some(DeletedMachine::new(
+                    id,
+                    view.machines.get(id)?,
+                    ctx.wall_clock_ms,
+                ))
+            })
             .collect();
         for group in groups_of(gone, ctx.limits.txn_ops) {
             let leader = view.leader.as_ref().map_or(0, |l| l.version);
@@ -104,7 +110,7 @@
                     add_row(&mut transaction, row.key(), row);
                 }
                 // Until the view shows it, it must not be deleted again.
-                self.deleting.insert(machine.id.clone());
+                self.machines_being_deleted.insert(machine.id.clone());
             }
             log::info!("{} machines returned", group.len());
             let machines = group.into_iter().map(|machine| machine.id).collect();
@@ -118,24 +124,24 @@
 
     /// The removal of records was answered. After a failure the machines are
     /// deleted again.
-    pub(crate) fn on_removed(&mut self, machines: &[MachineId], status: u16) {
+    pub(crate) fn on_records_removed(&mut self, machines: &[MachineId], status: u16) {
         if status != 200 {
             for id in machines {
-                self.deleting.remove(id);
+                self.machines_being_deleted.remove(id);
             }
         }
     }
 }
 
 /// A machine that is gone, and whose record is to be removed.
-struct Gone {
+struct DeletedMachine {
     id: MachineId,
     version: u64,
     /// The end of a pool's charge for it, if its holder has not recorded one.
     row: Option<Interval>,
 }
 
-impl Gone {
+impl DeletedMachine {
     fn new(id: &MachineId, versioned: &Versioned<MachineRecord>, wall: u64) -> Self {
         let mut record = versioned.record.clone();
         Self {
@@ -152,8 +158,8 @@
 }
 
 /// Groups of machines whose removal takes so many changes at the most.
-fn groups_of(gone: Vec<Gone>, most: usize) -> Vec<Vec<Gone>> {
-    let mut groups: Vec<Vec<Gone>> = Vec::new();
+fn groups_of(gone: Vec<DeletedMachine>, most: usize) -> Vec<Vec<DeletedMachine>> {
+    let mut groups: Vec<Vec<DeletedMachine>> = Vec::new();
     let mut room = 0;
     for machine in gone {
         let changes = machine.changes();
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -22,11 +22,11 @@
     /// Records the newest format that all controllers know, if it is not yet.
     pub(super) fn finalize_format(&mut self, ctx: &mut Context, view: &ClusterView) {
         let newest = ctx.config.registered_format(view.format());
-        if view.format() >= newest || ctx.now < self.finalize_at {
+        if view.format() >= newest || ctx.now < self.next_finalization_at {
             return;
         }
         let looks = crate::ms(ctx.config.ops.assign_s);
-        let lacking: Vec<NodeName> = lacking(ctx, view, newest);
+        let lacking: Vec<NodeName> = nodes_lacking(ctx, view, newest);
         if !lacking.is_empty() && ctx.now >= self.blockers_logged_at {
             self.blockers_logged_at = ctx.now + looks * Ms::from(LOG_LOOKS);
             let names: Vec<&str> = lacking.iter().map(NodeName::as_str).collect();
@@ -38,7 +38,7 @@
         if format <= view.format() {
             return;
         }
-        self.finalize_at = ctx.now + looks * Ms::from(TRY_LOOKS);
+        self.next_finalization_at = ctx.now + looks * Ms::from(TRY_LOOKS);
         let version = view.finalized_format.as_ref().map_or(0, |f| f.version);
         let mut preconditions = self.preconditions(view, FINALIZED_FORMAT.to_owned(), version);
         // Each is still the process that said so.
@@ -96,7 +96,7 @@
 }
 
 /// Configured controllers that have not registered with a format.
-fn lacking(ctx: &Context, view: &ClusterView, format: FormatVersion) -> Vec<NodeName> {
+fn nodes_lacking(ctx: &Context, view: &ClusterView, format: FormatVersion) -> Vec<NodeName> {
     let has = |name: &NodeName| {
         view.nodes
             .get(name)
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -37,21 +37,21 @@
     /// Reads the catalogue and the list of machines when they are due.
     pub(super) fn poll_cloud(&mut self, ctx: &mut Context) {
         if self.lacks_prices(ctx) {
-            self.catalog_at = self.catalog_at.min(ctx.now + CATALOG_UNKNOWN_PAUSE);
+            self.next_catalog_at = self.next_catalog_at.min(ctx.now + CATALOG_UNKNOWN_PAUSE);
         }
-        if ctx.now >= self.catalog_at && self.may_call(ctx) {
-            self.catalog_at = ctx.now + CATALOG_RETRY;
+        if ctx.now >= self.next_catalog_at && self.may_call(ctx) {
+            self.next_catalog_at = ctx.now + CATALOG_RETRY;
             ctx.call_cloud("GET", "/catalog".to_owned(), None, PendingCall::Catalog);
         }
-        if !self.listing && ctx.now >= self.list_at && self.may_call(ctx) {
-            self.listing = true;
-            self.list_at = ctx.now + ctx.config.list_lag_ms.max(LIST_PAUSE_LEAST);
-            self.list(ctx, Vec::new());
+        if !self.is_listing && ctx.now >= self.next_list_at && self.may_call(ctx) {
+            self.is_listing = true;
+            self.next_list_at = ctx.now + ctx.config.list_lag_ms.max(LIST_PAUSE_LEAST);
+            self.list_machines(ctx, Vec::new());
         }
     }
 
     /// Reads the list of machines from behind the last one of `page`.
-    fn list(&mut self, ctx: &mut Context, page: Vec<Listed>) {
+    fn list_machines(&mut self, ctx: &mut Context, page: Vec<Listed>) {
         let mut path = format!("/machines?most={LIST_MOST}");
         if let Some(last) = page.last() {
             path.push_str(&format!("&from={}", last.id));
@@ -84,7 +84,7 @@
             .types
             .iter()
             .all(|t| view.machine_types.contains_key(&t.name));
-        self.catalog_at = ctx.now
+        self.next_catalog_at = ctx.now
             + if all_known {
                 CATALOG_PAUSE
             } else {
@@ -111,7 +111,7 @@
 
     /// The cloud has sent a page of its list. After the last one, machines that
     /// failed, are late or are missing are given up, and unknown ones returned.
-    pub(crate) fn on_list(
+    pub(crate) fn on_machine_list(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -119,7 +119,7 @@
         status: u16,
         body: &[u8],
     ) {
-        self.listing = false;
+        self.is_listing = false;
         if self.cloud_unavailable(ctx, status, body) {
             return;
         }
@@ -129,20 +129,21 @@
         };
         page.extend(list.machines);
         if list.more && !page.is_empty() {
-            self.listing = true;
-            self.list(ctx, page);
+            self.is_listing = true;
+            self.list_machines(ctx, page);
             return;
         }
         let listed: BTreeMap<&MachineId, &Listed> = page.iter().map(|m| (&m.id, m)).collect();
-        self.condemn_listed(ctx, view, &listed);
-        self.return_unknown(ctx, view, &page);
-        self.seen
+        self.decommission_listed(ctx, view, &listed);
+        self.delete_unknown(ctx, view, &page);
+        self.first_seen_at
             .retain(|id, _| view.machines.contains_key(id) || listed.contains_key(id));
-        self.absent.retain(|id, _| view.machines.contains_key(id));
+        self.missing_from_lists
+            .retain(|id, _| view.machines.contains_key(id));
     }
 
     /// Gives up machines that failed, never came up, or are gone from the list.
-    fn condemn_listed(
+    fn decommission_listed(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -150,14 +151,14 @@
     ) {
         for (id, machine) in &view.machines {
             let listed = listed.get(id).copied();
-            if let Some(why) = self.why_condemn(ctx, view, id, &machine.record, listed) {
-                self.condemn(ctx, view, id, why);
+            if let Some(why) = self.decommission_reason(ctx, view, id, &machine.record, listed) {
+                self.decommission(ctx, view, id, why);
             }
         }
     }
 
     /// Why a machine is to be given up, as far as a list shows.
-    fn why_condemn(
+    fn decommission_reason(
         &mut self,
         ctx: &Context,
         view: &ClusterView,
@@ -165,7 +166,7 @@
         record: &MachineRecord,
         listed: Option<&Listed>,
     ) -> Option<&'static str> {
-        let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
+        let known_for = ctx.now - self.first_seen_at.get(id).copied().unwrap_or(ctx.now);
         let of_type = view.machine_types.get(&record.machine_type);
         let boot_s = of_type.map_or(BOOT_S_UNKNOWN, |t| t.record.boot_s);
         let late = record.addr.is_none() && known_for > crate::ms(boot_s * BOOTS_MOST);
@@ -173,12 +174,12 @@
             Some(l) if l.stage == MachineStage::Failed => Some("it failed"),
             _ if late => Some("it never came up"),
             Some(_) => {
-                self.absent.remove(id);
+                self.missing_from_lists.remove(id);
                 None
             }
             None if known_for > ctx.config.list_lag_ms * SETTLED_LAGS => {
                 // Lists may be older than those before them.
-                let lists = self.absent.entry(id.clone()).or_default();
+                let lists = self.missing_from_lists.entry(id.clone()).or_default();
                 *lists += 1;
                 (*lists >= ABSENT_LISTS).then_some("it is gone from the list")
             }
@@ -190,7 +191,7 @@
     /// by a request that came late, and nothing was ever started there. Without
     /// a valid lease we may have a successor, whose machines our view does not
     /// show.
-    fn return_unknown(&mut self, ctx: &mut Context, view: &ClusterView, listed: &[Listed]) {
+    fn delete_unknown(&mut self, ctx: &mut Context, view: &ClusterView, listed: &[Listed]) {
         let no_intents =
             view.provisioning_intents.is_empty() && self.intents_being_written.is_empty();
         if !ctx.has_valid_lease || !no_intents {
@@ -199,9 +200,11 @@
         let settled_ms = ctx.config.list_lag_ms as f64 * SETTLED_LAGS as f64;
         let unknown: Vec<MachineId> = listed
             .iter()
-            .filter(|m| !view.machines.contains_key(&m.id) && !self.deleting.contains(&m.id))
+            .filter(|m| {
+                !view.machines.contains_key(&m.id) && !self.machines_being_deleted.contains(&m.id)
+            })
             .filter(|m| m.age_s * 1000.0 > settled_ms)
-            .filter(|m| !self.seen.contains_key(&m.id))
+            .filter(|m| !self.first_seen_at.contains_key(&m.id))
             .map(|m| m.id.clone())
             .take(DELETE_MOST)
             .collect();
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/lending.rs
@@ -1,6 +1,6 @@
 //! Moves free machines between shards, to where tasks wait.
 
-use super::{total_in, Leader};
+use super::{capacity_of_type, Leader};
 use crate::context::Context;
 use crate::pending::PendingCall;
 use crate::records::{machine_key, DemandRecord, MachineRecord, ShapeRecord, ShardId};
@@ -19,9 +19,13 @@
 impl Leader {
     /// A holder reports the unmet demand of its shard.
     pub(crate) fn on_demand(&mut self, now: Ms, k: ShardId, epoch: u64, record: DemandRecord) {
-        if self.reported.get(&k).is_none_or(|(e, _, _)| epoch >= *e) {
-            self.reported.insert(k, (epoch, now, record));
-            self.new_reports = true;
+        if self
+            .reported_demands
+            .get(&k)
+            .is_none_or(|(e, _, _)| epoch >= *e)
+        {
+            self.reported_demands.insert(k, (epoch, now, record));
+            self.has_new_demands = true;
         }
     }
 
@@ -34,7 +38,7 @@
         let valid = crate::ms(ctx.config.ops.round_s * REPORT_ROUNDS);
         let written = view.demands.iter().map(|(k, d)| (*k, d.record.clone()));
         let mut demands: BTreeMap<ShardId, DemandRecord> = written.collect();
-        for (k, (epoch, at, record)) in &self.reported {
+        for (k, (epoch, at, record)) in &self.reported_demands {
             let current = view.shards.get(k).is_some_and(|s| s.record.epoch == *epoch);
             if current && ctx.now <= at + valid {
                 demands.insert(*k, record.clone());
@@ -45,53 +49,55 @@
 
     /// Moves free machines to shards with waiting tasks: what waits takes any
     /// that is free, and spare places take what nobody else needs.
-    pub(super) fn lend(
+    pub(super) fn rebalance(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
     ) {
-        self.lending
+        self.machines_requested
             .retain(|id, v| view.machines.get(id).is_some_and(|m| m.version <= *v));
         for (k, demand) in demands {
-            let spare = demand.shapes.iter().filter(|s| s.spare);
+            let spare = demand.shapes.iter().filter(|s| s.is_spare);
             // Borrowed work takes only what nobody needs.
-            let wanted = demand.now.iter().map(|s| (s, !s.borrows));
+            let wanted = demand.waiting.iter().map(|s| (s, !s.is_borrowing));
             let wanted: Vec<(&ShapeRecord, bool)> =
                 wanted.chain(spare.map(|s| (s, false))).collect();
             let mut coming: Vec<Resources> = self
-                .lending
+                .machines_requested
                 .keys()
                 .filter_map(|id| view.machines.get(id))
-                .filter(|m| m.record.want == Some(*k))
-                .filter_map(|m| total_in(view, &m.record.machine_type))
+                .filter(|m| m.record.reassign_to == Some(*k))
+                .filter_map(|m| capacity_of_type(view, &m.record.machine_type))
                 .collect();
             for (shape, waits) in wanted {
                 let task = shape.resources();
-                let mut left = shape.n;
+                let mut left = shape.count;
                 for room in &mut coming {
                     left -= book(room, &task, left);
                 }
                 while left > 0 {
-                    let free = self.lendable(view, demands, *k, shape, waits);
-                    let found = free.or_else(|| self.reclaimable(view, demands, *k, shape));
+                    let free = self.transferable_machines(view, demands, *k, shape, waits);
+                    let found =
+                        free.or_else(|| self.reclaimable_machines(view, demands, *k, shape));
                     let Some(id) = found else {
                         break;
                     };
                     let Some(machine) = view.machines.get(&id) else {
                         break;
                     };
-                    let mut room = total_in(view, &machine.record.machine_type).unwrap_or_default();
+                    let mut room =
+                        capacity_of_type(view, &machine.record.machine_type).unwrap_or_default();
                     left -= book(&mut room, &task, left);
                     coming.push(room);
-                    self.ask_for_machine(ctx, view, id, machine, *k);
+                    self.request_machine(ctx, view, id, machine, *k);
                 }
             }
         }
     }
 
     /// Asks the holder of a machine to hand it over to another shard.
-    fn ask_for_machine(
+    fn request_machine(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -102,18 +108,18 @@
         let from = machine.record.shard;
         log::info!("machine {id}: asked of shard {from} for shard {to}");
         let mut record = machine.record.clone();
-        record.want = Some(to);
+        record.reassign_to = Some(to);
         let key = machine_key(&id);
         let transaction = Transaction {
             preconditions: self.preconditions(view, key.clone(), machine.version),
             writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
         };
-        self.lending.insert(id, machine.version);
+        self.machines_requested.insert(id, machine.version);
         ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
     /// A free machine of another shard that a shape may use.
-    fn lendable(
+    fn transferable_machines(
         &self,
         view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
@@ -124,9 +130,9 @@
         let others = demands.iter().filter(|(j, _)| **j != k);
         let lists = others.flat_map(|(j, d)| {
             // A shard that has waiting tasks itself gives nothing away.
-            let keeps = waits && !d.now.is_empty();
-            let free = d.free.iter().filter(move |_| waits && !keeps);
-            d.surplus.iter().chain(free).map(move |id| (j, id))
+            let keeps = waits && !d.waiting.is_empty();
+            let free = d.spare_machines.iter().filter(move |_| waits && !keeps);
+            d.surplus_machines.iter().chain(free).map(move |id| (j, id))
         });
         lists
             .filter(|(j, id)| self.may_move(view, **j, id, shape))
@@ -136,22 +142,25 @@
 
     /// A machine of another shard that holds nothing but borrowed work, for a
     /// shape that may have it given back.
-    fn reclaimable(
+    fn reclaimable_machines(
         &self,
         view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
         k: ShardId,
         shape: &ShapeRecord,
     ) -> Option<MachineId> {
-        if !shape.reclaims {
+        if !shape.may_reclaim {
             return None;
         }
         let others = demands.iter().filter(|(j, _)| **j != k);
-        let is_gang = shape.gang;
+        let is_gang = shape.is_gang;
         others
             .flat_map(|(j, d)| {
-                let pooled = d.pooled.iter().filter(move |_| is_gang);
-                d.borrowed.iter().chain(pooled).map(move |id| (j, id))
+                let pooled = d.pool_machines.iter().filter(move |_| is_gang);
+                d.reclaimable_machines
+                    .iter()
+                    .chain(pooled)
+                    .map(move |id| (j, id))
             })
             .find(|(j, id)| self.may_move(view, **j, id, shape))
             .map(|(_, id)| id.clone())
@@ -170,16 +179,16 @@
         };
         let types = shape.types.as_ref();
         record.shard == from
-            && record.want.is_none()
-            && record.condemned.is_none()
-            && !self.lending.contains_key(id)
+            && record.reassign_to.is_none()
+            && record.decommission_reason.is_none()
+            && !self.machines_requested.contains_key(id)
             && (shape.spot || !record.spot)
             && types.is_none_or(|t| t.contains(&record.machine_type))
             && shape
                 .zones
                 .as_ref()
                 .is_none_or(|z| z.contains(&record.zone))
-            && total_in(view, &record.machine_type)
+            && capacity_of_type(view, &record.machine_type)
                 .is_some_and(|total| shape.resources().fits(&total))
     }
 }
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/renting.rs
@@ -11,8 +11,8 @@
 use crate::demand::OVERDUE_BOOTS;
 use crate::pending::PendingCall;
 use crate::records::{
-    machine_key, rental_intent_key, total_of, DemandRecord, MachineRecord, RentalIntent,
-    ShapeRecord, ShardId,
+    capacity_of, machine_key, provisioning_intent_key, DemandRecord, MachineRecord,
+    ProvisioningIntent, ShapeRecord, ShardId,
 };
 use crate::store::Urgency;
 use crate::view::ClusterView;
@@ -25,32 +25,32 @@
 
 /// Where a machine was overdue, others are asked for only if nothing as good
 /// is to be had elsewhere, for this many boots.
-const BOOTS_AVOIDED: f64 = 6.0;
+const SLOW_ZONE_BOOTS: f64 = 6.0;
 /// What an avoided zone counts for: more machines than a shard ever holds.
-const AVOIDED: u32 = 1 << 20;
+const SLOW_ZONE_PENALTY_MACHINES: u32 = 1 << 20;
 
 /// What the cloud has answered to a rental request, while it is written.
-pub(super) struct Outcome {
-    record: RentalIntent,
+pub(super) struct ProvisioningResult {
+    record: ProvisioningIntent,
     /// Version of the intent's record.
     version: u64,
     machines: Vec<MachineId>,
     /// How many machines have their records once the write that is under way
     /// is carried out. The limits may change before its answer comes.
-    placing: u32,
+    is_writing: u32,
 }
 
 /// Type and zone, by their numbers in offers, and whether it is a spot machine.
 type OfferedKind = (u16, u16, bool);
 
 /// Machines that shards hold, by type and zone.
-type Held<'a> = HashMap<(ShardId, &'a str, &'a str), u32>;
+type HeldMachines<'a> = HashMap<(ShardId, &'a str, &'a str), u32>;
 
 impl Leader {
     /// Turns the unmet demand of shards into rental intents. The cloud takes few calls
     /// a second: no intent is made while others wait to be carried out, so
     /// that what comes up meanwhile is put together in larger ones.
-    pub(super) fn write_rental_intents(
+    pub(super) fn scale_out(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -60,31 +60,31 @@
         if under_way as f64 >= ctx.config.cloud_rps.ceil() {
             return;
         }
-        for (kind, parts) in self.plan_rentals(ctx, view, demands) {
-            self.write_rental_intent(ctx, view, kind, parts);
+        for (kind, parts) in self.plan_provisioning(ctx, view, demands) {
+            self.write_intent(ctx, view, kind, parts);
         }
     }
 
     /// What is to be rented, with the shards that it is for.
-    fn plan_rentals(
+    fn plan_provisioning(
         &mut self,
         ctx: &Context,
         view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
     ) -> BTreeMap<OfferedKind, Vec<(ShardId, u32)>> {
-        let mut held: Option<Held> = None;
+        let mut held: Option<HeldMachines> = None;
         let mut together: BTreeMap<OfferedKind, Vec<(ShardId, u32)>> = BTreeMap::new();
         for (k, demand) in demands {
-            let seen = self.acted.get(k).copied().unwrap_or(0);
+            let seen = self.intents_awaited.get(k).copied().unwrap_or(0);
             if demand.shapes.is_empty() || demand.revision < seen {
                 continue;
             }
             if held.is_none() {
                 self.note_overdue(ctx, view);
             }
-            let held = held.get_or_insert_with(|| held_of(view));
+            let held = held.get_or_insert_with(|| held_machines(view));
             let offers = self.offers(ctx, view, *k, held);
-            let shapes = shapes_to_rent(view, &demand.shapes);
+            let shapes = shapes_to_provision(view, &demand.shapes);
             let anywhere = shapes.iter().all(|s| s.zones.is_none());
             let offers = if anywhere { few_zones(offers) } else { offers };
             for rental in plan(&shapes, &offers, RENT_MOST) {
@@ -97,7 +97,7 @@
     }
 
     /// Writes one intent. The name of its request is never used again.
-    fn write_rental_intent(
+    fn write_intent(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -105,8 +105,8 @@
         parts: Vec<(ShardId, u32)>,
     ) {
         let type_names: Vec<&String> = view.machine_types.keys().collect();
-        let record = RentalIntent {
-            parts: cut(parts, RENT_MOST),
+        let record = ProvisioningIntent {
+            parts: limit_to_request(parts, RENT_MOST),
             machine_type: type_names[machine_type as usize].clone(),
             zone: zone_names(view)[zone as usize].clone(),
             spot,
@@ -114,7 +114,7 @@
         };
         self.intents_written += 1;
         let request = format!("r-{:x}-{}", ctx.incarnation, self.intents_written);
-        let key = rental_intent_key(&request);
+        let key = provisioning_intent_key(&request);
         let transaction = Transaction {
             preconditions: self.preconditions(view, key.clone(), 0),
             writes: vec![Write::put(key, to_value(&record).unwrap_or_default())],
@@ -135,7 +135,7 @@
             if record.addr.is_some() {
                 continue;
             }
-            let known_for = ctx.now - self.seen.get(id).copied().unwrap_or(ctx.now);
+            let known_for = ctx.now - self.first_seen_at.get(id).copied().unwrap_or(ctx.now);
             let machine_type = view.machine_types.get(&record.machine_type);
             let boot = machine_type.map_or(BOOT_S_UNKNOWN, |t| t.record.boot_s);
             if known_for > crate::ms(boot * OVERDUE_BOOTS) {
@@ -144,14 +144,20 @@
                     record.zone.clone(),
                     record.spot,
                 );
-                let until = ctx.now + crate::ms(boot * BOOTS_AVOIDED);
-                self.avoided.insert(kind, until);
+                let until = ctx.now + crate::ms(boot * SLOW_ZONE_BOOTS);
+                self.slow_to_boot.insert(kind, until);
             }
         }
     }
 
     /// What may be had, as far as is known.
-    fn offers(&self, ctx: &Context, view: &ClusterView, k: ShardId, held: &Held) -> Vec<Offer> {
+    fn offers(
+        &self,
+        ctx: &Context,
+        view: &ClusterView,
+        k: ShardId,
+        held: &HeldMachines,
+    ) -> Vec<Offer> {
         let zones = zone_names(view);
         let mut offers = Vec::new();
         for (i, t) in view.machine_types.values().map(|t| &t.record).enumerate() {
@@ -164,20 +170,25 @@
                     };
                     let kind = (t.name.clone(), zone.clone(), spot);
                     if self
-                        .refused
+                        .out_of_capacity
                         .get(&kind)
                         .is_some_and(|(until, _)| ctx.now < *until)
                     {
                         continue;
                     }
                     let held = held.get(&(k, t.name.as_str(), zone.as_str()));
-                    let avoided = self.avoided.get(&kind).is_some_and(|t| ctx.now < *t);
-                    let held = held.copied().unwrap_or(0) + if avoided { AVOIDED } else { 0 };
+                    let avoided = self.slow_to_boot.get(&kind).is_some_and(|t| ctx.now < *t);
+                    let held = held.copied().unwrap_or(0)
+                        + if avoided {
+                            SLOW_ZONE_PENALTY_MACHINES
+                        } else {
+                            0
+                        };
                     offers.push(Offer {
                         machine_type: i as u16,
                         zone: zones.iter().position(|z| z == zone).unwrap_or(0) as u16,
                         spot,
-                        total: total_of(t),
+                        total: capacity_of(t),
                         price,
                         held,
                     });
@@ -188,7 +199,7 @@
     }
 
     /// The write of an intent was answered.
-    pub(crate) fn on_rental_intent_put(&mut self, request: &str, body: &[u8]) {
+    pub(crate) fn on_intent_written(&mut self, request: &str, body: &[u8]) {
         let shards = self
             .intents_being_written
             .remove(request)
@@ -196,16 +207,16 @@
         // A demand counts again once it was made in sight of this intent.
         let revision = revision_of(body);
         for k in shards {
-            let acted = self.acted.entry(k).or_default();
+            let acted = self.intents_awaited.entry(k).or_default();
             *acted = (*acted).max(revision);
         }
     }
 
     /// Carries intents out, those of an earlier leader too: a request that
     /// had an answer before gets the same one again and rents nothing.
-    pub(super) fn rent(&mut self, ctx: &mut Context, view: &ClusterView) {
+    pub(super) fn send_intents(&mut self, ctx: &mut Context, view: &ClusterView) {
         for (request, intent) in &view.provisioning_intents {
-            if self.renting.contains(request) || !self.may_call(ctx) {
+            if self.requests_in_flight.contains(request) || !self.may_call(ctx) {
                 continue;
             }
             let record = &intent.record;
@@ -217,7 +228,7 @@
                 count: record.count(),
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
-            self.renting.insert(request.clone());
+            self.requests_in_flight.insert(request.clone());
             let request = request.clone();
             ctx.call_cloud(
                 "POST",
@@ -229,7 +240,7 @@
     }
 
     /// The cloud has answered a rental request.
-    pub(crate) fn on_rent(
+    pub(crate) fn on_provisioned(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -238,11 +249,11 @@
         body: &[u8],
     ) {
         let Some(intent) = view.provisioning_intents.get(request).cloned() else {
-            self.renting.remove(request);
+            self.requests_in_flight.remove(request);
             return;
         };
         if self.cloud_unavailable(ctx, status, body) {
-            self.renting.remove(request);
+            self.requests_in_flight.remove(request);
             return;
         }
         let record = intent.record;
@@ -263,12 +274,12 @@
                 .machine_types
                 .get(&record.machine_type)
                 .map_or(BOOT_S_UNKNOWN, |t| t.record.boot_s);
-            let (_, last) = self.refused.get(&kind).copied().unwrap_or((0, 0));
+            let (_, last) = self.out_of_capacity.get(&kind).copied().unwrap_or((0, 0));
             let least = crate::ms(boot / 5.0).max(1);
             let pause = (last * 2).clamp(least, crate::ms(boot).max(least));
-            self.refused.insert(kind, (ctx.now + pause, pause));
+            self.out_of_capacity.insert(kind, (ctx.now + pause, pause));
         } else {
-            self.refused.remove(&kind);
+            self.out_of_capacity.remove(&kind);
         }
         log::info!(
             "{} of {} {} rented in {}{}",
@@ -278,35 +289,35 @@
             record.zone,
             if record.spot { ", spot" } else { "" }
         );
-        let outcome = Outcome {
+        let outcome = ProvisioningResult {
             record,
             version: intent.version,
             machines,
-            placing: 0,
+            is_writing: 0,
         };
         self.outcomes.insert(request.to_owned(), outcome);
-        self.record_outcome(ctx, view, request);
+        self.record_result(ctx, view, request);
     }
 
     /// Writes the next part of an outcome: records of machines, and how far
     /// the intent has been carried out. The last part removes the intent.
-    fn record_outcome(&mut self, ctx: &mut Context, view: &ClusterView, request: &str) {
+    fn record_result(&mut self, ctx: &mut Context, view: &ClusterView, request: &str) {
         let Some(outcome) = self.outcomes.get_mut(request) else {
             return;
         };
         let from = outcome.record.placed as usize;
         let to = outcome.machines.len().min(from + ctx.limits.txn_ops - 1);
-        outcome.placing = to as u32;
+        outcome.is_writing = to as u32;
         let Some(outcome) = self.outcomes.get(request) else {
             return;
         };
         let record = &outcome.record;
-        let key = rental_intent_key(request);
+        let key = provisioning_intent_key(request);
         let mut transaction = Transaction {
             preconditions: self.preconditions(view, key.clone(), outcome.version),
             writes: Vec::new(),
         };
-        let shards = record.in_turn();
+        let shards = record.shards_in_turn();
         for (id, shard) in outcome.machines.iter().zip(shards).take(to).skip(from) {
             let key = machine_key(id);
             let machine = MachineRecord {
@@ -315,9 +326,9 @@
                 zone: record.zone.clone(),
                 spot: record.spot,
                 addr: None,
-                condemned: None,
-                want: None,
-                floor: 0,
+                decommission_reason: None,
+                reassign_to: None,
+                token_floor: 0,
                 images: Vec::new(),
                 pool: None,
                 charged_until_ms: 0,
@@ -331,7 +342,7 @@
                 .push(Write::put(key, to_value(machine).unwrap_or_default()));
         }
         transaction.writes.push(if to < outcome.machines.len() {
-            let record = RentalIntent {
+            let record = ProvisioningIntent {
                 placed: to as u32,
                 ..record.clone()
             };
@@ -348,7 +359,7 @@
     }
 
     /// The write of a part of an outcome was answered.
-    pub(crate) fn on_rented(
+    pub(crate) fn on_result_recorded(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -362,9 +373,9 @@
         match status {
             200 => {
                 outcome.version = revision_of(body);
-                outcome.record.placed = outcome.placing;
+                outcome.record.placed = outcome.is_writing;
                 if (outcome.record.placed as usize) < outcome.machines.len() {
-                    self.record_outcome(ctx, view, request);
+                    self.record_result(ctx, view, request);
                 } else {
                     // The name is done with. It must not be used again while
                     // the view still shows it.
@@ -373,19 +384,19 @@
             }
             // Writing again on the same conditions is safe: if an earlier
             // copy was carried out, this one fails.
-            0 | 429 | 503 if Self::is_leader(ctx, view) => self.record_outcome(ctx, view, request),
+            0 | 429 | 503 if Self::is_leader(ctx, view) => self.record_result(ctx, view, request),
             // The record is not as we know it: the request is repeated, the
             // cloud gives the same answer, and the view tells how far we are.
             _ => {
                 self.outcomes.remove(request);
-                self.renting.remove(request);
+                self.requests_in_flight.remove(request);
             }
         }
     }
 }
 
 /// The shapes of a demand, with types and zones by their numbers in offers.
-fn shapes_to_rent(view: &ClusterView, shapes: &[ShapeRecord]) -> Vec<Shape> {
+fn shapes_to_provision(view: &ClusterView, shapes: &[ShapeRecord]) -> Vec<Shape> {
     let zones = zone_names(view);
     let type_no = |name: &String| {
         view.machine_types
@@ -399,18 +410,18 @@
     };
     let shape = |s: &ShapeRecord| Shape {
         task: s.resources(),
-        count: s.n,
+        count: s.count,
         types: s.types.as_ref().map(|t| numbers_of(t, &type_no)),
         zones: s.zones.as_ref().map(|z| numbers_of(z, &zone_no)),
         spot: s.spot,
-        spot_only: s.borrows,
+        spot_only: s.is_borrowing,
     };
     shapes.iter().map(shape).collect()
 }
 
 /// Counts the machines that shards hold.
-fn held_of(view: &ClusterView) -> Held<'_> {
-    let mut held = Held::new();
+fn held_machines(view: &ClusterView) -> HeldMachines<'_> {
+    let mut held = HeldMachines::new();
     for record in view.machines.values().map(|m| &m.record) {
         let kind = (
             record.shard,
@@ -436,7 +447,7 @@
 }
 
 /// Cuts parts down to `most` in all, evenly.
-fn cut(mut parts: Vec<(ShardId, u32)>, most: u32) -> Vec<(ShardId, u32)> {
+fn limit_to_request(mut parts: Vec<(ShardId, u32)>, most: u32) -> Vec<(ShardId, u32)> {
     while parts.iter().map(|(_, n)| n).sum::<u32>() > most {
         if let Some((_, n)) = parts.iter_mut().max_by_key(|(_, n)| *n) {
             *n -= 1;
--- a/crates/core/src/leader/renting/tests.rs
+++ b/crates/core/src/leader/renting/tests.rs
@@ -41,7 +41,7 @@
         f.step(0);
         let machine_type = "big".to_owned();
         let zone = "hall-a".to_owned();
-        let intent = RentalIntent {
+        let intent = ProvisioningIntent {
             parts: vec![(f.shard, rented)],
             machine_type,
             zone,
@@ -61,7 +61,7 @@
         let Node {
             leader, ctx, view, ..
         } = &mut f.node;
-        leader.on_rent(ctx, view, "r-1", 200, body.as_bytes());
+        leader.on_provisioned(ctx, view, "r-1", 200, body.as_bytes());
         let mut put = put_machines(&f.step(0));
         f.finalize_format();
         for revision in 20..40 {
--- a/crates/core/src/node/answers.rs
+++ b/crates/core/src/node/answers.rs
@@ -27,7 +27,7 @@
             PendingCall::ViewWatch { serial } => self.on_view_watch(serial, status, body),
             PendingCall::ViewPoll => self.on_view_poll(status, body),
             PendingCall::ShardHandover(shards) => {
-                self.leader.on_shard_put(&shards);
+                self.leader.on_shard_record_written(&shards);
                 self.on_handed_over(&shards, status, body);
             }
             PendingCall::ShardList { shard, epoch } => {
@@ -125,22 +125,22 @@
                 .on_catalog(&mut self.ctx, &self.view, status, body),
             PendingCall::MachineList { page } => {
                 self.leader
-                    .on_list(&mut self.ctx, &self.view, page, status, body);
+                    .on_machine_list(&mut self.ctx, &self.view, page, status, body);
             }
             PendingCall::ProvisioningIntentWrite { request } => {
-                self.leader.on_rental_intent_put(&request, body)
+                self.leader.on_intent_written(&request, body)
             }
             PendingCall::Provision { request } => {
                 self.leader
-                    .on_rent(&mut self.ctx, &self.view, &request, status, body);
+                    .on_provisioned(&mut self.ctx, &self.view, &request, status, body);
             }
             PendingCall::ProvisionedRecordsWrite { request } => {
                 self.leader
-                    .on_rented(&mut self.ctx, &self.view, &request, status, body);
+                    .on_result_recorded(&mut self.ctx, &self.view, &request, status, body);
             }
             PendingCall::DeleteMachines { machines } => {
                 self.leader
-                    .on_delete(&mut self.ctx, &self.view, machines, status, body);
+                    .on_machines_deleted(&mut self.ctx, &self.view, machines, status, body);
             }
             PendingCall::DeleteOwnMachines {
                 shard,
@@ -152,7 +152,7 @@
                 }
             }
             PendingCall::MachineRecordsRemoval { machines } => {
-                self.leader.on_removed(&machines, status)
+                self.leader.on_records_removed(&machines, status)
             }
         }
     }
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -160,7 +160,7 @@
         let wanted = view
             .machines
             .get(id)
-            .is_some_and(|m| m.record.want.is_some());
+            .is_some_and(|m| m.record.reassign_to.is_some());
         let is_free = machine.tasks.is_empty()
             && machine.condemned.is_none()
             && machine.leaving.is_none()
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -119,8 +119,8 @@
                 continue;
             }
             match is_further(number) {
-                true => demand.borrowed.push(id),
-                false => demand.pooled.push(id),
+                true => demand.reclaimable_machines.push(id),
+                false => demand.pool_machines.push(id),
             }
         }
         demand
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -8,7 +8,7 @@
 use crate::demand::OVERDUE_BOOTS;
 use crate::format::FormatVersion;
 use crate::machine::Machine;
-use crate::records::{total_of, ShapeRecord};
+use crate::records::{capacity_of, ShapeRecord};
 use crate::shard::Shard;
 use crate::view::ClusterView;
 use crate::Ms;
@@ -219,7 +219,7 @@
             let wanted = view
                 .machines
                 .get(*id)
-                .is_some_and(|m| m.record.want.is_some());
+                .is_some_and(|m| m.record.reassign_to.is_some());
             let machine = self.machines.get(*id);
             !wanted && machine.is_some_and(is_unneeded)
         };
@@ -294,18 +294,18 @@
         .filter_map(|t| price(t))
         .min_by(f64::total_cmp)?;
     let count = affordable(missing, cheapest, cost_left);
-    let totals = types.iter().map(|t| total_of(t));
+    let totals = types.iter().map(|t| capacity_of(t));
     let smallest: Resources = totals.reduce(|a, b| a.least(&b))?;
     (count > 0).then(|| ShapeRecord {
-        res: (smallest.cpus, smallest.gpus, smallest.memory),
-        n: count,
+        milli_resources: (smallest.cpus, smallest.gpus, smallest.memory),
+        count,
         types: Some(types.iter().map(|t| t.name.clone()).collect()),
         zones: (!pool.zones.is_empty()).then(|| pool.zones.clone()),
         spot: pool.spot,
         // Machines that other shards don't need serve as well, unless only spot will do.
-        spare: !pool.spot,
-        reclaims: false,
-        borrows: pool.spot,
-        gang: false,
+        is_spare: !pool.spot,
+        may_reclaim: false,
+        is_borrowing: pool.spot,
+        is_gang: false,
     })
 }
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -81,7 +81,7 @@
         let id = f.machine.clone();
         let node = &mut f.node;
         node.leader
-            .on_delete(&mut node.ctx, &node.view, vec![id.clone()], 200, b"{}");
+            .on_machines_deleted(&mut node.ctx, &node.view, vec![id.clone()], 200, b"{}");
         let (record, row) = change_of(&f.step(0), &id);
         assert!(record.is_none(), "it is removed");
         assert_eq!(row.is_some(), is_member);
@@ -101,10 +101,10 @@
         let id = f.machine.clone();
         let other = ShardId(f.shard.0 + 1);
         if let Some(versioned) = f.node.view.machines.get_mut(&id) {
-            versioned.record.want = Some(other);
+            versioned.record.reassign_to = Some(other);
         }
         if is_offered {
-            f.shard().told.pooled.push(id.clone());
+            f.shard().told.pool_machines.push(id.clone());
         }
         let node = &mut f.node;
         let shard = node.shards.get_mut(&f.shard).expect("it is ours");
@@ -112,7 +112,7 @@
         node.ctx.send_due_store_calls();
         let (record, row) = change_of(&std::mem::take(&mut f.node.ctx.effects), &id);
         let record = record.expect("it is written");
-        assert_eq!(record.want, None);
+        assert_eq!(record.reassign_to, None);
         assert_eq!(record.shard == other, is_offered);
         assert_eq!(record.pool.is_none(), is_offered);
         let ended = row.map(|row| (row.to_ms, row.ended));
--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -217,7 +217,7 @@
         // Given away only once empty; a request that is declined is taken back.
         let written = machine_puts(&effects, &machine);
         assert!(written.iter().all(|r| r.shard == shard_id));
-        assert_eq!(written.iter().any(|r| r.want.is_none()), !given);
+        assert_eq!(written.iter().any(|r| r.reassign_to.is_none()), !given);
 
         if given {
             let token = f.token();
@@ -259,7 +259,7 @@
 fn ask_for(f: &mut Fixture, to: ShardId) {
     let id = f.machine.clone();
     let mut record = f.node.view.machines[&id].record.clone();
-    record.want = Some(to);
+    record.reassign_to = Some(to);
     let put = Change::Put {
         put: machine_key(&id),
         value: to_value(record).expect("a record"),
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -200,9 +200,9 @@
     fn is_busy(&self, view: &ClusterView, m: &Machine) -> bool {
         let record = view.machines.get(&m.id).map(|r| &r.record);
         let unwritten = record.is_some_and(|r| {
-            let condemned = m.condemned.is_some() && r.condemned.is_none();
+            let condemned = m.condemned.is_some() && r.decommission_reason.is_none();
             let addr = m.heard.is_some() && r.addr.is_none() && m.condemned.is_none();
-            condemned || addr || r.want.is_some()
+            condemned || addr || r.reassign_to.is_some()
         });
         let unwritten = unwritten || m.pool.is_busy();
         let stopping = |t: &TaskRef| {
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::fixture::{Fixture, WALL};
 use crate::io::Effect;
-use crate::records::{live_key, JobHeadRecord};
+use crate::records::{unfinished_key, JobHeadRecord};
 use forkshift_wire::state::Item;
 use forkshift_wire::users::JobKind;
 use forkshift_wire::workers::TaskStage;
@@ -83,9 +83,9 @@
         let mut head: JobHeadRecord = f.shard().jobs[&id].head_rec();
         f.shard().forget_job(&id, 0);
         head.cancelled = true;
-        head.cancelled_at = WALL - ago;
+        head.cancelled_at_ms = WALL - ago;
         let item = Item {
-            key: live_key(f.shard, &id, 0),
+            key: unfinished_key(f.shard, &id, 0),
             value: to_value(head).expect("a record"),
             version: 8,
         };
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -35,7 +35,7 @@
 }
 
 /// What a machine of a type has.
-pub fn total_of(t: &MachineType) -> Resources {
+pub fn capacity_of(t: &MachineType) -> Resources {
     Resources::new(t.cpus, t.gpus, t.memory_gb)
 }
 
@@ -55,7 +55,7 @@
 }
 
 /// Key of a rental intent.
-pub fn rental_intent_key(request: &str) -> String {
+pub fn provisioning_intent_key(request: &str) -> String {
     format!("c/charter/{request}")
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// Key of a cancellation that waits for its shard's holder.
-pub fn abort_key(id: &JobId) -> String {
+pub fn cancellation_key(id: &JobId) -> String {
     format!("c/abort/{id}")
 }
 
@@ -80,12 +80,12 @@
 }
 
 /// Prefix of a shard's unfinished jobs.
-pub fn live_prefix(k: ShardId) -> String {
+pub fn unfinished_prefix(k: ShardId) -> String {
     format!("live/{k}/")
 }
 
 /// Key of a block of an unfinished job; block 0 lives in its head.
-pub fn live_key(k: ShardId, id: &JobId, block: u32) -> String {
+pub fn unfinished_key(k: ShardId, id: &JobId, block: u32) -> String {
     if block == 0 {
         format!("live/{k}/{id}")
     } else {
@@ -152,13 +152,16 @@
     pub addr: Option<String>,
     /// It is to be returned, and never used again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub condemned: Option<String>,
+    #[serde(rename = "condemned")]
+    pub decommission_reason: Option<String>,
     /// The shard that it should go to, if it is free.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub want: Option<ShardId>,
+    #[serde(rename = "want")]
+    pub reassign_to: Option<ShardId>,
     /// Tokens of its present shard are above this.
     #[serde(default)]
-    pub floor: u64,
+    #[serde(rename = "floor")]
+    pub token_floor: u64,
     /// Images that were there when it last changed shards, with their sizes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<(String, f64)>,
@@ -166,7 +169,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pool: Option<Membership>,
     /// Until when pools were charged for it, in milliseconds since 1970. Since format 3.
-    #[serde(default, skip_serializing_if = "is_never")]
+    #[serde(default, skip_serializing_if = "is_zero_ms")]
     pub charged_until_ms: u64,
 }
 
@@ -198,7 +201,7 @@
 
 /// A rental intent, written before the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentalIntent {
+pub struct ProvisioningIntent {
     /// How many for which shard.
     pub parts: Vec<(ShardId, u32)>,
     /// Type.
@@ -211,26 +214,26 @@
     /// Machines that have their records by now. A transaction takes few
     /// changes, so the outcome of a large request is written bit by bit, each
     /// together with this count.
-    #[serde(default, skip_serializing_if = "is_none")]
+    #[serde(default, skip_serializing_if = "is_zero_count")]
     pub placed: u32,
 }
 
-fn is_never(t: &u64) -> bool {
+fn is_zero_ms(t: &u64) -> bool {
     *t == 0
 }
 
-fn is_none(n: &u32) -> bool {
+fn is_zero_count(n: &u32) -> bool {
     *n == 0
 }
 
-impl RentalIntent {
+impl ProvisioningIntent {
     /// How many machines it asks for.
     pub fn count(&self) -> u32 {
         self.parts.iter().map(|(_, n)| n).sum()
     }
 
     /// The shards that get its machines, in turn, each as often as it asked.
-    pub fn in_turn(&self) -> Vec<ShardId> {
+    pub fn shards_in_turn(&self) -> Vec<ShardId> {
         let rounds = self.parts.iter().map(|(_, n)| *n).max().unwrap_or(0);
         let one = |i: u32| {
             let some = self.parts.iter().filter(move |(_, n)| i < *n);
@@ -251,20 +254,25 @@
     pub shapes: Vec<ShapeRecord>,
     /// Tasks that wait for a place now.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub now: Vec<ShapeRecord>,
+    #[serde(rename = "now")]
+    pub waiting: Vec<ShapeRecord>,
     /// Empty machines, kept as spare.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub free: Vec<MachineId>,
+    #[serde(rename = "free")]
+    pub spare_machines: Vec<MachineId>,
     /// Empty machines that nothing needs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub surplus: Vec<MachineId>,
+    #[serde(rename = "surplus")]
+    pub surplus_machines: Vec<MachineId>,
     /// Machines that hold nothing but borrowed low-priority work, those that
     /// lose the least of it first, and warm pools' machines beyond the pools' least.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub borrowed: Vec<MachineId>,
+    #[serde(rename = "borrowed")]
+    pub reclaimable_machines: Vec<MachineId>,
     /// Warm pools' machines that make up the pools' least: for gangs only. Since format 3.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub pooled: Vec<MachineId>,
+    #[serde(rename = "pooled")]
+    pub pool_machines: Vec<MachineId>,
 }
 
 impl DemandRecord {
@@ -272,35 +280,35 @@
     /// that could be given away, the least useful list first, then what waits
     /// now, then tasks without a place; of each the last, as the most urgent
     /// come first. Messages to the leader hold all of it.
-    pub(crate) fn cut_to(mut self, bytes: usize) -> Self {
+    pub(crate) fn truncated_to(mut self, bytes: usize) -> Self {
         let size = |record: &Self| serde_json::to_vec(record).map_or(0, |json| json.len());
-        while size(&self) > bytes && self.drop_last() {}
+        while size(&self) > bytes && self.drop_least_important() {}
         self
     }
 
     /// Drops half of the least important list that is not empty.
-    fn drop_last(&mut self) -> bool {
+    fn drop_least_important(&mut self) -> bool {
         fn halve<T>(list: &mut Vec<T>) -> bool {
             let had = !list.is_empty();
             list.truncate(list.len() / 2);
             had
         }
-        halve(&mut self.pooled)
-            || halve(&mut self.borrowed)
-            || halve(&mut self.surplus)
-            || halve(&mut self.free)
-            || halve(&mut self.now)
+        halve(&mut self.pool_machines)
+            || halve(&mut self.reclaimable_machines)
+            || halve(&mut self.surplus_machines)
+            || halve(&mut self.spare_machines)
+            || halve(&mut self.waiting)
             || halve(&mut self.shapes)
     }
 
     /// Whether it says the same, whenever it was said.
-    pub fn is_like(&self, other: &Self) -> bool {
+    pub fn has_same_demand(&self, other: &Self) -> bool {
         self.shapes == other.shapes
-            && self.now == other.now
-            && self.free == other.free
-            && self.surplus == other.surplus
-            && self.borrowed == other.borrowed
-            && self.pooled == other.pooled
+            && self.waiting == other.waiting
+            && self.spare_machines == other.spare_machines
+            && self.surplus_machines == other.surplus_machines
+            && self.reclaimable_machines == other.reclaimable_machines
+            && self.pool_machines == other.pool_machines
     }
 }
 
@@ -308,9 +316,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShapeRecord {
     /// CPUs of each, in thousandths; GPUs and memory likewise.
-    pub res: (i64, i64, i64),
+    #[serde(rename = "res")]
+    pub milli_resources: (i64, i64, i64),
     /// How many.
-    pub n: u32,
+    #[serde(rename = "n")]
+    pub count: u32,
     /// Allowed types.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
@@ -322,23 +332,27 @@
     pub spot: bool,
     /// Nothing waits for it yet.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub spare: bool,
+    #[serde(rename = "spare")]
+    pub is_spare: bool,
     /// It may have machines of borrowed work given back to it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub reclaims: bool,
+    #[serde(rename = "reclaims")]
+    pub may_reclaim: bool,
     /// Borrowed work: it takes machines that nobody needs, and no ordinary
     /// machine is rented for it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub borrows: bool,
+    #[serde(rename = "borrows")]
+    pub is_borrowing: bool,
     /// It is of a gang, which needs all of its places at once. Since format 3.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub gang: bool,
+    #[serde(rename = "gang")]
+    pub is_gang: bool,
 }
 
 impl ShapeRecord {
     /// What each task takes.
     pub fn resources(&self) -> Resources {
-        let (cpus, gpus, memory) = self.res;
+        let (cpus, gpus, memory) = self.milli_resources;
         Resources { cpus, gpus, memory }
     }
 }
@@ -365,15 +379,18 @@
     pub cancelled: bool,
     /// Time of day at which that was first asked for, in milliseconds: the
     /// deadline for its tasks outlives the holder that told the user.
-    #[serde(default, skip_serializing_if = "is_never")]
-    pub cancelled_at: u64,
+    #[serde(default, skip_serializing_if = "is_zero_ms")]
+    #[serde(rename = "cancelled_at")]
+    pub cancelled_at_ms: u64,
     /// Time of day at which it was submitted, in milliseconds.
     #[serde(default)]
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub submitted_at_ms: u64,
     /// Tasks a block, where that is not the size that the first release
     /// computes from the settings.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub layout: Option<u32>,
+    #[serde(rename = "layout")]
+    pub tasks_per_block: Option<u32>,
     /// Its first tasks.
     #[serde(default)]
     pub block: TaskBlockRecord,
@@ -384,7 +401,8 @@
 pub struct TaskBlockRecord {
     /// The next attempt's number; none is used twice.
     #[serde(default)]
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_attempt: u64,
     /// Completed tasks, as ranges without their ends.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -4,15 +4,15 @@
 
 fn shape(n: u32) -> ShapeRecord {
     ShapeRecord {
-        res: (1_000, 0, 1_000),
-        n,
+        milli_resources: (1_000, 0, 1_000),
+        count: n,
         types: None,
         zones: None,
         spot: false,
-        spare: false,
-        reclaims: false,
-        borrows: false,
-        gang: false,
+        is_spare: false,
+        may_reclaim: false,
+        is_borrowing: false,
+        is_gang: false,
     }
 }
 
@@ -28,11 +28,11 @@
     let full = DemandRecord {
         revision: 7,
         shapes: (1..=24).map(shape).collect(),
-        now: (1..=24).map(shape).collect(),
-        free: machines(20),
-        surplus: machines(200),
-        borrowed: machines(200),
-        pooled: Vec::new(),
+        waiting: (1..=24).map(shape).collect(),
+        spare_machines: machines(20),
+        surplus_machines: machines(200),
+        reclaimable_machines: machines(200),
+        pool_machines: Vec::new(),
     };
     let size = |record: &DemandRecord| serde_json::to_vec(record).expect("a record").len();
     let whole = size(&full);
@@ -46,17 +46,17 @@
         (10, [0, 0, 0, 0, 0]),
     ];
     for (bytes, left) in cases {
-        let cut = full.clone().cut_to(bytes);
+        let cut = full.clone().truncated_to(bytes);
         assert!(
             size(&cut) <= bytes.max(size(&DemandRecord::default())),
             "{bytes}"
         );
         let lengths = [
             cut.shapes.len(),
-            cut.now.len(),
-            cut.free.len(),
-            cut.surplus.len(),
-            cut.borrowed.len(),
+            cut.waiting.len(),
+            cut.spare_machines.len(),
+            cut.surplus_machines.len(),
+            cut.reclaimable_machines.len(),
         ];
         assert_eq!(lengths, left, "{bytes}");
         assert!(cut.shapes.iter().eq(full.shapes.iter().take(left[0])));
@@ -71,14 +71,18 @@
     let most = forkshift_wire::peer::MAX_MESSAGE_BYTES / 4 * 3;
     let mut full = DemandRecord {
         shapes: (1..=60).map(shape).collect(),
-        surplus: machines(4_000),
+        surplus_machines: machines(4_000),
         ..DemandRecord::default()
     };
-    assert!(full.clone().cut_to(most).is_like(&full));
-    full.borrowed = machines(2);
+    assert!(full.clone().truncated_to(most).has_same_demand(&full));
+    full.reclaimable_machines = machines(2);
     let size = serde_json::to_vec(&full).expect("a record").len();
-    assert!(full.clone().cut_to(size).is_like(&full));
-    let cut = full.clone().cut_to(size - 1);
-    let left = (cut.shapes.len(), cut.surplus.len(), cut.borrowed.len());
+    assert!(full.clone().truncated_to(size).has_same_demand(&full));
+    let cut = full.clone().truncated_to(size - 1);
+    let left = (
+        cut.shapes.len(),
+        cut.surplus_machines.len(),
+        cut.reclaimable_machines.len(),
+    );
     assert_eq!(left, (60, 4_000, 1));
 }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -204,7 +204,7 @@
     /// The first token that is used for a machine: above those of earlier
     /// holders of the shard, and of the machine's earlier shards.
     pub(crate) fn first_token(&self, record: &MachineRecord) -> u64 {
-        (self.epoch << TOKEN_BITS).max(record.floor + 1)
+        (self.epoch << TOKEN_BITS).max(record.token_floor + 1)
     }
 
     /// The condition that the shard is still held under this epoch.
--- a/crates/core/src/shard/arrivals.rs
+++ b/crates/core/src/shard/arrivals.rs
@@ -44,15 +44,15 @@
     pub(super) fn count_arrival(&mut self, spec: &JobSpec, now: Ms) {
         let res = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
         let last = ShapeRecord {
-            res: (res.cpus, res.gpus, res.memory),
-            n: 1,
+            milli_resources: (res.cpus, res.gpus, res.memory),
+            count: 1,
             types: spec.types.clone(),
             zones: None,
             spot: spec.spot,
-            spare: true,
-            reclaims: false,
-            borrows: false,
-            gang: false,
+            is_spare: true,
+            may_reclaim: false,
+            is_borrowing: false,
+            is_gang: false,
         };
         let stats = self
             .classes
--- a/crates/core/src/shard/loading.rs
+++ b/crates/core/src/shard/loading.rs
@@ -8,7 +8,7 @@
 use crate::context::{is_watch_lost, Context};
 use crate::layout::Layout;
 use crate::pending::PendingCall;
-use crate::records::{live_prefix, JobHeadRecord, TaskBlockRecord};
+use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::store::Urgency;
 use crate::view::{ChangedMachines, ClusterView};
 use crate::Ms;
@@ -28,7 +28,7 @@
 impl Shard {
     /// Reads a page of the jobs' records from behind a key.
     pub(super) fn list(&self, ctx: &mut Context, from: &str) {
-        let prefix = live_prefix(self.id);
+        let prefix = unfinished_prefix(self.id);
         let mut path = format!("/kv?starts={prefix}&most=400");
         if !from.is_empty() {
             path.push_str(&format!("&from={from}"));
@@ -83,7 +83,7 @@
         self.phase = Phase::Active;
         self.active_since = ctx.now;
         self.sync_machines(ctx, view, &ChangedMachines::everything());
-        let prefix = live_prefix(self.id);
+        let prefix = unfinished_prefix(self.id);
         let items = std::mem::take(&mut self.loaded);
         let mut blocks = Vec::new();
         for item in items {
@@ -125,15 +125,15 @@
             }
         };
         let id = head.spec.id.clone();
-        let layout = Layout::recorded(head.layout, &ctx.config.state_limits);
-        self.add_job(ctx, head.spec, Some(layout), head.at, stamp);
+        let layout = Layout::recorded(head.tasks_per_block, &ctx.config.state_limits);
+        self.add_job(ctx, head.spec, Some(layout), head.submitted_at_ms, stamp);
         self.restore(ctx, &id, 0, head.block, stamp);
         if head.cancelled {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.cancelled = true;
                 job.cancel_durable = true;
-                job.cancelled_wall = head.cancelled_at;
-                job.cancelled_for = ctx.longest_age_of(head.cancelled_at);
+                job.cancelled_wall = head.cancelled_at_ms;
+                job.cancelled_for = ctx.longest_age_of(head.cancelled_at_ms);
                 job.cancelled_since = ctx.now;
                 self.cancels.touch(&id);
             }
@@ -176,7 +176,7 @@
             epoch: self.epoch,
             serial: self.watch_serial,
         };
-        ctx.watch_store(&live_prefix(self.id), self.live_rev, 10_000, pending);
+        ctx.watch_store(&unfinished_prefix(self.id), self.live_rev, 10_000, pending);
     }
 
     /// Gives up the watch that is open, so that another is opened.
@@ -195,7 +195,7 @@
         }
         let changes: Option<Changes> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(changes) = changes else { return };
-        let prefix = live_prefix(self.id);
+        let prefix = unfinished_prefix(self.id);
         for event in changes.events {
             let Change::Put {
                 put,
@@ -217,7 +217,7 @@
             let head = from_value::<JobHeadRecord>(value).ok();
             let head = head.filter(|h| !h.cancelled && h.block == TaskBlockRecord::default());
             if let Some(head) = head {
-                self.add_job(ctx, head.spec, None, head.at, version);
+                self.add_job(ctx, head.spec, None, head.submitted_at_ms, version);
             }
         }
         self.live_rev = self.live_rev.max(changes.revision);
--- a/crates/core/src/shard/machines.rs
+++ b/crates/core/src/shard/machines.rs
@@ -7,7 +7,7 @@
 use crate::machine::Machine;
 use crate::pending::PendingCall;
 use crate::pools::{add_row, MachinePool};
-use crate::records::{machine_key, total_of, MachineRecord};
+use crate::records::{capacity_of, machine_key, MachineRecord};
 use crate::store::Urgency;
 use crate::view::{ChangedMachines, ClusterView};
 use forkshift_links::{MachineLink, Route};
@@ -52,8 +52,8 @@
             if machine.version != versioned.version {
                 machine.version = versioned.version;
                 machine.leaving = None;
-                if versioned.record.condemned.is_some() {
-                    machine.condemned = versioned.record.condemned.clone();
+                if versioned.record.decommission_reason.is_some() {
+                    machine.condemned = versioned.record.decommission_reason.clone();
                 }
                 machine.addr = versioned.record.addr.clone().or(machine.addr.take());
                 machine.pool.follow(&versioned.record);
@@ -85,13 +85,13 @@
             machine_type: ctx.places.number(&record.machine_type),
             zone: ctx.places.number(&record.zone),
             spot: record.spot,
-            total: total_of(of_type),
+            total: capacity_of(of_type),
             price: hourly / 3600.0,
             fetch_rate: of_type.fetch_gb_per_s,
             cache_gb: of_type.cache_gb,
             boot_ms: crate::ms(of_type.boot_s),
             addr: record.addr.clone(),
-            condemned: record.condemned.clone(),
+            condemned: record.decommission_reason.clone(),
             version,
             putting: false,
             put_from: 0,
@@ -173,14 +173,15 @@
     /// the record has changed: a write without an answer may land late, and
     /// the other shard then owns whatever is on the machine.
     pub(crate) fn give_away(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
-        let Some(to) = view.machines.get(id).and_then(|m| m.record.want) else {
+        let Some(to) = view.machines.get(id).and_then(|m| m.record.reassign_to) else {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.vacating = false;
             }
             return;
         };
         let names = self.image_names(ctx, id);
-        let is_offered = self.told.borrowed.contains(id) || self.told.pooled.contains(id);
+        let is_offered =
+            self.told.reclaimable_machines.contains(id) || self.told.pool_machines.contains(id);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -201,13 +202,13 @@
             let at_ms = ctx.wall_clock_ms;
             self.put_machine_with(ctx, view, id, |record| {
                 record.shard = to;
-                record.want = None;
-                record.floor = floor;
+                record.reassign_to = None;
+                record.token_floor = floor;
                 record.images = names;
                 record.close_membership(id, at_ms, Err(Ended::Reclaimed))
             });
         } else if !self.vacate(ctx, id) {
-            self.put_machine(ctx, view, id, |record| record.want = None);
+            self.put_machine(ctx, view, id, |record| record.reassign_to = None);
         }
     }
 
@@ -261,7 +262,7 @@
         let row = change(&mut record);
         // Only a takeover needs an address; all else frees a machine.
         let moves = record.shard != versioned.record.shard
-            || record.condemned != versioned.record.condemned;
+            || record.decommission_reason != versioned.record.decommission_reason;
         let urgency = if moves {
             Urgency::Tasks
         } else {
@@ -321,11 +322,11 @@
         let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
         self.drop_unsent_of(tasks);
         let recorded = view.machines.get(id);
-        if recorded.is_some_and(|m| m.record.condemned.is_none()) {
+        if recorded.is_some_and(|m| m.record.decommission_reason.is_none()) {
             // The leader may remove the record at once, and knows less of when it ended.
             let (at_ms, ended) = self.end_of_membership(ctx, id);
             self.put_machine_with(ctx, view, id, |record| {
-                record.condemned = Some(why);
+                record.decommission_reason = Some(why);
                 record.close_membership(id, at_ms, Err(ended))
             });
         }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -2,8 +2,8 @@
 
 use crate::format::FormatVersion;
 use crate::records::{
-    DemandRecord, LeaderRecord, MachineRecord, NodeRecord, RentalIntent, ShardId, ShardRecord,
-    EPOCH, FINALIZED_FORMAT, LEADER,
+    DemandRecord, LeaderRecord, MachineRecord, NodeRecord, ProvisioningIntent, ShardId,
+    ShardRecord, EPOCH, FINALIZED_FORMAT, LEADER,
 };
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Change, Item};
@@ -30,7 +30,7 @@
     pub(crate) finalized_format: Option<Versioned<FormatVersion>>,
     pub(crate) shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
     pub(crate) machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
-    pub(crate) provisioning_intents: BTreeMap<String, Versioned<RentalIntent>>,
+    pub(crate) provisioning_intents: BTreeMap<String, Versioned<ProvisioningIntent>>,
     pub(crate) machine_types: BTreeMap<String, Versioned<MachineType>>,
     pub(crate) demands: BTreeMap<ShardId, Versioned<DemandRecord>>,
     pub(crate) cancellations: BTreeMap<JobId, u64>,
@@ -197,7 +197,7 @@
 
     fn machine_changed(&mut self, id: MachineId) {
         let record = self.machines.get(&id);
-        if record.is_some_and(|m| m.record.condemned.is_some()) {
+        if record.is_some_and(|m| m.record.decommission_reason.is_some()) {
             self.decommissioned.insert(id.clone());
         } else {
             self.decommissioned.remove(&id);
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -183,7 +183,7 @@
                 from_value::<new::MachineRecord>(value.clone()).and_then(to_value)
             }
             ["c", "charter", _] => {
-                from_value::<new::RentalIntent>(value.clone()).and_then(to_value)
+                from_value::<new::ProvisioningIntent>(value.clone()).and_then(to_value)
             }
             ["c", "demand", _] => from_value::<new::DemandRecord>(value.clone()).and_then(to_value),
             ["job", _] => from_value::<new::JobRecord>(value.clone()).and_then(to_value),
