--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -44,7 +44,7 @@
     /// Reads the records of a job's dependencies before it is created.
     pub(crate) fn admit(&mut self, creation: Creation) {
         if creation.spec.dependencies.is_empty() {
-            return self.create(creation);
+            return self.create_job(creation);
         }
         let request = creation.request;
         let unread: BTreeSet<JobId> = creation.spec.dependencies.iter().cloned().collect();
@@ -119,7 +119,7 @@
             return;
         }
         if let Some(admission) = self.admissions.remove(&request) {
-            self.create(admission.creation);
+            self.create_job(admission.creation);
         }
     }
 
--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -38,7 +38,7 @@
         body: Option<Vec<u8>>,
     ) {
         let path = path.split('?').next().unwrap_or_default();
-        if let Err(body) = self.pass_on(request, method, path, body) {
+        if let Err(body) = self.forward_if_preferred(request, method, path, body) {
             self.serve_here(request, method, path, body);
         }
     }
@@ -54,10 +54,12 @@
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         let reply = match (method, parts.as_slice()) {
             ("GET", ["up"]) => Some(self.up()),
-            ("POST", ["v1", "report"]) => self.report(request, body, Relaying::Allowed),
+            ("POST", ["v1", "report"]) => {
+                self.on_heartbeat_request(request, body, Relaying::Allowed)
+            }
             ("POST", ["submissions"]) => self.submit(request, body),
-            ("GET", ["submissions", id]) => self.question(request, id),
-            ("POST", ["submissions", id, "abort"]) => self.abort(request, id),
+            ("GET", ["submissions", id]) => self.answer_status_query(request, id),
+            ("POST", ["submissions", id, "abort"]) => self.cancel_job(request, id),
             (
                 _,
                 ["up"]
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -19,7 +19,7 @@
 
 impl Node {
     /// A user asks to cancel a job.
-    pub(crate) fn abort(&mut self, request: RequestId, id: &str) -> Option<Reply> {
+    pub(crate) fn cancel_job(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
         };
@@ -34,7 +34,7 @@
             let job = shard.jobs.get_mut(&id)?;
             // An earlier holder may have told the user already; what is left of
             // the job may take long to end.
-            if job.cancel_durable {
+            if job.is_cancellation_durable {
                 return Some(Reply::json(200, &status(&id, JobStage::Cancelled)));
             }
             // Stopping is always allowed, but it is not for us to confirm it.
@@ -50,9 +50,9 @@
     }
 
     /// Leaves word for the holder, in the place that it watches.
-    pub(crate) fn pass_abort(&mut self, request: RequestId, id: JobId, shard: ShardId) {
+    pub(crate) fn forward_cancellation(&mut self, request: RequestId, id: JobId, shard: ShardId) {
         let until = self.ctx.now + ANSWER_MS * 3 / 4;
-        self.tell_cancel(&id, shard);
+        self.send_cancel(&id, shard);
         let known = self.view.cancellations.get(&id).copied();
         let key = cancellation_key(&id);
         let poll = CancellationPoll {
@@ -62,7 +62,7 @@
             until,
         };
         if known.is_some() {
-            return self.poll_abort(poll);
+            return self.poll_cancellation(poll);
         }
         let transaction = Transaction {
             preconditions: Vec::new(),
@@ -76,23 +76,28 @@
     }
 
     /// The write of a key that asks for a cancellation was answered.
-    pub(crate) fn on_abort_put(&mut self, mut poll: CancellationPoll, code: u16, body: &[u8]) {
+    pub(crate) fn on_cancellation_written(
+        &mut self,
+        mut poll: CancellationPoll,
+        code: u16,
+        body: &[u8],
+    ) {
         if code == 200 {
             poll.version = revision_of(body);
-            self.poll_abort(poll);
+            self.poll_cancellation(poll);
         } else {
             self.ctx.respond(poll.request, Reply::later("not now"));
         }
     }
 
-    fn poll_abort(&mut self, poll: CancellationPoll) {
+    fn poll_cancellation(&mut self, poll: CancellationPoll) {
         let path = format!("/kv/{}", job_key(&poll.id));
         self.ctx
             .read_store(Urgency::User, path, PendingCall::CancellationPoll(poll));
     }
 
     /// The read that shows whether a cancellation was carried out was answered.
-    pub(crate) fn on_abort_poll(&mut self, poll: CancellationPoll, code: u16, body: &[u8]) {
+    pub(crate) fn on_cancellation_poll(&mut self, poll: CancellationPoll, code: u16, body: &[u8]) {
         let CancellationPoll {
             request,
             id,
@@ -116,7 +121,7 @@
     }
 
     /// Answers users whose cancellation could not be written in time.
-    pub(crate) fn end_waits(&mut self) {
+    pub(crate) fn expire_cancel_waits(&mut self) {
         let now = self.ctx.now;
         while self
             .cancel_deadlines
@@ -138,12 +143,12 @@
     }
 
     /// Looks again at cancellations that others are to carry out.
-    pub(crate) fn repeat_polls(&mut self) {
+    pub(crate) fn repeat_cancellation_polls(&mut self) {
         let now = self.ctx.now;
         let polls = std::mem::take(&mut self.delayed_polls);
         for (at, poll) in polls {
             if now >= at {
-                self.poll_abort(poll);
+                self.poll_cancellation(poll);
             } else {
                 self.delayed_polls.push((at, poll));
             }
--- a/crates/core/src/api/questions.rs
+++ b/crates/core/src/api/questions.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     /// A user asks how a job stands.
-    pub(crate) fn question(&mut self, request: RequestId, id: &str) -> Option<Reply> {
+    pub(crate) fn answer_status_query(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
         };
@@ -26,7 +26,7 @@
             return Some(Reply::json(200, &status(&id, stage)));
         }
         if self.membership.has_valid_lease(&self.ctx, &self.view) {
-            if let Some(reply) = self.remembered(&id) {
+            if let Some(reply) = self.remembered_status(&id) {
                 return Some(reply);
             }
         }
@@ -34,13 +34,13 @@
     }
 
     /// What memory says of a job of ours: nothing, if its record may say more.
-    pub(crate) fn remembered(&self, id: &JobId) -> Option<Reply> {
+    pub(crate) fn remembered_status(&self, id: &JobId) -> Option<Reply> {
         let shard = holder_of(&self.shards, id)?;
         // The view may have gone on in this very batch, and the shard with it.
         let record = self.view.shards.get(&shard.id);
         let still_ours = record.is_some_and(|s| s.record.epoch == shard.epoch);
         let job = shard.jobs.get(id).filter(|_| still_ours)?;
-        if !job.is_certain() {
+        if !job.is_status_certain() {
             return None;
         }
         // A cancellation that we have not heard of may be on its way to it.
@@ -113,7 +113,7 @@
             self.job_shards.insert(id.clone(), record.shard);
         }
         if !record.stage.is_final() && matches!(why, Lookup::Cancellation) {
-            return self.pass_abort(request, id, record.shard);
+            return self.forward_cancellation(request, id, record.shard);
         }
         self.ctx
             .respond(request, Reply::json(200, &status(&id, record.stage)));
@@ -133,7 +133,7 @@
         }
         let shard = holder_of(&self.shards, &record.spec.id);
         let job = shard.and_then(|s| s.jobs.get(&record.spec.id));
-        job.is_some_and(|j| j.cancelled)
+        job.is_some_and(|j| j.is_cancelled)
     }
 }
 
--- a/crates/core/src/api/reports.rs
+++ b/crates/core/src/api/reports.rs
@@ -13,7 +13,7 @@
 impl Node {
     /// A worker reports, to us or to a controller that passes it on. No reply: it is
     /// passed on from here.
-    pub(crate) fn report(
+    pub(crate) fn on_heartbeat_request(
         &mut self,
         request: RequestId,
         body: Option<Vec<u8>>,
@@ -30,7 +30,7 @@
             }
         };
         if request.is_from_peer() {
-            return Some(self.answer_report(&report, Route::Relayed));
+            return Some(self.answer_heartbeat(&report, Route::Relayed));
         }
         let holder = match relaying {
             Relaying::Allowed => self.relay_to(&report.machine),
@@ -40,10 +40,10 @@
             self.relay_report(request, &holder, body);
             return None;
         }
-        Some(self.answer_report(&report, Route::Direct))
+        Some(self.answer_heartbeat(&report, Route::Direct))
     }
 
-    fn answer_report(&mut self, report: &Report, route: Route) -> Reply {
+    fn answer_heartbeat(&mut self, report: &Report, route: Route) -> Reply {
         let Some(record) = self.view.machines.get(&report.machine) else {
             return Reply::json(421, &Redirect::default());
         };
@@ -85,12 +85,12 @@
             // the worker would stay here while its lease runs out.
             let epoch = epoch_of_token(report.token);
             if epoch > newest {
-                shard.supersede(&format!("{} has a token of epoch {epoch}", report.machine));
+                shard.mark_superseded(&format!("{} has a token of epoch {epoch}", report.machine));
             }
             return Reply::json(421, &Redirect::default());
         }
         // A late copy tells nothing of the way by which reports come now.
-        if shard.ingest(ctx, report) {
+        if shard.on_worker_heartbeat(ctx, report) {
             shard.note_route(ctx, &report.machine, route);
         }
         match shard.report_reply(ctx, &report.machine) {
@@ -103,7 +103,7 @@
     fn redirect_to(&mut self, shard: ShardId, machine: &MachineId) -> Option<String> {
         let holder = &self.view.shards.get(&shard)?.record;
         let (to, incarnation) = (holder.holder.clone(), holder.holder_incarnation);
-        if to == self.ctx.config.node || self.deaf_holder(machine).is_some() {
+        if to == self.ctx.config.node || self.holder_without_link(machine).is_some() {
             return None;
         }
         // What we knew before we lost the state service may be over. A worker that was sent
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -40,7 +40,7 @@
             return Some(Reply::json(200, &status(&id, stage)));
         }
         if self.membership.has_valid_lease(&self.ctx, &self.view) {
-            if let Some(reply) = self.remembered(&id) {
+            if let Some(reply) = self.remembered_status(&id) {
                 return Some(reply);
             }
             if self.shard_of(&id).is_some() {
@@ -51,7 +51,7 @@
         if let Some(refusal) = self.refuse_dependencies(&spec) {
             return self.look_up(request, id, Lookup::Submission(refusal));
         }
-        match self.judge(&spec) {
+        match self.validate(&spec) {
             Ok(shard) => {
                 let until = self.ctx.now + ANSWER_MS;
                 let creation = Creation {
@@ -70,7 +70,7 @@
     }
 
     /// Whether a job can ever run, and in which shard.
-    fn judge(&self, spec: &JobSpec) -> Result<ShardId, Reply> {
+    fn validate(&self, spec: &JobSpec) -> Result<ShardId, Reply> {
         let Some(team) = self.ctx.config.teams.get(&spec.team) else {
             return Err(Reply::error(422, "unknown team"));
         };
@@ -112,7 +112,7 @@
     }
 
     /// Writes the records by which a job is accepted.
-    pub(crate) fn create(&mut self, creation: Creation) {
+    pub(crate) fn create_job(&mut self, creation: Creation) {
         let Creation { spec, shard, .. } = &creation;
         let record = JobRecord {
             spec: spec.clone(),
@@ -173,7 +173,7 @@
             200 => {
                 let revision = revision_of(body);
                 self.job_shards.insert(id.clone(), shard);
-                self.tell_new_job(shard, spec, revision);
+                self.send_new_job(shard, spec, revision);
                 if let Some(shard) = self.shards.get_mut(&shard) {
                     let at = self.ctx.wall_clock_ms;
                     shard.on_job_accepted(&mut self.ctx, creation.spec, at, revision);
@@ -192,7 +192,7 @@
             0 | 429 if self.ctx.now < until => {
                 // If an earlier copy is carried out after all, the condition
                 // fails and the job is found.
-                self.create(creation);
+                self.create_job(creation);
             }
             _ => self.ctx.respond(request, Reply::later("not now")),
         }
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::fixture::{answer_to, Fixture, EPOCH};
-use crate::job::Sent;
+use crate::job::StartState;
 use crate::pending::PendingCall;
 use crate::records::{job_key, JobRecord};
 use forkshift_wire::users::JobKind;
@@ -44,11 +44,11 @@
     for (case, status) in answers {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        f.bind(&id, 0, Sent::Inherited);
+        f.bind(&id, 0, StartState::Unknown);
         match case {
             Case::Written => {
                 let job = f.shard().jobs.get_mut(&id).expect("it is there");
-                (job.cancelled, job.cancel_durable) = (true, true);
+                (job.is_cancelled, job.is_cancellation_durable) = (true, true);
             }
             Case::New => {}
             Case::NoRight => f.lose_right(),
@@ -56,7 +56,7 @@
         let answer = f.ask(1, "POST", "/submissions/j-1/abort");
         assert_eq!(answer.as_ref().map(|a| a.0), status, "{case:?}");
         assert!(
-            f.shard().jobs[&id].cancelled,
+            f.shard().jobs[&id].is_cancelled,
             "{case:?}: its tasks are stopped"
         );
         // Nobody waits for longer than users do.
@@ -116,7 +116,7 @@
         let shard = f.shard;
         let record = f.node.view.shards.get_mut(&shard).expect("it is there");
         record.record.epoch = epoch;
-        let answer = f.node.remembered(&id);
+        let answer = f.node.remembered_status(&id);
         assert_eq!(answer.is_some(), answers, "epoch {epoch}");
     }
 }
@@ -131,7 +131,7 @@
     f.job("j-1", JobKind::Service, 1);
     f.step(1);
     let job = f.shard().jobs.get(&id);
-    assert!(job.is_none_or(|j| j.cancelled));
+    assert!(job.is_none_or(|j| j.is_cancelled));
 }
 
 /// Reports that waited in the sockets while their holder stood still are
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/attestation.rs
@@ -144,7 +144,7 @@
     /// Machines that may hold a task of a cancelled job, or something that
     /// is not known here.
     fn unsettled(&self) -> BTreeSet<&MachineId> {
-        let cancelled = self.jobs.values().filter(|j| j.cancelled);
+        let cancelled = self.jobs.values().filter(|j| j.is_cancelled);
         let holding = cancelled.flat_map(|j| j.bound.values().map(|b| &b.machine));
         let strays = self.machines.values().filter(|m| !m.orphans.is_empty());
         holding.chain(strays.map(|m| &m.id)).collect()
@@ -260,7 +260,7 @@
         let epochs: BTreeMap<ShardId, u64> = epochs.map(|(k, e)| (ShardId(*k), *e)).collect();
         for (k, epoch) in &epochs {
             if let Some(shard) = self.shards.get_mut(k).filter(|s| s.epoch < *epoch) {
-                shard.supersede(&format!("{from} has seen epoch {epoch}"));
+                shard.mark_superseded(&format!("{from} has seen epoch {epoch}"));
             }
         }
         // An echo of an earlier start of ours is not of our clock.
@@ -327,7 +327,7 @@
             .ctx
             .peer_confirmations
             .unclaimed_until(&self.ctx, shard);
-        !shard.superseded && self.ctx.now < until.saturating_add(self.ctx.config.grace_ms())
+        !shard.is_superseded && self.ctx.now < until.saturating_add(self.ctx.config.grace_ms())
     }
 
     /// Whether a worker may be answered by somebody who does not know which of
--- a/crates/core/src/blame.rs
+++ b/crates/core/src/blame.rs
@@ -11,29 +11,29 @@
 use std::collections::BTreeMap;
 
 /// Pause before a job that failed again is tried again; it doubles.
-const RETRY_LEAST: Ms = 2_000;
-const RETRY_MOST: Ms = 60_000;
+const MIN_RETRY_PAUSE: Ms = 2_000;
+const MAX_RETRY_PAUSE: Ms = 60_000;
 /// A job that failed on so many machines, or so many times in a row, is itself
 /// to blame.
 const BLAME_MACHINES: usize = 3;
 const BLAME_STRIKES: u32 = 4;
 /// From so many machines, or times in a row, on, one task is tried at a time.
-const PROBE_MACHINES: usize = 2;
-const PROBE_STRIKES: u32 = 2;
+const LIMIT_MACHINES: usize = 2;
+const LIMIT_STRIKES: u32 = 2;
 /// Failed machines that a job remembers.
-const MACHINES_MOST: usize = 8;
+const MAX_REMEMBERED_MACHINES: usize = 8;
 /// Jobs that failed on a machine and run well elsewhere, before it is given up.
-const JOBS_MOST: usize = 2;
+const FAULTY_AFTER_JOBS: usize = 2;
 /// Reports for which a task must run to run well, beyond twice the longest
 /// run that ended in a failure.
-const WELL_REPORTS: Ms = 4;
+const WELL_HEARTBEATS: Ms = 4;
 
 /// Reports after which a machine on probation is first tried again.
-const TRY_REPORTS: Ms = 4;
+const QUARANTINE_HEARTBEATS: Ms = 4;
 
 /// How long a task must run before that speaks for its job and its machine.
 pub(crate) fn well_after(longest_failed_run: Ms, report_ms: Ms) -> Ms {
-    longest_failed_run * 2 + report_ms * WELL_REPORTS
+    longest_failed_run * 2 + report_ms * WELL_HEARTBEATS
 }
 
 /// A job's failures since a task of it last ran well.
@@ -47,7 +47,7 @@
     /// The longest run that ended in a failure.
     pub(crate) longest_run: Ms,
     /// Machines that it is kept away from, and since when.
-    avoided: BTreeMap<MachineId, Ms>,
+    excluded_machines: BTreeMap<MachineId, Ms>,
 }
 
 impl JobFailures {
@@ -58,9 +58,9 @@
             self.struck_at = now;
         }
         self.longest_run = self.longest_run.max(ran);
-        for known in [&mut self.machines, &mut self.avoided] {
+        for known in [&mut self.machines, &mut self.excluded_machines] {
             known.insert(machine.clone(), now);
-            if known.len() > MACHINES_MOST {
+            if known.len() > MAX_REMEMBERED_MACHINES {
                 let oldest = known.iter().min_by_key(|(_, at)| **at);
                 let oldest = oldest.map(|(id, _)| id.clone());
                 oldest.and_then(|id| known.remove(&id));
@@ -71,12 +71,12 @@
     /// A task that began to run then has run well.
     pub(crate) fn ran_well(&mut self, began: Ms) {
         if began >= self.struck_at {
-            self.forgive();
+            self.reset();
         }
     }
 
     /// A task has completed. Where the job failed is still avoided for a while.
-    pub(crate) fn forgive(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.machines.clear();
         self.strikes = 0;
     }
@@ -87,8 +87,8 @@
     }
 
     /// Whether it is to be tried with one task at a time.
-    pub(crate) fn is_probed(&self) -> bool {
-        self.strikes >= PROBE_STRIKES || self.machines.len() >= PROBE_MACHINES
+    pub(crate) fn is_limited_to_one_task(&self) -> bool {
+        self.strikes >= LIMIT_STRIKES || self.machines.len() >= LIMIT_MACHINES
     }
 
     /// Whether it, and no machine, is to blame.
@@ -98,11 +98,11 @@
 
     /// The pause before the next try.
     pub(crate) fn pause(&self) -> Ms {
-        if !self.is_probed() {
+        if !self.is_limited_to_one_task() {
             return 0;
         }
-        let doublings = self.strikes.saturating_sub(PROBE_STRIKES).min(8);
-        (RETRY_LEAST << doublings).min(RETRY_MOST)
+        let doublings = self.strikes.saturating_sub(LIMIT_STRIKES).min(8);
+        (MIN_RETRY_PAUSE << doublings).min(MAX_RETRY_PAUSE)
     }
 
     /// Machines that it failed on since it last ran well.
@@ -112,8 +112,12 @@
 
     /// Machines that it is kept away from. For a while only: another may never
     /// come free, and these may be well.
-    pub(crate) fn avoided(&self, now: Ms, while_ms: Ms) -> impl Iterator<Item = &MachineId> {
-        let recent = self.avoided.iter();
+    pub(crate) fn excluded_machines(
+        &self,
+        now: Ms,
+        while_ms: Ms,
+    ) -> impl Iterator<Item = &MachineId> {
+        let recent = self.excluded_machines.iter();
         recent
             .filter(move |(_, at)| now < **at + while_ms)
             .map(|(id, _)| id)
@@ -162,7 +166,7 @@
 
     /// A task of a job that is not suspect begins to run. That is no proof: a
     /// machine may fail what runs on it.
-    pub(crate) fn begins(&mut self, now: Ms) {
+    pub(crate) fn note_start(&mut self, now: Ms) {
         self.began = now;
     }
 
@@ -178,7 +182,7 @@
     /// Whether the machine is faulty.
     pub(crate) fn is_faulty(&self) -> bool {
         let well = self.jobs.values().filter(|f| f.job_is_well);
-        well.count() >= JOBS_MOST
+        well.count() >= FAULTY_AFTER_JOBS
     }
 
     fn last(&self) -> Ms {
@@ -187,8 +191,8 @@
 
     /// Whether it may be faulty: it is tried with one task at a time, of a job
     /// that did not fail elsewhere.
-    pub(crate) fn on_probation(&self) -> bool {
-        self.jobs.len() >= JOBS_MOST && self.began <= self.last()
+    pub(crate) fn is_quarantined(&self) -> bool {
+        self.jobs.len() >= FAULTY_AFTER_JOBS && self.began <= self.last()
     }
 
     /// Whether a job failed there within a time.
@@ -199,8 +203,8 @@
     /// Whether one on probation is to be tried again: ever more seldom, the
     /// more jobs have failed on it, but once in a boot.
     pub(crate) fn is_tried(&self, now: Ms, report_ms: Ms, boot_ms: Ms) -> bool {
-        let doublings = self.jobs.len().saturating_sub(JOBS_MOST).min(8);
-        let pause = (report_ms * TRY_REPORTS) << doublings;
+        let doublings = self.jobs.len().saturating_sub(FAULTY_AFTER_JOBS).min(8);
+        let pause = (report_ms * QUARANTINE_HEARTBEATS) << doublings;
         !self.is_recent(now, pause.min(boot_ms))
     }
 }
--- a/crates/core/src/blame/tests.rs
+++ b/crates/core/src/blame/tests.rs
@@ -66,7 +66,7 @@
                 (1, 16, 17),
             ],
             (true, true),
-            RETRY_MOST,
+            MAX_RETRY_PAUSE,
         ),
     ];
     for (name, failed, (probed, blamed), pause) in cases {
@@ -75,7 +75,7 @@
             failures.add(&machine(*on), *placed, 0, *now);
         }
         assert_eq!(failures.is_suspect(), !failed.is_empty(), "{name}");
-        assert_eq!(failures.is_probed(), probed, "{name}");
+        assert_eq!(failures.is_limited_to_one_task(), probed, "{name}");
         assert_eq!(failures.is_blamed(), blamed, "{name}");
         assert_eq!(failures.pause(), pause, "{name}");
     }
@@ -91,8 +91,12 @@
         failures.add(&machine(1), 15, 0, 20);
         failures.ran_well(began);
         assert_eq!(failures.is_suspect(), suspect, "began at {began}");
-        assert_eq!(failures.avoided(25, BOOT_MS).count(), 1, "still avoided");
-        assert_eq!(failures.avoided(20 + BOOT_MS, BOOT_MS).count(), 0);
+        assert_eq!(
+            failures.excluded_machines(25, BOOT_MS).count(),
+            1,
+            "still avoided"
+        );
+        assert_eq!(failures.excluded_machines(20 + BOOT_MS, BOOT_MS).count(), 0);
     }
 }
 
@@ -103,9 +107,14 @@
     for n in 0..1_000 {
         failures.add(&machine(n), n as Ms * 10, 0, n as Ms * 10 + 5);
     }
-    let newest: Vec<MachineId> = (1_000 - MACHINES_MOST..1_000).map(machine).collect();
+    let newest: Vec<MachineId> = (1_000 - MAX_REMEMBERED_MACHINES..1_000)
+        .map(machine)
+        .collect();
     assert_eq!(failures.machines(), newest);
-    assert_eq!(failures.avoided(9_995, BOOT_MS).count(), MACHINES_MOST);
+    assert_eq!(
+        failures.excluded_machines(9_995, BOOT_MS).count(),
+        MAX_REMEMBERED_MACHINES
+    );
 }
 
 /// A machine is given up for jobs that run elsewhere, and for no others.
@@ -133,7 +142,7 @@
         }
         let now = BOOT_MS;
         assert_eq!(failures.is_faulty(), faulty, "{name}");
-        assert_eq!(failures.on_probation(), probation, "{name}");
+        assert_eq!(failures.is_quarantined(), probation, "{name}");
         assert_eq!(failures.is_recent(now, BOOT_MS), failed > 0, "{name}");
         assert!(!failures.is_recent(now + BOOT_MS, BOOT_MS), "{name}");
         for n in 1..=failed {
@@ -150,15 +159,19 @@
     let mut failures = MachineFailures::default();
     failures.add(&job(1), 0, 100);
     failures.add(&job(2), 0, 100);
-    let first = 100 + REPORT_MS * TRY_REPORTS;
+    let first = 100 + REPORT_MS * QUARANTINE_HEARTBEATS;
     assert!(!failures.is_tried(first - 1, REPORT_MS, BOOT_MS));
     assert!(failures.is_tried(first, REPORT_MS, BOOT_MS));
     failures.add(&job(3), 0, 100);
     assert!(!failures.is_tried(first, REPORT_MS, BOOT_MS));
-    assert!(failures.is_tried(100 + REPORT_MS * TRY_REPORTS * 2, REPORT_MS, BOOT_MS));
+    assert!(failures.is_tried(
+        100 + REPORT_MS * QUARANTINE_HEARTBEATS * 2,
+        REPORT_MS,
+        BOOT_MS
+    ));
 
-    failures.begins(150);
-    assert!(!failures.on_probation());
+    failures.note_start(150);
+    assert!(!failures.is_quarantined());
     for n in 1..=3 {
         failures.job_is_well(&job(n));
     }
--- a/crates/core/src/commands/tests.rs
+++ b/crates/core/src/commands/tests.rs
@@ -30,7 +30,7 @@
     for (entitled, verbs) in [(true, vec![Verb::Start]), (false, vec![])] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        f.bind(&id, 0, Sent::No);
+        f.bind(&id, 0, StartState::NotSent);
         if !entitled {
             f.lose_right();
         }
@@ -45,12 +45,12 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let (token, session) = (f.token(), 1);
-        f.bind(&id, 0, Sent::Ours { token, session });
+        f.bind(&id, 0, StartState::SentByUs { token, session });
         if !entitled {
             f.lose_right();
         }
         f.ask(1, "POST", "/submissions/j-1/abort");
-        let calling = f.shard().machines.values().any(|m| m.calling);
+        let calling = f.shard().machines.values().any(|m| m.has_call_in_flight);
         assert!(calling, "entitled: {entitled}");
     }
 }
@@ -62,11 +62,11 @@
     for stopped in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Gang, 2);
-        f.bind(&id, 0, Sent::No);
-        f.bind(&id, 1, Sent::No);
+        f.bind(&id, 0, StartState::NotSent);
+        f.bind(&id, 1, StartState::NotSent);
         assert_eq!(sent(&f.step(1)), [Verb::Start, Verb::Start]);
         if stopped {
-            f.shard().stop_rest(&id);
+            f.shard().stop_remaining_tasks(&id);
         }
         let token = f.token();
         let report = f.message(2, token, &[]);
@@ -83,7 +83,7 @@
     for (newer, calls) in [(0, true), (1 << 30, false)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        f.bind(&id, 0, Sent::No);
+        f.bind(&id, 0, StartState::NotSent);
         f.step(1);
         let token = f.token() + newer;
         let report = f.message(2, token, &[]);
@@ -103,7 +103,7 @@
         f.report(1, token, &[(&id, 0, TaskStage::Exited)]);
         let machine = f.machine.clone();
         let m = f.shard().machines.get_mut(&machine).expect("it is there");
-        (m.calling, m.unanswered) = (calling, unanswered);
+        (m.has_call_in_flight, m.has_unanswered_call) = (calling, unanswered);
         let Fixture { node, shard, .. } = &mut f;
         let ours = node.shards.get_mut(shard).expect("it is ours");
         let commands = ours.safe_commands(&node.ctx, &machine);
@@ -115,12 +115,12 @@
 /// The commands of one call, and of the next one once it was answered.
 #[test]
 fn commands_beyond_one_call_go_out_with_the_next() {
-    let most = COMMANDS_MOST as u32;
+    let most = MAX_COMMANDS as u32;
     for (tasks, first, second) in [(most, most, 0), (most + 1, most, 1)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, tasks);
         for index in 0..tasks {
-            f.bind(&id, index, Sent::No);
+            f.bind(&id, index, StartState::NotSent);
         }
         assert_eq!(sent(&f.step(1)).len() as u32, first, "{tasks} tasks");
         let token = f.token();
@@ -139,7 +139,7 @@
     for (beside, starts) in [(1, 1), (0, 0)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        f.bind(&id, 0, Sent::No);
+        f.bind(&id, 0, StartState::NotSent);
         f.node.ctx.worker_calls = f.node.ctx.config.bounds.worker_calls - beside;
         assert_eq!(sent(&f.step(1)).len(), starts, "{beside} free");
         f.node.ctx.worker_calls = 0;
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -7,7 +7,7 @@
 use crate::api::status;
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
-use crate::job::{Job, Sent};
+use crate::job::{Job, StartState};
 use crate::known_jobs::FinalStages;
 use crate::pending::{JobWrite, PendingCall};
 use crate::records::{job_key, shard_key, JobRecord};
@@ -20,15 +20,15 @@
 use serde_json::to_value;
 
 /// Pause before a write that failed is tried again.
-const RETRY: Ms = 150;
+const RETRY_PAUSE: Ms = 150;
 /// Pause before a write is tried again that was refused as malformed or too
 /// large although it keeps to the smallest limits that are known.
 const REFUSED_RETRY: Ms = 5_000;
 /// A transaction's share of the 64 KiB that it may have.
-const TXN_BYTES: usize = 40 * 1024;
+const TRANSACTION_BYTES: usize = 40 * 1024;
 
 /// One job's part of a transaction.
-struct Part {
+struct JobChange {
     write: JobWrite,
     preconditions: Vec<Precondition>,
     writes: Vec<Write>,
@@ -39,50 +39,50 @@
 impl Shard {
     /// Writes what has changed. Mere progress waits for `progress`, so that a
     /// job is written at most once a round.
-    pub(crate) fn flush(&mut self, ctx: &mut Context, progress: bool) {
+    pub(crate) fn write_jobs(&mut self, ctx: &mut Context, progress: bool) {
         if progress {
-            for id in std::mem::take(&mut self.progress) {
-                self.dirty.touch(&id);
+            for id in std::mem::take(&mut self.jobs_with_progress) {
+                self.unwritten_jobs.touch(&id);
             }
         }
-        let mut parts: Vec<Part> = Vec::new();
-        for id in self.dirty.take(ctx.now) {
+        let mut parts: Vec<JobChange> = Vec::new();
+        for id in self.unwritten_jobs.take(ctx.now) {
             ctx.work_units += 1;
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             // What is being written is looked at again when that has ended.
-            if job.writing {
+            if job.has_write_in_flight {
                 continue;
             }
             if ctx.now < job.retry_at {
-                self.dirty.wake(&id, job.retry_at);
+                self.unwritten_jobs.wake(&id, job.retry_at);
                 continue;
             }
-            if job.is_dirty() && !job.is_over() && !job.is_moving {
+            if job.is_dirty() && !job.is_over() && !job.is_changing_layout {
                 self.keep_within_limits(ctx, &id);
             }
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            match part(self, job, ctx, progress) {
+            match job_change(self, job, ctx, progress) {
                 Some(part) => parts.push(part),
                 None if job.is_dirty() => {
-                    self.progress.insert(id);
+                    self.jobs_with_progress.insert(id);
                 }
                 None => {}
             }
         }
         parts.sort_by_key(|p| p.urgency);
         let together_most = ctx.limits.txn_ops.min(ctx.store.batch_limit());
-        let mut group: Vec<Part> = Vec::new();
+        let mut group: Vec<JobChange> = Vec::new();
         let (mut ops, mut bytes) = (0, 0);
         for part in parts {
             let most = match part.urgency {
                 Urgency::Tasks | Urgency::Background => together_most,
                 _ => ctx.limits.txn_ops,
             };
-            let full = ops + part.writes.len() > most || bytes + part.bytes > TXN_BYTES;
+            let full = ops + part.writes.len() > most || bytes + part.bytes > TRANSACTION_BYTES;
             let other = group.first().is_some_and(|p| p.urgency != part.urgency);
             if !group.is_empty() && (full || other) {
                 self.send_group(ctx, std::mem::take(&mut group));
@@ -108,14 +108,14 @@
         };
         let layout = job.layout().within(&ctx.limits, &job.spec);
         if layout != job.layout() {
-            job.move_to(layout, self.id);
+            job.change_layout(layout, self.id);
         }
     }
 
-    fn send_group(&mut self, ctx: &mut Context, group: Vec<Part>) {
+    fn send_group(&mut self, ctx: &mut Context, group: Vec<JobChange>) {
         let urgency = group[0].urgency;
         let mut transaction = Transaction {
-            preconditions: vec![self.held()],
+            preconditions: vec![self.held_precondition()],
             writes: Vec::new(),
         };
         let mut jobs = Vec::new();
@@ -123,7 +123,7 @@
             transaction.preconditions.extend(part.preconditions);
             transaction.writes.extend(part.writes);
             if let Some(job) = self.jobs.get_mut(&part.write.id) {
-                job.writing = true;
+                job.has_write_in_flight = true;
             }
             jobs.push(part.write);
         }
@@ -138,13 +138,13 @@
     /// A job that was being written, or its record read, is looked at again.
     fn write_ended(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(id)?;
-        job.writing = false;
-        self.dirty.touch(id);
+        job.has_write_in_flight = false;
+        self.unwritten_jobs.touch(id);
         Some(job)
     }
 
     /// A transaction that writes jobs was answered.
-    pub(crate) fn on_txn(
+    pub(crate) fn on_jobs_written(
         &mut self,
         ctx: &mut Context,
         finals: &mut FinalStages,
@@ -179,7 +179,7 @@
             for block in &write.blocks {
                 let key = job.block_key(shard, *block);
                 if reply.failed.contains(&key) {
-                    job.writing = true;
+                    job.has_write_in_flight = true;
                     let (id, block) = (write.id.clone(), *block);
                     let pending = PendingCall::JobBlockRead {
                         shard,
@@ -196,7 +196,7 @@
     /// An earlier write of ours, which had no answer, was carried out after
     /// all: its version is taken from the record. Nobody else writes it while
     /// the shard is ours.
-    pub(crate) fn on_fix(
+    pub(crate) fn on_block_read(
         &mut self,
         ctx: &mut Context,
         id: &JobId,
@@ -211,13 +211,13 @@
         match (status, found) {
             (200, Some(item)) => {
                 if let Some(block) = job.blocks.get_mut(&block) {
-                    block.stamp = item.version;
+                    block.record_version = item.version;
                 }
             }
             (404, _) if block == 0 => {
                 // The job is over, by our own last write or by that of a new
                 // holder of the shard, whose outcome may differ from ours.
-                job.writing = true;
+                job.has_write_in_flight = true;
                 let (shard, epoch, id) = (self.id, self.epoch, id.clone());
                 let path = format!("/kv/{}", job_key(&id));
                 let pending = PendingCall::JobFinalRead { shard, epoch, id };
@@ -225,15 +225,15 @@
             }
             (404, _) => {
                 if let Some(block) = job.blocks.get_mut(&block) {
-                    block.stamp = 0;
+                    block.record_version = 0;
                 }
             }
-            _ => job.retry_at = ctx.now + RETRY,
+            _ => job.retry_at = ctx.now + RETRY_PAUSE,
         }
     }
 
     /// What became of a job whose live record is gone.
-    pub(crate) fn on_final(
+    pub(crate) fn on_final_read(
         &mut self,
         ctx: &mut Context,
         finals: &mut FinalStages,
@@ -244,7 +244,7 @@
         let Some(job) = self.write_ended(id) else {
             return;
         };
-        job.retry_at = ctx.now + RETRY;
+        job.retry_at = ctx.now + RETRY_PAUSE;
         let item: Option<Item> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(item) = item else { return };
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
@@ -258,10 +258,15 @@
         answer(ctx, waiters, id, record.stage);
         // The job's record may be older than its head was, which the watch may
         // still show: a job that was over once came back, for ever.
-        let revision = job.blocks.values().map(|b| b.stamp).max().unwrap_or(0);
+        let revision = job
+            .blocks
+            .values()
+            .map(|b| b.record_version)
+            .max()
+            .unwrap_or(0);
         let revision = revision.max(item.version);
-        self.stop_rest(id);
-        self.drop_unsent(id);
+        self.stop_remaining_tasks(id);
+        self.unbind_unsent(id);
         if self.jobs.get(id).is_some_and(|j| j.bound.is_empty()) {
             self.forget_job(id, revision);
         }
@@ -278,9 +283,9 @@
             return;
         };
         for block in &write.blocks {
-            let is_staged = job.is_moving && *block > 0;
+            let is_staged = job.is_changing_layout && *block > 0;
             if let Some(block) = job.blocks.get_mut(block) {
-                block.stamp = revision;
+                block.record_version = revision;
                 if is_staged {
                     block.staged = block.staged.max(write.version);
                 } else {
@@ -288,17 +293,25 @@
                 }
             }
         }
-        let is_moved = job.is_moving && write.blocks.contains(&0) && !write.is_final;
-        let left_over = if is_moved { job.end_move() } else { Vec::new() };
+        let is_moved = job.is_changing_layout && write.blocks.contains(&0) && !write.is_final;
+        let left_over = if is_moved {
+            job.finish_layout_change()
+        } else {
+            Vec::new()
+        };
         for (key, version) in left_over {
             crate::shard::remove_key(ctx, key, version);
         }
         if write.records_cancellation {
-            job.cancel_durable = true;
+            job.is_cancellation_durable = true;
         }
         // What was recorded may be started now.
-        for binding in job.bound.values().filter(|b| b.sent == Sent::No) {
-            self.look.touch(&binding.machine);
+        for binding in job
+            .bound
+            .values()
+            .filter(|b| b.start == StartState::NotSent)
+        {
+            self.recheck.touch(&binding.machine);
         }
         let stage = job.final_stage();
         if write.is_final || write.records_cancellation {
@@ -310,13 +323,13 @@
             log::info!(
                 "job {}: {stage:?} after {} ms",
                 write.id,
-                ctx.now - job.since
+                ctx.now - job.learnt_at
             );
             let rest: Vec<(String, u64)> = job
                 .blocks
                 .iter()
-                .filter(|(b, block)| **b > 0 && block.stamp > 0)
-                .map(|(b, block)| (job.block_key(self.id, *b), block.stamp))
+                .filter(|(b, block)| **b > 0 && block.record_version > 0)
+                .map(|(b, block)| (job.block_key(self.id, *b), block.record_version))
                 .chain(job.old_blocks.iter().cloned())
                 .collect();
             for (key, version) in rest {
@@ -334,7 +347,7 @@
     if status == 400 && is_cut {
         REFUSED_RETRY
     } else {
-        RETRY
+        RETRY_PAUSE
     }
 }
 
@@ -346,14 +359,14 @@
 }
 
 /// A job's part of the next transaction, if it has any.
-fn part(shard: &Shard, job: &Job, ctx: &Context, progress: bool) -> Option<Part> {
+fn job_change(shard: &Shard, job: &Job, ctx: &Context, progress: bool) -> Option<JobChange> {
     let id = &job.spec.id;
     let last = job.is_over();
-    let cancel = job.cancelled && !job.cancel_durable;
+    let cancel = job.is_cancelled && !job.is_cancellation_durable;
     let unsent = job
         .bound
         .values()
-        .any(|b| b.sent == Sent::No && b.stop.is_none());
+        .any(|b| b.start == StartState::NotSent && b.stop.is_none());
     let urgency = if last || cancel {
         Urgency::User
     } else if unsent {
@@ -372,14 +385,14 @@
         let key = job.block_key(shard.id, 0);
         preconditions.push(Precondition {
             key: key.clone(),
-            version: block.stamp,
+            version: block.record_version,
         });
         writes.push(Write::Remove { remove: key });
         blocks.push(0);
     } else {
         // While the job is moved to another layout its head goes last.
         let head = job.blocks.get_key_value(&0);
-        let (first, last) = if job.is_moving {
+        let (first, last) = if job.is_changing_layout {
             (None, head)
         } else {
             (head, None)
@@ -395,14 +408,14 @@
             }
             let key = job.block_key(shard.id, *b);
             let value = match b {
-                0 => to_value(job.head_rec()),
-                _ => to_value(job.block_rec(*b)),
+                0 => to_value(job.head_record()),
+                _ => to_value(job.block_record(*b)),
             };
             let value = value.unwrap_or_default();
             bytes += value.to_string().len() + key.len() * 2;
             preconditions.push(Precondition {
                 key: key.clone(),
-                version: block.stamp,
+                version: block.record_version,
             });
             writes.push(Write::put(key, value));
             blocks.push(*b);
@@ -412,7 +425,7 @@
         return None;
     }
     let cancel = cancel && blocks.contains(&0);
-    if cancel || (last && !job.cancelled) {
+    if cancel || (last && !job.is_cancelled) {
         let record = JobRecord {
             spec: (*job.spec).clone(),
             shard: shard.id,
@@ -424,7 +437,7 @@
             to_value(record).unwrap_or_default(),
         ));
     }
-    Some(Part {
+    Some(JobChange {
         write: JobWrite {
             id: id.clone(),
             version: job.version,
--- a/crates/core/src/commit/tests.rs
+++ b/crates/core/src/commit/tests.rs
@@ -39,7 +39,7 @@
         .blocks
         .get_mut(&0)
         .expect("a head")
-        .stamp = 9;
+        .record_version = 9;
     let failed = json!({"failed": [unfinished_key(f.shard, &id, 0)], "ledger_rev": 10});
     f.answer(is_txn, 409, &failed);
     f.answer(is_fix, 404, &json!({"ledger_rev": 10}));
@@ -81,7 +81,7 @@
         let body = serde_json::to_vec(&changes).expect("changes");
         let Fixture { node, shard, .. } = &mut f;
         let ours = node.shards.get_mut(shard).expect("it is ours");
-        ours.on_watch(&mut node.ctx, 0, 200, &body);
+        ours.on_jobs_watch(&mut node.ctx, 0, 200, &body);
         assert!(!ours.jobs.contains_key(&id), "{name}");
     }
 }
@@ -90,12 +90,12 @@
 /// kept it for ever.
 #[test]
 fn what_was_never_sent_does_not_keep_a_job_that_is_over() {
-    for (sent, kept) in [(Sent::No, false), (Sent::Inherited, true)] {
+    for (sent, kept) in [(StartState::NotSent, false), (StartState::Unknown, true)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, sent);
         let binding: &Binding = &f.shard().jobs[&id].bound[&0];
-        assert_eq!(binding.sent, sent);
+        assert_eq!(binding.start, sent);
         let record = JobRecord {
             spec: (*f.shard().jobs[&id].spec).clone(),
             shard: f.shard,
@@ -109,7 +109,7 @@
             ..
         } = &mut f.node;
         let shard = shards.get_mut(&f.shard).expect("it is ours");
-        shard.on_final(ctx, finals, &id, 200, body.as_bytes());
+        shard.on_final_read(ctx, finals, &id, 200, body.as_bytes());
         assert_eq!(shard.jobs.contains_key(&id), kept, "{sent:?}");
         let used = !shard.quotas[0].used.is_zero();
         assert_eq!(used, kept, "{sent:?}: the quota");
@@ -345,8 +345,8 @@
     f.load(records.live());
     f.finalize_format();
     let job = f.shard().jobs.get_mut(&id).expect("it is there");
-    let version = job.touch(job.block_of(index));
-    f.shard().dirty.touch(&id);
+    let version = job.mark_block_changed(job.block_of(index));
+    f.shard().unwritten_jobs.touch(&id);
     let shard_key = shard_key(f.shard);
     let mut durable = Vec::new();
     let mut effects = f.step(1_000);
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -5,7 +5,7 @@
 use crate::machine::Machine;
 use crate::overflow::Overflow;
 use crate::pending::PendingCall;
-use crate::pools::{open_reservations, Coming};
+use crate::pools::{open_reservations, ExpectedMachines};
 use crate::records::{capacity_of, demand_key, DemandRecord, ShapeRecord};
 use crate::rounds::{host, names};
 use crate::shard::Shard;
@@ -56,9 +56,9 @@
         for (host, more) in hosts.iter_mut().zip(&reclaimable) {
             host.free += *more;
         }
-        let draining = self.push_draining(&mut hosts);
-        let booting = self.push_booting(ctx, &mut hosts);
-        self.push_rental_intents(ctx, view, &mut hosts);
+        let draining = self.add_draining_machines(&mut hosts);
+        let booting = self.add_booting_machines(ctx, &mut hosts);
+        self.add_provisioning_intents(ctx, view, &mut hosts);
         for want in &mut wants {
             want.avoid.clear();
         }
@@ -80,7 +80,7 @@
         run_round(&mut guests, &mut hosts, &mut quotas, &weights);
         shapes.extend(self.shapes_of(ctx, view, &guests, &mut quotas));
         self.note_idle(ctx, usable, &hosts);
-        let coming = Coming {
+        let coming = ExpectedMachines {
             usable,
             draining: draining.len(),
             booting: &booting,
@@ -105,7 +105,7 @@
             pool_machines: Vec::new(),
         };
         let record = self.with_offered_members(ctx, record);
-        self.show_demand(ctx, view, record);
+        self.write_demand(ctx, view, record);
     }
 
     /// Counts on nothing from machines that may be faulty: they are tried with
@@ -113,15 +113,15 @@
     fn leave_out_faulty(&self, ctx: &Context, usable: &[MachineId], hosts: &mut [Host]) {
         for (id, host) in usable.iter().zip(hosts) {
             host.held = false;
-            if self.newly_on_probation(ctx, id) {
+            if self.newly_quarantined(ctx, id) {
                 host.free = Resources::default();
             }
         }
     }
 
     /// Adds the machines that are being drained, and names them.
-    fn push_draining(&self, hosts: &mut Vec<Host>) -> Vec<MachineId> {
-        let draining = self.machines.values().filter(|m| m.draining);
+    fn add_draining_machines(&self, hosts: &mut Vec<Host>) -> Vec<MachineId> {
+        let draining = self.machines.values().filter(|m| m.is_draining);
         let mut ids = Vec::new();
         for machine in draining {
             ids.push(machine.id.clone());
@@ -132,13 +132,13 @@
 
     /// Adds the machines that boot, and names them. One that is overdue may come much later, or
     /// never.
-    fn push_booting(&self, ctx: &Context, hosts: &mut Vec<Host>) -> Vec<MachineId> {
+    fn add_booting_machines(&self, ctx: &Context, hosts: &mut Vec<Host>) -> Vec<MachineId> {
         let mut ids = Vec::new();
         for machine in self.machines.values() {
             let overdue = (machine.boot_ms as f64 * OVERDUE_BOOTS) as Ms;
-            let due = ctx.now < machine.since + overdue;
-            if machine.heard.is_none() && machine.condemned.is_none() && due {
-                hosts.push(coming(machine.total, machine, ctx.now));
+            let due = ctx.now < machine.known_since + overdue;
+            if machine.last_heartbeat_at.is_none() && machine.decommission_reason.is_none() && due {
+                hosts.push(expected_machines(machine.total, machine, ctx.now));
                 ids.push(machine.id.clone());
             }
         }
@@ -157,7 +157,7 @@
         for (id, host) in usable.iter().zip(&mut soon) {
             host.free += self.free_soon(ctx, id);
         }
-        let missing = self.spare(ctx, &mut soon);
+        let missing = self.spare_shapes(ctx, &mut soon);
         for (host, after) in hosts.iter_mut().zip(&soon) {
             host.free = host.free.least(&after.free);
         }
@@ -168,7 +168,10 @@
     fn empty_machines(&self, usable: &[MachineId]) -> (Vec<MachineId>, Vec<MachineId>) {
         let empty = usable.iter().filter_map(|id| self.machines.get(id));
         let is_empty = |m: &&Machine| {
-            m.tasks.is_empty() && !m.calling && m.exited.is_empty() && !m.is_pool_member()
+            m.tasks.is_empty()
+                && !m.has_call_in_flight
+                && m.exited.is_empty()
+                && !m.is_pool_member()
         };
         let empty = empty.filter(is_empty);
         let (surplus, free): (Vec<&Machine>, Vec<&Machine>) =
@@ -231,7 +234,12 @@
         shapes
     }
 
-    fn push_rental_intents(&self, ctx: &mut Context, view: &ClusterView, hosts: &mut Vec<Host>) {
+    fn add_provisioning_intents(
+        &self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        hosts: &mut Vec<Host>,
+    ) {
         for intent in view.provisioning_intents.values().map(|c| &c.record) {
             let Some(of_type) = view.machine_types.get(&intent.machine_type) else {
                 continue;
@@ -261,15 +269,20 @@
 
     /// Books spare places for classes whose tasks must start sooner than a
     /// machine boots, and returns those that found none.
-    fn spare(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRecord> {
+    fn spare_shapes(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRecord> {
         let boot_s = self.boot_ms() as f64 / 1000.0;
         let mut missing = Vec::new();
         let now = ctx.now;
         let factor = ctx.config.ops.spare;
-        if self.counting_since.is_none() && self.machines.values().any(|m| m.heard.is_some()) {
-            self.counting_since = Some(now);
+        if self.arrivals_counted_since.is_none()
+            && self
+                .machines
+                .values()
+                .any(|m| m.last_heartbeat_at.is_some())
+        {
+            self.arrivals_counted_since = Some(now);
         }
-        let elapsed = self.counting_since.map_or(0, |t| now - t);
+        let elapsed = self.arrivals_counted_since.map_or(0, |t| now - t);
         let mut classes: Vec<(f64, ShapeRecord, f64, BTreeSet<u32>)> = Vec::new();
         for (class, stats) in &mut self.classes {
             let Some(wait) = ctx.config.waits.get(class) else {
@@ -337,9 +350,9 @@
 
     /// Notes since when a machine has been of no use.
     fn note_idle(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[Host]) {
-        for machine in self.machines.values_mut().filter(|m| m.draining) {
+        for machine in self.machines.values_mut().filter(|m| m.is_draining) {
             if machine.note_empty(machine.tasks.is_empty(), ctx.now) {
-                self.look.touch(&machine.id);
+                self.recheck.touch(&machine.id);
             }
         }
         for (id, host) in usable.iter().zip(hosts) {
@@ -349,23 +362,25 @@
             let empty =
                 machine.tasks.is_empty() && host.free == machine.total && !machine.is_pool_member();
             if machine.note_empty(empty, ctx.now) {
-                self.look.touch(id);
+                self.recheck.touch(id);
             }
         }
     }
 
     /// Tells the leader the unmet demand, whenever that changes, and now and
     /// then that it has not.
-    fn tell_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: &DemandRecord) {
+    fn send_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: &DemandRecord) {
         let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
             return;
         };
         let refresh = crate::ms(ctx.config.ops.round_s);
-        if record.has_same_demand(&self.told) && ctx.now < self.told_at + refresh {
+        if record.has_same_demand(&self.last_demand_sent)
+            && ctx.now < self.last_demand_sent_at + refresh
+        {
             return;
         }
-        self.told = record.clone();
-        self.told_at = ctx.now;
+        self.last_demand_sent = record.clone();
+        self.last_demand_sent_at = ctx.now;
         if leader.node == ctx.config.node {
             ctx.unmet_demand.push((self.id, self.epoch, record.clone()));
             return;
@@ -381,13 +396,13 @@
         ctx.send_to_peer(&leader.node, self.epoch, body);
     }
 
-    fn show_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
-        self.tell_demand(ctx, view, &record);
+    fn write_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
+        self.send_demand(ctx, view, &record);
         // The record is for a leader that our messages do not reach.
         let shards = f64::from(ctx.config.shards());
         let pause = crate::ms(shards / (ctx.limits.write_rps * DEMAND_PART)).max(1_500);
-        let unseen = self.demand_putting || view.revision < self.demand_from;
-        if unseen || ctx.now < self.demand_at + pause {
+        let unseen = self.is_writing_demand || view.revision < self.demand_required_revision;
+        if unseen || ctx.now < self.last_demand_write_at + pause {
             return;
         }
         let record = record.truncated_to(ctx.limits.value_bytes);
@@ -398,8 +413,8 @@
         if !(changed || stale) {
             return;
         }
-        self.demand_putting = true;
-        self.demand_at = ctx.now;
+        self.is_writing_demand = true;
+        self.last_demand_write_at = ctx.now;
         log::debug!(
             "shard {}: unmet demand {:?}, {:?} wait now",
             self.id,
@@ -407,7 +422,7 @@
             record.waiting
         );
         let transaction = Transaction {
-            preconditions: vec![self.held()],
+            preconditions: vec![self.held_precondition()],
             writes: vec![Write::put(
                 demand_key(self.id),
                 to_value(record).unwrap_or_default(),
@@ -443,8 +458,8 @@
     types.map(|t| (ctx.places.number(t), t.clone())).collect()
 }
 
-fn coming(free: Resources, m: &Machine, now: Ms) -> Host {
-    let left = m.boot_ms.saturating_sub(now.saturating_sub(m.since));
+fn expected_machines(free: Resources, m: &Machine, now: Ms) -> Host {
+    let left = m.boot_ms.saturating_sub(now.saturating_sub(m.known_since));
     Host {
         free,
         delay: left as f64 / 1000.0,
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -108,8 +108,8 @@
         if !self.unresolved.remove(dependency) || self.is_blocked() {
             return false;
         }
-        self.waited = 0;
-        self.since = now;
+        self.age_when_learnt = 0;
+        self.learnt_at = now;
         true
     }
 
@@ -126,7 +126,7 @@
         let mut news = self.final_stages.take_unannounced();
         while !news.is_empty() {
             for end in &news {
-                self.on_job_over(end);
+                self.on_job_ended(end);
             }
             news = self.final_stages.take_unannounced();
         }
@@ -143,7 +143,7 @@
         }
         for (k, id) in new {
             let job = self.shards.get(&k).and_then(|s| s.jobs.get(&id));
-            let Some(job) = job.filter(|j| j.is_blocked() && !j.cancelled) else {
+            let Some(job) = job.filter(|j| j.is_blocked() && !j.is_cancelled) else {
                 continue;
             };
             let priority = job.priority();
@@ -154,14 +154,14 @@
                     None => self.dependencies.add(dependency, &id, self.ctx.now),
                 }
             }
-            self.raise(unresolved, priority);
+            self.raise_priority(unresolved, priority);
         }
     }
 
     /// A job's final stage has become known.
-    fn on_job_over(&mut self, end: &FinalStage) {
+    fn on_job_ended(&mut self, end: &FinalStage) {
         if end.is_ours {
-            self.tell_job_over(end);
+            self.announce_job_ended(end);
         }
         for dependent in self.dependencies.remove(&end.id) {
             self.resolve(&dependent, &end.id, end.stage);
@@ -181,7 +181,7 @@
             let job = shard.jobs.get_mut(dependent);
             if job.is_some_and(|job| job.resolve(dependency, now)) {
                 log::debug!("job {dependent}: ready, {dependency} is done");
-                shard.hurry(ctx);
+                shard.schedule_round_soon(ctx);
             }
             return;
         }
@@ -191,7 +191,7 @@
             let Some(shard) = holder_of_mut(shards, &id) else {
                 continue;
             };
-            if shard.jobs.get(&id).is_none_or(|j| j.cancelled) {
+            if shard.jobs.get(&id).is_none_or(|j| j.is_cancelled) {
                 continue;
             }
             log::info!("job {id}: cancelled with {dependency}");
@@ -202,7 +202,7 @@
 
     /// Tells the other controllers that a job is over. Those of the first
     /// release know no dependencies.
-    fn tell_job_over(&mut self, end: &FinalStage) {
+    fn announce_job_ended(&mut self, end: &FinalStage) {
         if self.ctx.format.is_first() {
             return;
         }
@@ -218,7 +218,7 @@
     }
 
     /// Another controller has recorded how a job ended.
-    pub(crate) fn on_job_over_message(&mut self, id: &str, cancelled: bool) {
+    pub(crate) fn on_job_ended_message(&mut self, id: &str, cancelled: bool) {
         let Some(id) = JobId::parse(id) else { return };
         let stage = if cancelled {
             JobStage::Cancelled
@@ -236,7 +236,7 @@
             let shards = &self.shards;
             let waits = |dependent: &JobId| {
                 let job = shards.values().find_map(|s| s.jobs.get(dependent));
-                job.is_some_and(|j| j.unresolved.contains(&id) && !j.cancelled)
+                job.is_some_and(|j| j.unresolved.contains(&id) && !j.is_cancelled)
             };
             let Some(dependency) = self.dependencies.waiting.get_mut(&id) else {
                 continue;
@@ -279,7 +279,7 @@
         }
         dependency.unfinished_at = dependency.unfinished_at.max(sent);
         dependency.shard = Some(record.shard);
-        self.tell_needed(id, record.shard);
+        self.send_inherited_priority(id, record.shard);
     }
 
     /// Whether all that a blocked job waits for is known not to have been
@@ -296,12 +296,12 @@
 
     /// Jobs are needed by one of a priority: that holds for all that they need
     /// themselves.
-    fn raise(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
+    fn raise_priority(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
         while let Some(id) = jobs.pop() {
             let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
                 let shard = self.dependencies.waiting.get(&id).and_then(|d| d.shard);
                 if let Some(shard) = shard {
-                    self.tell_needed(&id, shard);
+                    self.send_inherited_priority(&id, shard);
                 }
                 continue;
             };
@@ -313,12 +313,12 @@
             }
             job.inherited_priority = priority;
             jobs.extend(job.unresolved.iter().cloned());
-            shard.hurry(&self.ctx);
+            shard.schedule_round_soon(&self.ctx);
         }
     }
 
     /// Tells the holder of a dependency how urgently it is needed here.
-    fn tell_needed(&mut self, id: &JobId, shard: ShardId) {
+    fn send_inherited_priority(&mut self, id: &JobId, shard: ShardId) {
         let dependents = self.dependencies.dependents_of(id);
         let jobs = dependents.filter_map(|d| self.shards.values().find_map(|s| s.jobs.get(d)));
         let Some(priority) = jobs.map(Job::priority).max() else {
@@ -328,11 +328,11 @@
             id: id.to_string(),
             priority: priority as u8,
         };
-        self.tell_holder(shard, body);
+        self.send_to_holder(shard, body);
     }
 
     /// A job of ours is needed by one that another controller holds.
-    pub(crate) fn on_needed_message(&mut self, id: &str, priority: u8) {
+    pub(crate) fn on_inherited_priority_message(&mut self, id: &str, priority: u8) {
         const ALL: [Priority; 4] = [
             Priority::Low,
             Priority::Normal,
@@ -343,7 +343,7 @@
             return;
         };
         if holder_of(&self.shards, &id).is_some() {
-            self.raise(vec![id], *priority);
+            self.raise_priority(vec![id], *priority);
         }
     }
 }
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::fixture::{spec, team_of, Fixture};
 use crate::io::Effect;
-use crate::job::Sent;
+use crate::job::StartState;
 use crate::records::JobRecord;
 use forkshift_wire::peer::Envelope;
 use forkshift_wire::users::{JobKind, JobSpec};
@@ -88,8 +88,8 @@
             f.report(1, token, &[]);
             f.step(1_000);
             let job = &f.shard().jobs[&id(1)];
-            assert_eq!(job.cancelled, stage == JobStage::Cancelled, "{name}");
-            assert_eq!(job.bound.len(), usize::from(!job.cancelled), "{name}");
+            assert_eq!(job.is_cancelled, stage == JobStage::Cancelled, "{name}");
+            assert_eq!(job.bound.len(), usize::from(!job.is_cancelled), "{name}");
         }
     }
 }
@@ -100,10 +100,10 @@
     let mut f = Fixture::new();
     f.finalize_format();
     add(&mut f, 1, &[2, 3], Priority::Normal);
-    f.node.on_job_over_message("j-2", false);
+    f.node.on_job_ended_message("j-2", false);
     f.step(10_000);
     assert!(f.shard().jobs[&id(1)].is_blocked());
-    f.node.on_job_over_message("j-3", false);
+    f.node.on_job_ended_message("j-3", false);
     f.step(0);
     let now = f.node.ctx.now;
     let job = &f.shard().jobs[&id(1)];
@@ -122,9 +122,9 @@
     for n in 2..=length {
         add(&mut f, n, &[n - 1], Priority::Normal);
     }
-    f.node.on_job_over_message("j-100", true);
+    f.node.on_job_ended_message("j-100", true);
     f.step(0);
-    let cancelled = |f: &mut Fixture, n| f.shard().jobs.get(&id(n)).is_none_or(|j| j.cancelled);
+    let cancelled = |f: &mut Fixture, n| f.shard().jobs.get(&id(n)).is_none_or(|j| j.is_cancelled);
     let all: Vec<bool> = (1..=length).map(|n| cancelled(&mut f, n)).collect();
     assert!(all[100..].iter().all(|c| *c), "what follows");
     assert!(all[..99].iter().all(|c| !c), "what precedes");
@@ -154,10 +154,11 @@
     let mut f = Fixture::new();
     f.finalize_format();
     add(&mut f, 1, &[], Priority::Low);
-    f.node.on_needed_message("j-1", Priority::High as u8);
+    f.node
+        .on_inherited_priority_message("j-1", Priority::High as u8);
     assert_eq!(f.shard().jobs[&id(1)].priority(), Priority::High);
-    f.node.on_needed_message("j-1", 200);
-    f.node.on_needed_message("no id", 1);
+    f.node.on_inherited_priority_message("j-1", 200);
+    f.node.on_inherited_priority_message("no id", 1);
     assert_eq!(f.shard().jobs[&id(1)].priority(), Priority::High);
 }
 
@@ -170,8 +171,8 @@
         f.finalize_format();
         add(&mut f, 1, &[2], Priority::Normal);
         let job = f.shard().jobs.get_mut(&id(1)).expect("it is there");
-        job.blocks.get_mut(&0).expect("a head").next = next;
-        let head = job.head_rec();
+        job.blocks.get_mut(&0).expect("a head").next_attempt = next;
+        let head = job.head_record();
         let key = crate::records::unfinished_key(f.shard, &id(1), 0);
         let value = serde_json::to_value(head).expect("a record");
         let item = forkshift_wire::state::Item {
@@ -201,7 +202,7 @@
         f.finalize_format();
         if is_held_here {
             add(&mut f, 2, &[], Priority::Normal);
-            f.bind(&id(2), 0, Sent::Inherited);
+            f.bind(&id(2), 0, StartState::Unknown);
         }
         add(&mut f, 1, &[2], Priority::Normal);
         let passes = half(&f) + u64::from(after_half) * 10 - 5;
@@ -209,7 +210,7 @@
         f.node.ctx.now += passes;
         let now = f.node.ctx.now;
         f.node.membership.on_lease_renewed(&f.node.ctx, now, 200);
-        let reply = f.node.remembered(&id(1)).expect("it is ours");
+        let reply = f.node.remembered_status(&id(1)).expect("it is ours");
         assert_eq!(
             reply.status, answers,
             "here {is_held_here}, late {after_half}"
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -40,7 +40,7 @@
 const PAUSE_BOOTS: f64 = 0.1;
 
 /// What is the same for all tasks that might be moved in a round.
-struct Places {
+struct ElsewhereRoom {
     /// What the tasks of every usable machine are worth, as a part of its price.
     worth: Vec<f64>,
     /// The zone of every machine.
@@ -58,41 +58,41 @@
         usable: &[MachineId],
         hosts: &mut [Host],
     ) {
-        let places = Places {
-            worth: self.worths(view, usable),
+        let places = ElsewhereRoom {
+            worth: self.machine_worths(view, usable),
             zones: self.zones(),
         };
         let draining: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.draining && m.condemned.is_none())
+            .filter(|m| m.is_draining && m.decommission_reason.is_none())
             .map(|m| m.id.clone())
             .collect();
-        let most = self.at_a_time(DRAINING_PART, DRAINING_LEAST);
+        let most = self.drain_limit(DRAINING_PART, DRAINING_LEAST);
         let more = most.saturating_sub(draining.len());
         self.choose_drains(ctx, usable, hosts, &places, more);
         let pause = crate::ms(ctx.config.ops.round_s * MOVE_ROUNDS);
-        if ctx.now < self.moved_at + pause {
+        if ctx.now < self.last_replica_move_at + pause {
             return;
         }
-        let mut moves = self.at_a_time(STEP_PART, 1);
+        let mut moves = self.drain_limit(STEP_PART, 1);
         for id in draining {
             if moves > 0 && self.move_one(ctx, &id, hosts, &places) {
-                self.moved_at = ctx.now;
+                self.last_replica_move_at = ctx.now;
                 moves -= 1;
             }
         }
     }
 
     /// One in so many of the shard's machines.
-    fn at_a_time(&self, part: usize, least: usize) -> usize {
+    fn drain_limit(&self, part: usize, least: usize) -> usize {
         part_of_machines(self.machines.len(), part, least)
     }
 
     pub(crate) fn stop_draining(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             log::info!("machine {id}: needed again");
-            machine.draining = false;
+            machine.is_draining = false;
             machine.idle_since = None;
         }
     }
@@ -100,7 +100,7 @@
     /// What the tasks of every usable machine are worth: the least that their
     /// parts of machines cost, as a part of its own price. GPUs that stand
     /// idle below replicas without any make a dear machine worth little.
-    fn worths(&self, view: &ClusterView, usable: &[MachineId]) -> Vec<f64> {
+    fn machine_worths(&self, view: &ClusterView, usable: &[MachineId]) -> Vec<f64> {
         let mut of_job: BTreeMap<&JobId, f64> = BTreeMap::new();
         let mut worths = Vec::new();
         for id in usable {
@@ -127,45 +127,54 @@
         ctx: &mut Context,
         usable: &[MachineId],
         hosts: &mut [Host],
-        places: &Places,
+        places: &ElsewhereRoom,
         most: usize,
     ) {
         let boot_ms = self.boot_ms();
         let pause = (boot_ms as f64 * PAUSE_BOOTS) as Ms;
-        if ctx.now < self.drained_at + pause || ctx.now < self.active_since + boot_ms {
+        if ctx.now < self.last_drain_at + pause || ctx.now < self.active_since + boot_ms {
             return;
         }
-        let mut left = most.min(self.at_a_time(STEP_PART, 1));
+        let mut left = most.min(self.drain_limit(STEP_PART, 1));
         let tries = (hosts.len() / TRIES_PART).max(DRAINING_LEAST);
-        for host in self.wasteful(ctx, usable, places).into_iter().take(tries) {
+        for host in self
+            .is_wasteful(ctx, usable, places)
+            .into_iter()
+            .take(tries)
+        {
             if left == 0 {
                 return;
             }
             let id = &usable[host];
             if !self.book_elsewhere(ctx, id, host, hosts, places) {
                 if let Some(machine) = self.machines.get_mut(id) {
-                    machine.full_house_until = ctx.now + pause;
+                    machine.drain_retry_at = ctx.now + pause;
                 }
                 continue;
             }
-            self.drained_at = ctx.now;
+            self.last_drain_at = ctx.now;
             left -= 1;
             if let Some(machine) = self.machines.get_mut(id) {
                 log::info!("machine {id}: to be drained, {} tasks", machine.tasks.len());
-                machine.draining = true;
+                machine.is_draining = true;
             }
         }
     }
 
     /// Machines that are worth draining, as indices of hosts, the one that wastes most
     /// first.
-    fn wasteful(&self, ctx: &Context, usable: &[MachineId], places: &Places) -> Vec<usize> {
+    fn is_wasteful(
+        &self,
+        ctx: &Context,
+        usable: &[MachineId],
+        places: &ElsewhereRoom,
+    ) -> Vec<usize> {
         let boot_ms = self.boot_ms();
         let waste_of = |(host, id): (usize, &MachineId)| {
             let machine = self.machines.get(id)?;
             let worth_it = !machine.tasks.is_empty() && places.worth[host] <= WORTH_MOST;
-            let is_old = ctx.now > machine.since + boot_ms * 2;
-            (worth_it && is_old && ctx.now >= machine.full_house_until)
+            let is_old = ctx.now > machine.known_since + boot_ms * 2;
+            (worth_it && is_old && ctx.now >= machine.drain_retry_at)
                 .then_some((machine.price * (1.0 - places.worth[host]), host))
         };
         let mut candidates: Vec<(f64, usize)> =
@@ -182,7 +191,7 @@
         id: &MachineId,
         host: usize,
         hosts: &mut [Host],
-        places: &Places,
+        places: &ElsewhereRoom,
     ) -> bool {
         let free = std::mem::take(&mut hosts[host].free);
         let price = hosts[host].price;
@@ -208,7 +217,7 @@
         task: &TaskRef,
         hosts: &mut [Host],
         from: f64,
-        places: &Places,
+        places: &ElsewhereRoom,
     ) -> Option<(usize, Resources)> {
         let job = self.jobs.get(&task.job)?;
         let binding = job.bound.get(&task.index)?;
@@ -244,7 +253,7 @@
         ctx: &mut Context,
         id: &MachineId,
         hosts: &mut [Host],
-        places: &Places,
+        places: &ElsewhereRoom,
     ) -> bool {
         let from = self.machines[id].price;
         let tasks: Vec<TaskRef> = self.machines[id].tasks.iter().cloned().collect();
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -7,7 +7,7 @@
 
 use crate::blame::well_after;
 use crate::context::Context;
-use crate::job::{Binding, Sent, Stop};
+use crate::job::{Binding, StartState, Stop};
 use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::Resources;
@@ -21,39 +21,41 @@
 impl Shard {
     /// Takes in a message. Returns false if it is an old copy, or is not
     /// about a machine of this shard.
-    pub(crate) fn ingest(&mut self, ctx: &mut Context, report: &Report) -> bool {
+    pub(crate) fn on_worker_heartbeat(&mut self, ctx: &mut Context, report: &Report) -> bool {
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return false;
         };
         // What comes from a machine after its deletion was answered is old.
-        if machine.deleted || (report.session, report.seq) <= (machine.session, machine.seq) {
+        if machine.is_deleted
+            || (report.session, report.seq) <= (machine.incarnation, machine.heartbeat_sequence)
+        {
             return false;
         }
-        if machine.heard.is_none() {
+        if machine.last_heartbeat_at.is_none() {
             log::info!(
                 "machine {}: up after {} ms",
                 machine.id,
-                ctx.now - machine.since
+                ctx.now - machine.known_since
             );
-            self.next_round = self.next_round.min(ctx.now);
+            self.next_round_at = self.next_round_at.min(ctx.now);
         }
-        machine.session = report.session;
-        machine.seq = report.seq;
-        machine.echo = report.token;
-        machine.heard = Some(ctx.now);
+        machine.incarnation = report.session;
+        machine.heartbeat_sequence = report.seq;
+        machine.acknowledged_token = report.token;
+        machine.last_heartbeat_at = Some(ctx.now);
         machine.addr.get_or_insert_with(|| report.addr.clone());
-        machine.taken_at = match (report.notice_s, machine.taken_at) {
+        machine.reclaimed_at = match (report.notice_s, machine.reclaimed_at) {
             (Some(s), None) => {
                 log::info!("machine {}: taken in {s} s", machine.id);
                 Some(ctx.now + crate::ms(s))
             }
             (_, known) => known,
         };
-        if machine.echo >= machine.token {
-            machine.unanswered = false;
-            machine.unechoed_since = None;
+        if machine.acknowledged_token >= machine.token {
+            machine.has_unanswered_call = false;
+            machine.unacknowledged_since = None;
         } else {
-            machine.unechoed_since.get_or_insert(ctx.now);
+            machine.unacknowledged_since.get_or_insert(ctx.now);
         }
         machine.exited.clear();
         machine.orphans.clear();
@@ -65,18 +67,18 @@
         }
         let bound: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
         for task in bound {
-            self.judge(ctx, report, &task, &listed);
+            self.apply_bound_task(ctx, report, &task, &listed);
         }
         for task in &report.tasks {
-            self.judge_stray(ctx, &report.machine, task);
+            self.apply_unbound_task(ctx, &report.machine, task);
         }
         ctx.work_units += 1 + report.tasks.len() as u64;
-        self.look.touch(&report.machine);
+        self.recheck.touch(&report.machine);
         true
     }
 
     /// Decides what a message says about a task that may be on the machine.
-    fn judge(
+    fn apply_bound_task(
         &mut self,
         ctx: &mut Context,
         report: &Report,
@@ -91,22 +93,22 @@
         };
         if let Some(found) = listed.get(&(task, binding.attempt)) {
             if found.stage == TaskStage::Exited {
-                self.exited(ctx, &report.machine, task, found);
+                self.on_task_exited(ctx, &report.machine, task, found);
                 return;
             }
             if found.stage == TaskStage::Running && binding.running_since.is_none() {
                 binding.running_since = Some(ctx.now);
                 if let Some(machine) = self.machines.get_mut(&report.machine) {
                     if !job.failures.is_suspect() {
-                        machine.failures.begins(ctx.now);
+                        machine.failures.note_start(ctx.now);
                     }
                 }
             }
             binding.stage = Some(found.stage);
-            if binding.sent == Sent::No {
+            if binding.start == StartState::NotSent {
                 // Listed although we never sent it: an earlier copy did arrive.
                 if let Some(machine) = self.machines.get(&report.machine) {
-                    binding.sent = Sent::Ours {
+                    binding.start = StartState::SentByUs {
                         token: machine.token,
                         session: report.session,
                     };
@@ -114,31 +116,33 @@
             }
             let running = found.stage == TaskStage::Running;
             if let Some(began) = binding.running_since.filter(|_| running) {
-                self.runs(ctx, &report.machine, &task.job, began);
+                self.on_task_running(ctx, &report.machine, &task.job, began);
             }
             return;
         }
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return;
         };
-        let gone = match binding.sent {
-            Sent::No => return,
-            Sent::Ours { token, session } => report.session > session || report.token > token,
+        let gone = match binding.start {
+            StartState::NotSent => return,
+            StartState::SentByUs { token, session } => {
+                report.session > session || report.token > token
+            }
             // Every token of ours is newer than those of earlier holders.
-            Sent::Inherited => report.token >= machine.token,
+            StartState::Unknown => report.token >= machine.token,
         };
         if gone {
             log::debug!("{task}: not on {} any more", report.machine);
             self.unbind(&task.job, task.index);
-            self.hurry(ctx);
-        } else if !machine.calling && report.token >= machine.token {
+            self.schedule_round_soon(ctx);
+        } else if !machine.has_call_in_flight && report.token >= machine.token {
             // It was told, or should have been, and is not there: a newer
             // token settles whether it can still come.
-            machine.raise(ctx.now);
+            machine.raise_token(ctx.now);
         }
     }
 
-    fn exited(
+    fn on_task_exited(
         &mut self,
         ctx: &mut Context,
         machine: &MachineId,
@@ -154,22 +158,24 @@
         };
         if cause == ExitCause::Done {
             job.done.insert(task.index);
-            job.served_at = Some(ctx.now);
+            job.last_completion_at = Some(ctx.now);
         }
         let version = job.version;
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.fates.insert((task.clone(), found.attempt), version);
+            machine
+                .exit_versions
+                .insert((task.clone(), found.attempt), version);
             machine.exited.push((task.clone(), found.attempt));
         }
         match cause {
             ExitCause::Done => {
                 let began = binding.running_since.unwrap_or(binding.since);
-                self.ran_well(machine, &task.job, began);
+                self.on_task_ran_well(machine, &task.job, began);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.failures.forgive();
+                    job.failures.reset();
                 }
             }
-            ExitCause::Error => self.failed(ctx, machine, &task.job, &binding),
+            ExitCause::Error => self.on_task_failed(ctx, machine, &task.job, &binding),
             ExitCause::Full => {
                 // Our booking and the worker's differ; it will settle.
                 if let Some(machine) = self.machines.get_mut(machine) {
@@ -187,11 +193,17 @@
                 ctx.now - binding.since
             );
         }
-        self.hurry(ctx);
+        self.schedule_round_soon(ctx);
     }
 
     /// A task failed: is it the machine, or the job?
-    fn failed(&mut self, ctx: &Context, machine: &MachineId, id: &JobId, binding: &Binding) {
+    fn on_task_failed(
+        &mut self,
+        ctx: &Context,
+        machine: &MachineId,
+        id: &JobId,
+        binding: &Binding,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -211,7 +223,7 @@
     }
 
     /// A task is running: for long enough to tell for its job and its machine?
-    fn runs(&mut self, ctx: &Context, machine: &MachineId, id: &JobId, began: Ms) {
+    fn on_task_running(&mut self, ctx: &Context, machine: &MachineId, id: &JobId, began: Ms) {
         let (Some(job), Some(m)) = (self.jobs.get(id), self.machines.get(machine)) else {
             return;
         };
@@ -220,12 +232,12 @@
         }
         let longest = job.failures.longest_run.max(m.failures.longest_run);
         if ctx.now >= began + well_after(longest, ctx.config.report_ms) {
-            self.ran_well(machine, id, began);
+            self.on_task_ran_well(machine, id, began);
         }
     }
 
     /// A task has run well: where its job failed, the machine is to blame.
-    fn ran_well(&mut self, machine: &MachineId, id: &JobId, began: Ms) {
+    fn on_task_ran_well(&mut self, machine: &MachineId, id: &JobId, began: Ms) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.failures.ran_well(began);
         }
@@ -235,7 +247,7 @@
         for failed_on in job.failures.machines() {
             if let Some(machine) = self.machines.get_mut(&failed_on) {
                 machine.failures.job_is_well(id);
-                self.look.touch(&failed_on);
+                self.recheck.touch(&failed_on);
             }
         }
         job.failures.ran_well(began);
@@ -243,35 +255,35 @@
 
     /// Stops what is left of a gang's attempt: the next one begins when all
     /// of it is gone.
-    pub(crate) fn gang_broken(&mut self, id: &JobId) {
+    pub(crate) fn on_gang_incomplete(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if !job.is_gang() || job.is_complete() {
             return;
         }
-        self.stop_rest(id);
-        self.drop_unsent(id);
+        self.stop_remaining_tasks(id);
+        self.unbind_unsent(id);
     }
 
     /// Has every task of a job stopped that is not being stopped yet.
-    pub(crate) fn stop_rest(&mut self, id: &JobId) {
+    pub(crate) fn stop_remaining_tasks(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         for binding in job.bound.values_mut() {
             binding.stop.get_or_insert(Stop::after(0.0));
-            self.look.touch(&binding.machine);
+            self.recheck.touch(&binding.machine);
         }
     }
 
     /// Tasks whose start was never sent need no evidence.
-    pub(crate) fn drop_unsent(&mut self, id: &JobId) {
+    pub(crate) fn unbind_unsent(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let unsent: Vec<u32> = job
             .bound
             .iter()
-            .filter(|(_, b)| b.sent == Sent::No && b.stop.is_some())
+            .filter(|(_, b)| b.start == StartState::NotSent && b.stop.is_some())
             .map(|(i, _)| *i)
             .collect();
         for index in unsent {
@@ -280,7 +292,7 @@
     }
 
     /// A task that the machine reports and that is not bound to it in this attempt.
-    fn judge_stray(&mut self, ctx: &Context, id: &MachineId, found: &TaskReport) {
+    fn apply_unbound_task(&mut self, ctx: &Context, id: &MachineId, found: &TaskReport) {
         let task = &found.task;
         let job = self.jobs.get(&task.job);
         let known = job.and_then(|j| j.bound.get(&task.index));
@@ -309,24 +321,24 @@
             machine.orphans.push((task.clone(), found.attempt, res));
             return;
         }
-        let (token, session) = (machine.token, machine.session);
+        let (token, session) = (machine.token, machine.incarnation);
         // It must be gone before the task is started elsewhere, so it is
         // kept account of like one of ours.
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let block = job.block_of(task.index);
-            let version = job.touch(block);
+            let version = job.mark_block_changed(block);
             let binding = Binding {
                 machine: id.clone(),
                 attempt: found.attempt,
                 version,
-                sent: Sent::Ours { token, session },
+                start: StartState::SentByUs { token, session },
                 stage: Some(found.stage),
                 stop: Some(Stop::after(0.0)),
                 since: ctx.now,
                 running_since: None,
             };
             self.bind(&task.job, task.index, binding);
-            self.dirty.touch(&task.job);
+            self.unwritten_jobs.touch(&task.job);
         }
     }
 }
--- a/crates/core/src/evidence/tests.rs
+++ b/crates/core/src/evidence/tests.rs
@@ -12,32 +12,32 @@
 fn a_task_is_gone_only_by_a_newer_token_or_session() {
     // Who sent the start; the message's session, and its token as measured by
     // the one that is used now; whether the task is gone.
-    type Case = (&'static str, fn(u64) -> Sent, u64, i64, bool);
+    type Case = (&'static str, fn(u64) -> StartState, u64, i64, bool);
     let cases: [Case; 9] = [
         (
             "an earlier holder, a report from before us",
-            |_| Sent::Inherited,
+            |_| StartState::Unknown,
             1,
             -1,
             false,
         ),
         (
             "the same, of a later session",
-            |_| Sent::Inherited,
+            |_| StartState::Unknown,
             2,
             -1,
             false,
         ),
         (
             "an earlier holder, our token",
-            |_| Sent::Inherited,
+            |_| StartState::Unknown,
             1,
             0,
             true,
         ),
         (
             "ours, the token that it came with",
-            |t| Sent::Ours {
+            |t| StartState::SentByUs {
                 token: t,
                 session: 1,
             },
@@ -47,7 +47,7 @@
         ),
         (
             "ours, an older token",
-            |t| Sent::Ours {
+            |t| StartState::SentByUs {
                 token: t,
                 session: 1,
             },
@@ -57,7 +57,7 @@
         ),
         (
             "ours, raised since",
-            |t| Sent::Ours {
+            |t| StartState::SentByUs {
                 token: t - 1,
                 session: 1,
             },
@@ -67,7 +67,7 @@
         ),
         (
             "ours, a later session",
-            |t| Sent::Ours {
+            |t| StartState::SentByUs {
                 token: t,
                 session: 1,
             },
@@ -77,7 +77,7 @@
         ),
         (
             "ours, a later session's old token",
-            |t| Sent::Ours {
+            |t| StartState::SentByUs {
                 token: t,
                 session: 1,
             },
@@ -85,7 +85,7 @@
             -1,
             true,
         ),
-        ("never sent", |_| Sent::No, 2, 0, false),
+        ("never sent", |_| StartState::NotSent, 2, 0, false),
     ];
     for (name, sent, session, token, gone) in cases {
         let mut f = Fixture::new();
@@ -97,7 +97,7 @@
             .machines
             .get_mut(&machine)
             .expect("it is there")
-            .calling = true;
+            .has_call_in_flight = true;
         f.report(session, used.saturating_add_signed(token), &[]);
         let is_gone = f.shard().jobs[&id].bound.is_empty();
         assert_eq!(is_gone, gone, "{name}");
@@ -118,7 +118,7 @@
         copy.seq += later * 2;
         let Fixture { node, shard, .. } = &mut f;
         let ours = node.shards.get_mut(shard).expect("it is ours");
-        let is_taken = ours.ingest(&mut node.ctx, &copy);
+        let is_taken = ours.on_worker_heartbeat(&mut node.ctx, &copy);
         assert_eq!(is_taken, taken, "session {session}, {later} later");
     }
 }
@@ -152,7 +152,11 @@
     for cancelled in [false, true] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        f.shard().jobs.get_mut(&id).expect("it is there").cancelled = cancelled;
+        f.shard()
+            .jobs
+            .get_mut(&id)
+            .expect("it is there")
+            .is_cancelled = cancelled;
         let token = f.token();
         f.report(1, token, &[(&id, 0, TaskStage::Running)]);
         let bound = f.shard().jobs[&id].bound.len();
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -167,17 +167,21 @@
             report_ms: quiet,
             lease_ms: ctx.config.lease_ms * 2,
         };
-        for m in self.machines.values().filter(|m| m.condemned.is_none()) {
-            if m.addr.is_none() && m.heard.is_none() {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.decommission_reason.is_none())
+        {
+            if m.addr.is_none() && m.last_heartbeat_at.is_none() {
                 continue;
             }
-            let is_silent = ctx.now > m.last_sign(ctx.resumed_at) + quiet;
+            let is_silent = ctx.now > m.last_sign_of_life(ctx.resumed_at) + quiet;
             // Machines that have just been taken over say nothing yet. Counted
             // as heard, they once hid that a zone was cut off.
-            if m.heard.is_none() && !is_silent {
+            if m.last_heartbeat_at.is_none() && !is_silent {
                 continue;
             }
-            let since = m.since.max(ctx.resumed_at);
+            let since = m.known_since.max(ctx.resumed_at);
             let unheard = m.link.is_unheard(ctx.now, since, &timing);
             let count = zones.entry(m.zone).or_default();
             count.all += 1;
@@ -272,12 +276,18 @@
         let now = self.ctx.now;
         let active = self.shards.values_mut();
         for shard in active.filter(|s| s.phase == Phase::Active) {
-            let Shard { machines, look, .. } = shard;
-            let untried = machines
-                .values_mut()
-                .filter(|m| m.heard.is_some() && !m.calling && !m.link.is_tried(now, &timing));
+            let Shard {
+                machines,
+                recheck: look,
+                ..
+            } = shard;
+            let untried = machines.values_mut().filter(|m| {
+                m.last_heartbeat_at.is_some()
+                    && !m.has_call_in_flight
+                    && !m.link.is_tried(now, &timing)
+            });
             for machine in untried.take(CALLED_LEAST as usize) {
-                machine.push = true;
+                machine.must_send_token = true;
                 look.touch(&machine.id);
             }
         }
--- a/crates/core/src/failure_detector/tests.rs
+++ b/crates/core/src/failure_detector/tests.rs
@@ -46,7 +46,7 @@
             f.step(patience / steps);
         }
         let id = f.machine.clone();
-        let condemned = f.shard().machines[&id].condemned.is_some();
+        let condemned = f.shard().machines[&id].decommission_reason.is_some();
         assert_eq!(condemned, given_up, "in {steps} steps");
     }
 }
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, Operator};
 use crate::format::FormatVersion;
 use crate::io::{Effect, Input, Reply, RequestId};
-use crate::job::{Binding, Sent};
+use crate::job::{Binding, StartState};
 use crate::node::Node;
 use crate::pending::PendingCall;
 use crate::records::{
@@ -133,13 +133,13 @@
     }
 
     /// Binds a task to the machine, by a record that is written.
-    pub(crate) fn bind(&mut self, id: &JobId, index: u32, sent: Sent) {
+    pub(crate) fn bind(&mut self, id: &JobId, index: u32, sent: StartState) {
         let (machine, since) = (self.machine.clone(), self.node.ctx.now);
         let binding = Binding {
             machine,
             attempt: 1,
             version: 0,
-            sent,
+            start: sent,
             stage: None,
             stop: None,
             since,
@@ -153,7 +153,7 @@
         let report = self.message(session, token, tasks);
         let Node { shards, ctx, .. } = &mut self.node;
         let shard = shards.get_mut(&self.shard).expect("it is ours");
-        shard.ingest(ctx, &report);
+        shard.on_worker_heartbeat(ctx, &report);
     }
 
     pub(crate) fn message(
@@ -216,7 +216,7 @@
         let mut shard = Shard::new(ctx, self.shard, EPOCH, 3);
         let page = json!({"items": items.iter().map(|i| json!({"key": i.key, "data": i.value,
             "stamp": i.version})).collect::<Vec<_>>(), "has_next": false, "ledger_rev": 5});
-        shard.on_list(ctx, 200, page.to_string().as_bytes());
+        shard.on_job_list(ctx, 200, page.to_string().as_bytes());
         shard.activate(ctx, view);
         self.node.shards.insert(self.shard, shard);
     }
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -56,11 +56,11 @@
 }
 
 /// A request that was passed on.
-pub(crate) struct Forward {
+pub(crate) struct PendingForward {
     request: RequestId,
-    what: ForwardedRequest,
-    to: NodeName,
-    until: Ms,
+    message: ForwardedRequest,
+    target: NodeName,
+    deadline: Ms,
     /// When it is sent again, if it may be: a message may be lost with its connection.
     resend_at: Option<Ms>,
 }
@@ -68,7 +68,7 @@
 impl Node {
     /// Passes a user's request on, if somebody else should answer it. Returns
     /// the body if not.
-    pub(crate) fn pass_on(
+    pub(crate) fn forward_if_preferred(
         &mut self,
         request: RequestId,
         method: &str,
@@ -78,7 +78,7 @@
         if request.is_from_peer() {
             return Err(body);
         }
-        let Some(to) = self.better(method, path) else {
+        let Some(to) = self.preferred_controller(method, path) else {
             return Err(body);
         };
         let time = if method == "GET" {
@@ -107,12 +107,12 @@
         let request_number = self.forwarded_count;
         let now = self.ctx.now;
         self.ctx.send_to_peer(to, 0, what.message(request_number));
-        let forward = Forward {
+        let forward = PendingForward {
             request,
-            to: to.clone(),
-            until: now + time,
+            target: to.clone(),
+            deadline: now + time,
             resend_at: (what.path == REPORT_PATH).then_some(now + RESEND_MS),
-            what,
+            message: what,
         };
         self.forwards.insert(request_number, forward);
     }
@@ -124,13 +124,13 @@
             if forward.resend_at.is_some_and(|t| now >= t) {
                 forward.resend_at = Some(now + RESEND_MS);
                 self.ctx
-                    .send_to_peer(&forward.to, 0, forward.what.message(*request_number));
+                    .send_to_peer(&forward.target, 0, forward.message.message(*request_number));
             }
         }
     }
 
     /// Who should answer a request instead of us.
-    fn better(&self, method: &str, path: &str) -> Option<NodeName> {
+    fn preferred_controller(&self, method: &str, path: &str) -> Option<NodeName> {
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         let id = match (method, parts.as_slice()) {
             ("POST", ["submissions"]) => None,
@@ -163,7 +163,7 @@
     }
 
     /// Another controller passes a request on to us.
-    pub(crate) fn on_forward(
+    pub(crate) fn on_forwarded_request(
         &mut self,
         (from, incarnation): (NodeName, u64),
         request_number: u64,
@@ -186,11 +186,11 @@
     }
 
     /// Another controller has answered a request that was passed on.
-    pub(crate) fn on_forwarded(&mut self, request_number: u64, reply: Reply) {
+    pub(crate) fn on_forwarded_response(&mut self, request_number: u64, reply: Reply) {
         let Some(forward) = self.forwards.remove(&request_number) else {
             return;
         };
-        if forward.what.path == REPORT_PATH {
+        if forward.message.path == REPORT_PATH {
             return self.ctx.respond(forward.request, reply);
         }
         if reply.status == 503 {
@@ -198,7 +198,7 @@
                 // The service is out for others, too.
                 self.store_down_everywhere_until = self.ctx.now + OUT_MS;
             }
-            return self.deal_with(forward);
+            return self.serve_locally(forward);
         }
         let told = serde_json::from_slice::<JobStatus>(&reply.body).ok();
         if let Some(told) = told.filter(|_| reply.status == 200) {
@@ -220,22 +220,26 @@
         let late: Vec<u64> = self
             .forwards
             .iter()
-            .filter(|(_, f)| now >= f.until)
+            .filter(|(_, f)| now >= f.deadline)
             .map(|(request_number, _)| *request_number)
             .collect();
         for request_number in late {
             if let Some(forward) = self.forwards.remove(&request_number) {
-                self.deal_with(forward);
+                self.serve_locally(forward);
             }
         }
         self.resend_forwards();
         self.ctx.expire_peer_requests();
     }
 
-    fn deal_with(&mut self, forward: Forward) {
-        let Forward { request, what, .. } = forward;
+    fn serve_locally(&mut self, forward: PendingForward) {
+        let PendingForward {
+            request,
+            message: what,
+            ..
+        } = forward;
         if what.path == REPORT_PATH {
-            if let Some(reply) = self.report(request, what.body, Relaying::Tried) {
+            if let Some(reply) = self.on_heartbeat_request(request, what.body, Relaying::Tried) {
                 self.ctx.respond(request, reply);
             }
             return;
--- a/crates/core/src/forward/tests.rs
+++ b/crates/core/src/forward/tests.rs
@@ -25,7 +25,7 @@
 fn pass_on(node: &mut Node, ask: u64) {
     let from = (NodeName::new("north"), PEER_INC);
     let path = format!("/submissions/j-{ask}");
-    node.on_forward(from, ask, "GET", &path, None);
+    node.on_forwarded_request(from, ask, "GET", &path, None);
 }
 
 /// One request too many was dropped without a word: whoever had passed it on waited
@@ -51,19 +51,20 @@
 #[test]
 fn a_refused_request_is_dealt_with_by_whoever_passed_it_on() {
     let mut f = Fixture::new();
-    let forward = Forward {
+    let forward = PendingForward {
         request: RequestId(1),
-        what: ForwardedRequest {
+        message: ForwardedRequest {
             method: "GET".to_owned(),
             path: "/submissions/j-1".to_owned(),
             body: None,
         },
-        to: NodeName::new("north"),
+        target: NodeName::new("north"),
         resend_at: None,
-        until: f.node.ctx.now + QUESTION_MS,
+        deadline: f.node.ctx.now + QUESTION_MS,
     };
     f.node.forwards.insert(5, forward);
-    f.node.on_forwarded(5, Reply::later("too many requests"));
+    f.node
+        .on_forwarded_response(5, Reply::later("too many requests"));
     let effects = f.step(0);
     let reads = |e: &Effect| matches!(e, Effect::Call { path, .. } if path == "/kv/job/j-1");
     assert!(effects.iter().any(reads), "{effects:?}");
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -15,13 +15,13 @@
 
 /// Whether a start command for a task was ever sent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Sent {
+pub(crate) enum StartState {
     /// Not by us; the record says that we are the first who could.
-    No,
+    NotSent,
     /// By us, last under this token and for this session.
-    Ours { token: u64, session: u64 },
+    SentByUs { token: u64, session: u64 },
     /// Perhaps, by an earlier holder.
-    Inherited,
+    Unknown,
 }
 
 /// A task that is to be stopped.
@@ -30,7 +30,7 @@
     /// Time it has for saving.
     pub(crate) grace_s: f64,
     /// When it was told last.
-    pub(crate) told: Option<Ms>,
+    pub(crate) last_sent_at: Option<Ms>,
 }
 
 impl Stop {
@@ -38,7 +38,7 @@
     pub(crate) fn after(grace_s: f64) -> Self {
         Self {
             grace_s,
-            told: None,
+            last_sent_at: None,
         }
     }
 }
@@ -50,7 +50,7 @@
     pub(crate) attempt: u64,
     /// The job's version that recorded it.
     pub(crate) version: u64,
-    pub(crate) sent: Sent,
+    pub(crate) start: StartState,
     pub(crate) stage: Option<TaskStage>,
     pub(crate) stop: Option<Stop>,
     pub(crate) since: Ms,
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Block {
     /// Version of the record; 0: there is none.
-    pub(crate) stamp: u64,
+    pub(crate) record_version: u64,
     /// The job's version that last changed it.
     pub(crate) version: u64,
     /// The job's version that is known to be written.
@@ -69,7 +69,7 @@
     /// The job's version that is written under a layout that the job is being
     /// moved to: it counts once the head names that layout.
     pub(crate) staged: u64,
-    pub(crate) next: u64,
+    pub(crate) next_attempt: u64,
 }
 
 impl Block {
@@ -86,38 +86,38 @@
     pub(crate) image: u32,
     layout: Layout,
     /// Its head does not name the layout yet.
-    pub(crate) is_moving: bool,
+    pub(crate) is_changing_layout: bool,
     /// Blocks of its earlier layout, with their versions.
     pub(crate) old_blocks: Vec<(String, u64)>,
     pub(crate) version: u64,
     pub(crate) blocks: BTreeMap<u32, Block>,
     pub(crate) done: Ranges,
     pub(crate) bound: BTreeMap<u32, Binding>,
-    pub(crate) cancelled: bool,
+    pub(crate) is_cancelled: bool,
     /// Time of day at which the first request to cancel it came, for whoever
     /// takes it over: no user can have been told before.
-    pub(crate) cancelled_wall: Ms,
+    pub(crate) cancelled_at_wall_ms: Ms,
     /// How long ago that was when this holder learnt of it, and when it did.
-    pub(crate) cancelled_for: Ms,
-    pub(crate) cancelled_since: Ms,
+    pub(crate) cancellation_age_when_learnt: Ms,
+    pub(crate) cancellation_learnt_at: Ms,
     /// The cancellation is written.
-    pub(crate) cancel_durable: bool,
+    pub(crate) is_cancellation_durable: bool,
     pub(crate) cancel_waiters: Vec<RequestId>,
     /// A write is under way.
-    pub(crate) writing: bool,
+    pub(crate) has_write_in_flight: bool,
     pub(crate) retry_at: Ms,
     /// Dependencies that are not known to be done.
     pub(crate) unresolved: BTreeSet<JobId>,
     /// The highest priority of the jobs that need it.
     pub(crate) inherited_priority: Priority,
     /// Time of day at which it was submitted.
-    pub(crate) at: Ms,
+    pub(crate) submitted_at_wall_ms: Ms,
     /// How long it had waited when this holder learnt of it, and when that was.
-    pub(crate) waited: Ms,
-    pub(crate) since: Ms,
+    pub(crate) age_when_learnt: Ms,
+    pub(crate) learnt_at: Ms,
     /// When a task of it last completed, or, if an earlier holder saw that,
     /// when it was taken over.
-    pub(crate) served_at: Option<Ms>,
+    pub(crate) last_completion_at: Option<Ms>,
     /// Since when, having waited long, it has lacked nothing but machines.
     pub(crate) lacking_room_since: Option<Ms>,
     /// Nothing of it is placed before this.
@@ -132,33 +132,33 @@
 impl Job {
     pub(crate) fn new(spec: JobSpec, image: u32, stamp: u64, layout: Layout, now: Ms) -> Self {
         let head = Block {
-            stamp,
+            record_version: stamp,
             ..Block::default()
         };
         Self {
             task: Resources::new(spec.cpus, spec.gpus, spec.memory_gb),
             image,
             layout,
-            is_moving: false,
+            is_changing_layout: false,
             old_blocks: Vec::new(),
             version: 0,
             blocks: BTreeMap::from([(0, head)]),
             done: Ranges::default(),
             bound: BTreeMap::new(),
-            cancelled: false,
-            cancelled_wall: 0,
-            cancelled_for: 0,
-            cancelled_since: 0,
-            cancel_durable: false,
+            is_cancelled: false,
+            cancelled_at_wall_ms: 0,
+            cancellation_age_when_learnt: 0,
+            cancellation_learnt_at: 0,
+            is_cancellation_durable: false,
             cancel_waiters: Vec::new(),
-            writing: false,
+            has_write_in_flight: false,
             retry_at: 0,
             unresolved: spec.dependencies.iter().cloned().collect(),
             inherited_priority: Priority::Low,
-            at: 0,
-            waited: 0,
-            since: now,
-            served_at: None,
+            submitted_at_wall_ms: 0,
+            age_when_learnt: 0,
+            learnt_at: now,
+            last_completion_at: None,
             lacking_room_since: None,
             not_before: 0,
             failures: JobFailures::default(),
@@ -176,15 +176,15 @@
         now: Ms,
     ) -> Vec<(u32, Binding)> {
         let entry = self.blocks.entry(block).or_default();
-        entry.stamp = stamp;
-        entry.next = record.next_attempt;
+        entry.record_version = stamp;
+        entry.next_attempt = record.next_attempt;
         // It has begun, so all that it needs was done.
         if record.next_attempt > 0 {
             self.unresolved.clear();
         }
         for (from, to) in record.done {
             self.done.insert_range(from, to.min(self.spec.tasks));
-            self.served_at = Some(now);
+            self.last_completion_at = Some(now);
         }
         let bound = record.bound.into_iter();
         bound
@@ -193,7 +193,7 @@
                     machine,
                     attempt,
                     version: 0,
-                    sent: Sent::Inherited,
+                    start: StartState::Unknown,
                     stage: None,
                     stop: None,
                     since: now,
@@ -215,7 +215,7 @@
     }
 
     /// Marks a block as changed.
-    pub(crate) fn touch(&mut self, block: u32) -> u64 {
+    pub(crate) fn mark_block_changed(&mut self, block: u32) -> u64 {
         self.version += 1;
         self.blocks.entry(block).or_default().version = self.version;
         self.version
@@ -231,15 +231,20 @@
     pub(crate) fn next_attempt(&mut self, index: u32) -> u64 {
         let block = self.block_of(index);
         let block = self.blocks.entry(block).or_default();
-        block.next += 1;
-        block.next
+        block.next_attempt += 1;
+        block.next_attempt
     }
 
     /// A number for the next attempt of the whole gang.
     pub(crate) fn next_gang_attempt(&mut self) -> u64 {
-        let next = 1 + self.blocks.values().map(|b| b.next).max().unwrap_or(0);
+        let next = 1 + self
+            .blocks
+            .values()
+            .map(|b| b.next_attempt)
+            .max()
+            .unwrap_or(0);
         for block in 0..=self.block_of(self.spec.tasks - 1) {
-            self.blocks.entry(block).or_default().next = next;
+            self.blocks.entry(block).or_default().next_attempt = next;
         }
         next
     }
@@ -251,19 +256,19 @@
 
     /// Whether nothing is left but the last write.
     pub(crate) fn is_over(&self) -> bool {
-        self.bound.is_empty() && (self.cancelled || self.is_complete())
+        self.bound.is_empty() && (self.is_cancelled || self.is_complete())
     }
 
     /// Whether memory tells how the job stands. While its last write or its
     /// cancellation is under way the record may say more than we know: another
     /// node may have read it there, and told, before our answer comes.
-    pub(crate) fn is_certain(&self) -> bool {
-        !self.is_complete() && (!self.cancelled || self.cancel_durable)
+    pub(crate) fn is_status_certain(&self) -> bool {
+        !self.is_complete() && (!self.is_cancelled || self.is_cancellation_durable)
     }
 
     /// The stage in which the job ends.
     pub(crate) fn final_stage(&self) -> JobStage {
-        if self.cancelled {
+        if self.is_cancelled {
             JobStage::Cancelled
         } else {
             JobStage::Done
@@ -272,7 +277,7 @@
 
     /// For how long it has been waiting since it was submitted.
     pub(crate) fn age(&self, now: Ms) -> Ms {
-        self.waited + now.saturating_sub(self.since)
+        self.age_when_learnt + now.saturating_sub(self.learnt_at)
     }
 
     /// For how long nothing of it has been served: since a task of it last
@@ -280,7 +285,7 @@
     /// tasks, counted by its whole age, once went before jobs that had not
     /// begun at all.
     pub(crate) fn waiting_for(&self, now: Ms) -> Ms {
-        match self.served_at {
+        match self.last_completion_at {
             Some(at) => now.saturating_sub(at),
             None => self.age(now),
         }
@@ -296,7 +301,7 @@
 
     /// How long ago its cancellation was asked for.
     pub(crate) fn cancel_age(&self, now: Ms) -> Ms {
-        self.cancelled_for + now.saturating_sub(self.cancelled_since)
+        self.cancellation_age_when_learnt + now.saturating_sub(self.cancellation_learnt_at)
     }
 
     /// Whether a task is being tried, and is not known to run well yet.
@@ -308,7 +313,7 @@
 
     /// Up to `most` tasks that wait for a place.
     pub(crate) fn waiting(&self, most: usize) -> Vec<u32> {
-        if self.cancelled {
+        if self.is_cancelled {
             return Vec::new();
         }
         let missing = self.done.missing(self.spec.tasks);
@@ -326,7 +331,7 @@
             .count() as u32;
         JobStatus {
             id: self.spec.id.clone(),
-            stage: if self.cancelled && self.cancel_durable {
+            stage: if self.is_cancelled && self.is_cancellation_durable {
                 JobStage::Cancelled
             } else if running > 0 {
                 JobStage::Running
@@ -339,11 +344,11 @@
     }
 
     /// A block as it is to be written.
-    pub(crate) fn block_rec(&self, block: u32) -> TaskBlockRecord {
+    pub(crate) fn block_record(&self, block: u32) -> TaskBlockRecord {
         let (from, to) = self.layout.tasks_of(block);
         let bound = self.bound.range(from..to);
         TaskBlockRecord {
-            next_attempt: self.blocks.get(&block).map_or(0, |b| b.next),
+            next_attempt: self.blocks.get(&block).map_or(0, |b| b.next_attempt),
             done: self.done.within(from, to),
             bound: bound
                 .map(|(i, b)| (*i, b.attempt, b.machine.clone()))
@@ -352,14 +357,14 @@
     }
 
     /// The head as it is to be written.
-    pub(crate) fn head_rec(&self) -> JobHeadRecord {
+    pub(crate) fn head_record(&self) -> JobHeadRecord {
         JobHeadRecord {
             spec: (*self.spec).clone(),
-            cancelled: self.cancelled,
-            cancelled_at_ms: self.cancelled_wall,
-            submitted_at_ms: self.at,
+            cancelled: self.is_cancelled,
+            cancelled_at_ms: self.cancelled_at_wall_ms,
+            submitted_at_ms: self.submitted_at_wall_ms,
             tasks_per_block: self.layout.to_record(),
-            block: self.block_rec(0),
+            block: self.block_record(0),
         }
     }
 
@@ -377,19 +382,23 @@
     /// first; the head, which then names the layout, is the point of
     /// commitment, and the old blocks are removed after it. Whoever takes the
     /// job over in between finds the old head with its old blocks.
-    pub(crate) fn move_to(&mut self, layout: Layout, shard: ShardId) {
+    pub(crate) fn change_layout(&mut self, layout: Layout, shard: ShardId) {
         let old_layout = self.layout;
         let old = std::mem::take(&mut self.blocks);
         self.version += 1;
         self.layout = layout;
-        self.is_moving = true;
+        self.is_changing_layout = true;
         for (block, old_block) in old {
-            let head_stamp = if block == 0 { old_block.stamp } else { 0 };
-            if block > 0 && old_block.stamp > 0 {
+            let head_stamp = if block == 0 {
+                old_block.record_version
+            } else {
+                0
+            };
+            if block > 0 && old_block.record_version > 0 {
                 let key = old_layout.key(shard, &self.spec.id, block);
-                self.old_blocks.push((key, old_block.stamp));
+                self.old_blocks.push((key, old_block.record_version));
             }
-            if block > 0 && old_block.next == 0 {
+            if block > 0 && old_block.next_attempt == 0 {
                 continue;
             }
             let (from, to) = old_layout.tasks_of(block);
@@ -397,9 +406,9 @@
             for new in layout.block_of(from)..=layout.block_of(last) {
                 let entry = self.blocks.entry(new).or_default();
                 entry.version = self.version;
-                entry.next = entry.next.max(old_block.next);
+                entry.next_attempt = entry.next_attempt.max(old_block.next_attempt);
                 if new == 0 {
-                    entry.stamp = entry.stamp.max(head_stamp);
+                    entry.record_version = entry.record_version.max(head_stamp);
                 }
             }
         }
@@ -407,8 +416,8 @@
 
     /// The head names the layout now: what was written under it counts.
     /// Returns the old blocks, which may be removed.
-    pub(crate) fn end_move(&mut self) -> Vec<(String, u64)> {
-        self.is_moving = false;
+    pub(crate) fn finish_layout_change(&mut self) -> Vec<(String, u64)> {
+        self.is_changing_layout = false;
         for block in self.blocks.values_mut() {
             block.committed = block.committed.max(block.staged);
         }
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -20,7 +20,7 @@
 fn job(id: &str) -> Job {
     let spec = spec(&JobId::new(id), "team", JobKind::Array, 3);
     Job {
-        waited: 5_000,
+        age_when_learnt: 5_000,
         ..Job::new(spec, 0, 1, layout(), SINCE)
     }
 }
@@ -39,7 +39,7 @@
         ("nothing has completed", |_, _| (), 35_000),
         (
             "a task has completed",
-            |j, _| j.served_at = Some(SINCE + 20_000),
+            |j, _| j.last_completion_at = Some(SINCE + 20_000),
             10_000,
         ),
         (
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Reports that a machine may miss and still be heard.
-const MISSED_MOST: Ms = 3;
+const MAX_MISSED_HEARTBEATS: Ms = 3;
 
 /// A machine of a shard.
 pub(crate) struct Machine {
@@ -25,40 +25,40 @@
     pub(crate) boot_ms: Ms,
     pub(crate) addr: Option<String>,
     /// Why it is given up, if it is; the record follows.
-    pub(crate) condemned: Option<String>,
+    pub(crate) decommission_reason: Option<String>,
     /// Version of its record.
     pub(crate) version: u64,
     /// A write of its record is under way.
-    pub(crate) putting: bool,
+    pub(crate) is_writing_record: bool,
     /// It is written again only in sight of this revision, at which the
     /// service answered last.
-    pub(crate) put_from: u64,
+    pub(crate) record_required_revision: u64,
 
     /// Session and sequence number of the newest message.
-    pub(crate) session: u64,
-    pub(crate) seq: u64,
+    pub(crate) incarnation: u64,
+    pub(crate) heartbeat_sequence: u64,
     /// The token that the newest message echoed.
-    pub(crate) echo: u64,
+    pub(crate) acknowledged_token: u64,
     /// The token that we use.
     pub(crate) token: u64,
     /// Since when the echo has been behind the token.
-    pub(crate) unechoed_since: Option<Ms>,
+    pub(crate) unacknowledged_since: Option<Ms>,
     /// When the newest message came; none: nothing was heard yet.
-    pub(crate) heard: Option<Ms>,
+    pub(crate) last_heartbeat_at: Option<Ms>,
     /// What is known of the link to it.
     pub(crate) link: MachineLink,
     /// Since when we know the machine.
-    pub(crate) since: Ms,
+    pub(crate) known_since: Ms,
     /// When the cloud takes it away.
-    pub(crate) taken_at: Option<Ms>,
+    pub(crate) reclaimed_at: Option<Ms>,
 
     /// A call is under way.
-    pub(crate) calling: bool,
+    pub(crate) has_call_in_flight: bool,
     pub(crate) retry_at: Ms,
     /// A call with commands had no answer and may be carried out late.
-    pub(crate) unanswered: bool,
+    pub(crate) has_unanswered_call: bool,
     /// The token must be told, even without commands.
-    pub(crate) push: bool,
+    pub(crate) must_send_token: bool,
 
     /// Tasks that may be here.
     pub(crate) tasks: BTreeSet<TaskRef>,
@@ -68,7 +68,7 @@
     /// Exited tasks that the worker still reports.
     pub(crate) exited: Vec<(TaskRef, u64)>,
     /// The job's version that records the fate of an exited task.
-    pub(crate) fates: BTreeMap<(TaskRef, u64), u64>,
+    pub(crate) exit_versions: BTreeMap<(TaskRef, u64), u64>,
     /// Images, the most recently used last, with their sizes.
     pub(crate) images: Vec<(u32, f64)>,
     /// What failed here since a task last ran well.
@@ -77,19 +77,19 @@
     pub(crate) full_until: Ms,
     /// It is being given to another shard: nothing is placed here unless its
     /// record comes back changed, and still ours.
-    pub(crate) leaving: Option<u64>,
+    pub(crate) transfer_version: Option<u64>,
     /// Its borrowed work is being stopped, as another shard has asked for it:
     /// nothing is placed here.
-    pub(crate) vacating: bool,
+    pub(crate) is_vacating: bool,
     /// The cloud has answered our own deletion of it: nothing is on it, and
     /// nothing will be. Its record may say so only later.
-    pub(crate) deleted: bool,
+    pub(crate) is_deleted: bool,
     /// Before this its deletion is not asked for again by us.
-    pub(crate) delete_at: Ms,
+    pub(crate) next_delete_at: Ms,
     /// Before this it is not looked at again whether its tasks fit elsewhere.
-    pub(crate) full_house_until: Ms,
+    pub(crate) drain_retry_at: Ms,
     /// It is being drained, to be returned.
-    pub(crate) draining: bool,
+    pub(crate) is_draining: bool,
     /// Since when nothing has needed it.
     pub(crate) idle_since: Option<Ms>,
     /// Its part in warm pools.
@@ -105,18 +105,18 @@
 
     /// Whether a message has shown all that may be here from before our time.
     pub(crate) fn is_confirmed(&self) -> bool {
-        self.heard.is_some() && self.echo >= self.token
+        self.last_heartbeat_at.is_some() && self.acknowledged_token >= self.token
     }
 
     /// Whether it has reported lately.
-    pub(crate) fn is_heard(&self, ctx: &Context) -> bool {
-        let heard = self.heard;
-        heard.is_some_and(|t| ctx.now < t + ctx.config.report_ms * MISSED_MOST)
+    pub(crate) fn has_recent_heartbeat(&self, ctx: &Context) -> bool {
+        let heard = self.last_heartbeat_at;
+        heard.is_some_and(|t| ctx.now < t + ctx.config.report_ms * MAX_MISSED_HEARTBEATS)
     }
 
     /// Whether its worker itself should have been heard and was not.
-    pub(crate) fn is_unheard(&self, ctx: &Context) -> bool {
-        let since = self.since.max(ctx.resumed_at);
+    pub(crate) fn has_missed_heartbeats(&self, ctx: &Context) -> bool {
+        let since = self.known_since.max(ctx.resumed_at);
         let timing = ctx.config.link_timing();
         self.link.is_unheard(ctx.now, since, &timing)
     }
@@ -129,15 +129,18 @@
     }
 
     /// Since when nothing was heard, once we were there to hear it.
-    pub(crate) fn last_sign(&self, awake_since: Ms) -> Ms {
-        self.heard.unwrap_or(0).max(self.since).max(awake_since)
+    pub(crate) fn last_sign_of_life(&self, awake_since: Ms) -> Ms {
+        self.last_heartbeat_at
+            .unwrap_or(0)
+            .max(self.known_since)
+            .max(awake_since)
     }
 
     /// Makes every command void that is still on its way.
-    pub(crate) fn raise(&mut self, now: Ms) {
+    pub(crate) fn raise_token(&mut self, now: Ms) {
         self.token += 1;
-        self.push = true;
-        self.unechoed_since.get_or_insert(now);
+        self.must_send_token = true;
+        self.unacknowledged_since.get_or_insert(now);
     }
 
     /// Notes that an image is used.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -9,7 +9,7 @@
 use crate::config::Config;
 use crate::context::Context;
 use crate::dependencies::DependencyTracker;
-use crate::forward::Forward;
+use crate::forward::PendingForward;
 use crate::io::{Effect, Input, RequestId};
 use crate::known_jobs::{FinalStages, RecentJobs};
 use crate::leader::Leader;
@@ -41,7 +41,7 @@
     pub(crate) dependencies: DependencyTracker,
     /// Submissions whose dependencies are being looked up.
     pub(crate) admissions: BTreeMap<RequestId, Admission>,
-    pub(crate) forwards: BTreeMap<u64, Forward>,
+    pub(crate) forwards: BTreeMap<u64, PendingForward>,
     pub(crate) forwarded_count: u64,
     /// Lists of machines that we do not hear, and whether the last one named any.
     pub(crate) relay_request_count: u64,
@@ -187,7 +187,7 @@
         self.follow_cloud_link();
         let machines = self.view.take_changed();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
-        self.follow_shards();
+        self.follow_shard_records();
         let changed = self.processed_revision != self.view.revision;
         self.processed_revision = self.view.revision;
         self.budget.tick(&mut self.ctx, &self.view);
@@ -197,8 +197,8 @@
         self.ctx.store.allow_advance(in_advance);
         self.follow_dependencies();
         for shard in self.shards.values_mut() {
-            shard.list_again(&mut self.ctx);
-            shard.watch(&mut self.ctx);
+            shard.relist_jobs(&mut self.ctx);
+            shard.watch_jobs(&mut self.ctx);
             if let Phase::Waiting(revision) = shard.phase {
                 if self.view.revision >= revision {
                     shard.activate(&mut self.ctx, &self.view);
@@ -208,10 +208,10 @@
                 continue;
             }
             if changed {
-                shard.sync_machines(&mut self.ctx, &self.view, &machines);
+                shard.apply_machine_records(&mut self.ctx, &self.view, &machines);
             }
             // A cancellation may be seen before the job that it is for.
-            if changed || std::mem::take(&mut shard.look_for_aborts) {
+            if changed || std::mem::take(&mut shard.must_check_cancellations) {
                 for id in self.view.cancellations.keys() {
                     shard.cancel(&self.ctx, id);
                 }
@@ -222,8 +222,8 @@
             self.leader.on_demand(self.ctx.now, shard, epoch, record);
         }
         self.follow_forwards();
-        self.repeat_polls();
-        self.end_waits();
+        self.repeat_cancellation_polls();
+        self.expire_cancel_waits();
         self.log_status();
     }
 
@@ -277,10 +277,10 @@
             let up = shard
                 .machines
                 .values()
-                .filter(|m| m.heard.is_some())
+                .filter(|m| m.last_heartbeat_at.is_some())
                 .count();
-            shard.explain();
-            let money = shard.money();
+            shard.log_details();
+            let money = shard.machine_costs();
             log::info!(
                 "shard {}: {} jobs, {} tasks placed, {} of {} machines up, {money}, {} writes queued",
                 shard.id(),
--- a/crates/core/src/node/answers.rs
+++ b/crates/core/src/node/answers.rs
@@ -19,7 +19,7 @@
             PendingCall::NodeRecordWrite { lease } => {
                 self.membership.on_node_record_written(lease, status, body)
             }
-            PendingCall::ProbeWorker { holder } => self.on_probe_answered(&holder, status, body),
+            PendingCall::ProbeWorker { holder } => self.on_worker_probed(&holder, status, body),
             PendingCall::LeaderRecordWrite => {
                 self.membership.on_leader_record_written(status, body)
             }
@@ -32,7 +32,7 @@
             }
             PendingCall::ShardList { shard, epoch } => {
                 if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
-                    s.on_list(&mut self.ctx, status, body);
+                    s.on_job_list(&mut self.ctx, status, body);
                 }
             }
             PendingCall::ShardWatch {
@@ -41,7 +41,7 @@
                 serial,
             } => {
                 if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
-                    s.on_watch(&mut self.ctx, serial, status, body);
+                    s.on_jobs_watch(&mut self.ctx, serial, status, body);
                 }
             }
             PendingCall::JobCreation(creation) => self.on_created(*creation, status, body),
@@ -57,12 +57,14 @@
             PendingCall::DependencyRead { id, sent } => {
                 self.on_dependency_read(&id, sent, status, body);
             }
-            PendingCall::CancellationWrite(poll) => self.on_abort_put(poll, status, body),
-            PendingCall::CancellationPoll(poll) => self.on_abort_poll(poll, status, body),
+            PendingCall::CancellationWrite(poll) => {
+                self.on_cancellation_written(poll, status, body)
+            }
+            PendingCall::CancellationPoll(poll) => self.on_cancellation_poll(poll, status, body),
             PendingCall::JobTransaction { shard, epoch, jobs } => {
                 self.require_revision_on_conflict(status, body);
                 if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
-                    s.on_txn(&mut self.ctx, &mut self.final_stages, jobs, status, body);
+                    s.on_jobs_written(&mut self.ctx, &mut self.final_stages, jobs, status, body);
                 }
             }
             PendingCall::JobBlockRead {
@@ -72,12 +74,12 @@
                 block,
             } => {
                 if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
-                    s.on_fix(&mut self.ctx, &id, block, status, body);
+                    s.on_block_read(&mut self.ctx, &id, block, status, body);
                 }
             }
             PendingCall::JobFinalRead { shard, epoch, id } => {
                 if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
-                    s.on_final(&mut self.ctx, &mut self.final_stages, &id, status, body);
+                    s.on_final_read(&mut self.ctx, &mut self.final_stages, &id, status, body);
                 }
             }
             PendingCall::MachineRecordWrite(id) => self.on_machine_put(&id, status, body),
@@ -104,8 +106,8 @@
             PendingCall::DemandWrite { shard } => {
                 self.require_revision_on_conflict(status, body);
                 if let Some(s) = self.shards.get_mut(&shard) {
-                    s.demand_putting = false;
-                    s.demand_from = s.demand_from.max(revision_of(body));
+                    s.is_writing_demand = false;
+                    s.demand_required_revision = s.demand_required_revision.max(revision_of(body));
                 }
             }
             PendingCall::Housekeeping => {}
@@ -148,7 +150,7 @@
                 machines,
             } => {
                 if let Some(s) = self.shards.get_mut(&shard).filter(|s| s.epoch == epoch) {
-                    s.on_evicted(&self.ctx, &machines, status);
+                    s.on_own_machines_deleted(&self.ctx, &machines, status);
                 }
             }
             PendingCall::MachineRecordsRemoval { machines } => {
@@ -161,9 +163,10 @@
         self.require_revision_on_conflict(status, body);
         for shard in self.shards.values_mut() {
             if let Some(machine) = shard.machines.get_mut(id) {
-                machine.putting = false;
-                machine.put_from = machine.put_from.max(revision_of(body));
-                shard.look.touch(id);
+                machine.is_writing_record = false;
+                machine.record_required_revision =
+                    machine.record_required_revision.max(revision_of(body));
+                shard.recheck.touch(id);
             }
         }
     }
--- a/crates/core/src/node/holdings.rs
+++ b/crates/core/src/node/holdings.rs
@@ -19,7 +19,7 @@
 
 impl Node {
     /// Takes up shards that became ours, lets go of those that are not.
-    pub(super) fn follow_shards(&mut self) {
+    pub(super) fn follow_shard_records(&mut self) {
         let node = self.ctx.config.node.clone();
         let incarnation = self.ctx.incarnation;
         let mut handing = Vec::new();
@@ -34,7 +34,7 @@
                 continue;
             }
             if let Some(shard) = self.shards.get_mut(k) {
-                if shard.epoch == record.epoch && !shard.reload {
+                if shard.epoch == record.epoch && !shard.must_reload {
                     shard.version = versioned.version;
                     if let Some(to) = &relief {
                         // Calls to machines that we do not hear end late; the
@@ -63,7 +63,7 @@
             }
         }
         for (k, to) in handing {
-            if self.is_moving(k) {
+            if self.is_handover_pending(k) {
                 continue;
             }
             let handover = Handover {
@@ -81,7 +81,7 @@
     }
 
     /// Whether a handover of a shard is under way, or its outcome is not seen yet.
-    fn is_moving(&self, k: ShardId) -> bool {
+    fn is_handover_pending(&self, k: ShardId) -> bool {
         self.handovers.get(&k).is_some_and(|handover| {
             self.ctx.now < handover.retry_at || self.view.revision < handover.answered_at
         })
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -42,7 +42,9 @@
                 method,
                 path,
                 body,
-            } => self.on_forward((from, incarnation), request_number, &method, &path, body),
+            } => {
+                self.on_forwarded_request((from, incarnation), request_number, &method, &path, body)
+            }
             // Meant for an earlier start of ours.
             Body::ForwardedResponse {
                 incarnation: to, ..
@@ -59,7 +61,7 @@
                     body,
                     retry_after_s,
                 };
-                self.on_forwarded(request_number, reply);
+                self.on_forwarded_response(request_number, reply);
             }
             Body::Heartbeat(heartbeat) => {
                 if self.ctx.config.nodes.contains(&from) {
@@ -67,7 +69,7 @@
                 }
             }
             // What is recorded stays so, whoever tells of it.
-            Body::JobEnded { id, cancelled } => self.on_job_over_message(&id, cancelled),
+            Body::JobEnded { id, cancelled } => self.on_job_ended_message(&id, cancelled),
             _ if !alive => {}
             Body::BudgetRequest {
                 writes,
@@ -100,11 +102,13 @@
             }
             Body::CancelJob { id } => self.on_cancel_message(epoch, &id),
             Body::RelayRequest { list, machines } => {
-                self.on_unheard(&from, incarnation, list, &machines);
+                self.on_relay_request(&from, incarnation, list, &machines);
             }
             Body::ProbeRequest { machines } => self.on_probe(&from, &machines),
-            Body::ProbeResult { report } => self.on_probed(&report),
-            Body::InheritPriority { id, priority } => self.on_needed_message(&id, priority),
+            Body::ProbeResult { report } => self.on_probe_result(&report),
+            Body::InheritPriority { id, priority } => {
+                self.on_inherited_priority_message(&id, priority)
+            }
         }
     }
 
@@ -127,24 +131,24 @@
     }
 
     /// Tells a shard's holder of a job that was accepted here.
-    pub(crate) fn tell_new_job(&mut self, shard: ShardId, spec: &JobSpec, revision: u64) {
+    pub(crate) fn send_new_job(&mut self, shard: ShardId, spec: &JobSpec, revision: u64) {
         let body = Body::NewJob {
             shard: shard.0,
             spec: serde_json::to_string(spec).unwrap_or_default(),
             submitted_at_ms: self.ctx.wall_clock_ms,
             revision,
         };
-        self.tell_holder(shard, body);
+        self.send_to_holder(shard, body);
     }
 
     /// Tells a shard's holder of a cancellation that was asked for here.
-    pub(crate) fn tell_cancel(&mut self, id: &JobId, shard: ShardId) {
+    pub(crate) fn send_cancel(&mut self, id: &JobId, shard: ShardId) {
         let id = id.to_string();
-        self.tell_holder(shard, Body::CancelJob { id });
+        self.send_to_holder(shard, Body::CancelJob { id });
     }
 
     /// Tells a shard's holder something, if that is another controller.
-    pub(crate) fn tell_holder(&mut self, shard: ShardId, body: Body) {
+    pub(crate) fn send_to_holder(&mut self, shard: ShardId, body: Body) {
         let epoch = self.view.shards.get(&shard).map_or(0, |s| s.record.epoch);
         let holder = self.view.holder(shard).cloned();
         if let Some(holder) = holder.filter(|h| *h != self.ctx.config.node) {
--- a/crates/core/src/pools.rs
+++ b/crates/core/src/pools.rs
@@ -22,7 +22,7 @@
 pub(crate) use ledger::{add_row, ShardPools};
 pub(crate) use membership::MachinePool;
 pub(crate) use placement::open_reservations;
-pub(crate) use sizing::Coming;
+pub(crate) use sizing::ExpectedMachines;
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -32,7 +32,7 @@
 
 /// What a pool is asked for, as it is recorded.
 #[derive(Debug)]
-struct Head {
+struct PoolHead {
     version: u64,
     asked: Asked,
     is_writing: bool,
@@ -40,7 +40,7 @@
 
 /// How far the heads are read.
 #[derive(Debug, Default, PartialEq)]
-enum Reading {
+enum ReadState {
     /// Not yet, and not before this.
     #[default]
     Due,
@@ -61,8 +61,8 @@
 /// What a shard keeps of its teams' pools.
 #[derive(Debug, Default)]
 pub(crate) struct ShardPools {
-    heads: BTreeMap<PoolName, Head>,
-    reading: Reading,
+    heads: BTreeMap<PoolName, PoolHead>,
+    reading: ReadState,
     rows: BTreeMap<String, PendingRow>,
     missed: BTreeSet<JobId>,
     handed_out: BTreeMap<PoolName, VecDeque<Ms>>,
@@ -118,7 +118,7 @@
     /// Writes what a pool is asked for, if that changed. Pools that are not declared any
     /// more are asked for nothing.
     pub(super) fn note_asked(&mut self, ctx: &mut Context, pool: &Pool, machines: u32) {
-        if self.pools.reading != Reading::Done || ctx.format < FormatVersion::POOLS {
+        if self.pools.reading != ReadState::Done || ctx.format < FormatVersion::POOLS {
             return;
         }
         if let Some(head) = self.pools.heads.get(&pool.name) {
@@ -134,7 +134,7 @@
             from_ms: ctx.wall_clock_ms,
             to_ms: None,
         };
-        let head = Head {
+        let head = PoolHead {
             version: 0,
             asked: Asked {
                 machines: 0,
@@ -149,7 +149,7 @@
     /// Asks withdrawn pools of our teams for nothing.
     pub(super) fn note_withdrawn(&mut self, ctx: &mut Context) {
         let pools = &ctx.config.ops.pools;
-        let is_withdrawn = |(name, head): &(&PoolName, &Head)| {
+        let is_withdrawn = |(name, head): &(&PoolName, &PoolHead)| {
             head.asked.machines > 0 && pools.get(name).is_none()
         };
         let heads = self.pools.heads.iter().filter(is_withdrawn);
@@ -181,7 +181,7 @@
         let key = next.key();
         let mut transaction = Transaction {
             preconditions: vec![
-                self.held(),
+                self.held_precondition(),
                 Precondition {
                     key: key.clone(),
                     version,
@@ -204,10 +204,10 @@
     /// of it, the heads are read again.
     pub(crate) fn on_pool_asked(&mut self, asked: Asked, status: u16, body: &[u8]) {
         if status != 200 {
-            self.pools.reading = Reading::Due;
+            self.pools.reading = ReadState::Due;
             return;
         }
-        let head = Head {
+        let head = PoolHead {
             version: revision_of(body),
             asked,
             is_writing: false,
@@ -222,12 +222,12 @@
             return;
         }
         let is_due = match self.pools.reading {
-            Reading::Due => true,
-            Reading::Pause(until) => ctx.now >= until,
-            Reading::UnderWay | Reading::Done => false,
+            ReadState::Due => true,
+            ReadState::Pause(until) => ctx.now >= until,
+            ReadState::UnderWay | ReadState::Done => false,
         };
         if is_due {
-            self.pools.reading = Reading::UnderWay;
+            self.pools.reading = ReadState::UnderWay;
             let (shard, epoch) = (self.id, self.epoch);
             let path = format!("/kv?starts={HEADS}&most=1000");
             ctx.read_store(
@@ -236,7 +236,7 @@
                 PendingCall::PoolRecordsRead { shard, epoch },
             );
         }
-        let held = self.held();
+        let held = self.held_precondition();
         let rows = self.pools.rows.iter_mut();
         let now = ctx.now;
         let due = rows.filter(|(_, row)| !row.is_writing && now >= row.retry_at);
@@ -270,7 +270,7 @@
     pub(crate) fn on_pool_heads(&mut self, ctx: &Context, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok();
         let Some(page) = page.filter(|page| status == 200 && !page.has_next) else {
-            self.pools.reading = Reading::Pause(ctx.now + RETRY_PAUSE);
+            self.pools.reading = ReadState::Pause(ctx.now + RETRY_PAUSE);
             return;
         };
         self.pools.heads.clear();
@@ -283,7 +283,7 @@
                 }
             };
             if self.teams.contains_key(&asked.team) {
-                let head = Head {
+                let head = PoolHead {
                     version: item.version,
                     asked,
                     is_writing: false,
@@ -291,6 +291,6 @@
                 self.pools.heads.insert(head.asked.pool.clone(), head);
             }
         }
-        self.pools.reading = Reading::Done;
+        self.pools.reading = ReadState::Done;
     }
 }
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -66,7 +66,9 @@
 impl Machine {
     /// Whether it is a pool's machine, and in use by nobody.
     pub(crate) fn is_pool_member(&self) -> bool {
-        self.pool.membership.is_some() && self.tasks.is_empty() && self.condemned.is_none()
+        self.pool.membership.is_some()
+            && self.tasks.is_empty()
+            && self.decommission_reason.is_none()
     }
 
     /// Takes in which images its worker reports.
@@ -93,7 +95,7 @@
     pub(crate) fn state_for(&self, pool: &Pool) -> PoolState {
         let recorded = self.pool.membership.as_ref().map(|m| m.state);
         match &self.pool.held {
-            _ if self.heard.is_none() => recorded.unwrap_or(PoolState::Booting),
+            _ if self.last_heartbeat_at.is_none() => recorded.unwrap_or(PoolState::Booting),
             None => PoolState::Up,
             Some(held) if held.contains(&pool.image) => PoolState::Warm,
             Some(_) => PoolState::Fetching,
@@ -133,7 +135,10 @@
         let is_changed = next != Ok(membership.state);
         if let Some(machine) = self.machines.get_mut(id) {
             machine.pool.is_unrecorded = is_changed;
-            if !is_changed || machine.putting || view.revision < machine.put_from {
+            if !is_changed
+                || machine.is_writing_record
+                || view.revision < machine.record_required_revision
+            {
                 return;
             }
         }
@@ -143,7 +148,7 @@
                 self.pools.note_handed_out(&membership.pool, ctx.now);
             }
         }
-        self.put_machine_with(ctx, view, id, |record| {
+        self.update_machine_record_with(ctx, view, id, |record| {
             record.close_membership(id, at_ms, next)
         });
     }
@@ -162,8 +167,8 @@
             .get(id)
             .is_some_and(|m| m.record.reassign_to.is_some());
         let is_free = machine.tasks.is_empty()
-            && machine.condemned.is_none()
-            && machine.leaving.is_none()
+            && machine.decommission_reason.is_none()
+            && machine.transfer_version.is_none()
             && machine.orphans.is_empty()
             && !wanted;
         let pool = ctx.config.ops.pools.get(&name);
@@ -173,10 +178,10 @@
         };
         let state = machine.state_for(pool);
         let at_ms = ctx.wall_clock_ms;
-        if !machine.putting && view.revision >= machine.put_from {
+        if !machine.is_writing_record && view.revision >= machine.record_required_revision {
             log::info!("machine {id}: joins pool {name}, {state:?}");
         }
-        self.put_machine_with(ctx, view, id, |record| {
+        self.update_machine_record_with(ctx, view, id, |record| {
             let begun = Membership::begin(name, state, at_ms, record.charged_until_ms);
             record.pool = Some(begun);
             None
@@ -191,7 +196,7 @@
         membership: &Membership,
     ) -> Result<PoolState, Ended> {
         let machine = self.machines.get(id).ok_or(Ended::Lost)?;
-        if machine.condemned.is_some() {
+        if machine.decommission_reason.is_some() {
             return Err(self.end_of_membership(ctx, id).1);
         }
         let pool = ctx.config.ops.pools.get(&membership.pool);
@@ -219,7 +224,10 @@
 
     /// When and why the membership of a machine ends that is given up.
     pub(crate) fn end_of_membership(&self, ctx: &Context, id: &MachineId) -> (u64, Ended) {
-        let condemned = self.machines.get(id).and_then(|m| m.condemned.as_deref());
+        let condemned = self
+            .machines
+            .get(id)
+            .and_then(|m| m.decommission_reason.as_deref());
         let ended = match condemned {
             Some(STALLED) => Ended::Stalled,
             _ => Ended::Lost,
@@ -231,7 +239,7 @@
     /// was of use until it was last heard of.
     fn left_at(&self, ctx: &Context, id: &MachineId, next: Result<PoolState, Ended>) -> u64 {
         let machine = self.machines.get(id);
-        let heard = machine.and_then(|m| m.heard);
+        let heard = machine.and_then(|m| m.last_heartbeat_at);
         match next {
             Err(Ended::Lost) => {
                 let silent_for = heard.map_or(0, |heard| ctx.now.saturating_sub(heard));
@@ -263,7 +271,7 @@
             return;
         };
         if ctx.now > since + machine.patience(ctx, pool) {
-            self.condemn(id, STALLED);
+            self.decommission(id, STALLED);
         }
     }
 
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -115,7 +115,8 @@
     ) -> DemandRecord {
         for (id, number) in self.member_reservations(ctx) {
             let machine = self.machines.get(&id);
-            if machine.is_none_or(|m| m.leaving.is_some() || !m.is_heard(ctx)) {
+            if machine.is_none_or(|m| m.transfer_version.is_some() || !m.has_recent_heartbeat(ctx))
+            {
                 continue;
             }
             match is_further(number) {
@@ -215,7 +216,7 @@
                 pool: pool.name.clone(),
                 job: id.to_string(),
                 tasks: want.waiting.len() as u32,
-                at_ms: job.at,
+                at_ms: job.submitted_at_wall_ms,
             };
             self.pools.note_miss(id, miss);
         }
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -21,7 +21,7 @@
 
 /// Which machines the hosts at the end of a round are: those that are usable, then those
 /// that are drained, those that boot, and those of rentals under way.
-pub(crate) struct Coming<'a> {
+pub(crate) struct ExpectedMachines<'a> {
     /// Machines on which tasks may be placed.
     pub(crate) usable: &'a [MachineId],
     /// How many are being drained.
@@ -30,7 +30,7 @@
     pub(crate) booting: &'a [MachineId],
 }
 
-impl Coming<'_> {
+impl ExpectedMachines<'_> {
     /// The machine behind a host, if it may join a pool.
     fn machine(&self, host: usize) -> Option<&MachineId> {
         let booting = self.usable.len() + self.draining;
@@ -48,7 +48,7 @@
 }
 
 /// What nothing needs, for pools to take in turn.
-struct Unneeded {
+struct SurplusMachines {
     machines: BTreeSet<MachineId>,
     /// Machines that are being rented: type, zone, kind.
     rentals: Vec<(u16, u16, bool)>,
@@ -61,7 +61,7 @@
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
-        coming: &Coming,
+        coming: &ExpectedMachines,
         hosts: &[Host],
     ) -> Vec<ShapeRecord> {
         if ctx.format < FormatVersion::POOLS {
@@ -122,7 +122,7 @@
         pool: &Pool,
         machines: u32,
         ids: &[MachineId],
-        unneeded: &mut Unneeded,
+        unneeded: &mut SurplusMachines,
         catalog: &[MachineType],
     ) -> Option<ShapeRecord> {
         let (overdue, ids): (Vec<&MachineId>, Vec<&MachineId>) =
@@ -133,7 +133,7 @@
             if let Some(machine) = self.machines.get_mut(*id) {
                 machine.pool.is_surplus = leave.contains(&place);
                 if machine.pool.is_surplus {
-                    self.look.touch(id);
+                    self.recheck.touch(id);
                 }
             }
         }
@@ -156,8 +156,8 @@
     fn is_overdue(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
         machine.is_some_and(|m| {
-            let due = m.since + (m.boot_ms as f64 * OVERDUE_BOOTS) as Ms;
-            m.heard.is_none() && ctx.now >= due
+            let due = m.known_since + (m.boot_ms as f64 * OVERDUE_BOOTS) as Ms;
+            m.last_heartbeat_at.is_none() && ctx.now >= due
         })
     }
 
@@ -182,7 +182,7 @@
         pool: &Pool,
         missing: u32,
         cost_left: Option<f64>,
-        unneeded: &mut Unneeded,
+        unneeded: &mut SurplusMachines,
     ) -> Vec<MachineId> {
         let image = ctx.images.number(&pool.image);
         let is_allowed = |machine: &&Machine| {
@@ -195,7 +195,7 @@
         let allowed: Vec<&Machine> = machines.filter(is_allowed).collect();
         let candidate = |machine: &&Machine| Candidate {
             has_image: machine.images.iter().any(|(held, _)| *held == image),
-            is_up: machine.heard.is_some(),
+            is_up: machine.last_heartbeat_at.is_some(),
             price: hourly(machine),
         };
         let candidates: Vec<Candidate> = allowed.iter().map(candidate).collect();
@@ -206,14 +206,19 @@
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.pool.joining = Some(pool.name.clone());
                 machine.idle_since = None;
-                self.look.touch(id);
+                self.recheck.touch(id);
             }
         }
         chosen
     }
 
     /// Machines that nothing needs, and rentals that nothing waits for.
-    fn unneeded(&self, view: &ClusterView, coming: &Coming, hosts: &[Host]) -> Unneeded {
+    fn unneeded(
+        &self,
+        view: &ClusterView,
+        coming: &ExpectedMachines,
+        hosts: &[Host],
+    ) -> SurplusMachines {
         let is_whole = |host: &Host| host.free == host.total && !host.held;
         let may_join = |id: &&MachineId| {
             let wanted = view
@@ -229,14 +234,14 @@
         let rentals = hosts.iter().skip(coming.rentals());
         let rentals = rentals.filter(|host| is_whole(host));
         let kind = |host: &Host| (host.machine_type, host.zone, host.spot);
-        Unneeded {
+        SurplusMachines {
             machines,
             rentals: rentals.map(kind).collect(),
         }
     }
 }
 
-impl Unneeded {
+impl SurplusMachines {
     /// Counts rentals under way towards a pool, and says how many.
     fn take_rentals(&mut self, ctx: &Context, pool: &Pool, most: u32) -> u32 {
         let mut taken = 0;
@@ -255,11 +260,11 @@
 fn is_unneeded(machine: &Machine) -> bool {
     machine.tasks.is_empty()
         && machine.orphans.is_empty()
-        && machine.condemned.is_none()
-        && machine.leaving.is_none()
-        && machine.taken_at.is_none()
-        && !machine.vacating
-        && !machine.draining
+        && machine.decommission_reason.is_none()
+        && machine.transfer_version.is_none()
+        && machine.reclaimed_at.is_none()
+        && !machine.is_vacating
+        && !machine.is_draining
         && machine.pool.membership.is_none()
         && machine.pool.joining.is_none()
 }
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -104,11 +104,11 @@
             versioned.record.reassign_to = Some(other);
         }
         if is_offered {
-            f.shard().told.pool_machines.push(id.clone());
+            f.shard().last_demand_sent.pool_machines.push(id.clone());
         }
         let node = &mut f.node;
         let shard = node.shards.get_mut(&f.shard).expect("it is ours");
-        shard.give_away(&mut node.ctx, &node.view, &id);
+        shard.transfer_machine(&mut node.ctx, &node.view, &id);
         node.ctx.send_due_store_calls();
         let (record, row) = change_of(&std::mem::take(&mut f.node.ctx.effects), &id);
         let record = record.expect("it is written");
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -7,7 +7,7 @@
 //! had, or theirs is long in coming.
 
 use crate::context::Context;
-use crate::job::{Job, Sent};
+use crate::job::{Job, StartState};
 use crate::machine::Machine;
 use crate::reclaim::Victim;
 use crate::shard::Shard;
@@ -68,7 +68,7 @@
         usable: &[MachineId],
         quotas: &[Quota],
     ) {
-        if ctx.now < self.preempted_at + ctx.config.report_ms * PAUSE_REPORTS {
+        if ctx.now < self.last_preemption_at + ctx.config.report_ms * PAUSE_REPORTS {
             return;
         }
         let _span = tracing::debug_span!("preempt").entered();
@@ -86,7 +86,7 @@
         let Some((id, victims)) = self.first_with_victims(ctx, preempting, usable) else {
             return;
         };
-        self.preempted_at = ctx.now;
+        self.last_preemption_at = ctx.now;
         for victim in victims {
             log::info!("{victim}: stopped to make room for {id}");
             self.stop_task(&victim);
@@ -139,7 +139,7 @@
         let stoppable = |j: &&Job| j.priority() <= Priority::Normal && !j.is_gang();
         for job in self.jobs.values().filter(stoppable) {
             for (index, binding) in &job.bound {
-                if binding.sent == Sent::No || binding.stop.is_some() {
+                if binding.start == StartState::NotSent || binding.stop.is_some() {
                     continue;
                 }
                 let task = TaskRef {
--- a/crates/core/src/preempt/tests.rs
+++ b/crates/core/src/preempt/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `preempt`.
 
 use crate::fixture::{spec, stopped, team_of, Fixture, WALL};
-use crate::job::Sent;
+use crate::job::StartState;
 use crate::node::Node;
 use forkshift_wire::users::{JobKind, JobSpec, Priority};
 use forkshift_wire::workers::TaskStage;
@@ -30,7 +30,7 @@
     let job = add(&mut f, "j-1", |s| s.priority = priority);
     let token = f.token();
     for index in 0..8 {
-        f.bind(&job, index, Sent::Ours { token, session: 1 });
+        f.bind(&job, index, StartState::SentByUs { token, session: 1 });
     }
     let now = f.node.ctx.now;
     let running = f.shard().jobs.get_mut(&job).expect("the job");
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -12,7 +12,7 @@
 
 use crate::bounds::part_of_machines;
 use crate::context::Context;
-use crate::job::{Binding, Job, Sent};
+use crate::job::{Binding, Job, StartState};
 use crate::machine::Machine;
 use crate::rounds::is_usable;
 use crate::shard::Shard;
@@ -62,7 +62,7 @@
 
 /// The places found for one job.
 #[derive(Default)]
-struct Plan {
+struct ReclaimPlan {
     /// Indices of rooms, with how many of each room's victims must be stopped.
     places: Vec<(usize, usize)>,
     lost: Ms,
@@ -174,7 +174,7 @@
     /// Whether a task runs on borrowed resources and may be stopped to give
     /// them back. A gang would be lost whole with one of its tasks.
     pub(crate) fn is_reclaimable(&self, ctx: &Context, job: &Job, binding: &Binding) -> bool {
-        self.is_guest_work(ctx, job) && !job.is_gang() && binding.sent != Sent::No
+        self.is_guest_work(ctx, job) && !job.is_gang() && binding.start != StartState::NotSent
     }
 
     /// Whether a job is the low-priority work of a team without a guarantee.
@@ -187,7 +187,7 @@
 
     /// Whether a job runs on what others leave unused, and whether it is content
     /// with that, where machines boot for so long.
-    pub(crate) fn standing(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> Standing {
+    pub(crate) fn is_running_service(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> Standing {
         match self.is_guest_work(ctx, job) {
             true if is_patient(ctx, job, boot_ms) => Standing::PatientGuest,
             true => Standing::Guest,
@@ -251,7 +251,7 @@
                 self.stop_task(&task);
             }
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.draining = true;
+                machine.is_draining = true;
             }
         }
     }
@@ -298,7 +298,8 @@
         let Some(machine) = self.machines.get(id) else {
             return false;
         };
-        let offered = machine.condemned.is_none() && (machine.vacating || is_usable(machine, ctx));
+        let offered = machine.decommission_reason.is_none()
+            && (machine.is_vacating || is_usable(machine, ctx));
         if !offered || self.lost_if_given_away(ctx, machine).is_none() {
             return false;
         }
@@ -308,7 +309,7 @@
             self.stop_task(task);
         }
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.vacating = true;
+            machine.is_vacating = true;
         }
         true
     }
@@ -328,7 +329,7 @@
 
 /// The places for `count` tasks with which the least run time is lost; all of
 /// them in one zone if the job needs that.
-fn cheapest_plan(want: &PendingTasks, count: usize, rooms: &[Room]) -> Option<Plan> {
+fn cheapest_plan(want: &PendingTasks, count: usize, rooms: &[Room]) -> Option<ReclaimPlan> {
     if !want.one_zone || count == 1 {
         return plan_in(want, count, rooms, None);
     }
@@ -339,7 +340,12 @@
     plans.min_by_key(|plan| plan.lost)
 }
 
-fn plan_in(want: &PendingTasks, count: usize, rooms: &[Room], zone: Option<u16>) -> Option<Plan> {
+fn plan_in(
+    want: &PendingTasks,
+    count: usize,
+    rooms: &[Room],
+    zone: Option<u16>,
+) -> Option<ReclaimPlan> {
     let mut options: Vec<(Ms, usize, usize)> = Vec::new();
     for (index, room) in rooms.iter().enumerate() {
         let allowed = zone.is_none_or(|z| z == room.zone)
@@ -355,7 +361,7 @@
     if options.len() < count {
         return None;
     }
-    let mut plan = Plan::default();
+    let mut plan = ReclaimPlan::default();
     for (lost, index, stopped) in options.into_iter().take(count) {
         plan.lost += lost;
         plan.places.push((index, stopped));
--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -44,7 +44,7 @@
     });
     let token = f.token();
     for index in 0..8 {
-        f.bind(&guest, index, Sent::Ours { token, session: 1 });
+        f.bind(&guest, index, StartState::SentByUs { token, session: 1 });
     }
     let now = f.node.ctx.now;
     let job = f.shard().jobs.get_mut(&guest).expect("the guest's job");
@@ -161,11 +161,11 @@
         if with_owner {
             let owner = other_team(&mut f);
             let id = add(&mut f, "j-2", &owner, |s| s.tasks = 1);
-            f.bind(&id, 0, Sent::Ours { token, session: 1 });
+            f.bind(&id, 0, StartState::SentByUs { token, session: 1 });
         }
         f.step(2_000);
         let machine = f.machine.clone();
-        assert_eq!(f.shard().machines[&machine].draining, drained, "{name}");
+        assert_eq!(f.shard().machines[&machine].is_draining, drained, "{name}");
         assert_eq!(
             stopped(&mut f, &guest).len() == 8,
             drained,
@@ -196,7 +196,7 @@
             let owner = other_team(&mut f);
             let id = add(&mut f, "j-2", &owner, |s| s.tasks = 1);
             let token = f.token();
-            f.bind(&id, 0, Sent::Ours { token, session: 1 });
+            f.bind(&id, 0, StartState::SentByUs { token, session: 1 });
         }
         let shard_id = f.shard;
         let offered = f.node.shards[&shard_id].borrowed_machines(&f.node.ctx, &usable);
@@ -213,7 +213,7 @@
         }
         let all_stopped = stopped(&mut f, &guest).len() == 8;
         assert_eq!(all_stopped, given, "stopped, with other work: {with_owner}");
-        assert_eq!(f.shard().machines[&machine].vacating, given);
+        assert_eq!(f.shard().machines[&machine].is_vacating, given);
         // Given away only once empty; a request that is declined is taken back.
         let written = machine_puts(&effects, &machine);
         assert!(written.iter().all(|r| r.shard == shard_id));
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -27,8 +27,8 @@
     let id = f.job("j-1", JobKind::Service, 1);
     let other = f.job("j-2", JobKind::Service, 1);
     let (token, session) = (f.token(), 1);
-    f.bind(&id, 0, Sent::Ours { token, session });
-    f.bind(&other, 0, Sent::Ours { token, session });
+    f.bind(&id, 0, StartState::SentByUs { token, session });
+    f.bind(&other, 0, StartState::SentByUs { token, session });
     f.ask(1, "POST", "/submissions/j-1/abort");
     f.lose_right();
     let begun = f.node.ctx.now;
@@ -79,8 +79,8 @@
         let cancel = f.node.ctx.config.cancel_ms;
         let ago = (cancel as f64 * age) as Ms;
         let id = f.job("j-1", JobKind::Service, 1);
-        f.bind(&id, 0, Sent::Inherited);
-        let mut head: JobHeadRecord = f.shard().jobs[&id].head_rec();
+        f.bind(&id, 0, StartState::Unknown);
+        let mut head: JobHeadRecord = f.shard().jobs[&id].head_record();
         f.shard().forget_job(&id, 0);
         head.cancelled = true;
         head.cancelled_at_ms = WALL - ago;
@@ -93,10 +93,10 @@
         let begun = f.node.ctx.now;
         let machine = f.machine.clone();
         let end = begun + (cancel as f64 * (by - age)) as Ms;
-        while f.node.ctx.now < end && f.shard().machines[&machine].condemned.is_none() {
+        while f.node.ctx.now < end && f.shard().machines[&machine].decommission_reason.is_none() {
             f.step(100);
         }
-        let condemned = f.shard().machines[&machine].condemned.clone();
+        let condemned = f.shard().machines[&machine].decommission_reason.clone();
         assert!(condemned.is_some(), "asked for {ago} of {cancel} ms ago");
     }
 }
@@ -109,14 +109,14 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         if tasks {
-            f.bind(&id, 0, Sent::Inherited);
+            f.bind(&id, 0, StartState::Unknown);
         }
         let machine = f.machine.clone();
         let m = f.shard().machines.get_mut(&machine).expect("it is there");
-        (m.addr, m.heard) = (None, None);
+        (m.addr, m.last_heartbeat_at) = (None, None);
         f.node.ctx.now += f.node.ctx.config.lease_ms;
         f.node.ctx.has_valid_lease = true;
-        let given_up = verdict(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
+        let given_up = removal_deadline(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
         assert_eq!(given_up.is_err(), tasks, "with tasks: {tasks}");
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -42,7 +42,7 @@
 
 /// Machines that are not heard.
 #[derive(Default)]
-struct Unheard {
+struct UnreachableMachines {
     /// Their reports are to be passed on by whoever gets them.
     relayed: Vec<MachineId>,
     /// They are to be called now.
@@ -51,11 +51,24 @@
 
 impl Shard {
     /// Adds machines that should report to us and are not heard.
-    fn find_unheard(&mut self, now: Ms, awake_since: Ms, timing: &Timing, found: &mut Unheard) {
-        let Self { machines, look, .. } = self;
-        for m in machines.values_mut().filter(|m| m.condemned.is_none()) {
-            let is_up = m.heard.is_some() || !m.tasks.is_empty();
-            let since = m.since.max(awake_since);
+    fn find_unreachable_machines(
+        &mut self,
+        now: Ms,
+        awake_since: Ms,
+        timing: &Timing,
+        found: &mut UnreachableMachines,
+    ) {
+        let Self {
+            machines,
+            recheck: look,
+            ..
+        } = self;
+        for m in machines
+            .values_mut()
+            .filter(|m| m.decommission_reason.is_none())
+        {
+            let is_up = m.last_heartbeat_at.is_some() || !m.tasks.is_empty();
+            let since = m.known_since.max(awake_since);
             if !is_up || !m.link.is_unheard(now, since, timing) {
                 continue;
             }
@@ -64,7 +77,7 @@
             }
             if !m.link.is_relayed_lately(now, timing) && m.link.take_probe(now, timing) {
                 found.probed.push(m.id.clone());
-                m.push = true;
+                m.must_send_token = true;
                 look.touch(&m.id);
             }
         }
@@ -78,16 +91,16 @@
         let (now, awake_since) = (self.ctx.now, self.ctx.resumed_at);
         self.ctx.relays.forget_late(now);
         self.ctx.redirects.forget_late(now);
-        let mut unheard = Unheard::default();
+        let mut unheard = UnreachableMachines::default();
         let active = self.shards.values_mut();
         for shard in active.filter(|s| s.phase == Phase::Active) {
-            shard.find_unheard(now, awake_since, &timing, &mut unheard);
+            shard.find_unreachable_machines(now, awake_since, &timing, &mut unheard);
         }
         self.send_probes(unheard.probed);
-        self.send_unheard(unheard.relayed);
+        self.send_relay_request(unheard.relayed);
     }
 
-    fn send_unheard(&mut self, unheard: Vec<MachineId>) {
+    fn send_relay_request(&mut self, unheard: Vec<MachineId>) {
         // An empty list takes back the one before it.
         if unheard.is_empty() && !std::mem::take(&mut self.has_relay_requests) {
             return;
@@ -96,7 +109,7 @@
         self.relay_request_count += 1;
         let list = self.relay_request_count;
         let config = self.ctx.config.clone();
-        for machines in in_messages(unheard, config.bounds.list_bytes) {
+        for machines in split_into_messages(unheard, config.bounds.list_bytes) {
             for node in config.other_nodes() {
                 let machines = machines.clone();
                 self.ctx
@@ -118,7 +131,7 @@
         let first = self.relay_request_count as usize % others.len().max(1);
         others.rotate_left(first);
         others.truncate(PROBERS);
-        for machines in in_messages(machines, config.bounds.list_bytes) {
+        for machines in split_into_messages(machines, config.bounds.list_bytes) {
             for node in &others {
                 let machines = machines.clone();
                 self.ctx
@@ -144,7 +157,7 @@
     }
 
     /// A worker that we called for its holder has answered, or has not.
-    pub(crate) fn on_probe_answered(&mut self, holder: &NodeName, status: u16, body: &[u8]) {
+    pub(crate) fn on_worker_probed(&mut self, holder: &NodeName, status: u16, body: &[u8]) {
         if status == 200 {
             let report = body.to_vec();
             self.ctx
@@ -153,7 +166,7 @@
     }
 
     /// What a worker of ours has answered to another controller.
-    pub(crate) fn on_probed(&mut self, report: &[u8]) {
+    pub(crate) fn on_probe_result(&mut self, report: &[u8]) {
         let report: Report = match serde_json::from_slice(report) {
             Ok(report) => report,
             Err(e) => return log::info!("a worker's status is not understood: {e}"),
@@ -161,12 +174,12 @@
         let Node { shards, ctx, .. } = self;
         let active = shards.values_mut().filter(|s| s.phase == Phase::Active);
         for shard in active {
-            shard.ingest(ctx, &report);
+            shard.on_worker_heartbeat(ctx, &report);
         }
     }
 
     /// Another controller does not hear these machines.
-    pub(crate) fn on_unheard(
+    pub(crate) fn on_relay_request(
         &mut self,
         from: &NodeName,
         incarnation: u64,
@@ -186,7 +199,7 @@
     /// The holder that a machine's report is passed on to, if it is. One that we can't
     /// reach either has no answer in time: what is to be done without it is done at once.
     pub(crate) fn relay_to(&self, machine: &MachineId) -> Option<NodeName> {
-        let holder = self.deaf_holder(machine);
+        let holder = self.holder_without_link(machine);
         holder.filter(|node| self.ctx.is_peer_answering(node))
     }
 
@@ -198,7 +211,7 @@
 
     /// The holder of a machine, if it has said that it does not hear it, or if the worker
     /// was sent there and came back.
-    pub(crate) fn deaf_holder(&self, machine: &MachineId) -> Option<NodeName> {
+    pub(crate) fn holder_without_link(&self, machine: &MachineId) -> Option<NodeName> {
         let shard = self.view.machines.get(machine)?.record.shard;
         let holder = &self.view.shards.get(&shard)?.record;
         let is_other = holder.holder != self.ctx.config.node;
@@ -229,7 +242,7 @@
 }
 
 /// Spreads names over messages, at least one.
-fn in_messages(machines: Vec<MachineId>, room: usize) -> Vec<Vec<String>> {
+fn split_into_messages(machines: Vec<MachineId>, room: usize) -> Vec<Vec<String>> {
     let mut messages = vec![Vec::new()];
     let mut used = 0;
     for name in machines.iter().map(ToString::to_string) {
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -1,7 +1,7 @@
 //! Rounds of a shard: places waiting tasks, and computes the unmet demand.
 
 use crate::context::Context;
-use crate::job::{Binding, Job, Sent};
+use crate::job::{Binding, Job, StartState};
 use crate::machine::Machine;
 use crate::pools::open_reservations;
 use crate::shard::Shard;
@@ -21,7 +21,7 @@
 pub(crate) const RECLAIM_ROUNDS: f64 = 2.0;
 /// Jobs that failed again and again go behind all others, for so long: it may
 /// be that they are well, and that nothing else ever leaves them room.
-const PROBE_BAND: i32 = -1;
+const SUSPECT_BAND: i32 = -1;
 const PROBE_BEHIND: Ms = 180_000;
 /// For so long such a job waits for room before a machine is rented for it.
 const PROBE_WAIT: Ms = 60_000;
@@ -29,12 +29,12 @@
 impl Shard {
     /// Runs a round if one is due.
     pub(crate) fn round(&mut self, ctx: &mut Context, view: &ClusterView) {
-        if ctx.now < self.next_round {
+        if ctx.now < self.next_round_at {
             return;
         }
         let _span = tracing::debug_span!("round").entered();
-        self.last_round = ctx.now;
-        self.next_round = ctx.now + crate::ms(ctx.config.ops.round_s);
+        self.last_round_at = ctx.now;
+        self.next_round_at = ctx.now + crate::ms(ctx.config.ops.round_s);
         let usable: Vec<MachineId> = self
             .machines
             .values()
@@ -55,7 +55,7 @@
         for p in &placed {
             let id = &ids[p.job];
             // One that may be faulty is tried with one task at a time.
-            if self.on_probation(&usable[p.host]) && !tried.insert(p.host) {
+            if self.quarantined_machines(&usable[p.host]) && !tried.insert(p.host) {
                 continue;
             }
             let Some(job) = self.jobs.get_mut(id) else {
@@ -69,21 +69,21 @@
                 job.next_attempt(p.task)
             };
             let block = job.block_of(p.task);
-            let version = job.touch(block);
+            let version = job.mark_block_changed(block);
             let binding = Binding {
                 machine: usable[p.host].clone(),
                 attempt,
                 version,
-                sent: Sent::No,
+                start: StartState::NotSent,
                 stage: None,
                 stop: None,
                 since: ctx.now,
                 running_since: None,
             };
             self.bind(id, p.task, binding);
-            self.dirty.touch(id);
+            self.unwritten_jobs.touch(id);
         }
-        self.spare_others(ctx, &ids, &mut wants);
+        self.protect_other_machines(ctx, &ids, &mut wants);
         self.preempt(ctx, &ids, &wants, &usable, &quotas);
         self.reclaim(ctx, &wants, &usable, &quotas);
         self.compute_unmet_demand(ctx, view, &usable, hosts, wants, quotas);
@@ -136,17 +136,17 @@
     }
 
     fn round_facts<'a>(&self, ctx: &Context, usable: &'a [MachineId]) -> RoundFacts<'a> {
-        let on_probation = |i: &usize| self.on_probation(&usable[*i]);
+        let on_probation = |i: &usize| self.quarantined_machines(&usable[*i]);
         let probation: Vec<usize> = (0..usable.len()).filter(on_probation).collect();
-        let is_new = |i: &&usize| self.newly_on_probation(ctx, &usable[**i]);
+        let is_new = |i: &&usize| self.newly_quarantined(ctx, &usable[**i]);
         let is_tried = |i: &&usize| self.is_tried(ctx, &usable[**i]);
         RoundFacts {
             usable,
             zones: self.zones(),
             boot_ms: self.boot_ms(),
             lasting: self.lasting(),
-            newly_on_probation: probation.iter().filter(is_new).copied().collect(),
-            not_tried: probation.iter().filter(|i| !is_tried(i)).copied().collect(),
+            newly_quarantined: probation.iter().filter(is_new).copied().collect(),
+            not_retried: probation.iter().filter(|i| !is_tried(i)).copied().collect(),
         }
     }
 
@@ -167,7 +167,7 @@
         let gang = job.is_gang();
         // One that failed again and again, with all of its tasks at once,
         // once took a fleet's room and its rentals.
-        let probed = job.failures.is_probed();
+        let probed = job.failures.is_limited_to_one_task();
         let most = ctx.config.bounds.tasks_a_round;
         let mut waiting = job.waiting(if gang { usize::MAX } else { most });
         if probed && !gang {
@@ -196,7 +196,7 @@
         };
         let guaranteed = self.quotas[team].guarantees(&job.task.times(waiting.len() as i64));
         pending.band = match behind {
-            true => PROBE_BAND,
+            true => SUSPECT_BAND,
             false => band(job, guaranteed, aged),
         };
         let is_late = job.age(ctx.now) > crate::ms(ctx.config.ops.round_s * RECLAIM_ROUNDS);
@@ -208,7 +208,7 @@
             true => Reclaim::Tasks,
             false => Reclaim::Nothing,
         };
-        pending.standing = self.standing(ctx, job, facts.boot_ms);
+        pending.standing = self.is_running_service(ctx, job, facts.boot_ms);
         if aged {
             pending.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
         }
@@ -218,17 +218,18 @@
     }
 
     /// Whether a machine may be faulty.
-    fn on_probation(&self, id: &MachineId) -> bool {
+    fn quarantined_machines(&self, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
-        machine.is_some_and(|m| m.failures.on_probation())
+        machine.is_some_and(|m| m.failures.is_quarantined())
     }
 
     /// Whether it is, since less than a boot ago. For no longer: it may be well,
     /// and another may never come.
-    pub(crate) fn newly_on_probation(&self, ctx: &Context, id: &MachineId) -> bool {
+    pub(crate) fn newly_quarantined(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
-        machine
-            .is_some_and(|m| m.failures.on_probation() && m.failures.is_recent(ctx.now, m.boot_ms))
+        machine.is_some_and(|m| {
+            m.failures.is_quarantined() && m.failures.is_recent(ctx.now, m.boot_ms)
+        })
     }
 
     /// Whether a machine on probation may be tried with one more task now.
@@ -249,14 +250,13 @@
     /// A job that failed again and again waits for room on machines that are
     /// there: nothing is stopped or rented for it, unless there is none for it,
     /// or it has waited for long.
-    fn spare_others(&self, ctx: &Context, ids: &[JobId], wants: &mut [PendingTasks]) {
+    fn protect_other_machines(&self, ctx: &Context, ids: &[JobId], wants: &mut [PendingTasks]) {
         for (id, want) in ids.iter().zip(wants) {
-            let probed = self
-                .jobs
-                .get(id)
-                .is_some_and(|j| j.failures.is_probed() && ctx.now < j.not_before + PROBE_WAIT);
+            let probed = self.jobs.get(id).is_some_and(|j| {
+                j.failures.is_limited_to_one_task() && ctx.now < j.not_before + PROBE_WAIT
+            });
             let fits = |m: &Machine| {
-                m.condemned.is_none()
+                m.decommission_reason.is_none()
                     && want.allowed(m.machine_type, m.zone, m.spot)
                     && want.task.fits(&m.total)
             };
@@ -278,19 +278,19 @@
     /// What services hold of each team's quota.
     lasting: Vec<Resources>,
     /// Hosts that have been on probation for less than a boot.
-    newly_on_probation: Vec<usize>,
+    newly_quarantined: Vec<usize>,
     /// Hosts on probation that are not to be tried now.
-    not_tried: Vec<usize>,
+    not_retried: Vec<usize>,
 }
 
 /// Hosts that a job is kept away from.
 fn hosts_to_avoid(ctx: &Context, job: &Job, facts: &RoundFacts) -> BTreeSet<usize> {
-    let avoided = job.failures.avoided(ctx.now, facts.boot_ms);
+    let avoided = job.failures.excluded_machines(ctx.now, facts.boot_ms);
     let place = |m: &MachineId| facts.usable.iter().position(|u| u == m);
     let mut hosts: BTreeSet<usize> = avoided.filter_map(place).collect();
-    hosts.extend(&facts.not_tried);
+    hosts.extend(&facts.not_retried);
     if job.is_gang() || job.failures.is_suspect() {
-        hosts.extend(&facts.newly_on_probation);
+        hosts.extend(&facts.newly_quarantined);
     }
     hosts
 }
@@ -360,16 +360,16 @@
 
 /// Whether tasks may be placed on a machine.
 pub(crate) fn is_usable(m: &Machine, ctx: &Context) -> bool {
-    m.is_heard(ctx)
-        && m.condemned.is_none()
-        && !m.draining
-        && m.leaving.is_none()
-        && !m.vacating
-        && m.taken_at.is_none()
+    m.has_recent_heartbeat(ctx)
+        && m.decommission_reason.is_none()
+        && !m.is_draining
+        && m.transfer_version.is_none()
+        && !m.is_vacating
+        && m.reclaimed_at.is_none()
         && m.is_confirmed()
-        && !m.unanswered
+        && !m.has_unanswered_call
         && m.link.takes_starts()
-        && !m.is_unheard(ctx)
+        && !m.has_missed_heartbeats(ctx)
         && ctx.now >= m.full_until
 }
 
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -11,7 +11,7 @@
 mod machines;
 mod money;
 
-pub(crate) use arrivals::ClassStats;
+pub(crate) use arrivals::ArrivalStats;
 pub(crate) use handover::hand_over;
 pub(crate) use jobs::new_layout;
 
@@ -70,64 +70,64 @@
     /// Guarantees, limits and use of its teams.
     pub(crate) quotas: Vec<Quota>,
     /// Machines to be looked at.
-    pub(crate) look: TimerQueue<MachineId>,
+    pub(crate) recheck: TimerQueue<MachineId>,
     /// Jobs that may have to be written.
-    pub(crate) dirty: TimerQueue<JobId>,
+    pub(crate) unwritten_jobs: TimerQueue<JobId>,
     /// Jobs of which mere progress is to be written, once a round.
-    pub(crate) progress: BTreeSet<JobId>,
+    pub(crate) jobs_with_progress: BTreeSet<JobId>,
     /// Gangs that may have lost a task.
-    pub(crate) broken: BTreeSet<JobId>,
+    pub(crate) incomplete_gangs: BTreeSet<JobId>,
     /// Cancelled jobs, for when their tasks must be gone.
-    pub(crate) cancels: TimerQueue<JobId>,
+    pub(crate) cancelled_jobs: TimerQueue<JobId>,
     /// Jobs that are over, with the revision that removed them: a watch may
     /// still show how they were created.
-    gone: HashMap<JobId, u64>,
+    removed_jobs: HashMap<JobId, u64>,
     /// Records that were read before the shard is active.
-    loaded: Vec<Item>,
+    loaded_items: Vec<Item>,
     /// When its jobs are to be read anew.
-    list_at: Option<Ms>,
+    relist_at: Option<Ms>,
     /// The revision up to which its jobs are known.
-    live_rev: u64,
+    jobs_revision: u64,
     /// Whether a watch on its jobs is open.
-    watching: bool,
+    is_watching: bool,
     /// Numbers those watches.
     watch_serial: u64,
     /// When the next watch may be opened.
-    watch_at: Ms,
+    next_watch_at: Ms,
     /// When the next round is due.
-    pub(crate) next_round: Ms,
+    pub(crate) next_round_at: Ms,
     /// When the last round was.
-    pub(crate) last_round: Ms,
+    pub(crate) last_round_at: Ms,
     /// When progress is written next.
-    pub(crate) next_progress: Ms,
+    pub(crate) next_progress_write_at: Ms,
     /// Arrivals of each class.
-    pub(crate) classes: BTreeMap<String, ClassStats>,
+    pub(crate) classes: BTreeMap<String, ArrivalStats>,
     /// Since when arrivals are counted: jobs that were taken over, or came
     /// before anything could run, are a backlog and tell of no rate.
-    pub(crate) counting_since: Option<Ms>,
+    pub(crate) arrivals_counted_since: Option<Ms>,
     /// When a machine was last chosen to be drained.
-    pub(crate) drained_at: Ms,
+    pub(crate) last_drain_at: Ms,
     /// When replicas were last moved.
-    pub(crate) moved_at: Ms,
+    pub(crate) last_replica_move_at: Ms,
     /// When work was last preempted.
-    pub(crate) preempted_at: Ms,
+    pub(crate) last_preemption_at: Ms,
     /// When the demand was last written to the state service.
-    pub(crate) demand_at: Ms,
+    pub(crate) last_demand_write_at: Ms,
     /// The demand that the leader was told last.
-    pub(crate) told: DemandRecord,
+    pub(crate) last_demand_sent: DemandRecord,
     /// When that was.
-    pub(crate) told_at: Ms,
+    pub(crate) last_demand_sent_at: Ms,
     /// Whether the record of the demand is being written.
-    pub(crate) demand_putting: bool,
+    pub(crate) is_writing_demand: bool,
     /// Shown again only in sight of this revision.
-    pub(crate) demand_from: u64,
+    pub(crate) demand_required_revision: u64,
     /// The watch was lost: the shard is to be loaded again.
-    pub(crate) reload: bool,
+    pub(crate) must_reload: bool,
     /// Somebody has seen a higher epoch of it, which our view has not: without
     /// a right of our own we answer for it no more.
-    pub(crate) superseded: bool,
+    pub(crate) is_superseded: bool,
     /// A job was added for which a cancellation may have been left.
-    pub(crate) look_for_aborts: bool,
+    pub(crate) must_check_cancellations: bool,
     /// Jobs that wait for others, and were just added.
     pub(crate) new_blocked_jobs: Vec<JobId>,
     /// Its teams' warm pools.
@@ -158,46 +158,46 @@
             machines: BTreeMap::new(),
             teams,
             quotas,
-            look: TimerQueue::default(),
-            dirty: TimerQueue::default(),
-            progress: BTreeSet::new(),
-            broken: BTreeSet::new(),
-            cancels: TimerQueue::default(),
-            gone: HashMap::new(),
-            loaded: Vec::new(),
-            list_at: None,
-            live_rev: 0,
-            watching: false,
+            recheck: TimerQueue::default(),
+            unwritten_jobs: TimerQueue::default(),
+            jobs_with_progress: BTreeSet::new(),
+            incomplete_gangs: BTreeSet::new(),
+            cancelled_jobs: TimerQueue::default(),
+            removed_jobs: HashMap::new(),
+            loaded_items: Vec::new(),
+            relist_at: None,
+            jobs_revision: 0,
+            is_watching: false,
             watch_serial: 0,
-            watch_at: 0,
-            next_round: ctx.now,
-            last_round: 0,
-            next_progress: 0,
+            next_watch_at: 0,
+            next_round_at: ctx.now,
+            last_round_at: 0,
+            next_progress_write_at: 0,
             classes: BTreeMap::new(),
-            counting_since: None,
-            drained_at: 0,
-            moved_at: 0,
-            preempted_at: 0,
-            demand_at: 0,
-            told: DemandRecord::default(),
-            told_at: 0,
-            demand_putting: false,
-            demand_from: 0,
-            reload: false,
-            superseded: false,
-            look_for_aborts: false,
+            arrivals_counted_since: None,
+            last_drain_at: 0,
+            last_replica_move_at: 0,
+            last_preemption_at: 0,
+            last_demand_write_at: 0,
+            last_demand_sent: DemandRecord::default(),
+            last_demand_sent_at: 0,
+            is_writing_demand: false,
+            demand_required_revision: 0,
+            must_reload: false,
+            is_superseded: false,
+            must_check_cancellations: false,
             new_blocked_jobs: Vec::new(),
             pools: ShardPools::default(),
         };
-        shard.list(ctx, "");
+        shard.list_jobs(ctx, "");
         shard
     }
 
     /// Somebody has seen a higher epoch of the shard.
-    pub(crate) fn supersede(&mut self, how: &str) {
-        if !self.superseded {
+    pub(crate) fn mark_superseded(&mut self, how: &str) {
+        if !self.is_superseded {
             log::info!("shard {}: not ours any more, {how}", self.id);
-            self.superseded = true;
+            self.is_superseded = true;
         }
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// The condition that the shard is still held under this epoch.
-    pub(crate) fn held(&self) -> Precondition {
+    pub(crate) fn held_precondition(&self) -> Precondition {
         Precondition {
             key: shard_key(self.id),
             version: self.version,
@@ -216,9 +216,11 @@
     }
 
     /// Asks for a round before its time.
-    pub(crate) fn hurry(&mut self, ctx: &Context) {
+    pub(crate) fn schedule_round_soon(&mut self, ctx: &Context) {
         let gap = crate::ms(ctx.config.ops.round_gap_s);
-        self.next_round = self.next_round.min(ctx.now.max(self.last_round + gap));
+        self.next_round_at = self
+            .next_round_at
+            .min(ctx.now.max(self.last_round_at + gap));
     }
 
     /// The shard is not ours any more: users who wait ask whoever has it.
--- a/crates/core/src/shard/arrivals.rs
+++ b/crates/core/src/shard/arrivals.rs
@@ -11,7 +11,7 @@
 
 /// What is known of the arrivals of a class.
 #[derive(Clone, Debug)]
-pub(crate) struct ClassStats {
+pub(crate) struct ArrivalStats {
     /// Tasks, fading out.
     weight: f64,
     at: Ms,
@@ -21,7 +21,7 @@
     pub(crate) last_image: String,
 }
 
-impl ClassStats {
+impl ArrivalStats {
     /// Lets the count fade until now.
     fn fade(&mut self, now: Ms) {
         let gone = now.saturating_sub(self.at) as f64;
@@ -57,7 +57,7 @@
         let stats = self
             .classes
             .entry(spec.class.clone())
-            .or_insert(ClassStats {
+            .or_insert(ArrivalStats {
                 weight: 0.0,
                 at: now,
                 last: last.clone(),
--- a/crates/core/src/shard/explain.rs
+++ b/crates/core/src/shard/explain.rs
@@ -4,7 +4,7 @@
 
 impl Shard {
     /// Says at debug level what every task that is not running waits for.
-    pub(crate) fn explain(&self) {
+    pub(crate) fn log_details(&self) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
         }
@@ -18,7 +18,7 @@
                     job.spec.team,
                     job.unresolved.len(),
                     job.done.len(),
-                    job.cancelled,
+                    job.is_cancelled,
                     job.is_over(),
                     job.not_before,
                     quota
@@ -32,7 +32,7 @@
                         job.spec.id,
                         b.stage,
                         b.machine,
-                        b.sent,
+                        b.start,
                         b.stop
                     );
                 }
@@ -44,15 +44,15 @@
                 m.id,
                 m.tasks.len(),
                 m.used,
-                m.draining,
+                m.is_draining,
                 m.idle_since,
-                m.session,
-                m.echo,
+                m.incarnation,
+                m.acknowledged_token,
                 m.token,
-                m.calling,
-                m.unanswered,
+                m.has_call_in_flight,
+                m.has_unanswered_call,
                 m.exited.len(),
-                m.condemned.is_some()
+                m.decommission_reason.is_some()
             );
         }
     }
--- a/crates/core/src/shard/jobs.rs
+++ b/crates/core/src/shard/jobs.rs
@@ -5,7 +5,7 @@
 
 use super::{Phase, Shard};
 use crate::context::Context;
-use crate::job::{Binding, Job, Sent, Stop};
+use crate::job::{Binding, Job, StartState, Stop};
 use crate::layout::Layout;
 use crate::Ms;
 use forkshift_wire::users::JobSpec;
@@ -23,28 +23,28 @@
         stamp: u64,
     ) {
         let over = self
-            .gone
+            .removed_jobs
             .get(&spec.id)
             .is_some_and(|revision| stamp <= *revision);
         if over || self.jobs.contains_key(&spec.id) || !self.teams.contains_key(&spec.team) {
             return;
         }
         let image = ctx.images.number(&spec.image);
-        if self.counting_since.is_some() {
+        if self.arrivals_counted_since.is_some() {
             self.count_arrival(&spec, ctx.now);
         }
         let layout = layout.unwrap_or_else(|| new_layout(ctx, &spec));
         let mut job = Job::new(spec, image, stamp, layout, ctx.now);
-        job.at = at;
-        job.waited = ctx.wall_clock_ms.saturating_sub(at);
+        job.submitted_at_wall_ms = at;
+        job.age_when_learnt = ctx.wall_clock_ms.saturating_sub(at);
         if ctx.config.waits.contains_key(&job.spec.class) {
-            self.hurry(ctx);
+            self.schedule_round_soon(ctx);
         }
         if job.is_blocked() {
             self.new_blocked_jobs.push(job.spec.id.clone());
         }
         self.jobs.insert(job.spec.id.clone(), job);
-        self.look_for_aborts = true;
+        self.must_check_cancellations = true;
     }
 
     /// Takes a job on that another controller tells of, if the watch has not
@@ -57,7 +57,7 @@
         at: Ms,
         revision: u64,
     ) {
-        if self.phase == Phase::Active && revision > self.live_rev {
+        if self.phase == Phase::Active && revision > self.jobs_revision {
             self.add_job(ctx, spec, None, at, revision);
         }
     }
@@ -65,11 +65,11 @@
     /// Drops a job that is over, removed at a revision.
     pub(crate) fn forget_job(&mut self, id: &JobId, revision: u64) {
         self.jobs.remove(id);
-        self.dirty.forget(id);
-        self.cancels.forget(id);
-        self.progress.remove(id);
-        self.broken.remove(id);
-        self.gone.insert(id.clone(), revision);
+        self.unwritten_jobs.forget(id);
+        self.cancelled_jobs.forget(id);
+        self.jobs_with_progress.remove(id);
+        self.incomplete_gangs.remove(id);
+        self.removed_jobs.insert(id.clone(), revision);
     }
 
     /// Books a task on a machine.
@@ -96,7 +96,7 @@
         let job = self.jobs.get_mut(id)?;
         let binding = job.bound.remove(&index)?;
         let block = job.block_of(index);
-        job.touch(block);
+        job.mark_block_changed(block);
         if let Some(machine) = self.machines.get_mut(&binding.machine) {
             machine.used -= job.task;
             machine.tasks.remove(&TaskRef {
@@ -108,20 +108,20 @@
             self.quotas[*team].used -= job.task;
         }
         if job.is_gang() {
-            self.broken.insert(id.clone());
+            self.incomplete_gangs.insert(id.clone());
         }
-        self.dirty.touch(id);
+        self.unwritten_jobs.touch(id);
         Some(binding)
     }
 
     /// Takes tasks that were never sent off their machine.
-    pub(crate) fn drop_unsent_of(&mut self, tasks: Vec<TaskRef>) {
+    pub(crate) fn unbind_unsent_tasks(&mut self, tasks: Vec<TaskRef>) {
         for task in tasks {
             let job = self.jobs.get_mut(&task.job);
             let binding = job.and_then(|j| j.bound.get_mut(&task.index));
-            if let Some(binding) = binding.filter(|b| b.sent == Sent::No) {
+            if let Some(binding) = binding.filter(|b| b.start == StartState::NotSent) {
                 binding.stop = Some(Stop::after(0.0));
-                self.drop_unsent(&task.job);
+                self.unbind_unsent(&task.job);
             }
         }
     }
@@ -134,7 +134,7 @@
         let stop = Stop::after(job.spec.save_s);
         if let Some(binding) = job.bound.get_mut(&task.index) {
             binding.stop = Some(stop);
-            self.look.touch(&binding.machine);
+            self.recheck.touch(&binding.machine);
         }
     }
 }
--- a/crates/core/src/shard/loading.rs
+++ b/crates/core/src/shard/loading.rs
@@ -27,7 +27,7 @@
 
 impl Shard {
     /// Reads a page of the jobs' records from behind a key.
-    pub(super) fn list(&self, ctx: &mut Context, from: &str) {
+    pub(super) fn list_jobs(&self, ctx: &mut Context, from: &str) {
         let prefix = unfinished_prefix(self.id);
         let mut path = format!("/kv?starts={prefix}&most=400");
         if !from.is_empty() {
@@ -42,30 +42,30 @@
     }
 
     /// Reads the jobs anew, when that is due.
-    pub(crate) fn list_again(&mut self, ctx: &mut Context) {
-        if self.list_at.take_if(|t| ctx.now >= *t).is_some() {
-            self.list(ctx, "");
+    pub(crate) fn relist_jobs(&mut self, ctx: &mut Context) {
+        if self.relist_at.take_if(|t| ctx.now >= *t).is_some() {
+            self.list_jobs(ctx, "");
         }
     }
 
     /// A page of the jobs' records has come, or could not be had.
-    pub(crate) fn on_list(&mut self, ctx: &mut Context, status: u16, body: &[u8]) {
+    pub(crate) fn on_job_list(&mut self, ctx: &mut Context, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(mut page) = page else {
             // Start over, after a pause; what was read may be old by now.
-            self.loaded.clear();
-            self.list_at = Some(ctx.now + LIST_PAUSE);
+            self.loaded_items.clear();
+            self.relist_at = Some(ctx.now + LIST_PAUSE);
             return;
         };
-        if self.live_rev == 0 || self.loaded.is_empty() {
+        if self.jobs_revision == 0 || self.loaded_items.is_empty() {
             // Changes after the first page are shown by the watch.
-            self.live_rev = page.revision;
+            self.jobs_revision = page.revision;
         }
-        self.loaded.append(&mut page.items);
-        match self.loaded.last() {
+        self.loaded_items.append(&mut page.items);
+        match self.loaded_items.last() {
             Some(last) if page.has_next => {
                 let from = last.key.clone();
-                self.list(ctx, &from);
+                self.list_jobs(ctx, &from);
             }
             _ => self.phase = Phase::Waiting(page.revision),
         }
@@ -82,9 +82,9 @@
         }
         self.phase = Phase::Active;
         self.active_since = ctx.now;
-        self.sync_machines(ctx, view, &ChangedMachines::everything());
+        self.apply_machine_records(ctx, view, &ChangedMachines::everything());
         let prefix = unfinished_prefix(self.id);
-        let items = std::mem::take(&mut self.loaded);
+        let items = std::mem::take(&mut self.loaded_items);
         let mut blocks = Vec::new();
         for item in items {
             let name = item.key.strip_prefix(&prefix).unwrap_or_default();
@@ -102,9 +102,9 @@
             }
         }
         for (id, job) in &self.jobs {
-            self.dirty.touch(id);
+            self.unwritten_jobs.touch(id);
             if job.is_gang() {
-                self.broken.insert(id.clone());
+                self.incomplete_gangs.insert(id.clone());
             }
         }
         log::info!(
@@ -130,12 +130,12 @@
         self.restore(ctx, &id, 0, head.block, stamp);
         if head.cancelled {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.cancelled = true;
-                job.cancel_durable = true;
-                job.cancelled_wall = head.cancelled_at_ms;
-                job.cancelled_for = ctx.longest_age_of(head.cancelled_at_ms);
-                job.cancelled_since = ctx.now;
-                self.cancels.touch(&id);
+                job.is_cancelled = true;
+                job.is_cancellation_durable = true;
+                job.cancelled_at_wall_ms = head.cancelled_at_ms;
+                job.cancellation_age_when_learnt = ctx.longest_age_of(head.cancelled_at_ms);
+                job.cancellation_learnt_at = ctx.now;
+                self.cancelled_jobs.touch(&id);
             }
         }
     }
@@ -158,40 +158,51 @@
             } else if let Some(job) = self.jobs.get_mut(id) {
                 // Its machine's record is gone, so the machine is.
                 let block = job.block_of(index);
-                job.touch(block);
+                job.mark_block_changed(block);
             }
         }
     }
 
     /// Keeps a watch on the shard's jobs, for those that other controllers accept.
-    pub(crate) fn watch(&mut self, ctx: &mut Context) {
-        if self.watching || self.live_rev == 0 || ctx.now < self.watch_at {
+    pub(crate) fn watch_jobs(&mut self, ctx: &mut Context) {
+        if self.is_watching || self.jobs_revision == 0 || ctx.now < self.next_watch_at {
             return;
         }
-        self.watching = true;
+        self.is_watching = true;
         self.watch_serial += 1;
-        self.watch_at = ctx.now + ctx.watch_pause(WATCH_PART);
+        self.next_watch_at = ctx.now + ctx.watch_pause(WATCH_PART);
         let pending = PendingCall::ShardWatch {
             shard: self.id,
             epoch: self.epoch,
             serial: self.watch_serial,
         };
-        ctx.watch_store(&unfinished_prefix(self.id), self.live_rev, 10_000, pending);
+        ctx.watch_store(
+            &unfinished_prefix(self.id),
+            self.jobs_revision,
+            10_000,
+            pending,
+        );
     }
 
     /// Gives up the watch that is open, so that another is opened.
     pub(crate) fn reopen_watch(&mut self) {
-        self.watching = false;
+        self.is_watching = false;
     }
 
     /// The watch has shown changes, or has ended.
-    pub(crate) fn on_watch(&mut self, ctx: &mut Context, serial: u64, status: u16, body: &[u8]) {
-        self.watching &= serial != self.watch_serial;
+    pub(crate) fn on_jobs_watch(
+        &mut self,
+        ctx: &mut Context,
+        serial: u64,
+        status: u16,
+        body: &[u8],
+    ) {
+        self.is_watching &= serial != self.watch_serial;
         // Our own writes come back here; a pause lets them come together. Of
         // new jobs we are told by whoever accepted them.
-        self.watch_at = self.watch_at.max(ctx.now + WATCH_GAP);
+        self.next_watch_at = self.next_watch_at.max(ctx.now + WATCH_GAP);
         if is_watch_lost(status) {
-            self.reload = true;
+            self.must_reload = true;
         }
         let changes: Option<Changes> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(changes) = changes else { return };
@@ -209,7 +220,7 @@
                 continue;
             };
             let id = JobId::new(name);
-            if name.contains('/') || version <= self.live_rev || self.jobs.contains_key(&id) {
+            if name.contains('/') || version <= self.jobs_revision || self.jobs.contains_key(&id) {
                 continue;
             }
             // Others write heads of new jobs only: all else is an old write of
@@ -220,8 +231,8 @@
                 self.add_job(ctx, head.spec, None, head.submitted_at_ms, version);
             }
         }
-        self.live_rev = self.live_rev.max(changes.revision);
-        let seen = self.live_rev;
-        self.gone.retain(|_, revision| *revision >= seen);
+        self.jobs_revision = self.jobs_revision.max(changes.revision);
+        let seen = self.jobs_revision;
+        self.removed_jobs.retain(|_, revision| *revision >= seen);
     }
 }
