--- a/crates/core/src/shard/machines.rs
+++ b/crates/core/src/shard/machines.rs
@@ -20,7 +20,7 @@
 
 impl Shard {
     /// Follows the view: new machines, changed records, machines that are gone.
-    pub(crate) fn sync_machines(
+    pub(crate) fn apply_machine_records(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -30,30 +30,30 @@
             let known = self.machines.keys().chain(view.machines.keys());
             let all: BTreeSet<MachineId> = known.cloned().collect();
             for id in &all {
-                self.sync_machine(ctx, view, id);
+                self.apply_machine_record(ctx, view, id);
             }
         } else {
             for id in &changed.machines {
-                self.sync_machine(ctx, view, id);
+                self.apply_machine_record(ctx, view, id);
             }
         }
     }
 
     /// Follows one machine's record.
-    fn sync_machine(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
+    fn apply_machine_record(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         ctx.work_units += 1;
         let ours = view.machines.get(id).filter(|m| m.record.shard == self.id);
         let Some(versioned) = ours else {
-            self.drop_machine(ctx, id);
+            self.remove_machine(ctx, id);
             return;
         };
-        self.look.touch(id);
+        self.recheck.touch(id);
         if let Some(machine) = self.machines.get_mut(id) {
             if machine.version != versioned.version {
                 machine.version = versioned.version;
-                machine.leaving = None;
+                machine.transfer_version = None;
                 if versioned.record.decommission_reason.is_some() {
-                    machine.condemned = versioned.record.decommission_reason.clone();
+                    machine.decommission_reason = versioned.record.decommission_reason.clone();
                 }
                 machine.addr = versioned.record.addr.clone().or(machine.addr.take());
                 machine.pool.follow(&versioned.record);
@@ -91,28 +91,28 @@
             cache_gb: of_type.cache_gb,
             boot_ms: crate::ms(of_type.boot_s),
             addr: record.addr.clone(),
-            condemned: record.decommission_reason.clone(),
+            decommission_reason: record.decommission_reason.clone(),
             version,
-            putting: false,
-            put_from: 0,
-            session: 0,
-            seq: 0,
-            echo: 0,
+            is_writing_record: false,
+            record_required_revision: 0,
+            incarnation: 0,
+            heartbeat_sequence: 0,
+            acknowledged_token: 0,
             token: self.first_token(record),
-            unechoed_since: None,
-            heard: None,
+            unacknowledged_since: None,
+            last_heartbeat_at: None,
             link: MachineLink::default(),
-            since: ctx.now,
-            taken_at: None,
-            calling: false,
+            known_since: ctx.now,
+            reclaimed_at: None,
+            has_call_in_flight: false,
             retry_at: 0,
-            unanswered: false,
-            push: record.addr.is_some(),
+            has_unanswered_call: false,
+            must_send_token: record.addr.is_some(),
             tasks: BTreeSet::new(),
             used: Resources::default(),
             orphans: Vec::new(),
             exited: Vec::new(),
-            fates: BTreeMap::new(),
+            exit_versions: BTreeMap::new(),
             images: record
                 .images
                 .iter()
@@ -120,12 +120,12 @@
                 .collect(),
             failures: MachineFailures::default(),
             full_until: 0,
-            leaving: None,
-            vacating: false,
-            deleted: false,
-            delete_at: 0,
-            full_house_until: 0,
-            draining: false,
+            transfer_version: None,
+            is_vacating: false,
+            is_deleted: false,
+            next_delete_at: 0,
+            drain_retry_at: 0,
+            is_draining: false,
             idle_since: None,
             pool: MachinePool::new(record),
         })
@@ -133,13 +133,13 @@
 
     /// The machine's record is gone: the cloud has answered that it was
     /// deleted, so nothing that was on it is left.
-    fn drop_machine(&mut self, ctx: &Context, id: &MachineId) {
+    fn remove_machine(&mut self, ctx: &Context, id: &MachineId) {
         if !self.machines.contains_key(id) {
             return;
         }
         self.unbind_all(ctx, id);
         self.machines.remove(id);
-        self.look.forget(id);
+        self.recheck.forget(id);
     }
 
     /// Notes by which way a machine's report has come.
@@ -155,7 +155,7 @@
         }
         if machine.link.is_probe_due(ctx.now) {
             // Any answered call will do.
-            machine.push = true;
+            machine.must_send_token = true;
         }
     }
 
@@ -165,42 +165,50 @@
         for task in tasks.into_iter().flatten() {
             self.unbind(&task.job, task.index);
         }
-        self.hurry(ctx);
+        self.schedule_round_soon(ctx);
     }
 
     /// Gives a machine that the leader asks for to another shard, if it is
     /// free. From the moment the write is sent nothing is placed there until
     /// the record has changed: a write without an answer may land late, and
     /// the other shard then owns whatever is on the machine.
-    pub(crate) fn give_away(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
+    pub(crate) fn transfer_machine(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        id: &MachineId,
+    ) {
         let Some(to) = view.machines.get(id).and_then(|m| m.record.reassign_to) else {
             if let Some(machine) = self.machines.get_mut(id) {
-                machine.vacating = false;
+                machine.is_vacating = false;
             }
             return;
         };
         let names = self.image_names(ctx, id);
-        let is_offered =
-            self.told.reclaimable_machines.contains(id) || self.told.pool_machines.contains(id);
+        let is_offered = self.last_demand_sent.reclaimable_machines.contains(id)
+            || self.last_demand_sent.pool_machines.contains(id);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.putting || view.revision < machine.put_from || to == self.id {
+        if machine.is_writing_record
+            || view.revision < machine.record_required_revision
+            || to == self.id
+        {
             return;
         }
         let free = machine.tasks.is_empty()
             && machine.exited.is_empty()
             && machine.orphans.is_empty()
-            && !machine.calling
-            && !machine.unanswered
-            && machine.condemned.is_none()
+            && !machine.has_call_in_flight
+            && !machine.has_unanswered_call
+            && machine.decommission_reason.is_none()
             && (machine.pool.membership.is_none() || is_offered)
             && machine.is_confirmed();
         let floor = machine.token;
-        if free || machine.leaving.is_some() {
-            machine.leaving = Some(machine.version);
+        if free || machine.transfer_version.is_some() {
+            machine.transfer_version = Some(machine.version);
             let at_ms = ctx.wall_clock_ms;
-            self.put_machine_with(ctx, view, id, |record| {
+            self.update_machine_record_with(ctx, view, id, |record| {
                 record.shard = to;
                 record.reassign_to = None;
                 record.token_floor = floor;
@@ -208,7 +216,7 @@
                 record.close_membership(id, at_ms, Err(Ended::Reclaimed))
             });
         } else if !self.vacate(ctx, id) {
-            self.put_machine(ctx, view, id, |record| record.reassign_to = None);
+            self.update_machine_record(ctx, view, id, |record| record.reassign_to = None);
         }
     }
 
@@ -229,21 +237,21 @@
     }
 
     /// Writes a machine's record, on condition that it and the shard are as we know them.
-    pub(crate) fn put_machine(
+    pub(crate) fn update_machine_record(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         id: &MachineId,
         change: impl FnOnce(&mut MachineRecord),
     ) {
-        self.put_machine_with(ctx, view, id, |record| {
+        self.update_machine_record_with(ctx, view, id, |record| {
             change(record);
             None
         });
     }
 
     /// The same, with a row of a pool's account that the change ends.
-    pub(crate) fn put_machine_with(
+    pub(crate) fn update_machine_record_with(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -254,10 +262,10 @@
         else {
             return;
         };
-        if machine.putting || view.revision < machine.put_from {
+        if machine.is_writing_record || view.revision < machine.record_required_revision {
             return;
         }
-        machine.putting = true;
+        machine.is_writing_record = true;
         let mut record = versioned.record.clone();
         let row = change(&mut record);
         // Only a takeover needs an address; all else frees a machine.
@@ -271,7 +279,7 @@
         let key = machine_key(id);
         let mut transaction = Transaction {
             preconditions: vec![
-                self.held(),
+                self.held_precondition(),
                 Precondition {
                     key: key.clone(),
                     version: versioned.version,
@@ -291,23 +299,23 @@
 
     /// Gives a machine up: nothing more is placed there, and the leader
     /// deletes it once the record says so.
-    pub(crate) fn condemn(&mut self, id: &MachineId, why: &str) {
+    pub(crate) fn decommission(&mut self, id: &MachineId, why: &str) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.condemned.is_none() {
+        if machine.decommission_reason.is_none() {
             log::info!(
                 "machine {id}: condemned, {why}, {} tasks",
                 machine.tasks.len()
             );
-            machine.condemned = Some(why.to_owned());
-            self.look.touch(id);
+            machine.decommission_reason = Some(why.to_owned());
+            self.recheck.touch(id);
         }
     }
 
     /// Writes that a machine is given up, until the record says so, and takes
     /// away from it what was never sent there.
-    pub(crate) fn record_condemned(
+    pub(crate) fn record_decommission(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -316,16 +324,16 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let Some(why) = machine.condemned.clone() else {
+        let Some(why) = machine.decommission_reason.clone() else {
             return;
         };
         let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
-        self.drop_unsent_of(tasks);
+        self.unbind_unsent_tasks(tasks);
         let recorded = view.machines.get(id);
         if recorded.is_some_and(|m| m.record.decommission_reason.is_none()) {
             // The leader may remove the record at once, and knows less of when it ended.
             let (at_ms, ended) = self.end_of_membership(ctx, id);
-            self.put_machine_with(ctx, view, id, |record| {
+            self.update_machine_record_with(ctx, view, id, |record| {
                 record.decommission_reason = Some(why);
                 record.close_membership(id, at_ms, Err(ended))
             });
--- a/crates/core/src/shard/money.rs
+++ b/crates/core/src/shard/money.rs
@@ -6,7 +6,7 @@
 
 /// Where the price of a shard's machines goes, an hour.
 #[derive(Default)]
-pub(crate) struct Money {
+pub(crate) struct MachineCosts {
     total: f64,
     booting: f64,
     empty: f64,
@@ -15,7 +15,7 @@
     spot: f64,
 }
 
-impl fmt::Display for Money {
+impl fmt::Display for MachineCosts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let part = |x: f64| 100.0 * x / self.total.max(1e-9);
         let room = self.total - self.booting - self.empty - self.starting - self.used;
@@ -35,15 +35,15 @@
 
 impl Shard {
     /// Where the money goes at this moment.
-    pub(crate) fn money(&self) -> Money {
-        let mut money = Money::default();
+    pub(crate) fn machine_costs(&self) -> MachineCosts {
+        let mut money = MachineCosts::default();
         for m in self.machines.values() {
             let price = m.price * 3600.0;
             money.total += price;
             if m.spot {
                 money.spot += price;
             }
-            if m.heard.is_none() {
+            if m.last_heartbeat_at.is_none() {
                 money.booting += price;
             } else if m.tasks.is_empty() {
                 money.empty += price;
