--- a/crates/core/src/api/reports.rs
+++ b/crates/core/src/api/reports.rs
@@ -7,7 +7,7 @@
 use crate::relay::Relaying;
 use crate::shard::{epoch_of_token, Phase};
 use forkshift_links::Route;
-use forkshift_wire::workers::{Redirect, Report, ReportReply};
+use forkshift_wire::workers::{HeartbeatReply, Redirect, WorkerHeartbeat};
 use forkshift_wire::MachineId;
 
 impl Node {
@@ -22,44 +22,44 @@
         let Some(body) = body else {
             return Some(Reply::error(413, "too large"));
         };
-        let report: Report = match serde_json::from_slice(&body) {
-            Ok(report) => report,
+        let heartbeat: WorkerHeartbeat = match serde_json::from_slice(&body) {
+            Ok(heartbeat) => heartbeat,
             Err(e) => {
                 log::info!("a report is not understood: {e}");
                 return Some(Reply::error(400, "not a report"));
             }
         };
         if request.is_from_peer() {
-            return Some(self.answer_heartbeat(&report, Route::Relayed));
+            return Some(self.answer_heartbeat(&heartbeat, Route::Relayed));
         }
         let holder = match relaying {
-            Relaying::Allowed => self.relay_to(&report.machine),
+            Relaying::Allowed => self.relay_to(&heartbeat.machine),
             Relaying::Tried => None,
         };
         if let Some(holder) = holder {
             self.relay_report(request, &holder, body);
             return None;
         }
-        Some(self.answer_heartbeat(&report, Route::Direct))
+        Some(self.answer_heartbeat(&heartbeat, Route::Direct))
     }
 
-    fn answer_heartbeat(&mut self, report: &Report, route: Route) -> Reply {
-        let Some(record) = self.view.machines.get(&report.machine) else {
+    fn answer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, route: Route) -> Reply {
+        let Some(record) = self.view.machines.get(&heartbeat.machine) else {
             return Reply::json(421, &Redirect::default());
         };
         let k = record.record.shard;
         if !self.shards.contains_key(&k) {
-            if self.may_keep_worker_alive(k, &report.machine) {
-                let (token, commands) = (report.token, Vec::new());
-                return Reply::json(200, &ReportReply { token, commands });
+            if self.may_keep_worker_alive(k, &heartbeat.machine) {
+                let (token, commands) = (heartbeat.token, Vec::new());
+                return Reply::json(200, &HeartbeatReply { token, commands });
             }
-            let report_to = self.redirect_to(k, &report.machine);
+            let report_to = self.redirect_to(k, &heartbeat.machine);
             return Reply::json(421, &Redirect { report_to });
         }
         let shard = self.shards.get(&k);
         let has_valid_lease =
             shard.is_some_and(|s| self.ctx.has_valid_lease || self.may_answer_without_lease(s));
-        let bridges = shard.is_some_and(|s| self.may_answer_while_loading(s, &report.machine));
+        let bridges = shard.is_some_and(|s| self.may_answer_while_loading(s, &heartbeat.machine));
         let newest = self.view.epoch().1;
         let first = shard.map(|s| s.first_token(&record.record));
         let Node { shards, ctx, .. } = self;
@@ -67,34 +67,37 @@
             return Reply::json(421, &Redirect::default());
         };
         if shard.phase != Phase::Active {
-            let token = first.filter(|t| report.token <= *t && bridges);
+            let token = first.filter(|t| heartbeat.token <= *t && bridges);
             return match token {
                 Some(token) => {
                     let commands = Vec::new();
-                    Reply::json(200, &ReportReply { token, commands })
+                    Reply::json(200, &HeartbeatReply { token, commands })
                 }
                 None => Reply::json(421, &Redirect::default()),
             };
         }
         if shard
             .machines
-            .get(&report.machine)
-            .is_none_or(|m| report.token > m.token)
+            .get(&heartbeat.machine)
+            .is_none_or(|m| heartbeat.token > m.token)
         {
             // Somebody newer holds the machine. A 200 would be dropped, and
             // the worker would stay here while its lease runs out.
-            let epoch = epoch_of_token(report.token);
+            let epoch = epoch_of_token(heartbeat.token);
             if epoch > newest {
-                shard.mark_superseded(&format!("{} has a token of epoch {epoch}", report.machine));
+                shard.mark_superseded(&format!(
+                    "{} has a token of epoch {epoch}",
+                    heartbeat.machine
+                ));
             }
             return Reply::json(421, &Redirect::default());
         }
         // A late copy tells nothing of the way by which reports come now.
-        if shard.on_worker_heartbeat(ctx, report) {
-            shard.note_route(ctx, &report.machine, route);
+        if shard.on_worker_heartbeat(ctx, heartbeat) {
+            shard.note_route(ctx, &heartbeat.machine, route);
         }
-        match shard.report_reply(ctx, &report.machine) {
-            Some((token, commands)) => Reply::json(200, &ReportReply { token, commands }),
+        match shard.report_reply(ctx, &heartbeat.machine) {
+            Some((token, commands)) => Reply::json(200, &HeartbeatReply { token, commands }),
             None => Reply::json(421, &Redirect::default()),
         }
     }
@@ -113,10 +116,10 @@
             return None;
         }
         let Context { redirects, now, .. } = &mut self.ctx;
-        if redirects.came_back(machine, &to, incarnation, *now) {
+        if redirects.has_returned(machine, &to, incarnation, *now) {
             return None;
         }
-        redirects.on_sent(machine.clone(), to.clone(), incarnation, *now);
+        redirects.on_redirected(machine.clone(), to.clone(), incarnation, *now);
         Some(to.to_string())
     }
 }
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -148,12 +148,12 @@
         let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("nobody else has it");
         config.nodes.push(NodeName::new("another"));
         let token = f.token();
-        let report = f.message(1, token, &[]);
+        let heartbeat = f.message(1, token, &[]);
         let request = crate::io::Input::Request {
             request: RequestId(1),
             method: "POST".to_owned(),
             path: "/v1/report".to_owned(),
-            body: Some(serde_json::to_vec(&report).expect("a report")),
+            body: Some(serde_json::to_vec(&heartbeat).expect("a report")),
         };
         let now = f.node.ctx.now + stop;
         let effects = f.node.step(now, 0, vec![request]);
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/attestation.rs
@@ -342,7 +342,7 @@
     /// an earlier holder confirmed and could not carry out is not known yet.
     /// The worker's last answer from that holder came before the
     /// confirmation, else it would have carried the command to stop; it is less
-    /// than a lease old, or the worker's session would be over.
+    /// than a lease old, or the worker's incarnation would be over.
     pub(crate) fn may_answer_while_loading(&self, shard: &Shard, machine: &MachineId) -> bool {
         self.ctx.now < shard.active_since + self.ctx.config.loading_grace_ms()
             || self.is_settled(shard.id, machine)
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/commands.rs
@@ -10,7 +10,7 @@
 use crate::records::ShardId;
 use crate::shard::Shard;
 use forkshift_links::Decision;
-use forkshift_wire::workers::{Command, CommandRequest, Report, Verb};
+use forkshift_wire::workers::{Command, CommandRequest, Verb, WorkerHeartbeat};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
 /// Most commands in one call, so that no line gets near 64 KiB.
@@ -49,12 +49,12 @@
         let Some(addr) = machine.addr.clone() else {
             return;
         };
-        // A fresh holder does not know the session yet. Most workers are in
+        // A fresh holder does not know the incarnation yet. Most workers are in
         // their first; the others answer 409 with a report that tells.
-        let session = machine.incarnation.max(1);
+        let incarnation = machine.incarnation.max(1);
         let request = CommandRequest {
             token: machine.token,
-            session,
+            incarnation,
             commands,
             prefetch,
         };
@@ -126,11 +126,11 @@
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
-        let takes_starts = machine.link.takes_starts() && machine.is_confirmed();
+        let takes_starts = machine.link.accepts_starts() && machine.is_confirmed();
         if machine.decommission_reason.is_some() || !takes_starts {
             return Vec::new();
         }
-        let (token, session) = (machine.token, machine.incarnation);
+        let (token, incarnation) = (machine.token, machine.incarnation);
         let mut commands = Vec::new();
         for task in &machine.tasks {
             let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -144,7 +144,7 @@
             if due && job.is_durable(task.index, binding.version) && commands.len() < MAX_COMMANDS {
                 commands.push(command(Verb::Start, task, binding.attempt, None));
                 if let Some(binding) = job.bound.get_mut(&task.index) {
-                    binding.start = StartState::SentByUs { token, session };
+                    binding.start = StartState::SentByUs { token, incarnation };
                 }
             }
         }
@@ -169,20 +169,20 @@
         let timing = ctx.config.link_timing();
         machine.link.on_call(ctx.now, is_answered, &timing);
         self.recheck.touch(id);
-        let report: Option<Report> = serde_json::from_slice(body).ok();
-        match (status, report) {
-            (200 | 409, Some(report)) => {
+        let heartbeat: Option<WorkerHeartbeat> = serde_json::from_slice(body).ok();
+        match (status, heartbeat) {
+            (200 | 409, Some(heartbeat)) => {
                 if status == 409 {
                     // Nothing was carried out, and this was the only copy.
-                    machine.must_send_token = report.token < machine.token;
-                    if report.token > machine.token {
+                    machine.must_send_token = heartbeat.token < machine.token;
+                    if heartbeat.token > machine.token {
                         // Somebody newer has the machine. The view will tell;
                         // calls without a pause would only load both ends.
                         machine.retry_at = ctx.now + ctx.config.report_ms;
                     }
                     self.mark_start_unsent(id, token, commands);
                 }
-                self.on_worker_heartbeat(ctx, &report);
+                self.on_worker_heartbeat(ctx, &heartbeat);
             }
             _ => {
                 log::debug!("machine {id}: commands had no answer ({status})");
--- a/crates/core/src/commands/tests.rs
+++ b/crates/core/src/commands/tests.rs
@@ -44,8 +44,8 @@
     for entitled in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        let (token, session) = (f.token(), 1);
-        f.bind(&id, 0, StartState::SentByUs { token, session });
+        let (token, incarnation) = (f.token(), 1);
+        f.bind(&id, 0, StartState::SentByUs { token, incarnation });
         if !entitled {
             f.lose_right();
         }
@@ -69,8 +69,8 @@
             f.shard().stop_remaining_tasks(&id);
         }
         let token = f.token();
-        let report = f.message(2, token, &[]);
-        f.answer(is_call, 409, &to_value(report).expect("a report"));
+        let heartbeat = f.message(2, token, &[]);
+        f.answer(is_call, 409, &to_value(heartbeat).expect("a report"));
         let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, if stopped { 0 } else { 2 }, "stopped: {stopped}");
     }
@@ -86,8 +86,8 @@
         f.bind(&id, 0, StartState::NotSent);
         f.step(1);
         let token = f.token() + newer;
-        let report = f.message(2, token, &[]);
-        let effects = f.answer(is_call, 409, &to_value(report).expect("a report"));
+        let heartbeat = f.message(2, token, &[]);
+        let effects = f.answer(is_call, 409, &to_value(heartbeat).expect("a report"));
         assert_eq!(!sent(&effects).is_empty(), calls, "newer by {newer}");
     }
 }
@@ -100,7 +100,7 @@
         let mut f = Fixture::new();
         let id = JobId::parse("j-9").expect("an id");
         let token = f.token();
-        f.report(1, token, &[(&id, 0, TaskStage::Exited)]);
+        f.heartbeat(1, token, &[(&id, 0, TaskStage::Exited)]);
         let machine = f.machine.clone();
         let m = f.shard().machines.get_mut(&machine).expect("it is there");
         (m.has_call_in_flight, m.has_unanswered_call) = (calling, unanswered);
@@ -125,8 +125,8 @@
         assert_eq!(sent(&f.step(1)).len() as u32, first, "{tasks} tasks");
         let token = f.token();
         let started: Vec<_> = (0..first).map(|i| (&id, i, TaskStage::Running)).collect();
-        let report = to_value(f.message(1, token, &started)).expect("a report");
-        let mut effects = f.answer(is_call, 200, &report);
+        let heartbeat = to_value(f.message(1, token, &started)).expect("a report");
+        let mut effects = f.answer(is_call, 200, &heartbeat);
         effects.extend(f.step(1));
         assert_eq!(sent(&effects).len() as u32, second, "{tasks} tasks");
     }
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -85,7 +85,7 @@
             }
             // The machine is there all the while.
             let token = f.token();
-            f.report(1, token, &[]);
+            f.heartbeat(1, token, &[]);
             f.step(1_000);
             let job = &f.shard().jobs[&id(1)];
             assert_eq!(job.is_cancelled, stage == JobStage::Cancelled, "{name}");
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -1,7 +1,7 @@
 //! What a worker's message proves.
 //!
 //! A task that may have been started is gone only if a message says that it
-//! exited; if the message is from a later session of the worker; if it echoes
+//! exited; if the message is from a later incarnation of the worker; if it echoes
 //! a token minted after the start was last sent, and does not list the task;
 //! or if the machine's deletion was answered. Silence proves nothing.
 
@@ -11,7 +11,7 @@
 use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::Resources;
-use forkshift_wire::workers::{ExitCause, Report, TaskReport, TaskStage};
+use forkshift_wire::workers::{ExitCause, TaskReport, TaskStage, WorkerHeartbeat};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
 
@@ -21,13 +21,18 @@
 impl Shard {
     /// Takes in a message. Returns false if it is an old copy, or is not
     /// about a machine of this shard.
-    pub(crate) fn on_worker_heartbeat(&mut self, ctx: &mut Context, report: &Report) -> bool {
-        let Some(machine) = self.machines.get_mut(&report.machine) else {
+    pub(crate) fn on_worker_heartbeat(
+        &mut self,
+        ctx: &mut Context,
+        heartbeat: &WorkerHeartbeat,
+    ) -> bool {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return false;
         };
         // What comes from a machine after its deletion was answered is old.
         if machine.is_deleted
-            || (report.session, report.seq) <= (machine.incarnation, machine.heartbeat_sequence)
+            || (heartbeat.incarnation, heartbeat.sequence)
+                <= (machine.incarnation, machine.heartbeat_sequence)
         {
             return false;
         }
@@ -39,12 +44,12 @@
             );
             self.next_round_at = self.next_round_at.min(ctx.now);
         }
-        machine.incarnation = report.session;
-        machine.heartbeat_sequence = report.seq;
-        machine.acknowledged_token = report.token;
+        machine.incarnation = heartbeat.incarnation;
+        machine.heartbeat_sequence = heartbeat.sequence;
+        machine.acknowledged_token = heartbeat.token;
         machine.last_heartbeat_at = Some(ctx.now);
-        machine.addr.get_or_insert_with(|| report.addr.clone());
-        machine.reclaimed_at = match (report.notice_s, machine.reclaimed_at) {
+        machine.addr.get_or_insert_with(|| heartbeat.addr.clone());
+        machine.reclaimed_at = match (heartbeat.notice_s, machine.reclaimed_at) {
             (Some(s), None) => {
                 log::info!("machine {}: taken in {s} s", machine.id);
                 Some(ctx.now + crate::ms(s))
@@ -59,21 +64,21 @@
         }
         machine.exited.clear();
         machine.orphans.clear();
-        machine.note_images(ctx, report.images.as_ref());
+        machine.note_images(ctx, heartbeat.images.as_ref());
 
         let mut listed: BTreeMap<(&TaskRef, u64), &TaskReport> = BTreeMap::new();
-        for task in &report.tasks {
+        for task in &heartbeat.tasks {
             listed.insert((&task.task, task.attempt), task);
         }
         let bound: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
         for task in bound {
-            self.apply_bound_task(ctx, report, &task, &listed);
+            self.apply_bound_task(ctx, heartbeat, &task, &listed);
         }
-        for task in &report.tasks {
-            self.apply_unbound_task(ctx, &report.machine, task);
+        for task in &heartbeat.tasks {
+            self.apply_unbound_task(ctx, &heartbeat.machine, task);
         }
-        ctx.work_units += 1 + report.tasks.len() as u64;
-        self.recheck.touch(&report.machine);
+        ctx.work_units += 1 + heartbeat.tasks.len() as u64;
+        self.recheck.touch(&heartbeat.machine);
         true
     }
 
@@ -81,7 +86,7 @@
     fn apply_bound_task(
         &mut self,
         ctx: &mut Context,
-        report: &Report,
+        heartbeat: &WorkerHeartbeat,
         task: &TaskRef,
         listed: &BTreeMap<(&TaskRef, u64), &TaskReport>,
     ) {
@@ -93,12 +98,12 @@
         };
         if let Some(found) = listed.get(&(task, binding.attempt)) {
             if found.stage == TaskStage::Exited {
-                self.on_task_exited(ctx, &report.machine, task, found);
+                self.on_task_exited(ctx, &heartbeat.machine, task, found);
                 return;
             }
             if found.stage == TaskStage::Running && binding.running_since.is_none() {
                 binding.running_since = Some(ctx.now);
-                if let Some(machine) = self.machines.get_mut(&report.machine) {
+                if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
                     if !job.failures.is_suspect() {
                         machine.failures.note_start(ctx.now);
                     }
@@ -107,35 +112,35 @@
             binding.stage = Some(found.stage);
             if binding.start == StartState::NotSent {
                 // Listed although we never sent it: an earlier copy did arrive.
-                if let Some(machine) = self.machines.get(&report.machine) {
+                if let Some(machine) = self.machines.get(&heartbeat.machine) {
                     binding.start = StartState::SentByUs {
                         token: machine.token,
-                        session: report.session,
+                        incarnation: heartbeat.incarnation,
                     };
                 }
             }
             let running = found.stage == TaskStage::Running;
             if let Some(began) = binding.running_since.filter(|_| running) {
-                self.on_task_running(ctx, &report.machine, &task.job, began);
+                self.on_task_running(ctx, &heartbeat.machine, &task.job, began);
             }
             return;
         }
-        let Some(machine) = self.machines.get_mut(&report.machine) else {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return;
         };
         let gone = match binding.start {
             StartState::NotSent => return,
-            StartState::SentByUs { token, session } => {
-                report.session > session || report.token > token
+            StartState::SentByUs { token, incarnation } => {
+                heartbeat.incarnation > incarnation || heartbeat.token > token
             }
             // Every token of ours is newer than those of earlier holders.
-            StartState::Unknown => report.token >= machine.token,
+            StartState::Unknown => heartbeat.token >= machine.token,
         };
         if gone {
-            log::debug!("{task}: not on {} any more", report.machine);
+            log::debug!("{task}: not on {} any more", heartbeat.machine);
             self.unbind(&task.job, task.index);
             self.schedule_round_soon(ctx);
-        } else if !machine.has_call_in_flight && report.token >= machine.token {
+        } else if !machine.has_call_in_flight && heartbeat.token >= machine.token {
             // It was told, or should have been, and is not there: a newer
             // token settles whether it can still come.
             machine.raise_token(ctx.now);
@@ -176,16 +181,16 @@
                 }
             }
             ExitCause::Error => self.on_task_failed(ctx, machine, &task.job, &binding),
-            ExitCause::Full => {
+            ExitCause::NoRoom => {
                 // Our booking and the worker's differ; it will settle.
                 if let Some(machine) = self.machines.get_mut(machine) {
                     machine.full_until = ctx.now + ctx.config.report_ms * 2;
                 }
             }
-            ExitCause::InUse | ExitCause::NoSuch => {
+            ExitCause::InUse | ExitCause::UnknownTask => {
                 job.not_before = job.not_before.max(ctx.now + REFUSED_PAUSE);
             }
-            ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => {}
+            ExitCause::Stopped | ExitCause::GangMemberLost | ExitCause::GangTimeout => {}
         }
         if cause != ExitCause::Done {
             log::debug!(
@@ -321,7 +326,7 @@
             machine.orphans.push((task.clone(), found.attempt, res));
             return;
         }
-        let (token, session) = (machine.token, machine.incarnation);
+        let (token, incarnation) = (machine.token, machine.incarnation);
         // It must be gone before the task is started elsewhere, so it is
         // kept account of like one of ours.
         if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -331,7 +336,7 @@
                 machine: id.clone(),
                 attempt: found.attempt,
                 version,
-                start: StartState::SentByUs { token, session },
+                start: StartState::SentByUs { token, incarnation },
                 stage: Some(found.stage),
                 stop: Some(Stop::after(0.0)),
                 since: ctx.now,
--- a/crates/core/src/evidence/tests.rs
+++ b/crates/core/src/evidence/tests.rs
@@ -10,7 +10,7 @@
 /// start tells that it can not come any more.
 #[test]
 fn a_task_is_gone_only_by_a_newer_token_or_session() {
-    // Who sent the start; the message's session, and its token as measured by
+    // Who sent the start; the message's incarnation, and its token as measured by
     // the one that is used now; whether the task is gone.
     type Case = (&'static str, fn(u64) -> StartState, u64, i64, bool);
     let cases: [Case; 9] = [
@@ -39,7 +39,7 @@
             "ours, the token that it came with",
             |t| StartState::SentByUs {
                 token: t,
-                session: 1,
+                incarnation: 1,
             },
             1,
             0,
@@ -49,7 +49,7 @@
             "ours, an older token",
             |t| StartState::SentByUs {
                 token: t,
-                session: 1,
+                incarnation: 1,
             },
             1,
             -1,
@@ -59,7 +59,7 @@
             "ours, raised since",
             |t| StartState::SentByUs {
                 token: t - 1,
-                session: 1,
+                incarnation: 1,
             },
             1,
             0,
@@ -69,7 +69,7 @@
             "ours, a later session",
             |t| StartState::SentByUs {
                 token: t,
-                session: 1,
+                incarnation: 1,
             },
             2,
             0,
@@ -79,7 +79,7 @@
             "ours, a later session's old token",
             |t| StartState::SentByUs {
                 token: t,
-                session: 1,
+                incarnation: 1,
             },
             2,
             -1,
@@ -87,7 +87,7 @@
         ),
         ("never sent", |_| StartState::NotSent, 2, 0, false),
     ];
-    for (name, sent, session, token, gone) in cases {
+    for (name, sent, incarnation, token, gone) in cases {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let used = f.token();
@@ -98,7 +98,7 @@
             .get_mut(&machine)
             .expect("it is there")
             .has_call_in_flight = true;
-        f.report(session, used.saturating_add_signed(token), &[]);
+        f.heartbeat(incarnation, used.saturating_add_signed(token), &[]);
         let is_gone = f.shard().jobs[&id].bound.is_empty();
         assert_eq!(is_gone, gone, "{name}");
         let free = f.shard().quotas[0].used.is_zero();
@@ -106,20 +106,20 @@
     }
 }
 
-/// Copies of old messages are dropped, of earlier sessions too.
+/// Copies of old messages are dropped, of earlier incarnations too.
 #[test]
 fn old_copies_are_dropped() {
-    for (session, later, taken) in [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)] {
+    for (incarnation, later, taken) in [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)] {
         let mut f = Fixture::new();
         let token = f.token();
-        f.report(1, token, &[]);
-        let mut copy = f.message(session, token, &[]);
-        f.report(1, token, &[]);
-        copy.seq += later * 2;
+        f.heartbeat(1, token, &[]);
+        let mut copy = f.message(incarnation, token, &[]);
+        f.heartbeat(1, token, &[]);
+        copy.sequence += later * 2;
         let Fixture { node, shard, .. } = &mut f;
         let ours = node.shards.get_mut(shard).expect("it is ours");
         let is_taken = ours.on_worker_heartbeat(&mut node.ctx, &copy);
-        assert_eq!(is_taken, taken, "session {session}, {later} later");
+        assert_eq!(is_taken, taken, "session {incarnation}, {later} later");
     }
 }
 
@@ -158,7 +158,7 @@
             .expect("it is there")
             .is_cancelled = cancelled;
         let token = f.token();
-        f.report(1, token, &[(&id, 0, TaskStage::Running)]);
+        f.heartbeat(1, token, &[(&id, 0, TaskStage::Running)]);
         let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, usize::from(!cancelled), "cancelled: {cancelled}");
         let machine = f.machine.clone();
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -94,7 +94,7 @@
     /// better begun elsewhere at once.
     pub(crate) fn removal_timeout_ms(&self, machine: &Machine) -> Ms {
         let detector = &self.failure_detector;
-        let may_tell = self.links.allow(Decision::GiveUpSilentMachines);
+        let may_tell = self.links.allow(Decision::RemoveSilentMachines);
         let boots = match () {
             () if detector.are_all_isolated => UNHEARD_BOOTS,
             () if !may_tell || self.now < detector.recovering_until => REPLACED_BOOTS,
@@ -182,7 +182,7 @@
                 continue;
             }
             let since = m.known_since.max(ctx.resumed_at);
-            let unheard = m.link.is_unheard(ctx.now, since, &timing);
+            let unheard = m.link.has_missed_heartbeats(ctx.now, since, &timing);
             let count = zones.entry(m.zone).or_default();
             count.all += 1;
             count.silent += u32::from(is_silent);
@@ -192,8 +192,8 @@
                 count.unheard += 1;
                 continue;
             }
-            count.tried += u32::from(m.link.is_tried(ctx.now, &timing));
-            count.unreached += u32::from(!m.link.takes_calls());
+            count.tried += u32::from(m.link.is_call_recent(ctx.now, &timing));
+            count.unreached += u32::from(!m.link.is_callable());
         }
     }
 }
@@ -203,7 +203,7 @@
     /// whether this controller is.
     pub(crate) fn run_failure_detector(&mut self) {
         self.ctx.has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
-        self.note_link(Link::StateService, self.ctx.has_valid_lease);
+        self.note_link(Link::Store, self.ctx.has_valid_lease);
         if self.ctx.has_valid_lease {
             self.ctx
                 .peer_confirmations
@@ -225,13 +225,16 @@
         let most = |n: u32, all: u32, part: f64| {
             all >= MACHINES_LEAST && f64::from(n) >= part * f64::from(all)
         };
-        self.note_link(Link::Reports, !most(sum.unheard, all, ISOLATED_PART));
+        self.note_link(Link::Heartbeats, !most(sum.unheard, all, ISOLATED_PART));
         // What was not called says nothing of calls.
-        self.note_link(Link::Calls, !most(sum.unreached, sum.tried, ISOLATED_PART));
+        self.note_link(
+            Link::WorkerCalls,
+            !most(sum.unreached, sum.tried, ISOLATED_PART),
+        );
         if sum.unreached > 0 && sum.tried < CALLED_LEAST.min(all) {
             self.call_untried_machines();
         }
-        let is_isolated = self.ctx.has_valid_lease && !self.ctx.links.allow(Decision::HoldShares);
+        let is_isolated = self.ctx.has_valid_lease && !self.ctx.links.allow(Decision::HoldShards);
         let kept = |zone: u16| {
             let name = self.ctx.places.name(zone).unwrap_or_default();
             config.zones_kept_in_partition(name) >= KEPT_ALIVE_PART_LEAST
@@ -243,7 +246,7 @@
         let lost = zones.iter();
         let lost = lost.filter(|(zone, c)| most(c.silent, c.all, ZONE_PART) && kept(**zone));
         cut.extend(lost.map(|(zone, _)| (*zone, until)));
-        let was_blind_until = match self.ctx.links.is_up(Link::Reports) {
+        let was_blind_until = match self.ctx.links.is_up(Link::Heartbeats) {
             true => self.ctx.failure_detector.recovering_until,
             false => until,
         };
@@ -284,7 +287,7 @@
             let untried = machines.values_mut().filter(|m| {
                 m.last_heartbeat_at.is_some()
                     && !m.has_call_in_flight
-                    && !m.link.is_tried(now, &timing)
+                    && !m.link.is_call_recent(now, &timing)
             });
             for machine in untried.take(CALLED_LEAST as usize) {
                 machine.must_send_token = true;
--- a/crates/core/src/failure_detector/tests.rs
+++ b/crates/core/src/failure_detector/tests.rs
@@ -20,12 +20,12 @@
         ("nobody inside", 5, 0, 60_000, 1_000, false),
         ("one of three, long leases", 3, 1, 24_000, 3_000, true),
     ];
-    for (name, nodes, inside, lease, report, waits) in cases {
+    for (name, nodes, inside, lease, heartbeat, waits) in cases {
         config.nodes = (0..nodes).map(|n| NodeName::new(&n.to_string())).collect();
         let zone = |n: usize| if n < inside { "in" } else { "out" }.to_owned();
         let zones = config.nodes.iter().enumerate();
         config.zones = zones.map(|(n, name)| (name.clone(), zone(n))).collect();
-        (config.lease_ms, config.report_ms) = (lease, report);
+        (config.lease_ms, config.report_ms) = (lease, heartbeat);
         assert_eq!(
             config.zones_kept_in_partition("in") >= KEPT_ALIVE_PART_LEAST,
             waits,
@@ -62,10 +62,10 @@
         (10_000, 1_000, 7_250),
         (5_000, 1_000, 4_500),
     ];
-    for (lease, report, waited) in cases {
+    for (lease, heartbeat, waited) in cases {
         let mut f = crate::fixture::Fixture::new();
         let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("nobody else has it");
-        (config.lease_ms, config.report_ms) = (lease, report);
+        (config.lease_ms, config.report_ms) = (lease, heartbeat);
         assert_eq!(f.node.ctx.silent_ms(), waited, "lease of {lease} ms");
     }
 }
@@ -82,7 +82,7 @@
             are_all_isolated,
             ..FailureDetector::default()
         };
-        f.node.note_link(Link::Reports, !is_isolated);
+        f.node.note_link(Link::Heartbeats, !is_isolated);
         let machine = &f.node.shards[&f.shard].machines[&id];
         f.node.ctx.removal_timeout_ms(machine)
     };
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -16,7 +16,7 @@
 use forkshift_wire::settings::Settings;
 use forkshift_wire::state::Item;
 use forkshift_wire::users::{JobKind, JobSpec, Priority};
-use forkshift_wire::workers::{ExitCause, Report, TaskReport, TaskStage};
+use forkshift_wire::workers::{ExitCause, TaskReport, TaskStage, WorkerHeartbeat};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use serde::Serialize;
 use serde_json::{json, to_value, Value};
@@ -101,7 +101,7 @@
             seq: 0,
         };
         let token = fixture.token();
-        fixture.report(1, token, &[]);
+        fixture.heartbeat(1, token, &[]);
         fixture
     }
 
@@ -149,19 +149,24 @@
     }
 
     /// A message of the machine that lists tasks in their first attempt.
-    pub(crate) fn report(&mut self, session: u64, token: u64, tasks: &[(&JobId, u32, TaskStage)]) {
-        let report = self.message(session, token, tasks);
+    pub(crate) fn heartbeat(
+        &mut self,
+        incarnation: u64,
+        token: u64,
+        tasks: &[(&JobId, u32, TaskStage)],
+    ) {
+        let heartbeat = self.message(incarnation, token, tasks);
         let Node { shards, ctx, .. } = &mut self.node;
         let shard = shards.get_mut(&self.shard).expect("it is ours");
-        shard.on_worker_heartbeat(ctx, &report);
+        shard.on_worker_heartbeat(ctx, &heartbeat);
     }
 
     pub(crate) fn message(
         &mut self,
-        session: u64,
+        incarnation: u64,
         token: u64,
         tasks: &[(&JobId, u32, TaskStage)],
-    ) -> Report {
+    ) -> WorkerHeartbeat {
         self.seq += 1;
         let one = |(id, index, stage): &(&JobId, u32, TaskStage)| TaskReport {
             task: TaskRef {
@@ -173,14 +178,14 @@
             cause: (*stage == TaskStage::Exited).then_some(ExitCause::Stopped),
             saved: false,
         };
-        Report {
+        WorkerHeartbeat {
             machine: self.machine.clone(),
             addr: "10.1.0.1:9000".to_owned(),
             machine_type: "big".to_owned(),
             zone: "hall-a".to_owned(),
             spot: false,
-            session,
-            seq: self.seq,
+            incarnation,
+            sequence: self.seq,
             token,
             notice_s: None,
             images: None,
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/forward.rs
@@ -46,7 +46,7 @@
     }
 
     /// A worker's report.
-    pub(crate) fn report(body: Vec<u8>) -> Self {
+    pub(crate) fn heartbeat(body: Vec<u8>) -> Self {
         Self {
             method: "POST".to_owned(),
             path: REPORT_PATH.to_owned(),
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -149,8 +149,8 @@
     awaits_itself.dependencies = vec![awaits_itself.id.clone()];
     let mut awaits = submission(&mut f, "j-6");
     awaits.dependencies = vec![JobId::new("j-1")];
-    let report = to_string(&f.message(1, 0, &[])).expect("JSON");
-    let elsewhere = report.replace("\"m-1\"", "\"m-9\"");
+    let heartbeat = to_string(&f.message(1, 0, &[])).expect("JSON");
+    let elsewhere = heartbeat.replace("\"m-1\"", "\"m-9\"");
     let body = |spec: &JobSpec| to_string(spec).expect("JSON");
     let requests = [
         ("up", "GET", "/up", String::new()),
@@ -159,7 +159,7 @@
         ("question", "GET", "/submissions/j-1", String::new()),
         ("question_bad_id", "GET", "/submissions/x", String::new()),
         ("question_unknown", "GET", "/submissions/j-9", String::new()),
-        ("report", "POST", "/v1/report", report),
+        ("report", "POST", "/v1/report", heartbeat),
         ("report_elsewhere", "POST", "/v1/report", elsewhere),
         ("report_bad", "POST", "/v1/report", "7".to_owned()),
         ("submit_bad", "POST", "/submissions", "{}".to_owned()),
@@ -217,9 +217,9 @@
     let mut f = Fixture::new();
     f.step(0);
     let token = f.token();
-    let report = to_value(f.message(1, token, &[])).expect("JSON");
+    let heartbeat = to_value(f.message(1, token, &[])).expect("JSON");
     let is_command = |p: &PendingCall| matches!(p, PendingCall::Commands { .. });
-    f.answer(is_command, 200, &report);
+    f.answer(is_command, 200, &heartbeat);
     let mut transcript = Transcript::default();
     let body = submission(&mut f, "j-2");
     let body = to_string(&body).expect("JSON");
@@ -228,8 +228,8 @@
     let accepted = f.answer(is_submission, 200, &json!({"ledger_rev": 8}));
     transcript.add("accepted", &accepted);
     run(&mut f.node, 10, &mut transcript);
-    let report = to_string(&f.message(1, token, &[])).expect("JSON");
-    transcript.add("report", &request(&mut f, "POST", "/v1/report", &report));
+    let heartbeat = to_string(&f.message(1, token, &[])).expect("JSON");
+    transcript.add("report", &request(&mut f, "POST", "/v1/report", &heartbeat));
     compare(include_str!("job.tsv"), &transcript.0);
 }
 
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -18,8 +18,8 @@
 pub(crate) enum StartState {
     /// Not by us; the record says that we are the first who could.
     NotSent,
-    /// By us, last under this token and for this session.
-    SentByUs { token: u64, session: u64 },
+    /// By us, last under this token and for this incarnation.
+    SentByUs { token: u64, incarnation: u64 },
     /// Perhaps, by an earlier holder.
     Unknown,
 }
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -118,7 +118,7 @@
     pub(crate) fn has_missed_heartbeats(&self, ctx: &Context) -> bool {
         let since = self.known_since.max(ctx.resumed_at);
         let timing = ctx.config.link_timing();
-        self.link.is_unheard(ctx.now, since, &timing)
+        self.link.has_missed_heartbeats(ctx.now, since, &timing)
     }
 
     /// Notes whether nothing needs it. Returns true if that is new.
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -158,7 +158,7 @@
         let is_early = self
             .leaderless_since
             .is_some_and(|since| ctx.now < since + patience);
-        is_early && view.nodes.len() > 1 && ctx.cloud_link.abstains(ctx.now)
+        is_early && view.nodes.len() > 1 && ctx.cloud_link.abstains_from_election(ctx.now)
     }
 
     /// Gives leadership up, for others to take. The condition is the leader's record: what
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -105,7 +105,7 @@
                 self.on_relay_request(&from, incarnation, list, &machines);
             }
             Body::ProbeRequest { machines } => self.on_probe(&from, &machines),
-            Body::ProbeResult { report } => self.on_probe_result(&report),
+            Body::ProbeResult { heartbeat } => self.on_probe_result(&heartbeat),
             Body::InheritPriority { id, priority } => {
                 self.on_inherited_priority_message(&id, priority)
             }
--- a/crates/core/src/preempt/tests.rs
+++ b/crates/core/src/preempt/tests.rs
@@ -30,7 +30,14 @@
     let job = add(&mut f, "j-1", |s| s.priority = priority);
     let token = f.token();
     for index in 0..8 {
-        f.bind(&job, index, StartState::SentByUs { token, session: 1 });
+        f.bind(
+            &job,
+            index,
+            StartState::SentByUs {
+                token,
+                incarnation: 1,
+            },
+        );
     }
     let now = f.node.ctx.now;
     let running = f.shard().jobs.get_mut(&job).expect("the job");
--- a/crates/core/src/reclaim/tests.rs
+++ b/crates/core/src/reclaim/tests.rs
@@ -44,7 +44,14 @@
     });
     let token = f.token();
     for index in 0..8 {
-        f.bind(&guest, index, StartState::SentByUs { token, session: 1 });
+        f.bind(
+            &guest,
+            index,
+            StartState::SentByUs {
+                token,
+                incarnation: 1,
+            },
+        );
     }
     let now = f.node.ctx.now;
     let job = f.shard().jobs.get_mut(&guest).expect("the guest's job");
@@ -152,7 +159,7 @@
         set_spot(&mut f, spot);
         f.node.ctx.now += 10_000;
         let token = f.token();
-        f.report(1, token, &running(&guest));
+        f.heartbeat(1, token, &running(&guest));
         if let Some(job) = f.shard().jobs.get_mut(&guest) {
             let mut spec = (*job.spec).clone();
             spec.deadline_s = due_s;
@@ -161,7 +168,14 @@
         if with_owner {
             let owner = other_team(&mut f);
             let id = add(&mut f, "j-2", &owner, |s| s.tasks = 1);
-            f.bind(&id, 0, StartState::SentByUs { token, session: 1 });
+            f.bind(
+                &id,
+                0,
+                StartState::SentByUs {
+                    token,
+                    incarnation: 1,
+                },
+            );
         }
         f.step(2_000);
         let machine = f.machine.clone();
@@ -196,7 +210,14 @@
             let owner = other_team(&mut f);
             let id = add(&mut f, "j-2", &owner, |s| s.tasks = 1);
             let token = f.token();
-            f.bind(&id, 0, StartState::SentByUs { token, session: 1 });
+            f.bind(
+                &id,
+                0,
+                StartState::SentByUs {
+                    token,
+                    incarnation: 1,
+                },
+            );
         }
         let shard_id = f.shard;
         let offered = f.node.shards[&shard_id].borrowed_machines(&f.node.ctx, &usable);
@@ -221,7 +242,7 @@
 
         if given {
             let token = f.token();
-            f.report(1, token, &exited(&guest));
+            f.heartbeat(1, token, &exited(&guest));
             for _ in 0..5 {
                 f.step(100);
             }
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/reconcile.rs
@@ -196,7 +196,7 @@
     fn take_back_unsent(&mut self, ctx: &Context, id: &MachineId) {
         let is_out_of_reach = |m: &&Machine| {
             let is_silent = m.last_heartbeat_at.is_some() && !m.has_recent_heartbeat(ctx);
-            is_silent || !m.link.takes_starts()
+            is_silent || !m.link.accepts_starts()
         };
         if let Some(machine) = self.machines.get(id).filter(is_out_of_reach) {
             let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
--- a/crates/core/src/reconcile/tests.rs
+++ b/crates/core/src/reconcile/tests.rs
@@ -26,9 +26,9 @@
     let cancel = f.node.ctx.config.cancel_ms;
     let id = f.job("j-1", JobKind::Service, 1);
     let other = f.job("j-2", JobKind::Service, 1);
-    let (token, session) = (f.token(), 1);
-    f.bind(&id, 0, StartState::SentByUs { token, session });
-    f.bind(&other, 0, StartState::SentByUs { token, session });
+    let (token, incarnation) = (f.token(), 1);
+    f.bind(&id, 0, StartState::SentByUs { token, incarnation });
+    f.bind(&other, 0, StartState::SentByUs { token, incarnation });
     f.ask(1, "POST", "/submissions/j-1/abort");
     f.lose_right();
     let begun = f.node.ctx.now;
@@ -56,7 +56,7 @@
         assert_eq!(bound, 0, "{job} is gone with the machine");
     }
     // A report from before does not bring it back, nor is it used again.
-    f.report(1, token, &[(&other, 0, TaskStage::Running)]);
+    f.heartbeat(1, token, &[(&other, 0, TaskStage::Running)]);
     f.step(2_000);
     let bound = f.shard().jobs.get(&other).map_or(0, |j| j.bound.len());
     assert_eq!(bound, 0);
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -9,7 +9,7 @@
 //! The holder also has a silent machine called, by itself and by two others (as in SWIM's
 //! indirect probes): what the worker answers is as good as a report, except that it renews no
 //! lease. So a machine that somebody reaches is not given up, and that its lease has
-//! ended is known from its session.
+//! ended is known from its incarnation.
 
 use crate::bounds::listed_bytes;
 use crate::context::Context;
@@ -21,7 +21,7 @@
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
 use forkshift_wire::peer::Body;
-use forkshift_wire::workers::Report;
+use forkshift_wire::workers::WorkerHeartbeat;
 use forkshift_wire::{MachineId, NodeName};
 
 /// Time that the holder has for an answer; workers wait 4 s.
@@ -69,13 +69,13 @@
         {
             let is_up = m.last_heartbeat_at.is_some() || !m.tasks.is_empty();
             let since = m.known_since.max(awake_since);
-            if !is_up || !m.link.is_unheard(now, since, timing) {
+            if !is_up || !m.link.has_missed_heartbeats(now, since, timing) {
                 continue;
             }
             if m.link.wants_relay(now, since, timing) {
                 found.relayed.push(m.id.clone());
             }
-            if !m.link.is_relayed_lately(now, timing) && m.link.take_probe(now, timing) {
+            if !m.link.is_recently_relayed(now, timing) && m.link.take_probe(now, timing) {
                 found.probed.push(m.id.clone());
                 m.must_send_token = true;
                 look.touch(&m.id);
@@ -89,8 +89,8 @@
     pub(crate) fn ask_for_relays(&mut self) {
         let timing = self.ctx.config.link_timing();
         let (now, awake_since) = (self.ctx.now, self.ctx.resumed_at);
-        self.ctx.relays.forget_late(now);
-        self.ctx.redirects.forget_late(now);
+        self.ctx.relays.remove_expired(now);
+        self.ctx.redirects.remove_expired(now);
         let mut unheard = UnreachableMachines::default();
         let active = self.shards.values_mut();
         for shard in active.filter(|s| s.phase == Phase::Active) {
@@ -159,22 +159,22 @@
     /// A worker that we called for its holder has answered, or has not.
     pub(crate) fn on_worker_probed(&mut self, holder: &NodeName, status: u16, body: &[u8]) {
         if status == 200 {
-            let report = body.to_vec();
+            let heartbeat = body.to_vec();
             self.ctx
-                .send_to_peer(holder, 0, Body::ProbeResult { report });
+                .send_to_peer(holder, 0, Body::ProbeResult { heartbeat });
         }
     }
 
     /// What a worker of ours has answered to another controller.
-    pub(crate) fn on_probe_result(&mut self, report: &[u8]) {
-        let report: Report = match serde_json::from_slice(report) {
-            Ok(report) => report,
+    pub(crate) fn on_probe_result(&mut self, heartbeat: &[u8]) {
+        let heartbeat: WorkerHeartbeat = match serde_json::from_slice(heartbeat) {
+            Ok(heartbeat) => heartbeat,
             Err(e) => return log::info!("a worker's status is not understood: {e}"),
         };
         let Node { shards, ctx, .. } = self;
         let active = shards.values_mut().filter(|s| s.phase == Phase::Active);
         for shard in active {
-            shard.on_worker_heartbeat(ctx, &report);
+            shard.on_worker_heartbeat(ctx, &heartbeat);
         }
     }
 
@@ -193,7 +193,7 @@
         let known = machines.filter(|id| view.machines.contains_key(id));
         self.ctx
             .relays
-            .on_unheard(from, incarnation, list, known, until);
+            .on_relay_request(from, incarnation, list, known, until);
     }
 
     /// The holder that a machine's report is passed on to, if it is. One that we can't
@@ -205,7 +205,7 @@
 
     /// Passes a worker's report on to the holder that does not hear it.
     pub(crate) fn relay_report(&mut self, request: RequestId, holder: &NodeName, body: Vec<u8>) {
-        let forwarded = ForwardedRequest::report(body);
+        let forwarded = ForwardedRequest::heartbeat(body);
         self.forward(request, holder, forwarded, ANSWER_MS);
     }
 
@@ -221,8 +221,9 @@
             now,
             ..
         } = &self.ctx;
-        let wanted = relays.wants(machine, &holder.holder, holder.holder_incarnation, *now)
-            || redirects.came_back(machine, &holder.holder, holder.holder_incarnation, *now);
+        let wanted =
+            relays.is_requested_by(machine, &holder.holder, holder.holder_incarnation, *now)
+                || redirects.has_returned(machine, &holder.holder, holder.holder_incarnation, *now);
         (is_other && wanted).then(|| holder.holder.clone())
     }
 
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/rounds.rs
@@ -368,7 +368,7 @@
         && m.reclaimed_at.is_none()
         && m.is_confirmed()
         && !m.has_unanswered_call
-        && m.link.takes_starts()
+        && m.link.accepts_starts()
         && !m.has_missed_heartbeats(ctx)
         && ctx.now >= m.full_until
 }
--- a/crates/core/src/shard/machines.rs
+++ b/crates/core/src/shard/machines.rs
@@ -149,7 +149,7 @@
         };
         let timing = ctx.config.link_timing();
         let was_relayed = machine.link.is_relayed();
-        machine.link.on_report(ctx.now, route, &timing);
+        machine.link.on_heartbeat(ctx.now, route, &timing);
         if was_relayed != machine.link.is_relayed() {
             log::info!("machine {id}: reports are {route:?}");
         }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use forkshift_core::{shortfalls, Config, Operator, Shortfall};
 use forkshift_wire::cloud::Catalog;
-use forkshift_wire::settings::{BadSettings, Settings};
+use forkshift_wire::settings::{Settings, SettingsError};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -59,7 +59,7 @@
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
     #[error("{0}: {1}")]
-    Settings(String, BadSettings),
+    Settings(String, SettingsError),
     #[error("{0}: {1}")]
     Operator(String, operator::BadOperator),
     #[error("{0}: not a catalogue: {1}")]
--- a/crates/daemon/src/pools.rs
+++ b/crates/daemon/src/pools.rs
@@ -7,7 +7,7 @@
 use accounts::StateReader;
 use clap::{Args, Subcommand};
 use forkshift_pools::report::{report, Span};
-use forkshift_wire::settings::{BadSettings, Settings};
+use forkshift_wire::settings::{Settings, SettingsError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -48,7 +48,7 @@
     Read(String, std::io::Error),
     /// The settings are wrong.
     #[error("{0}: {1}")]
-    Settings(String, BadSettings),
+    Settings(String, SettingsError),
     /// Not a time, or a span that ends before it begins.
     #[error("`--{option}` {problem}")]
     Time {
--- a/crates/links/src/cloud_link.rs
+++ b/crates/links/src/cloud_link.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether we leave it to others to lead.
-    pub fn abstains(&self, now: Ms) -> bool {
+    pub fn abstains_from_election(&self, now: Ms) -> bool {
         now < self.abstain_until
     }
 }
--- a/crates/links/src/decision.rs
+++ b/crates/links/src/decision.rs
@@ -6,25 +6,30 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Link {
     /// To the state service; up while the controller's own lease is surely valid.
-    StateService,
+    Store,
     /// Reports of workers, as they come in without another controller's help.
-    Reports,
+    Heartbeats,
     /// Calls to workers.
-    Calls,
+    WorkerCalls,
     /// To the cloud.
     Cloud,
 }
 
 impl Link {
     /// All links.
-    pub const ALL: [Self; 4] = [Self::StateService, Self::Reports, Self::Calls, Self::Cloud];
+    pub const ALL: [Self; 4] = [
+        Self::Store,
+        Self::Heartbeats,
+        Self::WorkerCalls,
+        Self::Cloud,
+    ];
 
     /// The place of a link in [`Links`].
     fn index(self) -> usize {
         match self {
-            Self::StateService => 0,
-            Self::Reports => 1,
-            Self::Calls => 2,
+            Self::Store => 0,
+            Self::Heartbeats => 1,
+            Self::WorkerCalls => 2,
             Self::Cloud => 3,
         }
     }
@@ -33,9 +38,9 @@
 impl fmt::Display for Link {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::StateService => "the state service",
-            Self::Reports => "reports of workers",
-            Self::Calls => "calls to workers",
+            Self::Store => "the state service",
+            Self::Heartbeats => "reports of workers",
+            Self::WorkerCalls => "calls to workers",
             Self::Cloud => "the cloud",
         })
     }
@@ -51,9 +56,9 @@
     StartTasks,
     /// To give a machine up because it is silent: silence tells nothing of a machine
     /// where most are not heard.
-    GiveUpSilentMachines,
+    RemoveSilentMachines,
     /// To keep shards that another controller could hold.
-    HoldShares,
+    HoldShards,
     /// To lead although another controller could: the leader alone rents and returns
     /// machines.
     Lead,
@@ -63,17 +68,17 @@
     /// All decisions.
     pub const ALL: [Self; 4] = [
         Self::StartTasks,
-        Self::GiveUpSilentMachines,
-        Self::HoldShares,
+        Self::RemoveSilentMachines,
+        Self::HoldShards,
         Self::Lead,
     ];
 
     /// The links without which it may not be made.
     pub fn needs(self) -> &'static [Link] {
         match self {
-            Self::StartTasks => &[Link::StateService],
-            Self::GiveUpSilentMachines => &[Link::StateService, Link::Reports],
-            Self::HoldShares => &[Link::Reports, Link::Calls],
+            Self::StartTasks => &[Link::Store],
+            Self::RemoveSilentMachines => &[Link::Store, Link::Heartbeats],
+            Self::HoldShards => &[Link::Heartbeats, Link::WorkerCalls],
             Self::Lead => &[Link::Cloud],
         }
     }
@@ -91,7 +96,7 @@
         let mut links = Self {
             is_up: [true; Link::ALL.len()],
         };
-        links.set(Link::StateService, false);
+        links.set(Link::Store, false);
         links
     }
 }
--- a/crates/links/src/machine_link.rs
+++ b/crates/links/src/machine_link.rs
@@ -62,7 +62,7 @@
 
 impl MachineLink {
     /// A report has come.
-    pub fn on_report(&mut self, now: Ms, route: Route, timing: &Timing) {
+    pub fn on_heartbeat(&mut self, now: Ms, route: Route, timing: &Timing) {
         match route {
             Route::Direct => {
                 self.reported = Some(now);
@@ -108,31 +108,31 @@
     }
 
     /// Whether other controllers still pass on what the worker reports.
-    pub fn is_relayed_lately(&self, now: Ms, timing: &Timing) -> bool {
+    pub fn is_recently_relayed(&self, now: Ms, timing: &Timing) -> bool {
         let relayed = self.relayed.filter(|_| self.is_relayed());
         relayed.is_some_and(|t| now < t + timing.report_ms)
     }
 
     /// Whether calls reach the machine, as far as is known.
-    pub fn takes_calls(&self) -> bool {
+    pub fn is_callable(&self) -> bool {
         self.unanswered < LOST_CALLS
     }
 
     /// Whether a call has shown within a lease if calls reach the machine.
-    pub fn is_tried(&self, now: Ms, timing: &Timing) -> bool {
+    pub fn is_call_recent(&self, now: Ms, timing: &Timing) -> bool {
         self.called.is_some_and(|t| now < t + timing.lease_ms)
     }
 
     /// Whether tasks may be started there: the start goes out by a call, and what
     /// becomes of it is soon heard without another controller's help.
-    pub fn takes_starts(&self) -> bool {
-        self.takes_calls() && !self.is_relayed()
+    pub fn accepts_starts(&self) -> bool {
+        self.is_callable() && !self.is_relayed()
     }
 
     /// Whether the worker itself has not been heard for so long that it should have
     /// been. `since` is when we began to listen. A worker that we never heard may still be
     /// on its way to us: it has half of its lease.
-    pub fn is_unheard(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
+    pub fn has_missed_heartbeats(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
         match self.reported {
             Some(reported) => now > reported.max(since) + timing.report_ms,
             None => now > since + timing.lease_ms / 2,
@@ -141,7 +141,7 @@
 
     /// Whether other controllers should pass on what the worker reports to them.
     pub fn wants_relay(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
-        now >= self.returning_until && self.is_unheard(now, since, timing)
+        now >= self.returning_until && self.has_missed_heartbeats(now, since, timing)
     }
 
     /// Whether the machine is to be called, by us and by others, to find out what has
--- a/crates/links/src/redirect.rs
+++ b/crates/links/src/redirect.rs
@@ -32,7 +32,13 @@
     }
 
     /// A worker is sent to a start of a holder.
-    pub fn on_sent(&mut self, machine: MachineId, holder: NodeName, incarnation: u64, now: Ms) {
+    pub fn on_redirected(
+        &mut self,
+        machine: MachineId,
+        holder: NodeName,
+        incarnation: u64,
+        now: Ms,
+    ) {
         let redirect = Redirect {
             holder,
             incarnation,
@@ -42,7 +48,7 @@
     }
 
     /// Whether a worker that reports now was sent to that start of a holder before.
-    pub fn came_back(
+    pub fn has_returned(
         &self,
         machine: &MachineId,
         holder: &NodeName,
@@ -56,7 +62,7 @@
     }
 
     /// Forgets workers that have not come back.
-    pub fn forget_late(&mut self, now: Ms) {
+    pub fn remove_expired(&mut self, now: Ms) {
         let lease_ms = self.lease_ms;
         self.sent.retain(|_, r| now < r.at + lease_ms);
     }
--- a/crates/links/src/relay.rs
+++ b/crates/links/src/relay.rs
@@ -25,7 +25,7 @@
 impl RelayTable {
     /// A start of a holder does not hear these machines, and says so until then. `list`
     /// grows with each list of a start; messages with the same one add up.
-    pub fn on_unheard(
+    pub fn on_relay_request(
         &mut self,
         from: &NodeName,
         incarnation: u64,
@@ -54,7 +54,13 @@
     }
 
     /// Whether a start of a holder asks for a machine's reports.
-    pub fn wants(&self, machine: &MachineId, holder: &NodeName, incarnation: u64, now: Ms) -> bool {
+    pub fn is_requested_by(
+        &self,
+        machine: &MachineId,
+        holder: &NodeName,
+        incarnation: u64,
+        now: Ms,
+    ) -> bool {
         let asked = self.machines.get(machine);
         let is_theirs = asked.is_some_and(|(node, start)| node == holder && *start == incarnation);
         let request = self.holders.get(holder);
@@ -62,7 +68,7 @@
     }
 
     /// Forgets what holders do not ask for any more.
-    pub fn forget_late(&mut self, now: Ms) {
+    pub fn remove_expired(&mut self, now: Ms) {
         self.holders.retain(|_, r| now < r.until);
         let holders = &self.holders;
         self.machines
--- a/crates/links/tests/decisions.rs
+++ b/crates/links/tests/decisions.rs
@@ -20,12 +20,12 @@
 /// The table of decisions, written out: a change to it has to be meant.
 #[test]
 fn each_cut_forbids_what_it_should() {
-    use Decision::{GiveUpSilentMachines, HoldShares, Lead, StartTasks};
+    use Decision::{HoldShards, Lead, RemoveSilentMachines, StartTasks};
     let cases: [(&[Link], &[Decision]); 6] = [
         (&[], &[]),
-        (&[Link::StateService], &[StartTasks, GiveUpSilentMachines]),
-        (&[Link::Reports], &[GiveUpSilentMachines, HoldShares]),
-        (&[Link::Calls], &[HoldShares]),
+        (&[Link::Store], &[StartTasks, RemoveSilentMachines]),
+        (&[Link::Heartbeats], &[RemoveSilentMachines, HoldShards]),
+        (&[Link::WorkerCalls], &[HoldShards]),
         (&[Link::Cloud], &[Lead]),
         (&Link::ALL, &Decision::ALL),
     ];
@@ -64,7 +64,7 @@
     let mut link = MachineLink::default();
     for (answered, takes) in [(false, true), (false, false), (false, false), (true, true)] {
         link.on_call(1, answered, &TIMING);
-        assert_eq!(link.takes_calls(), takes);
+        assert_eq!(link.is_callable(), takes);
     }
 }
 
@@ -73,11 +73,11 @@
 #[test]
 fn a_relayed_worker_comes_back_at_a_pace() {
     let mut link = MachineLink::default();
-    link.on_report(0, Route::Direct, &TIMING);
-    assert!(link.takes_starts() && !link.wants_relay(1_000, 0, &TIMING));
+    link.on_heartbeat(0, Route::Direct, &TIMING);
+    assert!(link.accepts_starts() && !link.wants_relay(1_000, 0, &TIMING));
     assert!(link.wants_relay(1_001, 0, &TIMING));
-    link.on_report(2_000, Route::Relayed, &TIMING);
-    assert!(!link.takes_starts() && !link.is_probe_due(6_999));
+    link.on_heartbeat(2_000, Route::Relayed, &TIMING);
+    assert!(!link.accepts_starts() && !link.is_probe_due(6_999));
     let mut now = 7_000;
     let mut pauses = Vec::new();
     for _ in 0..3 {
@@ -87,13 +87,13 @@
         let began = now;
         while !link.is_probe_due(now) {
             now += 100;
-            link.on_report(now, Route::Relayed, &TIMING);
+            link.on_heartbeat(now, Route::Relayed, &TIMING);
         }
         pauses.push(now - began);
     }
     assert!(pauses.is_sorted() && pauses[0] < pauses[2], "{pauses:?}");
-    link.on_report(now, Route::Direct, &TIMING);
-    assert!(link.takes_starts());
+    link.on_heartbeat(now, Route::Direct, &TIMING);
+    assert!(link.accepts_starts());
 }
 
 /// Only calls without any answer count, and a leader that resigned waits longer each time.
@@ -107,7 +107,7 @@
     link.on_call(300, false);
     assert!(!link.is_lost(599, 500) && link.is_lost(600, 500));
     link.on_resigned(600, 1_000, 4_000);
-    assert!(link.abstains(1_599) && !link.abstains(1_600));
+    assert!(link.abstains_from_election(1_599) && !link.abstains_from_election(1_600));
     link.on_elected();
     assert!(!link.is_lost(9_000, 500));
     for now in [700, 800, 900] {
@@ -118,10 +118,10 @@
         "as long as it abstained"
     );
     link.on_resigned(2_000, 1_000, 4_000);
-    assert!(link.abstains(3_999) && !link.abstains(4_000));
+    assert!(link.abstains_from_election(3_999) && !link.abstains_from_election(4_000));
     link.on_call(5_000, true);
     link.on_resigned(6_000, 1_000, 4_000);
-    assert!(!link.abstains(7_000), "an answer ends it");
+    assert!(!link.abstains_from_election(7_000), "an answer ends it");
 }
 
 /// Lists that come late, from an earlier start, or for another holder, count for nothing.
@@ -130,24 +130,24 @@
     let (holder, other) = (NodeName::new("a"), NodeName::new("b"));
     let machine = |n: u32| MachineId::new(&format!("host-{n}"));
     let mut table = RelayTable::default();
-    table.on_unheard(&holder, 1, 5, [machine(1)], 100);
-    table.on_unheard(&holder, 1, 5, [machine(2)], 100);
-    table.on_unheard(&holder, 1, 4, [machine(3)], 100);
+    table.on_relay_request(&holder, 1, 5, [machine(1)], 100);
+    table.on_relay_request(&holder, 1, 5, [machine(2)], 100);
+    table.on_relay_request(&holder, 1, 4, [machine(3)], 100);
     let wanted = |table: &RelayTable, n, holder, incarnation, now| {
-        table.wants(&machine(n), holder, incarnation, now)
+        table.is_requested_by(&machine(n), holder, incarnation, now)
     };
     assert!(wanted(&table, 1, &holder, 1, 99) && wanted(&table, 2, &holder, 1, 99));
     assert!(!wanted(&table, 3, &holder, 1, 99), "an older list");
     assert!(!wanted(&table, 1, &other, 1, 99) && !wanted(&table, 1, &holder, 2, 99));
     assert!(!wanted(&table, 1, &holder, 1, 100), "it is over");
-    table.on_unheard(&holder, 2, 1, [machine(4)], 200);
+    table.on_relay_request(&holder, 2, 1, [machine(4)], 200);
     assert!(!wanted(&table, 1, &holder, 2, 150) && wanted(&table, 4, &holder, 2, 150));
-    table.on_unheard(&holder, 2, 2, [], 200);
+    table.on_relay_request(&holder, 2, 2, [], 200);
     assert!(
         !wanted(&table, 4, &holder, 2, 150),
         "an empty list takes it back"
     );
-    table.on_unheard(&holder, 2, 3, [machine(4)], 200);
-    table.forget_late(200);
+    table.on_relay_request(&holder, 2, 3, [machine(4)], 200);
+    table.remove_expired(200);
     assert!(table.is_empty());
 }
--- a/crates/links/tests/worker_and_controllers.rs
+++ b/crates/links/tests/worker_and_controllers.rs
@@ -166,7 +166,7 @@
         for n in (HOLDER + 1..CONTROLLERS).filter(|n| network.peers[*n]) {
             let machines = wanted.then(|| self.id.clone());
             let until = self.now + LIST_LASTS;
-            self.relays[n].on_unheard(&Self::holder(), INC, self.lists, machines, until);
+            self.relays[n].on_relay_request(&Self::holder(), INC, self.lists, machines, until);
         }
     }
 
@@ -175,7 +175,7 @@
         if !network.worker[n] {
             self.waits_since = Some(self.now);
         } else if n == HOLDER {
-            self.link.on_report(self.now, Route::Direct, &TIMING);
+            self.link.on_heartbeat(self.now, Route::Direct, &TIMING);
             self.answered();
         } else {
             self.report_elsewhere(n, network);
@@ -184,14 +184,14 @@
 
     fn report_elsewhere(&mut self, n: usize, network: &Network) {
         let (id, holder) = (self.id.clone(), Self::holder());
-        let asked = self.relays[n].wants(&id, &holder, INC, self.now);
-        let came_back = self.redirects[n].came_back(&id, &holder, INC, self.now);
+        let asked = self.relays[n].is_requested_by(&id, &holder, INC, self.now);
+        let came_back = self.redirects[n].has_returned(&id, &holder, INC, self.now);
         if !asked && !came_back {
-            self.redirects[n].on_sent(id, holder, INC, self.now);
+            self.redirects[n].on_redirected(id, holder, INC, self.now);
             self.at = HOLDER;
             self.next = self.now;
         } else if network.peers[n] {
-            self.link.on_report(self.now, Route::Relayed, &TIMING);
+            self.link.on_heartbeat(self.now, Route::Relayed, &TIMING);
             self.answered();
         } else {
             self.at = (n + 1) % CONTROLLERS;
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -6,7 +6,8 @@
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::workers::{
-    Command, CommandRequest, ExitCause, HeldImages, Prefetch, Report, TaskReport, TaskStage, Verb,
+    Command, CommandRequest, ExitCause, HeldImages, Prefetch, TaskReport, TaskStage, Verb,
+    WorkerHeartbeat,
 };
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
@@ -67,7 +68,7 @@
     pub(crate) spot: bool,
     room: Room,
     fetch_rate: f64,
-    pub(crate) session: u64,
+    pub(crate) incarnation: u64,
     seq: u64,
     pub(crate) token: u64,
     pub(crate) tasks: BTreeMap<(TaskRef, u64), OnMachine>,
@@ -85,7 +86,7 @@
     /// The node that it reports to.
     pub(crate) node: usize,
     pub(crate) next_report: Ms,
-    /// The report under way: its number, session, and when it was sent.
+    /// The report under way: its number, incarnation, and when it was sent.
     pub(crate) open: Option<(u64, u64, Ms)>,
     /// When the last report was sent.
     pub(crate) reported: Option<Ms>,
@@ -125,7 +126,7 @@
             spot,
             room: (t.cpus, t.gpus, t.memory_gb),
             fetch_rate: t.fetch_gb_per_s,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             token: 0,
             tasks: BTreeMap::new(),
@@ -178,16 +179,16 @@
         )
     }
 
-    pub(crate) fn report(&mut self, now: Ms) -> Report {
+    pub(crate) fn report(&mut self, now: Ms) -> WorkerHeartbeat {
         self.seq += 1;
-        Report {
+        WorkerHeartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.seq,
             token: self.token,
             notice_s: self.taken_at.map(|t| t.saturating_sub(now) as f64 / 1000.0),
             tasks: self
@@ -218,7 +219,7 @@
     fn expire(&mut self, a: &mut Around) {
         if a.now > self.answered + a.lease_ms {
             self.wipe(a.check);
-            self.session += 1;
+            self.incarnation += 1;
             self.answered = a.now;
             self.open = None;
         }
@@ -230,14 +231,14 @@
         serde_json::to_vec(&self.report(a.now)).unwrap_or_default()
     }
 
-    /// `POST /commands`. What was held up while it hung finds the next session
+    /// `POST /commands`. What was held up while it hung finds the next incarnation
     /// if the lease has run out meanwhile.
     pub(crate) fn commands(&mut self, a: &mut Around, body: &[u8]) -> (u16, Vec<u8>) {
         self.expire(a);
         let Ok(request) = serde_json::from_slice::<CommandRequest>(body) else {
             return (400, Vec::new());
         };
-        let good = request.token >= self.token && request.session == self.session;
+        let good = request.token >= self.token && request.incarnation == self.incarnation;
         if good {
             self.token = request.token;
             self.execute(a, &request.commands);
@@ -293,10 +294,10 @@
 
     /// A 200 to the report under way.
     pub(crate) fn replied(&mut self, a: &mut Around, token: u64, commands: &[Command]) {
-        let Some((_, session, sent)) = self.open.take() else {
+        let Some((_, incarnation, sent)) = self.open.take() else {
             return;
         };
-        if session != self.session || token < self.token {
+        if incarnation != self.incarnation || token < self.token {
             return;
         }
         self.token = token;
@@ -304,9 +305,9 @@
         self.execute(a, commands);
     }
 
-    /// Lets a higher token or a new session be reason for a report, as the
+    /// Lets a higher token or a new incarnation be reason for a report, as the
     /// protocol has it: a token at most once in half a lease.
-    pub(crate) fn note_news(&mut self, now: Ms, lease_ms: Ms, (session, token): (u64, u64)) {
+    pub(crate) fn note_news(&mut self, now: Ms, lease_ms: Ms, (incarnation, token): (u64, u64)) {
         let token_due = self
             .token_reported
             .is_none_or(|at| now >= at + lease_ms / 2);
@@ -314,7 +315,7 @@
         if is_higher {
             self.token_reported = Some(now);
         }
-        if is_higher || self.session > session {
+        if is_higher || self.incarnation > incarnation {
             self.next_report = self.next_report.min(now);
         }
     }
@@ -351,7 +352,7 @@
             .get(&key.0.job)
             .filter(|t| key.0.index < t.spec.tasks)
         else {
-            self.refuse(key, ExitCause::NoSuch);
+            self.refuse(key, ExitCause::UnknownTask);
             return;
         };
         let here = |t: &OnMachine| t.stage != TaskStage::Exited;
@@ -365,7 +366,7 @@
         }
         let s = &truth.spec;
         if fitting(self.free(a.truths), s) == 0 {
-            self.refuse(key, ExitCause::Full);
+            self.refuse(key, ExitCause::NoRoom);
             return;
         }
         let fetch = if self.images.contains(&s.image) {
@@ -434,7 +435,7 @@
         };
         if matches!(
             task.stage,
-            TaskStage::Gathering | TaskStage::Running | TaskStage::Saving
+            TaskStage::WaitingForGang | TaskStage::Running | TaskStage::Saving
         ) {
             a.check.ended(&key.0, &self.id);
         }
@@ -459,10 +460,10 @@
             return;
         }
         for ((task, _), t) in &mut self.tasks {
-            if t.stage == TaskStage::Gathering && now >= t.since + wait {
+            if t.stage == TaskStage::WaitingForGang && now >= t.since + wait {
                 check.ended(task, &self.id);
                 t.stage = TaskStage::Exited;
-                t.cause = Some(ExitCause::Alone);
+                t.cause = Some(ExitCause::GangTimeout);
                 self.next_report = self.next_report.min(now + 100);
             }
         }
@@ -537,7 +538,7 @@
         };
         if let Some(task) = self.tasks.get_mut(key) {
             task.stage = if gang {
-                TaskStage::Gathering
+                TaskStage::WaitingForGang
             } else {
                 TaskStage::Running
             };
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -95,7 +95,7 @@
         };
         let commands = CommandRequest {
             token: 1,
-            session: 1,
+            incarnation: 1,
             commands: vec![start],
             prefetch: Vec::new(),
         };
@@ -176,7 +176,7 @@
     assert_eq!(bench.found(), [Rule::RanCancelled]);
 }
 
-/// A command that was held up by a hang finds another session.
+/// A command that was held up by a hang finds another incarnation.
 #[test]
 fn a_command_after_a_lease_that_ended_in_a_hang_is_refused() {
     for (goes_on, status) in [(9_000, 200), (12_000, 409)] {
--- a/crates/testkit/src/world/fleet.rs
+++ b/crates/testkit/src/world/fleet.rs
@@ -5,7 +5,7 @@
 use super::World;
 use crate::worker::{Around, Worker};
 use crate::Ms;
-use forkshift_wire::workers::{ExitCause, Redirect, ReportReply, TaskStage};
+use forkshift_wire::workers::{ExitCause, HeartbeatReply, Redirect, TaskStage};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
             if w.hung_until > now {
                 continue;
             }
-            let known = (w.session, w.token);
+            let known = (w.incarnation, w.token);
             let mut around = Around {
                 now,
                 truths: &self.truths,
@@ -79,7 +79,7 @@
             let rests = is_remote && w.reported.is_some_and(|at| now < at + REPORT_GAP_MS);
             if w.open.is_none() && now >= w.next_report && !rests {
                 let report = w.report(now);
-                w.open = Some((report.seq, report.session, now));
+                w.open = Some((report.sequence, report.incarnation, now));
                 w.reported = Some(now);
                 let period = self.size.report_ms;
                 w.next_report = match is_remote {
@@ -91,7 +91,7 @@
                 reports.push(Message {
                     origin: Origin::Worker {
                         id: w.id.clone(),
-                        report: report.seq,
+                        report: report.sequence,
                     },
                     dest: Dest::Node(w.node),
                     method: "POST".to_owned(),
@@ -114,7 +114,7 @@
         }
         for w in self.workers.values().filter(|w| w.has_gang_tasks) {
             for ((task, attempt), t) in &w.tasks {
-                if t.is_gang && matches!(t.stage, TaskStage::Gathering | TaskStage::Running) {
+                if t.is_gang && matches!(t.stage, TaskStage::WaitingForGang | TaskStage::Running) {
                     let key = (task.job.clone(), *attempt);
                     attempts
                         .entry(key)
@@ -133,7 +133,9 @@
                     index,
                 })
             });
-            let waits = members.iter().any(|(_, _, s)| *s == TaskStage::Gathering);
+            let waits = members
+                .iter()
+                .any(|(_, _, s)| *s == TaskStage::WaitingForGang);
             let cause = match began {
                 None if whole && waits => {
                     self.gangs.insert((job.clone(), attempt), self.now);
@@ -148,7 +150,7 @@
                 _ if done => Some(ExitCause::Done),
                 Some(t) if whole && truth.fails_by(t, self.now) => Some(ExitCause::Error),
                 Some(t) if whole && self.now >= t + truth.run_ms => Some(ExitCause::Done),
-                Some(_) if !whole => Some(ExitCause::Peers),
+                Some(_) if !whole => Some(ExitCause::GangMemberLost),
                 _ => None,
             };
             let Some(cause) = cause else { continue };
@@ -187,7 +189,7 @@
             return;
         }
         if status == 200 {
-            if let Ok(reply) = serde_json::from_slice::<ReportReply>(body) {
+            if let Ok(reply) = serde_json::from_slice::<HeartbeatReply>(body) {
                 let mut around = Around {
                     now,
                     truths: &self.truths,
--- a/crates/testkit/tests/hollow_workers.rs
+++ b/crates/testkit/tests/hollow_workers.rs
@@ -5,7 +5,7 @@
     Asker, BootModel, Deployment, Fleet, MachineChange, Outgoing, Plan, Rule, Service, Size, World,
 };
 use forkshift_wire::users::{JobKind, JobStage};
-use forkshift_wire::workers::{Report, TaskStage};
+use forkshift_wire::workers::{TaskStage, WorkerHeartbeat};
 use forkshift_wire::MachineId;
 use serde_json::{json, Value};
 
@@ -26,7 +26,7 @@
 struct Sent {
     at: Ms,
     node: usize,
-    report: Report,
+    report: WorkerHeartbeat,
     asker: Asker,
 }
 
@@ -135,7 +135,7 @@
     let mut scene = Scene::new();
     let mut last = scene.next();
     for _ in 0..40 {
-        let (at, seq) = (last.at, last.report.seq);
+        let (at, seq) = (last.at, last.report.sequence);
         scene.answer(last, 200, &json!({"baton": 1, "orders": []}));
         last = scene.next();
         let gap = last.at - at;
@@ -145,7 +145,7 @@
             (least..=REPORT_MS * 5 / 4 + STEP_MS).contains(&gap),
             "{gap} ms"
         );
-        assert!(last.report.seq > seq);
+        assert!(last.report.sequence > seq);
     }
     // What has no answer is given up after four seconds, and the next
     // controller is tried a second later.
@@ -209,9 +209,9 @@
     for (body, status, tasks, token) in cases {
         assert_eq!(scene.command("/commands", &body).0, status, "{body}");
         let (status, report) = scene.command("/status", &json!(null));
-        let report: Report = serde_json::from_value(report).expect("a report");
+        let report: WorkerHeartbeat = serde_json::from_value(report).expect("a report");
         assert_eq!((status, report.tasks.len()), (200, tasks), "{body}");
-        assert_eq!((report.token, report.session), (token, 1), "{body}");
+        assert_eq!((report.token, report.incarnation), (token, 1), "{body}");
     }
     // A response with a lower token renews nothing: the lease runs out, the tasks
     // are killed and forgotten, and the next session begins.
@@ -221,7 +221,7 @@
         scene.answer(last, 200, &json!({"baton": 6, "orders": []}));
         last = scene.next();
     }
-    assert_eq!(last.report.session, 2);
+    assert_eq!(last.report.incarnation, 2);
     assert!(last.report.tasks.is_empty(), "all forgotten");
     assert_eq!(scene.world.check.tasks_on_machines(), 0);
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -132,7 +132,7 @@
     /// What a worker has answered to a probe. Since version 7.
     ProbeResult {
         /// Its report, in JSON.
-        report: Vec<u8>,
+        heartbeat: Vec<u8>,
     },
 }
 
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -193,7 +193,7 @@
 
 /// Why settings are refused.
 #[derive(Debug, thiserror::Error)]
-pub enum BadSettings {
+pub enum SettingsError {
     /// Not TOML, or a field is missing or of another type.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
@@ -209,13 +209,13 @@
 
 impl Settings {
     /// Reads and checks a settings file.
-    pub fn parse(text: &str) -> Result<Self, BadSettings> {
+    pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text)?;
         settings.check()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), BadSettings> {
+    fn check(&self) -> Result<(), SettingsError> {
         let c = &self.cluster;
         let positive = [
             ("cluster.workers.report_s", c.workers.report_s),
@@ -237,7 +237,7 @@
             ("cluster.state.next.value_kb", next.value_kb),
         ];
         let announced = announced.iter().filter_map(|(f, v)| Some((*f, (*v)?)));
-        let wrong = |field: &str, problem| BadSettings::Field {
+        let wrong = |field: &str, problem| SettingsError::Field {
             field: field.to_owned(),
             problem,
         };
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -5,7 +5,7 @@
 
 /// What a worker says of itself, unasked or in answer to commands.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// The machine the worker runs on.
     #[serde(rename = "berth")]
     pub machine: MachineId,
@@ -20,12 +20,12 @@
     /// Whether the cloud may take the machine back.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// The worker's session; a new one begins when its lease runs out.
+    /// The worker's incarnation; a new one begins when its lease runs out.
     #[serde(rename = "watch")]
-    pub session: u64,
-    /// Orders the messages of one session.
+    pub incarnation: u64,
+    /// Orders the messages of one incarnation.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub token: u64,
@@ -80,7 +80,7 @@
     Fetching,
     /// Waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
-    Gathering,
+    WaitingForGang,
     /// Runs.
     #[serde(rename = "running")]
     Running,
@@ -103,22 +103,22 @@
     Stopped,
     /// Another task of its gang is gone.
     #[serde(rename = "peers")]
-    Peers,
+    GangMemberLost,
     /// Its gang was not complete in time.
     #[serde(rename = "alone")]
-    Alone,
+    GangTimeout,
     /// Failed.
     #[serde(rename = "error")]
     Error,
     /// Refused: no room on the machine.
     #[serde(rename = "full")]
-    Full,
+    NoRoom,
     /// Refused: the machine has another attempt of it.
     #[serde(rename = "in_use")]
     InUse,
     /// Refused: no such job or task.
     #[serde(rename = "no_such")]
-    NoSuch,
+    UnknownTask,
 }
 
 /// A command to a worker.
@@ -157,9 +157,9 @@
     /// Token that entitles to give commands.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The session that the commands are meant for.
+    /// The incarnation that the commands are meant for.
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Executed in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -182,7 +182,7 @@
 
 /// Answer to a report that is accepted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatReply {
     /// Token that entitles to give commands.
     #[serde(rename = "baton")]
     pub token: u64,
--- a/crates/wire/src/workers/tests.rs
+++ b/crates/wire/src/workers/tests.rs
@@ -8,8 +8,11 @@
         "watch":1,"tally":88,"baton":41,"recall_s":null,"news":{"x":1},
         "shifts":[{"shift":"j-000412/3","try":2,"stage":"running"},
                   {"shift":"j-000398/0","try":1,"stage":"exited","cause":"stopped","stored":true}]}"#;
-    let report: Report = serde_json::from_str(text).unwrap();
-    assert_eq!((report.session, report.seq, report.token), (1, 88, 41));
+    let report: WorkerHeartbeat = serde_json::from_str(text).unwrap();
+    assert_eq!(
+        (report.incarnation, report.sequence, report.token),
+        (1, 88, 41)
+    );
     assert!(report.spot && report.notice_s.is_none());
     assert_eq!(report.tasks[0].stage, TaskStage::Running);
     assert_eq!(report.tasks[1].cause, Some(ExitCause::Stopped));
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -191,7 +191,7 @@
     compare(include_str!("golden/submissions_read.tsv"), &cases);
 }
 
-fn report() -> Report {
+fn report() -> WorkerHeartbeat {
     let ended = TaskReport {
         task: task(3),
         attempt: 2,
@@ -206,14 +206,14 @@
         cause: None,
         saved: false,
     };
-    Report {
+    WorkerHeartbeat {
         machine: MachineId::new("m-1"),
         addr: "10.1.0.1:9000".to_owned(),
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
         spot: true,
-        session: 11,
-        seq: 12,
+        incarnation: 11,
+        sequence: 12,
         token: 13,
         notice_s: Some(29.5),
         tasks: vec![ended, runs],
@@ -241,7 +241,7 @@
 fn command_request(prefetch: Vec<Prefetch>) -> CommandRequest {
     CommandRequest {
         token: 13,
-        session: 11,
+        incarnation: 11,
         commands: commands(),
         prefetch,
     }
@@ -249,7 +249,7 @@
 
 #[test]
 fn workers() {
-    let least = Report {
+    let least = WorkerHeartbeat {
         spot: false,
         token: 0,
         notice_s: None,
@@ -261,7 +261,7 @@
         image: "train:8".to_owned(),
         image_gb: 4.5,
     };
-    let reply = ReportReply {
+    let reply = HeartbeatReply {
         token: 13,
         commands: commands(),
     };
@@ -272,7 +272,7 @@
     let cases = [
         both("report_full", &report()),
         both("report_least", &least),
-        read::<Report>("report_fields_left_out", short),
+        read::<WorkerHeartbeat>("report_fields_left_out", short),
         read::<TaskReport>(
             "shift_fields_left_out",
             r#"{"shift":"j-1/0","try":1,"stage":"running"}"#,
@@ -280,18 +280,18 @@
         both("kits_none", &HeldImages::default()),
         read::<HeldImages>("kits_fields_left_out", r#"{"held":["a"]}"#),
         both("stage_fetching", &TaskStage::Fetching),
-        both("stage_gathering", &TaskStage::Gathering),
+        both("stage_gathering", &TaskStage::WaitingForGang),
         both("stage_running", &TaskStage::Running),
         both("stage_flushing", &TaskStage::Saving),
         both("stage_exited", &TaskStage::Exited),
         both("cause_done", &ExitCause::Done),
         both("cause_stopped", &ExitCause::Stopped),
-        both("cause_peers", &ExitCause::Peers),
-        both("cause_alone", &ExitCause::Alone),
+        both("cause_peers", &ExitCause::GangMemberLost),
+        both("cause_alone", &ExitCause::GangTimeout),
         both("cause_error", &ExitCause::Error),
-        both("cause_full", &ExitCause::Full),
+        both("cause_full", &ExitCause::NoRoom),
         both("cause_in_use", &ExitCause::InUse),
-        both("cause_no_such", &ExitCause::NoSuch),
+        both("cause_no_such", &ExitCause::UnknownTask),
         both("orders_full", &command_request(vec![image])),
         both("orders_least", &command_request(Vec::new())),
         both("report_accepted", &reply),
@@ -521,7 +521,7 @@
         machines: texts(&["m-1"]),
     };
     let probed = Body::ProbeResult {
-        report: b"{\"berth\":\"m-1\"}".to_vec(),
+        heartbeat: b"{\"berth\":\"m-1\"}".to_vec(),
     };
     let in_version = |version| Envelope {
         version,
