--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,15 +1,16 @@
 //! Requests from users, workers and probes, told apart by method and path.
 
+pub(crate) mod admission;
 mod cancellations;
-mod questions;
-mod reports;
+mod heartbeats;
+mod status_queries;
 mod submissions;
 
-pub(crate) use questions::{read_job, read_versioned_job};
+pub(crate) use status_queries::{read_job, read_versioned_job};
 
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::relay::Relaying;
+use crate::protocol::relay::Relaying;
 use crate::Ms;
 use forkshift_wire::users::{JobStage, JobStatus};
 use forkshift_wire::JobId;
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -5,9 +5,9 @@
 use crate::api::read_versioned_job;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::pending::{Creation, Lookup, PendingCall};
+use crate::pending_call::{Creation, Lookup, PendingCall};
 use crate::records::job_key;
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
 use forkshift_wire::JobId;
 use std::collections::BTreeSet;
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -1,14 +1,14 @@
 //! Cancellations: of jobs that are held here, and of those that another
 //! controller is to cancel.
 
-use crate::api::questions::read_job;
+use crate::api::status_queries::read_job;
 use crate::api::{status, ANSWER_MS};
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of_mut, Node};
-use crate::pending::{CancellationPoll, Lookup, PendingCall};
+use crate::pending_call::{CancellationPoll, Lookup, PendingCall};
 use crate::records::{cancellation_key, job_key, ShardId};
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::users::JobStage;
--- a/crates/core/src/api/reports.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -3,8 +3,8 @@
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
+use crate::protocol::relay::Relaying;
 use crate::records::ShardId;
-use crate::relay::Relaying;
 use crate::shard::{epoch_of_token, Phase};
 use forkshift_links::Route;
 use forkshift_wire::workers::{HeartbeatReply, Redirect, WorkerHeartbeat};
--- a/crates/core/src/api/questions.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -3,9 +3,9 @@
 use crate::api::status;
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of, Node};
-use crate::pending::{Lookup, PendingCall};
+use crate::pending_call::{Lookup, PendingCall};
 use crate::records::{job_key, JobRecord};
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_wire::state::Item;
 use forkshift_wire::users::JobStage;
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -3,14 +3,14 @@
 use crate::api::{status, ANSWER_MS};
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
-use crate::layout::can_be_recorded;
 use crate::node::Node;
-use crate::pending::{Creation, Lookup, PendingCall};
+use crate::pending_call::{Creation, Lookup, PendingCall};
 use crate::records::{
     capacity_of, job_key, unfinished_key, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
 };
+use crate::shard::layout::can_be_recorded;
 use crate::shard::new_layout;
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use forkshift_sched::{Quota, Resources};
 use forkshift_wire::state::{Precondition, Transaction, TransactionReply, Write};
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::fixture::{answer_to, Fixture, EPOCH};
-use crate::job::StartState;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{job_key, JobRecord};
+use crate::shard::job::StartState;
 use forkshift_wire::users::JobKind;
 use forkshift_wire::NodeName;
 use serde_json::json;
--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -4,7 +4,7 @@
 //! follows from the memory, the sockets or the message size that there is, or from
 //! the machines that a shard has. `docs/CAPACITY.md` lists what lies beyond each.
 
-use crate::layout::TASK_BYTES;
+use crate::shard::layout::TASK_BYTES;
 use forkshift_wire::peer::MAX_MESSAGE_BYTES;
 use forkshift_wire::settings::Settings;
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
 //! What a controller is told before it starts.
 
 use crate::bounds::Bounds;
-use crate::format::FormatVersion;
+use crate::membership::format::FormatVersion;
 use crate::records::ShardId;
 use crate::Ms;
 use forkshift_links::Timing;
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,16 +1,16 @@
 //! The context of every part of the controller: time, settings, and the
 //! effects that it wants carried out.
 
-use crate::attestation::{Peer, PeerConfirmations};
 use crate::config::{Config, StateLimits};
-use crate::failure_detector::FailureDetector;
-use crate::format::FormatVersion;
 use crate::io::{CallId, Effect, Reply, RequestId, Target, PEER_REQUEST_BIT};
+use crate::membership::failure_detector::FailureDetector;
+use crate::membership::format::FormatVersion;
+use crate::membership::peer_confirmations::{Peer, PeerConfirmations};
 use crate::names::{ImageNames, PlaceNames};
 use crate::overflow::OverflowLog;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{DemandRecord, ShardId};
-use crate::store::{Store, StoreCall, Urgency};
+use crate::store::queue::{Store, StoreCall, Urgency};
 use crate::Ms;
 use forkshift_links::{CloudLink, Links, Redirects, RelayTable};
 use forkshift_wire::cloud::Machines;
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -1,17 +1,17 @@
 //! A controller that holds a shard with a machine, for tests of what it does.
 
 use crate::config::{Config, Operator};
-use crate::format::FormatVersion;
 use crate::io::{Effect, Input, Reply, RequestId};
-use crate::job::{Binding, StartState};
+use crate::membership::format::FormatVersion;
 use crate::node::Node;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{
     machine_key, node_key, shard_key, type_key, LeaderRecord, MachineRecord, NodeRecord, ShardId,
     ShardRecord, LEADER,
 };
+use crate::shard::job::{Binding, StartState};
 use crate::shard::{Phase, Shard};
-use crate::view::Versioned;
+use crate::store::view::Versioned;
 use crate::Ms;
 use forkshift_wire::settings::Settings;
 use forkshift_wire::state::Item;
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -3,12 +3,12 @@
 use super::{compare, Case};
 use crate::config::{Config, Operator};
 use crate::fixture::{spec, team_of, Fixture, NOW, WALL};
-use crate::format::FormatVersion;
 use crate::io::{Effect, Input, RequestId, Target};
+use crate::membership::format::FormatVersion;
 use crate::node::Node;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::ProvisioningIntent;
-use crate::view::Versioned;
+use crate::store::view::Versioned;
 use forkshift_pools::{PoolSpec, Pools};
 use forkshift_wire::settings::Settings;
 use forkshift_wire::users::{JobKind, JobSpec};
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -2,13 +2,13 @@
 
 use super::{compare, Case};
 use crate::config::StateLimits;
-use crate::layout::Layout;
 use crate::records::{
     cancellation_key, demand_key, job_key, machine_key, node_key, provisioning_intent_key,
     shard_key, type_key, unfinished_key, unfinished_prefix, ShardId, CLUSTER, EPOCH,
     FINALIZED_FORMAT, LEADER,
 };
-use crate::view::ClusterView;
+use crate::shard::layout::Layout;
+use crate::store::view::ClusterView;
 use forkshift_pools::account::{head_key, HEADS, POOLS, PRICES};
 use forkshift_pools::PoolName;
 use forkshift_wire::state::Item;
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -2,7 +2,7 @@
 
 use super::{compare, Case};
 use crate::fixture::spec;
-use crate::format::FormatVersion;
+use crate::membership::format::FormatVersion;
 use crate::records::{
     DemandRecord, JobHeadRecord, JobRecord, LeaderRecord, MachineRecord, NodeRecord,
     ProvisioningIntent, ShapeRecord, ShardId, ShardRecord, TaskBlockRecord,
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -5,24 +5,24 @@
 //! can't write any more.
 
 mod assignment;
-mod deletion;
 mod finalization;
 mod inventory;
-mod lending;
 mod prices;
-mod renting;
+mod rebalancing;
+mod scale_in;
+mod scale_out;
 
 use crate::context::Context;
 use crate::records::{cancellation_key, capacity_of, DemandRecord, ShardId, LEADER};
 use crate::shard::remove_key;
-use crate::store::TokenBucket;
-use crate::view::{ChangedMachines, ClusterView};
+use crate::store::queue::TokenBucket;
+use crate::store::view::{ChangedMachines, ClusterView};
 use crate::Ms;
 use forkshift_pools::account::Price;
 use forkshift_sched::Resources;
 use forkshift_wire::state::Precondition;
 use forkshift_wire::{JobId, MachineId, NodeName};
-use renting::ProvisioningResult;
+use scale_out::ProvisioningResult;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What the leader remembers.
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -3,11 +3,11 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{shard_key, ShardId};
 use crate::shard::hand_over;
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::NodeName;
 use serde_json::to_value;
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -4,11 +4,11 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::format::FormatVersion;
-use crate::pending::PendingCall;
+use crate::membership::format::FormatVersion;
+use crate::pending_call::PendingCall;
 use crate::records::{node_key, FINALIZED_FORMAT};
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::NodeName;
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -4,10 +4,10 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{type_key, MachineRecord};
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::cloud::{Catalog, Listed, MachineList, MachineStage, DELETE_MOST, LIST_MOST};
 use forkshift_wire::state::{Transaction, Write};
--- a/crates/core/src/leader/prices.rs
+++ b/crates/core/src/leader/prices.rs
@@ -6,11 +6,11 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::pools::add_row;
 use crate::records::LEADER;
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use forkshift_pools::account::Price;
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Precondition, Transaction};
--- a/crates/core/src/leader/lending.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -2,10 +2,10 @@
 
 use super::{capacity_of_type, Leader};
 use crate::context::Context;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{machine_key, DemandRecord, MachineRecord, ShapeRecord, ShardId};
-use crate::store::Urgency;
-use crate::view::{ClusterView, Versioned};
+use crate::store::queue::Urgency;
+use crate::store::view::{ClusterView, Versioned};
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::state::{Transaction, Write};
--- a/crates/core/src/leader/deletion.rs
+++ b/crates/core/src/leader/scale_in.rs
@@ -4,11 +4,11 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::pools::add_row;
 use crate::records::{machine_key, MachineRecord, LEADER};
-use crate::store::Urgency;
-use crate::view::{ClusterView, Versioned};
+use crate::store::queue::Urgency;
+use crate::store::view::{ClusterView, Versioned};
 use forkshift_pools::{Ended, Interval};
 use forkshift_wire::cloud::DELETE_MOST;
 use forkshift_wire::state::{Precondition, Transaction, Write};
--- a/crates/core/src/leader/renting.rs
+++ b/crates/core/src/leader/scale_out.rs
@@ -8,14 +8,14 @@
 use super::inventory::BOOT_S_UNKNOWN;
 use super::Leader;
 use crate::context::{revision_of, Context};
-use crate::demand::OVERDUE_BOOTS;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{
     capacity_of, machine_key, provisioning_intent_key, DemandRecord, MachineRecord,
     ProvisioningIntent, ShapeRecord, ShardId,
 };
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::shard::demand::OVERDUE_BOOTS;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use forkshift_sched::{plan, Offer, Shape};
 use forkshift_wire::cloud::{Machines, Rent, RENT_MOST};
 use forkshift_wire::state::{Precondition, Transaction, Write};
--- a/crates/core/src/leader/renting/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixture::Fixture;
 use crate::io::Effect;
 use crate::node::Node;
-use crate::view::Versioned;
+use crate::store::view::Versioned;
 use serde_json::json;
 use std::collections::BTreeSet;
 
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/membership/failure_detector.rs
@@ -9,8 +9,8 @@
 
 use crate::config::REPORT_LATE_MS;
 use crate::context::Context;
-use crate::machine::Machine;
 use crate::node::Node;
+use crate::shard::machine::Machine;
 use crate::shard::{Phase, Shard};
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
--- a/crates/core/src/failure_detector/tests.rs
+++ b/crates/core/src/membership/failure_detector/tests.rs
@@ -4,7 +4,7 @@
 use crate::config::{Config, Operator};
 use forkshift_wire::settings::Settings;
 
-const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
+const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
 
 /// Waiting for a zone where leases end anyway once cost more than the cut.
 #[test]
--- a/crates/core/src/member.rs
+++ b/crates/core/src/membership/lease.rs
@@ -1,10 +1,10 @@
 //! Membership: this controller's lease, its record, and leadership.
 
 use crate::context::{revision_of, Context};
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{node_key, LeaderRecord, NodeRecord, LEADER};
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::state::{LeaseReply, LeaseRequest, Precondition, Transaction, Write};
 use forkshift_wire::users::Refusal;
--- a/crates/core/src/attestation.rs
+++ b/crates/core/src/membership/peer_confirmations.rs
@@ -21,7 +21,7 @@
 use crate::overflow::Overflow;
 use crate::records::ShardId;
 use crate::shard::{Phase, Shard};
-use crate::view::ClusterView;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::peer::{Body, HeartbeatAck, PeerHeartbeat, SettledShard};
 use forkshift_wire::{MachineId, NodeName};
--- a/crates/core/src/attestation/tests.rs
+++ b/crates/core/src/membership/peer_confirmations/tests.rs
@@ -4,10 +4,10 @@
 use crate::bounds::NAME_LENGTH_BYTES;
 use crate::config::{Config, Operator};
 use crate::records::ShardRecord;
-use crate::view::Versioned;
+use crate::store::view::Versioned;
 use forkshift_wire::settings::Settings;
 
-const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
+const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
 /// When the last extension of our lease that succeeded was sent.
 const SENT: Ms = 50_000;
 const OURS: ShardId = ShardId(0);
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,23 +1,23 @@
 //! The controller: one owner of all state, working through batches of inputs.
 
-mod answers;
-mod holdings;
+mod responses;
+mod shard_ownership;
 mod view_sync;
 
-use crate::admission::Admission;
-use crate::budget::Budget;
+use crate::api::admission::Admission;
 use crate::config::Config;
 use crate::context::Context;
-use crate::dependencies::DependencyTracker;
-use crate::forward::PendingForward;
 use crate::io::{Effect, Input, RequestId};
-use crate::known_jobs::{FinalStages, RecentJobs};
 use crate::leader::Leader;
-use crate::member::Membership;
-use crate::pending::{CancellationPoll, PendingCall};
+use crate::membership::lease::Membership;
+use crate::pending_call::{CancellationPoll, PendingCall};
+use crate::protocol::forwarding::PendingForward;
+use crate::recent_jobs::{FinalStages, RecentJobs};
 use crate::records::ShardId;
+use crate::shard::dependencies::DependencyTracker;
 use crate::shard::{Phase, Shard};
-use crate::view::ClusterView;
+use crate::store::budget::Budget;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_links::{Decision, Link};
 use forkshift_wire::state::Item;
@@ -60,7 +60,7 @@
     required_revision: u64,
     watch_at: Ms,
     /// Shards that are being handed over.
-    handovers: BTreeMap<ShardId, holdings::Handover>,
+    handovers: BTreeMap<ShardId, shard_ownership::Handover>,
     processed_revision: u64,
     next_status_log_at: Ms,
     pub(crate) next_failure_detection_at: Ms,
--- a/crates/core/src/node/answers.rs
+++ b/crates/core/src/node/responses.rs
@@ -3,8 +3,8 @@
 use super::is_store_call;
 use super::Node;
 use crate::context::revision_of;
-use crate::member::is_no_such_lease;
-use crate::pending::PendingCall;
+use crate::membership::lease::is_no_such_lease;
+use crate::pending_call::PendingCall;
 use forkshift_wire::MachineId;
 
 impl Node {
--- a/crates/core/src/node/holdings/tests.rs
+++ b/crates/core/src/node/shard_ownership/tests.rs
@@ -1,6 +1,6 @@
 use crate::fixture::Fixture;
 use crate::io::Effect;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use serde_json::json;
 
 fn handovers(effects: &[Effect]) -> usize {
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -3,10 +3,10 @@
 
 use super::Node;
 use crate::context::{is_watch_lost, revision_of};
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::CLUSTER;
 use crate::shard::{Phase, Shard};
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Changes, Page};
 
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -2,10 +2,10 @@
 //! that found no machine of it.
 
 use crate::context::{revision_of, Context};
-use crate::format::FormatVersion;
-use crate::pending::PendingCall;
+use crate::membership::format::FormatVersion;
+use crate::pending_call::PendingCall;
 use crate::shard::Shard;
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_pools::account::{Asked, Miss, HEADS};
 use forkshift_pools::{BadPool, Pool, PoolName};
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -1,11 +1,11 @@
 //! A machine's membership in a pool: its state as messages show it, and as it is recorded.
 
 use crate::context::Context;
-use crate::format::FormatVersion;
-use crate::machine::Machine;
+use crate::membership::format::FormatVersion;
 use crate::records::MachineRecord;
+use crate::shard::machine::Machine;
 use crate::shard::Shard;
-use crate::view::ClusterView;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_pools::{Ended, Membership, Pool, PoolName, PoolState};
 use forkshift_wire::workers::{HeldImages, Prefetch};
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -8,10 +8,10 @@
 
 use super::sizing::hourly;
 use crate::context::Context;
-use crate::job::Job;
-use crate::machine::Machine;
 use crate::records::DemandRecord;
-use crate::rounds::{is_usable, RECLAIM_ROUNDS};
+use crate::shard::job::Job;
+use crate::shard::machine::Machine;
+use crate::shard::scheduling::{is_usable, RECLAIM_ROUNDS};
 use crate::shard::Shard;
 use forkshift_pools::account::Miss;
 use forkshift_pools::choice::{core_members, Member};
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -5,12 +5,12 @@
 //! else.
 
 use crate::context::Context;
-use crate::demand::OVERDUE_BOOTS;
-use crate::format::FormatVersion;
-use crate::machine::Machine;
+use crate::membership::format::FormatVersion;
 use crate::records::{capacity_of, ShapeRecord};
+use crate::shard::demand::OVERDUE_BOOTS;
+use crate::shard::machine::Machine;
 use crate::shard::Shard;
-use crate::view::ClusterView;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_pools::choice::{affordable, joining, leaving, target, Candidate};
 use forkshift_pools::{Pool, PoolName};
--- /dev/null
+++ b/crates/core/src/protocol.rs
@@ -0,0 +1,8 @@
+//! The protocol between controllers: messages, forwarded requests, relayed heartbeats.
+//!
+//! Messages only save time: what they say is in the key-value store as well, so a lost,
+//! late or repeated message does no harm. The formats are in `forkshift_wire::peer`.
+
+pub(crate) mod forwarding;
+mod messages;
+pub(crate) mod relay;
--- a/crates/core/src/forward.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -11,7 +11,7 @@
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
 use crate::overflow::Overflow;
-use crate::relay::Relaying;
+use crate::protocol::relay::Relaying;
 use crate::Ms;
 use forkshift_wire::peer::Body;
 use forkshift_wire::users::JobStatus;
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -6,7 +6,7 @@
 use crate::io::Reply;
 use crate::node::Node;
 use crate::records::ShardId;
-use crate::store::StoreRate;
+use crate::store::queue::StoreRate;
 use forkshift_wire::peer::{Body, Envelope};
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, NodeName};
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -13,10 +13,10 @@
 
 use crate::bounds::listed_bytes;
 use crate::context::Context;
-use crate::forward::ForwardedRequest;
 use crate::io::RequestId;
 use crate::node::Node;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
+use crate::protocol::forwarding::ForwardedRequest;
 use crate::shard::{Phase, Shard};
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -4,7 +4,7 @@
 //! watch shows all of it, in order. Jobs live below `job/` for ever, and
 //! below `live/<shard>/` while they are unfinished.
 
-use crate::format::FormatVersion;
+use crate::membership::format::FormatVersion;
 use forkshift_pools::account::MachineFacts;
 use forkshift_pools::{Ended, Interval, Membership, PoolState};
 use forkshift_sched::Resources;
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -4,25 +4,40 @@
 //! concern, and in `reconcile`, `evidence`, `rounds`, `drain` and `commit`.
 
 mod arrivals;
-mod explain;
+mod bindings;
+pub(crate) mod commands;
+mod debug_log;
+pub(crate) mod demand;
+pub(crate) mod dependencies;
+pub(crate) mod drain;
+pub(crate) mod failure_attribution;
 mod handover;
-mod jobs;
-mod loading;
-mod machines;
-mod money;
+pub(crate) mod heartbeats;
+pub(crate) mod job;
+mod job_writes;
+pub(crate) mod layout;
+pub(crate) mod machine;
+mod machine_costs;
+mod machine_records;
+mod preemption;
+pub(crate) mod ranges;
+pub(crate) mod reclaim;
+mod reconciliation;
+mod recovery;
+pub(crate) mod scheduling;
 
 pub(crate) use arrivals::ArrivalStats;
+pub(crate) use bindings::new_layout;
 pub(crate) use handover::hand_over;
-pub(crate) use jobs::new_layout;
 
 use crate::context::Context;
 use crate::io::Reply;
-use crate::job::Job;
-use crate::machine::Machine;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::pools::ShardPools;
 use crate::records::{shard_key, DemandRecord, MachineRecord, ShardId};
-use crate::store::Urgency;
+use crate::shard::job::Job;
+use crate::shard::machine::Machine;
+use crate::store::queue::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
 use forkshift_sched::{Quota, Resources};
--- a/crates/core/src/shard/jobs.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -5,8 +5,8 @@
 
 use super::{Phase, Shard};
 use crate::context::Context;
-use crate::job::{Binding, Job, StartState, Stop};
-use crate::layout::Layout;
+use crate::shard::job::{Binding, Job, StartState, Stop};
+use crate::shard::layout::Layout;
 use crate::Ms;
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, TaskRef};
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -5,9 +5,9 @@
 //! without anybody knowing.
 
 use crate::context::Context;
-use crate::job::{StartState, Stop};
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::ShardId;
+use crate::shard::job::{StartState, Stop};
 use crate::shard::Shard;
 use forkshift_links::Decision;
 use forkshift_wire::workers::{Command, CommandRequest, Verb, WorkerHeartbeat};
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -2,15 +2,15 @@
 //! to come, and spare places that are missing. The leader is told of it.
 
 use crate::context::Context;
-use crate::machine::Machine;
 use crate::overflow::Overflow;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::pools::{open_reservations, ExpectedMachines};
 use crate::records::{capacity_of, demand_key, DemandRecord, ShapeRecord};
-use crate::rounds::{host, names};
+use crate::shard::machine::Machine;
+use crate::shard::scheduling::{host, names};
 use crate::shard::Shard;
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources, Shortfall};
 use forkshift_wire::peer::Body;
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -14,13 +14,13 @@
 
 use crate::api::read_job;
 use crate::context::Context;
-use crate::job::Job;
-use crate::known_jobs::FinalStage;
 use crate::node::{holder_of, holder_of_mut, Node};
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
+use crate::recent_jobs::FinalStage;
 use crate::records::{job_key, ShardId};
+use crate::shard::job::Job;
 use crate::shard::Phase;
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
 use forkshift_wire::peer::Body;
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/shard/dependencies/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::fixture::{spec, team_of, Fixture};
 use crate::io::Effect;
-use crate::job::StartState;
 use crate::records::JobRecord;
+use crate::shard::job::StartState;
 use forkshift_wire::peer::Envelope;
 use forkshift_wire::users::{JobKind, JobSpec};
 use serde_json::json;
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -6,11 +6,11 @@
 
 use crate::bounds::part_of_machines;
 use crate::context::Context;
-use crate::job::Job;
 use crate::records::capacity_of;
-use crate::rounds::pending_tasks_of;
+use crate::shard::job::Job;
+use crate::shard::scheduling::pending_tasks_of;
 use crate::shard::Shard;
-use crate::view::ClusterView;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources};
 use forkshift_wire::users::JobKind;
--- a/crates/core/src/shard/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -1,10 +1,10 @@
 //! Handover of shards between controllers.
 
 use crate::context::Context;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{node_key, shard_key, ShardId, ShardRecord, EPOCH};
-use crate::store::Urgency;
-use crate::view::ClusterView;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::NodeName;
 use serde_json::to_value;
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -5,9 +5,9 @@
 //! a token minted after the start was last sent, and does not list the task;
 //! or if the machine's deletion was answered. Silence proves nothing.
 
-use crate::blame::well_after;
 use crate::context::Context;
-use crate::job::{Binding, StartState, Stop};
+use crate::shard::failure_attribution::well_after;
+use crate::shard::job::{Binding, StartState, Stop};
 use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::Resources;
--- a/crates/core/src/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -1,10 +1,10 @@
 //! An unfinished job in its holder's memory.
 
-use crate::blame::{well_after, JobFailures};
 use crate::io::RequestId;
-use crate::layout::Layout;
-use crate::ranges::Ranges;
 use crate::records::{JobHeadRecord, ShardId, TaskBlockRecord};
+use crate::shard::failure_attribution::{well_after, JobFailures};
+use crate::shard::layout::Layout;
+use crate::shard::ranges::Ranges;
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus, Priority};
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/shard/job_writes.rs
@@ -7,12 +7,12 @@
 use crate::api::status;
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
-use crate::job::{Job, StartState};
-use crate::known_jobs::FinalStages;
-use crate::pending::{JobWrite, PendingCall};
+use crate::pending_call::{JobWrite, PendingCall};
+use crate::recent_jobs::FinalStages;
 use crate::records::{job_key, shard_key, JobRecord};
+use crate::shard::job::{Job, StartState};
 use crate::shard::Shard;
-use crate::store::Urgency;
+use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Item, Precondition, Transaction, TransactionReply, Write};
 use forkshift_wire::users::JobStage;
--- a/crates/core/src/commit/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::fixture::{spec, team_of, Fixture, WALL};
 use crate::io::{Effect, Input};
-use crate::job::Binding;
-use crate::layout::Layout;
 use crate::records::{unfinished_key, JobHeadRecord, TaskBlockRecord};
+use crate::shard::job::Binding;
+use crate::shard::layout::Layout;
 use forkshift_wire::state::{Change, Changes};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::MachineId;
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -1,8 +1,8 @@
 //! A machine of a shard, in its holder's memory.
 
-use crate::blame::MachineFailures;
 use crate::context::Context;
 use crate::pools::MachinePool;
+use crate::shard::failure_attribution::MachineFailures;
 use crate::Ms;
 use forkshift_links::MachineLink;
 use forkshift_sched::Resources;
--- a/crates/core/src/shard/machines.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -2,14 +2,14 @@
 //! given up, and change to another shard.
 
 use super::Shard;
-use crate::blame::MachineFailures;
 use crate::context::Context;
-use crate::machine::Machine;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::pools::{add_row, MachinePool};
 use crate::records::{capacity_of, machine_key, MachineRecord};
-use crate::store::Urgency;
-use crate::view::{ChangedMachines, ClusterView};
+use crate::shard::failure_attribution::MachineFailures;
+use crate::shard::machine::Machine;
+use crate::store::queue::Urgency;
+use crate::store::view::{ChangedMachines, ClusterView};
 use forkshift_links::{MachineLink, Route};
 use forkshift_pools::{Ended, Interval};
 use forkshift_sched::Resources;
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -7,9 +7,9 @@
 //! had, or theirs is long in coming.
 
 use crate::context::Context;
-use crate::job::{Job, StartState};
-use crate::machine::Machine;
-use crate::reclaim::Victim;
+use crate::shard::job::{Job, StartState};
+use crate::shard::machine::Machine;
+use crate::shard::reclaim::Victim;
 use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::{PendingTasks, Quota, Requirement, Resources};
--- a/crates/core/src/preempt/tests.rs
+++ b/crates/core/src/shard/preemption/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of `preempt`.
 
 use crate::fixture::{spec, stopped, team_of, Fixture, WALL};
-use crate::job::StartState;
 use crate::node::Node;
+use crate::shard::job::StartState;
 use forkshift_wire::users::{JobKind, JobSpec, Priority};
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::JobId;
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -12,9 +12,9 @@
 
 use crate::bounds::part_of_machines;
 use crate::context::Context;
-use crate::job::{Binding, Job, StartState};
-use crate::machine::Machine;
-use crate::rounds::is_usable;
+use crate::shard::job::{Binding, Job, StartState};
+use crate::shard::machine::Machine;
+use crate::shard::scheduling::is_usable;
 use crate::shard::Shard;
 use crate::Ms;
 use forkshift_sched::{Host, PendingTasks, Quota, Resources, Standing};
--- a/crates/core/src/reconcile.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -2,11 +2,11 @@
 //! recorded of jobs, after every batch of messages.
 
 use crate::context::Context;
-use crate::job::StartState;
-use crate::machine::Machine;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
+use crate::shard::job::StartState;
+use crate::shard::machine::Machine;
 use crate::shard::Shard;
-use crate::view::ClusterView;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::cloud::DELETE_MOST;
 use forkshift_wire::{MachineId, TaskRef};
--- a/crates/core/src/shard/loading.rs
+++ b/crates/core/src/shard/recovery.rs
@@ -6,11 +6,11 @@
 
 use super::{remove_key, Phase, Shard};
 use crate::context::{is_watch_lost, Context};
-use crate::layout::Layout;
-use crate::pending::PendingCall;
+use crate::pending_call::PendingCall;
 use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
-use crate::store::Urgency;
-use crate::view::{ChangedMachines, ClusterView};
+use crate::shard::layout::Layout;
+use crate::store::queue::Urgency;
+use crate::store::view::{ChangedMachines, ClusterView};
 use crate::Ms;
 use forkshift_wire::state::{Change, Changes, Page};
 use forkshift_wire::JobId;
--- a/crates/core/src/rounds.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -1,11 +1,11 @@
 //! Rounds of a shard: places waiting tasks, and computes the unmet demand.
 
 use crate::context::Context;
-use crate::job::{Binding, Job, StartState};
-use crate::machine::Machine;
 use crate::pools::open_reservations;
+use crate::shard::job::{Binding, Job, StartState};
+use crate::shard::machine::Machine;
 use crate::shard::Shard;
-use crate::view::ClusterView;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_sched::{run_round, Host, PendingTasks, Reclaim, Reservation, Resources, Standing};
 use forkshift_wire::users::{JobKind, Priority};
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -10,8 +10,8 @@
 
 use crate::context::Context;
 use crate::leader::Leader;
-use crate::store::StoreRate;
-use crate::view::ClusterView;
+use crate::store::queue::StoreRate;
+use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::peer::Body;
 use forkshift_wire::NodeName;
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/store/budget/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use crate::config::{Config, Operator};
-use crate::format::FormatVersion;
+use crate::membership::format::FormatVersion;
 use crate::records::{LeaderRecord, NodeRecord};
-use crate::view::Versioned;
+use crate::store::view::Versioned;
 use forkshift_wire::peer::Envelope;
 use forkshift_wire::settings::Settings;
 use std::rc::Rc;
 
-const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
+const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
 
 fn ctx(node: &str, names: &[&str]) -> Context {
     let settings = Settings::parse(SETTINGS).expect("the example is good");
--- a/crates/core/src/view.rs
+++ b/crates/core/src/store/view.rs
@@ -1,6 +1,6 @@
 //! The controller's copy of what all controllers share.
 
-use crate::format::FormatVersion;
+use crate::membership::format::FormatVersion;
 use crate::records::{
     DemandRecord, LeaderRecord, MachineRecord, NodeRecord, ProvisioningIntent, ShardId,
     ShardRecord, EPOCH, FINALIZED_FORMAT, LEADER,
