--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -1,5 +1,7 @@
-//! A machine's membership in a pool: its state as messages show it, and as it is recorded.
+//! A machine's membership in a pool: its state as heartbeats show it, and as it is
+//! recorded.
 
+use super::prefetch::STALLED_REASON;
 use crate::context::Context;
 use crate::membership::format::FormatVersion;
 use crate::records::MachineRecord;
@@ -8,37 +10,31 @@
 use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_pools::{Ended, Membership, Pool, PoolName, PoolState};
-use forkshift_wire::workers::{HeldImages, Prefetch};
+use forkshift_wire::workers::HeldImages;
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A fetch that takes so many times as long as it should, and a lease, never ends.
-const STALLED_FETCHES: f64 = 4.0;
-/// Reports after which the command to fetch an image is repeated.
-const REPEAT_REPORTS: Ms = 2;
-/// Why a machine is given up that does not get its pool's image.
-const STALLED: &str = "it does not fetch its pool's image";
-
-/// A machine's part in warm pools.
+/// A machine's state with regard to warm pools.
 #[derive(Debug, Default)]
 pub(crate) struct MachinePool {
     /// Its membership, as its record has it.
     pub(crate) membership: Option<Membership>,
     /// The pool that it is to join.
     pub(crate) joining: Option<PoolName>,
-    /// It is to leave its pool, which has too many.
+    /// Whether it is to leave its pool, which has too many machines.
     pub(crate) is_surplus: bool,
-    /// Images that its worker reports; none: it does not tell.
-    held: Option<BTreeSet<String>>,
-    /// Since when its pool's image has been missing, and when it was told to fetch it.
-    missing_since: Option<Ms>,
-    told_at: Option<Ms>,
-    /// Its state is not the recorded one.
+    /// Images that its worker reports; none: the worker reports no images.
+    held_images: Option<BTreeSet<String>>,
+    /// Since when its pool's image has been missing.
+    pub(super) missing_since: Option<Ms>,
+    /// When the command to fetch that image was sent.
+    pub(super) prefetch_sent_at: Option<Ms>,
+    /// Whether its state is not the recorded one.
     is_unrecorded: bool,
 }
 
 impl MachinePool {
-    /// As a machine's record has it.
+    /// The state of a machine that has just become known by its record.
     pub(crate) fn new(record: &MachineRecord) -> Self {
         Self {
             membership: record.pool.clone(),
@@ -46,25 +42,26 @@
         }
     }
 
-    /// Follows a changed record.
+    /// Takes in a changed record.
     pub(crate) fn follow(&mut self, record: &MachineRecord) {
-        let had = std::mem::replace(&mut self.membership, record.pool.clone());
-        if had.map(|m| m.pool) != self.membership.as_ref().map(|m| m.pool.clone()) {
+        let previous = std::mem::replace(&mut self.membership, record.pool.clone());
+        if previous.map(|m| m.pool) != self.membership.as_ref().map(|m| m.pool.clone()) {
             self.joining = None;
             self.is_surplus = false;
             self.missing_since = None;
-            self.told_at = None;
+            self.prefetch_sent_at = None;
         }
     }
 
-    /// Whether something is to be written, or its image to be waited for.
+    /// Whether a write or a fetch is outstanding, so that the machine is to be checked
+    /// again soon.
     pub(crate) fn is_busy(&self) -> bool {
         self.is_unrecorded || self.joining.is_some() || self.missing_since.is_some()
     }
 }
 
 impl Machine {
-    /// Whether it is a pool's machine, and in use by nobody.
+    /// Whether it is a pool's machine, and used by nobody.
     pub(crate) fn is_pool_member(&self) -> bool {
         self.pool.membership.is_some()
             && self.tasks.is_empty()
@@ -74,27 +71,27 @@
     /// Takes in which images its worker reports.
     pub(crate) fn note_images(&mut self, ctx: &mut Context, reported: Option<&HeldImages>) {
         let Some(reported) = reported else {
-            self.pool.held = None;
+            self.pool.held_images = None;
             return;
         };
         let held: BTreeSet<String> = reported.held.iter().cloned().collect();
-        if self.pool.held.as_ref() == Some(&held) {
+        if self.pool.held_images.as_ref() == Some(&held) {
             return;
         }
-        // What the worker has is known now; what it uses next is kept account of as ever.
+        // Images that the worker does not hold are removed; the order of use is kept.
         if self.tasks.is_empty() {
             let numbers: BTreeSet<u32> = held.iter().map(|i| ctx.images.number(i)).collect();
             self.images.retain(|(image, _)| numbers.contains(image));
         }
-        self.pool.held = Some(held);
+        self.pool.held_images = Some(held);
     }
 
-    /// What it is doing for a pool, as its worker's messages show it. Before the first one
-    /// reaches a new holder that is what was recorded: a takeover once made warm machines
-    /// look as if they booted.
+    /// Its state in a pool, as its worker's heartbeats show it. Before the first one
+    /// reaches a new holder it is the recorded state, so that warm machines don't look as
+    /// if they booted after a failover.
     pub(crate) fn state_for(&self, pool: &Pool) -> PoolState {
         let recorded = self.pool.membership.as_ref().map(|m| m.state);
-        match &self.pool.held {
+        match &self.pool.held_images {
             _ if self.last_heartbeat_at.is_none() => recorded.unwrap_or(PoolState::Booting),
             None => PoolState::Up,
             Some(held) if held.contains(&pool.image) => PoolState::Warm,
@@ -102,17 +99,31 @@
         }
     }
 
-    /// For how long a fetch of a pool's image may take.
-    fn patience(&self, ctx: &Context, pool: &Pool) -> Ms {
-        let fetch_s = pool.image_gb / self.fetch_rate.max(1e-9);
-        crate::ms(fetch_s * STALLED_FETCHES) + ctx.config.lease_ms
+    /// Whether its record may be written in sight of this view.
+    fn may_write_record(&self, view: &ClusterView) -> bool {
+        !self.is_writing_record && view.revision >= self.record_required_revision
+    }
+
+    /// Whether nothing uses it or has requested it, so that it may join a pool.
+    fn may_join_pool(&self, view: &ClusterView) -> bool {
+        self.tasks.is_empty()
+            && self.decommission_reason.is_none()
+            && self.transfer_version.is_none()
+            && self.orphans.is_empty()
+            && !is_requested(view, &self.id)
     }
 }
 
+/// Whether another shard has requested a machine.
+pub(super) fn is_requested(view: &ClusterView, id: &MachineId) -> bool {
+    let versioned = view.machines.get(id);
+    versioned.is_some_and(|m| m.record.reassign_to.is_some())
+}
+
 impl Shard {
-    /// Brings a machine's recorded membership in line with what it is doing: it joins,
-    /// goes on to another state, or leaves. What is charged for ends and begins at the
-    /// moment at which this is decided.
+    /// Reconciles a machine's recorded membership with its state: it joins, changes its
+    /// state, or leaves. One charged interval ends and the next begins at the moment at
+    /// which this is decided.
     pub(crate) fn note_membership(
         &mut self,
         ctx: &mut Context,
@@ -130,21 +141,21 @@
             return;
         };
         let next = self.next_state(ctx, id, &membership);
-        let at_ms = self.left_at(ctx, id, next);
-        self.follow_fetch(ctx, id, &membership, next);
+        let at_ms = self.transition_time(ctx, id, next);
+        self.track_fetch(ctx, id, &membership, next);
         let is_changed = next != Ok(membership.state);
         if let Some(machine) = self.machines.get_mut(id) {
             machine.pool.is_unrecorded = is_changed;
-            if !is_changed
-                || machine.is_writing_record
-                || view.revision < machine.record_required_revision
-            {
+            if !is_changed || !machine.may_write_record(view) {
                 return;
             }
         }
-        if let Err(why) = next {
-            log::info!("machine {id}: leaves pool {}, {why:?}", membership.pool);
-            if why == Ended::HandedOut {
+        if let Err(reason) = next {
+            log::info!(
+                "machine {id}: leaves pool {}, reason {reason:?}",
+                membership.pool
+            );
+            if reason == Ended::HandedOut {
                 self.pools.note_handed_out(&membership.pool, ctx.now);
             }
         }
@@ -153,8 +164,8 @@
         });
     }
 
-    /// Writes that a machine joins the pool that was chosen for it, if nothing has
-    /// come between.
+    /// Writes that a machine joins the pool that was chosen for it, unless it has been
+    /// used or requested since.
     fn join(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -162,28 +173,20 @@
         let Some(name) = machine.pool.joining.clone() else {
             return;
         };
-        let wanted = view
-            .machines
-            .get(id)
-            .is_some_and(|m| m.record.reassign_to.is_some());
-        let is_free = machine.tasks.is_empty()
-            && machine.decommission_reason.is_none()
-            && machine.transfer_version.is_none()
-            && machine.orphans.is_empty()
-            && !wanted;
-        let pool = ctx.config.ops.pools.get(&name);
-        let (Some(pool), true, true) = (pool, is_free, ctx.format >= FormatVersion::POOLS) else {
+        let may_join = machine.may_join_pool(view) && ctx.format >= FormatVersion::POOLS;
+        let pool = ctx.config.ops.pools.get(&name).filter(|_| may_join);
+        let Some(pool) = pool else {
             machine.pool.joining = None;
             return;
         };
         let state = machine.state_for(pool);
         let at_ms = ctx.wall_clock_ms;
-        if !machine.is_writing_record && view.revision >= machine.record_required_revision {
-            log::info!("machine {id}: joins pool {name}, {state:?}");
+        if machine.may_write_record(view) {
+            log::info!("machine {id}: joins pool {name}, state {state:?}");
         }
         self.update_machine_record_with(ctx, view, id, |record| {
-            let begun = Membership::begin(name, state, at_ms, record.charged_until_ms);
-            record.pool = Some(begun);
+            let membership = Membership::begin(name, state, at_ms, record.charged_until_ms);
+            record.pool = Some(membership);
             None
         });
     }
@@ -199,103 +202,55 @@
         if machine.decommission_reason.is_some() {
             return Err(self.end_of_membership(ctx, id).1);
         }
-        let pool = ctx.config.ops.pools.get(&membership.pool);
+        let declared = ctx.config.ops.pools.get(&membership.pool);
         if !machine.tasks.is_empty() {
-            let is_own = |id| self.is_for_pool(id, pool);
-            let handed_out = machine.tasks.iter().any(|task| is_own(&task.job));
-            return Err(match handed_out {
+            let mut tasks = machine.tasks.iter();
+            let is_own = tasks.any(|task| self.is_for_pool(&task.job, declared));
+            return Err(match is_own {
                 true => Ended::HandedOut,
                 false => Ended::Reclaimed,
             });
         }
-        let places = (
-            ctx.places.name(machine.machine_type).unwrap_or_default(),
-            ctx.places.name(machine.zone).unwrap_or_default(),
-        );
-        let is_ours = |p: &&Pool| self.teams.contains_key(&p.team);
-        let allows = |p: &&Pool| p.allows(places.0, places.1, machine.spot);
-        let pool = pool.filter(is_ours).filter(allows);
-        let pool = pool.ok_or(Ended::Withdrawn)?;
+        let pool = declared
+            .filter(|pool| self.teams.contains_key(&pool.team) && allows(ctx, pool, machine))
+            .ok_or(Ended::Withdrawn)?;
         match machine.pool.is_surplus {
             true => Err(Ended::Surplus),
             false => Ok(machine.state_for(pool)),
         }
     }
 
-    /// When and why the membership of a machine ends that is given up.
+    /// When and why the membership of a machine ends that is decommissioned.
     pub(crate) fn end_of_membership(&self, ctx: &Context, id: &MachineId) -> (u64, Ended) {
-        let condemned = self
-            .machines
-            .get(id)
-            .and_then(|m| m.decommission_reason.as_deref());
-        let ended = match condemned {
-            Some(STALLED) => Ended::Stalled,
+        let machine = self.machines.get(id);
+        let ended = match machine.and_then(|m| m.decommission_reason.as_deref()) {
+            Some(STALLED_REASON) => Ended::Stalled,
             _ => Ended::Lost,
         };
-        (self.left_at(ctx, id, Err(ended)), ended)
+        (self.transition_time(ctx, id, Err(ended)), ended)
     }
 
-    /// The time of day at which a member leaves or changes. A machine that is given up
-    /// was of use until it was last heard of.
-    fn left_at(&self, ctx: &Context, id: &MachineId, next: Result<PoolState, Ended>) -> u64 {
-        let machine = self.machines.get(id);
-        let heard = machine.and_then(|m| m.last_heartbeat_at);
-        match next {
-            Err(Ended::Lost) => {
-                let silent_for = heard.map_or(0, |heard| ctx.now.saturating_sub(heard));
-                ctx.wall_clock_ms.saturating_sub(silent_for)
-            }
-            _ => ctx.wall_clock_ms,
-        }
-    }
-
-    /// Notes since when a member's image has been missing, and gives the machine up if
-    /// it does not come.
-    fn follow_fetch(
-        &mut self,
+    /// The wall-clock time, in milliseconds, at which a member leaves or changes its
+    /// state. A machine that is lost was of use until its last heartbeat.
+    fn transition_time(
+        &self,
         ctx: &Context,
         id: &MachineId,
-        membership: &Membership,
         next: Result<PoolState, Ended>,
-    ) {
-        let Some(machine) = self.machines.get_mut(id) else {
-            return;
-        };
-        if next != Ok(PoolState::Fetching) {
-            machine.pool.missing_since = None;
-            machine.pool.told_at = None;
-            return;
-        }
-        let since = *machine.pool.missing_since.get_or_insert(ctx.now);
-        let Some(pool) = ctx.config.ops.pools.get(&membership.pool) else {
-            return;
-        };
-        if ctx.now > since + machine.patience(ctx, pool) {
-            self.decommission(id, STALLED);
+    ) -> u64 {
+        if next != Err(Ended::Lost) {
+            return ctx.wall_clock_ms;
         }
+        let machine = self.machines.get(id);
+        let last_heartbeat_at = machine.and_then(|m| m.last_heartbeat_at);
+        let silent_for = last_heartbeat_at.map_or(0, |at| ctx.now.saturating_sub(at));
+        ctx.wall_clock_ms.saturating_sub(silent_for)
     }
+}
 
-    /// The image that a machine is to be told to fetch now.
-    pub(crate) fn prefetch_due(&mut self, ctx: &Context, id: &MachineId) -> Vec<Prefetch> {
-        let Some(machine) = self.machines.get_mut(id) else {
-            return Vec::new();
-        };
-        let member = machine.pool.membership.as_ref();
-        let pool = member.and_then(|m| ctx.config.ops.pools.get(&m.pool));
-        let Some(pool) = pool.filter(|_| machine.is_pool_member() && ctx.has_valid_lease) else {
-            return Vec::new();
-        };
-        let is_told = machine
-            .pool
-            .told_at
-            .is_some_and(|at| ctx.now < at + ctx.config.report_ms * REPEAT_REPORTS);
-        if machine.state_for(pool) != PoolState::Fetching || is_told {
-            return Vec::new();
-        }
-        machine.pool.told_at = Some(ctx.now);
-        vec![Prefetch {
-            image: pool.image.clone(),
-            image_gb: pool.image_gb,
-        }]
-    }
+/// Whether a pool may have a machine, by its type, zone and kind.
+pub(super) fn allows(ctx: &Context, pool: &Pool, machine: &Machine) -> bool {
+    let machine_type = ctx.places.name(machine.machine_type).unwrap_or_default();
+    let zone = ctx.places.name(machine.zone).unwrap_or_default();
+    pool.allows(machine_type, zone, machine.spot)
 }
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -1,17 +1,17 @@
 //! Whose tasks may use a pool's machine.
 //!
-//! In a round a pool's machines are reserved: only tasks of the pool's team and image see
-//! them, and find them by the ordinary score, as the image is there. What finds no room
-//! afterwards and lies within its team's guarantee may take such a machine: a gang, which
-//! needs several at once, any; other jobs only those beyond the pool's least, as they are
-//! served by renting, one machine after another.
+//! In a round a pool's machines are reserved: only tasks of the pool's team and image may
+//! use them, and find them by the ordinary score, as the image is there. Tasks within their
+//! team's guarantee that find no room afterwards may use such a machine as well: gangs,
+//! which need several at once, any; other jobs only those beyond the pool's minimum, as
+//! machines are provisioned for them one after another.
 
-use super::sizing::hourly;
+use super::sizing::price_per_hour;
 use crate::context::Context;
 use crate::records::DemandRecord;
 use crate::shard::job::Job;
 use crate::shard::machine::Machine;
-use crate::shard::scheduling::{is_usable, RECLAIM_ROUNDS};
+use crate::shard::scheduling::{is_usable, PendingJobs, RECLAIM_ROUNDS};
 use crate::shard::Shard;
 use forkshift_pools::account::Miss;
 use forkshift_pools::choice::{core_members, Member};
@@ -20,31 +20,31 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The reservation of the machines that make up a pool's least.
-fn least_number(pool: usize) -> u32 {
+/// The reservation of the machines that make up a pool's minimum.
+fn minimum_reservation(pool: usize) -> u32 {
     pool as u32 * 2
 }
 
-/// The reservation of a pool's further machines.
-fn further_number(pool: usize) -> u32 {
+/// The reservation of a pool's machines beyond its minimum.
+fn surplus_reservation(pool: usize) -> u32 {
     pool as u32 * 2 + 1
 }
 
-/// Whether a reservation is one of further machines.
-fn is_further(number: u32) -> bool {
-    number % 2 == 1
+/// Whether a reservation is one of machines beyond a pool's minimum.
+fn is_surplus_reservation(reservation: u32) -> bool {
+    reservation % 2 == 1
 }
 
 /// The reservations that are open to a job of a team with an image.
 pub(crate) fn open_reservations(ctx: &Context, team: &str, image: &str) -> BTreeSet<u32> {
     let pools = ctx.config.ops.pools.iter().enumerate();
     let own = pools.filter(|(_, pool)| pool.team == team && pool.image == image);
-    own.flat_map(|(i, _)| [least_number(i), further_number(i)])
+    own.flat_map(|(i, _)| [minimum_reservation(i), surplus_reservation(i)])
         .collect()
 }
 
 impl Shard {
-    /// Whether a job is one that a pool is kept for.
+    /// Whether a job has the team and image that a pool is kept for.
     pub(super) fn is_for_pool(&self, id: &JobId, pool: Option<&Pool>) -> bool {
         let job = self.jobs.get(id);
         let matches =
@@ -52,7 +52,7 @@
         job.zip(pool).is_some_and(|(job, pool)| matches(job, pool))
     }
 
-    /// The machines of each pool, those in use aside.
+    /// The unused machines of each pool.
     pub(super) fn members(&self) -> BTreeMap<PoolName, Vec<MachineId>> {
         let mut members: BTreeMap<PoolName, Vec<MachineId>> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.is_pool_member()) {
@@ -64,62 +64,63 @@
         members
     }
 
-    /// Members as choices see them.
+    /// Machines of a pool, as input of the choices on its size.
     pub(super) fn as_members(&self, pool: &Pool, ids: &[&MachineId]) -> Vec<Member> {
         let machines = ids.iter().filter_map(|id| self.machines.get(*id));
         let member = |machine: &Machine| Member {
             state: machine.state_for(pool),
-            price: hourly(machine),
+            price: price_per_hour(machine),
         };
         machines.map(member).collect()
     }
 
-    /// The reservations of all machines of pools that nobody uses.
+    /// The reservations of all unused machines of pools.
     fn member_reservations(&self, ctx: &Context) -> BTreeMap<MachineId, u32> {
-        let mut numbers = BTreeMap::new();
+        let mut reservations = BTreeMap::new();
         let members = self.members();
-        for (i, pool) in ctx.config.ops.pools.iter().enumerate() {
+        for (pool_index, pool) in ctx.config.ops.pools.iter().enumerate() {
             let Some(ids) = members.get(&pool.name) else {
                 continue;
             };
-            let least = pool.calendar.size_at(ctx.wall_clock_ms).least;
-            let in_order: Vec<&MachineId> = ids.iter().collect();
-            let kept = core_members(&self.as_members(pool, &in_order), least);
-            for (place, id) in ids.iter().enumerate() {
-                let number = match kept.contains(&place) {
-                    true => least_number(i),
-                    false => further_number(i),
+            let minimum = pool.calendar.size_at(ctx.wall_clock_ms).least;
+            let id_refs: Vec<&MachineId> = ids.iter().collect();
+            let core = core_members(&self.as_members(pool, &id_refs), minimum);
+            for (member, id) in ids.iter().enumerate() {
+                let reservation = match core.contains(&member) {
+                    true => minimum_reservation(pool_index),
+                    false => surplus_reservation(pool_index),
                 };
-                numbers.insert(id.clone(), number);
+                reservations.insert(id.clone(), reservation);
             }
         }
-        numbers
+        reservations
     }
 
     /// Reserves the hosts that are pools' machines.
     pub(crate) fn reserve_members(&self, ctx: &Context, usable: &[MachineId], hosts: &mut [Host]) {
-        let numbers = self.member_reservations(ctx);
-        if numbers.is_empty() {
+        let reservations = self.member_reservations(ctx);
+        if reservations.is_empty() {
             return;
         }
         for (id, host) in usable.iter().zip(hosts) {
-            host.reserved_for = numbers.get(id).copied();
+            host.reserved_for = reservations.get(id).copied();
         }
     }
 
-    /// Offers pools' machines to other shards, for what has a right to room there.
+    /// Adds pools' machines to a demand record, as offered to other shards for tasks
+    /// within their teams' guarantees.
     pub(crate) fn with_offered_members(
         &self,
         ctx: &Context,
         mut demand: DemandRecord,
     ) -> DemandRecord {
-        for (id, number) in self.member_reservations(ctx) {
+        for (id, reservation) in self.member_reservations(ctx) {
             let machine = self.machines.get(&id);
             if machine.is_none_or(|m| m.transfer_version.is_some() || !m.has_recent_heartbeat(ctx))
             {
                 continue;
             }
-            match is_further(number) {
+            match is_surplus_reservation(reservation) {
                 true => demand.reclaimable_machines.push(id),
                 false => demand.pool_machines.push(id),
             }
@@ -127,12 +128,11 @@
         demand
     }
 
-    /// Places tasks that have a right to room and found none on pools' machines.
+    /// Places tasks within their teams' guarantees that found no room on pools' machines.
     pub(crate) fn reclaim_members(
         &self,
         ctx: &Context,
-        ids: &[JobId],
-        wants: &mut [PendingTasks],
+        pending: &mut PendingJobs,
         hosts: &mut [Host],
         quotas: &mut [Quota],
     ) -> Vec<Placement> {
@@ -140,87 +140,88 @@
         if reserved.is_empty() {
             return Vec::new();
         }
-        let may = |i: &usize| self.may_reclaim_members(ctx, &ids[*i], &wants[*i], quotas);
-        let reclaiming: Vec<usize> = (0..wants.len()).filter(may).collect();
-        let open = |want: &PendingTasks| PendingTasks {
-            reservations: match want.gang {
-                true => reserved.clone(),
-                false => reserved
-                    .iter()
-                    .copied()
-                    .filter(|n| is_further(*n))
-                    .collect(),
-            },
-            ..want.clone()
-        };
-        let mut opened: Vec<PendingTasks> = reclaiming.iter().map(|i| open(&wants[*i])).collect();
-        let placed = run_round(&mut opened, hosts, quotas, &ctx.config.ops.weights);
-        for (i, want) in reclaiming.iter().zip(opened) {
-            wants[*i].waiting = want.waiting;
-            wants[*i].zones = want.zones;
+        let jobs = pending.iter().enumerate();
+        let reclaiming: Vec<usize> = jobs
+            .filter(|(_, (id, tasks))| self.may_reclaim_members(ctx, id, tasks, quotas))
+            .map(|(job, _)| job)
+            .collect();
+        let open = |job: &usize| with_pools_open(&pending.tasks[*job], &reserved);
+        let mut opened: Vec<PendingTasks> = reclaiming.iter().map(open).collect();
+        let mut placements = run_round(&mut opened, hosts, quotas, &ctx.config.ops.weights);
+        for (job, tasks) in reclaiming.iter().zip(opened) {
+            pending.tasks[*job].waiting = tasks.waiting;
+            pending.tasks[*job].zones = tasks.zones;
         }
-        let in_all = |p: Placement| Placement {
-            job: reclaiming[p.job],
-            ..p
-        };
-        placed.into_iter().map(in_all).collect()
+        for placement in &mut placements {
+            placement.job = reclaiming[placement.job];
+        }
+        placements
     }
 
-    /// Whether what is left of a job waits within its team's guarantee, and has done so
-    /// for long enough to know that there is no other room.
+    /// Whether a job's waiting tasks are within its team's guarantee, and have waited for
+    /// long enough to know that there is no other room.
     fn may_reclaim_members(
         &self,
         ctx: &Context,
         id: &JobId,
-        want: &PendingTasks,
+        pending: &PendingTasks,
         quotas: &[Quota],
     ) -> bool {
         let patience = crate::ms(ctx.config.ops.round_s * RECLAIM_ROUNDS);
-        let needed = if want.gang { want.waiting.len() } else { 1 };
         let has_waited = |job: &Job| job.age(ctx.now) > patience;
-        !want.waiting.is_empty()
-            && quotas[want.team].guarantees(&want.task.times(needed as i64))
+        !pending.waiting.is_empty()
+            && quotas[pending.team].guarantees(&pending.at_once())
             && self.jobs.get(id).is_some_and(has_waited)
     }
 
-    /// Ready machines of a pool that a holder who has just taken over has not heard yet.
-    fn members_not_heard(&self, ctx: &Context, pool: &Pool) -> usize {
-        let is_waited_for = |machine: &&Machine| {
+    /// How many ready machines of a pool may not be used yet, such as those that have not
+    /// reported since a failover.
+    fn unconfirmed_members(&self, ctx: &Context, pool: &Pool) -> usize {
+        let is_unconfirmed = |machine: &&Machine| {
             let membership = machine.pool.membership.as_ref();
             let is_ready = membership.is_some_and(|m| m.pool == pool.name && m.state.is_ready());
             is_ready && machine.is_pool_member() && !is_usable(machine, ctx)
         };
-        self.machines.values().filter(is_waited_for).count()
+        self.machines.values().filter(is_unconfirmed).count()
     }
 
-    /// Counts the jobs of a pool's team and image that found no machine of it, once each.
-    pub(crate) fn note_misses(&mut self, ctx: &Context, ids: &[JobId], wants: &[PendingTasks]) {
+    /// Records the jobs of each pool's team and image that found no machine of it, once
+    /// each.
+    pub(crate) fn note_pool_misses(&mut self, ctx: &Context, pending: &PendingJobs) {
         if !ctx.has_pools() {
             return;
         }
-        for (id, want) in ids.iter().zip(wants).filter(|(_, w)| !w.waiting.is_empty()) {
-            let own = |pool: &&Pool| self.is_for_pool(id, Some(pool));
-            let Some(pool) = ctx.config.ops.pools.iter().find(own) else {
-                continue;
-            };
-            if pool.calendar.size_at(ctx.wall_clock_ms).most == 0 {
-                continue;
-            }
-            let Some(job) = self.jobs.get(id) else {
-                continue;
-            };
-            if want.waiting.len() <= self.members_not_heard(ctx, pool) {
-                continue;
+        for (id, tasks) in pending.iter().filter(|(_, p)| !p.waiting.is_empty()) {
+            if let Some(miss) = self.pool_miss(ctx, id, tasks) {
+                self.pools.note_miss(id, miss);
             }
-            let miss = Miss {
-                pool: pool.name.clone(),
-                job: id.to_string(),
-                tasks: want.waiting.len() as u32,
-                at_ms: job.submitted_at_wall_ms,
-            };
-            self.pools.note_miss(id, miss);
         }
         let jobs = &self.jobs;
-        self.pools.forget_misses(|id| jobs.contains_key(id));
+        self.pools.retain_misses(|id| jobs.contains_key(id));
+    }
+
+    /// The miss of a job with waiting tasks, if a pool should have had machines for it.
+    fn pool_miss(&self, ctx: &Context, id: &JobId, pending: &PendingTasks) -> Option<Miss> {
+        let mut pools = ctx.config.ops.pools.iter();
+        let pool = pools.find(|pool| self.is_for_pool(id, Some(pool)))?;
+        let job = self.jobs.get(id)?;
+        let has_window = pool.calendar.size_at(ctx.wall_clock_ms).most > 0;
+        let is_missing = pending.waiting.len() > self.unconfirmed_members(ctx, pool);
+        (has_window && is_missing).then(|| Miss {
+            pool: pool.name.clone(),
+            job: id.to_string(),
+            tasks: pending.waiting.len() as u32,
+            at_ms: job.submitted_at_wall_ms,
+        })
+    }
+}
+
+/// Waiting tasks to which pools' machines are open: all to a gang, and to other jobs those
+/// beyond the pools' minimum.
+fn with_pools_open(pending: &PendingTasks, reserved: &BTreeSet<u32>) -> PendingTasks {
+    let is_open = |reservation: &u32| pending.gang || is_surplus_reservation(*reservation);
+    PendingTasks {
+        reservations: reserved.iter().copied().filter(is_open).collect(),
+        ..pending.clone()
     }
 }
--- /dev/null
+++ b/crates/core/src/pools/prefetch.rs
@@ -0,0 +1,76 @@
+//! Fetches of a pool's image by its members: they are commanded, and members whose fetch
+//! stalls are decommissioned.
+
+use crate::context::Context;
+use crate::shard::machine::Machine;
+use crate::shard::Shard;
+use crate::Ms;
+use forkshift_pools::{Ended, Membership, Pool, PoolState};
+use forkshift_wire::workers::Prefetch;
+use forkshift_wire::MachineId;
+
+/// A fetch has stalled if it takes this many times as long as expected, and a lease.
+const STALLED_FETCH_FACTOR: f64 = 4.0;
+/// The lowest fetch rate, in GB a second, by which image sizes are divided.
+pub(super) const MIN_FETCH_RATE: f64 = 1e-9;
+/// Heartbeats after which the command to fetch an image is repeated.
+const REPEAT_HEARTBEATS: Ms = 2;
+/// Why a machine is decommissioned that does not get its pool's image.
+pub(super) const STALLED_REASON: &str = "it does not fetch its pool's image";
+
+impl Shard {
+    /// Records since when a member's image has been missing, and decommissions the machine
+    /// if the fetch has stalled.
+    pub(super) fn track_fetch(
+        &mut self,
+        ctx: &Context,
+        id: &MachineId,
+        membership: &Membership,
+        next: Result<PoolState, Ended>,
+    ) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        if next != Ok(PoolState::Fetching) {
+            machine.pool.missing_since = None;
+            machine.pool.prefetch_sent_at = None;
+            return;
+        }
+        let since = *machine.pool.missing_since.get_or_insert(ctx.now);
+        let Some(pool) = ctx.config.ops.pools.get(&membership.pool) else {
+            return;
+        };
+        if ctx.now > since + fetch_timeout(machine, ctx, pool) {
+            self.decommission(id, STALLED_REASON);
+        }
+    }
+
+    /// The images that a machine is to be commanded to fetch now.
+    pub(crate) fn prefetch_due(&mut self, ctx: &Context, id: &MachineId) -> Vec<Prefetch> {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return Vec::new();
+        };
+        let membership = machine.pool.membership.as_ref();
+        let pool = membership.and_then(|m| ctx.config.ops.pools.get(&m.pool));
+        let Some(pool) = pool.filter(|_| machine.is_pool_member() && ctx.has_valid_lease) else {
+            return Vec::new();
+        };
+        let repeat_after = ctx.config.report_ms * REPEAT_HEARTBEATS;
+        let sent_at = machine.pool.prefetch_sent_at;
+        let was_sent = sent_at.is_some_and(|at| ctx.now < at + repeat_after);
+        if machine.state_for(pool) != PoolState::Fetching || was_sent {
+            return Vec::new();
+        }
+        machine.pool.prefetch_sent_at = Some(ctx.now);
+        vec![Prefetch {
+            image: pool.image.clone(),
+            image_gb: pool.image_gb,
+        }]
+    }
+}
+
+/// How long a machine may take to fetch a pool's image.
+fn fetch_timeout(machine: &Machine, ctx: &Context, pool: &Pool) -> Ms {
+    let fetch_s = pool.image_gb / machine.fetch_rate.max(MIN_FETCH_RATE);
+    crate::ms(fetch_s * STALLED_FETCH_FACTOR) + ctx.config.lease_ms
+}
--- /dev/null
+++ b/crates/core/src/pools/requests.rs
@@ -0,0 +1,199 @@
+//! How many machines each pool requests, as recorded in the pool's account.
+
+use super::ledger::{add_row, RETRY_PAUSE_MS};
+use crate::context::{revision_of, Context};
+use crate::membership::format::FormatVersion;
+use crate::pending_call::PendingCall;
+use crate::shard::Shard;
+use crate::store::queue::Urgency;
+use crate::Ms;
+use forkshift_pools::account::{Asked, HEADS};
+use forkshift_pools::{Pool, PoolName};
+use forkshift_wire::state::{Item, Page, Precondition, Transaction, Write};
+use serde_json::{from_value, to_value};
+
+/// The request of a pool, as it is recorded.
+#[derive(Debug)]
+pub(super) struct StoredRequest {
+    /// Version of its key; 0 if the key does not exist.
+    version: u64,
+    request: Asked,
+    /// Whether a write is in flight.
+    is_writing: bool,
+}
+
+/// Whether the recorded requests were read.
+#[derive(Debug, Default, PartialEq)]
+pub(super) enum ReadState {
+    /// They must be read.
+    #[default]
+    Due,
+    /// A read failed; they are not read before this.
+    Pause(Ms),
+    /// A read is in flight.
+    InFlight,
+    /// They were read.
+    Done,
+}
+
+impl ReadState {
+    fn is_due(&self, now: Ms) -> bool {
+        match self {
+            Self::Due => true,
+            Self::Pause(until) => now >= *until,
+            Self::InFlight | Self::Done => false,
+        }
+    }
+}
+
+impl Shard {
+    /// Records how many machines a pool requests, if that has changed.
+    pub(super) fn record_request(&mut self, ctx: &mut Context, pool: &Pool, machines: u32) {
+        if self.pools.requests_read != ReadState::Done || ctx.format < FormatVersion::POOLS {
+            return;
+        }
+        if let Some(stored) = self.pools.requests.get(&pool.name) {
+            if stored.request.machines != machines || stored.request.team != pool.team {
+                self.change_request(ctx, &pool.name, &pool.team, machines);
+            }
+            return;
+        }
+        let request = Asked {
+            pool: pool.name.clone(),
+            team: pool.team.clone(),
+            machines,
+            from_ms: ctx.wall_clock_ms,
+            to_ms: None,
+        };
+        let stored = StoredRequest {
+            version: 0,
+            request: Asked {
+                machines: 0,
+                ..request.clone()
+            },
+            is_writing: true,
+        };
+        self.pools.requests.insert(pool.name.clone(), stored);
+        self.write_request(ctx, request, 0, None);
+    }
+
+    /// Records that pools of our teams that are no longer declared request no machine.
+    pub(super) fn withdraw_undeclared_pools(&mut self, ctx: &mut Context) {
+        let declared = &ctx.config.ops.pools;
+        let requests = self.pools.requests.iter();
+        let withdrawn: Vec<Asked> = requests
+            .filter(|(name, stored)| stored.request.machines > 0 && declared.get(name).is_none())
+            .map(|(_, stored)| stored.request.clone())
+            .collect();
+        for request in withdrawn {
+            self.change_request(ctx, &request.pool, &request.team, 0);
+        }
+    }
+
+    fn change_request(&mut self, ctx: &mut Context, name: &PoolName, team: &str, machines: u32) {
+        let Some(stored) = self.pools.requests.get_mut(name) else {
+            return;
+        };
+        if stored.is_writing {
+            return;
+        }
+        stored.is_writing = true;
+        log::info!(
+            "pool {name}: requests {machines} machines, before {}",
+            stored.request.machines
+        );
+        let version = stored.version;
+        let (ended, mut next) = stored.request.clone().change(machines, ctx.wall_clock_ms);
+        team.clone_into(&mut next.team);
+        self.write_request(ctx, next, version, Some(ended));
+    }
+
+    /// Writes a pool's request on condition of the recorded one's version, with the row of
+    /// the request that it ends.
+    fn write_request(
+        &mut self,
+        ctx: &mut Context,
+        next: Asked,
+        version: u64,
+        ended: Option<Asked>,
+    ) {
+        let key = next.key();
+        let unchanged = Precondition {
+            key: key.clone(),
+            version,
+        };
+        let mut transaction = Transaction {
+            preconditions: vec![self.held_precondition(), unchanged],
+            writes: vec![Write::put(key, to_value(&next).unwrap_or_default())],
+        };
+        if let Some(ended) = ended {
+            add_row(&mut transaction, ended.key(), &ended);
+        }
+        let call = PendingCall::PoolRequestWrite {
+            shard: self.id,
+            epoch: self.epoch,
+            asked: Box::new(next),
+        };
+        ctx.transact(Urgency::Background, &transaction, call);
+    }
+
+    /// Handles the answer to the write of a request. If the write may have failed, all
+    /// requests are read again.
+    pub(crate) fn on_pool_asked(&mut self, request: Asked, status: u16, body: &[u8]) {
+        if status != 200 {
+            self.pools.requests_read = ReadState::Due;
+            return;
+        }
+        self.store_request(request, revision_of(body));
+    }
+
+    /// Reads the recorded requests, if that is due: once after a failover, and after
+    /// writes that may have failed.
+    pub(super) fn read_due_requests(&mut self, ctx: &mut Context) {
+        if !self.pools.requests_read.is_due(ctx.now) {
+            return;
+        }
+        self.pools.requests_read = ReadState::InFlight;
+        let call = PendingCall::PoolRecordsRead {
+            shard: self.id,
+            epoch: self.epoch,
+        };
+        let path = format!("/kv?starts={HEADS}&most=1000");
+        ctx.read_store(Urgency::Background, path, call);
+    }
+
+    /// Handles the answer to the read of the recorded requests.
+    pub(crate) fn on_pool_heads(&mut self, ctx: &Context, status: u16, body: &[u8]) {
+        let page: Option<Page> = serde_json::from_slice(body).ok();
+        let Some(page) = page.filter(|page| status == 200 && !page.has_next) else {
+            self.pools.requests_read = ReadState::Pause(ctx.now + RETRY_PAUSE_MS);
+            return;
+        };
+        self.pools.requests.clear();
+        for item in page.items {
+            self.store_read_request(item);
+        }
+        self.pools.requests_read = ReadState::Done;
+    }
+
+    /// Takes in a record that was read, if it is a request of one of our teams.
+    fn store_read_request(&mut self, item: Item) {
+        match from_value::<Asked>(item.value) {
+            Ok(request) if self.teams.contains_key(&request.team) => {
+                self.store_request(request, item.version);
+            }
+            Ok(_) => {}
+            Err(e) => log::error!("record {}: not understood, {e}", item.key),
+        }
+    }
+
+    fn store_request(&mut self, request: Asked, version: u64) {
+        let name = request.pool.clone();
+        let stored = StoredRequest {
+            version,
+            request,
+            is_writing: false,
+        };
+        self.pools.requests.insert(name, stored);
+    }
+}
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -1,14 +1,18 @@
-//! How many machines a pool has: which join and leave, and what is asked of the leader.
+//! How many machines a pool has: which join and leave, and which the leader is requested
+//! to provision.
 //!
-//! This comes at the end of a round, behind everything that waits for room and behind
-//! spare places: a pool takes only machines that nothing needs, and rents only after all
-//! else.
+//! Sizes are settled at the end of a round, after everything that waits for room and after
+//! spare places: a pool takes only machines that nothing needs, and machines are
+//! provisioned for it only after all else.
 
+use super::membership::{allows, is_requested};
+use super::prefetch::MIN_FETCH_RATE;
 use crate::context::Context;
 use crate::membership::format::FormatVersion;
 use crate::records::{capacity_of, ShapeRecord};
-use crate::shard::demand::OVERDUE_BOOTS;
+use crate::shard::demand::{overdue_at, ExpectedMachines};
 use crate::shard::machine::Machine;
+use crate::shard::scheduling::SECONDS_PER_HOUR;
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
@@ -19,93 +23,86 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// Which machines the hosts at the end of a round are: those that are usable, then those
-/// that are drained, those that boot, and those of rentals under way.
-pub(crate) struct ExpectedMachines<'a> {
-    /// Machines on which tasks may be placed.
-    pub(crate) usable: &'a [MachineId],
-    /// How many are being drained.
-    pub(crate) draining: usize,
-    /// Machines that boot.
-    pub(crate) booting: &'a [MachineId],
+/// A machine that is being provisioned and that nothing waits for.
+struct ProvisionedMachine {
+    machine_type: u16,
+    zone: u16,
+    spot: bool,
 }
 
-impl ExpectedMachines<'_> {
-    /// The machine behind a host, if it may join a pool.
-    fn machine(&self, host: usize) -> Option<&MachineId> {
-        let booting = self.usable.len() + self.draining;
-        match host {
-            _ if host < self.usable.len() => self.usable.get(host),
-            _ if host >= booting => self.booting.get(host - booting),
-            _ => None,
+impl From<&Host> for ProvisionedMachine {
+    fn from(host: &Host) -> Self {
+        Self {
+            machine_type: host.machine_type,
+            zone: host.zone,
+            spot: host.spot,
         }
     }
-
-    /// Where hosts of rentals under way begin.
-    fn rentals(&self) -> usize {
-        self.usable.len() + self.draining + self.booting.len()
-    }
 }
 
-/// What nothing needs, for pools to take in turn.
+/// Machines that nothing needs, for pools to take in turn.
 struct SurplusMachines {
+    /// Machines that exist.
     machines: BTreeSet<MachineId>,
-    /// Machines that are being rented: type, zone, kind.
-    rentals: Vec<(u16, u16, bool)>,
+    /// Machines that are being provisioned.
+    provisioned: Vec<ProvisionedMachine>,
+}
+
+impl SurplusMachines {
+    /// Removes up to `max` machines that are being provisioned and that a pool may have.
+    /// Returns how many.
+    fn take_provisioned(&mut self, ctx: &Context, pool: &Pool, max: u32) -> u32 {
+        let mut taken = 0;
+        self.provisioned.retain(|machine| {
+            let machine_type = ctx.places.name(machine.machine_type).unwrap_or_default();
+            let zone = ctx.places.name(machine.zone).unwrap_or_default();
+            let takes = taken < max && pool.allows(machine_type, zone, machine.spot);
+            taken += u32::from(takes);
+            !takes
+        });
+        taken
+    }
 }
 
 impl Shard {
-    /// Lets machines join and leave the shard's pools, and returns what is to be rented
-    /// for them. `hosts` shows what is left of machines once everything is booked.
+    /// Lets machines join and leave the shard's pools, and returns what is to be
+    /// provisioned for them. `hosts` shows what is free once everything is booked.
     pub(crate) fn keep_pools(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
-        coming: &ExpectedMachines,
+        expected: &ExpectedMachines,
         hosts: &[Host],
     ) -> Vec<ShapeRecord> {
         if ctx.format < FormatVersion::POOLS {
             return Vec::new();
         }
-        self.note_withdrawn(ctx);
-        let ours = ctx.config.ops.pools.iter();
-        let ours = ours.filter(|pool| self.teams.contains_key(&pool.team));
-        let pools: Vec<Pool> = ours.cloned().collect();
+        self.withdraw_undeclared_pools(ctx);
+        let declared = ctx.config.ops.pools.iter();
+        let own = declared.filter(|pool| self.teams.contains_key(&pool.team));
+        let pools: Vec<Pool> = own.cloned().collect();
         if pools.is_empty() {
             return Vec::new();
         }
         let members = self.members();
-        let mut unneeded = self.unneeded(view, coming, hosts);
-        let catalog: Vec<MachineType> = view
-            .machine_types
-            .values()
-            .map(|t| t.record.clone())
-            .collect();
+        let mut surplus = self.surplus_machines(view, expected, hosts);
+        let types = view.machine_types.values();
+        let catalog: Vec<MachineType> = types.map(|t| t.record.clone()).collect();
         let mut shapes = Vec::new();
         for pool in &pools {
             let ids = members.get(&pool.name).map_or(&[][..], Vec::as_slice);
-            let machines = self.size_of(ctx, pool, &catalog);
-            self.note_asked(ctx, pool, machines);
-            shapes.extend(self.keep_pool(ctx, pool, machines, ids, &mut unneeded, &catalog));
+            let machines = self.target_size(ctx, pool, &catalog);
+            self.record_request(ctx, pool, machines);
+            shapes.extend(self.keep_pool(ctx, pool, machines, ids, &mut surplus, &catalog));
         }
         shapes
     }
 
-    /// How many machines a pool should have now. It is ready when its window begins, and
-    /// has none as long as the catalogue speaks against it.
-    fn size_of(&mut self, ctx: &Context, pool: &Pool, catalog: &[MachineType]) -> u32 {
-        match pool.check_catalog(catalog) {
-            Ok(()) => drop(self.pools.problems.remove(&pool.name)),
-            Err(problem) => {
-                let known = self
-                    .pools
-                    .problems
-                    .insert(pool.name.clone(), problem.clone());
-                if known.as_ref() != Some(&problem) {
-                    log::error!("{problem}: it gets no machine");
-                }
-                return 0;
-            }
+    /// How many machines a pool should have now. It is made ready ahead of its window, and
+    /// has none as long as the catalogue rules it out.
+    fn target_size(&mut self, ctx: &Context, pool: &Pool, catalog: &[MachineType]) -> u32 {
+        if !self.is_in_catalog(pool, catalog) {
+            return 0;
         }
         let lead = ready_ms(pool, catalog);
         let size = pool
@@ -115,54 +112,70 @@
         target(size, handed_out)
     }
 
-    /// Chooses who joins and leaves one pool, and returns what is missing.
+    /// Whether the catalogue has machines for a pool. If not, the reason is logged once.
+    fn is_in_catalog(&mut self, pool: &Pool, catalog: &[MachineType]) -> bool {
+        let errors = &mut self.pools.catalog_errors;
+        let Err(error) = pool.check_catalog(catalog) else {
+            errors.remove(&pool.name);
+            return true;
+        };
+        let known = errors.insert(pool.name.clone(), error.clone());
+        if known.as_ref() != Some(&error) {
+            log::error!("{error}, it gets no machine");
+        }
+        false
+    }
+
+    /// Chooses which machines join and leave one pool, and returns what is missing.
     fn keep_pool(
         &mut self,
         ctx: &mut Context,
         pool: &Pool,
         machines: u32,
         ids: &[MachineId],
-        unneeded: &mut SurplusMachines,
+        surplus: &mut SurplusMachines,
         catalog: &[MachineType],
     ) -> Option<ShapeRecord> {
         let (overdue, ids): (Vec<&MachineId>, Vec<&MachineId>) =
             ids.iter().partition(|id| self.is_overdue(ctx, id));
         let members = self.as_members(pool, &ids);
         let leave = leaving(&members, machines, pool.cost_per_hour_most);
-        for (place, id) in ids.iter().enumerate() {
+        self.mark_surplus_members(&ids, &leave);
+        let joining = self.joining_machines(&pool.name);
+        let staying = ids.len() - leave.len() + joining.len();
+        let mut missing = machines.saturating_sub(staying as u32);
+        let mut cost = self.cost_per_hour(ids.iter().copied());
+        cost -= self.cost_per_hour(leave.iter().map(|member| ids[*member]));
+        cost += self.cost_per_hour(overdue) + self.cost_per_hour(&joining);
+        let mut budget = pool.cost_per_hour_most.map(|max| max - cost);
+        let joined = self.choose_joining(ctx, pool, missing, budget, surplus);
+        missing -= joined.len() as u32;
+        budget = budget.map(|budget| budget - self.cost_per_hour(&joined));
+        missing -= surplus.take_provisioned(ctx, pool, missing);
+        missing_shape(pool, missing, budget, catalog)
+    }
+
+    /// Marks which members are to leave their pool, by indices.
+    fn mark_surplus_members(&mut self, ids: &[&MachineId], leaving: &[usize]) {
+        for (member, id) in ids.iter().enumerate() {
             if let Some(machine) = self.machines.get_mut(*id) {
-                machine.pool.is_surplus = leave.contains(&place);
+                machine.pool.is_surplus = leaving.contains(&member);
                 if machine.pool.is_surplus {
                     self.recheck.touch(id);
                 }
             }
         }
-        let on_the_way = self.joining(&pool.name);
-        let stay = ids.len() - leave.len() + on_the_way.len();
-        let mut missing = machines.saturating_sub(stay as u32);
-        let mut cost = self.cost_of(ids.iter().copied());
-        cost -= self.cost_of(leave.iter().map(|place| ids[*place]));
-        cost += self.cost_of(overdue) + self.cost_of(&on_the_way);
-        let mut cost_left = pool.cost_per_hour_most.map(|most| most - cost);
-        let joined = self.choose_joining(ctx, pool, missing, cost_left, unneeded);
-        missing -= joined.len() as u32;
-        cost_left = cost_left.map(|left| left - self.cost_of(&joined));
-        missing -= unneeded.take_rentals(ctx, pool, missing);
-        missing_shape(pool, missing, cost_left, catalog)
     }
 
-    /// Whether a machine should be up by now. It may come much later, or never, so
-    /// another one is asked for in its place; if it comes after all, one of them leaves.
+    /// Whether a machine should be up by now. It may come much later, or never, so another
+    /// one is requested in its place; if it comes after all, one of them leaves.
     fn is_overdue(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
-        machine.is_some_and(|m| {
-            let due = m.known_since + (m.boot_ms as f64 * OVERDUE_BOOTS) as Ms;
-            m.last_heartbeat_at.is_none() && ctx.now >= due
-        })
+        machine.is_some_and(|m| m.last_heartbeat_at.is_none() && ctx.now >= overdue_at(m))
     }
 
     /// Machines that were chosen for a pool, and are not recorded as its members yet.
-    fn joining(&self, pool: &PoolName) -> Vec<MachineId> {
+    fn joining_machines(&self, pool: &PoolName) -> Vec<MachineId> {
         let machines = self.machines.values();
         let chosen = machines
             .filter(|m| m.pool.membership.is_none() && m.pool.joining.as_ref() == Some(pool));
@@ -170,9 +183,9 @@
     }
 
     /// What machines cost an hour.
-    fn cost_of<'a>(&self, ids: impl IntoIterator<Item = &'a MachineId>) -> f64 {
+    fn cost_per_hour<'a>(&self, ids: impl IntoIterator<Item = &'a MachineId>) -> f64 {
         let machines = ids.into_iter().filter_map(|id| self.machines.get(id));
-        machines.map(hourly).sum()
+        machines.map(price_per_hour).sum()
     }
 
     /// Chooses machines that nothing needs to join a pool.
@@ -181,28 +194,24 @@
         ctx: &mut Context,
         pool: &Pool,
         missing: u32,
-        cost_left: Option<f64>,
-        unneeded: &mut SurplusMachines,
+        budget: Option<f64>,
+        surplus: &mut SurplusMachines,
     ) -> Vec<MachineId> {
         let image = ctx.images.number(&pool.image);
-        let is_allowed = |machine: &&Machine| {
-            let of_type = ctx.places.name(machine.machine_type).unwrap_or_default();
-            let zone = ctx.places.name(machine.zone).unwrap_or_default();
-            pool.allows(of_type, zone, machine.spot) && machine.cache_gb >= pool.image_gb
-        };
-        let machines = unneeded.machines.iter();
+        let may_join = |m: &&Machine| allows(ctx, pool, m) && m.cache_gb >= pool.image_gb;
+        let machines = surplus.machines.iter();
         let machines = machines.filter_map(|id| self.machines.get(id));
-        let allowed: Vec<&Machine> = machines.filter(is_allowed).collect();
+        let allowed: Vec<&Machine> = machines.filter(may_join).collect();
         let candidate = |machine: &&Machine| Candidate {
             has_image: machine.images.iter().any(|(held, _)| *held == image),
             is_up: machine.last_heartbeat_at.is_some(),
-            price: hourly(machine),
+            price: price_per_hour(machine),
         };
         let candidates: Vec<Candidate> = allowed.iter().map(candidate).collect();
-        let chosen = joining(&candidates, missing, cost_left);
-        let chosen: Vec<MachineId> = chosen.into_iter().map(|i| allowed[i].id.clone()).collect();
+        let chosen = joining(&candidates, missing, budget).into_iter();
+        let chosen: Vec<MachineId> = chosen.map(|i| allowed[i].id.clone()).collect();
         for id in &chosen {
-            unneeded.machines.remove(id);
+            surplus.machines.remove(id);
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.pool.joining = Some(pool.name.clone());
                 machine.idle_since = None;
@@ -212,50 +221,31 @@
         chosen
     }
 
-    /// Machines that nothing needs, and rentals that nothing waits for.
-    fn unneeded(
+    /// Machines that nothing needs, and those being provisioned that nothing waits for.
+    fn surplus_machines(
         &self,
         view: &ClusterView,
-        coming: &ExpectedMachines,
+        expected: &ExpectedMachines,
         hosts: &[Host],
     ) -> SurplusMachines {
-        let is_whole = |host: &Host| host.free == host.total && !host.held;
+        let is_unused = |host: &Host| host.free == host.total && !host.held;
         let may_join = |id: &&MachineId| {
-            let wanted = view
-                .machines
-                .get(*id)
-                .is_some_and(|m| m.record.reassign_to.is_some());
             let machine = self.machines.get(*id);
-            !wanted && machine.is_some_and(is_unneeded)
+            !is_requested(view, id) && machine.is_some_and(is_unneeded)
         };
-        let whole = hosts.iter().enumerate().filter(|(_, host)| is_whole(host));
-        let machines = whole.filter_map(|(i, _)| coming.machine(i));
-        let machines = machines.filter(may_join).cloned().collect();
-        let rentals = hosts.iter().skip(coming.rentals());
-        let rentals = rentals.filter(|host| is_whole(host));
-        let kind = |host: &Host| (host.machine_type, host.zone, host.spot);
+        let unused = hosts.iter().enumerate().filter(|(_, h)| is_unused(h));
+        let machines = unused.filter_map(|(host, _)| expected.pool_candidate(host));
+        let provisioned = hosts.iter().skip(expected.first_provisioned_host());
         SurplusMachines {
-            machines,
-            rentals: rentals.map(kind).collect(),
+            machines: machines.filter(may_join).cloned().collect(),
+            provisioned: provisioned
+                .filter(|host| is_unused(host))
+                .map(ProvisionedMachine::from)
+                .collect(),
         }
     }
 }
 
-impl SurplusMachines {
-    /// Counts rentals under way towards a pool, and says how many.
-    fn take_rentals(&mut self, ctx: &Context, pool: &Pool, most: u32) -> u32 {
-        let mut taken = 0;
-        self.rentals.retain(|(machine_type, zone, spot)| {
-            let of_type = ctx.places.name(*machine_type).unwrap_or_default();
-            let zone = ctx.places.name(*zone).unwrap_or_default();
-            let takes = taken < most && pool.allows(of_type, zone, *spot);
-            taken += u32::from(takes);
-            !takes
-        });
-        taken
-    }
-}
-
 /// Whether a machine without tasks is free to join a pool.
 fn is_unneeded(machine: &Machine) -> bool {
     machine.tasks.is_empty()
@@ -269,38 +259,39 @@
         && machine.pool.joining.is_none()
 }
 
-/// Price an hour.
-pub(super) fn hourly(machine: &Machine) -> f64 {
-    machine.price * 3600.0
+/// A machine's price an hour.
+pub(super) fn price_per_hour(machine: &Machine) -> f64 {
+    machine.price * SECONDS_PER_HOUR
 }
 
 /// How long a machine takes to be ready, of the slowest type that a pool may use.
 fn ready_ms(pool: &Pool, catalog: &[MachineType]) -> Ms {
     let allowed = catalog.iter().filter(|t| pool.price_of(t).is_some());
-    let ready_s = allowed.map(|t| t.boot_s + pool.image_gb / t.fetch_gb_per_s.max(1e-9));
+    let ready_s = allowed.map(|t| t.boot_s + pool.image_gb / t.fetch_gb_per_s.max(MIN_FETCH_RATE));
     crate::ms(ready_s.fold(0.0, f64::max))
 }
 
-/// Machines that are to be rented for a pool: of any type that it may use and afford, as
-/// a shape that takes the whole of the smallest of them.
+/// Machines that are to be provisioned for a pool: of any type that it may use and afford,
+/// as a shape that takes the whole of the smallest of them.
 fn missing_shape(
     pool: &Pool,
     missing: u32,
-    cost_left: Option<f64>,
+    budget: Option<f64>,
     catalog: &[MachineType],
 ) -> Option<ShapeRecord> {
-    let price = |t: &MachineType| {
+    let affordable_price = |t: &&MachineType| {
         pool.price_of(t)
-            .filter(|p| affordable(1, *p, cost_left) > 0)
+            .filter(|price| affordable(1, *price, budget) > 0)
     };
-    let types: Vec<&MachineType> = catalog.iter().filter(|t| price(t).is_some()).collect();
-    let cheapest = types
+    let types: Vec<&MachineType> = catalog
         .iter()
-        .filter_map(|t| price(t))
-        .min_by(f64::total_cmp)?;
-    let count = affordable(missing, cheapest, cost_left);
-    let totals = types.iter().map(|t| capacity_of(t));
-    let smallest: Resources = totals.reduce(|a, b| a.least(&b))?;
+        .filter(|t| affordable_price(t).is_some())
+        .collect();
+    let prices = types.iter().filter_map(affordable_price);
+    let min_price = prices.min_by(f64::total_cmp)?;
+    let count = affordable(missing, min_price, budget);
+    let capacities = types.iter().map(|t| capacity_of(t));
+    let smallest: Resources = capacities.reduce(|a, b| a.least(&b))?;
     (count > 0).then(|| ShapeRecord {
         milli_resources: (smallest.cpus, smallest.gpus, smallest.memory),
         count,
--- a/crates/core/src/shard/arrivals.rs
+++ b/crates/core/src/shard/arrivals.rs
@@ -1,4 +1,4 @@
-//! Rates at which the jobs of each class arrive, to keep places for them.
+//! Rates at which the tasks of each class of jobs arrive: spare places are kept for them.
 
 use super::Shard;
 use crate::records::ShapeRecord;
@@ -6,68 +6,78 @@
 use forkshift_sched::Resources;
 use forkshift_wire::users::JobSpec;
 
-/// Arrivals are remembered for about this long.
-const ARRIVALS_MS: f64 = 150_000.0;
+/// Time constant, in milliseconds, with which counted arrivals decay.
+const DECAY_MS: f64 = 150_000.0;
 
-/// What is known of the arrivals of a class.
+/// Arrivals are taken to be counted for at least this long, in milliseconds, lest one of
+/// them look like a rush.
+const MIN_COUNTED_MS: f64 = DECAY_MS / 3.0;
+
+/// Exponentially decaying count of a class's arrivals.
 #[derive(Clone, Debug)]
 pub(crate) struct ArrivalStats {
-    /// Tasks, fading out.
+    /// Tasks that arrived, decayed until `updated_at`.
     weight: f64,
-    at: Ms,
-    pub(crate) last: ShapeRecord,
-    /// Team and image of the last arrival.
+    updated_at: Ms,
+    /// A spare place for one task of the last arrival.
+    pub(crate) last_shape: ShapeRecord,
+    /// Team of the last arrival.
     pub(crate) last_team: String,
+    /// Image of the last arrival.
     pub(crate) last_image: String,
 }
 
 impl ArrivalStats {
-    /// Lets the count fade until now.
-    fn fade(&mut self, now: Ms) {
-        let gone = now.saturating_sub(self.at) as f64;
-        self.weight *= (-gone / ARRIVALS_MS).exp();
-        self.at = now;
+    /// Lets the count decay until now.
+    fn decay(&mut self, now: Ms) {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        self.weight *= (-elapsed / DECAY_MS).exp();
+        self.updated_at = now;
     }
 
-    /// Tasks a second, counted for `elapsed`. A short time is taken for
-    /// longer than it was, lest one arrival look like a rush.
-    pub(crate) fn rate(&mut self, now: Ms, elapsed: Ms) -> f64 {
-        self.fade(now);
-        let elapsed = (elapsed as f64).max(ARRIVALS_MS / 3.0);
-        let seen = ARRIVALS_MS * (1.0 - (-elapsed / ARRIVALS_MS).exp());
-        self.weight / (seen / 1000.0)
+    /// Arriving tasks a second, if arrivals have been counted for `counted_ms`.
+    pub(crate) fn rate(&mut self, now: Ms, counted_ms: Ms) -> f64 {
+        self.decay(now);
+        let counted_ms = (counted_ms as f64).max(MIN_COUNTED_MS);
+        let weighted_ms = DECAY_MS * (1.0 - (-counted_ms / DECAY_MS).exp());
+        self.weight / (weighted_ms / 1000.0)
     }
 }
 
 impl Shard {
     /// Counts the tasks of a job that has just arrived.
     pub(super) fn count_arrival(&mut self, spec: &JobSpec, now: Ms) {
-        let res = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let last = ShapeRecord {
-            milli_resources: (res.cpus, res.gpus, res.memory),
-            count: 1,
-            types: spec.types.clone(),
-            zones: None,
-            spot: spec.spot,
-            is_spare: true,
-            may_reclaim: false,
-            is_borrowing: false,
-            is_gang: false,
-        };
+        let last_shape = spare_shape(spec);
         let stats = self
             .classes
             .entry(spec.class.clone())
-            .or_insert(ArrivalStats {
+            .or_insert_with(|| ArrivalStats {
                 weight: 0.0,
-                at: now,
-                last: last.clone(),
+                updated_at: now,
+                last_shape: last_shape.clone(),
                 last_team: spec.team.clone(),
                 last_image: spec.image.clone(),
             });
-        stats.fade(now);
+        stats.decay(now);
         stats.weight += f64::from(spec.tasks);
-        stats.last = last;
+        stats.last_shape = last_shape;
         stats.last_team.clone_from(&spec.team);
         stats.last_image.clone_from(&spec.image);
     }
 }
+
+/// A spare place for one task of a job.
+fn spare_shape(spec: &JobSpec) -> ShapeRecord {
+    let resources = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
+    ShapeRecord {
+        milli_resources: (resources.cpus, resources.gpus, resources.memory),
+        count: 1,
+        types: spec.types.clone(),
+        zones: None,
+        spot: spec.spot,
+        is_spare: true,
+        may_reclaim: false,
+        is_borrowing: false,
+        is_gang: false,
+    }
+}
--- /dev/null
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -0,0 +1,144 @@
+//! Machines beside the usable ones on which waiting tasks may be booked: those that
+//! drain, that boot, or that are being provisioned.
+
+use crate::context::Context;
+use crate::records::{capacity_of, ProvisioningIntent};
+use crate::shard::machine::Machine;
+use crate::shard::scheduling::{host_of, SECONDS_PER_HOUR};
+use crate::shard::Shard;
+use crate::store::view::ClusterView;
+use crate::Ms;
+use forkshift_sched::Host;
+use forkshift_wire::cloud::MachineType;
+use forkshift_wire::MachineId;
+use std::collections::BTreeSet;
+
+/// A machine that is not up after this many boots is overdue: nothing waits for it, and
+/// its shard requests another one.
+pub(crate) const OVERDUE_BOOTS: f64 = 1.5;
+
+/// Which machine each host is: the usable ones come first, then those that drain, those
+/// that boot, and those that are being provisioned.
+pub(crate) struct ExpectedMachines<'a> {
+    /// Machines on which tasks may be placed.
+    pub(crate) usable: &'a [MachineId],
+    /// Machines that are being drained.
+    pub(crate) draining: Vec<MachineId>,
+    /// Machines that boot and are not overdue.
+    pub(crate) booting: Vec<MachineId>,
+}
+
+impl ExpectedMachines<'_> {
+    /// The machine behind a host, if it may join a pool.
+    pub(crate) fn pool_candidate(&self, host: usize) -> Option<&MachineId> {
+        let first_booting = self.usable.len() + self.draining.len();
+        if host < self.usable.len() {
+            return self.usable.get(host);
+        }
+        let booting = host.checked_sub(first_booting)?;
+        self.booting.get(booting)
+    }
+
+    /// The index of the first host that is being provisioned.
+    pub(crate) fn first_provisioned_host(&self) -> usize {
+        self.usable.len() + self.draining.len() + self.booting.len()
+    }
+}
+
+impl Shard {
+    /// Adds hosts for the machines that drain, boot, or are being provisioned.
+    pub(super) fn add_expected_machines<'a>(
+        &self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        usable: &'a [MachineId],
+        hosts: &mut Vec<Host>,
+    ) -> ExpectedMachines<'a> {
+        let draining = self.add_draining_machines(hosts);
+        let booting = self.add_booting_machines(ctx, hosts);
+        self.add_provisioning_intents(ctx, view, hosts);
+        ExpectedMachines {
+            usable,
+            draining,
+            booting,
+        }
+    }
+
+    fn add_draining_machines(&self, hosts: &mut Vec<Host>) -> Vec<MachineId> {
+        let draining = self.machines.values().filter(|m| m.is_draining);
+        let mut ids = Vec::new();
+        for machine in draining {
+            ids.push(machine.id.clone());
+            hosts.push(host_of(machine));
+        }
+        ids
+    }
+
+    fn add_booting_machines(&self, ctx: &Context, hosts: &mut Vec<Host>) -> Vec<MachineId> {
+        let mut ids = Vec::new();
+        for machine in self.machines.values() {
+            let is_booting =
+                machine.last_heartbeat_at.is_none() && machine.decommission_reason.is_none();
+            if is_booting && ctx.now < overdue_at(machine) {
+                hosts.push(booting_host(machine, ctx.now));
+                ids.push(machine.id.clone());
+            }
+        }
+        ids
+    }
+
+    fn add_provisioning_intents(
+        &self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        hosts: &mut Vec<Host>,
+    ) {
+        for intent in view.provisioning_intents.values().map(|i| &i.record) {
+            let Some(machine_type) = view.machine_types.get(&intent.machine_type) else {
+                continue;
+            };
+            let shards = intent.shards_in_turn().into_iter();
+            let unplaced = shards.skip(intent.placed as usize);
+            for _ in unplaced.filter(|shard| *shard == self.id) {
+                hosts.push(provisioned_host(ctx, intent, &machine_type.record));
+            }
+        }
+    }
+}
+
+/// When a machine that has not reported by then is overdue.
+pub(crate) fn overdue_at(machine: &Machine) -> Ms {
+    machine.known_since + (machine.boot_ms as f64 * OVERDUE_BOOTS) as Ms
+}
+
+/// A machine that boots, as a round sees it.
+fn booting_host(machine: &Machine, now: Ms) -> Host {
+    let elapsed = now.saturating_sub(machine.known_since);
+    let boot_remaining_ms = machine.boot_ms.saturating_sub(elapsed);
+    Host {
+        free: machine.total,
+        delay: boot_remaining_ms as f64 / 1000.0,
+        ..host_of(machine)
+    }
+}
+
+/// A machine that is being provisioned, as a round sees it.
+fn provisioned_host(
+    ctx: &mut Context,
+    intent: &ProvisioningIntent,
+    machine_type: &MachineType,
+) -> Host {
+    Host {
+        free: capacity_of(machine_type),
+        total: capacity_of(machine_type),
+        machine_type: ctx.places.number(&intent.machine_type),
+        zone: ctx.places.number(&intent.zone),
+        spot: intent.spot,
+        price: machine_type.price / SECONDS_PER_HOUR,
+        fetch_rate: machine_type.fetch_gb_per_s,
+        images: BTreeSet::new(),
+        held: false,
+        delay: machine_type.boot_s,
+        reserved_for: None,
+    }
+}
--- /dev/null
+++ b/crates/core/src/shard/demand/publication.rs
@@ -0,0 +1,94 @@
+//! Publication of the unmet demand: by messages to the leader, and as a record for a
+//! leader that no message reaches.
+
+use crate::context::Context;
+use crate::overflow::Overflow;
+use crate::pending_call::PendingCall;
+use crate::records::{demand_key, DemandRecord};
+use crate::shard::Shard;
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
+use crate::Ms;
+use forkshift_wire::peer::Body;
+use forkshift_wire::state::{Transaction, Write};
+use serde_json::to_value;
+
+/// The part of the key-value store's writes that goes into demand records.
+const DEMAND_WRITE_PART: f64 = 0.05;
+
+/// The shortest pause between two writes of a shard's demand record.
+const MIN_WRITE_PAUSE_MS: Ms = 1_500;
+
+impl Shard {
+    /// Publishes the demand as a message to the leader and as a record.
+    pub(super) fn publish_demand(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        record: DemandRecord,
+    ) {
+        self.send_demand(ctx, view, &record);
+        self.write_demand(ctx, view, record);
+    }
+
+    /// Sends the demand to the leader whenever it has changed, and once a round otherwise.
+    fn send_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: &DemandRecord) {
+        let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
+            return;
+        };
+        let resend_at = self.last_demand_sent_at + crate::ms(ctx.config.ops.round_s);
+        if record.has_same_demand(&self.last_demand_sent) && ctx.now < resend_at {
+            return;
+        }
+        self.last_demand_sent = record.clone();
+        self.last_demand_sent_at = ctx.now;
+        if leader.node == ctx.config.node {
+            ctx.unmet_demand.push((self.id, self.epoch, record.clone()));
+            return;
+        }
+        let truncated = record.clone().truncated_to(ctx.config.bounds.list_bytes);
+        if !truncated.has_same_demand(record) {
+            ctx.overflows.note(ctx.now, Overflow::Demand);
+        }
+        let body = Body::UnmetDemand {
+            shard: self.id.0,
+            demand: serde_json::to_string(&truncated).unwrap_or_default(),
+        };
+        ctx.send_to_peer(&leader.node, self.epoch, body);
+    }
+
+    /// Writes the demand record if it has changed, or if it shows demand as of an old
+    /// revision. At most one write is in flight, and all shards share a part of the
+    /// store's write rate.
+    fn write_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
+        let shards = f64::from(ctx.config.shards());
+        let pause = crate::ms(shards / (ctx.limits.write_rps * DEMAND_WRITE_PART));
+        let pause = pause.max(MIN_WRITE_PAUSE_MS);
+        let is_unseen = self.is_writing_demand || view.revision < self.demand_required_revision;
+        if is_unseen || ctx.now < self.last_demand_write_at + pause {
+            return;
+        }
+        let record = record.truncated_to(ctx.limits.value_bytes);
+        let none = DemandRecord::default();
+        let stored = view.demands.get(&self.id).map_or(&none, |d| &d.record);
+        let is_stale = !record.shapes.is_empty() && stored.revision < view.revision;
+        if record.has_same_demand(stored) && !is_stale {
+            return;
+        }
+        self.is_writing_demand = true;
+        self.last_demand_write_at = ctx.now;
+        log::debug!(
+            "shard {}: unmet demand {:?}, waiting tasks {:?}",
+            self.id,
+            record.shapes,
+            record.waiting
+        );
+        let value = to_value(record).unwrap_or_default();
+        let transaction = Transaction {
+            preconditions: vec![self.held_precondition()],
+            writes: vec![Write::put(demand_key(self.id), value)],
+        };
+        let call = PendingCall::DemandWrite { shard: self.id };
+        ctx.transact(Urgency::Background, &transaction, call);
+    }
+}
--- /dev/null
+++ b/crates/core/src/shard/demand/shapes.rs
@@ -0,0 +1,111 @@
+//! Waiting tasks as shapes of a demand record, merged by what they need.
+
+use crate::context::Context;
+use crate::records::ShapeRecord;
+use crate::store::view::ClusterView;
+use forkshift_sched::{PendingTasks, Quota, Shortfall};
+use std::collections::BTreeMap;
+
+/// Names of machine types and zones, by the numbers that rounds use for them.
+struct PlaceNames {
+    types: BTreeMap<u16, String>,
+    zones: BTreeMap<u16, String>,
+}
+
+impl PlaceNames {
+    fn new(ctx: &mut Context, view: &ClusterView) -> Self {
+        let types = view.machine_types.keys();
+        let types = types.map(|name| (ctx.places.number(name), name.clone()));
+        let types = types.collect();
+        let zones = view.zones().into_iter();
+        let zones = zones.map(|name| (ctx.places.number(name), name.to_owned()));
+        Self {
+            types,
+            zones: zones.collect(),
+        }
+    }
+
+    /// Names of the machine types that are allowed for some tasks; none: any.
+    fn types_of(&self, pending: &PendingTasks) -> Option<Vec<String>> {
+        let numbers = pending.types.as_ref()?.iter();
+        Some(numbers.filter_map(|t| self.types.get(t).cloned()).collect())
+    }
+
+    /// Names of the zones that are allowed for some tasks; none: any.
+    fn zones_of(&self, pending: &PendingTasks) -> Option<Vec<String>> {
+        let allowed = self.zones.iter().filter(|(z, _)| pending.zone_allowed(**z));
+        let allowed: Vec<String> = allowed.map(|(_, name)| name.clone()).collect();
+        (allowed.len() < self.zones.len()).then_some(allowed)
+    }
+}
+
+/// Waiting tasks as shapes, as far as the quotas allow; the quotas are charged for them.
+pub(super) fn shapes_of(
+    ctx: &mut Context,
+    view: &ClusterView,
+    pending: &[PendingTasks],
+    quotas: &mut [Quota],
+) -> Vec<ShapeRecord> {
+    let names = PlaceNames::new(ctx, view);
+    let has_pools = ctx.has_pools();
+    let mut shapes: Vec<ShapeRecord> = Vec::new();
+    let mut reserved: BTreeMap<usize, Shortfall> = BTreeMap::new();
+    for tasks in pending {
+        let quota = &mut quotas[tasks.team];
+        // What a round keeps from being placed needs no machine either.
+        let reserved_before = reserved.get(&tasks.team);
+        if reserved_before.is_some_and(|s| s.concerns(&tasks.task)) {
+            continue;
+        }
+        if tasks.reservation.reserves() && !tasks.waiting.is_empty() {
+            let shortfall = reserved.entry(tasks.team).or_default();
+            *shortfall = shortfall.or(&quota.shortfall(&tasks.task));
+        }
+        let count = charge_quota(tasks, quota);
+        if count == 0 || (tasks.gang && count < tasks.waiting.len()) {
+            continue;
+        }
+        add_shape(
+            &mut shapes,
+            ShapeRecord {
+                milli_resources: (tasks.task.cpus, tasks.task.gpus, tasks.task.memory),
+                count: count as u32,
+                types: names.types_of(tasks),
+                zones: names.zones_of(tasks),
+                spot: tasks.spot,
+                is_spare: false,
+                may_reclaim: tasks.reclaim.reclaims_machines(),
+                is_borrowing: tasks.standing.borrows(),
+                is_gang: tasks.gang && has_pools,
+            },
+        );
+    }
+    shapes
+}
+
+/// Charges a quota for as many waiting tasks as it allows. Returns how many.
+fn charge_quota(pending: &PendingTasks, quota: &mut Quota) -> usize {
+    let mut count = 0;
+    while count < pending.waiting.len() && quota.allows(&pending.task) {
+        quota.used += pending.task;
+        count += 1;
+    }
+    count
+}
+
+/// Adds a shape, or its count to the same one that is there already.
+pub(super) fn add_shape(shapes: &mut Vec<ShapeRecord>, shape: ShapeRecord) {
+    let is_same = |s: &&mut ShapeRecord| {
+        s.milli_resources == shape.milli_resources
+            && s.types == shape.types
+            && s.zones == shape.zones
+            && s.spot == shape.spot
+            && s.may_reclaim == shape.may_reclaim
+            && s.is_borrowing == shape.is_borrowing
+            && s.is_gang == shape.is_gang
+    };
+    match shapes.iter_mut().find(is_same) {
+        Some(known) => known.count += shape.count,
+        None => shapes.push(shape),
+    }
+}
--- /dev/null
+++ b/crates/core/src/shard/reclaim/offers.rs
@@ -0,0 +1,82 @@
+//! Machines that run nothing but borrowed work: they are offered to other shards, and
+//! vacated if one of these requests them.
+
+use crate::bounds::part_of_machines;
+use crate::context::Context;
+use crate::shard::machine::Machine;
+use crate::shard::reclaim::lost_run_time;
+use crate::shard::scheduling::is_usable;
+use crate::shard::Shard;
+use crate::Ms;
+use forkshift_wire::{MachineId, TaskRef};
+use std::collections::BTreeSet;
+
+/// One in so many machines of a shard is offered to others at a time.
+const OFFERED_PART: usize = 16;
+/// At least this many are.
+const MIN_OFFERED: usize = 16;
+
+impl Shard {
+    /// Machines on which nothing but borrowed work runs, those first that lose the least
+    /// of it. Other shards may request them.
+    pub(crate) fn reclaimable_machines(
+        &self,
+        ctx: &Context,
+        usable: &[MachineId],
+    ) -> Vec<MachineId> {
+        if !self.has_borrowers() {
+            return Vec::new();
+        }
+        let machines = usable.iter().filter_map(|id| self.machines.get(id));
+        let mut offered: Vec<(Ms, &MachineId)> = machines
+            .filter_map(|m| Some((self.lost_by_vacating(ctx, m)?, &m.id)))
+            .collect();
+        offered.sort();
+        let max_offered = part_of_machines(self.machines.len(), OFFERED_PART, MIN_OFFERED);
+        offered.truncate(max_offered);
+        offered.into_iter().map(|(_, id)| id.clone()).collect()
+    }
+
+    /// Run time that is lost if all tasks of a machine are stopped; none if one of them
+    /// must not be stopped, or there are none.
+    fn lost_by_vacating(&self, ctx: &Context, machine: &Machine) -> Option<Ms> {
+        if machine.tasks.is_empty() || !machine.orphans.is_empty() {
+            return None;
+        }
+        let mut lost = 0;
+        for task in &machine.tasks {
+            let (job, binding) = self.binding(task)?;
+            if binding.stop.is_some() {
+                continue;
+            }
+            if !self.is_reclaimable(ctx, job, binding) {
+                return None;
+            }
+            lost += lost_run_time(ctx, job, binding);
+        }
+        Some(lost)
+    }
+
+    /// Stops the borrowed work on a machine that another shard has requested. Returns
+    /// whether the machine will be free for it.
+    pub(crate) fn vacate(&mut self, ctx: &Context, id: &MachineId) -> bool {
+        let Some(machine) = self.machines.get(id) else {
+            return false;
+        };
+        let is_offered = machine.decommission_reason.is_none()
+            && (machine.is_vacating || is_usable(machine, ctx));
+        if !is_offered || self.lost_by_vacating(ctx, machine).is_none() {
+            return false;
+        }
+        let is_running =
+            |task: &&TaskRef| self.binding(task).is_some_and(|(_, b)| b.stop.is_none());
+        let tasks: BTreeSet<TaskRef> = machine.tasks.iter().filter(is_running).cloned().collect();
+        for task in &tasks {
+            self.stop_task(task);
+        }
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.is_vacating = true;
+        }
+        true
+    }
+}
--- /dev/null
+++ b/crates/core/src/shard/reclaim/plan.rs
@@ -0,0 +1,104 @@
+//! Plans of reclaiming: the places for tasks at which the least run time is lost.
+
+use crate::shard::reclaim::Victim;
+use crate::Ms;
+use forkshift_sched::{PendingTasks, Resources};
+use std::collections::BTreeSet;
+
+/// A machine with its free resources, and the tasks that may be stopped there.
+pub(super) struct ReclaimCandidate {
+    pub(super) machine_type: u16,
+    pub(super) zone: u16,
+    pub(super) spot: bool,
+    /// What is free or about to be: tasks that are being stopped are not counted as
+    /// running, so that no more is stopped than is needed.
+    pub(super) free: Resources,
+    /// In the order in which they are to be stopped.
+    pub(super) victims: Vec<Victim>,
+}
+
+impl ReclaimCandidate {
+    /// How many victims must be stopped for one task, with the run time that is lost with
+    /// them; none if the task does not fit even then.
+    fn cost_of_place(&self, pending: &PendingTasks) -> Option<(Ms, usize)> {
+        let mut free = self.free;
+        let mut lost_ms = 0;
+        for (stopped, victim) in self.victims.iter().enumerate() {
+            if pending.task.fits(&free) {
+                return Some((lost_ms, stopped));
+            }
+            free += victim.resources;
+            lost_ms += victim.lost_ms;
+        }
+        let fits = pending.task.fits(&free);
+        fits.then_some((lost_ms, self.victims.len()))
+    }
+}
+
+/// A place for one task. Places are ordered by the run time that is lost.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct PlannedPlace {
+    /// Run time that is lost.
+    lost_ms: Ms,
+    /// Index of the candidate.
+    pub(super) candidate: usize,
+    /// How many of the candidate's first victims are stopped.
+    pub(super) victims: usize,
+}
+
+/// The places for all tasks of one request.
+pub(super) struct ReclaimPlan {
+    pub(super) places: Vec<PlannedPlace>,
+}
+
+impl ReclaimPlan {
+    fn lost_ms(&self) -> Ms {
+        self.places.iter().map(|place| place.lost_ms).sum()
+    }
+}
+
+/// The places for `count` tasks with which the least run time is lost; all of them in one
+/// zone if the job needs that.
+pub(super) fn cheapest_plan(
+    pending: &PendingTasks,
+    count: usize,
+    candidates: &[ReclaimCandidate],
+) -> Option<ReclaimPlan> {
+    if !pending.one_zone || count == 1 {
+        return plan_in_zone(pending, count, candidates, None);
+    }
+    let zones: BTreeSet<u16> = candidates.iter().map(|c| c.zone).collect();
+    let plans = zones
+        .into_iter()
+        .filter_map(|zone| plan_in_zone(pending, count, candidates, Some(zone)));
+    plans.min_by_key(ReclaimPlan::lost_ms)
+}
+
+/// The cheapest places in a zone, or in any if none is given.
+fn plan_in_zone(
+    pending: &PendingTasks,
+    count: usize,
+    candidates: &[ReclaimCandidate],
+    zone: Option<u16>,
+) -> Option<ReclaimPlan> {
+    let is_allowed = |c: &ReclaimCandidate| {
+        zone.is_none_or(|z| z == c.zone) && pending.allowed(c.machine_type, c.zone, c.spot)
+    };
+    let allowed = candidates.iter().enumerate().filter(|(_, c)| is_allowed(c));
+    let mut places: Vec<PlannedPlace> = allowed
+        .filter_map(|(index, candidate)| {
+            let (lost_ms, victims) = candidate.cost_of_place(pending)?;
+            Some(PlannedPlace {
+                lost_ms,
+                candidate: index,
+                victims,
+            })
+        })
+        .collect();
+    places.sort_unstable();
+    if places.len() < count {
+        return None;
+    }
+    places.truncate(count);
+    Some(ReclaimPlan { places })
+}
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -1,14 +1,16 @@
 //! Tests of `reclaim`.
 
-use super::*;
 use crate::fixture::{spec, stopped, Fixture, WALL};
 use crate::io::Effect;
 use crate::node::Node;
 use crate::records::{machine_key, MachineRecord, ShardId};
+use crate::shard::job::StartState;
+use crate::Ms;
+use forkshift_sched::Quota;
 use forkshift_wire::state::Change;
-use forkshift_wire::users::{JobKind, JobSpec};
+use forkshift_wire::users::{JobKind, JobSpec, Priority};
 use forkshift_wire::workers::TaskStage;
-use forkshift_wire::JobId;
+use forkshift_wire::{JobId, MachineId};
 use serde_json::{from_slice, from_value, to_value, Value};
 use std::rc::Rc;
 
@@ -220,7 +222,7 @@
             );
         }
         let shard_id = f.shard;
-        let offered = f.node.shards[&shard_id].borrowed_machines(&f.node.ctx, &usable);
+        let offered = f.node.shards[&shard_id].reclaimable_machines(&f.node.ctx, &usable);
         assert_eq!(
             !offered.is_empty(),
             given,
