--- a/crates/core/src/shard/debug_log.rs
+++ b/crates/core/src/shard/debug_log.rs
@@ -1,59 +1,80 @@
-//! Debug lines on what the tasks of a shard wait for.
+//! Debug lines on what the tasks and machines of a shard wait for.
 
 use super::Shard;
+use crate::shard::job::Job;
+use crate::shard::machine::Machine;
+
+/// At most so many waiting tasks of a job are counted.
+const MAX_COUNTED_TASKS: usize = 1_000;
 
 impl Shard {
-    /// Says at debug level what every task that is not running waits for.
+    /// Logs, at debug level, jobs with waiting tasks, tasks that are not running, and
+    /// machines.
     pub(crate) fn log_details(&self) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
         }
         for job in self.jobs.values() {
-            let waiting = job.waiting(1_000).len();
-            if waiting > 0 || job.is_over() {
-                let quota = self.teams.get(&job.spec.team).map(|t| self.quotas[*t].used);
-                log::debug!(
-                    "{} of {}: {waiting} wait, {} dependencies, {} done, cancelled {}, over {}, not before {}, {:?}",
-                    job.spec.id,
-                    job.spec.team,
-                    job.unresolved.len(),
-                    job.done.len(),
-                    job.is_cancelled,
-                    job.is_over(),
-                    job.not_before,
-                    quota
-                );
-            }
-            for (index, b) in &job.bound {
-                if b.running_since.is_none() || b.stop.is_some() {
-                    let durable = job.is_durable(*index, b.version);
-                    log::debug!(
-                        "{}/{index}: {:?} on {}, sent {:?}, stop {:?}, durable {durable}",
-                        job.spec.id,
-                        b.stage,
-                        b.machine,
-                        b.start,
-                        b.stop
-                    );
-                }
-            }
+            self.log_job(job);
+            log_tasks(job);
+        }
+        for machine in self.machines.values() {
+            log_machine(machine);
         }
-        for m in self.machines.values() {
-            log::debug!(
-                "machine {}: {} tasks, {:?} used, draining {}, idle since {:?}, session {}, echo {} of {}, calling {}, unanswered {}, exited {}, condemned {}",
-                m.id,
-                m.tasks.len(),
-                m.used,
-                m.is_draining,
-                m.idle_since,
-                m.incarnation,
-                m.acknowledged_token,
-                m.token,
-                m.has_call_in_flight,
-                m.has_unanswered_call,
-                m.exited.len(),
-                m.decommission_reason.is_some()
-            );
+    }
+
+    fn log_job(&self, job: &Job) {
+        let waiting = job.waiting(MAX_COUNTED_TASKS).len();
+        if waiting == 0 && !job.is_over() {
+            return;
         }
+        let team = self.teams.get(&job.spec.team);
+        log::debug!(
+            "job {}: team {}, {waiting} waiting, {} dependencies, {} done, cancelled {}, over {}, not before {}, quota used {:?}",
+            job.spec.id,
+            job.spec.team,
+            job.unresolved.len(),
+            job.done.len(),
+            job.is_cancelled,
+            job.is_over(),
+            job.not_before,
+            team.map(|team| self.quotas[*team].used)
+        );
     }
 }
+
+/// Logs the bound tasks of a job that are not running, or are being stopped.
+fn log_tasks(job: &Job) {
+    for (index, binding) in &job.bound {
+        if binding.running_since.is_some() && binding.stop.is_none() {
+            continue;
+        }
+        log::debug!(
+            "task {}/{index}: {:?} on {}, start {:?}, stop {:?}, durable {}",
+            job.spec.id,
+            binding.stage,
+            binding.machine,
+            binding.start,
+            binding.stop,
+            job.is_durable(*index, binding.version)
+        );
+    }
+}
+
+fn log_machine(machine: &Machine) {
+    log::debug!(
+        "machine {}: {} tasks, {:?} used, draining {}, idle since {:?}, incarnation {}, token {} acknowledged of {}, call in flight {}, unanswered call {}, {} exited, decommissioned {}",
+        machine.id,
+        machine.tasks.len(),
+        machine.used,
+        machine.is_draining,
+        machine.idle_since,
+        machine.incarnation,
+        machine.acknowledged_token,
+        machine.token,
+        machine.has_call_in_flight,
+        machine.has_unanswered_call,
+        machine.exited.len(),
+        machine.decommission_reason.is_some()
+    );
+}
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -1,56 +1,58 @@
-//! Draining of machines that are hardly used, so that they can be returned.
+//! Draining of machines that are hardly used, so that they can be released.
 //!
-//! Replicas run until their users cancel them, so a machine that holds a few
-//! of them is never idle by itself. A replica is moved when it finds a place
-//! at once where its image is; whatever completes by itself is waited for.
+//! Replicas run until their users cancel them, so a machine that holds a few of them is
+//! never idle by itself. A replica is moved when it finds a place at once where its image
+//! is; tasks that complete by themselves are waited for.
+
+mod moves;
 
 use crate::bounds::part_of_machines;
 use crate::context::Context;
 use crate::records::capacity_of;
 use crate::shard::job::Job;
-use crate::shard::scheduling::pending_tasks_of;
+use crate::shard::scheduling::SECONDS_PER_HOUR;
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
-use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources};
-use forkshift_wire::users::JobKind;
-use forkshift_wire::workers::TaskStage;
-use forkshift_wire::{JobId, MachineId, TaskRef};
+use forkshift_sched::Host;
+use forkshift_wire::cloud::MachineType;
+use forkshift_wire::users::JobSpec;
+use forkshift_wire::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// A machine is worth draining if what it holds could be had for no more than
-/// this part of its price.
-const WORTH_MOST: f64 = 0.75;
-/// Tasks are not moved to a dearer machine whose own tasks are worth less than
-/// this part of its price: it should be drained itself.
-const TARGET_LEAST: f64 = 0.5;
-/// A replica is moved only to where its image is, or is fetched within this
-/// many reports.
-const FETCH_REPORTS: f64 = 1.0;
-/// One in so many machines of a shard is drained at a time, and at least three.
+/// A machine is drained only if the value of its tasks is at most this part of its price.
+const MAX_DRAINED_VALUE_RATIO: f64 = 0.75;
+/// One in so many machines of a shard is drained at a time.
 const DRAINING_PART: usize = 64;
-const DRAINING_LEAST: usize = 3;
+/// At least this many are, and are tried in a round.
+const MIN_DRAINING: usize = 3;
 /// One in so many machines is tried in a round: each try goes over all of them.
 const TRIES_PART: usize = 16;
 /// One in so many machines is chosen, and has a replica moved, at a time.
 const STEP_PART: usize = 256;
 /// Rounds between two moves: each takes a replica down for about a second.
-const MOVE_ROUNDS: f64 = 2.0;
+const MOVE_PAUSE_ROUNDS: f64 = 2.0;
 /// Pause between two machines, in boots.
 const PAUSE_BOOTS: f64 = 0.1;
+/// Machines younger than this many boots are not drained.
+const MIN_AGE_BOOTS: Ms = 2;
+/// The lowest price of a machine by which values are divided.
+const MIN_PRICE: f64 = 1e-12;
+/// The hourly price that counts for a job that fits on no machine type.
+const MAX_PRICE_PER_HOUR: f64 = 1e9;
 
 /// What is the same for all tasks that might be moved in a round.
-struct ElsewhereRoom {
-    /// What the tasks of every usable machine are worth, as a part of its price.
-    worth: Vec<f64>,
+struct MoveContext {
+    /// The value of the tasks of every usable machine, as a part of its price.
+    value_ratios: Vec<f64>,
     /// The zone of every machine.
     zones: BTreeMap<MachineId, u16>,
 }
 
 impl Shard {
-    /// Drains the machine that wastes most, if its tasks fit elsewhere.
-    /// `hosts` shows what is left of the usable machines once everything
-    /// that waits, and the spare places, are booked.
+    /// Drains the machines that waste most, if their tasks fit elsewhere, and moves
+    /// replicas off machines that are being drained. `hosts` shows what is free on the
+    /// usable machines once all that waits, and the spare places, are booked.
     pub(crate) fn drain(
         &mut self,
         ctx: &mut Context,
@@ -58,250 +60,161 @@
         usable: &[MachineId],
         hosts: &mut [Host],
     ) {
-        let places = ElsewhereRoom {
-            worth: self.machine_worths(view, usable),
+        let context = MoveContext {
+            value_ratios: self.value_ratios(view, usable),
             zones: self.zones(),
         };
-        let draining: Vec<MachineId> = self
-            .machines
-            .values()
-            .filter(|m| m.is_draining && m.decommission_reason.is_none())
-            .map(|m| m.id.clone())
-            .collect();
-        let most = self.drain_limit(DRAINING_PART, DRAINING_LEAST);
-        let more = most.saturating_sub(draining.len());
-        self.choose_drains(ctx, usable, hosts, &places, more);
-        let pause = crate::ms(ctx.config.ops.round_s * MOVE_ROUNDS);
-        if ctx.now < self.last_replica_move_at + pause {
-            return;
-        }
-        let mut moves = self.drain_limit(STEP_PART, 1);
-        for id in draining {
-            if moves > 0 && self.move_one(ctx, &id, hosts, &places) {
-                self.last_replica_move_at = ctx.now;
-                moves -= 1;
-            }
-        }
+        let draining = self.draining_machines();
+        let max_draining = self.machines_part(DRAINING_PART, MIN_DRAINING);
+        let max_chosen = max_draining.saturating_sub(draining.len());
+        self.choose_drained(ctx, usable, hosts, &context, max_chosen);
+        self.move_replicas(ctx, &draining, hosts, &context);
+    }
+
+    fn draining_machines(&self) -> Vec<MachineId> {
+        let machines = self.machines.values();
+        let draining = machines.filter(|m| m.is_draining && m.decommission_reason.is_none());
+        draining.map(|m| m.id.clone()).collect()
     }
 
-    /// One in so many of the shard's machines.
-    fn drain_limit(&self, part: usize, least: usize) -> usize {
-        part_of_machines(self.machines.len(), part, least)
+    /// One in so many of the shard's machines, and at least so many.
+    fn machines_part(&self, part: usize, min: usize) -> usize {
+        part_of_machines(self.machines.len(), part, min)
     }
 
+    /// Cancels the draining of a machine that is needed.
     pub(crate) fn stop_draining(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
-            log::info!("machine {id}: needed again");
+            log::info!("machine {id}: draining cancelled, needed again");
             machine.is_draining = false;
             machine.idle_since = None;
         }
     }
 
-    /// What the tasks of every usable machine are worth: the least that their
-    /// parts of machines cost, as a part of its own price. GPUs that stand
-    /// idle below replicas without any make a dear machine worth little.
-    fn machine_worths(&self, view: &ClusterView, usable: &[MachineId]) -> Vec<f64> {
-        let mut of_job: BTreeMap<&JobId, f64> = BTreeMap::new();
-        let mut worths = Vec::new();
+    /// The value of the tasks of every usable machine: the least that their parts of
+    /// machines cost, as a part of the machine's own price. GPUs that are idle below
+    /// replicas without any make the value of a costly machine low.
+    fn value_ratios(&self, view: &ClusterView, usable: &[MachineId]) -> Vec<f64> {
+        let mut value_of_job: BTreeMap<&JobId, f64> = BTreeMap::new();
+        let mut ratios = Vec::new();
         for id in usable {
             let Some(machine) = self.machines.get(id) else {
-                worths.push(1.0);
+                ratios.push(1.0);
                 continue;
             };
             let mut sum = 0.0;
             for task in &machine.tasks {
-                let worth = of_job.entry(&task.job).or_insert_with(|| {
+                let value = value_of_job.entry(&task.job).or_insert_with(|| {
                     let job = self.jobs.get(&task.job);
-                    job.map_or(0.0, |j| cheapest(j, view) / 3600.0)
+                    job.map_or(0.0, |j| min_price_per_hour(j, view) / SECONDS_PER_HOUR)
                 });
-                sum += *worth;
+                sum += *value;
             }
-            worths.push(sum / machine.price.max(1e-12));
+            ratios.push(sum / machine.price.max(MIN_PRICE));
         }
-        worths
+        ratios
     }
 
-    /// Chooses machines to be drained, up to `most`, if it is time to.
-    fn choose_drains(
+    /// Starts to drain up to `max_chosen` machines, if a pause since the last ones is over.
+    fn choose_drained(
         &mut self,
         ctx: &mut Context,
         usable: &[MachineId],
         hosts: &mut [Host],
-        places: &ElsewhereRoom,
-        most: usize,
+        context: &MoveContext,
+        max_chosen: usize,
     ) {
         let boot_ms = self.boot_ms();
         let pause = (boot_ms as f64 * PAUSE_BOOTS) as Ms;
         if ctx.now < self.last_drain_at + pause || ctx.now < self.active_since + boot_ms {
             return;
         }
-        let mut left = most.min(self.drain_limit(STEP_PART, 1));
-        let tries = (hosts.len() / TRIES_PART).max(DRAINING_LEAST);
-        for host in self
-            .is_wasteful(ctx, usable, places)
-            .into_iter()
-            .take(tries)
-        {
-            if left == 0 {
+        let mut to_choose = max_chosen.min(self.machines_part(STEP_PART, 1));
+        let tries = (hosts.len() / TRIES_PART).max(MIN_DRAINING);
+        let wasteful = self.wasteful_hosts(ctx, usable, context);
+        for host in wasteful.into_iter().take(tries) {
+            if to_choose == 0 {
                 return;
             }
             let id = &usable[host];
-            if !self.book_elsewhere(ctx, id, host, hosts, places) {
-                if let Some(machine) = self.machines.get_mut(id) {
-                    machine.drain_retry_at = ctx.now + pause;
-                }
+            let has_places = self.book_all_elsewhere(ctx, id, host, hosts, context);
+            let Some(machine) = self.machines.get_mut(id) else {
+                continue;
+            };
+            if !has_places {
+                machine.drain_retry_at = ctx.now + pause;
                 continue;
             }
+            log::info!(
+                "machine {id}: draining started, {} tasks",
+                machine.tasks.len()
+            );
+            machine.is_draining = true;
             self.last_drain_at = ctx.now;
-            left -= 1;
-            if let Some(machine) = self.machines.get_mut(id) {
-                log::info!("machine {id}: to be drained, {} tasks", machine.tasks.len());
-                machine.is_draining = true;
-            }
+            to_choose -= 1;
         }
     }
 
-    /// Machines that are worth draining, as indices of hosts, the one that wastes most
-    /// first.
-    fn is_wasteful(
+    /// Hosts that may be drained, as indices, the one that wastes most first.
+    fn wasteful_hosts(
         &self,
         ctx: &Context,
         usable: &[MachineId],
-        places: &ElsewhereRoom,
+        context: &MoveContext,
     ) -> Vec<usize> {
-        let boot_ms = self.boot_ms();
+        let min_age = self.boot_ms() * MIN_AGE_BOOTS;
         let waste_of = |(host, id): (usize, &MachineId)| {
             let machine = self.machines.get(id)?;
-            let worth_it = !machine.tasks.is_empty() && places.worth[host] <= WORTH_MOST;
-            let is_old = ctx.now > machine.known_since + boot_ms * 2;
-            (worth_it && is_old && ctx.now >= machine.drain_retry_at)
-                .then_some((machine.price * (1.0 - places.worth[host]), host))
+            let value_ratio = context.value_ratios[host];
+            let may_drain = !machine.tasks.is_empty()
+                && value_ratio <= MAX_DRAINED_VALUE_RATIO
+                && ctx.now > machine.known_since + min_age
+                && ctx.now >= machine.drain_retry_at;
+            may_drain.then_some((machine.price * (1.0 - value_ratio), host))
         };
-        let mut candidates: Vec<(f64, usize)> =
+        let mut wasteful: Vec<(f64, usize)> =
             usable.iter().enumerate().filter_map(waste_of).collect();
-        candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
-        candidates.into_iter().map(|(_, host)| host).collect()
+        wasteful.sort_by(|(a, _), (b, _)| b.total_cmp(a));
+        wasteful.into_iter().map(|(_, host)| host).collect()
     }
 
-    /// Books places on other machines for all tasks of one, or for none. Returns
-    /// whether all have one.
-    fn book_elsewhere(
-        &self,
-        ctx: &mut Context,
-        id: &MachineId,
-        host: usize,
-        hosts: &mut [Host],
-        places: &ElsewhereRoom,
-    ) -> bool {
-        let free = std::mem::take(&mut hosts[host].free);
-        let price = hosts[host].price;
-        let mut booked = Vec::new();
-        let all_fit = self.machines[id].tasks.iter().all(|task| {
-            let place = self.fits_elsewhere(ctx, task, hosts, price, places);
-            booked.extend(place);
-            place.is_some()
-        });
-        if !all_fit {
-            hosts[host].free = free;
-            for (host, task) in booked {
-                hosts[host].free += task;
-            }
-        }
-        all_fit
-    }
-
-    /// Books a place for one task of another machine, and says where and how much.
-    fn fits_elsewhere(
-        &self,
-        ctx: &mut Context,
-        task: &TaskRef,
-        hosts: &mut [Host],
-        from: f64,
-        places: &ElsewhereRoom,
-    ) -> Option<(usize, Resources)> {
-        let job = self.jobs.get(&task.job)?;
-        let binding = job.bound.get(&task.index)?;
-        let mut want: PendingTasks = pending_tasks_of(ctx, job, 0, &places.zones);
-        if let Some(n) = places
-            .zones
-            .get(&binding.machine)
-            .and_then(|z| want.zones.get_mut(z))
-        {
-            *n -= 1;
-        }
-        want.gang = false;
-        want.waiting = vec![task.index];
-        if job.spec.kind == JobKind::Service {
-            let most = ctx.config.report_ms as f64 / 1000.0 * FETCH_REPORTS;
-            let slow =
-                |h: &Host| !h.images.contains(&want.image) && want.image_gb > most * h.fetch_rate;
-            let slow: Vec<usize> = (0..hosts.len()).filter(|i| slow(&hosts[*i])).collect();
-            want.avoid.extend(slow);
-        }
-        let waste = |i: &usize| hosts[*i].price > from * 1.001 && places.worth[*i] < TARGET_LEAST;
-        want.avoid.extend((0..hosts.len()).filter(waste));
-        let mut quota = [Quota::default()];
-        let weights = ctx.config.ops.weights;
-        let wants = std::slice::from_mut(&mut want);
-        let placed = run_round(wants, hosts, &mut quota, &weights);
-        Some((placed.first()?.host, job.task))
-    }
-
-    /// Moves one replica at a time, so that no service is thinned out.
-    fn move_one(
+    /// Moves a replica off each of some draining machines, if a pause since the last moves
+    /// is over.
+    fn move_replicas(
         &mut self,
         ctx: &mut Context,
-        id: &MachineId,
+        draining: &[MachineId],
         hosts: &mut [Host],
-        places: &ElsewhereRoom,
-    ) -> bool {
-        let from = self.machines[id].price;
-        let tasks: Vec<TaskRef> = self.machines[id].tasks.iter().cloned().collect();
-        let moving = tasks.iter().any(|t| {
-            let binding = self.jobs.get(&t.job).and_then(|j| j.bound.get(&t.index));
-            binding.is_some_and(|b| b.stop.is_some())
-        });
-        if moving {
-            return false;
+        context: &MoveContext,
+    ) {
+        let pause = crate::ms(ctx.config.ops.round_s * MOVE_PAUSE_ROUNDS);
+        if ctx.now < self.last_replica_move_at + pause {
+            return;
         }
-        for task in tasks {
-            let Some(job) = self.jobs.get(&task.job) else {
-                continue;
-            };
-            let runs = job
-                .bound
-                .get(&task.index)
-                .is_some_and(|b| b.stage == Some(TaskStage::Running));
-            let whole = job.bound.len() as u32 == job.spec.tasks;
-            if job.spec.kind != JobKind::Service || !runs || !whole {
-                continue;
-            }
-            let place = self.fits_elsewhere(ctx, &task, hosts, from, places);
-            if place.is_some() {
-                self.stop_task(&task);
-                return true;
+        let mut moves_left = self.machines_part(STEP_PART, 1);
+        for id in draining {
+            if moves_left > 0 && self.move_one_replica(ctx, id, hosts, context) {
+                self.last_replica_move_at = ctx.now;
+                moves_left -= 1;
             }
         }
-        false
     }
 }
 
-/// The least that a task's part of a machine costs an hour.
-fn cheapest(job: &Job, view: &ClusterView) -> f64 {
-    let spec = &job.spec;
+/// The least that one task's part of a machine costs an hour.
+fn min_price_per_hour(job: &Job, view: &ClusterView) -> f64 {
     let types = view.machine_types.values().map(|t| &t.record);
-    types
-        .filter(|t| {
-            spec.types
-                .as_ref()
-                .is_none_or(|names| names.contains(&t.name))
-        })
-        .filter_map(|t| {
-            let total = capacity_of(t);
-            let price = t.spot_price.filter(|_| spec.spot).unwrap_or(t.price);
-            let fits = job.task.fits(&total);
-            fits.then(|| job.task.largest_share(&total) * price)
-        })
-        .fold(f64::INFINITY, f64::min)
-        .min(1e9)
+    let allowed = types.filter(|t| allows_type(&job.spec, t));
+    let prices = allowed.filter_map(|t| {
+        let total = capacity_of(t);
+        let price = t.spot_price.filter(|_| job.spec.spot).unwrap_or(t.price);
+        let fits = job.task.fits(&total);
+        fits.then(|| job.task.largest_share(&total) * price)
+    });
+    prices.fold(f64::INFINITY, f64::min).min(MAX_PRICE_PER_HOUR)
+}
+
+fn allows_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    let types = spec.types.as_ref();
+    types.is_none_or(|names| names.contains(&machine_type.name))
 }
--- a/crates/core/src/shard/machine_costs.rs
+++ b/crates/core/src/shard/machine_costs.rs
@@ -1,64 +1,88 @@
-//! Where the price of a shard's machines goes.
+//! What a shard's machines cost, by what they are used for.
 
 use super::Shard;
+use crate::shard::machine::Machine;
+use crate::shard::scheduling::SECONDS_PER_HOUR;
 use forkshift_sched::Resources;
+use forkshift_wire::TaskRef;
 use std::fmt;
 
-/// Where the price of a shard's machines goes, an hour.
+/// The price of a shard's machines an hour, by what they are used for. Machines with tasks
+/// are split by the largest part that these take of any resource.
 #[derive(Default)]
 pub(crate) struct MachineCosts {
     total: f64,
+    /// Of machines that have not reported yet.
     booting: f64,
+    /// Of machines without tasks.
     empty: f64,
+    /// Parts of machines that are used by tasks that do not run yet.
     starting: f64,
-    used: f64,
+    /// Parts of machines that are used by running tasks.
+    running: f64,
+    /// Of spot machines, whatever they are used for.
     spot: f64,
 }
 
+impl MachineCosts {
+    /// Parts of machines with tasks that no task uses.
+    fn unused(&self) -> f64 {
+        self.total - self.booting - self.empty - self.starting - self.running
+    }
+}
+
 impl fmt::Display for MachineCosts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let part = |x: f64| 100.0 * x / self.total.max(1e-9);
-        let room = self.total - self.booting - self.empty - self.starting - self.used;
+        let percent = |cost: f64| 100.0 * cost / self.total.max(1e-9);
         write!(
             f,
-            "{:.0} an hour: {:.0}% boot, {:.0}% empty, {:.0}% start, {:.0}% run, {:.0}% room left, {:.0}% spot",
+            "{:.0} an hour: {:.0}% booting, {:.0}% empty, {:.0}% starting, {:.0}% running, {:.0}% unused, {:.0}% spot",
             self.total,
-            part(self.booting),
-            part(self.empty),
-            part(self.starting),
-            part(self.used),
-            part(room),
-            part(self.spot)
+            percent(self.booting),
+            percent(self.empty),
+            percent(self.starting),
+            percent(self.running),
+            percent(self.unused()),
+            percent(self.spot)
         )
     }
 }
 
 impl Shard {
-    /// Where the money goes at this moment.
+    /// What the shard's machines cost now.
     pub(crate) fn machine_costs(&self) -> MachineCosts {
-        let mut money = MachineCosts::default();
-        for m in self.machines.values() {
-            let price = m.price * 3600.0;
-            money.total += price;
-            if m.spot {
-                money.spot += price;
-            }
-            if m.last_heartbeat_at.is_none() {
-                money.booting += price;
-            } else if m.tasks.is_empty() {
-                money.empty += price;
-            } else {
-                let runs = m.tasks.iter().filter_map(|t| {
-                    let job = self.jobs.get(&t.job)?;
-                    let binding = job.bound.get(&t.index)?;
-                    binding.running_since.map(|_| job.task)
-                });
-                let runs = runs.fold(Resources::default(), |sum, r| sum + r);
-                let used = runs.largest_share(&m.total);
-                money.used += price * used;
-                money.starting += price * (m.used.largest_share(&m.total) - used).max(0.0);
-            }
+        let mut costs = MachineCosts::default();
+        for machine in self.machines.values() {
+            self.add_machine_cost(&mut costs, machine);
         }
-        money
+        costs
+    }
+
+    fn add_machine_cost(&self, costs: &mut MachineCosts, machine: &Machine) {
+        let price = machine.price * SECONDS_PER_HOUR;
+        costs.total += price;
+        if machine.spot {
+            costs.spot += price;
+        }
+        if machine.last_heartbeat_at.is_none() {
+            costs.booting += price;
+        } else if machine.tasks.is_empty() {
+            costs.empty += price;
+        } else {
+            let running = self.running_on(machine).largest_share(&machine.total);
+            let bound = machine.used.largest_share(&machine.total);
+            costs.running += price * running;
+            costs.starting += price * (bound - running).max(0.0);
+        }
+    }
+
+    /// What the running tasks on a machine use.
+    fn running_on(&self, machine: &Machine) -> Resources {
+        let resources = |task: &TaskRef| {
+            let (job, binding) = self.binding(task)?;
+            binding.running_since.map(|_| job.task)
+        };
+        let running = machine.tasks.iter().filter_map(resources);
+        running.fold(Resources::default(), |sum, r| sum + r)
     }
 }
