--- a/crates/core/src/pools/requests.rs
+++ b/crates/core/src/pools/requests.rs
@@ -183,7 +183,7 @@
                 self.store_request(request, item.version);
             }
             Ok(_) => {}
-            Err(e) => log::error!("record {}: not understood, {e}", item.key),
+            Err(e) => log::error!("record {}: cannot be decoded, {e}", item.key),
         }
     }
 
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -35,6 +35,23 @@
     }
 }
 
+/// Usable machines without tasks.
+#[derive(Default)]
+struct EmptyMachines {
+    /// Those that spare places need.
+    spare: Vec<MachineId>,
+    /// Those that nothing needs.
+    surplus: Vec<MachineId>,
+}
+
+/// Where the waiting tasks of a round were booked.
+struct BookedDemand<'a> {
+    /// What found no room.
+    shapes: Vec<ShapeRecord>,
+    /// The machines behind the hosts.
+    expected: ExpectedMachines<'a>,
+}
+
 impl Shard {
     /// Books waiting tasks on expected machines, then spare places and the machines of
     /// pools. What found no room is published as the shard's unmet demand.
@@ -50,8 +67,10 @@
         pending.sort_by(PendingTasks::by_claim);
         self.exclude_newly_quarantined(ctx, usable, &mut remaining.hosts);
         let waiting = shapes_of(ctx, view, &pending, &mut remaining.quotas.clone());
-        let (mut shapes, expected) =
-            self.book_waiting_tasks(ctx, view, usable, &mut remaining, pending);
+        let BookedDemand {
+            mut shapes,
+            expected,
+        } = self.book_waiting_tasks(ctx, view, usable, &mut remaining, pending);
         self.note_idle(ctx, usable, &remaining.hosts);
         let pool_shapes = self.keep_pools(ctx, view, &expected, &remaining.hosts);
         // A missing spare place fits on no existing machine, or it would have been
@@ -62,13 +81,13 @@
         }
         // After everything that waits for room.
         shapes.extend(pool_shapes);
-        let (spare_machines, surplus_machines) = self.empty_machines(usable);
+        let empty = self.empty_machines(usable);
         let record = DemandRecord {
             revision: view.revision,
             shapes,
             waiting,
-            spare_machines,
-            surplus_machines,
+            spare_machines: empty.spare,
+            surplus_machines: empty.surplus,
             reclaimable_machines: self.reclaimable_machines(ctx, usable),
             pool_machines: Vec::new(),
         };
@@ -76,8 +95,7 @@
         self.publish_demand(ctx, view, record);
     }
 
-    /// Books waiting tasks and spare places on existing and expected machines. Returns
-    /// what found no room, and which machines are expected.
+    /// Books waiting tasks and spare places on existing and expected machines.
     ///
     /// What borrowers use here counts as room for all other jobs, as it can be reclaimed
     /// at once. Their tasks fill spare places as soon as these are free: if they counted
@@ -89,7 +107,7 @@
         usable: &'a [MachineId],
         remaining: &mut RemainingCapacity,
         pending: Vec<PendingTasks>,
-    ) -> (Vec<ShapeRecord>, ExpectedMachines<'a>) {
+    ) -> BookedDemand<'a> {
         let (mut borrowers, mut owners): (Vec<PendingTasks>, Vec<PendingTasks>) = pending
             .into_iter()
             .partition(|tasks| tasks.standing.is_guest());
@@ -107,7 +125,7 @@
         }
         remaining.book(ctx, &mut borrowers);
         shapes.extend(shapes_of(ctx, view, &borrowers, &mut remaining.quotas));
-        (shapes, expected)
+        BookedDemand { shapes, expected }
     }
 
     /// Books the tasks that run on their own teams' quotas. Draining ends on machines that
@@ -145,8 +163,8 @@
         }
     }
 
-    /// Empty machines that are kept as spare, and those that nothing needs.
-    fn empty_machines(&self, usable: &[MachineId]) -> (Vec<MachineId>, Vec<MachineId>) {
+    /// The usable machines without tasks; pools' machines aside.
+    fn empty_machines(&self, usable: &[MachineId]) -> EmptyMachines {
         let is_empty = |machine: &&Machine| {
             machine.tasks.is_empty()
                 && !machine.has_call_in_flight
@@ -154,11 +172,15 @@
                 && !machine.is_pool_member()
         };
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
-        let (surplus, spare): (Vec<&Machine>, Vec<&Machine>) = machines
-            .filter(is_empty)
-            .partition(|m| m.idle_since.is_some());
-        let ids = |list: Vec<&Machine>| list.into_iter().map(|m| m.id.clone()).collect();
-        (ids(spare), ids(surplus))
+        let mut empty = EmptyMachines::default();
+        for machine in machines.filter(is_empty) {
+            let list = match machine.idle_since {
+                Some(_) => &mut empty.surplus,
+                None => &mut empty.spare,
+            };
+            list.push(machine.id.clone());
+        }
+        empty
     }
 
     /// Records since when each machine has been idle. `hosts` shows what is free once all
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -33,6 +33,19 @@
     victims: Vec<Victim>,
 }
 
+/// The victims on one machine that make room for a task.
+struct PreemptionPlan<'a> {
+    /// Run time that is lost with them.
+    lost_ms: Ms,
+    victims: &'a [Victim],
+}
+
+/// What is stopped, and for which job.
+struct Preemption {
+    beneficiary: JobId,
+    victims: Vec<TaskRef>,
+}
+
 impl<'a> PreemptionCandidate<'a> {
     /// A machine with its victims, those that ran for the shortest first.
     fn new(machine: &'a Machine, mut victims: Vec<Victim>) -> Self {
@@ -48,9 +61,9 @@
         }
     }
 
-    /// The victims that make room for a task of a job, and the run time that is lost with
-    /// them. None if no room can be made, or if there is room already.
-    fn victims_for(&self, pending: &PendingTasks) -> Option<(Ms, &[Victim])> {
+    /// The victims that make room for a task of a job. None if no room can be made, or if
+    /// there is room already.
+    fn plan_for(&self, pending: &PendingTasks) -> Option<PreemptionPlan<'_>> {
         let machine = self.machine;
         let may_fit = pending.allowed(machine.machine_type, machine.zone, machine.spot)
             && pending.task.fits(&machine.total)
@@ -64,7 +77,10 @@
             free += victim.resources;
             lost_ms += victim.lost_ms;
             if pending.task.fits(&free) {
-                return Some((lost_ms, &self.victims[..=i]));
+                return Some(PreemptionPlan {
+                    lost_ms,
+                    victims: &self.victims[..=i],
+                });
             }
         }
         None
@@ -95,12 +111,15 @@
         if preempting.peek().is_none() {
             return;
         }
-        let Some((id, victims)) = self.first_with_victims(ctx, preempting, usable) else {
+        let Some(preemption) = self.first_preemption(ctx, preempting, usable) else {
             return;
         };
         self.last_preemption_at = ctx.now;
-        for victim in victims {
-            log::info!("task {victim}: preempted, makes room for {id}");
+        for victim in preemption.victims {
+            log::info!(
+                "task {victim}: preempted, makes room for {}",
+                preemption.beneficiary
+            );
             self.stop_task(&victim);
         }
     }
@@ -114,15 +133,15 @@
         })
     }
 
-    /// The first job for a task of which room can be made, and its victims. Thousands of
+    /// The preemption for the first job for a task of which room can be made. Thousands of
     /// replicas may wait: candidates are computed once for all of them, and searched once
     /// for all that have the same requirement.
-    fn first_with_victims<'a>(
+    fn first_preemption<'a>(
         &self,
         ctx: &Context,
         preempting: impl Iterator<Item = (&'a JobId, &'a PendingTasks)>,
         usable: &[MachineId],
-    ) -> Option<(JobId, Vec<TaskRef>)> {
+    ) -> Option<Preemption> {
         let candidates = self.preemption_candidates(ctx, usable);
         let mut zones: Vec<u16> = candidates.iter().map(|c| c.machine.zone).collect();
         zones.sort_unstable();
@@ -136,10 +155,13 @@
             if is_known {
                 continue;
             }
-            let plans = candidates.iter().filter_map(|c| c.victims_for(tasks));
-            if let Some((_, victims)) = plans.min_by_key(|(lost_ms, _)| *lost_ms) {
-                let victims = victims.iter().map(|v| v.task.clone());
-                return Some((id.clone(), victims.collect()));
+            let plans = candidates.iter().filter_map(|c| c.plan_for(tasks));
+            if let Some(plan) = plans.min_by_key(|plan| plan.lost_ms) {
+                let victims = plan.victims.iter().map(|v| v.task.clone());
+                return Some(Preemption {
+                    beneficiary: id.clone(),
+                    victims: victims.collect(),
+                });
             }
             without_victims.extend(requirement);
         }
--- a/crates/core/src/shard/reclaim/plan.rs
+++ b/crates/core/src/shard/reclaim/plan.rs
@@ -18,20 +18,25 @@
 }
 
 impl ReclaimCandidate {
-    /// How many victims must be stopped for one task, with the run time that is lost with
-    /// them; none if the task does not fit even then.
-    fn cost_of_place(&self, pending: &PendingTasks) -> Option<(Ms, usize)> {
+    /// A place for one task with as few victims as make room for it; none if it does not
+    /// fit even if all are stopped. `candidate` is the index of this candidate.
+    fn place_for(&self, pending: &PendingTasks, candidate: usize) -> Option<PlannedPlace> {
         let mut free = self.free;
         let mut lost_ms = 0;
-        for (stopped, victim) in self.victims.iter().enumerate() {
+        let mut victims = 0;
+        for victim in &self.victims {
             if pending.task.fits(&free) {
-                return Some((lost_ms, stopped));
+                break;
             }
             free += victim.resources;
             lost_ms += victim.lost_ms;
+            victims += 1;
         }
-        let fits = pending.task.fits(&free);
-        fits.then_some((lost_ms, self.victims.len()))
+        pending.task.fits(&free).then_some(PlannedPlace {
+            lost_ms,
+            candidate,
+            victims,
+        })
     }
 }
 
@@ -86,14 +91,7 @@
     };
     let allowed = candidates.iter().enumerate().filter(|(_, c)| is_allowed(c));
     let mut places: Vec<PlannedPlace> = allowed
-        .filter_map(|(index, candidate)| {
-            let (lost_ms, victims) = candidate.cost_of_place(pending)?;
-            Some(PlannedPlace {
-                lost_ms,
-                candidate: index,
-                victims,
-            })
-        })
+        .filter_map(|(index, candidate)| candidate.place_for(pending, index))
         .collect();
     places.sort_unstable();
     if places.len() < count {
