--- a/crates/core/src/shard/preemption/tests.rs
+++ b/crates/core/src/shard/preemption/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `preempt`.
+//! Tests of preemption.
 
 use crate::fixture::{spec, stopped, team_of, Fixture, WALL};
 use crate::node::Node;
@@ -10,14 +10,14 @@
 /// CPUs of a task that runs; the fixture's machine has 96.
 const RUNNING_CPUS: f64 = 12.0;
 
-fn add(f: &mut Fixture, id: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
+fn add(fixture: &mut Fixture, id: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
     let id = JobId::new(id);
-    let team = team_of(f);
+    let team = team_of(fixture);
     let mut spec = spec(&id, &team, JobKind::Array, 8);
     spec.cpus = RUNNING_CPUS;
     change(&mut spec);
-    let shard_id = f.shard;
-    let Node { shards, ctx, .. } = &mut f.node;
+    let shard_id = fixture.shard;
+    let Node { shards, ctx, .. } = &mut fixture.node;
     let shard = shards.get_mut(&shard_id).expect("the shard is held");
     shard.add_job(ctx, spec, None, WALL, 6);
     id
@@ -25,12 +25,12 @@
 
 /// A machine that is full of tasks of one job; those with a higher index have run
 /// for a shorter time.
-fn full(priority: Priority) -> (Fixture, JobId) {
-    let mut f = Fixture::new();
-    let job = add(&mut f, "j-1", |s| s.priority = priority);
-    let token = f.token();
+fn full_machine(priority: Priority) -> (Fixture, JobId) {
+    let mut fixture = Fixture::new();
+    let job = add(&mut fixture, "j-1", |s| s.priority = priority);
+    let token = fixture.token();
     for index in 0..8 {
-        f.bind(
+        fixture.bind(
             &job,
             index,
             StartState::SentByUs {
@@ -39,20 +39,20 @@
             },
         );
     }
-    let now = f.node.ctx.now;
-    let running = f.shard().jobs.get_mut(&job).expect("the job");
+    let now = fixture.node.ctx.now;
+    let running = fixture.shard().jobs.get_mut(&job).expect("the job");
     for (index, binding) in &mut running.bound {
         binding.stage = Some(TaskStage::Running);
         binding.running_since = Some(now - 10_000 + u64::from(*index));
     }
-    (f, job)
+    (fixture, job)
 }
 
-/// What is stopped for one waiting replica: as little as makes room, of those that
-/// ran for the shortest, and only low or normal work.
+/// Victims for one waiting replica are as few as make room, those that ran for the
+/// shortest, and only of low or normal priority.
 #[test]
-fn as_little_as_makes_room_is_stopped() {
-    // Priority of what runs and of what waits, CPUs of one replica, what is stopped.
+fn as_few_tasks_as_make_room_are_preempted() {
+    // Priority of the running and of the waiting job, CPUs of one replica, victims.
     let cases: [(Priority, Priority, f64, &[u32]); 6] = [
         (Priority::Low, Priority::Production, 10.0, &[7]),
         (Priority::Normal, Priority::Production, 12.0, &[7]),
@@ -62,35 +62,39 @@
         (Priority::Low, Priority::Normal, 10.0, &[]),
     ];
     for (runs, waits, cpus, expected) in cases {
-        let (mut f, job) = full(runs);
-        add(&mut f, "j-2", |s| {
+        let (mut fixture, job) = full_machine(runs);
+        add(&mut fixture, "j-2", |s| {
             s.kind = JobKind::Service;
             s.priority = waits;
             s.cpus = cpus;
             s.tasks = 1;
         });
-        f.step(2_000);
-        assert_eq!(stopped(&mut f, &job), expected, "{runs:?} {waits:?} {cpus}");
+        fixture.step(2_000);
+        assert_eq!(
+            stopped(&mut fixture, &job),
+            expected,
+            "{runs:?} {waits:?} {cpus}"
+        );
     }
 }
 
-/// Machines are looked at once for all that wait, not once for each: thousands of
-/// replicas once took four fifths of their holder's processor time.
+/// Candidates are computed once for all waiting jobs, not once for each: thousands of
+/// replicas would take most of their controller's processor time.
 #[test]
-fn many_that_wait_for_the_same_stop_one_task() {
-    let (mut f, job) = full(Priority::Low);
+fn many_jobs_with_the_same_requirement_preempt_one_task() {
+    let (mut fixture, job) = full_machine(Priority::Low);
     for n in 0..2_000 {
-        add(&mut f, &format!("j-{}", 10 + n), |s| {
+        add(&mut fixture, &format!("j-{}", 10 + n), |s| {
             s.kind = JobKind::Service;
             s.priority = Priority::Production;
             s.cpus = if n < 1_999 { 97.0 } else { 10.0 };
             s.tasks = 1;
         });
     }
-    f.step(2_000);
+    fixture.step(2_000);
     assert_eq!(
-        stopped(&mut f, &job),
+        stopped(&mut fixture, &job),
         [7],
-        "for the only one that can be helped"
+        "for the only one for which room can be made"
     );
 }
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `reclaim`.
+//! Tests of reclaiming.
 
 use crate::fixture::{spec, stopped, Fixture, WALL};
 use crate::io::Effect;
@@ -14,18 +14,20 @@
 use serde_json::{from_slice, from_value, to_value, Value};
 use std::rc::Rc;
 
-const GUEST: &str = "guest";
-/// CPUs of one task; the fixture's machine has 96.
-const GUEST_CPUS: f64 = 12.0;
+/// The team without a guarantee.
+const BORROWER: &str = "borrower";
+/// CPUs of one task of the borrower; the fixture's machine has 96.
+const BORROWER_CPUS: f64 = 12.0;
+/// CPUs of one task of a team with a guarantee.
 const OWNER_CPUS: f64 = 30.0;
 
 /// Adds a job, described as a change of an ordinary one.
-fn add(f: &mut Fixture, id: &str, team: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
+fn add(fixture: &mut Fixture, id: &str, team: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
     let id = JobId::new(id);
     let mut spec = spec(&id, team, JobKind::Array, 8);
     change(&mut spec);
-    let shard_id = f.shard;
-    let Node { shards, ctx, .. } = &mut f.node;
+    let shard_id = fixture.shard;
+    let Node { shards, ctx, .. } = &mut fixture.node;
     let shard = shards.get_mut(&shard_id).expect("the shard is held");
     shard.add_job(ctx, spec, None, WALL, 6);
     id
@@ -33,21 +35,21 @@
 
 /// A shard with a team without any guarantee, whose tasks fill the machine, a
 /// spot one. Those with a higher index have run for a shorter time.
-fn with_guest(priority: Priority) -> (Fixture, JobId) {
-    let mut f = Fixture::new();
-    set_spot(&mut f, true);
-    Rc::make_mut(&mut f.node.ctx.config).has_guests = true;
-    let index = f.shard().quotas.len();
-    f.shard().teams.insert(GUEST.to_owned(), index);
-    f.shard().quotas.push(Quota::default());
-    let guest = add(&mut f, "j-1", GUEST, |s| {
-        s.cpus = GUEST_CPUS;
+fn with_borrower(priority: Priority) -> (Fixture, JobId) {
+    let mut fixture = Fixture::new();
+    set_spot(&mut fixture, true);
+    Rc::make_mut(&mut fixture.node.ctx.config).has_guests = true;
+    let index = fixture.shard().quotas.len();
+    fixture.shard().teams.insert(BORROWER.to_owned(), index);
+    fixture.shard().quotas.push(Quota::default());
+    let borrower = add(&mut fixture, "j-1", BORROWER, |s| {
+        s.cpus = BORROWER_CPUS;
         s.priority = priority;
     });
-    let token = f.token();
+    let token = fixture.token();
     for index in 0..8 {
-        f.bind(
-            &guest,
+        fixture.bind(
+            &borrower,
             index,
             StartState::SentByUs {
                 token,
@@ -55,84 +57,98 @@
             },
         );
     }
-    let now = f.node.ctx.now;
-    let job = f.shard().jobs.get_mut(&guest).expect("the guest's job");
+    let now = fixture.node.ctx.now;
+    let job = fixture
+        .shard()
+        .jobs
+        .get_mut(&borrower)
+        .expect("the borrower's job");
     for (index, binding) in &mut job.bound {
         binding.stage = Some(TaskStage::Running);
         binding.running_since = Some(now - 10_000 + Ms::from(*index));
     }
-    (f, guest)
+    (fixture, borrower)
 }
 
-/// Idle work of a team without a guarantee once kept jobs of all other teams
-/// waiting, as nothing but production work could take its place.
+/// A job that lacks room beside borrowed work.
+struct ReclaimCase {
+    name: &'static str,
+    /// Priority of the borrowed work.
+    borrower: Priority,
+    /// Changes an ordinary job to the one that lacks room.
+    owner: fn(&mut JobSpec),
+    /// The borrower's tasks that are stopped: those that lose least.
+    stopped: &'static [u32],
+}
+
+const RECLAIM_CASES: [ReclaimCase; 7] = [
+    ReclaimCase {
+        name: "one task within the guarantee takes three places",
+        borrower: Priority::Low,
+        owner: |s| s.tasks = 1,
+        stopped: &[5, 6, 7],
+    },
+    ReclaimCase {
+        name: "each task of a batch finds its room",
+        borrower: Priority::Low,
+        owner: |s| s.tasks = 2,
+        stopped: &[3, 4, 5, 6, 7],
+    },
+    ReclaimCase {
+        name: "a gang that fits on no machine together stops nothing",
+        borrower: Priority::Low,
+        owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 2),
+        stopped: &[],
+    },
+    ReclaimCase {
+        name: "a gang of one task",
+        borrower: Priority::Low,
+        owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 1),
+        stopped: &[5, 6, 7],
+    },
+    ReclaimCase {
+        name: "work of a higher priority is left alone",
+        borrower: Priority::Normal,
+        owner: |s| s.tasks = 1,
+        stopped: &[],
+    },
+    ReclaimCase {
+        name: "neither guaranteed nor urgent",
+        borrower: Priority::Low,
+        owner: |s| (s.tasks, s.team) = (1, BORROWER.to_owned()),
+        stopped: &[],
+    },
+    ReclaimCase {
+        name: "what fits no machine",
+        borrower: Priority::Low,
+        owner: |s| (s.tasks, s.gpus) = (1, 9.0),
+        stopped: &[],
+    },
+];
+
+/// Queued work of a team without a guarantee must not keep jobs of all other teams
+/// waiting.
 #[test]
 fn borrowed_work_gives_way_to_what_may_reclaim_its_resources() {
-    struct Case {
-        name: &'static str,
-        guest: Priority,
-        owner: fn(&mut JobSpec),
-        /// The guest's tasks that are stopped, those that lose least.
-        stopped: &'static [u32],
-    }
-    let cases = [
-        Case {
-            name: "one task within the guarantee takes three places",
-            guest: Priority::Low,
-            owner: |s| s.tasks = 1,
-            stopped: &[5, 6, 7],
-        },
-        Case {
-            name: "each task of a batch finds its room",
-            guest: Priority::Low,
-            owner: |s| s.tasks = 2,
-            stopped: &[3, 4, 5, 6, 7],
-        },
-        Case {
-            name: "a gang that fits on no machine together stops nothing",
-            guest: Priority::Low,
-            owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 2),
-            stopped: &[],
-        },
-        Case {
-            name: "a gang of one task",
-            guest: Priority::Low,
-            owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 1),
-            stopped: &[5, 6, 7],
-        },
-        Case {
-            name: "work of a higher priority is left alone",
-            guest: Priority::Normal,
-            owner: |s| s.tasks = 1,
-            stopped: &[],
-        },
-        Case {
-            name: "neither guaranteed nor urgent",
-            guest: Priority::Low,
-            owner: |s| (s.tasks, s.team) = (1, GUEST.to_owned()),
-            stopped: &[],
-        },
-        Case {
-            name: "what fits no machine",
-            guest: Priority::Low,
-            owner: |s| (s.tasks, s.gpus) = (1, 9.0),
-            stopped: &[],
-        },
-    ];
-    for case in cases {
-        let (mut f, guest) = with_guest(case.guest);
-        let owner = other_team(&mut f);
-        add(&mut f, "j-2", &owner, |s| {
+    for case in RECLAIM_CASES {
+        let (mut fixture, borrower) = with_borrower(case.borrower);
+        let owner = owner_team(&mut fixture);
+        add(&mut fixture, "j-2", &owner, |s| {
             s.cpus = OWNER_CPUS;
             s.spot = true;
             (case.owner)(s);
         });
-        f.step(2_000);
-        assert_eq!(stopped(&mut f, &guest), case.stopped, "{}", case.name);
+        fixture.step(2_000);
+        assert_eq!(
+            stopped(&mut fixture, &borrower),
+            case.stopped,
+            "{}",
+            case.name
+        );
         // What is being stopped counts as room: nothing more is stopped.
-        f.step(2_000);
+        fixture.step(2_000);
         assert_eq!(
-            stopped(&mut f, &guest),
+            stopped(&mut fixture, &borrower),
             case.stopped,
             "{}: later",
             case.name
@@ -140,153 +156,188 @@
     }
 }
 
-fn set_spot(f: &mut Fixture, spot: bool) {
-    let id = f.machine.clone();
-    let machine = f.shard().machines.get_mut(&id);
+fn set_spot(fixture: &mut Fixture, spot: bool) {
+    let id = fixture.machine.clone();
+    let machine = fixture.shard().machines.get_mut(&id);
     machine.expect("the machine").spot = spot;
 }
 
-/// Guests fill what becomes free at once, so a machine that they use was never
-/// returned once its own work had ended.
+/// A machine on which only borrowed work runs.
+struct DrainCase {
+    name: &'static str,
+    spot: bool,
+    /// The deadline of the borrowed work.
+    deadline_s: Option<f64>,
+    /// Whether a task of another team runs there, too.
+    with_owner: bool,
+    is_drained: bool,
+}
+
+const DRAIN_CASES: [DrainCase; 4] = [
+    DrainCase {
+        name: "an on-demand machine",
+        spot: false,
+        deadline_s: None,
+        with_owner: false,
+        is_drained: true,
+    },
+    DrainCase {
+        name: "a spot machine",
+        spot: true,
+        deadline_s: None,
+        with_owner: false,
+        is_drained: false,
+    },
+    DrainCase {
+        name: "other work is there, too",
+        spot: false,
+        deadline_s: None,
+        with_owner: true,
+        is_drained: false,
+    },
+    DrainCase {
+        name: "the time is nearly up",
+        spot: false,
+        deadline_s: Some(1.0),
+        with_owner: false,
+        is_drained: false,
+    },
+];
+
+/// Borrowers fill what becomes free at once, so a machine that they use would never be
+/// released once its own work has ended.
 #[test]
-fn ordinary_machines_that_only_patient_guests_use_are_drained() {
-    let cases = [
-        ("an ordinary machine", false, None, false, true),
-        ("a spot machine", true, None, false, false),
-        ("other work is there, too", false, None, true, false),
-        ("the time is nearly up", false, Some(1.0), false, false),
-    ];
-    for (name, spot, due_s, with_owner, drained) in cases {
-        let (mut f, guest) = with_guest(Priority::Low);
-        set_spot(&mut f, spot);
-        f.node.ctx.now += 10_000;
-        let token = f.token();
-        f.heartbeat(1, token, &running(&guest));
-        if let Some(job) = f.shard().jobs.get_mut(&guest) {
+fn on_demand_machines_that_only_patient_borrowers_use_are_drained() {
+    for case in DRAIN_CASES {
+        let (mut fixture, borrower) = with_borrower(Priority::Low);
+        set_spot(&mut fixture, case.spot);
+        fixture.node.ctx.now += 10_000;
+        let token = fixture.token();
+        fixture.heartbeat(1, token, &in_stage(&borrower, TaskStage::Running));
+        if let Some(job) = fixture.shard().jobs.get_mut(&borrower) {
             let mut spec = (*job.spec).clone();
-            spec.deadline_s = due_s;
+            spec.deadline_s = case.deadline_s;
             job.spec = spec.into();
         }
-        if with_owner {
-            let owner = other_team(&mut f);
-            let id = add(&mut f, "j-2", &owner, |s| s.tasks = 1);
-            f.bind(
-                &id,
-                0,
-                StartState::SentByUs {
-                    token,
-                    incarnation: 1,
-                },
-            );
+        if case.with_owner {
+            bind_owner_task(&mut fixture);
         }
-        f.step(2_000);
-        let machine = f.machine.clone();
-        assert_eq!(f.shard().machines[&machine].is_draining, drained, "{name}");
+        fixture.step(2_000);
+        let machine = fixture.machine.clone();
+        let is_draining = fixture.shard().machines[&machine].is_draining;
+        assert_eq!(is_draining, case.is_drained, "{}", case.name);
         assert_eq!(
-            stopped(&mut f, &guest).len() == 8,
-            drained,
-            "{name}: stopped"
+            stopped(&mut fixture, &borrower).len() == 8,
+            case.is_drained,
+            "{}: stopped",
+            case.name
         );
     }
 }
 
-fn other_team(f: &mut Fixture) -> String {
-    let mut teams = f.shard().teams.keys();
-    teams.find(|t| *t != GUEST).cloned().expect("a team")
+/// Binds a task of another team to the machine.
+fn bind_owner_task(fixture: &mut Fixture) {
+    let owner = owner_team(fixture);
+    let id = add(fixture, "j-2", &owner, |s| s.tasks = 1);
+    let token = fixture.token();
+    fixture.bind(
+        &id,
+        0,
+        StartState::SentByUs {
+            token,
+            incarnation: 1,
+        },
+    );
+}
+
+/// A team with a guarantee.
+fn owner_team(fixture: &mut Fixture) -> String {
+    let mut teams = fixture.shard().teams.keys();
+    teams.find(|t| *t != BORROWER).cloned().expect("a team")
 }
 
-fn running(job: &JobId) -> Vec<(&JobId, u32, TaskStage)> {
-    let all = 0..8;
-    all.map(|index| (job, index, TaskStage::Running)).collect()
+/// All tasks of a borrower's job, in one stage.
+fn in_stage(job: &JobId, stage: TaskStage) -> Vec<(&JobId, u32, TaskStage)> {
+    (0..8).map(|index| (job, index, stage)).collect()
 }
 
-/// A machine is given to another shard that reclaims it only if nothing but
-/// borrowed work is there; until that has exited the machine stays ours.
+/// A machine is transferred to another shard that reclaims it only if nothing but borrowed
+/// work is there; until that has exited the machine stays with its shard.
 #[test]
-fn a_machine_with_nothing_but_borrowed_work_is_given_away() {
-    for (with_owner, given) in [(false, true), (true, false)] {
-        let (mut f, guest) = with_guest(Priority::Low);
-        let machine = f.machine.clone();
-        let usable = [machine.clone()];
+fn a_machine_with_nothing_but_borrowed_work_is_vacated_on_request() {
+    for (with_owner, is_vacated) in [(false, true), (true, false)] {
+        let (mut fixture, borrower) = with_borrower(Priority::Low);
+        let machine = fixture.machine.clone();
         if with_owner {
-            let owner = other_team(&mut f);
-            let id = add(&mut f, "j-2", &owner, |s| s.tasks = 1);
-            let token = f.token();
-            f.bind(
-                &id,
-                0,
-                StartState::SentByUs {
-                    token,
-                    incarnation: 1,
-                },
-            );
+            bind_owner_task(&mut fixture);
         }
-        let shard_id = f.shard;
-        let offered = f.node.shards[&shard_id].reclaimable_machines(&f.node.ctx, &usable);
+        let shard_id = fixture.shard;
+        let usable = [machine.clone()];
+        let offered =
+            fixture.node.shards[&shard_id].reclaimable_machines(&fixture.node.ctx, &usable);
         assert_eq!(
             !offered.is_empty(),
-            given,
+            is_vacated,
             "offered, with other work: {with_owner}"
         );
 
-        ask_for(&mut f, ShardId(shard_id.0 + 1));
+        request_machine(&mut fixture, ShardId(shard_id.0 + 1));
         let mut effects = Vec::new();
         for _ in 0..5 {
-            effects.extend(f.step(100));
+            effects.extend(fixture.step(100));
         }
-        let all_stopped = stopped(&mut f, &guest).len() == 8;
-        assert_eq!(all_stopped, given, "stopped, with other work: {with_owner}");
-        assert_eq!(f.shard().machines[&machine].is_vacating, given);
-        // Given away only once empty; a request that is declined is taken back.
+        let all_stopped = stopped(&mut fixture, &borrower).len() == 8;
+        assert_eq!(
+            all_stopped, is_vacated,
+            "stopped, with other work: {with_owner}"
+        );
+        assert_eq!(fixture.shard().machines[&machine].is_vacating, is_vacated);
+        // Transferred only once empty; a request that is declined is withdrawn.
         let written = machine_puts(&effects, &machine);
         assert!(written.iter().all(|r| r.shard == shard_id));
-        assert_eq!(written.iter().any(|r| r.reassign_to.is_none()), !given);
+        let is_withdrawn = written.iter().any(|r| r.reassign_to.is_none());
+        assert_eq!(is_withdrawn, !is_vacated);
 
-        if given {
-            let token = f.token();
-            f.heartbeat(1, token, &exited(&guest));
+        if is_vacated {
+            let token = fixture.token();
+            fixture.heartbeat(1, token, &in_stage(&borrower, TaskStage::Exited));
             for _ in 0..5 {
-                f.step(100);
+                fixture.step(100);
             }
-            assert!(f.shard().machines[&machine].tasks.is_empty());
+            assert!(fixture.shard().machines[&machine].tasks.is_empty());
         }
     }
 }
 
-fn exited(job: &JobId) -> Vec<(&JobId, u32, TaskStage)> {
-    let all = 0..8;
-    all.map(|index| (job, index, TaskStage::Exited)).collect()
-}
-
-/// What is written into a machine's record.
+/// The values that are written to a machine's record.
 fn machine_puts(effects: &[Effect], id: &MachineId) -> Vec<MachineRecord> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { body, .. } => body.as_deref(),
         _ => None,
     });
-    let txns = bodies.filter_map(|b| from_slice::<Value>(b).ok());
+    let transactions = bodies.filter_map(|b| from_slice::<Value>(b).ok());
     let key = machine_key(id);
     let mut records = Vec::new();
-    for transaction in txns {
+    for transaction in transactions {
         let writes = transaction["writes"]
             .as_array()
             .cloned()
             .unwrap_or_default();
-        let ours = writes.into_iter().filter(|w| w["put"] == key.as_str());
-        records.extend(ours.filter_map(|w| from_value(w["data"].clone()).ok()));
+        let puts = writes.into_iter().filter(|w| w["put"] == key.as_str());
+        records.extend(puts.filter_map(|w| from_value(w["data"].clone()).ok()));
     }
     records
 }
 
-/// The leader asks for the machine on behalf of another shard.
-fn ask_for(f: &mut Fixture, to: ShardId) {
-    let id = f.machine.clone();
-    let mut record = f.node.view.machines[&id].record.clone();
+/// The leader requests the machine on behalf of another shard.
+fn request_machine(fixture: &mut Fixture, to: ShardId) {
+    let id = fixture.machine.clone();
+    let mut record = fixture.node.view.machines[&id].record.clone();
     record.reassign_to = Some(to);
     let put = Change::Put {
         put: machine_key(&id),
         value: to_value(record).expect("a record"),
         version: 6,
     };
-    f.node.view.apply(vec![put], 6);
+    fixture.node.view.apply(vec![put], 6);
 }
