--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,8 +1,9 @@
-//! Membership: this controller's lease and the election, what the other controllers
-//! confirm, failure detection, and the record format that all controllers know.
+//! Membership: this controller's lease and part in elections, the confirmations of other
+//! controllers, failure detection, and the versions of formats.
 //!
-//! Owns the lease at the key-value store and the record of this controller on it. Reads
-//! the cluster view; it assigns no shards and calls no worker on its own account.
+//! Owns the lease at the key-value store, the records on that lease, and the conclusions
+//! about which controllers, zones and machines are reachable. Reads the cluster view. Must
+//! not assign shards or call workers; the node sends what follows from its decisions.
 
 pub(crate) mod failure_detector;
 pub(crate) mod format;
--- a/crates/core/src/membership/format.rs
+++ b/crates/core/src/membership/format.rs
@@ -1,32 +1,31 @@
-//! Versions of the formats that controllers of different releases shard.
+//! Versions of the record and message formats that controllers of different releases have
+//! in common.
 //!
-//! During an upgrade old and new releases serve side by side on each other's
-//! records. Each controller's record names the newest format that it knows;
-//! once every configured controller has registered with the new one, the
-//! leader records that version as finalized, in one key and one way
-//! (`leader::finalization`). Until a controller has read that key it writes
-//! only what the first release understands.
+//! During an upgrade, controllers of the old and the new release work on the same records.
+//! Each controller's record names the newest format that it knows. Once every configured
+//! controller has registered with the new one, the leader records that version as
+//! finalized (`leader::finalization`). A controller that has not yet read the finalized
+//! version writes only what the first release understands.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Version of what is kept in the state service and told between controllers.
+/// Version of the records in the key-value store and of the messages between controllers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FormatVersion(u32);
 
 impl FormatVersion {
-    /// The release that knew no versions.
+    /// The format of the first release, which records no version.
     pub const FIRST: Self = Self(1);
-    /// Adds dependencies between jobs, and a layout of jobs' blocks that is
-    /// named in their heads.
+    /// Adds dependencies between jobs, and job heads that name the layout of their blocks.
     pub const DEPENDENCIES: Self = Self(2);
     /// Adds memberships in warm pools to the records of machines.
     pub const POOLS: Self = Self(3);
-    /// The newest one that this release reads and writes.
+    /// The newest format that this release reads and writes.
     pub const CURRENT: Self = Self::POOLS;
 
-    /// Whether it is the one that records leave out.
+    /// Whether this is the version that records omit.
     pub(crate) fn is_first(&self) -> bool {
         *self == Self::FIRST
     }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -1,4 +1,9 @@
-//! Membership: this controller's lease, its record, and leadership.
+//! This controller's lease at the key-value store, its own record on that lease, and its
+//! part in the election of the leader.
+//!
+//! The lease is renewed four times in its lifetime. The record of this controller and, if
+//! it leads, the leader's record are written on the lease, so that the store removes both
+//! when the lease expires.
 
 use crate::context::{revision_of, Context};
 use crate::pending_call::PendingCall;
@@ -11,171 +16,217 @@
 use serde::Serialize;
 use serde_json::to_value;
 
-/// What the state service says of a lease that has ended.
+/// The error that the key-value store returns for a lease that has expired.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// How long a controller that has lost the cloud leaves it to others to lead, in leases of a
-/// controller: the first time, and at most.
-const FIRST_ABSTENTION_LEASES: Ms = 4;
-const LONGEST_ABSTENTION_LEASES: Ms = 64;
+/// Renewals in the lifetime of a lease.
+const RENEWALS_PER_LEASE: Ms = 4;
+/// A failed request for the lease is retried after the lease's length divided by this.
+const RETRIES_PER_LEASE: Ms = 10;
+/// The lease counts as expired earlier by its length divided by this, as the clocks of the
+/// store and of this controller may run at different rates.
+const CLOCK_DRIFT_DIVISOR: Ms = 500;
 
-/// Where this controller stands with the state service.
-#[derive(Default)]
+/// How long a controller without a link to the cloud abstains from elections, in leases of
+/// a controller: the first time, and at most.
+const MIN_ABSTENTION_LEASES: Ms = 4;
+const MAX_ABSTENTION_LEASES: Ms = 64;
+
+/// When the lease is renewed or requested next.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+enum Renewal {
+    /// At this time.
+    DueAt(Ms),
+    /// A request is in flight; the next one is scheduled when it ends.
+    InFlight,
+}
+
+/// This controller's lease, its registration on it, and its part in elections.
 pub(crate) struct Membership {
+    /// The lease's number at the store; none before the first grant and after expiry.
     lease: Option<u64>,
-    /// When the last extension that succeeded was sent.
+    renewal: Renewal,
+    /// When the last successful request for the lease or its renewal was sent.
     last_renewal_sent_at: Ms,
-    is_renewing: bool,
-    next_renewal_at: Ms,
-    is_registering: bool,
-    is_electing: bool,
-    /// Since when nobody has led.
+    /// A write of this controller's record is in flight.
+    is_writing_node_record: bool,
+    /// A write or removal of the leader's record is in flight.
+    is_writing_leader_record: bool,
+    /// Since when the view has shown no leader.
     leaderless_since: Option<Ms>,
-    /// Our record is on our lease.
-    is_registered: bool,
-    /// The revision that put it there.
-    registered_revision: u64,
-    /// Our record and the leader's are written again only in sight of what
-    /// became of the last try: the view is behind by the pause between two
-    /// watches, and tries that must fail count against the budget all the same.
+    /// The revision at which this controller's record was written on its lease; none while
+    /// the record is not known to be there.
+    registered_revision: Option<u64>,
+    /// This controller's record and the leader's are written again only once the view has
+    /// reached this revision, which is that of the last attempt's answer. The view lags
+    /// by the pause between two watches, and attempts on old versions fail but still
+    /// count against the request budget.
     required_revision: u64,
 }
 
+impl Default for Membership {
+    fn default() -> Self {
+        Self {
+            lease: None,
+            renewal: Renewal::DueAt(0),
+            last_renewal_sent_at: 0,
+            is_writing_node_record: false,
+            is_writing_leader_record: false,
+            leaderless_since: None,
+            registered_revision: None,
+            required_revision: 0,
+        }
+    }
+}
+
 impl Membership {
-    /// Until when this controller may answer from memory. Counted from the
-    /// moment the last extension was *sent*, less what clocks may drift: by
-    /// then the lease is still alive at the state service, so nobody else can
-    /// have been given our shards.
+    /// The time until which the lease is valid for certain. It is counted from the moment
+    /// at which the last successful renewal was *sent*, less a margin for clock drift: up
+    /// to then the store has not expired the lease, so no other controller can have been
+    /// assigned the shards of this one.
     pub(crate) fn lease_valid_until(&self, ctx: &Context) -> Ms {
         let ttl = ctx.config.node_lease_ms();
-        self.last_renewal_sent_at + ttl - ttl / 500
+        self.last_renewal_sent_at + ttl - ttl / CLOCK_DRIFT_DIVISOR
     }
 
-    /// Whether this controller may answer from memory. A lease that was lost
-    /// and replaced gives no right until the view has caught up with our new
-    /// record: while we had no lease, our shards may have been given away.
+    /// Whether this controller may answer from memory. A lease that replaces an expired
+    /// one is not sufficient until the view shows the new registration: while there was no
+    /// lease, the shards may have been assigned to others.
     pub(crate) fn has_valid_lease(&self, ctx: &Context, view: &ClusterView) -> bool {
-        self.is_registered
+        self.is_registered()
             && self.lease.is_some()
             && ctx.now < self.lease_valid_until(ctx)
             && !self.is_view_behind(view)
     }
 
-    /// Whether the view is older than our own record.
-    pub(crate) fn is_view_behind(&self, view: &ClusterView) -> bool {
-        self.is_registered && view.revision < self.registered_revision
+    /// Whether the view is older than this controller's registration.
+    fn is_view_behind(&self, view: &ClusterView) -> bool {
+        self.registered_revision
+            .is_some_and(|revision| view.revision < revision)
     }
 
-    /// Whether something is to be done once the view has caught up.
+    /// Whether a write is held back until the view has reached the last answer's revision.
     pub(crate) fn waits_for_view(&self, view: &ClusterView) -> bool {
         view.revision < self.required_revision
     }
 
-    /// When the last extension that succeeded was sent.
+    /// When the last successful renewal was sent.
     pub(crate) fn last_renewal_sent_at(&self) -> Ms {
         self.last_renewal_sent_at
     }
 
     /// Whether this controller's record is known to be on its lease.
     pub(crate) fn is_registered(&self) -> bool {
-        self.is_registered
+        self.registered_revision.is_some()
     }
 
-    /// Keeps the lease, the record and, if this controller leads, leadership.
+    /// Renews the lease, keeps this controller's record up to date, and takes part in
+    /// elections. Records are written only with a lease and a view that is up to date.
     pub(crate) fn tick(&mut self, ctx: &mut Context, view: &ClusterView) {
-        if !self.is_renewing && ctx.now >= self.next_renewal_at {
-            self.renew(ctx);
-        }
+        self.renew_if_due(ctx);
         let Some(lease) = self.lease else { return };
         if !view.is_complete || self.waits_for_view(view) {
             return;
         }
-        let mine = view.is_alive(&ctx.config.node, ctx.incarnation);
-        let blind = ctx.now < ctx.reports_no_heartbeats_until;
-        let node = view.nodes.get(&ctx.config.node);
-        let format = ctx.config.registered_format(view.format());
-        let says = node
-            .is_some_and(|n| n.record.receives_no_heartbeats == blind && n.record.format == format);
-        if !self.is_registering && (!mine || !self.is_registered || !says) {
-            let key = node_key(&ctx.config.node);
-            let version = node.map_or(0, |n| n.version);
-            let record = NodeRecord {
-                incarnation: ctx.incarnation,
-                receives_no_heartbeats: blind,
-                format,
-            };
-            self.is_registering = true;
-            put_with_lease(
-                ctx,
-                key,
-                version,
-                &record,
-                lease,
-                PendingCall::NodeRecordWrite { lease },
-            );
+        self.register_if_needed(ctx, view, lease);
+        self.track_leader(ctx.now, view);
+        self.run_for_leader(ctx, view, lease);
+    }
+
+    /// Writes this controller's record if the view shows none of this incarnation, or one
+    /// that is out of date.
+    fn register_if_needed(&mut self, ctx: &mut Context, view: &ClusterView, lease: u64) {
+        let current = view.nodes.get(&ctx.config.node);
+        let record = NodeRecord {
+            incarnation: ctx.incarnation,
+            receives_no_heartbeats: ctx.now < ctx.reports_no_heartbeats_until,
+            format: ctx.config.registered_format(view.format()),
+        };
+        let is_up_to_date = current.is_some_and(|c| {
+            c.record.incarnation == record.incarnation
+                && c.record.receives_no_heartbeats == record.receives_no_heartbeats
+                && c.record.format == record.format
+        });
+        if self.is_writing_node_record || (is_up_to_date && self.is_registered()) {
+            return;
         }
+        self.is_writing_node_record = true;
+        let key = node_key(&ctx.config.node);
+        let version = current.map_or(0, |c| c.version);
+        let transaction = put_on_lease(key, version, &record, lease);
+        ctx.transact(
+            Urgency::Membership,
+            &transaction,
+            PendingCall::NodeRecordWrite { lease },
+        );
+    }
+
+    /// Notes since when there has been no leader.
+    fn track_leader(&mut self, now: Ms, view: &ClusterView) {
         self.leaderless_since = match &view.leader {
-            None => Some(self.leaderless_since.unwrap_or(ctx.now)),
+            None => Some(self.leaderless_since.unwrap_or(now)),
             Some(_) => None,
         };
-        if mine
-            && self.is_registered
-            && !self.is_electing
-            && !self.abstains_from_election(ctx, view)
+    }
+
+    /// Tries to become the leader if there is none. Only a controller whose current
+    /// registration is visible in the view may run.
+    fn run_for_leader(&mut self, ctx: &mut Context, view: &ClusterView, lease: u64) {
+        let is_visible = view.is_alive(&ctx.config.node, ctx.incarnation);
+        if !is_visible
+            || !self.is_registered()
+            || self.is_writing_leader_record
+            || self.abstains_from_election(ctx, view)
         {
-            // A leader's key left over from an earlier start of this very
-            // controller belongs to a process that is gone for certain.
-            let version = match &view.leader {
-                None => 0,
-                Some(l)
-                    if l.record.node == ctx.config.node
-                        && l.record.incarnation != ctx.incarnation =>
-                {
-                    l.version
-                }
-                Some(_) => return,
-            };
-            let record = LeaderRecord {
-                node: ctx.config.node.clone(),
-                incarnation: ctx.incarnation,
-            };
-            self.is_electing = true;
-            put_with_lease(
-                ctx,
-                LEADER.to_owned(),
-                version,
-                &record,
-                lease,
-                PendingCall::LeaderRecordWrite,
-            );
+            return;
         }
+        let Some(version) = replaceable_leader_version(ctx, view) else {
+            return;
+        };
+        let record = LeaderRecord {
+            node: ctx.config.node.clone(),
+            incarnation: ctx.incarnation,
+        };
+        self.is_writing_leader_record = true;
+        let transaction = put_on_lease(LEADER.to_owned(), version, &record, lease);
+        ctx.transact(
+            Urgency::Membership,
+            &transaction,
+            PendingCall::LeaderRecordWrite,
+        );
     }
 
-    /// Whether another controller should lead: we have lost the cloud, and others are
-    /// there who may not have. If none of them has come forward in time, we do.
+    /// Whether another controller should become the leader: this one has no link to the
+    /// cloud, and others may have. It runs after all if none of them has won within a
+    /// lease's length.
     fn abstains_from_election(&self, ctx: &Context, view: &ClusterView) -> bool {
-        let patience = ctx.config.node_lease_ms();
+        let max_leaderless = ctx.config.node_lease_ms();
         let is_early = self
             .leaderless_since
-            .is_some_and(|since| ctx.now < since + patience);
+            .is_some_and(|since| ctx.now < since + max_leaderless);
         is_early && view.nodes.len() > 1 && ctx.cloud_link.abstains_from_election(ctx.now)
     }
 
-    /// Gives leadership up, for others to take. The condition is the leader's record: what
-    /// was recorded under it before stays, and nothing is written under it any more.
+    /// Resigns as the leader, so that another controller is elected. The removal has the
+    /// leader's record as its precondition: what was written under it stays, and nothing
+    /// more is written under it.
     pub(crate) fn resign(&mut self, ctx: &mut Context, view: &ClusterView) {
-        let Some(leader) = view.leader.as_ref().filter(|_| !self.is_electing) else {
+        let Some(leader) = view
+            .leader
+            .as_ref()
+            .filter(|_| !self.is_writing_leader_record)
+        else {
             return;
         };
-        log::info!("we do not reach the cloud: another controller should lead");
-        let lease = ctx.config.node_lease_ms();
+        log::info!("leader: resigns, as it has no link to the cloud");
+        let lease_ms = ctx.config.node_lease_ms();
         let now = ctx.now;
         ctx.cloud_link.on_resigned(
             now,
-            lease * FIRST_ABSTENTION_LEASES,
-            lease * LONGEST_ABSTENTION_LEASES,
+            lease_ms * MIN_ABSTENTION_LEASES,
+            lease_ms * MAX_ABSTENTION_LEASES,
         );
-        self.is_electing = true;
+        self.is_writing_leader_record = true;
         let transaction = Transaction {
             preconditions: vec![Precondition {
                 key: LEADER.to_owned(),
@@ -192,8 +243,13 @@
         );
     }
 
-    fn renew(&mut self, ctx: &mut Context) {
-        self.is_renewing = true;
+    /// Renews the lease, or requests one, if that is due.
+    fn renew_if_due(&mut self, ctx: &mut Context) {
+        match self.renewal {
+            Renewal::DueAt(due_at) if ctx.now >= due_at => {}
+            _ => return,
+        }
+        self.renewal = Renewal::InFlight;
         let sent = ctx.now;
         match self.lease {
             Some(lease) => {
@@ -213,71 +269,83 @@
         }
     }
 
-    /// The request for a lease was answered.
+    /// Handles the answer to a request for a lease that was sent at `sent`. The new lease
+    /// has no record on it yet.
     pub(crate) fn on_lease_granted(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
-        self.is_renewing = false;
         let ttl = ctx.config.node_lease_ms();
         match serde_json::from_slice::<LeaseReply>(body) {
             Ok(reply) if status == 200 => {
                 self.lease = Some(reply.lease);
                 self.last_renewal_sent_at = sent;
-                self.is_registered = false;
-                self.next_renewal_at = sent + ttl / 4;
+                self.registered_revision = None;
+                self.renewal = Renewal::DueAt(sent + ttl / RENEWALS_PER_LEASE);
             }
-            _ => self.next_renewal_at = ctx.now + ttl / 10,
+            _ => self.renewal = Renewal::DueAt(ctx.now + ttl / RETRIES_PER_LEASE),
         }
     }
 
-    /// The extension of the lease was answered.
+    /// Handles the answer to a renewal that was sent at `sent`. If the lease has expired,
+    /// a new one is requested at once.
     pub(crate) fn on_lease_renewed(&mut self, ctx: &Context, sent: Ms, status: u16) {
-        self.is_renewing = false;
         let ttl = ctx.config.node_lease_ms();
-        match status {
+        let due_at = match status {
             200 => {
                 self.last_renewal_sent_at = sent;
-                self.next_renewal_at = sent + ttl / 4;
+                sent + ttl / RENEWALS_PER_LEASE
             }
             404 => {
-                log::info!("our lease ran out");
+                log::info!("lease: expired");
                 self.lease = None;
-                self.is_registered = false;
-                self.next_renewal_at = ctx.now;
+                self.registered_revision = None;
+                ctx.now
             }
-            _ => self.next_renewal_at = ctx.now + ttl / 10,
-        }
+            _ => ctx.now + ttl / RETRIES_PER_LEASE,
+        };
+        self.renewal = Renewal::DueAt(due_at);
     }
 
-    /// The write of this controller's record was answered.
+    /// Handles the answer to the write of this controller's record on `lease`.
     pub(crate) fn on_node_record_written(&mut self, lease: u64, status: u16, body: &[u8]) {
-        self.is_registering = false;
+        self.is_writing_node_record = false;
         let revision = revision_of(body);
         self.required_revision = self.required_revision.max(revision);
-        // A record on a lease that has ended since has gone with it.
+        // The store has removed a record on a lease that has expired since.
         if self.lease != Some(lease) {
             return;
         }
         if status == 200 {
-            self.is_registered = true;
-            self.registered_revision = revision;
+            self.registered_revision = Some(revision);
         } else if is_lease_expired(status, body) {
             self.lease = None;
         }
     }
 
-    /// The write of the leader's record was answered.
+    /// Handles the answer to a write or removal of the leader's record.
     pub(crate) fn on_leader_record_written(&mut self, status: u16, body: &[u8]) {
-        self.is_electing = false;
+        self.is_writing_leader_record = false;
         let revision = revision_of(body);
         self.required_revision = self.required_revision.max(revision);
         if is_lease_expired(status, body) {
             self.lease = None;
-            self.is_registered = false;
+            self.registered_revision = None;
         }
     }
 }
 
-/// Whether a 400 tells of a lease that has ended, rather than of a change that
-/// is malformed or too large.
+/// The version of the leader's record that this controller may replace; 0 if there is no
+/// leader, none if another one leads. A record that an earlier incarnation of this
+/// controller left behind may be replaced: that process has exited for certain.
+fn replaceable_leader_version(ctx: &Context, view: &ClusterView) -> Option<u64> {
+    let Some(leader) = &view.leader else {
+        return Some(0);
+    };
+    let is_own = leader.record.node == ctx.config.node;
+    let is_earlier = leader.record.incarnation != ctx.incarnation;
+    (is_own && is_earlier).then_some(leader.version)
+}
+
+/// Whether the body of a 400 says that the lease has expired, rather than that the
+/// transaction is malformed or too large.
 pub(crate) fn is_no_such_lease(body: &[u8]) -> bool {
     serde_json::from_slice::<Refusal>(body).is_ok_and(|r| r.error == NO_SUCH_LEASE)
 }
@@ -286,16 +354,10 @@
     status == 400 && is_no_such_lease(body)
 }
 
-fn put_with_lease(
-    ctx: &mut Context,
-    key: String,
-    version: u64,
-    record: &impl Serialize,
-    lease: u64,
-    pending: PendingCall,
-) {
+/// A transaction that writes a record on a lease if its key still has a version.
+fn put_on_lease(key: String, version: u64, record: &impl Serialize, lease: u64) -> Transaction {
     let value = to_value(record).unwrap_or_default();
-    let transaction = Transaction {
+    Transaction {
         preconditions: vec![Precondition {
             key: key.clone(),
             version,
@@ -305,6 +367,5 @@
             value,
             lease: Some(lease),
         }],
-    };
-    ctx.transact(Urgency::Membership, &transaction, pending);
+    }
 }
