--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -250,8 +250,8 @@
 
     /// Sends what the budget of the state service allows.
     pub(crate) fn send_due_store_calls(&mut self) {
-        let (go, late) = self.store.take_due(self.now);
-        for call in go {
+        let due = self.store.take_due(self.now);
+        for call in due.to_send {
             self.call(
                 Target::Store,
                 call.method,
@@ -262,7 +262,7 @@
             );
         }
         self.unsent_calls
-            .extend(late.into_iter().map(|c| c.pending));
+            .extend(due.rejected.into_iter().map(|c| c.pending));
     }
 
     /// Reads from the state service.
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -112,7 +112,7 @@
         }
         self.next = ctx.now + ctx.heartbeat_interval_ms();
         // What was needed a moment ago may be needed again.
-        let need = ctx.store.take_need(ctx.now);
+        let need = ctx.store.take_demand(ctx.now);
         self.need = need.max(&self.need.scaled(0.7));
         let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
             return;
--- a/crates/core/src/store/queue/tests.rs
+++ b/crates/core/src/store/queue/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `store`.
+//! Tests of the queue of calls to the key-value store.
 
 use super::*;
 
@@ -14,41 +14,45 @@
     }
 }
 
-/// What was decided before a controller stood still is not sent as it goes on,
-/// though there is budget for it by then.
+/// Calls that were queued before the process was paused are not sent once it resumes,
+/// though the rate limit allows them by then.
 #[test]
-fn what_waited_too_long_is_not_sent() {
+fn expired_calls_are_rejected_after_a_pause() {
     for urgency in [Urgency::Membership, Urgency::User, Urgency::Tasks] {
-        for (stop, is_sent) in [(1_000, true), (30_000, false)] {
+        for (pause_ms, is_sent) in [(1_000, true), (30_000, false)] {
             let mut store = Store::new(10.0, 10.0);
-            // The budget is used up, so the rest of the calls waits.
+            // The rate limit is used up, so the other calls stay queued.
             for _ in 0..30 {
                 store.push(urgency, call(2_000, 1));
             }
-            let (first, _) = store.take_due(0);
-            let (sent, late) = store.take_due(stop);
+            let first = store.take_due(0).to_send;
+            let due = store.take_due(pause_ms);
+            let (sent, rejected) = (due.to_send, due.rejected);
             assert_eq!(!sent.is_empty(), is_sent && urgency != Urgency::Membership);
-            assert_eq!(late.is_empty(), is_sent || urgency == Urgency::Membership);
-            let all = first.len() + sent.len() + late.len();
+            assert_eq!(
+                rejected.is_empty(),
+                is_sent || urgency == Urgency::Membership
+            );
+            let all = first.len() + sent.len() + rejected.len();
             assert!(all <= 30, "{urgency:?}: {all}");
         }
     }
 }
 
-/// With few changes a second, work leaves what a submission takes, and never is
-/// more sent than the rate and one second's burst allow.
+/// With few writes a second, other calls leave a reserve for submissions, and no more is
+/// sent than the rate and one second's burst allow.
 #[test]
-fn a_user_does_not_wait_for_what_can_wait() {
+fn users_calls_pass_calls_of_lower_urgency() {
     for (urgency, goes) in [(Urgency::User, true), (Urgency::Tasks, false)] {
         let mut store = Store::new(100.0, 4.0);
         for _ in 0..10 {
             store.push(Urgency::Tasks, call(10_000, 1));
         }
-        assert_eq!(store.take_due(0).0.len(), 2);
+        assert_eq!(store.take_due(0).to_send.len(), 2);
         store.push(urgency, call(10_000, 2));
-        let now = store.take_due(1).0;
+        let now = store.take_due(1).to_send;
         assert_eq!(!now.is_empty(), goes, "{urgency:?}");
-        let later = (2..2_001).flat_map(|now| store.take_due(now).0);
+        let later = (2..2_001).flat_map(|now| store.take_due(now).to_send);
         let sent: usize = 2 + now
             .into_iter()
             .chain(later)
@@ -58,11 +62,11 @@
     }
 }
 
-/// In advance, a user has up to one second's worth and no more, where that is
-/// allowed; what can wait never has.
+/// Where writes in advance are allowed, users' calls may use up to one second's worth of
+/// them; calls of lower urgency never do.
 #[test]
-fn a_user_has_a_second_in_advance_where_that_is_allowed() {
-    // What goes at once, and within three seconds more, of four changes a second.
+fn users_calls_are_sent_in_advance_up_to_one_second_where_allowed() {
+    // Calls sent at once and after three more seconds, at four writes a second.
     for (in_advance, urgency, first, in_all) in [
         (true, Urgency::User, 4, 10),
         (false, Urgency::User, 2, 8),
@@ -74,29 +78,31 @@
             store.push(urgency, call(10_000, 2));
         }
         let name = format!("{in_advance}, {urgency:?}");
-        assert_eq!(store.take_due(0).0.len(), first, "{name}");
-        let later: usize = (1..3_001).map(|now| store.take_due(now).0.len()).sum();
+        assert_eq!(store.take_due(0).to_send.len(), first, "{name}");
+        let later: usize = (1..3_001)
+            .map(|now| store.take_due(now).to_send.len())
+            .sum();
         assert_eq!(first + later, in_all, "{name}");
     }
 }
 
-/// After standing still there is half a burst.
+/// After a pause of the process half a burst is available.
 #[test]
-fn a_pause_does_not_fill_the_budget() {
-    for (stops, sent) in [(false, 10), (true, 5)] {
+fn a_pause_does_not_fill_the_token_bucket() {
+    for (is_paused, sent) in [(false, 10), (true, 5)] {
         let mut store = Store::new(10.0, 100.0);
         for _ in 0..20 {
             store.push(Urgency::User, call(90_000, 1));
         }
-        if stops {
+        if is_paused {
             store.note_pause(60_000);
         }
-        assert_eq!(store.take_due(60_000).0.len(), sent);
+        assert_eq!(store.take_due(60_000).to_send.len(), sent);
     }
 }
 
-/// After calls without an answer, or refused ones, the next answer tells once
-/// that the service is there again, and not again within a second.
+/// After calls without an answer, or with a 503, the next answer is reported as a recovery
+/// once, and no other one within a second.
 #[test]
 fn a_recovery_is_noted_once() {
     let mut rng = rand::SeedableRng::seed_from_u64(1);
--- /dev/null
+++ b/crates/core/src/store/rate.rs
@@ -0,0 +1,131 @@
+//! Rates of calls to the key-value store, and the token bucket that enforces a rate.
+
+use crate::Ms;
+
+/// Part of a burst that is left after the process was paused. All controllers may have been
+/// paused together, and each of them first sends what must not be held back.
+const RESUMED_BURST_PART: f64 = 0.5;
+
+/// Requests and writes a second.
+#[derive(Clone, Copy, Default, PartialEq, Debug)]
+pub(crate) struct StoreRate {
+    pub(crate) requests: f64,
+    pub(crate) writes: f64,
+}
+
+impl StoreRate {
+    /// The rate from the unit of messages, calls in 1000 s.
+    pub(crate) fn from_milli(requests: u32, writes: u32) -> Self {
+        Self {
+            requests: f64::from(requests) / 1000.0,
+            writes: f64::from(writes) / 1000.0,
+        }
+    }
+
+    /// Requests and writes in the unit of messages, calls in 1000 s.
+    pub(crate) fn as_milli(&self) -> (u32, u32) {
+        let milli = |rate: f64| (rate * 1000.0) as u32;
+        (milli(self.requests), milli(self.writes))
+    }
+
+    /// Applies `f` to the requests and to the writes of both rates.
+    fn combine(&self, other: &Self, f: fn(f64, f64) -> f64) -> Self {
+        Self {
+            requests: f(self.requests, other.requests),
+            writes: f(self.writes, other.writes),
+        }
+    }
+
+    /// The sum of both rates.
+    pub(crate) fn plus(&self, other: &Self) -> Self {
+        self.combine(other, |a, b| a + b)
+    }
+
+    /// The larger number of requests and the larger number of writes.
+    pub(crate) fn max(&self, other: &Self) -> Self {
+        self.combine(other, f64::max)
+    }
+
+    /// The difference of both rates, at least 0.
+    pub(crate) fn saturating_sub(&self, other: &Self) -> Self {
+        self.combine(other, |a, b| (a - b).max(0.0))
+    }
+
+    /// The rate times `factor`.
+    pub(crate) fn scaled(&self, factor: f64) -> Self {
+        Self {
+            requests: self.requests * factor,
+            writes: self.writes * factor,
+        }
+    }
+}
+
+/// A token bucket that holds one second's worth of its rate, and may owe as much.
+#[derive(Debug)]
+pub(crate) struct TokenBucket {
+    /// Tokens a second.
+    rate: f64,
+    tokens: f64,
+    refilled_at: Ms,
+}
+
+impl TokenBucket {
+    /// A full bucket.
+    pub(crate) fn new(rate: f64) -> Self {
+        Self {
+            rate,
+            tokens: rate,
+            refilled_at: 0,
+        }
+    }
+
+    /// Changes the rate; the tokens in the bucket stay.
+    pub(crate) fn set_rate(&mut self, rate: f64) {
+        self.rate = rate;
+    }
+
+    /// Adds the tokens since the last refill.
+    pub(crate) fn refill(&mut self, now: Ms) {
+        let gained = now.saturating_sub(self.refilled_at) as f64 / 1000.0 * self.rate;
+        self.tokens = (self.tokens + gained).min(self.burst());
+        self.refilled_at = now;
+    }
+
+    /// The most tokens that the bucket holds, and that it may owe.
+    pub(super) fn burst(&self) -> f64 {
+        self.rate.max(1.0)
+    }
+
+    /// Takes `n` tokens if they are there, or in any case if `force` is set. The debt is
+    /// bounded, so that forced calls in an incident do not block all others for long. More
+    /// than one second's worth is granted when the bucket is full.
+    pub(crate) fn take(&mut self, n: f64, force: bool) -> bool {
+        if force || self.tokens >= n.min(self.burst()) {
+            self.tokens = (self.tokens - n).max(-n.max(self.burst()));
+            return true;
+        }
+        false
+    }
+
+    /// Takes `n` tokens if `reserve` are left then, or if the bucket is full.
+    pub(super) fn take_above_reserve(&mut self, n: f64, reserve: f64) -> bool {
+        let is_low = self.tokens < (n + reserve).min(self.burst());
+        !is_low && self.take(n, true)
+    }
+
+    /// Takes `n` tokens of those that come within the next second at the latest.
+    pub(super) fn take_in_advance(&mut self, n: f64) -> bool {
+        self.tokens - n >= -self.burst() && self.take(n, true)
+    }
+
+    /// Removes all tokens; a debt stays.
+    pub(crate) fn empty(&mut self) {
+        self.tokens = self.tokens.min(0.0);
+    }
+
+    /// The process was paused until now: what accumulated meanwhile counts only in part.
+    pub(super) fn note_process_pause(&mut self, now: Ms) {
+        self.refill(now);
+        self.tokens = self.tokens.min(self.burst() * RESUMED_BURST_PART);
+    }
+}
