--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -1,9 +1,12 @@
-//! The controller's copy of what all controllers share.
+//! The local copy of the records that all controllers have in common.
+//!
+//! It is replaced by a listing and updated by watches, and so lags behind the store. A
+//! decision on it is written with the versions that it was based on as preconditions.
 
 use crate::membership::format::FormatVersion;
 use crate::records::{
     DemandRecord, LeaderRecord, MachineRecord, NodeRecord, ProvisioningIntent, ShardId,
-    ShardRecord, EPOCH, FINALIZED_FORMAT, LEADER,
+    ShardRecord, CLUSTER, EPOCH, FINALIZED_FORMAT, LEADER,
 };
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Change, Item};
@@ -12,17 +15,19 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A record and its version.
+/// A record and its version, the revision at which it was written.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<T> {
     pub(crate) record: T,
     pub(crate) version: u64,
 }
 
-/// Everything below `c/`, as of one revision.
+/// All records below `c/`, as of one revision.
 #[derive(Default)]
 pub(crate) struct ClusterView {
+    /// The revision up to which changes are applied.
     pub(crate) revision: u64,
+    /// Nothing is missing since the last listing.
     pub(crate) is_complete: bool,
     pub(crate) nodes: BTreeMap<NodeName, Versioned<NodeRecord>>,
     pub(crate) leader: Option<Versioned<LeaderRecord>>,
@@ -34,21 +39,21 @@
     pub(crate) machine_types: BTreeMap<String, Versioned<MachineType>>,
     pub(crate) demands: BTreeMap<ShardId, Versioned<DemandRecord>>,
     pub(crate) cancellations: BTreeMap<JobId, u64>,
-    /// Machines that are given up.
+    /// Machines whose records name a reason for decommissioning.
     pub(crate) decommissioned: BTreeSet<MachineId>,
     changed: ChangedMachines,
 }
 
-/// Which machines' records changed since this was last asked for.
+/// Machines whose records have changed since the last request for them.
 #[derive(Default)]
 pub(crate) struct ChangedMachines {
-    /// Perhaps all of them.
+    /// Any machine's record or type may have changed.
     pub(crate) all: bool,
     pub(crate) machines: BTreeSet<MachineId>,
 }
 
 impl ChangedMachines {
-    /// Everything may have changed.
+    /// All machines may have changed.
     pub(crate) fn everything() -> Self {
         Self {
             all: true,
@@ -57,23 +62,68 @@
     }
 }
 
+/// Decodes a record. One that cannot be decoded is logged and treated as missing.
 fn decode<T: DeserializeOwned>(key: &str, value: Value, version: u64) -> Option<Versioned<T>> {
     match serde_json::from_value(value) {
         Ok(record) => Some(Versioned { record, version }),
-        Err(e) => {
-            log::error!("record {key} is not understood: {e}");
+        Err(error) => {
+            log::error!("record {key}: cannot be decoded, {error}");
             None
         }
     }
 }
 
+/// Decodes a record into a map; one that cannot be decoded is removed from it.
+fn put_into<K: Ord, T: DeserializeOwned>(
+    map: &mut BTreeMap<K, Versioned<T>>,
+    name: K,
+    key: &str,
+    value: Value,
+    version: u64,
+) {
+    match decode(key, value, version) {
+        Some(record) => map.insert(name, record),
+        None => map.remove(&name),
+    };
+}
+
+/// What a key of the form `c/<kind>/<name>` names.
+enum RecordKey {
+    Node(NodeName),
+    Machine(MachineId),
+    ProvisioningIntent(String),
+    MachineType(String),
+    Cancellation(JobId),
+    Shard(ShardId),
+    Demand(ShardId),
+}
+
+impl RecordKey {
+    /// Parses a key; none for keys of other forms and kinds.
+    fn parse(key: &str) -> Option<Self> {
+        let (kind, name) = key.strip_prefix(CLUSTER)?.split_once('/')?;
+        let shard = || name.parse().ok().map(ShardId);
+        match kind {
+            "node" => Some(Self::Node(NodeName::new(name))),
+            "machine" => Some(Self::Machine(MachineId::new(name))),
+            "charter" => Some(Self::ProvisioningIntent(name.to_owned())),
+            "rig" => Some(Self::MachineType(name.to_owned())),
+            "abort" => Some(Self::Cancellation(JobId::new(name))),
+            "share" => shard().map(Self::Shard),
+            "demand" => shard().map(Self::Demand),
+            _ => None,
+        }
+    }
+}
+
 impl ClusterView {
-    /// Whether all controllers say that they hear hardly any worker.
+    /// Whether all controllers have recorded that they receive hardly any heartbeats of
+    /// workers.
     pub(crate) fn has_no_node_with_heartbeats(&self) -> bool {
         self.nodes.values().all(|n| n.record.receives_no_heartbeats)
     }
 
-    /// Replaces everything by a full listing.
+    /// Replaces all records by those of a full listing.
     pub(crate) fn replace(&mut self, items: Vec<Item>, revision: u64) {
         *self = Self {
             revision,
@@ -86,7 +136,7 @@
         }
     }
 
-    /// Applies what a watch has shown.
+    /// Applies the changes of a watch, but those that are older than the view.
     pub(crate) fn apply(&mut self, events: Vec<Change>, revision: u64) {
         for event in events {
             match event {
@@ -106,96 +156,69 @@
         self.revision = self.revision.max(revision);
     }
 
-    fn put(&mut self, key: &str, value: Value, v: u64) {
-        if key == EPOCH {
-            self.epoch = decode(key, value, v);
-            return;
-        }
-        if key == FINALIZED_FORMAT {
-            self.finalized_format = decode(key, value, v);
-            return;
-        }
-        if key == LEADER {
-            self.leader = decode(key, value, v);
-            return;
-        }
-        let Some((kind, name)) = key.strip_prefix("c/").and_then(|k| k.split_once('/')) else {
-            return;
-        };
-        fn set<K: Ord, T: DeserializeOwned>(
-            map: &mut BTreeMap<K, Versioned<T>>,
-            name: K,
-            key: &str,
-            value: Value,
-            v: u64,
-        ) {
-            match decode(key, value, v) {
-                Some(found) => map.insert(name, found),
-                None => map.remove(&name),
-            };
+    /// Applies the put of one record; a record that cannot be decoded counts as removed.
+    fn put(&mut self, key: &str, value: Value, version: u64) {
+        match key {
+            EPOCH => self.epoch = decode(key, value, version),
+            FINALIZED_FORMAT => self.finalized_format = decode(key, value, version),
+            LEADER => self.leader = decode(key, value, version),
+            _ => {
+                if let Some(record_key) = RecordKey::parse(key) {
+                    self.put_record(record_key, key, value, version);
+                }
+            }
         }
-        match kind {
-            "node" => set(&mut self.nodes, NodeName::new(name), key, value, v),
-            "machine" => {
-                let id = MachineId::new(name);
-                set(&mut self.machines, id.clone(), key, value, v);
-                self.machine_changed(id);
+    }
+
+    fn put_record(&mut self, record_key: RecordKey, key: &str, value: Value, version: u64) {
+        match record_key {
+            RecordKey::Node(node) => put_into(&mut self.nodes, node, key, value, version),
+            RecordKey::Machine(id) => {
+                put_into(&mut self.machines, id.clone(), key, value, version);
+                self.note_machine_change(id);
             }
-            "charter" => set(
-                &mut self.provisioning_intents,
-                name.to_owned(),
-                key,
-                value,
-                v,
-            ),
-            "rig" => {
-                // What a machine has is known by its type.
-                self.changed.all = true;
-                set(&mut self.machine_types, name.to_owned(), key, value, v);
+            RecordKey::ProvisioningIntent(name) => {
+                put_into(&mut self.provisioning_intents, name, key, value, version);
             }
-            "abort" => {
-                self.cancellations.insert(JobId::new(name), v);
+            RecordKey::MachineType(name) => {
+                // The capacity of every machine follows from its type.
+                self.changed.all = true;
+                put_into(&mut self.machine_types, name, key, value, version);
             }
-            "share" | "demand" => {
-                let Ok(k) = name.parse().map(ShardId) else {
-                    return;
-                };
-                if kind == "share" {
-                    set(&mut self.shards, k, key, value, v);
-                } else {
-                    set(&mut self.demands, k, key, value, v);
-                }
+            RecordKey::Cancellation(job) => {
+                self.cancellations.insert(job, version);
             }
-            _ => {}
+            RecordKey::Shard(shard) => put_into(&mut self.shards, shard, key, value, version),
+            RecordKey::Demand(shard) => put_into(&mut self.demands, shard, key, value, version),
         }
     }
 
+    /// Applies the removal of one record.
     fn remove(&mut self, key: &str) {
-        if key == EPOCH {
-            self.epoch = None;
-        } else if key == LEADER {
-            self.leader = None;
+        match key {
+            EPOCH => self.epoch = None,
+            LEADER => self.leader = None,
+            _ => {}
         }
-        let Some((kind, name)) = key.strip_prefix("c/").and_then(|k| k.split_once('/')) else {
-            return;
-        };
-        match kind {
-            "node" => drop(self.nodes.remove(&NodeName::new(name))),
-            "machine" => {
-                let id = MachineId::new(name);
+        match RecordKey::parse(key) {
+            None => {}
+            Some(RecordKey::Node(node)) => drop(self.nodes.remove(&node)),
+            Some(RecordKey::Machine(id)) => {
                 self.machines.remove(&id);
-                self.machine_changed(id);
+                self.note_machine_change(id);
             }
-            "charter" => drop(self.provisioning_intents.remove(name)),
-            "rig" => drop(self.machine_types.remove(name)),
-            "abort" => drop(self.cancellations.remove(&JobId::new(name))),
-            "share" => drop(name.parse().map(|k| self.shards.remove(&ShardId(k)))),
-            "demand" => drop(name.parse().map(|k| self.demands.remove(&ShardId(k)))),
-            _ => {}
+            Some(RecordKey::ProvisioningIntent(name)) => {
+                drop(self.provisioning_intents.remove(&name));
+            }
+            Some(RecordKey::MachineType(name)) => drop(self.machine_types.remove(&name)),
+            Some(RecordKey::Cancellation(job)) => drop(self.cancellations.remove(&job)),
+            Some(RecordKey::Shard(shard)) => drop(self.shards.remove(&shard)),
+            Some(RecordKey::Demand(shard)) => drop(self.demands.remove(&shard)),
         }
     }
 
-    fn machine_changed(&mut self, id: MachineId) {
+    /// Notes the change of a machine's record, and whether it is to be decommissioned.
+    fn note_machine_change(&mut self, id: MachineId) {
         let record = self.machines.get(&id);
         if record.is_some_and(|m| m.record.decommission_reason.is_some()) {
             self.decommissioned.insert(id.clone());
@@ -205,39 +228,39 @@
         self.changed.machines.insert(id);
     }
 
-    /// What changed since this was last asked for.
+    /// The machines that have changed since the last call of this.
     pub(crate) fn take_changed(&mut self) -> ChangedMachines {
         std::mem::take(&mut self.changed)
     }
 
-    /// The format that all controllers know.
+    /// The finalized format, which all controllers know.
     pub(crate) fn format(&self) -> FormatVersion {
         let finalized = self.finalized_format.as_ref();
         finalized.map_or(FormatVersion::FIRST, |f| f.record)
     }
 
-    /// Version of the epoch counter, and its value.
+    /// The version of the epoch counter, and its value.
     pub(crate) fn epoch(&self) -> (u64, u64) {
         self.epoch
             .as_ref()
             .map_or((0, 0), |e| (e.version, e.record))
     }
 
-    /// Whether this start of a controller is alive, as far as is known.
+    /// Whether the view shows an incarnation of a controller as registered.
     pub(crate) fn is_alive(&self, node: &NodeName, incarnation: u64) -> bool {
         self.nodes
             .get(node)
             .is_some_and(|n| n.record.incarnation == incarnation)
     }
 
-    /// The controller that holds a shard, if it is alive.
-    pub(crate) fn holder(&self, k: ShardId) -> Option<&NodeName> {
-        let shard = &self.shards.get(&k)?.record;
+    /// The controller that holds a shard, if it is registered.
+    pub(crate) fn holder(&self, shard_id: ShardId) -> Option<&NodeName> {
+        let shard = &self.shards.get(&shard_id)?.record;
         self.is_alive(&shard.holder, shard.holder_incarnation)
             .then_some(&shard.holder)
     }
 
-    /// All zones in which machines can be had.
+    /// All zones that offer machines of some type.
     pub(crate) fn zones(&self) -> BTreeSet<&str> {
         let types = self.machine_types.values();
         types
