--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -9,3 +9,4 @@
 pub(crate) mod format;
 pub(crate) mod lease;
 pub(crate) mod peer_confirmations;
+pub(crate) mod peers;
--- a/crates/core/src/membership/failure_detector/tests.rs
+++ b/crates/core/src/membership/failure_detector/tests.rs
@@ -1,14 +1,16 @@
-//! Tests of `failure_detector`.
+//! Tests of the failure detector.
 
 use super::*;
-use crate::config::{Config, Operator};
+use crate::config::Operator;
+use forkshift_links::Link;
 use forkshift_wire::settings::Settings;
+use forkshift_wire::NodeName;
 
 const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
 
-/// Waiting for a zone where leases end anyway once cost more than the cut.
+/// Waiting for a zone in which leases expire anyway costs more than the partition.
 #[test]
-fn a_zone_is_waited_for_where_leases_can_be_kept() {
+fn a_partitioned_zone_is_waited_for_where_leases_can_be_kept() {
     let mut config = Config::new(
         &Settings::parse(SETTINGS).expect("the example is good"),
         Operator::default(),
@@ -26,36 +28,32 @@
         let zones = config.nodes.iter().enumerate();
         config.zones = zones.map(|(n, name)| (name.clone(), zone(n))).collect();
         (config.lease_ms, config.report_ms) = (lease, heartbeat);
-        assert_eq!(
-            config.zones_kept_in_partition("in") >= KEPT_ALIVE_PART_LEAST,
-            waits,
-            "{name}"
-        );
+        assert_eq!(is_zone_worth_waiting(&config, "in"), waits, "{name}");
     }
 }
 
-/// While a controller stood still it could hear nobody: no machine is given up
-/// as it goes on, before the reports that wait in the sockets are read.
+/// While the process is paused it receives nothing: no machine is decommissioned as it
+/// resumes, before the heartbeats that wait in the sockets are read.
 #[test]
-fn a_stop_is_not_taken_for_silence() {
-    for (stands_still, given_up) in [(true, false), (false, true)] {
+fn a_pause_of_the_process_does_not_count_as_silence() {
+    for (is_paused, is_decommissioned) in [(true, false), (false, true)] {
         let mut f = crate::fixture::Fixture::new();
-        let patience = f.node.ctx.config.lease_ms * 10;
-        let steps = if stands_still { 1 } else { patience / 500 };
+        let silence_ms = f.node.ctx.config.lease_ms * 10;
+        let steps = if is_paused { 1 } else { silence_ms / 500 };
         for _ in 0..steps {
-            f.step(patience / steps);
+            f.step(silence_ms / steps);
         }
         let id = f.machine.clone();
-        let condemned = f.shard().machines[&id].decommission_reason.is_some();
-        assert_eq!(condemned, given_up, "in {steps} steps");
+        let decommissioned = f.shard().machines[&id].decommission_reason.is_some();
+        assert_eq!(decommissioned, is_decommissioned, "in {steps} steps");
     }
 }
 
-/// A worker whose report was lost is heard again before it is given up, unless
-/// its lease is too short for that.
+/// A worker whose heartbeat was lost reconnects before its machine is removed, unless its
+/// lease is too short for that.
 #[test]
-fn one_lost_report_is_no_silence() {
-    // Lease and pause between two reports, and what is waited for.
+fn one_lost_heartbeat_does_not_exceed_the_silence_limit() {
+    // Lease, heartbeat interval, and longest silence, in milliseconds.
     let cases = [
         (24_000, 5_000, 14_400),
         (13_000, 2_000, 8_500),
@@ -70,10 +68,10 @@
     }
 }
 
-/// Where no controller hears most machines another machine could not be heard either: what
-/// is silent is waited for much longer than where others hear theirs.
+/// Where no controller receives most heartbeats, those of a replacement would not be received
+/// either: silent machines are waited for much longer than where others receive theirs.
 #[test]
-fn machines_are_kept_where_nobody_hears_any() {
+fn silent_machines_are_kept_longer_where_all_controllers_are_isolated() {
     let mut f = crate::fixture::Fixture::new();
     let id = f.machine.clone();
     let mut waited = |are_all_isolated, is_isolated| {
@@ -86,10 +84,10 @@
         let machine = &f.node.shards[&f.shard].machines[&id];
         f.node.ctx.removal_timeout_ms(machine)
     };
-    let (alone, others_hear, nobody_hears) = (
+    let (connected, isolated, all_isolated) = (
         waited(false, false),
         waited(false, true),
         waited(true, true),
     );
-    assert!(alone < others_hear && others_hear * 3 < nobody_hears);
+    assert!(connected < isolated && isolated * 3 < all_isolated);
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,5 +1,7 @@
 //! The controller: one owner of all state, working through batches of inputs.
 
+mod failure_detection;
+mod peer_heartbeats;
 mod responses;
 mod shard_ownership;
 mod view_sync;
@@ -16,7 +18,7 @@
 use crate::records::ShardId;
 use crate::shard::dependencies::DependencyTracker;
 use crate::shard::{Phase, Shard};
-use crate::store::budget::Budget;
+use crate::store::budget::{Budget, BudgetTerms};
 use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_links::{Decision, Link};
@@ -190,11 +192,7 @@
         self.follow_shard_records();
         let changed = self.processed_revision != self.view.revision;
         self.processed_revision = self.view.revision;
-        self.budget.tick(&mut self.ctx, &self.view);
-        let rate = self.budget.rate(&self.ctx, &self.view);
-        self.ctx.store.set_rates(&rate);
-        let in_advance = self.budget.allows_advance(&self.ctx, &self.view);
-        self.ctx.store.allow_advance(in_advance);
+        self.follow_budget();
         self.follow_dependencies();
         for shard in self.shards.values_mut() {
             shard.relist_jobs(&mut self.ctx);
@@ -227,6 +225,19 @@
         self.log_status();
     }
 
+    /// Sends what the budget requires, and sets the rate limit of calls to the store.
+    fn follow_budget(&mut self) {
+        let terms = BudgetTerms::from(&self.ctx);
+        let messages = self.budget.tick(&terms, &mut self.ctx.store, &self.view);
+        for message in messages {
+            self.ctx.send_to_peer(&message.to, 0, message.body);
+        }
+        let rate = self.budget.rate(&terms, &self.view);
+        self.ctx.store.set_rates(&rate);
+        let allowed = self.budget.allows_advance(&terms, &self.view);
+        self.ctx.store.allow_advance(allowed);
+    }
+
     /// Gives leadership up if no call reaches the cloud and others are there to try.
     fn follow_cloud_link(&mut self) {
         let patience = self.ctx.config.node_lease_ms();
--- a/crates/core/src/membership/peer_confirmations/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -1,15 +1,17 @@
-//! Tests of `attestation`.
+//! Tests of the heartbeats between controllers and the confirmations in them.
 
 use super::*;
 use crate::bounds::NAME_LENGTH_BYTES;
 use crate::config::{Config, Operator};
+use crate::context::Context;
 use crate::records::ShardRecord;
 use crate::store::view::Versioned;
+use forkshift_wire::peer::HeartbeatAck;
 use forkshift_wire::settings::Settings;
 
 const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
-/// When the last extension of our lease that succeeded was sent.
-const SENT: Ms = 50_000;
+/// When the last successful renewal of the lease was sent.
+const RENEWED_AT: Ms = 50_000;
 const OURS: ShardId = ShardId(0);
 const THEIRS: ShardId = ShardId(1);
 const EPOCH: u64 = 5;
@@ -36,131 +38,136 @@
         .insert(THEIRS, held(&NodeName::new("north"), 7));
     let shard = Shard::new(&mut node.ctx, OURS, EPOCH, 1);
     node.shards.insert(OURS, shard);
-    node.membership.on_lease_renewed(&node.ctx, SENT, 200);
+    node.membership.on_lease_renewed(&node.ctx, RENEWED_AT, 200);
     let until = node.membership.lease_valid_until(&node.ctx);
     node.ctx.peer_confirmations.note_lease_valid_until(until);
     node
 }
 
-/// What a peer states: as of which of our heartbeats, and which epoch of our
-/// shard it has seen; none: it has read nothing since it started.
+/// What a peer confirms: as of which heartbeat of this controller, and which epoch of its
+/// shard the peer has seen; none: it has read nothing since it started.
 #[derive(Clone, Copy)]
-struct Says {
+struct Confirmation {
     from: &'static str,
-    to_inc: u64,
+    to_incarnation: u64,
     as_of: Ms,
     epoch: Option<u64>,
     refused_for: Option<Ms>,
 }
 
-fn says(from: &'static str, as_of: Ms, epoch: Option<u64>) -> Says {
-    let to_inc = 1;
-    Says {
+fn confirms(from: &'static str, as_of: Ms, epoch: Option<u64>) -> Confirmation {
+    Confirmation {
         from,
-        to_inc,
+        to_incarnation: 1,
         as_of,
         epoch,
         refused_for: None,
     }
 }
 
-fn tell(node: &mut Node, says: Says, settled: Vec<SettledShard>) {
-    let from = NodeName::new(says.from);
-    let beat = PeerHeartbeat {
+fn receive(node: &mut Node, confirmation: Confirmation, settled: Vec<SettledShard>) {
+    let from = NodeName::new(confirmation.from);
+    let heartbeat = PeerHeartbeat {
         sent_at: 1,
         acknowledged: Some(HeartbeatAck {
-            incarnation: says.to_inc,
-            sent_at: says.as_of,
+            incarnation: confirmation.to_incarnation,
+            sent_at: confirmation.as_of,
         }),
-        epochs: says.epoch.map(|e| vec![(OURS.0, e)]),
-        store_refused_for_ms: says.refused_for,
+        epochs: confirmation.epoch.map(|e| vec![(OURS.0, e)]),
+        store_refused_for_ms: confirmation.refused_for,
         settled_shards: settled,
     };
     node.note_peer_alive(&from, 7);
-    node.on_heartbeat(&from, 7, beat);
+    node.on_heartbeat(&from, 7, heartbeat);
 }
 
-/// Whether a controller goes on answering workers of its shard, once peers have
-/// told it something.
-fn holds_on_after(mut node: Node, now: Ms, told: Vec<Says>) -> bool {
+/// Whether a controller without a valid lease answers workers of its shard at a time, after
+/// confirmations of peers.
+fn answers_without_lease(mut node: Node, now: Ms, confirmations: Vec<Confirmation>) -> bool {
     node.ctx.now = now;
-    for says in told {
-        tell(&mut node, says, vec![]);
+    for confirmation in confirmations {
+        receive(&mut node, confirmation, vec![]);
     }
     node.may_answer_without_lease(&node.shards[&OURS])
 }
 
-/// Once, an old holder answered its workers for as long as it heard any peer,
-/// though a third controller may have confirmed a cancellation in its stead
-/// just before an outage. It goes on only on the word of all of them.
+/// Messages from one peer are not sufficient: a third controller may have confirmed a
+/// cancellation as the new holder just before an outage. Workers are answered only with
+/// confirmations of all peers.
 #[test]
-fn workers_are_answered_without_a_right_on_evidence_alone() {
+fn workers_are_answered_without_a_valid_lease_only_on_confirmations() {
     let config = node().ctx.config.clone();
     let own = config.node_lease_ms() - config.node_lease_ms() / 500;
     let grace = config.grace_ms();
     assert!(grace + config.lease_ms < config.cancel_ms);
-    let end = SENT + own + grace;
+    let end = RENEWED_AT + own + grace;
     let later = end + 10_000;
     let seen = Some(EPOCH);
     let taken = Some(EPOCH + 1);
-    let both = |a, b| vec![says("north", a, seen), says("south", b, seen)];
-    let cases: Vec<(&str, Vec<Says>, Ms, bool)> = vec![
-        ("nobody is heard, in time", vec![], end - 1, true),
-        ("nobody is heard, too late", vec![], end, false),
+    let both = |a, b| vec![confirms("north", a, seen), confirms("south", b, seen)];
+    let cases: Vec<(&str, Vec<Confirmation>, Ms, bool)> = vec![
+        ("no confirmations, in time", vec![], end - 1, true),
+        ("no confirmations, too late", vec![], end, false),
         (
-            "one of two attests",
-            vec![says("north", later, seen)],
+            "one of two confirms",
+            vec![confirms("north", later, seen)],
             end,
             false,
         ),
-        ("both attest", both(later, later), later, true),
+        ("both confirm", both(later, later), later, true),
         (
-            "both attested for a while",
+            "both confirmed for a while",
             both(end, later),
             end + grace - 1,
             true,
         ),
         (
-            "both attested too long ago",
+            "both confirmed too long ago",
             both(end, later),
             end + grace,
             false,
         ),
         (
             "one has restarted and read nothing",
-            vec![says("north", later, seen), says("south", later, None)],
+            vec![
+                confirms("north", later, seen),
+                confirms("south", later, None),
+            ],
             end,
             false,
         ),
         (
-            "one attested before it restarted",
+            "one confirmed before it restarted",
             vec![
-                says("north", later, seen),
-                says("south", end, seen),
-                says("south", later, None),
+                confirms("north", later, seen),
+                confirms("south", end, seen),
+                confirms("south", later, None),
             ],
             end + grace,
             false,
         ),
         (
-            "one has seen our successor",
-            vec![says("north", later, seen), says("south", later, taken)],
-            SENT + own,
+            "one has seen a successor",
+            vec![
+                confirms("north", later, seen),
+                confirms("south", later, taken),
+            ],
+            RENEWED_AT + own,
             false,
         ),
         (
             "a late copy that has, as of long ago",
-            vec![says("north", SENT, taken)],
-            SENT + own,
+            vec![confirms("north", RENEWED_AT, taken)],
+            RENEWED_AT + own,
             false,
         ),
         (
-            "attestations are of our clock before a restart",
+            "one confirms to an earlier incarnation",
             vec![
-                says("north", later, seen),
-                Says {
-                    to_inc: 99,
-                    ..says("south", later, seen)
+                confirms("north", later, seen),
+                Confirmation {
+                    to_incarnation: 99,
+                    ..confirms("south", later, seen)
                 },
             ],
             end,
@@ -169,66 +176,76 @@
         (
             "a late copy proves nothing new",
             vec![
-                says("north", later, seen),
-                says("south", SENT + own + 1, seen),
+                confirms("north", later, seen),
+                confirms("south", RENEWED_AT + own + 1, seen),
             ],
             end + grace,
             false,
         ),
     ];
-    for (name, told, now, holds) in cases {
-        assert_eq!(holds_on_after(node(), now, told), holds, "{name}");
+    for (name, confirmations, now, holds) in cases {
+        assert_eq!(
+            answers_without_lease(node(), now, confirmations),
+            holds,
+            "{name}"
+        );
     }
 }
 
-/// Losing all leases in an outage whenever one controller has restarted would
-/// be dear. Controllers that were refused together, from before our right ended
-/// until now, prove that nobody else can have been given anything.
+/// Losing all leases in an outage whenever one controller has restarted would be costly.
+/// Controllers that the store has refused from before the lease expired until now prove that
+/// no shard can have been reassigned.
 #[test]
-fn an_outage_that_a_majority_has_seen_from_the_start_is_one() {
+fn an_outage_confirmed_by_a_majority_keeps_workers_answered() {
     let config = node().ctx.config.clone();
-    let right = SENT + config.node_lease_ms() - config.node_lease_ms() / 500;
-    let now = right + config.grace_ms() + 10_000;
+    let lease_end = RENEWED_AT + config.node_lease_ms() - config.node_lease_ms() / 500;
+    let now = lease_end + config.grace_ms() + 10_000;
     let seen = Some(EPOCH);
-    let refused = |from, since: Ms| Says {
+    let refused = |from, since: Ms| Confirmation {
         refused_for: Some(now - since),
-        ..says(from, now - 100, seen)
+        ..confirms(from, now - 100, seen)
     };
-    let restarted = says("south", now - 100, None);
-    // Since when we are refused; what is heard; whether workers are answered.
-    let cases: Vec<(&str, Option<Ms>, Vec<Says>, bool)> = vec![
+    let restarted = confirms("south", now - 100, None);
+    // Since when the store refuses this controller, what is received, and whether
+    // workers are answered.
+    let cases: Vec<(&str, Option<Ms>, Vec<Confirmation>, bool)> = vec![
         (
             "both since before",
-            Some(SENT),
-            vec![refused("north", SENT)],
+            Some(RENEWED_AT),
+            vec![refused("north", RENEWED_AT)],
             true,
         ),
         (
-            "we later than our right",
-            Some(right),
-            vec![refused("north", SENT)],
+            "refused here only after the lease expired",
+            Some(lease_end),
+            vec![refused("north", RENEWED_AT)],
             false,
         ),
         (
             "the other later",
-            Some(SENT),
-            vec![refused("north", right)],
+            Some(RENEWED_AT),
+            vec![refused("north", lease_end)],
             false,
         ),
-        ("we are served", None, vec![refused("north", SENT)], false),
-        ("nobody else", Some(SENT), vec![], false),
+        (
+            "served here",
+            None,
+            vec![refused("north", RENEWED_AT)],
+            false,
+        ),
+        ("nobody else", Some(RENEWED_AT), vec![], false),
         (
             "the third was served",
-            Some(SENT),
-            vec![refused("north", SENT), restarted],
+            Some(RENEWED_AT),
+            vec![refused("north", RENEWED_AT), restarted],
             false,
         ),
         (
             "the third has restarted, and is refused",
-            Some(SENT),
+            Some(RENEWED_AT),
             vec![
-                refused("north", SENT),
-                Says {
+                refused("north", RENEWED_AT),
+                Confirmation {
                     refused_for: Some(1_000),
                     ..restarted
                 },
@@ -236,32 +253,36 @@
             true,
         ),
         (
-            "the third has seen our successor",
-            Some(SENT),
+            "the third has seen a successor",
+            Some(RENEWED_AT),
             vec![
-                refused("north", SENT),
-                Says {
+                refused("north", RENEWED_AT),
+                Confirmation {
                     epoch: Some(EPOCH + 1),
-                    ..refused("south", SENT)
+                    ..refused("south", RENEWED_AT)
                 },
             ],
             false,
         ),
     ];
-    for (name, ours, told, holds) in cases {
+    for (name, ours, confirmations, holds) in cases {
         let mut node = node();
         let Context { store, rng, .. } = &mut node.ctx;
         if let Some(since) = ours {
             store.on_response(503, since, rng);
         }
-        assert_eq!(holds_on_after(node, now, told), holds, "{name}");
+        assert_eq!(
+            answers_without_lease(node, now, confirmations),
+            holds,
+            "{name}"
+        );
     }
 }
 
-/// A worker whose holder is lost is answered by others only while nothing that
-/// was confirmed can still be on it; so is one whose shard is being loaded.
+/// A worker whose holder is unreachable is answered by others only while no task with a
+/// confirmed cancellation can be on it; so is one whose shard is being loaded.
 #[test]
-fn what_is_kept_for_others_ends_in_time() {
+fn workers_of_others_are_kept_alive_only_while_settled() {
     let config = node().ctx.config.clone();
     let own = config.node_lease_ms();
     let grace = config.grace_ms();
@@ -271,46 +292,58 @@
     };
     let none: &[&str] = &[];
     let held: &[&str] = &["m-1"];
-    // As of when the holder stated what, whether it is there, now.
+    // As of when the holder stated what, whether it is alive, now.
     let cases = [
-        ("cut off", Some((SENT, none)), false, SENT + own, true),
+        (
+            "cut off",
+            Some((RENEWED_AT, none)),
+            false,
+            RENEWED_AT + own,
+            true,
+        ),
         (
             "it holds a cancelled task",
-            Some((SENT, held)),
+            Some((RENEWED_AT, held)),
             false,
-            SENT + own,
+            RENEWED_AT + own,
             false,
         ),
-        ("nothing was stated", None, false, SENT + own, false),
+        ("nothing was stated", None, false, RENEWED_AT + own, false),
         (
             "its holder is there",
-            Some((SENT, none)),
+            Some((RENEWED_AT, none)),
             true,
-            SENT + own,
+            RENEWED_AT + own,
             false,
         ),
         (
-            "we are served",
-            Some((SENT, none)),
+            "served here",
+            Some((RENEWED_AT, none)),
             false,
-            SENT + own / 2,
+            RENEWED_AT + own / 2,
             false,
         ),
         (
             "nearly too long",
-            Some((SENT, none)),
+            Some((RENEWED_AT, none)),
             false,
-            SENT + grace - 1,
+            RENEWED_AT + grace - 1,
             true,
         ),
-        ("too long", Some((SENT, none)), false, SENT + grace, false),
+        (
+            "too long",
+            Some((RENEWED_AT, none)),
+            false,
+            RENEWED_AT + grace,
+            false,
+        ),
     ];
     for (name, stated, there, now, keeps) in cases {
         let mut node = node();
-        node.ctx.now = SENT;
+        node.ctx.now = RENEWED_AT;
         if let Some((as_of, unsettled)) = stated {
             let settled = vec![settled(THEIRS, unsettled), settled(OURS, unsettled)];
-            tell(&mut node, says("north", as_of, Some(EPOCH)), settled);
+            receive(&mut node, confirms("north", as_of, Some(EPOCH)), settled);
         }
         node.ctx.now = now;
         if there {
@@ -327,9 +360,10 @@
         // While we load a shard the same holds, whoever else is there; besides,
         // what an earlier holder confirmed is a lease old at the most.
         let stated = stated.is_some_and(|(_, held)| held.is_empty());
-        let in_time = (stated && now < SENT + grace) || now < SENT + config.loading_grace_ms();
+        let in_time =
+            (stated && now < RENEWED_AT + grace) || now < RENEWED_AT + config.loading_grace_ms();
         let mut shard = node.shards.remove(&OURS).expect("it is ours");
-        shard.active_since = SENT;
+        shard.active_since = RENEWED_AT;
         assert_eq!(
             node.may_answer_while_loading(&shard, &machine),
             in_time,
@@ -347,9 +381,9 @@
     }
 }
 
-/// A shard with more than a hundred machines that might hold a cancelled task once
-/// made no statement: one array cancelled on a large fleet was enough, and a holder
-/// that took the shard over then could not vouch for any of its machines.
+/// A shard with many machines that may hold a cancelled task, as after an array on a large
+/// fleet is cancelled, still makes its statement; else the next holder could not answer any
+/// of its workers while it loads the shard.
 #[test]
 fn statements_are_left_out_only_where_a_heartbeat_has_no_room() {
     let name = "host-000000".len() + NAME_LENGTH_BYTES;
@@ -373,7 +407,7 @@
 
 /// The longest list of names still leaves room for the rest of a heartbeat.
 #[test]
-fn a_heartbeat_that_names_as_many_machines_as_it_may_can_be_sent() {
+fn a_heartbeat_with_the_longest_list_of_machines_can_be_encoded() {
     let room = Settings::parse(SETTINGS).map(|s| crate::Bounds::new(&s, 1.0).list_bytes);
     let machines = room.expect("the example is good") / ("host-000000".len() + NAME_LENGTH_BYTES);
     assert!(machines >= 4_000, "{machines} machines");
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -1,178 +1,242 @@
-//! Who may use how much of the state service.
+//! This controller's part of the key-value store's request budget.
 //!
-//! The service bounds requests and changes of all controllers together. A part
-//! is split evenly and always there; the rest follows need: every controller
-//! tells the leader what it needs, and the leader grants what there is, for a
-//! short while. A controller that hears no grant uses an even share of the
-//! rest, which the leader keeps back for it, so the sum stays below the limit.
-//! Without that, the one that leads, or that holds what is busy, starves while
-//! others leave theirs unused.
-
-use crate::context::Context;
-use crate::leader::Leader;
-use crate::store::queue::StoreRate;
+//! The store limits the requests and writes of all controllers together. A fixed part is
+//! divided evenly and always available. The rest, the pool, follows demand: every controller
+//! reports its demand to the leader, which grants rates from the pool for a short time. A
+//! controller without a valid grant uses an even part of the pool, which the leader reserves
+//! for it, so the sum of all rates stays below the limit. Without the pool the leader and the
+//! holders of busy shards would be short of requests while others leave theirs unused.
+
+use crate::config::{Config, StateLimits};
+use crate::records::LeaderRecord;
+use crate::store::queue::Store;
+use crate::store::rate::StoreRate;
 use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::peer::Body;
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
+use std::rc::Rc;
 
-/// What is used of the limits, with some room for clocks and late calls.
+/// Part of the limit on requests that is used; the rest allows for differences between
+/// clocks and for calls that arrive late.
 const REQUESTS_PART: f64 = 0.9;
+/// Part of the limit on writes that is used.
 const WRITES_PART: f64 = 0.95;
-/// The part of that which is split evenly.
+/// Part of the usable limits that is divided evenly.
 const FIXED_PART: f64 = 0.4;
-/// Nothing is had in advance for this long after standing still: in that time
-/// all controllers have used up what they woke with.
+/// Part of the last demand that the next one is at least: what was needed a moment ago may
+/// be needed again.
+const DEMAND_DECAY: f64 = 0.7;
+/// Nothing is sent in advance of the budget for this long after a pause of the process: in
+/// that time all controllers use up the tokens that they have accumulated.
 const ADVANCE_PAUSE: Ms = 5_000;
-/// A grant, and what a controller said that it needs, hold for this many looks.
+/// Heartbeat intervals for which a grant or a reported demand is valid.
 const VALID_INTERVALS: Ms = 4;
+/// Least total excess demand that is divided by, in calls a second.
+const MIN_EXCESS: f64 = 1e-9;
 
-/// The part that follows need, as one controller has it.
+/// What the budget is computed from, as of one step.
+#[derive(Clone, Debug)]
+pub(crate) struct BudgetTerms {
+    pub(crate) config: Rc<Config>,
+    /// This controller's incarnation.
+    pub(crate) incarnation: u64,
+    /// The store's limits for all controllers together.
+    pub(crate) limits: StateLimits,
+    pub(crate) now: Ms,
+    /// When the process last resumed after a pause; 0 if never.
+    pub(crate) resumed_at: Ms,
+    pub(crate) heartbeat_interval_ms: Ms,
+}
+
+impl BudgetTerms {
+    fn node_count(&self) -> f64 {
+        self.config.nodes.len().max(1) as f64
+    }
+
+    /// The most that all controllers use together.
+    fn total(&self) -> StoreRate {
+        StoreRate {
+            requests: self.limits.rps * REQUESTS_PART,
+            writes: self.limits.write_rps * WRITES_PART,
+        }
+    }
+
+    /// The part of the total that follows demand.
+    fn pool(&self) -> StoreRate {
+        self.total().scaled(1.0 - FIXED_PART)
+    }
+
+    /// One controller's even part of the pool.
+    fn even_part_of_pool(&self) -> StoreRate {
+        self.pool().scaled(1.0 / self.node_count())
+    }
+
+    /// One controller's fixed part.
+    fn fixed_part(&self) -> StoreRate {
+        self.total().scaled(FIXED_PART / self.node_count())
+    }
+
+    /// For how long grants and reported demands are valid, in milliseconds.
+    fn validity_ms(&self) -> Ms {
+        self.heartbeat_interval_ms * VALID_INTERVALS
+    }
+
+    /// A grant that starts now.
+    fn grant(&self, leader: LeaderRecord, rate: StoreRate) -> Grant {
+        Grant {
+            leader,
+            valid_until: self.now + self.validity_ms(),
+            rate,
+        }
+    }
+}
+
+/// A message to another controller.
+#[derive(Debug)]
+pub(crate) struct PeerMessage {
+    pub(crate) to: NodeName,
+    pub(crate) body: Body,
+}
+
+/// A rate from the pool that a leader has granted to this controller.
 #[derive(Clone, Debug)]
 struct Grant {
-    leader: NodeName,
-    incarnation: u64,
+    leader: LeaderRecord,
     valid_until: Ms,
     rate: StoreRate,
 }
 
+/// The demand that a controller has reported to the leader.
 #[derive(Clone, Debug)]
 struct NodeDemand {
     received_at: Ms,
     incarnation: u64,
     rate: StoreRate,
+    /// The controller has a valid grant, so it uses no even part of the pool.
     keeps_to_grant: bool,
 }
 
-/// A controller's part of the budget, and the leader's account of the others'.
+/// This controller's grant and demand and, on the leader, the demands of all controllers.
 #[derive(Default)]
 pub(crate) struct Budget {
     grant: Option<Grant>,
-    needs: BTreeMap<NodeName, NodeDemand>,
-    need: StoreRate,
-    next: Ms,
-}
-
-/// The most that all controllers use together, and the part that follows need.
-fn limits(ctx: &Context) -> (StoreRate, StoreRate) {
-    let all = StoreRate {
-        requests: ctx.limits.rps * REQUESTS_PART,
-        writes: ctx.limits.write_rps * WRITES_PART,
-    };
-    (all, all.scaled(1.0 - FIXED_PART))
-}
-
-/// A grant that begins now.
-fn grant(ctx: &Context, leader: NodeName, incarnation: u64, rate: StoreRate) -> Grant {
-    Grant {
-        leader,
-        incarnation,
-        valid_until: ctx.now + ctx.heartbeat_interval_ms() * VALID_INTERVALS,
-        rate,
-    }
+    /// Reported demands; empty unless this controller leads.
+    demands: BTreeMap<NodeName, NodeDemand>,
+    own_demand: StoreRate,
+    next_report_at: Ms,
 }
 
 impl Budget {
-    /// What this controller may use a second.
-    pub(crate) fn rate(&self, ctx: &Context, view: &ClusterView) -> StoreRate {
-        let n = ctx.config.nodes.len().max(1) as f64;
-        let (all, pool) = limits(ctx);
-        let fixed = all.scaled(FIXED_PART / n);
-        match self.valid_grant(ctx, view) {
+    /// The rate that this controller may use.
+    pub(crate) fn rate(&self, terms: &BudgetTerms, view: &ClusterView) -> StoreRate {
+        let fixed = terms.fixed_part();
+        match self.valid_grant(terms, view) {
             Some(grant) => fixed.plus(&grant.rate),
-            None => fixed.plus(&pool.scaled(1.0 / n)),
+            None => fixed.plus(&terms.even_part_of_pool()),
         }
     }
 
-    /// Whether users' changes may be made in advance of the budget. Under a grant
-    /// the leader knows what all controllers need. Having stood still, others
-    /// may have, too, and all go on at once.
-    pub(crate) fn allows_advance(&self, ctx: &Context, view: &ClusterView) -> bool {
-        let is_awake = ctx.resumed_at == 0 || ctx.now >= ctx.resumed_at + ADVANCE_PAUSE;
-        is_awake && self.valid_grant(ctx, view).is_some()
+    /// Whether users' writes may be sent in advance of the budget. Only under a grant does
+    /// the leader know the demand of all controllers. Soon after a pause of the process the
+    /// others may have been paused, too, and all resume at once.
+    pub(crate) fn allows_advance(&self, terms: &BudgetTerms, view: &ClusterView) -> bool {
+        let is_settled = terms.resumed_at == 0 || terms.now >= terms.resumed_at + ADVANCE_PAUSE;
+        is_settled && self.valid_grant(terms, view).is_some()
     }
 
-    /// The grant, as long as whoever gave it leads.
-    fn valid_grant(&self, ctx: &Context, view: &ClusterView) -> Option<&Grant> {
-        let leader = view.leader.as_ref().map(|l| &l.record);
-        let of_leader = |g: &&Grant| {
-            leader.is_some_and(|l| l.node == g.leader && l.incarnation == g.incarnation)
-        };
+    /// The grant, as long as the controller that gave it leads.
+    fn valid_grant(&self, terms: &BudgetTerms, view: &ClusterView) -> Option<&Grant> {
         self.grant
             .as_ref()
-            .filter(|g| ctx.now < g.valid_until)
-            .filter(of_leader)
+            .filter(|grant| terms.now < grant.valid_until)
+            .filter(|grant| view.is_led_by(&grant.leader.node, grant.leader.incarnation))
     }
 
-    /// Tells the leader what is needed here; if we lead, grants what there is.
-    pub(crate) fn tick(&mut self, ctx: &mut Context, view: &ClusterView) {
-        if ctx.now < self.next {
-            return;
+    /// Once in a heartbeat interval, reports this controller's demand to the leader or, on
+    /// the leader, grants rates. Returns the messages to be sent.
+    pub(crate) fn tick(
+        &mut self,
+        terms: &BudgetTerms,
+        store: &mut Store,
+        view: &ClusterView,
+    ) -> Vec<PeerMessage> {
+        if terms.now < self.next_report_at {
+            return Vec::new();
         }
-        self.next = ctx.now + ctx.heartbeat_interval_ms();
-        // What was needed a moment ago may be needed again.
-        let need = ctx.store.take_demand(ctx.now);
-        self.need = need.max(&self.need.scaled(0.7));
-        let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
-            return;
+        self.next_report_at = terms.now + terms.heartbeat_interval_ms;
+        let demand = store.take_demand(terms.now);
+        self.own_demand = demand.max(&self.own_demand.scaled(DEMAND_DECAY));
+        let Some(leader) = view.leader.as_ref().map(|l| &l.record) else {
+            return Vec::new();
         };
-        if !Leader::is_leader(ctx, view) {
-            self.needs.clear();
-            let (requests, writes) = self.need.as_milli();
-            let body = Body::BudgetRequest {
+        if view.is_led_by(&terms.config.node, terms.incarnation) {
+            return self.grant_rates(terms, view);
+        }
+        self.demands.clear();
+        vec![self.demand_report(leader, terms, view)]
+    }
+
+    /// The report of this controller's demand to the leader.
+    fn demand_report(
+        &self,
+        leader: &LeaderRecord,
+        terms: &BudgetTerms,
+        view: &ClusterView,
+    ) -> PeerMessage {
+        let (requests, writes) = self.own_demand.as_milli();
+        PeerMessage {
+            to: leader.node.clone(),
+            body: Body::BudgetRequest {
                 writes,
                 requests,
-                granted: self.valid_grant(ctx, view).is_some(),
-            };
-            ctx.send_to_peer(&leader.node, 0, body);
-            return;
+                granted: self.valid_grant(terms, view).is_some(),
+            },
         }
-        let ours = NodeDemand {
-            received_at: ctx.now,
-            incarnation: ctx.incarnation,
-            rate: self.need,
-            keeps_to_grant: true,
-        };
-        self.needs.insert(ctx.config.node.clone(), ours);
-        let valid = ctx.heartbeat_interval_ms() * VALID_INTERVALS;
-        self.needs.retain(|n, need| {
-            ctx.now < need.received_at + valid && view.is_alive(n, need.incarnation)
-        });
-        let n = ctx.config.nodes.len().max(1) as f64;
-        let (all, pool) = limits(ctx);
-        let even = pool.scaled(1.0 / n);
-        let granted = self.needs.values().filter(|n| n.keeps_to_grant).count();
-        let kept_back = view.nodes.len().saturating_sub(granted) as f64;
-        let rest = pool.plus(&even.scaled(-kept_back));
-        let fixed = all.scaled(FIXED_PART / n);
-        let more = self.needs.values().filter(|n| n.keeps_to_grant);
-        let more = more.map(|n| n.rate.saturating_sub(&fixed));
-        let sum = more.fold(StoreRate::default(), |sum, u| sum.plus(&u));
-        for (name, need) in &self.needs {
-            let rate = if need.keeps_to_grant {
-                let part = |rest: f64, more: f64, sum: f64| {
-                    let unused = (rest - sum).max(0.0) / granted.max(1) as f64;
-                    unused + more * (rest / sum.max(1e-9)).min(1.0)
+    }
+
+    /// Grants rates to all controllers whose demands are known, this one included.
+    fn grant_rates(&mut self, terms: &BudgetTerms, view: &ClusterView) -> Vec<PeerMessage> {
+        self.update_demands(terms, view);
+        let allocation = Allocation::new(&self.demands, terms, view);
+        let mut messages = Vec::new();
+        for (node, demand) in &self.demands {
+            let rate = allocation.rate_for(demand);
+            if *node == terms.config.node {
+                let leader = LeaderRecord {
+                    node: node.clone(),
+                    incarnation: terms.incarnation,
                 };
-                let more = need.rate.saturating_sub(&fixed);
-                StoreRate {
-                    requests: part(rest.requests, more.requests, sum.requests),
-                    writes: part(rest.writes, more.writes, sum.writes),
-                }
-            } else {
-                even
-            };
-            if *name == ctx.config.node {
-                self.grant = Some(grant(ctx, name.clone(), ctx.incarnation, rate));
-            } else {
-                let (requests, writes) = rate.as_milli();
-                ctx.send_to_peer(name, 0, Body::BudgetGrant { writes, requests });
+                self.grant = Some(terms.grant(leader, rate));
+                continue;
             }
+            let (requests, writes) = rate.as_milli();
+            messages.push(PeerMessage {
+                to: node.clone(),
+                body: Body::BudgetGrant { writes, requests },
+            });
         }
+        messages
     }
 
-    /// Another controller tells what it needs.
+    /// Adds the leader's own demand, and drops those that are old or of controllers that
+    /// have exited.
+    fn update_demands(&mut self, terms: &BudgetTerms, view: &ClusterView) {
+        let own = NodeDemand {
+            received_at: terms.now,
+            incarnation: terms.incarnation,
+            rate: self.own_demand,
+            keeps_to_grant: true,
+        };
+        self.demands.insert(terms.config.node.clone(), own);
+        self.demands.retain(|node, demand| {
+            terms.now < demand.received_at + terms.validity_ms()
+                && view.is_alive(node, demand.incarnation)
+        });
+    }
+
+    /// Handles another controller's report of its demand.
     pub(crate) fn on_budget_request(
         &mut self,
         now: Ms,
@@ -181,29 +245,90 @@
         rate: StoreRate,
         granted: bool,
     ) {
-        let need = NodeDemand {
+        let demand = NodeDemand {
             received_at: now,
             incarnation,
             rate,
             keeps_to_grant: granted,
         };
-        self.needs.insert(from, need);
+        self.demands.insert(from, demand);
     }
 
-    /// The leader grants a part of the budget.
+    /// Handles a grant of the leader. Shortly after a pause of the process grants are
+    /// ignored: nobody knows how long they waited in the socket, and the rate may have been
+    /// granted to others since.
     pub(crate) fn on_grant(
         &mut self,
-        ctx: &Context,
+        terms: impl Into<BudgetTerms>,
         leader: NodeName,
         incarnation: u64,
         rate: StoreRate,
     ) {
-        // Having stood still, we may find grants that have been given to others
-        // since: nobody knows how long they waited in the socket.
-        if ctx.now < ctx.resumed_at + ctx.heartbeat_interval_ms() {
+        let terms = terms.into();
+        if terms.now < terms.resumed_at + terms.heartbeat_interval_ms {
             return;
         }
-        self.grant = Some(grant(ctx, leader, incarnation, rate));
+        let leader = LeaderRecord {
+            node: leader,
+            incarnation,
+        };
+        self.grant = Some(terms.grant(leader, rate));
+    }
+}
+
+/// How the leader divides the pool between the controllers with grants.
+struct Allocation {
+    even_part: StoreRate,
+    fixed_part: StoreRate,
+    /// The pool without the even parts of controllers that have no grant.
+    grantable: StoreRate,
+    /// Demand beyond the fixed parts, of all controllers with grants.
+    total_excess: StoreRate,
+    grantee_count: usize,
+}
+
+impl Allocation {
+    fn new(
+        demands: &BTreeMap<NodeName, NodeDemand>,
+        terms: &BudgetTerms,
+        view: &ClusterView,
+    ) -> Self {
+        let even_part = terms.even_part_of_pool();
+        let fixed_part = terms.fixed_part();
+        let grantees = || demands.values().filter(|demand| demand.keeps_to_grant);
+        let grantee_count = grantees().count();
+        let reserved_parts = view.nodes.len().saturating_sub(grantee_count) as f64;
+        let total_excess = grantees()
+            .map(|demand| demand.rate.saturating_sub(&fixed_part))
+            .fold(StoreRate::default(), |sum, excess| sum.plus(&excess));
+        Self {
+            even_part,
+            fixed_part,
+            grantable: terms.pool().plus(&even_part.scaled(-reserved_parts)),
+            total_excess,
+            grantee_count,
+        }
+    }
+
+    /// The rate that is granted for a demand. A controller that does not keep to a grant yet
+    /// gets the even part that is reserved for it.
+    fn rate_for(&self, demand: &NodeDemand) -> StoreRate {
+        if !demand.keeps_to_grant {
+            return self.even_part;
+        }
+        let excess = demand.rate.saturating_sub(&self.fixed_part);
+        let (grantable, total) = (&self.grantable, &self.total_excess);
+        StoreRate {
+            requests: self.divide(grantable.requests, excess.requests, total.requests),
+            writes: self.divide(grantable.writes, excess.writes, total.writes),
+        }
+    }
+
+    /// One controller's part of `grantable`: its excess demand, reduced in proportion if the
+    /// total exceeds what is there, and an even part of what nobody demands.
+    fn divide(&self, grantable: f64, excess: f64, total_excess: f64) -> f64 {
+        let unused = (grantable - total_excess).max(0.0) / self.grantee_count.max(1) as f64;
+        unused + excess * (grantable / total_excess.max(MIN_EXCESS)).min(1.0)
     }
 }
 
--- a/crates/core/src/store/budget/tests.rs
+++ b/crates/core/src/store/budget/tests.rs
@@ -1,13 +1,12 @@
-//! Tests of `budget`.
+//! Tests of the division of the request budget.
 
 use super::*;
-use crate::config::{Config, Operator};
+use crate::config::Operator;
+use crate::context::Context;
 use crate::membership::format::FormatVersion;
-use crate::records::{LeaderRecord, NodeRecord};
+use crate::records::NodeRecord;
 use crate::store::view::Versioned;
-use forkshift_wire::peer::Envelope;
 use forkshift_wire::settings::Settings;
-use std::rc::Rc;
 
 const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
 
@@ -42,14 +41,14 @@
     view
 }
 
-/// Whatever is needed by whom, and whoever is heard: the sum of what all
-/// may use stays within the limit, and need is served before ease.
+/// Whichever controllers have demand, and whichever have grants: the sum of all rates stays
+/// within the limit, and demand is served before the rest is divided.
 #[test]
-fn the_sum_of_all_grants_stays_within_the_limit() {
+fn the_sum_of_all_rates_stays_within_the_limit() {
     let names = ["n0", "n1", "n2", "n3"];
     let view = view(&names);
-    // Changes a second that n1 to n3 need, and whether they are heard
-    // and keep to grants.
+    // Writes a second that n1 to n3 demand, and whether they receive and keep to
+    // grants.
     let cases = [
         ("quiet", [0.0, 0.0, 0.0], [true, true, true]),
         ("one is busy", [500.0, 0.0, 0.0], [true, true, true]),
@@ -57,10 +56,10 @@
         ("one is new", [500.0, 500.0, 0.0], [true, false, true]),
         ("all are new", [500.0, 500.0, 0.0], [false, false, false]),
     ];
-    for (name, needs, granted) in cases {
+    for (name, demands, granted) in cases {
         let mut leader = ctx("n0", &names);
         let mut budget = Budget::default();
-        let others = names.iter().skip(1).zip(needs).zip(granted);
+        let others = names.iter().skip(1).zip(demands).zip(granted);
         for ((n, writes), granted) in others.clone() {
             let rate = StoreRate {
                 requests: 0.0,
@@ -68,25 +67,22 @@
             };
             budget.on_budget_request(10_000, NodeName::new(n), 1, rate, granted);
         }
-        budget.tick(&mut leader, &view);
-        let mut rates = vec![budget.rate(&leader, &view).writes];
+        let terms = BudgetTerms::from(&leader);
+        let messages = budget.tick(&terms, &mut leader.store, &view);
+        let mut rates = vec![budget.rate(&terms, &view).writes];
         for ((n, _), granted) in others {
             let member = ctx(n, &names);
             let mut own = Budget::default();
-            for effect in &leader.effects {
-                let crate::io::Effect::SendToPeer { node, message } = effect else {
+            for message in &messages {
+                let Body::BudgetGrant { writes, requests } = &message.body else {
                     continue;
                 };
-                let body = Envelope::decode(message).map(|e| e.body);
-                let Ok(Body::BudgetGrant { writes, requests }) = body else {
-                    continue;
-                };
-                if node.to_string() == **n && granted {
-                    let rate = StoreRate::from_milli(requests, writes);
+                if message.to.to_string() == **n && granted {
+                    let rate = StoreRate::from_milli(*requests, *writes);
                     own.on_grant(&member, NodeName::new("n0"), 1, rate);
                 }
             }
-            rates.push(own.rate(&member, &view).writes);
+            rates.push(own.rate(&BudgetTerms::from(&member), &view).writes);
         }
         let limit = leader.limits.write_rps;
         let sum: f64 = rates.iter().sum();
@@ -98,9 +94,9 @@
     }
 }
 
-/// A grant ends with its time, and with the leader that gave it.
+/// A grant expires, and ends with the leader that gave it.
 #[test]
-fn a_grant_is_void_under_another_leader_and_after_its_time() {
+fn a_grant_is_invalid_under_another_leader_and_after_its_expiry() {
     let names = ["n0", "n1"];
     let mut member = ctx("n1", &names);
     let mut own = Budget::default();
@@ -110,40 +106,44 @@
     };
     own.on_grant(&member, NodeName::new("n0"), 1, rate);
     let mut view = view(&names);
-    assert!(own.rate(&member, &view).writes > 1_000.0);
+    assert!(own.rate(&BudgetTerms::from(&member), &view).writes > 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
         leader.record.incarnation = 2;
     }
-    assert!(own.rate(&member, &view).writes < 1_000.0);
+    assert!(own.rate(&BudgetTerms::from(&member), &view).writes < 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
         leader.record.incarnation = 1;
     }
     member.now += 60_000;
-    assert!(own.rate(&member, &view).writes < 1_000.0);
+    assert!(own.rate(&BudgetTerms::from(&member), &view).writes < 1_000.0);
 }
 
-/// A grant that waited while this controller stood still may have been given
-/// to others since. Until the next one the even share is used, which the leader
-/// keeps back for who has none.
+/// The rate of a grant that waited in the socket during a pause of the process may have been
+/// granted to others since. Until the next grant the even part is used, which the leader
+/// reserves for controllers without one.
 #[test]
-fn a_grant_from_before_a_stop_is_not_used() {
+fn a_grant_from_before_a_pause_is_ignored() {
     let names = ["n0", "n1"];
     let view = view(&names);
     let all = StoreRate {
         requests: 1e6,
         writes: 1e6,
     };
-    // How long it stood still, how long after that the grant is found, and
-    // whether it counts.
+    // Length of the pause, time after it at which the grant is read, and whether the
+    // grant counts.
     let cases = [(0, 0, true), (20_000, 0, false), (20_000, 2_000, true)];
-    for (stop, after, counts) in cases {
+    for (pause_ms, after_ms, counts) in cases {
         let mut ctx = ctx("n1", &names);
         let mut budget = Budget::default();
-        let even = budget.rate(&ctx, &view);
-        ctx.note_process_pause(ctx.now + stop);
-        ctx.now += stop + after;
+        let even = budget.rate(&BudgetTerms::from(&ctx), &view);
+        ctx.note_process_pause(ctx.now + pause_ms);
+        ctx.now += pause_ms + after_ms;
         budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
-        let rate = budget.rate(&ctx, &view);
-        assert_eq!(rate != even, counts, "{stop} ms, {after} ms after it");
+        let rate = budget.rate(&BudgetTerms::from(&ctx), &view);
+        assert_eq!(
+            rate != even,
+            counts,
+            "{pause_ms} ms, {after_ms} ms after it"
+        );
     }
 }
--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -239,6 +239,22 @@
         finalized.map_or(FormatVersion::FIRST, |f| f.record)
     }
 
+    /// Whether an incarnation of a controller is the recorded leader.
+    pub(crate) fn is_led_by(&self, node: &NodeName, incarnation: u64) -> bool {
+        self.leader
+            .as_ref()
+            .is_some_and(|l| l.record.node == *node && l.record.incarnation == incarnation)
+    }
+
+    /// The epochs of all shards; none while the view is not complete.
+    pub(crate) fn shard_epochs(&self) -> Option<Vec<(u32, u64)>> {
+        let epochs = || {
+            let shards = self.shards.iter();
+            shards.map(|(id, s)| (id.0, s.record.epoch)).collect()
+        };
+        self.is_complete.then(epochs)
+    }
+
     /// The version of the epoch counter, and its value.
     pub(crate) fn epoch(&self) -> (u64, u64) {
         self.epoch
