--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,58 +1,60 @@
-//! What reaches a controller and what it wants done: batches of inputs go in,
-//! effects come out.
+//! The inputs of a controller, and the effects that it wants carried out.
 
 use crate::Ms;
 use forkshift_wire::NodeName;
 use serde::Serialize;
 
-/// Names a call that is under way.
+/// Names a call in flight.
 pub type CallId = u64;
 
-/// Names a request that waits for its answer.
+/// Names a request that has not been answered.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RequestId(pub u64);
 
-/// Set in the names of requests that other controllers have passed on.
+/// The `Retry-After` of a 503, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+
+/// Set in the names of requests that other controllers have forwarded.
 pub(crate) const PEER_REQUEST_BIT: u64 = 1 << 63;
 
 impl RequestId {
-    /// Whether another controller waits for the answer.
+    /// Whether another controller has forwarded the request.
     pub(crate) fn is_from_peer(self) -> bool {
         self.0 & PEER_REQUEST_BIT != 0
     }
 }
 
-/// What reaches the controller.
+/// An input of the controller.
 #[derive(Debug)]
 pub enum Input {
     /// A request from a user, a worker or a probe.
     Request {
-        /// To be named in the answer.
+        /// Named in [`Effect::Respond`].
         request: RequestId,
         /// `GET`, `POST`, …
         method: String,
         /// Path and query.
         path: String,
-        /// The body; none if it was too long.
+        /// The body; none if it exceeded the limit.
         body: Option<Vec<u8>>,
     },
-    /// A message from another controller, as it came.
+    /// An encoded message from another controller.
     Peer(Vec<u8>),
     /// The end of a call.
     Response {
         /// Which call.
         call: CallId,
-        /// HTTP status; 0: no answer came.
+        /// HTTP status; 0 without an answer.
         status: u16,
-        /// The body as it came.
+        /// The unparsed body.
         body: Vec<u8>,
     },
 }
 
-/// Whom a call goes to.
+/// The service that a call goes to.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Target {
-    /// The state service.
+    /// The key-value store.
     Store,
     /// The cloud.
     Cloud,
@@ -67,7 +69,7 @@
     pub status: u16,
     /// JSON.
     pub body: Vec<u8>,
-    /// When to come back.
+    /// The `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
@@ -81,22 +83,22 @@
         }
     }
 
-    /// An answer that says what was wrong.
+    /// An answer with an error message.
     pub(crate) fn error(status: u16, error: &str) -> Self {
         let error = error.to_owned();
         Self::json(status, &forkshift_wire::users::Refusal { error })
     }
 
-    /// Not now: come back after a while.
+    /// A 503 with an error message, to be retried after a second.
     pub(crate) fn later(error: &str) -> Self {
         Self {
-            retry_after_s: Some(1),
+            retry_after_s: Some(RETRY_AFTER_S),
             ..Self::error(503, error)
         }
     }
 }
 
-/// What the controller wants done.
+/// An effect that the controller wants carried out.
 #[derive(Debug)]
 pub enum Effect {
     /// Answer a request.
@@ -106,18 +108,18 @@
         /// The answer.
         reply: Reply,
     },
-    /// Tell another controller something. It may get lost.
+    /// Send a message to another controller. It may be lost.
     SendToPeer {
-        /// Whom.
+        /// The receiver.
         node: NodeName,
-        /// What, ready to be sent.
+        /// The encoded message.
         message: Vec<u8>,
     },
-    /// Make a call, once.
+    /// Make a call, without retries.
     Call {
-        /// To be named in the answer.
+        /// Named in [`Input::Response`].
         id: CallId,
-        /// To whom.
+        /// The service to be called.
         target: Target,
         /// `GET`, `POST` or `DELETE`.
         method: &'static str,
@@ -125,7 +127,7 @@
         path: String,
         /// JSON.
         body: Option<Vec<u8>>,
-        /// No answer counts after this.
+        /// Time for the answer, in milliseconds.
         timeout: Ms,
     },
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,8 @@
-//! The heart of a forkshift controller: one owner of all state.
+//! The logic of a forkshift controller, without I/O.
 //!
-//! [`Node`] is a deterministic machine. Batches of inputs go in, effects come
-//! out, and time is passed in; it does no I/O, reads no clock, and its random
-//! numbers come from a seed. The daemon runs it against the real services,
-//! the testkit against stand-ins in virtual time.
+//! [`Node`] is a deterministic state machine. It handles batches of [`Input`]s and returns
+//! [`Effect`]s; time is passed in, and its random numbers come from a seed. The daemon runs
+//! it against the real services, the testkit against simulated ones in virtual time.
 
 mod api;
 mod bounds;
@@ -37,10 +36,10 @@
 pub use shard::epoch_of_token;
 pub use sizing::{shortfalls, Shortfall};
 
-/// Milliseconds of a steady clock.
+/// A time of the steady clock, or a duration, in milliseconds.
 pub type Ms = u64;
 
-/// Seconds as milliseconds.
+/// Seconds in milliseconds; 0 for negative ones.
 pub(crate) fn ms(seconds: f64) -> Ms {
     (seconds * 1000.0).max(0.0) as Ms
 }
