--- a/crates/core/src/node/peer_heartbeats/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -12,8 +12,10 @@
 const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
 /// When the last successful renewal of the lease was sent.
 const RENEWED_AT: Ms = 50_000;
-const OURS: ShardId = ShardId(0);
-const THEIRS: ShardId = ShardId(1);
+/// A shard held by the controller under test.
+const HELD_SHARD: ShardId = ShardId(0);
+/// A shard held by the peer `north`.
+const PEER_SHARD: ShardId = ShardId(1);
 const EPOCH: u64 = 5;
 
 fn node() -> Node {
@@ -31,13 +33,13 @@
         },
         version: 1,
     };
-    let us = node.ctx.config.node.clone();
-    node.view.shards.insert(OURS, held(&us, 1));
+    let own_name = node.ctx.config.node.clone();
+    node.view.shards.insert(HELD_SHARD, held(&own_name, 1));
     node.view
         .shards
-        .insert(THEIRS, held(&NodeName::new("north"), 7));
-    let shard = Shard::new(&mut node.ctx, OURS, EPOCH, 1);
-    node.shards.insert(OURS, shard);
+        .insert(PEER_SHARD, held(&NodeName::new("north"), 7));
+    let shard = Shard::new(&mut node.ctx, HELD_SHARD, EPOCH, 1);
+    node.shards.insert(HELD_SHARD, shard);
     node.membership.on_lease_renewed(&node.ctx, RENEWED_AT, 200);
     let until = node.membership.lease_valid_until(&node.ctx);
     node.ctx.peer_confirmations.note_lease_valid_until(until);
@@ -73,7 +75,7 @@
             incarnation: confirmation.to_incarnation,
             sent_at: confirmation.as_of,
         }),
-        epochs: confirmation.epoch.map(|e| vec![(OURS.0, e)]),
+        epochs: confirmation.epoch.map(|e| vec![(HELD_SHARD.0, e)]),
         store_refused_for_ms: confirmation.refused_for,
         settled_shards: settled,
     };
@@ -88,7 +90,7 @@
     for confirmation in confirmations {
         receive(&mut node, confirmation, vec![]);
     }
-    node.may_answer_without_lease(&node.shards[&OURS])
+    node.may_answer_without_lease(&node.shards[&HELD_SHARD])
 }
 
 /// Messages from one peer are not sufficient: a third controller may have confirmed a
@@ -156,7 +158,7 @@
             false,
         ),
         (
-            "a late copy that has, as of long ago",
+            "a delayed heartbeat that has, as of long ago",
             vec![confirms("north", RENEWED_AT, taken)],
             RENEWED_AT + own,
             false,
@@ -174,7 +176,7 @@
             false,
         ),
         (
-            "a late copy proves nothing new",
+            "a delayed heartbeat proves nothing new",
             vec![
                 confirms("north", later, seen),
                 confirms("south", RENEWED_AT + own + 1, seen),
@@ -183,10 +185,10 @@
             false,
         ),
     ];
-    for (name, confirmations, now, holds) in cases {
+    for (name, confirmations, now, answers) in cases {
         assert_eq!(
             answers_without_lease(node(), now, confirmations),
-            holds,
+            answers,
             "{name}"
         );
     }
@@ -265,15 +267,15 @@
             false,
         ),
     ];
-    for (name, ours, confirmations, holds) in cases {
+    for (name, refused_since, confirmations, answers) in cases {
         let mut node = node();
         let Context { store, rng, .. } = &mut node.ctx;
-        if let Some(since) = ours {
+        if let Some(since) = refused_since {
             store.on_response(503, since, rng);
         }
         assert_eq!(
             answers_without_lease(node, now, confirmations),
-            holds,
+            answers,
             "{name}"
         );
     }
@@ -342,7 +344,10 @@
         let mut node = node();
         node.ctx.now = RENEWED_AT;
         if let Some((as_of, unsettled)) = stated {
-            let settled = vec![settled(THEIRS, unsettled), settled(OURS, unsettled)];
+            let settled = vec![
+                settled(PEER_SHARD, unsettled),
+                settled(HELD_SHARD, unsettled),
+            ];
             receive(&mut node, confirms("north", as_of, Some(EPOCH)), settled);
         }
         node.ctx.now = now;
@@ -353,21 +358,24 @@
         }
         let machine = MachineId::new("m-1");
         assert_eq!(
-            node.may_keep_worker_alive(THEIRS, &machine),
+            node.may_keep_worker_alive(PEER_SHARD, &machine),
             keeps,
-            "{name}: another's"
+            "{name}: another holder's shard"
         );
-        // While we load a shard the same holds, whoever else is there; besides,
+        // While a shard is loaded the same holds, whichever peers are alive; besides,
         // what an earlier holder confirmed is a lease old at the most.
         let stated = stated.is_some_and(|(_, held)| held.is_empty());
         let in_time =
             (stated && now < RENEWED_AT + grace) || now < RENEWED_AT + config.loading_grace_ms();
-        let mut shard = node.shards.remove(&OURS).expect("it is ours");
+        let mut shard = node
+            .shards
+            .remove(&HELD_SHARD)
+            .expect("the shard is held here");
         shard.active_since = RENEWED_AT;
         assert_eq!(
             node.may_answer_while_loading(&shard, &machine),
             in_time,
-            "{name}: ours"
+            "{name}: a shard held here"
         );
     }
     assert!(config.loading_grace_ms() + config.lease_ms * 2 < config.cancel_ms);
--- a/crates/core/src/store/queue.rs
+++ b/crates/core/src/store/queue.rs
@@ -174,7 +174,8 @@
         Some(call)
     }
 
-    /// The first call at or behind a position; calls with writes count only if asked for.
+    /// The first call at or behind a position; calls with writes count only if `with_changes`
+    /// is set.
     fn first(&self, from: QueuePosition, with_changes: bool) -> Option<QueuePosition> {
         let read = self.reads.range(from..).next().map(|(p, _)| *p);
         let change = self.changes.range(from..).next().map(|(p, _)| *p);
--- a/crates/core/src/store/rate.rs
+++ b/crates/core/src/store/rate.rs
@@ -129,3 +129,6 @@
         self.tokens = self.tokens.min(self.burst() * RESUMED_BURST_PART);
     }
 }
+
+#[cfg(test)]
+mod tests;
