--- /dev/null
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -0,0 +1,440 @@
+//! Tests of the heartbeats between controllers and the confirmations in them.
+
+use super::*;
+use crate::bounds::NAME_LENGTH_BYTES;
+use crate::config::{Config, Operator};
+use crate::context::Context;
+use crate::records::ShardRecord;
+use crate::store::view::Versioned;
+use forkshift_wire::peer::HeartbeatAck;
+use forkshift_wire::settings::Settings;
+
+const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
+/// When the last successful renewal of the lease was sent.
+const RENEWED_AT: Ms = 50_000;
+/// A shard held by the controller under test.
+const HELD_SHARD: ShardId = ShardId(0);
+/// A shard held by the peer `north`.
+const PEER_SHARD: ShardId = ShardId(1);
+const EPOCH: u64 = 5;
+
+fn node() -> Node {
+    let settings = Settings::parse(SETTINGS).expect("the example is good");
+    let mut config = Config::new(&settings, Operator::default());
+    let names = ["north", "south"].map(NodeName::new);
+    config.nodes = [config.node.clone()].into_iter().chain(names).collect();
+    let mut node = Node::new(config, 1, 1);
+    let held = |holder: &NodeName, incarnation| Versioned {
+        record: ShardRecord {
+            holder: holder.clone(),
+            holder_incarnation: incarnation,
+            epoch: EPOCH,
+            handover_to: None,
+        },
+        version: 1,
+    };
+    let own_name = node.ctx.config.node.clone();
+    node.view.shards.insert(HELD_SHARD, held(&own_name, 1));
+    node.view
+        .shards
+        .insert(PEER_SHARD, held(&NodeName::new("north"), 7));
+    let shard = Shard::new(&mut node.ctx, HELD_SHARD, EPOCH, 1);
+    node.shards.insert(HELD_SHARD, shard);
+    node.membership.on_lease_renewed(&node.ctx, RENEWED_AT, 200);
+    let until = node.membership.lease_valid_until(&node.ctx);
+    node.ctx.peer_confirmations.note_lease_valid_until(until);
+    node
+}
+
+/// What a peer confirms: as of which heartbeat of this controller, and which epoch of its
+/// shard the peer has seen; none: it has read nothing since it started.
+#[derive(Clone, Copy)]
+struct Confirmation {
+    from: &'static str,
+    to_incarnation: u64,
+    as_of: Ms,
+    epoch: Option<u64>,
+    refused_for: Option<Ms>,
+}
+
+fn confirms(from: &'static str, as_of: Ms, epoch: Option<u64>) -> Confirmation {
+    Confirmation {
+        from,
+        to_incarnation: 1,
+        as_of,
+        epoch,
+        refused_for: None,
+    }
+}
+
+fn receive(node: &mut Node, confirmation: Confirmation, settled: Vec<SettledShard>) {
+    let from = NodeName::new(confirmation.from);
+    let heartbeat = PeerHeartbeat {
+        sent_at: 1,
+        acknowledged: Some(HeartbeatAck {
+            incarnation: confirmation.to_incarnation,
+            sent_at: confirmation.as_of,
+        }),
+        epochs: confirmation.epoch.map(|e| vec![(HELD_SHARD.0, e)]),
+        store_refused_for_ms: confirmation.refused_for,
+        settled_shards: settled,
+    };
+    node.note_peer_alive(&from, 7);
+    node.on_heartbeat(&from, 7, heartbeat);
+}
+
+/// Whether a controller without a valid lease answers workers of its shard at a time, after
+/// confirmations of peers.
+fn answers_without_lease(mut node: Node, now: Ms, confirmations: Vec<Confirmation>) -> bool {
+    node.ctx.now = now;
+    for confirmation in confirmations {
+        receive(&mut node, confirmation, vec![]);
+    }
+    node.may_answer_without_lease(&node.shards[&HELD_SHARD])
+}
+
+/// Messages from one peer are not sufficient: a third controller may have confirmed a
+/// cancellation as the new holder just before an outage. Workers are answered only with
+/// confirmations of all peers.
+#[test]
+fn workers_are_answered_without_a_valid_lease_only_on_confirmations() {
+    let config = node().ctx.config.clone();
+    let own = config.node_lease_ms() - config.node_lease_ms() / 500;
+    let grace = config.grace_ms();
+    assert!(grace + config.lease_ms < config.cancel_ms);
+    let end = RENEWED_AT + own + grace;
+    let later = end + 10_000;
+    let seen = Some(EPOCH);
+    let taken = Some(EPOCH + 1);
+    let both = |a, b| vec![confirms("north", a, seen), confirms("south", b, seen)];
+    let cases: Vec<(&str, Vec<Confirmation>, Ms, bool)> = vec![
+        ("no confirmations, in time", vec![], end - 1, true),
+        ("no confirmations, too late", vec![], end, false),
+        (
+            "one of two confirms",
+            vec![confirms("north", later, seen)],
+            end,
+            false,
+        ),
+        ("both confirm", both(later, later), later, true),
+        (
+            "both confirmed for a while",
+            both(end, later),
+            end + grace - 1,
+            true,
+        ),
+        (
+            "both confirmed too long ago",
+            both(end, later),
+            end + grace,
+            false,
+        ),
+        (
+            "one has restarted and read nothing",
+            vec![
+                confirms("north", later, seen),
+                confirms("south", later, None),
+            ],
+            end,
+            false,
+        ),
+        (
+            "one confirmed before it restarted",
+            vec![
+                confirms("north", later, seen),
+                confirms("south", end, seen),
+                confirms("south", later, None),
+            ],
+            end + grace,
+            false,
+        ),
+        (
+            "one has seen a successor",
+            vec![
+                confirms("north", later, seen),
+                confirms("south", later, taken),
+            ],
+            RENEWED_AT + own,
+            false,
+        ),
+        (
+            "a delayed heartbeat that has, as of long ago",
+            vec![confirms("north", RENEWED_AT, taken)],
+            RENEWED_AT + own,
+            false,
+        ),
+        (
+            "one confirms to an earlier incarnation",
+            vec![
+                confirms("north", later, seen),
+                Confirmation {
+                    to_incarnation: 99,
+                    ..confirms("south", later, seen)
+                },
+            ],
+            end,
+            false,
+        ),
+        (
+            "a delayed heartbeat proves nothing new",
+            vec![
+                confirms("north", later, seen),
+                confirms("south", RENEWED_AT + own + 1, seen),
+            ],
+            end + grace,
+            false,
+        ),
+    ];
+    for (name, confirmations, now, answers) in cases {
+        assert_eq!(
+            answers_without_lease(node(), now, confirmations),
+            answers,
+            "{name}"
+        );
+    }
+}
+
+/// Losing all leases in an outage whenever one controller has restarted would be costly.
+/// Controllers that the store has refused from before the lease expired until now prove that
+/// no shard can have been reassigned.
+#[test]
+fn an_outage_confirmed_by_a_majority_keeps_workers_answered() {
+    let config = node().ctx.config.clone();
+    let lease_end = RENEWED_AT + config.node_lease_ms() - config.node_lease_ms() / 500;
+    let now = lease_end + config.grace_ms() + 10_000;
+    let seen = Some(EPOCH);
+    let refused = |from, since: Ms| Confirmation {
+        refused_for: Some(now - since),
+        ..confirms(from, now - 100, seen)
+    };
+    let restarted = confirms("south", now - 100, None);
+    // Since when the store refuses this controller, what is received, and whether
+    // workers are answered.
+    let cases: Vec<(&str, Option<Ms>, Vec<Confirmation>, bool)> = vec![
+        (
+            "both since before",
+            Some(RENEWED_AT),
+            vec![refused("north", RENEWED_AT)],
+            true,
+        ),
+        (
+            "refused here only after the lease expired",
+            Some(lease_end),
+            vec![refused("north", RENEWED_AT)],
+            false,
+        ),
+        (
+            "the other later",
+            Some(RENEWED_AT),
+            vec![refused("north", lease_end)],
+            false,
+        ),
+        (
+            "served here",
+            None,
+            vec![refused("north", RENEWED_AT)],
+            false,
+        ),
+        ("nobody else", Some(RENEWED_AT), vec![], false),
+        (
+            "the third was served",
+            Some(RENEWED_AT),
+            vec![refused("north", RENEWED_AT), restarted],
+            false,
+        ),
+        (
+            "the third has restarted, and is refused",
+            Some(RENEWED_AT),
+            vec![
+                refused("north", RENEWED_AT),
+                Confirmation {
+                    refused_for: Some(1_000),
+                    ..restarted
+                },
+            ],
+            true,
+        ),
+        (
+            "the third has seen a successor",
+            Some(RENEWED_AT),
+            vec![
+                refused("north", RENEWED_AT),
+                Confirmation {
+                    epoch: Some(EPOCH + 1),
+                    ..refused("south", RENEWED_AT)
+                },
+            ],
+            false,
+        ),
+    ];
+    for (name, refused_since, confirmations, answers) in cases {
+        let mut node = node();
+        let Context { store, rng, .. } = &mut node.ctx;
+        if let Some(since) = refused_since {
+            store.on_response(503, since, rng);
+        }
+        assert_eq!(
+            answers_without_lease(node, now, confirmations),
+            answers,
+            "{name}"
+        );
+    }
+}
+
+/// A worker whose holder is unreachable is answered by others only while no task with a
+/// confirmed cancellation can be on it; so is one whose shard is being loaded.
+#[test]
+fn workers_of_others_are_kept_alive_only_while_settled() {
+    let config = node().ctx.config.clone();
+    let own = config.node_lease_ms();
+    let grace = config.grace_ms();
+    let settled = |shard: ShardId, unsettled: &[&str]| SettledShard {
+        shard: shard.0,
+        unsettled_machines: unsettled.iter().map(|m| (*m).to_owned()).collect(),
+    };
+    let none: &[&str] = &[];
+    let held: &[&str] = &["m-1"];
+    // As of when the holder stated what, whether it is alive, now.
+    let cases = [
+        (
+            "cut off",
+            Some((RENEWED_AT, none)),
+            false,
+            RENEWED_AT + own,
+            true,
+        ),
+        (
+            "it holds a cancelled task",
+            Some((RENEWED_AT, held)),
+            false,
+            RENEWED_AT + own,
+            false,
+        ),
+        ("nothing was stated", None, false, RENEWED_AT + own, false),
+        (
+            "its holder is there",
+            Some((RENEWED_AT, none)),
+            true,
+            RENEWED_AT + own,
+            false,
+        ),
+        (
+            "served here",
+            Some((RENEWED_AT, none)),
+            false,
+            RENEWED_AT + own / 2,
+            false,
+        ),
+        (
+            "nearly too long",
+            Some((RENEWED_AT, none)),
+            false,
+            RENEWED_AT + grace - 1,
+            true,
+        ),
+        (
+            "too long",
+            Some((RENEWED_AT, none)),
+            false,
+            RENEWED_AT + grace,
+            false,
+        ),
+    ];
+    for (name, stated, there, now, keeps) in cases {
+        let mut node = node();
+        node.ctx.now = RENEWED_AT;
+        if let Some((as_of, unsettled)) = stated {
+            let settled = vec![
+                settled(PEER_SHARD, unsettled),
+                settled(HELD_SHARD, unsettled),
+            ];
+            receive(&mut node, confirms("north", as_of, Some(EPOCH)), settled);
+        }
+        node.ctx.now = now;
+        if there {
+            node.note_peer_alive(&NodeName::new("north"), 7);
+        } else {
+            node.ctx.peers.clear();
+        }
+        let machine = MachineId::new("m-1");
+        assert_eq!(
+            node.may_keep_worker_alive(PEER_SHARD, &machine),
+            keeps,
+            "{name}: another holder's shard"
+        );
+        // While a shard is loaded the same holds, whichever peers are alive; besides,
+        // what an earlier holder confirmed is a lease old at the most.
+        let stated = stated.is_some_and(|(_, held)| held.is_empty());
+        let in_time =
+            (stated && now < RENEWED_AT + grace) || now < RENEWED_AT + config.loading_grace_ms();
+        let mut shard = node
+            .shards
+            .remove(&HELD_SHARD)
+            .expect("the shard is held here");
+        shard.active_since = RENEWED_AT;
+        assert_eq!(
+            node.may_answer_while_loading(&shard, &machine),
+            in_time,
+            "{name}: a shard held here"
+        );
+    }
+    assert!(config.loading_grace_ms() + config.lease_ms * 2 < config.cancel_ms);
+}
+
+fn unsettled(shard: u32, machines: usize) -> SettledShard {
+    let names = (0..machines).map(|n| format!("host-{n:06}"));
+    SettledShard {
+        shard,
+        unsettled_machines: names.collect(),
+    }
+}
+
+/// A shard with many machines that may hold a cancelled task, as after an array on a large
+/// fleet is cancelled, still makes its statement; else the next holder could not answer any
+/// of its workers while it loads the shard.
+#[test]
+fn statements_are_left_out_only_where_a_heartbeat_has_no_room() {
+    let name = "host-000000".len() + NAME_LENGTH_BYTES;
+    let cases: [(usize, &[usize], &[u32]); 6] = [
+        (100, &[100], &[0]),
+        (100, &[101], &[]),
+        (4_000, &[4_000], &[0]),
+        (100, &[60, 40], &[0, 1]),
+        (100, &[60, 41], &[1]),
+        (100, &[101, 0, 30], &[1, 2]),
+    ];
+    for (room, machines, kept) in cases {
+        let shards = machines.iter().enumerate();
+        let mut settled: Vec<SettledShard> = shards.map(|(k, n)| unsettled(k as u32, *n)).collect();
+        let left_out = keep_shortest_within(&mut settled, room * name);
+        let shards: Vec<u32> = settled.iter().map(|s| s.shard).collect();
+        assert_eq!(shards, kept, "{machines:?} with room for {room}");
+        assert_eq!(left_out, machines.len() - kept.len());
+    }
+}
+
+/// The longest list of names still leaves room for the rest of a heartbeat.
+#[test]
+fn a_heartbeat_with_the_longest_list_of_machines_can_be_encoded() {
+    let room = Settings::parse(SETTINGS).map(|s| crate::Bounds::new(&s, 1.0).list_bytes);
+    let machines = room.expect("the example is good") / ("host-000000".len() + NAME_LENGTH_BYTES);
+    assert!(machines >= 4_000, "{machines} machines");
+    let body = Body::Heartbeat(PeerHeartbeat {
+        sent_at: u64::MAX,
+        acknowledged: Some(HeartbeatAck {
+            incarnation: 1,
+            sent_at: 2,
+        }),
+        epochs: Some((0..64).map(|k| (k, u64::MAX)).collect()),
+        store_refused_for_ms: Some(1),
+        settled_shards: vec![unsettled(0, machines)],
+    });
+    let envelope = forkshift_wire::peer::Envelope {
+        version: body.version(),
+        from: "berth-0".to_owned(),
+        incarnation: 1,
+        epoch: 1,
+        body,
+    };
+    assert!(envelope.encode().is_ok());
+}
