--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -1,7 +1,7 @@
 //! A shard that this controller holds: its jobs and its machines.
 //!
-//! [`Shard`] is the state; what is done with it is in the modules below by
-//! concern, and in `reconcile`, `evidence`, `rounds`, `drain` and `commit`.
+//! [`Shard`] is the state in memory. The modules below act on it, each for one
+//! concern; [`Shard::reconcile`] runs them after every batch of messages.
 
 mod arrivals;
 mod bindings;
@@ -15,6 +15,7 @@
 pub(crate) mod heartbeats;
 pub(crate) mod job;
 mod job_writes;
+mod jobs_watch;
 pub(crate) mod layout;
 pub(crate) mod machine;
 mod machine_costs;
@@ -30,22 +31,25 @@
 pub(crate) use bindings::new_layout;
 pub(crate) use handover::hand_over;
 
+use crate::config::Config;
 use crate::context::Context;
 use crate::io::Reply;
 use crate::pending_call::PendingCall;
 use crate::pools::ShardPools;
 use crate::records::{shard_key, DemandRecord, MachineRecord, ShardId};
 use crate::shard::job::Job;
+use crate::shard::jobs_watch::JobsWatch;
 use crate::shard::machine::Machine;
 use crate::store::queue::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
 use forkshift_sched::{Quota, Resources};
-use forkshift_wire::state::{Item, Precondition, Transaction, Write};
+use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::{JobId, MachineId};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A token is an epoch above a counter of this many bits.
+/// Bits of a fencing token below the epoch: a counter of the tokens that were
+/// minted under that epoch.
 pub(crate) const TOKEN_BITS: u32 = 24;
 
 /// The epoch of a shard's holding under which a fencing token was minted.
@@ -53,28 +57,31 @@
     token >> TOKEN_BITS
 }
 
-/// How far a shard is.
+/// Recovery state of a shard after its holder changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Phase {
-    /// Its jobs are being read.
+    /// The records of its jobs are being read.
     Loading,
-    /// Its jobs are read as of a revision that the view has not reached.
+    /// Its jobs are read as of this revision, which the view has not reached.
     Waiting(u64),
-    /// In use.
+    /// Recovered: its jobs are scheduled and its requests served.
     Active,
 }
 
 /// A shard that this controller holds.
+///
+/// Times are in milliseconds of the steady clock ([`Context::now`]) unless a
+/// field's name says otherwise.
 pub(crate) struct Shard {
-    /// Its number.
+    /// Number of the shard.
     pub(crate) id: ShardId,
-    /// The epoch under which it is held: no other holder ever has the same.
+    /// The epoch under which it is held; no two holdings have the same.
     pub(crate) epoch: u64,
-    /// Version of its record.
+    /// Version of the shard's record.
     pub(crate) version: u64,
-    /// How far its loading is.
+    /// How far its recovery is.
     pub(crate) phase: Phase,
-    /// Since when it is in use.
+    /// When it became active; until then, when it was assigned.
     pub(crate) active_since: Ms,
     /// Its unfinished jobs.
     pub(crate) jobs: BTreeMap<JobId, Job>,
@@ -82,43 +89,28 @@
     pub(crate) machines: BTreeMap<MachineId, Machine>,
     /// Its teams, with their index in `quotas`.
     pub(crate) teams: BTreeMap<String, usize>,
-    /// Guarantees, limits and use of its teams.
+    /// Guarantee, limit and use of each team.
     pub(crate) quotas: Vec<Quota>,
-    /// Machines to be looked at.
+    /// Machines that are due for reconciliation.
     pub(crate) recheck: TimerQueue<MachineId>,
-    /// Jobs that may have to be written.
+    /// Jobs whose records may have to be written.
     pub(crate) unwritten_jobs: TimerQueue<JobId>,
-    /// Jobs of which mere progress is to be written, once a round.
-    pub(crate) jobs_with_progress: BTreeSet<JobId>,
+    /// Jobs of which nothing but progress has to be written.
+    progress_writes: ProgressWrites,
     /// Gangs that may have lost a task.
     pub(crate) incomplete_gangs: BTreeSet<JobId>,
-    /// Cancelled jobs, for when their tasks must be gone.
+    /// Cancelled jobs, due when the stop of their tasks is to be enforced.
     pub(crate) cancelled_jobs: TimerQueue<JobId>,
-    /// Jobs that are over, with the revision that removed them: a watch may
-    /// still show how they were created.
-    removed_jobs: HashMap<JobId, u64>,
-    /// Records that were read before the shard is active.
-    loaded_items: Vec<Item>,
-    /// When its jobs are to be read anew.
-    relist_at: Option<Ms>,
-    /// The revision up to which its jobs are known.
-    jobs_revision: u64,
-    /// Whether a watch on its jobs is open.
-    is_watching: bool,
-    /// Numbers those watches.
-    watch_serial: u64,
-    /// When the next watch may be opened.
-    next_watch_at: Ms,
-    /// When the next round is due.
+    /// The list of its jobs' records, and the watch that keeps it current.
+    jobs_watch: JobsWatch,
+    /// When the next scheduling round is due.
     pub(crate) next_round_at: Ms,
-    /// When the last round was.
+    /// When the last scheduling round was.
     pub(crate) last_round_at: Ms,
-    /// When progress is written next.
-    pub(crate) next_progress_write_at: Ms,
-    /// Arrivals of each class.
+    /// Arrivals of each job class.
     pub(crate) classes: BTreeMap<String, ArrivalStats>,
-    /// Since when arrivals are counted: jobs that were taken over, or came
-    /// before anything could run, are a backlog and tell of no rate.
+    /// Since when arrivals are counted. Jobs that were recovered, or submitted
+    /// before anything could run, are a backlog and give no arrival rate.
     pub(crate) arrivals_counted_since: Option<Ms>,
     /// When a machine was last chosen to be drained.
     pub(crate) last_drain_at: Ms,
@@ -126,44 +118,45 @@
     pub(crate) last_replica_move_at: Ms,
     /// When work was last preempted.
     pub(crate) last_preemption_at: Ms,
-    /// When the demand was last written to the state service.
+    /// When the demand was last written to the key-value store.
     pub(crate) last_demand_write_at: Ms,
-    /// The demand that the leader was told last.
+    /// The demand that was last sent to the leader.
     pub(crate) last_demand_sent: DemandRecord,
-    /// When that was.
+    /// When the demand was last sent to the leader.
     pub(crate) last_demand_sent_at: Ms,
     /// Whether the record of the demand is being written.
     pub(crate) is_writing_demand: bool,
-    /// Shown again only in sight of this revision.
+    /// The demand is written again only once the view has reached this
+    /// revision.
     pub(crate) demand_required_revision: u64,
-    /// The watch was lost: the shard is to be loaded again.
+    /// The watch on the jobs was lost: the shard is to be recovered anew.
     pub(crate) must_reload: bool,
-    /// Somebody has seen a higher epoch of it, which our view has not: without
-    /// a right of our own we answer for it no more.
+    /// Another process has seen a higher epoch of the shard, which our view has
+    /// not reached: without a valid lease its requests are no longer served.
     pub(crate) is_superseded: bool,
-    /// A job was added for which a cancellation may have been left.
+    /// A job was added for which a request to cancel it may be recorded.
     pub(crate) must_check_cancellations: bool,
-    /// Jobs that wait for others, and were just added.
-    pub(crate) new_blocked_jobs: Vec<JobId>,
-    /// Its teams' warm pools.
+    /// Jobs with dependencies that are not registered yet.
+    new_blocked_jobs: Vec<JobId>,
+    /// Warm pools of its teams.
     pub(crate) pools: ShardPools,
 }
 
+/// Jobs of which nothing but progress is to be written, at most once a round.
+#[derive(Default)]
+struct ProgressWrites {
+    /// Jobs with unwritten progress.
+    jobs: BTreeSet<JobId>,
+    /// When they are written next, in milliseconds of the steady clock.
+    next_at: Ms,
+}
+
 impl Shard {
-    /// A shard that was just assigned to this controller; its jobs are read.
+    /// A shard that was just assigned to this controller; starts to read its
+    /// jobs.
     pub(crate) fn new(ctx: &mut Context, id: ShardId, epoch: u64, version: u64) -> Self {
-        log::info!("shard {id}: ours from epoch {epoch}");
-        let mut teams = BTreeMap::new();
-        let mut quotas = Vec::new();
-        for team in ctx.config.teams.values().filter(|t| t.shard == id) {
-            teams.insert(team.name.clone(), quotas.len());
-            quotas.push(Quota {
-                guarantee: team.guarantee,
-                limit: team.limit,
-                used: Resources::default(),
-            });
-        }
-        let shard = Self {
+        log::info!("shard {id}: assigned to this controller, epoch {epoch}");
+        let mut shard = Self {
             id,
             epoch,
             version,
@@ -171,23 +164,16 @@
             active_since: ctx.now,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            teams,
-            quotas,
+            teams: BTreeMap::new(),
+            quotas: Vec::new(),
             recheck: TimerQueue::default(),
             unwritten_jobs: TimerQueue::default(),
-            jobs_with_progress: BTreeSet::new(),
+            progress_writes: ProgressWrites::default(),
             incomplete_gangs: BTreeSet::new(),
             cancelled_jobs: TimerQueue::default(),
-            removed_jobs: HashMap::new(),
-            loaded_items: Vec::new(),
-            relist_at: None,
-            jobs_revision: 0,
-            is_watching: false,
-            watch_serial: 0,
-            next_watch_at: 0,
+            jobs_watch: JobsWatch::default(),
             next_round_at: ctx.now,
             last_round_at: 0,
-            next_progress_write_at: 0,
             classes: BTreeMap::new(),
             arrivals_counted_since: None,
             last_drain_at: 0,
@@ -204,14 +190,27 @@
             new_blocked_jobs: Vec::new(),
             pools: ShardPools::default(),
         };
+        shard.add_teams(&ctx.config);
         shard.list_jobs(ctx, "");
         shard
     }
 
-    /// Somebody has seen a higher epoch of the shard.
+    /// Adds the teams that the settings place in this shard.
+    fn add_teams(&mut self, config: &Config) {
+        for team in config.teams.values().filter(|t| t.shard == self.id) {
+            self.teams.insert(team.name.clone(), self.quotas.len());
+            self.quotas.push(Quota {
+                guarantee: team.guarantee,
+                limit: team.limit,
+                used: Resources::default(),
+            });
+        }
+    }
+
+    /// Notes that another process has seen a higher epoch of the shard.
     pub(crate) fn mark_superseded(&mut self, how: &str) {
         if !self.is_superseded {
-            log::info!("shard {}: not ours any more, {how}", self.id);
+            log::info!("shard {}: superseded, {how}", self.id);
             self.is_superseded = true;
         }
     }
@@ -230,29 +229,30 @@
         }
     }
 
-    /// Asks for a round before its time.
+    /// Brings the next scheduling round forward, as far as the least gap between
+    /// two rounds allows.
     pub(crate) fn schedule_round_soon(&mut self, ctx: &Context) {
-        let gap = crate::ms(ctx.config.ops.round_gap_s);
-        self.next_round_at = self
-            .next_round_at
-            .min(ctx.now.max(self.last_round_at + gap));
+        let min_gap_ms = crate::ms(ctx.config.ops.round_gap_s);
+        let earliest = ctx.now.max(self.last_round_at + min_gap_ms);
+        self.next_round_at = self.next_round_at.min(earliest);
     }
 
-    /// The shard is not ours any more: users who wait ask whoever has it.
+    /// Drops the shard, which another controller holds now: requests that wait
+    /// for a cancellation are answered to be retried.
     pub(crate) fn release(self, ctx: &mut Context) {
-        let waiters = self.jobs.into_values().flat_map(|j| j.cancel_waiters);
+        let waiters = self.jobs.into_values().flat_map(|job| job.cancel_waiters);
         for request in waiters {
             ctx.respond(request, Reply::later("try again"));
         }
     }
 
-    /// The longest boot of its machines.
+    /// The longest boot time of its machines, in milliseconds; 0 without any.
     pub(crate) fn boot_ms(&self) -> Ms {
         self.machines.values().map(|m| m.boot_ms).max().unwrap_or(0)
     }
 }
 
-/// Removes a record that nothing refers to any more.
+/// Removes a record to which nothing refers, if it still has this version.
 pub(crate) fn remove_key(ctx: &mut Context, key: String, version: u64) {
     let transaction = Transaction {
         preconditions: vec![Precondition {
--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -20,13 +20,10 @@
         spec: JobSpec,
         layout: Option<Layout>,
         at: Ms,
-        stamp: u64,
+        head_version: u64,
     ) {
-        let over = self
-            .removed_jobs
-            .get(&spec.id)
-            .is_some_and(|revision| stamp <= *revision);
-        if over || self.jobs.contains_key(&spec.id) || !self.teams.contains_key(&spec.team) {
+        let is_removed = self.jobs_watch.is_removed(&spec.id, head_version);
+        if is_removed || self.jobs.contains_key(&spec.id) || !self.teams.contains_key(&spec.team) {
             return;
         }
         let image = ctx.images.number(&spec.image);
@@ -34,7 +31,7 @@
             self.count_arrival(&spec, ctx.now);
         }
         let layout = layout.unwrap_or_else(|| new_layout(ctx, &spec));
-        let mut job = Job::new(spec, image, stamp, layout, ctx.now);
+        let mut job = Job::new(spec, image, head_version, layout, ctx.now);
         job.submitted_at_wall_ms = at;
         job.age_when_learnt = ctx.wall_clock_ms.saturating_sub(at);
         if ctx.config.waits.contains_key(&job.spec.class) {
@@ -57,7 +54,7 @@
         at: Ms,
         revision: u64,
     ) {
-        if self.phase == Phase::Active && revision > self.jobs_revision {
+        if self.phase == Phase::Active && self.jobs_watch.is_behind(revision) {
             self.add_job(ctx, spec, None, at, revision);
         }
     }
@@ -67,9 +64,9 @@
         self.jobs.remove(id);
         self.unwritten_jobs.forget(id);
         self.cancelled_jobs.forget(id);
-        self.jobs_with_progress.remove(id);
+        self.progress_writes.jobs.remove(id);
         self.incomplete_gangs.remove(id);
-        self.removed_jobs.insert(id.clone(), revision);
+        self.jobs_watch.note_removed(id, revision);
     }
 
     /// Books a task on a machine.
--- a/crates/core/src/shard/job_writes.rs
+++ b/crates/core/src/shard/job_writes.rs
@@ -41,7 +41,7 @@
     /// job is written at most once a round.
     pub(crate) fn write_jobs(&mut self, ctx: &mut Context, progress: bool) {
         if progress {
-            for id in std::mem::take(&mut self.jobs_with_progress) {
+            for id in std::mem::take(&mut self.progress_writes.jobs) {
                 self.unwritten_jobs.touch(&id);
             }
         }
@@ -68,7 +68,7 @@
             match job_change(self, job, ctx, progress) {
                 Some(part) => parts.push(part),
                 None if job.is_dirty() => {
-                    self.jobs_with_progress.insert(id);
+                    self.progress_writes.jobs.insert(id);
                 }
                 None => {}
             }
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -35,9 +35,9 @@
         for id in self.recheck.take(ctx.now) {
             self.reconcile_machine(ctx, view, &id);
         }
-        let progress = ctx.now >= self.next_progress_write_at;
+        let progress = ctx.now >= self.progress_writes.next_at;
         if progress {
-            self.next_progress_write_at = ctx.now + crate::ms(ctx.config.ops.round_s);
+            self.progress_writes.next_at = ctx.now + crate::ms(ctx.config.ops.round_s);
         }
         self.write_jobs(ctx, progress);
     }
