--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -33,7 +33,7 @@
         let layout = layout.unwrap_or_else(|| new_layout(ctx, &spec));
         let mut job = Job::new(spec, image, head_version, layout, ctx.now);
         job.submitted_at_wall_ms = at;
-        job.age_when_learnt = ctx.wall_clock_ms.saturating_sub(at);
+        job.submission_age.when_learned_ms = ctx.wall_clock_ms.saturating_sub(at);
         if ctx.config.waits.contains_key(&job.spec.class) {
             self.schedule_round_soon(ctx);
         }
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -229,7 +229,7 @@
         }
         job.is_cancelled = true;
         job.cancelled_at_wall_ms = ctx.wall_clock_ms;
-        job.cancellation_learnt_at = ctx.now;
+        job.cancellation_age.learned_at = ctx.now;
         job.mark_block_changed(0);
         for binding in job.bound.values_mut() {
             binding.stop = Some(Stop::after(0.0));
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -18,7 +18,7 @@
 use crate::pending_call::PendingCall;
 use crate::recent_jobs::FinalStage;
 use crate::records::{job_key, ShardId};
-use crate::shard::job::Job;
+use crate::shard::job::{EventAge, Job};
 use crate::shard::Phase;
 use crate::store::queue::Urgency;
 use crate::timers::TimerQueue;
@@ -108,8 +108,10 @@
         if !self.unresolved.remove(dependency) || self.is_blocked() {
             return false;
         }
-        self.age_when_learnt = 0;
-        self.learnt_at = now;
+        self.submission_age = EventAge {
+            when_learned_ms: 0,
+            learned_at: now,
+        };
         true
     }
 
--- a/crates/core/src/shard/job/tests.rs
+++ b/crates/core/src/shard/job/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::config::StateLimits;
 use crate::fixture::spec;
+use crate::records::TaskBlockRecord;
 use forkshift_wire::JobId;
 
 const SINCE: Ms = 50_000;
@@ -20,7 +21,10 @@
 fn job(id: &str) -> Job {
     let spec = spec(&JobId::new(id), "team", JobKind::Array, 3);
     Job {
-        age_when_learnt: 5_000,
+        submission_age: EventAge {
+            when_learned_ms: 5_000,
+            learned_at: SINCE,
+        },
         ..Job::new(spec, 0, 1, layout(), SINCE)
     }
 }
@@ -43,7 +47,7 @@
             10_000,
         ),
         (
-            "taken over with a completed task",
+            "restored with a completed task",
             |j, record| {
                 j.restore(0, record, 2, SINCE);
             },
--- /dev/null
+++ b/crates/core/src/shard/job_writes/responses.rs
@@ -0,0 +1,269 @@
+//! Answers of the key-value store to writes of jobs, and the reads that resolve
+//! conflicts.
+
+use crate::api::status;
+use crate::context::Context;
+use crate::io::{Reply, RequestId};
+use crate::pending_call::{JobWrite, PendingCall};
+use crate::recent_jobs::FinalStages;
+use crate::records::{job_key, shard_key, JobRecord, ShardId};
+use crate::shard::job::{Job, StartState, StoredBlock};
+use crate::shard::{remove_key, Shard};
+use crate::store::queue::Urgency;
+use crate::Ms;
+use forkshift_wire::state::{Item, TransactionReply};
+use forkshift_wire::users::JobStage;
+use forkshift_wire::JobId;
+
+/// Pause before a write that failed is tried again, in milliseconds.
+const RETRY_PAUSE_MS: Ms = 150;
+/// Pause before a write is tried again that was refused as malformed or too
+/// large although it keeps to the smallest known limits, in milliseconds.
+const REFUSED_RETRY_PAUSE_MS: Ms = 5_000;
+
+impl Shard {
+    /// Notes that a write of a job, or a read of its record, has ended: the job
+    /// is due again.
+    fn end_write(&mut self, id: &JobId) -> Option<&mut Job> {
+        let job = self.jobs.get_mut(id)?;
+        job.has_write_in_flight = false;
+        self.unwritten_jobs.touch(id);
+        Some(job)
+    }
+
+    /// Handles the answer to a transaction that writes jobs.
+    pub(crate) fn on_jobs_written(
+        &mut self,
+        ctx: &mut Context,
+        finals: &mut FinalStages,
+        jobs: Vec<JobWrite>,
+        status: u16,
+        body: &[u8],
+    ) {
+        let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
+        for write in jobs {
+            let Some(job) = self.end_write(&write.id) else {
+                continue;
+            };
+            if status == 200 {
+                self.on_job_written(ctx, finals, &write, reply.revision);
+                continue;
+            }
+            job.retry_at = ctx.now + retry_pause(ctx, status);
+            if status == 503 {
+                // The write is tried again all the same; users who wait for it
+                // are answered at once to retry.
+                for request in std::mem::take(&mut job.cancel_waiters) {
+                    ctx.respond(request, Reply::later("not now"));
+                }
+            }
+            // Without an answer the write may have been carried out, or may be
+            // later. Writing again under the same preconditions is safe either
+            // way. If the shard's record has changed, the view will show who
+            // holds the shard.
+            if status == 409 && !reply.failed.contains(&shard_key(self.id)) {
+                self.read_conflicting_blocks(ctx, &write, &reply.failed);
+            }
+        }
+    }
+
+    /// Reads the blocks of a job whose preconditions have failed.
+    fn read_conflicting_blocks(&mut self, ctx: &mut Context, write: &JobWrite, failed: &[String]) {
+        let (shard, epoch) = (self.id, self.epoch);
+        let Some(job) = self.jobs.get_mut(&write.id) else {
+            return;
+        };
+        for block in &write.blocks {
+            let key = job.block_key(shard, *block);
+            if failed.contains(&key) {
+                job.has_write_in_flight = true;
+                let pending = PendingCall::JobBlockRead {
+                    shard,
+                    epoch,
+                    id: write.id.clone(),
+                    block: *block,
+                };
+                ctx.read_store(Urgency::Tasks, format!("/kv/{key}"), pending);
+            }
+        }
+    }
+
+    /// Handles the read of a block whose precondition failed: an earlier write of
+    /// this holder, which had no answer, was carried out after all. The version
+    /// is taken from the record, which no other controller writes while this one
+    /// holds the shard.
+    pub(crate) fn on_block_read(
+        &mut self,
+        ctx: &mut Context,
+        id: &JobId,
+        block: u32,
+        status: u16,
+        body: &[u8],
+    ) {
+        let Some(job) = self.end_write(id) else {
+            return;
+        };
+        let found: Option<Item> = serde_json::from_slice(body).ok();
+        match (status, found) {
+            (200, Some(item)) => {
+                if let Some(block) = job.blocks.get_mut(&block) {
+                    block.record_version = item.version;
+                }
+            }
+            (404, _) if block == 0 => {
+                // The job is finished, by the last write of this holder or by
+                // that of the next one, which may have another outcome.
+                job.has_write_in_flight = true;
+                let (shard, epoch, id) = (self.id, self.epoch, id.clone());
+                let path = format!("/kv/{}", job_key(&id));
+                let pending = PendingCall::JobFinalRead { shard, epoch, id };
+                ctx.read_store(Urgency::Tasks, path, pending);
+            }
+            (404, _) => {
+                if let Some(block) = job.blocks.get_mut(&block) {
+                    block.record_version = 0;
+                }
+            }
+            _ => job.retry_at = ctx.now + RETRY_PAUSE_MS,
+        }
+    }
+
+    /// Handles the read of the lasting record of a job whose head is removed.
+    pub(crate) fn on_final_read(
+        &mut self,
+        ctx: &mut Context,
+        finals: &mut FinalStages,
+        id: &JobId,
+        status: u16,
+        body: &[u8],
+    ) {
+        let Some(job) = self.end_write(id) else {
+            return;
+        };
+        job.retry_at = ctx.now + RETRY_PAUSE_MS;
+        let item: Option<Item> = serde_json::from_slice(body).ok().filter(|_| status == 200);
+        let Some(item) = item else { return };
+        let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
+            return;
+        };
+        if !record.stage.is_final() {
+            return;
+        }
+        finals.insert(id.clone(), record.stage);
+        let waiters = std::mem::take(&mut job.cancel_waiters);
+        answer_waiters(ctx, waiters, id, record.stage);
+        // The lasting record may be older than the head was, which the watch may
+        // still show: a finished job was once added again, and never finished.
+        let block_versions = job.blocks.values().map(|block| block.record_version);
+        let revision = block_versions.fold(item.version, u64::max);
+        self.stop_remaining_tasks(id);
+        self.unbind_unsent(id);
+        if self.jobs.get(id).is_some_and(|j| j.bound.is_empty()) {
+            self.forget_job(id, revision);
+        }
+    }
+
+    /// Handles a job's part of a transaction that was carried out.
+    fn on_job_written(
+        &mut self,
+        ctx: &mut Context,
+        finals: &mut FinalStages,
+        write: &JobWrite,
+        revision: u64,
+    ) {
+        let Some(job) = self.jobs.get_mut(&write.id) else {
+            return;
+        };
+        job.mark_written(write, revision);
+        let names_layout = write.blocks.contains(&0) && !write.is_final;
+        if job.is_changing_layout && names_layout {
+            for old_block in job.finish_layout_change() {
+                remove_key(ctx, old_block.key, old_block.version);
+            }
+        }
+        if write.records_cancellation {
+            job.is_cancellation_durable = true;
+        }
+        // Tasks whose binding is recorded may be started now.
+        let bindings = job.bound.values();
+        for binding in bindings.filter(|b| b.start == StartState::NotSent) {
+            self.recheck.touch(&binding.machine);
+        }
+        let stage = job.final_stage();
+        if write.is_final || write.records_cancellation {
+            finals.insert_written(write.id.clone(), stage);
+            let waiters = std::mem::take(&mut job.cancel_waiters);
+            answer_waiters(ctx, waiters, &write.id, stage);
+        }
+        if write.is_final {
+            self.on_job_finished(ctx, &write.id, revision);
+        }
+    }
+
+    /// Drops a job whose last write was carried out, and removes the records
+    /// that it leaves.
+    fn on_job_finished(&mut self, ctx: &mut Context, id: &JobId, revision: u64) {
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        log::info!(
+            "job {id}: {:?}, after {} ms",
+            job.final_stage(),
+            ctx.now - job.submission_age.learned_at
+        );
+        for block in job.stored_blocks(self.id) {
+            remove_key(ctx, block.key, block.version);
+        }
+        self.forget_job(id, revision);
+    }
+}
+
+impl Job {
+    /// Notes that blocks were written, at a revision.
+    fn mark_written(&mut self, write: &JobWrite, revision: u64) {
+        for number in &write.blocks {
+            let is_staged = self.is_changing_layout && *number > 0;
+            let Some(block) = self.blocks.get_mut(number) else {
+                continue;
+            };
+            block.record_version = revision;
+            if is_staged {
+                block.staged = block.staged.max(write.version);
+            } else {
+                block.committed = block.committed.max(write.version);
+            }
+        }
+    }
+
+    /// The stored blocks besides the head, those of an earlier layout last.
+    fn stored_blocks(&self, shard: ShardId) -> Vec<StoredBlock> {
+        self.blocks
+            .iter()
+            .filter(|(number, block)| **number > 0 && block.record_version > 0)
+            .map(|(number, block)| StoredBlock {
+                key: self.block_key(shard, *number),
+                version: block.record_version,
+            })
+            .chain(self.old_blocks.iter().cloned())
+            .collect()
+    }
+}
+
+/// Pause before a write is tried again, in milliseconds. One that is too large
+/// is cut to smaller limits next time, if there are any.
+fn retry_pause(ctx: &Context, status: u16) -> Ms {
+    let has_least_limits = ctx.limits == ctx.config.least_state_limits;
+    if status == 400 && has_least_limits {
+        REFUSED_RETRY_PAUSE_MS
+    } else {
+        RETRY_PAUSE_MS
+    }
+}
+
+/// Answers users who wait for a cancellation with the stage in which the job
+/// ended.
+fn answer_waiters(ctx: &mut Context, waiters: Vec<RequestId>, id: &JobId, stage: JobStage) {
+    for request in waiters {
+        ctx.respond(request, Reply::json(200, &status(id, stage)));
+    }
+}
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -1,15 +1,17 @@
-//! Tests of `commit`.
+//! Tests of `job_writes`.
 
 use super::*;
 use crate::fixture::{spec, team_of, Fixture, WALL};
 use crate::io::{Effect, Input};
-use crate::records::{unfinished_key, JobHeadRecord, TaskBlockRecord};
-use crate::shard::job::Binding;
+use crate::records::{
+    job_key, shard_key, unfinished_key, JobHeadRecord, JobRecord, TaskBlockRecord,
+};
+use crate::shard::job::{Binding, StartState};
 use crate::shard::layout::Layout;
-use forkshift_wire::state::{Change, Changes};
-use forkshift_wire::users::JobKind;
+use forkshift_wire::state::{Change, Changes, Item, Precondition, Write};
+use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::MachineId;
-use serde_json::json;
+use serde_json::{json, to_value};
 
 fn is_txn(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::JobTransaction { .. })
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -87,7 +87,7 @@
                 continue;
             };
             let age = job.cancel_age(ctx.now);
-            let at_least = (job.cancellation_age_when_learnt + tries).min(patience);
+            let at_least = (job.cancellation_age.when_learned_ms + tries).min(patience);
             let due = give_up.max(at_least);
             let holding: BTreeSet<MachineId> =
                 job.bound.values().map(|b| b.machine.clone()).collect();
--- a/crates/core/src/shard/recovery.rs
+++ b/crates/core/src/shard/recovery.rs
@@ -7,6 +7,7 @@
 use super::{remove_key, Phase, Shard};
 use crate::context::Context;
 use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
+use crate::shard::job::EventAge;
 use crate::shard::layout::Layout;
 use crate::store::view::{ChangedMachines, ClusterView};
 use forkshift_wire::JobId;
@@ -89,8 +90,10 @@
                 job.is_cancelled = true;
                 job.is_cancellation_durable = true;
                 job.cancelled_at_wall_ms = head.cancelled_at_ms;
-                job.cancellation_age_when_learnt = ctx.longest_age_of(head.cancelled_at_ms);
-                job.cancellation_learnt_at = ctx.now;
+                job.cancellation_age = EventAge {
+                    when_learned_ms: ctx.longest_age_of(head.cancelled_at_ms),
+                    learned_at: ctx.now,
+                };
                 self.cancelled_jobs.touch(&id);
             }
         }
