--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -1,7 +1,7 @@
-//! The jobs of a shard, and which of their tasks are booked on which machine.
+//! The jobs of a shard, and which of their tasks are bound to which machine.
 //!
-//! A task that may have been started is booked on its machine and counts
-//! against its team's quota until there is evidence that it is gone.
+//! A task that may have been started stays bound to its machine and counts
+//! against its team's quota until there is evidence that it is not running.
 
 use super::{Phase, Shard};
 use crate::context::Context;
@@ -12,14 +12,15 @@
 use forkshift_wire::{JobId, TaskRef};
 
 impl Shard {
-    /// Takes a new job on, unless it is known or over.
-    /// A job that nothing is recorded of but its submission has no layout yet.
+    /// Adds a job, unless it is known or finished. `layout` is none for a job of
+    /// which nothing is recorded but its submission; `submitted_at_wall_ms` is
+    /// wall-clock time.
     pub(crate) fn add_job(
         &mut self,
         ctx: &mut Context,
         spec: JobSpec,
         layout: Option<Layout>,
-        at: Ms,
+        submitted_at_wall_ms: Ms,
         head_version: u64,
     ) {
         let is_removed = self.jobs_watch.is_removed(&spec.id, head_version);
@@ -32,8 +33,8 @@
         }
         let layout = layout.unwrap_or_else(|| new_layout(ctx, &spec));
         let mut job = Job::new(spec, image, head_version, layout, ctx.now);
-        job.submitted_at_wall_ms = at;
-        job.submission_age.when_learned_ms = ctx.wall_clock_ms.saturating_sub(at);
+        job.submitted_at_wall_ms = submitted_at_wall_ms;
+        job.submission_age.when_learned_ms = ctx.wall_clock_ms.saturating_sub(submitted_at_wall_ms);
         if ctx.config.waits.contains_key(&job.spec.class) {
             self.schedule_round_soon(ctx);
         }
@@ -44,22 +45,22 @@
         self.must_check_cancellations = true;
     }
 
-    /// Takes a job on that another controller tells of, if the watch has not
-    /// shown it yet. What the watch has passed is known, or over: a late copy
-    /// of the message must not bring it back.
+    /// Adds a job that another controller has accepted, if the watch is behind
+    /// the revision of its creation. Otherwise the job is known or finished, and
+    /// a late copy of the message must not add it again.
     pub(crate) fn on_job_accepted(
         &mut self,
         ctx: &mut Context,
         spec: JobSpec,
-        at: Ms,
+        submitted_at_wall_ms: Ms,
         revision: u64,
     ) {
         if self.phase == Phase::Active && self.jobs_watch.is_behind(revision) {
-            self.add_job(ctx, spec, None, at, revision);
+            self.add_job(ctx, spec, None, submitted_at_wall_ms, revision);
         }
     }
 
-    /// Drops a job that is over, removed at a revision.
+    /// Drops a finished job whose head was removed at a revision.
     pub(crate) fn forget_job(&mut self, id: &JobId, revision: u64) {
         self.jobs.remove(id);
         self.unwritten_jobs.forget(id);
@@ -69,7 +70,8 @@
         self.jobs_watch.note_removed(id, revision);
     }
 
-    /// Books a task on a machine.
+    /// Binds a task to a machine: it takes resources there and of its team's
+    /// quota.
     pub(crate) fn bind(&mut self, id: &JobId, index: u32, binding: Binding) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -88,7 +90,8 @@
         job.bound.insert(index, binding);
     }
 
-    /// Takes a task off its machine, and has the change written.
+    /// Unbinds a task, which has exited or was never started, and schedules the
+    /// write of the change.
     pub(crate) fn unbind(&mut self, id: &JobId, index: u32) -> Option<Binding> {
         let job = self.jobs.get_mut(id)?;
         let binding = job.bound.remove(&index)?;
@@ -111,7 +114,46 @@
         Some(binding)
     }
 
-    /// Takes tasks that were never sent off their machine.
+    /// Stops the remaining tasks of a gang's attempt: the next attempt begins
+    /// when all of them have exited.
+    pub(crate) fn on_gang_incomplete(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if !job.is_gang() || job.is_complete() {
+            return;
+        }
+        self.stop_remaining_tasks(id);
+        self.unbind_unsent(id);
+    }
+
+    /// Stops every task of a job that is not being stopped yet.
+    pub(crate) fn stop_remaining_tasks(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        for binding in job.bound.values_mut() {
+            binding.stop.get_or_insert(Stop::after(0.0));
+            self.recheck.touch(&binding.machine);
+        }
+    }
+
+    /// Unbinds the tasks of a job that are to be stopped and whose start was
+    /// never sent: no evidence of their exit is needed.
+    pub(crate) fn unbind_unsent(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let unsent: Vec<u32> = job
+            .bound
+            .iter()
+            .filter(|(_, b)| b.start == StartState::NotSent && b.stop.is_some())
+            .map(|(index, _)| *index)
+            .collect();
+        for index in unsent {
+            self.unbind(id, index);
+        }
+    }
+
+    /// Unbinds those of the tasks whose start was never sent.
     pub(crate) fn unbind_unsent_tasks(&mut self, tasks: Vec<TaskRef>) {
         for task in tasks {
             let job = self.jobs.get_mut(&task.job);
@@ -123,7 +165,7 @@
         }
     }
 
-    /// Has a task stopped, with the time that it needs to save.
+    /// Stops a task, with the time that it needs to save its progress.
     pub(crate) fn stop_task(&mut self, task: &TaskRef) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -136,7 +178,7 @@
     }
 }
 
-/// The layout of a job that is new. The old release knows one only.
+/// The layout of a new job. The first release knows one layout only.
 pub(crate) fn new_layout(ctx: &Context, spec: &JobSpec) -> Layout {
     let unnamed = Layout::unnamed(&ctx.config.state_limits);
     if ctx.format.is_first() {
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -1,41 +1,75 @@
 //! Commands to workers.
 //!
-//! Starts go straight to the worker, whose answer tells at once what became
-//! of them. They never ride on the answer to a report: that can be lost
-//! without anybody knowing.
+//! Starts are sent straight to the worker, whose answer confirms them. They are
+//! never part of an answer to a heartbeat, whose loss would go unnoticed.
 
 use crate::context::Context;
 use crate::pending_call::PendingCall;
 use crate::records::ShardId;
-use crate::shard::job::{StartState, Stop};
+use crate::shard::job::{Job, StartState, Stop};
+use crate::shard::machine::{Machine, TaskAttempt};
 use crate::shard::Shard;
 use forkshift_links::Decision;
 use forkshift_wire::workers::{Command, CommandRequest, Verb, WorkerHeartbeat};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
-/// Most commands in one call, so that no line gets near 64 KiB.
+/// Most commands in one call, which keeps its line well below 64 KiB.
 const MAX_COMMANDS: usize = 200;
-/// A stop that shows no effect is repeated after this many reports.
+/// A stop without effect is repeated after this many heartbeat intervals.
 const REPEAT_HEARTBEATS: u64 = 2;
 
+impl Machine {
+    /// Whether its worker can be called now, and commands or the token may be
+    /// due.
+    fn may_be_called(&self, ctx: &Context) -> bool {
+        let may_have_commands = self.must_send_token
+            || !self.tasks.is_empty()
+            || !self.exited.is_empty()
+            || !self.orphans.is_empty()
+            || self.pool.membership.is_some();
+        let is_callable =
+            !self.has_call_in_flight && self.addr.is_some() && ctx.now >= self.retry_at;
+        may_have_commands && is_callable
+    }
+
+    /// Notes that a call had no answer.
+    fn on_call_unanswered(&mut self, ctx: &Context, had_commands: bool) {
+        self.retry_at = ctx.now + ctx.config.report_ms / 2;
+        if had_commands {
+            // They may be carried out late, unless a newer token arrives first.
+            self.has_unanswered_call = true;
+            self.raise_token(ctx.now);
+        } else {
+            // Machines without heartbeats are called again by the failure
+            // detector, at its own pace.
+            self.must_send_token = !self.has_missed_heartbeats(ctx);
+        }
+    }
+}
+
+impl Job {
+    /// Whether a task's start is recorded, was never sent and is still wanted.
+    fn is_start_due(&self, index: u32) -> bool {
+        !self.is_cancelled
+            && self.bound.get(&index).is_some_and(|binding| {
+                binding.start == StartState::NotSent
+                    && binding.stop.is_none()
+                    && self.is_durable(index, binding.version)
+            })
+    }
+}
+
 impl Shard {
-    /// Sends what is due to a machine that has no call under way.
+    /// Sends the due commands to a machine that has no call under way.
     pub(crate) fn send_due_commands(&mut self, ctx: &mut Context, id: &MachineId) {
-        let Some(m) = self.machines.get(id) else {
-            return;
-        };
-        let any = m.must_send_token
-            || !m.tasks.is_empty()
-            || !m.exited.is_empty()
-            || !m.orphans.is_empty()
-            || m.pool.membership.is_some();
-        // What finds no free call is tried again soon: it is busy (`is_busy`).
-        let full = ctx.worker_calls >= ctx.config.bounds.worker_calls;
-        if m.has_call_in_flight || m.addr.is_none() || ctx.now < m.retry_at || !any || full {
+        // A machine that finds all calls in use is tried again soon (`is_busy`).
+        let has_free_call = ctx.worker_calls < ctx.config.bounds.worker_calls;
+        let machine = self.machines.get(id);
+        if !has_free_call || !machine.is_some_and(|machine| machine.may_be_called(ctx)) {
             return;
         }
         let mut commands = self.safe_commands(ctx, id);
-        // Without a right somebody else may have confirmed a cancellation.
+        // Without a valid lease another holder may have confirmed a cancellation.
         if ctx.links.allow(Decision::StartTasks) {
             commands.extend(self.due_starts(id));
         }
@@ -49,8 +83,8 @@
         let Some(addr) = machine.addr.clone() else {
             return;
         };
-        // A fresh holder does not know the incarnation yet. Most workers are in
-        // their first; the others answer 409 with a report that tells.
+        // A new holder does not know the incarnation yet. Most workers are in
+        // their first; the others answer 409 with a heartbeat that shows it.
         let incarnation = machine.incarnation.max(1);
         let request = CommandRequest {
             token: machine.token,
@@ -71,56 +105,72 @@
         ctx.send_commands(&addr, body, ctx.config.call_ms(), pending);
     }
 
-    /// Commands that do no harm however often and late they arrive: `forget`
-    /// for what is durable, and stops.
+    /// Commands that are safe however often and late they arrive: `forget` for
+    /// attempts whose outcome is durable, and stops.
     pub(crate) fn safe_commands(&mut self, ctx: &Context, id: &MachineId) -> Vec<Command> {
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
-        let mut commands = Vec::new();
-        // Once a worker has forgotten an attempt, a start that is still on
-        // its way would run it anew.
-        if !machine.has_unanswered_call && !machine.has_call_in_flight {
-            for (task, attempt) in &machine.exited {
-                let fate = machine
-                    .exit_versions
-                    .get(&(task.clone(), *attempt))
-                    .copied();
-                let job = self.jobs.get(&task.job);
-                let bound = job.and_then(|j| j.bound.get(&task.index));
-                let still_ours = bound.is_some_and(|b| b.machine == *id && b.attempt == *attempt);
-                let durable = job.is_none_or(|j| fate.is_none_or(|v| j.is_durable(task.index, v)));
-                if durable && !still_ours && commands.len() < MAX_COMMANDS {
-                    commands.push(command(Verb::Forget, task, *attempt, None));
-                }
-            }
-        }
-        let again = ctx.config.report_ms * REPEAT_HEARTBEATS;
+        let mut commands = self.forget_commands(machine);
+        let repeat_ms = ctx.config.report_ms * REPEAT_HEARTBEATS;
         for task in &machine.tasks {
-            let Some(binding) = self
-                .jobs
-                .get_mut(&task.job)
-                .and_then(|j| j.bound.get_mut(&task.index))
-            else {
+            if commands.len() >= MAX_COMMANDS {
+                break;
+            }
+            let job = self.jobs.get_mut(&task.job);
+            let Some(binding) = job.and_then(|job| job.bound.get_mut(&task.index)) else {
                 continue;
             };
-            let attempt = binding.attempt;
-            if let (Some(stop), false) = (&mut binding.stop, binding.start == StartState::NotSent) {
-                let due = stop.last_sent_at.is_none_or(|t| ctx.now >= t + again);
-                if due && commands.len() < MAX_COMMANDS {
-                    stop.last_sent_at = Some(ctx.now);
-                    commands.push(command(Verb::Stop, task, attempt, Some(stop.grace_s)));
-                }
+            if binding.start == StartState::NotSent {
+                continue;
             }
-        }
-        for (task, attempt, _) in &machine.orphans {
-            if commands.len() < MAX_COMMANDS {
-                commands.push(command(Verb::Stop, task, *attempt, Some(0.0)));
+            let attempt = binding.attempt;
+            let Some(stop) = &mut binding.stop else {
+                continue;
+            };
+            if stop.is_due(ctx.now, repeat_ms) {
+                stop.last_sent_at = Some(ctx.now);
+                commands.push(command(Verb::Stop, task, attempt, Some(stop.grace_s)));
             }
         }
+        let free = MAX_COMMANDS - commands.len();
+        let orphans = machine.orphans.iter().take(free);
+        commands.extend(orphans.map(|orphan| {
+            let TaskAttempt { task, attempt } = &orphan.attempt;
+            command(Verb::Stop, task, *attempt, Some(0.0))
+        }));
         commands
     }
 
+    /// `forget` for exited attempts whose outcome is durable.
+    fn forget_commands(&self, machine: &Machine) -> Vec<Command> {
+        // Once a worker has forgotten an attempt, a start that is still in
+        // flight would run it anew.
+        if machine.has_unanswered_call || machine.has_call_in_flight {
+            return Vec::new();
+        }
+        let exited = machine.exited.iter();
+        exited
+            .filter(|exited| self.is_forgettable(machine, exited))
+            .take(MAX_COMMANDS)
+            .map(|exited| command(Verb::Forget, &exited.task, exited.attempt, None))
+            .collect()
+    }
+
+    /// Whether an exited attempt is not bound any more, and its outcome durable.
+    fn is_forgettable(&self, machine: &Machine, exited: &TaskAttempt) -> bool {
+        let Some(job) = self.jobs.get(&exited.task.job) else {
+            return true;
+        };
+        let index = exited.task.index;
+        let is_bound = job
+            .bound
+            .get(&index)
+            .is_some_and(|b| b.machine == machine.id && b.attempt == exited.attempt);
+        let version = machine.exit_versions.get(exited);
+        !is_bound && version.is_none_or(|version| job.is_durable(index, *version))
+    }
+
     /// Starts that are recorded and were never sent.
     fn due_starts(&mut self, id: &MachineId) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else {
@@ -130,28 +180,27 @@
         if machine.decommission_reason.is_some() || !takes_starts {
             return Vec::new();
         }
-        let (token, incarnation) = (machine.token, machine.incarnation);
         let mut commands = Vec::new();
         for task in &machine.tasks {
-            let Some(job) = self.jobs.get_mut(&task.job) else {
-                continue;
-            };
-            let Some(binding) = job.bound.get(&task.index) else {
+            if commands.len() >= MAX_COMMANDS {
+                break;
+            }
+            let job = self.jobs.get_mut(&task.job);
+            let Some(job) = job.filter(|job| job.is_start_due(task.index)) else {
                 continue;
             };
-            let due =
-                binding.start == StartState::NotSent && binding.stop.is_none() && !job.is_cancelled;
-            if due && job.is_durable(task.index, binding.version) && commands.len() < MAX_COMMANDS {
+            if let Some(binding) = job.bound.get_mut(&task.index) {
                 commands.push(command(Verb::Start, task, binding.attempt, None));
-                if let Some(binding) = job.bound.get_mut(&task.index) {
-                    binding.start = StartState::SentByUs { token, incarnation };
-                }
+                binding.start = StartState::SentByUs {
+                    token: machine.token,
+                    incarnation: machine.incarnation,
+                };
             }
         }
         commands
     }
 
-    /// A call to a worker has ended, with or without an answer.
+    /// Handles the end of a call to a worker, with or without an answer.
     pub(crate) fn on_commands(
         &mut self,
         ctx: &mut Context,
@@ -170,48 +219,37 @@
         machine.link.on_call(ctx.now, is_answered, &timing);
         self.recheck.touch(id);
         let heartbeat: Option<WorkerHeartbeat> = serde_json::from_slice(body).ok();
-        match (status, heartbeat) {
-            (200 | 409, Some(heartbeat)) => {
-                if status == 409 {
-                    // Nothing was carried out, and this was the only copy.
-                    machine.must_send_token = heartbeat.token < machine.token;
-                    if heartbeat.token > machine.token {
-                        // Somebody newer has the machine. The view will tell;
-                        // calls without a pause would only load both ends.
-                        machine.retry_at = ctx.now + ctx.config.report_ms;
-                    }
-                    self.mark_start_unsent(id, token, commands);
-                }
-                self.on_worker_heartbeat(ctx, &heartbeat);
-            }
-            _ => {
-                log::debug!("machine {id}: commands had no answer ({status})");
-                machine.retry_at = ctx.now + ctx.config.report_ms / 2;
-                if commands.is_empty() {
-                    // An unheard machine is called again at a pace (`find_unheard`).
-                    machine.must_send_token = !machine.has_missed_heartbeats(ctx);
-                } else {
-                    // It may be carried out late, unless a newer token is
-                    // there first.
-                    machine.has_unanswered_call = true;
-                    machine.raise_token(ctx.now);
-                }
+        let Some(heartbeat) = heartbeat.filter(|_| is_answered) else {
+            log::debug!("machine {id}: no answer to commands, status {status}");
+            machine.on_call_unanswered(ctx, !commands.is_empty());
+            return;
+        };
+        if status == 409 {
+            // Nothing was carried out, and this was the only copy.
+            machine.must_send_token = heartbeat.token < machine.token;
+            if heartbeat.token > machine.token {
+                // A newer holder has the machine, as the view will show; calls
+                // without a pause would only load both ends.
+                machine.retry_at = ctx.now + ctx.config.report_ms;
             }
+            self.mark_starts_unsent(id, token, commands);
         }
+        self.on_worker_heartbeat(ctx, &heartbeat);
     }
 
-    fn mark_start_unsent(&mut self, id: &MachineId, token: u64, commands: &[Command]) {
-        for command in commands.iter().filter(|o| o.verb == Verb::Start) {
-            let binding = self
-                .jobs
-                .get_mut(&command.task.job)
-                .and_then(|j| j.bound.get_mut(&command.task.index));
+    /// Takes back that starts were sent, in a call that was refused.
+    fn mark_starts_unsent(&mut self, id: &MachineId, token: u64, commands: &[Command]) {
+        for command in commands.iter().filter(|c| c.verb == Verb::Start) {
+            let job = self.jobs.get_mut(&command.task.job);
+            let binding = job.and_then(|job| job.bound.get_mut(&command.task.index));
             let Some(binding) = binding else { continue };
-            let ours = matches!(binding.start, StartState::SentByUs { token: t, .. } if t == token);
-            if ours && binding.machine == *id && binding.attempt == command.attempt {
+            let is_of_call =
+                matches!(binding.start, StartState::SentByUs { token: t, .. } if t == token);
+            if is_of_call && binding.machine == *id && binding.attempt == command.attempt {
                 binding.start = StartState::NotSent;
-                // What was to be stopped meanwhile needs no evidence any more.
-                // Kept, it once held its place for ever: nothing was sent for it.
+                // A task that is to be stopped needs no evidence of its exit any
+                // more. Kept bound, it once was so for ever: no stop is sent for
+                // a task that was never started.
                 if binding.stop.is_some() {
                     self.unbind_unsent(&command.task.job);
                 }
@@ -219,7 +257,7 @@
         }
     }
 
-    /// Cancels a job. Its user is answered when that is written.
+    /// Cancels a job. Its user is answered when the cancellation is written.
     pub(crate) fn cancel(&mut self, ctx: &Context, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -240,7 +278,7 @@
         self.unbind_unsent(id);
     }
 
-    /// Token for a worker's report, and the commands that may ride on the answer.
+    /// The token and the commands for the answer to a worker's heartbeat.
     pub(crate) fn report_reply(
         &mut self,
         ctx: &Context,
@@ -250,12 +288,13 @@
         Some((token, self.safe_commands(ctx, id)))
     }
 
-    /// The number of the shard.
+    /// Number of the shard.
     pub(crate) fn id(&self) -> ShardId {
         self.id
     }
 }
 
+/// A command for an attempt at a task.
 fn command(verb: Verb, task: &TaskRef, attempt: u64, grace_s: Option<f64>) -> Command {
     Command {
         verb,
--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -23,42 +23,46 @@
     matches!(pending, PendingCall::Commands { .. })
 }
 
-/// A holder that had lost its right without knowing once sent a start that it
+/// A holder that had lost its lease without knowing once sent a start that it
 /// had recorded before, after its successor had confirmed the cancellation.
 #[test]
-fn starts_are_sent_by_right_only() {
-    for (entitled, verbs) in [(true, vec![Verb::Start]), (false, vec![])] {
+fn starts_are_sent_only_under_a_valid_lease() {
+    for (has_valid_lease, verbs) in [(true, vec![Verb::Start]), (false, vec![])] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::NotSent);
-        if !entitled {
+        if !has_valid_lease {
             f.lose_right();
         }
-        assert_eq!(sent(&f.step(1)), verbs, "entitled: {entitled}");
+        assert_eq!(
+            sent(&f.step(1)),
+            verbs,
+            "has_valid_lease: {has_valid_lease}"
+        );
     }
 }
 
-/// Stops need no right.
+/// Stops need no valid lease.
 #[test]
-fn stops_are_sent_in_any_case() {
-    for entitled in [true, false] {
+fn stops_are_sent_without_a_valid_lease_too() {
+    for has_valid_lease in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let (token, incarnation) = (f.token(), 1);
         f.bind(&id, 0, StartState::SentByUs { token, incarnation });
-        if !entitled {
+        if !has_valid_lease {
             f.lose_right();
         }
         f.ask(1, "POST", "/submissions/j-1/abort");
         let calling = f.shard().machines.values().any(|m| m.has_call_in_flight);
-        assert!(calling, "entitled: {entitled}");
+        assert!(calling, "has_valid_lease: {has_valid_lease}");
     }
 }
 
 /// A start that was refused while its task was being stopped once held its
 /// place for ever: nothing is sent for what was never sent.
 #[test]
-fn what_was_refused_while_being_stopped_is_free() {
+fn a_refused_start_of_a_stopped_task_is_unbound() {
     for stopped in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Gang, 2);
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -1,16 +1,16 @@
-//! Jobs that wait for others.
+//! Jobs with dependencies.
 //!
-//! The truth about a dependency is its lasting record. `done` is recorded there
-//! before a dependent is started, `aborted` before its user is told; both are
-//! written on condition of the version of the same head, so only one of them
-//! can be, and a dependent of a job that is cancelled has never run.
+//! The lasting record of a dependency decides. `done` is recorded there before a
+//! dependent is started, `aborted` before its user is answered; both are written
+//! under a precondition on the same head, so only one of them can be, and a
+//! dependent of a cancelled job has never run.
 //!
 //! The holder of a blocked job learns of its dependencies in three ways: from
 //! its own writes, from messages of whoever has recorded a final stage, and, as
-//! messages may be lost, by reading their records again and again at a pace
-//! that keeps within a part of the budget. A cancelled dependency cancels the
-//! job, which is recorded and told in the same way, so that it passes on to all
-//! that need it, whoever holds them.
+//! messages may be lost, by reading their records repeatedly, at a rate that
+//! keeps within a part of the request budget. A cancelled dependency cancels the
+//! job, which is recorded and announced in the same way, so that it propagates
+//! to all dependents, whoever holds them.
 
 use crate::api::read_job;
 use crate::context::Context;
@@ -31,36 +31,40 @@
 /// A record of a dependency is read again after this part of the time in which
 /// a cancelled job must be over.
 const READ_PART: f64 = 0.1;
-/// The part of the requests to the state service that goes into such reads.
-const REQUESTS_PART: f64 = 0.05;
-/// Pause after a read that failed.
-const RETRY: Ms = 500;
-/// What is known of a dependency counts for this part of the time in which a
-/// cancelled job must be over; after it a dependent is not called queued.
+/// The part of the key-value store's request rate that goes into such reads.
+const READ_RATE_PART: f64 = 0.05;
+/// Least rate of reads that is assumed, per second.
+const MIN_READ_RATE: f64 = 1e-3;
+/// Pause after a read that failed, in milliseconds.
+const RETRY_PAUSE_MS: Ms = 500;
+/// What was read of a dependency counts for this part of the time in which a
+/// cancelled job must be over; after it the stage of a dependent is uncertain.
 const CERTAIN_PART: f64 = 0.5;
 
-/// A job that jobs of ours wait for.
+/// A dependency of jobs that this controller holds.
 struct Dependency {
-    /// Those that wait for it.
+    /// The jobs that wait for it.
     dependents: BTreeSet<JobId>,
     /// A read of its record is under way.
     is_reading: bool,
-    /// As of when it is known that it was not over.
+    /// The latest time at which it is known to have been unfinished, in
+    /// milliseconds of the steady clock.
     unfinished_at: Ms,
-    /// Its shard, if it was read there.
+    /// Its shard, if its record was read.
     shard: Option<ShardId>,
 }
 
-/// Jobs that jobs of ours wait for.
+/// The dependencies of the blocked jobs that this controller holds.
 #[derive(Default)]
 pub(crate) struct DependencyTracker {
+    /// Unfinished dependencies.
     waiting: BTreeMap<JobId, Dependency>,
-    /// When which of their records is to be read.
+    /// When the record of which dependency is to be read.
     reads: TimerQueue<JobId>,
 }
 
 impl DependencyTracker {
-    /// A job waits for another.
+    /// Adds a job that waits for a dependency.
     fn add(&mut self, dependency: &JobId, dependent: &JobId, now: Ms) {
         let entry = self.waiting.entry(dependency.clone());
         let entry = entry.or_insert_with(|| Dependency {
@@ -73,14 +77,14 @@
         self.reads.touch(dependency);
     }
 
-    /// A job is over: those that waited for it.
+    /// Removes a finished dependency, and returns the jobs that waited for it.
     fn remove(&mut self, dependency: &JobId) -> BTreeSet<JobId> {
         self.reads.forget(dependency);
         let entry = self.waiting.remove(dependency);
         entry.map(|d| d.dependents).unwrap_or_default()
     }
 
-    /// Those that wait for a job.
+    /// The jobs that wait for a dependency.
     fn dependents_of(&self, dependency: &JobId) -> impl Iterator<Item = &JobId> {
         let entry = self.waiting.get(dependency);
         entry.into_iter().flat_map(|d| &d.dependents)
@@ -89,10 +93,10 @@
     /// Pause between two reads of a record, so that all controllers together
     /// keep within their part of the requests.
     fn pause(&self, ctx: &Context) -> Ms {
-        let least = ctx.config.cancel_ms as f64 * READ_PART;
-        let rate = ctx.limits.rps * REQUESTS_PART / ctx.config.nodes.len().max(1) as f64;
-        let all = self.waiting.len() as f64 * 1000.0 / rate.max(1e-3);
-        least.max(all) as Ms
+        let min_pause_ms = ctx.config.cancel_ms as f64 * READ_PART;
+        let rate = ctx.limits.rps * READ_RATE_PART / ctx.config.nodes.len().max(1) as f64;
+        let read_all_ms = self.waiting.len() as f64 * 1000.0 / rate.max(MIN_READ_RATE);
+        min_pause_ms.max(read_all_ms) as Ms
     }
 }
 
@@ -102,8 +106,8 @@
         !self.unresolved.is_empty()
     }
 
-    /// A dependency is done. Returns whether it was the last one: the job's
-    /// times count from now on.
+    /// Notes that a dependency is done. Returns whether it was the last one: the
+    /// job's age counts from then on.
     fn resolve(&mut self, dependency: &JobId, now: Ms) -> bool {
         if !self.unresolved.remove(dependency) || self.is_blocked() {
             return false;
@@ -115,36 +119,37 @@
         true
     }
 
-    /// Its priority, or that of a job that needs it, if that is higher.
+    /// Its own priority or the highest of its dependents, whichever is higher.
     pub(crate) fn priority(&self) -> Priority {
         self.inherited_priority.max(self.spec.priority)
     }
 }
 
 impl Node {
-    /// Registers jobs that are new here, and acts on what has ended.
+    /// Registers new blocked jobs, and acts on dependencies that have finished.
     pub(crate) fn follow_dependencies(&mut self) {
         self.register_blocked_jobs();
-        let mut news = self.final_stages.take_unannounced();
-        while !news.is_empty() {
-            for end in &news {
-                self.on_job_ended(end);
+        let mut finished = self.final_stages.take_unannounced();
+        while !finished.is_empty() {
+            for job in &finished {
+                self.on_job_ended(job);
             }
-            news = self.final_stages.take_unannounced();
+            finished = self.final_stages.take_unannounced();
         }
         self.read_dependencies();
     }
 
     fn register_blocked_jobs(&mut self) {
-        let mut new: Vec<(ShardId, JobId)> = Vec::new();
-        for (k, shard) in &mut self.shards {
+        let mut new_jobs: Vec<(ShardId, JobId)> = Vec::new();
+        for (shard_id, shard) in &mut self.shards {
             if shard.phase == Phase::Active {
                 let ids = std::mem::take(&mut shard.new_blocked_jobs);
-                new.extend(ids.into_iter().map(|id| (*k, id)));
+                new_jobs.extend(ids.into_iter().map(|id| (*shard_id, id)));
             }
         }
-        for (k, id) in new {
-            let job = self.shards.get(&k).and_then(|s| s.jobs.get(&id));
+        for (shard_id, id) in new_jobs {
+            let shard = self.shards.get(&shard_id);
+            let job = shard.and_then(|shard| shard.jobs.get(&id));
             let Some(job) = job.filter(|j| j.is_blocked() && !j.is_cancelled) else {
                 continue;
             };
@@ -182,7 +187,7 @@
             };
             let job = shard.jobs.get_mut(dependent);
             if job.is_some_and(|job| job.resolve(dependency, now)) {
-                log::debug!("job {dependent}: ready, {dependency} is done");
+                log::debug!("job {dependent}: unblocked, {dependency} is done");
                 shard.schedule_round_soon(ctx);
             }
             return;
@@ -196,21 +201,21 @@
             if shard.jobs.get(&id).is_none_or(|j| j.is_cancelled) {
                 continue;
             }
-            log::info!("job {id}: cancelled with {dependency}");
+            log::info!("job {id}: cancelled, dependency {dependency} is cancelled");
             shard.cancel(ctx, &id);
             cancelled.extend(self.dependencies.dependents_of(&id).cloned());
         }
     }
 
-    /// Tells the other controllers that a job is over. Those of the first
-    /// release know no dependencies.
+    /// Announces to the other controllers that a job is finished. Those of the
+    /// first release know no dependencies.
     fn announce_job_ended(&mut self, end: &FinalStage) {
         if self.ctx.format.is_first() {
             return;
         }
-        let us = self.ctx.config.node.clone();
+        let own_name = self.ctx.config.node.clone();
         let peers: Vec<NodeName> = self.ctx.config.nodes.to_vec();
-        for peer in peers.iter().filter(|n| **n != us) {
+        for peer in peers.iter().filter(|peer| **peer != own_name) {
             let body = Body::JobEnded {
                 id: end.id.to_string(),
                 cancelled: end.stage == JobStage::Cancelled,
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Another controller has recorded how a job ended.
+    /// Handles the message of another controller that a job is finished.
     pub(crate) fn on_job_ended_message(&mut self, id: &str, cancelled: bool) {
         let Some(id) = JobId::parse(id) else { return };
         let stage = if cancelled {
@@ -243,14 +248,14 @@
             let Some(dependency) = self.dependencies.waiting.get_mut(&id) else {
                 continue;
             };
-            // Their shard may have gone to another holder.
+            // Their shard may have another holder now.
             dependency.dependents.retain(waits);
             if dependency.dependents.is_empty() {
                 self.dependencies.waiting.remove(&id);
                 continue;
             }
             self.dependencies.reads.wake(&id, self.ctx.now + pause);
-            // Of our own jobs we know at once.
+            // The end of a job that is held here is known at once.
             if dependency.is_reading || holder_of(shards, &id).is_some() {
                 continue;
             }
@@ -264,7 +269,7 @@
         }
     }
 
-    /// The record of a dependency was read.
+    /// Handles the read of a dependency's record.
     pub(crate) fn on_dependency_read(&mut self, id: &JobId, sent: Ms, status: u16, body: &[u8]) {
         let Some(dependency) = self.dependencies.waiting.get_mut(id) else {
             return;
@@ -272,7 +277,9 @@
         dependency.is_reading = false;
         let record = read_job(body).filter(|_| status == 200);
         let Some(record) = record else {
-            self.dependencies.reads.wake(id, self.ctx.now + RETRY);
+            self.dependencies
+                .reads
+                .wake(id, self.ctx.now + RETRY_PAUSE_MS);
             return;
         };
         if record.stage.is_final() {
@@ -284,20 +291,21 @@
         self.send_inherited_priority(id, record.shard);
     }
 
-    /// Whether all that a blocked job waits for is known not to have been
-    /// cancelled for long.
+    /// Whether every dependency of a blocked job was recently known to be
+    /// unfinished.
     pub(crate) fn is_known_unfinished(&self, job: &Job) -> bool {
-        let most = (self.ctx.config.cancel_ms as f64 * CERTAIN_PART) as Ms;
+        let max_age_ms = (self.ctx.config.cancel_ms as f64 * CERTAIN_PART) as Ms;
         let is_certain = |id: &JobId| {
             let dependency = self.dependencies.waiting.get(id);
             let since = dependency.map(|d| d.unfinished_at);
-            holder_of(&self.shards, id).is_some() || since.is_none_or(|t| self.ctx.now < t + most)
+            holder_of(&self.shards, id).is_some()
+                || since.is_none_or(|t| self.ctx.now < t + max_age_ms)
         };
         job.unresolved.iter().all(is_certain)
     }
 
-    /// Jobs are needed by one of a priority: that holds for all that they need
-    /// themselves.
+    /// Raises the inherited priority of jobs, and of all their dependencies, to
+    /// that of a dependent.
     fn raise_priority(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
         while let Some(id) = jobs.pop() {
             let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
@@ -319,7 +327,7 @@
         }
     }
 
-    /// Tells the holder of a dependency how urgently it is needed here.
+    /// Sends the highest priority of a dependency's dependents to its holder.
     fn send_inherited_priority(&mut self, id: &JobId, shard: ShardId) {
         let dependents = self.dependencies.dependents_of(id);
         let jobs = dependents.filter_map(|d| self.shards.values().find_map(|s| s.jobs.get(d)));
@@ -333,7 +341,8 @@
         self.send_to_holder(shard, body);
     }
 
-    /// A job of ours is needed by one that another controller holds.
+    /// Handles the message that a job of another controller depends on one that
+    /// is held here.
     pub(crate) fn on_inherited_priority_message(&mut self, id: &str, priority: u8) {
         const ALL: [Priority; 4] = [
             Priority::Low,
--- a/crates/core/src/shard/failure_attribution.rs
+++ b/crates/core/src/shard/failure_attribution.rs
@@ -1,63 +1,73 @@
-//! Whether a failed task tells of its machine or of its job.
+//! Attribution of failed tasks to their machines or to their jobs.
 //!
 //! Mostly the machine is faulty; a job that was submitted with a mistake fails
-//! on every machine. What tells them apart is whether the job runs elsewhere: a
-//! machine is given up when jobs failed on it that run well on others. Until
-//! that is known it is on probation, and a job that fails again and again is
-//! probed with one task at a time, ever more seldom.
+//! on every machine. What distinguishes them is whether the job runs elsewhere:
+//! a machine is decommissioned when jobs failed on it that run well on others.
+//! Until that is known it is in quarantine, and a job that fails repeatedly is
+//! tried with one task at a time and with growing pauses.
 
 use crate::Ms;
 use forkshift_wire::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// Pause before a job that failed again is tried again; it doubles.
-const MIN_RETRY_PAUSE: Ms = 2_000;
-const MAX_RETRY_PAUSE: Ms = 60_000;
-/// A job that failed on so many machines, or so many times in a row, is itself
-/// to blame.
+/// Pause before a job that failed repeatedly is tried again, in milliseconds; it
+/// doubles with each failure.
+const MIN_RETRY_PAUSE_MS: Ms = 2_000;
+/// The longest such pause, in milliseconds.
+const MAX_RETRY_PAUSE_MS: Ms = 60_000;
+/// Most times that a pause is doubled.
+const MAX_DOUBLINGS: usize = 8;
+/// A job that failed on so many machines is itself the cause.
 const BLAME_MACHINES: usize = 3;
-const BLAME_STRIKES: u32 = 4;
-/// From so many machines, or times in a row, on, one task is tried at a time.
+/// A job that failed so many times in a row is itself the cause.
+const BLAME_FAILURES: u32 = 4;
+/// A job that failed on so many machines is tried with one task at a time.
 const LIMIT_MACHINES: usize = 2;
-const LIMIT_STRIKES: u32 = 2;
-/// Failed machines that a job remembers.
+/// A job that failed so many times in a row is tried with one task at a time.
+const LIMIT_FAILURES: u32 = 2;
+/// Most machines that a job remembers to have failed on.
 const MAX_REMEMBERED_MACHINES: usize = 8;
-/// Jobs that failed on a machine and run well elsewhere, before it is given up.
+/// Jobs that failed on a machine and run well elsewhere, before the machine is
+/// decommissioned.
 const FAULTY_AFTER_JOBS: usize = 2;
-/// Reports for which a task must run to run well, beyond twice the longest
-/// run that ended in a failure.
+/// Heartbeat intervals for which a task must run to run well, beyond twice the
+/// longest run that ended in a failure.
 const WELL_HEARTBEATS: Ms = 4;
-
-/// Reports after which a machine on probation is first tried again.
+/// Heartbeat intervals after which a quarantined machine is first tried again.
 const QUARANTINE_HEARTBEATS: Ms = 4;
 
-/// How long a task must run before that speaks for its job and its machine.
-pub(crate) fn well_after(longest_failed_run: Ms, report_ms: Ms) -> Ms {
-    longest_failed_run * 2 + report_ms * WELL_HEARTBEATS
+/// How long a task must run to run well, in milliseconds.
+pub(crate) fn well_after(longest_failed_run: Ms, heartbeat_interval_ms: Ms) -> Ms {
+    longest_failed_run * 2 + heartbeat_interval_ms * WELL_HEARTBEATS
 }
 
 /// A job's failures since a task of it last ran well.
+///
+/// Times are in milliseconds of the steady clock.
 #[derive(Default)]
 pub(crate) struct JobFailures {
     /// Machines that it failed on, and when it last did.
     machines: BTreeMap<MachineId, Ms>,
-    /// Failures in a row; those of tasks placed before one was known count once.
-    strikes: u32,
-    struck_at: Ms,
+    /// Failures in a row; those of tasks that were placed before the first of
+    /// them was known count once.
+    failures_in_row: u32,
+    /// When the last counted failure happened.
+    last_counted_at: Ms,
     /// The longest run that ended in a failure.
     pub(crate) longest_run: Ms,
-    /// Machines that it is kept away from, and since when.
+    /// Machines on which it is not placed, and since when.
     excluded_machines: BTreeMap<MachineId, Ms>,
 }
 
 impl JobFailures {
-    /// A task that was placed at a time has failed after it ran for so long.
-    pub(crate) fn add(&mut self, machine: &MachineId, placed: Ms, ran: Ms, now: Ms) {
-        if self.strikes == 0 || placed >= self.struck_at {
-            self.strikes += 1;
-            self.struck_at = now;
+    /// Adds the failure of a task that was placed at `placed_at` and ran for
+    /// `ran_ms`.
+    pub(crate) fn add(&mut self, machine: &MachineId, placed_at: Ms, ran_ms: Ms, now: Ms) {
+        if self.failures_in_row == 0 || placed_at >= self.last_counted_at {
+            self.failures_in_row += 1;
+            self.last_counted_at = now;
         }
-        self.longest_run = self.longest_run.max(ran);
+        self.longest_run = self.longest_run.max(ran_ms);
         for known in [&mut self.machines, &mut self.excluded_machines] {
             known.insert(machine.clone(), now);
             if known.len() > MAX_REMEMBERED_MACHINES {
@@ -68,41 +78,43 @@
         }
     }
 
-    /// A task that began to run then has run well.
+    /// Notes that a task that began to run at `began` has run well.
     pub(crate) fn ran_well(&mut self, began: Ms) {
-        if began >= self.struck_at {
+        if began >= self.last_counted_at {
             self.reset();
         }
     }
 
-    /// A task has completed. Where the job failed is still avoided for a while.
+    /// Notes that a task has completed. Machines on which the job failed stay
+    /// excluded for a while.
     pub(crate) fn reset(&mut self) {
         self.machines.clear();
-        self.strikes = 0;
+        self.failures_in_row = 0;
     }
 
     /// Whether it has failed since it last ran well.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.strikes > 0
+        self.failures_in_row > 0
     }
 
     /// Whether it is to be tried with one task at a time.
     pub(crate) fn is_limited_to_one_task(&self) -> bool {
-        self.strikes >= LIMIT_STRIKES || self.machines.len() >= LIMIT_MACHINES
+        self.failures_in_row >= LIMIT_FAILURES || self.machines.len() >= LIMIT_MACHINES
     }
 
-    /// Whether it, and no machine, is to blame.
+    /// Whether the job, and no machine, is the cause.
     pub(crate) fn is_blamed(&self) -> bool {
-        self.strikes >= BLAME_STRIKES || self.machines.len() >= BLAME_MACHINES
+        self.failures_in_row >= BLAME_FAILURES || self.machines.len() >= BLAME_MACHINES
     }
 
-    /// The pause before the next try.
+    /// The pause before the job is tried again, in milliseconds.
     pub(crate) fn pause(&self) -> Ms {
         if !self.is_limited_to_one_task() {
             return 0;
         }
-        let doublings = self.strikes.saturating_sub(LIMIT_STRIKES).min(8);
-        (MIN_RETRY_PAUSE << doublings).min(MAX_RETRY_PAUSE)
+        let extra_failures = self.failures_in_row.saturating_sub(LIMIT_FAILURES) as usize;
+        let doublings = extra_failures.min(MAX_DOUBLINGS);
+        (MIN_RETRY_PAUSE_MS << doublings).min(MAX_RETRY_PAUSE_MS)
     }
 
     /// Machines that it failed on since it last ran well.
@@ -110,8 +122,8 @@
         self.machines.keys().cloned().collect()
     }
 
-    /// Machines that it is kept away from. For a while only: another may never
-    /// come free, and these may be well.
+    /// Machines on which the job is not placed. They are excluded for `while_ms`
+    /// only: no other machine may become free, and these may be healthy.
     pub(crate) fn excluded_machines(
         &self,
         now: Ms,
@@ -126,86 +138,93 @@
 
 /// A job's failure on a machine.
 struct MachineFailure {
+    /// When the job last failed there.
     at: Ms,
-    /// The job has run well elsewhere.
-    job_is_well: bool,
+    /// Whether the job has run well elsewhere since.
+    runs_elsewhere: bool,
 }
 
 /// A machine's failures since a task last ran well on it.
+///
+/// Times are in milliseconds of the steady clock.
 #[derive(Default)]
 pub(crate) struct MachineFailures {
+    /// The last failure of each job.
     jobs: BTreeMap<JobId, MachineFailure>,
     /// When a task of a job that is not suspect last began to run.
-    began: Ms,
+    last_start_at: Ms,
     /// The longest run that ended in a failure.
     pub(crate) longest_run: Ms,
 }
 
 impl MachineFailures {
-    /// A task of a job has failed here after it ran for so long.
-    pub(crate) fn add(&mut self, job: &JobId, ran: Ms, now: Ms) {
-        self.longest_run = self.longest_run.max(ran);
+    /// Adds the failure of a job's task that ran for `ran_ms`.
+    pub(crate) fn add(&mut self, job: &JobId, ran_ms: Ms, now: Ms) {
+        self.longest_run = self.longest_run.max(ran_ms);
         let failure = self.jobs.entry(job.clone()).or_insert(MachineFailure {
             at: now,
-            job_is_well: false,
+            runs_elsewhere: false,
         });
         failure.at = now;
     }
 
-    /// The job is itself to blame.
+    /// Drops the failure of a job that is itself the cause.
     pub(crate) fn remove(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
 
-    /// The job runs well elsewhere.
-    pub(crate) fn job_is_well(&mut self, job: &JobId) {
+    /// Notes that a job runs well elsewhere.
+    pub(crate) fn note_runs_elsewhere(&mut self, job: &JobId) {
         if let Some(failure) = self.jobs.get_mut(job) {
-            failure.job_is_well = true;
+            failure.runs_elsewhere = true;
         }
     }
 
-    /// A task of a job that is not suspect begins to run. That is no proof: a
-    /// machine may fail what runs on it.
+    /// Notes that a task of a job that is not suspect begins to run. That does
+    /// not prove the machine healthy: the task may still fail.
     pub(crate) fn note_start(&mut self, now: Ms) {
-        self.began = now;
+        self.last_start_at = now;
     }
 
-    /// A task that began to run then has run well.
+    /// Notes that a task that began to run at `began` has run well.
     pub(crate) fn ran_well(&mut self, began: Ms) {
         self.jobs.retain(|_, failure| failure.at > began);
     }
 
+    /// Whether no job has failed on the machine.
     pub(crate) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
     /// Whether the machine is faulty.
     pub(crate) fn is_faulty(&self) -> bool {
-        let well = self.jobs.values().filter(|f| f.job_is_well);
-        well.count() >= FAULTY_AFTER_JOBS
+        let run_elsewhere = self.jobs.values().filter(|f| f.runs_elsewhere);
+        run_elsewhere.count() >= FAULTY_AFTER_JOBS
     }
 
-    fn last(&self) -> Ms {
+    /// When a job last failed on the machine.
+    fn last_failure_at(&self) -> Ms {
         self.jobs.values().map(|f| f.at).max().unwrap_or(0)
     }
 
-    /// Whether it may be faulty: it is tried with one task at a time, of a job
-    /// that did not fail elsewhere.
+    /// Whether it may be faulty: it is then tried with one task at a time, of a
+    /// job that did not fail elsewhere.
     pub(crate) fn is_quarantined(&self) -> bool {
-        self.jobs.len() >= FAULTY_AFTER_JOBS && self.began <= self.last()
+        self.jobs.len() >= FAULTY_AFTER_JOBS && self.last_start_at <= self.last_failure_at()
     }
 
-    /// Whether a job failed there within a time.
+    /// Whether a job failed on the machine in the last `while_ms`.
     pub(crate) fn is_recent(&self, now: Ms, while_ms: Ms) -> bool {
-        now < self.last() + while_ms
+        now < self.last_failure_at() + while_ms
     }
 
-    /// Whether one on probation is to be tried again: ever more seldom, the
-    /// more jobs have failed on it, but once in a boot.
-    pub(crate) fn is_tried(&self, now: Ms, report_ms: Ms, boot_ms: Ms) -> bool {
-        let doublings = self.jobs.len().saturating_sub(FAULTY_AFTER_JOBS).min(8);
-        let pause = (report_ms * QUARANTINE_HEARTBEATS) << doublings;
-        !self.is_recent(now, pause.min(boot_ms))
+    /// Whether a quarantined machine is to be tried again. The pause grows with
+    /// the number of jobs that have failed on it, up to a boot time.
+    pub(crate) fn is_tried(&self, now: Ms, heartbeat_interval_ms: Ms, boot_ms: Ms) -> bool {
+        let extra_jobs = self.jobs.len().saturating_sub(FAULTY_AFTER_JOBS);
+        let doublings = extra_jobs.min(MAX_DOUBLINGS);
+        let pause_ms = (heartbeat_interval_ms * QUARANTINE_HEARTBEATS) << doublings;
+        !self.is_recent(now, pause_ms.min(boot_ms))
     }
 }
 
--- a/crates/core/src/shard/failure_attribution/tests.rs
+++ b/crates/core/src/shard/failure_attribution/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `blame`.
+//! Tests of `failure_attribution`.
 
 use super::*;
 
@@ -66,7 +66,7 @@
                 (1, 16, 17),
             ],
             (true, true),
-            MAX_RETRY_PAUSE,
+            MAX_RETRY_PAUSE_MS,
         ),
     ];
     for (name, failed, (probed, blamed), pause) in cases {
@@ -119,7 +119,7 @@
 
 /// A machine is given up for jobs that run elsewhere, and for no others.
 #[test]
-fn only_jobs_that_run_elsewhere_speak_against_a_machine() {
+fn only_jobs_that_run_elsewhere_count_against_a_machine() {
     // Jobs that failed there; those that run well elsewhere; whether the machine
     // is faulty, and whether it is on probation.
     type Case = (usize, &'static [usize], bool, bool);
@@ -138,7 +138,7 @@
             failures.add(&job(n), 0, 100 + n as Ms);
         }
         for n in well {
-            failures.job_is_well(&job(*n));
+            failures.note_runs_elsewhere(&job(*n));
         }
         let now = BOOT_MS;
         assert_eq!(failures.is_faulty(), faulty, "{name}");
@@ -155,7 +155,7 @@
 /// The more jobs fail on a machine on probation, the more seldom it is tried;
 /// a start ends the probation, only a run ends the suspicion.
 #[test]
-fn a_machine_on_probation_is_tried_and_cleared() {
+fn a_quarantined_machine_is_tried_and_cleared() {
     let mut failures = MachineFailures::default();
     failures.add(&job(1), 0, 100);
     failures.add(&job(2), 0, 100);
@@ -173,7 +173,7 @@
     failures.note_start(150);
     assert!(!failures.is_quarantined());
     for n in 1..=3 {
-        failures.job_is_well(&job(n));
+        failures.note_runs_elsewhere(&job(n));
     }
     failures.ran_well(90);
     assert!(failures.is_faulty(), "that run began before they failed");
--- a/crates/core/src/shard/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -10,52 +10,50 @@
 use serde_json::to_value;
 use std::collections::BTreeMap;
 
-/// Hands shards to starts of controllers, each under a new epoch. It takes
-/// hold only if the controllers that held them are as the view shows them:
-/// gone, or started anew, or willing.
+/// Hands shards over to incarnations of controllers, each under a new epoch.
+///
+/// The transaction is carried out only if the records of the old and the new
+/// holders are as the view shows them: an old holder is removed, was restarted,
+/// or offers the shard.
 pub(crate) fn hand_over(ctx: &mut Context, view: &ClusterView, given: &[(ShardId, NodeName)]) {
     let (epoch_version, mut epoch) = view.epoch();
-    let mut preconditions: BTreeMap<String, u64> =
-        BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
+    let mut preconditions = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
     let mut writes = Vec::new();
     let mut shards = Vec::new();
-    for (k, to) in given {
-        let Some(node) = view.nodes.get(to) else {
+    for (shard_id, new_holder) in given {
+        let Some(node) = view.nodes.get(new_holder) else {
             continue;
         };
         epoch += 1;
         let record = ShardRecord {
-            holder: to.clone(),
+            holder: new_holder.clone(),
             holder_incarnation: node.record.incarnation,
             epoch,
             handover_to: None,
         };
-        let shard = view.shards.get(k);
-        preconditions.insert(shard_key(*k), shard.map_or(0, |s| s.version));
-        preconditions.insert(node_key(to), node.version);
-        if let Some(old) = shard.map(|s| &s.record.holder) {
-            preconditions.insert(node_key(old), view.nodes.get(old).map_or(0, |n| n.version));
+        let shard = view.shards.get(shard_id);
+        let key = shard_key(*shard_id);
+        preconditions.insert(key.clone(), shard.map_or(0, |s| s.version));
+        preconditions.insert(node_key(new_holder), node.version);
+        if let Some(old_holder) = shard.map(|s| &s.record.holder) {
+            let version = view.nodes.get(old_holder).map_or(0, |n| n.version);
+            preconditions.insert(node_key(old_holder), version);
         }
-        writes.push(Write::put(
-            shard_key(*k),
-            to_value(record).unwrap_or_default(),
-        ));
-        shards.push(*k);
+        writes.push(Write::put(key, to_value(record).unwrap_or_default()));
+        shards.push(*shard_id);
     }
     if shards.is_empty() {
         return;
     }
     writes.push(Write::put(EPOCH.to_owned(), epoch.into()));
-    let preconditions = preconditions.into_iter();
     let preconditions = preconditions
+        .into_iter()
         .map(|(key, version)| Precondition { key, version })
         .collect();
-    ctx.transact(
-        Urgency::Membership,
-        &Transaction {
-            preconditions,
-            writes,
-        },
-        PendingCall::ShardHandover(shards),
-    );
+    let transaction = Transaction {
+        preconditions,
+        writes,
+    };
+    let pending = PendingCall::ShardHandover(shards);
+    ctx.transact(Urgency::Membership, &transaction, pending);
 }
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -1,28 +1,28 @@
-//! Tests of `evidence`.
+//! Tests of `heartbeats`.
 
 use super::*;
 use crate::fixture::Fixture;
 use crate::records::MachineRecord;
 use forkshift_wire::users::JobKind;
 
-/// What a message proves of a task that it does not list. Old reports reach a
-/// new holder, too, before anything newer has: only a token minted after the
-/// start tells that it can not come any more.
+/// What a heartbeat proves of a task that it does not list. Old heartbeats
+/// reach a new holder, too, before anything newer has: only a token minted after
+/// the start proves that the task cannot come any more.
 #[test]
-fn a_task_is_gone_only_by_a_newer_token_or_session() {
+fn a_task_is_unbound_only_by_a_newer_token_or_incarnation() {
     // Who sent the start; the message's incarnation, and its token as measured by
-    // the one that is used now; whether the task is gone.
+    // the one that is used now; whether the task is unbound.
     type Case = (&'static str, fn(u64) -> StartState, u64, i64, bool);
     let cases: [Case; 9] = [
         (
-            "an earlier holder, a report from before us",
+            "an earlier holder, a heartbeat from before this one",
             |_| StartState::Unknown,
             1,
             -1,
             false,
         ),
         (
-            "the same, of a later session",
+            "the same, of a later incarnation",
             |_| StartState::Unknown,
             2,
             -1,
@@ -66,7 +66,7 @@
             true,
         ),
         (
-            "ours, a later session",
+            "ours, a later incarnation",
             |t| StartState::SentByUs {
                 token: t,
                 incarnation: 1,
@@ -76,7 +76,7 @@
             true,
         ),
         (
-            "ours, a later session's old token",
+            "ours, a later incarnation's old token",
             |t| StartState::SentByUs {
                 token: t,
                 incarnation: 1,
@@ -87,7 +87,7 @@
         ),
         ("never sent", |_| StartState::NotSent, 2, 0, false),
     ];
-    for (name, sent, incarnation, token, gone) in cases {
+    for (name, sent, incarnation, token, is_unbound) in cases {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let used = f.token();
@@ -99,16 +99,16 @@
             .expect("it is there")
             .has_call_in_flight = true;
         f.heartbeat(incarnation, used.saturating_add_signed(token), &[]);
-        let is_gone = f.shard().jobs[&id].bound.is_empty();
-        assert_eq!(is_gone, gone, "{name}");
+        let has_no_bindings = f.shard().jobs[&id].bound.is_empty();
+        assert_eq!(has_no_bindings, is_unbound, "{name}");
         let free = f.shard().quotas[0].used.is_zero();
-        assert_eq!(free, gone, "{name}: its place in the quota");
+        assert_eq!(free, is_unbound, "{name}: its place in the quota");
     }
 }
 
 /// Copies of old messages are dropped, of earlier incarnations too.
 #[test]
-fn old_copies_are_dropped() {
+fn old_copies_of_heartbeats_are_dropped() {
     for (incarnation, later, taken) in [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)] {
         let mut f = Fixture::new();
         let token = f.token();
@@ -119,7 +119,7 @@
         let Fixture { node, shard, .. } = &mut f;
         let ours = node.shards.get_mut(shard).expect("it is ours");
         let is_taken = ours.on_worker_heartbeat(&mut node.ctx, &copy);
-        assert_eq!(is_taken, taken, "session {incarnation}, {later} later");
+        assert_eq!(is_taken, taken, "incarnation {incarnation}, {later} later");
     }
 }
 
@@ -145,10 +145,10 @@
     }
 }
 
-/// A stray of a job whose last write is under way is stopped, not bound: it
-/// would be left in the books when the job is forgotten.
+/// An unexpected task of a job whose last write is under way is stopped, not
+/// bound: its machine would keep it when the job is forgotten.
 #[test]
-fn a_stray_of_a_job_that_is_over_is_not_bound() {
+fn an_unexpected_task_of_a_finished_job_is_not_bound() {
     for cancelled in [false, true] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
--- a/crates/core/src/shard/job/binding.rs
+++ b/crates/core/src/shard/job/binding.rs
@@ -35,6 +35,12 @@
             last_sent_at: None,
         }
     }
+
+    /// Whether its command is to be sent, for the first time or again.
+    pub(crate) fn is_due(&self, now: Ms, repeat_ms: Ms) -> bool {
+        self.last_sent_at
+            .is_none_or(|sent_at| now >= sent_at + repeat_ms)
+    }
 }
 
 /// A task that may be on a machine.
--- a/crates/core/src/shard/layout.rs
+++ b/crates/core/src/shard/layout.rs
@@ -11,17 +11,17 @@
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::JobId;
 
-/// Bytes that one task may take in a record.
+/// Most bytes that one task takes in a record.
 pub(crate) const TASK_BYTES: usize = 40;
 /// Bytes of a head beside the submission and the tasks.
 const HEAD_BYTES: usize = 200;
 
-/// Spreads the tasks of a job over blocks.
+/// How the tasks of a job are spread over blocks.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct Layout {
-    /// Tasks a block.
+    /// Tasks per block.
     size: u32,
-    /// Whether the head names the layout, and the keys of blocks do.
+    /// Whether the head and the keys of the blocks name the layout.
     is_named: bool,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What the head says of it.
+    /// Tasks per block, as the head records them; none for an unnamed layout.
     pub(crate) fn to_record(self) -> Option<u32> {
         self.is_named.then_some(self.size)
     }
@@ -70,7 +70,7 @@
         index / self.size
     }
 
-    /// The tasks of a block, as a range without its end.
+    /// The tasks of a block, as first index and exclusive end.
     pub(crate) fn tasks_of(self, block: u32) -> (u32, u32) {
         let from = block.saturating_mul(self.size);
         (from, from.saturating_add(self.size))
@@ -89,9 +89,10 @@
     /// other layouts are left over from before the job was moved, or from a
     /// move that was not completed.
     pub(crate) fn parse_block(self, name: &str) -> Option<u32> {
-        let number = match self.is_named {
-            true => name.strip_prefix(&format!("{}-", self.size))?,
-            false => name,
+        let number = if self.is_named {
+            name.strip_prefix(&format!("{}-", self.size))?
+        } else {
+            name
         };
         number.parse().ok().filter(|block| *block > 0)
     }
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -1,25 +1,53 @@
 //! The machines of a shard: they follow the records that the view shows, are
-//! given up, and change to another shard.
+//! decommissioned, and are transferred to another shard.
 
 use super::Shard;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
-use crate::pools::{add_row, MachinePool};
-use crate::records::{capacity_of, machine_key, MachineRecord};
-use crate::shard::failure_attribution::MachineFailures;
-use crate::shard::machine::Machine;
+use crate::pools::add_row;
+use crate::records::{machine_key, MachineRecord};
+use crate::shard::machine::{Machine, RecordedMachine};
 use crate::store::queue::Urgency;
-use crate::store::view::{ChangedMachines, ClusterView};
-use forkshift_links::{MachineLink, Route};
+use crate::store::view::{ChangedMachines, ClusterView, Versioned};
+use forkshift_links::Route;
 use forkshift_pools::{Ended, Interval};
-use forkshift_sched::Resources;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::{MachineId, TaskRef};
 use serde_json::to_value;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
+
+impl Machine {
+    /// Follows a changed record.
+    fn follow_record(&mut self, versioned: &Versioned<MachineRecord>) {
+        if self.version == versioned.version {
+            return;
+        }
+        let record = &versioned.record;
+        self.version = versioned.version;
+        self.transfer_version = None;
+        if record.decommission_reason.is_some() {
+            self.decommission_reason = record.decommission_reason.clone();
+        }
+        self.addr = record.addr.clone().or(self.addr.take());
+        self.pool.follow(record);
+    }
+
+    /// Whether nothing is or may come on it, so that another shard can use it.
+    /// A machine of a warm pool must be offered too.
+    fn is_transferable(&self, is_offered: bool) -> bool {
+        self.tasks.is_empty()
+            && self.exited.is_empty()
+            && self.orphans.is_empty()
+            && !self.has_call_in_flight
+            && !self.has_unanswered_call
+            && self.decommission_reason.is_none()
+            && (self.pool.membership.is_none() || is_offered)
+            && self.is_confirmed()
+    }
+}
 
 impl Shard {
-    /// Follows the view: new machines, changed records, machines that are gone.
+    /// Follows the view: new machines, changed records, removed machines.
     pub(crate) fn apply_machine_records(
         &mut self,
         ctx: &mut Context,
@@ -49,90 +77,24 @@
         };
         self.recheck.touch(id);
         if let Some(machine) = self.machines.get_mut(id) {
-            if machine.version != versioned.version {
-                machine.version = versioned.version;
-                machine.transfer_version = None;
-                if versioned.record.decommission_reason.is_some() {
-                    machine.decommission_reason = versioned.record.decommission_reason.clone();
-                }
-                machine.addr = versioned.record.addr.clone().or(machine.addr.take());
-                machine.pool.follow(&versioned.record);
-            }
-        } else if let Some(machine) =
-            self.new_machine(ctx, view, id, &versioned.record, versioned.version)
-        {
-            self.machines.insert(id.clone(), machine);
+            machine.follow_record(versioned);
+            return;
         }
-    }
-
-    /// A machine of which nothing is known but its record.
-    fn new_machine(
-        &self,
-        ctx: &mut Context,
-        view: &ClusterView,
-        id: &MachineId,
-        record: &MachineRecord,
-        version: u64,
-    ) -> Option<Machine> {
-        let of_type = &view.machine_types.get(&record.machine_type)?.record;
-        let hourly = if record.spot {
-            of_type.spot_price.unwrap_or(of_type.price)
-        } else {
-            of_type.price
+        let Some(machine_type) = view.machine_types.get(&versioned.record.machine_type) else {
+            return;
+        };
+        let recorded = RecordedMachine {
+            id,
+            record: versioned,
+            machine_type: &machine_type.record,
+            first_token: self.first_token(&versioned.record),
         };
-        Some(Machine {
-            id: id.clone(),
-            machine_type: ctx.places.number(&record.machine_type),
-            zone: ctx.places.number(&record.zone),
-            spot: record.spot,
-            total: capacity_of(of_type),
-            price: hourly / 3600.0,
-            fetch_rate: of_type.fetch_gb_per_s,
-            cache_gb: of_type.cache_gb,
-            boot_ms: crate::ms(of_type.boot_s),
-            addr: record.addr.clone(),
-            decommission_reason: record.decommission_reason.clone(),
-            version,
-            is_writing_record: false,
-            record_required_revision: 0,
-            incarnation: 0,
-            heartbeat_sequence: 0,
-            acknowledged_token: 0,
-            token: self.first_token(record),
-            unacknowledged_since: None,
-            last_heartbeat_at: None,
-            link: MachineLink::default(),
-            known_since: ctx.now,
-            reclaimed_at: None,
-            has_call_in_flight: false,
-            retry_at: 0,
-            has_unanswered_call: false,
-            must_send_token: record.addr.is_some(),
-            tasks: BTreeSet::new(),
-            used: Resources::default(),
-            orphans: Vec::new(),
-            exited: Vec::new(),
-            exit_versions: BTreeMap::new(),
-            images: record
-                .images
-                .iter()
-                .map(|(name, gb)| (ctx.images.number(name), *gb))
-                .collect(),
-            failures: MachineFailures::default(),
-            full_until: 0,
-            transfer_version: None,
-            is_vacating: false,
-            is_deleted: false,
-            next_delete_at: 0,
-            drain_retry_at: 0,
-            is_draining: false,
-            idle_since: None,
-            pool: MachinePool::new(record),
-        })
+        let machine = Machine::new(ctx, &recorded);
+        self.machines.insert(id.clone(), machine);
     }
 
-    /// The machine's record is gone: the cloud has answered that it was
-    /// deleted, so nothing that was on it is left.
+    /// Drops a machine whose record is removed: the cloud has confirmed its
+    /// deletion, so nothing that was on it runs any more.
     fn remove_machine(&mut self, ctx: &Context, id: &MachineId) {
         if !self.machines.contains_key(id) {
             return;
@@ -142,7 +104,7 @@
         self.recheck.forget(id);
     }
 
-    /// Notes by which way a machine's report has come.
+    /// Notes by which route a machine's heartbeat has come.
     pub(crate) fn note_route(&mut self, ctx: &Context, id: &MachineId, route: Route) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -151,7 +113,7 @@
         let was_relayed = machine.link.is_relayed();
         machine.link.on_heartbeat(ctx.now, route, &timing);
         if was_relayed != machine.link.is_relayed() {
-            log::info!("machine {id}: reports are {route:?}");
+            log::info!("machine {id}: heartbeat route changed, {route:?}");
         }
         if machine.link.is_probe_due(ctx.now) {
             // Any answered call will do.
@@ -159,7 +121,7 @@
         }
     }
 
-    /// Nothing that was on a machine is left.
+    /// Unbinds all tasks of a machine on which nothing runs any more.
     pub(crate) fn unbind_all(&mut self, ctx: &Context, id: &MachineId) {
         let tasks = self.machines.get(id).map(|m| m.tasks.clone());
         for task in tasks.into_iter().flatten() {
@@ -168,51 +130,43 @@
         self.schedule_round_soon(ctx);
     }
 
-    /// Gives a machine that the leader asks for to another shard, if it is
-    /// free. From the moment the write is sent nothing is placed there until
-    /// the record has changed: a write without an answer may land late, and
-    /// the other shard then owns whatever is on the machine.
+    /// Transfers a machine that the leader requests to another shard, if it is
+    /// free. From the moment the write is sent nothing is placed on it until the
+    /// record has changed: a write without an answer may be carried out late,
+    /// and the other shard then owns whatever is on the machine.
     pub(crate) fn transfer_machine(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         id: &MachineId,
     ) {
-        let Some(to) = view.machines.get(id).and_then(|m| m.record.reassign_to) else {
+        let requested = view.machines.get(id).and_then(|m| m.record.reassign_to);
+        let Some(new_shard) = requested else {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.is_vacating = false;
             }
             return;
         };
-        let names = self.image_names(ctx, id);
-        let is_offered = self.last_demand_sent.reclaimable_machines.contains(id)
-            || self.last_demand_sent.pool_machines.contains(id);
+        let is_offered = self.is_offered(id);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         if machine.is_writing_record
             || view.revision < machine.record_required_revision
-            || to == self.id
+            || new_shard == self.id
         {
             return;
         }
-        let free = machine.tasks.is_empty()
-            && machine.exited.is_empty()
-            && machine.orphans.is_empty()
-            && !machine.has_call_in_flight
-            && !machine.has_unanswered_call
-            && machine.decommission_reason.is_none()
-            && (machine.pool.membership.is_none() || is_offered)
-            && machine.is_confirmed();
-        let floor = machine.token;
-        if free || machine.transfer_version.is_some() {
+        if machine.is_transferable(is_offered) || machine.transfer_version.is_some() {
             machine.transfer_version = Some(machine.version);
+            let token_floor = machine.token;
+            let images = self.image_names(ctx, id);
             let at_ms = ctx.wall_clock_ms;
             self.update_machine_record_with(ctx, view, id, |record| {
-                record.shard = to;
+                record.shard = new_shard;
                 record.reassign_to = None;
-                record.token_floor = floor;
-                record.images = names;
+                record.token_floor = token_floor;
+                record.images = images;
                 record.close_membership(id, at_ms, Err(Ended::Reclaimed))
             });
         } else if !self.vacate(ctx, id) {
@@ -220,23 +174,30 @@
         }
     }
 
+    /// Whether the demand that was last sent to the leader offers a machine.
+    fn is_offered(&self, id: &MachineId) -> bool {
+        let demand = &self.last_demand_sent;
+        demand.reclaimable_machines.contains(id) || demand.pool_machines.contains(id)
+    }
+
     /// Names and sizes of the images that are on a machine.
     fn image_names(&self, ctx: &Context, id: &MachineId) -> Vec<(String, f64)> {
         let images = self.machines.get(id).map(|m| m.images.as_slice());
         let images = images.unwrap_or_default().iter();
         let mut names: Vec<(String, f64)> = images
-            .filter_map(|(i, gb)| Some((ctx.images.name(*i)?.to_owned(), *gb)))
+            .filter_map(|(image, size_gb)| Some((ctx.images.name(*image)?.to_owned(), *size_gb)))
             .collect();
-        // They save fetches, and nothing rests on them.
-        let most = ctx.limits.value_bytes / 2;
-        let size = |names: &Vec<(String, f64)>| serde_json::to_vec(names).map_or(0, |j| j.len());
-        while size(&names) > most {
+        // The list only saves fetches, so it may be cut short.
+        let max_bytes = ctx.limits.value_bytes / 2;
+        let encoded_bytes =
+            |names: &Vec<(String, f64)>| serde_json::to_vec(names).map_or(0, |json| json.len());
+        while encoded_bytes(&names) > max_bytes {
             names.truncate(names.len() / 2);
         }
         names
     }
 
-    /// Writes a machine's record, on condition that it and the shard are as we know them.
+    /// Writes a machine's record, if it and the shard's record are unchanged.
     pub(crate) fn update_machine_record(
         &mut self,
         ctx: &mut Context,
@@ -250,7 +211,8 @@
         });
     }
 
-    /// The same, with a row of a pool's account that the change ends.
+    /// Writes a machine's record as [`Self::update_machine_record`] does, with
+    /// the row of a pool's ledger that the change closes.
     pub(crate) fn update_machine_record_with(
         &mut self,
         ctx: &mut Context,
@@ -268,10 +230,10 @@
         machine.is_writing_record = true;
         let mut record = versioned.record.clone();
         let row = change(&mut record);
-        // Only a takeover needs an address; all else frees a machine.
-        let moves = record.shard != versioned.record.shard
+        // Other changes are needed by the next holder only.
+        let frees_machine = record.shard != versioned.record.shard
             || record.decommission_reason != versioned.record.decommission_reason;
-        let urgency = if moves {
+        let urgency = if frees_machine {
             Urgency::Tasks
         } else {
             Urgency::Background
@@ -297,24 +259,24 @@
         );
     }
 
-    /// Gives a machine up: nothing more is placed there, and the leader
+    /// Decommissions a machine: nothing more is placed on it, and the leader
     /// deletes it once the record says so.
-    pub(crate) fn decommission(&mut self, id: &MachineId, why: &str) {
+    pub(crate) fn decommission(&mut self, id: &MachineId, reason: &str) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         if machine.decommission_reason.is_none() {
             log::info!(
-                "machine {id}: condemned, {why}, {} tasks",
+                "machine {id}: decommissioned, {reason}, {} tasks",
                 machine.tasks.len()
             );
-            machine.decommission_reason = Some(why.to_owned());
+            machine.decommission_reason = Some(reason.to_owned());
             self.recheck.touch(id);
         }
     }
 
-    /// Writes that a machine is given up, until the record says so, and takes
-    /// away from it what was never sent there.
+    /// Records the decommissioning of a machine, until the record says so, and
+    /// unbinds tasks whose start was never sent to it.
     pub(crate) fn record_decommission(
         &mut self,
         ctx: &mut Context,
@@ -324,17 +286,18 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let Some(why) = machine.decommission_reason.clone() else {
+        let Some(reason) = machine.decommission_reason.clone() else {
             return;
         };
         let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
         self.unbind_unsent_tasks(tasks);
         let recorded = view.machines.get(id);
         if recorded.is_some_and(|m| m.record.decommission_reason.is_none()) {
-            // The leader may remove the record at once, and knows less of when it ended.
+            // The leader may remove the record at once, and knows less of when the
+            // membership ended.
             let (at_ms, ended) = self.end_of_membership(ctx, id);
             self.update_machine_record_with(ctx, view, id, |record| {
-                record.decommission_reason = Some(why);
+                record.decommission_reason = Some(reason);
                 record.close_membership(id, at_ms, Err(ended))
             });
         }
--- a/crates/core/src/shard/ranges.rs
+++ b/crates/core/src/shard/ranges.rs
@@ -5,44 +5,44 @@
 /// A set of numbers that is mostly made of long runs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ranges {
-    /// Start of each run, and its end, which is not part of it.
+    /// Start of each run, and its exclusive end.
     runs: BTreeMap<u32, u32>,
+    /// How many numbers are in the set.
     len: u32,
 }
 
 impl Ranges {
     /// Adds numbers from `from` up to, not including, `to`.
     pub(crate) fn insert_range(&mut self, from: u32, to: u32) {
-        for x in from..to {
-            self.insert(x);
+        for number in from..to {
+            self.insert(number);
         }
     }
 
-    /// Adds a number, and says whether it is new.
-    pub(crate) fn insert(&mut self, x: u32) -> bool {
-        if self.contains(x) {
+    /// Adds a number, and returns whether it is new.
+    pub(crate) fn insert(&mut self, number: u32) -> bool {
+        if self.contains(number) {
             return false;
         }
         self.len += 1;
-        let mut start = x;
-        let mut end = x + 1;
-        if let Some((&s, &e)) = self.runs.range(..x).next_back() {
-            if e == x {
-                start = s;
+        let mut start = number;
+        let mut end = number + 1;
+        if let Some((&run_start, &run_end)) = self.runs.range(..number).next_back() {
+            if run_end == number {
+                start = run_start;
             }
         }
-        if let Some(&e) = self.runs.get(&(x + 1)) {
-            end = e;
-            self.runs.remove(&(x + 1));
+        if let Some(next_end) = self.runs.remove(&(number + 1)) {
+            end = next_end;
         }
         self.runs.insert(start, end);
         true
     }
 
     /// Whether a number is in the set.
-    pub(crate) fn contains(&self, x: u32) -> bool {
-        let run = self.runs.range(..=x).next_back();
-        run.is_some_and(|(_, &end)| x < end)
+    pub(crate) fn contains(&self, number: u32) -> bool {
+        let run = self.runs.range(..=number).next_back();
+        run.is_some_and(|(_, &end)| number < end)
     }
 
     /// How many numbers are in the set.
@@ -50,12 +50,12 @@
         self.len
     }
 
-    /// The runs that lie in `from..to`.
+    /// The runs within `from..to`, as starts and exclusive ends.
     pub(crate) fn within(&self, from: u32, to: u32) -> Vec<(u32, u32)> {
         self.runs
             .iter()
-            .map(|(&s, &e)| (s.max(from), e.min(to)))
-            .filter(|(s, e)| s < e)
+            .map(|(&start, &end)| (start.max(from), end.min(to)))
+            .filter(|(start, end)| start < end)
             .collect()
     }
 
@@ -64,7 +64,8 @@
     pub(crate) fn missing(&self, to: u32) -> impl Iterator<Item = u32> + '_ {
         let ends = std::iter::once(0).chain(self.runs.values().copied());
         let starts = self.runs.keys().copied().chain(std::iter::once(to));
-        ends.zip(starts).flat_map(move |(a, b)| a..b.min(to))
+        ends.zip(starts)
+            .flat_map(move |(end, next_start)| end..next_start.min(to))
     }
 }
 
--- /dev/null
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -0,0 +1,132 @@
+//! Enforcement of cancellations: the tasks of a cancelled job must have exited
+//! within the time that the settings give.
+//!
+//! The time counts from the first request, also when that came to an earlier
+//! holder. First the tasks are stopped; machines that may still hold one are
+//! then decommissioned. If the record of a machine cannot be written, or the
+//! leader does not act on it, the holder has the machine deleted itself.
+
+use crate::context::Context;
+use crate::pending_call::PendingCall;
+use crate::shard::job::Job;
+use crate::shard::Shard;
+use crate::Ms;
+use forkshift_wire::cloud::DELETE_MOST;
+use forkshift_wire::MachineId;
+use std::collections::BTreeSet;
+
+/// A machine that may hold a task of a cancelled job is decommissioned after
+/// this part of the time in which the task must have exited.
+const DECOMMISSION_PART: f64 = 0.35;
+/// By this part of it the machine is decommissioned even if its holder has just
+/// learned of the cancellation.
+const LATEST_DECOMMISSION_PART: f64 = 0.5;
+/// After this part of it the holder has the machine deleted itself.
+const DELETE_PART: f64 = 0.6;
+/// Heartbeat intervals that a new holder gives a machine to show that a task has
+/// stopped.
+const STOP_HEARTBEATS: u64 = 2;
+
+/// Ages of a cancellation, in milliseconds, at which measures are due.
+struct Deadlines {
+    decommission: Ms,
+    delete: Ms,
+}
+
+impl Deadlines {
+    fn of(ctx: &Context, job: &Job) -> Self {
+        let part = |part: f64| (ctx.config.cancel_ms as f64 * part) as Ms;
+        // A new holder tries to stop the tasks first, if there is time.
+        let stop_ms = ctx.config.report_ms * STOP_HEARTBEATS;
+        let tried = job.cancellation_age.when_learned_ms + stop_ms;
+        let tried = tried.min(part(LATEST_DECOMMISSION_PART));
+        Self {
+            decommission: part(DECOMMISSION_PART).max(tried),
+            delete: part(DELETE_PART),
+        }
+    }
+}
+
+impl Shard {
+    /// Stops the tasks of cancelled jobs, and decommissions or deletes machines
+    /// that may still hold one when a deadline has passed.
+    pub(super) fn enforce_cancellations(&mut self, ctx: &mut Context) {
+        let mut overdue = BTreeSet::new();
+        for id in self.cancelled_jobs.take(ctx.now) {
+            self.stop_remaining_tasks(&id);
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let age = job.cancel_age(ctx.now);
+            let deadlines = Deadlines::of(ctx, job);
+            let bindings = job.bound.values();
+            let holding: BTreeSet<MachineId> = bindings.map(|b| b.machine.clone()).collect();
+            if age >= deadlines.decommission {
+                for machine in &holding {
+                    self.decommission(machine, "it may hold a cancelled task");
+                }
+            }
+            if age >= deadlines.delete {
+                overdue.extend(holding);
+            }
+            let mut next_check = ctx.now + ctx.config.report_ms;
+            if age < deadlines.decommission {
+                next_check = next_check.min(ctx.now + deadlines.decommission - age);
+            }
+            self.cancelled_jobs.wake(&id, next_check);
+        }
+        self.delete_overdue(ctx, overdue);
+    }
+
+    /// Has machines deleted without a record that says so. That is always safe,
+    /// as it only ends things. None of them is used again: this holder keeps
+    /// them decommissioned until their records say so, and the next one finds
+    /// machines that send no heartbeats, and starts nothing on them. Their tasks
+    /// stay bound until the cloud has confirmed the deletion, or the record is
+    /// removed.
+    fn delete_overdue(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
+        let mut due = Vec::new();
+        for id in overdue {
+            let Some(machine) = self.machines.get_mut(&id) else {
+                continue;
+            };
+            let deletion = &mut machine.deletion;
+            let is_due = !deletion.is_confirmed && ctx.now >= deletion.next_request_at;
+            if is_due && due.len() < DELETE_MOST {
+                deletion.next_request_at = ctx.now + ctx.config.report_ms;
+                due.push(id);
+            }
+        }
+        if due.is_empty() {
+            return;
+        }
+        log::info!(
+            "shard {}: deleting machines that may hold cancelled tasks, {} machines",
+            self.id,
+            due.len()
+        );
+        let pending = PendingCall::DeleteOwnMachines {
+            shard: self.id,
+            epoch: self.epoch,
+            machines: due.clone(),
+        };
+        ctx.delete_machines(due, pending);
+    }
+
+    /// Handles the cloud's answer to a deletion by this holder.
+    pub(crate) fn on_own_machines_deleted(
+        &mut self,
+        ctx: &Context,
+        machines: &[MachineId],
+        status: u16,
+    ) {
+        for id in machines.iter().filter(|_| status == 200) {
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.deletion.is_confirmed = true;
+                machine.orphans.clear();
+                machine.exited.clear();
+                self.unbind_all(ctx, id);
+            }
+        }
+    }
+}
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of `reconcile`.
+//! Tests of `reconciliation`.
 
 use super::*;
 use crate::fixture::{Fixture, WALL};
 use crate::io::Effect;
+use crate::pending_call::PendingCall;
 use crate::records::{unfinished_key, JobHeadRecord};
 use forkshift_wire::state::Item;
 use forkshift_wire::users::JobKind;
