--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -74,7 +74,7 @@
         }
         let token = f.token();
         let heartbeat = f.message(2, token, &[]);
-        f.answer(is_call, 409, &to_value(heartbeat).expect("a report"));
+        f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
         let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, if stopped { 0 } else { 2 }, "stopped: {stopped}");
     }
@@ -91,7 +91,7 @@
         f.step(1);
         let token = f.token() + newer;
         let heartbeat = f.message(2, token, &[]);
-        let effects = f.answer(is_call, 409, &to_value(heartbeat).expect("a report"));
+        let effects = f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
         assert_eq!(!sent(&effects).is_empty(), calls, "newer by {newer}");
     }
 }
@@ -109,8 +109,8 @@
         let m = f.shard().machines.get_mut(&machine).expect("it is there");
         (m.has_call_in_flight, m.has_unanswered_call) = (calling, unanswered);
         let Fixture { node, shard, .. } = &mut f;
-        let ours = node.shards.get_mut(shard).expect("it is ours");
-        let commands = ours.safe_commands(&node.ctx, &machine);
+        let shard = node.shards.get_mut(shard).expect("the shard is held");
+        let commands = shard.safe_commands(&node.ctx, &machine);
         let n = commands.iter().filter(|o| o.verb == Verb::Forget).count();
         assert_eq!(n, forgets, "calling: {calling}, unanswered: {unanswered}");
     }
@@ -129,7 +129,7 @@
         assert_eq!(sent(&f.step(1)).len() as u32, first, "{tasks} tasks");
         let token = f.token();
         let started: Vec<_> = (0..first).map(|i| (&id, i, TaskStage::Running)).collect();
-        let heartbeat = to_value(f.message(1, token, &started)).expect("a report");
+        let heartbeat = to_value(f.message(1, token, &started)).expect("a heartbeat");
         let mut effects = f.answer(is_call, 200, &heartbeat);
         effects.extend(f.step(1));
         assert_eq!(sent(&effects).len() as u32, second, "{tasks} tasks");
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -41,6 +41,14 @@
 /// cancelled job must be over; after it the stage of a dependent is uncertain.
 const CERTAIN_PART: f64 = 0.5;
 
+/// Priorities by the numbers that stand for them in messages.
+const PRIORITIES: [Priority; 4] = [
+    Priority::Low,
+    Priority::Normal,
+    Priority::High,
+    Priority::Production,
+];
+
 /// A dependency of jobs that this controller holds.
 struct Dependency {
     /// The jobs that wait for it.
@@ -139,6 +147,7 @@
         self.read_dependencies();
     }
 
+    /// Registers the dependencies of jobs that were added since the last call.
     fn register_blocked_jobs(&mut self) {
         let mut new_jobs: Vec<(ShardId, JobId)> = Vec::new();
         for (shard_id, shard) in &mut self.shards {
@@ -165,7 +174,7 @@
         }
     }
 
-    /// A job's final stage has become known.
+    /// Handles the end of a job, whose final stage has become known.
     fn on_job_ended(&mut self, end: &FinalStage) {
         if end.is_ours {
             self.announce_job_ended(end);
@@ -175,35 +184,40 @@
         }
     }
 
-    /// A dependency of a job is over. If it is done, the job has one less to
-    /// wait for. If it is cancelled, that is recorded, so the job and all that
-    /// need it are bound to be cancelled: those held here are at once.
+    /// Applies the final stage of a dependency to a dependent. If the dependency
+    /// is done, the dependent has one less to wait for. If it is cancelled, that
+    /// is recorded, so the dependent and all its own dependents are cancelled:
+    /// those held here at once.
     fn resolve(&mut self, dependent: &JobId, dependency: &JobId, stage: JobStage) {
-        if stage != JobStage::Cancelled {
-            let now = self.ctx.now;
-            let Node { shards, ctx, .. } = self;
-            let Some(shard) = holder_of_mut(shards, dependent) else {
-                return;
-            };
-            let job = shard.jobs.get_mut(dependent);
-            if job.is_some_and(|job| job.resolve(dependency, now)) {
-                log::debug!("job {dependent}: unblocked, {dependency} is done");
-                shard.schedule_round_soon(ctx);
-            }
+        if stage == JobStage::Cancelled {
+            self.cancel_dependents(dependent, dependency);
+            return;
+        }
+        let now = self.ctx.now;
+        let Some(shard) = holder_of_mut(&mut self.shards, dependent) else {
             return;
+        };
+        let job = shard.jobs.get_mut(dependent);
+        if job.is_some_and(|job| job.resolve(dependency, now)) {
+            log::debug!("job {dependent}: unblocked, {dependency} is done");
+            shard.schedule_round_soon(&self.ctx);
         }
-        let mut cancelled = vec![dependent.clone()];
-        while let Some(id) = cancelled.pop() {
-            let Node { shards, ctx, .. } = self;
-            let Some(shard) = holder_of_mut(shards, &id) else {
+    }
+
+    /// Cancels a job of which a dependency was cancelled, and all that depend on
+    /// it, as far as they are held here.
+    fn cancel_dependents(&mut self, dependent: &JobId, dependency: &JobId) {
+        let mut pending = vec![dependent.clone()];
+        while let Some(id) = pending.pop() {
+            let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
                 continue;
             };
-            if shard.jobs.get(&id).is_none_or(|j| j.is_cancelled) {
+            if shard.jobs.get(&id).is_none_or(|job| job.is_cancelled) {
                 continue;
             }
             log::info!("job {id}: cancelled, dependency {dependency} is cancelled");
-            shard.cancel(ctx, &id);
-            cancelled.extend(self.dependencies.dependents_of(&id).cloned());
+            shard.cancel(&self.ctx, &id);
+            pending.extend(self.dependencies.dependents_of(&id).cloned());
         }
     }
 
@@ -344,13 +358,8 @@
     /// Handles the message that a job of another controller depends on one that
     /// is held here.
     pub(crate) fn on_inherited_priority_message(&mut self, id: &str, priority: u8) {
-        const ALL: [Priority; 4] = [
-            Priority::Low,
-            Priority::Normal,
-            Priority::High,
-            Priority::Production,
-        ];
-        let (Some(id), Some(priority)) = (JobId::parse(id), ALL.get(usize::from(priority))) else {
+        let (Some(id), Some(priority)) = (JobId::parse(id), PRIORITIES.get(usize::from(priority)))
+        else {
             return;
         };
         if holder_of(&self.shards, &id).is_some() {
--- a/crates/core/src/shard/dependencies/tests.rs
+++ b/crates/core/src/shard/dependencies/tests.rs
@@ -22,7 +22,7 @@
         ..spec(&id(n), &team, JobKind::Array, 1)
     };
     let Node { shards, ctx, .. } = &mut f.node;
-    let shard = shards.get_mut(&f.shard).expect("it is ours");
+    let shard = shards.get_mut(&f.shard).expect("the shard is held");
     shard.add_job(ctx, spec, None, 5_000_000, 6);
     f.step(0);
 }
@@ -133,7 +133,7 @@
 /// A job is as urgent as the most urgent one that needs it, through others and
 /// whichever was submitted first.
 #[test]
-fn urgency_passes_on_to_what_is_needed() {
+fn priority_is_inherited_by_dependencies() {
     for late in [false, true] {
         let mut f = Fixture::new();
         f.finalize_format();
@@ -150,7 +150,7 @@
         }
         assert_eq!(f.shard().jobs[&id(4)].priority(), Priority::Normal);
     }
-    // Of another controller's jobs it is told.
+    // The holder of another controller's job is notified.
     let mut f = Fixture::new();
     f.finalize_format();
     add(&mut f, 1, &[], Priority::Low);
@@ -193,7 +193,7 @@
 /// Where nothing was heard of a dependency for long, its dependent is not called
 /// queued: it may have been cancelled.
 #[test]
-fn a_blocked_job_is_not_called_queued_on_old_knowledge() {
+fn the_status_of_a_blocked_job_is_uncertain_after_half_the_cancellation_time() {
     let half = |f: &Fixture| f.node.ctx.config.cancel_ms / 2;
     for (is_held_here, after_half, answers) in
         [(false, false, 200), (false, true, 503), (true, true, 200)]
@@ -210,7 +210,7 @@
         f.node.ctx.now += passes;
         let now = f.node.ctx.now;
         f.node.membership.on_lease_renewed(&f.node.ctx, now, 200);
-        let reply = f.node.remembered_status(&id(1)).expect("it is ours");
+        let reply = f.node.remembered_status(&id(1)).expect("the shard is held");
         assert_eq!(
             reply.status, answers,
             "here {is_held_here}, late {after_half}"
@@ -221,7 +221,7 @@
 /// Messages of the first release's format are all that is sent until all
 /// controllers know more.
 #[test]
-fn ends_are_told_only_to_controllers_that_know_dependencies() {
+fn finished_jobs_are_announced_only_to_controllers_that_know_dependencies() {
     for is_finalized in [false, true] {
         let mut f = Fixture::new();
         let mut config = (*f.node.ctx.config).clone();
@@ -232,17 +232,17 @@
         }
         f.node.final_stages.insert_written(id(2), JobStage::Done);
         let effects = f.step(0);
-        let tells = |e: &Effect| match e {
+        let sent = |e: &Effect| match e {
             Effect::SendToPeer { message, .. } => Envelope::decode(message).ok(),
             _ => None,
         };
-        let told: Vec<Envelope> = effects.iter().filter_map(tells).collect();
+        let announced: Vec<Envelope> = effects.iter().filter_map(sent).collect();
         let is_end = |e: &&Envelope| matches!(e.body, Body::JobEnded { .. });
         assert_eq!(
-            told.iter().filter(is_end).count(),
+            announced.iter().filter(is_end).count(),
             usize::from(is_finalized)
         );
-        let newest = told.iter().map(|e| e.version).max();
+        let newest = announced.iter().map(|e| e.version).max();
         assert_eq!(newest == Some(6), is_finalized);
     }
 }
--- a/crates/core/src/shard/failure_attribution/tests.rs
+++ b/crates/core/src/shard/failure_attribution/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const REPORT_MS: Ms = 1_000;
+const HEARTBEAT_INTERVAL_MS: Ms = 1_000;
 const BOOT_MS: Ms = 10_000;
 
 fn machine(n: usize) -> MachineId {
@@ -14,68 +14,69 @@
 }
 
 /// Failures as machine, when the task was placed, and when it failed; whether
-/// the job is probed then, whether it is blamed, and its pause.
+/// the job is then limited to one task, whether it is blamed, and its pause.
 type Case = (&'static str, &'static [(usize, Ms, Ms)], (bool, bool), Ms);
 
+const JOB_FAILURE_CASES: [Case; 8] = [
+    ("none", &[], (false, false), 0),
+    ("one", &[(1, 0, 10)], (false, false), 0),
+    (
+        "many tasks of one wave, on one machine",
+        &[(1, 0, 10), (1, 0, 11), (1, 5, 12), (1, 9, 13), (1, 9, 14)],
+        (false, false),
+        0,
+    ),
+    (
+        "one wave on two machines",
+        &[(1, 0, 10), (2, 0, 11)],
+        (true, false),
+        2_000,
+    ),
+    (
+        "one wave on three machines",
+        &[(1, 0, 10), (2, 0, 11), (3, 0, 12)],
+        (true, true),
+        2_000,
+    ),
+    (
+        "twice on the same machine",
+        &[(1, 0, 10), (1, 20, 30)],
+        (true, false),
+        2_000,
+    ),
+    (
+        "four times on the only machine",
+        &[(1, 0, 10), (1, 20, 30), (1, 40, 50), (1, 60, 70)],
+        (true, true),
+        8_000,
+    ),
+    (
+        "nine times",
+        &[
+            (1, 0, 1),
+            (1, 2, 3),
+            (1, 4, 5),
+            (1, 6, 7),
+            (1, 8, 9),
+            (1, 10, 11),
+            (1, 12, 13),
+            (1, 14, 15),
+            (1, 16, 17),
+        ],
+        (true, true),
+        MAX_RETRY_PAUSE_MS,
+    ),
+];
+
 #[test]
 fn a_job_is_slowed_down_by_its_failures() {
-    let cases: [Case; 8] = [
-        ("none", &[], (false, false), 0),
-        ("one", &[(1, 0, 10)], (false, false), 0),
-        (
-            "many tasks of one wave, on one machine",
-            &[(1, 0, 10), (1, 0, 11), (1, 5, 12), (1, 9, 13), (1, 9, 14)],
-            (false, false),
-            0,
-        ),
-        (
-            "one wave on two machines",
-            &[(1, 0, 10), (2, 0, 11)],
-            (true, false),
-            2_000,
-        ),
-        (
-            "one wave on three machines",
-            &[(1, 0, 10), (2, 0, 11), (3, 0, 12)],
-            (true, true),
-            2_000,
-        ),
-        (
-            "twice on the same machine",
-            &[(1, 0, 10), (1, 20, 30)],
-            (true, false),
-            2_000,
-        ),
-        (
-            "four times on the only machine",
-            &[(1, 0, 10), (1, 20, 30), (1, 40, 50), (1, 60, 70)],
-            (true, true),
-            8_000,
-        ),
-        (
-            "nine times",
-            &[
-                (1, 0, 1),
-                (1, 2, 3),
-                (1, 4, 5),
-                (1, 6, 7),
-                (1, 8, 9),
-                (1, 10, 11),
-                (1, 12, 13),
-                (1, 14, 15),
-                (1, 16, 17),
-            ],
-            (true, true),
-            MAX_RETRY_PAUSE_MS,
-        ),
-    ];
-    for (name, failed, (probed, blamed), pause) in cases {
+    for (name, failed, (limited, blamed), pause) in JOB_FAILURE_CASES {
         let mut failures = JobFailures::default();
         for (on, placed, now) in failed {
             failures.add(&machine(*on), *placed, 0, *now);
         }
         assert_eq!(failures.is_suspect(), !failed.is_empty(), "{name}");
-        assert_eq!(failures.is_limited_to_one_task(), probed, "{name}");
+        assert_eq!(failures.is_limited_to_one_task(), limited, "{name}");
         assert_eq!(failures.is_blamed(), blamed, "{name}");
         assert_eq!(failures.pause(), pause, "{name}");
     }
@@ -94,7 +95,7 @@
         assert_eq!(
             failures.excluded_machines(25, BOOT_MS).count(),
             1,
-            "still avoided"
+            "still excluded"
         );
         assert_eq!(failures.excluded_machines(20 + BOOT_MS, BOOT_MS).count(), 0);
     }
@@ -117,11 +118,11 @@
     );
 }
 
-/// A machine is given up for jobs that run elsewhere, and for no others.
+/// A machine is faulty for jobs that run elsewhere, and for no others.
 #[test]
 fn only_jobs_that_run_elsewhere_count_against_a_machine() {
     // Jobs that failed there; those that run well elsewhere; whether the machine
-    // is faulty, and whether it is on probation.
+    // is faulty, and whether it is quarantined.
     type Case = (usize, &'static [usize], bool, bool);
     let cases: [Case; 6] = [
         (0, &[], false, false),
@@ -131,7 +132,7 @@
         (2, &[1, 2], true, true),
         (9, &[], false, true),
     ];
-    for (failed, well, faulty, probation) in cases {
+    for (failed, well, faulty, quarantined) in cases {
         let name = format!("{failed} failed, {well:?} run well");
         let mut failures = MachineFailures::default();
         for n in 1..=failed {
@@ -142,7 +143,7 @@
         }
         let now = BOOT_MS;
         assert_eq!(failures.is_faulty(), faulty, "{name}");
-        assert_eq!(failures.is_quarantined(), probation, "{name}");
+        assert_eq!(failures.is_quarantined(), quarantined, "{name}");
         assert_eq!(failures.is_recent(now, BOOT_MS), failed > 0, "{name}");
         assert!(!failures.is_recent(now + BOOT_MS, BOOT_MS), "{name}");
         for n in 1..=failed {
@@ -152,21 +153,21 @@
     }
 }
 
-/// The more jobs fail on a machine on probation, the more seldom it is tried;
-/// a start ends the probation, only a run ends the suspicion.
+/// The more jobs fail on a quarantined machine, the more seldom it is tried; a
+/// start ends the quarantine, only a run clears the failures.
 #[test]
 fn a_quarantined_machine_is_tried_and_cleared() {
     let mut failures = MachineFailures::default();
     failures.add(&job(1), 0, 100);
     failures.add(&job(2), 0, 100);
-    let first = 100 + REPORT_MS * QUARANTINE_HEARTBEATS;
-    assert!(!failures.is_tried(first - 1, REPORT_MS, BOOT_MS));
-    assert!(failures.is_tried(first, REPORT_MS, BOOT_MS));
+    let first = 100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_HEARTBEATS;
+    assert!(!failures.is_tried(first - 1, HEARTBEAT_INTERVAL_MS, BOOT_MS));
+    assert!(failures.is_tried(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     failures.add(&job(3), 0, 100);
-    assert!(!failures.is_tried(first, REPORT_MS, BOOT_MS));
+    assert!(!failures.is_tried(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     assert!(failures.is_tried(
-        100 + REPORT_MS * QUARANTINE_HEARTBEATS * 2,
-        REPORT_MS,
+        100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_HEARTBEATS * 2,
+        HEARTBEAT_INTERVAL_MS,
         BOOT_MS
     ));
 
@@ -185,6 +186,6 @@
 #[test]
 fn a_run_must_be_longer_than_those_that_failed() {
     for (failed_run, least) in [(0, 4_000), (3_000, 10_000), (60_000, 124_000)] {
-        assert_eq!(well_after(failed_run, REPORT_MS), least);
+        assert_eq!(well_after(failed_run, HEARTBEAT_INTERVAL_MS), least);
     }
 }
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -5,89 +5,52 @@
 use crate::records::MachineRecord;
 use forkshift_wire::users::JobKind;
 
+/// Makes the state of a start from the token that the holder uses now.
+type StartUnder = fn(u64) -> StartState;
+
+fn by_earlier_holder(_: u64) -> StartState {
+    StartState::Unknown
+}
+
+fn never_sent(_: u64) -> StartState {
+    StartState::NotSent
+}
+
+fn under_token(token: u64) -> StartState {
+    StartState::SentByUs {
+        token,
+        incarnation: 1,
+    }
+}
+
+fn under_previous_token(token: u64) -> StartState {
+    under_token(token - 1)
+}
+
+/// Who sent the start and what the heartbeat echoes; the state of the start; the
+/// heartbeat's incarnation, and its token relative to the one that is used now;
+/// whether the task is unbound.
+type UnlistedCase = (&'static str, StartUnder, u64, i64, bool);
+
+#[rustfmt::skip]
+const UNLISTED_CASES: [UnlistedCase; 9] = [
+    ("an earlier holder, an earlier token", by_earlier_holder, 1, -1, false),
+    ("an earlier holder, an earlier token of a later incarnation", by_earlier_holder, 2, -1, false),
+    ("an earlier holder, this holder's token", by_earlier_holder, 1, 0, true),
+    ("this holder, the token of the start", under_token, 1, 0, false),
+    ("this holder, an older token", under_token, 1, -1, false),
+    ("this holder, a newer token", under_previous_token, 1, 0, true),
+    ("this holder, a later incarnation", under_token, 2, 0, true),
+    ("this holder, an older token of a later incarnation", under_token, 2, -1, true),
+    ("never sent", never_sent, 2, 0, false),
+];
+
 /// What a heartbeat proves of a task that it does not list. Old heartbeats
 /// reach a new holder, too, before anything newer has: only a token minted after
 /// the start proves that the task cannot come any more.
 #[test]
 fn a_task_is_unbound_only_by_a_newer_token_or_incarnation() {
-    // Who sent the start; the message's incarnation, and its token as measured by
-    // the one that is used now; whether the task is unbound.
-    type Case = (&'static str, fn(u64) -> StartState, u64, i64, bool);
-    let cases: [Case; 9] = [
-        (
-            "an earlier holder, a heartbeat from before this one",
-            |_| StartState::Unknown,
-            1,
-            -1,
-            false,
-        ),
-        (
-            "the same, of a later incarnation",
-            |_| StartState::Unknown,
-            2,
-            -1,
-            false,
-        ),
-        (
-            "an earlier holder, our token",
-            |_| StartState::Unknown,
-            1,
-            0,
-            true,
-        ),
-        (
-            "ours, the token that it came with",
-            |t| StartState::SentByUs {
-                token: t,
-                incarnation: 1,
-            },
-            1,
-            0,
-            false,
-        ),
-        (
-            "ours, an older token",
-            |t| StartState::SentByUs {
-                token: t,
-                incarnation: 1,
-            },
-            1,
-            -1,
-            false,
-        ),
-        (
-            "ours, raised since",
-            |t| StartState::SentByUs {
-                token: t - 1,
-                incarnation: 1,
-            },
-            1,
-            0,
-            true,
-        ),
-        (
-            "ours, a later incarnation",
-            |t| StartState::SentByUs {
-                token: t,
-                incarnation: 1,
-            },
-            2,
-            0,
-            true,
-        ),
-        (
-            "ours, a later incarnation's old token",
-            |t| StartState::SentByUs {
-                token: t,
-                incarnation: 1,
-            },
-            2,
-            -1,
-            true,
-        ),
-        ("never sent", |_| StartState::NotSent, 2, 0, false),
-    ];
-    for (name, sent, incarnation, token, is_unbound) in cases {
+    for (name, sent, incarnation, token, is_unbound) in UNLISTED_CASES {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let used = f.token();
@@ -96,7 +59,7 @@
         f.shard()
             .machines
             .get_mut(&machine)
-            .expect("it is there")
+            .expect("the key exists")
             .has_call_in_flight = true;
         f.heartbeat(incarnation, used.saturating_add_signed(token), &[]);
         let has_no_bindings = f.shard().jobs[&id].bound.is_empty();
@@ -117,8 +80,8 @@
         f.heartbeat(1, token, &[]);
         copy.sequence += later * 2;
         let Fixture { node, shard, .. } = &mut f;
-        let ours = node.shards.get_mut(shard).expect("it is ours");
-        let is_taken = ours.on_worker_heartbeat(&mut node.ctx, &copy);
+        let shard = node.shards.get_mut(shard).expect("the shard is held");
+        let is_taken = shard.on_worker_heartbeat(&mut node.ctx, &copy);
         assert_eq!(is_taken, taken, "incarnation {incarnation}, {later} later");
     }
 }
@@ -130,18 +93,18 @@
     let mut f = Fixture::new();
     let machine = f.machine.clone();
     let record: MachineRecord = f.node.view.machines[&machine].record.clone();
-    let ours = f.shard().epoch << crate::shard::TOKEN_BITS;
-    for (floor, least) in [
-        (0, ours),
-        (ours - 1, ours),
-        (ours, ours + 1),
-        (ours + 7, ours + 8),
+    let first = f.shard().epoch << crate::shard::TOKEN_BITS;
+    for (floor, expected) in [
+        (0, first),
+        (first - 1, first),
+        (first, first + 1),
+        (first + 7, first + 8),
     ] {
         let record = MachineRecord {
             token_floor: floor,
             ..record.clone()
         };
-        assert_eq!(f.shard().first_token(&record), least, "floor {floor}");
+        assert_eq!(f.shard().first_token(&record), expected, "floor {floor}");
     }
 }
 
@@ -155,7 +118,7 @@
         f.shard()
             .jobs
             .get_mut(&id)
-            .expect("it is there")
+            .expect("the key exists")
             .is_cancelled = cancelled;
         let token = f.token();
         f.heartbeat(1, token, &[(&id, 0, TaskStage::Running)]);
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -13,15 +13,15 @@
 use forkshift_wire::MachineId;
 use serde_json::{json, to_value};
 
-fn is_txn(pending: &PendingCall) -> bool {
+fn is_job_transaction(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::JobTransaction { .. })
 }
 
-fn is_fix(pending: &PendingCall) -> bool {
+fn is_block_read(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::JobBlockRead { .. })
 }
 
-fn is_final(pending: &PendingCall) -> bool {
+fn is_final_read(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::JobFinalRead { .. })
 }
 
@@ -43,8 +43,8 @@
         .expect("a head")
         .record_version = 9;
     let failed = json!({"failed": [unfinished_key(f.shard, &id, 0)], "ledger_rev": 10});
-    f.answer(is_txn, 409, &failed);
-    f.answer(is_fix, 404, &json!({"ledger_rev": 10}));
+    f.answer(is_job_transaction, 409, &failed);
+    f.answer(is_block_read, 404, &json!({"ledger_rev": 10}));
     let spec = f.shard().jobs[&id].spec.clone();
     let record = JobRecord {
         spec: (*spec).clone(),
@@ -52,7 +52,7 @@
         stage: JobStage::Cancelled,
     };
     let found = json!({"key": job_key(&id), "data": record, "stamp": 7});
-    f.answer(is_final, 200, &found);
+    f.answer(is_final_read, 200, &found);
     assert!(!f.shard().jobs.contains_key(&id), "it is over");
     let head = |cancelled, block| JobHeadRecord {
         spec: (*spec).clone(),
@@ -82,9 +82,9 @@
         };
         let body = serde_json::to_vec(&changes).expect("changes");
         let Fixture { node, shard, .. } = &mut f;
-        let ours = node.shards.get_mut(shard).expect("it is ours");
-        ours.on_jobs_watch(&mut node.ctx, 0, 200, &body);
-        assert!(!ours.jobs.contains_key(&id), "{name}");
+        let shard = node.shards.get_mut(shard).expect("the shard is held");
+        shard.on_jobs_watch(&mut node.ctx, 0, 200, &body);
+        assert!(!shard.jobs.contains_key(&id), "{name}");
     }
 }
 
@@ -110,7 +110,7 @@
             final_stages: finals,
             ..
         } = &mut f.node;
-        let shard = shards.get_mut(&f.shard).expect("it is ours");
+        let shard = shards.get_mut(&f.shard).expect("the shard is held");
         shard.on_final_read(ctx, finals, &id, 200, body.as_bytes());
         assert_eq!(shard.jobs.contains_key(&id), kept, "{sent:?}");
         let used = !shard.quotas[0].used.is_zero();
@@ -126,12 +126,8 @@
 }
 
 impl Records {
-    /// Carries out a transaction, and answers it.
-    fn carry_out(
-        &mut self,
-        transaction: &Transaction,
-        shard_key: &str,
-    ) -> (u16, serde_json::Value) {
+    /// Executes a transaction, and returns its status and answer.
+    fn execute(&mut self, transaction: &Transaction, shard_key: &str) -> (u16, serde_json::Value) {
         let version = |key: &str| self.items.get(key).map_or(0, |i| i.version);
         let holds = |c: &&Precondition| c.key != shard_key && version(&c.key) != c.version;
         let failed: Vec<String> = transaction
@@ -179,9 +175,9 @@
     (job.done.within(0, job.spec.tasks), bound)
 }
 
-/// Answers every transaction that is sent until none is left; after each, all
-/// that is recorded is looked at.
-fn settle(f: &mut Fixture, records: &mut Records, mut look: impl FnMut(&Records)) {
+/// Answers every transaction that is sent until none is left; after each, the
+/// records are passed to `inspect`.
+fn settle(f: &mut Fixture, records: &mut Records, mut inspect: impl FnMut(&Records)) {
     let shard_key = shard_key(f.shard);
     let mut steps = 0;
     let mut effects = Vec::new();
@@ -190,16 +186,19 @@
             effects = f.step(200);
             steps += 1;
         }
-        for (call, body) in std::mem::take(&mut effects).iter().filter_map(txn_of) {
+        for (call, body) in std::mem::take(&mut effects)
+            .iter()
+            .filter_map(transaction_of)
+        {
             let transaction: Transaction = serde_json::from_slice(&body).expect("a transaction");
             check_limits(f, &transaction);
             let is_of_jobs =
                 |w: &Write| w.key().starts_with("live/") || w.key().starts_with("job/");
             let (status, reply) = match transaction.writes.iter().all(is_of_jobs) {
-                true => records.carry_out(&transaction, &shard_key),
+                true => records.execute(&transaction, &shard_key),
                 false => (200, json!({"ledger_rev": records.revision})),
             };
-            look(records);
+            inspect(records);
             let body = reply.to_string().into_bytes();
             let answer = Input::Response { call, status, body };
             let now = f.node.ctx.now;
@@ -209,7 +208,7 @@
 }
 
 /// The call and the body of a transaction that is sent.
-fn txn_of(effect: &Effect) -> Option<(u64, Vec<u8>)> {
+fn transaction_of(effect: &Effect) -> Option<(u64, Vec<u8>)> {
     match effect {
         Effect::Call { id, path, body, .. } if path == "/txn" => {
             Some((*id, body.clone().unwrap_or_default()))
@@ -280,8 +279,19 @@
     records
 }
 
+/// Bodies of the calls that remove records.
+fn removals(effects: &[Effect]) -> Vec<String> {
+    let bodies = effects.iter().filter_map(|effect| match effect {
+        Effect::Call {
+            body: Some(body), ..
+        } => Some(String::from_utf8_lossy(body).into_owned()),
+        _ => None,
+    });
+    bodies.filter(|body| body.contains("\"remove\"")).collect()
+}
+
 /// A job that the first release recorded in large blocks is moved to small ones
-/// when it next changes. Whoever takes over after any transaction of that finds
+/// when it next changes. A holder that recovers it after any transaction finds
 /// each task once, as it was or as it has become.
 #[test]
 fn a_job_is_moved_to_smaller_records_whatever_happens_on_the_way() {
@@ -324,16 +334,11 @@
         next.finalize_format();
         next.load(records.live());
         let effects = next.step(200);
-        let removes = |e: &&Effect| {
-            matches!(e, Effect::Call { body: Some(b), .. }
-            if String::from_utf8_lossy(b).contains("\"remove\""))
-        };
-        let text = |e: &Effect| match e {
-            Effect::Call { body: Some(b), .. } => String::from_utf8_lossy(b).into_owned(),
-            _ => String::new(),
-        };
-        let left: Vec<String> = effects.iter().filter(removes).map(text).collect();
-        assert_eq!(left, Vec::<String>::new(), "{tasks} tasks: left over");
+        assert_eq!(
+            removals(&effects),
+            Vec::<String>::new(),
+            "{tasks} tasks: left over"
+        );
     }
 }
 
@@ -353,9 +358,12 @@
     let mut durable = Vec::new();
     let mut effects = f.step(1_000);
     for _ in 0..100 {
-        for (call, body) in std::mem::take(&mut effects).iter().filter_map(txn_of) {
+        for (call, body) in std::mem::take(&mut effects)
+            .iter()
+            .filter_map(transaction_of)
+        {
             let transaction: Transaction = serde_json::from_slice(&body).expect("a transaction");
-            let (status, reply) = records.carry_out(&transaction, &shard_key);
+            let (status, reply) = records.execute(&transaction, &shard_key);
             let body = reply.to_string().into_bytes();
             let answer = Input::Response { call, status, body };
             let now = f.node.ctx.now;
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -70,8 +70,8 @@
     /// Follows one machine's record.
     fn apply_machine_record(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         ctx.work_units += 1;
-        let ours = view.machines.get(id).filter(|m| m.record.shard == self.id);
-        let Some(versioned) = ours else {
+        let versioned = view.machines.get(id);
+        let Some(versioned) = versioned.filter(|m| m.record.shard == self.id) else {
             self.remove_machine(ctx, id);
             return;
         };
--- a/crates/core/src/shard/ranges/tests.rs
+++ b/crates/core/src/shard/ranges/tests.rs
@@ -5,8 +5,8 @@
 #[test]
 fn runs_join_and_gaps_are_found() {
     let mut set = Ranges::default();
-    for x in [3, 1, 2, 7, 2] {
-        set.insert(x);
+    for number in [3, 1, 2, 7, 2] {
+        set.insert(number);
     }
     assert_eq!(set.within(0, 10), [(1, 4), (7, 8)]);
     assert_eq!(set.within(2, 3), [(2, 3)]);
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -166,47 +166,56 @@
         return Err("it fails what it starts");
     }
     let mut next = Ms::MAX;
-    for (deadline, reason) in removal_deadlines(ctx, machine) {
-        match deadline {
-            Some(deadline) if ctx.now > deadline => return Err(reason),
-            Some(deadline) => next = next.min(deadline + 1),
+    for deadline in removal_deadlines(ctx, machine) {
+        match deadline.at {
+            Some(at) if ctx.now > at => return Err(deadline.reason),
+            Some(at) => next = next.min(at + 1),
             None => {}
         }
     }
     Ok(next)
 }
 
-/// The times after which a machine is decommissioned, with the reasons.
-fn removal_deadlines(ctx: &Context, machine: &Machine) -> [(Option<Ms>, &'static str); 4] {
+/// A time after which a machine is decommissioned, and the recorded reason.
+struct RemovalDeadline {
+    /// The time in milliseconds of the steady clock; none: it does not apply.
+    at: Option<Ms>,
+    reason: &'static str,
+}
+
+/// The deadlines of a machine. The first one that has passed gives the reason.
+fn removal_deadlines(ctx: &Context, machine: &Machine) -> [RemovalDeadline; 4] {
     let last = machine.last_sign_of_life(ctx.resumed_at);
     let idle_ms = (machine.boot_ms as f64 * ctx.config.ops.idle_boots) as Ms;
     // A task is only ever placed on a machine that was heard, by an earlier
     // holder perhaps, which had no time to write the address.
     let was_heard =
         machine.addr.is_some() || machine.last_heartbeat_at.is_some() || !machine.tasks.is_empty();
-    let reclaim_grace = ctx.config.report_ms * RECLAIM_HEARTBEATS;
+    let reclaim_grace_ms = ctx.config.report_ms * RECLAIM_HEARTBEATS;
     let unacknowledged_ms = ctx.silent_ms() * UNACKNOWLEDGED_TIMEOUTS;
     [
-        (
-            was_heard.then_some(last + ctx.removal_timeout_ms(machine)),
-            "it is silent",
-        ),
-        (
-            machine.reclaimed_at.map(|at| at.max(last) + reclaim_grace),
-            "it was taken",
-        ),
-        (
-            machine
+        RemovalDeadline {
+            at: was_heard.then_some(last + ctx.removal_timeout_ms(machine)),
+            reason: "it is silent",
+        },
+        RemovalDeadline {
+            at: machine
+                .reclaimed_at
+                .map(|at| at.max(last) + reclaim_grace_ms),
+            reason: "it was taken",
+        },
+        RemovalDeadline {
+            at: machine
                 .unacknowledged_since
                 .map(|since| since + unacknowledged_ms),
-            "our answers do not reach it",
-        ),
-        (
-            machine
+            reason: "our answers do not reach it",
+        },
+        RemovalDeadline {
+            at: machine
                 .idle_since
                 .map(|since| (since + idle_ms).saturating_sub(1)),
-            "it is not needed",
-        ),
+            reason: "it is not needed",
+        },
     ]
 }
 
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -10,11 +10,11 @@
 use forkshift_wire::workers::TaskStage;
 use serde_json::{json, to_value};
 
-fn is_eviction(pending: &PendingCall) -> bool {
+fn is_deletion(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::DeleteOwnMachines { .. })
 }
 
-fn evicts(effects: &[Effect]) -> bool {
+fn deletes_machines(effects: &[Effect]) -> bool {
     let path = |e: &Effect| matches!(e, Effect::Call { path, .. } if path == "/machines/delete");
     effects.iter().any(path)
 }
@@ -35,7 +35,7 @@
     let begun = f.node.ctx.now;
     let mut deleted_at = None;
     while f.node.ctx.now < begun + cancel && deleted_at.is_none() {
-        if evicts(&f.step(500)) {
+        if deletes_machines(&f.step(500)) {
             deleted_at = Some(f.node.ctx.now - begun);
         }
     }
@@ -45,18 +45,18 @@
         (0.4..0.7).contains(&part),
         "after {deleted_at} of {cancel} ms"
     );
-    // Without an answer nothing is taken for gone, and it is tried again.
-    f.answer(is_eviction, 0, &json!({}));
+    // Without an answer nothing is unbound, and the request is repeated.
+    f.answer(is_deletion, 0, &json!({}));
     assert_eq!(f.shard().jobs[&id].bound.len(), 1);
     let report_ms = f.node.ctx.config.report_ms;
-    let again = (0..4).any(|_| evicts(&f.step(report_ms)));
+    let again = (0..4).any(|_| deletes_machines(&f.step(report_ms)));
     assert!(again, "it is tried again");
-    f.answer(is_eviction, 200, &json!({}));
+    f.answer(is_deletion, 200, &json!({}));
     for job in [&id, &other] {
         let bound = f.shard().jobs.get(job).map_or(0, |j| j.bound.len());
-        assert_eq!(bound, 0, "{job} is gone with the machine");
+        assert_eq!(bound, 0, "{job} is unbound with the machine");
     }
-    // A report from before does not bring it back, nor is it used again.
+    // An older heartbeat does not bind it again, nor is the machine used again.
     f.heartbeat(1, token, &[(&other, 0, TaskStage::Running)]);
     f.step(2_000);
     let bound = f.shard().jobs.get(&other).map_or(0, |j| j.bound.len());
@@ -67,8 +67,8 @@
 /// request; there is time to try a stop only if some is left.
 #[test]
 fn the_deadline_of_a_cancellation_outlives_its_holder() {
-    // How long ago it was asked for, as parts of the time; when the machine is
-    // given up at the latest.
+    // How long ago it was requested, as parts of the time; when the machine is
+    // decommissioned at the latest.
     for (age, by) in [
         (0.0, 0.4),
         (0.2, 0.4),
@@ -97,8 +97,8 @@
         while f.node.ctx.now < end && f.shard().machines[&machine].decommission_reason.is_none() {
             f.step(100);
         }
-        let condemned = f.shard().machines[&machine].decommission_reason.clone();
-        assert!(condemned.is_some(), "asked for {ago} of {cancel} ms ago");
+        let reason = f.shard().machines[&machine].decommission_reason.clone();
+        assert!(reason.is_some(), "requested {ago} of {cancel} ms ago");
     }
 }
 
@@ -117,7 +117,7 @@
         (m.addr, m.last_heartbeat_at) = (None, None);
         f.node.ctx.now += f.node.ctx.config.lease_ms;
         f.node.ctx.has_valid_lease = true;
-        let given_up = removal_deadline(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
-        assert_eq!(given_up.is_err(), tasks, "with tasks: {tasks}");
+        let deadline = removal_deadline(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
+        assert_eq!(deadline.is_err(), tasks, "with tasks: {tasks}");
     }
 }
