--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -23,42 +23,46 @@
     matches!(pending, PendingCall::Commands { .. })
 }
 
-/// A holder that had lost its right without knowing once sent a start that it
+/// A holder that had lost its lease without knowing once sent a start that it
 /// had recorded before, after its successor had confirmed the cancellation.
 #[test]
-fn starts_are_sent_by_right_only() {
-    for (entitled, verbs) in [(true, vec![Verb::Start]), (false, vec![])] {
+fn starts_are_sent_only_under_a_valid_lease() {
+    for (has_valid_lease, verbs) in [(true, vec![Verb::Start]), (false, vec![])] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::NotSent);
-        if !entitled {
+        if !has_valid_lease {
             f.lose_right();
         }
-        assert_eq!(sent(&f.step(1)), verbs, "entitled: {entitled}");
+        assert_eq!(
+            sent(&f.step(1)),
+            verbs,
+            "has_valid_lease: {has_valid_lease}"
+        );
     }
 }
 
-/// Stops need no right.
+/// Stops need no valid lease.
 #[test]
-fn stops_are_sent_in_any_case() {
-    for entitled in [true, false] {
+fn stops_are_sent_without_a_valid_lease_too() {
+    for has_valid_lease in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let (token, incarnation) = (f.token(), 1);
         f.bind(&id, 0, StartState::SentByUs { token, incarnation });
-        if !entitled {
+        if !has_valid_lease {
             f.lose_right();
         }
         f.ask(1, "POST", "/submissions/j-1/abort");
         let calling = f.shard().machines.values().any(|m| m.has_call_in_flight);
-        assert!(calling, "entitled: {entitled}");
+        assert!(calling, "has_valid_lease: {has_valid_lease}");
     }
 }
 
 /// A start that was refused while its task was being stopped once held its
 /// place for ever: nothing is sent for what was never sent.
 #[test]
-fn what_was_refused_while_being_stopped_is_free() {
+fn a_refused_start_of_a_stopped_task_is_unbound() {
     for stopped in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Gang, 2);
@@ -70,7 +74,7 @@
         }
         let token = f.token();
         let heartbeat = f.message(2, token, &[]);
-        f.answer(is_call, 409, &to_value(heartbeat).expect("a report"));
+        f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
         let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, if stopped { 0 } else { 2 }, "stopped: {stopped}");
     }
@@ -87,7 +91,7 @@
         f.step(1);
         let token = f.token() + newer;
         let heartbeat = f.message(2, token, &[]);
-        let effects = f.answer(is_call, 409, &to_value(heartbeat).expect("a report"));
+        let effects = f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
         assert_eq!(!sent(&effects).is_empty(), calls, "newer by {newer}");
     }
 }
@@ -105,8 +109,8 @@
         let m = f.shard().machines.get_mut(&machine).expect("it is there");
         (m.has_call_in_flight, m.has_unanswered_call) = (calling, unanswered);
         let Fixture { node, shard, .. } = &mut f;
-        let ours = node.shards.get_mut(shard).expect("it is ours");
-        let commands = ours.safe_commands(&node.ctx, &machine);
+        let shard = node.shards.get_mut(shard).expect("the shard is held");
+        let commands = shard.safe_commands(&node.ctx, &machine);
         let n = commands.iter().filter(|o| o.verb == Verb::Forget).count();
         assert_eq!(n, forgets, "calling: {calling}, unanswered: {unanswered}");
     }
@@ -125,7 +129,7 @@
         assert_eq!(sent(&f.step(1)).len() as u32, first, "{tasks} tasks");
         let token = f.token();
         let started: Vec<_> = (0..first).map(|i| (&id, i, TaskStage::Running)).collect();
-        let heartbeat = to_value(f.message(1, token, &started)).expect("a report");
+        let heartbeat = to_value(f.message(1, token, &started)).expect("a heartbeat");
         let mut effects = f.answer(is_call, 200, &heartbeat);
         effects.extend(f.step(1));
         assert_eq!(sent(&effects).len() as u32, second, "{tasks} tasks");
