--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -1,6 +1,7 @@
 //! Assignment of shards: every shard has a live holder, and controllers that
-//! came back get their part again.
+//! restarted get their part of the shards again.
 
+use super::transactions::put_if_unchanged;
 use super::Leader;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
@@ -8,135 +9,169 @@
 use crate::shard::hand_over;
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
-use forkshift_wire::state::{Transaction, Write};
+use crate::Ms;
 use forkshift_wire::NodeName;
-use serde_json::to_value;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller that came back is given a shard after this many of its leases.
+/// A controller that restarted is given a shard after this many of its leases.
 const STEADY_LEASES: u64 = 4;
+/// Shards are moved between controllers whose numbers of shards differ by this many.
+const MIN_IMBALANCE: u32 = 2;
+
+/// State of the assignment of shards.
+#[derive(Default)]
+pub(super) struct AssignmentState {
+    /// When shards are checked next.
+    pub(super) next_check_at: Ms,
+    /// Shards whose new assignment is being written.
+    being_written: BTreeSet<ShardId>,
+}
+
+/// How many shards each controller holds, of those that may hold shards.
+type ShardCounts<'a> = BTreeMap<&'a NodeName, u32>;
 
 impl Leader {
     /// Gives every shard a holder that is alive, and brings shards back to
     /// controllers that have none.
     pub(super) fn assign(&mut self, ctx: &mut Context, view: &ClusterView) {
-        // Who hears no worker is given nothing, as long as there are others.
-        let are_all_isolated = view.has_no_node_with_heartbeats();
-        let is_isolated = |n: &NodeName| {
-            !are_all_isolated
-                && view
-                    .nodes
-                    .get(n)
-                    .is_some_and(|n| n.record.receives_no_heartbeats)
-        };
-        let able = view.nodes.keys().filter(|n| !is_isolated(n));
-        let able = able.filter(|n| Self::may_hold_shards(view, n));
-        let mut load: BTreeMap<&NodeName, u32> = able.map(|n| (n, 0)).collect();
-        let mut free = Vec::new();
-        for k in (0..ctx.config.shards()).map(ShardId) {
-            match view.holder(k) {
+        let mut counts = eligible_nodes(view);
+        let mut unassigned = Vec::new();
+        for shard_id in (0..ctx.config.shards()).map(ShardId) {
+            match view.holder(shard_id) {
                 Some(holder) => {
-                    if let Some(n) = load.get_mut(holder) {
-                        *n += 1;
+                    if let Some(count) = counts.get_mut(holder) {
+                        *count += 1;
                     }
                 }
-                None => free.push(k),
+                None => unassigned.push(shard_id),
             }
         }
-        self.retain_assignable(ctx, view, &mut free);
-        // All of them at once: after a crash of most controllers, workers are
-        // left with what remains of their leases. Each shard takes a value of
-        // the epoch counter, which is written once.
-        let home = |k: &ShardId| ctx.config.nodes.get(k.0 as usize);
-        let most = ctx.limits.txn_ops - 1;
-        let mut given = Vec::new();
-        for k in free.into_iter().take(most) {
-            let least = load
-                .iter_mut()
-                .min_by_key(|(n, l)| (**l, Some(**n) != home(&k)));
-            let Some((to, n)) = least else {
-                return;
-            };
-            *n += 1;
-            log::info!("shard {k}: to {to}");
-            given.push((k, (*to).clone()));
-        }
-        if given.is_empty() {
-            self.balance(ctx, view, &load);
-        } else if self.shards_being_assigned.is_empty() {
-            self.shards_being_assigned
-                .extend(given.iter().map(|(k, _)| *k));
-            hand_over(ctx, view, &given);
+        self.retain_assignable(ctx, view, &mut unassigned);
+        let Some(assignments) = choose_holders(ctx, unassigned, &mut counts) else {
+            return;
+        };
+        if assignments.is_empty() {
+            self.balance(ctx, view, &counts);
+        } else if self.assignment.being_written.is_empty() {
+            let shards = assignments.iter().map(|(shard_id, _)| *shard_id);
+            self.assignment.being_written.extend(shards);
+            hand_over(ctx, view, &assignments);
         }
     }
 
-    /// Keeps of the free shards those that can be given now. When all
-    /// controllers start at once, the leader waits a little for those that are
-    /// not there yet, lest the first one be given everything. Where one has
+    /// Keeps of the unassigned shards those that can be assigned now. When all
+    /// controllers start at once, the leader waits a little for those that have not
+    /// registered yet, lest the first one be given everything. Where one has
     /// stayed, shards are not kept waiting for those that may return.
-    fn retain_assignable(&self, ctx: &Context, view: &ClusterView, free: &mut Vec<ShardId>) {
-        let all_free = free.len() == ctx.config.shards() as usize;
-        let early = all_free && ctx.now < self.leader_since + ctx.config.node_lease_ms() / 2;
-        free.retain(|k| {
-            let home = ctx.config.nodes.get(k.0 as usize);
-            let there = home.is_some_and(|n| view.nodes.contains_key(n));
-            !self.shards_being_assigned.contains(k) && (there || !early)
+    fn retain_assignable(&self, ctx: &Context, view: &ClusterView, unassigned: &mut Vec<ShardId>) {
+        let is_first_start = unassigned.len() == ctx.config.shards() as usize;
+        let registration_ends_at = self.elected_at + ctx.config.node_lease_ms() / 2;
+        let is_early = is_first_start && ctx.now < registration_ends_at;
+        unassigned.retain(|shard_id| {
+            let home = home_of(ctx, *shard_id);
+            let is_home_registered = home.is_some_and(|node| view.nodes.contains_key(node));
+            !self.assignment.being_written.contains(shard_id) && (is_home_registered || !is_early)
         });
     }
 
-    /// Asks for one shard at a time from the controller that holds most, for the
-    /// one that holds least, if the difference is more than one shard.
-    fn balance(&mut self, ctx: &mut Context, view: &ClusterView, load: &BTreeMap<&NodeName, u32>) {
-        let steady = ctx.config.node_lease_ms() * STEADY_LEASES;
-        let ready = |n: &NodeName| {
-            self.nodes
-                .get(n)
-                .is_some_and(|(_, t)| ctx.now >= t + steady)
-        };
-        let from = load.iter().max_by_key(|(_, l)| **l);
-        let to = load
+    /// Requests the handover of one shard at a time from the controller that holds
+    /// most to the one that holds least.
+    fn balance(&mut self, ctx: &mut Context, view: &ClusterView, counts: &ShardCounts) {
+        let largest = counts.iter().max_by_key(|(_, count)| **count);
+        let smallest = counts
             .iter()
-            .filter(|(n, _)| ready(n))
-            .min_by_key(|(_, l)| **l);
-        let (Some((from, most)), Some((to, least))) = (from, to) else {
+            .filter(|(node, _)| self.is_steady(ctx, node))
+            .min_by_key(|(_, count)| **count);
+        let (Some((from, max_count)), Some((to, min_count))) = (largest, smallest) else {
             return;
         };
-        // A wish that names somebody who is gone holds nothing up.
-        let moving = view.shards.values().any(|s| {
-            let want = s.record.handover_to.as_ref();
-            want.is_some_and(|n| view.nodes.contains_key(n))
-        });
-        if *most < least + 2 || moving {
+        if *max_count < min_count + MIN_IMBALANCE || is_handover_requested(view) {
             return;
         }
-        let of = view
+        let candidates = view
             .shards
             .iter()
-            .filter(|(_, s)| s.record.holder == **from);
-        let home = |k: ShardId| ctx.config.nodes.get(k.0 as usize) == Some(*to);
-        let Some((k, shard)) = of.max_by_key(|(k, _)| home(**k)) else {
+            .filter(|(_, shard)| shard.record.holder == **from);
+        let is_home = |shard_id: ShardId| home_of(ctx, shard_id) == Some(*to);
+        let Some((shard_id, shard)) = candidates.max_by_key(|(id, _)| is_home(**id)) else {
             return;
         };
-        log::info!("shard {k}: {from} is asked to hand it over to {to}");
+        log::info!("shard {shard_id}: handover requested, from {from} to {to}");
         let mut record = shard.record.clone();
         record.handover_to = Some((*to).clone());
-        let transaction = Transaction {
-            preconditions: self.preconditions(view, shard_key(*k), shard.version),
-            writes: vec![Write::put(
-                shard_key(*k),
-                to_value(record).unwrap_or_default(),
-            )],
-        };
-        self.shards_being_assigned.insert(*k);
+        let transaction = put_if_unchanged(view, shard_key(*shard_id), shard.version, &record);
+        self.assignment.being_written.insert(*shard_id);
         ctx.transact(
             Urgency::Membership,
             &transaction,
-            PendingCall::ShardHandover(vec![*k]),
+            PendingCall::ShardHandover(vec![*shard_id]),
         );
     }
 
+    /// Whether a controller has been registered for long enough to be given shards
+    /// of others.
+    fn is_steady(&self, ctx: &Context, node: &NodeName) -> bool {
+        let min_age = ctx.config.node_lease_ms() * STEADY_LEASES;
+        let presence = self.nodes.get(node);
+        presence.is_some_and(|presence| ctx.now >= presence.since + min_age)
+    }
+
     /// The write of assignments was answered, whatever the answer.
     pub(crate) fn on_shard_record_written(&mut self, shards: &[ShardId]) {
-        self.shards_being_assigned.retain(|k| !shards.contains(k));
+        self.assignment
+            .being_written
+            .retain(|shard_id| !shards.contains(shard_id));
+    }
+}
+
+/// The controllers that may hold shards, each with a count of 0. One that receives
+/// no heartbeats may not, as long as there are others.
+fn eligible_nodes(view: &ClusterView) -> ShardCounts<'_> {
+    let are_all_isolated = view.has_no_node_with_heartbeats();
+    view.nodes
+        .iter()
+        .filter(|(_, node)| are_all_isolated || !node.record.receives_no_heartbeats)
+        .map(|(name, _)| name)
+        .filter(|name| Leader::may_hold_shards(view, name))
+        .map(|name| (name, 0))
+        .collect()
+}
+
+/// Chooses a holder for each shard: the controller with the fewest shards, the
+/// shard's home among equals. None, if no controller may hold shards.
+///
+/// All are assigned at once: after a crash of most controllers, workers are left
+/// with what remains of their leases. Each shard takes a value of the epoch
+/// counter, which is written once.
+fn choose_holders(
+    ctx: &Context,
+    unassigned: Vec<ShardId>,
+    counts: &mut ShardCounts,
+) -> Option<Vec<(ShardId, NodeName)>> {
+    let max_shards = ctx.limits.txn_ops - 1;
+    let mut assignments = Vec::new();
+    for shard_id in unassigned.into_iter().take(max_shards) {
+        let home = home_of(ctx, shard_id);
+        let (node, count) = counts
+            .iter_mut()
+            .min_by_key(|(node, count)| (**count, Some(**node) != home))?;
+        *count += 1;
+        log::info!("shard {shard_id}: assigned, to {node}");
+        assignments.push((shard_id, (*node).clone()));
     }
+    Some(assignments)
+}
+
+/// The controller that a shard is assigned to while all are alive.
+fn home_of(ctx: &Context, shard_id: ShardId) -> Option<&NodeName> {
+    ctx.config.nodes.get(shard_id.0 as usize)
+}
+
+/// Whether a handover to a controller that is registered has been requested. One
+/// to a controller that was removed holds nothing up.
+fn is_handover_requested(view: &ClusterView) -> bool {
+    view.shards.values().any(|shard| {
+        let target = shard.record.handover_to.as_ref();
+        target.is_some_and(|node| view.nodes.contains_key(node))
+    })
 }
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -1,153 +1,135 @@
-//! What the cloud offers and what it lists: the catalogue of machine types is
-//! written to the state service, and the list of machines is compared with
-//! the records of machines.
+//! The machines that the cloud lists, compared with the records of machines.
 
-use super::Leader;
+use super::{boot_seconds, Leader};
 use crate::context::Context;
 use crate::pending_call::PendingCall;
-use crate::records::{type_key, MachineRecord};
-use crate::store::queue::Urgency;
-use crate::store::view::ClusterView;
+use crate::records::MachineRecord;
+use crate::store::view::{ChangedMachines, ClusterView};
 use crate::Ms;
-use forkshift_wire::cloud::{Catalog, Listed, MachineList, MachineStage, DELETE_MOST, LIST_MOST};
-use forkshift_wire::state::{Transaction, Write};
+use forkshift_wire::cloud::{Listed, MachineList, MachineStage, DELETE_MOST, LIST_MOST};
 use forkshift_wire::MachineId;
-use serde_json::to_value;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A machine that has not come up after this many boots never will.
-const BOOTS_MOST: f64 = 3.0;
-/// Pause before the catalogue is read again if no answer came.
-const CATALOG_RETRY: Ms = 5_000;
-/// Pause between two looks at the prices.
-const CATALOG_PAUSE: Ms = 60_000;
-/// The same while a type's record is not seen yet.
-const CATALOG_UNKNOWN_PAUSE: Ms = 1_000;
-/// Least pause between two lists.
-const LIST_PAUSE_LEAST: Ms = 2_000;
-/// Boot time that is assumed of a type that is not known, in seconds.
-pub(super) const BOOT_S_UNKNOWN: f64 = 60.0;
+const MAX_BOOTS: f64 = 3.0;
+/// Least pause between two lists, in milliseconds.
+const MIN_LIST_PAUSE_MS: Ms = 2_000;
 /// After this many times the list's lag a machine should be listed, and the
 /// record of a listed one seen.
 const SETTLED_LAGS: u64 = 4;
-/// A machine missing from this many lists in a row is gone.
-const ABSENT_LISTS: u32 = 3;
+/// A machine missing from this many lists in a row no longer exists.
+const MAX_MISSED_LISTS: u32 = 3;
 
-impl Leader {
-    /// Reads the catalogue and the list of machines when they are due.
-    pub(super) fn poll_cloud(&mut self, ctx: &mut Context) {
-        if self.lacks_prices(ctx) {
-            self.next_catalog_at = self.next_catalog_at.min(ctx.now + CATALOG_UNKNOWN_PAUSE);
-        }
-        if ctx.now >= self.next_catalog_at && self.may_call(ctx) {
-            self.next_catalog_at = ctx.now + CATALOG_RETRY;
-            ctx.call_cloud("GET", "/catalog".to_owned(), None, PendingCall::Catalog);
-        }
-        if !self.is_listing && ctx.now >= self.next_list_at && self.may_call(ctx) {
-            self.is_listing = true;
-            self.next_list_at = ctx.now + ctx.config.list_lag_ms.max(LIST_PAUSE_LEAST);
-            self.list_machines(ctx, Vec::new());
-        }
-    }
+/// What is known of machines beside their records.
+#[derive(Default)]
+pub(super) struct MachineInventory {
+    /// When the list of machines is read next.
+    next_list_at: Ms,
+    /// Whether a list is being read.
+    is_listing: bool,
+    /// Since when machines have been known.
+    first_seen_at: HashMap<MachineId, Ms>,
+    /// In how many lists in a row machines have been missing.
+    missed_lists: HashMap<MachineId, u32>,
+    /// Machines whose deletion, or the removal of whose record, is under way.
+    pub(super) being_deleted: BTreeSet<MachineId>,
+}
 
-    /// Reads the list of machines from behind the last one of `page`.
-    fn list_machines(&mut self, ctx: &mut Context, page: Vec<Listed>) {
-        let mut path = format!("/machines?most={LIST_MOST}");
-        if let Some(last) = page.last() {
-            path.push_str(&format!("&from={}", last.id));
+impl MachineInventory {
+    /// Notes since when machines have been known. A deletion of a machine without a
+    /// record may be repeated: the cloud ignores names that it does not know.
+    pub(super) fn track_all(&mut self, now: Ms, view: &ClusterView) {
+        for id in view.machines.keys() {
+            self.first_seen_at.entry(id.clone()).or_insert(now);
         }
-        ctx.call_cloud("GET", path, None, PendingCall::MachineList { page });
+        self.being_deleted
+            .retain(|id| view.machines.contains_key(id));
     }
 
-    /// The cloud has sent its catalogue: types that changed are written.
-    pub(crate) fn on_catalog(
-        &mut self,
-        ctx: &mut Context,
-        view: &ClusterView,
-        status: u16,
-        body: &[u8],
-    ) {
-        if self.cloud_unavailable(ctx, status, body) || status != 200 {
-            return;
-        }
-        let catalog: Catalog = match serde_json::from_slice(body) {
-            Ok(catalog) => catalog,
-            Err(e) => {
-                log::error!("the cloud's catalogue is not understood: {e}");
-                return;
-            }
-        };
-        // Prices move all the time; they need not be followed closely. But
-        // until all types are known nothing can be accepted, so a write of
-        // them that fails must not wait for the next look at the prices.
-        let all_known = catalog
-            .types
-            .iter()
-            .all(|t| view.machine_types.contains_key(&t.name));
-        self.next_catalog_at = ctx.now
-            + if all_known {
-                CATALOG_PAUSE
+    /// The same for machines whose records have changed.
+    pub(super) fn track_changed(&mut self, now: Ms, view: &ClusterView, changed: &ChangedMachines) {
+        for id in &changed.machines {
+            if view.machines.contains_key(id) {
+                self.first_seen_at.entry(id.clone()).or_insert(now);
             } else {
-                CATALOG_UNKNOWN_PAUSE
-            };
-        self.record_prices(ctx, view, &catalog.types);
-        for t in catalog.types {
-            let known = view.machine_types.get(&t.name);
-            if known.is_some_and(|k| k.record == t) {
-                continue;
+                self.being_deleted.remove(id);
             }
-            let key = type_key(&t.name);
-            let transaction = Transaction {
-                preconditions: self.preconditions(
-                    view,
-                    key.clone(),
-                    known.map_or(0, |k| k.version),
-                ),
-                writes: vec![Write::put(key, to_value(t).unwrap_or_default())],
-            };
-            ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
+        }
+    }
+
+    /// For how long a machine has been known, in milliseconds.
+    pub(super) fn known_for(&self, now: Ms, id: &MachineId) -> Ms {
+        now - self.first_seen_at.get(id).copied().unwrap_or(now)
+    }
+
+    /// Counts a list that lacks a machine. Returns whether enough of them do: a list
+    /// may be older than those before it.
+    fn miss(&mut self, id: &MachineId) -> bool {
+        let missed = self.missed_lists.entry(id.clone()).or_default();
+        *missed += 1;
+        *missed >= MAX_MISSED_LISTS
+    }
+
+    /// Drops what is known of machines that have no record any more.
+    fn forget_removed(&mut self, view: &ClusterView, listed: &ListedMachines) {
+        self.first_seen_at
+            .retain(|id, _| view.machines.contains_key(id) || listed.contains_key(id));
+        self.missed_lists
+            .retain(|id, _| view.machines.contains_key(id));
+    }
+}
+
+/// Machines of a complete list, by their names.
+type ListedMachines<'a> = BTreeMap<&'a MachineId, &'a Listed>;
+
+impl Leader {
+    /// Reads the catalogue and the list of machines when they are due.
+    pub(super) fn poll_cloud(&mut self, ctx: &mut Context) {
+        self.poll_catalog(ctx);
+        let is_due = !self.inventory.is_listing && ctx.now >= self.inventory.next_list_at;
+        if is_due && self.cloud.try_acquire(ctx.now) {
+            self.inventory.is_listing = true;
+            self.inventory.next_list_at = ctx.now + ctx.config.list_lag_ms.max(MIN_LIST_PAUSE_MS);
+            list_machines(ctx, Vec::new());
         }
     }
 
     /// The cloud has sent a page of its list. After the last one, machines that
-    /// failed, are late or are missing are given up, and unknown ones returned.
+    /// failed, are late or are missing are decommissioned, and unknown ones deleted.
     pub(crate) fn on_machine_list(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
-        mut page: Vec<Listed>,
+        mut machines: Vec<Listed>,
         status: u16,
         body: &[u8],
     ) {
-        self.is_listing = false;
-        if self.cloud_unavailable(ctx, status, body) {
+        self.inventory.is_listing = false;
+        if self.cloud.pause_if_unavailable(ctx.now, status, body) {
             return;
         }
-        let list: Option<MachineList> = serde_json::from_slice(body).ok();
-        let Some(list) = list.filter(|_| status == 200) else {
+        let page: Option<MachineList> = serde_json::from_slice(body).ok();
+        let Some(page) = page.filter(|_| status == 200) else {
             return;
         };
-        page.extend(list.machines);
-        if list.more && !page.is_empty() {
-            self.is_listing = true;
-            self.list_machines(ctx, page);
+        machines.extend(page.machines);
+        if page.more && !machines.is_empty() {
+            self.inventory.is_listing = true;
+            list_machines(ctx, machines);
             return;
         }
-        let listed: BTreeMap<&MachineId, &Listed> = page.iter().map(|m| (&m.id, m)).collect();
+        let listed: ListedMachines = machines.iter().map(|m| (&m.id, m)).collect();
         self.decommission_listed(ctx, view, &listed);
-        self.delete_unknown(ctx, view, &page);
-        self.first_seen_at
-            .retain(|id, _| view.machines.contains_key(id) || listed.contains_key(id));
-        self.missing_from_lists
-            .retain(|id, _| view.machines.contains_key(id));
+        self.delete_unknown(ctx, view, &machines);
+        self.inventory.forget_removed(view, &listed);
     }
 
-    /// Gives up machines that failed, never came up, or are gone from the list.
+    /// Decommissions machines that failed, never came up, or are no longer listed.
     fn decommission_listed(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
-        listed: &BTreeMap<&MachineId, &Listed>,
+        listed: &ListedMachines,
     ) {
         for (id, machine) in &view.machines {
             let listed = listed.get(id).copied();
@@ -157,7 +139,7 @@
         }
     }
 
-    /// Why a machine is to be given up, as far as a list shows.
+    /// Why a machine is to be decommissioned, as far as a list shows.
     fn decommission_reason(
         &mut self,
         ctx: &Context,
@@ -166,51 +148,57 @@
         record: &MachineRecord,
         listed: Option<&Listed>,
     ) -> Option<&'static str> {
-        let known_for = ctx.now - self.first_seen_at.get(id).copied().unwrap_or(ctx.now);
-        let of_type = view.machine_types.get(&record.machine_type);
-        let boot_s = of_type.map_or(BOOT_S_UNKNOWN, |t| t.record.boot_s);
-        let late = record.addr.is_none() && known_for > crate::ms(boot_s * BOOTS_MOST);
+        let known_for = self.inventory.known_for(ctx.now, id);
+        let max_boot_ms = crate::ms(boot_seconds(view, &record.machine_type) * MAX_BOOTS);
+        let is_overdue = record.addr.is_none() && known_for > max_boot_ms;
         match listed {
-            Some(l) if l.stage == MachineStage::Failed => Some("it failed"),
-            _ if late => Some("it never came up"),
+            Some(machine) if machine.stage == MachineStage::Failed => Some("it failed"),
+            _ if is_overdue => Some("it never came up"),
             Some(_) => {
-                self.missing_from_lists.remove(id);
+                self.inventory.missed_lists.remove(id);
                 None
             }
             None if known_for > ctx.config.list_lag_ms * SETTLED_LAGS => {
-                // Lists may be older than those before them.
-                let lists = self.missing_from_lists.entry(id.clone()).or_default();
-                *lists += 1;
-                (*lists >= ABSENT_LISTS).then_some("it is gone from the list")
+                let is_removed = self.inventory.miss(id);
+                is_removed.then_some("it is gone from the list")
             }
             None => None,
         }
     }
 
-    /// Returns machines that nobody rented as far as we know: they were rented
-    /// by a request that came late, and nothing was ever started there. Without
-    /// a valid lease we may have a successor, whose machines our view does not
-    /// show.
+    /// Deletes machines that have no record: they were provisioned by a request that
+    /// was carried out late, and nothing was ever started there. Without a valid
+    /// lease there may be a successor, whose machines this view does not show.
     fn delete_unknown(&mut self, ctx: &mut Context, view: &ClusterView, listed: &[Listed]) {
-        let no_intents =
-            view.provisioning_intents.is_empty() && self.intents_being_written.is_empty();
-        if !ctx.has_valid_lease || !no_intents {
+        let has_intents =
+            !view.provisioning_intents.is_empty() || self.provisioning.is_writing_intents();
+        if !ctx.has_valid_lease || has_intents {
             return;
         }
         let settled_ms = ctx.config.list_lag_ms as f64 * SETTLED_LAGS as f64;
+        let inventory = &self.inventory;
         let unknown: Vec<MachineId> = listed
             .iter()
-            .filter(|m| {
-                !view.machines.contains_key(&m.id) && !self.machines_being_deleted.contains(&m.id)
-            })
-            .filter(|m| m.age_s * 1000.0 > settled_ms)
-            .filter(|m| !self.first_seen_at.contains_key(&m.id))
-            .map(|m| m.id.clone())
+            .filter(|machine| machine.age_s * 1000.0 > settled_ms)
+            .map(|machine| &machine.id)
+            .filter(|id| !view.machines.contains_key(*id))
+            .filter(|id| !inventory.being_deleted.contains(*id))
+            .filter(|id| !inventory.first_seen_at.contains_key(*id))
             .take(DELETE_MOST)
+            .cloned()
             .collect();
-        if !unknown.is_empty() && self.may_call(ctx) {
-            log::info!("{} unknown machines are returned", unknown.len());
+        if !unknown.is_empty() && self.cloud.try_acquire(ctx.now) {
+            log::info!("leader: unknown machines deleted, {}", unknown.len());
             self.send_delete(ctx, unknown);
         }
     }
 }
+
+/// Reads the list of machines from behind the last one of those that are read.
+fn list_machines(ctx: &mut Context, page: Vec<Listed>) {
+    let mut path = format!("/machines?most={LIST_MOST}");
+    if let Some(last) = page.last() {
+        path.push_str(&format!("&from={}", last.id));
+    }
+    ctx.call_cloud("GET", path, None, PendingCall::MachineList { page });
+}
--- a/crates/core/src/leader/prices.rs
+++ b/crates/core/src/leader/prices.rs
@@ -4,21 +4,21 @@
 //! catalogue had then. These are recorded whenever the leader learns that one has
 //! changed, once for all pools and machines.
 
+use super::transactions::leader_precondition;
 use super::Leader;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
 use crate::pools::add_row;
-use crate::records::LEADER;
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
 use forkshift_pools::account::Price;
 use forkshift_wire::cloud::MachineType;
-use forkshift_wire::state::{Precondition, Transaction};
+use forkshift_wire::state::Transaction;
 
 impl Leader {
     /// Whether accounts may need prices of which none is recorded yet.
     pub(super) fn lacks_prices(&self, ctx: &Context) -> bool {
-        ctx.has_pools() && self.recorded_prices.is_empty()
+        ctx.has_pools() && self.catalog.recorded_prices.is_empty()
     }
 
     /// Records prices that changed, if there may be pools.
@@ -26,47 +26,51 @@
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
-        catalog: &[MachineType],
+        types: &[MachineType],
     ) {
         if !ctx.has_pools() {
             return;
         }
-        for machine_type in catalog {
+        for machine_type in types {
             let price = Price {
                 machine_type: machine_type.name.clone(),
                 from_ms: ctx.wall_clock_ms,
                 hourly: machine_type.price,
                 spot_hourly: machine_type.spot_price,
             };
-            let recorded = self.recorded_prices.get(&price.machine_type);
-            let is_recorded = recorded
-                .is_some_and(|r| r.hourly == price.hourly && r.spot_hourly == price.spot_hourly);
-            if is_recorded {
-                continue;
+            if !self.is_recorded(&price) {
+                write_price(ctx, view, price);
             }
-            let leader = Precondition {
-                key: LEADER.to_owned(),
-                version: view.leader.as_ref().map_or(0, |l| l.version),
-            };
-            let mut transaction = Transaction {
-                preconditions: vec![leader],
-                writes: Vec::new(),
-            };
-            add_row(&mut transaction, price.key(), &price);
-            ctx.transact(
-                Urgency::Background,
-                &transaction,
-                PendingCall::PriceRowWrite(Box::new(price)),
-            );
         }
     }
 
+    /// Whether the recorded price of a type is this one.
+    fn is_recorded(&self, price: &Price) -> bool {
+        let recorded = self.catalog.recorded_prices.get(&price.machine_type);
+        recorded.is_some_and(|recorded| {
+            recorded.hourly == price.hourly && recorded.spot_hourly == price.spot_hourly
+        })
+    }
+
     /// The write of a price was answered. Without an answer it is written again after
-    /// the next look at the catalogue.
+    /// the next read of the catalogue.
     pub(crate) fn on_price_row(&mut self, price: Price, status: u16) {
         if status == 200 {
-            self.recorded_prices
-                .insert(price.machine_type.clone(), price);
+            let machine_type = price.machine_type.clone();
+            self.catalog.recorded_prices.insert(machine_type, price);
         }
     }
 }
+
+fn write_price(ctx: &mut Context, view: &ClusterView, price: Price) {
+    let mut transaction = Transaction {
+        preconditions: vec![leader_precondition(view)],
+        writes: Vec::new(),
+    };
+    add_row(&mut transaction, price.key(), &price);
+    ctx.transact(
+        Urgency::Background,
+        &transaction,
+        PendingCall::PriceRowWrite(Box::new(price)),
+    );
+}
--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -1,5 +1,6 @@
 //! Moves free machines between shards, to where tasks wait.
 
+use super::transactions::put_if_unchanged;
 use super::{capacity_of_type, Leader};
 use crate::context::Context;
 use crate::pending_call::PendingCall;
@@ -8,165 +9,237 @@
 use crate::store::view::{ClusterView, Versioned};
 use crate::Ms;
 use forkshift_sched::Resources;
-use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::MachineId;
-use serde_json::to_value;
 use std::collections::BTreeMap;
 
-/// A demand that a holder reported counts for this many rounds.
-const REPORT_ROUNDS: f64 = 4.0;
+/// A demand that a holder has sent counts for this many rounds.
+const REPORTED_DEMAND_ROUNDS: f64 = 4.0;
 
-impl Leader {
-    /// A holder reports the unmet demand of its shard.
-    pub(crate) fn on_demand(&mut self, now: Ms, k: ShardId, epoch: u64, record: DemandRecord) {
-        if self
-            .reported_demands
-            .get(&k)
-            .is_none_or(|(e, _, _)| epoch >= *e)
-        {
-            self.reported_demands.insert(k, (epoch, now, record));
-            self.has_new_demands = true;
-        }
-    }
+/// A demand that the holder of a shard has sent to the leader.
+struct ReportedDemand {
+    /// The epoch under which it held the shard.
+    epoch: u64,
+    received_at: Ms,
+    record: DemandRecord,
+}
 
-    /// Unmet demand: what holders reported lately, or else have written.
+/// State of the rebalancing of machines between shards.
+#[derive(Default)]
+pub(super) struct RebalancingState {
+    /// Machines whose move was requested, with the version of the record at which
+    /// it was.
+    machines_requested: BTreeMap<MachineId, u64>,
+    /// The revision at which rebalancing was last considered.
+    considered_revision: u64,
+    reported_demands: BTreeMap<ShardId, ReportedDemand>,
+    /// Whether a demand was received since rebalancing was last considered.
+    has_new_demands: bool,
+}
+
+impl RebalancingState {
+    /// Unmet demand of each shard: what its holder sent lately, or else has written.
     pub(super) fn demands(
         &self,
         ctx: &Context,
         view: &ClusterView,
     ) -> BTreeMap<ShardId, DemandRecord> {
-        let valid = crate::ms(ctx.config.ops.round_s * REPORT_ROUNDS);
-        let written = view.demands.iter().map(|(k, d)| (*k, d.record.clone()));
+        let ttl = crate::ms(ctx.config.ops.round_s * REPORTED_DEMAND_ROUNDS);
+        let written = view
+            .demands
+            .iter()
+            .map(|(shard_id, demand)| (*shard_id, demand.record.clone()));
         let mut demands: BTreeMap<ShardId, DemandRecord> = written.collect();
-        for (k, (epoch, at, record)) in &self.reported_demands {
-            let current = view.shards.get(k).is_some_and(|s| s.record.epoch == *epoch);
-            if current && ctx.now <= at + valid {
-                demands.insert(*k, record.clone());
+        for (shard_id, reported) in &self.reported_demands {
+            let shard = view.shards.get(shard_id);
+            let is_current = shard.is_some_and(|shard| shard.record.epoch == reported.epoch);
+            if is_current && ctx.now <= reported.received_at + ttl {
+                demands.insert(*shard_id, reported.record.clone());
             }
         }
         demands
     }
 
+    /// Whether the view or a demand has changed since the last call.
+    pub(super) fn take_changed(&mut self, revision: u64) -> bool {
+        let has_changed = revision > self.considered_revision || self.has_new_demands;
+        if has_changed {
+            self.considered_revision = revision;
+            self.has_new_demands = false;
+        }
+        has_changed
+    }
+
+    /// Drops requests that the view shows to be carried out or refused.
+    fn drop_completed_requests(&mut self, view: &ClusterView) {
+        self.machines_requested.retain(|id, requested_version| {
+            let machine = view.machines.get(id);
+            machine.is_some_and(|machine| machine.version <= *requested_version)
+        });
+    }
+
+    /// Capacities of the machines that a shard is about to be given.
+    fn requested_capacities(&self, view: &ClusterView, shard_id: ShardId) -> Vec<Resources> {
+        self.machines_requested
+            .keys()
+            .filter_map(|id| view.machines.get(id))
+            .filter(|machine| machine.record.reassign_to == Some(shard_id))
+            .filter_map(|machine| capacity_of_type(view, &machine.record.machine_type))
+            .collect()
+    }
+}
+
+/// Tasks for which machines may be moved.
+struct Request<'a> {
+    /// The shard that needs them.
+    shard_id: ShardId,
+    shape: &'a ShapeRecord,
+    /// Whether it may take spare machines of other shards, beside surplus ones.
+    may_take_spares: bool,
+}
+
+impl Leader {
+    /// A holder has sent the unmet demand of its shard.
+    pub(crate) fn on_demand(
+        &mut self,
+        now: Ms,
+        shard_id: ShardId,
+        epoch: u64,
+        record: DemandRecord,
+    ) {
+        let rebalancing = &mut self.rebalancing;
+        let known = rebalancing.reported_demands.get(&shard_id);
+        if known.is_some_and(|known| epoch < known.epoch) {
+            return;
+        }
+        let reported = ReportedDemand {
+            epoch,
+            received_at: now,
+            record,
+        };
+        rebalancing.reported_demands.insert(shard_id, reported);
+        rebalancing.has_new_demands = true;
+    }
+
     /// Moves free machines to shards with waiting tasks: what waits takes any
-    /// that is free, and spare places take what nobody else needs.
+    /// that is free, and spare places take what no other shard needs.
     pub(super) fn rebalance(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
     ) {
-        self.machines_requested
-            .retain(|id, v| view.machines.get(id).is_some_and(|m| m.version <= *v));
-        for (k, demand) in demands {
-            let spare = demand.shapes.iter().filter(|s| s.is_spare);
-            // Borrowed work takes only what nobody needs.
-            let wanted = demand.waiting.iter().map(|s| (s, !s.is_borrowing));
-            let wanted: Vec<(&ShapeRecord, bool)> =
-                wanted.chain(spare.map(|s| (s, false))).collect();
-            let mut coming: Vec<Resources> = self
-                .machines_requested
-                .keys()
-                .filter_map(|id| view.machines.get(id))
-                .filter(|m| m.record.reassign_to == Some(*k))
-                .filter_map(|m| capacity_of_type(view, &m.record.machine_type))
-                .collect();
-            for (shape, waits) in wanted {
-                let task = shape.resources();
-                let mut left = shape.count;
-                for room in &mut coming {
-                    left -= book(room, &task, left);
-                }
-                while left > 0 {
-                    let free = self.transferable_machines(view, demands, *k, shape, waits);
-                    let found =
-                        free.or_else(|| self.reclaimable_machines(view, demands, *k, shape));
-                    let Some(id) = found else {
-                        break;
-                    };
-                    let Some(machine) = view.machines.get(&id) else {
-                        break;
-                    };
-                    let mut room =
-                        capacity_of_type(view, &machine.record.machine_type).unwrap_or_default();
-                    left -= book(&mut room, &task, left);
-                    coming.push(room);
-                    self.request_machine(ctx, view, id, machine, *k);
-                }
+        self.rebalancing.drop_completed_requests(view);
+        for (shard_id, demand) in demands {
+            let mut rooms = self.rebalancing.requested_capacities(view, *shard_id);
+            for request in requests_of(*shard_id, demand) {
+                self.request_machines(ctx, view, demands, &request, &mut rooms);
             }
         }
     }
 
-    /// Asks the holder of a machine to hand it over to another shard.
+    /// Requests machines of other shards until all tasks of a shape have room.
+    /// `rooms` is what is left of the machines that were requested for the shard.
+    fn request_machines(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        demands: &BTreeMap<ShardId, DemandRecord>,
+        request: &Request,
+        rooms: &mut Vec<Resources>,
+    ) {
+        let task = request.shape.resources();
+        let mut remaining = request.shape.count;
+        for room in rooms.iter_mut() {
+            remaining -= reserve(room, &task, remaining);
+        }
+        while remaining > 0 {
+            let found = self
+                .find_transferable(view, demands, request)
+                .or_else(|| self.find_reclaimable(view, demands, request));
+            let Some((id, machine)) = found.and_then(|id| Some((id, view.machines.get(id)?)))
+            else {
+                return;
+            };
+            let capacity = capacity_of_type(view, &machine.record.machine_type);
+            let mut room = capacity.unwrap_or_default();
+            remaining -= reserve(&mut room, &task, remaining);
+            rooms.push(room);
+            self.request_machine(ctx, view, id, machine, request.shard_id);
+        }
+    }
+
+    /// Requests the move of a machine to another shard from its holder.
     fn request_machine(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
-        id: MachineId,
+        id: &MachineId,
         machine: &Versioned<MachineRecord>,
         to: ShardId,
     ) {
         let from = machine.record.shard;
-        log::info!("machine {id}: asked of shard {from} for shard {to}");
+        log::info!("machine {id}: move requested, from shard {from} to shard {to}");
         let mut record = machine.record.clone();
         record.reassign_to = Some(to);
-        let key = machine_key(&id);
-        let transaction = Transaction {
-            preconditions: self.preconditions(view, key.clone(), machine.version),
-            writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
-        };
-        self.machines_requested.insert(id, machine.version);
+        let transaction = put_if_unchanged(view, machine_key(id), machine.version, &record);
+        self.rebalancing
+            .machines_requested
+            .insert(id.clone(), machine.version);
         ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
     /// A free machine of another shard that a shape may use.
-    fn transferable_machines(
+    fn find_transferable<'a>(
         &self,
         view: &ClusterView,
-        demands: &BTreeMap<ShardId, DemandRecord>,
-        k: ShardId,
-        shape: &ShapeRecord,
-        waits: bool,
-    ) -> Option<MachineId> {
-        let others = demands.iter().filter(|(j, _)| **j != k);
-        let lists = others.flat_map(|(j, d)| {
-            // A shard that has waiting tasks itself gives nothing away.
-            let keeps = waits && !d.waiting.is_empty();
-            let free = d.spare_machines.iter().filter(move |_| waits && !keeps);
-            d.surplus_machines.iter().chain(free).map(move |id| (j, id))
+        demands: &'a BTreeMap<ShardId, DemandRecord>,
+        request: &Request,
+    ) -> Option<&'a MachineId> {
+        let candidates = demands.iter().flat_map(|(owner, demand)| {
+            // A shard that has waiting tasks itself gives no spare machines away.
+            let gives_spares = request.may_take_spares && demand.waiting.is_empty();
+            let spares = demand.spare_machines.iter().filter(move |_| gives_spares);
+            let machines = demand.surplus_machines.iter().chain(spares);
+            machines.map(move |id| (*owner, id))
         });
-        lists
-            .filter(|(j, id)| self.may_move(view, **j, id, shape))
-            .map(|(_, id)| id.clone())
-            .next()
+        self.find_movable(view, request, candidates)
     }
 
     /// A machine of another shard that holds nothing but borrowed work, for a
     /// shape that may have it given back.
-    fn reclaimable_machines(
+    fn find_reclaimable<'a>(
         &self,
         view: &ClusterView,
-        demands: &BTreeMap<ShardId, DemandRecord>,
-        k: ShardId,
-        shape: &ShapeRecord,
-    ) -> Option<MachineId> {
-        if !shape.may_reclaim {
+        demands: &'a BTreeMap<ShardId, DemandRecord>,
+        request: &Request,
+    ) -> Option<&'a MachineId> {
+        if !request.shape.may_reclaim {
             return None;
         }
-        let others = demands.iter().filter(|(j, _)| **j != k);
-        let is_gang = shape.is_gang;
-        others
-            .flat_map(|(j, d)| {
-                let pooled = d.pool_machines.iter().filter(move |_| is_gang);
-                d.reclaimable_machines
-                    .iter()
-                    .chain(pooled)
-                    .map(move |id| (j, id))
+        let is_gang = request.shape.is_gang;
+        let candidates = demands.iter().flat_map(|(owner, demand)| {
+            let pooled = demand.pool_machines.iter().filter(move |_| is_gang);
+            let machines = demand.reclaimable_machines.iter().chain(pooled);
+            machines.map(move |id| (*owner, id))
+        });
+        self.find_movable(view, request, candidates)
+    }
+
+    /// The first of some machines, each named with its shard, that may be moved.
+    fn find_movable<'a>(
+        &self,
+        view: &ClusterView,
+        request: &Request,
+        mut candidates: impl Iterator<Item = (ShardId, &'a MachineId)>,
+    ) -> Option<&'a MachineId> {
+        candidates
+            .find(|(owner, id)| {
+                *owner != request.shard_id && self.may_move(view, *owner, id, request.shape)
             })
-            .find(|(j, id)| self.may_move(view, **j, id, shape))
-            .map(|(_, id)| id.clone())
+            .map(|(_, id)| id)
     }
 
-    /// Whether a shard may be asked for a machine that suits a shape.
+    /// Whether a machine of a shard suits a shape and may be requested.
     fn may_move(
         &self,
         view: &ClusterView,
@@ -174,31 +247,54 @@
         id: &MachineId,
         shape: &ShapeRecord,
     ) -> bool {
-        let Some(record) = view.machines.get(id).map(|m| &m.record) else {
+        let Some(record) = view.machines.get(id).map(|machine| &machine.record) else {
             return false;
         };
-        let types = shape.types.as_ref();
-        record.shard == from
+        let is_available = record.shard == from
             && record.reassign_to.is_none()
             && record.decommission_reason.is_none()
-            && !self.machines_requested.contains_key(id)
-            && (shape.spot || !record.spot)
-            && types.is_none_or(|t| t.contains(&record.machine_type))
-            && shape
-                .zones
-                .as_ref()
-                .is_none_or(|z| z.contains(&record.zone))
-            && capacity_of_type(view, &record.machine_type)
-                .is_some_and(|total| shape.resources().fits(&total))
+            && !self.rebalancing.machines_requested.contains_key(id);
+        is_available && allows(shape, record) && fits(view, shape, record)
     }
 }
 
-/// Books up to `most` tasks, and says how many.
-fn book(room: &mut Resources, task: &Resources, most: u32) -> u32 {
-    let mut n = 0;
-    while n < most && task.fits(room) && !task.is_zero() {
+/// What a shard's demand requests, in order: first for waiting tasks, then for
+/// spare places. Borrowed work takes only what no shard needs.
+fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<Request<'_>> {
+    let waiting = demand.waiting.iter().map(|shape| Request {
+        shard_id,
+        shape,
+        may_take_spares: !shape.is_borrowing,
+    });
+    let spare_shapes = demand.shapes.iter().filter(|shape| shape.is_spare);
+    let spare_places = spare_shapes.map(|shape| Request {
+        shard_id,
+        shape,
+        may_take_spares: false,
+    });
+    waiting.chain(spare_places).collect()
+}
+
+/// Whether a shape's constraints allow a machine.
+fn allows(shape: &ShapeRecord, record: &MachineRecord) -> bool {
+    let (types, zones) = (shape.types.as_ref(), shape.zones.as_ref());
+    (shape.spot || !record.spot)
+        && types.is_none_or(|types| types.contains(&record.machine_type))
+        && zones.is_none_or(|zones| zones.contains(&record.zone))
+}
+
+/// Whether a task of a shape fits an empty machine.
+fn fits(view: &ClusterView, shape: &ShapeRecord, record: &MachineRecord) -> bool {
+    let capacity = capacity_of_type(view, &record.machine_type);
+    capacity.is_some_and(|capacity| shape.resources().fits(&capacity))
+}
+
+/// Reserves room for up to `max_tasks` tasks, and returns for how many.
+fn reserve(room: &mut Resources, task: &Resources, max_tasks: u32) -> u32 {
+    let mut reserved = 0;
+    while reserved < max_tasks && task.fits(room) && !task.is_zero() {
         *room -= *task;
-        n += 1;
+        reserved += 1;
     }
-    n
+    reserved
 }
--- a/crates/core/src/leader/scale_in.rs
+++ b/crates/core/src/leader/scale_in.rs
@@ -1,22 +1,22 @@
-//! Return of machines to the cloud: machines that were given up are deleted,
-//! and their records are removed once the cloud has confirmed the deletion.
-//! The removed record proves to the holder that nothing is left there.
+//! Scale-in: decommissioned machines are deleted, and their records are removed
+//! once the cloud has confirmed the deletion. The removed record proves to the
+//! holder that nothing runs there any more.
 
+use super::transactions::{leader_precondition, put_if_unchanged};
 use super::Leader;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
 use crate::pools::add_row;
-use crate::records::{machine_key, MachineRecord, LEADER};
+use crate::records::{machine_key, MachineRecord};
 use crate::store::queue::Urgency;
 use crate::store::view::{ClusterView, Versioned};
 use forkshift_pools::{Ended, Interval};
 use forkshift_wire::cloud::DELETE_MOST;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::MachineId;
-use serde_json::to_value;
 
 impl Leader {
-    /// Writes that a machine is given up.
+    /// Writes that a machine is decommissioned.
     pub(super) fn decommission(
         &mut self,
         ctx: &mut Context,
@@ -30,41 +30,39 @@
         if machine.record.decommission_reason.is_some() {
             return;
         }
-        log::info!("machine {id}: condemned, {why}");
+        log::info!("machine {id}: decommissioned, {why}");
         let mut record = machine.record.clone();
         record.decommission_reason = Some(why.to_owned());
-        let key = machine_key(id);
-        let transaction = Transaction {
-            preconditions: self.preconditions(view, key.clone(), machine.version),
-            writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
-        };
+        let transaction = put_if_unchanged(view, machine_key(id), machine.version, &record);
         ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
-    /// Has machines deleted that were given up in their records.
+    /// Deletes machines whose records say that they are decommissioned.
     pub(super) fn delete_decommissioned(&mut self, ctx: &mut Context, view: &ClusterView) {
-        let condemned = view.decommissioned.iter();
-        let condemned: Vec<MachineId> = condemned
-            .filter(|id| !self.machines_being_deleted.contains(*id))
+        let decommissioned: Vec<MachineId> = view
+            .decommissioned
+            .iter()
+            .filter(|id| !self.inventory.being_deleted.contains(*id))
             .take(DELETE_MOST)
             .cloned()
             .collect();
-        if !condemned.is_empty() && self.may_call(ctx) {
-            self.send_delete(ctx, condemned);
+        if !decommissioned.is_empty() && self.cloud.try_acquire(ctx.now) {
+            self.send_delete(ctx, decommissioned);
         }
     }
 
     /// Sends one request for the deletion of some machines.
     pub(super) fn send_delete(&mut self, ctx: &mut Context, machines: Vec<MachineId>) {
-        self.machines_being_deleted.extend(machines.iter().cloned());
+        self.inventory
+            .being_deleted
+            .extend(machines.iter().cloned());
         let pending = PendingCall::DeleteMachines {
             machines: machines.clone(),
         };
         ctx.delete_machines(machines, pending);
     }
 
-    /// The cloud has answered a deletion: the records of machines that are gone
-    /// are removed.
+    /// The cloud has answered a deletion: the records of the machines are removed.
     pub(crate) fn on_machines_deleted(
         &mut self,
         ctx: &mut Context,
@@ -74,80 +72,68 @@
         body: &[u8],
     ) {
         for id in &machines {
-            self.machines_being_deleted.remove(id);
+            self.inventory.being_deleted.remove(id);
         }
-        if self.cloud_unavailable(ctx, status, body) || status != 200 {
+        if self.cloud.pause_if_unavailable(ctx.now, status, body) || status != 200 {
             return;
         }
-        // The machines are gone: their records say so by going, too.
-        let gone: Vec<DeletedMachine> = machines
-            .iter()
-            .filter_map(|id| {
-                Some(DeletedMachine::new(
-                    id,
-                    view.machines.get(id)?,
-                    ctx.wall_clock_ms,
-                ))
-            })
-            .collect();
-        for group in groups_of(gone, ctx.limits.txn_ops) {
-            let leader = view.leader.as_ref().map_or(0, |l| l.version);
-            let mut transaction = Transaction {
-                preconditions: vec![Precondition {
-                    key: LEADER.to_owned(),
-                    version: leader,
-                }],
-                writes: Vec::new(),
-            };
-            for machine in &group {
-                let key = machine_key(&machine.id);
-                transaction.preconditions.push(Precondition {
-                    key: key.clone(),
-                    version: machine.version,
-                });
-                transaction.writes.push(Write::Remove { remove: key });
-                if let Some(row) = &machine.row {
-                    add_row(&mut transaction, row.key(), row);
-                }
-                // Until the view shows it, it must not be deleted again.
-                self.machines_being_deleted.insert(machine.id.clone());
-            }
-            log::info!("{} machines returned", group.len());
-            let machines = group.into_iter().map(|machine| machine.id).collect();
-            ctx.transact(
-                Urgency::Tasks,
-                &transaction,
-                PendingCall::MachineRecordsRemoval { machines },
-            );
+        let deleted = machines.iter().filter_map(|id| {
+            let machine = view.machines.get(id)?;
+            Some(DeletedMachine::new(id, machine, ctx.wall_clock_ms))
+        });
+        for batch in batches(deleted.collect(), ctx.limits.txn_ops) {
+            self.remove_records(ctx, view, batch);
         }
     }
 
+    /// Removes the records of deleted machines, in one transaction.
+    fn remove_records(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        batch: Vec<DeletedMachine>,
+    ) {
+        log::info!("leader: machines deleted, {}", batch.len());
+        let transaction = removal_transaction(view, &batch);
+        let machines: Vec<MachineId> = batch.into_iter().map(|machine| machine.id).collect();
+        // Until the view shows the removal, they must not be deleted again.
+        self.inventory
+            .being_deleted
+            .extend(machines.iter().cloned());
+        ctx.transact(
+            Urgency::Tasks,
+            &transaction,
+            PendingCall::MachineRecordsRemoval { machines },
+        );
+    }
+
     /// The removal of records was answered. After a failure the machines are
     /// deleted again.
     pub(crate) fn on_records_removed(&mut self, machines: &[MachineId], status: u16) {
         if status != 200 {
             for id in machines {
-                self.machines_being_deleted.remove(id);
+                self.inventory.being_deleted.remove(id);
             }
         }
     }
 }
 
-/// A machine that is gone, and whose record is to be removed.
+/// A machine that no longer exists, and whose record is to be removed.
 struct DeletedMachine {
     id: MachineId,
+    /// Version of its record.
     version: u64,
     /// The end of a pool's charge for it, if its holder has not recorded one.
     row: Option<Interval>,
 }
 
 impl DeletedMachine {
-    fn new(id: &MachineId, versioned: &Versioned<MachineRecord>, wall: u64) -> Self {
-        let mut record = versioned.record.clone();
+    fn new(id: &MachineId, machine: &Versioned<MachineRecord>, wall_clock_ms: u64) -> Self {
+        let mut record = machine.record.clone();
         Self {
             id: id.clone(),
-            version: versioned.version,
-            row: record.close_membership(id, wall, Err(Ended::Lost)),
+            version: machine.version,
+            row: record.close_membership(id, wall_clock_ms, Err(Ended::Lost)),
         }
     }
 
@@ -157,20 +143,40 @@
     }
 }
 
-/// Groups of machines whose removal takes so many changes at the most.
-fn groups_of(gone: Vec<DeletedMachine>, most: usize) -> Vec<Vec<DeletedMachine>> {
-    let mut groups: Vec<Vec<DeletedMachine>> = Vec::new();
-    let mut room = 0;
-    for machine in gone {
+/// Removes the records of some machines, and ends the charges of pools for them.
+fn removal_transaction(view: &ClusterView, batch: &[DeletedMachine]) -> Transaction {
+    let mut transaction = Transaction {
+        preconditions: vec![leader_precondition(view)],
+        writes: Vec::new(),
+    };
+    for machine in batch {
+        let key = machine_key(&machine.id);
+        transaction.preconditions.push(Precondition {
+            key: key.clone(),
+            version: machine.version,
+        });
+        transaction.writes.push(Write::Remove { remove: key });
+        if let Some(row) = &machine.row {
+            add_row(&mut transaction, row.key(), row);
+        }
+    }
+    transaction
+}
+
+/// Batches of machines whose removal takes up to `max_changes` changes each.
+fn batches(deleted: Vec<DeletedMachine>, max_changes: usize) -> Vec<Vec<DeletedMachine>> {
+    let mut batches: Vec<Vec<DeletedMachine>> = Vec::new();
+    let mut remaining = 0;
+    for machine in deleted {
         let changes = machine.changes();
-        if changes > room || groups.is_empty() {
-            groups.push(Vec::new());
-            room = most;
+        if changes > remaining || batches.is_empty() {
+            batches.push(Vec::new());
+            remaining = max_changes;
         }
-        room -= changes;
-        if let Some(group) = groups.last_mut() {
-            group.push(machine);
+        remaining -= changes;
+        if let Some(batch) = batches.last_mut() {
+            batch.push(machine);
         }
     }
-    groups
+    batches
 }
--- /dev/null
+++ b/crates/core/src/leader/scale_out/intents.rs
@@ -0,0 +1,103 @@
+//! Intents: each is written before its request is sent to the cloud.
+
+use super::planning::OfferedKind;
+use super::zone_names;
+use crate::context::{revision_of, Context};
+use crate::leader::transactions::put_if_unchanged;
+use crate::leader::Leader;
+use crate::pending_call::PendingCall;
+use crate::records::{provisioning_intent_key, ProvisioningIntent, ShardId};
+use crate::store::queue::Urgency;
+use crate::store::view::ClusterView;
+use forkshift_wire::cloud::{Rent, RENT_MOST};
+
+impl Leader {
+    /// Writes one intent. The name of its request is never used again.
+    pub(super) fn write_intent(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        kind: OfferedKind,
+        parts: Vec<(ShardId, u32)>,
+    ) {
+        let type_names: Vec<&String> = view.machine_types.keys().collect();
+        let intent = ProvisioningIntent {
+            parts: limit_parts(parts, RENT_MOST),
+            machine_type: type_names[kind.machine_type as usize].clone(),
+            zone: zone_names(view)[kind.zone as usize].clone(),
+            spot: kind.spot,
+            placed: 0,
+        };
+        let provisioning = &mut self.provisioning;
+        provisioning.intents_written += 1;
+        let count = provisioning.intents_written;
+        let request = format!("r-{:x}-{count}", ctx.incarnation);
+        let shards = intent.parts.iter().map(|(shard_id, _)| *shard_id);
+        provisioning
+            .intents_being_written
+            .insert(request.clone(), shards.collect());
+        let transaction = put_if_unchanged(view, provisioning_intent_key(&request), 0, &intent);
+        ctx.transact(
+            Urgency::Leadership,
+            &transaction,
+            PendingCall::ProvisioningIntentWrite { request },
+        );
+    }
+
+    /// The write of an intent was answered. From now on a demand counts if it is
+    /// based on a view that shows this intent.
+    pub(crate) fn on_intent_written(&mut self, request: &str, body: &[u8]) {
+        let provisioning = &mut self.provisioning;
+        let shards = provisioning.intents_being_written.remove(request);
+        let revision = revision_of(body);
+        for shard_id in shards.unwrap_or_default() {
+            let min_revision = provisioning
+                .min_demand_revisions
+                .entry(shard_id)
+                .or_default();
+            *min_revision = (*min_revision).max(revision);
+        }
+    }
+
+    /// Sends the requests of intents, those of an earlier leader too: a request that
+    /// had an answer before gets the same one again and provisions nothing.
+    pub(in crate::leader) fn send_intents(&mut self, ctx: &mut Context, view: &ClusterView) {
+        for (request, intent) in &view.provisioning_intents {
+            let is_in_flight = self.provisioning.requests_in_flight.contains(request);
+            if is_in_flight || !self.cloud.try_acquire(ctx.now) {
+                continue;
+            }
+            self.provisioning.requests_in_flight.insert(request.clone());
+            send_request(ctx, request, &intent.record);
+        }
+    }
+}
+
+/// Requests the machines of an intent from the cloud.
+fn send_request(ctx: &mut Context, request: &str, intent: &ProvisioningIntent) {
+    let body = Rent {
+        request: request.to_owned(),
+        machine_type: intent.machine_type.clone(),
+        zone: intent.zone.clone(),
+        spot: intent.spot,
+        count: intent.count(),
+    };
+    let body = serde_json::to_vec(&body).unwrap_or_default();
+    let request = request.to_owned();
+    ctx.call_cloud(
+        "POST",
+        "/machines".to_owned(),
+        Some(body),
+        PendingCall::Provision { request },
+    );
+}
+
+/// Cuts parts down to `max_machines` in all, evenly.
+fn limit_parts(mut parts: Vec<(ShardId, u32)>, max_machines: u32) -> Vec<(ShardId, u32)> {
+    while parts.iter().map(|(_, count)| count).sum::<u32>() > max_machines {
+        if let Some((_, count)) = parts.iter_mut().max_by_key(|(_, count)| *count) {
+            *count -= 1;
+        }
+    }
+    parts
+}
--- a/crates/core/src/leader/scale_out/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -1,14 +1,16 @@
-//! Tests of `renting`.
+//! Tests of scale-out.
 
-use super::*;
 use crate::fixture::Fixture;
 use crate::io::Effect;
 use crate::node::Node;
+use crate::pending_call::PendingCall;
+use crate::records::ProvisioningIntent;
 use crate::store::view::Versioned;
+use forkshift_wire::state::{Transaction, Write};
 use serde_json::json;
 use std::collections::BTreeSet;
 
-fn is_rented(pending: &PendingCall) -> bool {
+fn is_result_write(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::ProvisionedRecordsWrite { .. })
 }
 
@@ -31,18 +33,18 @@
     put
 }
 
-/// The limits fall between a part of an outcome and its answer: each machine
-/// gets its record all the same, once.
+/// The limits fall between the write of a part of a result and its answer: each
+/// machine gets its record all the same, once.
 #[test]
-fn an_outcome_is_recorded_whole_when_limits_fall_on_the_way() {
-    for rented in [5, 11, 12, 30] {
+fn result_is_recorded_completely_when_limits_fall_between_its_parts() {
+    for provisioned in [5, 11, 12, 30] {
         let mut f = Fixture::new();
-        // It has led for a while.
+        // It is elected.
         f.step(0);
         let machine_type = "big".to_owned();
         let zone = "hall-a".to_owned();
         let intent = ProvisioningIntent {
-            parts: vec![(f.shard, rented)],
+            parts: vec![(f.shard, provisioned)],
             machine_type,
             zone,
             spot: false,
@@ -56,7 +58,7 @@
             .view
             .provisioning_intents
             .insert("r-1".to_owned(), versioned);
-        let names: Vec<String> = (0..rented).map(|i| format!("host-{i:03}")).collect();
+        let names: Vec<String> = (0..provisioned).map(|i| format!("host-{i:03}")).collect();
         let body = json!({"berths": names}).to_string();
         let Node {
             leader, ctx, view, ..
@@ -65,15 +67,19 @@
         let mut put = put_machines(&f.step(0));
         f.finalize_format();
         for revision in 20..40 {
-            if !f.node.ctx.pending.values().any(is_rented) {
+            if !f.node.ctx.pending.values().any(is_result_write) {
                 break;
             }
-            let mut effects = f.answer(is_rented, 200, &json!({"ledger_rev": revision}));
+            let mut effects = f.answer(is_result_write, 200, &json!({"ledger_rev": revision}));
             effects.extend(f.step(1_000));
             put.extend(put_machines(&effects));
         }
-        let different: BTreeSet<&String> = put.iter().collect();
-        assert_eq!(put.len(), rented as usize, "of {rented}: {put:?}");
-        assert_eq!(different.len(), rented as usize, "of {rented}: twice");
+        let distinct: BTreeSet<&String> = put.iter().collect();
+        assert_eq!(put.len(), provisioned as usize, "of {provisioned}: {put:?}");
+        assert_eq!(
+            distinct.len(),
+            provisioned as usize,
+            "of {provisioned}: twice"
+        );
     }
 }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -174,6 +174,23 @@
 }
 
 impl MachineRecord {
+    /// The record of a machine that was just provisioned.
+    pub(crate) fn new(shard: ShardId, machine_type: &str, zone: &str, spot: bool) -> Self {
+        Self {
+            shard,
+            machine_type: machine_type.to_owned(),
+            zone: zone.to_owned(),
+            spot,
+            addr: None,
+            decommission_reason: None,
+            reassign_to: None,
+            token_floor: 0,
+            images: Vec::new(),
+            pool: None,
+            charged_until_ms: 0,
+        }
+    }
+
     /// Ends the time of its membership up to now; what follows is `next`. Returns the
     /// row of the pool's account that must be written with it.
     pub(crate) fn close_membership(
