--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -1,11 +1,12 @@
 //! Tests of `records`.
 
-use super::*;
+use super::{DemandRecord, ShapeRecord};
+use forkshift_wire::MachineId;
 
-fn shape(n: u32) -> ShapeRecord {
+fn shape(count: u32) -> ShapeRecord {
     ShapeRecord {
         milli_resources: (1_000, 0, 1_000),
-        count: n,
+        count,
         types: None,
         zones: None,
         spot: false,
@@ -16,15 +17,15 @@
     }
 }
 
-fn machines(n: u32) -> Vec<MachineId> {
-    let id = |i| MachineId::new(&format!("host-{i:06}"));
-    (0..n).map(id).collect()
+fn machines(count: u32) -> Vec<MachineId> {
+    let id = |number| MachineId::new(&format!("host-{number:06}"));
+    (0..count).map(id).collect()
 }
 
-/// A demand is cut to the largest value, what is least missed first, and the
-/// most urgent of each list stays.
+/// A demand is truncated to the largest value: the least important lists first, and of
+/// each list the most urgent entries stay.
 #[test]
-fn a_demand_is_cut_by_what_is_least_missed() {
+fn truncation_drops_the_least_important_list_first() {
     let full = DemandRecord {
         revision: 7,
         shapes: (1..=24).map(shape).collect(),
@@ -36,7 +37,7 @@
     };
     let size = |record: &DemandRecord| serde_json::to_vec(record).expect("a record").len();
     let whole = size(&full);
-    // Bytes, and which lists are left whole, cut, or empty.
+    // Bytes, and the lengths of the lists after the truncation.
     let cases = [
         (whole, [24, 24, 20, 200, 200]),
         (whole - 1, [24, 24, 20, 200, 100]),
@@ -45,44 +46,46 @@
         (1_000, [12, 0, 0, 0, 0]),
         (10, [0, 0, 0, 0, 0]),
     ];
-    for (bytes, left) in cases {
-        let cut = full.clone().truncated_to(bytes);
+    for (max_bytes, expected) in cases {
+        let truncated = full.clone().truncated_to(max_bytes);
         assert!(
-            size(&cut) <= bytes.max(size(&DemandRecord::default())),
-            "{bytes}"
+            size(&truncated) <= max_bytes.max(size(&DemandRecord::default())),
+            "{max_bytes}"
         );
         let lengths = [
-            cut.shapes.len(),
-            cut.waiting.len(),
-            cut.spare_machines.len(),
-            cut.surplus_machines.len(),
-            cut.reclaimable_machines.len(),
+            truncated.shapes.len(),
+            truncated.waiting.len(),
+            truncated.spare_machines.len(),
+            truncated.surplus_machines.len(),
+            truncated.reclaimable_machines.len(),
         ];
-        assert_eq!(lengths, left, "{bytes}");
-        assert!(cut.shapes.iter().eq(full.shapes.iter().take(left[0])));
+        assert_eq!(lengths, expected, "{max_bytes}");
+        assert!(truncated
+            .shapes
+            .iter()
+            .eq(full.shapes.iter().take(expected[0])));
     }
 }
 
 /// The demand of a shard that holds four thousand machines, all of them empty, has room in
-/// a message with more shapes than there once could be; one byte less, and the least
-/// useful list is halved.
+/// a message with sixty shapes; with one byte less the least important list is halved.
 #[test]
-fn a_demand_with_four_thousand_machines_is_sent_whole() {
-    let most = forkshift_wire::peer::MAX_MESSAGE_BYTES / 4 * 3;
+fn demand_with_four_thousand_machines_fits_a_message() {
+    let max_bytes = forkshift_wire::peer::MAX_MESSAGE_BYTES / 4 * 3;
     let mut full = DemandRecord {
         shapes: (1..=60).map(shape).collect(),
         surplus_machines: machines(4_000),
         ..DemandRecord::default()
     };
-    assert!(full.clone().truncated_to(most).has_same_demand(&full));
+    assert!(full.clone().truncated_to(max_bytes).has_same_demand(&full));
     full.reclaimable_machines = machines(2);
     let size = serde_json::to_vec(&full).expect("a record").len();
     assert!(full.clone().truncated_to(size).has_same_demand(&full));
-    let cut = full.clone().truncated_to(size - 1);
-    let left = (
-        cut.shapes.len(),
-        cut.surplus_machines.len(),
-        cut.reclaimable_machines.len(),
+    let truncated = full.clone().truncated_to(size - 1);
+    let lengths = (
+        truncated.shapes.len(),
+        truncated.surplus_machines.len(),
+        truncated.reclaimable_machines.len(),
     );
-    assert_eq!(left, (60, 4_000, 1));
+    assert_eq!(lengths, (60, 4_000, 1));
 }
