--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,4 +1,8 @@
-//! Requests from users, workers and probes, told apart by method and path.
+//! The HTTP API: requests of users, workers and probes, routed by method and path.
+//!
+//! A handler returns `None` if the request is answered later, by [`Context::respond`].
+//!
+//! [`Context::respond`]: crate::context::Context::respond
 
 pub(crate) mod admission;
 mod cancellations;
@@ -15,11 +19,11 @@
 use forkshift_wire::users::{JobStage, JobStatus};
 use forkshift_wire::JobId;
 
-/// A submission or a cancellation is answered within this, whatever happens:
+/// Time within which a submission or a cancellation is answered, in milliseconds:
 /// users give up after 5 s.
 pub(crate) const ANSWER_MS: Ms = 4_000;
 
-/// What is told of a job when its tasks do not matter.
+/// The status of a job without counts of its tasks.
 pub(crate) fn status(id: &JobId, stage: JobStage) -> JobStatus {
     JobStatus {
         id: id.clone(),
@@ -30,7 +34,7 @@
 }
 
 impl Node {
-    /// Takes a request: passes it on to another controller, or deals with it here.
+    /// Handles a request, or forwards it to another controller.
     pub(crate) fn on_request(
         &mut self,
         request: RequestId,
@@ -39,22 +43,22 @@
         body: Option<Vec<u8>>,
     ) {
         let path = path.split('?').next().unwrap_or_default();
-        if let Err(body) = self.forward_if_preferred(request, method, path, body) {
-            self.serve_here(request, method, path, body);
+        if let Err(body) = self.try_forward(request, method, path, body) {
+            self.handle_locally(request, method, path, body);
         }
     }
 
-    /// Answers a request without asking another controller.
-    pub(crate) fn serve_here(
+    /// Handles a request without forwarding it.
+    pub(crate) fn handle_locally(
         &mut self,
         request: RequestId,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
     ) {
-        let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let reply = match (method, parts.as_slice()) {
-            ("GET", ["up"]) => Some(self.up()),
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        let reply = match (method, segments.as_slice()) {
+            ("GET", ["up"]) => Some(self.readiness()),
             ("POST", ["v1", "report"]) => {
                 self.on_heartbeat_request(request, body, Relaying::Allowed)
             }
@@ -76,7 +80,8 @@
         }
     }
 
-    fn up(&self) -> Reply {
+    /// The answer of the readiness probe.
+    fn readiness(&self) -> Reply {
         if self.is_ready() {
             Reply::json(200, &serde_json::json!({}))
         } else {
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -1,6 +1,6 @@
-//! Submissions that name dependencies: whether these were accepted is decided
-//! by reading their lasting records, and the acceptance is conditional on the
-//! versions that were read.
+//! Admission of jobs with dependencies: whether the dependencies were accepted is
+//! decided by reading their permanent records, and the acceptance of the job is
+//! conditional on the versions that were read.
 
 use crate::api::read_versioned_job;
 use crate::io::{Reply, RequestId};
@@ -12,15 +12,15 @@
 use forkshift_wire::JobId;
 use std::collections::BTreeSet;
 
-/// A submission whose dependencies are being looked up.
+/// A submission whose dependencies are being read.
 pub(crate) struct Admission {
     creation: Creation,
     /// Dependencies whose records have not been read yet.
-    unread: BTreeSet<JobId>,
+    pending_reads: BTreeSet<JobId>,
 }
 
 impl Node {
-    /// Why a job with these dependencies is refused without reading them.
+    /// The refusal of a job whose dependencies need not be read, as they are not allowed.
     pub(crate) fn refuse_dependencies(&self, spec: &JobSpec) -> Option<Reply> {
         if spec.dependencies.is_empty() {
             return None;
@@ -33,9 +33,9 @@
             return Some(Reply::error(422, "a job can't await itself"));
         }
         // One condition is for the job's own record.
-        let most = self.ctx.limits.conditions() - 1;
-        if spec.dependencies.len() > most {
-            let why = format!("`awaits` names more than {most} jobs");
+        let max_dependencies = self.ctx.limits.conditions() - 1;
+        if spec.dependencies.len() > max_dependencies {
+            let why = format!("`awaits` names more than {max_dependencies} jobs");
             return Some(Reply::error(422, &why));
         }
         None
@@ -47,8 +47,8 @@
             return self.create_job(creation);
         }
         let request = creation.request;
-        let unread: BTreeSet<JobId> = creation.spec.dependencies.iter().cloned().collect();
-        for id in &unread {
+        let pending_reads: BTreeSet<JobId> = creation.spec.dependencies.iter().cloned().collect();
+        for id in &pending_reads {
             self.read_for_admission(request, id.clone());
         }
         let creation = Creation {
@@ -56,8 +56,13 @@
             is_cancelled: false,
             ..creation
         };
-        self.admissions
-            .insert(request, Admission { creation, unread });
+        self.admissions.insert(
+            request,
+            Admission {
+                creation,
+                pending_reads,
+            },
+        );
     }
 
     fn read_for_admission(&mut self, request: RequestId, id: JobId) {
@@ -77,8 +82,8 @@
         let Some(admission) = self.admissions.get_mut(&request) else {
             return;
         };
-        // An earlier try of the same submission has read it.
-        if !admission.unread.contains(id) {
+        // An earlier attempt at the same submission has read it.
+        if !admission.pending_reads.contains(id) {
             return;
         }
         let until = admission.creation.until;
@@ -98,7 +103,7 @@
         }
     }
 
-    /// A dependency was accepted. Once this is known of all, the job is created.
+    /// A dependency was accepted. The job is created once this is known of all.
     fn on_dependency_found(
         &mut self,
         request: RequestId,
@@ -112,10 +117,10 @@
         let Some(admission) = self.admissions.get_mut(&request) else {
             return;
         };
-        admission.unread.remove(id);
+        admission.pending_reads.remove(id);
         admission.creation.dependencies.push((id.clone(), version));
         admission.creation.is_cancelled |= stage == JobStage::Cancelled;
-        if !admission.unread.is_empty() {
+        if !admission.pending_reads.is_empty() {
             return;
         }
         if let Some(admission) = self.admissions.remove(&request) {
@@ -123,7 +128,7 @@
         }
     }
 
-    /// The job can't be accepted, unless it was: its own record tells.
+    /// Refuses a job, unless its own record shows that it was accepted before.
     fn refuse_admission(&mut self, request: RequestId, why: &str) {
         let Some(admission) = self.admissions.remove(&request) else {
             return;
--- a/crates/core/src/api/admission/tests.rs
+++ b/crates/core/src/api/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `admission`.
+//! Tests of admission.
 
 use super::*;
 use crate::fixture::{answer_to, spec, team_of, Fixture};
@@ -12,11 +12,11 @@
     JobId::new(&format!("j-{n}"))
 }
 
-/// A job that needs these.
-fn dependent(f: &mut Fixture, n: u32, needs: &[u32]) -> JobSpec {
+/// A job with dependencies.
+fn dependent(f: &mut Fixture, n: u32, dependencies: &[u32]) -> JobSpec {
     let team = team_of(f);
     JobSpec {
-        dependencies: needs.iter().map(|n| id(*n)).collect(),
+        dependencies: dependencies.iter().map(|n| id(*n)).collect(),
         ..spec(&id(n), &team, JobKind::Array, 1)
     }
 }
@@ -62,10 +62,10 @@
     })
 }
 
-/// Without any look at records: before all controllers know dependencies a user
-/// comes back later, and what can never be is refused, unless the job is known.
+/// Before all controllers know dependencies they are refused for now, and a list that
+/// can never be accepted is refused for good, unless the job is known.
 #[test]
-fn some_lists_are_refused_without_reading_them() {
+fn invalid_dependencies_are_refused_without_reading_their_records() {
     let many: Vec<u32> = (10..60).collect();
     let cases: [(&str, bool, &[u32], u16); 4] = [
         ("not all are upgraded", false, &[2], 503),
@@ -73,13 +73,13 @@
         ("itself and another", true, &[2, 1], 422),
         ("more than a transaction has conditions", true, &many, 422),
     ];
-    for (name, is_finalized, needs, status) in cases {
+    for (name, is_finalized, dependencies, status) in cases {
         for is_known in [false, true] {
             let mut f = Fixture::new();
             if is_finalized {
                 f.finalize_format();
             }
-            let spec = dependent(&mut f, 1, needs);
+            let spec = dependent(&mut f, 1, dependencies);
             assert_eq!(f.submit(1, &spec), None, "{name}");
             let effects = match is_known {
                 true => {
@@ -88,20 +88,20 @@
                 }
                 false => f.answer(is_lookup, 404, &json!({"ledger_rev": 5})),
             };
-            let told = answer_to(&effects, 1).map(|a| a.0);
+            let answered = answer_to(&effects, 1).map(|answer| answer.0);
             let expected = if is_known { 200 } else { status };
-            assert_eq!(told, Some(expected), "{name}, known {is_known}");
+            assert_eq!(answered, Some(expected), "{name}, known {is_known}");
         }
     }
 }
 
-/// What a dependency's record says decides; a record that can't be read decides
-/// nothing.
+/// The record of a dependency decides; without an answer of the store the user is to
+/// come back.
 #[test]
-fn a_submission_is_decided_by_the_records_of_its_dependencies() {
+fn submission_is_decided_by_the_records_of_its_dependencies() {
     use JobKind::{Array, Service};
     use JobStage::{Cancelled, Done, Queued};
-    /// What a read answers, and what the user is told.
+    /// Name, answer to the read of a dependency, and answer to the user.
     type Case = (
         &'static str,
         u16,
@@ -124,18 +124,18 @@
         ("out", 503, None, 503, None),
         ("too many requests", 429, None, 503, None),
     ];
-    for (name, read, of, status, told) in cases {
+    for (name, read_status, found, status, answered) in cases {
         let mut f = Fixture::new();
         f.finalize_format();
         let spec = dependent(&mut f, 1, &[2, 3]);
         assert_eq!(f.submit(1, &spec), None, "{name}");
         let other = record(&mut f, 3, Array, Queued);
         f.answer(reads(3), 200, &other);
-        let body = match of {
+        let body = match found {
             Some((kind, stage)) => record(&mut f, 2, kind, stage),
             None => json!({"error": "no"}),
         };
-        let mut effects = f.answer(reads(2), read, &body);
+        let mut effects = f.answer(reads(2), read_status, &body);
         if let Some(transaction) = transaction(&effects) {
             // On condition of just what was read.
             let versions: Vec<u64> = transaction
@@ -145,26 +145,26 @@
                 .collect();
             assert_eq!(versions.len(), 3, "{name}");
             assert!(versions.contains(&42) && versions.contains(&43), "{name}");
-            let lives = transaction.writes.len() == 2;
-            assert_eq!(lives, told != Some(Cancelled), "{name}");
+            let has_head = transaction.writes.len() == 2;
+            assert_eq!(has_head, answered != Some(Cancelled), "{name}");
             effects = f.answer(is_create, 200, &json!({"ledger_rev": 50}));
         } else if answer_to(&effects, 1).is_none() {
             effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
         }
         let (code, body) = answer_to(&effects, 1).expect("an answer");
         assert_eq!(code, status, "{name}");
-        assert_eq!(stage(&body), told, "{name}");
+        assert_eq!(stage(&body), answered, "{name}");
         assert!(f.node.admissions.is_empty(), "{name}");
-        // What was cancelled with it never comes to its holder.
-        let holds = f.shard().jobs.contains_key(&id(1));
-        assert_eq!(holds, told == Some(Queued), "{name}");
+        // A job that is cancelled at once is never sent to its holder.
+        let is_held = f.shard().jobs.contains_key(&id(1));
+        assert_eq!(is_held, answered == Some(Queued), "{name}");
     }
 }
 
 /// A dependency that ends between the read and the transaction is read again;
-/// a job that was accepted meanwhile gets its state.
+/// for a job that was accepted meanwhile its status is answered.
 #[test]
-fn an_acceptance_that_lost_a_race_is_decided_anew() {
+fn acceptance_with_a_conflict_is_decided_again() {
     for (name, failed, is_read_again) in [("the dependency", 2, true), ("the job", 1, false)] {
         let mut f = Fixture::new();
         f.finalize_format();
@@ -172,12 +172,12 @@
         f.submit(1, &spec);
         let unfinished = record(&mut f, 2, JobKind::Array, JobStage::Queued);
         f.answer(reads(2), 200, &unfinished);
-        let lost = json!({"failed": [job_key(&id(failed))], "ledger_rev": 60});
-        f.answer(is_create, 409, &lost);
-        let waits = |f: &Fixture, which: &dyn Fn(&PendingCall) -> bool| {
+        let conflict = json!({"failed": [job_key(&id(failed))], "ledger_rev": 60});
+        f.answer(is_create, 409, &conflict);
+        let is_pending = |f: &Fixture, which: &dyn Fn(&PendingCall) -> bool| {
             f.node.ctx.pending.values().any(which)
         };
-        assert_eq!(waits(&f, &reads(2)), is_read_again, "{name}");
-        assert_eq!(waits(&f, &is_lookup), !is_read_again, "{name}");
+        assert_eq!(is_pending(&f, &reads(2)), is_read_again, "{name}");
+        assert_eq!(is_pending(&f, &is_lookup), !is_read_again, "{name}");
     }
 }
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellations: of jobs that are held here, and of those that another
-//! controller is to cancel.
+//! Cancellations of jobs that are held here, and requests to other holders to cancel
+//! theirs.
 
 use crate::api::status_queries::read_job;
 use crate::api::{status, ANSWER_MS};
@@ -14,11 +14,12 @@
 use forkshift_wire::users::JobStage;
 use forkshift_wire::JobId;
 
-/// Pause between two looks at whether a cancellation was carried out.
+/// Pause between two reads that show whether a cancellation was carried out, in
+/// milliseconds.
 const POLL_MS: Ms = 250;
 
 impl Node {
-    /// A user asks to cancel a job.
+    /// A user requests the cancellation of a job.
     pub(crate) fn cancel_job(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
@@ -26,30 +27,30 @@
         if let Some(stage) = self.final_stages.get(&id) {
             return Some(Reply::json(200, &status(&id, stage)));
         }
-        let right = self.membership.has_valid_lease(&self.ctx, &self.view);
+        let has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         let Node { shards, ctx, .. } = self;
-        let ours = holder_of_mut(shards, &id);
-        if let Some(shard) = ours {
-            shard.cancel(ctx, &id);
-            let job = shard.jobs.get_mut(&id)?;
-            // An earlier holder may have told the user already; what is left of
-            // the job may take long to end.
-            if job.is_cancellation_durable {
-                return Some(Reply::json(200, &status(&id, JobStage::Cancelled)));
-            }
-            // Stopping is always allowed, but it is not for us to confirm it.
-            if !right {
-                return Some(Reply::later("not now"));
-            }
-            job.cancel_waiters.push(request);
-            let until = ctx.now + ANSWER_MS;
-            self.cancel_deadlines.push_back((until, request, id));
-            return None;
+        let Some(shard) = holder_of_mut(shards, &id) else {
+            return self.look_up(request, id, Lookup::Cancellation);
+        };
+        shard.cancel(ctx, &id);
+        let job = shard.jobs.get_mut(&id)?;
+        // An earlier holder may have confirmed it already; the remaining tasks of
+        // the job may take long to end.
+        if job.is_cancellation_durable {
+            return Some(Reply::json(200, &status(&id, JobStage::Cancelled)));
+        }
+        // Stopping is always allowed, but only a valid lease allows to confirm it.
+        if !has_valid_lease {
+            return Some(Reply::later("not now"));
         }
-        self.look_up(request, id, Lookup::Cancellation)
+        job.cancel_waiters.push(request);
+        let until = ctx.now + ANSWER_MS;
+        self.cancel_deadlines.push_back((until, request, id));
+        None
     }
 
-    /// Leaves word for the holder, in the place that it watches.
+    /// Requests a cancellation from the holder of a job, by a message and by a key that
+    /// the holder watches.
     pub(crate) fn forward_cancellation(&mut self, request: RequestId, id: JobId, shard: ShardId) {
         let until = self.ctx.now + ANSWER_MS * 3 / 4;
         self.send_cancel(&id, shard);
@@ -75,7 +76,7 @@
         );
     }
 
-    /// The write of a key that asks for a cancellation was answered.
+    /// The write of a key that requests a cancellation was answered.
     pub(crate) fn on_cancellation_written(
         &mut self,
         mut poll: CancellationPoll,
@@ -96,7 +97,7 @@
             .read_store(Urgency::User, path, PendingCall::CancellationPoll(poll));
     }
 
-    /// The read that shows whether a cancellation was carried out was answered.
+    /// A read that shows whether a cancellation was carried out was answered.
     pub(crate) fn on_cancellation_poll(&mut self, poll: CancellationPoll, code: u16, body: &[u8]) {
         let CancellationPoll {
             request,
@@ -110,8 +111,8 @@
                 self.final_stages.insert(id.clone(), record.stage);
                 let reply = Reply::json(200, &status(id, record.stage));
                 self.ctx.respond(*request, reply);
-                // The holder may have been told by message, and have done it
-                // before any view showed the key: it is for us to remove.
+                // The holder may have had the message, and have carried it out before any
+                // view showed the key: then the key is removed here.
                 crate::shard::remove_key(&mut self.ctx, cancellation_key(id), *version);
             }
             _ if code == 503 => self.ctx.respond(*request, Reply::later("not now")),
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Looks again at cancellations that others are to carry out.
+    /// Repeats the reads for cancellations that other holders are to carry out.
     pub(crate) fn repeat_cancellation_polls(&mut self) {
         let now = self.ctx.now;
         let polls = std::mem::take(&mut self.delayed_polls);
--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports of workers.
+//! Heartbeats of workers.
 
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
@@ -7,12 +7,12 @@
 use crate::records::ShardId;
 use crate::shard::{epoch_of_token, Phase};
 use forkshift_links::Route;
-use forkshift_wire::workers::{HeartbeatReply, Redirect, WorkerHeartbeat};
+use forkshift_wire::workers::{Command, HeartbeatReply, Redirect, WorkerHeartbeat};
 use forkshift_wire::MachineId;
 
 impl Node {
-    /// A worker reports, to us or to a controller that passes it on. No reply: it is
-    /// passed on from here.
+    /// A worker has sent a heartbeat, to this controller or to one that relays it.
+    /// Returns `None` if it is relayed to the holder.
     pub(crate) fn on_heartbeat_request(
         &mut self,
         request: RequestId,
@@ -25,7 +25,7 @@
         let heartbeat: WorkerHeartbeat = match serde_json::from_slice(&body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => {
-                log::info!("a report is not understood: {e}");
+                log::info!("worker heartbeat: malformed, {e}");
                 return Some(Reply::error(400, "not a report"));
             }
         };
@@ -33,93 +33,108 @@
             return Some(self.answer_heartbeat(&heartbeat, Route::Relayed));
         }
         let holder = match relaying {
-            Relaying::Allowed => self.relay_to(&heartbeat.machine),
+            Relaying::Allowed => self.relay_target(&heartbeat.machine),
             Relaying::Tried => None,
         };
         if let Some(holder) = holder {
-            self.relay_report(request, &holder, body);
+            self.relay_heartbeat(request, &holder, body);
             return None;
         }
         Some(self.answer_heartbeat(&heartbeat, Route::Direct))
     }
 
     fn answer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, route: Route) -> Reply {
-        let Some(record) = self.view.machines.get(&heartbeat.machine) else {
-            return Reply::json(421, &Redirect::default());
+        let Some(machine) = self.view.machines.get(&heartbeat.machine) else {
+            return redirect_to_next();
         };
-        let k = record.record.shard;
-        if !self.shards.contains_key(&k) {
-            if self.may_keep_worker_alive(k, &heartbeat.machine) {
-                let (token, commands) = (heartbeat.token, Vec::new());
-                return Reply::json(200, &HeartbeatReply { token, commands });
-            }
-            let report_to = self.redirect_to(k, &heartbeat.machine);
-            return Reply::json(421, &Redirect { report_to });
+        let shard_id = machine.record.shard;
+        let Some(shard) = self.shards.get(&shard_id) else {
+            return self.answer_for_other_holder(heartbeat, shard_id);
+        };
+        if !self.ctx.has_valid_lease && !self.may_answer_without_lease(shard) {
+            return redirect_to_next();
+        }
+        if shard.phase == Phase::Active {
+            return self.answer_as_holder(heartbeat, route, shard_id);
+        }
+        let token = shard.first_token(&machine.record);
+        if heartbeat.token <= token && self.may_answer_while_loading(shard, &heartbeat.machine) {
+            return accept(token, Vec::new());
         }
-        let shard = self.shards.get(&k);
-        let has_valid_lease =
-            shard.is_some_and(|s| self.ctx.has_valid_lease || self.may_answer_without_lease(s));
-        let bridges = shard.is_some_and(|s| self.may_answer_while_loading(s, &heartbeat.machine));
-        let newest = self.view.epoch().1;
-        let first = shard.map(|s| s.first_token(&record.record));
+        redirect_to_next()
+    }
+
+    /// Answers a worker whose shard is held by another controller.
+    fn answer_for_other_holder(&mut self, heartbeat: &WorkerHeartbeat, shard_id: ShardId) -> Reply {
+        if self.may_keep_worker_alive(shard_id, &heartbeat.machine) {
+            return accept(heartbeat.token, Vec::new());
+        }
+        let report_to = self.redirect_target(shard_id, &heartbeat.machine);
+        Reply::json(421, &Redirect { report_to })
+    }
+
+    /// Answers a worker of a shard that is active here.
+    fn answer_as_holder(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        route: Route,
+        shard_id: ShardId,
+    ) -> Reply {
+        let newest_epoch = self.view.epoch().1;
         let Node { shards, ctx, .. } = self;
-        let Some(shard) = shards.get_mut(&k).filter(|_| has_valid_lease) else {
-            return Reply::json(421, &Redirect::default());
+        let Some(shard) = shards.get_mut(&shard_id) else {
+            return redirect_to_next();
         };
-        if shard.phase != Phase::Active {
-            let token = first.filter(|t| heartbeat.token <= *t && bridges);
-            return match token {
-                Some(token) => {
-                    let commands = Vec::new();
-                    Reply::json(200, &HeartbeatReply { token, commands })
-                }
-                None => Reply::json(421, &Redirect::default()),
-            };
-        }
-        if shard
-            .machines
-            .get(&heartbeat.machine)
-            .is_none_or(|m| heartbeat.token > m.token)
-        {
-            // Somebody newer holds the machine. A 200 would be dropped, and
-            // the worker would stay here while its lease runs out.
+        let id = &heartbeat.machine;
+        let machine = shard.machines.get(id);
+        if machine.is_none_or(|machine| heartbeat.token > machine.token) {
+            // A newer holder has the machine. A 200 would be dropped, and
+            // the worker would stay here while its lease expires.
             let epoch = epoch_of_token(heartbeat.token);
-            if epoch > newest {
-                shard.mark_superseded(&format!(
-                    "{} has a token of epoch {epoch}",
-                    heartbeat.machine
-                ));
+            if epoch > newest_epoch {
+                shard.mark_superseded(&format!("{id} has a token of epoch {epoch}"));
             }
-            return Reply::json(421, &Redirect::default());
+            return redirect_to_next();
         }
-        // A late copy tells nothing of the way by which reports come now.
+        // A late copy shows nothing of the route by which heartbeats come now.
         if shard.on_worker_heartbeat(ctx, heartbeat) {
-            shard.note_route(ctx, &heartbeat.machine, route);
+            shard.note_route(ctx, id, route);
         }
-        match shard.report_reply(ctx, &heartbeat.machine) {
-            Some((token, commands)) => Reply::json(200, &HeartbeatReply { token, commands }),
-            None => Reply::json(421, &Redirect::default()),
+        match shard.report_reply(ctx, id) {
+            Some((token, commands)) => accept(token, commands),
+            None => redirect_to_next(),
         }
     }
 
-    /// To which controller a worker is sent that has come to us; none: to the next one.
-    fn redirect_to(&mut self, shard: ShardId, machine: &MachineId) -> Option<String> {
-        let holder = &self.view.shards.get(&shard)?.record;
-        let (to, incarnation) = (holder.holder.clone(), holder.holder_incarnation);
-        if to == self.ctx.config.node || self.holder_without_link(machine).is_some() {
+    /// The controller that a worker is redirected to, by name; none: the next one in
+    /// the worker's list.
+    fn redirect_target(&mut self, shard_id: ShardId, machine: &MachineId) -> Option<String> {
+        let shard = &self.view.shards.get(&shard_id)?.record;
+        let (holder, incarnation) = (shard.holder.clone(), shard.holder_incarnation);
+        if holder == self.ctx.config.node || self.holder_without_link(machine).is_some() {
             return None;
         }
-        // What we knew before we lost the state service may be over. A worker that was sent
-        // to a holder that it could not reach came back here again and again, as the next one
-        // in its list, until its lease was over.
-        if !self.ctx.has_valid_lease && !self.ctx.is_peer_answering(&to) {
+        // Without a valid lease the view may be out of date. A worker that is redirected
+        // to a holder that it can't reach comes back here again and again, as the next one
+        // in its list, until its lease expires.
+        if !self.ctx.has_valid_lease && !self.ctx.is_peer_answering(&holder) {
             return None;
         }
         let Context { redirects, now, .. } = &mut self.ctx;
-        if redirects.has_returned(machine, &to, incarnation, *now) {
+        if redirects.has_returned(machine, &holder, incarnation, *now) {
             return None;
         }
-        redirects.on_redirected(machine.clone(), to.clone(), incarnation, *now);
-        Some(to.to_string())
+        redirects.on_redirected(machine.clone(), holder.clone(), incarnation, *now);
+        Some(holder.to_string())
     }
 }
+
+/// Renews the lease of a worker.
+fn accept(token: u64, commands: Vec<Command>) -> Reply {
+    Reply::json(200, &HeartbeatReply { token, commands })
+}
+
+/// Sends a worker to the next controller in its list.
+fn redirect_to_next() -> Reply {
+    Reply::json(421, &Redirect::default())
+}
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -1,4 +1,4 @@
-//! Questions about jobs, answered from memory by right, or from their records.
+//! Status queries: answered from memory under a valid lease, or from the jobs' records.
 
 use crate::api::status;
 use crate::io::{Reply, RequestId};
@@ -12,12 +12,12 @@
 use forkshift_wire::JobId;
 use serde_json::from_value;
 
-/// A question is asked of the state service again if its connection breaks
-/// within this; users wait 2 s for an answer.
+/// A read of a job's record is repeated if its connection breaks within this, in
+/// milliseconds; users wait 2 s for an answer.
 const LOOKUP_MS: Ms = 1_000;
 
 impl Node {
-    /// A user asks how a job stands.
+    /// A user requests the status of a job.
     pub(crate) fn answer_status_query(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
@@ -33,17 +33,18 @@
         self.look_up(request, id, Lookup::Question)
     }
 
-    /// What memory says of a job of ours: nothing, if its record may say more.
+    /// The status of a job that is held here, from memory; none, if its record may be
+    /// newer.
     pub(crate) fn remembered_status(&self, id: &JobId) -> Option<Reply> {
         let shard = holder_of(&self.shards, id)?;
-        // The view may have gone on in this very batch, and the shard with it.
-        let record = self.view.shards.get(&shard.id);
-        let still_ours = record.is_some_and(|s| s.record.epoch == shard.epoch);
-        let job = shard.jobs.get(id).filter(|_| still_ours)?;
+        // The view may show since this batch that the shard has a new holder.
+        let current = self.view.shards.get(&shard.id);
+        let is_current = current.is_some_and(|current| current.record.epoch == shard.epoch);
+        let job = shard.jobs.get(id).filter(|_| is_current)?;
         if !job.is_status_certain() {
             return None;
         }
-        // A cancellation that we have not heard of may be on its way to it.
+        // A cancellation that is not known here may have been confirmed.
         if !self.is_known_unfinished(job) {
             return Some(Reply::later("not known at the moment"));
         }
@@ -51,7 +52,7 @@
     }
 
     /// Reads a job's record, for an answer that must not be older than what
-    /// any node has told.
+    /// any controller has answered.
     pub(crate) fn look_up(&mut self, request: RequestId, id: JobId, why: Lookup) -> Option<Reply> {
         let until = self.ctx.now + LOOKUP_MS;
         self.read_job(request, id, why, until);
@@ -76,15 +77,15 @@
         id: JobId,
         why: Lookup,
         until: Ms,
-        code: u16,
+        status_code: u16,
         body: &[u8],
     ) {
-        // What was told meanwhile is newer than what was read.
+        // A final stage that became known meanwhile is newer than what was read.
         if let Some(stage) = self.final_stages.get(&id) {
             let reply = Reply::json(200, &status(&id, stage));
             return self.ctx.respond(request, reply);
         }
-        let record = match code {
+        let record = match status_code {
             200 => read_job(body),
             // It was accepted after the read.
             404 if self.job_shards.get(&id).is_some() || self.shard_of(&id).is_some() => {
@@ -100,13 +101,18 @@
                 };
                 return self.ctx.respond(request, reply);
             }
-            // A connection that broke is no outage: a read may be repeated.
+            // A broken connection is no outage: the read may be repeated.
             0 if self.ctx.now < until => return self.read_job(request, id, why, until),
             _ => None,
         };
-        let Some(record) = record.filter(|r| !self.is_cancelled_with_another(r)) else {
+        let Some(record) = record.filter(|r| !self.is_cancelled_by_dependency(r)) else {
             return self.ctx.respond(request, Reply::later("not now"));
         };
+        self.on_record_found(request, id, &why, &record);
+    }
+
+    /// Answers a request by the record of its job.
+    fn on_record_found(&mut self, request: RequestId, id: JobId, why: &Lookup, record: &JobRecord) {
         if record.stage.is_final() {
             self.final_stages.insert(id.clone(), record.stage);
         } else {
@@ -119,30 +125,30 @@
             .respond(request, Reply::json(200, &status(&id, record.stage)));
     }
 
-    /// Whether a job whose record does not say so yet is known to be cancelled
-    /// with one that it needs. It must not be called queued for long.
-    fn is_cancelled_with_another(&self, record: &JobRecord) -> bool {
+    /// Whether a job is known to be cancelled with one of its dependencies, while its
+    /// record does not say so yet. It must not be called queued for long.
+    fn is_cancelled_by_dependency(&self, record: &JobRecord) -> bool {
         let dependencies = &record.spec.dependencies;
         if record.stage.is_final() || dependencies.is_empty() {
             return false;
         }
-        let finals = &self.final_stages;
-        let is_cancelled = |id: &JobId| finals.get(id) == Some(JobStage::Cancelled);
+        let final_stages = &self.final_stages;
+        let is_cancelled = |id: &JobId| final_stages.get(id) == Some(JobStage::Cancelled);
         if dependencies.iter().any(is_cancelled) {
             return true;
         }
         let shard = holder_of(&self.shards, &record.spec.id);
         let job = shard.and_then(|s| s.jobs.get(&record.spec.id));
-        job.is_some_and(|j| j.is_cancelled)
+        job.is_some_and(|job| job.is_cancelled)
     }
 }
 
-/// The record of a job in an answer of the state service.
+/// The record of a job in an answer of the key-value store.
 pub(crate) fn read_job(body: &[u8]) -> Option<JobRecord> {
     read_versioned_job(body).map(|(record, _)| record)
 }
 
-/// The same, with its version.
+/// The record of a job in an answer of the key-value store, with its version.
 pub(crate) fn read_versioned_job(body: &[u8]) -> Option<(JobRecord, u64)> {
     let item: Item = serde_json::from_slice(body).ok()?;
     let record = from_value(item.value).ok()?;
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions: whether a job can be accepted, and the transaction that accepts it.
+//! Submissions: the validation of a job, and the transaction that accepts it.
 
 use crate::api::{status, ANSWER_MS};
 use crate::context::revision_of;
@@ -12,8 +12,9 @@
 use crate::shard::new_layout;
 use crate::store::queue::Urgency;
 use forkshift_sched::{Quota, Resources};
+use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Precondition, Transaction, TransactionReply, Write};
-use forkshift_wire::users::{JobKind, JobSpec, JobStage};
+use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::JobId;
 use serde_json::to_value;
 
@@ -26,8 +27,8 @@
         let spec = match JobSpec::parse(&body) {
             Ok(spec) => spec,
             Err(e) => {
-                // A repetition of a job that is known gets its state, even if
-                // it would not be accepted today.
+                // A repeated submission of a job that is known gets its status, even if
+                // it would not be accepted any more.
                 let refusal = Reply::error(400, &e.to_string());
                 return match id_of(&body) {
                     Some(id) => self.look_up(request, id, Lookup::Submission(refusal)),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether a job can ever run, and in which shard.
+    /// The shard of a job that can run; else the refusal.
     fn validate(&self, spec: &JobSpec) -> Result<ShardId, Reply> {
         let Some(team) = self.ctx.config.teams.get(&spec.team) else {
             return Err(Reply::error(422, "unknown team"));
@@ -78,23 +79,11 @@
             return Err(Reply::later("the machine types are not known yet"));
         }
         let task = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let fits = self
-            .view
-            .machine_types
-            .values()
-            .map(|t| &t.record)
-            .any(|t| {
-                let allowed = spec
-                    .types
-                    .as_ref()
-                    .is_none_or(|names| names.contains(&t.name));
-                let there = spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
-                allowed && there && task.fits(&capacity_of(t))
-            });
-        if !fits {
+        let mut types = self.view.machine_types.values().map(|known| &known.record);
+        if !types.any(|machine_type| fits_type(spec, &task, machine_type)) {
             return Err(Reply::error(422, "a task fits no allowed machine type"));
         }
-        let at_once = match spec.kind {
+        let concurrent_tasks = match spec.kind {
             JobKind::Array => 1,
             JobKind::Gang | JobKind::Service => i64::from(spec.tasks),
         };
@@ -102,7 +91,7 @@
             limit: team.limit,
             ..Quota::default()
         };
-        if !quota.could_allow(&task, at_once) {
+        if !quota.could_allow(&task, concurrent_tasks) {
             return Err(Reply::error(422, "more than the team's limit"));
         }
         if !can_be_recorded(spec, &self.ctx.limits) {
@@ -113,20 +102,20 @@
 
     /// Writes the records by which a job is accepted.
     pub(crate) fn create_job(&mut self, creation: Creation) {
-        let Creation { spec, shard, .. } = &creation;
+        let transaction = self.creation_transaction(&creation);
+        let pending = PendingCall::JobCreation(Box::new(creation));
+        self.ctx.transact(Urgency::User, &transaction, pending);
+    }
+
+    /// Writes the records of a new job, on condition that it has none and that its
+    /// dependencies have not changed. A job that is cancelled at once has no head.
+    fn creation_transaction(&self, creation: &Creation) -> Transaction {
+        let Creation { spec, shard, .. } = creation;
         let record = JobRecord {
             spec: spec.clone(),
             shard: *shard,
             stage: creation.stage(),
         };
-        let head = JobHeadRecord {
-            spec: spec.clone(),
-            cancelled: false,
-            cancelled_at_ms: 0,
-            submitted_at_ms: self.ctx.wall_clock_ms,
-            tasks_per_block: new_layout(&self.ctx, spec).to_record(),
-            block: TaskBlockRecord::default(),
-        };
         let key = job_key(&spec.id);
         let mut transaction = Transaction {
             preconditions: vec![Precondition {
@@ -143,71 +132,84 @@
                 version: *version,
             }));
         if !creation.is_cancelled {
+            let head = JobHeadRecord {
+                spec: spec.clone(),
+                cancelled: false,
+                cancelled_at_ms: 0,
+                submitted_at_ms: self.ctx.wall_clock_ms,
+                tasks_per_block: new_layout(&self.ctx, spec).to_record(),
+                block: TaskBlockRecord::default(),
+            };
             let key = unfinished_key(*shard, &spec.id, 0);
-            let head = to_value(head).unwrap_or_default();
-            transaction.writes.push(Write::put(key, head));
+            let value = to_value(head).unwrap_or_default();
+            transaction.writes.push(Write::put(key, value));
         }
-        let pending = PendingCall::JobCreation(Box::new(creation));
-        self.ctx.transact(Urgency::User, &transaction, pending);
+        transaction
     }
 
     /// The transaction that accepts a job was answered.
-    pub(crate) fn on_created(&mut self, creation: Creation, code: u16, body: &[u8]) {
+    pub(crate) fn on_created(&mut self, creation: Creation, status_code: u16, body: &[u8]) {
+        let is_in_time = self.ctx.now < creation.until;
+        match status_code {
+            200 => self.on_accepted(creation, revision_of(body)),
+            // A dependency has changed since it was read.
+            409 if is_in_time && !was_accepted_before(&creation, body) => self.admit(creation),
+            409 => {
+                let otherwise = Lookup::Submission(Reply::later("try again"));
+                let Creation { request, spec, .. } = creation;
+                if let Some(reply) = self.look_up(request, spec.id, otherwise) {
+                    self.ctx.respond(request, reply);
+                }
+            }
+            // If an earlier copy is carried out after all, the condition fails and the
+            // job is found.
+            0 | 429 if is_in_time => self.create_job(creation),
+            _ => self.ctx.respond(creation.request, Reply::later("not now")),
+        }
+    }
+
+    /// A job was accepted: its holder is notified, and its user is answered.
+    fn on_accepted(&mut self, creation: Creation, revision: u64) {
         let stage = creation.stage();
-        let is_accepted = code == 409 && is_known(&creation, body);
         let Creation {
             request,
             spec,
-            shard,
-            until,
+            shard: shard_id,
             ..
-        } = &creation;
-        let (request, shard, until) = (*request, *shard, *until);
+        } = creation;
         let id = spec.id.clone();
-        match code {
-            200 if stage.is_final() => {
-                self.final_stages.insert_written(id.clone(), stage);
-                let reply = Reply::json(201, &status(&id, stage));
-                self.ctx.respond(request, reply);
+        if stage.is_final() {
+            self.final_stages.insert_written(id.clone(), stage);
+        } else {
+            self.job_shards.insert(id.clone(), shard_id);
+            self.send_new_job(shard_id, &spec, revision);
+            if let Some(shard) = self.shards.get_mut(&shard_id) {
+                let submitted_at_ms = self.ctx.wall_clock_ms;
+                shard.on_job_accepted(&mut self.ctx, spec, submitted_at_ms, revision);
             }
-            200 => {
-                let revision = revision_of(body);
-                self.job_shards.insert(id.clone(), shard);
-                self.send_new_job(shard, spec, revision);
-                if let Some(shard) = self.shards.get_mut(&shard) {
-                    let at = self.ctx.wall_clock_ms;
-                    shard.on_job_accepted(&mut self.ctx, creation.spec, at, revision);
-                }
-                let reply = Reply::json(201, &status(&id, JobStage::Queued));
-                self.ctx.respond(request, reply);
-            }
-            // A dependency has changed since it was read.
-            409 if !is_accepted && self.ctx.now < until => self.admit(creation),
-            409 => {
-                let lost = Reply::later("try again");
-                if let Some(reply) = self.look_up(request, id, Lookup::Submission(lost)) {
-                    self.ctx.respond(request, reply);
-                }
-            }
-            0 | 429 if self.ctx.now < until => {
-                // If an earlier copy is carried out after all, the condition
-                // fails and the job is found.
-                self.create_job(creation);
-            }
-            _ => self.ctx.respond(request, Reply::later("not now")),
         }
+        let reply = Reply::json(201, &status(&id, stage));
+        self.ctx.respond(request, reply);
     }
 }
 
-/// Whether a transaction that was to accept a job failed because it was
+/// Whether a task of a job may run on a machine type.
+fn fits_type(spec: &JobSpec, task: &Resources, machine_type: &MachineType) -> bool {
+    let (types, zone) = (spec.types.as_ref(), spec.zone.as_ref());
+    types.is_none_or(|names| names.contains(&machine_type.name))
+        && zone.is_none_or(|zone| machine_type.zones.contains(zone))
+        && task.fits(&capacity_of(machine_type))
+}
+
+/// Whether a transaction that was to accept a job failed because the job was
 /// accepted before.
-fn is_known(creation: &Creation, body: &[u8]) -> bool {
+fn was_accepted_before(creation: &Creation, body: &[u8]) -> bool {
     let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
     let key = job_key(&creation.spec.id);
     reply.failed.is_empty() || reply.failed.contains(&key)
 }
 
-/// The id that a body names, whatever else it holds.
+/// The id in a submission that is otherwise malformed.
 fn id_of(body: &[u8]) -> Option<JobId> {
     let value: serde_json::Value = serde_json::from_slice(body).ok()?;
     JobId::parse(value.get("uid")?.as_str()?)
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `api`.
+//! Tests of the API.
 
 use super::*;
 use crate::fixture::{answer_to, Fixture, EPOCH};
@@ -23,35 +23,35 @@
     json!({"key": job_key(id), "data": record, "stamp": 7})
 }
 
-/// Who asks to cancel a job is answered at once where it is known how it
-/// stands, and refused at once by a holder without a right.
+/// A cancellation is confirmed at once if it is recorded, and refused at once by a
+/// holder without a valid lease.
 #[test]
-fn a_cancellation_has_its_answer_at_once() {
+fn cancellation_is_answered_at_once_if_its_outcome_is_known() {
     #[derive(Debug)]
     enum Case {
-        /// An earlier holder has written it; tasks are left.
-        Written,
-        /// It has to be written.
+        /// An earlier holder has recorded it; tasks remain.
+        Recorded,
+        /// It has to be recorded.
         New,
-        /// It has to be written, by somebody else.
-        NoRight,
+        /// It has to be recorded by another holder.
+        WithoutLease,
     }
     let answers = [
-        (Case::Written, Some(200)),
+        (Case::Recorded, Some(200)),
         (Case::New, None),
-        (Case::NoRight, Some(503)),
+        (Case::WithoutLease, Some(503)),
     ];
     for (case, status) in answers {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::Unknown);
         match case {
-            Case::Written => {
+            Case::Recorded => {
                 let job = f.shard().jobs.get_mut(&id).expect("it is there");
                 (job.is_cancelled, job.is_cancellation_durable) = (true, true);
             }
             Case::New => {}
-            Case::NoRight => f.lose_right(),
+            Case::WithoutLease => f.lose_right(),
         }
         let answer = f.ask(1, "POST", "/submissions/j-1/abort");
         assert_eq!(answer.as_ref().map(|a| a.0), status, "{case:?}");
@@ -59,26 +59,27 @@
             f.shard().jobs[&id].is_cancelled,
             "{case:?}: its tasks are stopped"
         );
-        // Nobody waits for longer than users do.
+        // A request is answered before its user gives up.
         if status.is_none() {
-            let mut later = None;
+            let mut late_answer = None;
             for _ in 0..50 {
-                later = later.or(answer_to(&f.step(100), 1));
+                late_answer = late_answer.or(answer_to(&f.step(100), 1));
             }
-            assert_eq!(later.map(|a| a.0), Some(503), "{case:?}: at last");
+            let late_status = late_answer.map(|answer| answer.0);
+            assert_eq!(late_status, Some(503), "{case:?}: in time");
         }
     }
 }
 
-/// What was read before something newer was told is not told any more.
+/// A record that was read before a newer stage became known is not answered any more.
 #[test]
-fn an_answer_is_never_older_than_what_was_told_meanwhile() {
+fn status_is_never_older_than_a_stage_that_became_known_during_the_read() {
     let stage = |answer: Option<(u16, String)>| {
         let (status, body) = answer.expect("an answer");
-        let told = serde_json::from_str::<JobStatus>(&body).ok();
-        (status, told.map(|t| t.stage))
+        let reported = serde_json::from_str::<JobStatus>(&body).ok();
+        (status, reported.map(|reported| reported.stage))
     };
-    // It was told to be over while its record was read.
+    // Its final stage became known while its record was read.
     let mut f = Fixture::new();
     let id = f.job("j-1", JobKind::Service, 1);
     let old = record(&mut f, &id, JobStage::Queued);
@@ -87,7 +88,7 @@
     f.node.final_stages.insert(id.clone(), JobStage::Cancelled);
     let effects = f.answer(is_lookup, 200, &old);
     let cancelled = (200, Some(JobStage::Cancelled));
-    assert_eq!(stage(answer_to(&effects, 1)), cancelled, "over meanwhile");
+    assert_eq!(stage(answer_to(&effects, 1)), cancelled, "final meanwhile");
     // It was accepted here while its record was not found: it is read again.
     let mut f = Fixture::new();
     assert_eq!(f.ask(1, "GET", "/submissions/j-2"), None);
@@ -99,17 +100,17 @@
     assert_eq!(answer_to(&effects, 1), None, "accepted meanwhile");
     let effects = f.answer(is_lookup, 200, &new);
     assert_eq!(stage(answer_to(&effects, 1)), (200, Some(JobStage::Queued)));
-    // Nothing is known of it: it is not there.
+    // It was never accepted.
     let mut f = Fixture::new();
     assert_eq!(f.ask(1, "GET", "/submissions/j-3"), None);
     let effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
     assert_eq!(stage(answer_to(&effects, 1)), (404, None));
 }
 
-/// The view may show within a batch that the shard has changed hands, before
-/// the shard is let go.
+/// The view may show within a batch that the shard has a new holder, before
+/// the shard is dropped.
 #[test]
-fn memory_answers_only_under_the_epoch_that_the_view_shows() {
+fn status_is_answered_from_memory_only_under_the_current_epoch() {
     for (epoch, answers) in [(EPOCH, true), (EPOCH + 1, false)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
@@ -121,9 +122,9 @@
     }
 }
 
-/// A cancellation that is left before its job is seen is carried out when it is.
+/// A cancellation that is seen before its job is carried out as soon as the job is seen.
 #[test]
-fn a_cancellation_may_be_seen_before_its_job() {
+fn cancellation_that_is_seen_before_its_job_is_carried_out() {
     let mut f = Fixture::new();
     let id = JobId::parse("j-1").expect("an id");
     f.node.view.cancellations.insert(id.clone(), 6);
@@ -131,21 +132,21 @@
     f.job("j-1", JobKind::Service, 1);
     f.step(1);
     let job = f.shard().jobs.get(&id);
-    assert!(job.is_none_or(|j| j.is_cancelled));
+    assert!(job.is_none_or(|job| job.is_cancelled));
 }
 
-/// Reports that waited in the sockets while their holder stood still are
-/// answered by the right that it has as it goes on.
+/// Heartbeats that waited in the sockets while their holder was paused are
+/// answered by the lease that it has when it resumes.
 #[test]
-fn a_report_that_waited_through_a_stop() {
+fn heartbeat_that_waited_during_a_pause_is_answered_by_the_remaining_lease() {
     let settings = Fixture::new().node.ctx.config.clone();
-    let right = settings.node_lease_ms();
-    // Without a right a holder goes on answering while nobody can have
-    // confirmed a cancellation in its stead for too long.
+    let lease = settings.node_lease_ms();
+    // Without a valid lease a holder goes on answering while no other holder can have
+    // confirmed a cancellation for too long.
     let grace = settings.grace_ms();
-    for (stop, status) in [(right / 2, 200), (right + grace + 1_000, 421)] {
+    for (pause, status) in [(lease / 2, 200), (lease + grace + 1_000, 421)] {
         let mut f = Fixture::new();
-        let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("nobody else has it");
+        let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("no other reference");
         config.nodes.push(NodeName::new("another"));
         let token = f.token();
         let heartbeat = f.message(1, token, &[]);
@@ -153,32 +154,32 @@
             request: RequestId(1),
             method: "POST".to_owned(),
             path: "/v1/report".to_owned(),
-            body: Some(serde_json::to_vec(&heartbeat).expect("a report")),
+            body: Some(serde_json::to_vec(&heartbeat).expect("a heartbeat")),
         };
-        let now = f.node.ctx.now + stop;
+        let now = f.node.ctx.now + pause;
         let effects = f.node.step(now, 0, vec![request]);
         let answer = answer_to(&effects, 1).expect("an answer");
-        assert_eq!(answer.0, status, "after {stop} ms");
+        assert_eq!(answer.0, status, "after {pause} ms");
     }
 }
 
-/// An extension of the lease that was answered while its controller stood still
+/// A renewal of the lease that was answered while its controller was paused
 /// counts from when it was sent: nothing is answered from memory.
 #[test]
-fn an_extension_that_was_answered_during_a_stop() {
-    let right = Fixture::new().node.ctx.config.node_lease_ms();
-    for (stop, from_memory) in [(right / 2, true), (right * 2, false)] {
+fn lease_renewal_that_is_answered_during_a_pause_counts_from_when_it_was_sent() {
+    let lease = Fixture::new().node.ctx.config.node_lease_ms();
+    for (pause, from_memory) in [(lease / 2, true), (lease * 2, false)] {
         let mut f = Fixture::new();
         f.job("j-1", JobKind::Array, 1);
-        // It is sent, and everything stops.
-        f.step(right / 4);
-        f.node.ctx.now += stop;
+        // It is sent, and the process pauses.
+        f.step(lease / 4);
+        f.node.ctx.now += pause;
         f.answer(
             |p| matches!(p, PendingCall::LeaseRenewal { .. }),
             200,
             &json!({}),
         );
         let answer = f.ask(1, "GET", "/submissions/j-1");
-        assert_eq!(answer.is_some(), from_memory, "after {stop} ms");
+        assert_eq!(answer.is_some(), from_memory, "after {pause} ms");
     }
 }
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -4,5 +4,5 @@
 //! late or repeated message does no harm. The formats are in `forkshift_wire::peer`.
 
 pub(crate) mod forwarding;
-mod messages;
+pub(crate) mod messages;
 pub(crate) mod relay;
--- a/crates/core/src/protocol/forwarding.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -1,34 +1,37 @@
-//! Requests that another controller can answer better.
+//! Forwarding of requests to the controller that should answer them.
 //!
-//! A question or a cancellation goes to the holder of the job's shard, who
-//! answers from memory by right; that saves a read of the state service, which
-//! has few to spare. While the service refuses this controller alone, all
-//! requests go to another one. The answer counts from the moment between
-//! request and answer at which the other gave it, as if the user had come to
-//! it. Without an answer in time the request is dealt with here.
+//! A status query or a cancellation is forwarded to the holder of the job's shard, which
+//! answers from memory under a valid lease; that saves a read of the key-value store, which
+//! has few to spare. While the store refuses this controller alone, all
+//! requests are forwarded to another one. The answer counts from the moment between
+//! request and answer at which the other controller gave it, as if the user had sent the
+//! request there. Without an answer in time the request is handled here.
 
 use crate::api::status;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
 use crate::overflow::Overflow;
+use crate::protocol::messages::Sender;
 use crate::protocol::relay::Relaying;
 use crate::Ms;
 use forkshift_wire::peer::Body;
 use forkshift_wire::users::JobStatus;
 use forkshift_wire::{JobId, NodeName};
 
-/// Where workers report.
-const REPORT_PATH: &str = "/v1/report";
-/// Time that another controller has for a question; users wait 2 s.
-const QUESTION_MS: Ms = 500;
-/// Time for what has to be written.
-const WRITE_MS: Ms = 1_500;
-/// Pause before a report is passed on again: the same report a second time changes nothing.
+/// Path of the heartbeats of workers.
+const HEARTBEAT_PATH: &str = "/v1/report";
+/// Time that another controller has for a status query, in milliseconds; users wait 2 s.
+const QUERY_TIMEOUT_MS: Ms = 500;
+/// Time that another controller has for a request that writes, in milliseconds.
+const WRITE_TIMEOUT_MS: Ms = 1_500;
+/// Pause before a heartbeat is forwarded again, in milliseconds: a repeated heartbeat
+/// changes nothing.
 const RESEND_MS: Ms = 500;
-/// Pause after another controller was found to be refused as well.
-const OUT_MS: Ms = 1_000;
+/// Pause of forwarding after another controller was found to be refused by the store as
+/// well, in milliseconds.
+const STORE_DOWN_PAUSE_MS: Ms = 1_000;
 
-/// What is asked of another controller.
+/// A request as it is sent to another controller.
 pub(crate) struct ForwardedRequest {
     method: String,
     path: String,
@@ -36,7 +39,8 @@
 }
 
 impl ForwardedRequest {
-    fn message(&self, request_number: u64) -> Body {
+    /// The message that forwards it under a number.
+    fn to_message(&self, request_number: u64) -> Body {
         Body::ForwardedRequest {
             request_number,
             method: self.method.clone(),
@@ -45,30 +49,55 @@
         }
     }
 
-    /// A worker's report.
+    /// A heartbeat of a worker.
     pub(crate) fn heartbeat(body: Vec<u8>) -> Self {
         Self {
             method: "POST".to_owned(),
-            path: REPORT_PATH.to_owned(),
+            path: HEARTBEAT_PATH.to_owned(),
             body: Some(body),
         }
     }
+
+    fn is_heartbeat(&self) -> bool {
+        self.path == HEARTBEAT_PATH
+    }
 }
 
-/// A request that was passed on.
+/// A request that was forwarded and has no answer yet.
 pub(crate) struct PendingForward {
     request: RequestId,
-    message: ForwardedRequest,
+    forwarded: ForwardedRequest,
     target: NodeName,
     deadline: Ms,
     /// When it is sent again, if it may be: a message may be lost with its connection.
     resend_at: Option<Ms>,
 }
 
+/// A request that may be forwarded.
+enum ForwardableRequest {
+    /// A new job.
+    Submission,
+    /// A status query or a cancellation.
+    OfJob(JobId),
+}
+
+impl ForwardableRequest {
+    fn parse(method: &str, path: &str) -> Option<Self> {
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        match (method, segments.as_slice()) {
+            ("POST", ["submissions"]) => Some(Self::Submission),
+            ("GET", ["submissions", id]) | ("POST", ["submissions", id, "abort"]) => {
+                JobId::parse(id).map(Self::OfJob)
+            }
+            _ => None,
+        }
+    }
+}
+
 impl Node {
-    /// Passes a user's request on, if somebody else should answer it. Returns
-    /// the body if not.
-    pub(crate) fn forward_if_preferred(
+    /// Forwards a user's request, if another controller should answer it. Returns
+    /// the body as an error if not.
+    pub(crate) fn try_forward(
         &mut self,
         request: RequestId,
         method: &str,
@@ -78,106 +107,128 @@
         if request.is_from_peer() {
             return Err(body);
         }
-        let Some(to) = self.preferred_controller(method, path) else {
+        let Some(target) = self.forward_target(method, path) else {
             return Err(body);
         };
-        let time = if method == "GET" {
-            QUESTION_MS
+        let timeout = if method == "GET" {
+            QUERY_TIMEOUT_MS
         } else {
-            WRITE_MS
+            WRITE_TIMEOUT_MS
         };
-        let what = ForwardedRequest {
+        let forwarded = ForwardedRequest {
             method: method.to_owned(),
             path: path.to_owned(),
             body,
         };
-        self.forward(request, &to, what, time);
+        self.forward(request, &target, forwarded, timeout);
         Ok(())
     }
 
-    /// Asks another controller, which has so much time for its answer.
+    /// Sends a request to another controller, which has `timeout` for its answer.
     pub(crate) fn forward(
         &mut self,
         request: RequestId,
-        to: &NodeName,
-        what: ForwardedRequest,
-        time: Ms,
+        target: &NodeName,
+        forwarded: ForwardedRequest,
+        timeout: Ms,
     ) {
         self.forwarded_count += 1;
         let request_number = self.forwarded_count;
         let now = self.ctx.now;
-        self.ctx.send_to_peer(to, 0, what.message(request_number));
+        let message = forwarded.to_message(request_number);
+        self.ctx.send_to_peer(target, 0, message);
         let forward = PendingForward {
             request,
-            target: to.clone(),
-            deadline: now + time,
-            resend_at: (what.path == REPORT_PATH).then_some(now + RESEND_MS),
-            message: what,
+            target: target.clone(),
+            deadline: now + timeout,
+            resend_at: forwarded.is_heartbeat().then_some(now + RESEND_MS),
+            forwarded,
         };
         self.forwards.insert(request_number, forward);
     }
 
-    /// Sends again what may be and has had no answer yet.
+    /// Sends requests again that may be repeated and have no answer yet.
     fn resend_forwards(&mut self) {
         let now = self.ctx.now;
         for (request_number, forward) in &mut self.forwards {
-            if forward.resend_at.is_some_and(|t| now >= t) {
+            if forward.resend_at.is_some_and(|time| now >= time) {
                 forward.resend_at = Some(now + RESEND_MS);
-                self.ctx
-                    .send_to_peer(&forward.target, 0, forward.message.message(*request_number));
+                let message = forward.forwarded.to_message(*request_number);
+                self.ctx.send_to_peer(&forward.target, 0, message);
             }
         }
     }
 
-    /// Who should answer a request instead of us.
-    fn preferred_controller(&self, method: &str, path: &str) -> Option<NodeName> {
-        let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let id = match (method, parts.as_slice()) {
-            ("POST", ["submissions"]) => None,
-            ("GET", ["submissions", id]) | ("POST", ["submissions", id, "abort"]) => {
-                Some(JobId::parse(id)?)
-            }
-            _ => return None,
-        };
-        let us = &self.ctx.config.node;
-        if let Some(id) = &id {
-            let ours = self.shards.values().any(|s| s.jobs.contains_key(id));
-            let right = self.membership.has_valid_lease(&self.ctx, &self.view);
-            if self.final_stages.get(id).is_some() || (ours && right) {
+    /// The controller that should answer a request instead of this one.
+    fn forward_target(&self, method: &str, path: &str) -> Option<NodeName> {
+        let request = ForwardableRequest::parse(method, path)?;
+        if let ForwardableRequest::OfJob(id) = &request {
+            if self.can_answer_from_memory(id) {
                 return None;
             }
-            let home = self.job_shards.get(id);
-            let holder = home.and_then(|k| self.view.holder(k)).filter(|n| *n != us);
-            if holder.is_some() && !ours {
-                return holder.cloned();
+            if let Some(holder) = self.remote_holder(id) {
+                return Some(holder.clone());
             }
         }
+        self.peer_with_store_access().cloned()
+    }
+
+    /// Whether the status of a job is known here without a read of the store.
+    fn can_answer_from_memory(&self, id: &JobId) -> bool {
+        let has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
+        self.final_stages.get(id).is_some() || (has_valid_lease && self.has_job(id))
+    }
+
+    /// Whether a shard that is held here has an unfinished job.
+    fn has_job(&self, id: &JobId) -> bool {
+        self.shards
+            .values()
+            .any(|shard| shard.jobs.contains_key(id))
+    }
+
+    /// The other controller that holds a job, if it is known.
+    fn remote_holder(&self, id: &JobId) -> Option<&NodeName> {
+        if self.has_job(id) {
+            return None;
+        }
+        let shard_id = self.job_shards.get(id)?;
+        let holder = self.view.holder(shard_id)?;
+        (*holder != self.ctx.config.node).then_some(holder)
+    }
+
+    /// Another controller, if the store refuses this one and perhaps not all: each time
+    /// the next one.
+    fn peer_with_store_access(&self) -> Option<&NodeName> {
         if !self.ctx.store.is_out() || self.ctx.now < self.store_down_everywhere_until {
             return None;
         }
-        let others: Vec<&NodeName> = self.view.nodes.keys().filter(|n| *n != us).collect();
-        let n = others.len().max(1) as u64;
-        others
-            .get((self.forwarded_count % n) as usize)
-            .map(|n| (*n).clone())
+        let own_name = &self.ctx.config.node;
+        let names = self.view.nodes.keys();
+        let peers: Vec<&NodeName> = names.filter(|name| *name != own_name).collect();
+        let peer_count = peers.len().max(1) as u64;
+        let index = (self.forwarded_count % peer_count) as usize;
+        peers.get(index).copied()
     }
 
-    /// Another controller passes a request on to us.
+    /// Another controller has forwarded a request.
     pub(crate) fn on_forwarded_request(
         &mut self,
-        (from, incarnation): (NodeName, u64),
+        sender: &Sender,
         request_number: u64,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
     ) {
-        if !path.starts_with("/submissions") && path != REPORT_PATH {
+        if !path.starts_with("/submissions") && path != HEARTBEAT_PATH {
             return;
         }
         let is_full = self.ctx.peer_requests.len() >= self.ctx.config.bounds.forwarded_requests;
-        let request = self.ctx.add_peer_request(from, incarnation, request_number);
+        let node = sender.node.clone();
+        let request = self
+            .ctx
+            .add_peer_request(node, sender.incarnation, request_number);
         if is_full {
-            // Whoever passed it on deals with it, and need not wait to do so.
+            // The sender handles the request itself, and need not wait to do so.
             let now = self.ctx.now;
             self.ctx.overflows.note(now, Overflow::ForwardedRequests);
             return self.ctx.respond(request, Reply::later("too many requests"));
@@ -185,66 +236,74 @@
         self.on_request(request, method, path, body);
     }
 
-    /// Another controller has answered a request that was passed on.
+    /// Another controller has answered a request that was forwarded to it.
     pub(crate) fn on_forwarded_response(&mut self, request_number: u64, reply: Reply) {
         let Some(forward) = self.forwards.remove(&request_number) else {
             return;
         };
-        if forward.message.path == REPORT_PATH {
+        if forward.forwarded.is_heartbeat() {
             return self.ctx.respond(forward.request, reply);
         }
         if reply.status == 503 {
             if self.ctx.store.is_out() {
-                // The service is out for others, too.
-                self.store_down_everywhere_until = self.ctx.now + OUT_MS;
-            }
-            return self.serve_locally(forward);
-        }
-        let told = serde_json::from_slice::<JobStatus>(&reply.body).ok();
-        if let Some(told) = told.filter(|_| reply.status == 200) {
-            if told.stage.is_final() {
-                self.final_stages.insert(told.id, told.stage);
-            } else if let Some(stage) = self.final_stages.get(&told.id) {
-                // The answer was overtaken by a newer one.
-                let newer = Reply::json(200, &status(&told.id, stage));
-                return self.ctx.respond(forward.request, newer);
+                // The store refuses the other controller, too.
+                self.store_down_everywhere_until = self.ctx.now + STORE_DOWN_PAUSE_MS;
             }
+            return self.handle_unanswered(forward);
         }
+        let reply = self.newest_status(reply);
         self.ctx.respond(forward.request, reply);
     }
 
-    /// Deals here with what had no answer elsewhere, and forgets requests of
-    /// others that can have no answer in time.
+    /// Notes the final stage in an answer. If the answer was overtaken by a final stage
+    /// that is known here, returns that instead.
+    fn newest_status(&mut self, reply: Reply) -> Reply {
+        let reported = serde_json::from_slice::<JobStatus>(&reply.body).ok();
+        let Some(reported) = reported.filter(|_| reply.status == 200) else {
+            return reply;
+        };
+        if reported.stage.is_final() {
+            self.final_stages.insert(reported.id, reported.stage);
+            return reply;
+        }
+        match self.final_stages.get(&reported.id) {
+            Some(stage) => Reply::json(200, &status(&reported.id, stage)),
+            None => reply,
+        }
+    }
+
+    /// Handles here the requests that had no answer in time, and forgets requests of
+    /// other controllers that can have none.
     pub(crate) fn follow_forwards(&mut self) {
         let now = self.ctx.now;
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .forwards
             .iter()
-            .filter(|(_, f)| now >= f.deadline)
+            .filter(|(_, forward)| now >= forward.deadline)
             .map(|(request_number, _)| *request_number)
             .collect();
-        for request_number in late {
+        for request_number in expired {
             if let Some(forward) = self.forwards.remove(&request_number) {
-                self.serve_locally(forward);
+                self.handle_unanswered(forward);
             }
         }
         self.resend_forwards();
         self.ctx.expire_peer_requests();
     }
 
-    fn serve_locally(&mut self, forward: PendingForward) {
+    /// Handles a request that another controller has not answered.
+    fn handle_unanswered(&mut self, forward: PendingForward) {
         let PendingForward {
-            request,
-            message: what,
-            ..
+            request, forwarded, ..
         } = forward;
-        if what.path == REPORT_PATH {
-            if let Some(reply) = self.on_heartbeat_request(request, what.body, Relaying::Tried) {
-                self.ctx.respond(request, reply);
-            }
-            return;
+        if !forwarded.is_heartbeat() {
+            let ForwardedRequest { method, path, body } = forwarded;
+            return self.handle_locally(request, &method, &path, body);
+        }
+        let reply = self.on_heartbeat_request(request, forwarded.body, Relaying::Tried);
+        if let Some(reply) = reply {
+            self.ctx.respond(request, reply);
         }
-        self.serve_here(request, &what.method, &what.path, what.body);
     }
 }
 
--- a/crates/core/src/protocol/forwarding/tests.rs
+++ b/crates/core/src/protocol/forwarding/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `forward`.
+//! Tests of forwarding.
 
 use super::*;
 use crate::fixture::Fixture;
@@ -6,10 +6,10 @@
 use crate::node::Node;
 use forkshift_wire::peer::Envelope;
 
-const PEER_INC: u64 = 9;
+const PEER_INCARNATION: u64 = 9;
 
-/// Statuses that were sent back to the controller that passes requests on.
-fn refused(effects: &[Effect]) -> Vec<u16> {
+/// HTTP statuses of the answers to forwarded requests.
+fn response_statuses(effects: &[Effect]) -> Vec<u16> {
     let messages = effects.iter().filter_map(|e| match e {
         Effect::SendToPeer { message, .. } => Envelope::decode(message).ok(),
         _ => None,
@@ -22,45 +22,58 @@
         .collect()
 }
 
-fn pass_on(node: &mut Node, ask: u64) {
-    let from = (NodeName::new("north"), PEER_INC);
-    let path = format!("/submissions/j-{ask}");
-    node.on_forwarded_request(from, ask, "GET", &path, None);
+fn receive_request(node: &mut Node, request_number: u64) {
+    let sender = Sender {
+        node: NodeName::new("north"),
+        incarnation: PEER_INCARNATION,
+    };
+    let path = format!("/submissions/j-{request_number}");
+    node.on_forwarded_request(&sender, request_number, "GET", &path, None);
 }
 
-/// One request too many was dropped without a word: whoever had passed it on waited
-/// half a second or more for an answer that never came.
+/// A request beyond the bound is answered: its sender need not wait for the timeout.
 #[test]
-fn one_request_too_many_is_refused_at_once() {
+fn forwarded_request_beyond_the_bound_is_refused_at_once() {
     let mut f = Fixture::new();
-    let most = f.node.ctx.config.bounds.forwarded_requests as u64;
-    for ask in 0..most {
-        pass_on(&mut f.node, ask);
+    let max_requests = f.node.ctx.config.bounds.forwarded_requests as u64;
+    for request_number in 0..max_requests {
+        receive_request(&mut f.node, request_number);
     }
-    assert_eq!(f.node.ctx.peer_requests.len() as u64, most, "all wait");
     assert_eq!(
-        refused(&std::mem::take(&mut f.node.ctx.effects)),
+        f.node.ctx.peer_requests.len() as u64,
+        max_requests,
+        "all wait"
+    );
+    assert_eq!(
+        response_statuses(&std::mem::take(&mut f.node.ctx.effects)),
         Vec::<u16>::new()
     );
-    pass_on(&mut f.node, most);
-    assert_eq!(f.node.ctx.peer_requests.len() as u64, most, "no more wait");
-    assert_eq!(refused(&std::mem::take(&mut f.node.ctx.effects)), vec![503]);
+    receive_request(&mut f.node, max_requests);
+    assert_eq!(
+        f.node.ctx.peer_requests.len() as u64,
+        max_requests,
+        "no more wait"
+    );
+    assert_eq!(
+        response_statuses(&std::mem::take(&mut f.node.ctx.effects)),
+        vec![503]
+    );
 }
 
-/// What was refused elsewhere is dealt with here, without waiting.
+/// A request that another controller refuses is handled here, without waiting.
 #[test]
-fn a_refused_request_is_dealt_with_by_whoever_passed_it_on() {
+fn refused_request_is_handled_by_the_controller_that_forwarded_it() {
     let mut f = Fixture::new();
     let forward = PendingForward {
         request: RequestId(1),
-        message: ForwardedRequest {
+        forwarded: ForwardedRequest {
             method: "GET".to_owned(),
             path: "/submissions/j-1".to_owned(),
             body: None,
         },
         target: NodeName::new("north"),
         resend_at: None,
-        deadline: f.node.ctx.now + QUESTION_MS,
+        deadline: f.node.ctx.now + QUERY_TIMEOUT_MS,
     };
     f.node.forwards.insert(5, forward);
     f.node
--- a/crates/core/src/protocol/messages.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between controllers.
 //!
-//! What they say can be read in the state service as well, so nothing rests
+//! What they say can be read in the key-value store as well, so nothing rests
 //! on them: they save the time until a watch shows it.
 
 use crate::io::Reply;
@@ -11,44 +11,51 @@
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, NodeName};
 
+/// The sender of a message.
+pub(crate) struct Sender {
+    pub(crate) node: NodeName,
+    pub(crate) incarnation: u64,
+}
+
 impl Node {
-    /// Takes in a message from another controller.
+    /// A message of another controller was received.
     pub(crate) fn on_peer_message(&mut self, message: &[u8]) {
         let envelope = match Envelope::decode(message) {
             Ok(envelope) => envelope,
             Err(e) => {
-                log::error!("a peer's message is not understood: {e}");
+                log::error!("peer message: malformed, {e}");
                 return;
             }
         };
-        let Envelope {
-            from,
-            incarnation,
-            epoch,
-            body,
-            ..
-        } = envelope;
-        let from = NodeName::new(&from);
-        // An earlier start of a peer may still have messages on the way.
-        let alive = self.view.is_alive(&from, incarnation);
-        if self.ctx.config.nodes.contains(&from) {
-            self.note_peer_alive(&from, incarnation);
+        let sender = Sender {
+            node: NodeName::new(&envelope.from),
+            incarnation: envelope.incarnation,
+        };
+        // An earlier incarnation of a peer may still have messages on the way.
+        let is_alive = self.view.is_alive(&sender.node, sender.incarnation);
+        if self.ctx.config.nodes.contains(&sender.node) {
+            self.note_peer_alive(&sender.node, sender.incarnation);
+        }
+        let unhandled = self.on_message_of_any_peer(&sender, envelope.body);
+        if let Some(body) = unhandled.filter(|_| is_alive) {
+            self.on_message_of_live_peer(sender, envelope.epoch, body);
         }
+    }
+
+    /// Handles messages that count whether or not their sender is alive. Returns those
+    /// that do not.
+    fn on_message_of_any_peer(&mut self, sender: &Sender, body: Body) -> Option<Body> {
         match body {
-            // What is passed on is as good as a user's own request, and its
+            // A forwarded request is as good as a user's own request, and its
             // answer is known by its number: the sender's lease does not matter.
             Body::ForwardedRequest {
                 request_number,
                 method,
                 path,
                 body,
-            } => {
-                self.on_forwarded_request((from, incarnation), request_number, &method, &path, body)
-            }
-            // Meant for an earlier start of ours.
-            Body::ForwardedResponse {
-                incarnation: to, ..
-            } if to != self.ctx.incarnation => {}
+            } => self.on_forwarded_request(sender, request_number, &method, &path, body),
+            // Meant for an earlier incarnation of this controller.
+            Body::ForwardedResponse { incarnation, .. } if incarnation != self.ctx.incarnation => {}
             Body::ForwardedResponse {
                 incarnation: _,
                 request_number,
@@ -64,13 +71,22 @@
                 self.on_forwarded_response(request_number, reply);
             }
             Body::Heartbeat(heartbeat) => {
-                if self.ctx.config.nodes.contains(&from) {
-                    self.on_heartbeat(&from, incarnation, heartbeat);
+                if self.ctx.config.nodes.contains(&sender.node) {
+                    self.on_heartbeat(&sender.node, sender.incarnation, heartbeat);
                 }
             }
-            // What is recorded stays so, whoever tells of it.
+            // What is recorded stays so, whichever incarnation sends it.
             Body::JobEnded { id, cancelled } => self.on_job_ended_message(&id, cancelled),
-            _ if !alive => {}
+            other => return Some(other),
+        }
+        None
+    }
+
+    /// Handles messages that count only while their sender is alive. `epoch` is that of
+    /// the shard that a message is about.
+    fn on_message_of_live_peer(&mut self, sender: Sender, epoch: u64, body: Body) {
+        let Sender { node, incarnation } = sender;
+        match body {
             Body::BudgetRequest {
                 writes,
                 requests,
@@ -79,79 +95,97 @@
                 let rate = StoreRate::from_milli(requests, writes);
                 let now = self.ctx.now;
                 self.budget
-                    .on_budget_request(now, from, incarnation, rate, granted);
-            }
-            Body::UnmetDemand { shard, demand } => {
-                self.on_demand_message(ShardId(shard), epoch, &demand);
+                    .on_budget_request(now, node, incarnation, rate, granted);
             }
             Body::BudgetGrant { writes, requests } => {
                 let rate = StoreRate::from_milli(requests, writes);
-                self.budget.on_grant(&self.ctx, from, incarnation, rate);
+                self.budget.on_grant(&self.ctx, node, incarnation, rate);
+            }
+            Body::UnmetDemand { shard, demand } => {
+                self.on_demand_message(ShardId(shard), epoch, &demand);
             }
             Body::NewJob {
                 shard,
                 spec,
-                submitted_at_ms: at,
+                submitted_at_ms,
                 revision,
-            } => {
-                let shard = self.shards.get_mut(&ShardId(shard));
-                let shard = shard.filter(|s| s.epoch == epoch);
-                if let (Some(shard), Ok(spec)) = (shard, JobSpec::parse(spec.as_bytes())) {
-                    shard.on_job_accepted(&mut self.ctx, spec, at, revision);
-                }
-            }
+            } => self.on_new_job_message(ShardId(shard), epoch, &spec, submitted_at_ms, revision),
             Body::CancelJob { id } => self.on_cancel_message(epoch, &id),
             Body::RelayRequest { list, machines } => {
-                self.on_relay_request(&from, incarnation, list, &machines);
+                self.on_relay_request(&node, incarnation, list, &machines);
             }
-            Body::ProbeRequest { machines } => self.on_probe(&from, &machines),
+            Body::ProbeRequest { machines } => self.on_probe(&node, &machines),
             Body::ProbeResult { heartbeat } => self.on_probe_result(&heartbeat),
             Body::InheritPriority { id, priority } => {
-                self.on_inherited_priority_message(&id, priority)
+                self.on_inherited_priority_message(&id, priority);
             }
+            // Handled whether or not their sender is alive.
+            Body::ForwardedRequest { .. }
+            | Body::ForwardedResponse { .. }
+            | Body::Heartbeat(_)
+            | Body::JobEnded { .. } => {}
         }
     }
 
-    /// A holder tells the leader the unmet demand of its shard.
-    fn on_demand_message(&mut self, shard: ShardId, epoch: u64, demand: &str) {
+    /// A holder has sent the unmet demand of its shard to the leader.
+    fn on_demand_message(&mut self, shard_id: ShardId, epoch: u64, demand: &str) {
         match serde_json::from_str(demand) {
-            Ok(record) => self.leader.on_demand(self.ctx.now, shard, epoch, record),
-            Err(e) => log::error!("a peer's demand is not understood: {e}"),
+            Ok(record) => {
+                self.leader.on_demand(self.ctx.now, shard_id, epoch, record);
+            }
+            Err(e) => log::error!("shard {shard_id}: demand from a peer malformed, {e}"),
+        }
+    }
+
+    /// Another controller has accepted a job of a shard that is held here.
+    fn on_new_job_message(
+        &mut self,
+        shard_id: ShardId,
+        epoch: u64,
+        spec: &str,
+        submitted_at_ms: u64,
+        revision: u64,
+    ) {
+        let shard = self.shards.get_mut(&shard_id);
+        let shard = shard.filter(|shard| shard.epoch == epoch);
+        if let (Some(shard), Ok(spec)) = (shard, JobSpec::parse(spec.as_bytes())) {
+            shard.on_job_accepted(&mut self.ctx, spec, submitted_at_ms, revision);
         }
     }
 
-    /// A user has asked another controller to cancel a job that is held here,
-    /// under an epoch.
+    /// A user has requested from another controller the cancellation of a job that is
+    /// held here, under an epoch.
     fn on_cancel_message(&mut self, epoch: u64, id: &str) {
         let Some(id) = JobId::parse(id) else { return };
         let Node { shards, ctx, .. } = self;
-        for shard in shards.values_mut().filter(|s| s.epoch == epoch) {
+        for shard in shards.values_mut().filter(|shard| shard.epoch == epoch) {
             shard.cancel(ctx, &id);
         }
     }
 
-    /// Tells a shard's holder of a job that was accepted here.
-    pub(crate) fn send_new_job(&mut self, shard: ShardId, spec: &JobSpec, revision: u64) {
+    /// Notifies the holder of a shard of a job that was accepted here.
+    pub(crate) fn send_new_job(&mut self, shard_id: ShardId, spec: &JobSpec, revision: u64) {
         let body = Body::NewJob {
-            shard: shard.0,
+            shard: shard_id.0,
             spec: serde_json::to_string(spec).unwrap_or_default(),
             submitted_at_ms: self.ctx.wall_clock_ms,
             revision,
         };
-        self.send_to_holder(shard, body);
+        self.send_to_holder(shard_id, body);
     }
 
-    /// Tells a shard's holder of a cancellation that was asked for here.
-    pub(crate) fn send_cancel(&mut self, id: &JobId, shard: ShardId) {
+    /// Notifies the holder of a shard of a cancellation that was requested here.
+    pub(crate) fn send_cancel(&mut self, id: &JobId, shard_id: ShardId) {
         let id = id.to_string();
-        self.send_to_holder(shard, Body::CancelJob { id });
+        self.send_to_holder(shard_id, Body::CancelJob { id });
     }
 
-    /// Tells a shard's holder something, if that is another controller.
-    pub(crate) fn send_to_holder(&mut self, shard: ShardId, body: Body) {
-        let epoch = self.view.shards.get(&shard).map_or(0, |s| s.record.epoch);
-        let holder = self.view.holder(shard).cloned();
-        if let Some(holder) = holder.filter(|h| *h != self.ctx.config.node) {
+    /// Sends a message to the holder of a shard, if that is another controller.
+    pub(crate) fn send_to_holder(&mut self, shard_id: ShardId, body: Body) {
+        let shard = self.view.shards.get(&shard_id);
+        let epoch = shard.map_or(0, |shard| shard.record.epoch);
+        let holder = self.view.holder(shard_id).cloned();
+        if let Some(holder) = holder.filter(|holder| *holder != self.ctx.config.node) {
             self.ctx.send_to_peer(&holder, epoch, body);
         }
     }
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -1,15 +1,15 @@
-//! Reports of workers that reach another controller than the holder of their shard.
+//! Heartbeats of workers that reach another controller than the holder of their shard.
 //!
-//! Such a worker is usually sent to the holder. If the holder has said that it does not
-//! hear the machine, the way there is cut: the report is passed on, and the holder's answer
-//! is given to the worker. It renews the lease and carries commands as one that
-//! the holder gives itself: token and commands are the holder's, given by its right,
-//! and the worker drops what comes later than it would wait.
+//! Such a worker is usually redirected to the holder. If the holder has announced that it
+//! receives no heartbeats of the machine, the link is lost: the heartbeat is relayed, and
+//! the holder's answer is returned to the worker. It renews the lease and carries commands
+//! like a direct one: token and commands are the holder's, under its valid lease,
+//! and the worker drops an answer that comes after its timeout.
 //!
-//! The holder also has a silent machine called, by itself and by two others (as in SWIM's
-//! indirect probes): what the worker answers is as good as a report, except that it renews no
-//! lease. So a machine that somebody reaches is not given up, and that its lease has
-//! ended is known from its incarnation.
+//! The holder also has a silent machine probed, by itself and by two others (as in SWIM's
+//! indirect probes): the worker's answer is as good as a heartbeat, except that it renews no
+//! lease. So a machine that some controller reaches is not decommissioned, and that its
+//! lease has expired is known from its incarnation.
 
 use crate::bounds::listed_bytes;
 use crate::context::Context;
@@ -24,92 +24,93 @@
 use forkshift_wire::workers::WorkerHeartbeat;
 use forkshift_wire::{MachineId, NodeName};
 
-/// Time that the holder has for an answer; workers wait 4 s.
-const ANSWER_MS: Ms = 2_000;
-/// A list of unheard machines counts for so many pauses between two lists.
-const LIST_LOOKS: Ms = 5;
-/// Controllers that are asked to call a machine: one may have lost it, too.
-const PROBERS: usize = 2;
+/// Time that the holder has for an answer, in milliseconds; workers wait 4 s.
+const RELAY_TIMEOUT_MS: Ms = 2_000;
+/// A list of machines to relay for is valid for this many intervals between two lists.
+const RELAY_REQUEST_INTERVALS: Ms = 5;
+/// Controllers that are requested to probe a machine: one may have lost the link, too.
+const MAX_PROBERS: usize = 2;
 
-/// Whether a report may be passed on to the holder.
+/// Whether a heartbeat may be relayed to the holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Relaying {
     /// It may.
     Allowed,
-    /// The holder had it and has not answered.
+    /// It was, and the holder has not answered.
     Tried,
 }
 
-/// Machines that are not heard.
+/// Machines whose heartbeats are not received.
 #[derive(Default)]
 struct UnreachableMachines {
-    /// Their reports are to be passed on by whoever gets them.
+    /// Their heartbeats are to be relayed by the controllers that receive them.
     relayed: Vec<MachineId>,
-    /// They are to be called now.
+    /// They are to be probed now.
     probed: Vec<MachineId>,
 }
 
 impl Shard {
-    /// Adds machines that should report to us and are not heard.
+    /// Adds machines of the shard whose heartbeats are missing.
     fn find_unreachable_machines(
         &mut self,
         now: Ms,
-        awake_since: Ms,
+        resumed_at: Ms,
         timing: &Timing,
         found: &mut UnreachableMachines,
     ) {
         let Self {
-            machines,
-            recheck: look,
-            ..
+            machines, recheck, ..
         } = self;
-        for m in machines
+        let in_use = machines
             .values_mut()
-            .filter(|m| m.decommission_reason.is_none())
-        {
-            let is_up = m.last_heartbeat_at.is_some() || !m.tasks.is_empty();
-            let since = m.known_since.max(awake_since);
-            if !is_up || !m.link.has_missed_heartbeats(now, since, timing) {
+            .filter(|machine| machine.decommission_reason.is_none());
+        for machine in in_use {
+            let is_up = machine.last_heartbeat_at.is_some() || !machine.tasks.is_empty();
+            let since = machine.known_since.max(resumed_at);
+            let link = &mut machine.link;
+            if !is_up || !link.has_missed_heartbeats(now, since, timing) {
                 continue;
             }
-            if m.link.wants_relay(now, since, timing) {
-                found.relayed.push(m.id.clone());
+            if link.wants_relay(now, since, timing) {
+                found.relayed.push(machine.id.clone());
             }
-            if !m.link.is_recently_relayed(now, timing) && m.link.take_probe(now, timing) {
-                found.probed.push(m.id.clone());
-                m.must_send_token = true;
-                look.touch(&m.id);
+            if !link.is_recently_relayed(now, timing) && link.take_probe(now, timing) {
+                found.probed.push(machine.id.clone());
+                machine.must_send_token = true;
+                recheck.touch(&machine.id);
             }
         }
     }
 }
 
 impl Node {
-    /// Asks the other controllers for the reports of machines that we do not hear.
+    /// Requests the heartbeats and probes of machines whose heartbeats are missing from the
+    /// other controllers.
     pub(crate) fn ask_for_relays(&mut self) {
         let timing = self.ctx.config.link_timing();
-        let (now, awake_since) = (self.ctx.now, self.ctx.resumed_at);
+        let (now, resumed_at) = (self.ctx.now, self.ctx.resumed_at);
         self.ctx.relays.remove_expired(now);
         self.ctx.redirects.remove_expired(now);
-        let mut unheard = UnreachableMachines::default();
-        let active = self.shards.values_mut();
-        for shard in active.filter(|s| s.phase == Phase::Active) {
-            shard.find_unreachable_machines(now, awake_since, &timing, &mut unheard);
+        let mut unreachable = UnreachableMachines::default();
+        let shards = self.shards.values_mut();
+        for shard in shards.filter(|shard| shard.phase == Phase::Active) {
+            shard.find_unreachable_machines(now, resumed_at, &timing, &mut unreachable);
         }
-        self.send_probes(unheard.probed);
-        self.send_relay_request(unheard.relayed);
+        self.send_probes(unreachable.probed);
+        self.send_relay_request(unreachable.relayed);
     }
 
-    fn send_relay_request(&mut self, unheard: Vec<MachineId>) {
+    /// Sends the machines whose heartbeats are to be relayed to all other controllers.
+    fn send_relay_request(&mut self, relayed: Vec<MachineId>) {
         // An empty list takes back the one before it.
-        if unheard.is_empty() && !std::mem::take(&mut self.has_relay_requests) {
+        if relayed.is_empty() && !std::mem::take(&mut self.has_relay_requests) {
             return;
         }
-        self.has_relay_requests = !unheard.is_empty();
+        self.has_relay_requests = !relayed.is_empty();
         self.relay_request_count += 1;
         let list = self.relay_request_count;
         let config = self.ctx.config.clone();
-        for machines in split_into_messages(unheard, config.bounds.list_bytes) {
+        for machines in split_into_messages(relayed, config.bounds.list_bytes) {
             for node in config.other_nodes() {
                 let machines = machines.clone();
                 self.ctx
@@ -118,21 +119,22 @@
         }
     }
 
-    /// Has machines called by some of the other controllers, each time by others.
+    /// Requests probes of machines from some of the other controllers, each time from
+    /// others.
     fn send_probes(&mut self, machines: Vec<MachineId>) {
         if machines.is_empty() {
             return;
         }
         let config = self.ctx.config.clone();
-        let others = config
+        let mut probers: Vec<&NodeName> = config
             .other_nodes()
-            .filter(|n| self.ctx.is_peer_answering(n));
-        let mut others: Vec<&NodeName> = others.collect();
-        let first = self.relay_request_count as usize % others.len().max(1);
-        others.rotate_left(first);
-        others.truncate(PROBERS);
+            .filter(|node| self.ctx.is_peer_answering(node))
+            .collect();
+        let first = self.relay_request_count as usize % probers.len().max(1);
+        probers.rotate_left(first);
+        probers.truncate(MAX_PROBERS);
         for machines in split_into_messages(machines, config.bounds.list_bytes) {
-            for node in &others {
+            for node in &probers {
                 let machines = machines.clone();
                 self.ctx
                     .send_to_peer(node, 0, Body::ProbeRequest { machines });
@@ -140,14 +142,15 @@
         }
     }
 
-    /// Another controller does not hear these machines, and asks us to call them.
+    /// Another controller receives no heartbeats of these machines, and requests probes
+    /// of them.
     pub(crate) fn on_probe(&mut self, from: &NodeName, machines: &[String]) {
         let timeout = self.ctx.config.call_ms();
-        let most = self.ctx.config.bounds.worker_calls;
+        let max_calls = self.ctx.config.bounds.worker_calls;
         for id in machines.iter().map(|id| MachineId::new(id)) {
-            let record = self.view.machines.get(&id);
-            let addr = record.and_then(|m| m.record.addr.clone());
-            let Some(addr) = addr.filter(|_| self.ctx.worker_calls < most) else {
+            let machine = self.view.machines.get(&id);
+            let addr = machine.and_then(|machine| machine.record.addr.clone());
+            let Some(addr) = addr.filter(|_| self.ctx.worker_calls < max_calls) else {
                 continue;
             };
             let holder = from.clone();
@@ -156,7 +159,7 @@
         }
     }
 
-    /// A worker that we called for its holder has answered, or has not.
+    /// A probe of a worker for its holder has ended, with an answer or without.
     pub(crate) fn on_worker_probed(&mut self, holder: &NodeName, status: u16, body: &[u8]) {
         if status == 200 {
             let heartbeat = body.to_vec();
@@ -165,20 +168,20 @@
         }
     }
 
-    /// What a worker of ours has answered to another controller.
+    /// A worker of a shard that is held here has answered the probe of another controller.
     pub(crate) fn on_probe_result(&mut self, heartbeat: &[u8]) {
         let heartbeat: WorkerHeartbeat = match serde_json::from_slice(heartbeat) {
             Ok(heartbeat) => heartbeat,
-            Err(e) => return log::info!("a worker's status is not understood: {e}"),
+            Err(e) => return log::info!("worker probe: answer malformed, {e}"),
         };
         let Node { shards, ctx, .. } = self;
-        let active = shards.values_mut().filter(|s| s.phase == Phase::Active);
-        for shard in active {
+        let shards = shards.values_mut();
+        for shard in shards.filter(|shard| shard.phase == Phase::Active) {
             shard.on_worker_heartbeat(ctx, &heartbeat);
         }
     }
 
-    /// Another controller does not hear these machines.
+    /// Another controller requests the heartbeats of these machines.
     pub(crate) fn on_relay_request(
         &mut self,
         from: &NodeName,
@@ -186,48 +189,50 @@
         list: u64,
         machines: &[String],
     ) {
-        let until = self.ctx.now + self.ctx.heartbeat_interval_ms() * LIST_LOOKS;
+        let until = self.ctx.now + self.ctx.heartbeat_interval_ms() * RELAY_REQUEST_INTERVALS;
         let view = &self.view;
         let machines = machines.iter().map(|id| MachineId::new(id));
-        // What we do not know as a machine can't report to us as one.
+        // Only machines that are known here can send heartbeats to this controller.
         let known = machines.filter(|id| view.machines.contains_key(id));
         self.ctx
             .relays
             .on_relay_request(from, incarnation, list, known, until);
     }
 
-    /// The holder that a machine's report is passed on to, if it is. One that we can't
-    /// reach either has no answer in time: what is to be done without it is done at once.
-    pub(crate) fn relay_to(&self, machine: &MachineId) -> Option<NodeName> {
+    /// The holder that a machine's heartbeat is relayed to, if it is. One that can't be
+    /// reached either is skipped: it would have no answer in time.
+    pub(crate) fn relay_target(&self, machine: &MachineId) -> Option<NodeName> {
         let holder = self.holder_without_link(machine);
         holder.filter(|node| self.ctx.is_peer_answering(node))
     }
 
-    /// Passes a worker's report on to the holder that does not hear it.
-    pub(crate) fn relay_report(&mut self, request: RequestId, holder: &NodeName, body: Vec<u8>) {
+    /// Relays a worker's heartbeat to the holder that it does not reach.
+    pub(crate) fn relay_heartbeat(&mut self, request: RequestId, holder: &NodeName, body: Vec<u8>) {
         let forwarded = ForwardedRequest::heartbeat(body);
-        self.forward(request, holder, forwarded, ANSWER_MS);
+        self.forward(request, holder, forwarded, RELAY_TIMEOUT_MS);
     }
 
-    /// The holder of a machine, if it has said that it does not hear it, or if the worker
-    /// was sent there and came back.
+    /// The other controller that holds a machine, if it has requested the machine's
+    /// heartbeats, or if the worker was redirected there and came back.
     pub(crate) fn holder_without_link(&self, machine: &MachineId) -> Option<NodeName> {
         let shard = self.view.machines.get(machine)?.record.shard;
-        let holder = &self.view.shards.get(&shard)?.record;
-        let is_other = holder.holder != self.ctx.config.node;
+        let shard = &self.view.shards.get(&shard)?.record;
+        let (holder, incarnation) = (&shard.holder, shard.holder_incarnation);
+        if *holder == self.ctx.config.node {
+            return None;
+        }
         let Context {
             relays,
             redirects,
             now,
             ..
         } = &self.ctx;
-        let wanted =
-            relays.is_requested_by(machine, &holder.holder, holder.holder_incarnation, *now)
-                || redirects.has_returned(machine, &holder.holder, holder.holder_incarnation, *now);
-        (is_other && wanted).then(|| holder.holder.clone())
+        let is_link_lost = relays.is_requested_by(machine, holder, incarnation, *now)
+            || redirects.has_returned(machine, holder, incarnation, *now);
+        is_link_lost.then(|| holder.clone())
     }
 
-    /// Notes a link, and logs it if it has changed.
+    /// Notes the state of a link, and logs it if it has changed.
     pub(crate) fn note_link(&mut self, link: Link, is_up: bool) {
         if !self.ctx.links.set(link, is_up) {
             return;
@@ -236,19 +241,19 @@
         log::info!("link to {link}: {state}");
         for decision in Decision::ALL {
             if self.ctx.links.missing_for(decision) == Some(link) {
-                log::info!("without it: no {decision:?}");
+                log::info!("link to {link}: decision suspended, {decision:?}");
             }
         }
     }
 }
 
-/// Spreads names over messages, at least one.
-fn split_into_messages(machines: Vec<MachineId>, room: usize) -> Vec<Vec<String>> {
+/// Splits names into lists of up to `max_bytes` each, at least one.
+fn split_into_messages(machines: Vec<MachineId>, max_bytes: usize) -> Vec<Vec<String>> {
     let mut messages = vec![Vec::new()];
     let mut used = 0;
     for name in machines.iter().map(ToString::to_string) {
         let bytes = listed_bytes(&name);
-        if used + bytes > room {
+        if used + bytes > max_bytes {
             messages.push(Vec::new());
             used = 0;
         }
