--- a/crates/core/src/bounds/tests.rs
+++ b/crates/core/src/bounds/tests.rs
@@ -1,9 +1,11 @@
+//! Tests of bounds.
+
 use super::*;
 use forkshift_wire::MachineId;
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 
-/// Settings of a controller with such limits and so many peers.
+/// Settings of a controller with these limits and this many peers.
 fn settings(memory_mb: f64, sockets: usize, peers: usize) -> Settings {
     let mut settings = Settings::parse(SETTINGS).expect("the example is good");
     settings.cluster.limits.memory_mb = memory_mb;
@@ -20,7 +22,7 @@
 
 /// Every bound is a ratio to a setting: with twice as much it is twice as large.
 #[test]
-fn bounds_grow_with_the_settings() {
+fn bounds_are_proportional_to_the_settings() {
     let small = Bounds::new(&settings(100.0, 1_000, 4), 1.0);
     let large = Bounds::new(&settings(200.0, 2_000, 4), 1.0);
     let cases = [
@@ -45,21 +47,21 @@
 }
 
 #[test]
-fn the_smallest_controller_still_has_room_for_one_of_each() {
+fn smallest_controller_has_room_for_one_of_each() {
     let bounds = Bounds::new(&settings(0.001, 32, 64), 1.0);
     assert!(bounds.remembered_jobs >= 1 && bounds.image_names >= 1);
     assert!(bounds.worker_calls >= 1 && bounds.forwarded_requests >= 1);
     assert_eq!(
         bounds.peer_queue_bytes, MAX_MESSAGE_BYTES,
-        "any one message"
+        "any single message"
     );
-    assert_eq!(bounds.answer_bytes, ANSWER_LEAST, "any page");
+    assert_eq!(bounds.answer_bytes, MIN_ANSWER_BYTES, "any page");
 }
 
-/// The names of all machines of a shard must have room in a message, whoever
-/// holds the whole fleet.
+/// The names of all machines of a shard must have room in a message, even if one
+/// controller holds the whole fleet.
 #[test]
-fn a_message_names_four_thousand_machines() {
+fn names_of_four_thousand_machines_fit_a_message() {
     let bounds = Bounds::new(&settings(40.0, 600, 4), 1.0);
     let names = (0..4_000).map(|n| MachineId::new(&format!("host-{n:06}")));
     let names: Vec<String> = names.map(|id| id.to_string()).collect();
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn a_part_of_the_machines_is_never_less_than_asked_for() {
+fn part_of_machines_is_never_less_than_the_minimum() {
     let cases = [
         (0, 3),
         (3, 3),
@@ -86,11 +88,11 @@
     }
 }
 
-/// A round looked at 256 tasks of a job, whatever its shard held: an array of thousands
-/// was given machines for 256 tasks a boot.
+/// With a fixed number of tasks, an array of thousands would be given machines for that
+/// number of tasks a boot.
 #[test]
-fn a_round_looks_at_as_many_tasks_as_can_be_recorded() {
-    let of = |write_rps: f64, value_kb: f64, round_s: f64| {
+fn round_considers_as_many_tasks_as_can_be_recorded() {
+    let tasks_a_round = |write_rps: f64, value_kb: f64, round_s: f64| {
         let mut settings = settings(40.0, 600, 4);
         settings.cluster.state.write_rps = write_rps;
         settings.cluster.state.value_kb = value_kb;
@@ -105,7 +107,7 @@
         (1.0, 2.0, 0.1, 256),
     ];
     for (write_rps, value_kb, round_s, expected) in cases {
-        let found = of(write_rps, value_kb, round_s);
+        let found = tasks_a_round(write_rps, value_kb, round_s);
         assert_eq!(
             found, expected,
             "{write_rps} changes of {value_kb} KiB, {round_s} s"
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! What a controller is told before it starts.
+//! The configuration of a controller.
 
 use crate::bounds::Bounds;
 use crate::membership::format::FormatVersion;
@@ -7,32 +7,32 @@
 use forkshift_links::Timing;
 use forkshift_pools::Pools;
 use forkshift_sched::{Resources, Weights};
-use forkshift_wire::settings::{NextStateLimits, Objective, Settings};
+use forkshift_wire::settings::{NextStateLimits, Objective, Settings, Team as TeamSettings};
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
-/// Settings that the operators may change; all have defaults.
+/// Settings that operators may change; all have defaults.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Weights of the score.
+    /// Weights of the score by which machines are chosen.
     pub weights: Weights,
-    /// Seconds between the starts of two rounds.
+    /// Seconds between the starts of two scheduling rounds.
     pub round_s: f64,
-    /// Least seconds between two rounds that arrivals set off.
+    /// Least seconds between two rounds that arrivals trigger.
     pub round_gap_s: f64,
-    /// Seconds between two looks of the leader at the shards.
+    /// Seconds between two checks of the shards' assignment by the leader.
     pub assign_s: f64,
-    /// Spare places for classes with a short wait, as a multiple of what
-    /// arrives while a machine boots.
+    /// Spare places for classes with a short wait, as a multiple of the tasks that
+    /// arrive while a machine boots.
     pub spare: f64,
-    /// An empty machine is returned after this shard of its boot time.
+    /// An empty machine is released after this part of its boot time.
     pub idle_boots: f64,
-    /// A silent machine is given up after this shard of a lease.
+    /// A silent machine is decommissioned after this part of a lease.
     pub silent_leases: f64,
-    /// The largest fleet that is expected, in machines. Limits too small for it are
-    /// reported.
+    /// The largest fleet that is expected, in machines. Limits that are too small for it
+    /// are logged.
     pub machines: Option<u32>,
-    /// Warm pools; none: they are off.
+    /// Warm pools; none: they are disabled.
     pub pools: Pools,
 }
 
@@ -56,25 +56,42 @@
     }
 }
 
-/// A team's guarantee and limit.
+/// A team with its quota.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// Its name.
     pub name: String,
-    /// Its guarantee.
+    /// Resources that it is guaranteed.
     pub guarantee: Resources,
-    /// Its limit.
+    /// Resources that it may use at most.
     pub limit: Resources,
     /// The shard that its jobs belong to.
     pub shard: ShardId,
 }
 
-/// Limits of the state service.
+impl Team {
+    /// A team of the settings, whose jobs belong to a shard.
+    fn new(settings: &TeamSettings, shard: ShardId) -> Self {
+        Self {
+            name: settings.name.clone(),
+            guarantee: Resources::new(settings.cpus, settings.gpus, 0.0),
+            limit: Resources::new(settings.cpus_max, settings.gpus_max, 0.0),
+            shard,
+        }
+    }
+}
+
+/// Least sum of a resource that teams are guaranteed, as a divisor.
+const MIN_TOTAL: f64 = 1e-9;
+/// Least weight of a team, so that guests are spread over the shards, too.
+const MIN_TEAM_WEIGHT: f64 = 1e-6;
+
+/// Limits of the key-value store.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers.
+    /// Requests a second, of all controllers together.
     pub rps: f64,
-    /// Changes a second, of all controllers.
+    /// Changes a second, of all controllers together.
     pub write_rps: f64,
     /// Most changes in a transaction.
     pub txn_ops: usize,
@@ -84,6 +101,7 @@
 
 /// Conditions that a transaction may have for each change.
 const CONDITIONS_PER_CHANGE: usize = 4;
+/// Bytes of a KB in the settings.
 const BYTES_PER_KB: f64 = 1024.0;
 
 impl StateLimits {
@@ -97,15 +115,17 @@
     }
 
     /// The smaller of each limit and the one that is announced for later.
-    fn least(&self, next: &NextStateLimits) -> Self {
+    fn min_with(&self, next: &NextStateLimits) -> Self {
         let value_bytes = next.value_kb.map(|kb| (kb * BYTES_PER_KB) as usize);
         Self {
-            rps: next.rps.map_or(self.rps, |n| n.min(self.rps)),
+            rps: next.rps.map_or(self.rps, |rps| rps.min(self.rps)),
             write_rps: next
                 .write_rps
-                .map_or(self.write_rps, |n| n.min(self.write_rps)),
-            txn_ops: next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
-            value_bytes: value_bytes.map_or(self.value_bytes, |n| n.min(self.value_bytes)),
+                .map_or(self.write_rps, |rps| rps.min(self.write_rps)),
+            txn_ops: next
+                .txn_ops
+                .map_or(self.txn_ops, |ops| ops.min(self.txn_ops)),
+            value_bytes: value_bytes.map_or(self.value_bytes, |bytes| bytes.min(self.value_bytes)),
         }
     }
 
@@ -115,113 +135,117 @@
     }
 }
 
-/// Settings in the form that the controller works with.
+/// The settings in the form that the controller works with.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This controller.
+    /// Name of this controller.
     pub node: NodeName,
-    /// All controllers, in order.
+    /// Names of all controllers, in order.
     pub nodes: Vec<NodeName>,
-    /// Zones of all controllers.
+    /// Zones of all controllers, by name.
     pub zones: BTreeMap<NodeName, String>,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
-    /// Whether some teams are guests: they are guaranteed nothing, others are.
+    /// Whether some teams are guests: they are guaranteed nothing, while others are
+    /// guaranteed something.
     pub has_guests: bool,
     /// Shortest `wait` objective of each class, in seconds.
     pub waits: BTreeMap<String, f64>,
     /// Shortest `finished` objective of each class, in seconds.
     pub finishes: BTreeMap<String, f64>,
-    /// Lease of a worker.
+    /// Lease of a worker, in milliseconds.
     pub lease_ms: Ms,
-    /// Between two reports of a worker.
+    /// Interval between two heartbeats of a worker, in milliseconds.
     pub report_ms: Ms,
-    /// Within this a cancelled job's tasks must be gone.
+    /// Time within which the tasks of a cancelled job must have exited, in milliseconds.
     pub cancel_ms: Ms,
-    /// Bound on the error of the time of day.
+    /// Bound on the error of the time of day, in milliseconds.
     pub clock_off_ms: Ms,
-    /// Within this a gang must be complete.
+    /// Time within which a gang must be complete, in milliseconds.
     pub gang_wait_ms: Ms,
-    /// Limits of the state service as they are now.
+    /// Limits of the key-value store as they are now.
     pub state_limits: StateLimits,
     /// The smaller of those and of the limits that are announced for after the
     /// upgrade.
     pub least_state_limits: StateLimits,
     /// The newest format that this controller reads and writes.
     pub format: FormatVersion,
-    /// Requests a second to the cloud.
+    /// Rate limit of the cloud, in requests a second.
     pub cloud_rps: f64,
-    /// Lag of the cloud's machine list.
+    /// Lag of the cloud's machine list, in milliseconds.
     pub list_lag_ms: Ms,
-    /// What may be held and sent.
+    /// Bounds on what is held and sent.
     pub bounds: Bounds,
     /// The operators' own settings.
     pub ops: Operator,
 }
 
-/// The part of the time for a cancellation that is kept for drift and late timers.
-const LATE_PART: f64 = 0.01;
+/// The part of the time for a cancellation that is reserved for clock drift and late timers.
+const CLOCK_DRIFT_PART: f64 = 0.01;
 
-/// The longest pause between two reports, as a multiple of the usual one.
-const REPORT_SPREAD: f64 = 1.25;
-/// For delays on a report's way, and timers that are late, in milliseconds.
+/// The longest pause between two heartbeats, as a multiple of the interval.
+const MAX_HEARTBEAT_JITTER: f64 = 1.25;
+/// Allowance for delays of a heartbeat on the network and for late timers, in milliseconds.
 pub(crate) const REPORT_LATE_MS: Ms = 500;
 
-/// What a worker's try at a controller that does not answer takes.
-const TRY_MS: f64 = 5_000.0;
+/// Time that a worker's attempt at a controller that does not answer takes, in
+/// milliseconds: 4 s without an answer and 1 s more.
+const UNANSWERED_ATTEMPT_MS: f64 = 5_000.0;
+
+/// Bounds of the timeout of calls to workers, in milliseconds.
+const MIN_CALL_MS: Ms = 1_000;
+const MAX_CALL_MS: Ms = 4_000;
+/// Bounds of the duration of a controller's lease, in milliseconds.
+const MIN_NODE_LEASE_MS: Ms = 2_000;
+const MAX_NODE_LEASE_MS: Ms = 5_000;
 
 impl Config {
-    /// Takes over settings that were checked.
+    /// The configuration from settings that were validated.
     pub fn new(settings: &Settings, ops: Operator) -> Self {
-        let c = &settings.cluster;
-        let mut nodes: Vec<NodeName> = settings.peers.iter().map(|p| p.node.clone()).collect();
-        nodes.push(settings.node.clone());
-        nodes.sort();
-        nodes.dedup();
-        let peers = settings.peers.iter().map(|p| (&p.node, &p.zone));
-        let all = peers.chain([(&settings.node, &settings.zone)]);
-        let zones = all.map(|(n, z)| (n.clone(), z.clone())).collect();
-        let waits = shortest(&c.objectives, "wait");
-        let finishes = shortest(&c.objectives, "finished");
-        let ms = |s: f64| (s * 1000.0) as Ms;
-        let state_limits = StateLimits::new(&c.state);
+        let cluster = &settings.cluster;
+        let zones = zones_by_node(settings);
+        let nodes: Vec<NodeName> = zones.keys().cloned().collect();
+        let shard_count = nodes.len().max(cluster.nodes as usize);
+        let ms = |seconds: f64| (seconds * 1000.0) as Ms;
+        let state_limits = StateLimits::new(&cluster.state);
+        let next_limits = cluster.state.next.clone().unwrap_or_default();
         Self {
             node: settings.node.clone(),
-            teams: spread_teams(&c.teams, nodes.len().max(c.nodes as usize)),
+            teams: assign_teams(&cluster.teams, shard_count),
             nodes,
             zones,
-            has_guests: has_guests(&c.teams),
-            waits,
-            finishes,
-            lease_ms: ms(c.workers.lease_s),
-            report_ms: ms(c.workers.report_s),
-            cancel_ms: ms(c.workers.cancel_s),
-            clock_off_ms: c.clock_off_ms.max(0.0) as Ms,
-            gang_wait_ms: ms(c.workers.gang_wait_s),
+            has_guests: has_guests(&cluster.teams),
+            waits: shortest_objectives(&cluster.objectives, "wait"),
+            finishes: shortest_objectives(&cluster.objectives, "finished"),
+            lease_ms: ms(cluster.workers.lease_s),
+            report_ms: ms(cluster.workers.report_s),
+            cancel_ms: ms(cluster.workers.cancel_s),
+            clock_off_ms: cluster.clock_off_ms.max(0.0) as Ms,
+            gang_wait_ms: ms(cluster.workers.gang_wait_s),
             state_limits,
-            least_state_limits: state_limits.least(&c.state.next.clone().unwrap_or_default()),
+            least_state_limits: state_limits.min_with(&next_limits),
             format: FormatVersion::CURRENT,
-            cloud_rps: c.cloud.rps,
-            list_lag_ms: ms(c.cloud.list_lag_s),
+            cloud_rps: cluster.cloud.rps,
+            list_lag_ms: ms(cluster.cloud.list_lag_s),
             bounds: Bounds::new(settings, ops.round_s),
             ops,
         }
     }
 
-    /// The format with which this controller registers, where one is finalized. That of
-    /// warm pools is asked for by those that have them switched on, and taken by all
+    /// The format with which this controller registers while another one is finalized.
+    /// That of warm pools is registered by controllers that have them enabled, and by all
     /// others once it is finalized.
     pub fn registered_format(&self, finalized: FormatVersion) -> FormatVersion {
-        let wants_pools = !self.ops.pools.is_empty() || finalized >= FormatVersion::POOLS;
-        match wants_pools {
-            true => self.format,
-            false => self.format.min(FormatVersion::DEPENDENCIES),
+        if !self.ops.pools.is_empty() || finalized >= FormatVersion::POOLS {
+            self.format
+        } else {
+            self.format.min(FormatVersion::DEPENDENCIES)
         }
     }
 
     /// All controllers but this one, in order.
     pub fn other_nodes(&self) -> impl Iterator<Item = &NodeName> {
-        self.nodes.iter().filter(|n| **n != self.node)
+        self.nodes.iter().filter(|node| **node != self.node)
     }
 
     /// Number of shards.
@@ -229,30 +253,30 @@
         self.nodes.len() as u32
     }
 
-    /// For how long a worker may be answered after a cancellation that we have
-    /// not heard of: its lease ends in time all the same.
+    /// For how long a worker may be answered after a cancellation that is not known
+    /// here, in milliseconds: its lease expires in time all the same.
     pub fn grace_ms(&self) -> Ms {
-        self.in_time_ms().saturating_sub(self.lease_ms)
+        self.safe_cancel_ms().saturating_sub(self.lease_ms)
     }
 
     /// For how long a worker may be answered by a new holder that does not know
-    /// yet what was cancelled: the cancellation may be a lease old.
+    /// yet what was cancelled, in milliseconds: the cancellation may be a lease old.
     pub fn loading_grace_ms(&self) -> Ms {
-        self.in_time_ms().saturating_sub(self.lease_ms * 2)
+        self.safe_cancel_ms().saturating_sub(self.lease_ms * 2)
     }
 
-    /// Time that a worker has to answer a call. A start whose call is given up late
-    /// holds its task up for as long.
+    /// Timeout of calls to workers, in milliseconds. A start whose call times out late
+    /// delays its task for as long.
     pub fn call_ms(&self) -> Ms {
-        (self.report_ms * 2).clamp(1_000, 4_000)
+        (self.report_ms * 2).clamp(MIN_CALL_MS, MAX_CALL_MS)
     }
 
-    /// The longest pause between two reports.
+    /// The longest pause between two heartbeats, in milliseconds.
     pub fn longest_report_ms(&self) -> Ms {
-        (self.report_ms as f64 * REPORT_SPREAD) as Ms
+        (self.report_ms as f64 * MAX_HEARTBEAT_JITTER) as Ms
     }
 
-    /// Times of the links to workers.
+    /// Timing of the links to workers.
     pub fn link_timing(&self) -> Timing {
         Timing {
             report_ms: self.longest_report_ms() + REPORT_LATE_MS,
@@ -260,77 +284,87 @@
         }
     }
 
-    /// The time that a cancellation has, less what clocks drift and timers are
-    /// late by.
-    fn in_time_ms(&self) -> Ms {
-        (self.cancel_ms as f64 * (1.0 - LATE_PART)) as Ms
+    /// The time that a cancellation has, less the allowance for clock drift and late
+    /// timers, in milliseconds.
+    fn safe_cancel_ms(&self) -> Ms {
+        (self.cancel_ms as f64 * (1.0 - CLOCK_DRIFT_PART)) as Ms
     }
 
     /// The part of a zone's workers that find a controller inside before their
-    /// leases end, if the zone is cut off: each try at one outside takes them
-    /// 4 s without an answer and 1 s more.
+    /// leases expire, if the zone is partitioned from all others.
     pub fn zones_kept_in_partition(&self, zone: &str) -> f64 {
-        let inside = self.zones.values().filter(|z| *z == zone).count() as f64;
-        let others = self.nodes.len().saturating_sub(1).max(1) as f64;
-        let time = self.lease_ms.saturating_sub(self.report_ms) as f64;
-        let tries = time / TRY_MS;
-        1.0 - (1.0 - (inside / others).min(1.0)).powf(tries)
+        let controllers_inside = self.zones.values().filter(|z| *z == zone).count() as f64;
+        let other_controllers = self.nodes.len().saturating_sub(1).max(1) as f64;
+        let time_ms = self.lease_ms.saturating_sub(self.report_ms) as f64;
+        let attempts = time_ms / UNANSWERED_ATTEMPT_MS;
+        let hit_rate = (controllers_inside / other_controllers).min(1.0);
+        1.0 - (1.0 - hit_rate).powf(attempts)
     }
 
-    /// How long a controller's own lease at the state service lives: a crash
-    /// must be noticed, and its shard loaded elsewhere, well within the lease
-    /// of the workers that reported to it.
+    /// Duration of a controller's own lease at the key-value store, in milliseconds: a
+    /// crash must be detected, and its shard recovered elsewhere, well within the lease
+    /// of its workers.
     pub fn node_lease_ms(&self) -> Ms {
-        (self.lease_ms / 4).clamp(2_000, 5_000)
+        (self.lease_ms / 4).clamp(MIN_NODE_LEASE_MS, MAX_NODE_LEASE_MS)
     }
 }
 
+/// Zones of all controllers, by name.
+fn zones_by_node(settings: &Settings) -> BTreeMap<NodeName, String> {
+    let peers = settings.peers.iter().map(|peer| (&peer.node, &peer.zone));
+    peers
+        .chain([(&settings.node, &settings.zone)])
+        .map(|(node, zone)| (node.clone(), zone.clone()))
+        .collect()
+}
+
 /// Whether some teams are guaranteed nothing, and others something.
-fn has_guests(teams: &[forkshift_wire::settings::Team]) -> bool {
-    let is_guest = |t: &forkshift_wire::settings::Team| t.cpus <= 0.0 && t.gpus <= 0.0;
+fn has_guests(teams: &[TeamSettings]) -> bool {
+    let is_guest = |team: &TeamSettings| team.cpus <= 0.0 && team.gpus <= 0.0;
     teams.iter().any(is_guest) && !teams.iter().all(is_guest)
 }
 
-/// The shortest time of each class among the objectives of a kind.
-fn shortest(objectives: &[Objective], kind: &str) -> BTreeMap<String, f64> {
+/// The shortest time of each class among the objectives of a kind, in seconds.
+fn shortest_objectives(objectives: &[Objective], kind: &str) -> BTreeMap<String, f64> {
     let mut times = BTreeMap::new();
-    for objective in objectives.iter().filter(|o| o.kind == kind) {
+    for objective in objectives.iter().filter(|objective| objective.kind == kind) {
         if let Some(class) = &objective.class {
-            let within = times.entry(class.clone()).or_insert(objective.within_s);
-            *within = objective.within_s.min(*within);
+            let shortest = times.entry(class.clone()).or_insert(objective.within_s);
+            *shortest = objective.within_s.min(*shortest);
         }
     }
     times
 }
 
-/// Spreads the teams over the shards by their guarantees, the largest first.
-/// Every controller comes to the same result from the same settings.
-fn spread_teams(teams: &[forkshift_wire::settings::Team], shards: usize) -> BTreeMap<String, Team> {
-    let sum =
-        |f: fn(&forkshift_wire::settings::Team) -> f64| teams.iter().map(f).sum::<f64>().max(1e-9);
-    let (cpus, gpus) = (sum(|t| t.cpus), sum(|t| t.gpus));
-    let weight = |t: &forkshift_wire::settings::Team| t.cpus / cpus + t.gpus / gpus;
-    let mut order: Vec<&forkshift_wire::settings::Team> = teams.iter().collect();
-    order.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.name.cmp(&b.name)));
-    let mut load = vec![0.0; shards];
-    let mut spread = BTreeMap::new();
-    for team in order {
-        let mut shard = 0;
-        for k in 1..shards {
-            if load[k] < load[shard] {
-                shard = k;
-            }
+/// Assigns the teams to shards by their guarantees, the largest first to the shard with
+/// the least. Every controller comes to the same result from the same settings.
+fn assign_teams(teams: &[TeamSettings], shard_count: usize) -> BTreeMap<String, Team> {
+    let total = |resource: fn(&TeamSettings) -> f64| {
+        let sum = teams.iter().map(resource).sum::<f64>();
+        sum.max(MIN_TOTAL)
+    };
+    let (cpus, gpus) = (total(|team| team.cpus), total(|team| team.gpus));
+    let weight = |team: &TeamSettings| team.cpus / cpus + team.gpus / gpus;
+    let mut by_weight: Vec<&TeamSettings> = teams.iter().collect();
+    by_weight.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.name.cmp(&b.name)));
+    let mut loads = vec![0.0; shard_count];
+    let mut assigned = BTreeMap::new();
+    for team in by_weight {
+        let shard = least_loaded(&loads);
+        loads[shard] += weight(team).max(MIN_TEAM_WEIGHT);
+        let shard = ShardId(shard as u32);
+        assigned.insert(team.name.clone(), Team::new(team, shard));
+    }
+    assigned
+}
+
+/// The first of the shards with the smallest load.
+fn least_loaded(loads: &[f64]) -> usize {
+    let mut least = 0;
+    for shard in 1..loads.len() {
+        if loads[shard] < loads[least] {
+            least = shard;
         }
-        load[shard] += weight(team).max(1e-6);
-        spread.insert(
-            team.name.clone(),
-            Team {
-                name: team.name.clone(),
-                guarantee: Resources::new(team.cpus, team.gpus, 0.0),
-                limit: Resources::new(team.cpus_max, team.gpus_max, 0.0),
-                shard: ShardId(shard as u32),
-            },
-        );
     }
-    spread
+    least
 }
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -1,8 +1,7 @@
-//! Numbers that stand for names within this process.
+//! Interned names: numbers that stand for names within this process.
 //!
 //! Machine types and zones have numbers of 16 bits, images of 32, each counted apart:
-//! users name as many images as they like, and a zone must never get the number of
-//! another one because many images came before it.
+//! users may name any number of images, and must not use up the numbers of zones.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -14,7 +13,7 @@
 }
 
 impl PlaceNames {
-    /// The number for what has none, as there are too many. No machine is there.
+    /// The number of all names beyond the last number. No machine has it.
     pub(crate) const NOWHERE: u16 = u16::MAX;
 
     /// The number of a machine type or a zone.
@@ -22,8 +21,8 @@
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
-        let Some(number) = self.next() else {
-            log::error!("more machine types and zones than have numbers: {name} is left out");
+        let Some(number) = self.next_number() else {
+            log::error!("names: too many machine types and zones, {name} ignored");
             return Self::NOWHERE;
         };
         self.numbers.insert(name.to_owned(), number);
@@ -36,28 +35,30 @@
         self.names.get(usize::from(number)).map(String::as_str)
     }
 
-    fn next(&self) -> Option<u16> {
+    /// The next free number, if there is one.
+    fn next_number(&self) -> Option<u16> {
         let number = u16::try_from(self.names.len()).ok();
-        number.filter(|n| *n != Self::NOWHERE)
+        number.filter(|number| *number != Self::NOWHERE)
     }
 }
 
-/// Numbers of images. None is used twice, also when its name was forgotten.
+/// Numbers of images. None is used twice, even if its name was forgotten.
 pub(crate) struct ImageNames {
     numbers: HashMap<String, u32>,
     names: HashMap<u32, String>,
     next: u32,
-    /// Most names that are known before those out of use are forgotten.
-    most: usize,
+    /// Number of names beyond which those out of use are forgotten.
+    max_names: usize,
 }
 
 impl ImageNames {
-    pub(crate) fn new(most: usize) -> Self {
+    /// `max_names` is the number of names beyond which those out of use are forgotten.
+    pub(crate) fn new(max_names: usize) -> Self {
         Self {
             numbers: HashMap::new(),
             names: HashMap::new(),
             next: 0,
-            most,
+            max_names,
         }
     }
 
@@ -78,17 +79,17 @@
         self.names.get(&number).map(String::as_str)
     }
 
-    /// Whether there are so many that those out of use should be forgotten.
+    /// Whether there are so many names that those out of use should be forgotten.
     pub(crate) fn are_many(&self) -> bool {
-        self.names.len() > self.most
+        self.names.len() > self.max_names
     }
 
-    /// Forgets all images that are not in use. If most are, it is asked for again
-    /// only once there are twice as many.
+    /// Forgets all images that are not in use. The limit grows to twice the number of those
+    /// that are, so that this is not done too often.
     pub(crate) fn keep(&mut self, used: &BTreeSet<u32>) {
         self.names.retain(|number, _| used.contains(number));
         self.numbers.retain(|_, number| used.contains(number));
-        self.most = self.most.max(self.names.len() * 2);
+        self.max_names = self.max_names.max(self.names.len() * 2);
     }
 }
 
--- a/crates/core/src/names/tests.rs
+++ b/crates/core/src/names/tests.rs
@@ -1,10 +1,12 @@
+//! Tests of interned names.
+
 use super::{ImageNames, PlaceNames};
 use std::collections::BTreeSet;
 
-/// Numbers of zones were once counted together with those of images and cut to 16
-/// bits: after 65,536 images a new zone was taken for one of the first ones.
+/// Zones have 16 bits: if they were counted together with images, a new zone after 65,536
+/// images would get the number of one of the first ones.
 #[test]
-fn many_images_leave_the_numbers_of_places_alone() {
+fn numbers_of_places_do_not_depend_on_the_number_of_images() {
     let mut images = ImageNames::new(usize::MAX);
     let mut places = PlaceNames::default();
     let first = places.number("a");
@@ -18,7 +20,7 @@
 }
 
 #[test]
-fn places_beyond_the_last_number_are_nowhere_and_known_ones_stay() {
+fn places_beyond_the_last_number_share_one_and_known_ones_keep_theirs() {
     let mut places = PlaceNames::default();
     let last = PlaceNames::NOWHERE - 1;
     for n in 0..=last {
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn images_out_of_use_are_forgotten_and_their_numbers_are_not_used_again() {
+fn images_out_of_use_are_forgotten_and_their_numbers_are_not_reused() {
     let mut images = ImageNames::new(3);
     for n in 0..3 {
         images.number(&format!("img-{n}"));
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn images_that_are_all_in_use_are_looked_at_again_only_when_there_are_twice_as_many() {
+fn limit_of_images_doubles_when_all_are_in_use() {
     let mut images = ImageNames::new(2);
     let used: BTreeSet<u32> = (0..3).map(|n| images.number(&format!("img-{n}"))).collect();
     images.keep(&used);
--- a/crates/core/src/overflow/tests.rs
+++ b/crates/core/src/overflow/tests.rs
@@ -1,12 +1,14 @@
-use super::{Overflow, OverflowLog, LOG_PAUSE};
+//! Tests of the log of exceeded bounds.
+
+use super::{Overflow, OverflowLog, LOG_INTERVAL_MS};
 
 #[test]
-fn the_first_is_logged_at_once_and_the_rest_are_counted() {
+fn first_overflow_is_logged_at_once_and_later_ones_are_counted() {
     let mut log = OverflowLog::default();
-    let what = Overflow::ForwardedRequests;
-    assert_eq!(log.note(1_000, what), Some(1));
-    assert_eq!(log.note(1_001, what), None);
-    assert_eq!(log.note(1_000 + LOG_PAUSE - 1, what), None);
+    let bound = Overflow::ForwardedRequests;
+    assert_eq!(log.note(1_000, bound), Some(1));
+    assert_eq!(log.note(1_001, bound), None);
+    assert_eq!(log.note(1_000 + LOG_INTERVAL_MS - 1, bound), None);
     assert_eq!(log.note(1_000, Overflow::Demand), Some(1));
-    assert_eq!(log.note(1_000 + LOG_PAUSE, what), Some(3));
+    assert_eq!(log.note(1_000 + LOG_INTERVAL_MS, bound), Some(3));
 }
--- a/crates/core/src/recent_jobs.rs
+++ b/crates/core/src/recent_jobs.rs
@@ -1,45 +1,48 @@
-//! What a controller remembers of jobs that it does not hold.
+//! Bounded memory of jobs, including those that this controller does not hold.
 
 use forkshift_wire::users::JobStage;
 use forkshift_wire::JobId;
 use std::collections::{HashMap, VecDeque};
 
-/// Something that is known of jobs, of as many as are worth remembering.
+/// A value for each of the most recent jobs.
+///
+/// Invariant: `oldest_first` holds just the keys of `values`.
 pub(crate) struct RecentJobs<T> {
     /// Most jobs that are remembered.
     capacity: usize,
-    of: HashMap<JobId, T>,
-    order: VecDeque<JobId>,
+    values: HashMap<JobId, T>,
+    /// Jobs in the order in which they were inserted.
+    oldest_first: VecDeque<JobId>,
 }
 
 impl<T: Copy> RecentJobs<T> {
-    /// Remembers up to `most` jobs.
-    pub(crate) fn new(most: usize) -> Self {
+    /// Remembers up to `capacity` jobs.
+    pub(crate) fn new(capacity: usize) -> Self {
         Self {
-            capacity: most,
-            of: HashMap::new(),
-            order: VecDeque::new(),
+            capacity,
+            values: HashMap::new(),
+            oldest_first: VecDeque::new(),
         }
     }
 
-    /// Notes something, and forgets the oldest if there is too much. Returns
-    /// whether nothing was known of the job.
-    pub(crate) fn insert(&mut self, id: JobId, what: T) -> bool {
-        let is_new = self.of.insert(id.clone(), what).is_none();
+    /// Sets the value of a job, and drops the oldest jobs beyond the capacity. Returns
+    /// whether the job had no value.
+    pub(crate) fn insert(&mut self, id: JobId, value: T) -> bool {
+        let is_new = self.values.insert(id.clone(), value).is_none();
         if is_new {
-            self.order.push_back(id);
+            self.oldest_first.push_back(id);
         }
-        while self.order.len() > self.capacity {
-            if let Some(old) = self.order.pop_front() {
-                self.of.remove(&old);
+        while self.oldest_first.len() > self.capacity {
+            if let Some(oldest) = self.oldest_first.pop_front() {
+                self.values.remove(&oldest);
             }
         }
         is_new
     }
 
-    /// What is known of a job.
+    /// The value of a job, if it is remembered.
     pub(crate) fn get(&self, id: &JobId) -> Option<T> {
-        self.of.get(id).copied()
+        self.values.get(id).copied()
     }
 }
 
@@ -48,26 +51,27 @@
 pub(crate) struct FinalStage {
     pub(crate) id: JobId,
     pub(crate) stage: JobStage,
-    /// This controller has recorded it, and tells the others.
+    /// Whether this controller has recorded it, and notifies the others.
     pub(crate) is_ours: bool,
 }
 
-/// Final stages of jobs, as they are recorded.
+/// Final stages of recent jobs.
 pub(crate) struct FinalStages {
     stages: RecentJobs<JobStage>,
+    /// Those that became known since they were last taken.
     unannounced: Vec<FinalStage>,
 }
 
 impl FinalStages {
-    /// Remembers the final stages of up to `most` jobs.
-    pub(crate) fn new(most: usize) -> Self {
+    /// Remembers the final stages of up to `capacity` jobs.
+    pub(crate) fn new(capacity: usize) -> Self {
         Self {
-            stages: RecentJobs::new(most),
+            stages: RecentJobs::new(capacity),
             unannounced: Vec::new(),
         }
     }
 
-    /// A final stage was read, or was told by another controller.
+    /// A final stage was read, or was received from another controller.
     pub(crate) fn insert(&mut self, id: JobId, stage: JobStage) {
         self.note(id, stage, false);
     }
@@ -88,7 +92,7 @@
         self.stages.get(id)
     }
 
-    /// What has become known since this was last asked for.
+    /// Takes the final stages that have become known since the last call.
     pub(crate) fn take_unannounced(&mut self) -> Vec<FinalStage> {
         std::mem::take(&mut self.unannounced)
     }
--- a/crates/core/src/recent_jobs/tests.rs
+++ b/crates/core/src/recent_jobs/tests.rs
@@ -1,39 +1,39 @@
-//! Tests of `known_jobs`.
+//! Tests of `recent_jobs`.
 
 use super::*;
 
-fn id(n: usize) -> JobId {
-    JobId::parse(&format!("j-{n}")).expect("an id")
+fn id(number: usize) -> JobId {
+    JobId::parse(&format!("j-{number}")).expect("an id")
 }
 
-/// At the bound all are remembered; one past it the oldest is forgotten, and no other.
+/// At the capacity all are remembered; beyond it the oldest is forgotten, and no other.
 #[test]
-fn the_oldest_is_forgotten_first() {
-    let most = 5;
-    let mut known = RecentJobs::new(most);
-    for n in 0..most {
-        assert!(known.insert(id(n), n));
+fn oldest_job_is_forgotten_beyond_the_capacity() {
+    let capacity = 5;
+    let mut recent = RecentJobs::new(capacity);
+    for n in 0..capacity {
+        assert!(recent.insert(id(n), n));
     }
-    assert!((0..most).all(|n| known.get(&id(n)) == Some(n)));
-    assert!(!known.insert(id(0), 7), "it is known");
-    assert!(known.insert(id(most), most));
-    assert_eq!(known.get(&id(0)), None);
-    assert!((1..=most).all(|n| known.get(&id(n)) == Some(n)));
+    assert!((0..capacity).all(|n| recent.get(&id(n)) == Some(n)));
+    assert!(!recent.insert(id(0), 7), "it is known");
+    assert!(recent.insert(id(capacity), capacity));
+    assert_eq!(recent.get(&id(0)), None);
+    assert!((1..=capacity).all(|n| recent.get(&id(n)) == Some(n)));
 }
 
-/// A final stage that was forgotten is news again when it is read again: others that
-/// need the job are told, who may have forgotten it as well.
+/// A final stage that was forgotten is announced again when it is read again: other
+/// controllers with jobs that depend on it may have forgotten it as well.
 #[test]
-fn a_forgotten_final_stage_is_news_again() {
-    let mut finals = FinalStages::new(1);
-    finals.insert(id(1), JobStage::Done);
-    finals.insert(id(1), JobStage::Done);
-    finals.insert(id(2), JobStage::Done);
-    finals.insert(id(1), JobStage::Done);
-    let news: Vec<JobId> = finals
+fn forgotten_final_stage_is_announced_again() {
+    let mut final_stages = FinalStages::new(1);
+    final_stages.insert(id(1), JobStage::Done);
+    final_stages.insert(id(1), JobStage::Done);
+    final_stages.insert(id(2), JobStage::Done);
+    final_stages.insert(id(1), JobStage::Done);
+    let announced: Vec<JobId> = final_stages
         .take_unannounced()
         .into_iter()
         .map(|f| f.id)
         .collect();
-    assert_eq!(news, vec![id(1), id(2), id(1)]);
+    assert_eq!(announced, vec![id(1), id(2), id(1)]);
 }
--- a/crates/core/src/sizing.rs
+++ b/crates/core/src/sizing.rs
@@ -1,7 +1,7 @@
-//! Whether a controller's limits are enough for a fleet of some size.
+//! Whether a controller's limits suffice for the expected size of the fleet.
 //!
-//! In the worst moment one controller holds every shard and serves every worker: the
-//! others have ended. What it needs then follows from the measured slopes of
+//! In the worst case one controller holds every shard and serves every worker, as all
+//! others have failed. Its needs then follow from the slopes that were measured, see
 //! `docs/CAPACITY.md`.
 
 use forkshift_wire::settings::Settings;
@@ -11,29 +11,29 @@
 const BASE_MB: f64 = 6.7;
 /// Memory for one machine, its record and its tasks, in MB: 2.5 KB, and sixteen tasks of
 /// 0.8 KB, as at the measured peak.
-const MACHINE_MB: f64 = 0.0153;
-/// The part of the memory that is left beside bounded queues, names and answers.
-const STATE_PART: f64 = 0.75;
-/// For so many seconds a report takes a connection, with what it takes to open one.
+const MB_PER_MACHINE: f64 = 0.0153;
+/// The part of the memory that remains beside bounded queues, names and answers.
+const STATE_MEMORY_PART: f64 = 0.75;
+/// Time for which a heartbeat takes a connection, including its opening, in seconds.
 const CONNECTION_S: f64 = 1.0;
 
 /// A limit that is too small for the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortfall {
-    /// The field of the settings.
+    /// Path of the field in the settings.
     pub field: &'static str,
-    /// What it is.
+    /// Its value.
     pub has: f64,
-    /// What would do.
+    /// The least value that suffices.
     pub needs: f64,
-    /// Machines of the fleet.
+    /// Machines in the fleet.
     pub machines: u32,
-    /// What happens if it stays as it is.
+    /// The effect of the limit as it is.
     pub effect: &'static str,
 }
 
 impl fmt::Display for Shortfall {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             field,
             has,
@@ -42,19 +42,19 @@
             effect,
         } = self;
         write!(
-            f,
+            formatter,
             "`{field}` is {has}, and {machines} machines need {needs}: {effect}"
         )
     }
 }
 
-/// Limits of a controller that are too small for a fleet of so many machines.
+/// Limits of a controller that are too small for a fleet of `machines` machines.
 pub fn shortfalls(settings: &Settings, machines: u32) -> Vec<Shortfall> {
     let cluster = &settings.cluster;
     let fleet = f64::from(machines);
-    let reports_a_second = fleet / cluster.workers.report_s;
-    let sockets = reports_a_second * CONNECTION_S / crate::bounds::INCOMING_PART;
-    let memory_mb = (BASE_MB + fleet * MACHINE_MB) / STATE_PART;
+    let heartbeats_per_second = fleet / cluster.workers.report_s;
+    let sockets = heartbeats_per_second * CONNECTION_S / crate::bounds::INCOMING_PART;
+    let memory_mb = (BASE_MB + fleet * MB_PER_MACHINE) / STATE_MEMORY_PART;
     let needs = [
         Shortfall {
             field: "cluster.limits.sockets",
@@ -71,7 +71,10 @@
             effect: "a controller that is left alone may be ended for its memory",
         },
     ];
-    needs.into_iter().filter(|s| s.has < s.needs).collect()
+    needs
+        .into_iter()
+        .filter(|limit| limit.has < limit.needs)
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/core/src/sizing/tests.rs
+++ b/crates/core/src/sizing/tests.rs
@@ -1,10 +1,12 @@
+//! Tests of sizing.
+
 use super::*;
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 
 /// Each limit just large enough, and one less.
 #[test]
-fn what_is_too_small_is_named_with_the_number_that_would_do() {
+fn shortfall_names_the_field_and_the_least_value_that_suffices() {
     let cases: [(u32, f64, usize, f64, &[&str]); 5] = [
         (4_000, 5.0, 1_334, 91.0, &[]),
         (4_000, 5.0, 1_333, 91.0, &["cluster.limits.sockets"]),
@@ -26,7 +28,7 @@
         let found = shortfalls(&settings, machines);
         let named: Vec<&str> = found.iter().map(|s| s.field).collect();
         assert_eq!(named, fields, "{machines} machines, {sockets} sockets");
-        // What it says would do does.
+        // The values that it names suffice.
         settings.cluster.limits.sockets = found.iter().fold(sockets, |n, s| match s.field {
             "cluster.limits.sockets" => s.needs as usize,
             _ => n,
@@ -40,7 +42,7 @@
 }
 
 #[test]
-fn a_shortfall_says_what_there_is_what_would_do_and_what_happens() {
+fn shortfall_displays_value_need_and_effect() {
     let mut settings = Settings::parse(SETTINGS).expect("the example is good");
     settings.cluster.workers.report_s = 1.0;
     settings.cluster.limits.memory_mb = 500.0;
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,66 +1,68 @@
-//! Timer queues: which machines and jobs are due to be looked at.
+//! Timer queues: which machines and jobs are due to be checked.
 //!
-//! A controller is woken by every message. What runs then must touch what has
+//! A controller runs a step for every message. A step must process what has
 //! changed and what is due, not the whole fleet: with 1,240 machines, passes
-//! over all of them and over all jobs took most of the processor.
+//! over all of them and over all jobs took most of the CPU time.
 
 use crate::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Keys that are due: those that were touched, and others at their deadlines.
+///
+/// Invariant: `by_deadline` and `deadlines` hold the same pairs.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<K> {
     touched: BTreeSet<K>,
-    due: BTreeSet<(Ms, K)>,
-    times: BTreeMap<K, Ms>,
+    by_deadline: BTreeSet<(Ms, K)>,
+    deadlines: BTreeMap<K, Ms>,
 }
 
 impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
         Self {
             touched: BTreeSet::new(),
-            due: BTreeSet::new(),
-            times: BTreeMap::new(),
+            by_deadline: BTreeSet::new(),
+            deadlines: BTreeMap::new(),
         }
     }
 }
 
 impl<K: Ord + Clone> TimerQueue<K> {
     /// Makes a key due at once.
-    pub(crate) fn touch(&mut self, k: &K) {
-        if !self.touched.contains(k) {
-            self.touched.insert(k.clone());
+    pub(crate) fn touch(&mut self, key: &K) {
+        if !self.touched.contains(key) {
+            self.touched.insert(key.clone());
         }
     }
 
     /// Sets the deadline of a key, in place of any that was set before.
-    pub(crate) fn wake(&mut self, k: &K, at: Ms) {
-        match self.times.insert(k.clone(), at) {
+    pub(crate) fn wake(&mut self, key: &K, at: Ms) {
+        match self.deadlines.insert(key.clone(), at) {
             Some(old) if old == at => return,
-            Some(old) => drop(self.due.remove(&(old, k.clone()))),
+            Some(old) => drop(self.by_deadline.remove(&(old, key.clone()))),
             None => {}
         }
-        self.due.insert((at, k.clone()));
+        self.by_deadline.insert((at, key.clone()));
     }
 
     /// Drops a key and its deadline.
-    pub(crate) fn forget(&mut self, k: &K) {
-        self.touched.remove(k);
-        if let Some(old) = self.times.remove(k) {
-            self.due.remove(&(old, k.clone()));
+    pub(crate) fn forget(&mut self, key: &K) {
+        self.touched.remove(key);
+        if let Some(old) = self.deadlines.remove(key) {
+            self.by_deadline.remove(&(old, key.clone()));
         }
     }
 
     /// Takes all keys that are due. Their deadlines are dropped with them:
-    /// whatever has to be looked at again must be given a new one.
+    /// a key that has to be checked again must be given a new one.
     pub(crate) fn take(&mut self, now: Ms) -> Vec<K> {
-        while let Some((at, _)) = self.due.first() {
+        while let Some((at, _)) = self.by_deadline.first() {
             if *at > now {
                 break;
             }
-            if let Some((_, k)) = self.due.pop_first() {
-                self.times.remove(&k);
-                self.touched.insert(k);
+            if let Some((_, key)) = self.by_deadline.pop_first() {
+                self.deadlines.remove(&key);
+                self.touched.insert(key);
             }
         }
         std::mem::take(&mut self.touched).into_iter().collect()
--- a/crates/core/src/timers/tests.rs
+++ b/crates/core/src/timers/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of `timers`.
+//! Tests of timer queues.
 
 use super::*;
 
 #[test]
-fn what_was_touched_and_what_is_due_comes_once() {
+fn touched_and_due_keys_are_taken_once() {
     let mut timers = TimerQueue::default();
-    for (k, at) in [("a", 10), ("b", 20), ("c", 30), ("a", 25)] {
-        timers.wake(&k, at);
+    for (key, at) in [("a", 10), ("b", 20), ("c", 30), ("a", 25)] {
+        timers.wake(&key, at);
     }
     timers.touch(&"d");
     timers.touch(&"c");
