--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -1,4 +1,4 @@
-//! A controller that holds a shard with a machine, for tests of what it does.
+//! Test fixture: a controller that holds a shard with one machine.
 
 use crate::config::{Config, Operator};
 use crate::io::{Effect, Input, Reply, RequestId};
@@ -23,76 +23,43 @@
 use std::rc::Rc;
 
 const SETTINGS: &str = include_str!("../../../examples/settings.toml");
+/// Steady clock at the start, in milliseconds.
 pub(crate) const NOW: Ms = 100_000;
+/// Time of day at the start, in milliseconds.
 pub(crate) const WALL: Ms = 5_000_000;
+/// Epoch under which the shard is held.
 pub(crate) const EPOCH: u64 = 3;
+/// Incarnation of the controller.
+const INCARNATION: u64 = 1;
+/// Address of the machine's worker.
+const WORKER_ADDR: &str = "10.1.0.1:9000";
 
-/// A controller with a right, and a shard in use with one machine.
+/// A controller with a valid lease, and an active shard with one machine.
 pub(crate) struct Fixture {
     pub(crate) node: Node,
+    /// The shard that it holds.
     pub(crate) shard: ShardId,
+    /// The shard's machine.
     pub(crate) machine: MachineId,
+    /// Sequence number of the machine's last heartbeat.
     seq: u64,
 }
 
 impl Fixture {
+    /// A controller that leads, with all of the cluster's records in its view.
     pub(crate) fn new() -> Self {
-        let settings = Settings::parse(SETTINGS).expect("the example is good");
+        let settings = Settings::parse(SETTINGS).expect("the example is valid");
         let config = Config::new(&settings, Operator::default());
-        let us = config.node.clone();
         let team = config.teams.values().next().expect("a team");
-        let (shard, zone) = (team.shard, settings.zone.clone());
-        let mut node = Node::new(config, 1, 1);
+        let shard = team.shard;
         let machine = MachineId::new("m-1");
-        let held = ShardRecord {
-            holder: us.clone(),
-            holder_incarnation: 1,
-            epoch: EPOCH,
-            handover_to: None,
-        };
-        let record = MachineRecord {
-            shard,
-            machine_type: "big".to_owned(),
-            zone: zone.clone(),
-            spot: false,
-            addr: Some("10.1.0.1:9000".to_owned()),
-            decommission_reason: None,
-            reassign_to: None,
-            token_floor: 0,
-            images: Vec::new(),
-            pool: None,
-            charged_until_ms: 0,
-        };
-        let of_type = json!({"name": "big", "cpus": 96.0, "accelerators": 8.0, "mem_gb": 768.0,
-            "cache_gb": 200.0, "pull_gb_per_s": 1.0, "hourly": 12.0, "market_price": null,
-            "boot_s": 45.0, "yards": [zone]});
-        let lead = LeaderRecord {
-            node: us.clone(),
-            incarnation: 1,
-        };
-        let here = NodeRecord {
-            incarnation: 1,
-            receives_no_heartbeats: false,
-            format: FormatVersion::CURRENT,
-        };
-        let items = vec![
-            item(node_key(&us), &here, 1),
-            item(LEADER.to_owned(), &lead, 2),
-            item(shard_key(shard), &held, 3),
-            item(type_key("big"), &of_type, 4),
-            item(machine_key(&machine), &record, 5),
-        ];
+        let items = cluster_items(&config, shard, &machine, &settings.zone);
+        let mut node = Node::new(config, INCARNATION, 1);
         node.ctx.now = NOW;
         node.ctx.wall_clock_ms = WALL;
         node.view.replace(items, 5);
-        node.membership
-            .on_lease_granted(&node.ctx, NOW, 200, br#"{"hold":7}"#);
-        node.membership
-            .on_node_record_written(7, 200, br#"{"ledger_rev":1}"#);
-        let mut ours = Shard::new(&mut node.ctx, shard, EPOCH, 3);
-        ours.phase = Phase::Waiting(5);
-        ours.activate(&mut node.ctx, &node.view);
-        node.shards.insert(shard, ours);
+        acquire_lease(&mut node);
+        activate_shard(&mut node, shard);
         node.run_failure_detector();
         let mut fixture = Self {
             node,
@@ -105,41 +72,45 @@
         fixture
     }
 
+    /// The shard that is held.
     pub(crate) fn shard(&mut self) -> &mut Shard {
-        self.node.shards.get_mut(&self.shard).expect("it is ours")
+        self.node
+            .shards
+            .get_mut(&self.shard)
+            .expect("the shard is held")
     }
 
-    /// The token that the machine's holder uses.
+    /// The fencing token that the holder uses for the machine.
     pub(crate) fn token(&mut self) -> u64 {
         let id = self.machine.clone();
         self.shard().machines[&id].token
     }
 
-    /// The controller loses its right.
+    /// The controller's lease expires.
     pub(crate) fn lose_right(&mut self) {
         self.node.ctx.now += self.node.ctx.config.node_lease_ms();
         self.node.run_failure_detector();
     }
 
-    /// A new job of the shard.
+    /// Adds a job to the shard.
     pub(crate) fn job(&mut self, id: &str, kind: JobKind, tasks: u32) -> JobId {
         let id = JobId::parse(id).expect("an id");
         let team = self.shard().teams.keys().next().expect("a team").clone();
         let spec = spec(&id, &team, kind, tasks);
         let Node { shards, ctx, .. } = &mut self.node;
-        let shard = shards.get_mut(&self.shard).expect("it is ours");
+        let shard = shards.get_mut(&self.shard).expect("the shard is held");
         shard.add_job(ctx, spec, None, WALL, 6);
         id
     }
 
     /// Binds a task to the machine, by a record that is written.
-    pub(crate) fn bind(&mut self, id: &JobId, index: u32, sent: StartState) {
+    pub(crate) fn bind(&mut self, id: &JobId, index: u32, start: StartState) {
         let (machine, since) = (self.machine.clone(), self.node.ctx.now);
         let binding = Binding {
             machine,
             attempt: 1,
             version: 0,
-            start: sent,
+            start,
             stage: None,
             stop: None,
             since,
@@ -148,7 +119,7 @@
         self.shard().bind(id, index, binding);
     }
 
-    /// A message of the machine that lists tasks in their first attempt.
+    /// The machine sends a heartbeat that lists tasks in their first attempt.
     pub(crate) fn heartbeat(
         &mut self,
         incarnation: u64,
@@ -157,10 +128,11 @@
     ) {
         let heartbeat = self.message(incarnation, token, tasks);
         let Node { shards, ctx, .. } = &mut self.node;
-        let shard = shards.get_mut(&self.shard).expect("it is ours");
+        let shard = shards.get_mut(&self.shard).expect("the shard is held");
         shard.on_worker_heartbeat(ctx, &heartbeat);
     }
 
+    /// A heartbeat of the machine that lists tasks in their first attempt.
     pub(crate) fn message(
         &mut self,
         incarnation: u64,
@@ -168,7 +140,7 @@
         tasks: &[(&JobId, u32, TaskStage)],
     ) -> WorkerHeartbeat {
         self.seq += 1;
-        let one = |(id, index, stage): &(&JobId, u32, TaskStage)| TaskReport {
+        let report = |(id, index, stage): &(&JobId, u32, TaskStage)| TaskReport {
             task: TaskRef {
                 job: (*id).clone(),
                 index: *index,
@@ -180,7 +152,7 @@
         };
         WorkerHeartbeat {
             machine: self.machine.clone(),
-            addr: "10.1.0.1:9000".to_owned(),
+            addr: WORKER_ADDR.to_owned(),
             machine_type: "big".to_owned(),
             zone: "hall-a".to_owned(),
             spot: false,
@@ -189,12 +161,11 @@
             token,
             notice_s: None,
             images: None,
-            tasks: tasks.iter().map(one).collect(),
+            tasks: tasks.iter().map(report).collect(),
         }
     }
 
-    /// All controllers know the newest format, and the limits that are announced
-    /// are those of the large deployments' next ones.
+    /// All controllers know the newest format, and the announced limits come into force.
     pub(crate) fn finalize_format(&mut self) {
         let mut config = (*self.node.ctx.config).clone();
         config.least_state_limits.value_bytes = 2_048;
@@ -207,15 +178,15 @@
         self.step(0);
     }
 
-    /// A task on the machine has completed.
+    /// A task on the machine completes.
     pub(crate) fn exit_task(&mut self, id: &JobId, index: u32) {
         let shard = self.shard();
         shard.unbind(id, index);
-        let job = shard.jobs.get_mut(id).expect("it is there");
+        let job = shard.jobs.get_mut(id).expect("the job is known");
         job.done.insert(index);
     }
 
-    /// Takes the shard over anew, with these records.
+    /// Recovers the shard again, from these records.
     pub(crate) fn load(&mut self, items: Vec<Item>) {
         let Node { ctx, view, .. } = &mut self.node;
         let mut shard = Shard::new(ctx, self.shard, EPOCH, 3);
@@ -226,18 +197,18 @@
         self.node.shards.insert(self.shard, shard);
     }
 
-    /// Lets time pass.
+    /// Runs a step without inputs after `by` milliseconds.
     pub(crate) fn step(&mut self, by: Ms) -> Vec<Effect> {
         let now = self.node.ctx.now + by;
         self.node.step(now, WALL + now - NOW, Vec::new())
     }
 
-    /// A request, and its answer if that comes at once.
+    /// Sends a request without a body. Returns status and body if it is answered at once.
     pub(crate) fn ask(&mut self, request: u64, method: &str, path: &str) -> Option<(u16, String)> {
         self.send(request, method, path, Vec::new())
     }
 
-    /// A submission, and its answer if that comes at once.
+    /// Submits a job. Returns status and body if that is answered at once.
     pub(crate) fn submit(&mut self, request: u64, spec: &JobSpec) -> Option<(u16, String)> {
         let body = serde_json::to_vec(spec).expect("a submission");
         self.send(request, "POST", "/submissions", body)
@@ -261,16 +232,16 @@
         answer_to(&effects, request)
     }
 
-    /// Ends the last call of a kind that waits.
+    /// Answers the last pending call of a kind.
     pub(crate) fn answer(
         &mut self,
-        which: impl Fn(&PendingCall) -> bool,
+        is_kind: impl Fn(&PendingCall) -> bool,
         status: u16,
         body: &Value,
     ) -> Vec<Effect> {
-        let waiting = self.node.ctx.pending.iter();
-        let call = waiting.filter(|(_, p)| which(p)).map(|(id, _)| *id).max();
-        let call = call.expect("a call waits");
+        let pending = self.node.ctx.pending.iter();
+        let calls = pending.filter(|(_, call)| is_kind(call));
+        let call = calls.map(|(id, _)| *id).max().expect("a pending call");
         let body = body.to_string().into_bytes();
         let now = self.node.ctx.now;
         let answer = Input::Response { call, status, body };
@@ -278,6 +249,56 @@
     }
 }
 
+/// Records of the cluster: the controller, which leads, its shard, and a machine of it.
+fn cluster_items(config: &Config, shard: ShardId, machine: &MachineId, zone: &str) -> Vec<Item> {
+    let node = NodeRecord {
+        incarnation: INCARNATION,
+        receives_no_heartbeats: false,
+        format: FormatVersion::CURRENT,
+    };
+    let leader = LeaderRecord {
+        node: config.node.clone(),
+        incarnation: INCARNATION,
+    };
+    let held = ShardRecord {
+        holder: config.node.clone(),
+        holder_incarnation: INCARNATION,
+        epoch: EPOCH,
+        handover_to: None,
+    };
+    let machine_type = json!({"name": "big", "cpus": 96.0, "accelerators": 8.0, "mem_gb": 768.0,
+        "cache_gb": 200.0, "pull_gb_per_s": 1.0, "hourly": 12.0, "market_price": null,
+        "boot_s": 45.0, "yards": [zone]});
+    let machine_record = MachineRecord {
+        addr: Some(WORKER_ADDR.to_owned()),
+        ..MachineRecord::new(shard, "big", zone, false)
+    };
+    vec![
+        item(node_key(&config.node), &node, 1),
+        item(LEADER.to_owned(), &leader, 2),
+        item(shard_key(shard), &held, 3),
+        item(type_key("big"), &machine_type, 4),
+        item(machine_key(machine), &machine_record, 5),
+    ]
+}
+
+/// The controller's lease is granted, and its record is written.
+fn acquire_lease(node: &mut Node) {
+    node.membership
+        .on_lease_granted(&node.ctx, NOW, 200, br#"{"hold":7}"#);
+    node.membership
+        .on_node_record_written(7, 200, br#"{"ledger_rev":1}"#);
+}
+
+/// The controller has recovered the shard, which had no jobs.
+fn activate_shard(node: &mut Node, shard_id: ShardId) {
+    let mut shard = Shard::new(&mut node.ctx, shard_id, EPOCH, 3);
+    shard.phase = Phase::Waiting(5);
+    shard.activate(&mut node.ctx, &node.view);
+    node.shards.insert(shard_id, shard);
+}
+
+/// A record as the key-value store lists it.
 fn item(key: String, record: &impl Serialize, version: u64) -> Item {
     Item {
         key,
@@ -286,7 +307,7 @@
     }
 }
 
-/// A team whose jobs belong to the shard.
+/// The name of a team whose jobs belong to the shard.
 pub(crate) fn team_of(f: &mut Fixture) -> String {
     f.shard().teams.keys().next().expect("a team").clone()
 }
@@ -300,6 +321,7 @@
     })
 }
 
+/// A job whose tasks need one CPU and 1 GB each.
 pub(crate) fn spec(id: &JobId, team: &str, kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.clone(),
@@ -326,7 +348,7 @@
     }
 }
 
-/// Tasks of a job that are to be stopped.
+/// Indices of a job's tasks that are to be stopped.
 pub(crate) fn stopped(f: &mut Fixture, id: &JobId) -> Vec<u32> {
     let bound = f.shard().jobs[id].bound.iter();
     bound
