--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -9,7 +9,7 @@
 use forkshift_wire::settings::Settings;
 
 /// Bytes of a KB in the settings.
-const BYTES_PER_KB: f64 = 1024.0;
+pub(crate) const BYTES_PER_KB: f64 = 1024.0;
 /// Bytes of a MB in the settings.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a controller.
 
-use crate::bounds::Bounds;
+use crate::bounds::{Bounds, BYTES_PER_KB};
 use crate::membership::format::FormatVersion;
 use crate::records::ShardId;
 use crate::Ms;
@@ -101,8 +101,6 @@
 
 /// Conditions that a transaction may have for each change.
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// Bytes of a KB in the settings.
-const BYTES_PER_KB: f64 = 1024.0;
 
 impl StateLimits {
     fn new(settings: &forkshift_wire::settings::StateLimits) -> Self {
--- a/crates/core/src/leader/scale_out.rs
+++ b/crates/core/src/leader/scale_out.rs
@@ -15,7 +15,7 @@
 
 use super::Leader;
 use crate::context::Context;
-use crate::records::{DemandRecord, ProvisioningIntent, ShardId};
+use crate::records::{DemandRecord, MachineRecord, ProvisioningIntent, ShardId};
 use crate::store::view::ClusterView;
 use capacity::CapacityTracker;
 use results::ProvisioningResult;
@@ -30,6 +30,15 @@
 }
 
 impl MachineKind {
+    /// The kind of a provisioned machine.
+    fn of_machine(record: &MachineRecord) -> Self {
+        Self {
+            machine_type: record.machine_type.clone(),
+            zone: record.zone.clone(),
+            spot: record.spot,
+        }
+    }
+
     /// The kind that an intent requests.
     fn of_intent(intent: &ProvisioningIntent) -> Self {
         Self {
--- a/crates/core/src/leader/scale_out/capacity.rs
+++ b/crates/core/src/leader/scale_out/capacity.rs
@@ -5,7 +5,6 @@
 use crate::context::Context;
 use crate::leader::boot_seconds;
 use crate::leader::inventory::MachineInventory;
-use crate::records::MachineRecord;
 use crate::shard::demand::OVERDUE_BOOTS;
 use crate::store::view::ClusterView;
 use crate::Ms;
@@ -88,16 +87,9 @@
             let boot_s = boot_seconds(view, &record.machine_type);
             if inventory.known_for(ctx.now, id) > crate::ms(boot_s * OVERDUE_BOOTS) {
                 let until = ctx.now + crate::ms(boot_s * SLOW_ZONE_BOOTS);
-                self.slow_until.insert(kind_of_machine(record), until);
+                self.slow_until
+                    .insert(MachineKind::of_machine(record), until);
             }
         }
     }
 }
-
-fn kind_of_machine(record: &MachineRecord) -> MachineKind {
-    MachineKind {
-        machine_type: record.machine_type.clone(),
-        zone: record.zone.clone(),
-        spot: record.spot,
-    }
-}
--- a/crates/core/src/protocol/forwarding/tests.rs
+++ b/crates/core/src/protocol/forwarding/tests.rs
@@ -8,8 +8,9 @@
 
 const PEER_INCARNATION: u64 = 9;
 
-/// HTTP statuses of the answers to forwarded requests.
-fn response_statuses(effects: &[Effect]) -> Vec<u16> {
+/// HTTP statuses of the answers to forwarded requests since the last call.
+fn take_response_statuses(node: &mut Node) -> Vec<u16> {
+    let effects = std::mem::take(&mut node.ctx.effects);
     let messages = effects.iter().filter_map(|e| match e {
         Effect::SendToPeer { message, .. } => Envelope::decode(message).ok(),
         _ => None,
@@ -39,25 +40,13 @@
     for request_number in 0..max_requests {
         receive_request(&mut f.node, request_number);
     }
-    assert_eq!(
-        f.node.ctx.peer_requests.len() as u64,
-        max_requests,
-        "all wait"
-    );
-    assert_eq!(
-        response_statuses(&std::mem::take(&mut f.node.ctx.effects)),
-        Vec::<u16>::new()
-    );
+    let waiting = f.node.ctx.peer_requests.len() as u64;
+    assert_eq!(waiting, max_requests, "all wait");
+    assert_eq!(take_response_statuses(&mut f.node), Vec::<u16>::new());
     receive_request(&mut f.node, max_requests);
-    assert_eq!(
-        f.node.ctx.peer_requests.len() as u64,
-        max_requests,
-        "no more wait"
-    );
-    assert_eq!(
-        response_statuses(&std::mem::take(&mut f.node.ctx.effects)),
-        vec![503]
-    );
+    let waiting = f.node.ctx.peer_requests.len() as u64;
+    assert_eq!(waiting, max_requests, "no more wait");
+    assert_eq!(take_response_statuses(&mut f.node), vec![503]);
 }
 
 /// A request that another controller refuses is handled here, without waiting.
