--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -3,14 +3,14 @@
 use crate::addresses::{self, Addresses};
 use crate::bridge::Bridge;
 use crate::controllers::{self, Controllers};
-use crate::load::{self, ms};
+use crate::load::{self, milliseconds};
 use crate::pools::{pool_figures, AnsweringJobs};
 use crate::preflight::{Allowance, Unfit};
 use crate::process::ProcessFigures;
 use crate::progress::Progress;
 use crate::report::{process_use, Report};
 use crate::settings::controller_name;
-use crate::site::{Cut, CutLink, Kill, Site};
+use crate::site::{CrashSpec, CrashTarget, LinkCutSpec, LinkKind, Site};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use forkshift_net::Executor;
@@ -58,8 +58,8 @@
     site: &'a Site,
     bridge: Rc<Bridge>,
     controllers: Controllers,
-    kills: Vec<Kill>,
-    cuts: Vec<Cut>,
+    kills: Vec<CrashSpec>,
+    cuts: Vec<LinkCutSpec>,
     /// Controllers to be started again, with when, in seconds.
     restarts: Vec<(f64, usize)>,
     ended: u64,
@@ -99,22 +99,22 @@
 }
 
 /// A cut as a fault of the world.
-fn fault_of(cut: &Cut, node: usize, world: &World) -> FaultKind {
-    let time = ms(cut.for_s);
+fn fault_of(cut: &LinkCutSpec, node: usize, world: &World) -> FaultKind {
+    let time = milliseconds(cut.for_s);
     let lost = match cut.link {
-        CutLink::State | CutLink::Cloud => {
+        LinkKind::State | LinkKind::Cloud => {
             return FaultKind::Cut {
                 node,
-                state: cut.link == CutLink::State,
+                state: cut.link == LinkKind::State,
                 workers: false,
-                cloud: cut.link == CutLink::Cloud,
+                cloud: cut.link == LinkKind::Cloud,
                 time,
                 hold: false,
             }
         }
-        CutLink::Reports => Direction::Reports,
-        CutLink::Calls => Direction::Calls,
-        CutLink::Workers => Direction::Both,
+        LinkKind::Reports => Direction::Reports,
+        LinkKind::Calls => Direction::Calls,
+        LinkKind::Workers => Direction::Both,
     };
     let machines = world.machines_of(&Which::All).into_iter();
     let machines = Which::Named(machines.step_by(cut.every.max(1)).collect());
@@ -162,27 +162,42 @@
 
     fn kill_due(&mut self, now_s: f64) {
         while self.kills.first().is_some_and(|k| k.at_s <= now_s) {
-            let kill = self.kills.remove(0);
-            let holder = kill.holder.then(|| self.bridge.holder_of_answers());
-            if let Some(index) = kill.controller.or(holder.flatten()) {
-                self.controllers.kill(index);
-                let back_s = now_s + self.site.controllers.restart_s;
-                self.restarts.push((back_s, index));
-                let name = controller_name(index);
-                self.progress
-                    .event(&format!("{now_s:>4.0} s: {name} is killed"));
+            let crash = self.kills.remove(0);
+            self.inject_crash(now_s, &crash);
+        }
+    }
+
+    fn inject_crash(&mut self, now_s: f64, crash: &CrashSpec) {
+        match crash.target() {
+            Some(CrashTarget::Controller(index)) => self.crash_controller(now_s, index),
+            Some(CrashTarget::ShardHolder) => {
+                if let Some(index) = self.bridge.holder_of_answers() {
+                    self.crash_controller(now_s, index);
+                }
             }
-            if let Some(workers) = kill.workers {
-                self.kill_workers(now_s, Which::Some(workers), &format!("{workers} workers"));
+            Some(CrashTarget::Workers(count)) => {
+                let description = format!("{count} workers");
+                self.kill_workers(now_s, Which::Some(count), &description);
             }
-            if let Some(zone) = &kill.zone {
-                let machines = self.bridge.with_world(|w| w.machines_in(zone));
-                let what = format!("all {} workers of zone {zone}", machines.len());
-                self.kill_workers(now_s, Which::Named(machines), &what);
+            Some(CrashTarget::Zone(zone)) => {
+                let machines = self.bridge.with_world(|world| world.machines_in(&zone));
+                let description = format!("all {} workers of zone {zone}", machines.len());
+                self.kill_workers(now_s, Which::Named(machines), &description);
             }
+            // Validation of the site ensures a target.
+            None => {}
         }
     }
 
+    fn crash_controller(&mut self, now_s: f64, index: usize) {
+        self.controllers.kill(index);
+        let back_s = now_s + self.site.controllers.restart_s;
+        self.restarts.push((back_s, index));
+        let name = controller_name(index);
+        self.progress
+            .event(&format!("{now_s:>4.0} s: {name} is killed"));
+    }
+
     fn cut_due(&mut self, now_s: f64) {
         while self.cuts.first().is_some_and(|c| c.at_s <= now_s) {
             let cut = self.cuts.remove(0);
@@ -238,7 +253,7 @@
              {starts} started, {broken} rules broken",
             self.bridge.healthy().len(),
             self.controllers.len(),
-            self.site.machines(),
+            self.site.on_demand_machines(),
         );
         self.progress.show(now_s as u64, &message);
     }
@@ -270,7 +285,7 @@
             interrupted,
             duration_s: now_s,
             measured_s,
-            workers_asked: u64::from(self.site.machines()),
+            workers_asked: u64::from(self.site.on_demand_machines()),
             controllers: self.controllers.len() as u64,
             controllers_ended: self.ended,
             teams: self.site.teams.iter().map(|t| t.count as u64).sum(),
@@ -311,10 +326,10 @@
         rps: site.state.rps,
         write_rps: site.state.write_rps,
         cloud_rps: site.cloud.rps,
-        report_ms: ms(times.report_s),
-        lease_ms: ms(times.lease_s),
-        gang_wait_ms: ms(times.gang_wait_s),
-        cancel_ms: ms(times.cancel_s),
+        report_ms: milliseconds(times.report_s),
+        lease_ms: milliseconds(times.lease_s),
+        gang_wait_ms: milliseconds(times.gang_wait_s),
+        cancel_ms: milliseconds(times.cancel_s),
         poll_ms: POLL_MS,
         tells_images: times.tells_images,
         ..Size::default()
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,6 +1,6 @@
-//! Draws the jobs of a run.
+//! Draws the jobs that users submit during a run.
 
-use crate::site::{Class, Kind, Site};
+use crate::site::{JobClass, JobKindSpec, Site};
 use forkshift_testkit::Plan;
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::JobId;
@@ -8,56 +8,59 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// Jobs at the start are submitted within this many seconds for every thousand.
-const INITIAL_S_PER_1000: f64 = 10.0;
-/// Users wait for controllers before this.
-const FIRST_S: f64 = 3.0;
+/// Time over which the initial jobs are submitted, in seconds for every thousand jobs.
+const INITIAL_SPREAD_S_PER_1000: f64 = 10.0;
+const MILLISECONDS_PER_S: f64 = 1000.0;
+/// Second of the first submissions, so that the controllers are up.
+const FIRST_SUBMISSION_S: f64 = 3.0;
 
 /// All jobs of a run, drawn from the site's seed.
 pub fn plans(site: &Site) -> Vec<Plan> {
     let mut rng = StdRng::seed_from_u64(site.seed);
-    let teams: Vec<String> = site.teams.iter().flat_map(|t| t.names()).collect();
+    let teams = site.team_names();
     let mut plans = Vec::new();
     for class in &site.classes {
-        for at_s in arrivals(class, site.duration_s, &mut rng) {
-            let n = plans.len();
-            let team = class.team.as_ref().unwrap_or(&teams[n % teams.len()]);
-            plans.push(plan(class, n, team, at_s, &mut rng));
+        for at_s in submission_times(class, site.duration_s, &mut rng) {
+            let number = plans.len();
+            let next_team = &teams[number % teams.len()];
+            let team = class.team.as_ref().unwrap_or(next_team);
+            plans.push(plan(class, number, team, at_s, &mut rng));
         }
     }
     plans
 }
 
-/// When the jobs of a class are submitted, in seconds: those of the start, and
-/// then at random with the class's rate.
-fn arrivals(class: &Class, duration_s: f64, rng: &mut StdRng) -> Vec<f64> {
-    let spread_s = f64::from(class.initial) * INITIAL_S_PER_1000 / 1000.0;
+/// Submission times of the jobs of a class, in seconds: those of the initial jobs, then a
+/// Poisson process with the class's rate.
+fn submission_times(class: &JobClass, duration_s: f64, rng: &mut StdRng) -> Vec<f64> {
+    let spread_s = f64::from(class.initial) * INITIAL_SPREAD_S_PER_1000 / 1000.0;
     let initial = (0..class.initial).map(|_| match class.burst_s {
         Some(at_s) => at_s,
-        None => FIRST_S + rng.random_range(0.0..=spread_s),
+        None => FIRST_SUBMISSION_S + rng.random_range(0.0..=spread_s),
     });
     let mut times: Vec<f64> = initial.collect();
     if class.per_s <= 0.0 {
         return times;
     }
-    let mut at_s = (FIRST_S + spread_s).max(class.from_s);
-    while at_s < duration_s {
-        times.push(at_s);
+    let mut next_s = (FIRST_SUBMISSION_S + spread_s).max(class.from_s);
+    while next_s < duration_s {
+        times.push(next_s);
         let unit: f64 = rng.random_range(f64::EPSILON..1.0);
-        at_s -= unit.ln() / class.per_s;
+        next_s -= unit.ln() / class.per_s;
     }
     times
 }
 
-fn plan(class: &Class, n: usize, team: &str, at_s: f64, rng: &mut StdRng) -> Plan {
+/// Draws a job of a class that is submitted at a time, in seconds.
+fn plan(class: &JobClass, number: usize, team: &str, at_s: f64, rng: &mut StdRng) -> Plan {
     let run_s = match class.kind {
-        Kind::Service => 0.0,
+        JobKindSpec::Service => 0.0,
         _ => class.run_s * rng.random_range(0.5..1.5),
     };
-    let cancels = rng.random_bool(class.cancelled);
-    let cancel_at_s = cancels.then(|| at_s + class.cancelled_within_s * rng.random::<f64>());
+    let is_cancelled = rng.random_bool(class.cancelled);
+    let cancel_at_s = is_cancelled.then(|| at_s + class.cancelled_within_s * rng.random::<f64>());
     let spec = JobSpec {
-        id: JobId::new(&format!("j-{n:06}")),
+        id: JobId::new(&format!("j-{number:06}")),
         class: class.name.clone(),
         team: team.to_owned(),
         kind: class.kind.into(),
@@ -80,26 +83,26 @@
         dependencies: Vec::new(),
     };
     Plan {
-        at: ms(at_s),
+        at: milliseconds(at_s),
         spec,
-        run_ms: ms(run_s),
-        cancel_at: cancel_at_s.map(ms),
+        run_ms: milliseconds(run_s),
+        cancel_at: cancel_at_s.map(milliseconds),
         at_node: None,
         mistake: None,
     }
 }
 
-/// The image of a job.
-fn image(class: &Class, rng: &mut StdRng) -> String {
+/// Name of the image of a job.
+fn image(class: &JobClass, rng: &mut StdRng) -> String {
     match &class.image {
         Some(image) => image.clone(),
         None => format!("{}-{}", class.name, rng.random_range(0..class.images)),
     }
 }
 
-/// Seconds as milliseconds.
-pub fn ms(seconds: f64) -> u64 {
-    (seconds * 1000.0) as u64
+/// Converts seconds to milliseconds, rounded towards 0.
+pub fn milliseconds(seconds: f64) -> u64 {
+    (seconds * MILLISECONDS_PER_S) as u64
 }
 
 #[cfg(test)]
--- a/crates/emulator/src/load/tests.rs
+++ b/crates/emulator/src/load/tests.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn the_load_is_what_the_site_says() {
+fn the_drawn_load_matches_the_site() {
     let text = include_str!("../../../../examples/emulation.toml");
-    let site = Site::parse(text).expect("good");
+    let site = Site::parse(text).expect("a valid site");
     let drawn = plans(&site);
     let again = plans(&site);
     let shape = |p: &forkshift_testkit::Plan| (p.at, p.spec.clone(), p.run_ms, p.cancel_at);
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -25,7 +25,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use report::Report;
-use site::{BadSite, Overrides, Site};
+use site::{Overrides, Site, SiteError};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -126,7 +126,7 @@
     #[error("{0}: {1}")]
     File(String, io::Error),
     #[error("{0}: {1}")]
-    Site(String, BadSite),
+    Site(String, SiteError),
     #[error("{0}")]
     Run(#[from] emulation::Failure),
     #[error("{0}")]
@@ -202,7 +202,9 @@
     file: Option<&Path>,
 ) -> Result<bool, Failure> {
     let (name, site) = read_site(path)?;
-    let mut site = site.with(overrides).map_err(|e| Failure::Site(name, e))?;
+    let mut site = site
+        .with_overrides(overrides)
+        .map_err(|e| Failure::Site(name, e))?;
     site.controllers.operator = operator.or(site.controllers.operator);
     let report = emulation::run(&site, &stop_flag()?)?;
     print!("{report}");
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -72,7 +72,7 @@
 
     /// Whether a site's run fits.
     pub fn check(&self, site: &Site) -> Result<(), Unfit> {
-        let workers = site.machines() + site.capacity.iter().map(|c| c.spot).sum::<u32>();
+        let workers = site.on_demand_machines() + site.spot_machines();
         let sockets = (site.controllers.count * site.controllers.sockets) as u64;
         let beside = FILES_BESIDE + sockets / SOCKETS_A_KEPT_ONE;
         let needed = u64::from(workers) * FILES_A_WORKER + beside;
--- /dev/null
+++ b/crates/emulator/src/site/overrides.rs
@@ -0,0 +1,110 @@
+//! Values of the command line that replace those of the site file.
+
+use super::{validation, Site, SiteError};
+
+/// Values that the command line sets in place of those of the site file.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Overrides {
+    /// Workers in all; capacity, the teams' quotas and the load are scaled with them.
+    pub workers: Option<u32>,
+    /// Task starts a second of the jobs that arrive; the rates of all classes are scaled.
+    pub starts_per_s: Option<f64>,
+    /// Number of controllers.
+    pub controllers: Option<usize>,
+    /// Teams of each entry; the sum of their quotas stays.
+    pub teams: Option<usize>,
+    /// Length of the run, in seconds; the warm-up is scaled with it.
+    pub duration_s: Option<f64>,
+    /// Seed of all random draws.
+    pub seed: Option<u64>,
+}
+
+impl Overrides {
+    /// The arguments of the command line that set the same values.
+    pub fn to_arguments(self) -> Vec<String> {
+        let options = [
+            ("--workers", self.workers.map(|n| n.to_string())),
+            (
+                "--starts-per-second",
+                self.starts_per_s.map(|n| n.to_string()),
+            ),
+            ("--controllers", self.controllers.map(|n| n.to_string())),
+            ("--teams", self.teams.map(|n| n.to_string())),
+            ("--duration-s", self.duration_s.map(|n| n.to_string())),
+            ("--seed", self.seed.map(|n| n.to_string())),
+        ];
+        let mut arguments = Vec::new();
+        for (name, value) in options {
+            if let Some(value) = value {
+                arguments.extend([name.to_owned(), value]);
+            }
+        }
+        arguments
+    }
+}
+
+impl Site {
+    /// The site with the values of the command line, validated again.
+    pub fn with_overrides(mut self, overrides: &Overrides) -> Result<Self, SiteError> {
+        if let Some(seed) = overrides.seed {
+            self.seed = seed;
+        }
+        if let Some(count) = overrides.controllers {
+            self.controllers.count = count;
+        }
+        if let Some(count) = overrides.teams {
+            self.divide_teams(count);
+        }
+        if let Some(duration_s) = overrides.duration_s {
+            self.warmup_s *= duration_s / self.duration_s;
+            self.duration_s = duration_s;
+        }
+        if let Some(workers) = overrides.workers {
+            self.scale_to_workers(workers);
+        }
+        if let Some(starts_per_s) = overrides.starts_per_s {
+            self.scale_to_starts(starts_per_s);
+        }
+        validation::validate(&self)?;
+        Ok(self)
+    }
+
+    /// Divides the quotas of each entry among another number of teams.
+    fn divide_teams(&mut self, count: usize) {
+        for team in &mut self.teams {
+            let factor = team.count as f64 / count.max(1) as f64;
+            team.count = count;
+            team.scale_quotas(factor);
+        }
+    }
+
+    /// Scales capacity, quotas and load so that there are so many workers.
+    fn scale_to_workers(&mut self, workers: u32) {
+        let factor = f64::from(workers) / f64::from(self.on_demand_machines().max(1));
+        let scaled = |count: u32| (f64::from(count) * factor).ceil() as u32;
+        for capacity in &mut self.capacity {
+            capacity.count = scaled(capacity.count);
+            capacity.spot = scaled(capacity.spot);
+        }
+        for team in &mut self.teams {
+            team.scale_quotas(factor);
+        }
+        for class in &mut self.classes {
+            class.initial = (f64::from(class.initial) * factor).round() as u32;
+            class.per_s *= factor;
+        }
+    }
+
+    /// Scales the arrival rates so that so many tasks start a second.
+    fn scale_to_starts(&mut self, starts_per_s: f64) {
+        let present = self.starts_per_s();
+        let factor = if present > 0.0 {
+            starts_per_s / present
+        } else {
+            0.0
+        };
+        for class in &mut self.classes {
+            class.per_s *= factor;
+        }
+    }
+}
--- a/crates/emulator/src/site/tests.rs
+++ b/crates/emulator/src/site/tests.rs
@@ -1,14 +1,14 @@
-use super::{Overrides, Site};
+use super::{CapacitySpec, ControllersSpec, MachineTypeSpec, Overrides, Site, TeamSpec};
 
 const EXAMPLE: &str = include_str!("../../../../examples/emulation.toml");
 
-fn changed(from: &str, to: &str) -> Result<Site, String> {
+fn parse_with(from: &str, to: &str) -> Result<Site, String> {
     assert!(EXAMPLE.contains(from), "{from}");
     Site::parse(&EXAMPLE.replacen(from, to, 1)).map_err(|e| e.to_string())
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_example_sites_are_valid() {
     let capacity = include_str!("../../../../examples/capacity.toml");
     let pools = include_str!("../../../../examples/warm-pools.toml");
     for text in [EXAMPLE, capacity, pools] {
@@ -16,9 +16,8 @@
     }
 }
 
-/// What is wrong is named with its place.
 #[test]
-fn wrong_fields_are_named() {
+fn an_invalid_field_is_named_with_its_path() {
     let cases = [
         ("duration_s = 48.0", "duration_s = 0.0", "`duration_s`"),
         ("duration_s = 48.0", "duration_s = 1e9", "`duration_s`"),
@@ -62,16 +61,16 @@
         ),
     ];
     for (from, to, named) in cases {
-        let error = changed(from, to).expect_err(to);
+        let error = parse_with(from, to).expect_err(to);
         assert!(error.contains(named), "{to}: {error}");
     }
-    let error = changed("kind = \"gang\"", "kind = \"gong\"").expect_err("no kind");
+    let error = parse_with("kind = \"gang\"", "kind = \"gong\"").expect_err("no kind");
     assert!(error.contains("line "), "{error}");
 }
 
 #[test]
-fn the_command_line_sets_sizes() {
-    let site = Site::parse(EXAMPLE).expect("good");
+fn overrides_scale_the_site() {
+    let site = Site::parse(EXAMPLE).expect("a valid site");
     let before = site.clone();
     let overrides = Overrides {
         workers: Some(300),
@@ -81,8 +80,8 @@
         duration_s: Some(96.0),
         controllers: Some(5),
     };
-    let site = site.with(&overrides).expect("good");
-    assert_eq!(site.machines(), 300);
+    let site = site.with_overrides(&overrides).expect("a valid site");
+    assert_eq!(site.on_demand_machines(), 300);
     assert!((site.starts_per_s() - 50.0).abs() < 1e-9);
     assert_eq!((site.seed, site.controllers.count), (9, 5));
     assert_eq!(site.warmup_s, 20.0, "in the same part of the run");
@@ -96,12 +95,12 @@
         controllers: Some(0),
         ..Overrides::default()
     };
-    assert!(before.with(&none).is_err());
+    assert!(before.with_overrides(&none).is_err());
 }
 
-/// A class as it was read, each value behind its name in the file.
-fn show_class(class: &super::Class) -> String {
-    let super::Class {
+/// A class with the value of each field, under its name in the file.
+fn show_class(class: &super::JobClass) -> String {
+    let super::JobClass {
         name,
         kind,
         priority,
@@ -127,15 +126,15 @@
         burst_s,
     } = class;
     let kind = match kind {
-        super::Kind::Array => "array",
-        super::Kind::Gang => "gang",
-        super::Kind::Service => "service",
+        super::JobKindSpec::Array => "array",
+        super::JobKindSpec::Gang => "gang",
+        super::JobKindSpec::Service => "service",
     };
     let priority = match priority {
-        super::PrioritySpec::Low => "low",
-        super::PrioritySpec::Normal => "normal",
-        super::PrioritySpec::High => "high",
-        super::PrioritySpec::Production => "production",
+        super::workload::PrioritySpec::Low => "low",
+        super::workload::PrioritySpec::Normal => "normal",
+        super::workload::PrioritySpec::High => "high",
+        super::workload::PrioritySpec::Production => "production",
     };
     format!(
         "class {name} kind {kind} priority {priority} tasks {tasks:?}
@@ -147,21 +146,21 @@
     )
 }
 
-fn show_troubles(site: &Site) -> String {
+fn show_faults(site: &Site) -> String {
     let mut text = String::new();
-    for kill in &site.kills {
+    for crash in &site.kills {
         text += &format!(
             "kill at_s {} controller {:?} workers {:?} zone {:?} holder {}\n",
-            kill.at_s, kill.controller, kill.workers, kill.zone, kill.holder
+            crash.at_s, crash.controller, crash.workers, crash.zone, crash.holder
         );
     }
     for cut in &site.cuts {
         let link = match cut.link {
-            super::CutLink::State => "state",
-            super::CutLink::Cloud => "cloud",
-            super::CutLink::Reports => "reports",
-            super::CutLink::Calls => "calls",
-            super::CutLink::Workers => "workers",
+            super::LinkKind::State => "state",
+            super::LinkKind::Cloud => "cloud",
+            super::LinkKind::Reports => "reports",
+            super::LinkKind::Calls => "calls",
+            super::LinkKind::Workers => "workers",
         };
         text += &format!(
             "cut at_s {} for_s {} controller {:?} link {link} every {}\n",
@@ -171,66 +170,93 @@
     text
 }
 
-/// A site as it was read, each value behind its name in the file.
+fn show_controllers(controllers: &ControllersSpec) -> String {
+    format!(
+        "controllers count {} program {:?} operator {:?} arguments {:?}
+  restart_s {} sockets {} base_port {}\n",
+        controllers.count,
+        controllers.program,
+        controllers.operator,
+        controllers.arguments,
+        controllers.restart_s,
+        controllers.sockets,
+        controllers.base_port
+    )
+}
+
+fn show_machine_type(machine_type: &MachineTypeSpec) -> String {
+    format!(
+        "machine_type {} cpus {} gpus {} memory_gb {} cache_gb {}
+  fetch_gb_per_s {} price {} spot_price {:?} boot_s {}\n",
+        machine_type.name,
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.memory_gb,
+        machine_type.cache_gb,
+        machine_type.fetch_gb_per_s,
+        machine_type.price,
+        machine_type.spot_price,
+        machine_type.boot_s
+    )
+}
+
+fn show_capacity(capacity: &CapacitySpec) -> String {
+    format!(
+        "capacity type {} zone {} count {} spot {}\n",
+        capacity.machine_type, capacity.zone, capacity.count, capacity.spot
+    )
+}
+
+fn show_team(team: &TeamSpec) -> String {
+    format!(
+        "team {} count {} cpus {} cpus_max {} gpus {} gpus_max {} names {:?}\n",
+        team.name,
+        team.count,
+        team.cpus,
+        team.cpus_max,
+        team.gpus,
+        team.gpus_max,
+        team.names()
+    )
+}
+
+fn show_services(site: &Site) -> String {
+    let (workers, store, cloud) = (&site.workers, &site.state, &site.cloud);
+    format!(
+        "workers report_s {} lease_s {} gang_wait_s {} gang_peer_s {} cancel_s {} tells_images {}
+state rps {} write_rps {} value_kb {} txn_ops {}
+cloud rps {} boot_fail {}\n",
+        workers.report_s,
+        workers.lease_s,
+        workers.gang_wait_s,
+        workers.gang_peer_s,
+        workers.cancel_s,
+        workers.tells_images,
+        store.rps,
+        store.write_rps,
+        store.value_kb,
+        store.txn_ops,
+        cloud.rps,
+        cloud.boot_fail
+    )
+}
+
+/// A site with the value of each field, under its name in the file.
 fn show(site: &Site) -> String {
     let mut text = format!(
         "name {} seed {} duration_s {} warmup_s {} zones {:?}\n",
         site.name, site.seed, site.duration_s, site.warmup_s, site.zones
     );
-    let c = &site.controllers;
-    text += &format!(
-        "controllers count {} program {:?} operator {:?} arguments {:?}\n",
-        c.count, c.program, c.operator, c.arguments
-    );
-    text += &format!(
-        "  restart_s {} sockets {} base_port {}\n",
-        c.restart_s, c.sockets, c.base_port
-    );
-    for t in &site.machine_types {
-        text += &format!(
-            "machine_type {} cpus {} gpus {} memory_gb {} cache_gb {}\n",
-            t.name, t.cpus, t.gpus, t.memory_gb, t.cache_gb
-        );
-        text += &format!(
-            "  fetch_gb_per_s {} price {} spot_price {:?} boot_s {}\n",
-            t.fetch_gb_per_s, t.price, t.spot_price, t.boot_s
-        );
-    }
-    for c in &site.capacity {
-        text += &format!(
-            "capacity type {} zone {} count {} spot {}\n",
-            c.machine_type, c.zone, c.count, c.spot
-        );
-    }
-    for t in &site.teams {
-        text += &format!(
-            "team {} count {} cpus {} cpus_max {} gpus {} gpus_max {} names {:?}\n",
-            t.name,
-            t.count,
-            t.cpus,
-            t.cpus_max,
-            t.gpus,
-            t.gpus_max,
-            t.names()
-        );
-    }
-    let w = &site.workers;
-    text += &format!(
-        "workers report_s {} lease_s {} gang_wait_s {} gang_peer_s {} cancel_s {} tells_images {}\n",
-        w.report_s, w.lease_s, w.gang_wait_s, w.gang_peer_s, w.cancel_s, w.tells_images
-    );
-    let s = &site.state;
-    text += &format!(
-        "state rps {} write_rps {} value_kb {} txn_ops {}\n",
-        s.rps, s.write_rps, s.value_kb, s.txn_ops
-    );
-    let cloud = &site.cloud;
-    text += &format!("cloud rps {} boot_fail {}\n", cloud.rps, cloud.boot_fail);
+    text += &show_controllers(&site.controllers);
+    text.extend(site.machine_types.iter().map(show_machine_type));
+    text.extend(site.capacity.iter().map(show_capacity));
+    text.extend(site.teams.iter().map(show_team));
+    text += &show_services(site);
     text.extend(site.classes.iter().map(show_class));
-    text + &show_troubles(site)
+    text + &show_faults(site)
 }
 
-/// Site files are read to the values in `golden/values.txt`.
+/// Site files are parsed to the values in `golden/values.txt`.
 #[test]
 fn golden_site_files_keep_their_values() {
     let files = [
@@ -241,7 +267,7 @@
         include_str!("../../../../examples/partial-cuts.toml"),
         include_str!("../../../../examples/warm-pools.toml"),
     ];
-    let sites = files.map(|text| Site::parse(text).expect("it is good"));
+    let sites = files.map(|text| Site::parse(text).expect("a valid site"));
     let seen: Vec<String> = sites.iter().map(show).collect();
     let seen = seen.join("\n");
     assert!(seen == include_str!("golden/values.txt"), "{seen}");
--- a/crates/emulator/src/sweep.rs
+++ b/crates/emulator/src/sweep.rs
@@ -215,7 +215,7 @@
         let program = std::env::current_exe().map_err(|e| Failure::File(path.clone(), e))?;
         let mut command = Command::new(program);
         command.arg("run").arg(self.site).arg("--report").arg(&path);
-        command.args(overrides.arguments());
+        command.args(overrides.to_arguments());
         // It says by its status whether a rule was broken, and so does the report.
         let ran = command.status();
         ran.map_err(|e| Failure::File(path.clone(), e))?;
