--- a/crates/emulator/src/addresses.rs
+++ b/crates/emulator/src/addresses.rs
@@ -1,67 +1,76 @@
-//! Addresses on the loopback network, one for each process and worker.
+//! Addresses on the loopback network: each process and worker has one of its own.
 
 use forkshift_wire::MachineId;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Port of all hollow workers; each has an IP address of its own.
+/// Port of every hollow worker; each worker has its own IP address.
 const WORKER_PORT: u16 = 9_000;
-/// First port of model servers, and how many there are on a machine.
-const MODEL_PORT: u16 = 9_100;
-const MODEL_PORTS: u16 = 1_000;
-/// First part of workers' addresses behind 127.
-const WORKER_NET: u32 = 64;
+/// First port of the model servers of a machine.
+const FIRST_MODEL_SERVER_PORT: u16 = 9_100;
+/// Number of ports of the model servers of a machine.
+const MODEL_SERVER_PORTS: u32 = 1_000;
+/// Second octet of the workers' first addresses.
+const WORKER_NETWORK: u8 = 64;
+/// Number of second octets for workers; their addresses end before 127.192.0.0.
+const WORKER_NETWORKS: u8 = 128;
+/// Third octets of the addresses of controllers and services.
+const CONTROLLER_SUBNET: u8 = 1;
+const STATE_SUBNET: u8 = 2;
+const CLOUD_SUBNET: u8 = 3;
 
-/// Where the services and the controllers of a run are.
+/// Addresses of the services and the controllers of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     base_port: u16,
 }
 
 impl Addresses {
-    /// Those that use ports from `base_port` on.
+    /// Addresses with ports from `base_port` on.
     pub fn new(base_port: u16) -> Self {
         Self { base_port }
     }
 
-    /// The state service, as a controller reaches it: each has an address of its own, so
-    /// that its link alone can be cut.
+    /// Address of the key-value store for one controller. Each controller has its own, so
+    /// that its link can be cut alone.
     pub fn state(self, controller: usize) -> SocketAddr {
-        at([127, 0, 2, controller as u8 + 1], self.base_port)
+        self.at(STATE_SUBNET, controller, self.base_port)
     }
 
-    /// The cloud, likewise.
+    /// Address of the cloud for one controller. Each controller has its own.
     pub fn cloud(self, controller: usize) -> SocketAddr {
-        at([127, 0, 3, controller as u8 + 1], self.base_port)
+        self.at(CLOUD_SUBNET, controller, self.base_port)
     }
 
-    /// Where a controller takes requests of users and workers.
+    /// Address at which a controller serves users and workers.
     pub fn controller(self, index: usize) -> SocketAddr {
-        at([127, 0, 1, index as u8 + 1], self.base_port)
+        self.at(CONTROLLER_SUBNET, index, self.base_port)
     }
 
-    /// Where it takes messages of the others.
+    /// Address at which a controller receives messages of its peers.
     pub fn controller_peer(self, index: usize) -> SocketAddr {
-        at([127, 0, 1, index as u8 + 1], self.base_port + 1)
+        self.at(CONTROLLER_SUBNET, index, self.base_port + 1)
     }
-}
 
-/// The address of a replica's model server: that of its machine's worker, with a port of
-/// its own.
-pub fn model_server(machine: &MachineId, task: u32) -> SocketAddr {
-    let worker: Option<SocketAddr> = worker(machine).parse().ok();
-    let ip = worker.map_or(IpAddr::V4(Ipv4Addr::LOCALHOST), |addr| addr.ip());
-    SocketAddr::new(ip, MODEL_PORT + (task % u32::from(MODEL_PORTS)) as u16)
+    fn at(self, subnet: u8, controller: usize, port: u16) -> SocketAddr {
+        let ip = Ipv4Addr::new(127, 0, subnet, controller as u8 + 1);
+        SocketAddr::new(IpAddr::V4(ip), port)
+    }
 }
 
-fn at(ip: [u8; 4], port: u16) -> SocketAddr {
-    SocketAddr::new(IpAddr::V4(Ipv4Addr::from(ip)), port)
+/// Address of a replica's model server: the IP address of its machine's worker, with a port
+/// of the task's index.
+pub fn model_server(machine: &MachineId, task_index: u32) -> SocketAddr {
+    let worker: Option<SocketAddr> = worker(machine).parse().ok();
+    let ip = worker.map_or(IpAddr::V4(Ipv4Addr::LOCALHOST), |address| address.ip());
+    let offset = (task_index % MODEL_SERVER_PORTS) as u16;
+    SocketAddr::new(ip, FIRST_MODEL_SERVER_PORT + offset)
 }
 
-/// The address of a machine's worker, from the number that ends its name.
+/// Address of a machine's worker, computed from the number at the end of the machine's name.
 pub fn worker(machine: &MachineId) -> String {
-    let number = machine.as_str().rsplit('-').next();
-    let number: u32 = number.and_then(|n| n.parse().ok()).unwrap_or(0);
+    let suffix = machine.as_str().rsplit('-').next();
+    let number: u32 = suffix.and_then(|text| text.parse().ok()).unwrap_or(0);
     let [_, high, middle, low] = number.to_be_bytes();
-    let net = WORKER_NET as u8 + high % 128;
-    format!("127.{net}.{middle}.{low}:{WORKER_PORT}")
+    let network = WORKER_NETWORK + high % WORKER_NETWORKS;
+    format!("127.{network}.{middle}.{low}:{WORKER_PORT}")
 }
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -1,7 +1,7 @@
 //! The controllers: child processes of the real program.
 
 use crate::addresses::Addresses;
-use crate::process::ProcessFigures;
+use crate::process::ProcessUsage;
 use crate::settings::{controller_name, settings};
 use crate::site::Site;
 use std::fs::{self, File};
@@ -11,21 +11,21 @@
 
 /// Why controllers can't be started.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
-    /// The program is not there.
+pub enum ControllerError {
+    /// The controller's program does not exist.
     #[error("{0}: not found; build it with `cargo build --release --locked`")]
-    Program(PathBuf),
-    /// A file can't be written.
-    #[error("{path}: {error}")]
+    ProgramNotFound(PathBuf),
+    /// A settings or log file can't be written.
+    #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
-        error: io::Error,
+        /// Why it can't be written.
+        source: io::Error,
     },
     /// A process can't be started.
     #[error("{0}")]
-    Spawn(io::Error),
+    Spawn(#[source] io::Error),
 }
 
 /// One controller.
@@ -33,11 +33,55 @@
     child: Option<Child>,
     settings: PathBuf,
     log: PathBuf,
-    /// Processor seconds of its earlier processes.
-    ended_cpu_s: f64,
+    /// Processor seconds of the controller's earlier processes.
+    exited_cpu_s: f64,
 }
 
-/// All controllers of a run. They are ended when this is dropped.
+impl Controller {
+    /// Writes the settings of one controller to a directory.
+    fn prepare(
+        site: &Site,
+        addresses: Addresses,
+        index: usize,
+        directory: &Path,
+    ) -> Result<Self, ControllerError> {
+        let name = controller_name(index);
+        let path = directory.join(format!("{name}.toml"));
+        let text = toml::to_string(&settings(site, addresses, index)).unwrap_or_default();
+        fs::write(&path, text).map_err(|source| file_error(&path, source))?;
+        Ok(Self {
+            child: None,
+            settings: path,
+            log: directory.join(format!("{name}.log")),
+            exited_cpu_s: 0.0,
+        })
+    }
+
+    fn open_log(&self) -> Result<File, ControllerError> {
+        let file = File::options().create(true).append(true).open(&self.log);
+        file.map_err(|source| file_error(&self.log, source))
+    }
+
+    /// Resources that the controller has used. Memory is that of the present process.
+    fn usage(&self) -> ProcessUsage {
+        let child = self.child.as_ref();
+        let present = child.and_then(|child| ProcessUsage::of_process(child.id()));
+        let present = present.unwrap_or_default();
+        ProcessUsage {
+            cpu_s: present.cpu_s + self.exited_cpu_s,
+            ..present
+        }
+    }
+}
+
+fn file_error(path: &Path, source: io::Error) -> ControllerError {
+    ControllerError::File {
+        path: path.to_owned(),
+        source,
+    }
+}
+
+/// All controllers of a run. They are killed on drop.
 pub struct Controllers {
     program: PathBuf,
     operator: Option<PathBuf>,
@@ -46,55 +90,38 @@
 }
 
 impl Controllers {
-    /// Writes the settings of a site's controllers into a folder. None is started.
-    pub fn prepare(site: &Site, addresses: Addresses, folder: &Path) -> Result<Self, Failure> {
+    /// Writes the settings of a site's controllers to a directory. None is started.
+    pub fn prepare(
+        site: &Site,
+        addresses: Addresses,
+        directory: &Path,
+    ) -> Result<Self, ControllerError> {
         let program = site.controllers.program.clone();
         if !program.is_file() {
-            return Err(Failure::Program(program));
-        }
-        let mut all = Vec::new();
-        for index in 0..site.controllers.count {
-            let name = controller_name(index);
-            let path = folder.join(format!("{name}.toml"));
-            let text = toml::to_string(&settings(site, addresses, index)).unwrap_or_default();
-            fs::write(&path, text).map_err(|error| Failure::File {
-                path: path.clone(),
-                error,
-            })?;
-            all.push(Controller {
-                child: None,
-                settings: path,
-                log: folder.join(format!("{name}.log")),
-                ended_cpu_s: 0.0,
-            });
+            return Err(ControllerError::ProgramNotFound(program));
         }
+        let all = (0..site.controllers.count)
+            .map(|index| Controller::prepare(site, addresses, index, directory));
         Ok(Self {
             program,
             operator: site.controllers.operator.clone(),
             arguments: site.controllers.arguments.clone(),
-            all,
+            all: all.collect::<Result<_, _>>()?,
         })
     }
 
-    /// How many there are.
+    /// Number of controllers.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Starts one that is not running.
-    pub fn start(&mut self, index: usize) -> Result<(), Failure> {
+    /// Starts a controller; does nothing if it is running.
+    pub fn start(&mut self, index: usize) -> Result<(), ControllerError> {
         let controller = &mut self.all[index];
         if controller.child.is_some() {
             return Ok(());
         }
-        let log = File::options()
-            .create(true)
-            .append(true)
-            .open(&controller.log)
-            .map_err(|error| Failure::File {
-                path: controller.log.clone(),
-                error,
-            })?;
+        let log = controller.open_log()?;
         let mut command = Command::new(&self.program);
         command.arg("serve");
         if let Some(operator) = &self.operator {
@@ -103,65 +130,64 @@
         command.args(&self.arguments);
         command.arg("--config").arg(&controller.settings);
         command.stdin(Stdio::null()).stdout(Stdio::null());
-        let child = command.stderr(log).spawn().map_err(Failure::Spawn)?;
+        let child = command
+            .stderr(log)
+            .spawn()
+            .map_err(ControllerError::Spawn)?;
         controller.child = Some(child);
         Ok(())
     }
 
-    /// Kills one, without a signal that it could catch.
+    /// Kills a controller with a signal that it can't catch.
     pub fn kill(&mut self, index: usize) {
         let controller = &mut self.all[index];
         if let Some(mut child) = controller.child.take() {
-            let figures = ProcessFigures::read(child.id());
-            controller.ended_cpu_s += figures.map_or(0.0, |f| f.cpu_s);
-            // It may have ended by itself; either way it is gone afterwards.
+            let usage = ProcessUsage::of_process(child.id());
+            controller.exited_cpu_s += usage.map_or(0.0, |usage| usage.cpu_s);
+            // Both fail only if the process has exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Those that ended by themselves since this was last called.
-    pub fn take_ended(&mut self) -> Vec<usize> {
-        let mut ended = Vec::new();
+    /// Indexes of the controllers that exited without [`Self::kill`] since the last call.
+    pub fn take_exited(&mut self) -> Vec<usize> {
+        let mut exited = Vec::new();
         for (index, controller) in self.all.iter_mut().enumerate() {
             let child = controller.child.as_mut();
-            if child.is_some_and(|c| matches!(c.try_wait(), Ok(Some(_)))) {
+            if child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_)))) {
                 controller.child = None;
-                ended.push(index);
+                exited.push(index);
             }
         }
-        ended
+        exited
     }
 
-    /// Asks the program for what pools have cost, all in all; none if it fails.
+    /// A function that runs the program's `pools report` over all time and returns its JSON,
+    /// or `None` if it fails.
     pub fn pools_report(&self) -> impl FnOnce() -> Option<String> + Send + 'static {
         let program = self.program.clone();
-        let settings = self.all.first().map(|c| c.settings.clone());
+        let settings = self
+            .all
+            .first()
+            .map(|controller| controller.settings.clone());
         move || {
             let mut command = Command::new(program);
             command.args(["pools", "report", "--json", "--from", "1970-01-01"]);
             command.args(["--to", "2100-01-01", "--config"]);
             let output = command.arg(settings?).output().ok()?;
             if !output.status.success() {
-                log::error!("{}", String::from_utf8_lossy(&output.stderr));
+                let error = String::from_utf8_lossy(&output.stderr);
+                log::error!("pools report: failed, {error}");
                 return None;
             }
             String::from_utf8(output.stdout).ok()
         }
     }
 
-    /// What each has used so far. Memory is that of its present process.
-    pub fn figures(&self) -> Vec<ProcessFigures> {
-        let of = |c: &Controller| {
-            let child = c.child.as_ref();
-            let now = child.and_then(|child| ProcessFigures::read(child.id()));
-            let now = now.unwrap_or_default();
-            ProcessFigures {
-                cpu_s: now.cpu_s + c.ended_cpu_s,
-                ..now
-            }
-        };
-        self.all.iter().map(of).collect()
+    /// Resources that each controller has used, over all its processes.
+    pub fn usage(&self) -> Vec<ProcessUsage> {
+        self.all.iter().map(Controller::usage).collect()
     }
 }
 
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -2,11 +2,11 @@
 
 use crate::addresses::{self, Addresses};
 use crate::bridge::Bridge;
-use crate::controllers::{self, Controllers};
+use crate::controllers::{ControllerError, Controllers};
 use crate::load::{self, milliseconds};
 use crate::pools::{pool_figures, AnsweringJobs};
-use crate::preflight::{Allowance, Unfit};
-use crate::process::ProcessFigures;
+use crate::preflight::{MachineLimits, PreflightError};
+use crate::process::ProcessUsage;
 use crate::progress::Progress;
 use crate::report::{process_use, Report};
 use crate::settings::controller_name;
@@ -38,10 +38,10 @@
 pub enum Failure {
     /// The machine is too small.
     #[error("{0}")]
-    Unfit(#[from] Unfit),
+    Preflight(#[from] PreflightError),
     /// The controllers can't be started.
     #[error("{0}")]
-    Controllers(#[from] controllers::Failure),
+    Controllers(#[from] ControllerError),
     /// A socket can't be had, or the folder for logs can't be made.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -49,8 +49,8 @@
 
 /// What all controllers and this process had used at a moment.
 struct Used {
-    controllers: Vec<ProcessFigures>,
-    own: ProcessFigures,
+    controllers: Vec<ProcessUsage>,
+    own: ProcessUsage,
 }
 
 /// A run that is going on.
@@ -69,7 +69,7 @@
 
 /// Makes a run of a site. It ends early once `stop` is set.
 pub fn run(site: &Site, stop: &Arc<AtomicBool>) -> Result<Report, Failure> {
-    Allowance::read()?.check(site)?;
+    MachineLimits::read()?.check(site)?;
     let folder = Folder::new()?;
     let addresses = Addresses::new(site.controllers.base_port);
     let mut controllers = Controllers::prepare(site, addresses, &folder.0)?;
@@ -155,8 +155,8 @@
 
     fn used(&self) -> Used {
         Used {
-            controllers: self.controllers.figures(),
-            own: ProcessFigures::own().unwrap_or_default(),
+            controllers: self.controllers.usage(),
+            own: ProcessUsage::of_this_process().unwrap_or_default(),
         }
     }
 
@@ -222,7 +222,7 @@
     }
 
     fn restart_due(&mut self, now_s: f64) -> Result<(), Failure> {
-        for index in self.controllers.take_ended() {
+        for index in self.controllers.take_exited() {
             self.ended += 1;
             let name = controller_name(index);
             self.progress
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -1,94 +1,109 @@
-//! What a run needs of the machine, checked before anything is started.
+//! Checks that this machine has the resources for a run before anything is started.
 
 use crate::site::Site;
-use std::fs;
+use std::{fs, io};
 
-/// Files that a hollow worker takes: its listener and its connection to a controller.
-const FILES_A_WORKER: u64 = 2;
-/// A controller keeps one of so many of its sockets open to workers between calls.
-const SOCKETS_A_KEPT_ONE: u64 = 10;
-/// Files beside the workers': services, users, logs.
-const FILES_BESIDE: u64 = 500;
-/// Memory that a hollow worker takes with its tasks, generously, in KiB.
-const WORKER_KB: u64 = 128;
-/// Memory of a controller, generously, in KiB.
-const CONTROLLER_KB: u64 = 200 * 1024;
-/// The part of the machine's memory that a run may take.
-const MEMORY_PART: f64 = 0.5;
+/// Open files of a hollow worker: its listener and its connection to a controller.
+const FILES_PER_WORKER: u64 = 2;
+/// Of so many sockets, a controller keeps one open to a worker between calls.
+const SOCKETS_PER_KEPT_CONNECTION: u64 = 10;
+/// Open files besides the workers': services, users and logs.
+const OTHER_FILES: u64 = 500;
+/// Upper bound of the memory of a hollow worker with its tasks, in KiB.
+const KB_PER_WORKER: u64 = 128;
+/// Upper bound of the memory of a controller, in KiB.
+const KB_PER_CONTROLLER: u64 = 200 * 1024;
+/// Largest fraction of the machine's memory that a run may use.
+const MAX_MEMORY_FRACTION: f64 = 0.5;
 
-/// Why a run is not begun.
+/// Why a run is refused on this machine.
 #[derive(Debug, thiserror::Error)]
-pub enum Unfit {
-    /// A figure of this machine can't be read.
-    #[error("{path}: {error}")]
+pub enum PreflightError {
+    /// A file of `/proc` can't be read.
+    #[error("{path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: &'static str,
-        /// What went wrong.
-        error: String,
+        /// Why it can't be read.
+        source: io::Error,
     },
-    /// Too few files may be open.
+    /// A file of `/proc` has no line with the limit.
+    #[error("{path}: has no such line")]
+    Parse {
+        /// Path of the file.
+        path: &'static str,
+    },
+    /// The limit of open files is too low.
     #[error(
         "{workers} workers need {needed} open files, and RLIMIT_NOFILE allows {allowed}: \
-         raise it (`ulimit -n {needed}`) or run at most {most} workers"
+         raise it (`ulimit -n {needed}`) or run at most {max_workers} workers"
     )]
     Files {
-        /// Workers that were asked for.
+        /// Workers of the site.
         workers: u32,
-        /// Files that they need.
+        /// Open files that the run needs.
         needed: u64,
-        /// Files that may be open.
+        /// Limit of open files.
         allowed: u64,
-        /// Workers that fit.
-        most: u64,
+        /// Largest number of workers within the limit.
+        max_workers: u64,
     },
-    /// It would take more than half of the memory.
+    /// The run may need more memory than it may use.
     #[error("the run may need {needed_mb} MB, half of this machine's memory is {allowed_mb} MB")]
     Memory {
-        /// What it may need.
+        /// Upper bound of the memory that the run needs, in MiB.
         needed_mb: u64,
-        /// What it may take.
+        /// Memory that the run may use, in MiB.
         allowed_mb: u64,
     },
 }
 
-/// What this machine allows.
+/// Resource limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowance {
-    /// Files that a process may have open.
+pub struct MachineLimits {
+    /// Limit of open files of a process.
     pub files: u64,
-    /// Memory of the machine, in KiB.
+    /// Memory, in KiB.
     pub memory_kb: u64,
 }
 
-impl Allowance {
-    /// Reads what this machine allows.
-    pub fn read() -> Result<Self, Unfit> {
+impl MachineLimits {
+    /// Reads the limits of this machine.
+    pub fn read() -> Result<Self, PreflightError> {
         Ok(Self {
-            files: read("/proc/self/limits", files_in)?,
-            memory_kb: read("/proc/meminfo", memory_in)?,
+            files: read("/proc/self/limits", parse_open_files)?,
+            memory_kb: read("/proc/meminfo", parse_total_memory_kb)?,
         })
     }
 
-    /// Whether a site's run fits.
-    pub fn check(&self, site: &Site) -> Result<(), Unfit> {
+    /// Checks that a run of a site stays within the limits.
+    pub fn check(&self, site: &Site) -> Result<(), PreflightError> {
         let workers = site.on_demand_machines() + site.spot_machines();
+        self.check_files(site, workers)?;
+        self.check_memory(site, workers)
+    }
+
+    fn check_files(&self, site: &Site, workers: u32) -> Result<(), PreflightError> {
         let sockets = (site.controllers.count * site.controllers.sockets) as u64;
-        let beside = FILES_BESIDE + sockets / SOCKETS_A_KEPT_ONE;
-        let needed = u64::from(workers) * FILES_A_WORKER + beside;
+        let other_files = OTHER_FILES + sockets / SOCKETS_PER_KEPT_CONNECTION;
+        let needed = u64::from(workers) * FILES_PER_WORKER + other_files;
         if needed > self.files {
-            return Err(Unfit::Files {
+            return Err(PreflightError::Files {
                 workers,
                 needed,
                 allowed: self.files,
-                most: self.files.saturating_sub(beside) / FILES_A_WORKER,
+                max_workers: self.files.saturating_sub(other_files) / FILES_PER_WORKER,
             });
         }
+        Ok(())
+    }
+
+    fn check_memory(&self, site: &Site, workers: u32) -> Result<(), PreflightError> {
         let controllers = site.controllers.count as u64;
-        let needed_kb = u64::from(workers) * WORKER_KB + controllers * CONTROLLER_KB;
-        let allowed_kb = (self.memory_kb as f64 * MEMORY_PART) as u64;
+        let needed_kb = u64::from(workers) * KB_PER_WORKER + controllers * KB_PER_CONTROLLER;
+        let allowed_kb = (self.memory_kb as f64 * MAX_MEMORY_FRACTION) as u64;
         if needed_kb > allowed_kb {
-            return Err(Unfit::Memory {
+            return Err(PreflightError::Memory {
                 needed_mb: needed_kb / 1024,
                 allowed_mb: allowed_kb / 1024,
             });
@@ -97,21 +112,22 @@
     }
 }
 
-fn read(path: &'static str, figure: fn(&str) -> Option<u64>) -> Result<u64, Unfit> {
-    let failed = |error: String| Unfit::Read { path, error };
-    let text = fs::read_to_string(path).map_err(|e| failed(e.to_string()))?;
-    figure(&text).ok_or_else(|| failed("has no such line".to_owned()))
+fn read(path: &'static str, parse: fn(&str) -> Option<u64>) -> Result<u64, PreflightError> {
+    let text = fs::read_to_string(path).map_err(|source| PreflightError::Read { path, source })?;
+    parse(&text).ok_or(PreflightError::Parse { path })
 }
 
-/// The soft limit in a text like `/proc/self/limits`.
-fn files_in(text: &str) -> Option<u64> {
-    let line = text.lines().find(|l| l.starts_with("Max open files"))?;
+/// Parses the soft limit of open files in the text of `/proc/self/limits`.
+fn parse_open_files(text: &str) -> Option<u64> {
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("Max open files"))?;
     line.split_whitespace().nth(3)?.parse().ok()
 }
 
-/// The whole memory in a text like `/proc/meminfo`, in KiB.
-fn memory_in(text: &str) -> Option<u64> {
-    let line = text.lines().find(|l| l.starts_with("MemTotal:"))?;
+/// Parses the total memory, in KiB, in the text of `/proc/meminfo`.
+fn parse_total_memory_kb(text: &str) -> Option<u64> {
+    let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -1,49 +1,51 @@
-//! Processor time and memory of processes, as Linux accounts for them.
+//! Processor time and memory of processes, read from Linux's `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second in `/proc/PID/stat`; Linux shows 100 on all machines.
+/// Clock ticks a second in `/proc/PID/stat`; Linux uses 100 on all machines.
 const TICKS_PER_S: f64 = 100.0;
+/// Fields of `/proc/PID/stat` between the program's name and the user time.
+const FIELDS_BEFORE_USER_TIME: usize = 11;
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ProcessFigures {
-    /// Processor seconds, its own and the kernel's for it.
+pub struct ProcessUsage {
+    /// Processor seconds in user and kernel mode since the start of the process.
     pub cpu_s: f64,
     /// Resident memory, in KiB.
     pub resident_kb: u64,
 }
 
-impl ProcessFigures {
-    /// Those of a process that runs.
-    pub fn read(pid: u32) -> Option<Self> {
+impl ProcessUsage {
+    /// Usage of a running process. `None` if it can't be read.
+    pub fn of_process(pid: u32) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let rollup = fs::read_to_string(format!("/proc/{pid}/smaps_rollup")).ok()?;
         Some(Self {
-            cpu_s: cpu_s_in(&stat)?,
-            resident_kb: resident_kb_in(&rollup)?,
+            cpu_s: parse_cpu_s(&stat)?,
+            resident_kb: parse_resident_kb(&rollup)?,
         })
     }
 
-    /// Those of this process.
-    pub fn own() -> Option<Self> {
-        Self::read(std::process::id())
+    /// Usage of this process. `None` if it can't be read.
+    pub fn of_this_process() -> Option<Self> {
+        Self::of_process(std::process::id())
     }
 }
 
-/// Processor seconds in a text like `/proc/PID/stat`. The name of the program may
-/// hold spaces, so fields are counted from behind it.
-fn cpu_s_in(stat: &str) -> Option<f64> {
+/// Parses the processor seconds in the text of `/proc/PID/stat`. The program's name may
+/// contain spaces, so fields are counted from its end.
+fn parse_cpu_s(stat: &str) -> Option<f64> {
     let (_, fields) = stat.rsplit_once(')')?;
-    let mut times = fields.split_whitespace().skip(11);
+    let mut times = fields.split_whitespace().skip(FIELDS_BEFORE_USER_TIME);
     let user: f64 = times.next()?.parse().ok()?;
     let system: f64 = times.next()?.parse().ok()?;
     Some((user + system) / TICKS_PER_S)
 }
 
-/// Resident memory in a text like `/proc/PID/smaps_rollup`.
-fn resident_kb_in(rollup: &str) -> Option<u64> {
-    let line = rollup.lines().find(|l| l.starts_with("Rss:"))?;
+/// Parses the resident memory, in KiB, in the text of `/proc/PID/smaps_rollup`.
+fn parse_resident_kb(rollup: &str) -> Option<u64> {
+    let line = rollup.lines().find(|line| line.starts_with("Rss:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
--- a/crates/emulator/src/progress.rs
+++ b/crates/emulator/src/progress.rs
@@ -1,20 +1,22 @@
-//! Progress of a run: a line that is drawn anew on a terminal, plain lines elsewhere.
+//! Shows the progress of a run on standard error: a progress bar on a terminal, plain lines
+//! elsewhere.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 use std::time::{Duration, Instant};
 
-/// Plain lines come this often.
-const PLAIN_EVERY: Duration = Duration::from_secs(5);
+/// Interval between two plain lines.
+const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Shows how far a run is.
+/// The progress of a run.
 pub struct Progress {
     bar: Option<ProgressBar>,
-    printed: Option<Instant>,
+    /// Time of the last plain line.
+    last_line: Option<Instant>,
 }
 
 impl Progress {
-    /// The progress of a run of so many seconds.
+    /// Starts the progress of a run of so many seconds.
     pub fn new(seconds: u64) -> Self {
         let template = "[{elapsed_precise}] {bar:24} {msg}";
         let style = ProgressStyle::with_template(template);
@@ -23,23 +25,29 @@
             bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
             bar
         });
-        Self { bar, printed: None }
+        Self {
+            bar,
+            last_line: None,
+        }
     }
 
-    /// The run is so far.
+    /// Shows the elapsed seconds with a message. Plain lines are rate-limited.
     pub fn show(&mut self, seconds: u64, message: &str) {
         if let Some(bar) = &self.bar {
             bar.set_position(seconds);
             bar.set_message(message.to_owned());
             return;
         }
-        if self.printed.is_none_or(|at| at.elapsed() >= PLAIN_EVERY) {
-            self.printed = Some(Instant::now());
+        if self
+            .last_line
+            .is_none_or(|time| time.elapsed() >= LINE_INTERVAL)
+        {
+            self.last_line = Some(Instant::now());
             eprintln!("{seconds:>4} s: {message}");
         }
     }
 
-    /// Something happened that deserves a line of its own.
+    /// Prints an event on a line of its own.
     pub fn event(&self, message: &str) {
         match &self.bar {
             Some(bar) => bar.println(message),
@@ -47,7 +55,7 @@
         }
     }
 
-    /// The run is over.
+    /// Leaves the progress bar as it is, at the end of the run.
     pub fn finish(&self) {
         if let Some(bar) = &self.bar {
             bar.finish();
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::Metrics;
 use crate::pools::{BurstFigures, PoolFigures};
-use crate::process::ProcessFigures;
+use crate::process::ProcessUsage;
 use crate::purpose::Purpose;
 use forkshift_wire::users::Priority;
 use hdrhistogram::Histogram;
@@ -140,7 +140,7 @@
 }
 
 /// What is used between two looks.
-pub fn process_use(name: &str, from: ProcessFigures, to: ProcessFigures, s: f64) -> ProcessUse {
+pub fn process_use(name: &str, from: ProcessUsage, to: ProcessUsage, s: f64) -> ProcessUse {
     ProcessUse {
         name: name.to_owned(),
         cpu_cores: (to.cpu_s - from.cpu_s).max(0.0) / s,
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -1,7 +1,7 @@
 use super::{process_use, ProcessUse, Report};
 use crate::metrics::Metrics;
 use crate::pools::{BurstFigures, PoolFigures};
-use crate::process::ProcessFigures;
+use crate::process::ProcessUsage;
 use crate::purpose::Purpose;
 use forkshift_net::Traffic;
 use forkshift_testkit::StartSeen;
@@ -61,7 +61,7 @@
 
 #[test]
 fn the_report_is_read_back_as_it_was_written() {
-    let figures = |cpu_s| ProcessFigures {
+    let figures = |cpu_s| ProcessUsage {
         cpu_s,
         resident_kb: 2_048,
     };
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings files that the controllers get.
+//! Builds the settings files of the controllers from a site.
 
 use crate::addresses::Addresses;
 use crate::site::Site;
@@ -7,41 +7,41 @@
 };
 use forkshift_wire::NodeName;
 
-/// The bound on the error of the time of day: all run on one machine.
-const CLOCK_OFF_MS: f64 = 50.0;
-/// What a controller is told of its share of a core and of its memory. The
-/// emulator measures both and limits neither.
-const CPU_SHARE: f64 = 1.0;
-const MEMORY_MB: f64 = 512.0;
-/// Lag of the cloud's list, in seconds.
-const LIST_LAG_S: f64 = 4.0;
-/// The part of a class that must start in its time.
-const WAIT_SHARE: f64 = 0.9;
+/// Bound on the clock error, in milliseconds: all processes run on one machine.
+const MAX_CLOCK_ERROR_MS: f64 = 50.0;
+/// Processor limit in the settings, in cores. The emulator does not enforce it.
+const MAX_CPU_CORES: f64 = 1.0;
+/// Memory limit in the settings, in MB. The emulator does not enforce it.
+const MAX_MEMORY_MB: f64 = 512.0;
+/// Lag of the cloud's list of machines, in seconds.
+const CLOUD_LIST_LAG_S: f64 = 4.0;
+/// Fraction of a class's tasks that must start within the objective.
+const START_OBJECTIVE_FRACTION: f64 = 0.9;
 
-/// The name of a controller.
+/// Name of a controller.
 pub fn controller_name(index: usize) -> String {
     format!("berth-{index}")
 }
 
-/// The zone of a controller.
+/// Zone of a controller: zones are assigned round-robin.
 fn zone_of(site: &Site, index: usize) -> String {
     site.zones[index % site.zones.len()].clone()
 }
 
-/// The settings of one controller.
+/// Settings of one controller.
 pub fn settings(site: &Site, addresses: Addresses, index: usize) -> Settings {
-    let others = (0..site.controllers.count).filter(|n| *n != index);
-    let peer = |n| Peer {
-        node: NodeName::new(&controller_name(n)),
-        zone: zone_of(site, n),
-        addr: addresses.controller_peer(n),
+    let peers = (0..site.controllers.count).filter(|peer| *peer != index);
+    let peer = |peer| Peer {
+        node: NodeName::new(&controller_name(peer)),
+        zone: zone_of(site, peer),
+        addr: addresses.controller_peer(peer),
     };
     Settings {
         node: NodeName::new(&controller_name(index)),
         zone: zone_of(site, index),
         listen: addresses.controller(index),
         peer_listen: addresses.controller_peer(index),
-        peers: others.map(peer).collect(),
+        peers: peers.map(peer).collect(),
         services: Services {
             cloud: addresses.cloud(index),
             state: addresses.state(index),
@@ -54,7 +54,7 @@
     Cluster {
         nodes: site.controllers.count as u32,
         zones: site.zones.clone(),
-        clock_off_ms: CLOCK_OFF_MS,
+        clock_off_ms: MAX_CLOCK_ERROR_MS,
         teams: teams(site),
         objectives: objectives(site),
         workers: Workers {
@@ -73,11 +73,11 @@
         },
         cloud: CloudLimits {
             rps: site.cloud.rps,
-            list_lag_s: LIST_LAG_S,
+            list_lag_s: CLOUD_LIST_LAG_S,
         },
         limits: Limits {
-            cpu_share: CPU_SHARE,
-            memory_mb: MEMORY_MB,
+            cpu_share: MAX_CPU_CORES,
+            memory_mb: MAX_MEMORY_MB,
             sockets: site.controllers.sockets,
         },
     }
@@ -98,13 +98,13 @@
 }
 
 fn objectives(site: &Site) -> Vec<Objective> {
-    let waits = site.classes.iter().filter_map(|class| {
+    let objectives = site.classes.iter().filter_map(|class| {
         Some(Objective {
             kind: "wait".to_owned(),
             class: Some(class.name.clone()),
             within_s: class.wait_s?,
-            share: WAIT_SHARE,
+            share: START_OBJECTIVE_FRACTION,
         })
     });
-    waits.collect()
+    objectives.collect()
 }
