--- a/crates/emulator/src/bridge.rs
+++ b/crates/emulator/src/bridge.rs
@@ -7,8 +7,8 @@
 use crate::addresses::{self, Addresses};
 use crate::metrics::Metrics;
 use crate::model_servers::{ModelServers, Replica};
-use crate::pools::{AnsweringJobs, BurstFigures};
-use crate::purpose;
+use crate::pools::{AnsweringJobs, BurstSummary};
+use crate::request_category;
 use async_channel::Sender;
 use async_executor::Task;
 use async_io::Timer;
@@ -151,8 +151,8 @@
     }
 
     /// How soon the replicas of bursts answered.
-    pub fn burst_figures(&self) -> BurstFigures {
-        self.jobs.figures(&self.model_servers.first_answers())
+    pub fn burst_summary(&self) -> BurstSummary {
+        self.jobs.burst_summary(&self.model_servers.first_answers())
     }
 
     /// Tells the model servers which replicas there are, if that changed.
@@ -162,7 +162,7 @@
         }
         let replicas = self.with_world(|world| self.jobs.replicas(world));
         if *self.replicas.borrow() != replicas {
-            self.model_servers.set(replicas.clone());
+            self.model_servers.set_replicas(replicas.clone());
             self.replicas.replace(replicas);
         }
     }
@@ -193,10 +193,10 @@
         let now = self.elapsed().as_millis() as u64;
         let mut world = self.world.borrow_mut();
         let mut metrics = self.metrics.borrow_mut();
-        metrics.note_behind(now.saturating_sub(world.now()));
+        metrics.record_lag(now.saturating_sub(world.now()));
         world.advance_to(now, LONGEST_STEP_MS);
         let (starts, acceptances) = world.check.take_observations();
-        metrics.note_observations(&starts, &acceptances);
+        metrics.record_observations(&starts, &acceptances);
     }
 
     /// Carries out what the world has for controllers.
@@ -281,8 +281,8 @@
         let outcome = client.call(call).await;
         if machine.is_some() {
             let mut metrics = self.metrics.borrow_mut();
-            metrics.note_report(outcome.status, began.elapsed().as_millis() as u64);
-            metrics.note_worker_traffic(client.take_traffic());
+            metrics.record_heartbeat(outcome.status, began.elapsed().as_millis() as u64);
+            metrics.record_worker_traffic(client.take_traffic());
         }
         self.with_world(|w| w.deliver(request.asker, outcome.status, outcome.body));
         self.carry();
@@ -334,8 +334,8 @@
         let (sender, receiver) = async_channel::bounded(1);
         self.calls.borrow_mut().insert(number, sender);
         let guard = ForgetCall(self.clone(), number);
-        let state = matches!(service, Service::State(_))
-            .then(|| purpose::of_request(&request.method, &request.path, &body));
+        let store_request = matches!(service, Service::State(_))
+            .then(|| request_category::classify(&request.method, &request.path, &body));
         let is_worker = matches!(service, Service::Worker(_));
         let received = body.len() as u64;
         self.with_world(|w| w.call(number, service, &request.method, &request.path, body));
@@ -351,13 +351,13 @@
             log::debug!("{} {path}: {status} {body}", request.method);
         }
         let mut metrics = self.metrics.borrow_mut();
-        if let Some(purposes) = state {
-            metrics.note_state(purposes, response.status);
+        if let Some(request) = store_request {
+            metrics.record_store_request(&request, response.status);
         }
         if is_worker {
             let sent = response.body.len() as u64;
             metrics.commands += 1;
-            metrics.note_worker_traffic(Traffic { sent, received });
+            metrics.record_worker_traffic(Traffic { sent, received });
         }
         response
     }
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -4,11 +4,11 @@
 use crate::bridge::Bridge;
 use crate::controllers::{ControllerError, Controllers};
 use crate::load::{self, milliseconds};
-use crate::pools::{pool_figures, AnsweringJobs};
+use crate::pools::{pool_summary, AnsweringJobs};
 use crate::preflight::{MachineLimits, PreflightError};
 use crate::process::ProcessUsage;
 use crate::progress::Progress;
-use crate::report::{process_use, Report};
+use crate::report::{ProcessLoad, Report};
 use crate::settings::controller_name;
 use crate::site::{CrashSpec, CrashTarget, LinkCutSpec, LinkKind, Site};
 use async_executor::LocalExecutor;
@@ -135,7 +135,7 @@
             let now_s = self.bridge.elapsed().as_secs_f64();
             if now_s >= site.warmup_s && self.warm.is_none() {
                 self.warm = Some((now_s, self.used()));
-                self.bridge.with_metrics(|m| m.restart());
+                self.bridge.with_metrics(|m| m.reset());
             }
             self.kill_due(now_s);
             self.cut_due(now_s);
@@ -285,16 +285,16 @@
             interrupted,
             duration_s: now_s,
             measured_s,
-            workers_asked: u64::from(self.site.on_demand_machines()),
+            workers_expected: u64::from(self.site.on_demand_machines()),
             controllers: self.controllers.len() as u64,
-            controllers_ended: self.ended,
+            controllers_exited: self.ended,
             teams: self.site.teams.iter().map(|t| t.count as u64).sum(),
-            hollow_use: process_use("hollow process", from.own, now.own, measured_s),
+            hollow_process: ProcessLoad::between("hollow process", from.own, now.own, measured_s),
             ..Report::default()
         };
         self.bridge.with_world(|w| {
             let broken = w.check.broken.iter().take(BROKEN_MOST);
-            report.rules_broken = broken.map(|b| format!("{b:?}")).collect();
+            report.rule_violations = broken.map(|b| format!("{b:?}")).collect();
             report.workers = w.machines() as u64;
             report.tasks_running = w.check.tasks_on_machines() as u64;
             let jobs = w.job_counts();
@@ -304,16 +304,17 @@
             report.jobs_running = jobs.running;
             report.jobs_waiting = jobs.waiting;
             report.replicas_restarted = w.replicas_restarted();
-            let figures = pool_figures(w, self.site, self.bridge.began_ms());
+            let figures = pool_summary(w, self.site, self.bridge.began_ms());
             report.pools = (figures.machines > 0).then_some(figures);
         });
-        let burst = self.bridge.burst_figures();
+        let burst = self.bridge.burst_summary();
         report.burst = (burst.replicas > 0).then_some(burst);
         let ends = from.controllers.iter().zip(&now.controllers).enumerate();
-        let used =
-            ends.map(|(i, (from, to))| process_use(&controller_name(i), *from, *to, measured_s));
-        report.fill_controllers(used.collect());
-        self.bridge.with_metrics(|m| report.fill(m));
+        let used = ends.map(|(i, (from, to))| {
+            ProcessLoad::between(&controller_name(i), *from, *to, measured_s)
+        });
+        report.set_controller_loads(used.collect());
+        self.bridge.with_metrics(|m| report.set_metrics(m));
         report
     }
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -17,8 +17,8 @@
 mod preflight;
 mod process;
 mod progress;
-mod purpose;
 mod report;
+mod request_category;
 mod settings;
 mod site;
 mod sweep;
@@ -211,11 +211,7 @@
     if let Some(file) = file {
         write(file, &json(&report))?;
     }
-    let accounts_wrong = report
-        .pools
-        .as_ref()
-        .is_some_and(|p| !p.mistakes.is_empty());
-    Ok(!report.rules_broken.is_empty() || accounts_wrong)
+    Ok(report.has_failures())
 }
 
 fn json(report: &Report) -> String {
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -1,122 +1,132 @@
-//! What is counted while a run goes on.
+//! Counters and latency histograms of a run.
 
-use crate::purpose::Purpose;
+use crate::request_category::{ClassifiedRequest, RequestCategory};
 use forkshift_net::Traffic;
 use forkshift_testkit::StartSeen;
 use forkshift_wire::users::Priority;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Times are told apart to three digits.
-const DIGITS: u8 = 3;
-/// Longest time that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 3_600_000;
+/// Significant digits of the histograms.
+const HISTOGRAM_DIGITS: u8 = 3;
+/// Largest value of the histograms, in milliseconds.
+const MAX_LATENCY_MS: u64 = 3_600_000;
 
-/// Requests and changes of one purpose.
+const HTTP_OK: u16 = 200;
+const HTTP_MISDIRECTED: u16 = 421;
+const HTTP_TOO_MANY_REQUESTS: u16 = 429;
+const HTTP_UNAVAILABLE: u16 = 503;
+
+/// Requests and writes of one category.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StateUse {
+pub struct StoreUsage {
     /// Requests.
     pub requests: u64,
-    /// Puts and deletes.
-    pub changes: u64,
+    /// Puts and deletes of successful transactions.
+    pub writes: u64,
 }
 
-/// Counts and times since the last [`Metrics::restart`].
+/// Counters and histograms since the last [`Metrics::reset`]. Latencies are in milliseconds.
 pub struct Metrics {
-    /// From a user's first attempt until a task's first start, by priority.
-    pub starts: BTreeMap<Priority, Histogram<u64>>,
-    /// From a user's first attempt until the job was accepted.
-    pub acceptances: Histogram<u64>,
-    /// From sending a report until its answer.
-    pub reports: Histogram<u64>,
-    /// Reports that had no answer, or another than 200 and 421.
-    pub reports_failed: u64,
-    /// Reports that were led to another controller.
-    pub reports_redirected: u64,
-    /// Calls of `/commands` and `/status`.
+    /// From a user's first attempt to submit until a task's first start, by priority.
+    pub start_latencies: BTreeMap<Priority, Histogram<u64>>,
+    /// From a user's first attempt to submit until the job was accepted.
+    pub submission_latencies: Histogram<u64>,
+    /// From sending a heartbeat until its response.
+    pub heartbeat_latencies: Histogram<u64>,
+    /// Heartbeats without a response, or with another than 200 and 421.
+    pub heartbeats_failed: u64,
+    /// Heartbeats that were redirected to another controller.
+    pub heartbeats_redirected: u64,
+    /// Calls of the workers' `/commands` and `/status`.
     pub commands: u64,
-    /// Bytes of workers, of their reports with heads and of the bodies of commands.
+    /// Bytes of workers: heartbeats with their HTTP heads, and bodies of commands.
     pub worker_traffic: Traffic,
-    /// The state service, by purpose.
-    pub state: BTreeMap<Purpose, StateUse>,
-    /// Requests that the state service refused with 429 or 503.
-    pub state_refused: u64,
-    /// The longest time by which the world was behind the clock, in milliseconds.
-    pub behind_ms: u64,
+    /// Use of the key-value store, by category.
+    pub store: BTreeMap<RequestCategory, StoreUsage>,
+    /// Requests that the key-value store refused with 429 or 503.
+    pub store_refused: u64,
+    /// Largest lag of the simulated time behind the clock.
+    pub max_lag_ms: u64,
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_MS, DIGITS).unwrap_or_else(|e| panic!("histogram: {e}"))
+    Histogram::new_with_max(MAX_LATENCY_MS, HISTOGRAM_DIGITS)
+        .unwrap_or_else(|error| panic!("the constants are in range: {error}"))
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         Self {
-            starts: BTreeMap::new(),
-            acceptances: histogram(),
-            reports: histogram(),
-            reports_failed: 0,
-            reports_redirected: 0,
+            start_latencies: BTreeMap::new(),
+            submission_latencies: histogram(),
+            heartbeat_latencies: histogram(),
+            heartbeats_failed: 0,
+            heartbeats_redirected: 0,
             commands: 0,
             worker_traffic: Traffic::default(),
-            state: BTreeMap::new(),
-            state_refused: 0,
-            behind_ms: 0,
+            store: BTreeMap::new(),
+            store_refused: 0,
+            max_lag_ms: 0,
         }
     }
 }
 
 impl Metrics {
-    /// Forgets what was counted: the run is warm from now on.
-    pub fn restart(&mut self) {
+    /// Clears all values, at the end of the warm-up.
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Task starts and acceptances of jobs that the checker has seen.
-    pub fn note_observations(&mut self, starts: &[StartSeen], acceptances: &[u64]) {
+    /// Records first starts of tasks, and latencies of accepted jobs in milliseconds.
+    pub fn record_observations(&mut self, starts: &[StartSeen], acceptances_ms: &[u64]) {
         for start in starts {
-            let times = self.starts.entry(start.priority).or_insert_with(histogram);
-            times.saturating_record(start.after);
+            let latencies = self.start_latencies.entry(start.priority);
+            latencies
+                .or_insert_with(histogram)
+                .saturating_record(start.after);
         }
-        for after in acceptances {
-            self.acceptances.saturating_record(*after);
+        for latency_ms in acceptances_ms {
+            self.submission_latencies.saturating_record(*latency_ms);
         }
     }
 
-    /// A report has ended, with this status, after so long.
-    pub fn note_report(&mut self, status: u16, took_ms: u64) {
-        self.reports.saturating_record(took_ms);
+    /// Records a completed heartbeat with the status of its response.
+    pub fn record_heartbeat(&mut self, status: u16, latency_ms: u64) {
+        self.heartbeat_latencies.saturating_record(latency_ms);
         match status {
-            200 => {}
-            421 => self.reports_redirected += 1,
-            _ => self.reports_failed += 1,
+            HTTP_OK => {}
+            HTTP_MISDIRECTED => self.heartbeats_redirected += 1,
+            _ => self.heartbeats_failed += 1,
         }
     }
 
-    /// A worker has moved so many bytes.
-    pub fn note_worker_traffic(&mut self, traffic: Traffic) {
+    /// Records bytes that a worker sent and received.
+    pub fn record_worker_traffic(&mut self, traffic: Traffic) {
         self.worker_traffic.sent += traffic.sent;
         self.worker_traffic.received += traffic.received;
     }
 
-    /// A request to the state service has ended, with this status.
-    pub fn note_state(&mut self, (purpose, changes): (Purpose, Vec<Purpose>), status: u16) {
-        self.state.entry(purpose).or_default().requests += 1;
-        self.state_refused += u64::from(matches!(status, 429 | 503));
-        if status == 200 {
-            for change in changes {
-                self.state.entry(change).or_default().changes += 1;
+    /// Records a completed request to the key-value store with the status of its response.
+    pub fn record_store_request(&mut self, request: &ClassifiedRequest, status: u16) {
+        self.store.entry(request.category).or_default().requests += 1;
+        if matches!(status, HTTP_TOO_MANY_REQUESTS | HTTP_UNAVAILABLE) {
+            self.store_refused += 1;
+        }
+        if status == HTTP_OK {
+            for category in &request.writes {
+                self.store.entry(*category).or_default().writes += 1;
             }
         }
     }
 
-    /// The world was behind the clock by so much.
-    pub fn note_behind(&mut self, behind_ms: u64) {
-        self.behind_ms = self.behind_ms.max(behind_ms);
+    /// Records the lag of the simulated time behind the clock.
+    pub fn record_lag(&mut self, lag_ms: u64) {
+        self.max_lag_ms = self.max_lag_ms.max(lag_ms);
     }
 
-    /// First starts of tasks.
+    /// Number of first starts of tasks.
     pub fn task_starts(&self) -> u64 {
-        self.starts.values().map(Histogram::len).sum()
+        self.start_latencies.values().map(Histogram::len).sum()
     }
 }
--- a/crates/emulator/src/model_servers.rs
+++ b/crates/emulator/src/model_servers.rs
@@ -1,17 +1,18 @@
-//! Stand-in model servers and the load on them, in a thread of their own.
+//! Simulated model servers and the load on them, in a thread of their own.
 //!
-//! Each replica of a class that answers has a server on the loopback network from the
-//! moment at which its task is on a machine. It refuses with 503 until the replica has
-//! its weights. An open loop of requests goes over all of them in turn, at a fixed rate
-//! and whatever becomes of earlier ones, and notes when each answers for the first time.
+//! Each replica of a class that answers has a server on the loopback network while its task
+//! is on a machine. The server responds with 503 until the weights are loaded. An open-loop
+//! load generator sends requests to all servers in turn at a fixed rate, and records when
+//! each replica answers for the first time.
+
+mod load_generator;
 
 use crate::addresses;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
-use async_io::Timer;
-use forkshift_net::{Call, Client, ClientLimits, Executor, Request, Response, ServerLimits};
+use forkshift_net::{Executor, Request, Response, ServerLimits};
 use forkshift_wire::{MachineId, TaskRef};
-use futures_lite::future;
+use load_generator::LoadGenerator;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,32 +21,30 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Requests a second over all servers.
-const REQUESTS_PER_S: u64 = 200;
-/// Requests that may be under way; more are left out.
-const UNDER_WAY_MOST: usize = 500;
-/// A request is given up after this.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Connections that a server takes.
-const CONNECTIONS: usize = 16;
-const IDLE: Duration = Duration::from_secs(10);
-const BODY_MOST: usize = 1_024;
+/// Largest number of connections that a server accepts.
+const MAX_CONNECTIONS: usize = 16;
+/// Idle connections are closed after this.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Largest body of a request or response, in bytes.
+const MAX_BODY_BYTES: usize = 1_024;
+const HTTP_OK: u16 = 200;
+const HTTP_UNAVAILABLE: u16 = 503;
 
 /// A replica on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
-    /// Its task.
+    /// The task of the replica.
     pub task: TaskRef,
-    /// Its machine.
+    /// The machine that the task is on.
     pub machine: MachineId,
-    /// Whether it has its weights.
+    /// Whether the weights are loaded.
     pub is_ready: bool,
 }
 
-/// When each replica answered for the first time, since the start of the run.
+/// Time of the first answer of each replica since the start of the run.
 pub type FirstAnswers = Arc<Mutex<BTreeMap<TaskRef, Duration>>>;
 
-/// The thread with all model servers.
+/// Handle of the thread with all model servers. The thread is joined on drop.
 pub struct ModelServers {
     replicas: Sender<Vec<Replica>>,
     first_answers: FirstAnswers,
@@ -53,12 +52,12 @@
 }
 
 impl ModelServers {
-    /// Starts the thread. Times count from `started`.
+    /// Starts the thread. The times of answers count from `started`.
     pub fn start(started: Instant) -> Self {
-        let (replicas, changes) = async_channel::unbounded();
+        let (replicas, updates) = async_channel::unbounded();
         let first_answers = FirstAnswers::default();
         let answers = first_answers.clone();
-        let thread = std::thread::spawn(move || run(started, &changes, answers));
+        let thread = std::thread::spawn(move || run(started, &updates, answers));
         Self {
             replicas,
             first_answers,
@@ -66,13 +65,13 @@
         }
     }
 
-    /// Says which replicas there are now.
-    pub fn set(&self, replicas: Vec<Replica>) {
-        // The thread ends only with the channel.
+    /// Replaces the set of replicas.
+    pub fn set_replicas(&self, replicas: Vec<Replica>) {
+        // The receiver is dropped only after this sender was closed.
         let _ = self.replicas.try_send(replicas);
     }
 
-    /// When replicas answered for the first time.
+    /// Time of the first answer of each replica that has answered.
     pub fn first_answers(&self) -> BTreeMap<TaskRef, Duration> {
         let answers = self.first_answers.lock();
         answers.map(|answers| answers.clone()).unwrap_or_default()
@@ -88,59 +87,67 @@
     }
 }
 
-/// A model server.
+/// The model server of a replica.
 struct Server {
-    addr: SocketAddr,
+    address: SocketAddr,
     is_ready: Rc<Cell<bool>>,
-    _serving: Task<()>,
+    /// Serves until it is dropped.
+    _task: Task<()>,
 }
 
+/// Servers by the replicas' tasks and machines.
 type Servers = Rc<RefCell<BTreeMap<(TaskRef, MachineId), Server>>>;
 
-fn run(started: Instant, changes: &Receiver<Vec<Replica>>, answers: FirstAnswers) {
-    let ex: Executor = Rc::new(LocalExecutor::new());
+fn run(started: Instant, updates: &Receiver<Vec<Replica>>, first_answers: FirstAnswers) {
+    let executor: Executor = Rc::new(LocalExecutor::new());
     let servers: Servers = Rc::default();
-    let load = ex.spawn(send_load(ex.clone(), started, servers.clone(), answers));
-    let following = async {
-        while let Ok(replicas) = changes.recv().await {
-            follow(&ex, &servers, &replicas);
+    let generator = LoadGenerator::new(&executor, started, servers.clone(), first_answers);
+    let load = executor.spawn(generator.run());
+    let updating = async {
+        while let Ok(replicas) = updates.recv().await {
+            update_servers(&executor, &servers, &replicas);
         }
     };
-    async_io::block_on(ex.run(following));
+    async_io::block_on(executor.run(updating));
     drop(load);
 }
 
-/// Starts and ends servers, so that each replica has one.
-fn follow(ex: &Executor, servers: &Servers, replicas: &[Replica]) {
+/// Starts and stops servers, so that each replica has one.
+fn update_servers(executor: &Executor, servers: &Servers, replicas: &[Replica]) {
     let mut servers = servers.borrow_mut();
-    let key = |r: &Replica| (r.task.clone(), r.machine.clone());
-    servers.retain(|known, _| replicas.iter().any(|r| key(r) == *known));
+    let key = |replica: &Replica| (replica.task.clone(), replica.machine.clone());
+    servers.retain(|existing, _| replicas.iter().any(|replica| key(replica) == *existing));
     for replica in replicas {
         if let Some(server) = servers.get(&key(replica)) {
             server.is_ready.set(replica.is_ready);
             continue;
         }
-        match serve(ex, replica) {
+        match serve(executor, replica) {
             Ok(server) => drop(servers.insert(key(replica), server)),
-            Err(e) => log::error!("{} has no server: {e}", replica.task),
+            Err(error) => {
+                log::error!("model server of {}: listener failed, {error}", replica.task);
+            }
         }
     }
 }
 
-fn serve(ex: &Executor, replica: &Replica) -> std::io::Result<Server> {
-    let addr = addresses::model_server(&replica.machine, replica.task.index);
-    let listener = forkshift_net::bind(addr, CONNECTIONS)?;
+fn serve(executor: &Executor, replica: &Replica) -> std::io::Result<Server> {
+    let address = addresses::model_server(&replica.machine, replica.task.index);
+    let listener = forkshift_net::bind(address, MAX_CONNECTIONS)?;
     let limits = ServerLimits {
-        connections: CONNECTIONS,
-        roomy: CONNECTIONS,
-        body: BODY_MOST,
-        idle: IDLE,
-        read: IDLE,
+        connections: MAX_CONNECTIONS,
+        roomy: MAX_CONNECTIONS,
+        body: MAX_BODY_BYTES,
+        idle: IDLE_TIMEOUT,
+        read: IDLE_TIMEOUT,
     };
     let is_ready = Rc::new(Cell::new(replica.is_ready));
-    let ready = is_ready.clone();
+    let is_ready_now = is_ready.clone();
     let handler = move |_: Request| {
-        let status = if ready.get() { 200 } else { 503 };
+        let status = match is_ready_now.get() {
+            true => HTTP_OK,
+            false => HTTP_UNAVAILABLE,
+        };
         async move {
             Response {
                 status,
@@ -149,57 +156,13 @@
             }
         }
     };
-    let serving = ex.spawn(forkshift_net::serve(ex.clone(), listener, limits, handler));
+    let server = forkshift_net::serve(executor.clone(), listener, limits, handler);
     Ok(Server {
-        addr,
+        address,
         is_ready,
-        _serving: serving,
+        _task: executor.spawn(server),
     })
 }
 
-/// Sends requests to all servers in turn, at a fixed rate.
-async fn send_load(ex: Executor, started: Instant, servers: Servers, answers: FirstAnswers) {
-    let client = Rc::new(Client::new(ClientLimits {
-        per_host: 1,
-        idle: UNDER_WAY_MOST,
-        keep: IDLE,
-        largest: BODY_MOST as u64,
-    }));
-    let under_way = Rc::new(Cell::new(0_usize));
-    let began = Instant::now();
-    for number in 0_u64.. {
-        let at = Duration::from_micros(number * 1_000_000 / REQUESTS_PER_S);
-        Timer::at(began + at).await;
-        let target = {
-            let servers = servers.borrow();
-            let count = servers.len().max(1) as u64;
-            let mut all = servers.iter();
-            all.nth((number % count) as usize)
-                .map(|((task, _), server)| (task.clone(), server.addr))
-        };
-        let Some((task, addr)) = target.filter(|_| under_way.get() < UNDER_WAY_MOST) else {
-            continue;
-        };
-        under_way.set(under_way.get() + 1);
-        let (client, under_way, answers) = (client.clone(), under_way.clone(), answers.clone());
-        let asking = async move {
-            let call = Call {
-                addr,
-                method: "POST",
-                path: "/answer".to_owned(),
-                body: Some(b"{}".to_vec()),
-                timeout: PATIENCE,
-            };
-            let is_answered = client.call(call).await.status == 200;
-            under_way.set(under_way.get() - 1);
-            if let (true, Ok(mut answers)) = (is_answered, answers.lock()) {
-                answers.entry(task).or_insert_with(|| started.elapsed());
-            }
-        };
-        ex.spawn(asking).detach();
-        future::yield_now().await;
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/emulator/src/model_servers/tests.rs
+++ b/crates/emulator/src/model_servers/tests.rs
@@ -27,9 +27,9 @@
         is_ready,
     };
     let servers = ModelServers::start(Instant::now());
-    servers.set(vec![replica(0, true), replica(1, false), replica(2, false)]);
+    servers.set_replicas(vec![replica(0, true), replica(1, false), replica(2, false)]);
     assert!(holds_soon(|| servers.first_answers().len() == 1));
-    servers.set(vec![replica(0, true), replica(1, true), replica(2, false)]);
+    servers.set_replicas(vec![replica(0, true), replica(1, true), replica(2, false)]);
     assert!(holds_soon(|| servers.first_answers().len() == 2));
     let answered: Vec<u32> = servers
         .first_answers()
--- a/crates/emulator/src/pools.rs
+++ b/crates/emulator/src/pools.rs
@@ -1,97 +1,116 @@
-//! What a run shows of warm pools: how soon a burst's replicas answer, and whether the
-//! pools' accounts agree with what the stand-in cloud charged.
+//! Results of warm pools: how soon the replicas of a burst answer, and whether the pools'
+//! accounts agree with the charges of the simulated cloud.
 
 use crate::model_servers::Replica;
 use crate::site::Site;
 use forkshift_pools::audit::{mistakes, Life};
 use forkshift_pools::report::{report, Accounts, PriceList, Span};
 use forkshift_pools::Interval;
-use forkshift_testkit::World;
+use forkshift_testkit::{Plan, World};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// By how much an interval may lie outside a machine's life: both are noted in steps of
-/// the hollow process, and a machine that died is known by its silence.
-pub const CLOCK_OFF_MS: u64 = 250;
+/// Largest time by which an interval may exceed a machine's lifetime, in milliseconds: both
+/// are recorded in steps of the simulation, and a crash is detected by missed heartbeats.
+const MAX_CLOCK_ERROR_MS: u64 = 250;
+const MILLISECONDS_PER_S: f64 = 1_000.0;
+const MILLISECONDS_PER_HOUR: f64 = 3_600_000.0;
+const SECONDS_PER_HOUR: f64 = 3_600.0;
+/// Lower bound of a price, so that a difference of machines without a price is finite.
+const MIN_HOURLY_PRICE: f64 = 1e-9;
 
-/// What became of a burst.
+/// Answers of the replicas of bursts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BurstFigures {
-    /// Replicas that were asked for.
+pub struct BurstSummary {
+    /// Replicas that the jobs of bursts have.
     pub replicas: u64,
-    /// Those that answered.
+    /// Replicas that have answered.
     pub answered: u64,
-    /// From the submission until the first of them answered, in milliseconds.
+    /// From the submission until the first replica answered, in milliseconds.
     pub first_answer_ms: Option<u64>,
-    /// From the submission until all had answered.
+    /// From the submission until all replicas had answered, in milliseconds.
     pub all_answered_ms: Option<u64>,
 }
 
-/// What pools' accounts hold, beside the cloud's.
+/// Totals of the pools' accounts, compared with the charges of the cloud.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PoolFigures {
-    /// Machines that were in pools.
+pub struct PoolSummary {
+    /// Number of machines that were in pools.
     pub machines: u64,
-    /// Machine-seconds that were asked for, and that too few machines were ready.
-    pub asked_s: f64,
-    /// Machine-seconds short.
+    /// Machine-seconds that the pools' sizes required.
+    #[serde(rename = "asked_s")]
+    pub requested_s: f64,
+    /// Machine-seconds by which ready machines were too few.
     pub short_s: f64,
-    /// Machine-seconds warm.
+    /// Machine-seconds of warm machines.
     pub warm_s: f64,
-    /// What pools are charged, by their accounts.
+    /// Cost of the pools by their accounts.
     pub cost: f64,
-    /// What the cloud charged for the same times of the same machines.
+    /// Charges of the cloud for the same intervals of the same machines.
     pub cloud_cost: f64,
-    /// The largest difference between the two for one machine, as seconds of its price.
-    pub largest_difference_s: f64,
-    /// Machines handed out, jobs missed, machines reclaimed and lost.
+    /// Largest difference between the two for one machine, in seconds of its price.
+    #[serde(rename = "largest_difference_s")]
+    pub max_difference_s: f64,
+    /// Machines handed out to jobs.
     pub handed_out: u64,
-    /// Jobs that found no machine.
+    /// Jobs that found no warm machine.
     pub missed: u64,
     /// Machines reclaimed.
     pub reclaimed: u64,
     /// Machines lost.
     pub lost: u64,
-    /// What is wrong with the accounts.
-    pub mistakes: Vec<String>,
-    /// What `forkshift pools report` says that pools cost, where it was asked.
+    /// Violated rules of the accounts.
+    #[serde(rename = "mistakes")]
+    pub discrepancies: Vec<String>,
+    /// Cost of the pools by `forkshift pools report`; `None` if that failed.
     pub reported_cost: Option<f64>,
 }
 
-/// The jobs whose replicas answer: all of them, and those of bursts with when they are
-/// submitted.
+/// A job whose replicas start together and answer requests.
+#[derive(Clone, Debug)]
+pub struct Burst {
+    /// Time of the submission, in seconds since the start of the run.
+    pub at_s: f64,
+    /// The job.
+    pub job: JobId,
+    /// Number of replicas.
+    pub replicas: u32,
+}
+
+/// The jobs whose replicas answer requests.
 #[derive(Clone, Debug, Default)]
 pub struct AnsweringJobs {
-    /// All of them.
+    /// All of the jobs.
     pub all: BTreeSet<JobId>,
-    /// Those of bursts: when, and how many replicas.
-    pub bursts: Vec<(f64, JobId, u32)>,
+    /// The jobs that are submitted in bursts.
+    pub bursts: Vec<Burst>,
 }
 
 impl AnsweringJobs {
-    /// Of the classes that answer.
-    pub fn new(site: &Site, plans: &[forkshift_testkit::Plan]) -> Self {
+    /// Selects the planned jobs whose class has answering replicas.
+    pub fn new(site: &Site, plans: &[Plan]) -> Self {
         let mut jobs = Self::default();
-        for plan in plans {
-            let class = site.classes.iter().find(|c| c.name == plan.spec.class);
-            let Some(class) = class.filter(|c| c.answers) else {
+        for Plan { spec, .. } in plans {
+            let class = site.classes.iter().find(|class| class.name == spec.class);
+            let Some(class) = class.filter(|class| class.answers) else {
                 continue;
             };
-            jobs.all.insert(plan.spec.id.clone());
-            if let Some(at_s) = class.burst_s {
-                let burst = (at_s, plan.spec.id.clone(), plan.spec.tasks);
-                jobs.bursts.push(burst);
-            }
+            jobs.all.insert(spec.id.clone());
+            jobs.bursts.extend(class.burst_s.map(|at_s| Burst {
+                at_s,
+                job: spec.id.clone(),
+                replicas: spec.tasks,
+            }));
         }
         jobs
     }
 
-    /// Their replicas that are on machines.
+    /// The replicas of the jobs that are on machines.
     pub fn replicas(&self, world: &World) -> Vec<Replica> {
-        let on_machines = world.tasks_of(&self.all).into_iter();
-        on_machines
+        let tasks = world.tasks_of(&self.all).into_iter();
+        tasks
             .map(|(task, machine, is_ready)| Replica {
                 task,
                 machine,
@@ -100,98 +119,132 @@
             .collect()
     }
 
-    /// How soon the replicas of bursts answered.
-    pub fn figures(&self, first_answers: &BTreeMap<TaskRef, Duration>) -> BurstFigures {
-        let mut after_ms: Vec<u64> = Vec::new();
+    /// Summarises the first answers of the replicas of bursts. Times count from the start
+    /// of the run.
+    pub fn burst_summary(&self, first_answers: &BTreeMap<TaskRef, Duration>) -> BurstSummary {
+        let mut latencies_ms: Vec<u64> = Vec::new();
         let mut replicas = 0;
-        for (at_s, job, tasks) in &self.bursts {
-            replicas += u64::from(*tasks);
-            let of_job = first_answers.iter().filter(|(task, _)| task.job == *job);
-            after_ms.extend(of_job.map(|(_, at)| {
-                let after_s = at.as_secs_f64() - at_s;
-                (after_s.max(0.0) * 1_000.0).round() as u64
-            }));
+        for burst in &self.bursts {
+            replicas += u64::from(burst.replicas);
+            latencies_ms.extend(burst.latencies_ms(first_answers));
         }
-        let all = after_ms.len() as u64 == replicas;
-        BurstFigures {
+        let answered = latencies_ms.len() as u64;
+        let all_have_answered = answered == replicas;
+        let max_ms = latencies_ms.iter().max().copied();
+        BurstSummary {
             replicas,
-            answered: after_ms.len() as u64,
-            first_answer_ms: after_ms.iter().min().copied(),
-            all_answered_ms: after_ms.iter().max().copied().filter(|_| all),
+            answered,
+            first_answer_ms: latencies_ms.iter().min().copied(),
+            all_answered_ms: max_ms.filter(|_| all_have_answered),
         }
     }
 }
 
-/// Pools' accounts as the state service has them, and the cloud's charges. The world
-/// began at `began_ms`, in milliseconds since 1970.
-pub fn pool_figures(world: &World, site: &Site, began_ms: u64) -> PoolFigures {
-    let now_ms = began_ms + world.now();
+impl Burst {
+    /// From the submission until each replica's first answer.
+    fn latencies_ms<'a>(
+        &'a self,
+        first_answers: &'a BTreeMap<TaskRef, Duration>,
+    ) -> impl Iterator<Item = u64> + 'a {
+        let answers = first_answers.iter();
+        let of_job = answers.filter(|(task, _)| task.job == self.job);
+        of_job.map(|(_, answered_at)| {
+            let latency_s = answered_at.as_secs_f64() - self.at_s;
+            (latency_s.max(0.0) * MILLISECONDS_PER_S).round() as u64
+        })
+    }
+}
+
+/// Compares the pools' accounts in the key-value store with the charges of the cloud. The
+/// run started at `start_time_ms`, in milliseconds since 1970.
+pub fn pool_summary(world: &World, site: &Site, start_time_ms: u64) -> PoolSummary {
+    let now_ms = start_time_ms + world.now();
     let accounts = world.pool_accounts(now_ms);
-    let lives = world.pool_lives(began_ms);
-    let all = Span {
+    let lives = world.pool_lives(start_time_ms);
+    let whole_run = Span {
         from_ms: 0,
         to_ms: now_ms + 1,
     };
-    let found = report(&accounts, all, now_ms);
-    let mistakes = mistakes(&accounts.intervals, &lives, CLOCK_OFF_MS);
-    let mut figures = PoolFigures {
-        mistakes: mistakes.iter().map(ToString::to_string).collect(),
-        ..PoolFigures::default()
+    let discrepancies = mistakes(&accounts.intervals, &lives, MAX_CLOCK_ERROR_MS);
+    let mut summary = PoolSummary {
+        discrepancies: discrepancies.iter().map(ToString::to_string).collect(),
+        ..PoolSummary::default()
     };
-    for pool in &found.pools {
-        figures.asked_s += pool.asked_s;
-        figures.short_s += pool.short_s;
-        figures.warm_s += pool.machine_s.warm;
-        figures.cost += pool.cost.sum();
-        figures.handed_out += u64::from(pool.handed_out);
-        figures.missed += u64::from(pool.missed);
-        figures.reclaimed += u64::from(pool.reclaimed);
-        figures.lost += u64::from(pool.lost);
+    for pool in &report(&accounts, whole_run, now_ms).pools {
+        summary.requested_s += pool.asked_s;
+        summary.short_s += pool.short_s;
+        summary.warm_s += pool.machine_s.warm;
+        summary.cost += pool.cost.sum();
+        summary.handed_out += u64::from(pool.handed_out);
+        summary.missed += u64::from(pool.missed);
+        summary.reclaimed += u64::from(pool.reclaimed);
+        summary.lost += u64::from(pool.lost);
     }
-    compare(&mut figures, &accounts, &lives, site, all);
-    figures
+    summary.add_machine_costs(&machine_costs(&accounts, &lives, site, whole_run));
+    summary
+}
+
+/// Cost of one machine while it was in pools.
+#[derive(Default)]
+struct MachineCost {
+    /// Cost by the accounts.
+    accounted: f64,
+    /// Charges of the cloud.
+    charged: f64,
+    /// Price an hour of the cloud.
+    hourly_price: f64,
 }
 
-/// Compares what each machine costs by the accounts with what the cloud charged.
-fn compare(
-    figures: &mut PoolFigures,
-    accounts: &Accounts,
+impl MachineCost {
+    /// Difference between accounts and charges, in seconds of the machine's price.
+    fn difference_s(&self) -> f64 {
+        let difference = (self.accounted - self.charged).abs();
+        difference / self.hourly_price.max(MIN_HOURLY_PRICE) * SECONDS_PER_HOUR
+    }
+}
+
+impl PoolSummary {
+    fn add_machine_costs(&mut self, costs: &BTreeMap<&MachineId, MachineCost>) {
+        self.machines = costs.len() as u64;
+        for cost in costs.values() {
+            self.cloud_cost += cost.charged;
+            self.max_difference_s = self.max_difference_s.max(cost.difference_s());
+        }
+    }
+}
+
+/// Cost of each machine of the accounts.
+fn machine_costs<'a>(
+    accounts: &'a Accounts,
     lives: &BTreeMap<MachineId, Life>,
     site: &Site,
-    all: Span,
-) {
+    span: Span,
+) -> BTreeMap<&'a MachineId, MachineCost> {
     let prices = PriceList::new(&accounts.prices);
-    let mut by_machine: BTreeMap<&MachineId, (f64, f64, f64)> = BTreeMap::new();
+    let mut costs: BTreeMap<&MachineId, MachineCost> = BTreeMap::new();
     for interval in &accounts.intervals {
-        let hourly = cloud_price(site, interval);
-        let life = lives.get(&interval.machine).copied().unwrap_or_default();
-        let within = interval
-            .to_ms
-            .min(life.1)
-            .saturating_sub(interval.from_ms.max(life.0));
-        let charged = hourly * within as f64 / 3_600_000.0;
-        let entry = by_machine.entry(&interval.machine).or_default();
-        entry.0 += prices.cost(interval, all).0;
-        entry.1 += charged;
-        entry.2 = hourly;
-    }
-    figures.machines = by_machine.len() as u64;
-    for (cost, charged, hourly) in by_machine.into_values() {
-        figures.cloud_cost += charged;
-        let difference_s = (cost - charged).abs() / hourly.max(1e-9) * 3_600.0;
-        figures.largest_difference_s = figures.largest_difference_s.max(difference_s);
+        let hourly_price = cloud_price(site, interval);
+        let (created_ms, removed_ms) = lives.get(&interval.machine).copied().unwrap_or_default();
+        let start_ms = interval.from_ms.max(created_ms);
+        let end_ms = interval.to_ms.min(removed_ms);
+        let charged_ms = end_ms.saturating_sub(start_ms);
+        let cost = costs.entry(&interval.machine).or_default();
+        cost.accounted += prices.cost(interval, span).0;
+        cost.charged += hourly_price * charged_ms as f64 / MILLISECONDS_PER_HOUR;
+        cost.hourly_price = hourly_price;
     }
+    costs
 }
 
-/// What the stand-in cloud charges an hour: its prices do not change.
+/// Price an hour of the simulated cloud. Its prices never change.
 fn cloud_price(site: &Site, interval: &Interval) -> f64 {
-    let of_type = site
+    let machine_type = site
         .machine_types
         .iter()
-        .find(|t| t.name == interval.machine_type);
-    let price = of_type.and_then(|t| match interval.spot {
-        true => t.spot_price,
-        false => Some(t.price),
+        .find(|machine_type| machine_type.name == interval.machine_type);
+    let price = machine_type.and_then(|machine_type| match interval.spot {
+        true => machine_type.spot_price,
+        false => Some(machine_type.price),
     });
     price.unwrap_or(0.0)
 }
--- a/crates/emulator/src/pools/tests.rs
+++ b/crates/emulator/src/pools/tests.rs
@@ -2,18 +2,23 @@
 
 fn jobs() -> AnsweringJobs {
     let job = |n: u32| JobId::new(&format!("j-00000{n}"));
+    let burst = |job, replicas| Burst {
+        at_s: 80.0,
+        job,
+        replicas,
+    };
     AnsweringJobs {
         all: (0..3).map(job).collect(),
-        bursts: vec![(80.0, job(1), 2), (80.0, job(2), 1)],
+        bursts: vec![burst(job(1), 2), burst(job(2), 1)],
     }
 }
 
-/// Job, task and time of each answer; how many count, the first, and when all had.
+/// Job, task and time of each answer; expected count, first latency and latency of all.
 type Case = (&'static [(u32, u32, u64)], u64, Option<u64>, Option<u64>);
 
 /// Only replicas of bursts count, and "all" only once each of them has answered.
 #[test]
-fn a_bursts_answers_are_counted_from_its_submission() {
+fn burst_latencies_count_from_the_submission() {
     let answer = |(job, index, at_ms): (u32, u32, u64)| {
         let task = TaskRef {
             job: JobId::new(&format!("j-00000{job}")),
@@ -33,8 +38,8 @@
         ),
     ];
     for (answers, answered, first, all) in cases {
-        let found = jobs().figures(&answers.iter().copied().map(answer).collect());
-        let expected = BurstFigures {
+        let found = jobs().burst_summary(&answers.iter().copied().map(answer).collect());
+        let expected = BurstSummary {
             replicas: 3,
             answered,
             first_answer_ms: first,
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,154 +1,186 @@
-//! The report of a run.
+//! The report of a run. Serialised names are those of the report's JSON.
 
-use crate::metrics::Metrics;
-use crate::pools::{BurstFigures, PoolFigures};
+mod table;
+
+use crate::metrics::{Metrics, StoreUsage};
+use crate::pools::{BurstSummary, PoolSummary};
 use crate::process::ProcessUsage;
-use crate::purpose::Purpose;
+use crate::request_category::RequestCategory;
 use forkshift_wire::users::Priority;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fmt::{self, Display, Write};
 
-/// Times, in milliseconds.
+/// Shortest measured time, in seconds, so that rates are finite.
+const MIN_MEASURED_S: f64 = 1e-3;
+const KIB_PER_MIB: f64 = 1024.0;
+
+/// Summary of a latency distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Times {
-    /// How many there were.
+pub struct LatencySummary {
+    /// Number of values.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub median_ms: u64,
-    /// What 99 of 100 stay below.
+    /// 99th percentile.
     pub p99_ms: u64,
-    /// The longest.
-    pub most_ms: u64,
+    /// Maximum.
+    #[serde(rename = "most_ms")]
+    pub max_ms: u64,
 }
 
-impl From<&Histogram<u64>> for Times {
-    fn from(times: &Histogram<u64>) -> Self {
+impl From<&Histogram<u64>> for LatencySummary {
+    fn from(latencies: &Histogram<u64>) -> Self {
         Self {
-            count: times.len(),
-            median_ms: times.value_at_quantile(0.5),
-            p99_ms: times.value_at_quantile(0.99),
-            most_ms: times.max(),
+            count: latencies.len(),
+            median_ms: latencies.value_at_quantile(0.5),
+            p99_ms: latencies.value_at_quantile(0.99),
+            max_ms: latencies.max(),
         }
     }
 }
 
-/// Requests and changes a second at the state service.
+/// Rates of requests and writes at the key-value store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StateRates {
+pub struct StoreRates {
     /// Requests a second.
     pub requests_per_s: f64,
-    /// Changes a second.
-    pub changes_per_s: f64,
+    /// Writes a second.
+    #[serde(rename = "changes_per_s")]
+    pub writes_per_s: f64,
+}
+
+impl StoreRates {
+    fn new(usage: StoreUsage, seconds: f64) -> Self {
+        Self {
+            requests_per_s: usage.requests as f64 / seconds,
+            writes_per_s: usage.writes as f64 / seconds,
+        }
+    }
 }
 
-/// What a process used.
+/// Load of a process over the measured part of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ProcessUse {
-    /// Its name.
+pub struct ProcessLoad {
+    /// Name of the process.
     pub name: String,
-    /// Processor seconds a second, in parts of one core.
+    /// Mean processor use, in cores.
     pub cpu_cores: f64,
-    /// Resident memory at the end, in MB.
+    /// Resident memory at the end, in MiB.
     pub resident_mb: f64,
 }
 
-/// What one run showed. Rates and times are of the part behind the warm-up.
+impl ProcessLoad {
+    /// The load between two moments that are so many seconds apart.
+    pub fn between(name: &str, start: ProcessUsage, end: ProcessUsage, seconds: f64) -> Self {
+        Self {
+            name: name.to_owned(),
+            cpu_cores: (end.cpu_s - start.cpu_s).max(0.0) / seconds,
+            resident_mb: end.resident_kb as f64 / KIB_PER_MIB,
+        }
+    }
+}
+
+/// Results of one run. Rates and latencies are those after the warm-up.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the site.
     pub site: String,
-    /// Seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Whether it was ended before its time.
+    /// Whether the run was interrupted.
     pub interrupted: bool,
     /// Length of the whole run, in seconds.
     pub duration_s: f64,
     /// Length of the part that was measured, in seconds.
     pub measured_s: f64,
-    /// Rules that were broken, the first twenty: which, when, and how.
-    pub rules_broken: Vec<String>,
-    /// Workers that were up at the end.
+    /// Violations of the checked rules, at most twenty: which, when, and how.
+    #[serde(rename = "rules_broken")]
+    pub rule_violations: Vec<String>,
+    /// Workers that are up at the end.
     pub workers: u64,
-    /// Workers that the run was to have.
-    pub workers_asked: u64,
-    /// Controllers.
+    /// Workers that the site asks for.
+    #[serde(rename = "workers_asked")]
+    pub workers_expected: u64,
+    /// Number of controllers.
     pub controllers: u64,
-    /// Controllers that ended by themselves.
-    pub controllers_ended: u64,
-    /// Teams.
+    /// Exits of controllers that no fault of the site caused.
+    #[serde(rename = "controllers_ended")]
+    pub controllers_exited: u64,
+    /// Number of teams.
     pub teams: u64,
-    /// Tasks on machines at the end.
+    /// Tasks that run at the end.
     pub tasks_running: u64,
-    /// Jobs that were accepted.
+    /// Accepted jobs.
     pub jobs_accepted: u64,
-    /// Those of them that are done.
+    /// Accepted jobs that are done at the end.
     pub jobs_done: u64,
-    /// Those that were cancelled.
+    /// Accepted jobs that were cancelled.
     pub jobs_cancelled: u64,
-    /// Those with tasks on machines at the end.
+    /// Accepted jobs with running tasks at the end.
     pub jobs_running: u64,
-    /// Those with none at the end.
+    /// Accepted jobs without a running task at the end.
     pub jobs_waiting: u64,
-    /// Replicas that were started again.
+    /// Restarts of replicas.
     #[serde(default)]
     pub replicas_restarted: u64,
     /// First starts of tasks.
     pub task_starts: u64,
-    /// The same a second.
+    /// First starts of tasks a second.
     pub starts_per_s: f64,
-    /// From a user's first attempt until a task's first start, by priority.
-    pub start_times: BTreeMap<String, Times>,
-    /// From a user's first attempt until the job was accepted.
-    pub submissions: Times,
-    /// From sending a report until its answer.
-    pub reports: Times,
-    /// Reports that had no answer, or another than 200 and 421.
-    pub reports_failed: u64,
-    /// Reports that were led to another controller.
-    pub reports_redirected: u64,
-    /// Messages a worker a second, reports and commands.
+    /// From a user's first attempt to submit until a task's first start, by priority.
+    #[serde(rename = "start_times")]
+    pub start_latencies: BTreeMap<String, LatencySummary>,
+    /// From a user's first attempt to submit until the job was accepted.
+    pub submissions: LatencySummary,
+    /// From sending a heartbeat until its response.
+    #[serde(rename = "reports")]
+    pub heartbeats: LatencySummary,
+    /// Heartbeats without a response, or with another than 200 and 421.
+    #[serde(rename = "reports_failed")]
+    pub heartbeats_failed: u64,
+    /// Heartbeats that were redirected to another controller.
+    #[serde(rename = "reports_redirected")]
+    pub heartbeats_redirected: u64,
+    /// Heartbeats and commands per worker and second.
     pub messages_per_worker_s: f64,
-    /// Bytes that a worker sends a second.
+    /// Bytes sent per worker and second.
     pub sent_per_worker_s: f64,
-    /// Bytes that a worker receives a second.
+    /// Bytes received per worker and second.
     pub received_per_worker_s: f64,
-    /// The state service, by purpose.
-    pub state: BTreeMap<String, StateRates>,
-    /// All of it.
-    pub state_total: StateRates,
-    /// Requests that it refused.
-    pub state_refused: u64,
-    /// Each controller.
-    pub controller_use: Vec<ProcessUse>,
-    /// All of them together, in cores.
+    /// Rates at the key-value store, by category.
+    #[serde(rename = "state")]
+    pub store: BTreeMap<String, StoreRates>,
+    /// Rates at the key-value store in all.
+    #[serde(rename = "state_total")]
+    pub store_total: StoreRates,
+    /// Requests that the key-value store refused.
+    #[serde(rename = "state_refused")]
+    pub store_refused: u64,
+    /// Load of each controller.
+    #[serde(rename = "controller_use")]
+    pub controller_loads: Vec<ProcessLoad>,
+    /// Processor use of all controllers, in cores.
     pub controllers_cpu_cores: f64,
-    /// The largest of them, in MB.
-    pub controller_most_mb: f64,
-    /// The process with all hollow workers, users and services.
-    pub hollow_use: ProcessUse,
-    /// The longest time by which that process was behind the clock, in milliseconds.
-    /// Beyond a few hundred, times are its own rather than the controllers'.
-    pub hollow_behind_ms: u64,
-    /// How soon the replicas of bursts answered, where there are bursts.
+    /// Resident memory of the largest controller, in MiB.
+    #[serde(rename = "controller_most_mb")]
+    pub max_controller_mb: f64,
+    /// Load of the emulator itself: hollow workers, users and services.
+    #[serde(rename = "hollow_use")]
+    pub hollow_process: ProcessLoad,
+    /// Largest lag of the emulator's simulated time behind the clock, in milliseconds.
+    /// Beyond a few hundred, latencies are the emulator's rather than the controllers'.
+    #[serde(rename = "hollow_behind_ms")]
+    pub hollow_lag_ms: u64,
+    /// Times until the replicas of bursts answered; `None` without bursts.
     #[serde(default)]
-    pub burst: Option<BurstFigures>,
-    /// Warm pools, where machines were in any.
+    pub burst: Option<BurstSummary>,
+    /// Warm pools; `None` if no machine was in one.
     #[serde(default)]
-    pub pools: Option<PoolFigures>,
-}
-
-/// What is used between two looks.
-pub fn process_use(name: &str, from: ProcessUsage, to: ProcessUsage, s: f64) -> ProcessUse {
-    ProcessUse {
-        name: name.to_owned(),
-        cpu_cores: (to.cpu_s - from.cpu_s).max(0.0) / s,
-        resident_mb: to.resident_kb as f64 / 1024.0,
-    }
+    pub pools: Option<PoolSummary>,
 }
 
-/// The name of a priority in reports.
+/// Name of a priority in reports.
 fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::Low => "low",
@@ -158,180 +190,69 @@
     }
 }
 
-fn purpose_name(purpose: Purpose) -> String {
-    let name = serde_json::to_value(purpose).unwrap_or_default();
+/// Name of a category in reports.
+fn category_name(category: RequestCategory) -> String {
+    let name = serde_json::to_value(category).unwrap_or_default();
     name.as_str().unwrap_or_default().to_owned()
 }
 
 impl Report {
-    /// Fills in what the metrics hold, as rates over the measured part.
-    pub fn fill(&mut self, metrics: &Metrics) {
-        let seconds = self.measured_s.max(1e-3);
-        let workers = self.workers.max(1) as f64;
-        let per_worker = |n: u64| n as f64 / seconds / workers;
+    /// Whether a rule was violated, or the accounts of the pools are wrong.
+    pub fn has_failures(&self) -> bool {
+        let discrepancies = self.pools.as_ref().map(|pools| &pools.discrepancies);
+        !self.rule_violations.is_empty() || discrepancies.is_some_and(|list| !list.is_empty())
+    }
+
+    /// Sets the fields that are computed from metrics. The measured time and the number of
+    /// workers must be set before.
+    pub fn set_metrics(&mut self, metrics: &Metrics) {
+        let seconds = self.measured_s.max(MIN_MEASURED_S);
+        self.set_start_metrics(metrics, seconds);
+        self.set_worker_metrics(metrics, seconds);
+        self.set_store_metrics(metrics, seconds);
+        self.hollow_lag_ms = metrics.max_lag_ms;
+    }
+
+    fn set_start_metrics(&mut self, metrics: &Metrics, seconds: f64) {
         self.task_starts = metrics.task_starts();
         self.starts_per_s = self.task_starts as f64 / seconds;
-        let starts = metrics.starts.iter();
-        self.start_times = starts
-            .map(|(priority, times)| (priority_name(*priority).to_owned(), times.into()))
+        let latencies = metrics.start_latencies.iter();
+        self.start_latencies = latencies
+            .map(|(priority, latencies)| (priority_name(*priority).to_owned(), latencies.into()))
             .collect();
-        self.submissions = (&metrics.acceptances).into();
-        self.reports = (&metrics.reports).into();
-        self.reports_failed = metrics.reports_failed;
-        self.reports_redirected = metrics.reports_redirected;
-        self.messages_per_worker_s = per_worker(metrics.reports.len() + metrics.commands);
-        self.sent_per_worker_s = per_worker(metrics.worker_traffic.sent);
-        self.received_per_worker_s = per_worker(metrics.worker_traffic.received);
-        let state = metrics.state.iter().map(|(purpose, used)| {
-            let rates = StateRates {
-                requests_per_s: used.requests as f64 / seconds,
-                changes_per_s: used.changes as f64 / seconds,
-            };
-            (purpose_name(*purpose), rates)
-        });
-        self.state = state.collect();
-        self.state_total = StateRates {
-            requests_per_s: self.state.values().map(|r| r.requests_per_s).sum(),
-            changes_per_s: self.state.values().map(|r| r.changes_per_s).sum(),
-        };
-        self.state_refused = metrics.state_refused;
-        self.hollow_behind_ms = metrics.behind_ms;
+        self.submissions = (&metrics.submission_latencies).into();
     }
 
-    /// Fills in what the controllers used.
-    pub fn fill_controllers(&mut self, used: Vec<ProcessUse>) {
-        self.controllers_cpu_cores = used.iter().map(|u| u.cpu_cores).sum();
-        let most = used.iter().map(|u| u.resident_mb);
-        self.controller_most_mb = most.fold(0.0, f64::max);
-        self.controller_use = used;
+    fn set_worker_metrics(&mut self, metrics: &Metrics, seconds: f64) {
+        let workers = self.workers.max(1) as f64;
+        let rate_per_worker = |count: u64| count as f64 / seconds / workers;
+        let messages = metrics.heartbeat_latencies.len() + metrics.commands;
+        self.heartbeats = (&metrics.heartbeat_latencies).into();
+        self.heartbeats_failed = metrics.heartbeats_failed;
+        self.heartbeats_redirected = metrics.heartbeats_redirected;
+        self.messages_per_worker_s = rate_per_worker(messages);
+        self.sent_per_worker_s = rate_per_worker(metrics.worker_traffic.sent);
+        self.received_per_worker_s = rate_per_worker(metrics.worker_traffic.received);
     }
-}
-
-/// One line of the table.
-fn row(out: &mut String, name: &str, value: impl Display) {
-    // Writing to a string does not fail.
-    let _ = writeln!(out, "{name:<34} {value}");
-}
 
-fn times(times: &Times) -> String {
-    let Times {
-        count,
-        median_ms,
-        p99_ms,
-        most_ms,
-    } = times;
-    format!("median {median_ms} ms, 99% {p99_ms} ms, most {most_ms} ms ({count})")
-}
-
-fn burst_text(burst: &BurstFigures) -> String {
-    let ms = |ms: Option<u64>| ms.map_or("never".to_owned(), |ms| format!("{ms} ms"));
-    format!(
-        "{} of {} replicas answered, the first after {}, all after {}",
-        burst.answered,
-        burst.replicas,
-        ms(burst.first_answer_ms),
-        ms(burst.all_answered_ms)
-    )
-}
-
-fn pool_rows(out: &mut String, pools: &PoolFigures) {
-    let times = format!(
-        "{} machines, {:.0} machine-seconds asked for, {:.0} warm, {:.0} short",
-        pools.machines, pools.asked_s, pools.warm_s, pools.short_s
-    );
-    row(out, "pools", times);
-    let counts = format!(
-        "{} handed out, {} missed, {} reclaimed, {} lost",
-        pools.handed_out, pools.missed, pools.reclaimed, pools.lost
-    );
-    row(out, "", counts);
-    let reported = pools.reported_cost;
-    let cost = format!(
-        "cost {:.4} by the accounts, {} by the report, {:.4} by the cloud; {:.3} s apart at most",
-        pools.cost,
-        reported.map_or("none".to_owned(), |cost| format!("{cost:.4}")),
-        pools.cloud_cost,
-        pools.largest_difference_s
-    );
-    row(out, "", cost);
-    for mistake in &pools.mistakes {
-        row(out, "account", mistake);
+    fn set_store_metrics(&mut self, metrics: &Metrics, seconds: f64) {
+        let usages = metrics.store.iter();
+        self.store = usages
+            .map(|(category, usage)| (category_name(*category), StoreRates::new(*usage, seconds)))
+            .collect();
+        self.store_total = StoreRates {
+            requests_per_s: self.store.values().map(|rates| rates.requests_per_s).sum(),
+            writes_per_s: self.store.values().map(|rates| rates.writes_per_s).sum(),
+        };
+        self.store_refused = metrics.store_refused;
     }
-}
 
-fn process(used: &ProcessUse) -> String {
-    format!("{:.3} cores, {:.1} MB", used.cpu_cores, used.resident_mb)
-}
-
-impl Display for Report {
-    /// A table for people.
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut out = String::new();
-        row(
-            &mut out,
-            "site, seed",
-            format!("{}, {}", self.site, self.seed),
-        );
-        let measured = format!("{:.0} s of {:.0} s", self.measured_s, self.duration_s);
-        row(&mut out, "measured", measured);
-        let workers = format!("{} of {}", self.workers, self.workers_asked);
-        row(&mut out, "workers up", workers);
-        row(&mut out, "tasks running", self.tasks_running);
-        let jobs = format!(
-            "{} accepted: {} done, {} cancelled, {} running, {} waiting",
-            self.jobs_accepted,
-            self.jobs_done,
-            self.jobs_cancelled,
-            self.jobs_running,
-            self.jobs_waiting
-        );
-        row(&mut out, "jobs", jobs);
-        let starts = format!("{}, {:.1} a second", self.task_starts, self.starts_per_s);
-        row(&mut out, "task starts", starts);
-        let again = self.replicas_restarted.to_string();
-        row(&mut out, "replicas started again", again);
-        for (priority, of_priority) in &self.start_times {
-            row(&mut out, &format!("start, {priority}"), times(of_priority));
-        }
-        row(&mut out, "submission", times(&self.submissions));
-        row(&mut out, "report", times(&self.reports));
-        let reports = format!("{}, {}", self.reports_failed, self.reports_redirected);
-        row(&mut out, "reports failed, redirected", reports);
-        let messages = format!(
-            "{:.2} messages, {:.0} bytes out, {:.0} in",
-            self.messages_per_worker_s, self.sent_per_worker_s, self.received_per_worker_s
-        );
-        row(&mut out, "a worker a second", messages);
-        for (purpose, rates) in &self.state {
-            let value = format!(
-                "{:.1} requests, {:.1} changes a second",
-                rates.requests_per_s, rates.changes_per_s
-            );
-            row(&mut out, &format!("state service, {purpose}"), value);
-        }
-        row(&mut out, "state service, refused", self.state_refused);
-        for used in &self.controller_use {
-            row(&mut out, &used.name, process(used));
-        }
-        row(&mut out, "hollow process", process(&self.hollow_use));
-        let behind = format!("{} ms", self.hollow_behind_ms);
-        row(&mut out, "hollow process behind by", behind);
-        row(
-            &mut out,
-            "controllers ended by themselves",
-            self.controllers_ended,
-        );
-        if let Some(burst) = &self.burst {
-            row(&mut out, "burst", burst_text(burst));
-        }
-        if let Some(pools) = &self.pools {
-            pool_rows(&mut out, pools);
-        }
-        row(&mut out, "rules broken", self.rules_broken.len());
-        for broken in &self.rules_broken {
-            row(&mut out, "", broken);
-        }
-        f.write_str(&out)
+    /// Sets the loads of the controllers, with their sum and maximum.
+    pub fn set_controller_loads(&mut self, loads: Vec<ProcessLoad>) {
+        self.controllers_cpu_cores = loads.iter().map(|load| load.cpu_cores).sum();
+        let memory = loads.iter().map(|load| load.resident_mb);
+        self.max_controller_mb = memory.fold(0.0, f64::max);
+        self.controller_loads = loads;
     }
 }
 
--- a/crates/emulator/src/sweep.rs
+++ b/crates/emulator/src/sweep.rs
@@ -78,7 +78,7 @@
 
 /// The processor time of the controller that used most.
 fn most_cores(report: &Report) -> f64 {
-    let cores = report.controller_use.iter().map(|u| u.cpu_cores);
+    let cores = report.controller_loads.iter().map(|u| u.cpu_cores);
     cores.fold(0.0, f64::max)
 }
 
@@ -93,19 +93,19 @@
     },
     Figure {
         name: "largest_controller_mb",
-        value: |r| r.controller_most_mb,
+        value: |r| r.max_controller_mb,
     },
     Figure {
         name: "state_requests_per_s",
-        value: |r| r.state_total.requests_per_s,
+        value: |r| r.store_total.requests_per_s,
     },
     Figure {
         name: "state_changes_per_s",
-        value: |r| r.state_total.changes_per_s,
+        value: |r| r.store_total.writes_per_s,
     },
     Figure {
         name: "report_p99_ms",
-        value: |r| r.reports.p99_ms as f64,
+        value: |r| r.heartbeats.p99_ms as f64,
     },
     Figure {
         name: "submission_p99_ms",
@@ -121,7 +121,7 @@
     },
     Figure {
         name: "hollow_process_cores",
-        value: |r| r.hollow_use.cpu_cores,
+        value: |r| r.hollow_process.cpu_cores,
     },
 ];
 
@@ -204,7 +204,7 @@
             reports.push(report);
         }
         self.write_growth(&reports)?;
-        Ok(reports.iter().any(|r| !r.rules_broken.is_empty()))
+        Ok(reports.iter().any(|r| !r.rule_violations.is_empty()))
     }
 
     /// Makes one run, in a process of its own, so that none finds sockets or
--- a/crates/emulator/src/sweep/tests.rs
+++ b/crates/emulator/src/sweep/tests.rs
@@ -1,5 +1,5 @@
 use super::{growth, Dimension};
-use crate::report::{ProcessUse, Report};
+use crate::report::{ProcessLoad, Report};
 
 fn report(workers: u64, cores: f64) -> Report {
     let mut report = Report {
@@ -7,11 +7,11 @@
         starts_per_s: 10.0,
         ..Report::default()
     };
-    let used = |share: f64| ProcessUse {
+    let used = |share: f64| ProcessLoad {
         cpu_cores: cores * share,
-        ..ProcessUse::default()
+        ..ProcessLoad::default()
     };
-    report.fill_controllers(vec![used(0.75), used(0.25)]);
+    report.set_controller_loads(vec![used(0.75), used(0.25)]);
     report
 }
 
