--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -23,7 +23,6 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
 use std::time::Duration;
 
 /// How often a run looks at the clock, its children and its progress.
@@ -35,7 +34,7 @@
 
 /// Why a run can't be made.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum EmulationError {
     /// The machine is too small.
     #[error("{0}")]
     Preflight(#[from] PreflightError),
@@ -68,7 +67,7 @@
 }
 
 /// Makes a run of a site. It ends early once `stop` is set.
-pub fn run(site: &Site, stop: &Arc<AtomicBool>) -> Result<Report, Failure> {
+pub fn run(site: &Site, stop: &AtomicBool) -> Result<Report, EmulationError> {
     MachineLimits::read()?.check(site)?;
     let folder = Folder::new()?;
     let addresses = Addresses::new(site.controllers.base_port);
@@ -128,7 +127,7 @@
 }
 
 impl Run<'_> {
-    async fn play(mut self, stop: &Arc<AtomicBool>) -> Result<Report, Failure> {
+    async fn play(mut self, stop: &AtomicBool) -> Result<Report, EmulationError> {
         let site = self.site;
         loop {
             Timer::after(LOOK).await;
@@ -221,7 +220,7 @@
         self.progress.event(&line);
     }
 
-    fn restart_due(&mut self, now_s: f64) -> Result<(), Failure> {
+    fn restart_due(&mut self, now_s: f64) -> Result<(), EmulationError> {
         for index in self.controllers.take_exited() {
             self.ended += 1;
             let name = controller_name(index);
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,14 +1,13 @@
 //! Runs real controllers with hollow workers on one machine, and measures them.
 //!
-//! Everything around the controllers is played by one process: the state service,
-//! the cloud, users, and thousands of workers, each with sockets of its own on the
-//! loopback network. The rules are checked while it runs.
+//! One process simulates everything around the controllers: the key-value store, the cloud,
+//! users, and thousands of workers, each with its own sockets on the loopback network. The
+//! rules of the simulation are checked during the run.
 
 mod addresses;
 mod bridge;
 mod controllers;
 mod emulation;
-mod fit;
 mod load;
 mod metrics;
 mod model_servers;
@@ -17,6 +16,7 @@
 mod preflight;
 mod process;
 mod progress;
+mod regression;
 mod report;
 mod request_category;
 mod settings;
@@ -24,20 +24,19 @@
 mod sweep;
 
 use clap::{Args, Parser, Subcommand};
-use report::Report;
+use emulation::EmulationError;
 use site::{Overrides, Site, SiteError};
-use std::fs;
-use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use sweep::Dimension;
+use std::{fs, io};
+use sweep::{Dimension, Sweep, SweepError};
 
-/// Exit status where a rule was broken.
-const BROKEN: u8 = 1;
-/// Exit status where the run could not be made as asked for.
-const REFUSED: u8 = 2;
+/// Exit status if a rule was violated or an account is wrong.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit status if the run could not be made.
+const EXIT_ERROR: u8 = 2;
 
 /// Real controllers with hollow workers on one machine.
 #[derive(Parser)]
@@ -121,23 +120,53 @@
     }
 }
 
+/// Why a command fails.
 #[derive(Debug, thiserror::Error)]
-enum Failure {
-    #[error("{0}: {1}")]
-    File(String, io::Error),
-    #[error("{0}: {1}")]
-    Site(String, SiteError),
-    #[error("{0}")]
-    Run(#[from] emulation::Failure),
-    #[error("{0}")]
-    Sweep(#[from] sweep::Failure),
+enum CommandError {
+    /// A file can't be read or written.
+    #[error("{path}: {source}")]
+    File { path: String, source: io::Error },
+    /// A site file, or a site with the overrides, is invalid.
+    #[error("{path}: {source}")]
+    Site { path: String, source: SiteError },
+    #[error(transparent)]
+    Run(#[from] EmulationError),
+    #[error(transparent)]
+    Sweep(#[from] SweepError),
     #[error("Ctrl-C can't be caught: {0}")]
     Signal(#[from] ctrlc::Error),
 }
 
+/// Whether the rules were kept in all runs of a command.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Outcome {
+    RulesKept,
+    RulesViolated,
+}
+
+impl Outcome {
+    fn of(has_violations: bool) -> Self {
+        match has_violations {
+            true => Self::RulesViolated,
+            false => Self::RulesKept,
+        }
+    }
+}
+
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::new().filter("LOG_LEVEL")).init();
-    let done = match Arguments::parse().command {
+    match execute(Arguments::parse().command) {
+        Ok(Outcome::RulesKept) => ExitCode::SUCCESS,
+        Ok(Outcome::RulesViolated) => ExitCode::from(EXIT_VIOLATION),
+        Err(error) => {
+            eprintln!("forkshift-emulator: {error}");
+            ExitCode::from(EXIT_ERROR)
+        }
+    }
+}
+
+fn execute(command: Command) -> Result<Outcome, CommandError> {
+    match command {
         Command::Run {
             site,
             load,
@@ -153,67 +182,64 @@
             workers,
             folder,
             label,
-        } => read_site(&site).and_then(|_| {
-            let plan = sweep::Plan {
-                site: &site,
-                dimension: over,
-                sizes: &sizes,
-                base: load.overrides(workers),
-                folder: &folder,
-                label: &label,
-            };
-            Ok(plan.carry_out(&stop_flag()?)?)
+        } => sweep(&Sweep {
+            site: &site,
+            dimension: over,
+            sizes: &sizes,
+            overrides: load.overrides(workers),
+            directory: &folder,
+            label: &label,
         }),
-    };
-    match done {
-        Ok(broken) => ExitCode::from(if broken { BROKEN } else { 0 }),
-        Err(e) => {
-            eprintln!("forkshift-emulator: {e}");
-            ExitCode::from(REFUSED)
-        }
     }
 }
 
-/// Set once Ctrl-C was pressed.
-fn stop_flag() -> Result<Arc<AtomicBool>, Failure> {
-    let stop = Arc::new(AtomicBool::new(false));
-    let set = stop.clone();
-    ctrlc::set_handler(move || set.store(true, Ordering::Relaxed))?;
-    Ok(stop)
-}
-
-fn read_site(path: &Path) -> Result<(String, Site), Failure> {
-    let name = path.display().to_string();
-    let text = fs::read_to_string(path).map_err(|e| Failure::File(name.clone(), e))?;
-    let site = Site::parse(&text).map_err(|e| Failure::Site(name.clone(), e))?;
-    Ok((name, site))
-}
-
-fn write(path: &Path, text: &str) -> Result<(), Failure> {
-    let failed = |e| Failure::File(path.display().to_string(), e);
-    fs::write(path, text).map_err(failed)
-}
-
-/// Runs a site once; says whether a rule was broken, or an account is wrong.
+/// Runs a site once, and prints its report.
 fn run(
     path: &Path,
     overrides: &Overrides,
     operator: Option<PathBuf>,
-    file: Option<&Path>,
-) -> Result<bool, Failure> {
-    let (name, site) = read_site(path)?;
+    report_path: Option<&Path>,
+) -> Result<Outcome, CommandError> {
+    let site = read_site(path)?;
     let mut site = site
         .with_overrides(overrides)
-        .map_err(|e| Failure::Site(name, e))?;
+        .map_err(|source| site_error(path, source))?;
     site.controllers.operator = operator.or(site.controllers.operator);
-    let report = emulation::run(&site, &stop_flag()?)?;
+    let report = emulation::run(&site, &*stop_flag()?)?;
     print!("{report}");
-    if let Some(file) = file {
-        write(file, &json(&report))?;
+    if let Some(path) = report_path {
+        let json = serde_json::to_string(&report).unwrap_or_default();
+        fs::write(path, json + "\n").map_err(|source| file_error(path, source))?;
     }
-    Ok(report.has_failures())
+    Ok(Outcome::of(report.has_failures()))
+}
+
+/// Runs a sweep of a valid site file.
+fn sweep(sweep: &Sweep) -> Result<Outcome, CommandError> {
+    read_site(sweep.site)?;
+    let has_violations = sweep.run(&*stop_flag()?)?;
+    Ok(Outcome::of(has_violations))
+}
+
+/// A flag that Ctrl-C sets.
+fn stop_flag() -> Result<Arc<AtomicBool>, CommandError> {
+    let stop = Arc::new(AtomicBool::new(false));
+    let handler_stop = stop.clone();
+    ctrlc::set_handler(move || handler_stop.store(true, Ordering::Relaxed))?;
+    Ok(stop)
+}
+
+fn read_site(path: &Path) -> Result<Site, CommandError> {
+    let text = fs::read_to_string(path).map_err(|source| file_error(path, source))?;
+    Site::parse(&text).map_err(|source| site_error(path, source))
+}
+
+fn file_error(path: &Path, source: io::Error) -> CommandError {
+    let path = path.display().to_string();
+    CommandError::File { path, source }
 }
 
-fn json(report: &Report) -> String {
-    serde_json::to_string(report).unwrap_or_default() + "\n"
+fn site_error(path: &Path, source: SiteError) -> CommandError {
+    let path = path.display().to_string();
+    CommandError::Site { path, source }
 }
--- a/crates/emulator/src/plot.rs
+++ b/crates/emulator/src/plot.rs
@@ -1,60 +1,74 @@
-//! Plots of figures over sizes, as SVG.
+//! Plots of figures over sizes, as SVG files.
 
-use crate::fit::Fit;
+use crate::regression::{Point, Regression};
+use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
+use std::io;
 use std::path::Path;
 
 /// Width and height, in pixels.
-const SIZE: (u32, u32) = (640, 400);
-/// Room above the largest value.
+const SIZE_PIXELS: (u32, u32) = (640, 400);
+/// Ratio of the end of an axis to the largest value.
 const HEADROOM: f64 = 1.1;
+/// Shortest axes.
+const MIN_SIZE: f64 = 1.0;
+const MIN_FIGURE: f64 = 1e-6;
 
-/// Why a plot can't be written.
+/// An error of the drawing library.
+type ChartError = DrawingAreaErrorKind<io::Error>;
+
+/// A plot that can't be written.
 #[derive(Debug, thiserror::Error)]
-#[error("{path}: {reason}")]
-pub struct Failure {
+#[error("{path}: {source}")]
+pub struct PlotError {
     path: String,
-    reason: String,
+    source: ChartError,
 }
 
-/// Draws points with the line that was fitted through them.
-pub fn draw(
-    path: &Path,
-    (name, size_name): (&str, &str),
-    points: &[(f64, f64)],
-    fit: Option<&Fit>,
-) -> Result<(), Failure> {
-    let failed = |reason: String| Failure {
-        path: path.display().to_string(),
-        reason,
-    };
-    draw_chart(path, (name, size_name), points, fit).map_err(|e| failed(e.to_string()))
+/// A figure over a size.
+pub struct Plot<'a> {
+    /// Name of the figure.
+    pub figure: &'a str,
+    /// Name of the size.
+    pub size: &'a str,
+    /// Points of size and figure.
+    pub points: &'a [Point],
+    /// The regression of the points, if there is one.
+    pub regression: Option<&'a Regression>,
 }
 
-fn draw_chart(
-    path: &Path,
-    (name, size_name): (&str, &str),
-    points: &[(f64, f64)],
-    fit: Option<&Fit>,
-) -> Result<(), Box<dyn std::error::Error>> {
-    let most = |values: &mut dyn Iterator<Item = f64>| values.fold(0.0, f64::max);
-    let most_x = most(&mut points.iter().map(|p| p.0)) * HEADROOM;
-    let most_y = most(&mut points.iter().map(|p| p.1)) * HEADROOM;
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
-    root.fill(&WHITE)?;
-    let mut chart = ChartBuilder::on(&root)
-        .caption(name, ("sans-serif", 18))
-        .margin(12)
-        .x_label_area_size(36)
-        .y_label_area_size(64)
-        .build_cartesian_2d(0.0..most_x.max(1.0), 0.0..most_y.max(1e-6))?;
-    chart.configure_mesh().x_desc(size_name).draw()?;
-    if let Some(fit) = fit {
-        let at = |x: f64| (x, fit.intercept + fit.slope * x);
-        chart.draw_series(LineSeries::new([at(0.0), at(most_x)], &BLUE))?;
+impl Plot<'_> {
+    /// Writes the plot to an SVG file.
+    pub fn write(&self, path: &Path) -> Result<(), PlotError> {
+        self.draw(path).map_err(|source| PlotError {
+            path: path.display().to_string(),
+            source,
+        })
+    }
+
+    fn draw(&self, path: &Path) -> Result<(), ChartError> {
+        let max_x = upper_bound(self.points.iter().map(|point| point.0));
+        let max_y = upper_bound(self.points.iter().map(|point| point.1));
+        let root = SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
+        root.fill(&WHITE)?;
+        let mut chart = ChartBuilder::on(&root)
+            .caption(self.figure, ("sans-serif", 18))
+            .margin(12)
+            .x_label_area_size(36)
+            .y_label_area_size(64)
+            .build_cartesian_2d(0.0..max_x.max(MIN_SIZE), 0.0..max_y.max(MIN_FIGURE))?;
+        chart.configure_mesh().x_desc(self.size).draw()?;
+        if let Some(regression) = self.regression {
+            let point_at = |size| (size, regression.value_at(size));
+            chart.draw_series(LineSeries::new([point_at(0.0), point_at(max_x)], &BLUE))?;
+        }
+        let dots = self.points.iter();
+        chart.draw_series(dots.map(|point| Circle::new(*point, 4, RED.filled())))?;
+        root.present()
     }
-    let dots = points.iter().map(|p| Circle::new(*p, 4, RED.filled()));
-    chart.draw_series(dots)?;
-    root.present()?;
-    Ok(())
+}
+
+/// End of an axis with these values.
+fn upper_bound(values: impl Iterator<Item = f64>) -> f64 {
+    values.fold(0.0, f64::max) * HEADROOM
 }
--- a/crates/emulator/src/fit/tests.rs
+++ b/crates/emulator/src/regression/tests.rs
@@ -1,7 +1,7 @@
-use super::fit;
+use super::Regression;
 
 #[test]
-fn lines_and_powers_are_found() {
+fn slopes_and_exponents_are_fitted() {
     let sizes = [500.0, 1_000.0, 2_000.0, 4_000.0];
     let points = |figure: fn(f64) -> f64| sizes.map(|x| (x, figure(x)));
     // Points; slope, exponent.
@@ -11,7 +11,7 @@
         (points(|x| x * x / 1_000.0), 4.6304, 2.0),
     ];
     for (points, slope, exponent) in cases {
-        let found = fit(&points).expect("four sizes");
+        let found = Regression::fit(&points).expect("four sizes");
         assert!((found.slope - slope).abs() < 0.001, "{found:?}");
         let power = found.exponent.expect("all above 0");
         assert!((power - exponent).abs() < 0.001, "{found:?}");
@@ -19,10 +19,14 @@
 }
 
 #[test]
-fn what_can_not_be_fitted_is_left_out() {
-    assert_eq!(fit(&[]), None);
-    assert_eq!(fit(&[(5.0, 1.0), (5.0, 2.0)]), None, "one size only");
-    let with_zero = fit(&[(1.0, 0.0), (2.0, 1.0)]).expect("two sizes");
+fn points_without_a_regression_have_none() {
+    assert_eq!(Regression::fit(&[]), None);
+    assert_eq!(
+        Regression::fit(&[(5.0, 1.0), (5.0, 2.0)]),
+        None,
+        "one size only"
+    );
+    let with_zero = Regression::fit(&[(1.0, 0.0), (2.0, 1.0)]).expect("two sizes");
     assert_eq!(with_zero.exponent, None, "0 has no logarithm");
     assert!(with_zero.residual < 1e-9, "a line through two points");
 }
--- a/crates/emulator/src/sweep/tests.rs
+++ b/crates/emulator/src/sweep/tests.rs
@@ -1,4 +1,4 @@
-use super::{growth, Dimension};
+use super::{growth_of_figures, Dimension};
 use crate::report::{ProcessLoad, Report};
 
 fn report(workers: u64, cores: f64) -> Report {
@@ -7,40 +7,45 @@
         starts_per_s: 10.0,
         ..Report::default()
     };
-    let used = |share: f64| ProcessLoad {
-        cpu_cores: cores * share,
+    let load = |fraction: f64| ProcessLoad {
+        cpu_cores: cores * fraction,
         ..ProcessLoad::default()
     };
-    report.set_controller_loads(vec![used(0.75), used(0.25)]);
+    report.set_controller_loads(vec![load(0.75), load(0.25)]);
     report
 }
 
 #[test]
-fn figures_are_followed_over_the_sizes_that_came_to_be() {
+fn figures_are_fitted_over_the_measured_sizes() {
     let reports = [report(100, 0.1), report(200, 0.4), report(400, 1.6)];
-    let all = growth(Dimension::Workers, &reports);
+    let all = growth_of_figures(Dimension::Workers, &reports);
     let of = |name: &str| {
-        let found = all.iter().find(|g| g.figure == name).expect("a figure");
-        (found.points.clone(), found.fit.expect("three sizes"))
+        let found = all
+            .iter()
+            .find(|growth| growth.figure == name)
+            .expect("a figure");
+        (found.points.clone(), found.regression.expect("three sizes"))
     };
-    let (points, fit) = of("controllers_cores");
+    let (points, regression) = of("controllers_cores");
     assert_eq!(
         points.iter().map(|p| p.0).collect::<Vec<_>>(),
         [100.0, 200.0, 400.0]
     );
-    assert!((fit.exponent.expect("above 0") - 2.0).abs() < 1e-6);
+    assert!((regression.exponent.expect("above 0") - 2.0).abs() < 1e-6);
     let (points, _) = of("busiest_controller_cores");
     assert!((points[1].1 - 0.3).abs() < 1e-9, "the busiest alone");
 }
 
-/// The fits of a sweep have the form in `golden/fits.txt`.
+/// The regressions of a sweep have the form in `golden/fits.txt`.
 #[test]
 fn golden_fits_keep_their_form() {
     let reports = [report(100, 0.25), report(200, 0.5)];
-    let mut all = growth(Dimension::Workers, &reports);
+    let mut all = growth_of_figures(Dimension::Workers, &reports);
     // The last bits of logarithms are the machine's.
-    let fits = all.iter_mut().filter_map(|g| g.fit.as_mut());
-    fits.for_each(|fit| fit.exponent = fit.exponent.map(f64::round));
+    let regressions = all
+        .iter_mut()
+        .filter_map(|growth| growth.regression.as_mut());
+    regressions.for_each(|regression| regression.exponent = regression.exponent.map(f64::round));
     let mut seen = serde_json::to_string_pretty(&all[..3]).expect("JSON") + "\n";
     for growth in &all {
         seen += &format!("{} over {}\n", growth.figure, growth.dimension);
