--- /dev/null
+++ b/crates/emulator/src/emulation/faults.rs
@@ -0,0 +1,109 @@
+//! Injects the faults of the site file when they are due.
+
+use super::Run;
+use crate::load::milliseconds;
+use crate::settings::controller_name;
+use crate::site::{CrashSpec, CrashTarget, LinkCutSpec, LinkKind};
+use forkshift_testkit::{Direction, FaultKind, MachineFault, Which, World};
+use std::collections::VecDeque;
+
+impl Run<'_> {
+    /// Injects the crashes that are due.
+    pub(super) fn inject_crashes(&mut self, now_s: f64) {
+        while let Some(crash) = pop_if(&mut self.crashes, |crash| crash.at_s <= now_s) {
+            self.inject_crash(now_s, &crash);
+        }
+    }
+
+    fn inject_crash(&mut self, now_s: f64, crash: &CrashSpec) {
+        match crash.target() {
+            Some(CrashTarget::Controller(index)) => self.crash_controller(now_s, index),
+            Some(CrashTarget::ShardHolder) => {
+                if let Some(index) = self.bridge.answering_shard_holder() {
+                    self.crash_controller(now_s, index);
+                }
+            }
+            Some(CrashTarget::Workers(count)) => {
+                let description = format!("{count} workers");
+                self.crash_workers(now_s, Which::Some(count), &description);
+            }
+            Some(CrashTarget::Zone(zone)) => {
+                let machines = self.bridge.with_world(|world| world.machines_in(&zone));
+                let description = format!("all {} workers of zone {zone}", machines.len());
+                self.crash_workers(now_s, Which::Named(machines), &description);
+            }
+            // Validation of the site ensures a target.
+            None => {}
+        }
+    }
+
+    fn crash_controller(&mut self, now_s: f64, index: usize) {
+        self.controllers.kill(index);
+        self.schedule_restart(now_s, index);
+        let name = controller_name(index);
+        self.print_event(now_s, &format!("{name} is killed"));
+    }
+
+    /// Crashes workers together with their machines.
+    fn crash_workers(&self, now_s: f64, which: Which, description: &str) {
+        let fault = FaultKind::Machines(which, MachineFault::Die);
+        self.bridge.with_world(|world| world.fault_now(fault));
+        self.print_event(now_s, &format!("{description} are killed"));
+    }
+
+    /// Cuts the links that are due.
+    pub(super) fn inject_link_cuts(&mut self, now_s: f64) {
+        while let Some(cut) = pop_if(&mut self.link_cuts, |cut| cut.at_s <= now_s) {
+            let index = cut
+                .controller
+                .or_else(|| self.bridge.answering_shard_holder());
+            if let Some(index) = index {
+                self.cut_link(now_s, &cut, index);
+            }
+        }
+    }
+
+    fn cut_link(&self, now_s: f64, cut: &LinkCutSpec, index: usize) {
+        self.bridge.with_world(|world| {
+            let fault = link_fault(cut, index, world);
+            world.fault_now(fault);
+        });
+        let (name, link, for_s) = (controller_name(index), cut.link, cut.for_s);
+        self.print_event(now_s, &format!("{name} loses {link:?} for {for_s} s"));
+    }
+}
+
+/// Removes the first fault of a queue if it is due.
+fn pop_if<T>(queue: &mut VecDeque<T>, is_due: impl Fn(&T) -> bool) -> Option<T> {
+    queue.front().filter(|fault| is_due(fault))?;
+    queue.pop_front()
+}
+
+/// A cut of the site file as a fault of the simulated world.
+fn link_fault(cut: &LinkCutSpec, node: usize, world: &World) -> FaultKind {
+    let time = milliseconds(cut.for_s);
+    let lost = match cut.link {
+        LinkKind::State | LinkKind::Cloud => {
+            return FaultKind::Cut {
+                node,
+                state: cut.link == LinkKind::State,
+                workers: false,
+                cloud: cut.link == LinkKind::Cloud,
+                time,
+                hold: false,
+            }
+        }
+        LinkKind::Reports => Direction::Reports,
+        LinkKind::Calls => Direction::Calls,
+        LinkKind::Workers => Direction::Both,
+    };
+    let machines = world.machines_of(&Which::All).into_iter();
+    let machines = Which::Named(machines.step_by(cut.every.max(1)).collect());
+    FaultKind::LinkCut {
+        node,
+        machines,
+        lost,
+        time,
+        hold: false,
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/emulation/simulation.rs
@@ -0,0 +1,83 @@
+//! The simulated world of a site: fleet, cloud, key-value store, users and workers.
+
+use crate::addresses;
+use crate::load::milliseconds;
+use crate::site::{CapacitySpec, MachineTypeSpec, Site, TeamSpec};
+use forkshift_testkit::{BootModel, Deployment, Fleet, Plan, Size, World};
+use forkshift_wire::cloud::MachineType;
+
+/// Interval at which users poll the status of their jobs, in milliseconds.
+const STATUS_POLL_MS: u64 = 5_000;
+
+/// The simulated world of a site with the planned jobs; it has no controllers.
+pub fn world(site: &Site, plans: Vec<Plan>) -> World {
+    let deployment = Deployment {
+        fleet: fleet(site),
+        team_limits: site.teams.iter().flat_map(team_limits).collect(),
+        value_bytes: (site.state.value_kb * 1024.0) as usize,
+        txn_ops: site.state.txn_ops,
+    };
+    World::remote(site.seed, plans, Vec::new(), size(site), deployment)
+}
+
+fn size(site: &Site) -> Size {
+    let timeouts = &site.workers;
+    Size {
+        nodes: site.controllers.count,
+        rps: site.state.rps,
+        write_rps: site.state.write_rps,
+        cloud_rps: site.cloud.rps,
+        report_ms: milliseconds(timeouts.report_s),
+        lease_ms: milliseconds(timeouts.lease_s),
+        gang_wait_ms: milliseconds(timeouts.gang_wait_s),
+        cancel_ms: milliseconds(timeouts.cancel_s),
+        poll_ms: STATUS_POLL_MS,
+        tells_images: timeouts.tells_images,
+        ..Size::default()
+    }
+}
+
+/// Limits of CPUs and GPUs of each team of an entry, by name.
+fn team_limits(team: &TeamSpec) -> impl Iterator<Item = (String, (f64, f64))> {
+    let limit = (team.cpus_max, team.gpus_max);
+    team.names().into_iter().map(move |name| (name, limit))
+}
+
+fn fleet(site: &Site) -> Fleet {
+    let types = site.machine_types.iter();
+    let capacity = site.capacity.iter().flat_map(|capacity| {
+        let key = |is_spot| {
+            let machine_type = capacity.machine_type.clone();
+            (machine_type, capacity.zone.clone(), is_spot)
+        };
+        [(key(false), capacity.count), (key(true), capacity.spot)]
+    });
+    Fleet {
+        types: types
+            .map(|spec| machine_type(spec, &site.capacity))
+            .collect(),
+        capacity: capacity.collect(),
+        boots: BootModel::Usual {
+            fails: site.cloud.boot_fail,
+        },
+        address: addresses::worker,
+    }
+}
+
+fn machine_type(spec: &MachineTypeSpec, capacity: &[CapacitySpec]) -> MachineType {
+    let of_type = capacity
+        .iter()
+        .filter(|capacity| capacity.machine_type == spec.name);
+    MachineType {
+        name: spec.name.clone(),
+        cpus: spec.cpus,
+        gpus: spec.gpus,
+        memory_gb: spec.memory_gb,
+        cache_gb: spec.cache_gb,
+        fetch_gb_per_s: spec.fetch_gb_per_s,
+        price: spec.price,
+        spot_price: spec.spot_price,
+        boot_s: spec.boot_s,
+        zones: of_type.map(|capacity| capacity.zone.clone()).collect(),
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/emulation/temporary_directory.rs
@@ -0,0 +1,34 @@
+//! The directory for the settings and logs of the controllers.
+
+use std::path::{Path, PathBuf};
+use std::{env, fs, io, process};
+
+/// If this environment variable is set, the directory is kept after the run.
+const KEEP_VARIABLE: &str = "FORKSHIFT_KEEP_LOGS";
+
+/// A directory of this process that is removed on drop.
+pub struct TemporaryDirectory(PathBuf);
+
+impl TemporaryDirectory {
+    /// Creates the directory.
+    pub fn create() -> io::Result<Self> {
+        let name = format!("forkshift-emulator-{}", process::id());
+        let path = env::temp_dir().join(name);
+        fs::create_dir_all(&path)?;
+        Ok(Self(path))
+    }
+
+    /// Path of the directory.
+    pub fn path(&self) -> &Path {
+        &self.0
+    }
+}
+
+impl Drop for TemporaryDirectory {
+    fn drop(&mut self) {
+        if env::var_os(KEEP_VARIABLE).is_none() {
+            // A directory that can't be removed does no harm.
+            let _ = fs::remove_dir_all(&self.0);
+        }
+    }
+}
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -5,7 +5,6 @@
 //! rules of the simulation are checked during the run.
 
 mod addresses;
-mod bridge;
 mod controllers;
 mod emulation;
 mod load;
@@ -21,6 +20,7 @@
 mod request_category;
 mod settings;
 mod site;
+mod socket_bridge;
 mod sweep;
 
 use clap::{Args, Parser, Subcommand};
--- /dev/null
+++ b/crates/emulator/src/socket_bridge.rs
@@ -0,0 +1,219 @@
+//! Connects the simulated world with the real sockets of the controllers.
+//!
+//! The world simulates users, workers, cloud and key-value store without any socket. The
+//! bridge serves HTTP for the simulated services and for every hollow worker, sends the
+//! requests of users and workers to the controllers, and advances the simulated time with
+//! the clock.
+
+mod health;
+mod hollow_workers;
+mod requests;
+mod services;
+
+use crate::addresses::Addresses;
+use crate::metrics::Metrics;
+use crate::model_servers::{ModelServers, Replica};
+use crate::pools::{AnsweringJobs, BurstSummary};
+use async_channel::Sender;
+use async_io::Timer;
+use forkshift_net::{Client, ClientLimits, Executor, Response};
+use forkshift_testkit::{Service, World};
+use forkshift_wire::MachineId;
+use health::ProbeFailures;
+use hollow_workers::HollowWorker;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// Interval at which the simulated time is advanced.
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
+/// Longest step of the simulated time, in milliseconds.
+const MAX_STEP_MS: u64 = 100;
+/// Idle connections are closed after this.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Largest number of connections that a service accepts.
+const MAX_SERVICE_CONNECTIONS: usize = 1_000;
+/// Largest response of a controller, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
+/// Connections that users keep open to a controller.
+const USER_CONNECTIONS: usize = 64;
+
+/// Everything of a run but the controllers.
+pub struct SocketBridge {
+    executor: Executor,
+    world: RefCell<World>,
+    /// Calls of controllers that wait for a response of the world, by call number.
+    pending_calls: RefCell<HashMap<u64, Sender<Response>>>,
+    next_call_number: Cell<u64>,
+    controllers: Vec<SocketAddr>,
+    workers: RefCell<HashMap<MachineId, HollowWorker>>,
+    user_client: Rc<Client>,
+    probe_client: Rc<Client>,
+    probe_failures: RefCell<ProbeFailures>,
+    metrics: RefCell<Metrics>,
+    started: Instant,
+    /// Time of day at the start, in milliseconds since 1970.
+    start_time_ms: u64,
+    jobs: AnsweringJobs,
+    model_servers: ModelServers,
+    /// The replicas that the model servers were last notified of.
+    replicas: RefCell<Vec<Replica>>,
+}
+
+impl SocketBridge {
+    /// Serves the world's cloud and key-value store to each controller, and starts to
+    /// advance the simulated time and to probe the controllers.
+    pub fn start(
+        executor: &Executor,
+        world: World,
+        addresses: Addresses,
+        controllers: usize,
+        jobs: AnsweringJobs,
+    ) -> io::Result<Rc<Self>> {
+        let bridge = Rc::new(Self::new(executor, world, addresses, controllers, jobs));
+        for index in 0..controllers {
+            let services = [
+                (addresses.state(index), Service::State(index)),
+                (addresses.cloud(index), Service::Cloud(index)),
+            ];
+            for (address, service) in services {
+                let server = bridge.serve(address, service, MAX_SERVICE_CONNECTIONS)?;
+                server.detach();
+            }
+        }
+        for index in 0..controllers {
+            executor.spawn(bridge.clone().probe(index)).detach();
+        }
+        executor.spawn(bridge.clone().run_clock()).detach();
+        Ok(bridge)
+    }
+
+    fn new(
+        executor: &Executor,
+        world: World,
+        addresses: Addresses,
+        controllers: usize,
+        jobs: AnsweringJobs,
+    ) -> Self {
+        let started = Instant::now();
+        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
+        let addresses = (0..controllers).map(|index| addresses.controller(index));
+        Self {
+            executor: executor.clone(),
+            world: RefCell::new(world),
+            pending_calls: RefCell::default(),
+            next_call_number: Cell::new(0),
+            controllers: addresses.collect(),
+            workers: RefCell::default(),
+            user_client: Rc::new(http_client(
+                USER_CONNECTIONS,
+                USER_CONNECTIONS * controllers,
+            )),
+            probe_client: Rc::new(http_client(1, controllers)),
+            probe_failures: RefCell::new(ProbeFailures::new(controllers)),
+            metrics: RefCell::default(),
+            started,
+            start_time_ms: since_1970.map_or(0, |time| time.as_millis() as u64),
+            jobs,
+            model_servers: ModelServers::start(started),
+            replicas: RefCell::default(),
+        }
+    }
+
+    /// Calls a function with the simulated world. The function must not call the bridge.
+    pub fn with_world<T>(&self, function: impl FnOnce(&mut World) -> T) -> T {
+        function(&mut self.world.borrow_mut())
+    }
+
+    /// Calls a function with the metrics. The function must not call the bridge.
+    pub fn with_metrics<T>(&self, function: impl FnOnce(&mut Metrics) -> T) -> T {
+        function(&mut self.metrics.borrow_mut())
+    }
+
+    /// Time of day at the start of the run, in milliseconds since 1970.
+    pub fn start_time_ms(&self) -> u64 {
+        self.start_time_ms
+    }
+
+    /// Time since the start of the run.
+    pub fn elapsed(&self) -> Duration {
+        self.started.elapsed()
+    }
+
+    /// Index of the controller that holds the shard of the answering replicas.
+    pub fn answering_shard_holder(&self) -> Option<usize> {
+        let job = self.jobs.all.first()?;
+        self.with_world(|world| world.holder_of(job))
+    }
+
+    /// Times until the replicas of bursts answered.
+    pub fn burst_summary(&self) -> BurstSummary {
+        self.jobs.burst_summary(&self.model_servers.first_answers())
+    }
+
+    async fn run_clock(self: Rc<Self>) {
+        loop {
+            Timer::after(TICK_INTERVAL).await;
+            self.advance_world();
+            self.dispatch();
+            self.update_model_servers();
+        }
+    }
+
+    fn advance_world(&self) {
+        let now_ms = self.elapsed().as_millis() as u64;
+        let mut world = self.world.borrow_mut();
+        let mut metrics = self.metrics.borrow_mut();
+        metrics.record_lag(now_ms.saturating_sub(world.now()));
+        world.advance_to(now_ms, MAX_STEP_MS);
+        let (starts, acceptances) = world.check.take_observations();
+        metrics.record_observations(&starts, &acceptances);
+    }
+
+    /// Notifies the model servers of the present replicas if those changed.
+    fn update_model_servers(&self) {
+        if self.jobs.all.is_empty() {
+            return;
+        }
+        let replicas = self.with_world(|world| self.jobs.replicas(world));
+        if *self.replicas.borrow() != replicas {
+            self.model_servers.set_replicas(replicas.clone());
+            self.replicas.replace(replicas);
+        }
+    }
+
+    /// Dispatches what the world has produced: responses to controllers, changes of
+    /// machines, and requests of users and workers.
+    fn dispatch(self: &Rc<Self>) {
+        let (requests, answers, machines) = self.with_world(|world| {
+            (
+                world.take_requests(),
+                world.take_answers(),
+                world.take_machine_changes(),
+            )
+        });
+        for answer in answers {
+            self.complete_call(answer);
+        }
+        for change in machines {
+            self.apply_machine_change(change);
+        }
+        for request in requests {
+            self.executor
+                .spawn(self.clone().send_request(request))
+                .detach();
+        }
+    }
+}
+
+fn http_client(connections_per_host: usize, idle_connections: usize) -> Client {
+    Client::new(ClientLimits {
+        per_host: connections_per_host,
+        idle: idle_connections,
+        keep: IDLE_TIMEOUT,
+        largest: MAX_RESPONSE_BYTES,
+    })
+}
--- /dev/null
+++ b/crates/emulator/src/socket_bridge/hollow_workers.rs
@@ -0,0 +1,66 @@
+//! Sockets of the hollow workers: workers without a machine.
+
+use super::{http_client, SocketBridge};
+use crate::addresses;
+use async_executor::Task;
+use forkshift_net::Client;
+use forkshift_testkit::{MachineChange, Service};
+use forkshift_wire::MachineId;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// Largest number of connections that a worker accepts.
+const MAX_WORKER_CONNECTIONS: usize = 16;
+
+/// The sockets of a worker.
+pub(super) struct HollowWorker {
+    client: Rc<Client>,
+    /// Index of the controller that the client is connected to.
+    controller: usize,
+    /// Serves the worker's commands until it is dropped.
+    _server: Option<Task<()>>,
+}
+
+impl SocketBridge {
+    /// Opens or closes the sockets of a worker after its machine came up or was removed.
+    pub(super) fn apply_machine_change(self: &Rc<Self>, change: MachineChange) {
+        match change {
+            MachineChange::Gone(machine) => {
+                self.workers.borrow_mut().remove(&machine);
+            }
+            MachineChange::Up(machine) => self.add_worker(machine),
+        }
+    }
+
+    fn add_worker(self: &Rc<Self>, machine: MachineId) {
+        let address: Option<SocketAddr> = addresses::worker(&machine).parse().ok();
+        let service = Service::Worker(machine.clone());
+        let server = address.map(|address| self.serve(address, service, MAX_WORKER_CONNECTIONS));
+        let server = server.transpose().unwrap_or_else(|error| {
+            log::error!("worker {machine}: listener failed, {error}");
+            None
+        });
+        let worker = HollowWorker {
+            client: Rc::new(http_client(1, 1)),
+            controller: 0,
+            _server: server,
+        };
+        self.workers.borrow_mut().insert(machine, worker);
+    }
+
+    /// The client of a worker, connected to one controller only: a client of another
+    /// controller is closed first. `None` if the worker was removed.
+    pub(super) fn worker_client(
+        &self,
+        machine: &MachineId,
+        controller: usize,
+    ) -> Option<Rc<Client>> {
+        let mut workers = self.workers.borrow_mut();
+        let worker = workers.get_mut(machine)?;
+        if worker.controller != controller {
+            worker.controller = controller;
+            worker.client = Rc::new(http_client(1, 1));
+        }
+        Some(worker.client.clone())
+    }
+}
