--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -144,7 +144,7 @@
         if let Some(mut child) = controller.child.take() {
             let usage = ProcessUsage::of_process(child.id());
             controller.exited_cpu_s += usage.map_or(0.0, |usage| usage.cpu_s);
-            // Both fail only if the process has exited already.
+            // The process may have exited already; it is reaped either way.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/emulator/tests/command_line.rs
+++ b/crates/emulator/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the program refuses, with which status and words. Nothing is started.
+//! Exit codes and messages of rejected command lines and site files. Nothing is started.
 
 use std::fs;
 use std::path::PathBuf;
@@ -8,11 +8,11 @@
 
 fn emulator(arguments: &[&str]) -> Output {
     let program = env!("CARGO_BIN_EXE_forkshift-emulator");
-    let ran = Command::new(program).args(arguments).output();
-    ran.expect("the program runs")
+    let output = Command::new(program).args(arguments).output();
+    output.expect("the program runs")
 }
 
-/// A changed copy of the example, removed when this is dropped.
+/// A site file that is removed on drop.
 struct SiteFile(PathBuf);
 
 impl SiteFile {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_can_not_be_run_is_refused_with_the_reason() {
+fn an_invalid_site_is_rejected_with_the_reason() {
     let program = "target/release/forkshift";
     let cases = [
         ("unknown", EXAMPLE.replace("seed = 1", "sead = 1"), "sead"),
@@ -48,15 +48,15 @@
     ];
     for (name, text, reason) in cases {
         let site = SiteFile::new(name, &text);
-        let ran = emulator(&["run", &site.0.display().to_string()]);
-        let said = String::from_utf8_lossy(&ran.stderr);
-        assert_eq!(ran.status.code(), Some(2), "{name}: {said}");
-        assert!(said.contains(reason), "{name}: {said}");
+        let output = emulator(&["run", &site.0.display().to_string()]);
+        let errors = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{name}: {errors}");
+        assert!(errors.contains(reason), "{name}: {errors}");
     }
 }
 
 #[test]
-fn sizes_of_the_command_line_are_checked_too() {
+fn invalid_overrides_are_rejected_with_the_field() {
     let site = SiteFile::new("sizes", EXAMPLE);
     let path = site.0.display().to_string();
     let cases = [
@@ -68,9 +68,9 @@
         ),
     ];
     for (arguments, reason) in cases {
-        let ran = emulator(&arguments);
-        let said = String::from_utf8_lossy(&ran.stderr);
-        assert_eq!(ran.status.code(), Some(2), "{arguments:?}: {said}");
-        assert!(said.contains(reason), "{arguments:?}: {said}");
+        let output = emulator(&arguments);
+        let errors = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {errors}");
+        assert!(errors.contains(reason), "{arguments:?}: {errors}");
     }
 }
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -8,26 +8,26 @@
 
 fn emulator(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_forkshift-emulator"));
-    let ran = command.args(arguments).env_remove("LOG_LEVEL").output();
-    ran.expect("the program runs")
+    let output = command.args(arguments).env_remove("LOG_LEVEL").output();
+    output.expect("the program runs")
 }
 
 #[test]
-fn the_command_line_has_these_names() {
+fn the_command_line_has_the_golden_names() {
     let mut seen = String::new();
     for command in ["", "run", "sweep"] {
         let mut arguments: Vec<&str> = command.split_whitespace().collect();
         arguments.push("--help");
-        let ran = emulator(&arguments);
-        assert_eq!(ran.status.code(), Some(0), "{command}");
-        let names = help::option_names(&String::from_utf8_lossy(&ran.stdout));
+        let output = emulator(&arguments);
+        assert_eq!(output.status.code(), Some(0), "{command}");
+        let names = help::option_names(&String::from_utf8_lossy(&output.stdout));
         seen += &format!("== forkshift-emulator {command}\n{names}");
     }
     assert!(seen == include_str!("golden/options.txt"), "{seen}");
 }
 
 #[test]
-fn what_can_not_be_run_ends_with_this_code() {
+fn a_rejected_command_line_exits_with_code_2() {
     let cases: [(&[&str], &str); 4] = [
         (&["run", "--speed"], "--speed"),
         (&["run", "no/such/site.toml"], "no/such/site.toml"),
@@ -38,9 +38,9 @@
         (&["sweep", "site.toml"], "--sizes"),
     ];
     for (arguments, named) in cases {
-        let ran = emulator(arguments);
-        let errors = String::from_utf8_lossy(&ran.stderr);
-        assert_eq!(ran.status.code(), Some(2), "{arguments:?}: {errors}");
+        let output = emulator(arguments);
+        let errors = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {errors}");
         assert!(errors.contains(named), "{arguments:?}: {errors}");
     }
 }
