--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -5,19 +5,31 @@
 //! longest first, each goes to the machine with the highest weighted sum of
 //! fit minus cost minus latency, and every choice is booked locally before
 //! the next one is made.
+//!
+//! - [`run_round`] places the waiting tasks of all jobs on machines, by a score with
+//!   [`Weights`].
+//! - [`Reservation`], [`Reclaim`] and [`Standing`] say what capacity a waiting job may
+//!   reserve or reclaim from others.
+//! - [`Quota`] counts what a team uses against its guarantee and its limit.
+//! - [`plan`] chooses the machines to provision for tasks that fit on none.
 
-mod claim;
-mod host_table;
-pub mod provision;
-pub mod quota;
-pub mod resources;
-pub mod round;
-pub mod score;
+mod entitlement;
+mod machine;
+mod machine_table;
+mod pending;
+mod provision;
+mod quota;
+mod requirement;
+mod resources;
+mod round;
+mod score;
 
-pub use claim::{Reclaim, Reservation, Standing};
-pub use host_table::Requirement;
+pub use entitlement::{Reclaim, Reservation, Standing};
+pub use machine::Host;
+pub use pending::PendingTasks;
 pub use provision::{plan, Offer, Rental, Shape};
 pub use quota::{Quota, Shortfall};
+pub use requirement::Requirement;
 pub use resources::Resources;
-pub use round::{run_round, Host, PendingTasks, Placement};
-pub use score::{choose, Candidate, Weights};
+pub use round::{run_round, Placement};
+pub use score::Weights;
--- /dev/null
+++ b/crates/sched/src/machine_table/tests.rs
@@ -0,0 +1,224 @@
+//! Grouping machines into classes changes no placement.
+
+mod reference;
+
+use crate::entitlement::Reservation;
+use crate::machine::Host;
+use crate::pending::PendingTasks;
+use crate::quota::Quota;
+use crate::requirement::MAX_ZONES;
+use crate::resources::Resources;
+use crate::round::run_round;
+use crate::score::Weights;
+use proptest::collection::{btree_set, vec};
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+use std::collections::BTreeSet;
+
+const WEIGHTS: Weights = Weights {
+    fit: 1.0 / 3.0,
+    cost: 1.0 / 6.0,
+    latency: 0.5,
+};
+const TEAMS: usize = 2;
+
+/// Machines of a few types; many are equal, some are partly filled.
+fn machines() -> impl Strategy<Value = Vec<Host>> {
+    let machine = (
+        0..3_u16,
+        0..3_u16,
+        any::<bool>(),
+        0..4_i64,
+        btree_set(0..3_u32, 0..3),
+        prop_oneof![4 => Just(0.0), 1 => Just(7.5)],
+        prop_oneof![19 => Just(false), 1 => Just(true)],
+        prop_oneof![3 => Just(None), 1 => (0..2_u32).prop_map(Some)],
+    );
+    let machine = machine.prop_map(
+        |(machine_type, zone, spot, used, images, delay, held, reserved_for)| {
+            let size = i64::from(machine_type) + 1;
+            let total = Resources::new(8.0, 2.0, 32.0).times(size);
+            Host {
+                free: total - Resources::new(2.0, 0.5, 8.0).times(used),
+                total,
+                machine_type,
+                zone,
+                spot,
+                price: if spot { 1.0 } else { 3.0 } * size as f64,
+                fetch_rate: f64::from(machine_type),
+                images,
+                held,
+                delay,
+                reserved_for,
+            }
+        },
+    );
+    vec(machine, 0..24)
+}
+
+/// What distinguishes a job from others of the same template.
+#[derive(Clone, Debug)]
+struct JobVariant {
+    template: prop::sample::Index,
+    tasks: u32,
+    gang: bool,
+    band: i32,
+    excluded_machines: BTreeSet<usize>,
+}
+
+impl JobVariant {
+    fn apply(self, templates: &[PendingTasks]) -> PendingTasks {
+        PendingTasks {
+            waiting: (0..self.tasks).collect(),
+            total: self.tasks,
+            gang: self.gang,
+            band: self.band,
+            avoid: self.excluded_machines,
+            ..self.template.get(templates).clone()
+        }
+    }
+}
+
+fn job_variants() -> impl Strategy<Value = Vec<JobVariant>> {
+    let excluded = prop_oneof![
+        2 => Just(BTreeSet::new()),
+        1 => btree_set(0..24_usize, 1..24),
+    ];
+    let template = any::<prop::sample::Index>();
+    let variant = (template, 1..9_u32, any::<bool>(), 0..3_i32, excluded);
+    let variant = variant.prop_map(
+        |(template, tasks, gang, band, excluded_machines)| JobVariant {
+            template,
+            tasks,
+            gang,
+            band,
+            excluded_machines,
+        },
+    );
+    vec(variant, 0..16)
+}
+
+/// Jobs of a few templates: many have the same requirement, as gangs and not.
+fn jobs() -> impl Strategy<Value = Vec<PendingTasks>> {
+    (vec(job_templates(), 1..4), job_variants()).prop_map(|(templates, variants)| {
+        let variants = variants.into_iter();
+        variants.map(|variant| variant.apply(&templates)).collect()
+    })
+}
+
+/// A job with any resources and constraints.
+fn job_templates() -> impl Strategy<Value = PendingTasks> {
+    let shape = (0..4_i64, 0..3_i64, 1..5_u32, any::<bool>(), 0..4_i32);
+    let place = (
+        proptest::option::of(vec(0..3_u16, 1..3)),
+        proptest::option::of(0..3_u16),
+        any::<bool>(),
+        any::<bool>(),
+        any::<bool>(),
+    );
+    let reservation = prop_oneof![
+        Just(Reservation::None),
+        Just(Reservation::Room),
+        Just(Reservation::RoomAndQuota),
+    ];
+    let reservations = btree_set(0..2_u32, 0..2);
+    let rest = (0..3_u32, 0..TEAMS, reservation, 0..3_u32, reservations);
+    (shape, place, rest).prop_map(|(shape, place, rest)| {
+        let (cpus, gpus, tasks, gang, band) = shape;
+        let (types, zone, one_zone, spread, spot) = place;
+        let (image, team, reservation, estimate, reservations) = rest;
+        PendingTasks {
+            task: Resources::new(cpus as f64, gpus as f64 * 0.5, 2.0),
+            waiting: (0..tasks).collect(),
+            total: tasks,
+            gang,
+            band,
+            reservation,
+            estimate: f64::from(estimate) * 10.0,
+            team,
+            image,
+            image_gb: f64::from(image) * 4.0,
+            types,
+            zone,
+            one_zone,
+            spread: spread && !one_zone,
+            spot,
+            reservations,
+            ..PendingTasks::default()
+        }
+    })
+}
+
+fn quotas() -> Vec<Quota> {
+    let quota = Quota {
+        limit: Resources::new(60.0, 16.0, 0.0),
+        ..Quota::default()
+    };
+    vec![quota; TEAMS]
+}
+
+/// A fixed seed, so that every run checks the same cases.
+fn config() -> ProptestConfig {
+    ProptestConfig {
+        cases: 4_000,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(1),
+        ..ProptestConfig::default()
+    }
+}
+
+proptest! {
+    #![proptest_config(config())]
+
+    /// Every task is placed as by a scan of every machine, and machines, jobs and quotas
+    /// are the same afterwards.
+    #[test]
+    fn round_places_like_a_scan_of_every_machine(machines in machines(), jobs in jobs()) {
+        let (mut grouped, mut scanned) = (machines.clone(), machines);
+        let (mut grouped_jobs, mut scanned_jobs) = (jobs.clone(), jobs);
+        let (mut grouped_quotas, mut scanned_quotas) = (quotas(), quotas());
+        let placed = run_round(&mut grouped_jobs, &mut grouped, &mut grouped_quotas, &WEIGHTS);
+        let expected = reference::run_round(&mut scanned_jobs, &mut scanned, &mut scanned_quotas, &WEIGHTS);
+        prop_assert_eq!(placed, expected);
+        prop_assert_eq!(format!("{grouped:?}"), format!("{scanned:?}"));
+        prop_assert_eq!(format!("{grouped_jobs:?}"), format!("{scanned_jobs:?}"));
+        prop_assert_eq!(format!("{grouped_quotas:?}"), format!("{scanned_quotas:?}"));
+    }
+}
+
+/// Unmet requirements are remembered with a bit for each zone. With one zone more than
+/// there are bits none are remembered, and the placements stay the same.
+#[test]
+fn more_zones_than_mask_bits_change_no_placement() {
+    for zones in [MAX_ZONES as u16, MAX_ZONES as u16 + 1] {
+        let total = Resources::new(8.0, 0.0, 32.0);
+        let machine = |zone| Host {
+            free: total,
+            total,
+            zone,
+            price: 1.0,
+            fetch_rate: 1.0,
+            ..Host::default()
+        };
+        let job = |zone: Option<u16>, tasks: u32| PendingTasks {
+            task: Resources::new(5.0, 0.0, 2.0),
+            waiting: (0..tasks).collect(),
+            total: tasks,
+            estimate: 1.0,
+            zone,
+            ..PendingTasks::default()
+        };
+        // Two tasks for the last zone, which has room for one, and more for any zone than
+        // there is room for.
+        let jobs = vec![job(Some(zones - 1), 2), job(None, u32::from(zones) + 3)];
+        let machines: Vec<Host> = (0..zones).map(machine).collect();
+        let (mut grouped, mut scanned) = (machines.clone(), machines);
+        let (mut grouped_jobs, mut scanned_jobs) = (jobs.clone(), jobs);
+        let mut quotas = vec![Quota::default()];
+        let placed = run_round(&mut grouped_jobs, &mut grouped, &mut quotas, &WEIGHTS);
+        let mut quotas = vec![Quota::default()];
+        let expected = reference::run_round(&mut scanned_jobs, &mut scanned, &mut quotas, &WEIGHTS);
+        assert_eq!(placed, expected, "{zones} zones");
+        assert_eq!(placed.len(), usize::from(zones), "{zones} zones");
+    }
+}
--- /dev/null
+++ b/crates/sched/src/machine_table/tests/reference.rs
@@ -0,0 +1,190 @@
+//! The reference for rounds: it scores every machine for every task, without classes.
+
+use crate::entitlement::Reservation;
+use crate::machine::Host;
+use crate::pending::PendingTasks;
+use crate::quota::{Quota, Shortfall};
+use crate::resources::Resources;
+use crate::round::Placement;
+use crate::score::{choose, Candidate, Weights};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Places the tasks for which there are quota and room, like the round under test.
+pub(super) fn run_round(
+    jobs: &mut [PendingTasks],
+    machines: &mut [Host],
+    quotas: &mut [Quota],
+    weights: &Weights,
+) -> Vec<Placement> {
+    let mut order: Vec<usize> = (0..jobs.len()).collect();
+    order.sort_by(|&a, &b| jobs[a].round_order(&jobs[b]));
+    let mut placed = Vec::new();
+    let mut shortfalls: BTreeMap<usize, Shortfall> = BTreeMap::new();
+    let mut quota_holds: Vec<(usize, Resources)> = Vec::new();
+    for job_index in order {
+        let job = &mut jobs[job_index];
+        if shortfalls
+            .get(&job.team)
+            .is_some_and(|s| s.concerns(&job.task))
+        {
+            continue;
+        }
+        if job.gang {
+            placed.extend(place_gang(job_index, job, machines, quotas, weights));
+        }
+        while !job.gang && place_next(job_index, job, machines, quotas, weights, &mut placed) {}
+        if job.reservation.reserves() && !job.waiting.is_empty() {
+            let team = &mut quotas[job.team];
+            let amount = job.at_once();
+            if !team.allows(&amount) {
+                let shortfall = shortfalls.entry(job.team).or_default();
+                *shortfall = shortfall.or(&team.shortfall(&amount));
+                continue;
+            }
+            job.lacks_room = true;
+            hold_machine(job, machines);
+            if job.reservation == Reservation::RoomAndQuota {
+                team.used += amount;
+                quota_holds.push((job.team, amount));
+            }
+        }
+    }
+    for (team, amount) in quota_holds {
+        quotas[team].used -= amount;
+    }
+    placed
+}
+
+/// Reserves the machine with the largest share of free resources that could run a task.
+fn hold_machine(job: &PendingTasks, machines: &mut [Host]) {
+    let fits = |machine: &Host| {
+        job.task.fits(&machine.total)
+            && job.allowed(machine.machine_type, machine.zone, machine.spot)
+            && job.may_use_reserved(machine.reserved_for)
+    };
+    let free = |machine: &Host| 1.0 - (machine.total - machine.free).largest_share(&machine.total);
+    let best = machines
+        .iter_mut()
+        .enumerate()
+        .filter(|(index, machine)| fits(machine) && !job.avoid.contains(index))
+        .max_by(|(_, a), (_, b)| free(a).total_cmp(&free(b)));
+    if let Some((_, machine)) = best {
+        machine.held = true;
+    }
+}
+
+/// Places the next task of a job. Returns false if there is none or it has no room.
+fn place_next(
+    job_index: usize,
+    job: &mut PendingTasks,
+    machines: &mut [Host],
+    quotas: &mut [Quota],
+    weights: &Weights,
+    placed: &mut Vec<Placement>,
+) -> bool {
+    let Some(&task) = job.waiting.first() else {
+        return false;
+    };
+    let Some(machine) = place_one(job, machines, quotas, weights, None) else {
+        return false;
+    };
+    job.waiting.remove(0);
+    placed.push(Placement {
+        job: job_index,
+        task,
+        host: machine,
+    });
+    true
+}
+
+/// Chooses a machine for one task and books it.
+fn place_one(
+    job: &mut PendingTasks,
+    machines: &mut [Host],
+    quotas: &mut [Quota],
+    weights: &Weights,
+    zone: Option<u16>,
+) -> Option<usize> {
+    if !quotas[job.team].allows(&job.task) {
+        return None;
+    }
+    let mut indices = Vec::new();
+    let mut candidates = Vec::new();
+    for (index, machine) in machines.iter().enumerate() {
+        let fits = !machine.held
+            && job.task.fits(&machine.free)
+            && zone.is_none_or(|z| z == machine.zone)
+            && job.allowed(machine.machine_type, machine.zone, machine.spot)
+            && job.may_use_reserved(machine.reserved_for)
+            && !job.avoid.contains(&index);
+        if !fits {
+            continue;
+        }
+        let fetch = if machine.images.contains(&job.image) || machine.fetch_rate <= 0.0 {
+            0.0
+        } else {
+            job.image_gb / machine.fetch_rate
+        };
+        indices.push(index);
+        candidates.push(Candidate {
+            free: machine.free,
+            cost: machine.price * job.estimate,
+            latency: machine.delay + fetch,
+        });
+    }
+    let chosen = indices[choose(&job.task, candidates.into_iter().enumerate(), weights)?];
+    let machine = &mut machines[chosen];
+    machine.free -= job.task;
+    machine.images.insert(job.image);
+    quotas[job.team].used += job.task;
+    *job.zones.entry(machine.zone).or_default() += 1;
+    Some(chosen)
+}
+
+/// Places all waiting tasks of a gang, or none.
+fn place_gang(
+    job_index: usize,
+    job: &mut PendingTasks,
+    machines: &mut [Host],
+    quotas: &mut [Quota],
+    weights: &Weights,
+) -> Vec<Placement> {
+    let zones: Vec<Option<u16>> = if job.one_zone {
+        let all: BTreeSet<u16> = machines.iter().map(|machine| machine.zone).collect();
+        all.into_iter().map(Some).collect()
+    } else {
+        vec![None]
+    };
+    for zone in zones {
+        let before = (job.zones.clone(), quotas[job.team].used);
+        let mut booked: Vec<(usize, bool)> = Vec::new();
+        let mut placed = Vec::new();
+        for task in job.waiting.clone() {
+            let had_image: Vec<bool> = machines
+                .iter()
+                .map(|machine| machine.images.contains(&job.image))
+                .collect();
+            let Some(machine) = place_one(job, machines, quotas, weights, zone) else {
+                break;
+            };
+            booked.push((machine, had_image[machine]));
+            placed.push(Placement {
+                job: job_index,
+                task,
+                host: machine,
+            });
+        }
+        if placed.len() == job.waiting.len() {
+            job.waiting.clear();
+            return placed;
+        }
+        for (machine, had_image) in booked.into_iter().rev() {
+            machines[machine].free += job.task;
+            if !had_image {
+                machines[machine].images.remove(&job.image);
+            }
+        }
+        (job.zones, quotas[job.team].used) = before;
+    }
+    Vec::new()
+}
--- /dev/null
+++ b/crates/sched/src/pending.rs
@@ -0,0 +1,112 @@
+//! The waiting tasks of a job, with the constraints on their placement.
+
+use crate::entitlement::{Reclaim, Reservation, Standing};
+use crate::resources::Resources;
+use std::cmp::Ordering;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The tasks of one job that wait to be placed.
+#[derive(Clone, Debug, Default)]
+pub struct PendingTasks {
+    /// Resources of each task.
+    pub task: Resources,
+    /// Numbers of the waiting tasks, at most as many as the round may place.
+    pub waiting: Vec<u32>,
+    /// Number of all tasks of the job.
+    pub total: u32,
+    /// Gang scheduling: all of `waiting` are placed, or none.
+    pub gang: bool,
+    /// Priority band; the larger goes first. Within a band the longest wait goes first,
+    /// then the longest estimate.
+    pub band: i32,
+    /// Seconds since the submission of a job that has waited long; 0 for all
+    /// others, among which the longest estimate goes first.
+    pub waited_s: f64,
+    /// What is reserved for it against the jobs behind it.
+    pub reservation: Reservation,
+    /// What borrowed capacity may be reclaimed for it.
+    pub reclaim: Reclaim,
+    /// Whether it runs on idle capacity.
+    pub standing: Standing,
+    /// Set by a round: the job has a reservation, and lacks nothing but machines.
+    pub lacks_room: bool,
+    /// Predicted run time in seconds.
+    pub estimate: f64,
+    /// Index of the team's quota.
+    pub team: usize,
+    /// Image, as a number given by the caller.
+    pub image: u32,
+    /// Size of the image in GB.
+    pub image_gb: f64,
+    /// Allowed machine types; `None` allows any.
+    pub types: Option<Vec<u16>>,
+    /// The only allowed zone; `None` allows any.
+    pub zone: Option<u16>,
+    /// Whether all tasks must be in one zone.
+    pub one_zone: bool,
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
+    pub spread: bool,
+    /// Whether spot instances are allowed.
+    pub spot: bool,
+    /// Number of the job's placed tasks by zone.
+    pub zones: BTreeMap<u16, u32>,
+    /// Indices of the machines that are excluded for this job.
+    pub avoid: BTreeSet<usize>,
+    /// Reservations of machines that this job may use.
+    pub reservations: BTreeSet<u32>,
+}
+
+impl PendingTasks {
+    /// Orders by precedence: the higher band, and within it the longest wait. By estimate
+    /// alone, a short job that had waited for minutes was overtaken by every longer one
+    /// that had come to wait long, too.
+    pub fn by_claim(&self, other: &Self) -> Ordering {
+        let band = other.band.cmp(&self.band);
+        band.then(other.waited_s.total_cmp(&self.waited_s))
+    }
+
+    /// Orders by a round's sequence: by precedence, then the longest estimate first.
+    pub(crate) fn round_order(&self, other: &Self) -> Ordering {
+        let precedence = self.by_claim(other);
+        precedence.then(other.estimate.total_cmp(&self.estimate))
+    }
+
+    /// Resources that must be free at the same time for any of its tasks to be placed:
+    /// those of all waiting tasks of a gang, of one task otherwise.
+    pub fn at_once(&self) -> Resources {
+        let tasks = if self.gang { self.waiting.len() } else { 1 };
+        self.task.times(tasks as i64)
+    }
+
+    /// Whether a task may be placed in a zone, given the job's placed tasks.
+    pub fn zone_allowed(&self, zone: u16) -> bool {
+        if self.zone.is_some_and(|required| required != zone) {
+            return false;
+        }
+        if self.one_zone && self.has_task_outside(zone) {
+            return false;
+        }
+        let placed = self.zones.get(&zone).copied().unwrap_or(0);
+        !self.spread || placed < self.total.div_ceil(2)
+    }
+
+    fn has_task_outside(&self, zone: u16) -> bool {
+        self.zones
+            .iter()
+            .any(|(other, count)| *other != zone && *count > 0)
+    }
+
+    /// Whether it may use a machine that is reserved like this; any job may use a machine
+    /// without a reservation.
+    pub fn may_use_reserved(&self, reserved_for: Option<u32>) -> bool {
+        reserved_for.is_none_or(|number| self.reservations.contains(&number))
+    }
+
+    /// Whether a task may run on a machine of this type, zone and kind.
+    pub fn allowed(&self, machine_type: u16, zone: u16, spot: bool) -> bool {
+        let allows_type = |types: &Vec<u16>| types.contains(&machine_type);
+        (self.spot || !spot)
+            && self.types.as_ref().is_none_or(allows_type)
+            && self.zone_allowed(zone)
+    }
+}
--- a/crates/sched/src/provision.rs
+++ b/crates/sched/src/provision.rs
@@ -1,134 +1,219 @@
-//! Which machines to rent for what has no room.
+//! Which machines to provision for tasks that fit on none of the existing ones.
 
 use crate::resources::Resources;
 
-/// Tasks of one shape that have no room.
+/// Lowest price per hour that a value is divided by, so that machines may be free.
+const MIN_PRICE: f64 = 1e-9;
+/// Largest value of one task, for tasks that no offer can run.
+const MAX_TASK_VALUE: f64 = 1e9;
+/// Relative difference of two values per price below which they count as equal.
+const TIE_TOLERANCE: f64 = 0.001;
+
+/// Tasks of the same shape that have no room.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// What each takes.
+    /// Resources of each task.
     pub task: Resources,
-    /// How many.
+    /// Number of tasks.
     pub count: u32,
-    /// Allowed types; none: any.
+    /// Allowed machine types; `None` allows any.
     pub types: Option<Vec<u16>>,
-    /// Allowed zones; none: any.
+    /// Allowed zones; `None` allows any.
     pub zones: Option<Vec<u16>>,
-    /// May use spot machines.
+    /// Whether spot instances are allowed.
     pub spot: bool,
-    /// No ordinary machine is rented for it.
+    /// Whether no on-demand machine is provisioned for these tasks.
     pub spot_only: bool,
 }
 
 impl Shape {
+    /// Whether a task could run on such a machine.
     fn allows(&self, offer: &Offer) -> bool {
-        (self.spot || !offer.spot)
-            && (offer.spot || !self.spot_only)
-            && self
-                .types
-                .as_ref()
-                .is_none_or(|t| t.contains(&offer.machine_type))
-            && self.zones.as_ref().is_none_or(|z| z.contains(&offer.zone))
+        self.allows_kind(offer.spot)
+            && is_allowed(self.types.as_deref(), offer.machine_type)
+            && is_allowed(self.zones.as_deref(), offer.zone)
             && self.task.fits(&offer.total)
     }
+
+    fn allows_kind(&self, spot: bool) -> bool {
+        if spot {
+            self.spot
+        } else {
+            !self.spot_only
+        }
+    }
+
+    /// Value of one task: the lowest cost of the part of a machine that it uses.
+    fn task_value(&self, offers: &[Offer]) -> f64 {
+        let allowed = offers.iter().filter(|offer| self.allows(offer));
+        allowed
+            .map(|offer| self.task.largest_share(&offer.total) * offer.price)
+            .fold(f64::INFINITY, f64::min)
+            .min(MAX_TASK_VALUE)
+    }
+}
+
+fn is_allowed(allowed: Option<&[u16]>, number: u16) -> bool {
+    allowed.is_none_or(|allowed| allowed.contains(&number))
 }
 
-/// A kind of machine that may be had.
+/// A kind of machine that the cloud offers in a zone.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// Type, as a number given by the caller.
+    /// Machine type, as a number given by the caller.
     pub machine_type: u16,
-    /// Zone, likewise.
+    /// Zone, as a number given by the caller.
     pub zone: u16,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot instance, which the cloud may preempt.
     pub spot: bool,
-    /// What it has.
+    /// Installed resources.
     pub total: Resources,
-    /// Price an hour.
+    /// Price per hour.
     pub price: f64,
-    /// Machines of this shard in the zone; fewer is preferred among equals.
+    /// Number of the shard's machines in the zone; of equal offers, the one with fewer is
+    /// preferred.
     pub held: u32,
 }
 
-/// A number of machines of one offer.
+/// A number of machines to provision of one offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rental {
     /// Index of the offer.
     pub offer: usize,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Chooses machines for the shapes, the most urgent shape first, by the worth
-/// of what they can hold for their price. `most` bounds the number of machines.
-pub fn plan(shapes: &[Shape], offers: &[Offer], most: u32) -> Vec<Rental> {
-    let mut left: Vec<Shape> = shapes.to_vec();
-    let mut rentals: Vec<Rental> = Vec::new();
-    let mut held: Vec<u32> = offers.iter().map(|o| o.held).collect();
-    let worths: Vec<f64> = left.iter().map(|s| worth(s, offers)).collect();
-    for _ in 0..most {
-        let Some(first) = left
-            .iter()
-            .position(|s| s.count > 0 && offers.iter().any(|o| s.allows(o)))
-        else {
+/// Chooses machines for unplaced tasks, at most `max_machines`. Each machine is chosen for
+/// the first shape that still has tasks, by the value of all tasks that it could run per
+/// price.
+pub fn plan(shapes: &[Shape], offers: &[Offer], max_machines: u32) -> Vec<Rental> {
+    let mut planner = Planner::new(shapes, offers);
+    for _ in 0..max_machines {
+        if !planner.add_machine() {
             break;
+        }
+    }
+    planner.rentals
+}
+
+/// The state of a plan while machines are added to it.
+struct Planner<'a> {
+    offers: &'a [Offer],
+    /// The shapes, with the tasks that the plan has no machine for yet.
+    remaining: Vec<Shape>,
+    /// Value of one task of each shape.
+    task_values: Vec<f64>,
+    /// Number of the shard's machines in each offer's zone, with the planned ones of the
+    /// offer.
+    machines_held: Vec<u32>,
+    rentals: Vec<Rental>,
+}
+
+/// What one machine of an offer would add to a plan.
+struct OfferValue {
+    offer: usize,
+    value_per_price: f64,
+    machines_held: u32,
+}
+
+impl OfferValue {
+    /// Whether it is preferred to an earlier one.
+    fn is_better_than(&self, other: &Self) -> bool {
+        let (value, other_value) = (self.value_per_price, other.value_per_price);
+        value > other_value * (1.0 + TIE_TOLERANCE)
+            || (value > other_value * (1.0 - TIE_TOLERANCE)
+                && self.machines_held < other.machines_held)
+    }
+}
+
+impl<'a> Planner<'a> {
+    fn new(shapes: &[Shape], offers: &'a [Offer]) -> Self {
+        Self {
+            offers,
+            remaining: shapes.to_vec(),
+            task_values: shapes.iter().map(|s| s.task_value(offers)).collect(),
+            machines_held: offers.iter().map(|offer| offer.held).collect(),
+            rentals: Vec::new(),
+        }
+    }
+
+    /// Adds the best machine. Returns false if no offer can run any remaining task.
+    fn add_machine(&mut self) -> bool {
+        let Some(first) = self.first_shape() else {
+            return false;
+        };
+        let Some(best) = self.best_offer(first) else {
+            return false;
+        };
+        let placed = fill(&self.remaining, first, &self.offers[best]);
+        for (shape, count) in self.remaining.iter_mut().zip(placed) {
+            shape.count -= count;
+        }
+        self.machines_held[best] += 1;
+        self.add_rental(best);
+        true
+    }
+
+    /// The first shape with remaining tasks that some offer can run.
+    fn first_shape(&self) -> Option<usize> {
+        let is_open = |shape: &Shape| {
+            let mut offers = self.offers.iter();
+            shape.count > 0 && offers.any(|offer| shape.allows(offer))
         };
-        let mut best: Option<(usize, f64, u32)> = None;
-        for (i, offer) in offers.iter().enumerate() {
-            if !left[first].allows(offer) {
+        self.remaining.iter().position(is_open)
+    }
+
+    /// The offer with the highest value per price for a machine that runs `first`.
+    fn best_offer(&self, first: usize) -> Option<usize> {
+        let mut best: Option<OfferValue> = None;
+        for (index, offer) in self.offers.iter().enumerate() {
+            if !self.remaining[first].allows(offer) {
                 continue;
             }
-            let taken = fill(&left, first, offer);
-            let value: f64 = taken
-                .iter()
-                .zip(&worths)
-                .map(|(n, w)| f64::from(*n) * w)
-                .sum();
-            let rate = value / offer.price.max(1e-9);
-            let better =
-                best.is_none_or(|(_, r, h)| rate > r * 1.001 || (rate > r * 0.999 && held[i] < h));
-            if better {
-                best = Some((i, rate, held[i]));
+            let found = self.value_of(index, first);
+            if best.as_ref().is_none_or(|best| found.is_better_than(best)) {
+                best = Some(found);
             }
         }
-        let Some((offer, _, _)) = best else { break };
-        let taken = fill(&left, first, &offers[offer]);
-        for (shape, n) in left.iter_mut().zip(taken) {
-            shape.count -= n;
+        best.map(|best| best.offer)
+    }
+
+    fn value_of(&self, offer: usize, first: usize) -> OfferValue {
+        let placed = fill(&self.remaining, first, &self.offers[offer]);
+        let counts = placed.iter().zip(&self.task_values);
+        let value: f64 = counts.map(|(count, value)| f64::from(*count) * value).sum();
+        OfferValue {
+            offer,
+            value_per_price: value / self.offers[offer].price.max(MIN_PRICE),
+            machines_held: self.machines_held[offer],
         }
-        held[offer] += 1;
-        match rentals.iter_mut().find(|r| r.offer == offer) {
+    }
+
+    fn add_rental(&mut self, offer: usize) {
+        match self.rentals.iter_mut().find(|r| r.offer == offer) {
             Some(rental) => rental.count += 1,
-            None => rentals.push(Rental { offer, count: 1 }),
+            None => self.rentals.push(Rental { offer, count: 1 }),
         }
     }
-    rentals
 }
 
-/// How many tasks of each shape a new machine takes, `first` before the others.
+/// Number of tasks of each shape that a new machine runs, `first` before the others.
 fn fill(shapes: &[Shape], first: usize, offer: &Offer) -> Vec<u32> {
     let mut free = offer.total;
-    let mut taken = vec![0; shapes.len()];
-    let order = std::iter::once(first).chain((0..shapes.len()).filter(|i| *i != first));
-    for i in order {
-        if !shapes[i].allows(offer) {
+    let mut placed = vec![0; shapes.len()];
+    let others = (0..shapes.len()).filter(|index| *index != first);
+    for index in std::iter::once(first).chain(others) {
+        let shape = &shapes[index];
+        if !shape.allows(offer) {
             continue;
         }
-        while taken[i] < shapes[i].count && shapes[i].task.fits(&free) {
-            free -= shapes[i].task;
-            taken[i] += 1;
+        while placed[index] < shape.count && shape.task.fits(&free) {
+            free -= shape.task;
+            placed[index] += 1;
         }
     }
-    taken
-}
-
-/// What one task is worth: the least that its share of a machine costs.
-fn worth(shape: &Shape, offers: &[Offer]) -> f64 {
-    offers
-        .iter()
-        .filter(|o| shape.allows(o))
-        .map(|o| shape.task.largest_share(&o.total) * o.price)
-        .fold(f64::INFINITY, f64::min)
-        .min(1e9)
+    placed
 }
 
 #[cfg(test)]
--- a/crates/sched/src/provision/tests.rs
+++ b/crates/sched/src/provision/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `provision`.
+//! Tests of provisioning plans.
 
 use super::*;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn machines_are_chosen_by_what_they_hold_for_their_price() {
+fn offers_are_chosen_by_the_value_of_their_tasks_per_price() {
     let offers = [
         offer(0, 0, 8.0, 0.0, 0.5, false),
         offer(1, 0, 96.0, 8.0, 28.0, false),
@@ -39,7 +39,7 @@
     let cases: [Case; 6] = [
         ("nothing", vec![], vec![]),
         (
-            "small tasks go on small machines",
+            "small tasks get small machines",
             vec![shape(4.0, 0.0, 3)],
             vec![(0, 2)],
         ),
@@ -50,33 +50,33 @@
         ),
         ("spot only where it is allowed", vec![spot], vec![(2, 1)]),
         (
-            "what rides along needs no machine",
+            "small tasks fill up a machine for large ones",
             vec![shape(48.0, 4.0, 1), shape(4.0, 0.0, 2)],
             vec![(1, 1)],
         ),
         (
-            "what fits nowhere is left",
+            "tasks that fit on no offer get no machine",
             vec![shape(200.0, 0.0, 1)],
             vec![],
         ),
     ];
     for (name, shapes, expected) in cases {
-        let got: Vec<(usize, u32)> = plan(&shapes, &offers, 50)
+        let found: Vec<(usize, u32)> = plan(&shapes, &offers, 50)
             .iter()
-            .map(|r| (r.offer, r.count))
+            .map(|rental| (rental.offer, rental.count))
             .collect();
-        assert_eq!(got, expected, "{name}");
+        assert_eq!(found, expected, "{name}");
     }
 }
 
 #[test]
-fn equal_offers_are_spread_over_zones_and_bounded() {
+fn equal_offers_are_spread_over_zones_up_to_the_bound() {
     let offers = [
         offer(0, 0, 8.0, 0.0, 0.5, false),
         offer(0, 1, 8.0, 0.0, 0.5, false),
     ];
-    let got = plan(&[shape(8.0, 0.0, 4)], &offers, 50);
-    assert_eq!(got.iter().map(|r| r.count).collect::<Vec<_>>(), [2, 2]);
+    let planned = plan(&[shape(8.0, 0.0, 4)], &offers, 50);
+    assert_eq!(planned.iter().map(|r| r.count).collect::<Vec<_>>(), [2, 2]);
     assert_eq!(
         plan(&[shape(8.0, 0.0, 40)], &offers, 3)
             .iter()
--- a/crates/sched/src/quota.rs
+++ b/crates/sched/src/quota.rs
@@ -1,32 +1,33 @@
-//! Teams' guarantees and limits.
+//! Quotas: the guarantee and the limit of each team, and what it uses.
 
 use crate::resources::Resources;
 
-/// What one team may use, and what its tasks may be using.
+/// The quota of a team and its use. CPUs and GPUs count; memory does not.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Quota {
-    /// Guaranteed; memory is not counted.
+    /// Guaranteed resources; zero throughout if the team has no guarantee.
     pub guarantee: Resources,
-    /// The most at any time; 0 means that there is no bound.
+    /// Most that may be used at any time; 0 means that the resource is not limited.
     pub limit: Resources,
-    /// Taken by every task that may be on a machine.
+    /// Resources of all tasks that may be on a machine.
     pub used: Resources,
 }
 
 impl Quota {
-    /// Whether a task may be added without breaking the limit.
-    pub fn allows(&self, task: &Resources) -> bool {
-        within(&(self.used + *task), &self.limit)
+    /// Whether these resources may be used in addition without exceeding the limit.
+    pub fn allows(&self, additional: &Resources) -> bool {
+        is_within(&(self.used + *additional), &self.limit)
     }
 
-    /// Whether `n` tasks at once could ever be allowed.
-    pub fn could_allow(&self, task: &Resources, n: i64) -> bool {
-        within(&task.times(n), &self.limit)
+    /// Whether `count` tasks at the same time could be allowed if nothing else were used.
+    pub fn could_allow(&self, task: &Resources, count: i64) -> bool {
+        is_within(&task.times(count), &self.limit)
     }
 
-    /// Whether the team stays within its guarantee with this added.
-    pub fn guarantees(&self, more: &Resources) -> bool {
-        !self.guarantee.is_zero() && within(&(self.used + *more), &self.guarantee)
+    /// Whether the team stays within its guarantee with these resources in addition.
+    /// A resource whose guarantee is 0 does not count, unless all are 0.
+    pub fn guarantees(&self, additional: &Resources) -> bool {
+        !self.is_guest() && is_within(&(self.used + *additional), &self.guarantee)
     }
 
     /// Whether the team uses more than its guarantee. A team without any
@@ -35,16 +36,25 @@
         if self.is_guest() {
             return !self.used.is_zero();
         }
-        !within(&self.used, &self.guarantee)
+        !is_within(&self.used, &self.guarantee)
     }
 
-    /// Whether the team is guaranteed nothing.
+    /// Whether the team has no guarantee.
     pub fn is_guest(&self) -> bool {
         self.guarantee.is_zero()
     }
+
+    /// The resources whose limit these resources in addition would exceed.
+    pub fn shortfall(&self, additional: &Resources) -> Shortfall {
+        let sum = self.used + *additional;
+        Shortfall {
+            cpus: !is_within_bound(sum.cpus, self.limit.cpus),
+            gpus: !is_within_bound(sum.gpus, self.limit.gpus),
+        }
+    }
 }
 
-/// Resources that a team's quota is short of.
+/// The resources that a team's quota lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shortfall {
     cpus: bool,
@@ -52,12 +62,12 @@
 }
 
 impl Shortfall {
-    /// Whether a task would take some of what is short.
+    /// Whether a task would use any of the lacking resources.
     pub fn concerns(&self, task: &Resources) -> bool {
         (self.cpus && task.cpus > 0) || (self.gpus && task.gpus > 0)
     }
 
-    /// What either is short of.
+    /// The resources that either lacks.
     pub fn or(&self, other: &Self) -> Self {
         Self {
             cpus: self.cpus || other.cpus,
@@ -66,24 +76,13 @@
     }
 }
 
-impl Quota {
-    /// What keeps something from being added.
-    pub fn shortfall(&self, more: &Resources) -> Shortfall {
-        let sum = self.used + *more;
-        Shortfall {
-            cpus: !holds(sum.cpus, self.limit.cpus),
-            gpus: !holds(sum.gpus, self.limit.gpus),
-        }
-    }
-}
-
-/// A bound of 0 means that there is none on that resource.
-fn holds(sum: i64, bound: i64) -> bool {
+/// A bound of 0 means that the resource is not limited.
+fn is_within_bound(sum: i64, bound: i64) -> bool {
     bound == 0 || sum <= bound
 }
 
-fn within(sum: &Resources, bound: &Resources) -> bool {
-    holds(sum.cpus, bound.cpus) && holds(sum.gpus, bound.gpus)
+fn is_within(sum: &Resources, bound: &Resources) -> bool {
+    is_within_bound(sum.cpus, bound.cpus) && is_within_bound(sum.gpus, bound.gpus)
 }
 
 #[cfg(test)]
--- a/crates/sched/src/quota/tests.rs
+++ b/crates/sched/src/quota/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `quota`.
+//! Tests of quotas.
 
 use super::*;
 
 #[test]
-fn limits_count_cpus_and_gpus_and_zero_means_none() {
+fn limit_and_guarantee_count_cpus_and_gpus_and_zero_is_unlimited() {
     let quota = |used: f64| Quota {
         guarantee: Resources::new(0.0, 4.0, 0.0),
         limit: Resources::new(0.0, 8.0, 0.0),
@@ -20,9 +20,9 @@
         (quota(9.0), cpu, false, false),
         (Quota::default(), gpu, true, false),
     ];
-    for (i, (q, task, allowed, guaranteed)) in cases.into_iter().enumerate() {
-        assert_eq!(q.allows(&task), allowed, "case {i}");
-        assert_eq!(q.guarantees(&task), guaranteed, "case {i}");
+    for (i, (quota, task, allowed, guaranteed)) in cases.into_iter().enumerate() {
+        assert_eq!(quota.allows(&task), allowed, "case {i}");
+        assert_eq!(quota.guarantees(&task), guaranteed, "case {i}");
     }
     assert!(quota(0.0).could_allow(&gpu, 4));
     assert!(!quota(0.0).could_allow(&gpu, 5));
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -1,70 +1,65 @@
-//! Amounts of CPUs, GPUs and memory, in thousandths so that sums are exact.
+//! Amounts of CPUs, GPUs and memory, as whole thousandths so that sums are exact.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
+/// Thousandths in one unit: in a CPU, a GPU or a GB.
+const THOUSANDTHS: f64 = 1_000.0;
+
 /// An amount of each resource, in thousandths.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, Debug)]
 pub struct Resources {
-    /// CPUs.
+    /// Thousandths of a CPU.
     pub cpus: i64,
-    /// GPUs.
+    /// Thousandths of a GPU.
     pub gpus: i64,
-    /// Memory in GB.
+    /// Memory in thousandths of a GB.
     pub memory: i64,
 }
 
-fn milli(x: f64) -> i64 {
-    (x * 1000.0).round() as i64
-}
-
 impl Resources {
-    /// From the decimal numbers of the interfaces.
+    /// From decimal numbers of CPUs, GPUs and GB, rounded to thousandths.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
+        let thousandths = |amount: f64| (amount * THOUSANDTHS).round() as i64;
         Self {
-            cpus: milli(cpus),
-            gpus: milli(gpus),
-            memory: milli(memory_gb),
+            cpus: thousandths(cpus),
+            gpus: thousandths(gpus),
+            memory: thousandths(memory_gb),
         }
     }
 
-    /// Whether this much fits into `room`.
-    pub fn fits(&self, room: &Self) -> bool {
-        self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
+    /// Whether no resource exceeds that of `available`.
+    pub fn fits(&self, available: &Self) -> bool {
+        self.cpus <= available.cpus
+            && self.gpus <= available.gpus
+            && self.memory <= available.memory
     }
 
-    /// The smaller of each.
+    /// The smaller amount of each resource.
     pub fn least(&self, other: &Self) -> Self {
-        Self {
-            cpus: self.cpus.min(other.cpus),
-            gpus: self.gpus.min(other.gpus),
-            memory: self.memory.min(other.memory),
-        }
+        self.combine(other, i64::min)
     }
 
-    /// What is left without `other`, and nothing less than zero.
+    /// The difference of each resource, but at least zero.
     pub fn saturating_sub(&self, other: &Self) -> Self {
-        Self {
-            cpus: (self.cpus - other.cpus).max(0),
-            gpus: (self.gpus - other.gpus).max(0),
-            memory: (self.memory - other.memory).max(0),
-        }
+        self.combine(other, |amount, less| (amount - less).max(0))
     }
 
-    /// `n` times this.
-    pub fn times(&self, n: i64) -> Self {
+    /// `factor` times each resource.
+    pub fn times(&self, factor: i64) -> Self {
         Self {
-            cpus: self.cpus * n,
-            gpus: self.gpus * n,
-            memory: self.memory * n,
+            cpus: self.cpus * factor,
+            gpus: self.gpus * factor,
+            memory: self.memory * factor,
         }
     }
 
-    /// Whether it is nothing at all.
+    /// Whether the amount of every resource is zero.
     pub fn is_zero(&self) -> bool {
         *self == Self::default()
     }
 
-    /// The largest share of `total` that this takes of any resource.
+    /// Dominant share: the largest ratio of a resource to that of `total`. It is infinite
+    /// if `total` has none of a resource that this has.
     pub fn largest_share(&self, total: &Self) -> f64 {
         let share = |part: i64, whole: i64| match (part, whole) {
             (0, _) => 0.0,
@@ -75,36 +70,39 @@
             .max(share(self.gpus, total.gpus))
             .max(share(self.memory, total.memory))
     }
+
+    /// Applies an operation to each resource.
+    fn combine(&self, other: &Self, operation: impl Fn(i64, i64) -> i64) -> Self {
+        Self {
+            cpus: operation(self.cpus, other.cpus),
+            gpus: operation(self.gpus, other.gpus),
+            memory: operation(self.memory, other.memory),
+        }
+    }
 }
 
 impl Add for Resources {
     type Output = Self;
-    fn add(mut self, other: Self) -> Self {
-        self += other;
-        self
+    fn add(self, other: Self) -> Self {
+        self.combine(&other, i64::add)
     }
 }
 
 impl AddAssign for Resources {
     fn add_assign(&mut self, other: Self) {
-        self.cpus += other.cpus;
-        self.gpus += other.gpus;
-        self.memory += other.memory;
+        *self = *self + other;
     }
 }
 
 impl Sub for Resources {
     type Output = Self;
-    fn sub(mut self, other: Self) -> Self {
-        self -= other;
-        self
+    fn sub(self, other: Self) -> Self {
+        self.combine(&other, i64::sub)
     }
 }
 
 impl SubAssign for Resources {
     fn sub_assign(&mut self, other: Self) {
-        self.cpus -= other.cpus;
-        self.gpus -= other.gpus;
-        self.memory -= other.memory;
+        *self = *self - other;
     }
 }
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -1,312 +1,227 @@
-//! A round: waiting tasks are placed greedily, longest first; among jobs that
+//! A scheduling round: waiting tasks are placed greedily, longest first; among jobs that
 //! have waited long, the oldest first.
 
-use crate::claim::{Reclaim, Reservation, Standing};
-use crate::host_table::HostTable;
+use crate::machine::Host;
+use crate::machine_table::MachineTable;
+use crate::pending::PendingTasks;
 use crate::quota::{Quota, Shortfall};
 use crate::resources::Resources;
 use crate::score::Weights;
-use std::cmp::Ordering;
-use std::collections::{BTreeMap, BTreeSet};
+use crate::Reservation;
+use std::collections::BTreeMap;
 
-/// A machine as a round sees it: a local booking that shrinks with each choice.
-#[derive(Clone, Debug)]
-pub struct Host {
-    /// What is free.
-    pub free: Resources,
-    /// What it has.
-    pub total: Resources,
-    /// Type, as a number given by the caller.
-    pub machine_type: u16,
-    /// Zone, likewise.
-    pub zone: u16,
-    /// Whether the cloud may take it back.
-    pub spot: bool,
-    /// Price a second.
-    pub price: f64,
-    /// GB a second.
-    pub fetch_rate: f64,
-    /// Images that are there, or on their way.
-    pub images: BTreeSet<u32>,
-    /// Kept for a task that has waited for long.
-    pub held: bool,
-    /// Extra seconds before anything can start (a machine that still boots).
-    pub delay: f64,
-    /// Reserved for jobs to which this reservation is open, by a number given by the
-    /// caller; none: for any.
-    pub reserved_for: Option<u32>,
-}
-
-/// The tasks of one job that wait for a place.
-#[derive(Clone, Debug)]
-pub struct PendingTasks {
-    /// What each task takes.
-    pub task: Resources,
-    /// Tasks that wait, at most as many as the round may place.
-    pub waiting: Vec<u32>,
-    /// All tasks of the job.
-    pub total: u32,
-    /// Place all of `waiting`, or none.
-    pub gang: bool,
-    /// Larger goes first; within a band the longest wait, then the longest
-    /// estimate.
-    pub band: i32,
-    /// Seconds since the submission of a job that has waited long; 0 for all
-    /// others, among which the longest estimate goes first.
-    pub waited_s: f64,
-    /// What it keeps from those behind it.
-    pub reservation: Reservation,
-    /// What borrowed resources may be given back to it.
-    pub reclaim: Reclaim,
-    /// Whether it runs on what others leave unused.
-    pub standing: Standing,
-    /// Set by a round: it reserves, and machines are all that it lacks.
-    pub lacks_room: bool,
-    /// Predicted run time.
-    pub estimate: f64,
-    /// The team's place in the quotas.
-    pub team: usize,
-    /// Image, as a number given by the caller.
-    pub image: u32,
-    /// Its size.
-    pub image_gb: f64,
-    /// Allowed types; none: any.
-    pub types: Option<Vec<u16>>,
-    /// The only allowed zone.
-    pub zone: Option<u16>,
-    /// All tasks in one zone.
-    pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
-    pub spread: bool,
-    /// May use spot machines.
-    pub spot: bool,
-    /// Zones of the tasks that may be on machines.
-    pub zones: BTreeMap<u16, u32>,
-    /// Hosts that it is kept away from.
-    pub avoid: BTreeSet<usize>,
-    /// Reservations of hosts that are open to it.
-    pub reservations: BTreeSet<u32>,
-}
-
-impl PendingTasks {
-    /// Which of two goes first, by what they are owed: the band, and within it
-    /// the longest wait. By estimate alone, a short job that had waited for
-    /// minutes was overtaken by every longer one that came to wait long, too.
-    pub fn by_claim(&self, other: &Self) -> Ordering {
-        let band = other.band.cmp(&self.band);
-        band.then(other.waited_s.total_cmp(&self.waited_s))
-    }
-
-    /// The order of a round: by claim, then the longest estimate first.
-    pub(crate) fn by_round(&self, other: &Self) -> Ordering {
-        let claim = self.by_claim(other);
-        claim.then(other.estimate.total_cmp(&self.estimate))
-    }
-
-    /// What must be free at once for anything of it to be placed.
-    pub fn at_once(&self) -> Resources {
-        let tasks = if self.gang { self.waiting.len() } else { 1 };
-        self.task.times(tasks as i64)
-    }
-
-    /// Whether a task may go to a zone, given the job's other tasks.
-    pub fn zone_allowed(&self, zone: u16) -> bool {
-        if self.zone.is_some_and(|z| z != zone) {
-            return false;
-        }
-        if self.one_zone && self.zones.iter().any(|(z, n)| *z != zone && *n > 0) {
-            return false;
-        }
-        let here = self.zones.get(&zone).copied().unwrap_or(0);
-        !self.spread || here < self.total.div_ceil(2)
-    }
-
-    /// Whether a host with such a reservation is open to it.
-    pub fn may_use_reserved(&self, reserved_for: Option<u32>) -> bool {
-        reserved_for.is_none_or(|number| self.reservations.contains(&number))
-    }
-
-    /// Whether a task may go to such a machine at all.
-    pub fn allowed(&self, machine_type: u16, zone: u16, spot: bool) -> bool {
-        (self.spot || !spot)
-            && self
-                .types
-                .as_ref()
-                .is_none_or(|t| t.contains(&machine_type))
-            && self.zone_allowed(zone)
-    }
-}
-
-/// A task's place.
+/// A placement that a round has chosen for a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// Index of the job's pending tasks.
     pub job: usize,
-    /// The task's number.
+    /// The task's number within its job.
     pub task: u32,
-    /// Index of the host.
+    /// Index of the machine.
     pub host: usize,
 }
 
-/// Places what has room. Placed tasks leave `waiting`; what has no room stays
-/// there for the next round.
+/// Places the tasks for which there are quota and room. Placed tasks are removed from
+/// `waiting`; the others stay there for the next round. Machines and quotas are charged
+/// for what is placed.
 pub fn run_round(
-    wants: &mut [PendingTasks],
-    hosts: &mut [Host],
+    jobs: &mut [PendingTasks],
+    machines: &mut [Host],
     quotas: &mut [Quota],
     weights: &Weights,
 ) -> Vec<Placement> {
-    if wants.iter().all(|w| w.waiting.is_empty()) {
+    if jobs.iter().all(|job| job.waiting.is_empty()) {
         return Vec::new();
     }
-    let mut order: Vec<usize> = (0..wants.len()).collect();
-    order.sort_by(|&a, &b| wants[a].by_round(&wants[b]));
-    let mut table = HostTable::new(hosts);
-    let mut placed = Vec::new();
-    let mut held: BTreeMap<usize, Shortfall> = BTreeMap::new();
-    let mut kept: Vec<(usize, Resources)> = Vec::new();
-    for i in order {
-        let want = &mut wants[i];
-        // What does not use what is kept for another need not wait for it: a
-        // team at its limit of GPUs once kept jobs without any from running.
-        if held.get(&want.team).is_some_and(|s| s.concerns(&want.task)) {
-            continue;
+    let mut order: Vec<usize> = (0..jobs.len()).collect();
+    order.sort_by(|&a, &b| jobs[a].round_order(&jobs[b]));
+    let mut round = Round::new(machines, quotas, weights);
+    for job_index in order {
+        round.place_job(job_index, &mut jobs[job_index]);
+    }
+    round.finish()
+}
+
+/// A task's booking on a machine.
+struct Booking {
+    machine: usize,
+    /// Whether the machine had the image before, or was fetching it.
+    had_image: bool,
+}
+
+/// Quota that is reserved for a job until the round is over.
+struct QuotaHold {
+    team: usize,
+    amount: Resources,
+}
+
+/// The state of a round.
+struct Round<'a> {
+    table: MachineTable<'a>,
+    quotas: &'a mut [Quota],
+    weights: &'a Weights,
+    placements: Vec<Placement>,
+    /// Resources that a team's quota lacks for a job with a reservation, by team.
+    shortfalls: BTreeMap<usize, Shortfall>,
+    quota_holds: Vec<QuotaHold>,
+}
+
+impl<'a> Round<'a> {
+    fn new(machines: &'a mut [Host], quotas: &'a mut [Quota], weights: &'a Weights) -> Self {
+        Self {
+            table: MachineTable::new(machines),
+            quotas,
+            weights,
+            placements: Vec::new(),
+            shortfalls: BTreeMap::new(),
+            quota_holds: Vec::new(),
         }
-        if want.gang {
-            placed.extend(place_gang(i, want, &mut table, quotas, weights));
+    }
+
+    /// Places tasks of a job, and reserves what it lacks if it is entitled to that.
+    fn place_job(&mut self, job_index: usize, job: &mut PendingTasks) {
+        if self.is_quota_reserved(job) {
+            return;
         }
-        if !want.gang {
-            place_each(i, want, &mut table, quotas, weights, &mut placed);
+        if job.gang {
+            self.place_gang(job_index, job);
+        } else {
+            self.place_each(job_index, job);
         }
-        if want.reservation.reserves() && !want.waiting.is_empty() {
-            let team = &mut quotas[want.team];
-            let need = want.at_once();
-            if !team.allows(&need) {
-                let short = held.entry(want.team).or_default();
-                *short = short.or(&team.shortfall(&need));
-                continue;
-            }
-            want.lacks_room = true;
-            hold_host(want, &mut table);
-            if want.reservation == Reservation::RoomAndQuota {
-                team.used += need;
-                kept.push((want.team, need));
-            }
+        if job.reservation.reserves() && !job.waiting.is_empty() {
+            self.reserve(job);
         }
     }
-    for (team, need) in kept {
-        quotas[team].used -= need;
+
+    /// Whether the job would use quota that is reserved for an earlier one. Only the scarce
+    /// resources count: a team at its limit of GPUs once kept jobs without any from running.
+    fn is_quota_reserved(&self, job: &PendingTasks) -> bool {
+        let shortfall = self.shortfalls.get(&job.team);
+        shortfall.is_some_and(|shortfall| shortfall.concerns(&job.task))
     }
-    placed
-}
 
-/// Keeps the machine that comes closest to having room for a task that has
-/// waited for long from being filled up by what is behind it.
-fn hold_host(want: &PendingTasks, table: &mut HostTable) {
-    let fits = |h: &Host| {
-        want.task.fits(&h.total)
-            && want.allowed(h.machine_type, h.zone, h.spot)
-            && want.may_use_reserved(h.reserved_for)
-    };
-    let free = |h: &Host| 1.0 - (h.total - h.free).largest_share(&h.total);
-    let hosts = table.hosts().iter().enumerate();
-    let best = hosts
-        // What it may not use itself is not kept free for it: a gang that
-        // failed on the only machine once kept all others off it.
-        .filter(|(i, h)| fits(h) && !want.avoid.contains(i))
-        .max_by(|(_, a), (_, b)| free(a).total_cmp(&free(b)));
-    if let Some((host, _)) = best {
-        table.hold(host);
+    /// Reserves quota or, if the quota suffices, a machine for a job that is still waiting.
+    fn reserve(&mut self, job: &mut PendingTasks) {
+        let quota = &mut self.quotas[job.team];
+        let amount = job.at_once();
+        if !quota.allows(&amount) {
+            let shortfall = self.shortfalls.entry(job.team).or_default();
+            *shortfall = shortfall.or(&quota.shortfall(&amount));
+            return;
+        }
+        job.lacks_room = true;
+        if job.reservation == Reservation::RoomAndQuota {
+            quota.used += amount;
+            let team = job.team;
+            self.quota_holds.push(QuotaHold { team, amount });
+        }
+        self.hold_machine(job);
     }
-}
 
-/// Places the tasks of a job one by one, for as long as there is room.
-fn place_each(
-    index: usize,
-    want: &mut PendingTasks,
-    table: &mut HostTable,
-    quotas: &mut [Quota],
-    weights: &Weights,
-    placed: &mut Vec<Placement>,
-) {
-    let mut count = 0;
-    while count < want.waiting.len() {
-        let Some(booking) = place_one(want, table, quotas, weights, None) else {
-            break;
+    /// Reserves the machine with the largest share of free resources among those that could
+    /// run a task of the job, so that the jobs behind it do not fill it up.
+    fn hold_machine(&mut self, job: &PendingTasks) {
+        let could_run = |machine: &Host| {
+            job.task.fits(&machine.total)
+                && job.allowed(machine.machine_type, machine.zone, machine.spot)
+                && job.may_use_reserved(machine.reserved_for)
         };
-        placed.push(Placement {
-            job: index,
-            task: want.waiting[count],
-            host: booking.host,
-        });
-        count += 1;
+        let free_share =
+            |machine: &Host| 1.0 - (machine.total - machine.free).largest_share(&machine.total);
+        let machines = self.table.machines().iter().enumerate();
+        let emptiest = machines
+            // No excluded machine is held for the job: a gang that had failed on the only
+            // machine once kept all others off it.
+            .filter(|(index, machine)| could_run(machine) && !job.avoid.contains(index))
+            .max_by(|(_, a), (_, b)| free_share(a).total_cmp(&free_share(b)));
+        if let Some((index, _)) = emptiest {
+            self.table.hold(index);
+        }
     }
-    want.waiting.drain(..count);
-}
 
-/// A task's booking on a host.
-struct Booking {
-    host: usize,
-    /// Whether the host had the image, or was about to.
-    had_image: bool,
-}
+    /// Places the tasks of a job one by one, until one finds no room.
+    fn place_each(&mut self, job_index: usize, job: &mut PendingTasks) {
+        let mut count = 0;
+        while count < job.waiting.len() {
+            let Some(booking) = self.book_task(job, None) else {
+                break;
+            };
+            self.placements.push(Placement {
+                job: job_index,
+                task: job.waiting[count],
+                host: booking.machine,
+            });
+            count += 1;
+        }
+        job.waiting.drain(..count);
+    }
 
-/// Chooses a host for one task and books it.
-fn place_one(
-    want: &mut PendingTasks,
-    table: &mut HostTable,
-    quotas: &mut [Quota],
-    weights: &Weights,
-    zone: Option<u16>,
-) -> Option<Booking> {
-    if !quotas[want.team].allows(&want.task) {
-        return None;
+    /// Chooses a machine for one task, in `zone` if it is given, and books it.
+    fn book_task(&mut self, job: &mut PendingTasks, zone: Option<u16>) -> Option<Booking> {
+        if !self.quotas[job.team].allows(&job.task) {
+            return None;
+        }
+        let machine = self.table.choose(job, zone, self.weights)?;
+        let had_image = self.table.book(machine, job);
+        self.quotas[job.team].used += job.task;
+        let zone = self.table.machines()[machine].zone;
+        *job.zones.entry(zone).or_default() += 1;
+        Some(Booking { machine, had_image })
     }
-    let host = table.choose(want, zone, weights)?;
-    let had_image = table.book(host, want);
-    quotas[want.team].used += want.task;
-    *want.zones.entry(table.hosts()[host].zone).or_default() += 1;
-    Some(Booking { host, had_image })
-}
 
-/// Places all waiting tasks of a gang, or undoes them together.
-fn place_gang(
-    index: usize,
-    want: &mut PendingTasks,
-    table: &mut HostTable,
-    quotas: &mut [Quota],
-    weights: &Weights,
-) -> Vec<Placement> {
-    let zones: Vec<Option<u16>> = if want.one_zone {
-        table.zones().iter().copied().map(Some).collect()
-    } else {
-        vec![None]
-    };
-    for zone in zones {
-        let before = (want.zones.clone(), quotas[want.team].used);
+    /// Places all waiting tasks of a gang, or none. A gang that must be in one zone tries
+    /// the zones in ascending order.
+    fn place_gang(&mut self, job_index: usize, job: &mut PendingTasks) {
+        let zones: Vec<Option<u16>> = if job.one_zone {
+            self.table.zones().iter().copied().map(Some).collect()
+        } else {
+            vec![None]
+        };
+        for zone in zones {
+            let Some(bookings) = self.book_gang(job, zone) else {
+                continue;
+            };
+            let tasks = std::mem::take(&mut job.waiting);
+            let booked_tasks = tasks.into_iter().zip(bookings);
+            let placements = booked_tasks.map(|(task, booking)| Placement {
+                job: job_index,
+                task,
+                host: booking.machine,
+            });
+            self.placements.extend(placements);
+            return;
+        }
+    }
+
+    /// Books all waiting tasks of a gang; if one finds no room, undoes the others.
+    fn book_gang(&mut self, job: &mut PendingTasks, zone: Option<u16>) -> Option<Vec<Booking>> {
+        let zones_before = job.zones.clone();
+        let used_before = self.quotas[job.team].used;
         let mut bookings = Vec::new();
-        for _ in 0..want.waiting.len() {
-            let Some(booking) = place_one(want, table, quotas, weights, zone) else {
+        while bookings.len() < job.waiting.len() {
+            let Some(booking) = self.book_task(job, zone) else {
                 break;
             };
             bookings.push(booking);
         }
-        if bookings.len() == want.waiting.len() {
-            let tasks = std::mem::take(&mut want.waiting);
-            let pairs = tasks.into_iter().zip(bookings);
-            let placement = |(task, booking): (u32, Booking)| Placement {
-                job: index,
-                task,
-                host: booking.host,
-            };
-            return pairs.map(placement).collect();
+        if bookings.len() == job.waiting.len() {
+            return Some(bookings);
         }
         for booking in bookings.into_iter().rev() {
-            table.undo(booking.host, want, booking.had_image);
+            self.table.undo(booking.machine, job, booking.had_image);
+        }
+        job.zones = zones_before;
+        self.quotas[job.team].used = used_before;
+        None
+    }
+
+    /// Releases the reserved quota, so that only placed tasks are charged.
+    fn finish(self) -> Vec<Placement> {
+        for hold in self.quota_holds {
+            self.quotas[hold.team].used -= hold.amount;
         }
-        (want.zones, quotas[want.team].used) = before;
+        self.placements
     }
-    Vec::new()
 }
 
 #[cfg(test)]
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -1,47 +1,30 @@
-//! Tests of `round`.
+//! Tests of scheduling rounds.
 
 use super::*;
 
-fn host(gpus: f64, zone: u16) -> Host {
+/// A machine with 64 CPUs and so many GPUs, all free.
+fn machine(gpus: f64, zone: u16) -> Host {
+    let total = Resources::new(64.0, gpus, 256.0);
     Host {
-        free: Resources::new(64.0, gpus, 256.0),
-        total: Resources::new(64.0, gpus, 256.0),
-        machine_type: 0,
+        free: total,
+        total,
         zone,
-        spot: false,
         price: 1.0,
         fetch_rate: 1.0,
-        images: BTreeSet::new(),
-        held: false,
-        delay: 0.0,
-        reserved_for: None,
+        ..Host::default()
     }
 }
 
-fn want(tasks: u32, gpus: f64) -> PendingTasks {
+/// A job with so many waiting tasks, each of so many GPUs.
+fn pending(tasks: u32, gpus: f64) -> PendingTasks {
     PendingTasks {
         task: Resources::new(1.0, gpus, 1.0),
         waiting: (0..tasks).collect(),
         total: tasks,
-        gang: false,
-        band: 0,
-        waited_s: 0.0,
-        reservation: Reservation::None,
-        reclaim: Reclaim::Nothing,
-        standing: Standing::Ordinary,
-        lacks_room: false,
         estimate: 10.0,
-        team: 0,
-        image: 0,
         image_gb: 1.0,
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
         spot: true,
-        zones: BTreeMap::new(),
-        avoid: BTreeSet::new(),
-        reservations: BTreeSet::new(),
+        ..PendingTasks::default()
     }
 }
 
@@ -52,27 +35,27 @@
     }]
 }
 
-fn run(wants: &mut [PendingTasks], hosts: &mut [Host], gpus: f64) -> Vec<Placement> {
-    run_round(wants, hosts, &mut quota(gpus), &Weights::default())
+fn run(jobs: &mut [PendingTasks], machines: &mut [Host], gpus: f64) -> Vec<Placement> {
+    run_round(jobs, machines, &mut quota(gpus), &Weights::default())
 }
 
 #[test]
-fn the_longest_goes_first_within_its_band() {
-    let mut wants = [want(1, 8.0), want(1, 8.0), want(1, 8.0)];
-    wants[1].estimate = 20.0;
-    wants[2].band = 1;
-    wants[2].estimate = 1.0;
-    let mut hosts = [host(8.0, 0), host(8.0, 0)];
-    let placed = run(&mut wants, &mut hosts, 100.0);
+fn longest_estimate_goes_first_within_a_band() {
+    let mut jobs = [pending(1, 8.0), pending(1, 8.0), pending(1, 8.0)];
+    jobs[1].estimate = 20.0;
+    jobs[2].band = 1;
+    jobs[2].estimate = 1.0;
+    let mut machines = [machine(8.0, 0), machine(8.0, 0)];
+    let placed = run(&mut jobs, &mut machines, 100.0);
     let order: Vec<usize> = placed.iter().map(|p| p.job).collect();
     assert_eq!(order, [2, 1]);
-    assert_eq!(wants[0].waiting, [0], "what has no room waits");
+    assert_eq!(jobs[0].waiting, [0], "a task without room keeps waiting");
 }
 
-/// One of the largest jobs of a class once began after 289 s: longer jobs of
-/// its team that had come later went first each time something came free.
+/// Regression: one of the largest jobs of a class started after 289 s, since longer jobs of
+/// its team that were submitted later went first each time capacity came free.
 #[test]
-fn among_jobs_that_waited_long_the_oldest_goes_first() {
+fn longest_wait_goes_first_among_aged_jobs() {
     // Band, wait and estimate of two jobs, and which is placed.
     let cases = [
         ("both fresh: the longest", (0, 0.0, 5.0), (0, 0.0, 20.0), 1),
@@ -87,122 +70,125 @@
         ("bands go before waits", (8, 90.0, 5.0), (9, 70.0, 20.0), 1),
     ];
     for (name, first, second, expected) in cases {
-        let mut wants = [want(1, 8.0), want(1, 8.0)];
-        for (want, (band, waited_s, estimate)) in wants.iter_mut().zip([first, second]) {
-            want.band = band;
-            want.waited_s = waited_s;
-            want.estimate = estimate;
+        let mut jobs = [pending(1, 8.0), pending(1, 8.0)];
+        for (job, (band, waited_s, estimate)) in jobs.iter_mut().zip([first, second]) {
+            job.band = band;
+            job.waited_s = waited_s;
+            job.estimate = estimate;
         }
-        let placed = run(&mut wants, &mut [host(8.0, 0)], 100.0);
+        let placed = run(&mut jobs, &mut [machine(8.0, 0)], 100.0);
         let placed: Vec<usize> = placed.iter().map(|p| p.job).collect();
         assert_eq!(placed, [expected], "{name}");
     }
 }
 
 #[test]
-fn each_choice_is_booked_before_the_next() {
-    let mut wants = [want(5, 4.0)];
-    let mut hosts = [host(8.0, 0), host(8.0, 0)];
-    assert_eq!(run(&mut wants, &mut hosts, 100.0).len(), 4);
-    assert!(hosts.iter().all(|h| h.free.gpus == 0));
+fn each_placement_is_booked_before_the_next_choice() {
+    let mut jobs = [pending(5, 4.0)];
+    let mut machines = [machine(8.0, 0), machine(8.0, 0)];
+    assert_eq!(run(&mut jobs, &mut machines, 100.0).len(), 4);
+    assert!(machines.iter().all(|machine| machine.free.gpus == 0));
 }
 
 #[test]
-fn zones_are_kept_to() {
+fn zone_constraints_limit_placements() {
     type Case = (&'static str, fn(&mut PendingTasks), usize);
     let cases: [Case; 6] = [
         ("anywhere", |_| (), 4),
-        ("one zone", |w| w.one_zone = true, 2),
+        ("one zone", |job| job.one_zone = true, 2),
         (
-            "one zone, held to by a task that is there",
-            |w| {
-                w.one_zone = true;
-                w.zones.insert(7, 1);
+            "one zone, with a task in another zone",
+            |job| {
+                job.one_zone = true;
+                job.zones.insert(7, 1);
             },
             0,
         ),
-        ("spread", |w| w.spread = true, 4),
+        ("spread", |job| job.spread = true, 4),
         (
-            "spread, half of it is there already",
-            |w| {
-                w.spread = true;
-                w.zones.insert(0, 2);
+            "spread, half of the tasks placed in one zone",
+            |job| {
+                job.spread = true;
+                job.zones.insert(0, 2);
             },
             2,
         ),
-        ("a zone of its own", |w| w.zone = Some(1), 2),
+        ("required zone", |job| job.zone = Some(1), 2),
     ];
     for (name, change, expected) in cases {
-        let mut wants = [want(4, 4.0)];
-        change(&mut wants[0]);
-        let mut hosts = [host(8.0, 0), host(8.0, 1)];
-        assert_eq!(run(&mut wants, &mut hosts, 100.0).len(), expected, "{name}");
+        let mut jobs = [pending(4, 4.0)];
+        change(&mut jobs[0]);
+        let mut machines = [machine(8.0, 0), machine(8.0, 1)];
+        assert_eq!(
+            run(&mut jobs, &mut machines, 100.0).len(),
+            expected,
+            "{name}"
+        );
     }
 }
 
 #[test]
-fn spread_of_one_task_is_one_zone() {
-    let mut wants = [want(1, 4.0)];
-    wants[0].spread = true;
-    assert_eq!(run(&mut wants, &mut [host(8.0, 0)], 100.0).len(), 1);
+fn spread_job_of_one_task_is_placed() {
+    let mut jobs = [pending(1, 4.0)];
+    jobs[0].spread = true;
+    assert_eq!(run(&mut jobs, &mut [machine(8.0, 0)], 100.0).len(), 1);
 }
 
-/// Small tasks once kept taking the last of a team's limit, and a large
+/// Regression: small tasks used up each bit of a team's limit that came free, and a large
 /// one of the same team waited for nine minutes.
 #[test]
-fn what_has_waited_long_is_not_overtaken() {
+fn aged_job_reserves_quota_or_a_machine() {
     let cases = [
         ("quota, fresh", false, 11.0, 8.0, 1),
         ("quota, aged", true, 11.0, 8.0, 0),
         ("room, fresh", false, 100.0, 6.0, 2),
         ("room, aged", true, 100.0, 6.0, 0),
     ];
-    for (name, aged, limit, free, small) in cases {
-        let mut wants = [want(1, 8.0), want(2, 2.0)];
-        wants[0].band = 1;
-        wants[0].reservation = if aged {
+    for (name, aged, limit, free, expected) in cases {
+        let mut jobs = [pending(1, 8.0), pending(2, 2.0)];
+        jobs[0].band = 1;
+        jobs[0].reservation = if aged {
             Reservation::Room
         } else {
             Reservation::None
         };
-        let mut hosts = [host(8.0, 0)];
-        hosts[0].free.gpus = (free * 1000.0) as i64;
+        let mut machines = [machine(8.0, 0)];
+        machines[0].free.gpus = (free * 1000.0) as i64;
         let mut quotas = quota(limit);
         quotas[0].used = Resources::new(0.0, limit.min(8.0), 0.0);
-        let placed = run_round(&mut wants, &mut hosts, &mut quotas, &Weights::default());
-        assert_eq!(placed.len(), small, "{name}");
+        let placed = run_round(&mut jobs, &mut machines, &mut quotas, &Weights::default());
+        assert_eq!(placed.len(), expected, "{name}");
     }
 }
 
-/// A gang that needed all of its team's limit and two machines saw it free
-/// again and again, and each time a task behind it took some of it while the
-/// second machine was booting.
+/// Regression: a gang that needed all of its team's limit and two machines starved, since
+/// a later task used some of the quota each time while the second machine was booting.
 #[test]
-fn quota_is_kept_while_machines_are_on_their_way() {
-    // Whether it is kept, the team's limit, and how many others are placed.
+fn quota_stays_reserved_while_no_machine_has_room() {
+    // Whether the quota is reserved, the team's limit, and how many others are placed.
     let cases = [
-        ("not kept: a task behind takes it", false, 12.0, 1),
-        ("kept", true, 12.0, 0),
-        ("what is beyond the need is free", true, 16.0, 1),
+        ("not reserved: a later task uses it", false, 12.0, 1),
+        ("reserved", true, 12.0, 0),
+        ("quota beyond the reservation is free", true, 16.0, 1),
     ];
-    for (name, keeps, limit, placed_behind) in cases {
-        let mut wants = [want(3, 4.0), want(1, 4.0)];
-        wants[0].gang = true;
-        wants[0].band = 8;
-        wants[0].reservation = if keeps {
+    for (name, reserves_quota, limit, expected) in cases {
+        let mut jobs = [pending(3, 4.0), pending(1, 4.0)];
+        jobs[0].gang = true;
+        jobs[0].band = 8;
+        jobs[0].reservation = if reserves_quota {
             Reservation::RoomAndQuota
         } else {
             Reservation::Room
         };
-        wants[0].types = Some(vec![0]);
-        let mut other = host(4.0, 0);
+        jobs[0].types = Some(vec![0]);
+        let mut other = machine(4.0, 0);
         other.machine_type = 1;
-        let mut hosts = [host(8.0, 0), other];
+        let mut machines = [machine(8.0, 0), other];
         let mut quotas = quota(limit);
-        let placed = run_round(&mut wants, &mut hosts, &mut quotas, &Weights::default());
-        assert_eq!(placed.len(), placed_behind, "{name}");
-        assert!(wants[0].lacks_room, "{name}");
-        let used = 4_000 * placed_behind as i64;
+        let placed = run_round(&mut jobs, &mut machines, &mut quotas, &Weights::default());
+        assert_eq!(placed.len(), expected, "{name}");
+        assert!(jobs[0].lacks_room, "{name}");
+        let used = 4_000 * expected as i64;
         assert_eq!(
             quotas[0].used.gpus, used,
             "{name}: only what is placed is used"
@@ -211,7 +197,7 @@
 }
 
 #[test]
-fn a_gang_is_placed_whole_or_undone() {
+fn gang_is_placed_whole_or_not_at_all() {
     let cases = [
         (4, false, 100.0, 4),
         (5, false, 100.0, 0),
@@ -220,68 +206,72 @@
         (4, false, 15.0, 0),
     ];
     for (tasks, one_zone, limit, expected) in cases {
-        let mut wants = [want(tasks, 4.0)];
-        wants[0].gang = true;
-        wants[0].one_zone = one_zone;
-        let mut hosts = [host(8.0, 0), host(8.0, 1)];
-        let placed = run(&mut wants, &mut hosts, limit);
-        assert_eq!(placed.len(), expected, "{tasks} {one_zone}");
-        let free: i64 = hosts.iter().map(|h| h.free.gpus).sum();
+        let mut jobs = [pending(tasks, 4.0)];
+        jobs[0].gang = true;
+        jobs[0].one_zone = one_zone;
+        let mut machines = [machine(8.0, 0), machine(8.0, 1)];
+        let placed = run(&mut jobs, &mut machines, limit);
+        assert_eq!(
+            placed.len(),
+            expected,
+            "{tasks} tasks, one zone: {one_zone}"
+        );
+        let free: i64 = machines.iter().map(|machine| machine.free.gpus).sum();
         assert_eq!(free, 16_000 - 4_000 * expected as i64);
         if expected == 0 {
-            assert!(hosts.iter().all(|h| h.images.is_empty()));
+            assert!(machines.iter().all(|machine| machine.images.is_empty()));
         }
     }
 }
 
 #[test]
-fn quotas_and_kinds_of_machines_are_kept_to() {
-    let mut wants = [want(4, 4.0)];
-    assert_eq!(run(&mut wants, &mut [host(16.0, 0)], 9.0).len(), 2);
-    let mut wants = [want(1, 4.0)];
-    wants[0].spot = false;
-    let mut spot = host(8.0, 0);
+fn quota_machine_type_and_spot_limit_placements() {
+    let mut jobs = [pending(4, 4.0)];
+    assert_eq!(run(&mut jobs, &mut [machine(16.0, 0)], 9.0).len(), 2);
+    let mut jobs = [pending(1, 4.0)];
+    jobs[0].spot = false;
+    let mut spot = machine(8.0, 0);
     spot.spot = true;
-    assert!(run(&mut wants, &mut [spot], 100.0).is_empty());
-    let mut wants = [want(1, 4.0)];
-    wants[0].types = Some(vec![3]);
-    assert!(run(&mut wants, &mut [host(8.0, 0)], 100.0).is_empty());
+    assert!(run(&mut jobs, &mut [spot], 100.0).is_empty());
+    let mut jobs = [pending(1, 4.0)];
+    jobs[0].types = Some(vec![3]);
+    assert!(run(&mut jobs, &mut [machine(8.0, 0)], 100.0).is_empty());
 }
 
-/// A team at its limit of GPUs, with a job that has waited long for some, once
-/// kept its jobs without GPUs from running.
+/// Regression: while a team at its limit of GPUs had a job that waited long for some, its
+/// jobs without GPUs did not run.
 #[test]
-fn what_is_kept_for_one_that_waited_holds_up_only_what_uses_it() {
+fn reserved_quota_blocks_only_tasks_that_use_it() {
     let cases = [("uses GPUs", 2.0, 0), ("uses none", 0.0, 1)];
-    for (name, gpus, small) in cases {
-        let mut wants = [want(1, 8.0), want(1, gpus)];
-        wants[0].band = 1;
-        wants[0].reservation = Reservation::Room;
-        wants[1].task.cpus = 1_000;
-        let mut hosts = [host(8.0, 0)];
-        hosts[0].total.cpus = 8_000;
-        hosts[0].free.cpus = 8_000;
+    for (name, gpus, expected) in cases {
+        let mut jobs = [pending(1, 8.0), pending(1, gpus)];
+        jobs[0].band = 1;
+        jobs[0].reservation = Reservation::Room;
+        jobs[1].task.cpus = 1_000;
+        let mut machines = [machine(8.0, 0)];
+        machines[0].total.cpus = 8_000;
+        machines[0].free.cpus = 8_000;
         let mut quotas = quota(11.0);
         quotas[0].used = Resources::new(0.0, 8.0, 0.0);
-        let placed = run_round(&mut wants, &mut hosts, &mut quotas, &Weights::default());
-        assert_eq!(placed.len(), small, "{name}");
+        let placed = run_round(&mut jobs, &mut machines, &mut quotas, &Weights::default());
+        assert_eq!(placed.len(), expected, "{name}");
     }
 }
 
-/// A gang that had failed on the only machine, and was kept away from it for a
-/// while, had it kept free all that time.
+/// Regression: a gang that had failed on the only machine, and was excluded from it for a
+/// while, had it held free all that time.
 #[test]
-fn no_machine_is_kept_for_one_that_avoids_it() {
-    for (avoids, behind) in [(false, 0), (true, 1)] {
-        let mut wants = [want(1, 8.0), want(1, 2.0)];
-        wants[0].band = 1;
-        wants[0].reservation = Reservation::Room;
-        let mut hosts = [host(8.0, 0)];
-        hosts[0].free.gpus -= 1_000;
-        if avoids {
-            wants[0].avoid.insert(0);
+fn excluded_machine_is_not_held_for_the_job() {
+    for (is_excluded, expected) in [(false, 0), (true, 1)] {
+        let mut jobs = [pending(1, 8.0), pending(1, 2.0)];
+        jobs[0].band = 1;
+        jobs[0].reservation = Reservation::Room;
+        let mut machines = [machine(8.0, 0)];
+        machines[0].free.gpus -= 1_000;
+        if is_excluded {
+            jobs[0].avoid.insert(0);
         }
-        let placed = run(&mut wants, &mut hosts, 100.0);
-        assert_eq!(placed.len(), behind, "avoids: {avoids}");
+        let placed = run(&mut jobs, &mut machines, 100.0);
+        assert_eq!(placed.len(), expected, "excluded: {is_excluded}");
     }
 }
--- a/crates/sched/src/score.rs
+++ b/crates/sched/src/score.rs
@@ -1,15 +1,16 @@
-//! The score of a machine for a task.
+//! The score of a machine for a task: bin-packing fit, less cost, less latency, each with
+//! its weight.
 
 use crate::resources::Resources;
 
 /// Weights of the score's terms; they sum to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Of fit.
+    /// Weight of the fit.
     pub fit: f64,
-    /// Of cost.
+    /// Weight of the cost.
     pub cost: f64,
-    /// Of latency.
+    /// Weight of the latency.
     pub latency: f64,
 }
 
@@ -23,62 +24,75 @@
     }
 }
 
-/// What the score needs to know of a machine that has room for the task.
+/// What the score depends on, of a machine that has room for the task.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
-    /// What is free there.
-    pub free: Resources,
-    /// Price of the task's estimated run there.
-    pub cost: f64,
-    /// Seconds until its image is there.
-    pub latency: f64,
+pub(crate) struct Candidate {
+    /// Free resources of the machine.
+    pub(crate) free: Resources,
+    /// Price of the task's estimated run on it.
+    pub(crate) cost: f64,
+    /// Seconds until the task could start: until the machine is up and has the image.
+    pub(crate) latency: f64,
 }
 
-/// The average share of what is free that the task fills. A resource of which
-/// nothing is free says nothing about the fit and is left out.
-pub fn fit(task: &Resources, free: &Resources) -> f64 {
-    let pairs = [
+/// Bin-packing score: the mean over the resources of the part of what is free that the
+/// task would use, from 0 to 1 for a task that fits. A resource of which nothing is free
+/// is left out of the mean.
+fn fit(task: &Resources, free: &Resources) -> f64 {
+    let used_and_free = [
         (task.cpus, free.cpus),
         (task.gpus, free.gpus),
         (task.memory, free.memory),
     ];
-    let (mut sum, mut n) = (0.0, 0);
-    for (part, whole) in pairs {
-        if whole > 0 {
-            sum += part as f64 / whole as f64;
-            n += 1;
+    let (mut sum, mut count) = (0.0, 0);
+    for (used, free) in used_and_free {
+        if free > 0 {
+            sum += used as f64 / free as f64;
+            count += 1;
         }
     }
-    if n == 0 {
+    if count == 0 {
         0.0
     } else {
-        sum / f64::from(n)
+        sum / f64::from(count)
     }
 }
 
-/// The number of the candidate with the highest score; of equals, the lowest.
-pub fn choose(
+/// The index of the candidate with the highest score; of equals, the lowest index. Cost
+/// and latency are divided by their maxima over the candidates.
+pub(crate) fn choose(
     task: &Resources,
     candidates: impl Iterator<Item = (usize, Candidate)> + Clone,
-    w: &Weights,
+    weights: &Weights,
 ) -> Option<usize> {
-    let most = |f: fn(Candidate) -> f64| {
-        let all = candidates.clone().map(|(_, c)| f(c));
-        all.fold(0.0, f64::max)
+    let maximum = |term: fn(Candidate) -> f64| {
+        let values = candidates.clone().map(|(_, candidate)| term(candidate));
+        values.fold(0.0, f64::max)
     };
-    let (cost, latency) = (most(|c| c.cost), most(|c| c.latency));
-    // A maximum of zero zeroes its term.
-    let part = |x: f64, max: f64| if max > 0.0 { x / max } else { 0.0 };
+    let max_cost = maximum(|candidate| candidate.cost);
+    let max_latency = maximum(|candidate| candidate.latency);
     let mut best: Option<(usize, f64)> = None;
-    for (i, c) in candidates {
-        let score = w.fit * fit(task, &c.free)
-            - w.cost * part(c.cost, cost)
-            - w.latency * part(c.latency, latency);
-        if best.is_none_or(|(first, b)| score > b || (score == b && i < first)) {
-            best = Some((i, score));
+    for (index, candidate) in candidates {
+        let score = weights.fit * fit(task, &candidate.free)
+            - weights.cost * normalized(candidate.cost, max_cost)
+            - weights.latency * normalized(candidate.latency, max_latency);
+        let is_better = |(best_index, best_score): (usize, f64)| {
+            score > best_score || (score == best_score && index < best_index)
+        };
+        if best.is_none_or(is_better) {
+            best = Some((index, score));
         }
     }
-    best.map(|(i, _)| i)
+    best.map(|(index, _)| index)
+}
+
+/// `value` as a part of `max`; a maximum of zero removes the term from the score.
+fn normalized(value: f64, max: f64) -> f64 {
+    if max > 0.0 {
+        value / max
+    } else {
+        0.0
+    }
 }
 
 #[cfg(test)]
--- a/crates/sched/src/score/tests.rs
+++ b/crates/sched/src/score/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `score`.
+//! Tests of the score.
 
 use super::*;
 
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn the_highest_score_wins() {
+fn candidate_with_the_highest_score_is_chosen() {
     let task = Resources::new(4.0, 0.0, 4.0);
-    let w = Weights::default();
+    let weights = Weights::default();
     let cases: [(&str, Vec<Candidate>, Option<usize>); 6] = [
         ("no candidates", vec![], None),
         (
@@ -44,7 +44,7 @@
     ];
     for (name, candidates, expected) in cases {
         assert_eq!(
-            choose(&task, candidates.iter().copied().enumerate(), &w),
+            choose(&task, candidates.iter().copied().enumerate(), &weights),
             expected,
             "{name}"
         );
@@ -52,15 +52,16 @@
 }
 
 #[test]
-fn fit_leaves_out_what_is_not_there() {
+fn fit_is_the_mean_over_resources_that_are_free() {
     let cases = [
         ((4.0, 0.0, 4.0), (8.0, 0.0, 16.0), 0.375),
         ((4.0, 1.0, 4.0), (8.0, 2.0, 8.0), 0.5),
         ((4.0, 0.0, 4.0), (8.0, 8.0, 8.0), 1.0 / 3.0),
         ((0.0, 0.0, 0.0), (0.0, 0.0, 0.0), 0.0),
     ];
-    for ((a, b, c), (x, y, z), expected) in cases {
-        let got = fit(&Resources::new(a, b, c), &Resources::new(x, y, z));
-        assert!((got - expected).abs() < 1e-9, "{a} {b} {c}: {got}");
+    let resources = |(cpus, gpus, memory_gb)| Resources::new(cpus, gpus, memory_gb);
+    for (task, free, expected) in cases {
+        let found = fit(&resources(task), &resources(free));
+        assert!((found - expected).abs() < 1e-9, "{task:?}: {found}");
     }
 }
