--- a/crates/links/src/cloud_link.rs
+++ b/crates/links/src/cloud_link.rs
@@ -2,57 +2,65 @@
 
 use crate::Ms;
 
-/// Calls in a row without an answer after which the link may be lost.
-const LOST_CALLS: u32 = 3;
+/// Consecutive calls without a response after which the link may be lost.
+const MIN_LOST_CALLS: u32 = 3;
 
-/// What a controller knows of its link to the cloud, and when it may lead again.
+/// Known state of a controller's link to the cloud, and the time from which it may be
+/// elected leader again.
 ///
-/// Only calls without any answer count: a refusal shows that the link is up, and an
+/// Only calls without any response count: a refusal shows that the link is up, and an
 /// outage of the cloud is the same for every leader.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct CloudLink {
-    unanswered: u32,
-    /// When the first of them ended.
-    since: Ms,
-    /// We do not ask to lead before this, unless nobody else does.
-    abstain_until: Ms,
-    pause: Ms,
+    /// Consecutive calls without a response.
+    unanswered_calls: u32,
+    /// End of the first of them.
+    unanswered_since: Ms,
+    /// Until then the controller does not stand for election unless no other one does.
+    abstains_until: Ms,
+    /// Duration of the latest abstention; 0 if there was none since the last response.
+    abstention: Ms,
 }
 
 impl CloudLink {
-    /// A call has ended.
+    /// Notes that a call has ended, with a response or without one.
     pub fn on_call(&mut self, now: Ms, is_answered: bool) {
         if is_answered {
             *self = Self::default();
             return;
         }
-        if self.unanswered == 0 {
-            self.since = now;
+        if self.unanswered_calls == 0 {
+            self.unanswered_since = now;
         }
-        self.unanswered = self.unanswered.saturating_add(1);
+        self.unanswered_calls = self.unanswered_calls.saturating_add(1);
     }
 
-    /// Whether calls have had no answer for so long, or, if we have resigned before and had
-    /// none since, for as long as we abstained then: leadership went round as fast as the first
-    /// time where no controller reached the cloud.
+    /// Whether calls have had no response for `patience`. After a resignation without any
+    /// response since, they must have had none for as long as the controller abstained:
+    /// otherwise leadership keeps moving at the same rate where no controller reaches the
+    /// cloud.
     pub fn is_lost(&self, now: Ms, patience: Ms) -> bool {
-        self.unanswered >= LOST_CALLS && now >= self.since + patience.max(self.pause)
+        let lost_after = self.unanswered_since + patience.max(self.abstention);
+        self.unanswered_calls >= MIN_LOST_CALLS && now >= lost_after
     }
 
-    /// We have given leadership up. Each time the next attempt is put off for longer: where
-    /// nobody reaches the cloud, leadership must not go round without an end.
-    pub fn on_resigned(&mut self, now: Ms, first_pause: Ms, longest_pause: Ms) {
-        self.pause = (self.pause * 2).clamp(first_pause, longest_pause);
-        self.abstain_until = now + self.pause;
+    /// Notes that the controller has resigned as leader. Each resignation doubles the
+    /// abstention, from `first_abstention` to `longest_abstention`, so that leadership does
+    /// not move for ever where no controller reaches the cloud.
+    pub fn on_resigned(&mut self, now: Ms, first_abstention: Ms, longest_abstention: Ms) {
+        let doubled = self.abstention * 2;
+        self.abstention = doubled.clamp(first_abstention, longest_abstention);
+        self.abstains_until = now + self.abstention;
     }
 
-    /// We lead from now on: earlier calls say nothing of the link as it is.
+    /// Notes that the controller was elected: earlier calls are no evidence of the link's
+    /// present state.
     pub fn on_elected(&mut self) {
-        self.unanswered = 0;
+        self.unanswered_calls = 0;
     }
 
-    /// Whether we leave it to others to lead.
+    /// Whether the controller leaves the election to others.
     pub fn abstains_from_election(&self, now: Ms) -> bool {
-        now < self.abstain_until
+        now < self.abstains_until
     }
 }
--- a/crates/links/src/decision.rs
+++ b/crates/links/src/decision.rs
@@ -1,13 +1,13 @@
-//! Which links a decision needs.
+//! The links that each decision of a controller requires.
 
 use std::fmt;
 
 /// A link of a controller.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Link {
-    /// To the state service; up while the controller's own lease is surely valid.
+    /// To the key-value store; up while the controller's own lease is surely valid.
     Store,
-    /// Reports of workers, as they come in without another controller's help.
+    /// Heartbeats of workers that arrive directly, not relayed by another controller.
     Heartbeats,
     /// Calls to workers.
     WorkerCalls,
@@ -24,7 +24,7 @@
         Self::Cloud,
     ];
 
-    /// The place of a link in [`Links`].
+    /// The index of a link in [`Links`].
     fn index(self) -> usize {
         match self {
             Self::Store => 0,
@@ -38,29 +38,29 @@
 impl fmt::Display for Link {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Store => "the state service",
-            Self::Heartbeats => "reports of workers",
-            Self::WorkerCalls => "calls to workers",
+            Self::Store => "the key-value store",
+            Self::Heartbeats => "worker heartbeats",
+            Self::WorkerCalls => "worker calls",
             Self::Cloud => "the cloud",
         })
     }
 }
 
-/// What a controller may decide as long as its links are up.
+/// A decision that a controller may make only while certain links are up.
 ///
-/// Whether a worker is answered is not among them: an answer keeps alive what runs
-/// already, and its bounds are not links but what other controllers may have confirmed.
+/// Answering a worker's heartbeat is not among them: it keeps running tasks alive, and is
+/// bounded by what other controllers have confirmed rather than by links.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Decision {
-    /// To start tasks: the start must be recorded under a lease that is valid.
+    /// To start tasks: the start must be recorded under a valid lease.
     StartTasks,
-    /// To give a machine up because it is silent: silence tells nothing of a machine
-    /// where most are not heard.
+    /// To decommission a machine for missed heartbeats: they are no evidence against it
+    /// while most machines miss theirs.
     RemoveSilentMachines,
-    /// To keep shards that another controller could hold.
+    /// To keep holding shards that another controller could hold.
     HoldShards,
-    /// To lead although another controller could: the leader alone rents and returns
-    /// machines.
+    /// To remain leader although another controller could lead: the leader alone scales
+    /// the fleet out and in.
     Lead,
 }
 
@@ -73,7 +73,7 @@
         Self::Lead,
     ];
 
-    /// The links without which it may not be made.
+    /// The links that must be up for it.
     pub fn needs(self) -> &'static [Link] {
         match self {
             Self::StartTasks => &[Link::Store],
@@ -84,14 +84,14 @@
     }
 }
 
-/// Which links are up, as far as is known.
+/// Known states of a controller's links.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Links {
     is_up: [bool; Link::ALL.len()],
 }
 
 impl Default for Links {
-    /// A controller that starts has no valid lease, and knows of no cut.
+    /// A controller that starts has no valid lease, and no evidence of a partition.
     fn default() -> Self {
         let mut links = Self {
             is_up: [true; Link::ALL.len()],
@@ -102,7 +102,7 @@
 }
 
 impl Links {
-    /// Notes how a link is. Returns true if that is new.
+    /// Sets the state of a link. Returns whether it has changed.
     pub fn set(&mut self, link: Link, is_up: bool) -> bool {
         std::mem::replace(&mut self.is_up[link.index()], is_up) != is_up
     }
@@ -112,14 +112,14 @@
         self.is_up[link.index()]
     }
 
-    /// Whether a decision may be made.
+    /// Whether all links that a decision requires are up.
     pub fn allow(&self, decision: Decision) -> bool {
         self.missing_for(decision).is_none()
     }
 
-    /// The first link that a decision lacks.
+    /// The first link that a decision requires and that is down.
     pub fn missing_for(&self, decision: Decision) -> Option<Link> {
-        let mut needs = decision.needs().iter().copied();
-        needs.find(|link| !self.is_up(*link))
+        let mut required = decision.needs().iter().copied();
+        required.find(|link| !self.is_up(*link))
     }
 }
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,11 +1,11 @@
-//! What is known of a controller's links, and what may be decided on it.
+//! State of the links of a controller, and the decisions that they permit.
 //!
-//! A controller has links to the state service, to the cloud, to its peers and to each
-//! worker, and of the last one two: reports come in and calls go out. A cut may take
-//! any of them and leave the others up. This package keeps what is known of each link
-//! ([`MachineLink`], [`CloudLink`]), says in one table which links a decision needs
-//! ([`Decision`]), and lets controllers that still hear a worker pass its reports on to the
-//! one that does not ([`RelayTable`]).
+//! A controller has links to the key-value store, to the cloud, to its peers and to each
+//! worker. A link to a worker has two directions: heartbeats come in and calls go out. A
+//! network partition may break any of them and leave the others up. This package keeps the
+//! known state of each link ([`MachineLink`], [`CloudLink`]), defines which links a decision
+//! requires ([`Decision`]), and lets controllers that still receive a worker's heartbeats
+//! relay them to the holder that does not ([`RelayTable`]).
 //!
 //! It does no I/O and reads no clock: evidence and time are passed in.
 
@@ -21,5 +21,5 @@
 pub use redirect::Redirects;
 pub use relay::RelayTable;
 
-/// Milliseconds of a steady clock.
+/// Milliseconds of a monotonic clock.
 pub type Ms = u64;
--- a/crates/links/src/machine_link.rs
+++ b/crates/links/src/machine_link.rs
@@ -2,160 +2,175 @@
 
 use crate::Ms;
 
-/// Calls in a row without an answer after which the link for calls counts as lost.
-const LOST_CALLS: u32 = 2;
-
-/// How a report came to the holder.
+/// Consecutive calls without a response after which calls count as not reaching the machine.
+const MIN_LOST_CALLS: u32 = 2;
+/// Heartbeat intervals that a worker has for its failback to the holder.
+const FAILBACK_HEARTBEATS: u64 = 2;
+/// Leases of a worker in the longest backoff between two failbacks.
+const MAX_BACKOFF_LEASES: u64 = 8;
+
+/// The route by which a heartbeat reached the holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Route {
     /// From the worker itself.
     Direct,
-    /// By another controller that the worker reports to.
+    /// Relayed by another controller, to which the worker sends its heartbeats.
     Relayed,
 }
 
-/// Times of links, from the settings.
+/// Intervals that the states of links depend on, from the settings.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Timing {
-    /// The longest pause between two reports, with what they may be late by.
+    /// Heartbeat interval: the longest pause between two heartbeats, with the delay that is
+    /// allowed for, in milliseconds.
     pub report_ms: Ms,
-    /// Lease of a worker.
+    /// Duration of a worker's lease, in milliseconds.
     pub lease_ms: Ms,
 }
 
 impl Timing {
-    /// Time for a worker that is sent back to its holder to report there.
-    fn return_ms(&self) -> Ms {
-        self.report_ms * 2
+    /// Time that a worker has for its failback.
+    fn failback_ms(&self) -> Ms {
+        self.report_ms * FAILBACK_HEARTBEATS
     }
 
-    /// Pause before the first try to have a worker back.
-    fn first_pause(&self) -> Ms {
+    /// Backoff before the first failback.
+    fn first_backoff_ms(&self) -> Ms {
         self.lease_ms / 2
     }
 
-    /// The longest pause between two tries. Each costs the worker a part of its lease.
-    fn longest_pause(&self) -> Ms {
-        self.lease_ms * 8
+    /// Longest backoff between two failbacks; each uses up a part of the worker's lease.
+    fn longest_backoff_ms(&self) -> Ms {
+        self.lease_ms * MAX_BACKOFF_LEASES
     }
 }
 
-/// What the holder knows of the link to a machine.
+/// Known state of the link between the holder of a shard and a machine.
+///
+/// A worker that does not reach the holder sends its heartbeats to another controller,
+/// which relays them. Its failback, the return to direct heartbeats, is tried after a call
+/// has shown that the holder reaches the machine.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct MachineLink {
-    /// When the last report came from the worker itself.
-    reported: Option<Ms>,
-    /// When the last one came by another controller.
-    relayed: Option<Ms>,
-    /// Calls in a row without an answer.
-    unanswered: u32,
-    /// When the last call ended.
-    called: Option<Ms>,
-    /// An unheard machine is called before this only if there is something to say.
-    check_at: Ms,
-    /// The worker is sent back to us until then.
-    returning_until: Ms,
-    /// When it is tried next to have the worker back, and the pause after that.
-    probe_at: Ms,
-    pause: Ms,
+    /// Time of the last direct heartbeat.
+    last_direct_at: Option<Ms>,
+    /// Time of the last relayed heartbeat.
+    last_relayed_at: Option<Ms>,
+    /// Consecutive calls without a response.
+    unanswered_calls: u32,
+    /// End of the last call.
+    last_call_at: Option<Ms>,
+    /// Time of the next probe. Until then a machine without heartbeats is called only to
+    /// send it commands.
+    next_probe_at: Ms,
+    /// Until then no relay is requested, so that the worker is redirected to the holder.
+    failback_until: Ms,
+    /// Time of the next call that may start a failback.
+    next_failback_at: Ms,
+    /// Backoff between failbacks.
+    backoff: Ms,
 }
 
 impl MachineLink {
-    /// A report has come.
+    /// Notes that a heartbeat has arrived.
     pub fn on_heartbeat(&mut self, now: Ms, route: Route, timing: &Timing) {
         match route {
-            Route::Direct => {
-                self.reported = Some(now);
-                self.returning_until = 0;
-                if self
-                    .relayed
-                    .take_if(|t| now > *t + timing.lease_ms)
-                    .is_some()
-                {
-                    // The worker has stayed with us for a lease.
-                    self.pause = 0;
-                }
-            }
-            Route::Relayed => {
-                if !self.is_relayed() {
-                    self.pause =
-                        (self.pause * 2).clamp(timing.first_pause(), timing.longest_pause());
-                    self.probe_at = now + self.pause;
-                }
-                self.relayed = Some(now);
-            }
+            Route::Direct => self.on_direct_heartbeat(now, timing),
+            Route::Relayed => self.on_relayed_heartbeat(now, timing),
+        }
+    }
+
+    fn on_direct_heartbeat(&mut self, now: Ms, timing: &Timing) {
+        self.last_direct_at = Some(now);
+        self.failback_until = 0;
+        let is_past = |relayed_at: &mut Ms| now > *relayed_at + timing.lease_ms;
+        if self.last_relayed_at.take_if(is_past).is_some() {
+            // Heartbeats have been direct for a lease: the failback has succeeded.
+            self.backoff = 0;
+        }
+    }
+
+    fn on_relayed_heartbeat(&mut self, now: Ms, timing: &Timing) {
+        if !self.is_relayed() {
+            let doubled = self.backoff * 2;
+            self.backoff = doubled.clamp(timing.first_backoff_ms(), timing.longest_backoff_ms());
+            self.next_failback_at = now + self.backoff;
         }
+        self.last_relayed_at = Some(now);
     }
 
-    /// A call has ended.
+    /// Notes that a call has ended, with a response or without one. A response starts a
+    /// failback that is due.
     pub fn on_call(&mut self, now: Ms, is_answered: bool, timing: &Timing) {
-        self.called = Some(now);
+        self.last_call_at = Some(now);
         if !is_answered {
-            self.unanswered = self.unanswered.saturating_add(1);
+            self.unanswered_calls = self.unanswered_calls.saturating_add(1);
             return;
         }
-        self.unanswered = 0;
-        if self.is_relayed() && now >= self.probe_at {
-            self.returning_until = now + timing.return_ms();
-            self.pause = (self.pause * 2).min(timing.longest_pause());
-            self.probe_at = self.returning_until + self.pause;
+        self.unanswered_calls = 0;
+        if self.is_probe_due(now) {
+            self.failback_until = now + timing.failback_ms();
+            self.backoff = (self.backoff * 2).min(timing.longest_backoff_ms());
+            self.next_failback_at = self.failback_until + self.backoff;
         }
     }
 
-    /// Whether the newest report came by another controller.
+    /// Whether the latest heartbeat was relayed.
     pub fn is_relayed(&self) -> bool {
-        self.relayed > self.reported
+        self.last_relayed_at > self.last_direct_at
     }
 
-    /// Whether other controllers still pass on what the worker reports.
+    /// Whether the latest heartbeat was relayed, within the heartbeat interval.
     pub fn is_recently_relayed(&self, now: Ms, timing: &Timing) -> bool {
-        let relayed = self.relayed.filter(|_| self.is_relayed());
-        relayed.is_some_and(|t| now < t + timing.report_ms)
+        let relayed_at = self.last_relayed_at.filter(|_| self.is_relayed());
+        relayed_at.is_some_and(|at| now < at + timing.report_ms)
     }
 
     /// Whether calls reach the machine, as far as is known.
     pub fn is_callable(&self) -> bool {
-        self.unanswered < LOST_CALLS
+        self.unanswered_calls < MIN_LOST_CALLS
     }
 
-    /// Whether a call has shown within a lease if calls reach the machine.
+    /// Whether a call has ended within a lease, so that [`Self::is_callable`] is recent.
     pub fn is_call_recent(&self, now: Ms, timing: &Timing) -> bool {
-        self.called.is_some_and(|t| now < t + timing.lease_ms)
+        self.last_call_at
+            .is_some_and(|at| now < at + timing.lease_ms)
     }
 
-    /// Whether tasks may be started there: the start goes out by a call, and what
-    /// becomes of it is soon heard without another controller's help.
+    /// Whether tasks may be started on the machine: the start is sent by a call, and its
+    /// outcome is reported by direct heartbeats.
     pub fn accepts_starts(&self) -> bool {
         self.is_callable() && !self.is_relayed()
     }
 
-    /// Whether the worker itself has not been heard for so long that it should have
-    /// been. `since` is when we began to listen. A worker that we never heard may still be
-    /// on its way to us: it has half of its lease.
+    /// Whether a direct heartbeat is overdue. `since` is when the controller began to
+    /// receive heartbeats. A worker that has sent none yet may still be redirected to this
+    /// controller: it has half of its lease.
     pub fn has_missed_heartbeats(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
-        match self.reported {
-            Some(reported) => now > reported.max(since) + timing.report_ms,
+        match self.last_direct_at {
+            Some(direct_at) => now > direct_at.max(since) + timing.report_ms,
             None => now > since + timing.lease_ms / 2,
         }
     }
 
-    /// Whether other controllers should pass on what the worker reports to them.
+    /// Whether other controllers should relay the worker's heartbeats: direct ones are
+    /// missed and no failback is in progress.
     pub fn wants_relay(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
-        now >= self.returning_until && self.has_missed_heartbeats(now, since, timing)
+        now >= self.failback_until && self.has_missed_heartbeats(now, since, timing)
     }
 
-    /// Whether the machine is to be called, by us and by others, to find out what has
-    /// become of it. It is not due again for a quarter of a lease.
+    /// Whether a probe of a machine without heartbeats is due: calls by this controller
+    /// and by others. If so, the next one is due after a quarter of a lease.
     pub fn take_probe(&mut self, now: Ms, timing: &Timing) -> bool {
-        if now < self.check_at {
+        if now < self.next_probe_at {
             return false;
         }
-        self.check_at = now + timing.lease_ms / 4;
+        self.next_probe_at = now + timing.lease_ms / 4;
         true
     }
 
-    /// Whether a call is due that finds out if the worker can come back.
+    /// Whether a call is due that shows if a failback can succeed.
     pub fn is_probe_due(&self, now: Ms) -> bool {
-        self.is_relayed() && now >= self.probe_at
+        self.is_relayed() && now >= self.next_failback_at
     }
 }
--- a/crates/links/src/redirect.rs
+++ b/crates/links/src/redirect.rs
@@ -1,37 +1,38 @@
-//! Workers that were sent to the holder of their shard and came back.
+//! Workers that were redirected to the holder of their shard.
 
 use crate::Ms;
 use forkshift_wire::{MachineId, NodeName};
 use std::collections::BTreeMap;
 
-/// Where a worker was sent, and when.
+/// A redirect of a worker to an incarnation of a holder.
 #[derive(Debug)]
 struct Redirect {
     holder: NodeName,
     incarnation: u64,
-    at: Ms,
+    redirected_at: Ms,
 }
 
-/// Remembers which workers were sent to which holder. One that comes back within a lease
-/// could not reach it, or not for long, whoever else can: sent there once more it would come
-/// back here again, as long as its lease lasts. It may have tried others in between, and lost
-/// 5 s with each that did not answer.
+/// The latest redirect of each worker. A worker that comes back within its lease could not
+/// reach the holder, or lost it soon, whether or not other controllers reach it. A second
+/// redirect would bring it back here again, until its lease expires. In between it may have
+/// tried other controllers, and lost 5 s with each that did not respond.
 #[derive(Debug)]
 pub struct Redirects {
-    sent: BTreeMap<MachineId, Redirect>,
+    by_machine: BTreeMap<MachineId, Redirect>,
+    /// Duration of a worker's lease.
     lease_ms: Ms,
 }
 
 impl Redirects {
-    /// Remembers none, for workers with such a lease.
+    /// No redirects yet, of workers with such a lease in milliseconds.
     pub fn new(lease_ms: Ms) -> Self {
         Self {
-            sent: BTreeMap::new(),
+            by_machine: BTreeMap::new(),
             lease_ms,
         }
     }
 
-    /// A worker is sent to a start of a holder.
+    /// Notes that a worker is redirected to an incarnation of a holder.
     pub fn on_redirected(
         &mut self,
         machine: MachineId,
@@ -42,12 +43,13 @@
         let redirect = Redirect {
             holder,
             incarnation,
-            at: now,
+            redirected_at: now,
         };
-        self.sent.insert(machine, redirect);
+        self.by_machine.insert(machine, redirect);
     }
 
-    /// Whether a worker that reports now was sent to that start of a holder before.
+    /// Whether a worker that sends a heartbeat now was redirected to that incarnation of a
+    /// holder within its lease.
     pub fn has_returned(
         &self,
         machine: &MachineId,
@@ -55,15 +57,17 @@
         incarnation: u64,
         now: Ms,
     ) -> bool {
-        let sent = self.sent.get(machine);
-        sent.is_some_and(|r| {
-            r.holder == *holder && r.incarnation == incarnation && now < r.at + self.lease_ms
+        self.by_machine.get(machine).is_some_and(|redirect| {
+            redirect.holder == *holder
+                && redirect.incarnation == incarnation
+                && now < redirect.redirected_at + self.lease_ms
         })
     }
 
-    /// Forgets workers that have not come back.
+    /// Removes redirects that are older than a lease.
     pub fn remove_expired(&mut self, now: Ms) {
         let lease_ms = self.lease_ms;
-        self.sent.retain(|_, r| now < r.at + lease_ms);
+        self.by_machine
+            .retain(|_, redirect| now < redirect.redirected_at + lease_ms);
     }
 }
--- a/crates/links/src/relay.rs
+++ b/crates/links/src/relay.rs
@@ -1,30 +1,40 @@
-//! Which workers' reports are passed on, and to whom.
+//! Which workers' heartbeats are relayed, and to which holder.
 
 use crate::Ms;
 use forkshift_wire::{MachineId, NodeName};
 use std::collections::BTreeMap;
 
-/// A holder that asks for reports of some machines.
+/// A holder's request to relay the heartbeats of some machines.
 #[derive(Debug)]
 struct Request {
+    /// Incarnation of the holder.
     incarnation: u64,
-    until: Ms,
-    /// Numbers the lists: one list may take several messages.
+    /// When the request expires.
+    expires_at: Ms,
+    /// Number of the list of machines; a list may take several messages.
     list: u64,
 }
 
-/// Machines that their holders do not hear. A controller to which one of them reports
-/// passes the report on, instead of sending the worker to a holder that it can't reach:
-/// there and back takes the worker as long as a short lease lasts.
+/// The holder that a machine's heartbeats are relayed to.
+#[derive(Debug)]
+struct RelayTarget {
+    holder: NodeName,
+    incarnation: u64,
+}
+
+/// Machines whose heartbeats do not reach their holders. A controller that receives a
+/// heartbeat of such a machine relays it, instead of redirecting the worker to a holder that
+/// it cannot reach: a redirect and the return take a worker as long as a short lease.
 #[derive(Debug, Default)]
 pub struct RelayTable {
-    holders: BTreeMap<NodeName, Request>,
-    machines: BTreeMap<MachineId, (NodeName, u64)>,
+    requests: BTreeMap<NodeName, Request>,
+    targets: BTreeMap<MachineId, RelayTarget>,
 }
 
 impl RelayTable {
-    /// A start of a holder does not hear these machines, and says so until then. `list`
-    /// grows with each list of a start; messages with the same one add up.
+    /// Notes a holder's request to relay the heartbeats of these machines until it expires.
+    /// `list` increases with each list of an incarnation; messages with the same number add
+    /// up to one list. A message of an older list of the incarnation is ignored.
     pub fn on_relay_request(
         &mut self,
         from: &NodeName,
@@ -33,27 +43,30 @@
         machines: impl IntoIterator<Item = MachineId>,
         until: Ms,
     ) {
-        let known = self.holders.get(from);
-        if known.is_some_and(|r| r.incarnation == incarnation && r.list > list) {
-            // An older list that came late.
-            return;
-        }
-        if known.is_some_and(|r| r.incarnation != incarnation || r.list < list) {
-            self.machines.retain(|_, (holder, _)| holder != from);
+        if let Some(known) = self.requests.get(from) {
+            let is_same_incarnation = known.incarnation == incarnation;
+            if is_same_incarnation && known.list > list {
+                return;
+            }
+            if !is_same_incarnation || known.list < list {
+                self.targets.retain(|_, target| target.holder != *from);
+            }
         }
         let request = Request {
             incarnation,
-            until,
+            expires_at: until,
             list,
         };
-        self.holders.insert(from.clone(), request);
-        let entries = machines
-            .into_iter()
-            .map(|id| (id, (from.clone(), incarnation)));
-        self.machines.extend(entries);
+        self.requests.insert(from.clone(), request);
+        let target = || RelayTarget {
+            holder: from.clone(),
+            incarnation,
+        };
+        let targets = machines.into_iter().map(|machine| (machine, target()));
+        self.targets.extend(targets);
     }
 
-    /// Whether a start of a holder asks for a machine's reports.
+    /// Whether an incarnation of a holder requests the machine's heartbeats.
     pub fn is_requested_by(
         &self,
         machine: &MachineId,
@@ -61,22 +74,24 @@
         incarnation: u64,
         now: Ms,
     ) -> bool {
-        let asked = self.machines.get(machine);
-        let is_theirs = asked.is_some_and(|(node, start)| node == holder && *start == incarnation);
-        let request = self.holders.get(holder);
-        is_theirs && request.is_some_and(|r| r.incarnation == incarnation && now < r.until)
+        let is_target =
+            |target: &RelayTarget| target.holder == *holder && target.incarnation == incarnation;
+        let is_valid =
+            |request: &Request| request.incarnation == incarnation && now < request.expires_at;
+        self.targets.get(machine).is_some_and(is_target)
+            && self.requests.get(holder).is_some_and(is_valid)
     }
 
-    /// Forgets what holders do not ask for any more.
+    /// Removes expired requests with their machines.
     pub fn remove_expired(&mut self, now: Ms) {
-        self.holders.retain(|_, r| now < r.until);
-        let holders = &self.holders;
-        self.machines
-            .retain(|_, (node, _)| holders.contains_key(node));
+        self.requests.retain(|_, request| now < request.expires_at);
+        let requests = &self.requests;
+        self.targets
+            .retain(|_, target| requests.contains_key(&target.holder));
     }
 
-    /// Whether no machine is known.
+    /// Whether no machine's heartbeats are to be relayed.
     pub fn is_empty(&self) -> bool {
-        self.machines.is_empty()
+        self.targets.is_empty()
     }
 }
--- a/crates/links/tests/decisions.rs
+++ b/crates/links/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Which decisions which cuts allow, and what is known of each link.
+//! Which decisions each partition permits, and the states of links.
 
 use forkshift_links::{CloudLink, Decision, Link, Links, MachineLink, RelayTable, Route, Timing};
 use forkshift_wire::{MachineId, NodeName};
@@ -17,9 +17,9 @@
     links
 }
 
-/// The table of decisions, written out: a change to it has to be meant.
+/// The expected table of decisions, so that a change to it is deliberate.
 #[test]
-fn each_cut_forbids_what_it_should() {
+fn each_lost_link_forbids_the_decisions_that_require_it() {
     use Decision::{HoldShards, Lead, RemoveSilentMachines, StartTasks};
     let cases: [(&[Link], &[Decision]); 6] = [
         (&[], &[]),
@@ -43,9 +43,9 @@
 }
 
 proptest! {
-    /// A link that is lost never allows more than before.
+    /// The loss of a link never permits another decision.
     #[test]
-    fn a_lost_link_allows_nothing_more(up in any::<[bool; 4]>(), lost in 0_usize..4) {
+    fn lost_link_permits_no_further_decision(up in any::<[bool; 4]>(), lost in 0_usize..4) {
         let mut links = Links::default();
         for (link, is_up) in Link::ALL.into_iter().zip(up) {
             links.set(link, is_up);
@@ -58,20 +58,21 @@
     }
 }
 
-/// One call without an answer is no cut; one answer ends it.
+/// One call without a response does not count as a partition; one response ends it.
 #[test]
-fn calls_are_lost_after_two_without_an_answer() {
+fn machine_is_not_callable_after_two_calls_without_response() {
     let mut link = MachineLink::default();
-    for (answered, takes) in [(false, true), (false, false), (false, false), (true, true)] {
-        link.on_call(1, answered, &TIMING);
-        assert_eq!(link.is_callable(), takes);
+    for (is_answered, is_callable) in [(false, true), (false, false), (false, false), (true, true)]
+    {
+        link.on_call(1, is_answered, &TIMING);
+        assert_eq!(link.is_callable(), is_callable);
     }
 }
 
-/// Where reports come by others nothing is started, and the worker is sent back only
-/// after a call has shown that we reach it; each failed try costs a longer pause.
+/// While heartbeats are relayed no task is started, and a failback is tried only after a
+/// call has shown that the machine is reached; each failed failback doubles the backoff.
 #[test]
-fn a_relayed_worker_comes_back_at_a_pace() {
+fn failback_of_a_relayed_worker_backs_off() {
     let mut link = MachineLink::default();
     link.on_heartbeat(0, Route::Direct, &TIMING);
     assert!(link.accepts_starts() && !link.wants_relay(1_000, 0, &TIMING));
@@ -79,26 +80,30 @@
     link.on_heartbeat(2_000, Route::Relayed, &TIMING);
     assert!(!link.accepts_starts() && !link.is_probe_due(6_999));
     let mut now = 7_000;
-    let mut pauses = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..3 {
         assert!(link.is_probe_due(now));
         link.on_call(now, true, &TIMING);
-        assert!(!link.wants_relay(now, 0, &TIMING), "it is sent back");
-        let began = now;
+        assert!(!link.wants_relay(now, 0, &TIMING), "failback in progress");
+        let started_at = now;
         while !link.is_probe_due(now) {
             now += 100;
             link.on_heartbeat(now, Route::Relayed, &TIMING);
         }
-        pauses.push(now - began);
+        backoffs.push(now - started_at);
     }
-    assert!(pauses.is_sorted() && pauses[0] < pauses[2], "{pauses:?}");
+    assert!(
+        backoffs.is_sorted() && backoffs[0] < backoffs[2],
+        "{backoffs:?}"
+    );
     link.on_heartbeat(now, Route::Direct, &TIMING);
     assert!(link.accepts_starts());
 }
 
-/// Only calls without any answer count, and a leader that resigned waits longer each time.
+/// Only calls without any response count, and a leader that resigned abstains longer each
+/// time.
 #[test]
-fn the_cloud_is_lost_after_calls_without_an_answer() {
+fn cloud_link_is_lost_after_calls_without_response() {
     let mut link = CloudLink::default();
     for now in [100, 200] {
         link.on_call(now, false);
@@ -115,37 +120,43 @@
     }
     assert!(
         !link.is_lost(1_699, 500) && link.is_lost(1_700, 500),
-        "as long as it abstained"
+        "lost after the duration of the abstention"
     );
     link.on_resigned(2_000, 1_000, 4_000);
     assert!(link.abstains_from_election(3_999) && !link.abstains_from_election(4_000));
     link.on_call(5_000, true);
     link.on_resigned(6_000, 1_000, 4_000);
-    assert!(!link.abstains_from_election(7_000), "an answer ends it");
+    assert!(
+        !link.abstains_from_election(7_000),
+        "a response resets the abstention"
+    );
 }
 
-/// Lists that come late, from an earlier start, or for another holder, count for nothing.
+/// Lists that arrive late, of an earlier incarnation or of another holder, are ignored.
 #[test]
-fn only_the_newest_list_of_the_holder_counts() {
+fn only_the_newest_list_of_the_holder_is_relayed() {
     let (holder, other) = (NodeName::new("a"), NodeName::new("b"));
     let machine = |n: u32| MachineId::new(&format!("host-{n}"));
     let mut table = RelayTable::default();
     table.on_relay_request(&holder, 1, 5, [machine(1)], 100);
     table.on_relay_request(&holder, 1, 5, [machine(2)], 100);
     table.on_relay_request(&holder, 1, 4, [machine(3)], 100);
-    let wanted = |table: &RelayTable, n, holder, incarnation, now| {
+    let is_requested = |table: &RelayTable, n, holder, incarnation, now| {
         table.is_requested_by(&machine(n), holder, incarnation, now)
     };
-    assert!(wanted(&table, 1, &holder, 1, 99) && wanted(&table, 2, &holder, 1, 99));
-    assert!(!wanted(&table, 3, &holder, 1, 99), "an older list");
-    assert!(!wanted(&table, 1, &other, 1, 99) && !wanted(&table, 1, &holder, 2, 99));
-    assert!(!wanted(&table, 1, &holder, 1, 100), "it is over");
+    assert!(is_requested(&table, 1, &holder, 1, 99) && is_requested(&table, 2, &holder, 1, 99));
+    assert!(!is_requested(&table, 3, &holder, 1, 99), "an older list");
+    assert!(!is_requested(&table, 1, &other, 1, 99) && !is_requested(&table, 1, &holder, 2, 99));
+    assert!(
+        !is_requested(&table, 1, &holder, 1, 100),
+        "an expired request"
+    );
     table.on_relay_request(&holder, 2, 1, [machine(4)], 200);
-    assert!(!wanted(&table, 1, &holder, 2, 150) && wanted(&table, 4, &holder, 2, 150));
+    assert!(!is_requested(&table, 1, &holder, 2, 150) && is_requested(&table, 4, &holder, 2, 150));
     table.on_relay_request(&holder, 2, 2, [], 200);
     assert!(
-        !wanted(&table, 4, &holder, 2, 150),
-        "an empty list takes it back"
+        !is_requested(&table, 4, &holder, 2, 150),
+        "an empty list removes the machine"
     );
     table.on_relay_request(&holder, 2, 3, [machine(4)], 200);
     table.remove_expired(200);
--- a/crates/links/tests/worker_and_controllers.rs
+++ b/crates/links/tests/worker_and_controllers.rs
@@ -1,9 +1,10 @@
-//! A worker, the holder of its shard and three more controllers, with links that are cut
-//! and healed in any order, against the protocol's rules for workers.
+//! A worker, the holder of its shard and three more controllers, with links that are lost
+//! and restored in any order, against the protocol's rules for workers.
 //!
-//! The reference state says which links are up and keeps to what can be survived: the worker
-//! loses two controllers at a time at most, or the holder while another has lost
-//! the holder. Then its lease must not end, and once all is healed it is back at the holder.
+//! The reference state is the state of the links. Only partitions that can be survived are
+//! generated: the worker loses at most two controllers at a time, or the holder while
+//! another controller has lost the holder. The worker's lease must not expire then, and
+//! after all links are restored its heartbeats must be direct again.
 
 use forkshift_links::{MachineLink, Ms, Redirects, RelayTable, Route, Timing};
 use forkshift_wire::{MachineId, NodeName};
@@ -12,42 +13,46 @@
 
 const CONTROLLERS: usize = 4;
 const HOLDER: usize = 0;
-const STEP: Ms = 250;
-const REPORT: Ms = 5_000;
-const TIMEOUT: Ms = 4_000;
-const NEXT: Ms = 1_000;
-const LEASE: Ms = 24_000;
-const LIST_EVERY: Ms = 500;
-const LIST_LASTS: Ms = 2_500;
-const INC: u64 = 7;
+const STEP_MS: Ms = 250;
+const HEARTBEAT_INTERVAL_MS: Ms = 5_000;
+const TIMEOUT_MS: Ms = 4_000;
+/// Pause of a worker before it tries the next controller.
+const RETRY_PAUSE_MS: Ms = 1_000;
+const LEASE_MS: Ms = 24_000;
+const RELAY_REQUEST_INTERVAL_MS: Ms = 500;
+const RELAY_REQUEST_TTL_MS: Ms = 2_500;
+const HOLDER_INCARNATION: u64 = 7;
 const TIMING: Timing = Timing {
     report_ms: 6_750,
-    lease_ms: LEASE,
+    lease_ms: LEASE_MS,
 };
 
 /// Which links are up.
 #[derive(Clone, Debug)]
 struct Network {
-    /// Between the worker and each controller.
+    /// Links between the worker and each controller.
     worker: [bool; CONTROLLERS],
-    /// Between the holder and each other controller.
+    /// Links between the holder and each other controller.
     peers: [bool; CONTROLLERS],
 }
 
 impl Network {
-    /// Whether what is cut can be survived.
+    /// Whether the worker's lease can be renewed with these links.
     fn is_survivable(&self) -> bool {
         let others = HOLDER + 1..CONTROLLERS;
-        let of_no_use = others.filter(|n| !self.worker[*n] || !self.peers[*n]);
-        of_no_use.count() <= 1
+        let unusable = others.filter(|node| !self.worker[*node] || !self.peers[*node]);
+        unusable.count() <= 1
     }
 }
 
 #[derive(Clone, Debug)]
 enum Transition {
-    Worker(usize, bool),
-    Peer(usize, bool),
-    Pass(Ms),
+    /// Sets the link between the worker and a controller.
+    SetWorkerLink(usize, bool),
+    /// Sets the link between the holder and another controller.
+    SetPeerLink(usize, bool),
+    /// Lets time pass.
+    Wait(Ms),
 }
 
 impl ReferenceStateMachine for Network {
@@ -65,19 +70,19 @@
     fn transitions(_: &Self) -> BoxedStrategy<Transition> {
         let node = 0..CONTROLLERS;
         prop_oneof![
-            2 => (node, any::<bool>()).prop_map(|(n, up)| Transition::Worker(n, up)),
-            1 => (1..CONTROLLERS, any::<bool>()).prop_map(|(n, up)| Transition::Peer(n, up)),
-            // Long enough that what a cut has cost of the lease is made good.
-            3 => (LEASE..LEASE * 4).prop_map(Transition::Pass),
+            2 => (node, any::<bool>()).prop_map(|(node, is_up)| Transition::SetWorkerLink(node, is_up)),
+            1 => (1..CONTROLLERS, any::<bool>()).prop_map(|(node, is_up)| Transition::SetPeerLink(node, is_up)),
+            // Long enough for the lease to be renewed in full after a partition.
+            3 => (LEASE_MS..LEASE_MS * 4).prop_map(Transition::Wait),
         ]
         .boxed()
     }
 
     fn apply(mut state: Self, transition: &Transition) -> Self {
         match transition {
-            Transition::Worker(n, up) => state.worker[*n] = *up,
-            Transition::Peer(n, up) => state.peers[*n] = *up,
-            Transition::Pass(_) => {}
+            Transition::SetWorkerLink(node, is_up) => state.worker[*node] = *is_up,
+            Transition::SetPeerLink(node, is_up) => state.peers[*node] = *is_up,
+            Transition::Wait(_) => {}
         }
         state
     }
@@ -87,41 +92,43 @@
     }
 }
 
-/// The worker as the protocol has it, and what the controllers know.
+/// A worker that follows the protocol, and the state of the controllers.
 struct Deployment {
     now: Ms,
-    id: MachineId,
-    /// The controller that the worker reports to, when it does next, and since when it
-    /// has waited for an answer.
-    at: usize,
-    next: Ms,
-    waits_since: Option<Ms>,
-    /// When the last answered report was sent.
-    renewed: Ms,
+    machine: MachineId,
+    /// The controller that the worker sends heartbeats to.
+    controller: usize,
+    /// Time of the worker's next heartbeat.
+    next_heartbeat_at: Ms,
+    /// Time of a heartbeat that has no response yet.
+    awaiting_response_since: Option<Ms>,
+    /// Time of the last heartbeat with a response.
+    lease_renewed_at: Ms,
+    /// The holder's link to the machine.
     link: MachineLink,
-    called_at: Ms,
-    listed_at: Ms,
-    lists: u64,
+    next_call_at: Ms,
+    next_relay_request_at: Ms,
+    relay_requests: u64,
     relays: Vec<RelayTable>,
     redirects: Vec<Redirects>,
 }
 
 impl Deployment {
     fn new() -> Self {
-        let others = || 0..CONTROLLERS;
+        let controllers = || 0..CONTROLLERS;
         Self {
             now: 0,
-            id: MachineId::new("host-000001"),
-            at: HOLDER,
-            next: 0,
-            waits_since: None,
-            renewed: 0,
+            machine: MachineId::new("host-000001"),
+            controller: HOLDER,
+            next_heartbeat_at: 0,
+            awaiting_response_since: None,
+            lease_renewed_at: 0,
             link: MachineLink::default(),
-            called_at: 0,
-            listed_at: 0,
-            lists: 0,
-            relays: others().map(|_| RelayTable::default()).collect(),
-            redirects: others().map(|_| Redirects::new(LEASE)).collect(),
+            next_call_at: 0,
+            next_relay_request_at: 0,
+            relay_requests: 0,
+            relays: controllers().map(|_| RelayTable::default()).collect(),
+            redirects: controllers().map(|_| Redirects::new(LEASE_MS)).collect(),
         }
     }
 
@@ -130,84 +137,93 @@
     }
 
     fn step(&mut self, network: &Network) {
-        self.now += STEP;
-        self.holder_looks(network);
-        if let Some(since) = self.waits_since {
-            if self.now >= since + TIMEOUT {
-                self.waits_since = None;
-                self.at = (self.at + 1) % CONTROLLERS;
-                self.next = self.now + NEXT;
+        self.now += STEP_MS;
+        self.step_holder(network);
+        if let Some(since) = self.awaiting_response_since {
+            if self.now >= since + TIMEOUT_MS {
+                self.awaiting_response_since = None;
+                self.controller = (self.controller + 1) % CONTROLLERS;
+                self.next_heartbeat_at = self.now + RETRY_PAUSE_MS;
             }
-        } else if self.now >= self.next {
-            self.report(network);
+        } else if self.now >= self.next_heartbeat_at {
+            self.send_heartbeat(network);
         }
         assert!(
-            self.now < self.renewed + LEASE,
-            "the lease has ended at {} ms, the worker tries {}, {network:?}",
+            self.now < self.lease_renewed_at + LEASE_MS,
+            "the lease has expired at {} ms, the worker tries {}, {network:?}",
             self.now,
-            self.at
+            self.controller
         );
     }
 
-    /// The holder tells whether it hears the worker, and calls it when that is due.
-    fn holder_looks(&mut self, network: &Network) {
-        let due = self.link.is_probe_due(self.now) && self.now >= self.called_at;
-        if due {
-            self.called_at = self.now + TIMEOUT;
-            let answered = network.worker[HOLDER];
-            self.link.on_call(self.now, answered, &TIMING);
+    /// The holder calls the worker when a failback is due, and requests relays if direct
+    /// heartbeats are missed.
+    fn step_holder(&mut self, network: &Network) {
+        let is_call_due = self.link.is_probe_due(self.now) && self.now >= self.next_call_at;
+        if is_call_due {
+            self.next_call_at = self.now + TIMEOUT_MS;
+            let is_answered = network.worker[HOLDER];
+            self.link.on_call(self.now, is_answered, &TIMING);
         }
-        if self.now < self.listed_at {
+        if self.now < self.next_relay_request_at {
             return;
         }
-        self.listed_at = self.now + LIST_EVERY;
-        self.lists += 1;
-        let wanted = self.link.wants_relay(self.now, 0, &TIMING);
-        for n in (HOLDER + 1..CONTROLLERS).filter(|n| network.peers[*n]) {
-            let machines = wanted.then(|| self.id.clone());
-            let until = self.now + LIST_LASTS;
-            self.relays[n].on_relay_request(&Self::holder(), INC, self.lists, machines, until);
+        self.next_relay_request_at = self.now + RELAY_REQUEST_INTERVAL_MS;
+        self.relay_requests += 1;
+        let wants_relay = self.link.wants_relay(self.now, 0, &TIMING);
+        for node in (HOLDER + 1..CONTROLLERS).filter(|node| network.peers[*node]) {
+            let machines = wants_relay.then(|| self.machine.clone());
+            let until = self.now + RELAY_REQUEST_TTL_MS;
+            self.relays[node].on_relay_request(
+                &Self::holder(),
+                HOLDER_INCARNATION,
+                self.relay_requests,
+                machines,
+                until,
+            );
         }
     }
 
-    fn report(&mut self, network: &Network) {
-        let n = self.at;
-        if !network.worker[n] {
-            self.waits_since = Some(self.now);
-        } else if n == HOLDER {
+    fn send_heartbeat(&mut self, network: &Network) {
+        let node = self.controller;
+        if !network.worker[node] {
+            self.awaiting_response_since = Some(self.now);
+        } else if node == HOLDER {
             self.link.on_heartbeat(self.now, Route::Direct, &TIMING);
-            self.answered();
+            self.on_response();
         } else {
-            self.report_elsewhere(n, network);
+            self.send_heartbeat_to_other(node, network);
         }
     }
 
-    fn report_elsewhere(&mut self, n: usize, network: &Network) {
-        let (id, holder) = (self.id.clone(), Self::holder());
-        let asked = self.relays[n].is_requested_by(&id, &holder, INC, self.now);
-        let came_back = self.redirects[n].has_returned(&id, &holder, INC, self.now);
-        if !asked && !came_back {
-            self.redirects[n].on_redirected(id, holder, INC, self.now);
-            self.at = HOLDER;
-            self.next = self.now;
-        } else if network.peers[n] {
+    fn send_heartbeat_to_other(&mut self, node: usize, network: &Network) {
+        let (machine, holder) = (self.machine.clone(), Self::holder());
+        let (incarnation, now) = (HOLDER_INCARNATION, self.now);
+        let is_relayed = self.relays[node].is_requested_by(&machine, &holder, incarnation, now);
+        let redirects = &mut self.redirects[node];
+        let has_returned = redirects.has_returned(&machine, &holder, incarnation, now);
+        if !is_relayed && !has_returned {
+            redirects.on_redirected(machine, holder, incarnation, now);
+            self.controller = HOLDER;
+            self.next_heartbeat_at = self.now;
+        } else if network.peers[node] {
             self.link.on_heartbeat(self.now, Route::Relayed, &TIMING);
-            self.answered();
+            self.on_response();
         } else {
-            self.at = (n + 1) % CONTROLLERS;
-            self.next = self.now + NEXT;
+            self.controller = (node + 1) % CONTROLLERS;
+            self.next_heartbeat_at = self.now + RETRY_PAUSE_MS;
         }
     }
 
-    fn answered(&mut self) {
-        self.renewed = self.now;
-        self.next = self.now + REPORT;
+    fn on_response(&mut self) {
+        self.lease_renewed_at = self.now;
+        self.next_heartbeat_at = self.now + HEARTBEAT_INTERVAL_MS;
     }
 }
 
-struct Links;
+struct LinksTest;
 
-impl StateMachineTest for Links {
+impl StateMachineTest for LinksTest {
     type SystemUnderTest = Deployment;
     type Reference = Network;
 
@@ -216,27 +232,30 @@
     }
 
     fn apply(mut state: Deployment, network: &Network, transition: Transition) -> Deployment {
-        // A cut may come at any moment between two reports.
-        let time = match transition {
-            Transition::Pass(time) => time,
-            Transition::Worker(..) | Transition::Peer(..) => LEASE,
+        // A link may change at any moment between two heartbeats.
+        let duration_ms = match transition {
+            Transition::Wait(duration_ms) => duration_ms,
+            Transition::SetWorkerLink(..) | Transition::SetPeerLink(..) => LEASE_MS,
         };
-        for _ in 0..time / STEP {
+        for _ in 0..duration_ms / STEP_MS {
             state.step(network);
         }
         state
     }
 
     fn teardown(mut state: Deployment, _: Network) {
-        let healed = Network {
+        let restored = Network {
             worker: [true; CONTROLLERS],
             peers: [true; CONTROLLERS],
         };
-        // The longest pause between two tries, twice, and the way back.
-        for _ in 0..LEASE * 20 / STEP {
-            state.step(&healed);
+        // The longest backoff between two failbacks, twice, and a failback.
+        for _ in 0..LEASE_MS * 20 / STEP_MS {
+            state.step(&restored);
         }
-        assert_eq!(state.at, HOLDER, "the worker is back");
+        assert_eq!(
+            state.controller, HOLDER,
+            "the worker sends heartbeats to the holder"
+        );
         assert!(!state.link.is_relayed());
     }
 }
@@ -245,7 +264,7 @@
     #![proptest_config(ProptestConfig { cases: 1_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_lease_lasts_while_one_controller_is_reached_that_reaches_the_holder(
-        sequential 1..24 => Links
+    fn lease_is_renewed_while_some_controller_reaches_worker_and_holder(
+        sequential 1..24 => LinksTest
     );
 }
