--- a/crates/pools/src/account/tests.rs
+++ b/crates/pools/src/account/tests.rs
@@ -1,4 +1,8 @@
+//! Tests of accounts.
+
 use super::*;
+use crate::declaration::PoolName;
+use forkshift_wire::MachineId;
 
 fn name() -> PoolName {
     PoolName::parse("exam-help").expect("a name")
@@ -21,36 +25,33 @@
 }
 
 #[test]
-fn an_interval_ends_where_the_next_begins_and_never_before_its_own_beginning() {
+fn interval_and_request_end_where_the_next_begins_and_never_before_their_beginning() {
     for (at, to) in [(5_000, 5_000), (1_000, 1_000), (400, 1_000)] {
         let interval = membership().close(&machine(), at, None);
         assert_eq!((interval.from_ms, interval.to_ms), (1_000, to));
-        let asked = Asked {
-            pool: name(),
-            team: "readers".to_owned(),
-            machines: 3,
-            from_ms: 1_000,
-            to_ms: None,
-        };
-        let (over, next) = asked.change(4, at);
-        assert_eq!((over.machines, over.to_ms), (3, Some(to)));
+        let (past, next) = request().change(4, at);
+        assert_eq!((past.machines, past.to_ms), (3, Some(to)));
         assert_eq!((next.machines, next.from_ms, next.to_ms), (4, to, None));
     }
 }
 
-/// Keys are in the order of time, and every row is read back from its key and value.
-#[test]
-fn rows_are_read_back() {
-    let interval = membership().close(&machine(), 5_000, Some(Ended::HandedOut));
-    let asked = Asked {
+/// The present request of a pool, for three machines.
+fn request() -> Asked {
+    Asked {
         pool: name(),
         team: "readers".to_owned(),
         machines: 3,
         from_ms: 1_000,
         to_ms: None,
-    };
-    let (over, head) = asked.change(4, 2_000);
-    let miss = Miss {
+    }
+}
+
+/// Keys are ordered by time, and every row is parsed from its key and value.
+#[test]
+fn rows_are_parsed_from_their_stored_form() {
+    let interval = membership().close(&machine(), 5_000, Some(Ended::HandedOut));
+    let (past, present) = request().change(4, 2_000);
+    let cold_start = Miss {
         pool: name(),
         job: "j-000001".to_owned(),
         tasks: 2,
@@ -64,19 +65,19 @@
             Row::Interval(interval),
         ),
         (
-            over.key(),
-            json(&|| serde_json::to_string(&over)),
-            Row::Asked(over),
+            past.key(),
+            json(&|| serde_json::to_string(&past)),
+            Row::Asked(past),
         ),
         (
-            head.key(),
-            json(&|| serde_json::to_string(&head)),
-            Row::Asked(head),
+            present.key(),
+            json(&|| serde_json::to_string(&present)),
+            Row::Asked(present),
         ),
         (
-            miss.key(),
-            json(&|| serde_json::to_string(&miss)),
-            Row::Miss(miss),
+            cold_start.key(),
+            json(&|| serde_json::to_string(&cold_start)),
+            Row::Miss(cold_start),
         ),
     ];
     for (key, value, row) in &rows {
@@ -84,7 +85,7 @@
     }
     assert!(
         rows[3].0 < rows[0].0,
-        "a miss at 999 ms comes before what began at 1,000"
+        "a cold start at 999 ms is ordered before an interval from 1,000 ms"
     );
     assert_eq!(
         Row::parse("pool/exam-help/00000000001000-other", "{}"),
--- a/crates/pools/src/audit.rs
+++ b/crates/pools/src/audit.rs
@@ -1,39 +1,32 @@
-//! Whether accounts agree with themselves and with what the cloud charged.
+//! Checks that accounts are consistent, and agree with the charges of the cloud.
 
 use crate::account::Interval;
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
-use std::fmt;
 
-/// From when to when the cloud charged for a machine, in milliseconds since 1970.
+/// Beginning and end of the time for which the cloud charged for a machine, in
+/// milliseconds since 1970.
 pub type Life = (u64, u64);
 
-/// What is wrong with an account.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// An error in an account.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Mistake {
     /// Two intervals of a machine overlap.
+    #[error("{0}: charged twice")]
     ChargedTwice(MachineId),
-    /// A membership goes on, and some time of it belongs to no interval.
+    /// Some time of a membership belongs to no interval.
+    #[error("{0}: not charged")]
     NotCharged(MachineId),
     /// An interval begins before the cloud's charge for the machine, or ends after it, by
     /// more than clocks may differ.
+    #[error("{0}: charged outside its life")]
     OutsideLife(MachineId),
 }
 
-impl fmt::Display for Mistake {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::ChargedTwice(id) => write!(f, "{id}: charged twice"),
-            Self::NotCharged(id) => write!(f, "{id}: not charged"),
-            Self::OutsideLife(id) => write!(f, "{id}: charged outside its life"),
-        }
-    }
-}
-
-/// Everything that is wrong with the accounts of all pools together, where clocks may
-/// differ from the cloud's by so much. Memberships that go on are among the intervals, as
-/// if they ended now, and so do the lives of machines that are there. A machine without a
-/// life was never rented.
+/// All errors in the accounts of all pools together. Clocks may differ from the cloud's by
+/// `clock_off_ms`. The intervals include present memberships, as if they ended now; the
+/// lives include those of present machines. A machine without a life was never
+/// provisioned.
 pub fn mistakes(
     intervals: &[Interval],
     lives: &BTreeMap<MachineId, Life>,
@@ -41,39 +34,69 @@
 ) -> Vec<Mistake> {
     let mut by_machine: BTreeMap<&MachineId, Vec<&Interval>> = BTreeMap::new();
     for interval in intervals {
-        by_machine
-            .entry(&interval.machine)
-            .or_default()
-            .push(interval);
+        let of_machine = by_machine.entry(&interval.machine).or_default();
+        of_machine.push(interval);
     }
-    let mut found = Vec::new();
-    for (id, mut intervals) in by_machine {
-        intervals.sort_by_key(|i| (i.from_ms, i.to_ms));
-        let life = lives.get(id).copied();
-        let is_outside = |i: &&Interval| {
-            life.is_none_or(|(from, to)| {
-                i.from_ms + clock_off_ms < from || i.to_ms > to.saturating_add(clock_off_ms)
+    let mut errors = Vec::new();
+    for (machine, mut intervals) in by_machine {
+        intervals.sort_by_key(|interval| (interval.from_ms, interval.to_ms));
+        let audit = MachineAudit {
+            machine,
+            intervals,
+            life: lives.get(machine).copied(),
+            clock_off_ms,
+        };
+        errors.extend(audit.outside_life());
+        errors.extend(audit.unrecorded_end());
+        errors.extend(audit.gaps_and_overlaps());
+    }
+    errors
+}
+
+/// The account of one machine.
+struct MachineAudit<'a> {
+    machine: &'a MachineId,
+    /// Its intervals, by their beginnings.
+    intervals: Vec<&'a Interval>,
+    life: Option<Life>,
+    clock_off_ms: u64,
+}
+
+impl MachineAudit<'_> {
+    /// An error if some interval is not within the machine's life.
+    fn outside_life(&self) -> Option<Mistake> {
+        let is_outside = |interval: &&Interval| {
+            self.life.is_none_or(|(from, to)| {
+                interval.from_ms + self.clock_off_ms < from
+                    || interval.to_ms > to.saturating_add(self.clock_off_ms)
             })
         };
-        if intervals.iter().any(is_outside) {
-            found.push(Mistake::OutsideLife(id.clone()));
-        }
-        // A membership that goes on, and of which nothing more is recorded.
-        let last = intervals.last().filter(|i| i.ended.is_none());
-        let breaks_off =
-            |i: &&Interval| life.is_some_and(|(_, to)| i.to_ms.saturating_add(clock_off_ms) < to);
-        if last.is_some_and(breaks_off) {
-            found.push(Mistake::NotCharged(id.clone()));
-        }
-        for pair in intervals.windows(2) {
-            if pair[1].from_ms < pair[0].to_ms {
-                found.push(Mistake::ChargedTwice(id.clone()));
-            } else if pair[0].ended.is_none() && pair[1].from_ms > pair[0].to_ms {
-                found.push(Mistake::NotCharged(id.clone()));
+        let any_outside = self.intervals.iter().any(is_outside);
+        any_outside.then(|| Mistake::OutsideLife(self.machine.clone()))
+    }
+
+    /// An error if the last interval does not end the membership, and the machine's life
+    /// goes on after it.
+    fn unrecorded_end(&self) -> Option<Mistake> {
+        let last = self.intervals.last().filter(|last| last.ended.is_none())?;
+        let (_, life_end) = self.life?;
+        let ends_early = last.to_ms.saturating_add(self.clock_off_ms) < life_end;
+        ends_early.then(|| Mistake::NotCharged(self.machine.clone()))
+    }
+
+    /// Errors between each interval and the next one.
+    fn gaps_and_overlaps(&self) -> impl Iterator<Item = Mistake> + '_ {
+        self.intervals.windows(2).filter_map(|pair| {
+            let (first, second) = (pair[0], pair[1]);
+            if second.from_ms < first.to_ms {
+                Some(Mistake::ChargedTwice(self.machine.clone()))
+            } else if first.ended.is_none() && second.from_ms > first.to_ms {
+                Some(Mistake::NotCharged(self.machine.clone()))
+            } else {
+                None
             }
-        }
+        })
     }
-    found
 }
 
 #[cfg(test)]
--- a/crates/pools/src/audit/tests.rs
+++ b/crates/pools/src/audit/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of audits.
+
 use super::*;
 use crate::account::{Ended, PoolState};
 use crate::declaration::PoolName;
@@ -15,12 +17,12 @@
     }
 }
 
-/// A right account, and every way in which one may be made wrong on purpose.
+/// Consistent accounts, and each kind of error in one.
 #[test]
-fn wrong_accounts_are_found() {
+fn each_kind_of_error_in_an_account_is_found() {
     let id = MachineId::new("m");
     let lives = BTreeMap::from([(id.clone(), (100, 900))]);
-    let left = Some(Ended::Surplus);
+    let removed = Some(Ended::Surplus);
     let (twice, gap, outside) = (
         Mistake::ChargedTwice(id.clone()),
         Mistake::NotCharged(id.clone()),
@@ -30,32 +32,32 @@
         (
             vec![
                 interval(100, 200, None),
-                interval(200, 300, left),
-                interval(400, 900, left),
+                interval(200, 300, removed),
+                interval(400, 900, removed),
             ],
             0,
             vec![],
         ),
         (
-            vec![interval(100, 200, None), interval(199, 300, left)],
+            vec![interval(100, 200, None), interval(199, 300, removed)],
             0,
             vec![twice.clone()],
         ),
         (
-            vec![interval(100, 200, None), interval(201, 300, left)],
+            vec![interval(100, 200, None), interval(201, 300, removed)],
             0,
             vec![gap.clone()],
         ),
         (vec![interval(100, 900, None)], 0, vec![]),
         (vec![interval(100, 899, None)], 1, vec![]),
         (vec![interval(100, 899, None)], 0, vec![gap]),
-        (vec![interval(99, 200, left)], 0, vec![outside.clone()]),
-        (vec![interval(99, 200, left)], 1, vec![]),
-        (vec![interval(800, 901, left)], 0, vec![outside.clone()]),
-        (vec![interval(800, 901, left)], 1, vec![]),
-        (vec![interval(800, 902, left)], 1, vec![outside.clone()]),
+        (vec![interval(99, 200, removed)], 0, vec![outside.clone()]),
+        (vec![interval(99, 200, removed)], 1, vec![]),
+        (vec![interval(800, 901, removed)], 0, vec![outside.clone()]),
+        (vec![interval(800, 901, removed)], 1, vec![]),
+        (vec![interval(800, 902, removed)], 1, vec![outside.clone()]),
         (
-            vec![interval(100, 300, left), interval(100, 300, left)],
+            vec![interval(100, 300, removed), interval(100, 300, removed)],
             0,
             vec![twice],
         ),
@@ -67,6 +69,6 @@
             "case {n}"
         );
     }
-    let never_rented = mistakes(&[interval(100, 200, left)], &BTreeMap::new(), 0);
-    assert_eq!(never_rented, vec![outside]);
+    let never_provisioned = mistakes(&[interval(100, 200, removed)], &BTreeMap::new(), 0);
+    assert_eq!(never_provisioned, vec![outside]);
 }
--- a/crates/pools/src/calendar.rs
+++ b/crates/pools/src/calendar.rs
@@ -1,28 +1,38 @@
-//! How many machines a pool keeps at a time, by windows of a calendar.
+//! The number of machines that a pool keeps at any time, by recurring windows.
 //!
-//! A window is given in the local time of a named time zone. Whether a moment lies in it
-//! is decided by the clock on the wall there: in the hour that is missing in spring a
-//! window has no time, and one over the hour that comes twice in autumn lasts twice.
+//! A window is defined in the local time of a named time zone. A time is in a window if its
+//! local time is: a window within the hour that daylight saving skips is empty, and one over
+//! the hour that it repeats lasts twice as long.
 
 use jiff::civil::{Date, DateTime};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
+use std::ops::Range;
 
+/// Minutes in an hour.
+pub(crate) const MINUTES_AN_HOUR: u16 = 60;
 /// Minutes in a day.
-pub const MINUTES_A_DAY: u16 = 24 * 60;
+pub const MINUTES_A_DAY: u16 = 24 * MINUTES_AN_HOUR;
+/// Milliseconds in a minute.
 const MS_A_MINUTE: u64 = 60_000;
+/// Date from which overlaps are searched for if no date bounds the windows: early in a leap
+/// year.
+const SEARCH_FROM: Date = jiff::civil::date(2024, 1, 1);
+/// Days that are searched for an overlap: five years, so that weekdays, ends of months and
+/// leap years occur in all combinations that matter.
+const SEARCH_DAYS: u32 = 5 * 366;
 
-/// How many machines a pool keeps.
+/// Bounds on the number of machines of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
-    /// At least so many.
+    /// Least number of machines.
     pub least: u32,
-    /// At most so many.
+    /// Most machines.
     pub most: u32,
 }
 
 impl Size {
-    /// The larger of each.
+    /// The larger of each bound.
     fn max(self, other: Self) -> Self {
         Self {
             least: self.least.max(other.least),
@@ -31,22 +41,22 @@
     }
 }
 
-/// A recurring time, with what the pool keeps in it.
+/// A recurring time window, with the size of the pool in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Days of the week on which it begins, Monday first.
+    /// Whether it begins on each day of the week, Monday first.
     pub weekdays: [bool; 7],
     /// Minute of the day at which it begins.
     pub from: u16,
-    /// Minute at which it ends; if that is not later, on the next day.
+    /// Minute of the day at which it ends, on the next day if this is not after `from`.
     pub to: u16,
-    /// The first date on which it begins, if it is not from ever.
+    /// First date on which it may begin.
     pub first_date: Option<Date>,
-    /// The last date on which it begins, if it is not for ever.
+    /// Last date on which it may begin.
     pub last_date: Option<Date>,
-    /// It begins only on so many last days of a month.
+    /// Number of last days of a month on which alone it begins.
     pub last_days_of_month: Option<u8>,
-    /// What the pool keeps in it.
+    /// Size of the pool in it.
     pub size: Size,
 }
 
@@ -67,30 +77,34 @@
                 .is_none_or(|days| days_left < days as i8)
     }
 
-    /// Whether a moment of local time lies in it.
+    /// Whether a local time is in it.
     pub fn contains(&self, local: DateTime) -> bool {
-        let minute = local.hour() as u16 * 60 + local.minute() as u16;
+        let minute = local.hour() as u16 * MINUTES_AN_HOUR + local.minute() as u16;
         if !self.is_overnight() {
             return (self.from..self.to).contains(&minute) && self.begins_on(local.date());
         }
         let yesterday = local.date().yesterday();
-        let since_yesterday = yesterday.is_ok_and(|date| self.begins_on(date));
+        let began_yesterday = yesterday.is_ok_and(|date| self.begins_on(date));
         (minute >= self.from && self.begins_on(local.date()))
-            || (minute < self.to && since_yesterday)
+            || (minute < self.to && began_yesterday)
     }
 
-    /// The minutes that it takes, counted from the start of the date on which it begins.
-    fn minutes(&self) -> (i32, i32) {
-        let next_day = if self.is_overnight() {
-            MINUTES_A_DAY
-        } else {
-            0
-        };
-        (i32::from(self.from), i32::from(self.to + next_day))
+    /// Its minutes, counted from the start of the date on which it begins.
+    fn minutes(&self) -> Range<i32> {
+        let days = i32::from(self.is_overnight());
+        i32::from(self.from)..i32::from(self.to) + days * i32::from(MINUTES_A_DAY)
+    }
+
+    /// Whether this window, if it begins on a date, overlaps the other one, if that begins
+    /// so many days later.
+    fn overlaps_after(&self, days: i32, other: &Self) -> bool {
+        let offset = days * i32::from(MINUTES_A_DAY);
+        let (minutes, others) = (self.minutes(), other.minutes());
+        minutes.start < others.end + offset && others.start + offset < minutes.end
     }
 
-    /// Whether some moment lies in both, as far as dates of some years tell: weekdays,
-    /// ends of months and leap years come in all combinations that matter by then.
+    /// Whether some time is in both windows. Five years of dates are searched, from the
+    /// first date of either on.
     pub fn overlaps(&self, other: &Self) -> bool {
         let first = self.first_date.max(other.first_date);
         let mut date = first
@@ -100,9 +114,9 @@
             let (Ok(yesterday), Ok(tomorrow)) = (date.yesterday(), date.tomorrow()) else {
                 return false;
             };
-            for (other_date, shift) in [(yesterday, -1), (date, 0), (tomorrow, 1)] {
-                let both = self.begins_on(date) && other.begins_on(other_date);
-                if both && meet(self.minutes(), other.minutes(), shift) {
+            for (other_date, days) in [(yesterday, -1), (date, 0), (tomorrow, 1)] {
+                let both_begin = self.begins_on(date) && other.begins_on(other_date);
+                if both_begin && self.overlaps_after(days, other) {
                     return true;
                 }
             }
@@ -112,29 +126,18 @@
     }
 }
 
-/// Where the search for an overlap begins that no date bounds.
-const SEARCH_FROM: Date = jiff::civil::date(2024, 1, 1);
-/// Days that are searched for an overlap: five years.
-const SEARCH_DAYS: u32 = 5 * 366;
-
-/// Whether two spans of minutes meet, the second one shifted by days.
-fn meet(one: (i32, i32), other: (i32, i32), days: i32) -> bool {
-    let shift = days * i32::from(MINUTES_A_DAY);
-    one.0 < other.1 + shift && other.0 + shift < one.1
-}
-
-/// When a pool keeps how much.
+/// The size of a pool by time.
 #[derive(Clone, Debug)]
 pub struct Calendar {
     zone: TimeZone,
     windows: Vec<Window>,
-    /// What it keeps if it has no windows.
+    /// Size of the pool if there are no windows.
     always: Size,
 }
 
 impl Calendar {
-    /// A calendar of windows that don't contradict each other, in a time zone. Without
-    /// windows the pool always keeps the same.
+    /// A calendar of windows in a time zone. Windows that overlap must have the same size.
+    /// Without windows the size is always `always`.
     pub fn new(zone: TimeZone, windows: Vec<Window>, always: Size) -> Self {
         Self {
             zone,
@@ -143,24 +146,24 @@
         }
     }
 
-    /// What the pool keeps at a time of day, in milliseconds since 1970; outside all
-    /// windows nothing.
+    /// Size of the pool at a time, in milliseconds since 1970; zero outside all windows.
     pub fn size_at(&self, wall_ms: u64) -> Size {
         if self.windows.is_empty() {
             return self.always;
         }
-        let instant = i64::try_from(wall_ms).ok();
-        let Some(instant) = instant.and_then(|ms| Timestamp::from_millisecond(ms).ok()) else {
+        let milliseconds = i64::try_from(wall_ms).ok();
+        let timestamp = milliseconds.and_then(|ms| Timestamp::from_millisecond(ms).ok());
+        let Some(timestamp) = timestamp else {
             return Size::default();
         };
-        let local = self.zone.to_datetime(instant);
-        let found = self.windows.iter().find(|w| w.contains(local));
-        found.map_or(Size::default(), |w| w.size)
+        let local = self.zone.to_datetime(timestamp);
+        let window = self.windows.iter().find(|window| window.contains(local));
+        window.map_or(Size::default(), |window| window.size)
     }
 
-    /// The most that it keeps at any time of a span. Asked for with the time that a
-    /// machine takes to be ready, a pool is full when its window begins, and a gap
-    /// between two windows that is shorter than that empties nothing.
+    /// The largest bounds at any minute of a time span, in milliseconds since 1970. Over the
+    /// time that a machine takes to be ready, this fills a pool before its window begins,
+    /// and does not empty it in a shorter gap between two windows.
     pub fn size_within(&self, from_ms: u64, to_ms: u64) -> Size {
         if self.windows.is_empty() {
             return self.always;
--- a/crates/pools/src/calendar/tests.rs
+++ b/crates/pools/src/calendar/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of calendars.
+
 use super::*;
 use jiff::civil::date;
 
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn a_window_is_open_by_the_clock_on_the_wall() {
+fn window_contains_times_by_their_local_time() {
     let weekdays = [true, true, true, true, true, false, false];
     let office = Window {
         weekdays,
@@ -56,13 +58,13 @@
         ("Africa/Lagos", &office, "2026-12-02T15:59:59Z", true),
         ("Africa/Lagos", &office, "2026-12-02T16:00:00Z", false),
         ("Africa/Lagos", &office, "2026-12-05T12:00:00Z", false),
-        // A window over midnight belongs to the day on which it begins.
+        // The weekday of a window over midnight is that on which it begins.
         ("UTC", &night, "2026-12-04T23:00:00Z", true),
         ("UTC", &night, "2026-12-05T05:59:00Z", true),
         ("UTC", &night, "2026-12-05T06:00:00Z", false),
         ("UTC", &night, "2026-12-05T23:00:00Z", false),
         ("UTC", &night, "2026-12-07T03:00:00Z", false),
-        // The last days of months of all lengths, in a leap year too.
+        // The last days of months of several lengths, also in a leap year.
         ("UTC", &month_end, "2026-02-25T23:59:00Z", false),
         ("UTC", &month_end, "2026-02-26T00:00:00Z", true),
         ("UTC", &month_end, "2026-02-28T23:59:00Z", true),
@@ -74,7 +76,7 @@
         ("UTC", &season, "2026-05-30T00:00:00Z", true),
         ("UTC", &season, "2026-06-01T23:59:00Z", true),
         ("UTC", &season, "2026-06-02T00:00:00Z", false),
-        // London: 01:00 to 02:00 is missing on 29 March and comes twice on 25 October.
+        // London: 01:00 to 02:00 is skipped on 29 March and repeated on 25 October.
         ("Europe/London", &hours(1, 2), "2026-03-28T01:30:00Z", true),
         ("Europe/London", &hours(1, 2), "2026-03-29T00:59:00Z", false),
         ("Europe/London", &hours(1, 2), "2026-03-29T01:00:00Z", false),
@@ -82,7 +84,7 @@
         ("Europe/London", &hours(1, 2), "2026-10-25T00:00:00Z", true),
         ("Europe/London", &hours(1, 2), "2026-10-25T01:30:00Z", true),
         ("Europe/London", &hours(1, 2), "2026-10-25T02:00:00Z", false),
-        // A window that begins in the missing hour begins when that is over.
+        // A window that begins in the skipped hour begins at its end.
         (
             "Europe/London",
             &window(90, 180),
@@ -102,15 +104,15 @@
             false,
         ),
     ];
-    for (zone, window, time, open) in cases {
-        let expected = if open { SIZE } else { NONE };
+    for (zone, window, time, is_open) in cases {
+        let expected = if is_open { SIZE } else { NONE };
         let found = calendar(zone, vec![window.clone()]).size_at(at(time));
         assert_eq!(found, expected, "{zone} {time}");
     }
 }
 
 #[test]
-fn without_windows_a_pool_always_keeps_the_same() {
+fn size_is_constant_without_windows() {
     let calendar = calendar("UTC", Vec::new());
     for time in [0, at("2026-12-02T00:00:00Z"), u64::MAX] {
         assert_eq!(calendar.size_at(time), SIZE);
@@ -118,10 +120,10 @@
     }
 }
 
-/// A pool is full when its window begins, and a short gap between two windows does not
-/// make machines come and go.
+/// A pool is full before its window begins, and a short gap between two windows does not
+/// release machines.
 #[test]
-fn what_is_kept_looks_ahead() {
+fn size_within_a_span_covers_coming_windows_and_short_gaps() {
     let larger = Window {
         size: Size { least: 4, most: 4 },
         ..window(12 * 60 + 5, 14 * 60)
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn windows_overlap_if_any_moment_lies_in_both() {
+fn windows_overlap_if_some_time_is_in_both() {
     let on = |day: usize, window: Window| {
         let mut weekdays = [false; 7];
         weekdays[day] = true;
@@ -188,8 +190,8 @@
             false,
         ),
     ];
-    for (n, (one, other, expected)) in cases.into_iter().enumerate() {
-        assert_eq!(one.overlaps(&other), expected, "case {n}");
-        assert_eq!(other.overlaps(&one), expected, "case {n}, turned round");
+    for (n, (window, other, expected)) in cases.into_iter().enumerate() {
+        assert_eq!(window.overlaps(&other), expected, "case {n}");
+        assert_eq!(other.overlaps(&window), expected, "case {n}, reversed");
     }
 }
--- a/crates/pools/src/choice.rs
+++ b/crates/pools/src/choice.rs
@@ -1,11 +1,15 @@
-//! How many machines a pool should have, and which ones join and leave it.
+//! The target size of a pool, and the machines that join and leave it.
 
 use crate::account::PoolState;
 use crate::calendar::Size;
+use std::cmp::Ordering;
 
-/// How many machines a pool should have, where so many were handed out within the time
-/// that a machine takes to be ready: as many may be needed again before the first one
-/// that is rented now can replace any.
+/// Relative tolerance for sums of prices.
+const ROUNDING: f64 = 1.0 + 1e-9;
+
+/// Target number of machines of a pool, given the number that was allocated to jobs within
+/// the time that a new machine takes to be ready: as many may be needed again before a
+/// machine that is provisioned now can replace any.
 pub fn target(size: Size, handed_out: u32) -> u32 {
     handed_out.max(size.least).min(size.most)
 }
@@ -13,93 +17,115 @@
 /// A machine of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
-    /// What it is doing.
+    /// Its state.
     pub state: PoolState,
-    /// Its price an hour.
+    /// Price per hour.
     pub price: f64,
 }
 
-/// Which members are kept as the pool's least, by their indices: those that are nearest
-/// to being warm, the cheapest of them first. The rest may be handed to others.
+impl Member {
+    /// Orders the members that a pool keeps first: the closest to being warm, then the
+    /// cheapest.
+    fn retention_order(&self, other: &Self) -> Ordering {
+        let by_state = other.state.cmp(&self.state);
+        by_state.then(self.price.total_cmp(&other.price))
+    }
+}
+
+/// Indices of the members that are the pool's least size: the closest to being warm, then
+/// the cheapest. The others may be reclaimed.
 pub fn core_members(members: &[Member], least: u32) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..members.len()).collect();
-    order.sort_by(|&a, &b| keep_first(&members[a], &members[b]).then(a.cmp(&b)));
+    let mut order = by_retention(members);
     order.truncate(least as usize);
     order
 }
 
-/// Which members leave a pool that has too many, by their indices: those that are
-/// farthest from being warm, the dearest of them first.
+/// Indices of the members that leave a pool beyond its target or its cost limit per hour:
+/// the farthest from being warm first, then the most expensive.
 pub fn leaving(members: &[Member], target: u32, cost_most: Option<f64>) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..members.len()).collect();
-    order.sort_by(|&a, &b| keep_first(&members[b], &members[a]).then(b.cmp(&a)));
-    let mut left = members.len();
-    let mut cost: f64 = members.iter().map(|m| m.price).sum();
+    let mut remaining = members.len();
+    let mut cost: f64 = members.iter().map(|member| member.price).sum();
     let mut leaving = Vec::new();
-    for index in order {
-        let too_dear = cost_most.is_some_and(|most| cost > most * ROUNDING);
-        if left <= target as usize && !too_dear {
+    for index in by_retention(members).into_iter().rev() {
+        let is_over_cost = cost_most.is_some_and(|most| cost > most * ROUNDING);
+        if remaining <= target as usize && !is_over_cost {
             break;
         }
-        left -= 1;
+        remaining -= 1;
         cost -= members[index].price;
         leaving.push(index);
     }
     leaving
 }
 
-fn keep_first(a: &Member, b: &Member) -> std::cmp::Ordering {
-    b.state.cmp(&a.state).then(a.price.total_cmp(&b.price))
+/// Indices of all members, those that are kept first in front.
+fn by_retention(members: &[Member]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..members.len()).collect();
+    order.sort_by(|&a, &b| {
+        let by_retention = members[a].retention_order(&members[b]);
+        by_retention.then(a.cmp(&b))
+    });
+    order
 }
 
-/// A machine that nothing needs and that a pool may use.
+/// An idle machine that a pool may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Whether its cache still holds the image, as far as is known.
     pub has_image: bool,
     /// Whether it is up.
     pub is_up: bool,
-    /// Its price an hour.
+    /// Price per hour.
     pub price: f64,
 }
 
-/// Which candidates join, by their indices: those with the image, then those that are up,
-/// then the cheapest, up to `missing` machines and within a cost an hour.
+impl Candidate {
+    /// Orders the candidates that join first: those with the image, then those that are
+    /// up, then the cheapest.
+    fn preference_order(&self, other: &Self) -> Ordering {
+        let by_image = other.has_image.cmp(&self.has_image);
+        let by_boot = other.is_up.cmp(&self.is_up);
+        let by_price = self.price.total_cmp(&other.price);
+        by_image.then(by_boot).then(by_price)
+    }
+}
+
+/// Indices of the candidates that join, in order of preference: at most `missing`, within
+/// `cost_left` per hour. A candidate that costs too much is skipped.
 pub fn joining(candidates: &[Candidate], missing: u32, cost_left: Option<f64>) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by(|&a, &b| {
-        let (first, second) = (&candidates[a], &candidates[b]);
-        let by_image = second.has_image.cmp(&first.has_image);
-        let by_boot = second.is_up.cmp(&first.is_up);
-        let by_price = first.price.total_cmp(&second.price);
-        by_image.then(by_boot).then(by_price).then(a.cmp(&b))
+        let by_preference = candidates[a].preference_order(&candidates[b]);
+        by_preference.then(a.cmp(&b))
     });
-    let mut budget = cost_left.map(|most| most * ROUNDING);
+    let mut budget = cost_left.map(|cost| cost * ROUNDING);
     let mut joining = Vec::new();
     for index in order {
         if joining.len() as u32 == missing {
             break;
         }
         let price = candidates[index].price;
-        if budget.is_some_and(|left| price > left) {
+        if budget.is_some_and(|budget| price > budget) {
             continue;
         }
-        budget = budget.map(|left| left - price);
+        budget = budget.map(|budget| budget - price);
         joining.push(index);
     }
     joining
 }
 
-/// How many machines of a price may be rented within what is left of a cost an hour.
+/// Number of machines of a price, at most `missing`, that may be provisioned within
+/// `cost_left` per hour.
 pub fn affordable(missing: u32, price: f64, cost_left: Option<f64>) -> u32 {
     match cost_left {
-        Some(left) if price > 0.0 => missing.min((left * ROUNDING / price).max(0.0) as u32),
+        Some(cost) if price > 0.0 => {
+            // The cast rounds down, and saturates.
+            let affordable = (cost * ROUNDING / price).max(0.0) as u32;
+            missing.min(affordable)
+        }
         _ => missing,
     }
 }
 
-/// Sums of prices may be off by this.
-const ROUNDING: f64 = 1.0 + 1e-9;
-
 #[cfg(test)]
 mod tests;
--- a/crates/pools/src/choice/tests.rs
+++ b/crates/pools/src/choice/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the choice of machines.
+
 use super::*;
 use PoolState::{Booting, Fetching, Up, Warm};
 
@@ -7,7 +9,7 @@
 }
 
 #[test]
-fn a_pool_is_as_large_as_what_was_handed_out_within_its_bounds() {
+fn target_is_the_allocated_number_within_the_bounds() {
     let size = Size { least: 2, most: 5 };
     for (handed_out, expected) in [(0, 2), (2, 2), (3, 3), (5, 5), (9, 5)] {
         assert_eq!(target(size, handed_out), expected, "{handed_out}");
@@ -16,7 +18,7 @@
 }
 
 #[test]
-fn the_farthest_from_warm_leave_first_and_then_the_dearest() {
+fn members_farthest_from_warm_leave_first_then_the_most_expensive() {
     let list = members(&[
         (Warm, 1.0),
         (Booting, 1.0),
@@ -40,7 +42,7 @@
 }
 
 #[test]
-fn those_with_the_image_join_first_and_none_beyond_the_cost() {
+fn candidates_with_the_image_join_first_within_the_cost_limit() {
     let candidate = |has_image, is_up, price| Candidate {
         has_image,
         is_up,
--- /dev/null
+++ b/crates/pools/src/declaration/catalog.rs
@@ -0,0 +1,64 @@
+//! The check of a pool against the catalogue of machine types.
+
+use super::error::{BadPool, FieldError};
+use super::pool::Pool;
+use forkshift_wire::cloud::MachineType;
+
+impl Pool {
+    /// Checks that the pool can have machines of these types.
+    ///
+    /// # Errors
+    ///
+    /// The first field that names an unknown machine type or zone, or that no machine can
+    /// satisfy.
+    pub fn check_catalog(&self, catalog: &[MachineType]) -> Result<(), BadPool> {
+        self.check_names(catalog)?;
+        let allowed = catalog.iter().filter(|t| self.allows_type(t));
+        let allowed: Vec<&MachineType> = allowed.collect();
+        if allowed.is_empty() {
+            return Err(self.error("types", FieldError::NotInZones));
+        }
+        let cache_gb = allowed.iter().map(|t| t.cache_gb).fold(0.0, f64::max);
+        if self.image_gb > cache_gb {
+            return Err(self.error("image_gb", FieldError::ImageTooLarge { cache_gb }));
+        }
+        self.check_price(&allowed)
+    }
+
+    /// Checks that its machine types and zones exist.
+    fn check_names(&self, catalog: &[MachineType]) -> Result<(), BadPool> {
+        for (i, name) in self.types.iter().enumerate() {
+            if !catalog.iter().any(|t| t.name == *name) {
+                let problem = FieldError::UnknownMachineType(name.clone());
+                return Err(self.error(format!("types[{i}]"), problem));
+            }
+        }
+        for (i, zone) in self.zones.iter().enumerate() {
+            if !catalog.iter().any(|t| t.zones.contains(zone)) {
+                let problem = FieldError::UnknownZone(zone.clone());
+                return Err(self.error(format!("zones[{i}]"), problem));
+            }
+        }
+        Ok(())
+    }
+
+    /// Checks that one machine is offered within the cost limit.
+    fn check_price(&self, allowed: &[&MachineType]) -> Result<(), BadPool> {
+        let prices = allowed.iter().filter_map(|t| self.price_of(t));
+        let cheapest = prices.fold(f64::INFINITY, f64::min);
+        if cheapest.is_infinite() {
+            return Err(self.error("spot", FieldError::NoSpotOffer));
+        }
+        match self.cost_per_hour_most {
+            Some(most) if most < cheapest => {
+                let problem = FieldError::BelowCheapestMachine { cheapest };
+                Err(self.error("cost_per_hour_most", problem))
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn error(&self, field: impl Into<String>, problem: FieldError) -> BadPool {
+        BadPool::new(self.name.as_str(), field, problem)
+    }
+}
--- a/crates/pools/src/declaration/tests.rs
+++ b/crates/pools/src/declaration/tests.rs
@@ -1,6 +1,9 @@
+//! Tests of declarations.
+
 use super::*;
+use forkshift_wire::cloud::MachineType;
 
-fn good() -> PoolSpec {
+fn valid_spec() -> PoolSpec {
     PoolSpec {
         name: "exam-help".to_owned(),
         team: "readers".to_owned(),
@@ -31,11 +34,12 @@
     window
 }
 
-/// A wrong declaration: what makes it wrong, the field, and a part of what is said.
+/// An invalid declaration: the change that makes it so, the field, and a part of the
+/// error's text.
 type Case = (fn(&mut PoolSpec), &'static str, &'static str);
 
 #[test]
-fn what_is_wrong_is_named_with_its_field() {
+fn invalid_declaration_is_refused_with_its_field() {
     let cases: [Case; 26] = [
         (|p| p.name = "Exam Help".to_owned(), "name", "a-z"),
         (|p| p.name = "x".repeat(41), "name", "1 to 40"),
@@ -141,41 +145,41 @@
             "contradicts windows[0]",
         ),
     ];
-    for (n, (spoil, field, said)) in cases.into_iter().enumerate() {
-        let mut spec = good();
-        spoil(&mut spec);
+    for (n, (change, field, text)) in cases.into_iter().enumerate() {
+        let mut spec = valid_spec();
+        change(&mut spec);
         let error = parse(&[spec]).expect_err(field);
         assert_eq!(error.field, field, "case {n}: {error}");
-        assert!(error.to_string().contains(said), "case {n}: {error}");
+        assert!(error.to_string().contains(text), "case {n}: {error}");
         assert!(error.to_string().starts_with("pool `"), "case {n}: {error}");
     }
 }
 
 #[test]
-fn good_declarations_are_taken() {
-    let mut always = good();
+fn valid_declarations_are_parsed() {
+    let mut always = valid_spec();
     always.name = "always".to_owned();
     (always.windows, always.time_zone) = (Vec::new(), String::new());
-    let mut twice = good();
+    let mut twice = valid_spec();
     twice.name = "twice".to_owned();
     twice.windows = vec![
         window(|_| ()),
-        // The same size may be asked for twice at a time.
+        // Windows may overlap if their sizes are equal.
         window(|w| w.from = "17:00".to_owned()),
         window(|w| {
             (w.from, w.to) = ("18:00".to_owned(), "24:00".to_owned());
             w.most = Some(3);
         }),
     ];
-    let pools = parse(&[good(), always, twice]).expect("all are good");
+    let pools = parse(&[valid_spec(), always, twice]).expect("all are valid");
     assert_eq!(pools.iter().count(), 3);
     let name = PoolName::parse("twice").expect("a name");
     assert!(pools.get(&name).is_some());
 }
 
 #[test]
-fn a_name_that_is_used_twice_is_refused() {
-    let error = parse(&[good(), good()]).expect_err("twice");
+fn duplicate_name_is_refused() {
+    let error = parse(&[valid_spec(), valid_spec()]).expect_err("twice");
     assert_eq!(error.to_string(), "pool `exam-help`: `name` is used twice");
 }
 
@@ -199,7 +203,7 @@
 }
 
 #[test]
-fn what_no_machine_can_do_is_named_once_the_catalogue_is_known() {
+fn declaration_that_no_machine_type_satisfies_is_refused_with_its_field() {
     let cases: [Case; 7] = [
         (|_| (), "", ""),
         (|p| p.types = vec!["huge".to_owned()], "types[0]", "`huge`"),
@@ -228,10 +232,10 @@
             "not to be had",
         ),
     ];
-    for (n, (spoil, field, said)) in cases.into_iter().enumerate() {
-        let mut spec = good();
-        spoil(&mut spec);
-        let pools = Pools::parse(&[spec], &["readers"], &[]).expect("good by itself");
+    for (n, (change, field, text)) in cases.into_iter().enumerate() {
+        let mut spec = valid_spec();
+        change(&mut spec);
+        let pools = Pools::parse(&[spec], &["readers"], &[]).expect("valid without the catalogue");
         let found = pools
             .iter()
             .next()
@@ -241,9 +245,9 @@
             (Ok(()), "") => {}
             (Err(e), field) => {
                 assert_eq!(e.field, field, "case {n}: {e}");
-                assert!(e.to_string().contains(said), "case {n}: {e}");
+                assert!(e.to_string().contains(text), "case {n}: {e}");
             }
-            (Ok(()), field) => panic!("case {n}: {field} was taken"),
+            (Ok(()), field) => panic!("case {n}: {field} was accepted"),
         }
     }
 }
--- a/crates/pools/src/report.rs
+++ b/crates/pools/src/report.rs
@@ -1,49 +1,29 @@
-//! What pools were asked for, had and cost in a span of time, from their accounts.
+//! Usage reports: what pools were requested to keep, had and cost in a time span, summed up
+//! from their accounts.
+
+mod price_list;
+mod span;
+mod unmet;
 
 use crate::account::{Asked, Ended, Interval, Miss, PoolState, Price};
 use crate::declaration::PoolName;
 use serde::Serialize;
+use span::{seconds, MS_A_SECOND};
 use std::collections::{BTreeMap, BTreeSet};
+use unmet::unmet_s;
 
-const MS_A_SECOND: f64 = 1_000.0;
-const MS_AN_HOUR: f64 = 3_600_000.0;
-
-/// A span of time, in milliseconds since 1970; its end does not belong to it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Span {
-    /// Its beginning.
-    pub from_ms: u64,
-    /// Its end.
-    pub to_ms: u64,
-}
-
-impl Span {
-    /// What of some time lies in it.
-    fn cut(&self, from_ms: u64, to_ms: u64) -> Self {
-        let from_ms = from_ms.max(self.from_ms);
-        Self {
-            from_ms,
-            to_ms: to_ms.min(self.to_ms).max(from_ms),
-        }
-    }
-
-    fn has(&self, at_ms: u64) -> bool {
-        (self.from_ms..self.to_ms).contains(&at_ms)
-    }
-
-    fn length(&self) -> u64 {
-        self.to_ms - self.from_ms
-    }
-}
+pub use price_list::PriceList;
+pub use span::Span;
 
-/// The accounts of pools: what is over, and what goes on, as if it ended now.
+/// The accounts of pools.
 #[derive(Clone, Debug, Default)]
 pub struct Accounts {
-    /// Times for which machines are charged.
+    /// Intervals for which machines are charged; present memberships are included as if
+    /// they ended now.
     pub intervals: Vec<Interval>,
-    /// What was asked for. What is still asked for has no end.
+    /// Requested numbers of machines. The present requests have no end.
     pub asked: Vec<Asked>,
-    /// Jobs that found no machine.
+    /// Cold starts.
     pub misses: Vec<Miss>,
     /// Prices, in any order.
     pub prices: Vec<Price>,
@@ -51,21 +31,37 @@
     pub teams: BTreeMap<PoolName, String>,
 }
 
-/// Seconds and cost by what machines were doing.
+impl Accounts {
+    /// The pools that have an interval, a request or a cold start in a span.
+    fn pools_in(&self, span: Span, now_ms: u64) -> BTreeSet<&PoolName> {
+        let intervals = self.intervals.iter();
+        let intervals = intervals.filter(|i| span.overlaps(i.from_ms, i.to_ms));
+        let requests = self.asked.iter();
+        let requests = requests.filter(|r| span.overlaps(r.from_ms, r.to_ms.unwrap_or(now_ms)));
+        let cold_starts = self.misses.iter().filter(|c| span.contains(c.at_ms));
+        intervals
+            .map(|interval| &interval.pool)
+            .chain(requests.map(|request| &request.pool))
+            .chain(cold_starts.map(|cold_start| &cold_start.pool))
+            .collect()
+    }
+}
+
+/// Totals by state of machines: seconds or costs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ByState {
-    /// Machines that booted.
+    /// Of machines that booted.
     pub booting: f64,
-    /// Machines that were up, of workers that don't tell their images.
+    /// Of machines that were up, whose workers don't report their images.
     pub up: f64,
-    /// Machines that fetched the image.
+    /// Of machines that fetched the image.
     pub fetching: f64,
-    /// Machines that held it.
+    /// Of machines that held the image.
     pub warm: f64,
 }
 
 impl ByState {
-    fn of(&mut self, state: PoolState) -> &mut f64 {
+    fn get_mut(&mut self, state: PoolState) -> &mut f64 {
         match state {
             PoolState::Booting => &mut self.booting,
             PoolState::Up => &mut self.up,
@@ -74,118 +70,107 @@
         }
     }
 
-    /// All of them.
+    /// The sum over all states.
     pub fn sum(&self) -> f64 {
         self.booting + self.up + self.fetching + self.warm
     }
 }
 
-/// What a pool was asked for, had and cost.
+/// Usage of a pool in a span. The serde names are those of the report as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PoolReport {
     /// The pool.
     pub pool: PoolName,
-    /// The team that is charged.
+    /// Team that is charged; empty if it is not known.
     pub team: String,
-    /// Machine-seconds that were asked for.
+    /// Requested machine-seconds.
+    #[serde(rename = "asked_s")]
     pub asked_s: f64,
     /// Machine-seconds by state.
     pub machine_s: ByState,
-    /// Machine-seconds that it had too few machines ready.
+    /// Machine-seconds for which fewer machines were ready than requested.
+    #[serde(rename = "short_s")]
     pub short_s: f64,
     /// Cost by state.
     pub cost: ByState,
-    /// Machine-seconds whose price is not recorded: they are not in the cost.
+    /// Machine-seconds without a recorded price, which the cost does not include.
     pub unpriced_s: f64,
-    /// Machines that got a task of the pool's team and image.
+    /// Number of machines that were allocated to tasks of the pool's team and image.
+    #[serde(rename = "handed_out")]
     pub handed_out: u32,
-    /// Jobs that found no machine.
+    /// Number of cold starts.
+    #[serde(rename = "missed")]
     pub missed: u32,
-    /// Machines that others reclaimed.
+    /// Number of machines that were reclaimed for other tasks.
     pub reclaimed: u32,
-    /// Machines that failed, were taken, or did not get the image.
+    /// Number of machines that failed, were preempted by the cloud, or did not get the image.
     pub lost: u32,
 }
 
-/// A report over some pools.
+impl PoolReport {
+    /// A report without any usage.
+    fn new(pool: PoolName, team: String) -> Self {
+        Self {
+            pool,
+            team,
+            asked_s: 0.0,
+            machine_s: ByState::default(),
+            short_s: 0.0,
+            cost: ByState::default(),
+            unpriced_s: 0.0,
+            handed_out: 0,
+            missed: 0,
+            reclaimed: 0,
+            lost: 0,
+        }
+    }
+
+    fn add_interval(&mut self, interval: &Interval, span: Span, prices: &PriceList) {
+        let charged = span.clip(interval.from_ms, interval.to_ms);
+        *self.machine_s.get_mut(interval.state) += charged.length_s();
+        let (cost, unpriced_ms) = prices.cost(interval, span);
+        *self.cost.get_mut(interval.state) += cost;
+        self.unpriced_s += seconds(unpriced_ms);
+        match interval.ended.filter(|_| span.contains(interval.to_ms)) {
+            Some(Ended::HandedOut) => self.handed_out += 1,
+            Some(Ended::Reclaimed) => self.reclaimed += 1,
+            Some(Ended::Stalled | Ended::Lost) => self.lost += 1,
+            Some(Ended::Surplus | Ended::Withdrawn) | None => {}
+        }
+    }
+
+    fn add_request(&mut self, request: &Asked, span: Span, now_ms: u64) {
+        let requested = span.clip(request.from_ms, request.to_ms.unwrap_or(now_ms));
+        let machine_ms = f64::from(request.machines) * requested.length_ms() as f64;
+        self.asked_s += machine_ms / MS_A_SECOND;
+    }
+}
+
+/// Usage of several pools in a span.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// What it covers.
+    /// The span.
     pub span: Span,
-    /// The pools, by team and name.
+    /// The pools, ordered by team and name.
     pub pools: Vec<PoolReport>,
-    /// What each team pays.
+    /// Cost by team.
     pub teams: BTreeMap<String, f64>,
 }
 
 impl Report {
-    /// Whether nothing is recorded of the span.
+    /// Whether nothing is recorded in the span.
     pub fn is_empty(&self) -> bool {
         self.pools.is_empty()
     }
 }
 
-/// What a machine costs over some time: its price steps, by type.
-#[derive(Debug, Default)]
-pub struct PriceList<'a>(BTreeMap<&'a str, Vec<&'a Price>>);
-
-impl<'a> PriceList<'a> {
-    /// From prices in any order.
-    pub fn new(prices: &'a [Price]) -> Self {
-        let mut list: BTreeMap<&str, Vec<&Price>> = BTreeMap::new();
-        for price in prices {
-            list.entry(&price.machine_type).or_default().push(price);
-        }
-        for steps in list.values_mut() {
-            steps.sort_by_key(|p| p.from_ms);
-        }
-        Self(list)
-    }
-
-    /// What an interval costs within a span, and for how many milliseconds of it no price
-    /// is recorded.
-    pub fn cost(&self, interval: &Interval, span: Span) -> (f64, u64) {
-        let within = span.cut(interval.from_ms, interval.to_ms);
-        let steps = self.0.get(interval.machine_type.as_str());
-        let steps = steps.map_or(&[][..], Vec::as_slice);
-        let mut cost = 0.0;
-        let mut priced = 0;
-        for (i, step) in steps.iter().enumerate() {
-            let ends = steps.get(i + 1).map_or(u64::MAX, |next| next.from_ms);
-            let hourly = match interval.spot {
-                true => step.spot_hourly,
-                false => Some(step.hourly),
-            };
-            let part = within.cut(step.from_ms, ends).length();
-            if let Some(hourly) = hourly {
-                priced += part;
-                cost += hourly * part as f64 / MS_AN_HOUR;
-            }
-        }
-        (cost, within.length() - priced)
-    }
-}
-
-/// Reports on all pools of which anything is recorded in a span. `now_ms` is when what
-/// goes on is taken to end.
+/// Reports the usage of all pools with any record in a span. Present requests are counted
+/// until `now_ms`.
 pub fn report(accounts: &Accounts, span: Span, now_ms: u64) -> Report {
     let prices = PriceList::new(&accounts.prices);
-    let mut names: BTreeSet<&PoolName> = BTreeSet::new();
-    let touches = |from: u64, to: u64| span.cut(from, to).length() > 0;
-    let intervals = accounts.intervals.iter();
-    names.extend(
-        intervals
-            .filter(|i| touches(i.from_ms, i.to_ms))
-            .map(|i| &i.pool),
-    );
-    let asked = accounts.asked.iter();
-    let asked = asked.filter(|a| touches(a.from_ms, a.to_ms.unwrap_or(now_ms)));
-    names.extend(asked.map(|a| &a.pool));
-    let misses = accounts.misses.iter();
-    names.extend(misses.filter(|m| span.has(m.at_ms)).map(|m| &m.pool));
+    let names = accounts.pools_in(span, now_ms).into_iter();
     let mut pools: Vec<PoolReport> = names
-        .into_iter()
-        .map(|name| report_on(accounts, name, span, now_ms, &prices))
+        .map(|name| report_pool(accounts, name, span, now_ms, &prices))
         .collect();
     pools.sort_by(|a, b| (&a.team, &a.pool).cmp(&(&b.team, &b.pool)));
     let mut teams: BTreeMap<String, f64> = BTreeMap::new();
@@ -195,78 +180,32 @@
     Report { span, pools, teams }
 }
 
-fn report_on(
+/// Reports the usage of one pool.
+fn report_pool(
     accounts: &Accounts,
     pool: &PoolName,
     span: Span,
     now_ms: u64,
     prices: &PriceList,
 ) -> PoolReport {
-    let asked: Vec<&Asked> = accounts.asked.iter().filter(|a| a.pool == *pool).collect();
-    let latest = asked.iter().max_by_key(|a| a.from_ms);
-    let team = latest.map(|a| &a.team).or(accounts.teams.get(pool));
-    let mut found = PoolReport {
-        pool: pool.clone(),
-        team: team.cloned().unwrap_or_default(),
-        asked_s: 0.0,
-        machine_s: ByState::default(),
-        short_s: 0.0,
-        cost: ByState::default(),
-        unpriced_s: 0.0,
-        handed_out: 0,
-        missed: 0,
-        reclaimed: 0,
-        lost: 0,
-    };
-    let of_pool = accounts.intervals.iter().filter(|i| i.pool == *pool);
-    let intervals: Vec<&Interval> = of_pool.collect();
+    let requests = accounts.asked.iter().filter(|r| r.pool == *pool);
+    let requests: Vec<&Asked> = requests.collect();
+    let intervals = accounts.intervals.iter().filter(|i| i.pool == *pool);
+    let intervals: Vec<&Interval> = intervals.collect();
+    let cold_starts = accounts.misses.iter().filter(|c| c.pool == *pool);
+    let latest = requests.iter().max_by_key(|request| request.from_ms);
+    let team = latest.map(|request| &request.team);
+    let team = team.or(accounts.teams.get(pool)).cloned();
+    let mut usage = PoolReport::new(pool.clone(), team.unwrap_or_default());
     for interval in &intervals {
-        let within = span.cut(interval.from_ms, interval.to_ms);
-        *found.machine_s.of(interval.state) += within.length() as f64 / MS_A_SECOND;
-        let (cost, unpriced) = prices.cost(interval, span);
-        *found.cost.of(interval.state) += cost;
-        found.unpriced_s += unpriced as f64 / MS_A_SECOND;
-        match interval.ended.filter(|_| span.has(interval.to_ms)) {
-            Some(Ended::HandedOut) => found.handed_out += 1,
-            Some(Ended::Reclaimed) => found.reclaimed += 1,
-            Some(Ended::Stalled | Ended::Lost) => found.lost += 1,
-            Some(Ended::Surplus | Ended::Withdrawn) | None => {}
-        }
-    }
-    let misses = accounts.misses.iter().filter(|m| m.pool == *pool);
-    found.missed = misses.filter(|m| span.has(m.at_ms)).count() as u32;
-    for step in &asked {
-        let within = span.cut(step.from_ms, step.to_ms.unwrap_or(now_ms));
-        found.asked_s += f64::from(step.machines) * within.length() as f64 / MS_A_SECOND;
-    }
-    found.short_s = short_s(&asked, &intervals, span, now_ms);
-    found
-}
-
-/// Machine-seconds by which fewer machines were ready than were asked for.
-fn short_s(asked: &[&Asked], intervals: &[&Interval], span: Span, now_ms: u64) -> f64 {
-    // Changes of how many are asked for and ready, by time.
-    let mut changes: BTreeMap<u64, (i64, i64)> = BTreeMap::new();
-    let mut add = |time: Span, asked: i64, ready: i64| {
-        let begins = changes.entry(time.from_ms).or_default();
-        *begins = (begins.0 + asked, begins.1 + ready);
-        let ends = changes.entry(time.to_ms).or_default();
-        *ends = (ends.0 - asked, ends.1 - ready);
-    };
-    for step in asked {
-        let time = span.cut(step.from_ms, step.to_ms.unwrap_or(now_ms));
-        add(time, i64::from(step.machines), 0);
-    }
-    for interval in intervals.iter().filter(|i| i.state.is_ready()) {
-        add(span.cut(interval.from_ms, interval.to_ms), 0, 1);
+        usage.add_interval(interval, span, prices);
     }
-    let mut short_ms = 0;
-    let (mut asked, mut ready, mut since) = (0, 0, span.from_ms);
-    for (at, (more_asked, more_ready)) in changes {
-        short_ms += (asked - ready).max(0) * (at - since) as i64;
-        (asked, ready, since) = (asked + more_asked, ready + more_ready, at);
+    for request in &requests {
+        usage.add_request(request, span, now_ms);
     }
-    short_ms as f64 / MS_A_SECOND
+    usage.missed = cold_starts.filter(|c| span.contains(c.at_ms)).count() as u32;
+    usage.short_s = unmet_s(&requests, &intervals, span, now_ms);
+    usage
 }
 
 #[cfg(test)]
--- a/crates/pools/src/report/tests.rs
+++ b/crates/pools/src/report/tests.rs
@@ -1,8 +1,10 @@
+//! Tests of reports.
+
 use super::*;
 use forkshift_wire::MachineId;
 
-const HOUR: u64 = 3_600_000;
-const NOW: u64 = 10 * HOUR;
+const HOUR_MS: u64 = 3_600_000;
+const NOW_MS: u64 = 10 * HOUR_MS;
 
 fn pool() -> PoolName {
     PoolName::parse("exam-help").expect("a name")
@@ -29,7 +31,7 @@
         hourly,
         spot_hourly: None,
     };
-    let asked = |machines, from_ms, to_ms| Asked {
+    let request = |machines, from_ms, to_ms| Asked {
         pool: pool(),
         team: "readers".to_owned(),
         machines,
@@ -38,34 +40,37 @@
     };
     Accounts {
         intervals: vec![
-            interval("a", Booting, HOUR, 2 * HOUR, None),
-            interval("a", Fetching, 2 * HOUR, 3 * HOUR, None),
-            interval("a", Warm, 3 * HOUR, 6 * HOUR, Some(Ended::HandedOut)),
-            interval("b", Warm, 4 * HOUR, 5 * HOUR, Some(Ended::Reclaimed)),
-            interval("c", Booting, 6 * HOUR, 7 * HOUR, Some(Ended::Lost)),
+            interval("a", Booting, HOUR_MS, 2 * HOUR_MS, None),
+            interval("a", Fetching, 2 * HOUR_MS, 3 * HOUR_MS, None),
+            interval("a", Warm, 3 * HOUR_MS, 6 * HOUR_MS, Some(Ended::HandedOut)),
+            interval("b", Warm, 4 * HOUR_MS, 5 * HOUR_MS, Some(Ended::Reclaimed)),
+            interval("c", Booting, 6 * HOUR_MS, 7 * HOUR_MS, Some(Ended::Lost)),
+        ],
+        asked: vec![
+            request(2, HOUR_MS, Some(6 * HOUR_MS)),
+            request(1, 6 * HOUR_MS, None),
         ],
-        asked: vec![asked(2, HOUR, Some(6 * HOUR)), asked(1, 6 * HOUR, None)],
         misses: vec![Miss {
             pool: pool(),
             job: "j-1".to_owned(),
             tasks: 3,
-            at_ms: 2 * HOUR,
+            at_ms: 2 * HOUR_MS,
         }],
-        prices: vec![price(4 * HOUR, 20.0), price(HOUR, 10.0)],
+        prices: vec![price(4 * HOUR_MS, 20.0), price(HOUR_MS, 10.0)],
         teams: BTreeMap::new(),
     }
 }
 
 fn span(from: u64, to: u64) -> Span {
     Span {
-        from_ms: from * HOUR,
-        to_ms: to * HOUR,
+        from_ms: from * HOUR_MS,
+        to_ms: to * HOUR_MS,
     }
 }
 
 #[test]
-fn a_whole_account_is_summed_up() {
-    let report = report(&accounts(), span(0, 10), NOW);
+fn usage_cost_and_events_are_summed_up() {
+    let report = report(&accounts(), span(0, 10), NOW_MS);
     let [found] = report.pools.as_slice() else {
         panic!("{report:?}");
     };
@@ -78,7 +83,7 @@
         warm: 4.0 * 3_600.0,
     };
     assert_eq!(found.machine_s, hours);
-    // Short: 2 for two hours, 1 in the third and fifth, none in the fourth, 1 afterwards.
+    // Unmet: 2 for two hours, 1 in the third and fifth, none in the fourth, 1 afterwards.
     assert_eq!(found.short_s, (2.0 * 2.0 + 1.0 + 1.0 + 4.0) * 3_600.0);
     // An hour at 10 while booting, one at 20; an hour warm at 10, three at 20.
     assert_eq!(found.cost.booting, 30.0);
@@ -94,12 +99,12 @@
 }
 
 #[test]
-fn spans_that_share_an_end_add_up() {
+fn adjacent_spans_add_up_to_the_whole() {
     let accounts = accounts();
-    let whole = report(&accounts, span(0, 10), NOW);
+    let whole = report(&accounts, span(0, 10), NOW_MS);
     for middle in 1..10 {
         let parts = [span(0, middle), span(middle, 10)];
-        let parts = parts.map(|span| report(&accounts, span, NOW));
+        let parts = parts.map(|span| report(&accounts, span, NOW_MS));
         let sum = |of: fn(&PoolReport) -> f64| -> f64 {
             parts.iter().flat_map(|r| r.pools.iter().map(of)).sum()
         };
@@ -120,12 +125,12 @@
 }
 
 #[test]
-fn a_span_without_data_is_empty_and_missing_prices_are_said() {
-    assert!(report(&accounts(), span(0, 1), NOW).is_empty());
-    assert!(report(&Accounts::default(), span(0, 10), NOW).is_empty());
+fn span_without_records_is_empty_and_missing_prices_are_counted() {
+    assert!(report(&accounts(), span(0, 1), NOW_MS).is_empty());
+    assert!(report(&Accounts::default(), span(0, 10), NOW_MS).is_empty());
     let mut unpriced = accounts();
     unpriced.prices.clear();
-    let found = report(&unpriced, span(0, 10), NOW);
+    let found = report(&unpriced, span(0, 10), NOW_MS);
     assert_eq!(found.pools[0].unpriced_s, 7.0 * 3_600.0);
     assert_eq!(found.pools[0].cost.sum(), 0.0);
 }
--- a/crates/pools/tests/golden.rs
+++ b/crates/pools/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Golden bytes of warm pools: stored account rows with their keys, the report as JSON,
-//! and how declarations are read. The expected forms are in `golden/`.
+//! and parsed declarations. The expected forms are in `golden/`.
 
 use forkshift_pools::account::{Price, Row, PRICES};
 use forkshift_pools::report::{report, Accounts, Span};
@@ -36,8 +36,8 @@
         }
         match Row::parse(&key, &data.to_string()).expect("a row") {
             Row::Interval(interval) => accounts.intervals.push(interval),
-            Row::Asked(asked) => accounts.asked.push(asked),
-            Row::Miss(miss) => accounts.misses.push(miss),
+            Row::Asked(request) => accounts.asked.push(request),
+            Row::Miss(cold_start) => accounts.misses.push(cold_start),
         }
     }
     accounts
@@ -57,7 +57,8 @@
     }
 }
 
-/// Rows are written as they are read. One line leaves out `spot`, which is then written.
+/// Rows are stored as they were read. One line of the fixture lacks `spot`, which is then
+/// stored.
 #[test]
 fn stored_rows_keep_their_keys_and_bytes() {
     let mut seen = Vec::new();
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn the_report_has_this_json() {
+fn report_has_the_golden_json() {
     let span = |from, to| Span {
         from_ms: from * HOUR_MS,
         to_ms: to * HOUR_MS,
@@ -129,8 +130,8 @@
     Pools::parse(specs, &["readers"], &["hall-a".to_owned()])
 }
 
-/// Moments at which the size of a pool is looked up.
-const MOMENTS: [&str; 8] = [
+/// Times at which the size of a pool is looked up.
+const TIMES: [&str; 8] = [
     "2026-11-30T08:00:00Z",
     "2026-12-04T07:29:59Z",
     "2026-12-04T07:30:00Z",
@@ -151,16 +152,16 @@
         pool.types, pool.zones, pool.spot
     );
     text += &format!("cost_per_hour_most {:?}\n", pool.cost_per_hour_most);
-    for moment in MOMENTS {
-        let time: jiff::Timestamp = moment.parse().expect("a time");
+    for time_text in TIMES {
+        let time: jiff::Timestamp = time_text.parse().expect("a time");
         let size = pool.calendar.size_at(time.as_millisecond() as u64);
-        text += &format!("{moment} {} to {}\n", size.least, size.most);
+        text += &format!("{time_text} {} to {}\n", size.least, size.most);
     }
     text
 }
 
 #[test]
-fn a_declaration_is_read_to_these_values() {
+fn declaration_parses_to_the_golden_values() {
     let short = PoolSpec {
         name: "short".to_owned(),
         types: Vec::new(),
@@ -171,18 +172,18 @@
         windows: Vec::new(),
         ..full()
     };
-    let pools = parse(&[full(), short]).expect("both are good");
+    let pools = parse(&[full(), short]).expect("both are valid");
     let seen: Vec<String> = pools.iter().map(show).collect();
     let seen = seen.join("\n");
     assert!(seen == include_str!("golden/declaration.txt"), "{seen}");
 }
 
-/// What makes a declaration wrong.
+/// A change that makes a declaration invalid.
 type Change = fn(&mut PoolSpec);
 
-/// The fields that refusals name, in the order of the fixture's lines.
+/// The fields that errors name, in the order of the fixture's lines.
 #[test]
-fn a_wrong_declaration_names_this_field() {
+fn invalid_declaration_names_the_golden_field() {
     let changes: [Change; 18] = [
         |p| p.name = "Exam Help".to_owned(),
         |p| p.team = "reader".to_owned(),
@@ -212,8 +213,8 @@
     for change in changes {
         let mut spec = full();
         change(&mut spec);
-        let refused = parse(&[spec]).expect_err("it is wrong");
-        seen += &format!("{}: {}\n", refused.pool, refused.field);
+        let error = parse(&[spec]).expect_err("it is invalid");
+        seen += &format!("{}: {}\n", error.pool, error.field);
     }
     assert!(seen == include_str!("golden/wrong_fields.txt"), "{seen}");
 }
--- a/crates/pools/tests/model.rs
+++ b/crates/pools/tests/model.rs
@@ -1,7 +1,6 @@
-//! Pools over random orders of declarations, bursts, reclaims and ends: whatever
-//! happens, no machine is in two pools, none is charged outside its life or twice, the
-//! charges sum to what was charged, and limits hold. That the audit fails on accounts made
-//! wrong on purpose is shown beside it.
+//! Pools over random sequences of declarations, bursts, reclaims and failures: always, no
+//! machine is in two pools, none is charged outside its life or twice, the report's costs sum
+//! to the charges, and the limits hold. The audit's own tests show that it finds errors.
 
 use forkshift_pools::account::{MachineFacts, Price};
 use forkshift_pools::audit::{mistakes, Life};
@@ -15,7 +14,7 @@
 
 const MS_AN_HOUR: f64 = 3_600_000.0;
 
-/// A machine of the model, and its life as the cloud has it.
+/// A machine of the model, and its life according to the cloud.
 #[derive(Clone, Debug)]
 struct Machine {
     price: f64,
@@ -23,22 +22,25 @@
     ended_ms: Option<u64>,
     membership: Option<Membership>,
     charged_until_ms: u64,
-    busy: bool,
+    is_busy: bool,
 }
 
-/// What happens next.
+/// A step of the model.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Lets time pass, in milliseconds.
     Wait(u64),
-    /// A pool is to have so many machines, for so much.
+    /// Sets the target and the cost limit of a pool.
     Declare(usize, u32, Option<f64>),
-    /// A machine goes on to its next state.
+    /// Moves a machine to its next state.
     Advance(usize),
+    /// Allocates machines of a pool to jobs.
     Burst(usize, usize),
+    /// Reclaims a machine from its pool.
     Reclaim(usize),
-    /// The cloud's side: a machine ends.
+    /// Lets a machine fail.
     End(usize),
-    /// A holder's clock is behind that of the one before.
+    /// Sets how far the holder's clock is behind, in milliseconds.
     ClockBack(u64),
 }
 
@@ -58,7 +60,7 @@
 #[derive(Default)]
 struct Model {
     now: u64,
-    /// What the holder's clock is behind.
+    /// How far the holder's clock is behind, in milliseconds.
     behind: u64,
     machines: Vec<Machine>,
     pools: [(u32, Option<f64>); 3],
@@ -78,16 +80,16 @@
 }
 
 impl Model {
-    fn wall(&self) -> u64 {
+    fn wall_ms(&self) -> u64 {
         self.now - self.behind.min(self.now)
     }
 
     fn change(&mut self, index: usize, next: Option<PoolState>, ended: Option<Ended>) {
-        let wall = self.wall();
+        let wall_ms = self.wall_ms();
         let Some(old) = self.machines[index].membership.take() else {
             return;
         };
-        let row = old.close(&facts(index), wall, ended);
+        let row = old.close(&facts(index), wall_ms, ended);
         self.machines[index].charged_until_ms = row.to_ms;
         self.machines[index].membership = next.map(|state| Membership {
             state,
@@ -97,18 +99,18 @@
         self.rows.push(row);
     }
 
-    fn members(&self, of: usize) -> Vec<usize> {
-        let name = pool(of);
+    fn members(&self, pool_index: usize) -> Vec<usize> {
+        let name = pool(pool_index);
         let in_pool = |m: &Machine| m.membership.as_ref().is_some_and(|m| m.pool == name);
         (0..self.machines.len())
             .filter(|i| in_pool(&self.machines[*i]))
             .collect()
     }
 
-    /// Lets machines leave and join a pool, and rents what is missing.
-    fn keep(&mut self, of: usize) {
-        let (target, cost_most) = self.pools[of];
-        let ids = self.members(of);
+    /// Reconciles a pool with its target: machines leave, join and are provisioned.
+    fn reconcile(&mut self, pool_index: usize) {
+        let (target, cost_most) = self.pools[pool_index];
+        let ids = self.members(pool_index);
         let state = |i: &usize| self.machines[*i].membership.as_ref().map(|m| m.state);
         let members: Vec<Member> = ids
             .iter()
@@ -122,14 +124,14 @@
         for index in leaving(&members, target, cost_most) {
             self.change(ids[index], None, Some(Ended::Surplus));
         }
-        let ids = self.members(of);
+        let ids = self.members(pool_index);
         let cost: f64 = ids.iter().map(|i| self.machines[*i].price).sum();
         let missing = target.saturating_sub(ids.len() as u32);
         let left = cost_most.map(|most| most - cost);
         let free: Vec<usize> = (0..self.machines.len())
             .filter(|i| {
                 let m = &self.machines[*i];
-                m.ended_ms.is_none() && m.membership.is_none() && !m.busy
+                m.ended_ms.is_none() && m.membership.is_none() && !m.is_busy
             })
             .collect();
         let candidates: Vec<Candidate> = free
@@ -145,36 +147,36 @@
         for index in &joins {
             let machine = free[*index];
             cost_left = cost_left.map(|left| left - self.machines[machine].price);
-            let at = self.wall().max(self.machines[machine].from_ms);
+            let at = self.wall_ms().max(self.machines[machine].from_ms);
             let charged_until = self.machines[machine].charged_until_ms;
-            let joined = Membership::begin(pool(of), PoolState::Up, at, charged_until);
+            let joined = Membership::begin(pool(pool_index), PoolState::Up, at, charged_until);
             self.machines[machine].membership = Some(joined);
         }
-        let price = 3.0 + of as f64;
-        let rented = affordable(missing - joins.len() as u32, price, cost_left);
-        for _ in 0..rented {
+        let price = 3.0 + pool_index as f64;
+        let provisioned = affordable(missing - joins.len() as u32, price, cost_left);
+        for _ in 0..provisioned {
             self.machines.push(Machine {
                 price,
-                from_ms: self.wall(),
+                from_ms: self.wall_ms(),
                 ended_ms: None,
                 membership: Some(Membership::begin(
-                    pool(of),
+                    pool(pool_index),
                     PoolState::Booting,
-                    self.wall(),
+                    self.wall_ms(),
                     0,
                 )),
                 charged_until_ms: 0,
-                busy: false,
+                is_busy: false,
             });
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         let alive = |m: &Model, i: usize| m.machines.get(i).is_some_and(|m| m.ended_ms.is_none());
         match step {
             Step::Wait(ms) => self.now += ms,
             Step::ClockBack(ms) => self.behind = *ms,
-            Step::Declare(of, target, cost) => self.pools[*of] = (*target, *cost),
+            Step::Declare(pool_index, target, cost) => self.pools[*pool_index] = (*target, *cost),
             Step::Advance(i) if alive(self, *i) => {
                 let state = self.machines[*i].membership.as_ref().map(|m| m.state);
                 let next = match state {
@@ -185,15 +187,15 @@
                 };
                 self.change(*i, next, None);
             }
-            Step::Burst(of, count) => {
-                for i in self.members(*of).into_iter().take(*count) {
+            Step::Burst(pool_index, count) => {
+                for i in self.members(*pool_index).into_iter().take(*count) {
                     self.change(i, None, Some(Ended::HandedOut));
-                    self.machines[i].busy = true;
+                    self.machines[i].is_busy = true;
                 }
             }
             Step::Reclaim(i) if alive(self, *i) => {
                 self.change(*i, None, Some(Ended::Reclaimed));
-                self.machines[*i].busy = true;
+                self.machines[*i].is_busy = true;
             }
             Step::End(i) if alive(self, *i) => {
                 self.change(*i, None, Some(Ended::Lost));
@@ -202,8 +204,8 @@
             }
             Step::Advance(_) | Step::Reclaim(_) | Step::End(_) => {}
         }
-        for of in 0..self.pools.len() {
-            self.keep(of);
+        for pool_index in 0..self.pools.len() {
+            self.reconcile(pool_index);
         }
     }
 }
@@ -227,13 +229,13 @@
     #![proptest_config(config())]
 
     #[test]
-    fn accounts_are_right_whatever_happens(steps in steps()) {
+    fn accounts_are_consistent_after_any_steps(steps in steps()) {
         let mut model = Model { now: 1_000_000, ..Model::default() };
         for step in &steps {
-            model.play(step);
-            for of in 0..model.pools.len() {
-                let (target, cost_most) = model.pools[of];
-                let members = model.members(of);
+            model.apply(step);
+            for pool_index in 0..model.pools.len() {
+                let (target, cost_most) = model.pools[pool_index];
+                let members = model.members(pool_index);
                 let cost: f64 = members.iter().map(|i| model.machines[*i].price).sum();
                 prop_assert!(members.len() <= target as usize);
                 prop_assert!(cost_most.is_none_or(|most| cost <= most * 1.000_001));
@@ -245,7 +247,7 @@
         }
         prop_assert_eq!(mistakes(&model.rows, &lives(&model), 0), vec![]);
 
-        // The report's sums are those of the charges, machine by machine.
+        // The price list's costs equal the charges of each machine.
         let prices: Vec<Price> = (0..model.machines.len()).map(|i| Price {
             machine_type: facts(i).machine_type,
             from_ms: 0,
