--- a/crates/pools/src/choice.rs
+++ b/crates/pools/src/choice.rs
@@ -40,22 +40,22 @@
     order
 }
 
-/// Indices of the members that leave a pool beyond its target or its cost limit per hour:
-/// the farthest from being warm first, then the most expensive.
-pub fn leaving(members: &[Member], target: u32, cost_most: Option<f64>) -> Vec<usize> {
+/// Indices of the members that leave a pool of more than `max_members`, or beyond its cost
+/// limit per hour: the farthest from being warm first, then the most expensive.
+pub fn leaving(members: &[Member], max_members: u32, cost_most: Option<f64>) -> Vec<usize> {
     let mut remaining = members.len();
     let mut cost: f64 = members.iter().map(|member| member.price).sum();
-    let mut leaving = Vec::new();
+    let mut removed = Vec::new();
     for index in by_retention(members).into_iter().rev() {
         let is_over_cost = cost_most.is_some_and(|most| cost > most * ROUNDING);
-        if remaining <= target as usize && !is_over_cost {
+        if remaining <= max_members as usize && !is_over_cost {
             break;
         }
         remaining -= 1;
         cost -= members[index].price;
-        leaving.push(index);
+        removed.push(index);
     }
-    leaving
+    removed
 }
 
 /// Indices of all members, those that are kept first in front.
@@ -99,9 +99,9 @@
         by_preference.then(a.cmp(&b))
     });
     let mut budget = cost_left.map(|cost| cost * ROUNDING);
-    let mut joining = Vec::new();
+    let mut added = Vec::new();
     for index in order {
-        if joining.len() as u32 == missing {
+        if added.len() as u32 == missing {
             break;
         }
         let price = candidates[index].price;
@@ -109,9 +109,9 @@
             continue;
         }
         budget = budget.map(|budget| budget - price);
-        joining.push(index);
+        added.push(index);
     }
-    joining
+    added
 }
 
 /// Number of machines of a price, at most `missing`, that may be provisioned within
@@ -120,8 +120,8 @@
     match cost_left {
         Some(cost) if price > 0.0 => {
             // The cast rounds down, and saturates.
-            let affordable = (cost * ROUNDING / price).max(0.0) as u32;
-            missing.min(affordable)
+            let count = (cost * ROUNDING / price).max(0.0) as u32;
+            missing.min(count)
         }
         _ => missing,
     }
--- a/crates/pools/src/report/tests.rs
+++ b/crates/pools/src/report/tests.rs
@@ -70,9 +70,9 @@
 
 #[test]
 fn usage_cost_and_events_are_summed_up() {
-    let report = report(&accounts(), span(0, 10), NOW_MS);
-    let [found] = report.pools.as_slice() else {
-        panic!("{report:?}");
+    let usage = report(&accounts(), span(0, 10), NOW_MS);
+    let [found] = usage.pools.as_slice() else {
+        panic!("{usage:?}");
     };
     assert_eq!(found.team, "readers");
     assert_eq!(found.asked_s, (2.0 * 5.0 + 4.0) * 3_600.0);
@@ -92,10 +92,7 @@
     assert_eq!(found.unpriced_s, 0.0);
     let counts = (found.handed_out, found.missed, found.reclaimed, found.lost);
     assert_eq!(counts, (1, 1, 1, 1));
-    assert_eq!(
-        report.teams,
-        BTreeMap::from([("readers".to_owned(), 110.0)])
-    );
+    assert_eq!(usage.teams, BTreeMap::from([("readers".to_owned(), 110.0)]));
 }
 
 #[test]
