--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,9 +1,12 @@
-//! The cloud that rents machines.
+//! Messages of the cloud, which provisions machines.
+//!
+//! A provisioning request is idempotent: it has a unique name, and repeating it returns the
+//! machines of the first call.
 
 use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// Answer of `GET /catalog`.
+/// Response to `GET /catalog`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Catalog {
     /// The machine types on offer.
@@ -14,74 +17,74 @@
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     pub name: String,
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// Room for images.
+    /// Capacity of the image cache, in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate at which images are fetched.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price of an on-demand machine per hour.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Price an hour of a spot machine, at present.
+    /// Current price of a spot machine per hour; none: there are no spot machines.
     #[serde(rename = "market_price", default)]
     pub spot_price: Option<f64>,
-    /// Usual time from the request until the machine is up.
+    /// Typical time from the request until the machine is up, in seconds.
     #[serde(default)]
     pub boot_s: f64,
-    /// Where it can be had.
+    /// Zones in which the type is available.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
 
-/// Body of `POST /machines`.
+/// Body of `POST /machines`, a request to provision machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rent {
-    /// Name of the request, never used again.
+    /// Unique name of the request, which makes repetitions idempotent.
     #[serde(rename = "charter")]
     pub request: String,
-    /// Type.
+    /// Machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are meant.
+    /// Whether spot machines are requested.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// The most machines that one request may ask for.
+/// Maximum number of machines in one provisioning request.
 pub const RENT_MOST: u32 = 50;
-/// The most machines that one request may delete.
+/// Maximum number of machines in one deletion request.
 pub const DELETE_MOST: usize = 100;
-/// The most machines on one page of the list.
+/// Maximum number of machines on one page of the list.
 pub const LIST_MOST: u32 = 500;
 
-/// Answer of `POST /machines`, and body of `POST /machines/delete`.
+/// Response to `POST /machines`, and body of `POST /machines/delete`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Machines {
-    /// The machines.
+    /// Identifiers of the machines.
     #[serde(rename = "berths")]
     pub machines: Vec<MachineId>,
 }
 
-/// Answer of `GET /machines`.
+/// One page of the response to `GET /machines`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines, by name.
+    /// The machines, in the order of their identifiers.
     #[serde(rename = "berths")]
     pub machines: Vec<Listed>,
     /// Whether there is another page.
@@ -92,30 +95,30 @@
 /// A machine on the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its name.
+    /// Identifier of the machine.
     #[serde(rename = "uid")]
     pub id: MachineId,
-    /// Its worker's address.
+    /// Socket address of its worker; empty while there is none.
     #[serde(default)]
     pub addr: String,
-    /// Type.
+    /// Machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether this is a spot machine, which the cloud may reclaim.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// How far it is.
+    /// Lifecycle stage.
     #[serde(rename = "stage")]
     pub stage: MachineStage,
-    /// Seconds since the rental request.
+    /// Seconds since the provisioning request.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
 
-/// How far a listed machine is.
+/// Lifecycle stage of a listed machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineStage {
@@ -125,7 +128,7 @@
     Running,
     /// Stopped on its own.
     Failed,
-    /// A word that this version does not know.
+    /// A stage that this version does not know.
     #[serde(other)]
     Unknown,
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,10 +1,13 @@
-//! Identifiers. Each is a newtype, so that one cannot stand in for another.
+//! Identifiers. Each kind has a newtype of its own, so that one cannot be passed for
+//! another.
 
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use std::borrow::Cow;
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 
+/// Defines an identifier that is a shared, immutable string; cloning it copies no text.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -13,12 +16,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name as it came.
+            /// Wraps a text without checking it.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
 
-            /// The name as text.
+            /// The identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -33,38 +36,38 @@
 }
 
 text_id!(
-    /// A job, as its user named it: `j-` and digits.
+    /// Identifier of a job, chosen by its user: `j-` and digits.
     JobId
 );
 text_id!(
-    /// A rented machine, as the cloud named it.
+    /// Identifier of a provisioned machine, chosen by the cloud.
     MachineId
 );
 text_id!(
-    /// A controller, as the settings name it.
+    /// Name of a controller, as the settings give it.
     NodeName
 );
 
-/// The longest job id that is accepted.
-const JOB_ID_MAX: usize = 64;
+/// Maximum length of a job id, in bytes.
+const MAX_JOB_ID_BYTES: usize = 64;
 
 impl JobId {
-    /// Accepts a job id only in the form the protocol gives it.
+    /// Parses a job id; `None` unless it is `j-` and digits, at most 64 bytes in all.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("j-")?;
-        let good = !digits.is_empty()
-            && text.len() <= JOB_ID_MAX
-            && digits.bytes().all(|b| b.is_ascii_digit());
-        good.then(|| Self::new(text))
+        let is_valid = !digits.is_empty()
+            && text.len() <= MAX_JOB_ID_BYTES
+            && digits.bytes().all(|byte| byte.is_ascii_digit());
+        is_valid.then(|| Self::new(text))
     }
 }
 
-/// One task of a job, written `j-000412/3`.
+/// Reference to one task of a job, written as `j-000412/3`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskRef {
     /// The job.
     pub job: JobId,
-    /// The task's number, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
@@ -74,33 +77,33 @@
     }
 }
 
-/// A text that is not a task's name.
+/// A text is not a reference to a task; holds the text.
 #[derive(Debug, thiserror::Error)]
 #[error("not a task: {0:?}")]
-pub struct BadTask(String);
+pub struct TaskRefError(String);
 
 impl FromStr for TaskRef {
-    type Err = BadTask;
+    type Err = TaskRefError;
 
-    fn from_str(text: &str) -> Result<Self, BadTask> {
-        let bad = || BadTask(text.to_owned());
-        let (job, index) = text.rsplit_once('/').ok_or_else(bad)?;
+    fn from_str(text: &str) -> Result<Self, TaskRefError> {
+        let error = || TaskRefError(text.to_owned());
+        let (job, index) = text.rsplit_once('/').ok_or_else(error)?;
         Ok(Self {
-            job: JobId::parse(job).ok_or_else(bad)?,
-            index: index.parse().map_err(|_| bad())?,
+            job: JobId::parse(job).ok_or_else(error)?,
+            index: index.parse().map_err(|_| error())?,
         })
     }
 }
 
 impl Serialize for TaskRef {
-    fn serialize<S: serde::Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        s.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for TaskRef {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = std::borrow::Cow::<str>::deserialize(d)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = Cow::<str>::deserialize(deserializer)?;
         text.parse().map_err(serde::de::Error::custom)
     }
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,18 +1,21 @@
-//! Messages between controllers, in borsh.
+//! Messages between controllers, encoded with borsh.
 //!
-//! They only speed things up: whatever they say is also in the state service,
-//! and a message that is lost, late or doubled does no harm.
+//! Messages only reduce latency. What they state is also in the state service, or is
+//! requested again, so a message may be lost, delayed or duplicated without harm.
+//!
+//! Borsh encodes fields and variants by position: neither may be reordered, and a new
+//! variant goes to the end, with a new [`VERSION`].
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Version of the format that the first release speaks, and no other.
+/// The only version of the format that the first release supports.
 pub const FIRST_VERSION: u16 = 5;
-/// Version since which dependencies are spoken of.
+/// First version with the messages about dependencies between jobs.
 const DEPENDENCIES_VERSION: u16 = 6;
-/// Newest version of the format. A message is sent under the oldest version
-/// that has its body.
+/// Latest version of the format. A message is sent with the oldest version that has its
+/// body, so that controllers of earlier releases can decode it.
 pub const VERSION: u16 = 7;
-/// Largest message, in bytes.
+/// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 96 * 1024;
 
 /// A message and its sender.
@@ -22,15 +25,15 @@
     pub version: u16,
     /// Name of the sender.
     pub from: String,
-    /// This start of the sender; messages of earlier ones are dropped.
+    /// Incarnation of the sender; messages of earlier incarnations are dropped.
     pub incarnation: u64,
-    /// Epoch of the shard that the message is about, as the sender knows it.
+    /// Epoch of the shard that the message concerns, as the sender knows it.
     pub epoch: u64,
     /// The message.
     pub body: Body,
 }
 
-/// What one controller tells another.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Body {
     /// A job was accepted for a shard that the receiver holds.
@@ -39,22 +42,22 @@
         shard: u32,
         /// The job as it was submitted, in JSON.
         spec: String,
-        /// Time of day of the submission, in milliseconds.
+        /// Wall-clock time of the submission, in milliseconds since 1970.
         submitted_at_ms: u64,
-        /// Revision that recorded it.
+        /// Revision of the store at which the job was recorded.
         revision: u64,
     },
-    /// What the sender needs of the state service, to the leader.
+    /// The rate at which the sender needs to use the state service; sent to the leader.
     BudgetRequest {
         /// Changes in a thousand seconds.
         writes: u32,
         /// Requests in a thousand seconds.
         requests: u32,
-        /// Whether it keeps to what the receiver has granted.
+        /// Whether the sender is bound by a grant of the receiver at present.
         granted: bool,
     },
-    /// What the receiver may use of the state service beyond its fixed part,
-    /// for a short while.
+    /// The rate at which the receiver may use the state service beyond its fixed part, for
+    /// a short time.
     BudgetGrant {
         /// Changes in a thousand seconds.
         writes: u32,
@@ -65,73 +68,73 @@
     UnmetDemand {
         /// The shard.
         shard: u32,
-        /// The record, in JSON, as it is also written now and then.
+        /// The demand record, in JSON; the sender also writes it to the store periodically.
         demand: String,
     },
-    /// A user wants a job cancelled that the receiver holds.
+    /// A user requests the cancellation of a job that the receiver holds.
     CancelJob {
         /// The job.
         id: String,
     },
-    /// A user's request that the receiver can answer better than the sender.
+    /// A user's request, forwarded to the holder of the job.
     ForwardedRequest {
-        /// Names the request, for the answer.
+        /// Number of the request, which the response repeats.
         request_number: u64,
         /// `GET` or `POST`.
         method: String,
-        /// Path.
+        /// Path and query.
         path: String,
         /// The body, if there is one.
         body: Option<Vec<u8>>,
     },
-    /// The sender is there.
+    /// Periodic sign of life of the sender.
     Heartbeat(PeerHeartbeat),
-    /// The answer to a request that was passed on.
+    /// Response to a forwarded request.
     ForwardedResponse {
-        /// The start of the receiver that passed it on.
+        /// Incarnation of the receiver that forwarded the request.
         incarnation: u64,
-        /// The request.
+        /// Number of the request.
         request_number: u64,
         /// HTTP status.
         status: u16,
-        /// JSON.
+        /// Body, in JSON.
         body: Vec<u8>,
-        /// When to come back.
+        /// Value of the `retry-after` header, in seconds.
         retry_after_s: Option<u32>,
     },
-    /// A job's final stage was recorded. Since version 6.
+    /// The final stage of a job was recorded. Since version 6.
     JobEnded {
         /// The job.
         id: String,
-        /// It was cancelled; else it is done.
+        /// Whether it was cancelled; otherwise it is done.
         cancelled: bool,
     },
-    /// A job that the receiver holds is needed by one that the sender holds.
+    /// A job that the receiver holds is a dependency of one that the sender holds.
     /// Since version 6.
     InheritPriority {
         /// The job.
         id: String,
-        /// The highest priority among those that need it, the lowest being 0.
+        /// The highest priority among its dependents; 0 is the lowest.
         priority: u8,
     },
-    /// The sender holds these machines and does not hear their workers: their reports
-    /// are to be passed on to it. Since version 7.
+    /// The sender holds these machines but receives no heartbeats from their workers; the
+    /// receiver should relay those that it gets. Since version 7.
     RelayRequest {
-        /// Grows with each list of a start. Messages with the same number add up; a
-        /// list replaces those before it.
+        /// Number of the list within the incarnation. Messages with the same number are
+        /// parts of one list; a list replaces those with lower numbers.
         list: u64,
         /// The machines.
         machines: Vec<String>,
     },
-    /// The receiver is to call these machines' workers and pass on what they answer: the
-    /// sender holds them and does not hear them. Since version 7.
+    /// The sender holds these machines but cannot reach their workers; the receiver should
+    /// call the workers and relay their responses. Since version 7.
     ProbeRequest {
         /// The machines.
         machines: Vec<String>,
     },
-    /// What a worker has answered to a probe. Since version 7.
+    /// Response of a worker to a probe. Since version 7.
     ProbeResult {
-        /// Its report, in JSON.
+        /// The worker's heartbeat, in JSON.
         heartbeat: Vec<u8>,
     },
 }
@@ -149,72 +152,80 @@
     }
 }
 
-/// That a controller is there, and what the receiver may rely on. A statement
-/// is true as of the moment at which the heartbeat that it echoes was sent.
+/// Sign of life of a controller, with statements that the receiver may rely on. The
+/// statements hold as of the time at which the acknowledged heartbeat was sent.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
-    /// The sender's steady clock, for the echo.
+    /// Monotonic clock of the sender, which the acknowledgement repeats.
     pub sent_at: u64,
-    /// The last heartbeat that the sender had from the receiver.
+    /// The last heartbeat that the sender received from the receiver.
     pub acknowledged: Option<HeartbeatAck>,
-    /// Shards with the highest epochs that the sender has seen; none while it
-    /// has not read them since it started.
+    /// The highest epoch that the sender has seen of each shard, as pairs of shard and
+    /// epoch; none until it has read them in this incarnation.
     pub epochs: Option<Vec<(u32, u64)>>,
-    /// For how long the state service has refused the sender, in milliseconds;
-    /// none: it was served last.
+    /// How long the state service has been refusing the sender, in milliseconds; none: its
+    /// last request was served.
     pub store_refused_for_ms: Option<u64>,
-    /// Shards that the sender holds by right.
+    /// Shards that the sender holds under a valid lease.
     pub settled_shards: Vec<SettledShard>,
 }
 
-/// Names a heartbeat.
+/// Identifies a heartbeat that was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct HeartbeatAck {
-    /// The start of the controller that sent it.
+    /// Incarnation of the controller that sent it.
     pub incarnation: u64,
-    /// That controller's steady clock.
+    /// Its [`PeerHeartbeat::sent_at`].
     pub sent_at: u64,
 }
 
-/// Where tasks of cancelled jobs may be left.
+/// A shard, and where tasks of its cancelled jobs may still be running.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct SettledShard {
     /// The shard.
     pub shard: u32,
-    /// Its machines that may hold one; all others hold none.
+    /// Machines of the shard that may hold such a task; all others hold none.
     pub unsettled_machines: Vec<String>,
 }
 
-/// Why a message is refused.
+/// Why a message can't be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than allowed.
+    /// The message is longer than [`MAX_MESSAGE_BYTES`]; its length in bytes.
     #[error("{0} bytes are too many")]
     TooLong(usize),
-    /// Another version of the format.
+    /// The version of the format is not supported.
     #[error("version {0} is not spoken here")]
     UnsupportedVersion(u16),
-    /// Not a message.
+    /// The bytes are not a message.
     #[error("{0}")]
     Malformed(#[from] std::io::Error),
 }
 
 impl Envelope {
-    /// As bytes, without their length.
+    /// Encodes the message, without a length prefix.
+    ///
+    /// # Errors
+    ///
+    /// [`MessageError::TooLong`].
     pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
         let bytes = borsh::to_vec(self)?;
         match bytes.len() {
-            n if n > MAX_MESSAGE_BYTES => Err(MessageError::TooLong(n)),
+            length if length > MAX_MESSAGE_BYTES => Err(MessageError::TooLong(length)),
             _ => Ok(bytes),
         }
     }
 
-    /// From bytes, without their length.
+    /// Decodes a message, without a length prefix.
+    ///
+    /// # Errors
+    ///
+    /// [`MessageError`]; trailing bytes are refused, too.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong(bytes.len()));
         }
-        // The version comes first, so that others are told from garbage.
+        // The version comes first, so that an unsupported one is distinguished from garbage.
         let version = u16::deserialize(&mut &bytes[..])?;
         if !(FIRST_VERSION..=VERSION).contains(&version) {
             return Err(MessageError::UnsupportedVersion(version));
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn only_whole_messages_of_versions_that_are_spoken_are_taken() {
+fn malformed_or_unsupported_message_is_refused() {
     let message = Envelope {
         version: VERSION,
         from: "berth-1".to_owned(),
@@ -13,26 +13,26 @@
             id: "j-1".to_owned(),
         },
     };
-    let good = message.encode().unwrap();
-    assert_eq!(Envelope::decode(&good).unwrap(), message);
-    let mut newer = good.clone();
-    newer[0] = 1;
-    let mut tag = good.clone();
-    let at = tag.len() - 8;
-    tag[at] = 9;
-    let mut long = good.clone();
-    long.push(0);
-    // A length inside the message that promises more than there is.
-    let mut lies = good.clone();
-    lies[2..6].copy_from_slice(&u32::MAX.to_le_bytes());
+    let encoded = message.encode().unwrap();
+    assert_eq!(Envelope::decode(&encoded).unwrap(), message);
+    let mut other_version = encoded.clone();
+    other_version[0] = 1;
+    let mut unknown_body = encoded.clone();
+    let tag_offset = unknown_body.len() - 8;
+    unknown_body[tag_offset] = 9;
+    let mut trailing_byte = encoded.clone();
+    trailing_byte.push(0);
+    // The length of the sender's name exceeds the message.
+    let mut excessive_length = encoded.clone();
+    excessive_length[2..6].copy_from_slice(&u32::MAX.to_le_bytes());
     let cases = [
         ("empty", vec![]),
-        ("truncated", good[..good.len() - 1].to_vec()),
-        ("half a version", good[..1].to_vec()),
-        ("trailing byte", long),
-        ("another version", newer),
-        ("unknown body", tag),
-        ("lying length", lies),
+        ("truncated", encoded[..encoded.len() - 1].to_vec()),
+        ("half a version", encoded[..1].to_vec()),
+        ("trailing byte", trailing_byte),
+        ("another version", other_version),
+        ("unknown body", unknown_body),
+        ("excessive length", excessive_length),
         ("oversized", vec![0; MAX_MESSAGE_BYTES + 1]),
     ];
     for (name, bytes) in cases {
@@ -48,15 +48,15 @@
     assert!(Envelope { body, ..message }.encode().is_err());
 }
 
-/// A message goes out under the oldest version that has its body, so that
-/// controllers of the first release understand all that they ever did.
+/// A message is sent with the oldest version that has its body, so that controllers of
+/// the first release can decode all that they support.
 #[test]
-fn bodies_have_the_oldest_version_that_knows_them() {
-    let over = Body::JobEnded {
+fn message_has_the_oldest_version_that_supports_its_body() {
+    let ended = Body::JobEnded {
         id: "j-1".to_owned(),
         cancelled: true,
     };
-    let needed = Body::InheritPriority {
+    let inherited = Body::InheritPriority {
         id: "j-1".to_owned(),
         priority: 2,
     };
@@ -64,7 +64,7 @@
         writes: 1,
         requests: 2,
     };
-    for (body, version) in [(over, 6), (needed, 6), (grant, 5)] {
+    for (body, version) in [(ended, 6), (inherited, 6), (grant, 5)] {
         assert_eq!(body.version(), version);
         let message = Envelope {
             version,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,31 +1,39 @@
-//! The settings file that the platform hands to every controller.
+//! The settings file that the platform hands to every controller, in TOML.
+//!
+//! Each struct stands for a table of the file and is named after it: [`Limits`] is
+//! `[cluster.limits]`, [`Team`] an element of `[[cluster.teams]]`. Times are in seconds
+//! unless a name says otherwise; rates are per second.
+
+mod validation;
 
 use crate::ids::NodeName;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
+pub use validation::FieldProblem;
+
 /// The whole file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Settings {
-    /// This controller.
+    /// Name of this controller.
     #[serde(rename = "host_name")]
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of this controller.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Where users, workers and probes come in.
+    /// Address at which users, workers and health probes connect (HTTP).
     #[serde(rename = "bind")]
     pub listen: SocketAddr,
-    /// Where the other controllers come in.
+    /// Address at which the other controllers connect.
     #[serde(rename = "cluster_listen")]
     pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Cloud and state service.
+    /// Addresses of the cloud and the state service.
     #[serde(rename = "external")]
     pub services: Services,
-    /// What all controllers share.
+    /// Settings that are the same for all controllers.
     #[serde(rename = "cluster")]
     pub cluster: Cluster,
 }
@@ -39,21 +47,23 @@
     /// Its zone.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Its `cluster_listen`.
+    /// Its [`Settings::peer_listen`].
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
-/// Where the regional services are.
+/// Addresses of the regional services.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Services {
     /// The cloud.
+    #[serde(rename = "cloud")]
     pub cloud: SocketAddr,
-    /// The state service.
+    /// The state service, a consensus-backed key-value store.
+    #[serde(rename = "state")]
     pub state: SocketAddr,
 }
 
-/// What all controllers share.
+/// Settings that are the same for all controllers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Cluster {
     /// Number of controllers.
@@ -62,16 +72,16 @@
     /// All zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound on the error of the time of day.
+    /// Bound on the error of the wall clock, in milliseconds.
     #[serde(rename = "time_bound_ms", default)]
     pub clock_off_ms: f64,
-    /// Teams.
+    /// Quotas of the teams.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// What users expect of each class.
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
+    /// Timing of the workers.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
@@ -81,95 +91,105 @@
     pub limits: Limits,
 }
 
-/// A team's guarantee and limit.
+/// Quota of a team: what it is guaranteed and what it may use at most.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
     /// Guaranteed CPUs.
-    #[serde(default)]
+    #[serde(rename = "cpus", default)]
     pub cpus: f64,
-    /// Most CPUs; 0: none.
-    #[serde(default)]
+    /// Maximum CPUs; 0: no limit.
+    #[serde(rename = "cpus_max", default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
-    #[serde(default)]
+    #[serde(rename = "gpus", default)]
     pub gpus: f64,
-    /// Most GPUs; 0: none.
-    #[serde(default)]
+    /// Maximum GPUs; 0: no limit.
+    #[serde(rename = "gpus_max", default)]
     pub gpus_max: f64,
 }
 
-/// What users expect of a class.
+/// A service-level objective.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Objective {
     /// `wait`, `finished` or `guarantee`; others are ignored.
     pub kind: String,
-    /// The class, where it is meant for one.
+    /// Class of jobs that it applies to; none: all.
     #[serde(default)]
     pub class: Option<String>,
-    /// Within which time.
+    /// Time within which it is to be met, in seconds.
     #[serde(default)]
     pub within_s: f64,
-    /// For which share.
-    #[serde(default)]
+    /// Fraction of the cases in which it is to be met, from 0 to 1.
+    #[serde(rename = "share", default)]
     pub share: f64,
 }
 
-/// Times of the workers.
+/// Timing of the workers, in seconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Workers {
-    /// Between two reports.
+    /// Interval between two heartbeats.
+    #[serde(rename = "report_s")]
     pub report_s: f64,
-    /// Without an answered report a worker kills its tasks after this.
+    /// Lease of a worker: without an answered heartbeat it stops its tasks after this time.
+    #[serde(rename = "lease_s")]
     pub lease_s: f64,
-    /// A gang that is not complete by then gives up.
+    /// Timeout for a gang to become complete.
+    #[serde(rename = "gang_wait_s")]
     pub gang_wait_s: f64,
-    /// Within this a gang notices that a task is gone.
+    /// Time within which a gang detects that one of its tasks exited.
+    #[serde(rename = "gang_peer_s")]
     pub gang_peer_s: f64,
-    /// Within this the tasks of a cancelled job must be gone.
+    /// Time within which the tasks of a cancelled job must have exited.
+    #[serde(rename = "cancel_s")]
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers together.
+    /// Requests per second, of all controllers together.
+    #[serde(rename = "rps")]
     pub rps: f64,
-    /// Changes a second, of all controllers together.
+    /// Changes per second, of all controllers together.
+    #[serde(rename = "write_rps")]
     pub write_rps: f64,
-    /// Largest value.
+    /// Maximum size of a value, in KiB.
+    #[serde(rename = "value_kb")]
     pub value_kb: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
+    #[serde(rename = "txn_ops")]
     pub txn_ops: usize,
     /// Limits that come into force some time after an upgrade, without notice.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
 }
 
-/// Announced limits of the state service; a limit that is left out stays.
+/// Announced limits of the state service; a limit that is absent does not change.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct NextStateLimits {
-    /// Requests a second, of all controllers together.
-    #[serde(default)]
+    /// Requests per second, of all controllers together.
+    #[serde(rename = "rps", default)]
     pub rps: Option<f64>,
-    /// Changes a second, of all controllers together.
-    #[serde(default)]
+    /// Changes per second, of all controllers together.
+    #[serde(rename = "write_rps", default)]
     pub write_rps: Option<f64>,
-    /// Largest value.
-    #[serde(default)]
+    /// Maximum size of a value, in KiB.
+    #[serde(rename = "value_kb", default)]
     pub value_kb: Option<f64>,
-    /// Most changes in a transaction.
-    #[serde(default)]
+    /// Maximum number of changes in a transaction.
+    #[serde(rename = "txn_ops", default)]
     pub txn_ops: Option<usize>,
 }
 
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
+    #[serde(rename = "rps")]
     pub rps: f64,
-    /// Usual lag of the machine list.
+    /// Typical staleness of the machine list, in seconds.
     #[serde(default)]
     pub list_lag_s: f64,
 }
@@ -177,115 +197,44 @@
 /// Limits of this process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Limits {
-    /// Share of a core.
+    /// Fraction of a CPU core.
     #[serde(rename = "cpu")]
     pub cpu_share: f64,
-    /// Memory.
+    /// Memory, in MB.
     #[serde(rename = "mem_mb")]
     pub memory_mb: f64,
-    /// Sockets.
+    /// Open sockets.
     #[serde(rename = "sockets")]
     pub sockets: usize,
 }
 
-/// A shard changes hands, and a job ends, in this many changes at once.
-const TXN_OPS_LEAST: usize = 4;
-
 /// Why settings are refused.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// Not TOML, or a field is missing or of another type.
+    /// The text is not TOML, or a field is missing or of another type.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
-    /// A field is out of its range.
+    /// The value of a field is not allowed.
     #[error("`{field}` {problem}")]
     Field {
-        /// The field, with its path.
+        /// Path of the field, as in `cluster.teams[0].cpus`.
         field: String,
-        /// What is wrong with it.
-        problem: &'static str,
+        /// What is wrong with the value.
+        problem: FieldProblem,
     },
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Parses and validates the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`], for the first field that is refused.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text)?;
-        settings.check()?;
+        validation::validate(&settings)?;
         Ok(settings)
     }
-
-    fn check(&self) -> Result<(), SettingsError> {
-        let c = &self.cluster;
-        let positive = [
-            ("cluster.workers.report_s", c.workers.report_s),
-            ("cluster.workers.lease_s", c.workers.lease_s),
-            ("cluster.workers.gang_wait_s", c.workers.gang_wait_s),
-            ("cluster.workers.gang_peer_s", c.workers.gang_peer_s),
-            ("cluster.workers.cancel_s", c.workers.cancel_s),
-            ("cluster.state.rps", c.state.rps),
-            ("cluster.state.write_rps", c.state.write_rps),
-            ("cluster.state.value_kb", c.state.value_kb),
-            ("cluster.cloud.rps", c.cloud.rps),
-            ("cluster.limits.cpu", c.limits.cpu_share),
-            ("cluster.limits.mem_mb", c.limits.memory_mb),
-        ];
-        let next = c.state.next.clone().unwrap_or_default();
-        let announced = [
-            ("cluster.state.next.rps", next.rps),
-            ("cluster.state.next.write_rps", next.write_rps),
-            ("cluster.state.next.value_kb", next.value_kb),
-        ];
-        let announced = announced.iter().filter_map(|(f, v)| Some((*f, (*v)?)));
-        let wrong = |field: &str, problem| SettingsError::Field {
-            field: field.to_owned(),
-            problem,
-        };
-        for (field, value) in positive.into_iter().chain(announced) {
-            if !(value.is_finite() && value > 0.0) {
-                return Err(wrong(field, "must be above 0"));
-            }
-        }
-        if c.nodes == 0 {
-            return Err(wrong("cluster.initial_size", "must be above 0"));
-        }
-        let operations = [
-            ("cluster.state.txn_ops", Some(c.state.txn_ops)),
-            ("cluster.state.next.txn_ops", next.txn_ops),
-        ];
-        for (field, value) in operations {
-            if value.is_some_and(|n| n < TXN_OPS_LEAST) {
-                return Err(wrong(field, "must be at least 4"));
-            }
-        }
-        if c.limits.sockets < 32 {
-            return Err(wrong("cluster.limits.sockets", "must be at least 32"));
-        }
-        if self.node.as_str().is_empty() {
-            return Err(wrong("host_name", "must not be empty"));
-        }
-        for (i, peer) in self.peers.iter().enumerate() {
-            if peer.node == self.node {
-                let field = format!("peers[{i}].host_name");
-                return Err(wrong(&field, "is this controller's own name"));
-            }
-        }
-        for (i, team) in c.teams.iter().enumerate() {
-            let amounts = [
-                ("cpus", team.cpus),
-                ("cpus_max", team.cpus_max),
-                ("gpus", team.gpus),
-                ("gpus_max", team.gpus_max),
-            ];
-            for (name, value) in amounts {
-                if !(value.is_finite() && value >= 0.0) {
-                    let field = format!("cluster.teams[{i}].{name}");
-                    return Err(wrong(&field, "must not be negative"));
-                }
-            }
-        }
-        Ok(())
-    }
 }
 
 #[cfg(test)]
--- a/crates/wire/src/settings/tests.rs
+++ b/crates/wire/src/settings/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-const GOOD: &str = include_str!("../../../../examples/settings.toml");
+const VALID: &str = include_str!("../../../../examples/settings.toml");
 
 #[test]
-fn wrong_settings_are_refused_with_the_name_of_the_field() {
-    assert!(Settings::parse(GOOD).is_ok());
+fn invalid_setting_is_refused_with_the_path_of_its_field() {
+    assert!(Settings::parse(VALID).is_ok());
     let cases = [
         (
             "report_s = 1.0",
@@ -49,10 +49,10 @@
         ("state = \"127.0.0.1:2379\"", "", "state"),
     ];
     for (old, new, field) in cases {
-        assert!(GOOD.contains(old), "{old}");
-        let text = GOOD.replacen(old, new, 1);
+        assert!(VALID.contains(old), "{old}");
+        let text = VALID.replacen(old, new, 1);
         match Settings::parse(&text) {
-            Ok(_) => panic!("{new:?} was taken for {old:?}"),
+            Ok(_) => panic!("{new:?} was accepted for {old:?}"),
             Err(e) => assert!(e.to_string().contains(field), "{new:?}: {e}"),
         }
     }
@@ -60,20 +60,20 @@
 
 #[test]
 fn unknown_fields_are_ignored() {
-    let text = format!("later = 1\n{GOOD}\n[cluster.more]\nx = [1, 2]\n");
+    let text = format!("later = 1\n{VALID}\n[cluster.more]\nx = [1, 2]\n");
     assert!(Settings::parse(&text).is_ok());
 }
 
-/// Limits that are announced are optional, each of them.
+/// Each announced limit is optional, and so is the whole table.
 #[test]
-fn announced_limits_may_be_left_out() {
-    let from = GOOD.find("[cluster.state.next]").expect("it is there");
-    let to = from + GOOD[from..].find("\n\n").expect("it ends");
-    let without = format!("{}{}", &GOOD[..from], &GOOD[to..]);
-    let settings = Settings::parse(&without).expect("good settings");
+fn announced_limits_are_optional() {
+    let start = VALID.find("[cluster.state.next]").expect("the table");
+    let end = start + VALID[start..].find("\n\n").expect("the end of the table");
+    let without_table = format!("{}{}", &VALID[..start], &VALID[end..]);
+    let settings = Settings::parse(&without_table).expect("valid settings");
     assert!(settings.cluster.state.next.is_none());
-    let some = GOOD.replacen("write_rps = 20.0\n", "", 1);
-    let settings = Settings::parse(&some).expect("good settings");
+    let without_limit = VALID.replacen("write_rps = 20.0\n", "", 1);
+    let settings = Settings::parse(&without_limit).expect("valid settings");
     let next = settings.cluster.state.next.expect("announced limits");
     assert_eq!((next.write_rps, next.txn_ops), (None, Some(4)));
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,4 +1,8 @@
-//! The state service.
+//! Messages of the state service, a consensus-backed key-value store.
+//!
+//! The store has one revision, which grows with each change. A record's *version* is the
+//! revision of its last change. Writes are compare-and-swap transactions over several keys;
+//! a key may be bound to a lease, at whose expiry the store removes it.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,7 +10,7 @@
 /// A record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
-    /// Its key; absent where one key was asked for.
+    /// Its key; empty in the response to a read of a single key.
     #[serde(default)]
     pub key: String,
     /// Its value.
@@ -17,7 +21,7 @@
     pub version: u64,
 }
 
-/// Answer of a listing.
+/// One page of the response to a listing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
     /// Records in the order of their keys.
@@ -25,17 +29,17 @@
     /// Whether there is another page.
     #[serde(rename = "has_next", default)]
     pub has_next: bool,
-    /// The store's revision.
+    /// Revision of the store.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
-/// Condition of a transaction.
+/// Condition of a transaction on one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
     /// The key.
     pub key: String,
-    /// The version it must have; 0: it must not exist.
+    /// Version that the key must have; 0: the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -51,7 +55,7 @@
         /// The value.
         #[serde(rename = "data")]
         value: Value,
-        /// The lease that the key lives on.
+        /// Lease that the key is bound to.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -63,7 +67,7 @@
 }
 
 impl Write {
-    /// Sets a value that lives on no lease.
+    /// A write of a value that is bound to no lease.
     pub fn put(key: String, value: Value) -> Self {
         Self::Put {
             put: key,
@@ -81,56 +85,56 @@
     }
 }
 
-/// Body of `POST /txn`.
+/// Body of `POST /txn`, a compare-and-swap over several keys.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// All must hold.
+    /// Preconditions, all of which must hold.
     #[serde(rename = "if", default)]
     pub preconditions: Vec<Precondition>,
-    /// Carried out together.
+    /// Changes, applied together or not at all.
     #[serde(rename = "writes", default, skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
 }
 
-/// Answer of `POST /txn`, and of a read that finds nothing.
+/// Response to `POST /txn`, and to a read that finds nothing.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct TransactionReply {
-    /// The store's revision.
+    /// Revision of the store.
     #[serde(rename = "ledger_rev", default)]
     pub revision: u64,
-    /// Keys whose conditions did not hold.
+    /// Keys whose preconditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// Body of `POST /grants`.
+/// Body of `POST /grants`, the request of a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// How long the lease lives without an extension.
+    /// Time to live of the lease without a renewal, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// Answer of `POST /grants`.
+/// Response to `POST /grants`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// The lease.
+    /// Identifier of the lease.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
 
-/// Answer of `GET /changes`.
+/// Response to `GET /changes`, the long poll of a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Changes {
-    /// The store's revision.
+    /// Revision of the store.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// All changes since the revision that was asked for.
+    /// All changes since the revision that was requested, in order.
     #[serde(rename = "news", default)]
     pub events: Vec<Change>,
 }
 
-/// One change.
+/// One change of a record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,25 +1,31 @@
-//! Users and controllers: submissions and questions about them.
+//! Messages between users and controllers: submissions and status queries.
+
+mod validation;
 
 use crate::ids::JobId;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeSet;
 
+pub use validation::MAX_TASKS_PER_JOB;
+
 /// A job as its user submits it.
+///
+/// The name of this type is shown to users: a refusal may contain `expected struct JobSpec`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id, chosen by its user.
+    /// Identifier of the job, chosen by its user; it makes a repeated submission idempotent.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// Class of jobs that it belongs to.
+    /// Class of the job, to which service-level objectives apply.
     #[serde(rename = "roster")]
     pub class: String,
-    /// Team that pays.
+    /// Team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: String,
     /// Array, gang or service.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Its priority.
+    /// Scheduling priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// Number of tasks.
@@ -30,39 +36,39 @@
     /// GPUs of each task.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory of each task.
+    /// Memory of each task, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// The image that a machine needs first.
+    /// Image that a machine must hold before a task runs.
     #[serde(rename = "kit")]
     pub image: String,
-    /// The image's size.
+    /// Size of the image, in GB.
     pub image_gb: f64,
     /// Allowed machine types; none: any.
     #[serde(rename = "rigs", default)]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; none: any.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must be in one zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The owner's estimate of the run time of a task, in seconds.
     #[serde(rename = "expect_s")]
     pub estimate_s: f64,
-    /// Progress after which a running task saves by itself; 0: never.
+    /// Interval between the checkpoints of a running task, in seconds; 0: no checkpoints.
     #[serde(rename = "bookmark_s")]
     pub checkpoint_s: f64,
-    /// Time a task needs for saving when it is stopped.
+    /// Time that a task needs for saving a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub save_s: f64,
-    /// When the job should be complete, from its submission on.
+    /// Time from the submission until the job should be complete, in seconds.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this one starts.
@@ -75,107 +81,80 @@
     pub dependencies: Vec<JobId>,
 }
 
+/// Deserializes a list for which `null` stands for the empty one.
 fn null_as_empty<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
     let list: Option<Vec<JobId>> = Option::deserialize(deserializer)?;
     Ok(list.unwrap_or_default())
 }
 
-/// The kinds of jobs.
+/// Kind of a job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks.
     #[serde(rename = "batch")]
     Array,
-    /// All tasks run at the same time, or none does.
+    /// Gang scheduling: all tasks run at the same time, or none does.
     #[serde(rename = "group")]
     Gang,
-    /// Tasks run until the job is cancelled.
+    /// Tasks that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
 
-/// Priorities, the highest last.
+/// Scheduling priority; the variants are ordered from the lowest to the highest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Priority {
-    /// Waits for everything else.
+    /// Runs when nothing else waits.
     #[serde(rename = "idle")]
     Low,
-    /// The usual one.
+    /// The default.
     #[serde(rename = "standard")]
     Normal,
-    /// Before the usual one.
+    /// Before [`Priority::Normal`].
     #[serde(rename = "urgent")]
     High,
-    /// Before everything else.
+    /// Before all others.
     #[serde(rename = "production")]
     Production,
 }
 
-/// The most tasks that a job may have.
-pub const TASKS_MOST: u32 = 100_000;
-
-/// What a submission cannot be read for.
+/// Why a submission is refused. The texts are part of the response to the user.
 #[derive(Debug, thiserror::Error)]
-pub enum BadSubmission {
-    /// Not the JSON that is expected.
+pub enum SubmissionError {
+    /// The body is not JSON of the expected form.
     #[error("not a submission: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field is out of its range.
-    #[error("`{0}` is out of its range")]
-    Range(&'static str),
+    /// The value of a field is outside its range.
+    #[error("`{field}` is out of its range")]
+    OutOfRange {
+        /// Name of the field on the wire.
+        field: &'static str,
+    },
 }
 
 impl JobSpec {
-    /// Reads a submission and checks every field. A dependency that is named
-    /// several times counts once.
-    pub fn parse(body: &[u8]) -> Result<Self, BadSubmission> {
+    /// Parses a submission and validates every field. A dependency that is named several
+    /// times is kept once.
+    ///
+    /// # Errors
+    ///
+    /// [`SubmissionError`], for the first field that is refused.
+    pub fn parse(body: &[u8]) -> Result<Self, SubmissionError> {
         let mut spec: Self = serde_json::from_slice(body)?;
-        spec.check()?;
+        validation::validate(&spec)?;
         let mut seen = BTreeSet::new();
         spec.dependencies.retain(|id| seen.insert(id.clone()));
         Ok(spec)
     }
-
-    fn check(&self) -> Result<(), BadSubmission> {
-        let amount = |x: f64| x.is_finite() && (0.0..1e9).contains(&x);
-        let text = |s: &str| !s.is_empty() && s.len() <= 200;
-        let is_id = |id: &JobId| JobId::parse(id.as_str()).is_some();
-        let rules: [(&'static str, bool); 15] = [
-            ("uid", is_id(&self.id)),
-            ("awaits", self.dependencies.iter().all(is_id)),
-            ("roster", text(&self.class)),
-            ("crew", text(&self.team)),
-            ("shifts", (1..=TASKS_MOST).contains(&self.tasks)),
-            ("cpus", amount(self.cpus)),
-            ("accelerators", amount(self.gpus)),
-            ("mem_gb", amount(self.memory_gb)),
-            ("kit", text(&self.image)),
-            ("image_gb", amount(self.image_gb)),
-            ("expect_s", amount(self.estimate_s)),
-            ("bookmark_s", amount(self.checkpoint_s)),
-            ("stow_s", amount(self.save_s)),
-            ("due_s", self.deadline_s.is_none_or(amount)),
-            (
-                "rigs",
-                self.types
-                    .as_ref()
-                    .is_none_or(|t| !t.is_empty() && t.iter().all(|n| text(n))),
-            ),
-        ];
-        match rules.iter().find(|(_, good)| !good) {
-            Some((field, _)) => Err(BadSubmission::Range(field)),
-            None => Ok(()),
-        }
-    }
 }
 
-/// Where a job stands.
+/// Lifecycle stage of a job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum JobStage {
-    /// Accepted; no task runs.
+    /// Accepted; no task is running.
     #[serde(rename = "pending")]
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
@@ -187,32 +166,32 @@
 }
 
 impl JobStage {
-    /// Whether this is the job's last stage.
+    /// Whether the job can't leave this stage any more.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled)
     }
 }
 
-/// Answer about a job.
+/// Response to a status query.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// Where it stands.
+    /// Its lifecycle stage.
     pub stage: JobStage,
-    /// Tasks that are done.
+    /// Number of tasks that are done; absent if not known to the controller.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
-    /// Tasks that run.
+    /// Number of tasks that are running; absent likewise.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
 
-/// Body of an answer that refuses.
+/// Body of a response with an error status.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Human-readable reason.
     pub error: String,
 }
 
--- a/crates/wire/src/users/tests.rs
+++ b/crates/wire/src/users/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn submissions_are_checked_field_by_field() {
+fn submission_with_an_invalid_field_is_refused() {
     assert!(JobSpec::parse(sample().to_string().as_bytes()).is_ok());
     let cases = [
         ("uid", json!("x-1")),
@@ -60,10 +60,9 @@
     }
 }
 
-/// Whatever stands for an empty list is one; a job that is named twice counts
-/// once; and a submission without a list is written as it ever was.
+/// `null` and `[]` are both the empty list, which is not encoded; duplicates are removed.
 #[test]
-fn lists_of_dependencies_are_read_and_written() {
+fn dependencies_are_deduplicated_and_an_empty_list_is_omitted() {
     let cases = [
         (json!(null), vec![]),
         (json!([]), vec![]),
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,107 +1,114 @@
-//! Workers and controllers: reports, commands and their answers.
+//! Messages between a worker, the agent on a machine, and the controllers: heartbeats,
+//! commands and their replies.
+//!
+//! A worker sends a [`WorkerHeartbeat`] periodically and as the response to a
+//! [`CommandRequest`]. A controller that may not command the worker answers with a
+//! [`Redirect`]. Two numbers protect against stale messages: the *fencing token*, which
+//! grows whenever another controller takes over the machine, and the worker's
+//! *incarnation*, which grows whenever the worker has lost its lease and its tasks.
 
 use crate::ids::{MachineId, TaskRef};
 use serde::{Deserialize, Serialize};
 
-/// What a worker says of itself, unasked or in answer to commands.
+/// Status of a worker, sent periodically and in response to commands.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// The machine the worker runs on.
+    /// The machine that the worker runs on.
     #[serde(rename = "berth")]
     pub machine: MachineId,
-    /// Where the worker takes commands.
+    /// Socket address at which the worker accepts commands.
     pub addr: String,
-    /// Type of the machine.
+    /// Machine type, as named by the catalog.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the cloud may take the machine back.
+    /// Whether this is a spot machine, which the cloud may reclaim.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// The worker's incarnation; a new one begins when its lease runs out.
+    /// Incarnation of the worker; a new one begins when its lease expires.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Orders the messages of one incarnation.
+    /// Sequence number of the message within the incarnation.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest token that the worker has seen.
+    /// Highest fencing token that the worker has seen; 0: none.
     #[serde(rename = "baton", default)]
     pub token: u64,
-    /// Seconds until the cloud takes the machine away.
+    /// Seconds until the cloud reclaims the machine, once it has given notice.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, including exited ones that are not forgotten yet.
     #[serde(rename = "shifts", default)]
     pub tasks: Vec<TaskReport>,
-    /// The images on the machine, of a worker that takes [`CommandRequest::prefetch`];
-    /// others leave it out.
+    /// Images on the machine. Present only if the worker supports
+    /// [`CommandRequest::prefetch`].
     #[serde(rename = "kits", default, skip_serializing_if = "Option::is_none")]
     pub images: Option<HeldImages>,
 }
 
-/// The images on a machine. An extension of the protocol: a worker that reports them
-/// also fetches images before any task needs them.
+/// Images on a machine. This is an extension of the protocol: a worker that sends it can
+/// also fetch images before a task needs them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldImages {
-    /// Those that are there, whole.
+    /// Images that are complete.
     pub held: Vec<String>,
-    /// Those that are being fetched.
+    /// Images that are being fetched.
     #[serde(default)]
     pub fetching: Vec<String>,
 }
 
-/// One task, as its worker sees it.
+/// Status of one task, as its worker reports it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The task.
     #[serde(rename = "shift")]
     pub task: TaskRef,
-    /// Its attempt.
+    /// Number of the attempt that is on this machine.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How far it is.
+    /// Lifecycle stage.
     #[serde(rename = "stage")]
     pub stage: TaskStage,
-    /// Why it ended.
+    /// Why the task exited; absent unless it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Whether its progress was saved.
+    /// Whether a checkpoint was saved before the task exited.
     #[serde(rename = "stored", default)]
     pub saved: bool,
 }
 
-/// How far a task on a machine is.
+/// Lifecycle stage of a task on a machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum TaskStage {
-    /// Waits for its image.
+    /// Waiting for its image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Waits for the other tasks of its gang.
+    /// Waiting for the other tasks of its gang to start.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Runs.
+    /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves.
+    /// Stopping: saves a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended.
+    /// Exited.
     #[serde(rename = "exited")]
     Exited,
 }
 
-/// Why a task ended.
+/// Why a task exited, or why its start was refused.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum ExitCause {
     /// Completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of its gang exited.
     #[serde(rename = "peers")]
     GangMemberLost,
     /// Its gang was not complete in time.
@@ -110,10 +117,10 @@
     /// Failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: no room on the machine.
+    /// Refused: the machine lacks free resources.
     #[serde(rename = "full")]
     NoRoom,
-    /// Refused: the machine has another attempt of it.
+    /// Refused: the machine has another attempt of the task.
     #[serde(rename = "in_use")]
     InUse,
     /// Refused: no such job or task.
@@ -121,32 +128,32 @@
     UnknownTask,
 }
 
-/// A command to a worker.
+/// A command to a worker, about one task.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Command {
-    /// What is to be done.
+    /// The action.
     pub verb: Verb,
-    /// To which task.
+    /// The task that it applies to.
     #[serde(rename = "shift")]
     pub task: TaskRef,
-    /// In which attempt.
+    /// The attempt that it applies to.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Seconds a stopped task has for saving.
+    /// Seconds that a stopped task has for saving a checkpoint.
     #[serde(rename = "leave_s", skip_serializing_if = "Option::is_none", default)]
     pub grace_s: Option<f64>,
 }
 
-/// The commands.
+/// Action of a command.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Verb {
-    /// Fetch the image and run.
+    /// Fetch the image and run the task.
     #[serde(rename = "start")]
     Start,
-    /// Save and exit.
+    /// Save a checkpoint and exit.
     #[serde(rename = "kill")]
     Stop,
-    /// Leave the exited task out of the reports.
+    /// Leave the exited task out of further heartbeats.
     #[serde(rename = "forget")]
     Forget,
 }
@@ -154,47 +161,46 @@
 /// Body of `POST /commands`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// Token that entitles to give commands.
+    /// Fencing token; the worker refuses one that is lower than the highest it has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The incarnation that the commands are meant for.
+    /// Incarnation of the worker that the commands are meant for.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Executed in this order.
+    /// The commands, in the order of their execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
-    /// Images to be fetched, and kept like those of a task that has just ended. Sent only
-    /// to workers that report [`Report::images`]; harmless however often and late it
-    /// arrives.
+    /// Images to fetch, and to keep like those of a task that has just exited. Sent only
+    /// to workers that send [`WorkerHeartbeat::images`]. Idempotent, and harmless when late.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub prefetch: Vec<Prefetch>,
 }
 
-/// An image to be fetched before any task needs it.
+/// An image to fetch before a task needs it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Prefetch {
     /// The image.
     #[serde(rename = "kit")]
     pub image: String,
-    /// Its size.
+    /// Size of the image, in GB.
     pub image_gb: f64,
 }
 
-/// Answer to a report that is accepted.
+/// Response to a heartbeat that was accepted; it extends the worker's lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Token that entitles to give commands.
+    /// Fencing token; the worker refuses one that is lower than the highest it has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Executed in this order.
+    /// The commands, in the order of their execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Answer to a report that another controller should get.
+/// Response to a heartbeat that belongs to another controller.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Redirect {
-    /// That controller, where it is known.
+    /// Address of that controller; absent if it is not known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
     pub report_to: Option<String>,
 }
--- a/crates/wire/src/workers/tests.rs
+++ b/crates/wire/src/workers/tests.rs
@@ -3,24 +3,24 @@
 use super::*;
 
 #[test]
-fn a_report_is_read_as_the_protocol_writes_it() {
+fn heartbeat_is_decoded_from_protocol_field_names() {
     let text = r#"{"berth":"host-000231","addr":"10.1.0.232:9000","rig":"g8","yard":"a","loaner":true,
         "watch":1,"tally":88,"baton":41,"recall_s":null,"news":{"x":1},
         "shifts":[{"shift":"j-000412/3","try":2,"stage":"running"},
                   {"shift":"j-000398/0","try":1,"stage":"exited","cause":"stopped","stored":true}]}"#;
-    let report: WorkerHeartbeat = serde_json::from_str(text).unwrap();
+    let heartbeat: WorkerHeartbeat = serde_json::from_str(text).unwrap();
     assert_eq!(
-        (report.incarnation, report.sequence, report.token),
+        (heartbeat.incarnation, heartbeat.sequence, heartbeat.token),
         (1, 88, 41)
     );
-    assert!(report.spot && report.notice_s.is_none());
-    assert_eq!(report.tasks[0].stage, TaskStage::Running);
-    assert_eq!(report.tasks[1].cause, Some(ExitCause::Stopped));
-    assert!(report.tasks[1].saved);
+    assert!(heartbeat.spot && heartbeat.notice_s.is_none());
+    assert_eq!(heartbeat.tasks[0].stage, TaskStage::Running);
+    assert_eq!(heartbeat.tasks[1].cause, Some(ExitCause::Stopped));
+    assert!(heartbeat.tasks[1].saved);
 }
 
 #[test]
-fn commands_are_written_in_the_platform_s_words() {
+fn command_is_encoded_with_protocol_field_names() {
     let command = Command {
         verb: Verb::Stop,
         task: "j-000377/1".parse().unwrap(),
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden bytes of all that this crate encodes: they must never change.
 //!
-//! Each fixture file has a line `name<TAB>bytes` for each case. The values are built
-//! here, are encoded, are read back, and give the same bytes again.
+//! Each fixture file has a line `name<TAB>bytes` for each case. A value is encoded, decoded
+//! and encoded again, and both encodings are compared with the fixture.
 
 use forkshift_wire::cloud::*;
 use forkshift_wire::peer::*;
@@ -14,32 +14,39 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// A name and the bytes that belong to it.
+/// Name of a case and its encoding.
 type Case = (&'static str, String);
 
 /// Compares all cases with all lines of a fixture file, in order.
 fn compare(fixture: &str, cases: &[Case]) {
-    let line = |(name, bytes): &Case| format!("{name}\t{bytes}\n");
-    let text: String = cases.iter().map(line).collect();
+    let to_line = |(name, bytes): &Case| format!("{name}\t{bytes}\n");
+    let text: String = cases.iter().map(to_line).collect();
     let only_in = |one: &str, other: &str, sign: &str| -> String {
         let lines = one.lines().filter(|l| !other.lines().any(|o| o == *l));
         lines.map(|l| format!("{sign}{l}\n")).collect()
     };
-    let lost = only_in(fixture, &text, "-");
-    let new = only_in(&text, fixture, "+");
-    assert!(text == fixture, "other bytes than before:\n{lost}{new}");
+    let missing = only_in(fixture, &text, "-");
+    let added = only_in(&text, fixture, "+");
+    assert!(
+        text == fixture,
+        "other bytes than before:\n{missing}{added}"
+    );
 }
 
-/// A value that is written and read.
-fn both<T: Serialize + DeserializeOwned>(name: &'static str, value: &T) -> Case {
+/// Encodes a value; checks that decoding and encoding again gives the same bytes.
+fn round_trip<T: Serialize + DeserializeOwned>(name: &'static str, value: &T) -> Case {
     let bytes = serde_json::to_string(value).expect("JSON");
-    let back: T = serde_json::from_str(&bytes).expect(name);
-    assert_eq!(serde_json::to_string(&back).expect("JSON"), bytes, "{name}");
+    let decoded: T = serde_json::from_str(&bytes).expect(name);
+    assert_eq!(
+        serde_json::to_string(&decoded).expect("JSON"),
+        bytes,
+        "{name}"
+    );
     (name, bytes)
 }
 
-/// What is read from bytes, written again.
-fn read<T: Serialize + DeserializeOwned>(name: &'static str, bytes: &str) -> Case {
+/// Decodes bytes and encodes the value again.
+fn reencode<T: Serialize + DeserializeOwned>(name: &'static str, bytes: &str) -> Case {
     let value: T = serde_json::from_str(bytes).expect(name);
     (name, serde_json::to_string(&value).expect("JSON"))
 }
@@ -91,7 +98,7 @@
 
 #[test]
 fn users() {
-    let least = JobSpec {
+    let minimal = JobSpec {
         kind: JobKind::Array,
         priority: Priority::Normal,
         types: None,
@@ -113,35 +120,35 @@
         error: "no such job".to_owned(),
     };
     let cases = [
-        both("submission_full", &submission()),
-        both("submission_least", &least),
-        both("shape_batch", &JobKind::Array),
-        both("shape_group", &JobKind::Gang),
-        both("shape_standing", &JobKind::Service),
-        both("rank_idle", &Priority::Low),
-        both("rank_standard", &Priority::Normal),
-        both("rank_urgent", &Priority::High),
-        both("rank_production", &Priority::Production),
-        both("stage_pending", &JobStage::Queued),
-        both("stage_running", &JobStage::Running),
-        both("stage_done", &JobStage::Done),
-        both("stage_aborted", &JobStage::Cancelled),
-        both("status_full", &status(Some(3), Some(5))),
-        both("status_least", &status(None, None)),
-        both("error", &refusal),
+        round_trip("submission_full", &submission()),
+        round_trip("submission_least", &minimal),
+        round_trip("shape_batch", &JobKind::Array),
+        round_trip("shape_group", &JobKind::Gang),
+        round_trip("shape_standing", &JobKind::Service),
+        round_trip("rank_idle", &Priority::Low),
+        round_trip("rank_standard", &Priority::Normal),
+        round_trip("rank_urgent", &Priority::High),
+        round_trip("rank_production", &Priority::Production),
+        round_trip("stage_pending", &JobStage::Queued),
+        round_trip("stage_running", &JobStage::Running),
+        round_trip("stage_done", &JobStage::Done),
+        round_trip("stage_aborted", &JobStage::Cancelled),
+        round_trip("status_full", &status(Some(3), Some(5))),
+        round_trip("status_least", &status(None, None)),
+        round_trip("error", &refusal),
     ];
     compare(include_str!("golden/users.tsv"), &cases);
 }
 
-/// A body that lacks whatever may be left out.
-fn short_submission() -> serde_json::Value {
+/// A submission without any optional field.
+fn minimal_submission() -> serde_json::Value {
     json!({"uid": "j-7", "roster": "r", "crew": "c", "shape": "standing", "rank": "idle",
         "shifts": 1, "cpus": 1, "accelerators": 0, "mem_gb": 2, "kit": "k", "image_gb": 0,
         "same_place": false, "scatter": false, "loaner": false, "expect_s": 1,
         "bookmark_s": 0, "stow_s": 0})
 }
 
-/// What becomes of a body; users are told the text of an error.
+/// The parsed submission, or the text of the error, which is part of the response to users.
 fn parsed(name: &'static str, body: &str) -> Case {
     match JobSpec::parse(body.as_bytes()) {
         Ok(spec) => (name, serde_json::to_string(&spec).expect("JSON")),
@@ -150,14 +157,14 @@
 }
 
 #[test]
-fn submissions_as_they_are_read() {
+fn parsed_submissions() {
     let with = |field: &str, value: serde_json::Value| {
-        let mut body = short_submission();
+        let mut body = minimal_submission();
         body[field] = value;
         body.to_string()
     };
     let cases = [
-        parsed("fields_left_out", &short_submission().to_string()),
+        parsed("fields_left_out", &minimal_submission().to_string()),
         parsed("awaits_null", &with("awaits", json!(null))),
         parsed(
             "awaits_twice",
@@ -191,7 +198,7 @@
     compare(include_str!("golden/submissions_read.tsv"), &cases);
 }
 
-fn report() -> WorkerHeartbeat {
+fn heartbeat() -> WorkerHeartbeat {
     let ended = TaskReport {
         task: task(3),
         attempt: 2,
@@ -199,7 +206,7 @@
         cause: Some(ExitCause::Done),
         saved: true,
     };
-    let runs = TaskReport {
+    let running = TaskReport {
         task: task(4),
         attempt: 1,
         stage: TaskStage::Running,
@@ -216,7 +223,7 @@
         sequence: 12,
         token: 13,
         notice_s: Some(29.5),
-        tasks: vec![ended, runs],
+        tasks: vec![ended, running],
         images: Some(HeldImages {
             held: texts(&["train:7"]),
             fetching: texts(&["train:8"]),
@@ -249,13 +256,13 @@
 
 #[test]
 fn workers() {
-    let least = WorkerHeartbeat {
+    let minimal = WorkerHeartbeat {
         spot: false,
         token: 0,
         notice_s: None,
         tasks: Vec::new(),
         images: None,
-        ..report()
+        ..heartbeat()
     };
     let image = Prefetch {
         image: "train:8".to_owned(),
@@ -270,33 +277,33 @@
     };
     let short = r#"{"berth":"m-1","addr":"a:1","rig":"big","yard":"y","watch":1,"tally":2}"#;
     let cases = [
-        both("report_full", &report()),
-        both("report_least", &least),
-        read::<WorkerHeartbeat>("report_fields_left_out", short),
-        read::<TaskReport>(
+        round_trip("report_full", &heartbeat()),
+        round_trip("report_least", &minimal),
+        reencode::<WorkerHeartbeat>("report_fields_left_out", short),
+        reencode::<TaskReport>(
             "shift_fields_left_out",
             r#"{"shift":"j-1/0","try":1,"stage":"running"}"#,
         ),
-        both("kits_none", &HeldImages::default()),
-        read::<HeldImages>("kits_fields_left_out", r#"{"held":["a"]}"#),
-        both("stage_fetching", &TaskStage::Fetching),
-        both("stage_gathering", &TaskStage::WaitingForGang),
-        both("stage_running", &TaskStage::Running),
-        both("stage_flushing", &TaskStage::Saving),
-        both("stage_exited", &TaskStage::Exited),
-        both("cause_done", &ExitCause::Done),
-        both("cause_stopped", &ExitCause::Stopped),
-        both("cause_peers", &ExitCause::GangMemberLost),
-        both("cause_alone", &ExitCause::GangTimeout),
-        both("cause_error", &ExitCause::Error),
-        both("cause_full", &ExitCause::NoRoom),
-        both("cause_in_use", &ExitCause::InUse),
-        both("cause_no_such", &ExitCause::UnknownTask),
-        both("orders_full", &command_request(vec![image])),
-        both("orders_least", &command_request(Vec::new())),
-        both("report_accepted", &reply),
-        both("report_to_another", &redirect),
-        both("report_to_nobody", &Redirect::default()),
+        round_trip("kits_none", &HeldImages::default()),
+        reencode::<HeldImages>("kits_fields_left_out", r#"{"held":["a"]}"#),
+        round_trip("stage_fetching", &TaskStage::Fetching),
+        round_trip("stage_gathering", &TaskStage::WaitingForGang),
+        round_trip("stage_running", &TaskStage::Running),
+        round_trip("stage_flushing", &TaskStage::Saving),
+        round_trip("stage_exited", &TaskStage::Exited),
+        round_trip("cause_done", &ExitCause::Done),
+        round_trip("cause_stopped", &ExitCause::Stopped),
+        round_trip("cause_peers", &ExitCause::GangMemberLost),
+        round_trip("cause_alone", &ExitCause::GangTimeout),
+        round_trip("cause_error", &ExitCause::Error),
+        round_trip("cause_full", &ExitCause::NoRoom),
+        round_trip("cause_in_use", &ExitCause::InUse),
+        round_trip("cause_no_such", &ExitCause::UnknownTask),
+        round_trip("orders_full", &command_request(vec![image])),
+        round_trip("orders_least", &command_request(Vec::new())),
+        round_trip("report_accepted", &reply),
+        round_trip("report_to_another", &redirect),
+        round_trip("report_to_nobody", &Redirect::default()),
     ];
     compare(include_str!("golden/workers.tsv"), &cases);
 }
@@ -321,7 +328,7 @@
     let catalog = Catalog {
         types: vec![machine_type()],
     };
-    let rent = Rent {
+    let request = Rent {
         request: "r-1".to_owned(),
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
@@ -344,23 +351,23 @@
         machines: machines(&["m-1", "m-2"]),
     };
     let cases = [
-        both("catalog", &catalog),
-        read::<MachineType>(
+        round_trip("catalog", &catalog),
+        reencode::<MachineType>(
             "rig_fields_left_out",
             r#"{"name":"s","cpus":1,"mem_gb":2,"hourly":3}"#,
         ),
-        both("charter", &rent),
-        both("berths", &names),
-        both("list", &list),
-        read::<MachineList>(
+        round_trip("charter", &request),
+        round_trip("berths", &names),
+        round_trip("list", &list),
+        reencode::<MachineList>(
             "list_fields_left_out",
             r#"{"berths":[{"uid":"m","rig":"r","yard":"y","stage":"failed"}]}"#,
         ),
-        both("stage_booting", &MachineStage::Booting),
-        both("stage_running", &MachineStage::Running),
-        both("stage_failed", &MachineStage::Failed),
-        both("stage_unknown", &MachineStage::Unknown),
-        read::<MachineStage>("stage_other", r#""sunk""#),
+        round_trip("stage_booting", &MachineStage::Booting),
+        round_trip("stage_running", &MachineStage::Running),
+        round_trip("stage_failed", &MachineStage::Failed),
+        round_trip("stage_unknown", &MachineStage::Unknown),
+        reencode::<MachineStage>("stage_other", r#""sunk""#),
     ];
     compare(include_str!("golden/cloud.tsv"), &cases);
 }
@@ -413,24 +420,24 @@
         ],
     };
     let cases = [
-        both("item", &item),
-        read::<Item>("item_fields_left_out", r#"{"data":1,"stamp":2}"#),
-        both("page", &page),
-        read::<Page>("page_fields_left_out", r#"{"items":[],"ledger_rev":1}"#),
-        both("txn_full", &txn),
-        both("txn_least", &Transaction::default()),
-        read::<Transaction>("txn_fields_left_out", "{}"),
-        both("txn_reply", &reply),
-        read::<TransactionReply>("txn_reply_fields_left_out", "{}"),
-        both("grant", &LeaseRequest { ttl_ms: 4000 }),
-        both("grant_reply", &LeaseReply { lease: 7 }),
-        both("changes", &changes),
-        read::<Changes>("changes_fields_left_out", r#"{"ledger_rev":1}"#),
+        round_trip("item", &item),
+        reencode::<Item>("item_fields_left_out", r#"{"data":1,"stamp":2}"#),
+        round_trip("page", &page),
+        reencode::<Page>("page_fields_left_out", r#"{"items":[],"ledger_rev":1}"#),
+        round_trip("txn_full", &txn),
+        round_trip("txn_least", &Transaction::default()),
+        reencode::<Transaction>("txn_fields_left_out", "{}"),
+        round_trip("txn_reply", &reply),
+        reencode::<TransactionReply>("txn_reply_fields_left_out", "{}"),
+        round_trip("grant", &LeaseRequest { ttl_ms: 4000 }),
+        round_trip("grant_reply", &LeaseReply { lease: 7 }),
+        round_trip("changes", &changes),
+        reencode::<Changes>("changes_fields_left_out", r#"{"ledger_rev":1}"#),
     ];
     compare(include_str!("golden/state.tsv"), &cases);
 }
 
-/// A message in the version that its body is sent under.
+/// A message with the version that its body is sent with.
 fn message(name: &'static str, body: Body) -> Case {
     let envelope = Envelope {
         version: body.version(),
@@ -444,8 +451,8 @@
 
 fn encoded(name: &'static str, envelope: &Envelope) -> Case {
     let bytes = envelope.encode().expect("a message");
-    let back = Envelope::decode(&bytes).expect("a message");
-    assert_eq!(&back, envelope, "{name}");
+    let decoded = Envelope::decode(&bytes).expect("a message");
+    assert_eq!(&decoded, envelope, "{name}");
     let hex = bytes.iter().map(|b| format!("{b:02x}"));
     (name, hex.collect())
 }
@@ -466,14 +473,14 @@
             unsettled_machines: texts(&["m-1", "m-2"]),
         }],
     };
-    let least = PeerHeartbeat {
+    let minimal = PeerHeartbeat {
         sent_at: 100,
         acknowledged: None,
         epochs: None,
         store_refused_for_ms: None,
         settled_shards: Vec::new(),
     };
-    let answer = |retry_after_s| Body::ForwardedResponse {
+    let response = |retry_after_s| Body::ForwardedResponse {
         incarnation: 5,
         request_number: 6,
         status: 503,
@@ -486,11 +493,11 @@
         path: "/submissions".to_owned(),
         body,
     };
-    let over = |cancelled| Body::JobEnded {
+    let job_ended = |cancelled| Body::JobEnded {
         id: id(),
         cancelled,
     };
-    let need = |granted| Body::BudgetRequest {
+    let budget_request = |granted| Body::BudgetRequest {
         writes: 1500,
         requests: 2500,
         granted,
@@ -509,18 +516,18 @@
         shard: 2,
         demand: "{\"rev\":1,\"shapes\":[]}".to_owned(),
     };
-    let needed = Body::InheritPriority {
+    let inherit_priority = Body::InheritPriority {
         id: id(),
         priority: 3,
     };
-    let unheard = Body::RelayRequest {
+    let relay_request = Body::RelayRequest {
         list: 8,
         machines: texts(&["m-1", "m-2"]),
     };
-    let probe = Body::ProbeRequest {
+    let probe_request = Body::ProbeRequest {
         machines: texts(&["m-1"]),
     };
-    let probed = Body::ProbeResult {
+    let probe_result = Body::ProbeResult {
         heartbeat: b"{\"berth\":\"m-1\"}".to_vec(),
     };
     let in_version = |version| Envelope {
@@ -532,23 +539,23 @@
     };
     let cases = [
         message("00_new_job", new_job),
-        message("01_need", need(false)),
-        message("01_need_granted", need(true)),
+        message("01_need", budget_request(false)),
+        message("01_need_granted", budget_request(true)),
         message("02_grant", grant),
         message("03_demand", demand),
         message("04_cancel", Body::CancelJob { id: id() }),
         message("05_forward", forward(Some(b"{}".to_vec()))),
         message("05_forward_no_body", forward(None)),
         message("06_heartbeat_full", Body::Heartbeat(heartbeat)),
-        message("06_heartbeat_least", Body::Heartbeat(least)),
-        message("07_answer", answer(Some(1))),
-        message("07_answer_least", answer(None)),
-        message("08_job_over_done", over(false)),
-        message("08_job_over_cancelled", over(true)),
-        message("09_needed", needed),
-        message("10_unheard", unheard),
-        message("11_probe", probe),
-        message("12_probed", probed),
+        message("06_heartbeat_least", Body::Heartbeat(minimal)),
+        message("07_answer", response(Some(1))),
+        message("07_answer_least", response(None)),
+        message("08_job_over_done", job_ended(false)),
+        message("08_job_over_cancelled", job_ended(true)),
+        message("09_needed", inherit_priority),
+        message("10_unheard", relay_request),
+        message("11_probe", probe_request),
+        message("12_probed", probe_result),
         encoded("version_5", &in_version(FIRST_VERSION)),
         encoded("version_6", &in_version(FIRST_VERSION + 1)),
         encoded("version_7", &in_version(VERSION)),
@@ -557,7 +564,7 @@
 }
 
 #[test]
-fn peers_refuse_other_versions() {
+fn unsupported_peer_versions_are_refused() {
     for version in [0, FIRST_VERSION - 1, VERSION + 1] {
         let envelope = Envelope {
             version,
@@ -649,7 +656,10 @@
     let read = Settings::parse(file).expect("good settings");
     assert_eq!(toml::to_string(&full).expect("TOML"), file);
     assert_eq!(toml::to_string(&read).expect("TOML"), file);
-    let least = Settings::parse(include_str!("golden/settings_least.toml"));
-    let least = toml::to_string(&least.expect("good settings")).expect("TOML");
-    assert_eq!(least, include_str!("golden/settings_least_filled_in.toml"));
+    let minimal = Settings::parse(include_str!("golden/settings_least.toml"));
+    let minimal = toml::to_string(&minimal.expect("good settings")).expect("TOML");
+    assert_eq!(
+        minimal,
+        include_str!("golden/settings_least_filled_in.toml")
+    );
 }
