--- a/crates/net/src/bind.rs
+++ b/crates/net/src/bind.rs
@@ -4,9 +4,9 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Listens on an address, where up to `backlog` connections wait to be accepted (no more
-/// than the kernel's `net.core.somaxconn`). An attempt beyond that is repeated by the
-/// caller's kernel after a second.
+/// Listens on an address with a backlog of up to `backlog` connections (no more than the
+/// kernel's `net.core.somaxconn`). The kernel of a client that finds the backlog full
+/// repeats the attempt after a second.
 ///
 /// # Errors
 ///
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -1,10 +1,16 @@
-//! Connections between controllers: one way, each message behind its length.
+//! Links between controllers: one connection for each direction, each message behind its
+//! length as four bytes, big-endian.
+//!
+//! A [`PeerLink`] has a task that connects and sends; messages wait in its queue. [`listen`]
+//! has a task for each incoming connection. A message may be lost with its connection and
+//! is not sent again.
 
+use crate::accept::Acceptor;
 use crate::deadline;
 use crate::stream::Stream;
 use crate::Executor;
 use async_channel::{Receiver, Sender};
-use async_io::{Async, Timer};
+use async_io::Timer;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,36 +18,47 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time for connecting, and for one message to go out.
-const SEND: Duration = Duration::from_secs(2);
-/// Pause before a peer that could not be reached is tried again.
-const RETRY: Duration = Duration::from_secs(1);
-/// A peer that says nothing for so long has to connect anew.
-const IDLE: Duration = Duration::from_secs(120);
+/// Timeout for connecting and sending one message.
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after a failure before the next message is sent.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Time after which an incoming connection without any traffic is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Minimum time between two log lines about dropped messages.
+const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Least time between two log lines about messages that were dropped.
-const LOG_PAUSE: Duration = Duration::from_secs(10);
-
-/// The way to one peer. Messages that it can't take as fast as they come wait, up to a
-/// number of bytes; more are dropped and counted in the log, since nothing rests on
-/// any single one of them.
+/// Sending end of the link to one peer.
+///
+/// Messages that the peer does not accept as fast as they are sent are queued up to a
+/// number of bytes. Beyond that they are dropped, and counted in the log. The task of the
+/// link ends when this is dropped and the queue is empty.
 pub struct PeerLink {
     addr: SocketAddr,
     messages: Sender<Vec<u8>>,
-    queue: Rc<Queue>,
+    queue: Rc<QueueState>,
 }
 
-/// What waits for a peer.
-struct Queue {
+/// Accounting of the messages that wait for a peer.
+struct QueueState {
     bytes: Cell<usize>,
-    bytes_most: usize,
+    max_bytes: usize,
+    /// Messages dropped since the last log line.
     dropped: Cell<u64>,
-    logged: RefCell<Option<Instant>>,
+    last_logged_at: RefCell<Option<Instant>>,
 }
 
-impl Queue {
+impl QueueState {
+    fn new(max_bytes: usize) -> Self {
+        Self {
+            bytes: Cell::new(0),
+            max_bytes,
+            dropped: Cell::new(0),
+            last_logged_at: RefCell::new(None),
+        }
+    }
+
     fn has_room(&self, bytes: usize) -> bool {
-        self.bytes.get() + bytes <= self.bytes_most
+        self.bytes.get() + bytes <= self.max_bytes
     }
 
     fn add(&self, bytes: usize) {
@@ -52,31 +69,25 @@
         self.bytes.set(self.bytes.get() - bytes);
     }
 
-    /// Counts a dropped message, and logs how many there were now and then.
-    fn drop_one(&self, addr: SocketAddr) {
+    /// Counts a dropped message, and logs the count periodically.
+    fn on_dropped(&self, addr: SocketAddr) {
         self.dropped.set(self.dropped.get() + 1);
-        let mut logged = self.logged.borrow_mut();
-        if logged.is_none_or(|at| at.elapsed() >= LOG_PAUSE) {
-            *logged = Some(Instant::now());
-            log::warn!(
-                "{} messages to peer {addr} dropped: it is slow",
-                self.dropped.take()
-            );
+        let mut last_logged_at = self.last_logged_at.borrow_mut();
+        if last_logged_at.is_none_or(|at| at.elapsed() >= DROP_LOG_INTERVAL) {
+            *last_logged_at = Some(Instant::now());
+            let dropped = self.dropped.take();
+            log::warn!("peer {addr}: {dropped} messages dropped, its queue is full");
         }
     }
 }
 
 impl PeerLink {
-    /// Connects when there is something to say. Up to `bytes_most` bytes wait.
-    pub fn new(ex: &Executor, addr: SocketAddr, bytes_most: usize) -> Self {
+    /// A link that connects when the first message is sent, and queues up to `max_bytes`.
+    pub fn new(ex: &Executor, addr: SocketAddr, max_bytes: usize) -> Self {
         let (messages, receiver) = async_channel::unbounded();
-        let queue = Rc::new(Queue {
-            bytes: Cell::new(0),
-            bytes_most,
-            dropped: Cell::new(0),
-            logged: RefCell::new(None),
-        });
-        ex.spawn(send_all(addr, receiver, queue.clone())).detach();
+        let queue = Rc::new(QueueState::new(max_bytes));
+        ex.spawn(send_messages(addr, receiver, queue.clone()))
+            .detach();
         Self {
             addr,
             messages,
@@ -84,90 +95,91 @@
         }
     }
 
-    /// Sends a message, or drops it if the peer cannot keep up. Returns whether it will
-    /// be sent.
+    /// Queues a message, or drops it if the queue is full. Returns whether it was queued.
     pub fn send(&self, message: Vec<u8>) -> bool {
         let bytes = message.len();
-        let sent = self.queue.has_room(bytes) && self.messages.try_send(message).is_ok();
-        if sent {
+        let is_queued = self.queue.has_room(bytes) && self.messages.try_send(message).is_ok();
+        if is_queued {
             self.queue.add(bytes);
         } else {
-            self.queue.drop_one(self.addr);
+            self.queue.on_dropped(self.addr);
         }
-        sent
+        is_queued
     }
 }
 
-async fn send_all(addr: SocketAddr, messages: Receiver<Vec<u8>>, queue: Rc<Queue>) {
-    let mut stream: Option<Stream> = None;
+/// Sends queued messages, until the link is dropped.
+async fn send_messages(addr: SocketAddr, messages: Receiver<Vec<u8>>, queue: Rc<QueueState>) {
+    let mut connection: Option<Stream> = None;
     while let Ok(message) = messages.recv().await {
         queue.remove(message.len());
-        let sending = async {
-            let mut to = match stream.take() {
-                Some(s) if s.is_quiet() => s,
-                _ => Stream::connect(addr).await?,
-            };
-            let mut frame = (message.len() as u32).to_be_bytes().to_vec();
-            frame.extend(&message);
-            to.write_all(&frame).await?;
-            io::Result::Ok(to)
-        };
-        let late = async {
-            deadline::after(SEND).await;
+        let sending = send_message(addr, connection.take(), &message);
+        let timeout = async {
+            deadline::after(SEND_TIMEOUT).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        match future::or(sending, late).await {
-            Ok(open) => stream = Some(open),
+        match future::or(sending, timeout).await {
+            Ok(stream) => connection = Some(stream),
             Err(e) => {
                 log::debug!("peer {addr}: {e}");
-                Timer::after(RETRY).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Takes messages from all peers, up to `connections` of them at a time and
-/// each up to `most` bytes long.
+/// Sends a message on a connection, or on a new one if that has been closed; returns the
+/// connection.
+async fn send_message(
+    addr: SocketAddr,
+    connection: Option<Stream>,
+    message: &[u8],
+) -> io::Result<Stream> {
+    let mut stream = match connection.filter(Stream::is_reusable) {
+        Some(stream) => stream,
+        None => Stream::connect(addr).await?,
+    };
+    let mut frame = (message.len() as u32).to_be_bytes().to_vec();
+    frame.extend(message);
+    stream.write_all(&frame).await?;
+    Ok(stream)
+}
+
+/// Receives messages from all peers until the process exits, on up to `max_connections`
+/// connections at a time. A message of more than `max_message_bytes` ends its connection.
 pub async fn listen<F>(
     ex: Executor,
     listener: TcpListener,
-    connections: usize,
-    most: usize,
-    take: F,
+    max_connections: usize,
+    max_message_bytes: usize,
+    on_message: F,
 ) where
     F: Fn(Vec<u8>) + 'static,
 {
-    let listener = match Async::new(listener) {
-        Ok(listener) => listener,
+    let acceptor = match Acceptor::new(listener, "peer listener") {
+        Ok(acceptor) => acceptor,
         Err(e) => {
-            log::error!("cannot listen for peers: {e}");
+            log::error!("peer listener: cannot listen, {e}");
             return;
         }
     };
-    let take = Rc::new(take);
+    let on_message = Rc::new(on_message);
     loop {
-        let stream = match listener.accept().await {
-            Ok((stream, _)) => Stream::new(stream),
-            Err(e) => {
-                log::debug!("accept from a peer: {e}");
-                Timer::after(Duration::from_millis(50)).await;
-                continue;
-            }
-        };
-        // One reference is ours, every connection holds another.
-        if Rc::strong_count(&take) > connections {
+        let stream = acceptor.accept().await;
+        // One reference belongs to this loop, and one to each connection.
+        if Rc::strong_count(&on_message) > max_connections {
             stream.close();
             continue;
         }
-        let take = take.clone();
+        let on_message = on_message.clone();
         ex.spawn(async move {
-            let reading = receive(stream.clone(), most, &*take);
+            let receiving = receive_messages(stream.clone(), max_message_bytes, &*on_message);
             let idle = async {
-                stream.idle(IDLE).await;
+                stream.wait_idle(IDLE_TIMEOUT).await;
                 Ok(())
             };
-            if let Err(e) = future::or(reading, idle).await {
-                log::debug!("from a peer: {e}");
+            if let Err(e) = future::or(receiving, idle).await {
+                log::debug!("peer listener: connection lost, {e}");
             }
             stream.close();
         })
@@ -175,17 +187,22 @@
     }
 }
 
-async fn receive<F: Fn(Vec<u8>)>(mut from: Stream, most: usize, take: &F) -> io::Result<()> {
+/// Receives the messages of one connection.
+async fn receive_messages<F: Fn(Vec<u8>)>(
+    mut stream: Stream,
+    max_message_bytes: usize,
+    on_message: &F,
+) -> io::Result<()> {
     loop {
         let mut length = [0_u8; 4];
-        from.read_exact(&mut length).await?;
+        stream.read_exact(&mut length).await?;
         let length = u32::from_be_bytes(length) as usize;
-        if length > most {
-            log::error!("a peer announced {length} bytes");
+        if length > max_message_bytes {
+            log::error!("peer listener: message too long, {length} bytes");
             return Ok(());
         }
         let mut message = vec![0; length];
-        from.read_exact(&mut message).await?;
-        take(message);
+        stream.read_exact(&mut message).await?;
+        on_message(message);
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,10 +1,14 @@
-//! The server that users, workers and probes come to.
+//! The HTTP server for users, workers and health probes.
+//!
+//! Each connection has a task of its own, which handles one request at a time. The table
+//! of open connections belongs to the accept loop and is shared with these tasks.
 
+use crate::accept::Acceptor;
 use crate::deadline;
 use crate::stream::Stream;
 use crate::Executor;
 use async_h1::server::Encoder;
-use async_io::{Async, Timer};
+use async_io::Timer;
 use futures_lite::{future, io, AsyncReadExt};
 use http_types::headers::{HeaderValues, CONNECTION};
 use http_types::{Body, Method, StatusCode};
@@ -15,244 +19,292 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A request, read whole.
+/// A request that has been read completely.
 #[derive(Debug)]
 pub struct Request {
     /// `GET`, `POST`, …
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// The body; none if it was longer than allowed.
+    /// The body; none if it was longer than the server allows.
     pub body: Option<Vec<u8>>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// JSON.
+    /// Body, in JSON.
     pub body: Vec<u8>,
-    /// When to come back.
+    /// Value of the `retry-after` header, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
-/// What bounds the server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections at a time.
+    /// Maximum number of open connections; more wait in the backlog.
     pub connections: usize,
-    /// Beyond this many, a connection is closed behind its answer: there may be
-    /// more workers than sockets, and each reports now and then.
+    /// Number of open connections beyond which each is closed after its response: there
+    /// may be more workers than sockets, and each of them sends heartbeats.
     pub roomy: usize,
-    /// Largest body.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// A connection on which nothing moves for this long is closed.
+    /// Time after which a connection without any traffic is closed.
     pub idle: Duration,
-    /// Time for the body of a request.
+    /// Timeout for the body of a request.
     pub read: Duration,
 }
 
-/// A connection that has been idle for this long may be closed for another.
-const SPARE_IDLE: Duration = Duration::from_secs(1);
+/// Idle time after which a connection may be closed in favour of a new one.
+const MIN_EVICTION_IDLE: Duration = Duration::from_secs(1);
+/// Delay between two checks for a free place in the table.
+const FULL_TABLE_DELAY: Duration = Duration::from_millis(5);
 
-/// A connection, and whether a request on it waits for its answer.
-type Entry = (Stream, Rc<Cell<bool>>);
+/// Why a connection ends early.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionError {
+    /// Sending or receiving failed.
+    #[error("connection lost: {0}")]
+    Io(#[from] io::Error),
+    /// The bytes are not an HTTP request.
+    #[error("malformed request: {0}")]
+    Malformed(http_types::Error),
+    /// The body did not arrive completely, or not in time.
+    #[error("incomplete body: {0}")]
+    IncompleteBody(#[source] io::Error),
+}
+
+/// An open connection. Clones share the state.
+#[derive(Clone)]
+struct Connection {
+    stream: Stream,
+    /// Whether a request is waiting for its response.
+    is_busy: Rc<Cell<bool>>,
+}
 
-/// The connections that are open.
+/// The open connections.
 #[derive(Default)]
-struct Table {
-    open: RefCell<BTreeMap<u64, Entry>>,
-    next: Cell<u64>,
+struct ConnectionTable {
+    open: RefCell<BTreeMap<u64, Connection>>,
+    next_id: Cell<u64>,
 }
 
-impl Table {
+impl ConnectionTable {
     fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Closes the connection that has been idle longest, if there is one.
-    fn close_idle(&self) {
+    /// Adds a connection, and returns its key.
+    fn insert(&self, connection: Connection) -> u64 {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        self.open.borrow_mut().insert(id, connection);
+        id
+    }
+
+    fn remove(&self, id: u64) {
+        self.open.borrow_mut().remove(&id);
+    }
+
+    /// Closes the connection that has been idle longest, unless that was only shortly.
+    fn evict_idle(&self) {
         let open = self.open.borrow();
-        let idle = open.values().filter(|(_, busy)| !busy.get());
-        let idle = idle.map(|(stream, _)| (stream.idle_for(), stream));
-        let oldest = idle.max_by_key(|(time, _)| *time);
-        if let Some((_, stream)) = oldest.filter(|(time, _)| *time >= SPARE_IDLE) {
-            stream.close();
+        let longest_idle = open
+            .values()
+            .filter(|connection| !connection.is_busy.get())
+            .map(|connection| (connection.stream.idle_for(), &connection.stream))
+            .max_by_key(|(idle_time, _)| *idle_time);
+        match longest_idle {
+            Some((idle_time, stream)) if idle_time >= MIN_EVICTION_IDLE => stream.close(),
+            _ => {}
         }
     }
 }
 
-/// Serves until the process ends.
+/// Serves requests until the process exits. `handler` is called for each request, and
+/// may be called again before its earlier futures have completed.
 pub async fn serve<F, Fut>(ex: Executor, listener: TcpListener, limits: ServerLimits, handler: F)
 where
     F: Fn(Request) -> Fut + Clone + 'static,
     Fut: Future<Output = Response> + 'static,
 {
-    let listener = match Async::new(listener) {
-        Ok(listener) => listener,
+    let acceptor = match Acceptor::new(listener, "server") {
+        Ok(acceptor) => acceptor,
         Err(e) => {
-            log::error!("cannot listen: {e}");
+            log::error!("server: cannot listen, {e}");
             return;
         }
     };
-    let table: Rc<Table> = Rc::default();
+    let table: Rc<ConnectionTable> = Rc::default();
     loop {
-        // Nobody is shut out by those who sit idle. Connections beyond the
-        // limit wait in the backlog, where the load balancer sees them as not
-        // accepted and goes elsewhere.
+        // Idle clients must not lock others out. Connections beyond the limit wait in the
+        // backlog, where a load balancer sees that they are not accepted and fails over.
         if table.len() >= limits.connections {
-            table.close_idle();
-            Timer::after(Duration::from_millis(5)).await;
+            table.evict_idle();
+            Timer::after(FULL_TABLE_DELAY).await;
             continue;
         }
-        let stream = match listener.accept().await {
-            Ok((stream, _)) => Stream::new(stream),
-            Err(e) => {
-                log::debug!("accept: {e}");
-                Timer::after(Duration::from_millis(50)).await;
-                continue;
-            }
+        let connection = Connection {
+            stream: acceptor.accept().await,
+            is_busy: Rc::default(),
         };
-        let id = table.next.get();
-        table.next.set(id + 1);
-        let busy = Rc::new(Cell::new(false));
-        let entry = (stream.clone(), busy.clone());
-        table.open.borrow_mut().insert(id, entry);
+        let id = table.insert(connection.clone());
         let (table, handler) = (table.clone(), handler.clone());
         ex.spawn(async move {
-            connection(&stream, limits, &table, &busy, handler).await;
-            stream.close();
-            table.open.borrow_mut().remove(&id);
+            serve_connection(&connection, limits, &table, handler).await;
+            connection.stream.close();
+            table.remove(id);
         })
         .detach();
     }
 }
 
-async fn connection<F, Fut>(
-    stream: &Stream,
+/// Handles the requests of a connection, one after another, until it is closed or idle.
+async fn serve_connection<F, Fut>(
+    connection: &Connection,
     limits: ServerLimits,
-    table: &Table,
-    busy: &Cell<bool>,
+    table: &ConnectionTable,
     handler: F,
 ) where
     F: Fn(Request) -> Fut + 'static,
     Fut: Future<Output = Response> + 'static,
 {
     let serving = async {
-        while exchange(stream, limits, table, busy, &handler).await? == Next::KeepAlive {}
-        Ok::<(), http_types::Error>(())
+        while exchange(connection, limits, table, &handler).await? == Next::KeepAlive {}
+        Ok::<(), ConnectionError>(())
     };
     let idle = async {
-        stream.idle(limits.idle).await;
+        connection.stream.wait_idle(limits.idle).await;
         Ok(())
     };
     if let Err(e) = future::or(serving, idle).await {
-        log::debug!("connection: {e}");
+        log::debug!("server: {e}");
     }
 }
 
-/// What becomes of a connection behind an answer.
+/// What happens to a connection after a response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Next {
     KeepAlive,
     Close,
 }
 
-/// Reads a request and answers it. `async_h1::accept` sets a timer of `async-io` for
-/// each; the deadline of the head is the same here, twice the idle time.
+/// Reads a request and responds to it. The head must arrive within twice the idle time.
+///
+/// `async_h1::accept` would do the same, but sets a timer of `async-io` for each request,
+/// which [`deadline`] avoids.
 async fn exchange<F, Fut>(
-    stream: &Stream,
+    connection: &Connection,
     limits: ServerLimits,
-    table: &Table,
-    busy: &Cell<bool>,
+    table: &ConnectionTable,
     handler: &F,
-) -> http_types::Result<Next>
+) -> Result<Next, ConnectionError>
 where
     F: Fn(Request) -> Fut + 'static,
     Fut: Future<Output = Response> + 'static,
 {
-    let late = async {
+    let stream = &connection.stream;
+    let head_timeout = async {
         deadline::after(limits.idle * 2).await;
         Ok(None)
     };
-    let decoded = future::or(async_h1::server::decode(stream.clone()), late).await?;
-    let Some((req, mut unread)) = decoded else {
+    let decoding = async_h1::server::decode(stream.clone());
+    let decoded = future::or(decoding, head_timeout).await;
+    let Some((request, mut unread)) = decoded.map_err(ConnectionError::Malformed)? else {
         return Ok(Next::Close);
     };
-    let method = req.method();
-    let last_by_client = is_close(req.header(CONNECTION));
-    busy.set(true);
-    let answered = answer(req, limits, handler).await;
-    busy.set(false);
-    let mut res = answered?;
+    let method = request.method();
+    let closed_by_client = is_close(request.header(CONNECTION));
+    connection.is_busy.set(true);
+    let handled = handle(request, limits, handler).await;
+    connection.is_busy.set(false);
+    let mut response = handled?;
     if table.len() > limits.roomy {
-        res.insert_header(CONNECTION, "close");
+        response.insert_header(CONNECTION, "close");
     }
-    let last = last_by_client || is_close(res.header(CONNECTION));
-    stream.send(Encoder::new(res, method)).await?;
-    // What the handler left of the body stands before the next request.
+    let is_last = closed_by_client || is_close(response.header(CONNECTION));
+    stream.send(Encoder::new(response, method)).await?;
+    // What is left of the body precedes the next request.
     io::copy(&mut unread, &mut io::sink()).await?;
-    Ok(if last { Next::Close } else { Next::KeepAlive })
+    Ok(match is_last {
+        true => Next::Close,
+        false => Next::KeepAlive,
+    })
 }
 
 fn is_close(connection: Option<&HeaderValues>) -> bool {
     connection.is_some_and(|values| values.as_str().eq_ignore_ascii_case("close"))
 }
 
-async fn answer<F, Fut>(
-    mut req: http_types::Request,
+/// Reads the rest of a request, and has it handled.
+async fn handle<F, Fut>(
+    mut request: http_types::Request,
     limits: ServerLimits,
     handler: &F,
-) -> http_types::Result<http_types::Response>
+) -> Result<http_types::Response, ConnectionError>
 where
     F: Fn(Request) -> Fut,
     Fut: Future<Output = Response>,
 {
-    let method = match req.method() {
-        Method::Get => "GET".to_owned(),
-        Method::Post => "POST".to_owned(),
-        other => other.to_string(),
+    let body = read_body(&mut request, limits).await?;
+    let is_body_too_long = body.is_none();
+    let response = handler(Request {
+        method: request.method().to_string(),
+        path: path_and_query(&request),
+        body,
+    })
+    .await;
+    let mut response = http_response(response);
+    if is_body_too_long {
+        // Reading the rest of the body would cost more than a new connection.
+        response.insert_header(CONNECTION, "close");
+    }
+    Ok(response)
+}
+
+/// Reads the body of a request; none if it is longer than allowed.
+async fn read_body(
+    request: &mut http_types::Request,
+    limits: ServerLimits,
+) -> Result<Option<Vec<u8>>, ConnectionError> {
+    if request.len().is_some_and(|length| length > limits.body) {
+        return Ok(None);
+    }
+    let mut body = Vec::new();
+    if request.len() == Some(0) || request.method() == Method::Get {
+        return Ok(Some(body));
+    }
+    let reading = async {
+        let mut limited = request.take(limits.body as u64 + 1);
+        limited.read_to_end(&mut body).await
     };
-    let url = req.url();
-    let path = match url.query() {
+    let timeout = async {
+        deadline::after(limits.read).await;
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    let read = future::or(reading, timeout).await;
+    read.map_err(ConnectionError::IncompleteBody)?;
+    Ok((body.len() <= limits.body).then_some(body))
+}
+
+fn path_and_query(request: &http_types::Request) -> String {
+    let url = request.url();
+    match url.query() {
         Some(query) => format!("{}?{query}", url.path()),
         None => url.path().to_owned(),
-    };
-    let mut whole = true;
-    let mut body = Vec::new();
-    if req.len().is_some_and(|len| len > limits.body) {
-        whole = false;
-    } else if req.len() != Some(0) && method != "GET" {
-        let reading = async {
-            let limit = limits.body as u64 + 1;
-            (&mut req).take(limit).read_to_end(&mut body).await
-        };
-        let late = async {
-            deadline::after(limits.read).await;
-            Err(std::io::ErrorKind::TimedOut.into())
-        };
-        if let Err(e) = future::or(reading, late).await {
-            return Err(http_types::Error::new(StatusCode::RequestTimeout, e));
-        }
-        whole = body.len() <= limits.body;
     }
-    let reply = handler(Request {
-        method,
-        path,
-        body: whole.then_some(body),
-    })
-    .await;
-    let status = StatusCode::try_from(reply.status).unwrap_or(StatusCode::InternalServerError);
-    let mut res = http_types::Response::new(status);
-    res.set_body(Body::from_bytes(reply.body));
-    res.insert_header("content-type", "application/json");
-    if let Some(seconds) = reply.retry_after_s {
-        res.insert_header("retry-after", seconds.to_string());
-    }
-    if !whole {
-        // The rest of the body is not worth reading.
-        res.insert_header("connection", "close");
+}
+
+fn http_response(response: Response) -> http_types::Response {
+    let status = StatusCode::try_from(response.status);
+    let status = status.unwrap_or(StatusCode::InternalServerError);
+    let mut http_response = http_types::Response::new(status);
+    http_response.set_body(Body::from_bytes(response.body));
+    http_response.insert_header("content-type", "application/json");
+    if let Some(seconds) = response.retry_after_s {
+        http_response.insert_header("retry-after", seconds.to_string());
     }
-    Ok(res)
+    http_response
 }
--- a/crates/net/tests/bind.rs
+++ b/crates/net/tests/bind.rs
@@ -5,23 +5,23 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The standard library's backlog holds 128 connections: a controller that stands still
-/// for a moment made the rest of a large fleet wait for a second.
+/// The standard library's backlog holds 128 connections: when a controller was paused for
+/// a moment, the rest of a large fleet had to wait for a second.
 #[test]
-fn as_many_connections_wait_as_the_backlog_holds() {
+fn backlog_holds_the_requested_number_of_connections() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let backlog = 300;
     let listener = bind(any, backlog).unwrap();
     let addr = listener.local_addr().unwrap();
     let connect = |_| TcpStream::connect_timeout(&addr, Duration::from_millis(500));
-    let waiting: Vec<TcpStream> = (0..backlog).map_while(|n| connect(n).ok()).collect();
-    assert_eq!(waiting.len(), backlog);
+    let connected: Vec<TcpStream> = (0..backlog).map_while(|n| connect(n).ok()).collect();
+    assert_eq!(connected.len(), backlog);
 }
 
 #[test]
-fn an_address_that_is_in_use_is_refused() {
+fn binding_an_address_in_use_fails() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let listener = bind(any, 1).unwrap();
-    let again = bind(listener.local_addr().unwrap(), 1);
-    assert_eq!(again.unwrap_err().kind(), ErrorKind::AddrInUse);
+    let second = bind(listener.local_addr().unwrap(), 1);
+    assert_eq!(second.unwrap_err().kind(), ErrorKind::AddrInUse);
 }
--- a/crates/net/tests/client.rs
+++ b/crates/net/tests/client.rs
@@ -18,10 +18,10 @@
     })
 }
 
-/// A process that stands still while it connects, for longer than the call
-/// may take, does not send the request as it goes on.
+/// A process that is paused while it connects, for longer than the timeout of the call,
+/// does not send the request when it resumes.
 #[test]
-fn a_request_whose_time_is_over_is_not_sent() {
+fn request_is_not_sent_after_its_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let call = Call {
         addr: listener.local_addr().unwrap(),
@@ -32,7 +32,7 @@
     };
     let ex = LocalExecutor::new();
     let task = ex.spawn(async move { client().call(call).await });
-    // The connection is on its way, and everything stops.
+    // The connection is being established when the process is paused.
     assert!(ex.try_tick());
     thread::sleep(TIMEOUT * 2);
     let outcome = async_io::block_on(ex.run(task));
--- a/crates/net/tests/peers.rs
+++ b/crates/net/tests/peers.rs
@@ -10,11 +10,10 @@
 
 const MESSAGE_BYTES: usize = 100;
 
-/// Tries to send so many messages at once through a link with room for `bytes_most`,
-/// and returns how many were taken.
-fn taken(link: &PeerLink, messages: usize) -> usize {
-    let sent = (0..messages).map(|_| link.send(vec![7; MESSAGE_BYTES]));
-    sent.filter(|sent| *sent).count()
+/// Sends so many messages at once through a link, and returns how many were queued.
+fn send_all(link: &PeerLink, messages: usize) -> usize {
+    let queued = (0..messages).map(|_| link.send(vec![7; MESSAGE_BYTES]));
+    queued.filter(|is_queued| *is_queued).count()
 }
 
 /// Runs the links until so many messages have arrived in all.
@@ -27,34 +26,39 @@
     async_io::block_on(ex.run(arrived));
 }
 
-/// What is queued is bounded in bytes; one past that is dropped, and the link goes on
-/// once the peer has taken what waited. The queue was bounded at 128 messages before:
-/// a peer that stood still for a second lost most of what a large fleet's users asked.
+/// The queue is bounded in bytes; a message beyond that is dropped, and the link accepts
+/// messages again when the peer has received the queued ones. A former bound of 128
+/// messages lost most requests of a large fleet's users to a peer that was paused for a
+/// second.
 #[test]
-fn a_link_holds_as_many_bytes_as_it_may_and_goes_on_afterwards() {
+fn link_drops_messages_beyond_its_queue_and_recovers() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
     let ex: Executor = Rc::new(LocalExecutor::new());
     let cases = [(10, 10, 10), (10, 11, 10), (400, 400, 400), (400, 500, 400)];
     let received = Rc::new(RefCell::new(0_usize));
     let count = received.clone();
-    let take = move |message: Vec<u8>| {
+    let on_message = move |message: Vec<u8>| {
         assert_eq!(message.len(), MESSAGE_BYTES);
         *count.borrow_mut() += 1;
     };
-    ex.spawn(listen(ex.clone(), listener, cases.len(), 1_000, take))
+    ex.spawn(listen(ex.clone(), listener, cases.len(), 1_000, on_message))
         .detach();
     let mut expected = 0;
-    for (room, messages, most) in cases {
+    for (room, messages, queued) in cases {
         let link = PeerLink::new(&ex, addr, room * MESSAGE_BYTES);
         assert_eq!(
-            taken(&link, messages),
-            most,
+            send_all(&link, messages),
+            queued,
             "{messages} with room for {room}"
         );
-        expected += most;
+        expected += queued;
         wait_for(&ex, &received, expected);
-        assert_eq!(taken(&link, room), room, "the queue is empty again");
+        assert_eq!(
+            send_all(&link, room),
+            room,
+            "the queue should be empty again"
+        );
         expected += room;
         wait_for(&ex, &received, expected);
     }
--- a/crates/net/tests/server.rs
+++ b/crates/net/tests/server.rs
@@ -1,5 +1,5 @@
-//! The server on the loopback interface. What is asserted is who gets an
-//! answer, not when.
+//! The server on the loopback interface. The tests assert which clients get a response,
+//! not when.
 
 use async_executor::LocalExecutor;
 use forkshift_net::{serve, Executor, Response, ServerLimits};
@@ -8,14 +8,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Asks for `/up` and returns the answer's head, in lower case.
-fn ask(to: &mut TcpStream) -> String {
-    to.write_all(b"GET /up HTTP/1.1\r\nhost: x\r\n\r\n")
+/// Requests `/up` and returns the head of the response, in lower case.
+fn get_up(stream: &mut TcpStream) -> String {
+    stream
+        .write_all(b"GET /up HTTP/1.1\r\nhost: x\r\n\r\n")
         .unwrap();
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n{}") {
-        if to.read(&mut byte).unwrap_or(0) == 0 {
+        if stream.read(&mut byte).unwrap_or(0) == 0 {
             break;
         }
         head.push(byte[0]);
@@ -39,9 +40,9 @@
     };
     ex.spawn(serve(ex.clone(), listener, limits, handler))
         .detach();
-    let (done, ended) = async_channel::bounded(1);
-    std::thread::spawn(move || done.send_blocking(client(addr)));
-    async_io::block_on(ex.run(async { ended.recv().await.unwrap() }))
+    let (result_sender, result) = async_channel::bounded(1);
+    std::thread::spawn(move || result_sender.send_blocking(client(addr)));
+    async_io::block_on(ex.run(async { result.recv().await.unwrap() }))
 }
 
 fn limits(connections: usize, roomy: usize) -> ServerLimits {
@@ -54,35 +55,40 @@
     }
 }
 
-/// There may be more workers than sockets: with the table filling up,
-/// connections are closed behind their answers, so everybody is served.
+/// There may be more workers than sockets: as the table fills up, connections are closed
+/// after their responses, so that all clients are served.
 #[test]
-fn more_clients_than_connections_are_served() {
+fn connections_beyond_the_keep_alive_limit_close_after_the_response() {
     let closed: Vec<bool> = with_server(limits(6, 2), |addr| {
         let mut kept = Vec::new();
-        let one = |_| {
+        let request = |_| {
             let mut stream = TcpStream::connect(addr).unwrap();
-            let head = ask(&mut stream);
+            let head = get_up(&mut stream);
             assert!(head.starts_with("http/1.1 200"), "{head}");
             kept.push(stream);
             head.contains("connection: close")
         };
-        (0..20).map(one).collect()
+        (0..20).map(request).collect()
     });
     assert!(!closed[0] && !closed[1], "there is room at first");
-    assert!(closed[3..].iter().all(|c| *c), "then no more");
+    assert!(
+        closed[3..].iter().all(|is_closed| *is_closed),
+        "then no more"
+    );
 }
 
-/// Whoever sits idle on a full table makes room for the next.
+/// An idle connection in a full table is closed in favour of a new one.
 #[test]
-fn idle_connections_do_not_shut_others_out() {
-    let answers: Vec<String> = with_server(limits(2, 10), |addr| {
+fn idle_connections_do_not_lock_out_new_clients() {
+    let responses: Vec<String> = with_server(limits(2, 10), |addr| {
         let _idle = [
             TcpStream::connect(addr).unwrap(),
             TcpStream::connect(addr).unwrap(),
         ];
-        let one = |_| ask(&mut TcpStream::connect(addr).unwrap());
-        (0..3).map(one).collect()
+        let request = |_| get_up(&mut TcpStream::connect(addr).unwrap());
+        (0..3).map(request).collect()
     });
-    assert!(answers.iter().all(|a| a.starts_with("http/1.1 200")));
+    assert!(responses
+        .iter()
+        .all(|head| head.starts_with("http/1.1 200")));
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -4,7 +4,7 @@
 //! requested again, so a message may be lost, delayed or duplicated without harm.
 //!
 //! Borsh encodes fields and variants by position: neither may be reordered, and a new
-//! variant goes to the end, with a new [`VERSION`].
+//! variant goes to the end, with a new version of the format.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -3,10 +3,10 @@
 use super::{Cluster, NextStateLimits, Peer, Settings, SettingsError, Team};
 use crate::ids::NodeName;
 
-/// Minimum of [`super::StateLimits::txn_ops`]: a handover of a shard, and the end of a job,
+/// Minimum of `cluster.state.txn_ops`: a handover of a shard, and the end of a job,
 /// are transactions of this many changes.
 const MIN_TRANSACTION_WRITES: usize = 4;
-/// Minimum of [`super::Limits::sockets`].
+/// Minimum of `cluster.limits.sockets`.
 const MIN_SOCKETS: usize = 32;
 
 /// What is wrong with the value of a field.
