--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,10 +1,15 @@
 //! The operators' own settings, in protobuf text format.
+//!
+//! The message is defined in `proto/operator.proto`; fields that are left out keep their
+//! defaults, which are those of [`Operator`].
 
 use forkshift_core::Operator;
 use forkshift_pools::{BadPool, PoolSpec, Pools, WindowSpec};
 use forkshift_sched::Weights;
 use forkshift_wire::settings::Settings;
+use std::ops::RangeInclusive;
 
+/// Types generated from `proto/operator.proto` by the build script.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 mod generated {
     include!(concat!(env!("OUT_DIR"), "/proto/mod.rs"));
@@ -12,58 +17,73 @@
 
 use generated::operator::{Operator as Message, Pool as PoolMessage, Window as WindowMessage};
 
+/// Maximum of the periods, in seconds.
+const MAX_PERIOD_S: f64 = 10.0;
+/// The only allowed weight of the fit.
+const FIT_WEIGHT: f64 = 1.0 / 3.0;
+/// Tolerance of weights, which are rounded decimals.
+const WEIGHT_TOLERANCE: f64 = 1e-3;
+
 /// Why the operators' settings are refused.
 #[derive(Debug, thiserror::Error)]
-pub enum BadOperator {
-    /// Not text of the expected message.
+pub enum OperatorError {
+    /// The text is not the expected message.
     #[error("{0}")]
     Text(#[from] protobuf::text_format::ParseError),
-    /// A pool can't be as it is declared.
+    /// The declaration of a pool is refused.
     #[error("{0}")]
     Pool(#[from] BadPool),
-    /// A field is out of its range.
+    /// The value of a field is outside its range.
     #[error("`{field}` must be {range}")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it must be.
+        /// The range.
         range: &'static str,
     },
 }
 
-/// Reads and checks the operators' settings beside the platform's; what they leave out
-/// keeps its default.
-pub fn parse(text: &str, settings: &Settings) -> Result<Operator, BadOperator> {
+/// Parses and validates the operators' settings. Pools are checked against the teams and
+/// zones of the platform's settings.
+///
+/// # Errors
+///
+/// [`OperatorError`], for the first field that is refused.
+pub fn parse(text: &str, settings: &Settings) -> Result<Operator, OperatorError> {
     let message: Message = protobuf::text_format::parse_from_str(text)?;
-    let mut ops = Operator::default();
-    if let Some(w) = message.weights.as_ref() {
-        ops.weights = Weights {
-            fit: w.fit,
-            cost: w.cost,
-            latency: w.latency,
+    let mut operator = Operator::default();
+    if let Some(weights) = message.weights.as_ref() {
+        operator.weights = Weights {
+            fit: weights.fit,
+            cost: weights.cost,
+            latency: weights.latency,
         };
     }
-    let fields = [
-        (message.round_s, &mut ops.round_s),
-        (message.round_gap_s, &mut ops.round_gap_s),
-        (message.assign_s, &mut ops.assign_s),
-        (message.spare, &mut ops.spare),
-        (message.idle_boots, &mut ops.idle_boots),
-        (message.silent_leases, &mut ops.silent_leases),
+    let optional_fields = [
+        (message.round_s, &mut operator.round_s),
+        (message.round_gap_s, &mut operator.round_gap_s),
+        (message.assign_s, &mut operator.assign_s),
+        (message.spare, &mut operator.spare),
+        (message.idle_boots, &mut operator.idle_boots),
+        (message.silent_leases, &mut operator.silent_leases),
     ];
-    for (given, field) in fields {
-        *field = given.unwrap_or(*field);
+    for (value, field) in optional_fields {
+        *field = value.unwrap_or(*field);
     }
-    ops.machines = message.machines;
-    ops.pools = parse_pools(&message.pools, settings)?;
-    check(&ops)?;
-    Ok(ops)
+    operator.machines = message.machines;
+    operator.pools = parse_pools(&message.pools, settings)?;
+    validate(&operator)?;
+    Ok(operator)
 }
 
 fn parse_pools(messages: &[PoolMessage], settings: &Settings) -> Result<Pools, BadPool> {
     let specs: Vec<PoolSpec> = messages.iter().map(pool_spec).collect();
     let cluster = &settings.cluster;
-    let teams: Vec<&str> = cluster.teams.iter().map(|t| t.name.as_str()).collect();
+    let teams: Vec<&str> = cluster
+        .teams
+        .iter()
+        .map(|team| team.name.as_str())
+        .collect();
     Pools::parse(&specs, &teams, &cluster.zones)
 }
 
@@ -97,43 +117,75 @@
     }
 }
 
-fn check(ops: &Operator) -> Result<(), BadOperator> {
-    let w = &ops.weights;
-    let weights = [w.fit, w.cost, w.latency];
-    let unit = |x: &f64| (0.0..=1.0).contains(x);
-    let sums = (weights.iter().sum::<f64>() - 1.0).abs() < 1e-3;
-    let period = |x: f64| x > 0.0 && x <= 10.0;
-    let rules = [
-        (
-            "weights",
-            weights.iter().all(unit) && sums,
-            "parts from 0 to 1 that sum to 1",
-        ),
-        ("weights.fit", (w.fit - 1.0 / 3.0).abs() < 1e-3, "one third"),
-        ("round_s", period(ops.round_s), "above 0 and at most 10"),
-        (
-            "round_gap_s",
-            period(ops.round_gap_s),
-            "above 0 and at most 10",
-        ),
-        ("assign_s", period(ops.assign_s), "above 0 and at most 10"),
-        ("spare", (0.0..=10.0).contains(&ops.spare), "from 0 to 10"),
-        (
+/// Whether a field is within its range.
+struct FieldCheck {
+    field: &'static str,
+    is_valid: bool,
+    /// The range, as the error message gives it.
+    range: &'static str,
+}
+
+/// Checks all fields, in the order of [`weight_checks`] and [`field_checks`].
+fn validate(operator: &Operator) -> Result<(), OperatorError> {
+    let weight_checks = weight_checks(&operator.weights);
+    let checks = weight_checks.into_iter().chain(field_checks(operator));
+    let mut failed = checks.filter(|check| !check.is_valid);
+    match failed.next() {
+        Some(FieldCheck { field, range, .. }) => Err(OperatorError::Field { field, range }),
+        None => Ok(()),
+    }
+}
+
+fn weight_checks(weights: &Weights) -> [FieldCheck; 2] {
+    let all = [weights.fit, weights.cost, weights.latency];
+    let are_fractions = all.iter().all(|weight| (0.0..=1.0).contains(weight));
+    let sum: f64 = all.iter().sum();
+    [
+        FieldCheck {
+            field: "weights",
+            is_valid: are_fractions && (sum - 1.0).abs() < WEIGHT_TOLERANCE,
+            range: "parts from 0 to 1 that sum to 1",
+        },
+        FieldCheck {
+            field: "weights.fit",
+            is_valid: (weights.fit - FIT_WEIGHT).abs() < WEIGHT_TOLERANCE,
+            range: "one third",
+        },
+    ]
+}
+
+fn field_checks(operator: &Operator) -> [FieldCheck; 7] {
+    let check = |field, is_valid, range| FieldCheck {
+        field,
+        is_valid,
+        range,
+    };
+    let period = |field, seconds: f64| {
+        let is_valid = seconds > 0.0 && seconds <= MAX_PERIOD_S;
+        check(field, is_valid, "above 0 and at most 10")
+    };
+    let factor = |field, value: f64, allowed: RangeInclusive<f64>, range| {
+        check(field, allowed.contains(&value), range)
+    };
+    [
+        period("round_s", operator.round_s),
+        period("round_gap_s", operator.round_gap_s),
+        period("assign_s", operator.assign_s),
+        factor("spare", operator.spare, 0.0..=10.0, "from 0 to 10"),
+        factor(
             "idle_boots",
-            (0.0..=100.0).contains(&ops.idle_boots),
+            operator.idle_boots,
+            0.0..=100.0,
             "from 0 to 100",
         ),
-        (
+        factor(
             "silent_leases",
-            (0.1..=10.0).contains(&ops.silent_leases),
+            operator.silent_leases,
+            0.1..=10.0,
             "from 0.1 to 10",
         ),
-        ("machines", ops.machines != Some(0), "above 0"),
-    ];
-    match rules.into_iter().find(|(_, good, _)| !good) {
-        Some((field, _, range)) => Err(BadOperator::Field { field, range }),
-        None => Ok(()),
-    }
+        check("machines", operator.machines != Some(0), "above 0"),
+    ]
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -4,13 +4,13 @@
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 
-fn parse(text: &str) -> Result<Operator, BadOperator> {
-    let settings = Settings::parse(SETTINGS).expect("the example is good");
+fn parse(text: &str) -> Result<Operator, OperatorError> {
+    let settings = Settings::parse(SETTINGS).expect("the example is valid");
     super::parse(text, &settings)
 }
 
 #[test]
-fn settings_are_read_and_checked_field_by_field() {
+fn field_out_of_range_is_refused_by_name() {
     let cases = [
         ("", None),
         ("round_s: 0.5 # quick", None),
@@ -39,11 +39,11 @@
         ("speed: 1", Some("speed")),
         ("round_s: {", Some("")),
     ];
-    for (text, wrong) in cases {
-        match (parse(text), wrong) {
+    for (text, refused) in cases {
+        match (parse(text), refused) {
             (Ok(_), None) => {}
             (Err(e), Some(field)) => assert!(e.to_string().contains(field), "{text}: {e}"),
-            (Ok(_), Some(_)) => panic!("{text:?} was taken"),
+            (Ok(_), Some(_)) => panic!("{text:?} was accepted"),
             (Err(e), None) => panic!("{text:?}: {e}"),
         }
     }
@@ -51,13 +51,13 @@
     assert_eq!(parse("").unwrap().spare, Operator::default().spare);
 }
 
-/// The declaration of a pool that is good, with some fields more or instead.
-fn pool(more: &str) -> String {
-    format!("pools {{ name: 'help' team: 'readers' image: 'img-07' image_gb: 34 least: 2 most: 6 {more} }}")
+/// A valid declaration of a pool, with additional or overriding fields.
+fn pool(fields: &str) -> String {
+    format!("pools {{ name: 'help' team: 'readers' image: 'img-07' image_gb: 34 least: 2 most: 6 {fields} }}")
 }
 
 #[test]
-fn pools_are_read_whole_and_what_is_wrong_is_named_with_its_pool() {
+fn invalid_pool_is_refused_with_its_name_and_field() {
     let cases = [
         (pool(""), None),
         (pool("types: 'g8' zones: 'hall-a' spot: true cost_per_hour_most: 40"), None),
@@ -72,43 +72,46 @@
         (format!("{} {}", pool(""), pool("")), Some("pool `help`: `name` is used twice")),
         (pool("colour: 'red'"), Some("")),
     ];
-    for (text, wrong) in cases {
-        match (parse(&text), wrong) {
-            (Ok(ops), None) => assert!(!ops.pools.is_empty(), "{text}"),
-            (Err(e), Some(said)) => assert!(e.to_string().contains(said), "{text}: {e}"),
-            (Ok(_), Some(_)) => panic!("{text} was taken"),
+    for (text, refused) in cases {
+        match (parse(&text), refused) {
+            (Ok(operator), None) => assert!(!operator.pools.is_empty(), "{text}"),
+            (Err(e), Some(message)) => assert!(e.to_string().contains(message), "{text}: {e}"),
+            (Ok(_), Some(_)) => panic!("{text} was accepted"),
             (Err(e), None) => panic!("{text}: {e}"),
         }
     }
 }
 
-/// The file that switches pools on holds what the page for operators tells of.
+/// The file that enables pools has one, as the operators' page describes.
 #[test]
-fn the_switch_file_is_good() {
+fn deployment_files_are_valid_with_and_without_pools() {
     let text = include_str!("../../../../deploy/warm-pools.textproto");
-    assert_eq!(parse(text).expect("it is good").pools.iter().count(), 1);
-    let off = include_str!("../../../../deploy/operator.textproto");
-    assert!(parse(off).expect("it is good").pools.is_empty());
+    assert_eq!(parse(text).expect("a valid file").pools.iter().count(), 1);
+    let disabled = include_str!("../../../../deploy/operator.textproto");
+    assert!(parse(disabled).expect("a valid file").pools.is_empty());
 }
 
-/// An operators' file as it was read: each value behind its name in the file.
-fn show(ops: &Operator) -> String {
+/// Parsed settings as text, each value after its name in the file.
+fn to_text(operator: &Operator) -> String {
     let mut text = format!(
         "weights.fit {:.4}\nweights.cost {:.4}\nweights.latency {:.4}\n",
-        ops.weights.fit, ops.weights.cost, ops.weights.latency
+        operator.weights.fit, operator.weights.cost, operator.weights.latency
     );
-    text += &format!("round_s {}\nround_gap_s {}\n", ops.round_s, ops.round_gap_s);
-    text += &format!("assign_s {}\nspare {}\n", ops.assign_s, ops.spare);
-    text += &format!("idle_boots {}\n", ops.idle_boots);
-    text += &format!("silent_leases {}\n", ops.silent_leases);
-    text += &format!("machines {:?}\n", ops.machines);
-    for pool in ops.pools.iter() {
+    text += &format!(
+        "round_s {}\nround_gap_s {}\n",
+        operator.round_s, operator.round_gap_s
+    );
+    text += &format!("assign_s {}\nspare {}\n", operator.assign_s, operator.spare);
+    text += &format!("idle_boots {}\n", operator.idle_boots);
+    text += &format!("silent_leases {}\n", operator.silent_leases);
+    text += &format!("machines {:?}\n", operator.machines);
+    for pool in operator.pools.iter() {
         text += &format!("pool {} team {} ", pool.name, pool.team);
         text += &format!("image {} image_gb {}\n", pool.image, pool.image_gb);
         text += &format!("  types {:?} zones {:?}", pool.types, pool.zones);
         text += &format!(" spot {}", pool.spot);
         text += &format!(" cost_per_hour_most {:?}\n", pool.cost_per_hour_most);
-        // In the first window on its last minute, behind it, in the second, in none.
+        // The last minute of the first window, the next minute, in the second window, in none.
         for minutes in [29_939_999, 29_940_000, 29_979_210, 29_962_680] {
             let size = pool.calendar.size_at(minutes * 60_000);
             text += &format!("  {minutes}: {} to {}\n", size.least, size.most);
@@ -117,7 +120,7 @@
     text
 }
 
-/// The files are read to the values in `golden/values.txt`.
+/// The files are parsed to the values in `golden/values.txt`.
 #[test]
 fn golden_files_keep_their_values() {
     let files = [
@@ -133,8 +136,8 @@
     ];
     let mut seen = String::new();
     for (name, text) in files {
-        let ops = parse(text).expect("it is good");
-        seen += &format!("== {name}\n{}", show(&ops));
+        let operator = parse(text).expect("a valid file");
+        seen += &format!("== {name}\n{}", to_text(&operator));
     }
     assert!(seen == include_str!("golden/values.txt"), "{seen}");
 }
--- a/crates/daemon/src/pools.rs
+++ b/crates/daemon/src/pools.rs
@@ -1,14 +1,18 @@
 //! `forkshift pools`: what warm pools have and cost, read from the state service.
+//!
+//! The commands read records and change nothing. They run on the main thread and block it.
 
 mod accounts;
+mod records;
 mod render;
+mod status;
 mod times;
 
-use accounts::StateReader;
+use crate::clock;
+use crate::load::{self, LoadError};
 use clap::{Args, Subcommand};
 use forkshift_pools::report::{report, Span};
-use forkshift_wire::settings::{Settings, SettingsError};
-use std::net::SocketAddr;
+use records::{RecordReader, RecordsError};
 use std::path::PathBuf;
 
 /// What is to be said of pools.
@@ -40,66 +44,60 @@
     json: bool,
 }
 
-/// Why nothing can be said.
+/// Why pools can't be shown.
 #[derive(Debug, thiserror::Error)]
-pub enum PoolsFailure {
-    /// A file can't be read.
-    #[error("{0}: {1}")]
-    Read(String, std::io::Error),
-    /// The settings are wrong.
-    #[error("{0}: {1}")]
-    Settings(String, SettingsError),
-    /// Not a time, or a span that ends before it begins.
-    #[error("`--{option}` {problem}")]
-    Time {
-        /// The option.
-        option: &'static str,
-        /// What is wrong with it.
-        problem: String,
-    },
-    /// The state service does not answer, or refuses.
-    #[error("the state service at {addr} {problem}")]
-    State {
-        /// Its address.
-        addr: SocketAddr,
-        /// What it does.
-        problem: String,
-    },
-    /// A record is not understood.
-    #[error("record {key} is not understood: {problem}")]
-    Record {
-        /// Its key.
-        key: String,
-        /// Why.
-        problem: String,
-    },
-    /// The template is wrong.
+pub enum PoolsError {
+    /// The settings can't be loaded.
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    /// The options don't give a span of time.
+    #[error(transparent)]
+    Span(#[from] SpanError),
+    /// The records can't be read.
+    #[error(transparent)]
+    Records(#[from] RecordsError),
+    /// A template can't be rendered.
     #[error("{0}")]
     Template(#[from] minijinja::Error),
-    /// The report can't be written as JSON.
+    /// The result can't be encoded as JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Carries a command out.
+/// Why options don't give a span of time.
+#[derive(Debug, thiserror::Error)]
+pub enum SpanError {
+    /// The value of an option is neither a time nor a date.
+    #[error("`--{option}` is `{text}`, which is no time such as 2026-12-01T08:00:00Z")]
+    NotATime {
+        /// Name of the option.
+        option: &'static str,
+        /// Its value.
+        text: String,
+    },
+    /// The span is empty, or ends before it begins.
+    #[error("`--to` is not behind `--from`")]
+    EndNotAfterStart,
+}
+
+/// Runs a command, and prints its result on standard output.
 ///
 /// # Errors
 ///
-/// Whatever keeps it from saying how things are; it never says that there is nothing
-/// where it could not read.
-pub fn run(command: &PoolsCommand) -> Result<(), PoolsFailure> {
+/// [`PoolsError`]. What can't be read is never shown as nothing.
+pub fn run(command: &PoolsCommand) -> Result<(), PoolsError> {
     let text = match command {
         PoolsCommand::Status(source) => {
-            let status = reader(source)?.status()?;
+            let status = status::read(&reader(source)?)?;
             match source.json {
                 true => serde_json::to_string_pretty(&status)?,
                 false => render::status(&status)?,
             }
         }
         PoolsCommand::Report { source, from, to } => {
-            let span = span(from, to)?;
-            let now_ms = times::now_ms();
-            let accounts = reader(source)?.accounts(now_ms)?;
+            let span = parse_span(from, to)?;
+            let now_ms = clock::unix_time_ms();
+            let accounts = accounts::read(&reader(source)?, now_ms)?;
             let report = report(&accounts, span, now_ms);
             match source.json {
                 true => serde_json::to_string_pretty(&report)?,
@@ -111,27 +109,23 @@
     Ok(())
 }
 
-fn span(from: &str, to: &str) -> Result<Span, PoolsFailure> {
-    let parse = |option, text| {
-        times::parse(text).ok_or_else(|| PoolsFailure::Time {
-            option,
-            problem: format!("is `{text}`, which is no time such as 2026-12-01T08:00:00Z"),
-        })
-    };
-    let (from_ms, to_ms) = (parse("from", from)?, parse("to", to)?);
-    if to_ms <= from_ms {
-        return Err(PoolsFailure::Time {
-            option: "to",
-            problem: "is not behind `--from`".to_owned(),
-        });
+fn parse_span(from: &str, to: &str) -> Result<Span, SpanError> {
+    let from_ms = parse_time("from", from)?;
+    let to_ms = parse_time("to", to)?;
+    match from_ms < to_ms {
+        true => Ok(Span { from_ms, to_ms }),
+        false => Err(SpanError::EndNotAfterStart),
     }
-    Ok(Span { from_ms, to_ms })
 }
 
-fn reader(source: &Source) -> Result<StateReader, PoolsFailure> {
-    let name = source.config.display().to_string();
-    let text = std::fs::read_to_string(&source.config);
-    let text = text.map_err(|e| PoolsFailure::Read(name.clone(), e))?;
-    let settings = Settings::parse(&text).map_err(|e| PoolsFailure::Settings(name, e))?;
-    Ok(StateReader::new(settings.services.state))
+fn parse_time(option: &'static str, text: &str) -> Result<u64, SpanError> {
+    times::parse(text).ok_or_else(|| SpanError::NotATime {
+        option,
+        text: text.to_owned(),
+    })
+}
+
+fn reader(source: &Source) -> Result<RecordReader, LoadError> {
+    let settings = load::settings(&source.config)?;
+    Ok(RecordReader::new(settings.services.state))
 }
--- a/crates/daemon/src/pools/render.rs
+++ b/crates/daemon/src/pools/render.rs
@@ -1,10 +1,14 @@
-//! Pools as text, by templates.
+//! Pools as text tables, rendered from templates.
+//!
+//! The filters `left` and `right` pad to a column, `fixed` rounds to a number of digits, and
+//! `hours` converts from seconds.
 
-use super::accounts::PoolStatus;
+use super::status::PoolStatus;
 use super::times;
 use forkshift_pools::report::Report;
 use minijinja::{context, Environment, Error};
 
+/// Template of `pools status`.
 const STATUS: &str = "\
 {%- if pools %}{{ 'pool' | left(24) }}{{ 'team' | left(16) }}{{ 'asked' | right(7) }}\
 {{ 'booting' | right(9) }}{{ 'up' | right(5) }}{{ 'fetching' | right(10) }}{{ 'warm' | right(6) }}\
@@ -15,6 +19,7 @@
 {{ p.cost_per_hour | fixed(2) | right(10) }}
 {% endfor %}{% else %}no pool is recorded{% endif %}";
 
+/// Template of `pools report`.
 const REPORT: &str = "\
 {{ from }} to {{ to }}
 {% if pools %}
@@ -40,20 +45,20 @@
 machine-hours no price is recorded
 {% endif %}{% endfor %}{% else %}nothing is recorded of pools in this time{% endif %}";
 
-/// The status of all pools.
+/// Renders the status of all pools.
 pub fn status(pools: &[PoolStatus]) -> Result<String, Error> {
     environment().render_str(STATUS, context! { pools })
 }
 
-/// A report.
+/// Renders a report.
 pub fn report(report: &Report) -> Result<String, Error> {
-    let from = times::show(report.span.from_ms);
-    let to = times::show(report.span.to_ms);
+    let from = times::format(report.span.from_ms);
+    let to = times::format(report.span.to_ms);
     let (pools, teams) = (&report.pools, &report.teams);
     environment().render_str(REPORT, context! { from, to, pools, teams })
 }
 
-/// Templates with columns and figures.
+/// An environment with the filters of the templates.
 fn environment() -> Environment<'static> {
     let mut environment = Environment::new();
     environment.add_filter("left", |text: String, width: usize| {
@@ -62,7 +67,9 @@
     environment.add_filter("right", |text: String, width: usize| {
         format!("{text:>width$}")
     });
-    environment.add_filter("fixed", |x: f64, digits: usize| format!("{x:.digits$}"));
+    environment.add_filter("fixed", |value: f64, digits: usize| {
+        format!("{value:.digits$}")
+    });
     environment.add_filter("hours", |seconds: f64| format!("{:.3}", seconds / 3_600.0));
     environment
 }
--- a/crates/daemon/src/pools/render/tests.rs
+++ b/crates/daemon/src/pools/render/tests.rs
@@ -1,5 +1,7 @@
+//! Tests of `render`.
+
 use super::*;
-use crate::pools::accounts::{CountByState, PoolStatus};
+use crate::pools::status::{CountByState, PoolStatus};
 use forkshift_pools::report::{ByState, PoolReport, Span};
 use forkshift_pools::PoolName;
 use std::collections::BTreeMap;
@@ -9,11 +11,11 @@
 }
 
 #[test]
-fn a_status_has_a_line_for_each_pool() {
-    let one = PoolStatus {
+fn status_has_one_line_for_each_pool() {
+    let pool_status = PoolStatus {
         pool: pool(),
         team: "readers".to_owned(),
-        asked: 4,
+        requested_machines: 4,
         machines: CountByState {
             booting: 1,
             up: 0,
@@ -22,7 +24,7 @@
         },
         cost_per_hour: 64.0,
     };
-    let text = status(&[one]).expect("it renders");
+    let text = status(&[pool_status]).expect("it renders");
     let lines: Vec<Vec<&str>> = text
         .lines()
         .map(|l| l.split_whitespace().collect())
@@ -35,8 +37,8 @@
 }
 
 #[test]
-fn a_report_shows_hours_cost_and_what_is_not_priced() {
-    let one = PoolReport {
+fn report_shows_hours_cost_and_unpriced_time() {
+    let pool_report = PoolReport {
         pool: pool(),
         team: "readers".to_owned(),
         asked_s: 7_200.0,
@@ -59,12 +61,12 @@
         from_ms: 0,
         to_ms: 86_400_000,
     };
-    let mut shown = Report {
+    let mut pools_report = Report {
         span,
-        pools: vec![one],
+        pools: vec![pool_report],
         teams: BTreeMap::from([("readers".to_owned(), 16.0)]),
     };
-    let text = report(&shown).expect("it renders");
+    let text = report(&pools_report).expect("it renders");
     for part in [
         "1970-01-01T00:00:00Z to 1970-01-02T00:00:00Z",
         "readers pays 16.00",
@@ -85,8 +87,8 @@
         rows[1][2..],
         ["0.00", "0.00", "0.00", "16.00", "5", "2", "1", "0"]
     );
-    shown.pools.clear();
-    let empty = report(&shown).expect("it renders");
+    pools_report.pools.clear();
+    let empty = report(&pools_report).expect("it renders");
     assert!(
         empty.contains("nothing is recorded of pools in this time"),
         "{empty}"
--- a/crates/daemon/src/pools/times.rs
+++ b/crates/daemon/src/pools/times.rs
@@ -1,11 +1,11 @@
-//! Times as they are given on the command line and shown.
+//! Times as the command line takes and shows them.
 
 use jiff::civil::Date;
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
-use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since 1970 of a time, or of midnight UTC of a date.
+/// Parses a time, or a date as its midnight UTC, to milliseconds since 1970; none if the
+/// text is neither, or before 1970.
 pub fn parse(text: &str) -> Option<u64> {
     let time = text.parse::<Timestamp>().ok();
     let midnight = || {
@@ -16,17 +16,11 @@
     u64::try_from(time.as_millisecond()).ok()
 }
 
-/// A time as text, to the second.
-pub fn show(ms: u64) -> String {
+/// Formats milliseconds since 1970 as a UTC time, to the second; empty if out of range.
+pub fn format(ms: u64) -> String {
     let seconds = i64::try_from(ms / 1_000).ok();
     let time = seconds.and_then(|s| Timestamp::from_second(s).ok());
-    time.map_or_else(String::new, |t| t.to_string())
-}
-
-/// Now, in milliseconds since 1970.
-pub fn now_ms() -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    now.map_or(0, |t| t.as_millis() as u64)
+    time.map_or_else(String::new, |time| time.to_string())
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/pools/times/tests.rs
+++ b/crates/daemon/src/pools/times/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of `times`.
+
 use super::*;
 
 #[test]
-fn times_and_dates_are_read_and_shown() {
+fn times_and_dates_are_parsed_and_formatted() {
     let cases = [
         ("1970-01-02", Some(86_400_000)),
         ("1970-01-01T00:00:01Z", Some(1_000)),
@@ -15,5 +17,5 @@
     for (text, expected) in cases {
         assert_eq!(parse(text), expected, "{text}");
     }
-    assert_eq!(show(86_400_999), "1970-01-02T00:00:00Z");
+    assert_eq!(format(86_400_999), "1970-01-02T00:00:00Z");
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,254 +1,155 @@
-//! Wiring: the owner of all state, fed by the server and by finished calls.
+//! `forkshift serve`: connects a controller's state machine to sockets and clocks.
+//!
+//! # Concurrency
+//!
+//! Everything runs on the main thread, on one local executor. All state of the controller
+//! belongs to one task, the [`controller::Controller`]. Other tasks reach it only through
+//! a queue of [`Input`]s:
+//!
+//! - the HTTP server queues requests and waits for their replies ([`requests`]);
+//! - the peer listener queues messages of other controllers;
+//! - each outgoing call is a task of its own, which queues the response.
+//!
+//! The controller takes all inputs that are queued as one batch, steps the state machine,
+//! and executes the effects that it returns. A step is synchronous and does no I/O; nothing
+//! else runs meanwhile, so its duration bounds the latency of every other task. The queue
+//! has no bound of its own: what feeds it is bounded by the limits on connections, and on
+//! calls under way in the core.
+//!
+//! The reactor's thread of `async-io` polls the sockets; no other thread is started here.
+//!
+//! # End
+//!
+//! There is no shutdown: the process is killed. What must survive is in the state service
+//! before it is acknowledged.
+
+mod controller;
+mod requests;
 
 use crate::spans::SpanTimes;
-use async_channel::{Receiver, Sender};
+use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use forkshift_core::{Config, Effect, Input, Node, Reply, RequestId, Target};
-use forkshift_net::{
-    Call, Client, ClientLimits, Executor, PeerLink, Request, Response, ServerLimits,
-};
+use controller::{Controller, Endpoints};
+use forkshift_core::{Config, Input, Node};
+use forkshift_net::{Client, ClientLimits, Executor, PeerLink, ServerLimits};
 use forkshift_wire::peer::MAX_MESSAGE_BYTES;
 use forkshift_wire::settings::Settings;
-use forkshift_wire::NodeName;
 use futures_lite::future;
 use rand::Rng;
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use requests::PendingRequests;
 use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::TcpListener;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-
-/// The largest body of a request.
-const BODY_MOST: usize = 64 * 1024;
-/// How long the owner waits for inputs before it looks at the clock.
-const TICK: Duration = Duration::from_millis(50);
-/// A connection on which nothing moves for this long is closed.
-const IDLE: Duration = Duration::from_secs(30);
-/// Time for the body of a request.
-const READ: Duration = Duration::from_secs(5);
-
-/// How often the times of spans are logged.
-const SPANS_EVERY: Duration = Duration::from_secs(10);
+use std::time::Duration;
 
-type Waiting = Rc<RefCell<HashMap<RequestId, Sender<Reply>>>>;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Time after which a connection without any traffic is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of idle connections of the client to one server.
+const MAX_IDLE_PER_HOST: usize = 8;
+/// Time for which the client keeps an idle connection.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Connections of each peer that are accepted. One is enough, but that of an earlier
+/// incarnation may take a while to close.
+const CONNECTIONS_PER_PEER: usize = 4;
+/// Exclusive upper bound of an incarnation.
+const INCARNATION_LIMIT: u64 = 1 << 52;
+/// Interval between two log lines with the times of spans.
+const SPANS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Runs a controller until the process ends.
+///
+/// # Errors
+///
+/// Those of the system if an address can't be listened on.
 pub fn run(settings: &Settings, config: Config, spans: Option<SpanTimes>) -> io::Result<()> {
     let bounds = config.bounds;
     let listener = forkshift_net::bind(settings.listen, bounds.connections)?;
     let peer_listener = TcpListener::bind(settings.peer_listen)?;
-    let ex: Executor = Rc::new(LocalExecutor::new());
-    let mut rng = rand::rng();
-    let node = Node::new(config, rng.random_range(1..1 << 52), rng.random());
-    let (sender, receiver) = async_channel::unbounded();
-    let waiting: Waiting = Rc::default();
-    let limits = ServerLimits {
+    let server_limits = ServerLimits {
         connections: bounds.connections,
         roomy: bounds.kept_connections,
-        body: BODY_MOST,
-        idle: IDLE,
-        read: READ,
+        body: MAX_BODY_BYTES,
+        idle: IDLE_TIMEOUT,
+        read: BODY_TIMEOUT,
     };
-    let inbox = sender.clone();
-    let take = move |message| {
-        let _ = inbox.try_send(Input::Peer(message));
+    let client_limits = ClientLimits {
+        per_host: MAX_IDLE_PER_HOST,
+        idle: bounds.idle_connections,
+        keep: CLIENT_IDLE_TIMEOUT,
+        largest: bounds.answer_bytes,
     };
-    let connections = settings.peers.len() * 4;
-    let listening = forkshift_net::listen(
-        ex.clone(),
-        peer_listener,
-        connections,
-        MAX_MESSAGE_BYTES,
-        take,
-    );
-    ex.spawn(listening).detach();
-    let links = settings.peers.iter();
-    let links = links.map(|p| {
-        (
-            p.node.clone(),
-            PeerLink::new(&ex, p.addr, bounds.peer_queue_bytes),
-        )
-    });
-    let handler = handler(sender.clone(), waiting.clone());
-    ex.spawn(forkshift_net::serve(ex.clone(), listener, limits, handler))
-        .detach();
+    let ex: Executor = Rc::new(LocalExecutor::new());
+    let mut rng = rand::rng();
+    let node = Node::new(config, rng.random_range(1..INCARNATION_LIMIT), rng.random());
+    let (sender, inputs) = async_channel::unbounded();
+    let requests = Rc::new(PendingRequests::new(sender.clone()));
+    spawn_peer_listener(&ex, peer_listener, settings.peers.len(), sender.clone());
+    spawn_server(&ex, listener, server_limits, requests.clone());
     log::info!("{} listens on {}", settings.node, settings.listen);
-    let owner = Owner {
-        node,
-        ex: ex.clone(),
-        client: Rc::new(Client::new(ClientLimits {
-            per_host: 8,
-            idle: bounds.idle_connections,
-            keep: Duration::from_secs(20),
-            largest: bounds.answer_bytes,
-        })),
+    let links = settings.peers.iter().map(|peer| {
+        let link = PeerLink::new(&ex, peer.addr, bounds.peer_queue_bytes);
+        (peer.node.clone(), link)
+    });
+    let endpoints = Endpoints {
+        client: Rc::new(Client::new(client_limits)),
         state: settings.services.state,
         cloud: settings.services.cloud,
         links: links.collect(),
-        sender,
-        waiting,
-        started: Instant::now(),
+        requests,
     };
+    let controller = Controller::new(node, ex.clone(), endpoints, sender);
     if let Some(spans) = spans {
         ex.spawn(log_spans(spans)).detach();
     }
     // The reactor's own thread waits for events. `async_io::block_on` would wait for
     // them here as well, and the two take turns at a switch of threads each.
-    future::block_on(ex.run(owner.work(receiver)));
+    future::block_on(ex.run(controller.run(inputs)));
     Ok(())
 }
 
-/// Logs how long the parts of steps took.
-async fn log_spans(spans: SpanTimes) {
-    loop {
-        Timer::after(SPANS_EVERY).await;
-        if let Some(line) = spans.take_line() {
-            log::info!("spans: {line}");
-        }
-    }
-}
-
-/// Hands requests to the owner and waits for its answers.
-fn handler(
-    sender: Sender<Input>,
-    waiting: Waiting,
-) -> impl Fn(Request) -> std::pin::Pin<Box<dyn std::future::Future<Output = Response>>> + Clone {
-    let next = Rc::new(Cell::new(0_u64));
-    move |req: Request| {
-        let (sender, waiting) = (sender.clone(), waiting.clone());
-        let request = RequestId(next.get());
-        next.set(request.0 + 1);
-        Box::pin(async move {
-            let (reply, answer) = async_channel::bounded(1);
-            waiting.borrow_mut().insert(request, reply);
-            let guard = Forget(waiting, request);
-            let input = Input::Request {
-                request,
-                method: req.method,
-                path: req.path,
-                body: req.body,
-            };
-            let sent = sender.send(input).await.is_ok();
-            let reply = if sent { answer.recv().await.ok() } else { None };
-            drop(guard);
-            match reply {
-                Some(reply) => Response {
-                    status: reply.status,
-                    body: reply.body,
-                    retry_after_s: reply.retry_after_s,
-                },
-                None => Response {
-                    status: 503,
-                    body: Vec::new(),
-                    retry_after_s: Some(1),
-                },
-            }
-        })
-    }
-}
-
-/// A request whose connection is gone waits for nothing any more.
-struct Forget(Waiting, RequestId);
-
-impl Drop for Forget {
-    fn drop(&mut self) {
-        self.0.borrow_mut().remove(&self.1);
-    }
+/// Spawns the task that queues messages of other controllers.
+fn spawn_peer_listener(ex: &Executor, listener: TcpListener, peers: usize, inputs: Sender<Input>) {
+    let on_message = move |message| {
+        // The queue is closed only if the process is about to end.
+        let _ = inputs.try_send(Input::Peer(message));
+    };
+    let max_connections = peers * CONNECTIONS_PER_PEER;
+    let listening = forkshift_net::listen(
+        ex.clone(),
+        listener,
+        max_connections,
+        MAX_MESSAGE_BYTES,
+        on_message,
+    );
+    ex.spawn(listening).detach();
 }
 
-struct Owner {
-    node: Node,
-    ex: Executor,
-    client: Rc<Client>,
-    state: SocketAddr,
-    cloud: SocketAddr,
-    links: HashMap<NodeName, PeerLink>,
-    sender: Sender<Input>,
-    waiting: Waiting,
-    started: Instant,
+/// Spawns the task that accepts HTTP requests.
+fn spawn_server(
+    ex: &Executor,
+    listener: TcpListener,
+    limits: ServerLimits,
+    requests: Rc<PendingRequests>,
+) {
+    let handler = move |request| {
+        let requests = requests.clone();
+        async move { requests.handle(request).await }
+    };
+    let serving = forkshift_net::serve(ex.clone(), listener, limits, handler);
+    ex.spawn(serving).detach();
 }
 
-impl Owner {
-    async fn work(mut self, receiver: Receiver<Input>) {
-        let mut swept = Instant::now();
-        loop {
-            let next = async { receiver.recv().await.ok() };
-            let tick = async {
-                Timer::after(TICK).await;
-                None
-            };
-            let mut batch: Vec<Input> = future::or(next, tick).await.into_iter().collect();
-            while let Ok(input) = receiver.try_recv() {
-                batch.push(input);
-            }
-            let now = self.started.elapsed().as_millis() as u64;
-            let wall = SystemTime::now().duration_since(UNIX_EPOCH);
-            let wall = wall.map_or(0, |t| t.as_millis() as u64);
-            for effect in self.node.step(now, wall, batch) {
-                self.carry_out(effect);
-            }
-            if swept.elapsed() > Duration::from_secs(5) {
-                swept = Instant::now();
-                self.client.sweep();
-            }
-            future::yield_now().await;
-        }
-    }
-
-    fn carry_out(&self, effect: Effect) {
-        match effect {
-            Effect::Respond { request, reply } => {
-                if let Some(sender) = self.waiting.borrow_mut().remove(&request) {
-                    let _ = sender.try_send(reply);
-                }
-            }
-            Effect::SendToPeer { node, message } => {
-                if let Some(link) = self.links.get(&node) {
-                    link.send(message);
-                }
-            }
-            Effect::Call {
-                id,
-                target,
-                method,
-                path,
-                body,
-                timeout,
-            } => {
-                let addr = match &target {
-                    Target::Store => Some(self.state),
-                    Target::Cloud => Some(self.cloud),
-                    Target::Worker(addr) => addr.parse().ok(),
-                };
-                let (client, sender) = (self.client.clone(), self.sender.clone());
-                self.ex
-                    .spawn(async move {
-                        let (status, body) = match addr {
-                            Some(addr) => {
-                                let timeout = Duration::from_millis(timeout);
-                                let call = Call {
-                                    addr,
-                                    method,
-                                    path,
-                                    body,
-                                    timeout,
-                                };
-                                let outcome = client.call(call).await;
-                                (outcome.status, outcome.body)
-                            }
-                            None => (0, Vec::new()),
-                        };
-                        let answer = Input::Response {
-                            call: id,
-                            status,
-                            body,
-                        };
-                        let _ = sender.send(answer).await;
-                    })
-                    .detach();
-            }
+/// Logs the times of spans periodically.
+async fn log_spans(spans: SpanTimes) {
+    loop {
+        Timer::after(SPANS_LOG_INTERVAL).await;
+        if let Some(line) = spans.take_line() {
+            log::info!("spans: {line}");
         }
     }
 }
--- a/crates/daemon/src/spans/tests.rs
+++ b/crates/daemon/src/spans/tests.rs
@@ -1,26 +1,28 @@
+//! Tests of `spans`.
+
 use super::SpanTimes;
 
 #[test]
-fn spans_are_summed_up_by_name() {
+fn exited_spans_are_summarised_by_name_once() {
     let times = SpanTimes::default();
-    assert_eq!(times.take_line(), None, "nothing was timed");
+    assert_eq!(times.take_line(), None, "no span was exited");
     tracing::subscriber::with_default(times.clone(), || {
         for _ in 0..3 {
             let _outer = tracing::debug_span!("outer").entered();
             let _inner = tracing::debug_span!("inner").entered();
         }
         let _open = tracing::debug_span!("open").entered();
-        let line = times.take_line().expect("spans were closed");
+        let line = times.take_line().expect("spans were exited");
         assert!(
             line.contains("outer 3 in ") && line.contains("inner 3 in "),
             "{line}"
         );
-        assert!(!line.contains("open"), "it is not closed yet: {line}");
+        assert!(!line.contains("open"), "it is not exited yet: {line}");
     });
-    let line = times.take_line().expect("the last one was closed since");
+    let line = times.take_line().expect("the last one was exited since");
     assert!(line.starts_with("open 1 in "), "{line}");
     assert!(
         times.lock().open.is_empty(),
-        "nothing is kept of spans that are closed"
+        "closed spans should be removed"
     );
 }
--- a/crates/daemon/tests/command_line.rs
+++ b/crates/daemon/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program's answers to settings, from the command line.
+//! The program's responses to settings and records, from the command line.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn check_names_limits_that_are_too_small_and_what_would_do() {
+fn check_names_insufficient_limits_and_sufficient_values() {
     let cases: [(&str, &str, i32, &[&str]); 4] = [
         ("small.textproto", "machines: 100", 0, &[]),
         (
@@ -50,17 +50,21 @@
             &["`machines` must be above 0"],
         ),
     ];
-    for (name, operator, code, said) in cases {
+    for (name, operator, exit_code, messages) in cases {
         let output = check(name, operator);
         let errors = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(code), "{operator}: {errors}");
-        for line in said {
-            assert!(errors.contains(line), "{operator}: {errors}");
+        assert_eq!(
+            output.status.code(),
+            Some(exit_code),
+            "{operator}: {errors}"
+        );
+        for message in messages {
+            assert!(errors.contains(message), "{operator}: {errors}");
         }
     }
 }
 
-/// A stand-in for the state service that gives every request the same answer.
+/// A fake state service that gives every request the same response.
 fn state_service(status: &'static str, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -70,10 +74,10 @@
             let mut request = [0; 4_096];
             let _ = stream.read(&mut request);
             let length = body.len();
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 {status}\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n{body}"
             );
-            let _ = stream.write_all(answer.as_bytes());
+            let _ = stream.write_all(response.as_bytes());
         }
     });
     addr
@@ -99,11 +103,11 @@
 const GARBLED: &str =
     r#"{"items":[{"key":"pool/x/1-odd","data":{},"stamp":1}],"has_next":false,"ledger_rev":1}"#;
 
-/// What can't be read is said with exit 1, and never shown as nothing.
+/// A failure to read ends with exit code 1, and is never shown as an empty result.
 #[test]
-fn pools_are_never_empty_because_nothing_could_be_read() {
+fn pools_command_fails_if_records_cannot_be_read() {
     let closed = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let nobody = closed.local_addr().expect("an address");
+    let unreachable = closed.local_addr().expect("an address");
     drop(closed);
     let cases: [(&str, SocketAddr, &[&str], i32, &str); 7] = [
         (
@@ -127,7 +131,13 @@
             1,
             "refuses with 503",
         ),
-        ("gone", nobody, &["status"], 1, "does not answer"),
+        (
+            "unreachable",
+            unreachable,
+            &["status"],
+            1,
+            "does not answer",
+        ),
         (
             "odd",
             state_service("200 OK", GARBLED),
@@ -144,21 +154,25 @@
         ),
         (
             "span",
-            nobody,
+            unreachable,
             &["report", "--from", "2026-12-02", "--to", "2026-12-01"],
             1,
             "`--to` is not behind `--from`",
         ),
     ];
-    for (name, state, arguments, code, said) in cases {
+    for (name, state, arguments, exit_code, message) in cases {
         let output = pools(&format!("{name}.toml"), state, arguments);
         let (out, errors) = (
             String::from_utf8_lossy(&output.stdout),
             String::from_utf8_lossy(&output.stderr),
         );
-        assert_eq!(output.status.code(), Some(code), "{name}: {out}{errors}");
-        let text = if code == 0 { &out } else { &errors };
-        assert!(text.contains(said), "{name}: {out}{errors}");
-        assert!(code == 0 || out.is_empty(), "{name}: {out}");
+        assert_eq!(
+            output.status.code(),
+            Some(exit_code),
+            "{name}: {out}{errors}"
+        );
+        let text = if exit_code == 0 { &out } else { &errors };
+        assert!(text.contains(message), "{name}: {out}{errors}");
+        assert!(exit_code == 0 || out.is_empty(), "{name}: {out}");
     }
 }
--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden forms of what operators see of `forkshift`: names on the command line, what
-//! `check` takes and refuses, and what `pools` prints of stored records. The expected
-//! forms are in `golden/`; the prose of errors and of help is not among them.
+//! Golden forms of the interface for operators: names on the command line, the files that
+//! `check` accepts and refuses, and the output of `pools` for stored records. The expected
+//! forms are in `golden/`; the texts of errors and of help are not among them.
 
 #[path = "../../testkit/tests/golden/help.rs"]
 mod help;
@@ -15,16 +15,16 @@
 
 fn forkshift(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_forkshift"));
-    let ran = command.args(arguments).output();
-    ran.expect("the program runs")
+    let output = command.args(arguments).output();
+    output.expect("the program runs")
 }
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A new file of a test, with its path as an argument.
-fn file(name: &str, content: &str) -> String {
+/// Writes a file, and returns its path as an argument.
+fn write_file(name: &str, content: &str) -> String {
     let folder: PathBuf = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden");
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join(name);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_command_line_has_these_names() {
+fn command_line_names_are_unchanged() {
     let commands = [
         "",
         "serve",
@@ -42,19 +42,19 @@
         "pools status",
         "pools report",
     ];
-    let mut seen = String::new();
+    let mut actual = String::new();
     for command in commands {
         let mut arguments: Vec<&str> = command.split_whitespace().collect();
         arguments.push("--help");
-        let ran = forkshift(&arguments);
-        assert_eq!(ran.status.code(), Some(0), "{command}");
-        let names = help::option_names(&text(&ran.stdout));
-        seen += &format!("== forkshift {command}\n{names}");
+        let output = forkshift(&arguments);
+        assert_eq!(output.status.code(), Some(0), "{command}");
+        let names = help::option_names(&text(&output.stdout));
+        actual += &format!("== forkshift {command}\n{names}");
     }
-    assert!(seen == include_str!("golden/options.txt"), "{seen}");
+    assert!(actual == include_str!("golden/options.txt"), "{actual}");
 }
 
-/// Runs `check` as a line of the fixture says.
+/// Runs `check` for a line of the fixture.
 fn check(number: usize, case: &Value) -> Output {
     let mut settings = SETTINGS.to_owned();
     if let Some([from, to]) = case["settings"].as_array().map(Vec::as_slice) {
@@ -63,30 +63,30 @@
         settings = settings.replacen(from, to, 1);
     }
     let mut arguments = vec!["check".to_owned(), "--config".to_owned()];
-    arguments.push(file(&format!("{number}.toml"), &settings));
+    arguments.push(write_file(&format!("{number}.toml"), &settings));
     for (field, ending) in [("operator", "textproto"), ("catalog", "json")] {
         if let Some(content) = case[field].as_str() {
             arguments.push(format!("--{field}"));
-            arguments.push(file(&format!("{number}.{ending}"), content));
+            arguments.push(write_file(&format!("{number}.{ending}"), content));
         }
     }
-    let more = case["arguments"].as_array().into_iter().flatten();
-    arguments.extend(more.map(|a| a.as_str().expect("text").to_owned()));
+    let additional = case["arguments"].as_array().into_iter().flatten();
+    arguments.extend(additional.map(|a| a.as_str().expect("text").to_owned()));
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     forkshift(&arguments)
 }
 
 /// Each line of `check.jsonl` has the files, the exit code, and what the error names.
 #[test]
-fn check_takes_and_refuses_these_files() {
+fn check_accepts_and_refuses_the_same_files() {
     for (number, line) in include_str!("golden/check.jsonl").lines().enumerate() {
         let case: Value = serde_json::from_str(line).expect("JSON");
-        let ran = check(number, &case);
-        let errors = text(&ran.stderr);
-        let code = ran.status.code().map(i64::from);
+        let output = check(number, &case);
+        let errors = text(&output.stderr);
+        let code = output.status.code().map(i64::from);
         assert_eq!(code, case["exit"].as_i64(), "{line}: {errors}");
         assert_eq!(code == Some(0), errors.is_empty(), "{line}: {errors}");
-        assert_eq!(code == Some(0), !ran.stdout.is_empty(), "{line}");
+        assert_eq!(code == Some(0), !output.stdout.is_empty(), "{line}");
         for name in case["names"].as_array().into_iter().flatten() {
             let name = name.as_str().expect("text");
             assert!(errors.contains(name), "{line}: {errors}");
@@ -94,18 +94,20 @@
     }
 }
 
-/// The page of the records below the prefix that a request asks for.
+/// The page of records with the prefix that is requested.
 fn page(request: &str) -> String {
     let prefix = request.split("starts=").nth(1).expect("a prefix");
     let prefix = prefix.split(['&', ' ']).next().expect("a prefix");
-    let begins = format!(r#"{{"key":"{prefix}"#);
+    let line_start = format!(r#"{{"key":"{prefix}"#);
     let records = include_str!("golden/records.jsonl").lines();
-    let found: Vec<&str> = records.filter(|line| line.starts_with(&begins)).collect();
+    let found: Vec<&str> = records
+        .filter(|line| line.starts_with(&line_start))
+        .collect();
     let items = found.join(",");
     format!(r#"{{"items":[{items}],"has_next":false,"ledger_rev":16}}"#)
 }
 
-/// A state service that holds the records of the fixture.
+/// A fake state service with the records of the fixture.
 fn state_service() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -122,23 +124,23 @@
     addr
 }
 
-/// Runs `pools` against that state service; gives what it printed.
+/// Runs `pools` against that state service, and returns its standard output.
 fn pools(command: &str) -> String {
     let addr = state_service().to_string();
     let settings = SETTINGS.replace("127.0.0.1:2379", &addr);
     let name = format!("{}.toml", command.replace(' ', "_"));
-    let config = file(&name, &settings);
+    let config = write_file(&name, &settings);
     let mut arguments = vec!["pools"];
     arguments.extend(command.split(' '));
     arguments.extend(["--config", &config]);
-    let ran = forkshift(&arguments);
-    let errors = text(&ran.stderr);
-    assert_eq!(ran.status.code(), Some(0), "{command}: {errors}");
-    text(&ran.stdout)
+    let output = forkshift(&arguments);
+    let errors = text(&output.stderr);
+    assert_eq!(output.status.code(), Some(0), "{command}: {errors}");
+    text(&output.stdout)
 }
 
 #[test]
-fn pools_print_these_tables_and_json() {
+fn pools_output_is_unchanged() {
     const COMMANDS: [&str; 5] = [
         "status",
         "status --json",
@@ -146,9 +148,9 @@
         "report --from 2026-12-01 --to 2026-12-01T06:30:00Z --json",
         "report --from 2020-01-01 --to 2020-01-02 --json",
     ];
-    let mut seen = String::new();
+    let mut actual = String::new();
     for command in COMMANDS {
-        seen += &format!("== {command}\n{}", pools(command));
+        actual += &format!("== {command}\n{}", pools(command));
     }
-    assert!(seen == include_str!("golden/pools.txt"), "{seen}");
+    assert!(actual == include_str!("golden/pools.txt"), "{actual}");
 }
