--- /dev/null
+++ b/crates/wire/tests/golden/main.rs
@@ -0,0 +1,12 @@
+//! Golden bytes of all that this crate encodes: they must never change.
+//!
+//! Each fixture file has a line `name<TAB>bytes` for each case. A value is encoded, decoded
+//! and encoded again, and both encodings are compared with the fixture.
+
+mod case;
+mod cloud;
+mod peers;
+mod settings;
+mod state;
+mod users;
+mod workers;
