--- a/crates/testkit/src/check/dependencies.rs
+++ b/crates/testkit/src/checker/dependencies.rs
@@ -8,7 +8,7 @@
 
 impl Checker {
     /// Jobs that a job needs, directly or through others.
-    fn needed_by(&self, id: &JobId) -> BTreeSet<JobId> {
+    fn transitive_dependencies(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut needed = BTreeSet::new();
         let mut open = vec![id.clone()];
         while let Some(id) = open.pop() {
@@ -23,8 +23,8 @@
     }
 
     /// Whether all tasks of a job have completed.
-    pub(crate) fn is_whole(&self, id: &JobId) -> bool {
-        let done = self.done.get(id).map_or(0, BTreeSet::len) as u32;
+    pub(crate) fn is_job_completed(&self, id: &JobId) -> bool {
+        let done = self.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
         self.jobs.get(id).is_some_and(|s| done == s.tasks)
     }
 
@@ -32,24 +32,24 @@
     pub(crate) fn is_blocked(&self, id: &JobId) -> bool {
         let spec = self.jobs.get(id);
         let mut dependencies = spec.into_iter().flat_map(|s| &s.dependencies);
-        dependencies.any(|d| !self.is_whole(d))
+        dependencies.any(|d| !self.is_job_completed(d))
     }
 
     /// A task of a job has started.
-    pub(super) fn check_order(&mut self, now: Ms, id: &JobId, what: &str) {
+    pub(super) fn check_dependencies(&mut self, now: Ms, id: &JobId, what: &str) {
         if self.is_blocked(id) {
-            self.fail(Rule::TooEarly, now, format!("{what} starts"));
+            self.record_violation(Rule::TooEarly, now, format!("{what} starts"));
         }
     }
 
     /// A job has completed: from now on the times count of those that waited
     /// for nothing else.
-    pub(super) fn note_ready(&mut self, now: Ms, completed: &JobId) {
+    pub(super) fn record_ready_dependents(&mut self, now: Ms, completed: &JobId) {
         let waits = |id: &&JobId| self.jobs[*id].dependencies.contains(completed);
         let ids: Vec<JobId> = self.jobs.keys().filter(waits).cloned().collect();
         for id in ids {
             if !self.is_blocked(&id) {
-                self.ready.entry(id).or_insert(now);
+                self.ready_at.entry(id).or_insert(now);
             }
         }
     }
@@ -64,27 +64,33 @@
         if self.is_blocked(id) {
             return None;
         }
-        Some(self.ready.get(id).map_or(submitted, |t| submitted.max(*t)))
+        Some(
+            self.ready_at
+                .get(id)
+                .map_or(submitted, |t| submitted.max(*t)),
+        )
     }
 
     /// Whether its user has asked to cancel it, or that of a job that it needs
     /// has, and was not told that this one is done.
     pub fn is_cancel_wanted(&self, id: &JobId) -> bool {
-        let cancels_others =
-            |id: &JobId| self.cancel_asked.contains(id) && self.told(id) != Some(JobStage::Done);
-        self.cancel_asked.contains(id) || self.needed_by(id).iter().any(cancels_others)
+        let cancels_others = |id: &JobId| {
+            self.cancel_requested.contains(id) && self.final_stage(id) != Some(JobStage::Done)
+        };
+        self.cancel_requested.contains(id)
+            || self.transitive_dependencies(id).iter().any(cancels_others)
     }
 
     /// A user was told that a job is queued or running.
-    pub(super) fn check_orphan(&mut self, now: Ms, id: &JobId) {
-        let needed = self.needed_by(id);
+    pub(super) fn check_orphaned(&mut self, now: Ms, id: &JobId) {
+        let needed = self.transitive_dependencies(id);
         let cancelled = needed
             .iter()
             .filter_map(|n| Some((n, self.cancelled_at(n)?)));
         let first = cancelled.min_by_key(|(_, at)| *at);
         if let Some((needed, _)) = first.filter(|(_, at)| now > at + self.cancel_ms) {
             let what = format!("{id}, which needs {needed}");
-            self.fail(Rule::Orphaned, now, what);
+            self.record_violation(Rule::Orphaned, now, what);
         }
     }
 
@@ -93,7 +99,7 @@
         let spec = self.jobs.get(id);
         let named = spec.map(|s| s.dependencies.clone()).unwrap_or_default();
         if status == 422 && !named.is_empty() && named.iter().all(|d| self.is_accepted(d)) {
-            self.fail(Rule::WrongAnswer, now, format!("{id}: 422 of {named:?}"));
+            self.record_violation(Rule::WrongAnswer, now, format!("{id}: 422 of {named:?}"));
         }
     }
 }
--- a/crates/testkit/src/check/observations.rs
+++ b/crates/testkit/src/checker/observations.rs
@@ -30,12 +30,12 @@
 impl Checker {
     /// Notes starts and acceptances from now on, until they are taken.
     pub fn observe(&mut self) {
-        self.observed.get_or_insert_default();
+        self.observations.get_or_insert_default();
     }
 
     /// Takes what was noted since this was last called.
     pub fn take_observations(&mut self) -> (Vec<StartSeen>, Vec<Ms>) {
-        let Some(observed) = &mut self.observed else {
+        let Some(observed) = &mut self.observations else {
             return Default::default();
         };
         (
@@ -46,8 +46,12 @@
 
     /// Notes a start, unless the task had started before.
     pub(super) fn observe_start(&mut self, now: Ms, task: &TaskRef, priority: Priority) {
-        let asked = self.first_asked.get(&task.job).copied().unwrap_or(now);
-        let Some(observed) = &mut self.observed else {
+        let asked = self
+            .first_requested_at
+            .get(&task.job)
+            .copied()
+            .unwrap_or(now);
+        let Some(observed) = &mut self.observations else {
             return;
         };
         let started = observed.started.entry(task.job.clone()).or_default();
--- a/crates/testkit/src/check/tests.rs
+++ b/crates/testkit/src/checker/tests.rs
@@ -1,7 +1,7 @@
 //! Each rule is shown to be caught.
 
 use super::*;
-use crate::world::Plan;
+use crate::simulation::Plan;
 
 fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
@@ -36,7 +36,7 @@
         dependencies: vec![needs.clone()],
         ..spec(id, 4)
     };
-    checker.submitted(&spec);
+    checker.on_submitted(&spec);
     spec.id
 }
 
@@ -47,22 +47,22 @@
     type Trace = fn(&mut Checker, &JobId, bool);
     let cases: [(Rule, Trace); 29] = [
         (Rule::RanTwice, |c, _, bad| {
-            c.started(1, &task(0), place("m1", "a"));
+            c.on_task_started(1, &task(0), place("m1", "a"));
             if !bad {
-                c.ended(&task(0), &MachineId::new("m1"));
+                c.on_task_ended(&task(0), &MachineId::new("m1"));
             }
-            c.started(2, &task(0), place("m2", "a"));
+            c.on_task_started(2, &task(0), place("m2", "a"));
         }),
         (Rule::Quota, |c, _, bad| {
-            c.started(1, &task(0), place("m1", "a"));
-            c.started(1, &task(1), place("m1", "a"));
+            c.on_task_started(1, &task(0), place("m1", "a"));
+            c.on_task_started(1, &task(1), place("m1", "a"));
             if bad {
-                c.started(1, &task(2), place("m2", "b"));
+                c.on_task_started(1, &task(2), place("m2", "b"));
             }
         }),
         (Rule::WrongPlace, |c, _, bad| {
             let spot = bad;
-            c.started(
+            c.on_task_started(
                 1,
                 &task(0),
                 Place {
@@ -73,7 +73,7 @@
         }),
         (Rule::WrongPlace, |c, _, bad| {
             let machine_type = if bad { "h" } else { "g" }.to_owned();
-            c.started(
+            c.on_task_started(
                 1,
                 &task(0),
                 Place {
@@ -84,156 +84,156 @@
         }),
         (Rule::WrongPlace, |c, id, bad| {
             c.jobs.get_mut(id).unwrap().one_zone = true;
-            c.started(1, &task(0), place("m1", "a"));
-            c.started(1, &task(1), place("m2", if bad { "b" } else { "a" }));
+            c.on_task_started(1, &task(0), place("m1", "a"));
+            c.on_task_started(1, &task(1), place("m2", if bad { "b" } else { "a" }));
         }),
         (Rule::WrongPlace, |c, id, bad| {
             c.jobs.get_mut(id).unwrap().spread = true;
-            c.started(1, &task(0), place("m1", "a"));
-            c.started(1, &task(1), place("m2", "a"));
+            c.on_task_started(1, &task(0), place("m1", "a"));
+            c.on_task_started(1, &task(1), place("m2", "a"));
             if bad {
                 c.limits.clear();
-                c.started(1, &task(2), place("m2", "a"));
+                c.on_task_started(1, &task(2), place("m2", "a"));
             }
         }),
         (Rule::RanCancelled, |c, id, bad| {
-            c.asked_cancel(id);
-            c.started(1, &task(0), place("m1", "a"));
-            c.answered(5, id, false, 200, Some(JobStage::Cancelled));
+            c.on_cancel_requested(id);
+            c.on_task_started(1, &task(0), place("m1", "a"));
+            c.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
             if !bad {
-                c.ended(&task(0), &MachineId::new("m1"));
+                c.on_task_ended(&task(0), &MachineId::new("m1"));
             }
             c.tick(5 + 101, &BTreeSet::new());
         }),
         (Rule::Forgotten, |c, id, bad| {
-            c.answered(1, id, true, 201, Some(JobStage::Queued));
-            c.answered(2, id, false, if bad { 404 } else { 503 }, None);
+            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            c.on_immediate_response(2, id, false, if bad { 404 } else { 503 }, None);
         }),
         (Rule::Invented, |c, _, bad| {
             let other = JobId::parse("j-9").unwrap();
-            c.answered(1, &other, false, if bad { 200 } else { 404 }, None);
+            c.on_immediate_response(1, &other, false, if bad { 200 } else { 404 }, None);
         }),
         (Rule::NotDone, |c, id, bad| {
             for i in 0..if bad { 3 } else { 4 } {
-                c.completed(1, &task(i));
+                c.on_task_completed(1, &task(i));
             }
-            c.answered(1, id, false, 200, Some(JobStage::Done));
+            c.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
         }),
         (Rule::WentBack, |c, id, bad| {
             if !bad {
-                c.asked_cancel(id);
+                c.on_cancel_requested(id);
             }
-            c.answered(1, id, false, 200, Some(JobStage::Cancelled));
+            c.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
         }),
         // Older answers to requests that were sent before something newer had
         // been told are fine, to later ones they are not.
         (Rule::Forgotten, |c, id, bad| {
-            let early = c.ask(1, id);
-            c.answered(1, id, true, 201, Some(JobStage::Queued));
-            let late = c.ask(1, id);
-            c.answered_to(if bad { late } else { early }, 1, id, false, 404, None);
+            let early = c.on_request_sent(1, id);
+            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let late = c.on_request_sent(1, id);
+            c.on_response(if bad { late } else { early }, 1, id, false, 404, None);
         }),
         (Rule::Forgotten, |c, id, bad| {
-            let early = c.ask(1, id);
-            c.answered(1, id, true, 201, Some(JobStage::Queued));
-            let late = c.ask(1, id);
-            c.answered_to(if bad { late } else { early }, 1, id, true, 422, None);
+            let early = c.on_request_sent(1, id);
+            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let late = c.on_request_sent(1, id);
+            c.on_response(if bad { late } else { early }, 1, id, true, 422, None);
         }),
         (Rule::WentBack, |c, id, bad| {
-            c.asked_cancel(id);
-            let early = c.ask(1, id);
-            c.answered(1, id, false, 200, Some(JobStage::Cancelled));
-            let late = c.ask(1, id);
+            c.on_cancel_requested(id);
+            let early = c.on_request_sent(1, id);
+            c.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
+            let late = c.on_request_sent(1, id);
             let ticket = if bad { late } else { early };
-            c.answered_to(ticket, 1, id, false, 200, Some(JobStage::Running));
+            c.on_response(ticket, 1, id, false, 200, Some(JobStage::Running));
         }),
         (Rule::WentBack, |c, id, bad| {
-            (0..4).for_each(|i| c.completed(1, &task(i)));
-            let early = c.ask(1, id);
-            c.answered(1, id, false, 200, Some(JobStage::Done));
-            let late = c.ask(1, id);
+            (0..4).for_each(|i| c.on_task_completed(1, &task(i)));
+            let early = c.on_request_sent(1, id);
+            c.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
+            let late = c.on_request_sent(1, id);
             let ticket = if bad { late } else { early };
-            c.answered_to(ticket, 1, id, true, 200, Some(JobStage::Queued));
+            c.on_response(ticket, 1, id, true, 200, Some(JobStage::Queued));
         }),
         // Two final stages never go together.
         (Rule::WentBack, |c, id, bad| {
-            c.asked_cancel(id);
-            (0..4).for_each(|i| c.completed(1, &task(i)));
-            let early = c.ask(1, id);
-            c.answered(1, id, false, 200, Some(JobStage::Done));
+            c.on_cancel_requested(id);
+            (0..4).for_each(|i| c.on_task_completed(1, &task(i)));
+            let early = c.on_request_sent(1, id);
+            c.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
             let stage = match bad {
                 true => JobStage::Cancelled,
                 false => JobStage::Done,
             };
-            c.answered_to(early, 1, id, false, 200, Some(stage));
+            c.on_response(early, 1, id, false, 200, Some(stage));
         }),
         (Rule::RanCancelled, |c, id, bad| {
-            c.asked_cancel(id);
-            c.answered(5, id, false, 200, Some(JobStage::Cancelled));
+            c.on_cancel_requested(id);
+            c.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
             let at = 5 + 100 + u64::from(bad);
-            c.started(at, &task(0), place("m1", "a"));
+            c.on_task_started(at, &task(0), place("m1", "a"));
         }),
         (Rule::Unfit, |c, _, bad| {
             let other = JobId::parse("j-9").unwrap();
-            c.unfit(&other);
+            c.expect_refusal(&other);
             let status = if bad { 201 } else { 422 };
-            c.answered(1, &other, true, status, None);
-            c.refused(1, &other, status, 422);
+            c.on_immediate_response(1, &other, true, status, None);
+            c.check_refusal(1, &other, status, 422);
         }),
         (Rule::WrongAnswer, |c, _, bad| {
             let other = JobId::parse("j-9").unwrap();
-            c.unfit(&other);
-            c.refused(1, &other, 503, 400);
-            c.refused(1, &other, if bad { 422 } else { 400 }, 400);
+            c.expect_refusal(&other);
+            c.check_refusal(1, &other, 503, 400);
+            c.check_refusal(1, &other, if bad { 422 } else { 400 }, 400);
         }),
         (Rule::Unanswered, |c, id, bad| {
-            c.answered(1, id, true, 201, Some(JobStage::Queued));
-            c.ask(10, id);
+            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            c.on_request_sent(10, id);
             c.tick(90_000, &BTreeSet::new());
-            c.calm(Calm::Since(100_000));
-            c.answered(110_000, id, false, 503, None);
+            c.set_quiescence(Quiescence::Since(100_000));
+            c.on_immediate_response(110_000, id, false, 503, None);
             let status = if bad { 504 } else { 200 };
-            c.answered(174_000, id, false, status, Some(JobStage::Queued));
+            c.on_immediate_response(174_000, id, false, status, Some(JobStage::Queued));
             c.tick(175_001, &BTreeSet::new());
         }),
         (Rule::LeftWaiting, |c, id, bad| {
-            c.waits(1, id, true);
-            c.calm(Calm::Since(100_000));
-            c.waits(100_000, id, true);
-            c.waits(150_000, id, bad);
-            c.waits(190_001, id, true);
+            c.on_job_waiting(1, id, true);
+            c.set_quiescence(Quiescence::Since(100_000));
+            c.on_job_waiting(100_000, id, true);
+            c.on_job_waiting(150_000, id, bad);
+            c.on_job_waiting(190_001, id, true);
         }),
         (Rule::LeftWaiting, |c, id, bad| {
-            c.calm(Calm::Since(0));
-            c.waits(1_000, id, true);
+            c.set_quiescence(Quiescence::Since(0));
+            c.on_job_waiting(1_000, id, true);
             if !bad {
-                c.calm(Calm::Not);
-                c.waits(50_000, id, true);
-                c.calm(Calm::Since(60_000));
+                c.set_quiescence(Quiescence::NotYet);
+                c.on_job_waiting(50_000, id, true);
+                c.set_quiescence(Quiescence::Since(60_000));
             }
-            c.waits(91_001, id, true);
+            c.on_job_waiting(91_001, id, true);
         }),
         (Rule::LateBegin, |c, id, bad| {
-            c.ask(1, id);
-            c.started(240_001 + u64::from(bad), &task(0), place("m1", "a"));
-            c.close(500_000);
+            c.on_request_sent(1, id);
+            c.on_task_started(240_001 + u64::from(bad), &task(0), place("m1", "a"));
+            c.finish(500_000);
         }),
         // A gang begins with its last task, and never if it does not come.
         (Rule::LateBegin, |c, id, bad| {
             let spec = c.jobs.get_mut(id).unwrap();
             (spec.kind, spec.tasks) = (JobKind::Gang, 2);
-            c.ask(1, id);
-            c.started(2, &task(0), place("m1", "a"));
+            c.on_request_sent(1, id);
+            c.on_task_started(2, &task(0), place("m1", "a"));
             if !bad {
-                c.started(3, &task(1), place("m1", "a"));
+                c.on_task_started(3, &task(1), place("m1", "a"));
             }
-            c.close(240_002);
+            c.finish(240_002);
         }),
         (Rule::TooEarly, |c, id, bad| {
             let next = dependent(c, "j-2", id);
             let completed = if bad { 3 } else { 4 };
-            (0..completed).for_each(|i| c.completed(1, &task(i)));
-            c.started(
+            (0..completed).for_each(|i| c.on_task_completed(1, &task(i)));
+            c.on_task_started(
                 2,
                 &TaskRef {
                     job: next,
@@ -246,32 +246,32 @@
         (Rule::Orphaned, |c, id, bad| {
             let next = dependent(c, "j-2", id);
             let last = dependent(c, "j-3", &next);
-            c.asked_cancel(id);
-            c.answered(5, id, false, 200, Some(JobStage::Cancelled));
+            c.on_cancel_requested(id);
+            c.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
             let at = 5 + 100 + u64::from(bad);
-            c.answered(at, &last, false, 200, Some(JobStage::Queued));
-            c.answered(at, &last, false, 200, Some(JobStage::Cancelled));
+            c.on_immediate_response(at, &last, false, 200, Some(JobStage::Queued));
+            c.on_immediate_response(at, &last, false, 200, Some(JobStage::Cancelled));
         }),
         // A cancellation that is answered with `done` cancels nothing.
         (Rule::WentBack, |c, id, bad| {
             let next = dependent(c, "j-2", id);
-            (0..4).for_each(|i| c.completed(1, &task(i)));
-            c.asked_cancel(id);
+            (0..4).for_each(|i| c.on_task_completed(1, &task(i)));
+            c.on_cancel_requested(id);
             if bad {
-                c.answered(5, id, false, 200, Some(JobStage::Done));
+                c.on_immediate_response(5, id, false, 200, Some(JobStage::Done));
             }
-            c.answered(6, &next, false, 200, Some(JobStage::Cancelled));
+            c.on_immediate_response(6, &next, false, 200, Some(JobStage::Cancelled));
         }),
         // Its time begins when the last job that it needs is done.
         (Rule::LateBegin, |c, id, bad| {
             c.jobs.get_mut(id).unwrap().class = "other".to_owned();
-            c.ask(1, id);
-            c.started(2, &task(0), place("m1", "a"));
+            c.on_request_sent(1, id);
+            c.on_task_started(2, &task(0), place("m1", "a"));
             let next = dependent(c, "j-2", id);
-            c.ask(1, &next);
-            (0..4).for_each(|i| c.completed(100_000, &task(i)));
+            c.on_request_sent(1, &next);
+            (0..4).for_each(|i| c.on_task_completed(100_000, &task(i)));
             let at = 340_000 + u64::from(bad);
-            c.started(
+            c.on_task_started(
                 at,
                 &TaskRef {
                     job: next,
@@ -279,10 +279,10 @@
                 },
                 place("m1", "a"),
             );
-            c.close(500_000);
+            c.finish(500_000);
         }),
         (Rule::WrongAnswer, |c, id, bad| {
-            c.answered(1, id, true, 201, Some(JobStage::Queued));
+            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
             let next = dependent(c, "j-2", id);
             c.check_admission(2, &next, if bad { 422 } else { 503 });
         }),
@@ -292,7 +292,7 @@
             let limits = BTreeMap::from([("t".to_owned(), (0.0, 4.0))]);
             let mut checker = Checker::new(limits, 100);
             let spec = spec("j-1", 4);
-            checker.submitted(&spec);
+            checker.on_submitted(&spec);
             trace(&mut checker, &spec.id, bad);
             let rules: Vec<Rule> = checker.broken.iter().map(|b| b.0).collect();
             assert_eq!(rules, vec![rule; usize::from(bad)], "case {i}, bad: {bad}");
@@ -306,11 +306,11 @@
 fn starts_after_a_cancellation_are_counted() {
     let mut c = Checker::new(BTreeMap::new(), 100);
     let spec = spec("j-1", 4);
-    c.submitted(&spec);
-    c.asked_cancel(&spec.id);
-    c.started(1, &task(0), place("m1", "a"));
-    c.answered(5, &spec.id, false, 200, Some(JobStage::Cancelled));
-    c.started(25, &task(1), place("m1", "a"));
+    c.on_submitted(&spec);
+    c.on_cancel_requested(&spec.id);
+    c.on_task_started(1, &task(0), place("m1", "a"));
+    c.on_immediate_response(5, &spec.id, false, 200, Some(JobStage::Cancelled));
+    c.on_task_started(25, &task(1), place("m1", "a"));
     assert_eq!(c.starts_after_cancel, vec![(25, 20, task(1))]);
     assert_eq!(c.broken, vec![]);
 }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -11,42 +11,42 @@
 
 /// A rented machine.
 #[derive(Clone, Debug)]
-pub(crate) struct Rented {
+pub(crate) struct Instance {
     pub(crate) machine_type: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
-    rented: Ms,
+    provisioned_at: Ms,
     pub(crate) up_at: Ms,
     pub(crate) failed: bool,
 }
 
-pub(crate) struct Cloud {
-    pub(crate) machines: BTreeMap<MachineId, Rented>,
-    requests: BTreeMap<String, Vec<MachineId>>,
-    next: u32,
-    lists: VecDeque<(Ms, BTreeMap<String, Value>)>,
-    pub(crate) down: bool,
+pub(crate) struct CloudModel {
+    pub(crate) machines: BTreeMap<MachineId, Instance>,
+    provisioned_by_request: BTreeMap<String, Vec<MachineId>>,
+    last_instance_number: u32,
+    list_snapshots: VecDeque<(Ms, BTreeMap<String, Value>)>,
+    pub(crate) is_down: bool,
     /// What is on offer.
     pub(crate) fleet: Fleet,
     /// Machines of each zone and kind, where the fleet names no number.
     pub(crate) capacity: u32,
     /// Until when machines are up within two seconds.
-    pub(crate) quick_until: Ms,
+    pub(crate) fast_boots_until: Ms,
     /// Until when new machines of a type (any if left out) in a zone (any if
     /// left out) come late or never.
-    pub(crate) slow: Option<(Ms, SlowBoots)>,
+    pub(crate) slow_boots: Option<(Ms, SlowBoots)>,
     /// What was asked for: when, type, zone, and how many were had.
-    pub(crate) rented: Vec<(Ms, String, String, u32)>,
+    pub(crate) provisioning_log: Vec<(Ms, String, String, u32)>,
     /// Machines that are not up yet, by when they will be.
     booting: BTreeSet<(Ms, MachineId)>,
     /// Every machine that was rented: when, and when it is or would be up.
     pub(crate) boots: Vec<Boot>,
     /// Machines that came to an end since this was last looked at.
-    pub(crate) ended: Vec<MachineId>,
+    pub(crate) newly_terminated: Vec<MachineId>,
     /// How many in all.
-    pub(crate) n_ended: usize,
+    pub(crate) terminated_count: usize,
     /// When each machine was rented, and when the charge for it ended.
-    pub(crate) lives: BTreeMap<MachineId, (Ms, Option<Ms>)>,
+    pub(crate) billing_periods: BTreeMap<MachineId, (Ms, Option<Ms>)>,
     /// When it was last spoken to.
     now: Ms,
 }
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Boot {
     /// When it was rented.
-    pub rented: Ms,
+    pub provisioned_at: Ms,
     /// When it is up, unless it is deleted before; never, if that is far off.
     pub up_at: Ms,
 }
@@ -72,7 +72,7 @@
 }
 
 impl SlowBoots {
-    fn hits(&self, rent: &Rent) -> bool {
+    fn applies_to(&self, rent: &Rent) -> bool {
         self.machine_type.is_none_or(|t| t == rent.machine_type)
             && self.zone.is_none_or(|z| z == rent.zone)
     }
@@ -83,25 +83,25 @@
 }
 
 /// How far the list lags.
-const LIST_LAG: Ms = 4_000;
-impl Cloud {
+const LIST_LAG_MS: Ms = 4_000;
+impl CloudModel {
     pub(crate) fn new(capacity: u32, fleet: Fleet) -> Self {
         Self {
             fleet,
             machines: BTreeMap::new(),
-            requests: BTreeMap::new(),
-            next: 0,
-            lists: VecDeque::new(),
-            down: false,
+            provisioned_by_request: BTreeMap::new(),
+            last_instance_number: 0,
+            list_snapshots: VecDeque::new(),
+            is_down: false,
             capacity,
-            quick_until: 0,
-            slow: None,
-            rented: Vec::new(),
+            fast_boots_until: 0,
+            slow_boots: None,
+            provisioning_log: Vec::new(),
             boots: Vec::new(),
             booting: BTreeSet::new(),
-            ended: Vec::new(),
-            n_ended: 0,
-            lives: BTreeMap::new(),
+            newly_terminated: Vec::new(),
+            terminated_count: 0,
+            billing_periods: BTreeMap::new(),
             now: 0,
         }
     }
@@ -114,7 +114,7 @@
         rng: &mut StdRng,
     ) -> (u16, Value) {
         self.now = now;
-        if self.down {
+        if self.is_down {
             return (503, json!({"error": "trouble"}));
         }
         let (bare, query) = path.split_once('?').unwrap_or((path, ""));
@@ -126,17 +126,21 @@
             "/machines/delete" => {
                 let names: Machines = serde_json::from_slice(body).unwrap_or_default();
                 for id in names.machines {
-                    self.end(&id);
+                    self.terminate(&id);
                 }
                 (200, json!({}))
             }
             "/machines" if !body.is_empty() => match serde_json::from_slice::<Rent>(body) {
-                Ok(rent) => self.rent(now, rent, rng),
+                Ok(rent) => self.provision(now, rent, rng),
                 Err(e) => (400, json!({"error": e.to_string()})),
             },
             "/machines" => {
-                let lag = rng.random_range(LIST_LAG / 2..LIST_LAG * 2);
-                let old = self.lists.iter().rev().find(|(t, _)| t + lag <= now);
+                let lag = rng.random_range(LIST_LAG_MS / 2..LIST_LAG_MS * 2);
+                let old = self
+                    .list_snapshots
+                    .iter()
+                    .rev()
+                    .find(|(t, _)| t + lag <= now);
                 let from = query.split('&').find_map(|q| q.strip_prefix("from="));
                 let from = from.unwrap_or_default();
                 let all = old.map(|(_, l)| l).into_iter().flatten();
@@ -156,7 +160,7 @@
     }
 
     /// Takes the machines that are up by now and were not before, by their names.
-    pub(crate) fn take_up(&mut self, now: Ms) -> BTreeSet<MachineId> {
+    pub(crate) fn take_booted(&mut self, now: Ms) -> BTreeSet<MachineId> {
         let mut up = BTreeSet::new();
         while self.booting.first().is_some_and(|(at, _)| *at <= now) {
             up.extend(self.booting.pop_first().map(|(_, id)| id));
@@ -165,72 +169,73 @@
     }
 
     /// A machine is no more.
-    pub(crate) fn end(&mut self, id: &MachineId) {
+    pub(crate) fn terminate(&mut self, id: &MachineId) {
         if self.machines.remove(id).is_some() {
-            self.n_ended += 1;
-            self.ended.push(id.clone());
-            self.note_end(id, self.now);
+            self.terminated_count += 1;
+            self.newly_terminated.push(id.clone());
+            self.end_billing(id, self.now);
         }
     }
 
     /// The charge for a machine has ended, if it had not before.
-    pub(crate) fn note_end(&mut self, id: &MachineId, now: Ms) {
-        if let Some((_, ended)) = self.lives.get_mut(id) {
+    pub(crate) fn end_billing(&mut self, id: &MachineId, now: Ms) {
+        if let Some((_, ended)) = self.billing_periods.get_mut(id) {
             ended.get_or_insert(now);
         }
     }
 
-    fn rent(&mut self, now: Ms, rent: Rent, rng: &mut StdRng) -> (u16, Value) {
-        if let Some(known) = self.requests.get(&rent.request) {
+    fn provision(&mut self, now: Ms, rent: Rent, rng: &mut StdRng) -> (u16, Value) {
+        if let Some(known) = self.provisioned_by_request.get(&rent.request) {
             return (200, json!({"berths": known}));
         }
         let there = self.machines.values().filter(|m| {
             m.machine_type == rent.machine_type && m.zone == rent.zone && m.spot == rent.spot
         });
-        let most = self.most_of(&rent);
+        let most = self.capacity_of(&rent);
         let n = rent.count.min(most.saturating_sub(there.count() as u32));
         if n == 0 {
             return (503, json!({"error": "no capacity"}));
         }
         let mut ids = Vec::new();
         for _ in 0..n {
-            self.next += 1;
-            let id = MachineId::new(&format!("host-{:06}", self.next));
+            self.last_instance_number += 1;
+            let id = MachineId::new(&format!("host-{:06}", self.last_instance_number));
             let boot = self.draw_boot(&rent.machine_type, rng);
-            let boot = match self.quick_until > now {
+            let boot = match self.fast_boots_until > now {
                 true => rng.random_range(200..2_000),
                 false => boot,
             };
             let slow = self
-                .slow
+                .slow_boots
                 .as_ref()
-                .filter(|(until, s)| *until > now && s.hits(&rent));
+                .filter(|(until, s)| *until > now && s.applies_to(&rent));
             let boot = slow.map_or(boot, |(_, s)| s.boot_ms());
-            let machine = Rented {
+            let machine = Instance {
                 machine_type: rent.machine_type.clone(),
                 zone: rent.zone.clone(),
                 spot: rent.spot,
-                rented: now,
+                provisioned_at: now,
                 up_at: now.saturating_add(boot),
                 failed: false,
             };
             self.booting.insert((machine.up_at, id.clone()));
             self.boots.push(Boot {
-                rented: now,
+                provisioned_at: now,
                 up_at: machine.up_at,
             });
             self.machines.insert(id.clone(), machine);
-            self.lives.insert(id.clone(), (now, None));
+            self.billing_periods.insert(id.clone(), (now, None));
             ids.push(id);
         }
         let kind = (rent.machine_type, rent.zone);
-        self.rented.push((now, kind.0, kind.1, n));
-        self.requests.insert(rent.request, ids.clone());
+        self.provisioning_log.push((now, kind.0, kind.1, n));
+        self.provisioned_by_request
+            .insert(rent.request, ids.clone());
         (200, json!({"berths": ids}))
     }
 
     /// How many machines there are of the kind that is asked for.
-    fn most_of(&self, rent: &Rent) -> u32 {
+    fn capacity_of(&self, rent: &Rent) -> u32 {
         let kind = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
         match self.fleet.capacity.get(&kind) {
             Some(most) => *most,
@@ -244,7 +249,7 @@
     fn draw_boot(&self, machine_type: &str, rng: &mut StdRng) -> Ms {
         let usual = |boot: Ms, rng: &mut StdRng| rng.random_range(boot * 6 / 10..boot * 15 / 10);
         match self.fleet.boots {
-            BootModel::Trying => match rng.random_range(0..20) {
+            BootModel::Adverse => match rng.random_range(0..20) {
                 0 => Ms::MAX / 2,
                 1 => 500,
                 2 => BOOT_MS * 4,
@@ -261,7 +266,11 @@
 
     /// Notes how things are, for lists that lag.
     pub(crate) fn tick(&mut self, now: Ms) {
-        if self.lists.back().is_some_and(|(t, _)| t + 500 > now) {
+        if self
+            .list_snapshots
+            .back()
+            .is_some_and(|(t, _)| t + 500 > now)
+        {
             return;
         }
         let list = self
@@ -274,13 +283,13 @@
                     _ => "booting",
                 };
                 let listed = json!({"uid": id, "addr": (self.fleet.address)(id), "rig": m.machine_type, "yard": m.zone,
-                       "loaner": m.spot, "stage": stage, "held_s": (now - m.rented) as f64 / 1000.0});
+                       "loaner": m.spot, "stage": stage, "held_s": (now - m.provisioned_at) as f64 / 1000.0});
                 (id.to_string(), listed)
             })
             .collect();
-        self.lists.push_back((now, list));
-        while self.lists.len() > 40 {
-            self.lists.pop_front();
+        self.list_snapshots.push_back((now, list));
+        while self.list_snapshots.len() > 40 {
+            self.list_snapshots.pop_front();
         }
     }
 }
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -1,7 +1,7 @@
 //! Random days, the same for tests and for the soak.
 
 use crate::{
-    random_faults, random_faults_once, random_pairs, random_upgrade, Fault, Ms, NextLimits, Plan,
+    random_early_faults, random_faults, random_pairs, random_upgrade, Fault, Ms, NextLimits, Plan,
     Size, World,
 };
 use forkshift_wire::users::JobKind;
@@ -12,20 +12,20 @@
 /// Jobs of a day.
 const JOBS: u32 = 30;
 /// Jobs and faults begin within these.
-const JOBS_FROM: Ms = 2_000;
-const JOBS_TO: Ms = 90_000;
-const FAULTS_FROM: Ms = 15_000;
-const FAULTS_TO: Ms = 110_000;
+const FIRST_JOB_AT: Ms = 2_000;
+const LAST_JOB_AT: Ms = 90_000;
+const FIRST_FAULT_AT: Ms = 15_000;
+const LAST_FAULT_AT: Ms = 110_000;
 
 /// Pipelines of a day that has some, and until when they begin.
 const PIPELINES: u32 = 8;
-const PIPELINES_TO: Ms = 150_000;
+const LAST_PIPELINE_AT: Ms = 150_000;
 /// Arrays of such a day that take more than one record.
 const LARGE_ARRAYS: u32 = 3;
 /// Jobs of a pipeline, at most.
-pub(crate) const PIPELINE_JOBS_MOST: u32 = 6;
+pub(crate) const MAX_PIPELINE_JOBS: u32 = 6;
 /// Faults of such a day begin within this.
-const LATE_FAULTS_TO: Ms = 180_000;
+const LAST_LATE_FAULT_AT: Ms = 180_000;
 /// Limits that come into force after an upgrade.
 const NEXT_LIMITS: NextLimits = NextLimits {
     write_rps: 56.0,
@@ -35,11 +35,11 @@
 
 /// How a day's faults are drawn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Draw {
+pub enum FaultSchedule {
     /// Each by itself.
     Single,
     /// Each by itself, of the kinds that there once were.
-    Once,
+    Early,
     /// In pairs and known combinations, of all kinds, on days that are longer and
     /// have longer jobs, more cancellations and tighter limits.
     Pairs,
@@ -51,7 +51,7 @@
 /// A random day.
 pub struct Day {
     /// It, at its beginning.
-    pub world: World,
+    pub simulation: World,
     /// What is to go wrong.
     pub faults: Vec<Fault>,
     /// Its end.
@@ -60,21 +60,21 @@
 
 impl Day {
     /// The day of a seed, with so many faults, or half as many pairs.
-    pub fn new(seed: u64, faults: usize, draw: Draw) -> Self {
-        let pairs = matches!(draw, Draw::Pairs | Draw::Upgrade);
+    pub fn new(seed: u64, faults: usize, draw: FaultSchedule) -> Self {
+        let pairs = matches!(draw, FaultSchedule::Pairs | FaultSchedule::Upgrade);
         let mut rng = StdRng::seed_from_u64(seed);
         let one = |n| {
-            let at = rng.random_range(JOBS_FROM..JOBS_TO);
+            let at = rng.random_range(FIRST_JOB_AT..LAST_JOB_AT);
             match pairs {
                 true => Plan::long(&mut rng, n, at),
                 false => Plan::random(&mut rng, n, at),
             }
         };
         let mut plans: Vec<Plan> = (0..JOBS).map(one).collect();
-        if draw == Draw::Upgrade {
+        if draw == FaultSchedule::Upgrade {
             for n in 0..LARGE_ARRAYS {
-                let at = rng.random_range(JOBS_FROM..PIPELINES_TO);
-                let first = JOBS + PIPELINES * PIPELINE_JOBS_MOST;
+                let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
+                let first = JOBS + PIPELINES * MAX_PIPELINE_JOBS;
                 plans.push(Plan::large_array(&mut rng, first + n, at));
             }
             // Services never end, so nobody waits for one.
@@ -82,25 +82,26 @@
             let others = others.filter(|s| s.kind != JobKind::Service);
             let others: Vec<JobId> = others.map(|s| s.id.clone()).collect();
             for n in 0..PIPELINES {
-                let at = rng.random_range(JOBS_FROM..PIPELINES_TO);
-                let first = JOBS + n * PIPELINE_JOBS_MOST;
+                let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
+                let first = JOBS + n * MAX_PIPELINE_JOBS;
                 plans.extend(Plan::pipeline(&mut rng, first, at, &others));
             }
         }
-        let (from, to) = (FAULTS_FROM, FAULTS_TO);
+        let (from, to) = (FIRST_FAULT_AT, LAST_FAULT_AT);
         let faults = match draw {
-            Draw::Single => random_faults(&mut rng, from, to, faults),
-            Draw::Once => random_faults_once(&mut rng, from, to, faults),
-            Draw::Pairs => random_pairs(&mut rng, from, to, faults.div_ceil(2), JOBS),
-            Draw::Upgrade => {
-                let turns = rng.random_range(from..FAULTS_TO / 2);
+            FaultSchedule::Single => random_faults(&mut rng, from, to, faults),
+            FaultSchedule::Early => random_early_faults(&mut rng, from, to, faults),
+            FaultSchedule::Pairs => random_pairs(&mut rng, from, to, faults.div_ceil(2), JOBS),
+            FaultSchedule::Upgrade => {
+                let turns = rng.random_range(from..LAST_FAULT_AT / 2);
                 let upgrade = random_upgrade(&mut rng, turns, Size::default().nodes);
-                let pairs = random_pairs(&mut rng, from, LATE_FAULTS_TO, faults.div_ceil(2), JOBS);
+                let pairs =
+                    random_pairs(&mut rng, from, LAST_LATE_FAULT_AT, faults.div_ceil(2), JOBS);
                 upgrade.into_iter().chain(pairs).collect()
             }
         };
         let (size, end) = match pairs {
-            true if draw == Draw::Upgrade => {
+            true if draw == FaultSchedule::Upgrade => {
                 let size = Size {
                     next_limits: Some(NEXT_LIMITS),
                     begins_old: true,
@@ -112,7 +113,7 @@
             false => (Size::default(), 260_000),
         };
         Self {
-            world: World::sized(seed, plans, faults.clone(), size),
+            simulation: World::with_size(seed, plans, faults.clone(), size),
             faults,
             end,
         }
@@ -120,7 +121,7 @@
 
     /// Plays it to its end, and looks at the whole of it.
     pub fn play(&mut self) {
-        self.world.run_until(self.end);
-        self.world.close();
+        self.simulation.run_until(self.end);
+        self.simulation.finish();
     }
 }
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -9,26 +9,26 @@
 
 /// A controller, named by what it is at the moment it is looked for.
 #[derive(Clone, Debug)]
-pub enum Who {
+pub enum ControllerSelector {
     /// The one of that index.
     Index(usize),
     /// The holder of a job's share, as the state service has it.
-    HolderOf(JobId),
+    HolderOfJob(JobId),
     /// The leader, as the state service has it.
     Leader,
     /// The next one that is up and is not this one.
-    Besides(Box<Who>),
+    NextAfter(Box<ControllerSelector>),
 }
 
 /// Machines, named by what they are at the moment they are looked for.
 #[derive(Clone, Debug)]
 pub enum Which {
     /// Those with a task of a job that has not exited.
-    OfJob(JobId),
+    RunningJob(JobId),
     /// Those of the shards that a controller holds.
-    OfHolder(Who),
+    HeldBy(ControllerSelector),
     /// Those of a zone.
-    OfZone(&'static str),
+    InZone(&'static str),
     /// These.
     Named(Vec<MachineId>),
     /// So many, drawn at random.
@@ -56,19 +56,19 @@
     /// It stands still, and goes on.
     Hang(Ms),
     /// It loses the network; held back messages come later.
-    Cut(Ms),
+    Partition(Ms),
     /// Its reports arrive; answers and direct commands to it are lost.
-    Deaf(Ms),
+    InboundLoss(Ms),
     /// It reaches no controller; direct commands reach it and are answered.
-    Mute(Ms),
+    OutboundLoss(Ms),
     /// What it sends and what is sent to it takes up to eight seconds.
-    Slow(Ms),
+    SlowLink(Ms),
     /// It fails what it starts.
-    Sick(Ms),
+    FailTasks(Ms),
     /// It loses all images.
-    Evict,
+    EvictImages,
     /// What it fetches ahead does not come.
-    StuckFetch(Ms),
+    StuckPrefetch(Ms),
 }
 
 /// What goes wrong.
@@ -81,21 +81,21 @@
         /// How many.
         count: usize,
         /// Until they are back.
-        back: Ms,
+        restart_after: Ms,
     },
     /// A controller ends, and comes back as the new release.
     Upgrade {
         /// Which.
         node: usize,
         /// Until it is back.
-        back: Ms,
+        restart_after: Ms,
     },
     /// A controller ends, and comes back as the old release.
     Downgrade {
         /// Which.
         node: usize,
         /// Until it is back.
-        back: Ms,
+        restart_after: Ms,
     },
     /// The limits of the state service that were announced come into force.
     LowerLimits,
@@ -115,7 +115,7 @@
         hold: bool,
     },
     /// A zone is cut off from everything, and goes on within.
-    ZoneCut {
+    ZonePartition {
         /// Which.
         zone: &'static str,
         /// For how long.
@@ -124,66 +124,66 @@
         hold: bool,
     },
     /// The state service refuses one controller.
-    Refuse {
+    StoreRefusal {
         /// Which.
         node: usize,
         /// For how long.
         time: Ms,
     },
     /// The state service is down.
-    Outage(Ms),
+    StoreOutage(Ms),
     /// Some answers of the state service take long.
-    SlowState(Ms),
+    SlowStore(Ms),
     /// Some transactions have no answer and are carried out late, after newer
     /// ones of the same controller.
     LateWrites(Ms),
     /// The cloud is down.
-    CloudTrouble(Ms),
+    CloudOutage(Ms),
     /// A controller's timers fire late.
-    Slow {
+    SlowTimers {
         /// Which.
         node: usize,
         /// For how long.
         time: Ms,
     },
     /// A machine stops with all that is on it.
-    Die,
+    MachineCrash,
     /// A machine stands still, and goes on.
-    Hang(Ms),
+    MachineHang(Ms),
     /// A machine loses the network; held back messages come later.
-    MachineCut(Ms),
+    MachinePartition(Ms),
     /// What is sent to a machine does not reach it.
-    Deaf(Ms),
+    MachineInboundBlocked(Ms),
     /// A machine fails what it starts.
-    Sick(Ms),
+    MachineFailsTasks(Ms),
     /// Spot machines are taken.
-    Taken {
+    SpotReclaim {
         /// One in so many stays.
         notice: Ms,
     },
     /// Copies of reports come late.
-    LateCopies(Ms),
+    LateHeartbeatCopies(Ms),
     /// Answers get lost now and then.
-    LostAnswers(Ms),
+    LostResponses(Ms),
     /// A fault of one controller, whichever it then is. As long as there is
     /// none, the fault waits.
-    At(Who, Box<FaultKind>),
+    At(ControllerSelector, Box<FaultKind>),
     /// A fault of machines, whichever they then are.
     Machines(Which, MachineFault),
     /// The state service refuses one controller, and leaves its open watches
     /// without an answer for as long.
-    Shut {
+    StoreLockout {
         /// Which.
         node: usize,
         /// For how long.
         time: Ms,
     },
     /// A controller and others do not hear each other.
-    PeerCut {
+    PeerPartition {
         /// Which.
         node: usize,
         /// The others; all if left out.
-        with: Option<Vec<usize>>,
+        peers: Option<Vec<usize>>,
         /// For how long.
         time: Ms,
         /// Messages are held back and delivered afterwards.
@@ -191,7 +191,7 @@
     },
     /// A controller's direct commands do not reach workers, whose reports
     /// still reach it and are answered.
-    DirectCut {
+    CommandPartition {
         /// Which.
         node: usize,
         /// For how long.
@@ -221,23 +221,23 @@
         time: Ms,
     },
     /// Some transactions have no answer.
-    LostWrites {
+    LostWriteResponses {
         /// How many of a hundred.
-        share: u32,
+        percent: u32,
         /// Only those that put a key which begins like this.
-        of: Option<&'static str>,
+        key_prefix: Option<&'static str>,
         /// They are carried out at once; else 2 to 12 s later.
-        at_once: bool,
+        executes_at_once: bool,
         /// For how long.
         time: Ms,
     },
     /// Copies of reports come late, from 2 s to four leases.
-    LateReports {
+    LateHeartbeats {
         /// Of how many of a hundred.
-        share: u32,
+        percent: u32,
         /// They are kept until a new leader or holder has begun, and then
         /// reach every controller.
-        for_next: bool,
+        until_failover: bool,
         /// For how long.
         time: Ms,
     },
@@ -249,104 +249,106 @@
         time: Ms,
     },
     /// Machines are up within two seconds.
-    QuickBoots(Ms),
+    FastBoots(Ms),
     /// Direct commands or their answers are held up for seconds.
-    HeldCommands {
+    DelayedCommands {
         /// How many of a hundred.
-        share: u32,
+        percent: u32,
         /// For how long.
         time: Ms,
     },
     /// Users cancel running jobs, all within a fifth of a second.
-    CancelNow {
+    CancelRunningJobs {
         /// How many.
         count: usize,
         /// For how long up to eight of their machines hang.
-        hang: Ms,
+        hang_ms: Ms,
     },
     /// Jobs are cancelled at the moment at which their last task ends.
-    CancelAtEnd {
+    CancelCompletingJobs {
         /// How many of a hundred.
-        share: u32,
+        percent: u32,
         /// For how long.
         time: Ms,
     },
     /// Users repeat submissions, cancel what is done, and send jobs that can
     /// not run or are malformed.
-    OddRequests(Ms),
+    UnusualRequests(Ms),
     /// Users ask at all controllers within milliseconds after a job was
     /// accepted, ended or cancelled.
-    CloseLooks(Ms),
+    StatusBursts(Ms),
 }
 
 impl FaultKind {
     /// The same at whichever controller it then is.
-    pub fn at(self, who: Who) -> Self {
+    pub fn at(self, who: ControllerSelector) -> Self {
         Self::At(who, Box::new(self))
     }
 
     /// How long it lasts, and what it has delayed.
-    pub(crate) fn lasts(&self, lease_ms: Ms) -> Ms {
+    pub(crate) fn duration(&self, lease_ms: Ms) -> Ms {
         match self {
-            Self::Crash { back, .. }
-            | Self::Upgrade { back, .. }
-            | Self::Downgrade { back, .. } => *back,
+            Self::Crash { restart_after, .. }
+            | Self::Upgrade { restart_after, .. }
+            | Self::Downgrade { restart_after, .. } => *restart_after,
             Self::LowerLimits => 0,
             Self::Cut { time, .. }
-            | Self::ZoneCut { time, .. }
-            | Self::Refuse { time, .. }
-            | Self::Slow { time, .. }
-            | Self::Shut { time, .. }
-            | Self::PeerCut { time, .. }
-            | Self::DirectCut { time, .. }
+            | Self::ZonePartition { time, .. }
+            | Self::StoreRefusal { time, .. }
+            | Self::SlowTimers { time, .. }
+            | Self::StoreLockout { time, .. }
+            | Self::PeerPartition { time, .. }
+            | Self::CommandPartition { time, .. }
             | Self::LinkCut { time, .. }
             | Self::Pause { time, .. }
             | Self::SlowBoots { time, .. }
-            | Self::CancelAtEnd { time, .. } => *time,
-            Self::Outage(time)
-            | Self::SlowState(time)
-            | Self::CloudTrouble(time)
-            | Self::Hang(time)
-            | Self::MachineCut(time)
-            | Self::Deaf(time)
-            | Self::Sick(time)
-            | Self::LostAnswers(time)
-            | Self::QuickBoots(time)
-            | Self::OddRequests(time)
-            | Self::CloseLooks(time) => *time,
+            | Self::CancelCompletingJobs { time, .. } => *time,
+            Self::StoreOutage(time)
+            | Self::SlowStore(time)
+            | Self::CloudOutage(time)
+            | Self::MachineHang(time)
+            | Self::MachinePartition(time)
+            | Self::MachineInboundBlocked(time)
+            | Self::MachineFailsTasks(time)
+            | Self::LostResponses(time)
+            | Self::FastBoots(time)
+            | Self::UnusualRequests(time)
+            | Self::StatusBursts(time) => *time,
             Self::LateWrites(time)
-            | Self::LostWrites { time, .. }
-            | Self::HeldCommands { time, .. } => time + 12_000,
-            Self::LateCopies(time) | Self::LateReports { time, .. } => time + 4 * lease_ms,
-            Self::Die => 0,
-            Self::Taken { notice } => *notice,
-            Self::CancelNow { hang, .. } => *hang,
-            Self::At(_, kind) => kind.lasts(lease_ms),
+            | Self::LostWriteResponses { time, .. }
+            | Self::DelayedCommands { time, .. } => time + 12_000,
+            Self::LateHeartbeatCopies(time) | Self::LateHeartbeats { time, .. } => {
+                time + 4 * lease_ms
+            }
+            Self::MachineCrash => 0,
+            Self::SpotReclaim { notice } => *notice,
+            Self::CancelRunningJobs { hang_ms, .. } => *hang_ms,
+            Self::At(_, kind) => kind.duration(lease_ms),
             Self::Machines(_, fault) => match fault {
-                MachineFault::Die | MachineFault::Evict => 0,
-                MachineFault::Slow(time) => time + 8_000,
+                MachineFault::Die | MachineFault::EvictImages => 0,
+                MachineFault::SlowLink(time) => time + 8_000,
                 MachineFault::Hang(time)
-                | MachineFault::Cut(time)
-                | MachineFault::Deaf(time)
-                | MachineFault::Mute(time)
-                | MachineFault::Sick(time)
-                | MachineFault::StuckFetch(time) => *time,
+                | MachineFault::Partition(time)
+                | MachineFault::InboundLoss(time)
+                | MachineFault::OutboundLoss(time)
+                | MachineFault::FailTasks(time)
+                | MachineFault::StuckPrefetch(time) => *time,
             },
         }
     }
 
     /// The same at the controller of an index, if it is a controller's fault.
-    pub(crate) fn aimed(mut self, n: usize) -> Self {
+    pub(crate) fn with_controller(mut self, n: usize) -> Self {
         match &mut self {
             Self::Crash { node, .. }
             | Self::Upgrade { node, .. }
             | Self::Downgrade { node, .. }
             | Self::Cut { node, .. }
-            | Self::Refuse { node, .. }
-            | Self::Slow { node, .. }
-            | Self::Shut { node, .. }
-            | Self::PeerCut { node, .. }
-            | Self::DirectCut { node, .. }
+            | Self::StoreRefusal { node, .. }
+            | Self::SlowTimers { node, .. }
+            | Self::StoreLockout { node, .. }
+            | Self::PeerPartition { node, .. }
+            | Self::CommandPartition { node, .. }
             | Self::LinkCut { node, .. }
             | Self::Pause { node, .. } => *node = n,
             _ => {}
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BootModel {
     /// One in twenty never comes up, one comes late, and one at once.
-    Trying,
+    Adverse,
     /// As the protocol says is usual, but for this part, which never comes up.
     Usual {
         /// From 0 to 1.
@@ -21,7 +21,7 @@
 }
 
 /// A type of machine in a zone, and whether spot machines are meant.
-pub type Kind = (String, String, bool);
+pub type CapacityKey = (String, String, bool);
 
 /// What the cloud rents, and how the machines are reached.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     pub types: Vec<MachineType>,
     /// How many of each kind there are; what is left out is bounded by
     /// `Size::capacity`.
-    pub capacity: BTreeMap<Kind, u32>,
+    pub capacity: BTreeMap<CapacityKey, u32>,
     /// How long they boot.
     pub boots: BootModel,
     /// The address of a machine's worker.
@@ -61,7 +61,7 @@
                 machine_type("c8", (8.0, 0.0, 32.0), (50.0, 1.0), (0.5, 0.2)),
             ],
             capacity: BTreeMap::new(),
-            boots: BootModel::Trying,
+            boots: BootModel::Adverse,
             address: ToString::to_string,
         }
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -4,25 +4,25 @@
 //! [`World`] plays them all; [`Checker`] watches what truly happens and knows
 //! nothing of how the controllers work.
 
-mod check;
+mod checker;
 mod cloud;
 mod day;
-mod draws;
+mod fault_schedule;
 mod faults;
 mod fleet;
-mod state;
+mod simulation;
+mod store;
 mod worker;
-mod world;
 
-pub use check::{Calm, Checker, Rule, StartSeen};
+pub use checker::{Checker, Quiescence, Rule, StartSeen};
 pub use cloud::{Boot, SlowBoots};
-pub use day::{Day, Draw};
-pub use draws::{random_faults, random_faults_once, random_pairs, random_upgrade};
-pub use faults::{Direction, Fault, FaultKind, MachineFault, Which, Who};
-pub use fleet::{BootModel, Fleet, Kind};
-pub use world::{
-    job_id, settings, Answer, Asker, Deployment, JobCounts, MachineChange, Mistake, NextLimits,
-    Outgoing, Plan, Service, Size, World,
+pub use day::{Day, FaultSchedule};
+pub use fault_schedule::{random_early_faults, random_faults, random_pairs, random_upgrade};
+pub use faults::{ControllerSelector, Direction, Fault, FaultKind, MachineFault, Which};
+pub use fleet::{BootModel, CapacityKey, Fleet};
+pub use simulation::{
+    job_id, settings, Answer, Deployment, JobCounts, JobDefect, MachineChange, NextLimits,
+    Outgoing, Plan, Requester, Service, Size, World,
 };
 
 /// Milliseconds of virtual time.
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays random days with fresh seeds and says which broke a rule.
 
 use clap::{Parser, ValueEnum};
-use forkshift_testkit::{Day, Draw, World};
+use forkshift_testkit::{Day, FaultSchedule, World};
 use forkshift_wire::JobId;
 use rand::Rng;
 use std::process::ExitCode;
@@ -19,13 +19,13 @@
     Upgrade,
 }
 
-impl From<DrawArg> for Draw {
+impl From<DrawArg> for FaultSchedule {
     fn from(draw: DrawArg) -> Self {
         match draw {
-            DrawArg::Single => Draw::Single,
-            DrawArg::Once => Draw::Once,
-            DrawArg::Pairs => Draw::Pairs,
-            DrawArg::Upgrade => Draw::Upgrade,
+            DrawArg::Single => FaultSchedule::Single,
+            DrawArg::Once => FaultSchedule::Early,
+            DrawArg::Pairs => FaultSchedule::Pairs,
+            DrawArg::Upgrade => FaultSchedule::Upgrade,
         }
     }
 }
@@ -64,39 +64,43 @@
     for seed in first..first + args.days {
         let mut day = Day::new(seed, args.faults, args.draw.into());
         let shown = format!("{:?}", day.faults);
-        let describe = |world: &World| {
+        let describe = |simulation: &World| {
             for id in &args.describe {
-                println!("  at {}: {}", world.now(), world.describe(&JobId::new(id)));
+                println!(
+                    "  at {}: {}",
+                    simulation.now(),
+                    simulation.describe(&JobId::new(id))
+                );
             }
         };
-        while day.world.now() < day.end && day.world.check.broken.is_empty() {
-            day.world.run_until(day.world.now() + 500);
+        while day.simulation.now() < day.end && day.simulation.check.broken.is_empty() {
+            day.simulation.run_until(day.simulation.now() + 500);
             if args
                 .every
-                .is_some_and(|s| day.world.now().is_multiple_of(s * 1_000))
+                .is_some_and(|s| day.simulation.now().is_multiple_of(s * 1_000))
             {
-                describe(&day.world);
+                describe(&day.simulation);
             }
         }
-        describe(&day.world);
+        describe(&day.simulation);
         day.play();
-        describe(&day.world);
-        let world = &day.world;
-        let unserved = world.unserved();
+        describe(&day.simulation);
+        let simulation = &day.simulation;
+        let unserved = simulation.unfinished_jobs();
         println!(
             "seed {seed}: {} starts, {} writes, {} rules broken, {} unserved, {} starts after a cancellation, digest {:016x}",
-            world.check.starts,
-            world.writes(),
-            world.check.broken.len(),
+            simulation.check.starts,
+            simulation.writes(),
+            simulation.check.broken.len(),
             unserved.len(),
-            world.check.starts_after_cancel.len(),
-            world.digest()
+            simulation.check.starts_after_cancel.len(),
+            simulation.digest()
         );
-        if !world.check.broken.is_empty() || !unserved.is_empty() {
+        if !simulation.check.broken.is_empty() || !unserved.is_empty() {
             bad += 1;
             println!("  faults: {shown}");
-            println!("  as they came: {:?}", world.injected());
-            for broken in world.check.broken.iter().take(5) {
+            println!("  as they came: {:?}", simulation.injected_faults());
+            for broken in simulation.check.broken.iter().take(5) {
                 println!("  {broken:?}");
             }
             for line in unserved.iter().take(5) {
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/simulation.rs
@@ -1,100 +1,100 @@
 //! The world around the controllers, in virtual time.
 
-mod cuts;
 mod digest;
-mod fleet;
-mod inject;
+mod fault_injection;
 mod network;
+mod network_faults;
 mod observe;
-mod odd;
+mod partitions;
 mod pools;
 mod remote;
 mod size;
-mod troubles;
+mod unusual_requests;
 mod users;
-mod waiting;
+mod waiting_jobs;
+mod workers;
 
-pub use remote::{Answer, Asker, MachineChange, Outgoing, Service};
+pub use remote::{Answer, MachineChange, Outgoing, Requester, Service};
 pub use size::{settings, NextLimits, Size};
-pub use users::{job_id, Mistake, Plan};
+pub use users::{job_id, JobDefect, Plan};
 
-use crate::check::{Calm, Checker};
-use crate::cloud::Cloud;
+use crate::checker::{Checker, Quiescence};
+use crate::cloud::CloudModel;
 use crate::faults::{Fault, FaultKind};
 use crate::fleet::Fleet;
-use crate::state::{ServiceModel, SizeLimits, State};
-use crate::worker::{Truth, Worker};
+use crate::store::{SizeLimits, StoreBehavior, StoreModel};
+use crate::worker::{GroundTruth, Worker};
 use crate::Ms;
-use cuts::Cuts;
-use digest::Digest;
+use digest::TrafficDigest;
 use forkshift_core::{Config, Effect, FormatVersion, Input, Node, Operator, RequestId, Target};
 use forkshift_pools::{PoolSpec, Pools};
 use forkshift_wire::settings::Settings;
 use forkshift_wire::{JobId, MachineId};
-use network::{Dest, Message, Origin};
-use odd::{Aside, Ask};
+use network::{Destination, Message, Origin};
+use network_faults::ActiveFaults;
+use partitions::ControllerFaults;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
-use remote::Remote;
+use remote::RemoteQueues;
 use size::{TXN_OPS, VALUE_KB};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use troubles::Troubles;
-use users::{Aim, User};
+use unusual_requests::{PendingRequest, UnusualRequest};
+use users::{User, UserState};
 
 /// Time passes in steps of this.
-const STEP: Ms = 10;
+const STEP_MS: Ms = 10;
 /// The checker looks at what must not last this often.
-const CHECK_EVERY: Ms = 500;
+const CHECK_INTERVAL_MS: Ms = 500;
 /// Jobs that wait though there is room are looked for this often.
-const LOOK_FOR_WAITING_EVERY: Ms = 2_000;
+const WAITING_JOBS_INTERVAL_MS: Ms = 2_000;
 /// A controller that nothing wakes looks at the clock this often.
-const IDLE: Ms = 50;
+const IDLE_STEP_INTERVAL_MS: Ms = 50;
 /// Time of day when the world begins.
-const WALL_OFF: Ms = 1_000_000;
+const WALL_CLOCK_OFFSET_MS: Ms = 1_000_000;
 
 enum Event {
-    Arrive(Message),
-    Answer {
+    RequestArrival(Message),
+    ResponseArrival {
         to: Origin,
         status: u16,
         body: Vec<u8>,
     },
-    Peer {
+    PeerMessageArrival {
         to: usize,
         message: Vec<u8>,
     },
-    Restart(usize),
-    Taken(MachineId),
-    Inject(FaultKind),
-    Ask {
+    ControllerRestart(usize),
+    SpotReclaim(MachineId),
+    FaultStart(FaultKind),
+    UnusualRequest {
         id: JobId,
         node: usize,
-        ask: Ask,
+        request: UnusualRequest,
     },
 }
 
-struct Host {
+struct Controller {
     node: Option<Node>,
     /// It is still of the old release.
     is_old: bool,
     /// Pools that it declares from its next start on.
     pools: Vec<PoolSpec>,
-    start: u64,
+    incarnation: u64,
     inbox: Vec<Input>,
-    stepped: Ms,
+    last_step_at: Ms,
     /// It stands still.
-    asleep: bool,
+    was_paused: bool,
     /// Calls whose end has not been told.
-    open: BTreeSet<u64>,
+    open_calls: BTreeSet<u64>,
     /// Requests that wait for an answer.
-    requests: HashMap<RequestId, Origin>,
+    open_requests: HashMap<RequestId, Origin>,
     next_request: u64,
-    cuts: Cuts,
+    faults: ControllerFaults,
 }
 
 /// Most records on a page of the state service's listings.
-const LIST_ITEMS_MOST: usize = 1_000;
+const MAX_LIST_ITEMS: usize = 1_000;
 
 /// What the services around are like.
 struct Services {
@@ -102,7 +102,7 @@
     /// Most CPUs and GPUs of each team.
     limits: BTreeMap<String, (f64, f64)>,
     sizes: SizeLimits,
-    model: ServiceModel,
+    model: StoreBehavior,
 }
 
 /// What a world with controllers of their own is made of, beside its size.
@@ -139,43 +139,43 @@
     size: Size,
     now: Ms,
     /// The time of the step before.
-    before: Ms,
+    previous_step_at: Ms,
     rng: StdRng,
-    hosts: Vec<Host>,
-    state: State<Origin>,
-    cloud: Cloud,
+    controllers: Vec<Controller>,
+    store: StoreModel<Origin>,
+    cloud: CloudModel,
     workers: BTreeMap<MachineId, Worker>,
-    truths: BTreeMap<JobId, Truth>,
+    ground_truths: BTreeMap<JobId, GroundTruth>,
     users: Vec<User>,
     faults: Vec<Fault>,
-    injected: Vec<(Ms, FaultKind)>,
+    injected_faults: Vec<(Ms, FaultKind)>,
     events: BTreeMap<(Ms, u64), Event>,
     next_event: u64,
-    late_copies: Ms,
-    lost_answers: Ms,
-    cloud_until: Ms,
-    outage_until: Ms,
-    starts: u64,
-    gangs: BTreeMap<(JobId, u64), Ms>,
-    most_machines: usize,
+    late_copies_until: Ms,
+    lost_responses_until: Ms,
+    cloud_down_until: Ms,
+    store_down_until: Ms,
+    controller_starts: u64,
+    gang_starts: BTreeMap<(JobId, u64), Ms>,
+    max_machines: usize,
     /// The zone that is cut off, until when, and whether messages are held.
-    zone_cut: (&'static str, Ms, bool),
-    slow_state: Ms,
-    late_writes: Ms,
-    troubles: Troubles,
+    zone_partition: (&'static str, Ms, bool),
+    slow_store_until: Ms,
+    late_writes_until: Ms,
+    active_faults: ActiveFaults,
     /// When the faults so far are over.
-    troubled_until: Ms,
+    faults_until: Ms,
     /// Requests beside those that users make in turn.
-    asides: BTreeMap<u64, Aside>,
-    next_aside: u64,
+    unusual_requests: BTreeMap<u64, PendingRequest>,
+    last_unusual_request: u64,
     /// How many there were, and how many got an answer in time.
-    asides_answered: (u64, u64),
-    reports: u64,
+    unusual_request_counts: (u64, u64),
+    heartbeats_sent: u64,
     /// Messages between controllers, if they are kept.
-    messages: Option<Vec<Vec<u8>>>,
-    digest: Digest,
+    recorded_messages: Option<Vec<Vec<u8>>>,
+    digest: TrafficDigest,
     /// What goes to and from controllers that are processes of their own.
-    remote: Option<Remote>,
+    remote: Option<RemoteQueues>,
     /// Watches what truly happens.
     pub check: Checker,
 }
@@ -183,11 +183,11 @@
 impl World {
     /// A world with three controllers that are about to start.
     pub fn new(seed: u64, plans: Vec<Plan>, faults: Vec<Fault>) -> Self {
-        Self::sized(seed, plans, faults, Size::default())
+        Self::with_size(seed, plans, faults, Size::default())
     }
 
     /// A world of any size.
-    pub fn sized(seed: u64, plans: Vec<Plan>, faults: Vec<Fault>, size: Size) -> Self {
+    pub fn with_size(seed: u64, plans: Vec<Plan>, faults: Vec<Fault>, size: Size) -> Self {
         Self::with_pools(seed, plans, faults, size, Vec::new())
     }
 
@@ -210,21 +210,21 @@
             fleet: Fleet::default(),
             limits,
             sizes,
-            model: ServiceModel::default(),
+            model: StoreBehavior::default(),
         };
         let mut world = Self::without_controllers(seed, plans, faults, size, services);
-        for (host, pools) in world.hosts.iter_mut().zip(pools) {
+        for (host, pools) in world.controllers.iter_mut().zip(pools) {
             host.pools = pools;
         }
         for n in 0..size.nodes {
-            world.start(n);
+            world.start_controller(n);
         }
         world
     }
 
     /// What pools a controller declares from its next start on.
     pub fn declare_pools(&mut self, node: usize, pools: Vec<PoolSpec>) {
-        self.hosts[node].pools = pools;
+        self.controllers[node].pools = pools;
     }
 
     /// A world whose controllers are processes of their own; see
@@ -243,13 +243,13 @@
                 value_bytes: deployment.value_bytes,
                 txn_ops: deployment.txn_ops,
             },
-            model: ServiceModel {
-                page_items: LIST_ITEMS_MOST,
+            model: StoreBehavior {
+                max_page_items: MAX_LIST_ITEMS,
                 enforces_limits: true,
             },
         };
         let mut world = Self::without_controllers(seed, plans, faults, size, services);
-        world.remote = Some(Remote::default());
+        world.remote = Some(RemoteQueues::default());
         world.check.observe();
         world
     }
@@ -264,80 +264,80 @@
         faults.sort_by_key(|f| f.at);
         let mut world = Self {
             now: 0,
-            before: 0,
+            previous_step_at: 0,
             rng: StdRng::seed_from_u64(seed),
-            hosts: Vec::new(),
-            state: State::new(size.rps, size.write_rps, services.sizes, services.model),
-            cloud: Cloud::new(size.capacity, services.fleet),
+            controllers: Vec::new(),
+            store: StoreModel::new(size.rps, size.write_rps, services.sizes, services.model),
+            cloud: CloudModel::new(size.capacity, services.fleet),
             size,
             workers: BTreeMap::new(),
-            truths: BTreeMap::new(),
+            ground_truths: BTreeMap::new(),
             users: plans
                 .into_iter()
                 .map(|plan| User {
-                    next: plan.at,
+                    next_request_at: plan.at,
                     plan,
-                    aim: Aim::Submit,
-                    op: 0,
+                    state: UserState::Submitting,
+                    last_request: 0,
                     ticket: 0,
-                    open: false,
-                    sent: 0,
+                    is_waiting: false,
+                    sent_at: 0,
                 })
                 .collect(),
             faults,
-            injected: Vec::new(),
+            injected_faults: Vec::new(),
             events: BTreeMap::new(),
             next_event: 0,
-            late_copies: 0,
-            lost_answers: 0,
-            cloud_until: 0,
-            outage_until: 0,
-            starts: 0,
-            gangs: BTreeMap::new(),
-            most_machines: 0,
-            zone_cut: ("", 0, false),
-            slow_state: 0,
-            late_writes: 0,
-            troubles: Troubles::default(),
-            troubled_until: 0,
-            asides: BTreeMap::new(),
-            next_aside: 0,
-            asides_answered: (0, 0),
-            reports: 0,
-            messages: None,
-            digest: Digest::default(),
+            late_copies_until: 0,
+            lost_responses_until: 0,
+            cloud_down_until: 0,
+            store_down_until: 0,
+            controller_starts: 0,
+            gang_starts: BTreeMap::new(),
+            max_machines: 0,
+            zone_partition: ("", 0, false),
+            slow_store_until: 0,
+            late_writes_until: 0,
+            active_faults: ActiveFaults::default(),
+            faults_until: 0,
+            unusual_requests: BTreeMap::new(),
+            last_unusual_request: 0,
+            unusual_request_counts: (0, 0),
+            heartbeats_sent: 0,
+            recorded_messages: None,
+            digest: TrafficDigest::default(),
             remote: None,
             check: Checker::new(services.limits, size.cancel_ms),
         };
         for _ in 0..size.nodes {
-            world.hosts.push(Host {
+            world.controllers.push(Controller {
                 node: None,
                 is_old: size.begins_old,
                 pools: Vec::new(),
-                start: 0,
+                incarnation: 0,
                 inbox: Vec::new(),
-                stepped: 0,
-                asleep: false,
-                open: BTreeSet::new(),
-                requests: HashMap::new(),
+                last_step_at: 0,
+                was_paused: false,
+                open_calls: BTreeSet::new(),
+                open_requests: HashMap::new(),
                 next_request: 0,
-                cuts: Cuts::default(),
+                faults: ControllerFaults::default(),
             });
         }
         world
     }
 
-    fn start(&mut self, n: usize) {
+    fn start_controller(&mut self, n: usize) {
         let settings =
             Settings::parse(&settings(n, &self.size)).unwrap_or_else(|e| panic!("settings: {e}"));
-        self.starts += 1;
+        self.controller_starts += 1;
         let seed = self.rng.random();
-        let host = &mut self.hosts[n];
-        host.start = self.starts;
-        host.asleep = false;
+        let host = &mut self.controllers[n];
+        host.incarnation = self.controller_starts;
+        host.was_paused = false;
         host.inbox.clear();
-        host.open.clear();
-        host.requests.clear();
+        host.open_calls.clear();
+        host.open_requests.clear();
         let teams: Vec<&str> = settings
             .cluster
             .teams
@@ -353,10 +353,10 @@
         if host.is_old {
             config.format = FormatVersion::FIRST;
         }
-        host.node = Some(Node::new(config, self.starts, seed));
+        host.node = Some(Node::new(config, self.controller_starts, seed));
     }
 
-    fn at(&mut self, time: Ms, event: Event) {
+    fn schedule(&mut self, time: Ms, event: Event) {
         self.next_event += 1;
         self.events
             .insert((time.max(self.now + 1), self.next_event), event);
@@ -365,25 +365,25 @@
     /// Plays until a time.
     pub fn run_until(&mut self, end: Ms) {
         while self.now < end {
-            self.step_to(self.now + STEP);
+            self.step_to(self.now + STEP_MS);
         }
     }
 
     /// Lets one step pass, until a time.
     fn step_to(&mut self, time: Ms) {
-        self.before = self.now;
+        self.previous_step_at = self.now;
         self.now = time;
         self.step();
     }
 
     /// Whether the present step has come to another multiple of a period. Steps in
     /// real time pass over most multiples without ending at them.
-    fn comes_to_multiple_of(&self, period: Ms) -> bool {
-        self.now / period > self.before / period
+    fn crosses_multiple_of(&self, period: Ms) -> bool {
+        self.now / period > self.previous_step_at / period
     }
 
     fn step(&mut self) {
-        self.release_kept();
+        self.release_kept_heartbeats();
         while self.faults.first().is_some_and(|f| f.at <= self.now) {
             let fault = self.faults.remove(0);
             self.inject(fault.kind);
@@ -393,46 +393,46 @@
                 break;
             }
             let event = entry.remove();
-            self.happen(event);
+            self.handle_event(event);
         }
-        if self.cloud.down && self.now >= self.cloud_until {
-            self.cloud.down = false;
+        if self.cloud.is_down && self.now >= self.cloud_down_until {
+            self.cloud.is_down = false;
         }
-        if self.state.down && self.now >= self.outage_until {
-            self.state.set_down(false, self.now);
+        if self.store.is_down && self.now >= self.store_down_until {
+            self.store.set_down(false, self.now);
         }
-        let (now, hosts) = (self.now, &self.hosts);
+        let (now, hosts) = (self.now, &self.controllers);
         let shut = |who: &Origin| match who {
-            Origin::Node { node, .. } => hosts[*node].cuts.shut > now,
+            Origin::Controller { index: node, .. } => hosts[*node].faults.store_lockout_until > now,
             _ => false,
         };
-        for (to, value) in self.state.tick(now, shut) {
+        for (to, value) in self.store.tick(now, shut) {
             let body = value.to_string().into_bytes();
-            self.reply(&Dest::State, to, 200, body);
+            self.respond(&Destination::State, to, 200, body);
         }
         self.cloud.tick(self.now);
-        self.boot();
-        self.most_machines = self.most_machines.max(self.workers.len());
+        self.sync_workers_with_cloud();
+        self.max_machines = self.max_machines.max(self.workers.len());
         self.tick_workers();
         self.tick_gangs();
         self.tick_users();
-        self.tick_odd();
-        for n in 0..self.hosts.len() {
-            self.step_node(n);
+        self.tick_unusual_requests();
+        for n in 0..self.controllers.len() {
+            self.step_controller(n);
         }
-        if self.comes_to_multiple_of(CHECK_EVERY) {
-            let calm = match self.faults.is_empty() && self.now >= self.troubled_until {
-                true => Calm::Since(self.troubled_until),
-                false => Calm::Not,
+        if self.crosses_multiple_of(CHECK_INTERVAL_MS) {
+            let calm = match self.faults.is_empty() && self.now >= self.faults_until {
+                true => Quiescence::Since(self.faults_until),
+                false => Quiescence::NotYet,
             };
-            self.check.calm(calm);
+            self.check.set_quiescence(calm);
             let hung = self.workers.values();
             let expired = hung.filter(|w| w.is_hung_without_lease(self.now, self.size.lease_ms));
             let expired = expired.map(|w| w.id.clone()).collect();
             self.check.tick(self.now, &expired);
         }
-        if self.comes_to_multiple_of(LOOK_FOR_WAITING_EVERY) {
-            self.look_for_waiting();
+        if self.crosses_multiple_of(WAITING_JOBS_INTERVAL_MS) {
+            self.check_waiting_jobs();
         }
     }
 
@@ -442,86 +442,94 @@
     }
 
     /// From now on, all that controllers write and tell each other is kept.
-    pub fn keep_formats(&mut self) {
-        self.state.puts = Some(Vec::new());
-        self.messages = Some(Vec::new());
+    pub fn record_formats(&mut self) {
+        self.store.recorded_puts = Some(Vec::new());
+        self.recorded_messages = Some(Vec::new());
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrive(message) => self.arrive(message),
-            Event::Answer { to, status, body } => match self.asleep_until(&to) {
+            Event::RequestArrival(message) => self.deliver_request(message),
+            Event::ResponseArrival { to, status, body } => match self.paused_until(&to) {
                 // A controller that stands still gives no call up: by the time
                 // it goes on, the answer may have come.
                 Some(until) if status == 0 => {
-                    self.at(until + 1, Event::Answer { to, status, body })
+                    self.schedule(until + 1, Event::ResponseArrival { to, status, body })
                 }
-                _ => self.answered(to, status, body),
+                _ => self.deliver_response(to, status, body),
             },
-            Event::Peer { to, message } => {
-                if self.hosts[to].node.is_some() {
-                    self.hosts[to].inbox.push(Input::Peer(message));
+            Event::PeerMessageArrival { to, message } => {
+                if self.controllers[to].node.is_some() {
+                    self.controllers[to].inbox.push(Input::Peer(message));
                 }
             }
-            Event::Restart(n) => {
-                if self.hosts[n].node.is_none() {
-                    self.start(n);
+            Event::ControllerRestart(n) => {
+                if self.controllers[n].node.is_none() {
+                    self.start_controller(n);
                 }
             }
-            Event::Inject(kind) => self.inject(kind),
-            Event::Ask { id, node, ask } => self.ask(id, node, ask),
-            Event::Taken(id) => {
-                self.end_worker(&id);
-                self.cloud.note_end(&id, self.now);
-                self.cloud.end(&id);
+            Event::FaultStart(kind) => self.inject(kind),
+            Event::UnusualRequest {
+                id,
+                node,
+                request: ask,
+            } => self.send_unusual_request(id, node, ask),
+            Event::SpotReclaim(id) => {
+                self.remove_worker(&id);
+                self.cloud.end_billing(&id, self.now);
+                self.cloud.terminate(&id);
             }
         }
     }
 
     /// Until when the controller that made a call stands still.
-    fn asleep_until(&self, to: &Origin) -> Option<Ms> {
-        let Origin::Node { node, .. } = to else {
+    fn paused_until(&self, to: &Origin) -> Option<Ms> {
+        let Origin::Controller { index: node, .. } = to else {
             return None;
         };
-        let until = self.hosts[*node].cuts.pause;
+        let until = self.controllers[*node].faults.paused_until;
         (until > self.now).then_some(until)
     }
 
     /// What a controller finds as it goes on after standing still: all that
     /// has come meanwhile, from many connections, in any order; or nothing
     /// yet, as the clock is looked at first.
-    fn wake(&mut self, n: usize) -> Vec<Input> {
-        let mut found = std::mem::take(&mut self.hosts[n].inbox);
+    fn resume(&mut self, n: usize) -> Vec<Input> {
+        let mut found = std::mem::take(&mut self.controllers[n].inbox);
         found.shuffle(&mut self.rng);
         if self.rng.random() {
-            self.hosts[n].inbox = found;
+            self.controllers[n].inbox = found;
             return Vec::new();
         }
         found
     }
 
-    fn step_node(&mut self, n: usize) {
+    fn step_controller(&mut self, n: usize) {
         let now = self.now;
-        let host = &mut self.hosts[n];
+        let host = &mut self.controllers[n];
         if host.node.is_none() {
             return;
         }
-        if host.cuts.pause > now {
-            host.asleep = true;
+        if host.faults.paused_until > now {
+            host.was_paused = true;
             return;
         }
-        let pause = if host.cuts.slow > now { 1_500 } else { 0 };
-        let due = now >= host.stepped + IDLE || !host.inbox.is_empty();
-        if !due || now < host.stepped + pause {
+        let pause = if host.faults.slow_timers_until > now {
+            1_500
+        } else {
+            0
+        };
+        let due = now >= host.last_step_at + IDLE_STEP_INTERVAL_MS || !host.inbox.is_empty();
+        if !due || now < host.last_step_at + pause {
             return;
         }
-        host.stepped = now;
-        let start = host.start;
-        let inbox = match std::mem::take(&mut host.asleep) {
-            true => self.wake(n),
+        host.last_step_at = now;
+        let start = host.incarnation;
+        let inbox = match std::mem::take(&mut host.was_paused) {
+            true => self.resume(n),
             false => std::mem::take(&mut host.inbox),
         };
-        let host = &mut self.hosts[n];
+        let host = &mut self.controllers[n];
         let Some(node) = host.node.as_mut() else {
             return;
         };
@@ -529,10 +537,10 @@
         let mut sends = Vec::new();
         let mut replies = Vec::new();
         let mut tells = Vec::new();
-        for effect in node.step(now, now + WALL_OFF, inbox) {
+        for effect in node.step(now, now + WALL_CLOCK_OFFSET_MS, inbox) {
             match effect {
                 Effect::Respond { request, reply } => {
-                    if let Some(origin) = host.requests.remove(&request) {
+                    if let Some(origin) = host.open_requests.remove(&request) {
                         replies.push((origin, reply.status, reply.body));
                     }
                 }
@@ -545,21 +553,21 @@
                     body,
                     timeout,
                 } => {
-                    host.open.insert(id);
-                    let origin = Origin::Node {
-                        node: n,
-                        start,
+                    host.open_calls.insert(id);
+                    let origin = Origin::Controller {
+                        index: n,
+                        incarnation: start,
                         call: id,
                     };
                     late.push((now + timeout, origin.clone()));
                     let dest = match target {
-                        Target::Store => Dest::State,
-                        Target::Cloud => Dest::Cloud,
-                        Target::Worker(addr) => Dest::Worker(MachineId::new(&addr)),
+                        Target::Store => Destination::State,
+                        Target::Cloud => Destination::Cloud,
+                        Target::Worker(addr) => Destination::Worker(MachineId::new(&addr)),
                     };
                     sends.push(Message {
                         origin,
-                        dest,
+                        destination: dest,
                         method: method.to_owned(),
                         path,
                         body: body.unwrap_or_default(),
@@ -569,12 +577,12 @@
         }
         for (to, message) in tells {
             self.digest.peer(now, n, to.as_str(), &message);
-            self.tell(n, to.as_str(), message);
+            self.send_to_peer(n, to.as_str(), message);
         }
         for (time, to) in late {
-            self.at(
+            self.schedule(
                 time,
-                Event::Answer {
+                Event::ResponseArrival {
                     to,
                     status: 0,
                     body: Vec::new(),
@@ -587,12 +595,12 @@
         }
         for (to, status, body) in replies {
             self.digest.reply(now, n, status, &body);
-            self.reply(&Dest::Node(n), to, status, body);
+            self.respond(&Destination::Node(n), to, status, body);
         }
     }
 
     /// Looks at the whole day, at its end.
-    pub fn close(&mut self) {
-        self.check.close(self.now);
+    pub fn finish(&mut self) {
+        self.check.finish(self.now);
     }
 }
--- a/crates/testkit/src/world/digest.rs
+++ b/crates/testkit/src/simulation/digest.rs
@@ -10,12 +10,12 @@
 
 /// What the controllers have sent so far, in the order in which they sent it.
 #[derive(Default)]
-pub(crate) struct Digest(DefaultHasher);
+pub(crate) struct TrafficDigest(DefaultHasher);
 
-impl Digest {
+impl TrafficDigest {
     /// A controller sends a request to a service or a worker.
     pub(crate) fn call(&mut self, now: Ms, message: &Message) {
-        let destination = format!("{:?}", message.dest);
+        let destination = format!("{:?}", message.destination);
         (now, destination, &message.method).hash(&mut self.0);
         (&message.path, &message.body).hash(&mut self.0);
     }
--- a/crates/testkit/src/world/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -1,7 +1,7 @@
 //! What a world shows to those who look at it from outside.
 
-use super::users::Aim;
-use super::{JobCounts, World, WALL_OFF};
+use super::users::UserState;
+use super::{JobCounts, World, WALL_CLOCK_OFFSET_MS};
 use crate::cloud::Boot;
 use crate::Ms;
 use forkshift_core::{records, Node};
@@ -12,13 +12,13 @@
 
 impl World {
     /// What the state service has below a prefix.
-    pub fn records(&self, prefix: &str) -> Vec<(String, serde_json::Value)> {
-        self.state.below(prefix)
+    pub fn store_entries(&self, prefix: &str) -> Vec<(String, serde_json::Value)> {
+        self.store.entries_with_prefix(prefix)
     }
 
     /// When the cloud's charge for each machine began, and when it ended.
-    pub fn lives(&self) -> &BTreeMap<MachineId, (Ms, Option<Ms>)> {
-        &self.cloud.lives
+    pub fn billing_periods(&self) -> &BTreeMap<MachineId, (Ms, Option<Ms>)> {
+        &self.cloud.billing_periods
     }
 
     /// Tasks of some jobs that are on machines and have not exited, and whether each runs.
@@ -37,8 +37,8 @@
     }
 
     /// The time of day, as all controllers have it.
-    pub fn wall(&self) -> Ms {
-        self.now + WALL_OFF
+    pub fn wall_clock(&self) -> Ms {
+        self.now + WALL_CLOCK_OFFSET_MS
     }
 
     /// The time.
@@ -49,27 +49,27 @@
     /// Requests that the state service would have refused by its limits with
     /// 429, of how many.
     pub fn over_limit(&self) -> (u64, u64) {
-        self.state.over_limit
+        self.store.over_limit
     }
 
     /// Transactions that the state service refused for their size.
     pub fn too_large(&self) -> u64 {
-        self.state.too_large
+        self.store.too_large
     }
 
     /// The format that the controllers have finalized, as it is recorded.
     pub fn finalized_format(&self) -> Option<u64> {
-        self.state.value(records::FINALIZED_FORMAT)?.as_u64()
+        self.store.value(records::FINALIZED_FORMAT)?.as_u64()
     }
 
     /// Records that were put, with their keys, since they are kept.
     pub fn kept_records(&self) -> &[(String, serde_json::Value)] {
-        self.state.puts.as_deref().unwrap_or_default()
+        self.store.recorded_puts.as_deref().unwrap_or_default()
     }
 
     /// Messages between controllers since they are kept.
     pub fn kept_messages(&self) -> &[Vec<u8>] {
-        self.messages.as_deref().unwrap_or_default()
+        self.recorded_messages.as_deref().unwrap_or_default()
     }
 
     /// When a user was first told that a job is cancelled.
@@ -83,10 +83,10 @@
         let ids = self.users.iter().map(|u| &u.plan.spec.id);
         for id in ids.filter(|id| self.check.is_accepted(id)) {
             counts.accepted += 1;
-            match self.check.told(id) {
+            match self.check.final_stage(id) {
                 Some(JobStage::Done) => counts.done += 1,
                 Some(JobStage::Cancelled) => counts.cancelled += 1,
-                _ if self.check.running(id) > 0 => counts.running += 1,
+                _ if self.check.running_tasks(id) > 0 => counts.running += 1,
                 _ => counts.waiting += 1,
             }
         }
@@ -102,14 +102,14 @@
     }
 
     /// What a quiet end must show: everything accepted is done, or runs.
-    pub fn unserved(&self) -> Vec<String> {
+    pub fn unfinished_jobs(&self) -> Vec<String> {
         let mut left = Vec::new();
         for user in &self.users {
             let spec = &user.plan.spec;
-            if user.aim == Aim::Submit {
+            if user.state == UserState::Submitting {
                 left.push(format!("{}: not accepted", spec.id));
             }
-            if user.aim != Aim::Poll
+            if user.state != UserState::Polling
                 || user.plan.cancel_at.is_none() && spec.kind == JobKind::Service
             {
                 continue;
@@ -118,8 +118,8 @@
                 job: spec.id.clone(),
                 index,
             });
-            let cancelled = self.check.was_cancelled(&spec.id);
-            let done = tasks.clone().all(|t| self.check.is_completed(&t));
+            let cancelled = self.check.is_cancel_confirmed(&spec.id);
+            let done = tasks.clone().all(|t| self.check.is_task_completed(&t));
             if !cancelled && self.check.is_cancel_wanted(&spec.id) && !done {
                 left.push(format!("{}: not cancelled", spec.id));
             } else if !cancelled && !done && spec.kind != JobKind::Service {
@@ -133,29 +133,29 @@
     }
 
     /// Machines that the cloud has been told to delete, or has taken.
-    pub fn ended(&self) -> usize {
-        self.cloud.n_ended
+    pub fn terminated_machines(&self) -> usize {
+        self.cloud.terminated_count
     }
 
     /// Reports of workers so far, and what controllers that are up looked at.
-    pub fn work(&self) -> (u64, u64) {
-        let nodes = self.hosts.iter().filter_map(|h| h.node.as_ref());
-        (self.reports, nodes.map(Node::visits).sum())
+    pub fn work_counts(&self) -> (u64, u64) {
+        let nodes = self.controllers.iter().filter_map(|h| h.node.as_ref());
+        (self.heartbeats_sent, nodes.map(Node::visits).sum())
     }
 
     /// Machines that were rented.
-    pub fn rented(&self) -> usize {
-        self.cloud.n_ended + self.cloud.machines.len()
+    pub fn provisioned_machines(&self) -> usize {
+        self.cloud.terminated_count + self.cloud.machines.len()
     }
 
     /// Machines that were given up as their records say, and why.
-    pub fn given_up(&self) -> &BTreeMap<MachineId, String> {
-        &self.state.given_up
+    pub fn decommissioned(&self) -> &BTreeMap<MachineId, String> {
+        &self.store.decommissioned
     }
 
     /// Rentals so far: when, type, zone, and how many machines were had.
-    pub fn rentals(&self) -> &[(Ms, String, String, u32)] {
-        &self.cloud.rented
+    pub fn provisioning_log(&self) -> &[(Ms, String, String, u32)] {
+        &self.cloud.provisioning_log
     }
 
     /// The boots of all machines that were rented, in the order of rental.
@@ -175,8 +175,8 @@
     }
 
     /// Most machines that were up at a time.
-    pub fn most_machines(&self) -> usize {
-        self.most_machines
+    pub fn max_machines(&self) -> usize {
+        self.max_machines
     }
 
     /// A digest of everything that the controllers have sent, which is the
@@ -187,6 +187,6 @@
 
     /// Puts and deletes that the state service has carried out.
     pub fn writes(&self) -> u64 {
-        self.state.writes
+        self.store.writes
     }
 }
--- a/crates/testkit/src/world/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -28,7 +28,10 @@
     /// If a record is not understood.
     pub fn pool_accounts(&self, now_ms: Ms) -> Accounts {
         let mut accounts = Accounts::default();
-        let rows = self.records(POOLS).into_iter().chain(self.records(HEADS));
+        let rows = self
+            .store_entries(POOLS)
+            .into_iter()
+            .chain(self.store_entries(HEADS));
         for (key, value) in rows {
             match Row::parse(&key, &value.to_string()) {
                 Some(Row::Interval(interval)) => accounts.intervals.push(interval),
@@ -37,7 +40,7 @@
                 None => panic!("{key} is not understood: {value}"),
             }
         }
-        for (key, value) in self.records(PRICES) {
+        for (key, value) in self.store_entries(PRICES) {
             let price: Price =
                 serde_json::from_value(value).unwrap_or_else(|e| panic!("{key}: {e}"));
             accounts.prices.push(price);
@@ -59,7 +62,7 @@
 
     /// From when to when the cloud charged for each machine, if the world began then.
     pub fn pool_lives(&self, began_ms: Ms) -> BTreeMap<MachineId, Life> {
-        let lives = self.lives().iter();
+        let lives = self.billing_periods().iter();
         let life = |(from, to): &(Ms, Option<Ms>)| {
             let to = to.unwrap_or(self.now());
             (began_ms + from, began_ms + to)
@@ -68,7 +71,7 @@
     }
 
     fn machine_records(&self) -> Vec<(MachineId, MachineRecord)> {
-        let machines = self.records(MACHINES).into_iter();
+        let machines = self.store_entries(MACHINES).into_iter();
         let record = |(key, value): (String, serde_json::Value)| {
             let id = MachineId::new(key.strip_prefix(MACHINES)?);
             Some((id, serde_json::from_value(value).ok()?))
--- a/crates/testkit/src/world/remote.rs
+++ b/crates/testkit/src/simulation/remote.rs
@@ -4,8 +4,8 @@
 //! time. What is for a controller is handed out to whoever carries it there over
 //! a socket, and what controllers ask is handed in.
 
-use super::network::{Dest, Message, Origin};
-use super::{World, STEP};
+use super::network::{Destination, Message, Origin};
+use super::{World, STEP_MS};
 use crate::Ms;
 use forkshift_core::epoch_of_token;
 use forkshift_core::records::{self, ShardId};
@@ -16,9 +16,9 @@
 
 /// Who asks a controller, and is to be told its answer.
 #[derive(Debug)]
-pub struct Asker(Origin);
+pub struct Requester(Origin);
 
-impl Asker {
+impl Requester {
     /// The machine whose report this is, if it is one.
     pub fn machine(&self) -> Option<&MachineId> {
         match &self.0 {
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Outgoing {
     /// Who asks.
-    pub asker: Asker,
+    pub asker: Requester,
     /// Index of the controller.
     pub node: usize,
     /// HTTP method.
@@ -76,7 +76,7 @@
 
 /// What waits to be carried out of the world.
 #[derive(Default)]
-pub(super) struct Remote {
+pub(super) struct RemoteQueues {
     requests: Vec<Outgoing>,
     answers: Vec<Answer>,
     pub(super) machines: Vec<MachineChange>,
@@ -87,22 +87,25 @@
 impl World {
     /// Plays up to a time, in steps of up to `longest`.
     pub fn advance_to(&mut self, time: Ms, longest: Ms) {
-        while self.now + STEP <= time {
-            let next = (self.now + longest.max(STEP)).min(time);
-            self.step_to(next - next % STEP);
+        while self.now + STEP_MS <= time {
+            let next = (self.now + longest.max(STEP_MS)).min(time);
+            self.step_to(next - next % STEP_MS);
         }
     }
 
     /// Hands in a controller's call. The answer, if there is one, bears its number.
     pub fn call(&mut self, call: u64, to: Service, method: &str, path: &str, body: Vec<u8>) {
         let (dest, node) = match to {
-            Service::State(node) => (Dest::State, Some(node)),
-            Service::Cloud(node) => (Dest::Cloud, Some(node)),
-            Service::Worker(id) => (Dest::Worker(id), self.sender_of(&body)),
+            Service::State(node) => (Destination::State, Some(node)),
+            Service::Cloud(node) => (Destination::Cloud, Some(node)),
+            Service::Worker(id) => (Destination::Worker(id), self.controller_of_token(&body)),
         };
         self.send(Message {
-            origin: Origin::Remote { call, node },
-            dest,
+            origin: Origin::RemoteController {
+                call,
+                controller: node,
+            },
+            destination: dest,
             method: method.to_owned(),
             path: path.to_owned(),
             body,
@@ -110,18 +113,18 @@
     }
 
     /// The controller that has sent commands: the holder whose token they bear.
-    fn sender_of(&self, body: &[u8]) -> Option<usize> {
+    fn controller_of_token(&self, body: &[u8]) -> Option<usize> {
         let request: CommandRequest = serde_json::from_slice(body).ok()?;
         let epoch = epoch_of_token(request.token);
         let shards = (0..self.size.nodes as u32).map(|k| records::shard_key(ShardId(k)));
-        let mut records = shards.filter_map(|key| self.state.value(&key));
+        let mut records = shards.filter_map(|key| self.store.value(&key));
         let record = records.find(|r| r.get("epoch").and_then(Value::as_u64) == Some(epoch))?;
-        self.named(record.get("holder"))
+        self.controller_index(record.get("holder"))
     }
 
     /// Tells who asked a controller its answer; status 0 stands for none.
-    pub fn deliver(&mut self, asker: Asker, status: u16, body: Vec<u8>) {
-        self.answered(asker.0, status, body);
+    pub fn deliver(&mut self, asker: Requester, status: u16, body: Vec<u8>) {
+        self.deliver_response(asker.0, status, body);
     }
 
     /// Takes the requests that are to be carried to controllers.
@@ -150,7 +153,7 @@
     }
 
     /// The controller that a user's connection is led to.
-    pub(super) fn node_for_a_user(&mut self) -> usize {
+    pub(super) fn pick_user_controller(&mut self) -> usize {
         let healthy = self.remote.as_ref().map_or(&[][..], |r| &r.healthy);
         match healthy.len() {
             0 => self.rng.random_range(0..self.size.nodes),
@@ -158,12 +161,12 @@
         }
     }
 
-    pub(super) fn hand_out(&mut self, node: usize, message: Message) {
+    pub(super) fn enqueue_request(&mut self, node: usize, message: Message) {
         let Some(remote) = &mut self.remote else {
             return;
         };
         remote.requests.push(Outgoing {
-            asker: Asker(message.origin),
+            asker: Requester(message.origin),
             node,
             method: message.method,
             path: message.path,
@@ -171,7 +174,7 @@
         });
     }
 
-    pub(super) fn answer_remote(&mut self, call: u64, status: u16, body: Vec<u8>) {
+    pub(super) fn enqueue_response(&mut self, call: u64, status: u16, body: Vec<u8>) {
         if let Some(remote) = &mut self.remote {
             remote.answers.push(Answer { call, status, body });
         }
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/simulation/users.rs
@@ -1,10 +1,10 @@
 //! Users: they submit, ask and cancel.
 
-use super::network::{Dest, Message, Origin};
+use super::network::{Destination, Message, Origin};
 use super::World;
-use crate::day::PIPELINE_JOBS_MOST;
-use crate::faults::Who;
-use crate::worker::Truth;
+use crate::day::MAX_PIPELINE_JOBS;
+use crate::faults::ControllerSelector;
+use crate::worker::GroundTruth;
 use crate::Ms;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus, Priority};
 use forkshift_wire::JobId;
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 /// Pause of a user who waits for jobs to be accepted before the next.
-const RETRY_SUBMISSION: Ms = 200;
+const DEPENDENCY_POLL_MS: Ms = 200;
 
 /// Pause before a request is repeated.
 const RETRY_MS: Ms = 1_500;
@@ -25,11 +25,11 @@
 
 /// A mistake in a job, for which its tasks fail on every machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Mistake {
+pub enum JobDefect {
     /// They fail as soon as they have their image, and never run.
-    AtOnce,
+    FailsAtStart,
     /// They run for so long, and fail.
-    After(Ms),
+    FailsAfter(Ms),
 }
 
 /// A job that a user will submit.
@@ -45,9 +45,9 @@
     pub cancel_at: Option<Ms>,
     /// The controller that the user's requests go to; any if left out, or if
     /// there is none.
-    pub at_node: Option<Who>,
+    pub at_node: Option<ControllerSelector>,
     /// The mistake that it was submitted with. No random draw has one.
-    pub mistake: Option<Mistake>,
+    pub mistake: Option<JobDefect>,
 }
 
 impl Plan {
@@ -202,7 +202,7 @@
     /// one of the day's other jobs, of any team. The end may come late,
     /// and any of them may be cancelled.
     pub fn pipeline(rng: &mut StdRng, first: u32, at: Ms, others: &[JobId]) -> Vec<Self> {
-        let jobs = rng.random_range(2..=PIPELINE_JOBS_MOST);
+        let jobs = rng.random_range(2..=MAX_PIPELINE_JOBS);
         let mut plans: Vec<Self> = Vec::new();
         for i in 0..jobs {
             let mut plan = Self::random(rng, first + i, at + u64::from(i) * 300);
@@ -244,82 +244,90 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(super) enum Aim {
-    Submit,
-    Poll,
-    Cancel,
-    Over,
+pub(super) enum UserState {
+    Submitting,
+    Polling,
+    Cancelling,
+    Finished,
 }
 
 pub(super) struct User {
     pub(super) plan: Plan,
-    pub(super) aim: Aim,
-    pub(super) next: Ms,
-    pub(super) op: u64,
+    pub(super) state: UserState,
+    pub(super) next_request_at: Ms,
+    pub(super) last_request: u64,
     /// Tells what had been answered when the request was sent.
     pub(super) ticket: u64,
-    pub(super) open: bool,
-    pub(super) sent: Ms,
+    pub(super) is_waiting: bool,
+    pub(super) sent_at: Ms,
 }
 
 impl World {
     /// From now on all users come to one controller.
-    pub fn users_come_to(&mut self, node: usize) {
+    pub fn route_users_to(&mut self, node: usize) {
         for user in &mut self.users {
-            user.plan.at_node = Some(Who::Index(node));
+            user.plan.at_node = Some(ControllerSelector::Index(node));
         }
     }
 
     pub(super) fn tick_users(&mut self) {
         for i in 0..self.users.len() {
             let user = &mut self.users[i];
-            if user.open && self.now >= user.sent + 5_000 {
-                user.open = false;
-                user.next = self.now + 1_000;
+            if user.is_waiting && self.now >= user.sent_at + 5_000 {
+                user.is_waiting = false;
+                user.next_request_at = self.now + 1_000;
             }
-            if user.open || user.aim == Aim::Over || self.now < user.next {
+            if user.is_waiting
+                || user.state == UserState::Finished
+                || self.now < user.next_request_at
+            {
                 continue;
             }
             // Users name only jobs that were accepted.
             let mut needs = user.plan.spec.dependencies.iter();
-            if user.aim == Aim::Submit && !needs.all(|d| self.check.is_accepted(d)) {
-                user.next = self.now + RETRY_SUBMISSION;
+            if user.state == UserState::Submitting && !needs.all(|d| self.check.is_accepted(d)) {
+                user.next_request_at = self.now + DEPENDENCY_POLL_MS;
                 continue;
             }
-            if user.aim == Aim::Poll && user.plan.cancel_at.is_some_and(|t| self.now >= t) {
-                user.aim = Aim::Cancel;
+            if user.state == UserState::Polling
+                && user.plan.cancel_at.is_some_and(|t| self.now >= t)
+            {
+                user.state = UserState::Cancelling;
             }
-            user.op += 1;
-            user.open = true;
-            user.sent = self.now;
+            user.last_request += 1;
+            user.is_waiting = true;
+            user.sent_at = self.now;
             let id = user.plan.spec.id.clone();
-            let (method, path, body) = match user.aim {
-                Aim::Submit => {
-                    self.check.submitted(&user.plan.spec);
-                    let truth = Truth {
+            let (method, path, body) = match user.state {
+                UserState::Submitting => {
+                    self.check.on_submitted(&user.plan.spec);
+                    let truth = GroundTruth {
                         spec: user.plan.spec.clone(),
                         run_ms: user.plan.run_ms,
                         mistake: user.plan.mistake,
                     };
-                    self.truths.insert(id.clone(), truth);
+                    self.ground_truths.insert(id.clone(), truth);
                     let body = serde_json::to_vec(&user.plan.spec).unwrap_or_default();
                     ("POST", "/submissions".to_owned(), body)
                 }
-                Aim::Cancel => {
-                    self.check.asked_cancel(&id);
+                UserState::Cancelling => {
+                    self.check.on_cancel_requested(&id);
                     ("POST", format!("/submissions/{id}/abort"), Vec::new())
                 }
                 _ => ("GET", format!("/submissions/{id}"), Vec::new()),
             };
-            user.ticket = self.check.ask(self.now, &id);
-            let (op, at_node) = (user.op, user.plan.at_node.clone());
-            let node = match at_node.and_then(|who| self.index_of(&who)) {
+            user.ticket = self.check.on_request_sent(self.now, &id);
+            let (op, at_node) = (user.last_request, user.plan.at_node.clone());
+            let node = match at_node.and_then(|who| self.select_controller(&who)) {
                 Some(n) => n,
-                None => self.node_for_a_user(),
+                None => self.pick_user_controller(),
             };
             let message = Message {
-                origin: Origin::User { user: i, op },
-                dest: Dest::Node(node),
+                origin: Origin::User {
+                    user: i,
+                    request: op,
+                },
+                destination: Destination::Node(node),
                 method: method.to_owned(),
                 path,
                 body,
@@ -328,43 +336,45 @@
         }
     }
 
-    pub(super) fn user_answered(&mut self, i: usize, op: u64, status: u16, body: &[u8]) {
+    pub(super) fn on_user_response(&mut self, i: usize, op: u64, status: u16, body: &[u8]) {
         let now = self.now;
         let user = &mut self.users[i];
-        if user.op != op || !user.open {
+        if user.last_request != op || !user.is_waiting {
             return;
         }
-        user.open = false;
+        user.is_waiting = false;
         let answer: Option<JobStatus> = serde_json::from_slice(body).ok();
         let stage = answer.map(|a| a.stage);
         let id = user.plan.spec.id.clone();
-        let submission = user.aim == Aim::Submit;
+        let submission = user.state == UserState::Submitting;
         let ticket = user.ticket;
         let news = status > 0
             && self
                 .check
-                .answered_to(ticket, now, &id, submission, status, stage);
+                .on_response(ticket, now, &id, submission, status, stage);
         if submission {
             self.check.check_admission(now, &id, status);
         }
         let good = matches!(status, 200 | 201);
         let last = stage.is_some_and(JobStage::is_final);
-        (user.aim, user.next) = match user.aim {
-            Aim::Submit if good => (Aim::Poll, now + self.size.poll_ms.max(2_000)),
-            Aim::Submit if matches!(status, 400 | 422) => (Aim::Over, now),
-            Aim::Cancel if good => (Aim::Poll, now + 3_000),
+        (user.state, user.next_request_at) = match user.state {
+            UserState::Submitting if good => {
+                (UserState::Polling, now + self.size.poll_ms.max(2_000))
+            }
+            UserState::Submitting if matches!(status, 400 | 422) => (UserState::Finished, now),
+            UserState::Cancelling if good => (UserState::Polling, now + 3_000),
             // A final state is asked for again, to see that it stays.
-            Aim::Poll if good && last => (Aim::Poll, now + 20_000),
-            Aim::Poll if good => (Aim::Poll, now + self.size.poll_ms),
+            UserState::Polling if good && last => (UserState::Polling, now + 20_000),
+            UserState::Polling if good => (UserState::Polling, now + self.size.poll_ms),
             aim => (aim, now + RETRY_MS),
         };
         if good && last {
             user.plan.cancel_at = None;
         }
         if news {
-            self.look_closely(&id, 0);
+            self.schedule_status_burst(&id, 0);
             if submission {
-                self.cancel_at_once(&id);
+                self.maybe_cancel_accepted(&id);
             }
         }
     }
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/store.rs
@@ -14,34 +14,34 @@
 }
 
 /// A watch that waits for a change.
-pub(crate) struct Waiting<W> {
-    pub(crate) who: W,
+pub(crate) struct Watch<W> {
+    pub(crate) watcher: W,
     prefix: String,
-    from: u64,
-    until: Ms,
+    after_revision: u64,
+    expires_at: Ms,
 }
 
 /// A rate with bursts of one second's worth.
-struct Limit {
+struct RateLimiter {
     rate: f64,
     tokens: f64,
-    at: Ms,
+    refilled_at: Ms,
 }
 
-impl Limit {
+impl RateLimiter {
     fn new(rate: f64) -> Self {
         Self {
             rate,
             tokens: rate,
-            at: 0,
+            refilled_at: 0,
         }
     }
 
     /// Whether so many more are within it.
-    fn allows(&mut self, now: Ms, n: f64) -> bool {
-        let gained = now.saturating_sub(self.at) as f64 / 1000.0 * self.rate;
+    fn try_take(&mut self, now: Ms, n: f64) -> bool {
+        let gained = now.saturating_sub(self.refilled_at) as f64 / 1000.0 * self.rate;
         self.tokens = (self.tokens + gained).min(self.rate);
-        self.at = now;
+        self.refilled_at = now;
         let within = self.tokens >= n;
         if within {
             self.tokens -= n;
@@ -51,46 +51,46 @@
 }
 
 /// The store; `W` names those who wait at a watch.
-pub(crate) struct State<W> {
+pub(crate) struct StoreModel<W> {
     entries: BTreeMap<String, Entry>,
     revision: u64,
     leases: BTreeMap<u64, (Ms, Ms)>,
     next_lease: u64,
-    log: VecDeque<(u64, String, Option<Value>)>,
-    waiting: Vec<Waiting<W>>,
-    pub(crate) down: bool,
+    change_log: VecDeque<(u64, String, Option<Value>)>,
+    watches: Vec<Watch<W>>,
+    pub(crate) is_down: bool,
     /// Puts and deletes so far.
     pub(crate) writes: u64,
     /// What was put so far, if that is kept.
-    pub(crate) puts: Option<Vec<(String, Value)>>,
+    pub(crate) recorded_puts: Option<Vec<(String, Value)>>,
     /// Machines whose records said that they are given up, and why.
-    pub(crate) given_up: BTreeMap<MachineId, String>,
+    pub(crate) decommissioned: BTreeMap<MachineId, String>,
     /// Largest value, in bytes, and most changes in a transaction.
-    sizes: SizeLimits,
+    size_limits: SizeLimits,
     /// Transactions that were refused for their size.
     pub(crate) too_large: u64,
-    requests_limit: Limit,
-    writes_limit: Limit,
+    request_limiter: RateLimiter,
+    write_limiter: RateLimiter,
     /// Requests beyond the limits, and requests in all.
     pub(crate) over_limit: (u64, u64),
-    service: ServiceModel,
+    behavior: StoreBehavior,
 }
 
 /// How exactly the stand-in follows the protocol where tests need less or more.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ServiceModel {
+pub(crate) struct StoreBehavior {
     /// Most records on a page of a listing.
-    pub(crate) page_items: usize,
+    pub(crate) max_page_items: usize,
     /// Refuses requests beyond the limits with 429, rather than only count them.
     pub(crate) enforces_limits: bool,
 }
 
-impl Default for ServiceModel {
+impl Default for StoreBehavior {
     /// Small pages, so that paging is exercised; requests beyond the limits are
     /// counted and carried out.
     fn default() -> Self {
         Self {
-            page_items: 40,
+            max_page_items: 40,
             enforces_limits: false,
         }
     }
@@ -109,7 +109,7 @@
         if txn.writes.len() > self.txn_ops {
             return Some(format!("{} changes", txn.writes.len()));
         }
-        if txn.preconditions.len() > self.txn_ops * CONDITIONS_PER_CHANGE {
+        if txn.preconditions.len() > self.txn_ops * MAX_PRECONDITIONS_PER_WRITE {
             return Some(format!("{} conditions", txn.preconditions.len()));
         }
         txn.writes.iter().find_map(|write| match write {
@@ -122,44 +122,44 @@
 }
 
 /// Conditions that a transaction may have for each change.
-const CONDITIONS_PER_CHANGE: usize = 4;
+const MAX_PRECONDITIONS_PER_WRITE: usize = 4;
 
 /// Largest transaction, in bytes.
-const TXN_BYTES: usize = 64 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 
 /// Changes that are kept for watches.
-const LOG_MOST: usize = 10_000;
+const MAX_LOG_ENTRIES: usize = 10_000;
 
-fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
     pairs.find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
-impl<W> State<W> {
-    pub(crate) fn new(rps: f64, write_rps: f64, sizes: SizeLimits, service: ServiceModel) -> Self {
+impl<W> StoreModel<W> {
+    pub(crate) fn new(rps: f64, write_rps: f64, sizes: SizeLimits, service: StoreBehavior) -> Self {
         Self {
-            sizes,
-            service,
+            size_limits: sizes,
+            behavior: service,
             too_large: 0,
-            requests_limit: Limit::new(rps),
-            writes_limit: Limit::new(write_rps),
+            request_limiter: RateLimiter::new(rps),
+            write_limiter: RateLimiter::new(write_rps),
             over_limit: (0, 0),
             entries: BTreeMap::new(),
             revision: 0,
             leases: BTreeMap::new(),
             next_lease: 0,
-            log: VecDeque::new(),
-            waiting: Vec::new(),
-            down: false,
+            change_log: VecDeque::new(),
+            watches: Vec::new(),
+            is_down: false,
             writes: 0,
-            puts: None,
-            given_up: BTreeMap::new(),
+            recorded_puts: None,
+            decommissioned: BTreeMap::new(),
         }
     }
 
     /// All records below a prefix.
-    pub(crate) fn below(&self, prefix: &str) -> Vec<(String, Value)> {
+    pub(crate) fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Value)> {
         let there = self.entries.range(prefix.to_owned()..);
         let there = there.take_while(|(key, _)| key.starts_with(prefix));
         there
@@ -169,13 +169,13 @@
 
     /// Lower limits come into force.
     pub(crate) fn set_limits(&mut self, write_rps: f64, sizes: SizeLimits) {
-        self.writes_limit = Limit::new(write_rps);
-        self.sizes = sizes;
+        self.write_limiter = RateLimiter::new(write_rps);
+        self.size_limits = sizes;
     }
 
     /// An outage begins or ends. After it every lease has its full time.
     pub(crate) fn set_down(&mut self, down: bool, now: Ms) {
-        self.down = down;
+        self.is_down = down;
         for (ttl, until) in self.leases.values_mut() {
             *until = now + *ttl;
         }
@@ -190,7 +190,7 @@
         body: &[u8],
         who: W,
     ) -> Option<(u16, Value)> {
-        if self.down {
+        if self.is_down {
             let watch = path.starts_with("/changes");
             return (!watch).then(|| (503, json!({"error": "outage"})));
         }
@@ -204,21 +204,22 @@
             Some(Ok(txn)) => txn.writes.len() as f64,
             _ => 0.0,
         };
-        let within = self.requests_limit.allows(now, 1.0) && self.writes_limit.allows(now, writes);
+        let within =
+            self.request_limiter.try_take(now, 1.0) && self.write_limiter.try_take(now, writes);
         self.over_limit.0 += u64::from(!within);
         self.over_limit.1 += 1;
-        if !within && self.service.enforces_limits {
+        if !within && self.behavior.enforces_limits {
             return Some((429, json!({"error": "too many requests"})));
         }
         let (status, value) = match (method, parts.as_slice()) {
             ("GET", ["kv"]) => self.list(path),
             ("GET", ["kv", ..]) => self.get(&bare["/kv/".len()..]),
-            ("POST", ["txn"]) if body.len() > TXN_BYTES => {
+            ("POST", ["txn"]) if body.len() > MAX_TRANSACTION_BYTES => {
                 self.too_large += 1;
                 (400, json!({"error": "too large"}))
             }
             ("POST", ["txn"]) => match txn {
-                Some(Ok(txn)) => self.txn(txn),
+                Some(Ok(txn)) => self.transact(txn),
                 Some(Err(e)) => (400, json!({"error": e.to_string()})),
                 None => (400, json!({"error": "malformed"})),
             },
@@ -240,24 +241,29 @@
                 }
             }
             ("GET", ["changes"]) => {
-                let prefix = query(path, "starts").unwrap_or_default().to_owned();
-                let from: u64 = query(path, "from")
+                let prefix = query_parameter(path, "starts")
+                    .unwrap_or_default()
+                    .to_owned();
+                let from: u64 = query_parameter(path, "from")
                     .and_then(|v| v.parse().ok())
                     .unwrap_or(0);
-                let wait: u64 = query(path, "wait_ms")
+                let wait: u64 = query_parameter(path, "wait_ms")
                     .and_then(|v| v.parse().ok())
                     .unwrap_or(0);
-                if self.log.front().is_some_and(|(r, _, _)| *r > from + 1)
-                    && self.log.len() >= LOG_MOST
+                if self
+                    .change_log
+                    .front()
+                    .is_some_and(|(r, _, _)| *r > from + 1)
+                    && self.change_log.len() >= MAX_LOG_ENTRIES
                 {
                     (410, json!({}))
                 } else if wait > 0 && !self.has_changed(&prefix, from) {
                     let until = now + wait;
-                    self.waiting.push(Waiting {
-                        who,
+                    self.watches.push(Watch {
+                        watcher: who,
                         prefix,
-                        from,
-                        until,
+                        after_revision: from,
+                        expires_at: until,
                     });
                     return None;
                 } else {
@@ -280,12 +286,12 @@
     }
 
     fn list(&self, path: &str) -> (u16, Value) {
-        let prefix = query(path, "starts").unwrap_or_default();
-        let from = query(path, "from").unwrap_or_default();
-        let most: usize = query(path, "most")
+        let prefix = query_parameter(path, "starts").unwrap_or_default();
+        let from = query_parameter(path, "from").unwrap_or_default();
+        let most: usize = query_parameter(path, "most")
             .and_then(|v| v.parse().ok())
             .unwrap_or(1_000);
-        let most = most.min(self.service.page_items);
+        let most = most.min(self.behavior.max_page_items);
         let first = match from >= prefix {
             true => Bound::Excluded(from.to_owned()),
             false => Bound::Included(prefix.to_owned()),
@@ -306,8 +312,8 @@
         )
     }
 
-    fn txn(&mut self, txn: Transaction) -> (u16, Value) {
-        if let Some(excess) = self.sizes.excess(&txn) {
+    fn transact(&mut self, txn: Transaction) -> (u16, Value) {
+        if let Some(excess) = self.size_limits.excess(&txn) {
             self.too_large += 1;
             log::info!("refused: {excess}");
             return (400, json!({"error": excess}));
@@ -333,17 +339,17 @@
             return (409, json!({"failed": failed, "ledger_rev": self.revision}));
         }
         self.writes += txn.writes.len() as u64;
-        self.note_given_up(&txn);
+        self.record_decommissioned(&txn);
         if !txn.writes.is_empty() {
             self.revision += 1;
         }
         for write in txn.writes {
             match write {
                 Write::Put { put, value, lease } => {
-                    if let Some(puts) = &mut self.puts {
+                    if let Some(puts) = &mut self.recorded_puts {
                         puts.push((put.clone(), value.clone()));
                     }
-                    self.log
+                    self.change_log
                         .push_back((self.revision, put.clone(), Some(value.clone())));
                     let version = self.revision;
                     self.entries.insert(
@@ -358,20 +364,20 @@
                 Write::Remove { remove } => self.remove(remove),
             }
         }
-        while self.log.len() > LOG_MOST {
-            self.log.pop_front();
+        while self.change_log.len() > MAX_LOG_ENTRIES {
+            self.change_log.pop_front();
         }
         (200, json!({"ledger_rev": self.revision}))
     }
 
-    fn note_given_up(&mut self, txn: &Transaction) {
+    fn record_decommissioned(&mut self, txn: &Transaction) {
         for write in &txn.writes {
             let Write::Put { put, value, .. } = write else {
                 continue;
             };
             let why = value.get("condemned").and_then(Value::as_str);
             if let (Some(id), Some(why)) = (put.strip_prefix("c/machine/"), why) {
-                let first = self.given_up.entry(MachineId::new(id));
+                let first = self.decommissioned.entry(MachineId::new(id));
                 first.or_insert_with(|| why.to_owned());
             }
         }
@@ -379,7 +385,7 @@
 
     fn remove(&mut self, key: String) {
         if self.entries.remove(&key).is_some() {
-            self.log.push_back((self.revision, key, None));
+            self.change_log.push_back((self.revision, key, None));
         }
     }
 
@@ -389,8 +395,8 @@
         prefix: &'a str,
         from: u64,
     ) -> impl Iterator<Item = &'a (u64, String, Option<Value>)> {
-        let first = self.log.partition_point(|(r, _, _)| *r <= from);
-        let log = self.log.range(first..);
+        let first = self.change_log.partition_point(|(r, _, _)| *r <= from);
+        let log = self.change_log.range(first..);
         log.filter(move |(_, k, _)| k.starts_with(prefix))
     }
 
@@ -412,7 +418,7 @@
     }
 
     /// Who leads and who holds what, in short: changes with every takeover.
-    pub(crate) fn terms(&self) -> String {
+    pub(crate) fn leadership_terms(&self) -> String {
         let all = self.entries.range("c/leader".to_owned()..);
         let all = all.take_while(|(k, _)| k.as_str() < "c/shard");
         let all = all.filter(|(k, _)| *k == "c/leader" || k.starts_with("c/share/"));
@@ -433,7 +439,7 @@
     /// Ends leases that ran out, and returns watches that have an answer.
     /// Those of who is `shut` out go on waiting.
     pub(crate) fn tick(&mut self, now: Ms, shut: impl Fn(&W) -> bool) -> Vec<(W, Value)> {
-        if self.down {
+        if self.is_down {
             return Vec::new();
         }
         let over: Vec<u64> = self
@@ -458,13 +464,13 @@
             }
         }
         let mut ready = Vec::new();
-        for w in std::mem::take(&mut self.waiting) {
-            let ready_now = now >= w.until || self.has_changed(&w.prefix, w.from);
-            if ready_now && !shut(&w.who) {
-                let reply = self.changes_reply(&w.prefix, w.from);
-                ready.push((w.who, reply));
+        for w in std::mem::take(&mut self.watches) {
+            let ready_now = now >= w.expires_at || self.has_changed(&w.prefix, w.after_revision);
+            if ready_now && !shut(&w.watcher) {
+                let reply = self.changes_reply(&w.prefix, w.after_revision);
+                ready.push((w.watcher, reply));
             } else {
-                self.waiting.push(w);
+                self.watches.push(w);
             }
         }
         ready
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -1,7 +1,7 @@
 //! A machine that hangs, and goes on.
 
 use super::*;
-use crate::check::Rule;
+use crate::checker::Rule;
 use crate::fleet::Fleet;
 use forkshift_wire::users::{JobStage, Priority};
 
@@ -36,7 +36,7 @@
 
 /// A machine whose one task's job was confirmed as cancelled at `CANCELLED_AT`.
 struct Bench {
-    truths: BTreeMap<JobId, Truth>,
+    truths: BTreeMap<JobId, GroundTruth>,
     check: Checker,
     worker: Worker,
 }
@@ -44,13 +44,13 @@
 impl Bench {
     fn new(cancel_ms: Ms) -> Self {
         let spec = spec();
-        let truth = Truth {
+        let truth = GroundTruth {
             mistake: None,
             spec: spec.clone(),
             run_ms: 60_000,
         };
         let mut check = Checker::new(BTreeMap::new(), cancel_ms);
-        check.submitted(&spec);
+        check.on_submitted(&spec);
         let mut bench = Self {
             truths: BTreeMap::from([(spec.id.clone(), truth)]),
             check,
@@ -65,19 +65,19 @@
         };
         assert_eq!(bench.command_start(0), 200);
         bench.step(10);
-        assert_eq!(bench.check.running(&spec.id), 1);
-        bench.check.asked_cancel(&spec.id);
+        assert_eq!(bench.check.running_tasks(&spec.id), 1);
+        bench.check.on_cancel_requested(&spec.id);
         let told = Some(JobStage::Cancelled);
         let check = &mut bench.check;
-        check.answered(CANCELLED_AT, &spec.id, false, 200, told);
+        check.on_immediate_response(CANCELLED_AT, &spec.id, false, 200, told);
         bench
     }
 
-    fn around(&mut self, now: Ms) -> (&mut Worker, Around<'_>) {
-        let around = Around {
+    fn around(&mut self, now: Ms) -> (&mut Worker, WorkerContext<'_>) {
+        let around = WorkerContext {
             now,
-            truths: &self.truths,
-            check: &mut self.check,
+            ground_truths: &self.truths,
+            checker: &mut self.check,
             lease_ms: LEASE_MS,
         };
         (&mut self.worker, around)
@@ -101,7 +101,7 @@
         };
         let body = serde_json::to_vec(&commands).unwrap();
         let (worker, mut around) = self.around(now);
-        worker.commands(&mut around, &body).0
+        worker.handle_commands(&mut around, &body).0
     }
 
     fn step(&mut self, now: Ms) {
@@ -183,7 +183,7 @@
         let mut bench = Bench::new(20_000);
         bench.worker.hung_until = goes_on;
         assert_eq!(bench.command_start(goes_on), status, "at {goes_on}");
-        let there = bench.check.running(&spec().id);
+        let there = bench.check.running_tasks(&spec().id);
         assert_eq!(there, usize::from(status == 200), "at {goes_on}");
     }
 }
--- a/crates/testkit/tests/broken_jobs.rs
+++ b/crates/testkit/tests/broken_jobs.rs
@@ -4,7 +4,7 @@
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    Fault, FaultKind, MachineFault, Mistake, Ms, Plan, Size, Which, Who, World,
+    ControllerSelector, Fault, FaultKind, JobDefect, MachineFault, Ms, Plan, Size, Which, World,
 };
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::{JobId, MachineId};
@@ -78,7 +78,7 @@
     plans
 }
 
-type Broken = (JobKind, u32, Mistake);
+type Broken = (JobKind, u32, JobDefect);
 
 fn broken(fleet: Fleet, jobs: &[Broken]) -> Vec<Plan> {
     let one = |(n, (kind, tasks, mistake)): (usize, &Broken)| {
@@ -94,7 +94,7 @@
 
 /// What a day came to.
 struct Outcome {
-    world: World,
+    simulation: World,
     /// Machines that were given up as faulty, and when.
     given_up: BTreeMap<MachineId, Ms>,
     /// The longest wait of a good job for its first start.
@@ -107,34 +107,34 @@
         .filter(|p| p.mistake.is_none())
         .map(|p| (p.spec.id.clone(), p.at))
         .collect();
-    let mut world = World::sized(7, plans, faults, fleet.size());
+    let mut simulation = World::with_size(7, plans, faults, fleet.size());
     let mut given_up = BTreeMap::new();
-    while world.now() < END {
-        world.run_until(world.now() + 1_000);
-        for (machine, why) in world.given_up() {
+    while simulation.now() < END {
+        simulation.run_until(simulation.now() + 1_000);
+        for (machine, why) in simulation.decommissioned() {
             if why == FAULTY && !given_up.contains_key(machine) {
-                given_up.insert(machine.clone(), world.now());
+                given_up.insert(machine.clone(), simulation.now());
             }
         }
     }
-    let wait = |(id, at): &(JobId, Ms)| world.check.began_at(id).unwrap_or(END) - at;
+    let wait = |(id, at): &(JobId, Ms)| simulation.check.began_at(id).unwrap_or(END) - at;
     let longest_wait = good.iter().map(wait).max().unwrap_or(0);
     Outcome {
-        world,
+        simulation,
         given_up,
         longest_wait,
     }
 }
 
 /// What must hold on every day and does not.
-fn amiss(world: &World) -> Vec<String> {
-    let broken = world.check.broken.iter().map(|b| format!("{b:?}"));
-    broken.chain(world.unserved()).collect()
+fn amiss(simulation: &World) -> Vec<String> {
+    let broken = simulation.check.broken.iter().map(|b| format!("{b:?}"));
+    broken.chain(simulation.unfinished_jobs()).collect()
 }
 
 /// Failures of a job within a time.
-fn failures(world: &World, id: &JobId, from: Ms, to: Ms) -> usize {
-    let all = world.check.failures.iter();
+fn failures(simulation: &World, id: &JobId, from: Ms, to: Ms) -> usize {
+    let all = simulation.check.failures.iter();
     all.filter(|(at, task, _)| task.job == *id && (from..to).contains(at))
         .count()
 }
@@ -162,38 +162,38 @@
 #[test]
 fn broken_jobs_are_slowed_down_and_cost_others_nothing() {
     const GOOD_EVERY: Ms = 6_000;
+    use JobDefect::{FailsAfter, FailsAtStart};
     use JobKind::{Array, Gang, Service};
-    use Mistake::{After, AtOnce};
     let sets: [(&str, Vec<Broken>); 8] = [
-        ("array at once", vec![(Array, 200, AtOnce)]),
-        ("array after 4 s", vec![(Array, 200, After(4_000))]),
-        ("gang at once", vec![(Gang, 3, AtOnce)]),
-        ("gang after 4 s", vec![(Gang, 3, After(4_000))]),
-        ("service at once", vec![(Service, 3, AtOnce)]),
-        ("service after 4 s", vec![(Service, 3, After(4_000))]),
+        ("array at once", vec![(Array, 200, FailsAtStart)]),
+        ("array after 4 s", vec![(Array, 200, FailsAfter(4_000))]),
+        ("gang at once", vec![(Gang, 3, FailsAtStart)]),
+        ("gang after 4 s", vec![(Gang, 3, FailsAfter(4_000))]),
+        ("service at once", vec![(Service, 3, FailsAtStart)]),
+        ("service after 4 s", vec![(Service, 3, FailsAfter(4_000))]),
         (
             "four at once",
             vec![
-                (Array, 5, AtOnce),
-                (Service, 1, AtOnce),
-                (Gang, 2, AtOnce),
-                (Service, 2, AtOnce),
+                (Array, 5, FailsAtStart),
+                (Service, 1, FailsAtStart),
+                (Gang, 2, FailsAtStart),
+                (Service, 2, FailsAtStart),
             ],
         ),
         (
             "four of both kinds",
             vec![
-                (Array, 5, After(3_000)),
-                (Service, 1, AtOnce),
-                (Gang, 2, After(6_000)),
-                (Service, 2, After(1_000)),
+                (Array, 5, FailsAfter(3_000)),
+                (Service, 1, FailsAtStart),
+                (Gang, 2, FailsAfter(6_000)),
+                (Service, 2, FailsAfter(1_000)),
             ],
         ),
     ];
     let mut wrong = Vec::new();
     for fleet in [Fleet::Mixed, Fleet::OneType, Fleet::Few(1), Fleet::Few(2)] {
         let usual = play(good(fleet, GOOD_EVERY), vec![], fleet);
-        assert_eq!(amiss(&usual.world), Vec::<String>::new(), "{fleet:?}");
+        assert_eq!(amiss(&usual.simulation), Vec::<String>::new(), "{fleet:?}");
         for (set, jobs) in &sets {
             let name = format!("{set}, {fleet:?}");
             let mut plans = good(fleet, GOOD_EVERY);
@@ -204,7 +204,7 @@
                     wrong.push(format!("{name}: {what}"));
                 }
             };
-            for what in amiss(&day.world) {
+            for what in amiss(&day.simulation) {
                 must(false, what);
             }
             must(
@@ -216,13 +216,16 @@
                 wait <= before + WAIT_MORE,
                 format!("a good job waited {wait} ms, {before} without"),
             );
-            let (rented, before) = (day.world.rented(), usual.world.rented());
+            let (rented, before) = (
+                day.simulation.provisioned_machines(),
+                usual.simulation.provisioned_machines(),
+            );
             must(
                 rented <= before + first_demand(jobs) + RENTED_MORE * jobs.len(),
                 format!("{rented} machines rented, {before} without"),
             );
             for n in 1..=jobs.len() as u32 {
-                let cancelled = day.world.cancelled_at(&id(n));
+                let cancelled = day.simulation.cancelled_at(&id(n));
                 let Some(at) = cancelled else {
                     must(false, format!("{} is not cancelled", id(n)));
                     continue;
@@ -231,7 +234,7 @@
                     at < CANCEL_AT + 5_000,
                     format!("{} cancelled at {at}", id(n)),
                 );
-                let count = |from, to| failures(&day.world, &id(n), from, to);
+                let count = |from, to| failures(&day.simulation, &id(n), from, to);
                 let late = count(at + 5_000, END);
                 must(late == 0, format!("{} failed after its end", id(n)));
                 let last = count(CANCEL_AT - TWO_MINUTES, CANCEL_AT);
@@ -267,8 +270,8 @@
 /// without them, and little is lost on it until then.
 #[test]
 fn faulty_machines_are_found_beside_broken_jobs() {
+    use JobDefect::{FailsAfter, FailsAtStart};
     use JobKind::{Array, Service};
-    use Mistake::{After, AtOnce};
     const GOOD_OFTEN: Ms = 1_500;
     const SICK_AT: Ms = 80_000;
     /// A good job that runs then: work is being placed on its machine.
@@ -280,10 +283,10 @@
     const LOST_MOST: [usize; 2] = [3, 6];
     let sets: [(&str, Vec<Broken>); 3] = [
         ("alone", vec![]),
-        ("a service at once", vec![(Service, 2, AtOnce)]),
+        ("a service at once", vec![(Service, 2, FailsAtStart)]),
         (
             "two of both kinds",
-            vec![(Array, 5, After(3_000)), (Service, 1, AtOnce)],
+            vec![(Array, 5, FailsAfter(3_000)), (Service, 1, FailsAtStart)],
         ),
     ];
     let mut wrong = Vec::new();
@@ -300,10 +303,10 @@
             if roomy {
                 plans.push(on_five_machines(fleet));
             }
-            let which = Which::OfJob(id(RUNS_THEN));
-            let kind = FaultKind::Machines(which.clone(), MachineFault::Sick(END));
+            let which = Which::RunningJob(id(RUNS_THEN));
+            let kind = FaultKind::Machines(which.clone(), MachineFault::FailTasks(END));
             let fault = Fault { at: SICK_AT, kind };
-            let mut before = World::sized(7, plans.clone(), vec![fault.clone()], fleet.size());
+            let mut before = World::with_size(7, plans.clone(), vec![fault.clone()], fleet.size());
             before.run_until(SICK_AT - 10);
             let sick = before.machines_of(&which);
             assert_eq!(sick.len(), 1, "{name}");
@@ -313,7 +316,7 @@
                     wrong.push(format!("{name}: {what}"));
                 }
             };
-            for what in amiss(&day.world) {
+            for what in amiss(&day.simulation) {
                 must(false, what);
             }
             for machine in day.given_up.keys() {
@@ -325,9 +328,14 @@
                 found.is_some_and(|after| after <= within),
                 format!("found after {found:?} ms"),
             );
-            let lost = day.world.check.failures.iter().filter(|(at, task, on)| {
-                *at >= SICK_AT && sick.contains(on) && task.job >= id(GOOD_FROM)
-            });
+            let lost = day
+                .simulation
+                .check
+                .failures
+                .iter()
+                .filter(|(at, task, on)| {
+                    *at >= SICK_AT && sick.contains(on) && task.job >= id(GOOD_FROM)
+                });
             let lost = lost.count();
             let most = LOST_MOST[usize::from(!roomy)];
             must(lost <= most, format!("{lost} good tasks failed"));
@@ -341,35 +349,40 @@
 /// few tries, and gives up no machine for it.
 #[test]
 fn a_new_holder_learns_of_broken_jobs_within_a_few_tries() {
+    use JobDefect::{FailsAfter, FailsAtStart};
     use JobKind::{Array, Gang, Service};
-    use Mistake::{After, AtOnce};
     const CRASH_AT: Ms = 120_000;
     /// Failures of one job in its new holder's time, tasks of a gang apart.
     const LEARNT_MOST: usize = 24;
     let jobs = [
-        (Array, 5, After(3_000)),
-        (Service, 1, AtOnce),
-        (Gang, 2, After(6_000)),
-        (Service, 2, AtOnce),
+        (Array, 5, FailsAfter(3_000)),
+        (Service, 1, FailsAtStart),
+        (Gang, 2, FailsAfter(6_000)),
+        (Service, 2, FailsAtStart),
     ];
     for fleet in [Fleet::OneType, Fleet::Few(2)] {
         let (node, count, back) = (0, 1, 8_000);
-        let kind = FaultKind::Crash { node, count, back }.at(Who::HolderOf(id(1)));
+        let kind = FaultKind::Crash {
+            node,
+            count,
+            restart_after: back,
+        }
+        .at(ControllerSelector::HolderOfJob(id(1)));
         let fault = Fault { at: CRASH_AT, kind };
         let mut plans = good(fleet, 6_000);
         plans.extend(broken(fleet, &jobs));
         let day = play(plans, vec![fault], fleet);
-        assert_eq!(amiss(&day.world), Vec::<String>::new(), "{fleet:?}");
+        assert_eq!(amiss(&day.simulation), Vec::<String>::new(), "{fleet:?}");
         assert!(day.given_up.is_empty(), "{fleet:?}: {:?}", day.given_up);
         for (n, (_, tasks, _)) in (1..).zip(&jobs) {
-            let failed = failures(&day.world, &id(n), CRASH_AT, END);
+            let failed = failures(&day.simulation, &id(n), CRASH_AT, END);
             let most = LEARNT_MOST + *tasks as usize;
             assert!(
                 (1..=most).contains(&failed),
                 "{fleet:?}: {} failed {failed} times",
                 id(n)
             );
-            assert!(day.world.cancelled_at(&id(n)).is_some(), "{fleet:?}");
+            assert!(day.simulation.cancelled_at(&id(n)).is_some(), "{fleet:?}");
         }
     }
 }
@@ -393,16 +406,23 @@
     };
     let usual = play(long_jobs(), vec![], fleet);
     let mut plans = long_jobs();
-    plans.extend(broken(fleet, &[(Gang, 3, Mistake::AtOnce)]));
+    plans.extend(broken(fleet, &[(Gang, 3, JobDefect::FailsAtStart)]));
     for plan in plans.iter_mut().filter(|p| p.mistake.is_some()) {
         plan.at = 25_000;
     }
     let day = play(plans, vec![], fleet);
-    assert_eq!(amiss(&day.world), Vec::<String>::new());
-    assert!(failures(&day.world, &id(1), 0, 60_000) >= 6, "it did fail");
+    assert_eq!(amiss(&day.simulation), Vec::<String>::new());
+    assert!(
+        failures(&day.simulation, &id(1), 0, 60_000) >= 6,
+        "it did fail"
+    );
     let wait_of = |day: &Outcome, n: u32| {
         let at = 45_000 + Ms::from(n) * 20_000;
-        day.world.check.began_at(&id(GOOD_FROM + n)).unwrap_or(END) - at
+        day.simulation
+            .check
+            .began_at(&id(GOOD_FROM + n))
+            .unwrap_or(END)
+            - at
     };
     for n in 0..8 {
         let (wait, before) = (wait_of(&day, n), wait_of(&usual, n));
--- a/crates/testkit/tests/chains.rs
+++ b/crates/testkit/tests/chains.rs
@@ -48,13 +48,16 @@
         limit: (0.0, 0.0),
         ..Size::default()
     };
-    let mut world = World::sized(51, plans, vec![], size);
-    world.run_until(400_000);
-    assert_eq!(world.check.broken, vec![]);
-    let begun = |n| world.check.began_at(&id(n)).expect("it has begun");
+    let mut simulation = World::with_size(51, plans, vec![], size);
+    simulation.run_until(400_000);
+    assert_eq!(simulation.check.broken, vec![]);
+    let begun = |n| simulation.check.began_at(&id(n)).expect("it has begun");
     let behind = (0..BUSY_JOBS).filter(|n| begun(*n) > begun(BUSY_JOBS));
     assert!(behind.count() > 0, "ordinary work was waiting");
-    assert_eq!(world.check.told(&id(BUSY_JOBS + 2)), Some(JobStage::Done));
+    assert_eq!(
+        simulation.check.final_stage(&id(BUSY_JOBS + 2)),
+        Some(JobStage::Done)
+    );
     let took = begun(BUSY_JOBS + 2) - CHAIN_AT;
     // 56.8 s; 92.4 s if each stage counts with its own priority.
     assert!(took < 75_000, "the end began after {took} ms");
--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -3,7 +3,9 @@
 //! makes sure that its faults did coincide.
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
+use forkshift_testkit::{
+    ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+};
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -30,16 +32,29 @@
     Fault { at, kind }
 }
 
-fn crash(at: Ms, who: Who, back: Ms) -> Fault {
+fn crash(at: Ms, who: ControllerSelector, restart_after: Ms) -> Fault {
     let (node, count) = (0, 1);
-    fault(at, FaultKind::Crash { node, count, back }.at(who))
+    fault(
+        at,
+        FaultKind::Crash {
+            node,
+            count,
+            restart_after,
+        }
+        .at(who),
+    )
 }
 
-fn lost(of: Option<&'static str>, at_once: bool, share: u32, time: Ms) -> FaultKind {
-    FaultKind::LostWrites {
-        share,
-        of,
-        at_once,
+fn lost(
+    key_prefix: Option<&'static str>,
+    executes_at_once: bool,
+    percent: u32,
+    time: Ms,
+) -> FaultKind {
+    FaultKind::LostWriteResponses {
+        percent,
+        key_prefix,
+        executes_at_once,
         time,
     }
 }
@@ -58,34 +73,38 @@
     size: Size,
 ) -> World {
     faults.sort_by_key(|f| f.at);
-    let mut world = World::sized(seed, plans, faults, size);
-    world.run_until(end);
-    world.check.close(world.now());
-    assert!(world.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
-    world
+    let mut simulation = World::with_size(seed, plans, faults, size);
+    simulation.run_until(end);
+    simulation.check.finish(simulation.now());
+    assert!(simulation.check.starts > 0, "{name}: nothing ran");
+    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
+    simulation
 }
 
 /// Users ask at all controllers within milliseconds after something was told,
 /// repeat submissions and cancel at once: no controller answers anything older.
 #[test]
 fn answers_at_all_controllers_within_milliseconds() {
-    let looks = || fault(10_000, FaultKind::CloseLooks(150_000));
+    let looks = || fault(10_000, FaultKind::StatusBursts(150_000));
     let time = 15_000;
     let node = 0;
     let with: [(&str, Vec<Fault>); 8] = [
         ("alone", vec![]),
         (
             "odd requests",
-            vec![fault(10_000, FaultKind::OddRequests(150_000))],
+            vec![fault(10_000, FaultKind::UnusualRequests(150_000))],
         ),
         (
             "jobs end as they are cancelled",
             vec![fault(
                 10_000,
-                FaultKind::CancelAtEnd {
-                    share: 60,
+                FaultKind::CancelCompletingJobs {
+                    percent: 60,
                     time: 120_000,
                 },
             )],
@@ -100,24 +119,24 @@
         ),
         (
             "the service is slow",
-            vec![fault(40_000, FaultKind::SlowState(40_000))],
+            vec![fault(40_000, FaultKind::SlowStore(40_000))],
         ),
         (
             "holders change",
             vec![
-                crash(40_000, Who::Leader, 300),
-                crash(55_000, Who::Leader, 3_000),
+                crash(40_000, ControllerSelector::Leader, 300),
+                crash(55_000, ControllerSelector::Leader, 3_000),
             ],
         ),
         (
             "a controller loses the service and its peers",
             vec![
-                fault(40_000, FaultKind::Shut { node, time }),
+                fault(40_000, FaultKind::StoreLockout { node, time }),
                 fault(
                     40_000,
-                    FaultKind::PeerCut {
+                    FaultKind::PeerPartition {
                         node,
-                        with: None,
+                        peers: None,
                         time,
                         hold: true,
                     },
@@ -146,16 +165,16 @@
         ("cancellation", "c/abort/"),
         ("demand", "c/demand/"),
     ];
-    for (n, (name, of)) in (0u64..).zip(kinds) {
-        for at_once in [true, false] {
-            let seed = 320 + 2 * n + u64::from(at_once);
+    for (n, (name, key_prefix)) in (0u64..).zip(kinds) {
+        for executes_at_once in [true, false] {
+            let seed = 320 + 2 * n + u64::from(executes_at_once);
             let faults = vec![
-                fault(20_000, FaultKind::CloseLooks(60_000)),
-                fault(25_000, lost(Some(of), at_once, 50, 30_000)),
+                fault(20_000, FaultKind::StatusBursts(60_000)),
+                fault(25_000, lost(Some(key_prefix), executes_at_once, 50, 30_000)),
                 // A new leader and a new holder write, too.
-                crash(35_000, Who::Leader, 3_000),
+                crash(35_000, ControllerSelector::Leader, 3_000),
             ];
-            let name = format!("{name}, at once: {at_once}");
+            let name = format!("{name}, at once: {executes_at_once}");
             play(&name, seed, mixed(seed, 25), faults, 260_000);
         }
     }
@@ -167,10 +186,10 @@
 fn teams_at_their_limits_and_a_new_leader() {
     let time = 20_000;
     for (seed, what) in [
-        (350, MachineFault::Cut(time)),
+        (350, MachineFault::Partition(time)),
         (351, MachineFault::Hang(time)),
-        (352, MachineFault::Deaf(time)),
-        (353, MachineFault::Mute(time)),
+        (352, MachineFault::InboundLoss(time)),
+        (353, MachineFault::OutboundLoss(time)),
     ] {
         let size = Size {
             limit: (16.0, 12.0),
@@ -203,10 +222,10 @@
             .collect();
         plans.truncate(24);
         let faults = vec![
-            fault(50_000, FaultKind::Machines(Which::OfJob(id(0)), what)),
-            fault(50_000, FaultKind::Machines(Which::OfJob(id(1)), what)),
-            crash(51_500, Who::HolderOf(id(0)), 3_000),
-            crash(58_000, Who::Leader, 3_000),
+            fault(50_000, FaultKind::Machines(Which::RunningJob(id(0)), what)),
+            fault(50_000, FaultKind::Machines(Which::RunningJob(id(1)), what)),
+            crash(51_500, ControllerSelector::HolderOfJob(id(0)), 3_000),
+            crash(58_000, ControllerSelector::Leader, 3_000),
         ];
         let name = format!("{what:?}");
         play_sized(&name, seed, plans, faults, 320_000, size);
@@ -230,16 +249,16 @@
             job(n, 2_000, JobKind::Service, 1, 0, Some(cancel))
         });
         let faults = vec![
-            fault(45_000, FaultKind::CloseLooks(40_000)),
-            crash(50_000, Who::HolderOf(id(0)), 3_000),
+            fault(45_000, FaultKind::StatusBursts(40_000)),
+            crash(50_000, ControllerSelector::HolderOfJob(id(0)), 3_000),
         ];
         let name = format!("at {at}");
         let plans: Vec<Plan> = plans.chain(later).collect();
-        let world = play(&name, 360 + step, plans, faults, 160_000);
+        let simulation = play(&name, 360 + step, plans, faults, 160_000);
         for n in 0..12 {
-            let told = world.cancelled_at(&id(n)).expect("cancelled");
+            let told = simulation.cancelled_at(&id(n)).expect("cancelled");
             assert!(told < at + 30_000, "{name}: {n} was told at {told}");
-            assert_eq!(world.check.running(&id(n)), 0, "{name}: {n}");
+            assert_eq!(simulation.check.running_tasks(&id(n)), 0, "{name}: {n}");
         }
     }
 }
@@ -248,18 +267,18 @@
 /// lag, and the leader ends: they are adopted or returned, never both.
 #[test]
 fn machines_up_at_once_while_writes_lag_and_the_leader_ends() {
-    for (seed, of) in [
+    for (seed, key_prefix) in [
         (380, None),
         (381, Some("c/machine/")),
         (382, Some("c/charter/")),
         (383, Some("live/")),
     ] {
-        for (n, back) in [300, 6_000].into_iter().enumerate() {
+        for (n, restart_after) in [300, 6_000].into_iter().enumerate() {
             let faults = vec![
-                fault(1_000, FaultKind::QuickBoots(60_000)),
-                fault(4_000, lost(of, false, 50, 12_000)),
-                crash(7_000, Who::Leader, back),
-                crash(13_000, Who::Leader, back),
+                fault(1_000, FaultKind::FastBoots(60_000)),
+                fault(4_000, lost(key_prefix, false, 50, 12_000)),
+                crash(7_000, ControllerSelector::Leader, restart_after),
+                crash(13_000, ControllerSelector::Leader, restart_after),
             ];
             let plans = (0..16).map(|n| {
                 let (kind, tasks) = match n % 3 {
@@ -271,10 +290,10 @@
                 plan.spec.team = format!("team-{}", n % 4);
                 plan
             });
-            let name = format!("{of:?}, back after {back} ms");
+            let name = format!("{key_prefix:?}, back after {restart_after} ms");
             let seed = seed + 10 * n as u64;
-            let world = play(&name, seed, plans.collect(), faults, 200_000);
-            assert!(world.most_machines() > 0, "{name}");
+            let simulation = play(&name, seed, plans.collect(), faults, 200_000);
+            assert!(simulation.max_machines() > 0, "{name}");
         }
     }
 }
@@ -284,41 +303,41 @@
 /// nothing is made current.
 #[test]
 fn old_reports_as_a_new_leader_begins() {
-    for (seed, for_next) in [(400, true), (401, false), (402, true), (403, false)] {
+    for (seed, until_failover) in [(400, true), (401, false), (402, true), (403, false)] {
         let faults = vec![
             fault(
                 30_000,
-                FaultKind::LateReports {
-                    share: 60,
-                    for_next,
+                FaultKind::LateHeartbeats {
+                    percent: 60,
+                    until_failover,
                     time: 20_000,
                 },
             ),
             fault(
                 38_000,
-                FaultKind::Machines(Which::Some(3), MachineFault::Deaf(15_000)),
+                FaultKind::Machines(Which::Some(3), MachineFault::InboundLoss(15_000)),
             ),
             fault(
                 42_000,
-                FaultKind::CancelNow {
+                FaultKind::CancelRunningJobs {
                     count: 5,
-                    hang: 8_000,
+                    hang_ms: 8_000,
                 },
             ),
-            crash(50_500, Who::Leader, 3_000),
+            crash(50_500, ControllerSelector::Leader, 3_000),
             fault(
                 60_000,
-                FaultKind::LateReports {
-                    share: 60,
-                    for_next,
+                FaultKind::LateHeartbeats {
+                    percent: 60,
+                    until_failover,
                     time: 20_000,
                 },
             ),
-            crash(81_000, Who::Leader, 300),
-            crash(81_000, Who::Leader, 300),
+            crash(81_000, ControllerSelector::Leader, 300),
+            crash(81_000, ControllerSelector::Leader, 300),
         ];
         play(
-            &format!("for next: {for_next}"),
+            &format!("for next: {until_failover}"),
             seed,
             mixed(seed, 30),
             faults,
@@ -334,16 +353,22 @@
     let (node, time) = (0, 10_000);
     let with: [(&str, Vec<Fault>); 5] = [
         ("alone", vec![]),
-        ("the leader ends", vec![crash(70_000, Who::Leader, 3_000)]),
+        (
+            "the leader ends",
+            vec![crash(70_000, ControllerSelector::Leader, 3_000)],
+        ),
         (
             "writes land late",
             vec![fault(60_000, lost(None, false, 10, 20_000))],
         ),
         (
             "a controller is refused",
-            vec![fault(60_000, FaultKind::Refuse { node, time })],
+            vec![fault(60_000, FaultKind::StoreRefusal { node, time })],
+        ),
+        (
+            "an outage",
+            vec![fault(60_000, FaultKind::StoreOutage(time))],
         ),
-        ("an outage", vec![fault(60_000, FaultKind::Outage(time))]),
     ];
     for (seed, (name, faults)) in (420..).zip(with) {
         let size = Size {
@@ -368,9 +393,9 @@
             plan.spec.team = format!("team-{}", n % 4);
             plan
         });
-        let world = play_sized(name, seed, plans.collect(), faults, 280_000, size);
+        let simulation = play_sized(name, seed, plans.collect(), faults, 280_000, size);
         if quiet {
-            let slow = world.check.slowest_acceptance();
+            let slow = simulation.check.max_acceptance_ms();
             assert!(slow < 1_000, "{name}: accepted after {slow} ms");
         }
     }
@@ -399,9 +424,9 @@
             ..Size::default()
         };
         let faults = vec![
-            fault(20_000, FaultKind::CloseLooks(100_000)),
-            crash(at, Who::HolderOf(id(0)), 3_000),
-            crash(at + 9_000, Who::Leader, 50),
+            fault(20_000, FaultKind::StatusBursts(100_000)),
+            crash(at, ControllerSelector::HolderOfJob(id(0)), 3_000),
+            crash(at + 9_000, ControllerSelector::Leader, 50),
         ];
         play_sized(
             &format!("at {at}"),
@@ -418,13 +443,14 @@
 #[test]
 fn ten_changes_of_leader_in_two_minutes() {
     for (seed, outage) in [(450, None), (451, Some(80_000))] {
-        let crashes = (0..10).map(|n| crash(40_000 + 12_000 * n, Who::Leader, 2_000));
-        let outage = outage.map(|at| fault(at, FaultKind::Outage(20_000)));
+        let crashes =
+            (0..10).map(|n| crash(40_000 + 12_000 * n, ControllerSelector::Leader, 2_000));
+        let outage = outage.map(|at| fault(at, FaultKind::StoreOutage(20_000)));
         let more = [fault(
             70_000,
-            FaultKind::CancelNow {
+            FaultKind::CancelRunningJobs {
                 count: 4,
-                hang: 6_000,
+                hang_ms: 6_000,
             },
         )];
         let faults = crashes.chain(outage).chain(more).collect();
@@ -442,11 +468,26 @@
 /// within a second.
 #[test]
 fn all_away_and_back() {
-    let all = |at, back| {
+    let all = |at, restart_after| {
         let (node, count) = (0, 3);
-        fault(at, FaultKind::Crash { node, count, back })
+        fault(
+            at,
+            FaultKind::Crash {
+                node,
+                count,
+                restart_after,
+            },
+        )
+    };
+    let cancel = || {
+        fault(
+            49_500,
+            FaultKind::CancelRunningJobs {
+                count: 4,
+                hang_ms: 0,
+            },
+        )
     };
-    let cancel = || fault(49_500, FaultKind::CancelNow { count: 4, hang: 0 });
     let cases = [
         ("longer than a lease", vec![cancel(), all(50_000, 14_000)]),
         (
@@ -457,10 +498,10 @@
             "one after the other",
             vec![
                 cancel(),
-                crash(50_000, Who::Index(0), 400),
-                crash(50_300, Who::Index(1), 400),
-                crash(50_600, Who::Index(2), 9_000),
-                crash(52_000, Who::Index(0), 12_000),
+                crash(50_000, ControllerSelector::Index(0), 400),
+                crash(50_300, ControllerSelector::Index(1), 400),
+                crash(50_600, ControllerSelector::Index(2), 9_000),
+                crash(52_000, ControllerSelector::Index(0), 12_000),
             ],
         ),
     ];
@@ -475,28 +516,28 @@
 fn lost_machines_with_cancelled_tasks_and_a_new_leader() {
     let time = 25_000;
     for (seed, what) in [
-        (470, MachineFault::Deaf(time)),
-        (471, MachineFault::Mute(time)),
+        (470, MachineFault::InboundLoss(time)),
+        (471, MachineFault::OutboundLoss(time)),
         (472, MachineFault::Hang(8_000)),
         (473, MachineFault::Hang(time)),
-        (474, MachineFault::Cut(time)),
-        (475, MachineFault::Slow(time)),
+        (474, MachineFault::Partition(time)),
+        (475, MachineFault::SlowLink(time)),
     ] {
         let plans = (0..8).map(|n| {
             let cancel = (n < 4).then_some(50_500);
             let run = if n < 4 { 200_000 } else { 70_000 };
             job(n, 2_000, JobKind::Array, 2, run, cancel)
         });
-        let lose = |n| fault(50_000, FaultKind::Machines(Which::OfJob(id(n)), what));
+        let lose = |n| fault(50_000, FaultKind::Machines(Which::RunningJob(id(n)), what));
         let faults = vec![
             lose(0),
             lose(1),
             lose(5),
-            crash(53_000, Who::HolderOf(id(0)), 3_000),
+            crash(53_000, ControllerSelector::HolderOfJob(id(0)), 3_000),
         ];
-        let world = play(&format!("{what:?}"), seed, plans.collect(), faults, 260_000);
+        let simulation = play(&format!("{what:?}"), seed, plans.collect(), faults, 260_000);
         for n in 0..4 {
-            assert!(world.cancelled_at(&id(n)).is_some(), "{what:?}: {n}");
+            assert!(simulation.cancelled_at(&id(n)).is_some(), "{what:?}: {n}");
         }
     }
 }
@@ -518,15 +559,21 @@
         let die = |n| {
             fault(
                 40_000,
-                FaultKind::Machines(Which::OfJob(id(n)), MachineFault::Die),
+                FaultKind::Machines(Which::RunningJob(id(n)), MachineFault::Die),
             )
         };
         let (zone, time) = ("b", 16_000);
         let faults = vec![
             die(0),
             die(1),
-            fault(60_000, FaultKind::ZoneCut { zone, time, hold }),
-            fault(62_000, FaultKind::CancelNow { count: 3, hang: 0 }),
+            fault(60_000, FaultKind::ZonePartition { zone, time, hold }),
+            fault(
+                62_000,
+                FaultKind::CancelRunningJobs {
+                    count: 3,
+                    hang_ms: 0,
+                },
+            ),
         ];
         play(
             &format!("held: {hold}"),
@@ -545,21 +592,21 @@
         let mut faults = vec![
             fault(
                 20_000,
-                FaultKind::HeldCommands {
-                    share: 40,
+                FaultKind::DelayedCommands {
+                    percent: 40,
                     time: 60_000,
                 },
             ),
             fault(
                 40_000,
-                FaultKind::CancelNow {
+                FaultKind::CancelRunningJobs {
                     count: 5,
-                    hang: 5_000,
+                    hang_ms: 5_000,
                 },
             ),
         ];
         if with {
-            faults.push(crash(41_000, Who::Leader, 3_000));
+            faults.push(crash(41_000, ControllerSelector::Leader, 3_000));
         }
         play(
             &format!("a new leader: {with}"),
--- a/crates/testkit/tests/controller_cuts.rs
+++ b/crates/testkit/tests/controller_cuts.rs
@@ -3,7 +3,7 @@
 //! shards stands still, and that no healthy machine is given up.
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{FaultKind, Plan, Size, Which, Who, World};
+use forkshift_testkit::{ControllerSelector, FaultKind, Plan, Size, Which, World};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::MachineId;
 
@@ -65,7 +65,7 @@
     Refused,
 }
 
-fn lose(world: &mut World, node: usize, lost: Lost, time: Ms) {
+fn lose(simulation: &mut World, node: usize, lost: Lost, time: Ms) {
     let cut = |state, workers, cloud| FaultKind::Cut {
         node,
         state,
@@ -76,17 +76,17 @@
     };
     match lost {
         Lost::All => {
-            world.fault_now(cut(true, true, true));
-            world.fault_now(FaultKind::PeerCut {
+            simulation.fault_now(cut(true, true, true));
+            simulation.fault_now(FaultKind::PeerPartition {
                 node,
-                with: None,
+                peers: None,
                 time,
                 hold: true,
             });
         }
-        Lost::State => world.fault_now(cut(true, false, false)),
-        Lost::Workers => world.fault_now(cut(false, true, false)),
-        Lost::Refused => world.fault_now(FaultKind::Shut { node, time }),
+        Lost::State => simulation.fault_now(cut(true, false, false)),
+        Lost::Workers => simulation.fault_now(cut(false, true, false)),
+        Lost::Refused => simulation.fault_now(FaultKind::StoreLockout { node, time }),
     }
 }
 
@@ -98,32 +98,38 @@
     given_up: usize,
 }
 
-fn play(name: &str, seed: u64, who: &Who, lost: Lost, time: Ms) -> Seen {
-    let mut world = World::sized(seed, plans(), Vec::new(), size());
-    world.run_until(TROUBLE);
-    let node = world.index_of(who).expect("there is one");
+fn play(name: &str, seed: u64, who: &ControllerSelector, lost: Lost, time: Ms) -> Seen {
+    let mut simulation = World::with_size(seed, plans(), Vec::new(), size());
+    simulation.run_until(TROUBLE);
+    let node = simulation.select_controller(who).expect("there is one");
     let machines: Vec<MachineId> = (0..LONG)
         .step_by(2)
-        .flat_map(|n| world.machines_of(&Which::OfJob(id(n))))
+        .flat_map(|n| simulation.machines_of(&Which::RunningJob(id(n))))
         .collect();
     assert!(!machines.is_empty(), "{name}: the long jobs run");
-    lose(&mut world, node, lost, time);
+    lose(&mut simulation, node, lost, time);
     // A load balancer may send users to the controller all the same. How long
     // they wait for an answer there is not what is measured.
-    world.users_come_to((node + 1) % size().nodes);
-    world.run_until(TROUBLE + time + 15_000);
-    let there = world.machines_of(&Which::Named(machines.clone())).len();
+    simulation.route_users_to((node + 1) % size().nodes);
+    simulation.run_until(TROUBLE + time + 15_000);
+    let there = simulation
+        .machines_of(&Which::Named(machines.clone()))
+        .len();
     let mut all = machines;
     all.sort();
     all.dedup();
-    world.run_until(300_000);
-    assert_eq!(world.check.broken, vec![], "{name}");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+    simulation.run_until(300_000);
+    assert_eq!(simulation.check.broken, vec![], "{name}");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
     let waits = plans()
         .into_iter()
         .skip(LONG as usize)
         .filter(|p| p.cancel_at.is_none())
-        .map(|p| world.check.began_at(&p.spec.id).expect("it ran") - p.at);
+        .map(|p| simulation.check.began_at(&p.spec.id).expect("it ran") - p.at);
     Seen {
         stood_still: waits.max().unwrap_or(0),
         given_up: all.len() - there,
@@ -136,7 +142,10 @@
 fn a_controller_loses_a_part_of_the_network() {
     let mut seed = 600;
     for lost in [Lost::All, Lost::State, Lost::Workers, Lost::Refused] {
-        for who in [Who::Leader, Who::HolderOf(id(0))] {
+        for who in [
+            ControllerSelector::Leader,
+            ControllerSelector::HolderOfJob(id(0)),
+        ] {
             for time in [1_500, 6_000, 25_000] {
                 let name = format!("{lost:?} at {who:?} for {time} ms");
                 let seen = play(&name, seed, &who, lost, time);
--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -6,7 +6,7 @@
 //! its shards and have told users what it does not know.
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Fault, FaultKind, Plan, Size, Who, World};
+use forkshift_testkit::{ControllerSelector, Fault, FaultKind, Plan, Size, World};
 use forkshift_wire::users::JobKind;
 
 type Ms = u64;
@@ -63,25 +63,31 @@
 }
 
 /// Plays until controllers in a role stop for a while.
-fn stop_in_role(world: &mut World, role: Role, time: Ms) {
-    world.run_until(TROUBLE);
+fn stop_in_role(simulation: &mut World, role: Role, time: Ms) {
+    simulation.run_until(TROUBLE);
     match role {
-        Role::Leader => world.fault_now(pause(0, time).at(Who::Leader)),
-        Role::Holder => world.fault_now(pause(0, time).at(Who::HolderOf(id(0)))),
+        Role::Leader => simulation.fault_now(pause(0, time).at(ControllerSelector::Leader)),
+        Role::Holder => {
+            simulation.fault_now(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))))
+        }
         Role::TakingOver => {
-            let (node, count, back) = (0, 1, 30_000);
-            let before = world.epoch_of(&id(0));
-            let crash = FaultKind::Crash { node, count, back };
-            world.fault_now(crash.at(Who::HolderOf(id(0))));
-            while world.epoch_of(&id(0)) == before {
-                world.run_until(world.now() + 10);
-                assert!(world.now() < TROUBLE + 10_000, "nobody takes over");
+            let (node, count, restart_after) = (0, 1, 30_000);
+            let before = simulation.epoch_of(&id(0));
+            let crash = FaultKind::Crash {
+                node,
+                count,
+                restart_after,
+            };
+            simulation.fault_now(crash.at(ControllerSelector::HolderOfJob(id(0))));
+            while simulation.epoch_of(&id(0)) == before {
+                simulation.run_until(simulation.now() + 10);
+                assert!(simulation.now() < TROUBLE + 10_000, "nobody takes over");
             }
-            world.fault_now(pause(0, time).at(Who::HolderOf(id(0))));
+            simulation.fault_now(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))));
         }
         Role::All => {
             for node in 0..3 {
-                world.fault_now(pause(node, time));
+                simulation.fault_now(pause(node, time));
             }
         }
     }
@@ -100,26 +106,34 @@
             .flat_map(|r| stops.iter().map(move |s| (*r, *s))),
     ) {
         let name = format!("{role:?} for {stop} ms");
-        let looks = FaultKind::CloseLooks(TROUBLE + stop + 20_000);
+        let looks = FaultKind::StatusBursts(TROUBLE + stop + 20_000);
         // Calls are under way as it stops.
-        let slow = FaultKind::SlowState(3_000);
+        let slow = FaultKind::SlowStore(3_000);
         let at = TROUBLE - 2_000;
         let faults = vec![Fault { at: 0, kind: looks }, Fault { at, kind: slow }];
         let plans = through_the_trouble(stop);
-        let mut world = World::sized(seed, plans, faults, Size::default());
-        stop_in_role(&mut world, role, stop);
-        let ended = world.ended();
-        world.run_until(TROUBLE + stop + 8_000);
+        let mut simulation = World::with_size(seed, plans, faults, Size::default());
+        stop_in_role(&mut simulation, role, stop);
+        let ended = simulation.terminated_machines();
+        simulation.run_until(TROUBLE + stop + 8_000);
         if stop < 10_000 {
-            assert_eq!(world.ended(), ended, "{name}: a machine was given up");
+            assert_eq!(
+                simulation.terminated_machines(),
+                ended,
+                "{name}: a machine was given up"
+            );
         }
-        world.run_until(TROUBLE + stop + 200_000);
-        assert_eq!(world.check.broken, vec![], "{name}");
-        let after_cancel = &world.check.starts_after_cancel;
+        simulation.run_until(TROUBLE + stop + 200_000);
+        assert_eq!(simulation.check.broken, vec![], "{name}");
+        let after_cancel = &simulation.check.starts_after_cancel;
         assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
-        let (over, all) = world.over_limit();
+        let (over, all) = simulation.over_limit();
         assert_eq!(over, 0, "{name}: of {all} requests, beyond the limits");
-        assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "{name}: unserved"
+        );
     }
 }
 
@@ -157,41 +171,52 @@
         write_rps: 30.0,
         ..Size::default()
     };
-    let mut world = World::sized(seed, while_away(), Vec::new(), size);
-    world.run_until(TROUBLE);
-    let running = |world: &World| -> usize {
+    let mut simulation = World::with_size(seed, while_away(), Vec::new(), size);
+    simulation.run_until(TROUBLE);
+    let running = |simulation: &World| -> usize {
         let kept = [0, 2, 4, 6].map(id);
-        kept.iter().map(|j| world.check.running(j)).sum()
+        kept.iter().map(|j| simulation.check.running_tasks(j)).sum()
     };
-    assert_eq!(running(&world), 8, "{name}: the long jobs run");
-    let starts = world.check.starts;
-    for (node, back) in away.into_iter().enumerate() {
-        if let Some(back) = back {
+    assert_eq!(running(&simulation), 8, "{name}: the long jobs run");
+    let starts = simulation.check.starts;
+    for (node, restart_after) in away.into_iter().enumerate() {
+        if let Some(restart_after) = restart_after {
             let count = 1;
-            world.fault_now(FaultKind::Crash { node, count, back });
+            simulation.fault_now(FaultKind::Crash {
+                node,
+                count,
+                restart_after,
+            });
         }
     }
     let first = away.iter().map(|a| a.unwrap_or(0)).min().unwrap_or(0);
-    world.run_until(TROUBLE + first);
+    simulation.run_until(TROUBLE + first);
     let mut resumed = 0;
-    while world.now() < TROUBLE + 200_000 {
-        world.run_until(world.now() + 100);
-        if running(&world) < 8 {
-            resumed = world.now() - TROUBLE - first;
+    while simulation.now() < TROUBLE + 200_000 {
+        simulation.run_until(simulation.now() + 100);
+        if running(&simulation) < 8 {
+            resumed = simulation.now() - TROUBLE - first;
         }
     }
-    let short = (8..14).filter(|n| world.check.began_at(&id(*n)).is_some());
-    let begun_anew = world.check.starts - starts - short.count() as u64;
-    assert_eq!(world.check.broken, vec![], "{name}");
-    let after_cancel = &world.check.starts_after_cancel;
+    let short = (8..14).filter(|n| simulation.check.began_at(&id(*n)).is_some());
+    let begun_anew = simulation.check.starts - starts - short.count() as u64;
+    assert_eq!(simulation.check.broken, vec![], "{name}");
+    let after_cancel = &simulation.check.starts_after_cancel;
     assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
     for n in [1, 3, 5].map(id) {
-        assert!(world.cancelled_at(&n).is_some(), "{name}: {n} is cancelled");
+        assert!(
+            simulation.cancelled_at(&n).is_some(),
+            "{name}: {n} is cancelled"
+        );
     }
-    let (over, all) = world.over_limit();
+    let (over, all) = simulation.over_limit();
     assert_eq!(over, 0, "{name}: of {all} requests, beyond the limits");
-    world.run_until(600_000);
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+    simulation.run_until(600_000);
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
     Seen {
         resumed,
         begun_anew,
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days in virtual time, each with the faults that once broke a rule or left
 //! a job unserved, and some random ones from fixed seeds.
 
-use forkshift_testkit::{random_faults, random_faults_once, Fault, FaultKind, Plan, Size, World};
+use forkshift_testkit::{random_early_faults, random_faults, Fault, FaultKind, Plan, Size, World};
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -19,12 +19,16 @@
     end: u64,
     size: Size,
 ) -> World {
-    let mut world = World::sized(seed, plans, faults, size);
-    world.run_until(end);
-    assert!(world.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
-    world
+    let mut simulation = World::with_size(seed, plans, faults, size);
+    simulation.run_until(end);
+    assert!(simulation.check.starts > 0, "{name}: nothing ran");
+    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
+    simulation
 }
 
 fn random_plans(rng: &mut StdRng, n: u32) -> Vec<Plan> {
@@ -76,7 +80,7 @@
         // answered `queued` after another had read and told `cancelled`.
         (200_160, 12),
     ] {
-        random_day(seed, faults, random_faults_once);
+        random_day(seed, faults, random_early_faults);
     }
     random_day(4_000_016, 20, random_faults);
 }
@@ -89,27 +93,27 @@
         FaultKind::Crash {
             node,
             count: 1,
-            back: 50,
+            restart_after: 50,
         },
         FaultKind::Crash {
             node,
             count: 1,
-            back: 6_000,
+            restart_after: 6_000,
         },
         FaultKind::Crash {
             node,
             count: 2,
-            back: 3_000,
+            restart_after: 3_000,
         },
         FaultKind::Crash {
             node,
             count: 3,
-            back: 300,
+            restart_after: 300,
         },
         FaultKind::Crash {
             node,
             count: 3,
-            back: 6_000,
+            restart_after: 6_000,
         },
         FaultKind::Cut {
             node,
@@ -135,19 +139,19 @@
             time,
             hold,
         },
-        FaultKind::Refuse { node, time },
-        FaultKind::Outage(time),
-        FaultKind::CloudTrouble(time),
-        FaultKind::Slow { node, time },
-        FaultKind::Die,
-        FaultKind::Hang(time),
-        FaultKind::MachineCut(time),
-        FaultKind::Deaf(time),
-        FaultKind::Sick(time),
-        FaultKind::Taken { notice: 0 },
-        FaultKind::Taken { notice: 4_000 },
-        FaultKind::LateCopies(time),
-        FaultKind::LostAnswers(time),
+        FaultKind::StoreRefusal { node, time },
+        FaultKind::StoreOutage(time),
+        FaultKind::CloudOutage(time),
+        FaultKind::SlowTimers { node, time },
+        FaultKind::MachineCrash,
+        FaultKind::MachineHang(time),
+        FaultKind::MachinePartition(time),
+        FaultKind::MachineInboundBlocked(time),
+        FaultKind::MachineFailsTasks(time),
+        FaultKind::SpotReclaim { notice: 0 },
+        FaultKind::SpotReclaim { notice: 4_000 },
+        FaultKind::LateHeartbeatCopies(time),
+        FaultKind::LostResponses(time),
     ];
     for (i, kind) in kinds.into_iter().enumerate() {
         let seed = 100 + i as u64;
@@ -164,12 +168,12 @@
     let crash = FaultKind::Crash {
         node: 0,
         count: 3,
-        back: 2_000,
+        restart_after: 2_000,
     };
     let faults = vec![
         Fault {
             at: 40_000,
-            kind: FaultKind::Outage(20_000),
+            kind: FaultKind::StoreOutage(20_000),
         },
         Fault {
             at: 50_000,
@@ -185,7 +189,7 @@
     let crash = |node| FaultKind::Crash {
         node,
         count: 1,
-        back: 3_000,
+        restart_after: 3_000,
     };
     let faults = (0..3).map(|node| Fault {
         at: 40_000 + 15_000 * node as u64,
@@ -201,7 +205,7 @@
     let job = |n: u32, at: u64| Plan::plain(n, at, JobKind::Array, 2, 5_000);
     let refuse = |node, at, time| Fault {
         at,
-        kind: FaultKind::Refuse { node, time },
+        kind: FaultKind::StoreRefusal { node, time },
     };
     let faults = vec![
         refuse(0, 30_000, 15_000),
@@ -211,8 +215,8 @@
         refuse(1, 150_000, 15_000),
     ];
     let plans = (0..8).map(|n| job(n, 2_000 + 30_000 * u64::from(n)));
-    let world = play("leads twice", 5, plans.collect(), faults, 330_000);
-    assert!(world.check.starts >= 16);
+    let simulation = play("leads twice", 5, plans.collect(), faults, 330_000);
+    assert!(simulation.check.starts >= 16);
 }
 
 /// Seven controllers, sixteen teams, and a state service that takes few
@@ -237,7 +241,7 @@
         kind: FaultKind::Crash {
             node,
             count,
-            back: 6_000,
+            restart_after: 6_000,
         },
     };
     let faults = vec![
@@ -245,9 +249,13 @@
         crash(64_000, 0, 6),
         crash(100_000, 0, 7),
     ];
-    let world = play_sized("grown", 700, plans.collect(), faults, 300_000, size);
+    let simulation = play_sized("grown", 700, plans.collect(), faults, 300_000, size);
     // The budget of the state service is kept, whoever needs it.
-    assert!(world.writes() < 30 * 300, "{} writes", world.writes());
+    assert!(
+        simulation.writes() < 30 * 300,
+        "{} writes",
+        simulation.writes()
+    );
 }
 
 /// From nothing, a large fleet is asked for in few calls and recorded bit by
@@ -278,6 +286,10 @@
         plan.cancel_at = None;
         plan
     });
-    let world = play_sized("large", 701, plans.collect(), Vec::new(), 90_000, size);
-    assert!(world.check.starts >= 240, "{} starts", world.check.starts);
+    let simulation = play_sized("large", 701, plans.collect(), Vec::new(), 90_000, size);
+    assert!(
+        simulation.check.starts >= 240,
+        "{} starts",
+        simulation.check.starts
+    );
 }
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -1,7 +1,9 @@
 //! Days of large fleets in virtual time: as many machines as half again what
 //! the largest deployments have, fixed seeds, the rule checker on.
 
-use forkshift_testkit::{Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
+use forkshift_testkit::{
+    ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+};
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::JobId;
 use rand::rngs::StdRng;
@@ -51,19 +53,31 @@
     end: u64,
 ) -> World {
     let plans = plans(size.nodes as u64, &size, services, others);
-    let mut world = World::sized(size.nodes as u64, plans, faults, size);
-    world.run_until(end);
-    assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
-    let peak = world.most_machines();
+    let mut simulation = World::with_size(size.nodes as u64, plans, faults, size);
+    simulation.run_until(end);
+    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
+    let peak = simulation.max_machines();
     assert!(peak >= machines, "{name}: {peak} machines");
     let most = (size.write_rps * end as f64 / 1000.0) as u64;
-    assert!(world.writes() < most, "{name}: {} writes", world.writes());
-    world
+    assert!(
+        simulation.writes() < most,
+        "{name}: {} writes",
+        simulation.writes()
+    );
+    simulation
 }
 
-fn crash(at: u64, node: usize, count: usize, back: u64) -> Fault {
-    let kind = FaultKind::Crash { node, count, back };
+fn crash(at: u64, node: usize, count: usize, restart_after: u64) -> Fault {
+    let kind = FaultKind::Crash {
+        node,
+        count,
+        restart_after,
+    };
     Fault { at, kind }
 }
 
@@ -73,7 +87,7 @@
         crash(70_000, 0, 4, 3_000),
         Fault {
             at: 100_000,
-            kind: FaultKind::Outage(15_000),
+            kind: FaultKind::StoreOutage(15_000),
         },
         crash(108_000, 0, 5, 300),
     ];
@@ -100,29 +114,33 @@
     let holder = FaultKind::Crash {
         node: 0,
         count: 1,
-        back: 3_000,
+        restart_after: 3_000,
     };
-    let refused = FaultKind::Refuse {
+    let refused = FaultKind::StoreRefusal {
         node: 0,
         time: 20_000,
     };
     let faults = vec![
         Fault {
             at: 70_000,
-            kind: FaultKind::Machines(Which::OfZone("b"), MachineFault::Die),
+            kind: FaultKind::Machines(Which::InZone("b"), MachineFault::Die),
         },
         Fault {
             at: 78_000,
-            kind: FaultKind::At(Who::HolderOf(job), Box::new(holder)),
+            kind: FaultKind::At(ControllerSelector::HolderOfJob(job), Box::new(holder)),
         },
         Fault {
             at: 90_000,
-            kind: FaultKind::At(Who::Leader, Box::new(refused)),
+            kind: FaultKind::At(ControllerSelector::Leader, Box::new(refused)),
         },
     ];
     let size = Size::five_by_4200();
-    let world = play("4,000", size, (2_100, 250), 4_000, faults, 160_000);
-    assert!(world.ended() > 1_200, "{} machines ended", world.ended());
+    let simulation = play("4,000", size, (2_100, 250), 4_000, faults, 160_000);
+    assert!(
+        simulation.terminated_machines() > 1_200,
+        "{} machines ended",
+        simulation.terminated_machines()
+    );
 }
 
 /// A fleet of replicas that has come to rest.
@@ -131,9 +149,9 @@
     for plan in &mut plans {
         plan.cancel_at = None;
     }
-    let mut world = World::sized(9, plans, faults, size);
-    world.run_until(90_000);
-    world
+    let mut simulation = World::with_size(9, plans, faults, size);
+    simulation.run_until(90_000);
+    simulation
 }
 
 /// Passes over all machines and jobs in every step once took more than a day's
@@ -141,12 +159,12 @@
 #[test]
 fn the_work_of_a_report_does_not_grow_with_the_fleet() {
     let per_report = |services| {
-        let mut world = at_rest(Size::five_by_1860(), services, Vec::new());
-        let (reports, visits) = world.work();
-        world.run_until(110_000);
-        let (more_reports, more_visits) = world.work();
+        let mut simulation = at_rest(Size::five_by_1860(), services, Vec::new());
+        let (reports, visits) = simulation.work_counts();
+        simulation.run_until(110_000);
+        let (more_reports, more_visits) = simulation.work_counts();
         let part = (more_visits - visits) as f64 / (more_reports - reports) as f64;
-        (world.machines(), part)
+        (simulation.machines(), part)
     };
     let (few, small) = per_report(12);
     let (many, large) = per_report(240);
@@ -157,9 +175,9 @@
 /// Machines that were returned for reasons that no cut has to do with: nothing
 /// needed them, or they had not come up after several boots; and why others
 /// were given up.
-fn given_up(world: &World) -> (usize, Vec<String>) {
+fn given_up(simulation: &World) -> (usize, Vec<String>) {
     const ORDINARY: [&str; 2] = ["it is not needed", "it never came up"];
-    let reasons = world.given_up().values();
+    let reasons = simulation.decommissioned().values();
     let (returned, lost): (Vec<&String>, Vec<&String>) =
         reasons.partition(|why| ORDINARY.contains(&why.as_str()));
     (returned.len(), lost.into_iter().cloned().collect())
@@ -176,7 +194,7 @@
     };
     let (at, time, hold) = (90_000, 7_000, true);
     let cases = [
-        FaultKind::ZoneCut {
+        FaultKind::ZonePartition {
             zone: "b",
             time,
             hold,
@@ -192,14 +210,14 @@
     ];
     for kind in cases {
         let name = format!("{kind:?}");
-        let mut world = at_rest(size, 40, vec![Fault { at, kind }]);
-        let (ended, machines) = (world.ended(), world.machines());
-        let (returned, _) = given_up(&world);
-        world.run_until(140_000);
-        assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-        let (returned_later, lost) = given_up(&world);
+        let mut simulation = at_rest(size, 40, vec![Fault { at, kind }]);
+        let (ended, machines) = (simulation.terminated_machines(), simulation.machines());
+        let (returned, _) = given_up(&simulation);
+        simulation.run_until(140_000);
+        assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+        let (returned_later, lost) = given_up(&simulation);
         assert_eq!(lost, Vec::<String>::new(), "{name}: given up");
-        let gone = world.ended() - ended - (returned_later - returned);
+        let gone = simulation.terminated_machines() - ended - (returned_later - returned);
         assert!(gone * 20 < machines, "{name}: {gone} of {machines} deleted");
     }
 }
--- a/crates/testkit/tests/hollow_workers.rs
+++ b/crates/testkit/tests/hollow_workers.rs
@@ -2,7 +2,8 @@
 //! tables: when they report, to whom, and which answers and commands count.
 
 use forkshift_testkit::{
-    Asker, BootModel, Deployment, Fleet, MachineChange, Outgoing, Plan, Rule, Service, Size, World,
+    BootModel, Deployment, Fleet, MachineChange, Outgoing, Plan, Requester, Rule, Service, Size,
+    World,
 };
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::workers::{TaskStage, WorkerHeartbeat};
@@ -17,7 +18,7 @@
 
 /// A world with one worker that is up, and the controller that it reports to.
 struct Scene {
-    world: World,
+    simulation: World,
     machine: MachineId,
     calls: u64,
 }
@@ -27,7 +28,7 @@
     at: Ms,
     node: usize,
     report: WorkerHeartbeat,
-    asker: Asker,
+    asker: Requester,
 }
 
 impl Scene {
@@ -51,9 +52,9 @@
         let mut plan = Plan::plain(0, 0, JobKind::Array, 2, 60_000);
         plan.spec.gpus = 1.0;
         plan.spec.image_gb = 8.0;
-        let world = World::remote(1, vec![plan], Vec::new(), size, deployment);
+        let simulation = World::remote(1, vec![plan], Vec::new(), size, deployment);
         let mut scene = Self {
-            world,
+            simulation,
             machine: MachineId::new("none"),
             calls: 0,
         };
@@ -61,8 +62,10 @@
         assert_eq!(scene.call(Service::Cloud(0), "/machines", &rent).0, 200);
         let mut up = None;
         while up.is_none() {
-            scene.world.advance_to(scene.world.now() + STEP_MS, STEP_MS);
-            let changes = scene.world.take_machine_changes().into_iter();
+            scene
+                .simulation
+                .advance_to(scene.simulation.now() + STEP_MS, STEP_MS);
+            let changes = scene.simulation.take_machine_changes().into_iter();
             up = changes.into_iter().find_map(|change| match change {
                 MachineChange::Up(id) => Some(id),
                 MachineChange::Gone(_) => None,
@@ -75,8 +78,8 @@
     fn call(&mut self, to: Service, path: &str, body: &Value) -> (u16, Value) {
         self.calls += 1;
         let body = body.to_string().into_bytes();
-        self.world.call(self.calls, to, "POST", path, body);
-        let answers = self.world.take_answers();
+        self.simulation.call(self.calls, to, "POST", path, body);
+        let answers = self.simulation.take_answers();
         let answer = answers.into_iter().find(|a| a.call == self.calls);
         let answer = answer.expect("it is answered at once");
         let body = serde_json::from_slice(&answer.body).unwrap_or_default();
@@ -90,17 +93,17 @@
 
     /// The reports of the next so many milliseconds. None is answered.
     fn reports(&mut self, time: Ms) -> Vec<Sent> {
-        let until = self.world.now() + time;
+        let until = self.simulation.now() + time;
         let mut sent = Vec::new();
         loop {
-            let now = self.world.now();
-            let requests = self.world.take_requests().into_iter();
+            let now = self.simulation.now();
+            let requests = self.simulation.take_requests().into_iter();
             let reports = requests.filter(|r| r.path == "/v1/report");
             sent.extend(reports.map(|r| Sent::new(now, r)));
             if now >= until {
                 return sent;
             }
-            self.world.advance_to(now + STEP_MS, STEP_MS);
+            self.simulation.advance_to(now + STEP_MS, STEP_MS);
         }
     }
 
@@ -115,7 +118,7 @@
 
     fn answer(&mut self, sent: Sent, status: u16, body: &Value) {
         let body = body.to_string().into_bytes();
-        self.world.deliver(sent.asker, status, body);
+        self.simulation.deliver(sent.asker, status, body);
     }
 }
 
@@ -215,15 +218,15 @@
     }
     // A response with a lower token renews nothing: the lease runs out, the tasks
     // are killed and forgotten, and the next session begins.
-    let end = scene.world.now() + LEASE_MS + 2_000;
+    let end = scene.simulation.now() + LEASE_MS + 2_000;
     let mut last = scene.next();
-    while scene.world.now() < end {
+    while scene.simulation.now() < end {
         scene.answer(last, 200, &json!({"baton": 6, "orders": []}));
         last = scene.next();
     }
     assert_eq!(last.report.incarnation, 2);
     assert!(last.report.tasks.is_empty(), "all forgotten");
-    assert_eq!(scene.world.check.tasks_on_machines(), 0);
+    assert_eq!(scene.simulation.check.tasks_on_machines(), 0);
 }
 
 #[test]
@@ -236,7 +239,7 @@
     scene.answer(last, 200, &token);
     let start = json!({"baton": 1, "watch": 1, "orders": [
         {"verb": "start", "shift": "j-0/0", "try": 1}]});
-    let at = scene.world.now();
+    let at = scene.simulation.now();
     assert_eq!(scene.command("/commands", &start).0, 200);
     last = scene.next();
     assert!(last.at - at <= 500 + STEP_MS, "{} ms", last.at - at);
@@ -253,21 +256,28 @@
         let start = json!({"baton": 1, "watch": 1, "orders": [
             {"verb": "start", "shift": "j-0/0", "try": 1}]});
         assert_eq!(scene.command("/commands", &start).0, 200);
-        scene.world.advance_to(scene.world.now() + 3_000, step);
-        assert_eq!(scene.world.check.tasks_on_machines(), 1, "step {step}");
-        let (id, now) = (forkshift_testkit::job_id(0), scene.world.now());
-        scene.world.check.asked_cancel(&id);
+        scene
+            .simulation
+            .advance_to(scene.simulation.now() + 3_000, step);
+        assert_eq!(scene.simulation.check.tasks_on_machines(), 1, "step {step}");
+        let (id, now) = (forkshift_testkit::job_id(0), scene.simulation.now());
+        scene.simulation.check.on_cancel_requested(&id);
         let told = Some(JobStage::Cancelled);
-        scene.world.check.answered(now, &id, false, 200, told);
+        scene
+            .simulation
+            .check
+            .on_immediate_response(now, &id, false, 200, told);
         // The lease is lost before that, if nobody answers its reports.
         let mut broken_at = None;
-        while broken_at.is_none() && scene.world.now() < now + 40_000 {
-            scene.world.advance_to(scene.world.now() + step, step);
-            for request in scene.world.take_requests() {
+        while broken_at.is_none() && scene.simulation.now() < now + 40_000 {
+            scene
+                .simulation
+                .advance_to(scene.simulation.now() + step, step);
+            for request in scene.simulation.take_requests() {
                 let body = json!({"baton": 1, "orders": []}).to_string().into_bytes();
-                scene.world.deliver(request.asker, 200, body);
+                scene.simulation.deliver(request.asker, 200, body);
             }
-            let broken = scene.world.check.broken.first();
+            let broken = scene.simulation.check.broken.first();
             broken_at = broken.map(|(rule, at, _)| (*rule, *at));
         }
         let (rule, at) = broken_at.expect("the task is still there");
