--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -4,7 +4,9 @@
 //! the old holder. The task must be gone in time all the same.
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
+use forkshift_testkit::{
+    ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+};
 use forkshift_wire::users::JobKind;
 
 /// When the service begins to refuse the holder.
@@ -61,13 +63,13 @@
 fn job(n: u32, cancel_at: Option<u64>) -> Plan {
     Plan {
         cancel_at,
-        at_node: Some(Who::HolderOf(id(n))),
+        at_node: Some(ControllerSelector::HolderOfJob(id(n))),
         ..Plan::plain(n, 2_000, JobKind::Array, 2, 300_000)
     }
 }
 
-fn holder() -> Who {
-    Who::HolderOf(id(0))
+fn holder() -> ControllerSelector {
+    ControllerSelector::HolderOfJob(id(0))
 }
 
 /// The faults of one pair of troubles that begins at a time.
@@ -77,12 +79,15 @@
     let fault = |at, kind| Fault { at, kind };
     let all = OUTAGE + v.before;
     let mut faults = vec![
-        fault(at, FaultKind::Shut { node, time: 14_000 }.at(holder())),
-        fault(outage, FaultKind::Outage(OUTAGE)),
+        fault(
+            at,
+            FaultKind::StoreLockout { node, time: 14_000 }.at(holder()),
+        ),
+        fault(outage, FaultKind::StoreOutage(OUTAGE)),
     ];
-    let cut = |with| FaultKind::PeerCut {
+    let cut = |peers| FaultKind::PeerPartition {
         node,
-        with,
+        peers,
         time: all,
         hold,
     };
@@ -98,16 +103,20 @@
         Reaches::Never => all,
     };
     for node in (0..NODES).filter(|_| time > 0) {
-        faults.push(fault(at, FaultKind::DirectCut { node, time, hold }));
+        faults.push(fault(at, FaultKind::CommandPartition { node, time, hold }));
     }
     let taken_over = at + v.before / 2;
     if let Some(what) = v.machines {
-        let kind = FaultKind::Machines(Which::OfJob(id(0)), what);
+        let kind = FaultKind::Machines(Which::RunningJob(id(0)), what);
         faults.push(fault(taken_over, kind));
     }
     if v.then == Then::Ends {
-        let (count, back) = (1, 3_000);
-        let crash = FaultKind::Crash { node, count, back };
+        let (count, restart_after) = (1, 3_000);
+        let crash = FaultKind::Crash {
+            node,
+            count,
+            restart_after,
+        };
         faults.push(fault(outage + 100, crash.at(holder())));
     }
     faults
@@ -126,24 +135,38 @@
         cancel_ms: CANCEL,
         ..Size::default()
     };
-    let mut world = World::sized(seed, plans.collect(), faults, size);
-    world.run_until(REFUSED - 10);
-    assert_eq!(world.check.running(&id(0)), 2, "{name}: the job runs");
-    let epoch = world.epoch_of(&id(0));
-    world.run_until(REFUSED + v.before);
+    let mut simulation = World::with_size(seed, plans.collect(), faults, size);
+    simulation.run_until(REFUSED - 10);
+    assert_eq!(
+        simulation.check.running_tasks(&id(0)),
+        2,
+        "{name}: the job runs"
+    );
+    let epoch = simulation.epoch_of(&id(0));
+    simulation.run_until(REFUSED + v.before);
     if v.before == LONG {
-        assert!(world.epoch_of(&id(0)) > epoch, "{name}: another holds it");
-        assert!(world.cancelled_at(&id(0)).is_some(), "{name}: confirmed");
+        assert!(
+            simulation.epoch_of(&id(0)) > epoch,
+            "{name}: another holds it"
+        );
+        assert!(
+            simulation.cancelled_at(&id(0)).is_some(),
+            "{name}: confirmed"
+        );
         let cut = v.reaches == Reaches::Never && v.hears == Hears::None;
         if cut && v.then == Then::Stays {
-            assert_eq!(world.check.running(&id(0)), 2, "{name}: it still runs");
+            assert_eq!(
+                simulation.check.running_tasks(&id(0)),
+                2,
+                "{name}: it still runs"
+            );
         }
     }
-    world.run_until(REFUSED + pairs * gap + 60_000);
-    assert_eq!(world.check.broken, vec![], "{name}");
+    simulation.run_until(REFUSED + pairs * gap + 60_000);
+    assert_eq!(simulation.check.broken, vec![], "{name}");
     for n in 0..pairs as u32 {
-        assert!(world.cancelled_at(&id(n)).is_some(), "{name}: {n}");
-        assert_eq!(world.check.running(&id(n)), 0, "{name}: {n}");
+        assert!(simulation.cancelled_at(&id(n)).is_some(), "{name}: {n}");
+        assert_eq!(simulation.check.running_tasks(&id(n)), 0, "{name}: {n}");
     }
 }
 
@@ -190,7 +213,7 @@
         Variant {
             reaches: Reaches::AtOnce,
             then: Then::Ends,
-            machines: Some(MachineFault::Deaf(9_000)),
+            machines: Some(MachineFault::InboundLoss(9_000)),
             ..PLAIN
         },
         Variant {
@@ -205,17 +228,17 @@
         },
         Variant {
             reaches: Reaches::AtOnce,
-            machines: Some(MachineFault::Cut(long)),
+            machines: Some(MachineFault::Partition(long)),
             ..PLAIN
         },
         Variant {
             reaches: Reaches::AtOnce,
-            machines: Some(MachineFault::Cut(9_000)),
+            machines: Some(MachineFault::Partition(9_000)),
             then: Then::Ends,
             ..PLAIN
         },
         Variant {
-            machines: Some(MachineFault::Mute(9_000)),
+            machines: Some(MachineFault::OutboundLoss(9_000)),
             ..PLAIN
         },
     ];
@@ -238,33 +261,50 @@
 /// the other before any of them would give the machines up on its own count.
 #[test]
 fn the_deadline_outlives_its_holders() {
-    for (seed, back) in [(90, 4_000), (91, 6_000)] {
+    for (seed, restart_after) in [(90, 4_000), (91, 6_000)] {
         let (node, count) = (0, 1);
         let crash = |at| Fault {
             at,
-            kind: FaultKind::Crash { node, count, back }.at(holder()),
+            kind: FaultKind::Crash {
+                node,
+                count,
+                restart_after,
+            }
+            .at(holder()),
         };
-        let hang = FaultKind::Machines(Which::OfJob(id(0)), MachineFault::Hang(60_000));
-        let hang = Fault {
+        let hang_ms = FaultKind::Machines(Which::RunningJob(id(0)), MachineFault::Hang(60_000));
+        let hang_ms = Fault {
             at: REFUSED,
-            kind: hang,
+            kind: hang_ms,
         };
         // Before a holder takes the machines for silent, it ends.
         let crashes = (0..6).map(|n| crash(REFUSED + 5_500 + n * 6_000));
-        let faults = [hang].into_iter().chain(crashes).collect();
+        let faults = [hang_ms].into_iter().chain(crashes).collect();
         let size = Size {
             nodes: NODES,
             cancel_ms: CANCEL,
             ..Size::default()
         };
         let plans = vec![job(0, Some(REFUSED + 100))];
-        let mut world = World::sized(seed, plans, faults, size);
-        world.run_until(REFUSED + 5_000);
-        let confirmed = world.cancelled_at(&id(0)).expect("confirmed");
-        assert_eq!(world.check.running(&id(0)), 2, "its machines hang");
-        world.run_until(confirmed + CANCEL);
-        assert_eq!(world.check.running(&id(0)), 0, "back after {back} ms");
-        world.run_until(200_000);
-        assert_eq!(world.check.broken, vec![], "back after {back} ms");
+        let mut simulation = World::with_size(seed, plans, faults, size);
+        simulation.run_until(REFUSED + 5_000);
+        let confirmed = simulation.cancelled_at(&id(0)).expect("confirmed");
+        assert_eq!(
+            simulation.check.running_tasks(&id(0)),
+            2,
+            "its machines hang"
+        );
+        simulation.run_until(confirmed + CANCEL);
+        assert_eq!(
+            simulation.check.running_tasks(&id(0)),
+            0,
+            "back after {restart_after} ms"
+        );
+        simulation.run_until(200_000);
+        assert_eq!(
+            simulation.check.broken,
+            vec![],
+            "back after {restart_after} ms"
+        );
     }
 }
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -1,16 +1,23 @@
 //! Troubles that come in pairs, each new one alone, and what the stand-ins do
 //! in them.
 
-use forkshift_testkit::{Day, Draw, Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
+use forkshift_testkit::{
+    ControllerSelector, Day, Fault, FaultKind, FaultSchedule, MachineFault, Plan, Size, Which,
+    World,
+};
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::JobId;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-fn check(name: &str, world: &World) {
-    assert!(world.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+fn check(name: &str, simulation: &World) {
+    assert!(simulation.check.starts > 0, "{name}: nothing ran");
+    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
 }
 
 #[test]
@@ -32,24 +39,24 @@
         // it each time a task of that ended.
         (200_195, 8),
     ] {
-        let mut day = Day::new(seed, faults, Draw::Pairs);
+        let mut day = Day::new(seed, faults, FaultSchedule::Pairs);
         day.play();
-        check(&format!("seed {seed}, {faults} faults"), &day.world);
+        check(&format!("seed {seed}, {faults} faults"), &day.simulation);
     }
 }
 
 #[test]
 fn every_new_trouble_alone() {
-    let (node, time, share, hold) = (0, 15_000, 50, false);
-    let lost = |of, at_once| FaultKind::LostWrites {
-        share,
-        of,
-        at_once,
+    let (node, time, percent, hold) = (0, 15_000, 50, false);
+    let lost = |key_prefix, executes_at_once| FaultKind::LostWriteResponses {
+        percent,
+        key_prefix,
+        executes_at_once,
         time,
     };
-    let reports = |for_next| FaultKind::LateReports {
-        share,
-        for_next,
+    let reports = |until_failover| FaultKind::LateHeartbeats {
+        percent,
+        until_failover,
         time,
     };
     let machines = |fault| FaultKind::Machines(Which::Some(4), fault);
@@ -61,33 +68,36 @@
         lost(Some("job/"), false),
         reports(true),
         reports(false),
-        FaultKind::QuickBoots(60_000),
-        FaultKind::HeldCommands { share, time },
-        FaultKind::CancelNow { count: 8, hang: 0 },
-        FaultKind::CancelNow {
+        FaultKind::FastBoots(60_000),
+        FaultKind::DelayedCommands { percent, time },
+        FaultKind::CancelRunningJobs {
             count: 8,
-            hang: time,
+            hang_ms: 0,
         },
-        FaultKind::CancelAtEnd { share, time },
-        FaultKind::OddRequests(60_000),
-        FaultKind::CloseLooks(60_000),
-        FaultKind::Shut { node, time }.at(Who::Leader),
-        FaultKind::PeerCut {
+        FaultKind::CancelRunningJobs {
+            count: 8,
+            hang_ms: time,
+        },
+        FaultKind::CancelCompletingJobs { percent, time },
+        FaultKind::UnusualRequests(60_000),
+        FaultKind::StatusBursts(60_000),
+        FaultKind::StoreLockout { node, time }.at(ControllerSelector::Leader),
+        FaultKind::PeerPartition {
             node,
-            with: None,
+            peers: None,
             time,
             hold,
         }
-        .at(Who::Leader),
-        FaultKind::DirectCut { node, time, hold }.at(Who::Leader),
-        FaultKind::Pause { node, time }.at(Who::Leader),
-        FaultKind::Pause { node, time: 60_000 }.at(Who::Leader),
+        .at(ControllerSelector::Leader),
+        FaultKind::CommandPartition { node, time, hold }.at(ControllerSelector::Leader),
+        FaultKind::Pause { node, time }.at(ControllerSelector::Leader),
+        FaultKind::Pause { node, time: 60_000 }.at(ControllerSelector::Leader),
         machines(MachineFault::Hang(time)),
-        machines(MachineFault::Cut(time)),
-        machines(MachineFault::Deaf(time)),
-        machines(MachineFault::Mute(time)),
-        machines(MachineFault::Slow(time)),
-        machines(MachineFault::Sick(time)),
+        machines(MachineFault::Partition(time)),
+        machines(MachineFault::InboundLoss(time)),
+        machines(MachineFault::OutboundLoss(time)),
+        machines(MachineFault::SlowLink(time)),
+        machines(MachineFault::FailTasks(time)),
         machines(MachineFault::Die),
     ];
     for (i, kind) in kinds.into_iter().enumerate() {
@@ -100,10 +110,10 @@
         });
         let plans: Vec<Plan> = plans.collect();
         let fault = Fault { at: 40_000, kind };
-        let mut world = World::new(seed, plans, vec![fault]);
-        world.run_until(300_000);
-        world.close();
-        check(&name, &world);
+        let mut simulation = World::new(seed, plans, vec![fault]);
+        simulation.run_until(300_000);
+        simulation.finish();
+        check(&name, &simulation);
     }
 }
 
@@ -119,25 +129,32 @@
 /// is told for as long as every answer is lost.
 #[test]
 fn writes_whose_answers_are_lost_are_carried_out() {
-    for (at_once, there) in [(true, true), (false, false)] {
-        let lost = FaultKind::LostWrites {
-            share: 100,
-            of: Some("job/"),
-            at_once,
+    for (executes_at_once, there) in [(true, true), (false, false)] {
+        let lost = FaultKind::LostWriteResponses {
+            percent: 100,
+            key_prefix: Some("job/"),
+            executes_at_once,
             time: 1_500,
         };
         let fault = Fault {
             at: 30_000,
             kind: lost,
         };
-        let mut world = World::new(40, vec![job(0, 30_000, 5_000)], vec![fault]);
+        let mut simulation = World::new(40, vec![job(0, 30_000, 5_000)], vec![fault]);
         let id = JobId::new("j-0");
-        world.run_until(31_400);
-        assert_eq!(world.holder_of(&id).is_some(), there, "at once: {at_once}");
-        assert!(!world.check.is_accepted(&id), "at once: {at_once}");
-        world.run_until(120_000);
-        assert!(world.check.is_accepted(&id));
-        check(&format!("at once: {at_once}"), &world);
+        simulation.run_until(31_400);
+        assert_eq!(
+            simulation.holder_of(&id).is_some(),
+            there,
+            "at once: {executes_at_once}"
+        );
+        assert!(
+            !simulation.check.is_accepted(&id),
+            "at once: {executes_at_once}"
+        );
+        simulation.run_until(120_000);
+        assert!(simulation.check.is_accepted(&id));
+        check(&format!("at once: {executes_at_once}"), &simulation);
     }
 }
 
@@ -147,29 +164,29 @@
     for quick in [true, false] {
         let fault = Fault {
             at: 1_000,
-            kind: FaultKind::QuickBoots(60_000),
+            kind: FaultKind::FastBoots(60_000),
         };
         let faults = if quick { vec![fault] } else { Vec::new() };
-        let mut world = World::new(41, vec![job(0, 2_000, 5_000)], faults);
-        world.run_until(7_500);
-        assert_eq!(world.machines() > 0, quick);
-        world.run_until(60_000);
-        check("quick boots", &world);
+        let mut simulation = World::new(41, vec![job(0, 2_000, 5_000)], faults);
+        simulation.run_until(7_500);
+        assert_eq!(simulation.machines() > 0, quick);
+        simulation.run_until(60_000);
+        check("quick boots", &simulation);
     }
 }
 
 /// Copies are kept until another has taken over.
 #[test]
 fn late_reports_wait_for_the_next_leader() {
-    let late = FaultKind::LateReports {
-        share: 100,
-        for_next: true,
+    let late = FaultKind::LateHeartbeats {
+        percent: 100,
+        until_failover: true,
         time: 10_000,
     };
     let crash = FaultKind::Crash {
         node: 0,
         count: 1,
-        back: 10_000,
+        restart_after: 10_000,
     };
     let faults = vec![
         Fault {
@@ -178,27 +195,33 @@
         },
         Fault {
             at: 45_000,
-            kind: crash.at(Who::Leader),
+            kind: crash.at(ControllerSelector::Leader),
         },
     ];
-    let mut world = World::new(42, vec![job(0, 2_000, 100_000)], faults);
-    world.run_until(44_900);
-    let kept = world.kept_reports();
+    let mut simulation = World::new(42, vec![job(0, 2_000, 100_000)], faults);
+    simulation.run_until(44_900);
+    let kept = simulation.kept_heartbeats();
     assert!(kept > 5, "{kept} kept");
-    world.run_until(60_000);
-    assert_eq!(world.kept_reports(), 0);
-    world.run_until(200_000);
-    check("kept reports", &world);
+    simulation.run_until(60_000);
+    assert_eq!(simulation.kept_heartbeats(), 0);
+    simulation.run_until(200_000);
+    check("kept reports", &simulation);
 }
 
 /// Users cancel all at once, or as a job ends, and their answers are final.
 #[test]
 fn users_cancel_at_once_and_at_the_end() {
     let cases = [
-        (FaultKind::CancelNow { count: 4, hang: 0 }, 100_000),
         (
-            FaultKind::CancelAtEnd {
-                share: 100,
+            FaultKind::CancelRunningJobs {
+                count: 4,
+                hang_ms: 0,
+            },
+            100_000,
+        ),
+        (
+            FaultKind::CancelCompletingJobs {
+                percent: 100,
                 time: 60_000,
             },
             40_000,
@@ -208,15 +231,15 @@
         let name = format!("{kind:?}");
         let fault = Fault { at: 30_000, kind };
         let plans = (0..4).map(|n| job(n, 2_000, run_ms)).collect();
-        let mut world = World::new(43, plans, vec![fault]);
-        world.run_until(120_000);
+        let mut simulation = World::new(43, plans, vec![fault]);
+        simulation.run_until(120_000);
         for n in 0..4 {
             let id = JobId::new(&format!("j-{n}"));
-            assert!(world.check.was_cancel_asked(&id), "{name}: {id}");
-            let told = world.check.told(&id);
+            assert!(simulation.check.is_cancel_requested(&id), "{name}: {id}");
+            let told = simulation.check.final_stage(&id);
             assert!(told.is_some_and(JobStage::is_final), "{name}: {told:?}");
         }
-        check(&name, &world);
+        check(&name, &simulation);
     }
 }
 
@@ -224,18 +247,18 @@
 #[test]
 fn odd_requests_and_close_looks_are_answered() {
     let cases = [
-        FaultKind::OddRequests(40_000),
-        FaultKind::CloseLooks(40_000),
+        FaultKind::UnusualRequests(40_000),
+        FaultKind::StatusBursts(40_000),
     ];
     for kind in cases {
         let name = format!("{kind:?}");
         let fault = Fault { at: 1_000, kind };
         let plans = (0..6).map(|n| job(n, 15_000 + 1_000 * u64::from(n), 6_000));
-        let mut world = World::sized(44, plans.collect(), vec![fault], Size::default());
-        world.run_until(90_000);
-        let (asked, answered) = world.asides();
+        let mut simulation = World::with_size(44, plans.collect(), vec![fault], Size::default());
+        simulation.run_until(90_000);
+        let (asked, answered) = simulation.unusual_request_counts();
         assert!(asked > 60, "{name}: {asked} asked");
         assert!(answered * 10 > asked * 9, "{name}: {answered} of {asked}");
-        check(&name, &world);
+        check(&name, &simulation);
     }
 }
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -5,7 +5,7 @@
 //! sweep goes on while the cut lasts.
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Direction, FaultKind, Plan, Size, Which, Who, World};
+use forkshift_testkit::{ControllerSelector, Direction, FaultKind, Plan, Size, Which, World};
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::{JobId, MachineId};
 
@@ -81,7 +81,7 @@
     All,
 }
 
-fn lose(world: &mut World, node: usize, lost: Lost, time: Ms) {
+fn lose(simulation: &mut World, node: usize, lost: Lost, time: Ms) {
     let cut = |state, cloud| FaultKind::Cut {
         node,
         state,
@@ -91,22 +91,25 @@
         hold: true,
     };
     match lost {
-        Lost::State => world.fault_now(cut(true, false)),
-        Lost::Cloud => world.fault_now(cut(false, true)),
-        Lost::Peers => world.fault_now(FaultKind::PeerCut {
+        Lost::State => simulation.fault_now(cut(true, false)),
+        Lost::Cloud => simulation.fault_now(cut(false, true)),
+        Lost::Peers => simulation.fault_now(FaultKind::PeerPartition {
             node,
-            with: None,
+            peers: None,
             time,
             hold: true,
         }),
         Lost::Workers(part, lost) => {
             let machines = match part {
                 Part::All => Which::All,
-                Part::Some => {
-                    Which::Named(replica_machines(world).into_iter().step_by(2).collect())
-                }
+                Part::Some => Which::Named(
+                    replica_machines(simulation)
+                        .into_iter()
+                        .step_by(2)
+                        .collect(),
+                ),
             };
-            world.fault_now(FaultKind::LinkCut {
+            simulation.fault_now(FaultKind::LinkCut {
                 node,
                 machines,
                 lost,
@@ -118,8 +121,8 @@
 }
 
 /// Machines with replicas, in order.
-fn replica_machines(world: &World) -> Vec<MachineId> {
-    let services = (0..SERVICES).flat_map(|n| world.machines_of(&Which::OfJob(id(n))));
+fn replica_machines(simulation: &World) -> Vec<MachineId> {
+    let services = (0..SERVICES).flat_map(|n| simulation.machines_of(&Which::RunningJob(id(n))));
     let mut machines: Vec<MachineId> = services.collect();
     machines.sort();
     machines.dedup();
@@ -153,20 +156,22 @@
     }
 }
 
-fn play(name: &str, seed: u64, pace: Pace, cuts: &[(Who, Lost, Ms)]) -> Cost {
-    let mut world = World::sized(seed, plans(), Vec::new(), size(pace));
-    world.run_until(TROUBLE);
-    let starts = |world: &World, jobs: std::ops::Range<u32>| -> u64 {
-        jobs.map(|n| world.check.starts_of(&id(n))).sum()
+fn play(name: &str, seed: u64, pace: Pace, cuts: &[(ControllerSelector, Lost, Ms)]) -> Cost {
+    let mut simulation = World::with_size(seed, plans(), Vec::new(), size(pace));
+    simulation.run_until(TROUBLE);
+    let starts = |simulation: &World, jobs: std::ops::Range<u32>| -> u64 {
+        jobs.map(|n| simulation.check.starts_of(&id(n))).sum()
     };
-    let up: usize = (0..SERVICES).map(|n| world.check.running(&id(n))).sum();
+    let up: usize = (0..SERVICES)
+        .map(|n| simulation.check.running_tasks(&id(n)))
+        .sum();
     assert_eq!(up as u32, SERVICES * REPLICAS, "{name}: replicas serve");
-    let serving = starts(&world, 0..SERVICES);
+    let serving = starts(&simulation, 0..SERVICES);
     let mut longest = 0;
     let mut lost_at = Vec::new();
     for (who, lost, time) in cuts {
-        let node = world.index_of(who).expect("there is one");
-        lose(&mut world, node, *lost, *time);
+        let node = simulation.select_controller(who).expect("there is one");
+        lose(&mut simulation, node, *lost, *time);
         lost_at.push(node);
         longest = longest.max(*time);
     }
@@ -174,17 +179,21 @@
     // wait for an answer there is not what is measured.
     let mut nodes = 0..size(pace).nodes;
     let other = nodes.find(|n| !lost_at.contains(n));
-    world.users_come_to(other.expect("one has no trouble"));
-    world.run_until(TROUBLE + longest + 180_000);
-    assert_eq!(world.check.broken, vec![], "{name}");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+    simulation.route_users_to(other.expect("one has no trouble"));
+    simulation.run_until(TROUBLE + longest + 180_000);
+    assert_eq!(simulation.check.broken, vec![], "{name}");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
     let sweep = plans().into_iter().skip(SERVICES as usize);
     let kept: Vec<Plan> = sweep.filter(|p| p.cancel_at.is_none()).collect();
     let ids: Vec<JobId> = kept.iter().map(|p| p.spec.id.clone()).collect();
-    let started: u64 = ids.iter().map(|id| world.check.starts_of(id)).sum();
-    let wait = |p: &Plan| world.check.began_at(&p.spec.id).expect("it ran") - p.at;
+    let started: u64 = ids.iter().map(|id| simulation.check.starts_of(id)).sum();
+    let wait = |p: &Plan| simulation.check.began_at(&p.spec.id).expect("it ran") - p.at;
     Cost {
-        dropped: starts(&world, 0..SERVICES) - serving,
+        dropped: starts(&simulation, 0..SERVICES) - serving,
         repeated: started - ids.len() as u64 * u64::from(SWEEP_TASKS),
         stood_still: kept.iter().map(wait).max().unwrap_or(0),
     }
@@ -210,7 +219,10 @@
 #[test]
 fn each_link_in_turn_while_a_sweep_runs() {
     let mut seed = 4_100;
-    for who in [Who::HolderOf(id(0)), Who::Leader] {
+    for who in [
+        ControllerSelector::HolderOfJob(id(0)),
+        ControllerSelector::Leader,
+    ] {
         for lost in LINKS {
             for time in TIMES {
                 let name = format!("{lost:?} at {who:?} for {time} ms");
@@ -226,8 +238,8 @@
 /// or to one that passes reports on, or that is about to take over.
 #[test]
 fn two_controllers_with_troubles_of_their_own() {
-    let holder = Who::HolderOf(id(0));
-    let second = Who::Besides(Box::new(holder.clone()));
+    let holder = ControllerSelector::HolderOfJob(id(0));
+    let second = ControllerSelector::NextAfter(Box::new(holder.clone()));
     let mut seed = 4_200;
     for direction in [Direction::Both, Direction::Reports, Direction::Calls] {
         let first = (
@@ -254,20 +266,20 @@
     (large.spec.cpus, large.spec.gpus) = (1.0, 8.0);
     let large_id = large.spec.id.clone();
     let all = plans().into_iter().chain([large]).collect();
-    let mut world = World::sized(4_300, all, Vec::new(), size(Pace::Short));
-    world.run_until(TROUBLE);
-    let first = world.leader().expect("somebody leads");
-    lose(&mut world, first, Lost::Cloud, cut);
-    world.run_until(TROUBLE + cut);
-    let began = world
+    let mut simulation = World::with_size(4_300, all, Vec::new(), size(Pace::Short));
+    simulation.run_until(TROUBLE);
+    let first = simulation.leader().expect("somebody leads");
+    lose(&mut simulation, first, Lost::Cloud, cut);
+    simulation.run_until(TROUBLE + cut);
+    let began = simulation
         .check
         .began_at(&large_id)
         .expect("it began in the cut");
     assert!(began < TROUBLE + cut / 2, "after {} ms", began - TROUBLE);
-    assert_ne!(world.leader(), Some(first), "another leads");
-    world.run_until(TROUBLE + cut + 120_000);
-    assert_eq!(world.check.broken, vec![]);
-    assert_eq!(world.unserved(), Vec::<String>::new());
+    assert_ne!(simulation.leader(), Some(first), "another leads");
+    simulation.run_until(TROUBLE + cut + 120_000);
+    assert_eq!(simulation.check.broken, vec![]);
+    assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new());
 }
 
 /// Where no controller reaches the cloud leadership goes round, more and more seldom, and
@@ -275,17 +287,17 @@
 #[test]
 fn an_unreachable_cloud_moves_leadership_ever_more_seldom() {
     let cut: Ms = 240_000;
-    let mut world = World::sized(4_301, plans(), Vec::new(), size(Pace::Short));
-    world.run_until(TROUBLE);
+    let mut simulation = World::with_size(4_301, plans(), Vec::new(), size(Pace::Short));
+    simulation.run_until(TROUBLE);
     for node in 0..size(Pace::Short).nodes {
-        lose(&mut world, node, Lost::Cloud, cut);
+        lose(&mut simulation, node, Lost::Cloud, cut);
     }
     let mut changes = [0_u32; 2];
-    let mut leader = world.leader();
+    let mut leader = simulation.leader();
     for half in &mut changes {
         for _ in 0..cut / 2 / 500 {
-            world.run_until(world.now() + 500);
-            let now = world.leader();
+            simulation.run_until(simulation.now() + 500);
+            let now = simulation.leader();
             if now.is_some() && now != leader {
                 *half += 1;
                 leader = now;
@@ -294,7 +306,7 @@
     }
     assert!(changes[0] >= 1, "{changes:?}");
     assert!(changes[1] * 3 < changes[0] * 2, "{changes:?}");
-    world.run_until(TROUBLE + cut + 120_000);
-    assert_eq!(world.check.broken, vec![]);
-    assert_eq!(world.unserved(), Vec::<String>::new());
+    simulation.run_until(TROUBLE + cut + 120_000);
+    assert_eq!(simulation.check.broken, vec![]);
+    assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new());
 }
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -51,13 +51,13 @@
     fn new(boots: &[Boot], asked: Ms, began: Ms) -> Self {
         let mine: Vec<&Boot> = boots
             .iter()
-            .filter(|b| (asked..began).contains(&b.rented))
+            .filter(|b| (asked..began).contains(&b.provisioned_at))
             .collect();
-        let is_overdue = |b: &&&Boot| b.up_at > b.rented + BOOT * 3 / 2;
+        let is_overdue = |b: &&&Boot| b.up_at > b.provisioned_at + BOOT * 3 / 2;
         let unreplaced = |first: &Boot| {
-            let later = mine.iter().map(|b| b.rented);
-            let next = later.filter(|at| *at > first.rented).min();
-            next.unwrap_or(began).min(began) - first.rented
+            let later = mine.iter().map(|b| b.provisioned_at);
+            let next = later.filter(|at| *at > first.provisioned_at).min();
+            next.unwrap_or(began).min(began) - first.provisioned_at
         };
         let overdue: Vec<_> = mine.iter().filter(is_overdue).collect();
         Self {
@@ -86,24 +86,29 @@
         limit: (96.0, 96.0),
         ..Size::default()
     };
-    let mut world = World::sized(seed, plans.collect(), Vec::new(), size);
+    let mut simulation = World::with_size(seed, plans.collect(), Vec::new(), size);
     if let Some(kind) = kind {
-        world.fault_now(kind);
+        simulation.fault_now(kind);
     }
     let mut booting_s = 0;
-    while world.now() < FIRST + EVERY * u64::from(JOBS) + 60_000 {
-        world.run_until(world.now() + 1_000);
-        booting_s += world.booting();
+    while simulation.now() < FIRST + EVERY * u64::from(JOBS) + 60_000 {
+        simulation.run_until(simulation.now() + 1_000);
+        booting_s += simulation.booting();
     }
-    assert_eq!(world.check.broken, vec![], "{name}");
-    let began = (0..JOBS).map(|n| world.check.began_at(&id(n)).unwrap_or(world.now()));
+    assert_eq!(simulation.check.broken, vec![], "{name}");
+    let began = (0..JOBS).map(|n| {
+        simulation
+            .check
+            .began_at(&id(n))
+            .unwrap_or(simulation.now())
+    });
     let asked = (0..JOBS).map(|n| FIRST + EVERY * u64::from(n));
     let replicas: Vec<Wait> = began
         .zip(asked)
-        .map(|(began, at)| Wait::new(world.boots(), at, began))
+        .map(|(began, at)| Wait::new(simulation.boots(), at, began))
         .collect();
     let rented = |zone: Option<&str>| {
-        let all = world.rentals().iter();
+        let all = simulation.provisioning_log().iter();
         all.filter(|r| zone.is_none_or(|z| z == r.2))
             .map(|r| r.3)
             .sum()
@@ -182,7 +187,7 @@
         ),
         (
             "at once",
-            Some(FaultKind::QuickBoots(400_000)),
+            Some(FaultKind::FastBoots(400_000)),
             BOOT,
             4,
             9,
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -3,7 +3,7 @@
 mod production;
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Day, Draw, Fault, FaultKind, NextLimits, Plan, Size, World};
+use forkshift_testkit::{Day, Fault, FaultKind, FaultSchedule, NextLimits, Plan, Size, World};
 use forkshift_wire::users::{JobKind, JobStage};
 
 const LIMITS: NextLimits = NextLimits {
@@ -25,7 +25,13 @@
 }
 
 fn upgrade(at: u64, node: usize) -> Fault {
-    fault(at, FaultKind::Upgrade { node, back: 3_000 })
+    fault(
+        at,
+        FaultKind::Upgrade {
+            node,
+            restart_after: 3_000,
+        },
+    )
 }
 
 /// An array of which no task is too large for anything.
@@ -61,10 +67,14 @@
     ]
 }
 
-fn check(name: &str, world: &World) {
-    assert!(world.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
+fn check(name: &str, simulation: &World) {
+    assert!(simulation.check.starts > 0, "{name}: nothing ran");
+    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
 }
 
 /// All orders in which three controllers take their turns; before, during and
@@ -80,8 +90,15 @@
         [2, 1, 0],
     ];
     let crash = |at, node| {
-        let (count, back) = (1, 2_000);
-        fault(at, FaultKind::Crash { node, count, back })
+        let (count, restart_after) = (1, 2_000);
+        fault(
+            at,
+            FaultKind::Crash {
+                node,
+                count,
+                restart_after,
+            },
+        )
     };
     for order in orders {
         for ends_at in [15_000, 21_000, 26_000, 36_000] {
@@ -92,13 +109,17 @@
             faults.push(crash(ends_at, order[2]));
             faults.push(fault(50_000, FaultKind::LowerLimits));
             faults.push(crash(70_000, order[1]));
-            let mut world = World::sized(41, plans(), faults, size());
-            world.run_until(240_000);
+            let mut simulation = World::with_size(41, plans(), faults, size());
+            simulation.run_until(240_000);
             let name = format!("{order:?}, one ends at {ends_at}");
-            check(&name, &world);
-            assert_eq!(world.finalized_format(), Some(2), "{name}");
-            assert_eq!(world.check.told(&id(6)), Some(JobStage::Done), "{name}");
-            assert_eq!(world.too_large(), 0, "{name}: too large");
+            check(&name, &simulation);
+            assert_eq!(simulation.finalized_format(), Some(2), "{name}");
+            assert_eq!(
+                simulation.check.final_stage(&id(6)),
+                Some(JobStage::Done),
+                "{name}"
+            );
+            assert_eq!(simulation.too_large(), 0, "{name}: too large");
         }
     }
 }
@@ -113,7 +134,7 @@
             FaultKind::Crash {
                 node,
                 count: 1,
-                back: 400_000,
+                restart_after: 400_000,
             },
         )
     };
@@ -124,12 +145,12 @@
             vec![upgrade(20_000, 0), away(2), upgrade(24_000, 1)],
         ),
     ] {
-        let mut world = World::sized(42, plans(), faults, size());
-        world.run_until(120_000);
-        assert_eq!(world.finalized_format(), None, "{name}");
-        assert!(world.check.is_accepted(&id(3)), "{name}");
-        assert!(!world.check.is_accepted(&id(4)), "{name}");
-        assert_eq!(world.check.broken, vec![], "{name}");
+        let mut simulation = World::with_size(42, plans(), faults, size());
+        simulation.run_until(120_000);
+        assert_eq!(simulation.finalized_format(), None, "{name}");
+        assert!(simulation.check.is_accepted(&id(3)), "{name}");
+        assert!(!simulation.check.is_accepted(&id(4)), "{name}");
+        assert_eq!(simulation.check.broken, vec![], "{name}");
     }
 }
 
@@ -138,18 +159,18 @@
 #[test]
 fn the_first_release_reads_all_that_is_written_before_finalization() {
     let faults = vec![upgrade(20_000, 0), upgrade(24_000, 1)];
-    let mut world = World::sized(43, plans(), faults, size());
-    world.keep_formats();
-    world.run_until(110_000);
+    let mut simulation = World::with_size(43, plans(), faults, size());
+    simulation.record_formats();
+    simulation.run_until(110_000);
     for kind in [
         "node/", "leader", "share/", "machine/", "charter/", "demand/",
     ] {
         let prefix = format!("c/{kind}");
-        let mut keys = world.kept_records().iter().map(|(key, _)| key);
+        let mut keys = simulation.kept_records().iter().map(|(key, _)| key);
         assert!(keys.any(|key| key.starts_with(&prefix)), "no {prefix}");
     }
-    assert!(!world.kept_messages().is_empty());
-    for (key, value) in world.kept_records() {
+    assert!(!simulation.kept_messages().is_empty());
+    for (key, value) in simulation.kept_records() {
         let mut expected = value.clone();
         if let (true, Some(fields)) = (key.starts_with("c/node/"), expected.as_object_mut()) {
             fields.remove("format");
@@ -158,7 +179,7 @@
         let read = read.unwrap_or_else(|e| panic!("{key}: {e}, {value}"));
         assert_eq!(read, expected, "{key}");
     }
-    for message in world.kept_messages() {
+    for message in simulation.kept_messages() {
         production::read_message(message).expect("the first release reads it");
     }
 }
@@ -219,16 +240,22 @@
     let mut faults: Vec<Fault> = (0..3)
         .map(|n| upgrade(20_000 + n as u64 * 5_000, n))
         .collect();
-    let back = 2_000;
-    faults.push(fault(80_000, FaultKind::Downgrade { node: 1, back }));
-    let mut world = World::sized(44, plans(), faults, size());
-    world.run_until(90_000);
-    while world.now() < 200_000 {
-        world.run_until(world.now() + 500);
-        let held = world.holds_shards(1);
-        assert!(!held, "it holds a shard at {}", world.now());
+    let restart_after = 2_000;
+    faults.push(fault(
+        80_000,
+        FaultKind::Downgrade {
+            node: 1,
+            restart_after,
+        },
+    ));
+    let mut simulation = World::with_size(44, plans(), faults, size());
+    simulation.run_until(90_000);
+    while simulation.now() < 200_000 {
+        simulation.run_until(simulation.now() + 500);
+        let held = simulation.holds_shards(1);
+        assert!(!held, "it holds a shard at {}", simulation.now());
     }
-    check("downgrade", &world);
+    check("downgrade", &simulation);
 }
 
 /// The state service is out as the last controller comes back, and late
@@ -240,12 +267,12 @@
             .map(|n| upgrade(20_000 + n as u64 * 6_000, n))
             .collect();
         faults.push(fault(18_000, FaultKind::LateWrites(16_000)));
-        faults.push(fault(from, FaultKind::Outage(12_000)));
+        faults.push(fault(from, FaultKind::StoreOutage(12_000)));
         faults.push(fault(70_000, FaultKind::LowerLimits));
-        let mut world = World::sized(45, plans(), faults, size());
-        world.run_until(260_000);
-        check(&format!("outage from {from}"), &world);
-        assert_eq!(world.finalized_format(), Some(2), "outage from {from}");
+        let mut simulation = World::with_size(45, plans(), faults, size());
+        simulation.run_until(260_000);
+        check(&format!("outage from {from}"), &simulation);
+        assert_eq!(simulation.finalized_format(), Some(2), "outage from {from}");
     }
 }
 
@@ -259,14 +286,21 @@
             .collect();
         faults.push(fault(33_000, FaultKind::LowerLimits));
         for i in 0..12 {
-            let (node, count, back) = ((i % 3) as usize, 1, 900);
+            let (node, count, restart_after) = ((i % 3) as usize, 1, 900);
             let at = 33_200 + i * (4_000 + pause);
-            faults.push(fault(at, FaultKind::Crash { node, count, back }));
+            faults.push(fault(
+                at,
+                FaultKind::Crash {
+                    node,
+                    count,
+                    restart_after,
+                },
+            ));
         }
         let plans = vec![array(1, 3_000, 280, 6_000), array(2, 4_000, 120, 40_000)];
-        let mut world = World::sized(46, plans, faults, size());
-        world.run_until(300_000);
-        check(&format!("pause {pause}"), &world);
+        let mut simulation = World::with_size(46, plans, faults, size());
+        simulation.run_until(300_000);
+        check(&format!("pause {pause}"), &simulation);
     }
 }
 
@@ -281,11 +315,15 @@
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[n - 1]));
     }
     plans.push(chained(length + 1, 95_000, &[1]));
-    let mut world = World::sized(47, plans, vec![], Size::default());
-    world.run_until(300_000);
-    check("chain", &world);
+    let mut simulation = World::with_size(47, plans, vec![], Size::default());
+    simulation.run_until(300_000);
+    check("chain", &simulation);
     for n in 1..=length + 1 {
-        assert_eq!(world.check.told(&id(n)), Some(JobStage::Cancelled), "j-{n}");
+        assert_eq!(
+            simulation.check.final_stage(&id(n)),
+            Some(JobStage::Cancelled),
+            "j-{n}"
+        );
     }
 }
 
@@ -297,11 +335,15 @@
     for n in 2..=dependents {
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[1]));
     }
-    let mut world = World::sized(48, plans, vec![], Size::default());
-    world.run_until(240_000);
-    check("dependents", &world);
+    let mut simulation = World::with_size(48, plans, vec![], Size::default());
+    simulation.run_until(240_000);
+    check("dependents", &simulation);
     for n in 1..=dependents {
-        assert_eq!(world.check.told(&id(n)), Some(JobStage::Done), "j-{n}");
+        assert_eq!(
+            simulation.check.final_stage(&id(n)),
+            Some(JobStage::Done),
+            "j-{n}"
+        );
     }
 }
 
@@ -315,8 +357,8 @@
         (920_003, 16),
         (920_004, 30),
     ] {
-        let mut day = Day::new(seed, faults, Draw::Upgrade);
+        let mut day = Day::new(seed, faults, FaultSchedule::Upgrade);
         day.play();
-        check(&format!("seed {seed}, {faults} faults"), &day.world);
+        check(&format!("seed {seed}, {faults} faults"), &day.simulation);
     }
 }
--- a/crates/testkit/tests/warm_pools.rs
+++ b/crates/testkit/tests/warm_pools.rs
@@ -6,7 +6,9 @@
 use forkshift_pools::audit::mistakes;
 use forkshift_pools::report::Accounts;
 use forkshift_pools::{Ended, Interval, Membership, PoolSpec, PoolState, WindowSpec};
-use forkshift_testkit::{job_id, Fault, FaultKind, MachineFault, Plan, Size, Which, Who, World};
+use forkshift_testkit::{
+    job_id, ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+};
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::MachineId;
 
@@ -55,17 +57,17 @@
     plan
 }
 
-fn world(seed: u64, plans: Vec<Plan>, size: Size, pools: &[PoolSpec]) -> World {
+fn simulation(seed: u64, plans: Vec<Plan>, size: Size, pools: &[PoolSpec]) -> World {
     World::with_pools(seed, plans, Vec::new(), size, vec![pools.to_vec(); NODES])
 }
 
 /// Memberships that go on.
-fn members(world: &World) -> Vec<(MachineId, Membership)> {
-    world.pool_members()
+fn members(simulation: &World) -> Vec<(MachineId, Membership)> {
+    simulation.pool_members()
 }
 
-fn warm(world: &World) -> usize {
-    let members = members(world);
+fn warm(simulation: &World) -> usize {
+    let members = members(simulation);
     members
         .iter()
         .filter(|(_, m)| m.state == PoolState::Warm)
@@ -73,10 +75,10 @@
 }
 
 /// No rule is broken, and every second is charged once at most, within machines' lives.
-fn audit(world: &World, name: &str) -> Accounts {
-    assert_eq!(world.check.broken, vec![], "{name}: rules");
-    let accounts = world.pool_accounts(world.wall());
-    let lives = world.pool_lives(world.wall() - world.now());
+fn audit(simulation: &World, name: &str) -> Accounts {
+    assert_eq!(simulation.check.broken, vec![], "{name}: rules");
+    let accounts = simulation.pool_accounts(simulation.wall_clock());
+    let lives = simulation.pool_lives(simulation.wall_clock() - simulation.now());
     let found = mistakes(&accounts.intervals, &lives, CLOCK_OFF);
     assert_eq!(found, vec![], "{name}: accounts");
     accounts
@@ -88,8 +90,8 @@
 }
 
 /// How long the first task of a job waited.
-fn waited(world: &World, n: u32, at: Ms) -> Ms {
-    world
+fn waited(simulation: &World, n: u32, at: Ms) -> Ms {
+    simulation
         .check
         .began_at(&job_id(n))
         .map_or(Ms::MAX, |began| began - at)
@@ -99,11 +101,15 @@
 fn a_burst_begins_at_once_where_a_pool_is_warm_and_after_a_boot_where_there_is_none() {
     for seed in 1..=5 {
         let burst = || vec![replicas(0, FULL, 3, "weights")];
-        let mut with = world(seed, burst(), size(), &[pool(3, 6)]);
+        let mut with = simulation(seed, burst(), size(), &[pool(3, 6)]);
         with.run_until(FULL);
         assert_eq!(warm(&with), 3, "seed {seed}: {:?}", members(&with));
         with.run_until(FULL + AT_ONCE * 2);
-        assert_eq!(with.check.running(&job_id(0)), 3, "seed {seed}: all began");
+        assert_eq!(
+            with.check.running_tasks(&job_id(0)),
+            3,
+            "seed {seed}: all began"
+        );
         assert!(waited(&with, 0, FULL) <= AT_ONCE, "seed {seed}");
         with.run_until(FULL * 2);
         assert!(warm(&with) >= 3, "seed {seed}: it fills again");
@@ -111,7 +117,7 @@
         assert_eq!(ended(&accounts, Ended::HandedOut).len(), 3, "seed {seed}");
         assert_eq!(accounts.misses, vec![], "seed {seed}");
 
-        let mut without = world(seed, burst(), size(), &[]);
+        let mut without = simulation(seed, burst(), size(), &[]);
         without.run_until(FULL * 2);
         assert!(waited(&without, 0, FULL) > 2 * AT_ONCE, "seed {seed}");
         assert!(audit(&without, "without").intervals.is_empty());
@@ -126,17 +132,17 @@
         tells_images: false,
         ..size()
     };
-    let mut world = world(
+    let mut simulation = simulation(
         1,
         vec![replicas(0, FULL, 1, "weights")],
         size,
         &[pool(2, 4)],
     );
-    world.run_until(FULL);
-    let states: Vec<PoolState> = members(&world).iter().map(|(_, m)| m.state).collect();
+    simulation.run_until(FULL);
+    let states: Vec<PoolState> = members(&simulation).iter().map(|(_, m)| m.state).collect();
     assert_eq!(states, vec![PoolState::Up; 2]);
-    world.run_until(FULL + 30_000);
-    let accounts = audit(&world, "up");
+    simulation.run_until(FULL + 30_000);
+    let accounts = audit(&simulation, "up");
     let tells = |i: &&Interval| matches!(i.state, PoolState::Fetching | PoolState::Warm);
     assert_eq!(accounts.intervals.iter().find(tells), None);
     assert_eq!(ended(&accounts, Ended::HandedOut).len(), 1);
@@ -152,21 +158,21 @@
         ..pool(0, 1)
     };
     let plans = vec![replicas(0, FULL, 3, "other"), replicas(1, FULL, 1, "plain")];
-    let mut world = world(2, plans, size(), &[pool(2, 4), other]);
-    world.run_until(FULL + 1_000);
+    let mut simulation = simulation(2, plans, size(), &[pool(2, 4), other]);
+    simulation.run_until(FULL + 1_000);
     for _ in 0..40 {
-        world.run_until(world.now() + 1_000);
-        let kept = members(&world);
+        simulation.run_until(simulation.now() + 1_000);
+        let kept = members(&simulation);
         let kept = kept
             .iter()
             .filter(|(_, m)| m.pool.as_str() == "help")
             .count();
-        assert!(kept >= 2, "at {}", world.now());
+        assert!(kept >= 2, "at {}", simulation.now());
     }
-    world.run_until(FULL + 60_000);
-    assert_eq!(world.check.running(&job_id(0)), 3);
-    assert_eq!(world.check.running(&job_id(1)), 1);
-    let accounts = audit(&world, "misses");
+    simulation.run_until(FULL + 60_000);
+    assert_eq!(simulation.check.running_tasks(&job_id(0)), 3);
+    assert_eq!(simulation.check.running_tasks(&job_id(1)), 1);
+    let accounts = audit(&simulation, "misses");
     let [miss] = accounts.misses.as_slice() else {
         panic!("{:?}", accounts.misses);
     };
@@ -196,16 +202,16 @@
                 capacity: 1,
                 ..size()
             };
-            let mut world = world(seed, plans, size, &[pool(1, 1)]);
+            let mut simulation = simulation(seed, plans, size, &[pool(1, 1)]);
             let name = format!("{team}, burst {burst_at} ms later");
-            world.run_until(FULL);
-            assert_eq!(warm(&world), 1, "{name}: {:?}", members(&world));
-            world.run_until(FULL + 25_000);
-            let accounts = audit(&world, &name);
+            simulation.run_until(FULL);
+            assert_eq!(warm(&simulation), 1, "{name}: {:?}", members(&simulation));
+            simulation.run_until(FULL + 25_000);
+            let accounts = audit(&simulation, &name);
             let out = ended(&accounts, Ended::HandedOut).len();
             let reclaimed = ended(&accounts, Ended::Reclaimed).len();
             assert_eq!(out + reclaimed, 1, "{name}: {out} and {reclaimed}");
-            let began = [0, 1].map(|n| world.check.began_at(&job_id(n)).is_some());
+            let began = [0, 1].map(|n| simulation.check.began_at(&job_id(n)).is_some());
             assert_eq!(began, [out == 1, reclaimed == 1], "{name}");
             assert!(
                 burst_at < ALONE || reclaimed == 1,
@@ -222,17 +228,20 @@
 
 #[test]
 fn weights_that_are_evicted_are_fetched_again_and_the_time_is_told_apart() {
-    let mut world = world(3, Vec::new(), size(), &[pool(2, 2)]);
-    world.run_until(FULL);
-    assert_eq!(warm(&world), 2);
-    let ids = members(&world).into_iter().map(|(id, _)| id).collect();
-    world.fault_now(FaultKind::Machines(Which::Named(ids), MachineFault::Evict));
-    world.run_until(FULL + 3_000);
-    assert_eq!(warm(&world), 0);
-    world.run_until(FULL + 15_000);
-    assert_eq!(warm(&world), 2);
-    let accounts = audit(&world, "evicted");
-    let since = world.wall() - 15_000;
+    let mut simulation = simulation(3, Vec::new(), size(), &[pool(2, 2)]);
+    simulation.run_until(FULL);
+    assert_eq!(warm(&simulation), 2);
+    let ids = members(&simulation).into_iter().map(|(id, _)| id).collect();
+    simulation.fault_now(FaultKind::Machines(
+        Which::Named(ids),
+        MachineFault::EvictImages,
+    ));
+    simulation.run_until(FULL + 3_000);
+    assert_eq!(warm(&simulation), 0);
+    simulation.run_until(FULL + 15_000);
+    assert_eq!(warm(&simulation), 2);
+    let accounts = audit(&simulation, "evicted");
+    let since = simulation.wall_clock() - 15_000;
     let again = |i: &&Interval| i.state == PoolState::Fetching && i.from_ms >= since;
     let again: Vec<&Interval> = accounts.intervals.iter().filter(again).collect();
     assert_eq!(again.len(), 2);
@@ -244,29 +253,29 @@
 
 #[test]
 fn a_machine_whose_fetch_never_ends_is_replaced() {
-    let mut world = world(4, Vec::new(), size(), &[pool(1, 1)]);
-    while members(&world)
+    let mut simulation = simulation(4, Vec::new(), size(), &[pool(1, 1)]);
+    while members(&simulation)
         .iter()
         .all(|(_, m)| m.state != PoolState::Fetching)
     {
-        world.run_until(world.now() + 100);
-        assert!(world.now() < FULL, "none fetches");
+        simulation.run_until(simulation.now() + 100);
+        assert!(simulation.now() < FULL, "none fetches");
     }
-    let stuck = members(&world)[0].0.clone();
-    let never = MachineFault::StuckFetch(Ms::MAX / 4);
-    world.fault_now(FaultKind::Machines(
+    let stuck = members(&simulation)[0].0.clone();
+    let never = MachineFault::StuckPrefetch(Ms::MAX / 4);
+    simulation.fault_now(FaultKind::Machines(
         Which::Named(vec![stuck.clone()]),
         never,
     ));
-    world.run_until(world.now() + 90_000);
-    let accounts = audit(&world, "stuck");
+    simulation.run_until(simulation.now() + 90_000);
+    let accounts = audit(&simulation, "stuck");
     let stalled: Vec<&MachineId> = ended(&accounts, Ended::Stalled)
         .iter()
         .map(|i| &i.machine)
         .collect();
     assert_eq!(stalled, vec![&stuck]);
-    assert_eq!(warm(&world), 1);
-    assert_ne!(members(&world)[0].0, stuck);
+    assert_eq!(warm(&simulation), 1);
+    assert_ne!(members(&simulation)[0].0, stuck);
 }
 
 /// Each trouble of machines in turn, and all together: the pool fills again.
@@ -275,36 +284,36 @@
     let faults = [
         vec![MachineFault::Die],
         vec![MachineFault::Hang(25_000)],
-        vec![MachineFault::Cut(25_000)],
-        vec![MachineFault::Deaf(25_000)],
+        vec![MachineFault::Partition(25_000)],
+        vec![MachineFault::InboundLoss(25_000)],
         vec![
             MachineFault::Die,
-            MachineFault::Evict,
+            MachineFault::EvictImages,
             MachineFault::Hang(25_000),
         ],
     ];
     for (n, faults) in faults.into_iter().enumerate() {
-        let mut world = world(10 + n as u64, Vec::new(), size(), &[pool(3, 3)]);
-        world.run_until(FULL);
+        let mut simulation = simulation(10 + n as u64, Vec::new(), size(), &[pool(3, 3)]);
+        simulation.run_until(FULL);
         assert_eq!(
-            warm(&world),
+            warm(&simulation),
             3,
             "case {n} at {}: {:?}",
-            world.now(),
-            members(&world)
+            simulation.now(),
+            members(&simulation)
         );
-        for (fault, (id, _)) in faults.into_iter().zip(members(&world)) {
-            world.fault_now(FaultKind::Machines(Which::Named(vec![id]), fault));
+        for (fault, (id, _)) in faults.into_iter().zip(members(&simulation)) {
+            simulation.fault_now(FaultKind::Machines(Which::Named(vec![id]), fault));
         }
-        world.run_until(FULL * 2);
+        simulation.run_until(FULL * 2);
         assert_eq!(
-            warm(&world),
+            warm(&simulation),
             3,
             "case {n} at {}: {:?}",
-            world.now(),
-            members(&world)
+            simulation.now(),
+            members(&simulation)
         );
-        audit(&world, &format!("case {n}"));
+        audit(&simulation, &format!("case {n}"));
     }
 }
 
@@ -316,14 +325,14 @@
         let crash = FaultKind::Crash {
             node: 0,
             count: 1,
-            back: 3_000,
+            restart_after: 3_000,
         };
         Fault {
             at,
             kind: FaultKind::At(who, Box::new(crash)),
         }
     };
-    let holder = || Who::HolderOf(job_id(5));
+    let holder = || ControllerSelector::HolderOfJob(job_id(5));
     for n in 0..36_u64 {
         let in_burst = n >= 18;
         let at = match in_burst {
@@ -332,20 +341,20 @@
         };
         let mut faults = vec![crash(holder(), at)];
         if n % 3 == 0 {
-            faults.push(crash(Who::Leader, at));
+            faults.push(crash(ControllerSelector::Leader, at));
         }
         // A job of the team shows who holds its shard.
         let mut steady = replicas(5, 2_000, 1, "plain");
         steady.spec.gpus = 0.0;
         let plans = vec![steady, replicas(0, FULL, 2, "weights")];
         let pools = vec![vec![pool(2, 4)]; NODES];
-        let mut world = World::with_pools(n, plans, faults, size(), pools);
-        world.run_until(FULL * 2 + 20_000);
+        let mut simulation = World::with_pools(n, plans, faults, size(), pools);
+        simulation.run_until(FULL * 2 + 20_000);
         let name = format!("case {n}, {at} ms");
-        let accounts = audit(&world, &name);
-        assert_eq!(world.unserved(), Vec::<String>::new(), "{name}");
-        assert_eq!(world.check.running(&job_id(0)), 2, "{name}");
-        assert!(warm(&world) >= 2, "{name}: {:?}", members(&world));
+        let accounts = audit(&simulation, &name);
+        assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new(), "{name}");
+        assert_eq!(simulation.check.running_tasks(&job_id(0)), 2, "{name}");
+        assert!(warm(&simulation) >= 2, "{name}: {:?}", members(&simulation));
         let out = ended(&accounts, Ended::HandedOut).len();
         assert!(out <= 2, "{name}: {out} handed out");
         // A new holder does not hear the pool's machines at once: that is no miss.
@@ -362,10 +371,10 @@
 #[test]
 fn accounts_are_right_where_writes_have_no_answer() {
     for seed in 0..6 {
-        let lost = FaultKind::LostWrites {
-            share: 30,
-            of: None,
-            at_once: seed % 2 == 0,
+        let lost = FaultKind::LostWriteResponses {
+            percent: 30,
+            key_prefix: None,
+            executes_at_once: seed % 2 == 0,
             time: 60_000,
         };
         let faults = vec![Fault {
@@ -374,10 +383,14 @@
         }];
         let plans = vec![replicas(0, FULL, 2, "weights")];
         let pools = vec![vec![pool(2, 3)]; NODES];
-        let mut world = World::with_pools(seed, plans, faults, size(), pools);
-        world.run_until(FULL * 2 + 40_000);
-        audit(&world, &format!("seed {seed}"));
-        assert!(warm(&world) >= 2, "seed {seed}: {:?}", members(&world));
+        let mut simulation = World::with_pools(seed, plans, faults, size(), pools);
+        simulation.run_until(FULL * 2 + 40_000);
+        audit(&simulation, &format!("seed {seed}"));
+        assert!(
+            warm(&simulation) >= 2,
+            "seed {seed}: {:?}",
+            members(&simulation)
+        );
     }
 }
 
@@ -396,31 +409,31 @@
     };
     let faults = vec![Fault {
         at: 75_000,
-        kind: FaultKind::Outage(20_000),
+        kind: FaultKind::StoreOutage(20_000),
     }];
     let pools = vec![vec![windowed]; NODES];
-    let mut world = World::with_pools(6, Vec::new(), faults, size(), pools);
-    world.run_until(74_000);
-    assert_eq!(warm(&world), 2);
-    world.run_until(95_000);
-    assert_eq!(members(&world).len(), 2, "nothing can be recorded");
-    world.run_until(150_000);
-    assert_eq!(members(&world), vec![]);
-    assert_eq!(world.machines(), 0, "they were returned");
-    let accounts = audit(&world, "outage");
+    let mut simulation = World::with_pools(6, Vec::new(), faults, size(), pools);
+    simulation.run_until(74_000);
+    assert_eq!(warm(&simulation), 2);
+    simulation.run_until(95_000);
+    assert_eq!(members(&simulation).len(), 2, "nothing can be recorded");
+    simulation.run_until(150_000);
+    assert_eq!(members(&simulation), vec![]);
+    assert_eq!(simulation.machines(), 0, "they were returned");
+    let accounts = audit(&simulation, "outage");
     assert_eq!(ended(&accounts, Ended::Surplus).len(), 2);
     let asked = accounts.asked.iter().filter(|a| a.to_ms.is_none());
     assert_eq!(asked.map(|a| a.machines).collect::<Vec<_>>(), vec![0]);
 }
 
-fn restart(world: &mut World, node: usize, pools: Vec<PoolSpec>) {
-    world.declare_pools(node, pools);
-    world.fault_now(FaultKind::Crash {
+fn restart(simulation: &mut World, node: usize, pools: Vec<PoolSpec>) {
+    simulation.declare_pools(node, pools);
+    simulation.fault_now(FaultKind::Crash {
         node,
         count: 1,
-        back: 1_000,
+        restart_after: 1_000,
     });
-    world.run_until(world.now() + 20_000);
+    simulation.run_until(simulation.now() + 20_000);
 }
 
 /// Pools begin once all controllers have them, and end one by one as they are withdrawn.
@@ -429,45 +442,45 @@
     let on = || vec![pool(2, 2)];
     let pools = vec![on(), on(), Vec::new()];
     let early = vec![replicas(0, 20_000, 1, "weights")];
-    let mut world = World::with_pools(7, early, Vec::new(), size(), pools);
-    world.run_until(FULL);
-    assert_eq!(world.finalized_format(), Some(2), "one has none");
-    assert!(audit(&world, "off at one").intervals.is_empty());
-    restart(&mut world, 2, on());
-    world.run_until(FULL * 2);
-    assert_eq!(world.finalized_format(), Some(3));
-    assert_eq!(warm(&world), 2);
-    let misses = audit(&world, "on").misses;
+    let mut simulation = World::with_pools(7, early, Vec::new(), size(), pools);
+    simulation.run_until(FULL);
+    assert_eq!(simulation.finalized_format(), Some(2), "one has none");
+    assert!(audit(&simulation, "off at one").intervals.is_empty());
+    restart(&mut simulation, 2, on());
+    simulation.run_until(FULL * 2);
+    assert_eq!(simulation.finalized_format(), Some(3));
+    assert_eq!(warm(&simulation), 2);
+    let misses = audit(&simulation, "on").misses;
     assert_eq!(misses, vec![], "what came before pools began missed none");
     // Whoever has no declaration gives the machines back, and still holds shards.
     for node in 0..NODES {
-        restart(&mut world, node, Vec::new());
+        restart(&mut simulation, node, Vec::new());
     }
-    world.run_until(world.now() + 30_000);
-    assert_eq!(members(&world), vec![]);
-    let accounts = audit(&world, "withdrawn");
+    simulation.run_until(simulation.now() + 30_000);
+    assert_eq!(members(&simulation), vec![]);
+    let accounts = audit(&simulation, "withdrawn");
     assert!(ended(&accounts, Ended::Withdrawn).len() >= 2);
     let asked = accounts.asked.iter().filter(|a| a.to_ms.is_none());
     assert_eq!(asked.map(|a| a.machines).collect::<Vec<_>>(), vec![0]);
-    assert!((0..NODES).any(|n| world.holds_shards(n)));
+    assert!((0..NODES).any(|n| simulation.holds_shards(n)));
 }
 
 /// A declaration that changes its image or its size is followed by the next holder.
 #[test]
 fn a_changed_declaration_is_followed() {
-    let mut world = world(8, Vec::new(), size(), &[pool(2, 2)]);
-    world.run_until(FULL);
-    assert_eq!(warm(&world), 2);
+    let mut simulation = simulation(8, Vec::new(), size(), &[pool(2, 2)]);
+    simulation.run_until(FULL);
+    assert_eq!(warm(&simulation), 2);
     let changed = PoolSpec {
         image: "newer".to_owned(),
         ..pool(1, 1)
     };
     for node in 0..NODES {
-        restart(&mut world, node, vec![changed.clone()]);
+        restart(&mut simulation, node, vec![changed.clone()]);
     }
-    world.run_until(world.now() + 30_000);
-    assert_eq!(warm(&world), 1, "{:?}", members(&world));
-    let accounts = audit(&world, "changed");
+    simulation.run_until(simulation.now() + 30_000);
+    assert_eq!(warm(&simulation), 1, "{:?}", members(&simulation));
+    let accounts = audit(&simulation, "changed");
     assert!(!ended(&accounts, Ended::Surplus).is_empty());
 }
 
@@ -481,28 +494,40 @@
     };
     let pools = vec![vec![pool(2, 2)]; NODES];
     let plans = vec![replicas(0, 5_000, 2, "weights")];
-    let mut world = World::with_pools(9, plans, Vec::new(), size, pools);
-    world.run_until(20_000);
+    let mut simulation = World::with_pools(9, plans, Vec::new(), size, pools);
+    simulation.run_until(20_000);
     for node in 0..NODES - 1 {
-        world.fault_now(FaultKind::Upgrade { node, back: 1_000 });
-        world.run_until(world.now() + 15_000);
+        simulation.fault_now(FaultKind::Upgrade {
+            node,
+            restart_after: 1_000,
+        });
+        simulation.run_until(simulation.now() + 15_000);
     }
     for node in 0..NODES - 1 {
-        world.fault_now(FaultKind::Downgrade { node, back: 1_000 });
-        world.run_until(world.now() + 15_000);
+        simulation.fault_now(FaultKind::Downgrade {
+            node,
+            restart_after: 1_000,
+        });
+        simulation.run_until(simulation.now() + 15_000);
     }
-    assert_eq!(world.finalized_format(), None);
-    assert!(audit(&world, "old").intervals.is_empty());
-    assert!(world.pool_accounts(world.wall()).asked.is_empty());
-    assert_eq!(world.check.running(&job_id(0)), 2);
+    assert_eq!(simulation.finalized_format(), None);
+    assert!(audit(&simulation, "old").intervals.is_empty());
+    assert!(simulation
+        .pool_accounts(simulation.wall_clock())
+        .asked
+        .is_empty());
+    assert_eq!(simulation.check.running_tasks(&job_id(0)), 2);
     for node in 0..NODES {
-        world.fault_now(FaultKind::Upgrade { node, back: 1_000 });
-        world.run_until(world.now() + 15_000);
+        simulation.fault_now(FaultKind::Upgrade {
+            node,
+            restart_after: 1_000,
+        });
+        simulation.run_until(simulation.now() + 15_000);
     }
-    world.run_until(world.now() + FULL);
-    assert_eq!(world.finalized_format(), Some(3));
-    assert_eq!(warm(&world), 2);
-    audit(&world, "upgraded");
+    simulation.run_until(simulation.now() + FULL);
+    assert_eq!(simulation.finalized_format(), Some(3));
+    assert_eq!(warm(&simulation), 2);
+    audit(&simulation, "upgraded");
 }
 
 /// What the machines of a pool may cost is a limit, whatever is asked for.
@@ -512,20 +537,20 @@
         cost_per_hour_most: Some(33.0),
         ..pool(4, 4)
     };
-    let mut world = world(11, Vec::new(), size(), &[cheap]);
+    let mut simulation = simulation(11, Vec::new(), size(), &[cheap]);
     for _ in 0..120 {
-        world.run_until(world.now() + 1_000);
-        assert!(members(&world).len() <= 2, "at {}", world.now());
+        simulation.run_until(simulation.now() + 1_000);
+        assert!(members(&simulation).len() <= 2, "at {}", simulation.now());
     }
-    assert_eq!(warm(&world), 2);
-    let accounts = audit(&world, "cost");
+    assert_eq!(warm(&simulation), 2);
+    let accounts = audit(&simulation, "cost");
     let report = forkshift_pools::report::report(
         &accounts,
         forkshift_pools::report::Span {
             from_ms: 0,
-            to_ms: world.wall(),
+            to_ms: simulation.wall_clock(),
         },
-        world.wall(),
+        simulation.wall_clock(),
     );
     assert!(report.pools[0].short_s > 0.0);
 }
@@ -540,13 +565,13 @@
         ..pool(3, 3)
     };
     for (seed, notice) in [(20, 0), (21, 5_000)] {
-        let mut world = world(seed, Vec::new(), size(), std::slice::from_ref(&spot));
-        world.run_until(FULL);
-        assert_eq!(warm(&world), 3, "{:?}", members(&world));
-        world.fault_now(FaultKind::Taken { notice });
-        world.run_until(FULL * 2 + 30_000);
-        assert_eq!(warm(&world), 3, "{:?}", members(&world));
-        let accounts = audit(&world, &format!("notice {notice}"));
+        let mut simulation = simulation(seed, Vec::new(), size(), std::slice::from_ref(&spot));
+        simulation.run_until(FULL);
+        assert_eq!(warm(&simulation), 3, "{:?}", members(&simulation));
+        simulation.fault_now(FaultKind::SpotReclaim { notice });
+        simulation.run_until(FULL * 2 + 30_000);
+        assert_eq!(warm(&simulation), 3, "{:?}", members(&simulation));
+        let accounts = audit(&simulation, &format!("notice {notice}"));
         assert!(accounts.intervals.iter().all(|i| i.spot));
         assert!(!ended(&accounts, Ended::Lost).is_empty(), "some were taken");
     }
@@ -560,9 +585,9 @@
 );
 
 /// What is recorded of pools, for telling whether something was written.
-fn recorded(world: &World) -> Recorded {
-    let rows = world.records(POOLS).len();
-    (members(world), rows, world.records(HEADS))
+fn recorded(simulation: &World) -> Recorded {
+    let rows = simulation.store_entries(POOLS).len();
+    (members(simulation), rows, simulation.store_entries(HEADS))
 }
 
 /// A day is played once to find every write of a membership and of the account, and then
@@ -576,7 +601,7 @@
         steady.spec.gpus = 0.0;
         vec![steady, replicas(0, FULL, 2, "weights")]
     };
-    let mut reference = world(SEED, plans(), size(), &[pool(2, 4)]);
+    let mut reference = simulation(SEED, plans(), size(), &[pool(2, 4)]);
     let mut writes = Vec::new();
     let mut before = recorded(&reference);
     while reference.now() < END {
@@ -593,16 +618,16 @@
         let crash = FaultKind::Crash {
             node: 0,
             count: 1,
-            back: 3_000,
+            restart_after: 3_000,
         };
-        let kind = FaultKind::At(Who::HolderOf(job_id(5)), Box::new(crash));
+        let kind = FaultKind::At(ControllerSelector::HolderOfJob(job_id(5)), Box::new(crash));
         let faults = vec![Fault { at, kind }];
         let pools = vec![vec![pool(2, 4)]; NODES];
-        let mut world = World::with_pools(SEED, plans(), faults, size(), pools);
-        world.run_until(FULL * 2 + 20_000);
+        let mut simulation = World::with_pools(SEED, plans(), faults, size(), pools);
+        simulation.run_until(FULL * 2 + 20_000);
         let name = format!("ended at {at} ms");
-        audit(&world, &name);
-        assert_eq!(world.check.running(&job_id(0)), 2, "{name}");
-        assert!(warm(&world) >= 2, "{name}: {:?}", members(&world));
+        audit(&simulation, &name);
+        assert_eq!(simulation.check.running_tasks(&job_id(0)), 2, "{name}");
+        assert!(warm(&simulation) >= 2, "{name}: {:?}", members(&simulation));
     }
 }
