--- /dev/null
+++ b/crates/testkit/src/checker/progress.rs
@@ -0,0 +1,71 @@
+//! The rules about waiting: jobs begin in time.
+
+use super::{Checker, Quiescence, Rule};
+use crate::Ms;
+use forkshift_wire::users::JobSpec;
+use forkshift_wire::JobId;
+use std::collections::BTreeMap;
+
+/// After the last fault, a job for which there is room has to begin within this.
+const MAX_WAIT_MS: Ms = 90_000;
+/// The largest jobs have to begin within this.
+const MAX_BEGIN_MS: Ms = 240_000;
+/// One in so many jobs of a class is one of its largest.
+const LARGEST_JOB_FRACTION: usize = 10;
+
+impl Checker {
+    /// A job has no task on a machine. `has_room`: a machine that fits has room for it
+    /// while its team is under its limit.
+    pub fn on_job_waiting(&mut self, now: Ms, id: &JobId, has_room: bool) {
+        let Quiescence::Since(quiet_since) = self.quiescence else {
+            self.waiting_with_room.clear();
+            return;
+        };
+        if !has_room {
+            self.waiting_with_room.remove(id);
+            return;
+        }
+        let since = *self.waiting_with_room.entry(id.clone()).or_insert(now);
+        if now > since.max(quiet_since) + MAX_WAIT_MS {
+            self.waiting_with_room.remove(id);
+            self.record_violation(Rule::LeftWaiting, now, format!("{id} since {since}"));
+        }
+    }
+
+    /// Checks at the end of a day that the largest jobs of each class have begun in time.
+    /// Those that were cancelled before are left out.
+    pub fn finish(&mut self, now: Ms) {
+        let mut classes: BTreeMap<&str, Vec<&JobSpec>> = BTreeMap::new();
+        for spec in self.jobs.values() {
+            classes.entry(&spec.class).or_default().push(spec);
+        }
+        let mut late = Vec::new();
+        for specs in classes.into_values() {
+            let largest = largest_jobs(specs).into_iter();
+            late.extend(largest.filter_map(|spec| self.late_begin(now, spec)));
+        }
+        for what in late {
+            self.record_violation(Rule::LateBegin, now, what);
+        }
+    }
+
+    /// Describes a job that did not begin in time.
+    fn late_begin(&self, now: Ms, spec: &JobSpec) -> Option<String> {
+        let requested_at = *self.first_requested_at.get(&spec.id)?;
+        let ready_at = self.ready_since(&spec.id, requested_at)?;
+        let begun_at = self.begun_at.get(&spec.id);
+        let until = begun_at.copied().unwrap_or(now);
+        let is_called_off = begun_at.is_none() && self.is_cancel_wanted(&spec.id);
+        let is_late = until > ready_at + MAX_BEGIN_MS && !is_called_off;
+        let (id, class) = (&spec.id, &spec.class);
+        is_late.then(|| format!("{id} of {class}: {begun_at:?} after {ready_at}"))
+    }
+}
+
+/// The largest jobs of one class by CPUs and GPUs.
+fn largest_jobs(mut specs: Vec<&JobSpec>) -> Vec<&JobSpec> {
+    let size = |spec: &JobSpec| f64::from(spec.tasks) * (spec.cpus + spec.gpus);
+    specs.sort_by(|a, b| size(b).total_cmp(&size(a)));
+    specs.truncate(specs.len().div_ceil(LARGEST_JOB_FRACTION));
+    specs
+}
--- /dev/null
+++ b/crates/testkit/src/checker/tasks.rs
@@ -0,0 +1,208 @@
+//! The rules about tasks on machines: one place at a time, in an allowed place, within the
+//! team's limits, and not of a job cancelled long ago.
+
+use super::{Checker, Place, Rule};
+use crate::Ms;
+use forkshift_wire::users::{JobKind, JobSpec};
+use forkshift_wire::{JobId, MachineId, TaskRef};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Tolerance for sums of fractions.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+impl Checker {
+    /// A task has its image and is on its machine from now on.
+    pub fn on_task_started(&mut self, now: Ms, task: &TaskRef, place: Place) {
+        self.starts += 1;
+        *self.starts_by_job.entry(task.job.clone()).or_default() += 1;
+        let Some(spec) = self.jobs.get(&task.job).cloned() else {
+            return;
+        };
+        self.check_single_place(now, task, &place);
+        self.observe_start(now, task, spec.priority);
+        self.check_dependencies(now, &task.job, &task.to_string());
+        self.check_place(now, task, &spec, &place);
+        self.check_not_cancelled(now, task);
+        let tasks = self.placements.entry(task.job.clone()).or_default();
+        tasks.entry(task.index).or_default().push(place);
+        let usage = self.team_usage.entry(spec.team.clone()).or_default();
+        usage.add(&spec);
+        // An array begins with any task, the others with all.
+        let is_array = spec.kind == JobKind::Array;
+        if is_array || self.running_tasks(&task.job) as u32 == spec.tasks {
+            self.begun_at.entry(task.job.clone()).or_insert(now);
+        }
+        self.check_quota(now, &spec.team);
+    }
+
+    fn check_single_place(&mut self, now: Ms, task: &TaskRef, place: &Place) {
+        if let Some(places) = self.places_of(task) {
+            let what = format!("{task} on {} and {places:?}", place.machine);
+            self.record_violation(Rule::RanTwice, now, what);
+        }
+    }
+
+    fn check_place(&mut self, now: Ms, task: &TaskRef, spec: &JobSpec, place: &Place) {
+        let tasks = self.placements.get(&task.job).into_iter().flatten();
+        let others: Vec<&Place> = tasks
+            .filter(|(index, _)| **index != task.index)
+            .flat_map(|(_, places)| places)
+            .collect();
+        let in_same_zone = others.iter().filter(|other| other.zone == place.zone);
+        let in_same_zone = in_same_zone.count() as u32;
+        let types = spec.types.as_ref();
+        let is_wrong = types.is_some_and(|types| !types.contains(&place.machine_type))
+            || spec.zone.as_ref().is_some_and(|zone| *zone != place.zone)
+            || (place.spot && !spec.spot)
+            || (spec.one_zone && in_same_zone < others.len() as u32)
+            || (spec.spread && in_same_zone + 1 > spec.tasks.div_ceil(2));
+        if is_wrong {
+            self.record_violation(Rule::WrongPlace, now, format!("{task} on {place:?}"));
+        }
+    }
+
+    fn check_not_cancelled(&mut self, now: Ms, task: &TaskRef) {
+        let Some(at) = self.cancelled_at.get(&task.job) else {
+            return;
+        };
+        let start = (now, now - at, task.clone());
+        let is_late = now > at + self.cancel_ms;
+        self.starts_after_cancel.push(start);
+        if is_late {
+            self.record_violation(Rule::RanCancelled, now, format!("{task} starts"));
+        }
+    }
+
+    fn check_quota(&mut self, now: Ms, team: &str) {
+        let Some(&(max_cpus, max_gpus)) = self.limits.get(team) else {
+            return;
+        };
+        let usage = self.team_usage.get(team).copied().unwrap_or_default();
+        let (cpus, gpus) = (usage.cpus(), usage.gpus());
+        let is_over = |used: f64, max: f64| max > 0.0 && used > max + ROUNDING_TOLERANCE;
+        if is_over(cpus, max_cpus) || is_over(gpus, max_gpus) {
+            let what = format!("{team}: {cpus} CPUs, {gpus} GPUs");
+            self.record_violation(Rule::Quota, now, what);
+        }
+    }
+
+    /// A task is no longer on its machine.
+    pub fn on_task_ended(&mut self, task: &TaskRef, machine: &MachineId) {
+        let tasks = self.placements.get_mut(&task.job);
+        let Some(places) = tasks.and_then(|tasks| tasks.get_mut(&task.index)) else {
+            return;
+        };
+        let index = places.iter().position(|place| place.machine == *machine);
+        if let Some(index) = index {
+            places.remove(index);
+            self.release_usage(&task.job, 1);
+        }
+        self.remove_empty_placement(task);
+    }
+
+    /// A task has completed.
+    pub fn on_task_completed(&mut self, now: Ms, task: &TaskRef) {
+        let completed = self.completed_tasks.entry(task.job.clone()).or_default();
+        let tasks = self.jobs.get(&task.job).map_or(0, |spec| spec.tasks);
+        if completed.insert(task.index) && completed.len() as u32 == tasks {
+            self.newly_completed.push(task.job.clone());
+            self.record_ready_dependents(now, &task.job);
+        }
+    }
+
+    /// A task has failed on a machine.
+    pub(crate) fn on_task_failed(&mut self, now: Ms, task: &TaskRef, machine: &MachineId) {
+        self.failures.push((now, task.clone(), machine.clone()));
+    }
+
+    /// Where a task is, if it is on any machine.
+    fn places_of(&self, task: &TaskRef) -> Option<&Vec<Place>> {
+        self.placements.get(&task.job)?.get(&task.index)
+    }
+
+    /// Some tasks of a job use nothing any more.
+    fn release_usage(&mut self, id: &JobId, tasks: usize) {
+        let Some(spec) = self.jobs.get(id) else {
+            return;
+        };
+        if let Some(usage) = self.team_usage.get_mut(&spec.team) {
+            for _ in 0..tasks {
+                usage.remove(spec);
+            }
+        }
+    }
+
+    /// Drops the entries of a task that is on no machine.
+    fn remove_empty_placement(&mut self, task: &TaskRef) {
+        let Some(tasks) = self.placements.get_mut(&task.job) else {
+            return;
+        };
+        if tasks.get(&task.index).is_some_and(Vec::is_empty) {
+            tasks.remove(&task.index);
+        }
+        if tasks.is_empty() {
+            self.placements.remove(&task.job);
+        }
+    }
+
+    /// Checks that the tasks of cancelled jobs are off their machines in time. Tasks on
+    /// `expired` machines, which hang without a lease, do not count, as the worker's first
+    /// act will be to kill them. If they go on nevertheless, they count again.
+    pub(super) fn check_cancelled_tasks(&mut self, now: Ms, expired: &BTreeSet<MachineId>) {
+        for task in self.late_cancelled_tasks(now, expired) {
+            let what = format!("{task} is still there");
+            self.record_violation(Rule::RanCancelled, now, what);
+            let tasks = self.placements.get_mut(&task.job);
+            let places = tasks.and_then(|tasks| tasks.get_mut(&task.index));
+            let removed = places.map_or(0, |places| std::mem::take(places).len());
+            self.release_usage(&task.job, removed);
+            self.remove_empty_placement(&task);
+        }
+    }
+
+    fn late_cancelled_tasks(&self, now: Ms, expired: &BTreeSet<MachineId>) -> Vec<TaskRef> {
+        let is_late = |id: &JobId| {
+            let at = self.cancelled_at.get(id);
+            at.is_some_and(|at| now > at + self.cancel_ms)
+        };
+        let counts = |places: &[Place]| {
+            let mut machines = places.iter().map(|place| &place.machine);
+            machines.any(|machine| !expired.contains(machine))
+        };
+        let jobs = self.placements.iter().filter(|(id, _)| is_late(id));
+        jobs.flat_map(|(id, tasks)| {
+            let late = tasks.iter().filter(|(_, places)| counts(places));
+            late.map(|(index, _)| TaskRef {
+                job: id.clone(),
+                index: *index,
+            })
+        })
+        .collect()
+    }
+
+    /// Whether a task has completed.
+    pub fn is_task_completed(&self, task: &TaskRef) -> bool {
+        let completed = self.completed_tasks.get(&task.job);
+        completed.is_some_and(|completed| completed.contains(&task.index))
+    }
+
+    /// When a job began: an array with its first task, others with all.
+    pub fn began_at(&self, id: &JobId) -> Option<Ms> {
+        self.begun_at.get(id).copied()
+    }
+
+    /// How often tasks of a job have started.
+    pub fn starts_of(&self, id: &JobId) -> u64 {
+        self.starts_by_job.get(id).copied().unwrap_or(0)
+    }
+
+    /// Tasks of a job that are on machines.
+    pub fn running_tasks(&self, id: &JobId) -> usize {
+        self.placements.get(id).map_or(0, BTreeMap::len)
+    }
+
+    /// Tasks that are on machines.
+    pub fn tasks_on_machines(&self) -> usize {
+        self.placements.values().map(BTreeMap::len).sum()
+    }
+}
--- a/crates/testkit/src/checker/tests.rs
+++ b/crates/testkit/src/checker/tests.rs
@@ -1,7 +1,8 @@
-//! Each rule is shown to be caught.
+//! Each rule is checked with a trace that violates it.
 
 use super::*;
 use crate::simulation::Plan;
+use forkshift_wire::users::JobKind;
 
 fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
@@ -30,39 +31,38 @@
     }
 }
 
-/// A job that needs another.
-fn dependent(checker: &mut Checker, id: &str, needs: &JobId) -> JobId {
+/// Submits a job that depends on another.
+fn dependent(checker: &mut Checker, id: &str, dependency: &JobId) -> JobId {
     let spec = JobSpec {
-        dependencies: vec![needs.clone()],
+        dependencies: vec![dependency.clone()],
         ..spec(id, 4)
     };
     checker.on_submitted(&spec);
     spec.id
 }
 
-/// Each rule is shown to be caught, by a trace that breaks it and by the
-/// same trace put right.
+/// Each trace violates its rule, and the same trace without the mistake violates none.
 #[test]
-fn every_rule_is_caught() {
+fn every_rule_is_violated_by_its_trace_and_by_no_corrected_one() {
     type Trace = fn(&mut Checker, &JobId, bool);
     let cases: [(Rule, Trace); 29] = [
-        (Rule::RanTwice, |c, _, bad| {
-            c.on_task_started(1, &task(0), place("m1", "a"));
-            if !bad {
-                c.on_task_ended(&task(0), &MachineId::new("m1"));
+        (Rule::RanTwice, |checker, _, violates| {
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            if !violates {
+                checker.on_task_ended(&task(0), &MachineId::new("m1"));
             }
-            c.on_task_started(2, &task(0), place("m2", "a"));
+            checker.on_task_started(2, &task(0), place("m2", "a"));
         }),
-        (Rule::Quota, |c, _, bad| {
-            c.on_task_started(1, &task(0), place("m1", "a"));
-            c.on_task_started(1, &task(1), place("m1", "a"));
-            if bad {
-                c.on_task_started(1, &task(2), place("m2", "b"));
+        (Rule::Quota, |checker, _, violates| {
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_task_started(1, &task(1), place("m1", "a"));
+            if violates {
+                checker.on_task_started(1, &task(2), place("m2", "b"));
             }
         }),
-        (Rule::WrongPlace, |c, _, bad| {
-            let spot = bad;
-            c.on_task_started(
+        (Rule::WrongPlace, |checker, _, violates| {
+            let spot = violates;
+            checker.on_task_started(
                 1,
                 &task(0),
                 Place {
@@ -71,9 +71,9 @@
                 },
             );
         }),
-        (Rule::WrongPlace, |c, _, bad| {
-            let machine_type = if bad { "h" } else { "g" }.to_owned();
-            c.on_task_started(
+        (Rule::WrongPlace, |checker, _, violates| {
+            let machine_type = if violates { "h" } else { "g" }.to_owned();
+            checker.on_task_started(
                 1,
                 &task(0),
                 Place {
@@ -82,158 +82,158 @@
                 },
             );
         }),
-        (Rule::WrongPlace, |c, id, bad| {
-            c.jobs.get_mut(id).unwrap().one_zone = true;
-            c.on_task_started(1, &task(0), place("m1", "a"));
-            c.on_task_started(1, &task(1), place("m2", if bad { "b" } else { "a" }));
+        (Rule::WrongPlace, |checker, id, violates| {
+            checker.jobs.get_mut(id).unwrap().one_zone = true;
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_task_started(1, &task(1), place("m2", if violates { "b" } else { "a" }));
         }),
-        (Rule::WrongPlace, |c, id, bad| {
-            c.jobs.get_mut(id).unwrap().spread = true;
-            c.on_task_started(1, &task(0), place("m1", "a"));
-            c.on_task_started(1, &task(1), place("m2", "a"));
-            if bad {
-                c.limits.clear();
-                c.on_task_started(1, &task(2), place("m2", "a"));
+        (Rule::WrongPlace, |checker, id, violates| {
+            checker.jobs.get_mut(id).unwrap().spread = true;
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_task_started(1, &task(1), place("m2", "a"));
+            if violates {
+                checker.limits.clear();
+                checker.on_task_started(1, &task(2), place("m2", "a"));
             }
         }),
-        (Rule::RanCancelled, |c, id, bad| {
-            c.on_cancel_requested(id);
-            c.on_task_started(1, &task(0), place("m1", "a"));
-            c.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
-            if !bad {
-                c.on_task_ended(&task(0), &MachineId::new("m1"));
+        (Rule::RanCancelled, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
+            if !violates {
+                checker.on_task_ended(&task(0), &MachineId::new("m1"));
             }
-            c.tick(5 + 101, &BTreeSet::new());
+            checker.tick(5 + 101, &BTreeSet::new());
         }),
-        (Rule::Forgotten, |c, id, bad| {
-            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
-            c.on_immediate_response(2, id, false, if bad { 404 } else { 503 }, None);
+        (Rule::Forgotten, |checker, id, violates| {
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            checker.on_immediate_response(2, id, false, if violates { 404 } else { 503 }, None);
         }),
-        (Rule::Invented, |c, _, bad| {
+        (Rule::Invented, |checker, _, violates| {
             let other = JobId::parse("j-9").unwrap();
-            c.on_immediate_response(1, &other, false, if bad { 200 } else { 404 }, None);
+            checker.on_immediate_response(1, &other, false, if violates { 200 } else { 404 }, None);
         }),
-        (Rule::NotDone, |c, id, bad| {
-            for i in 0..if bad { 3 } else { 4 } {
-                c.on_task_completed(1, &task(i));
+        (Rule::NotDone, |checker, id, violates| {
+            for i in 0..if violates { 3 } else { 4 } {
+                checker.on_task_completed(1, &task(i));
             }
-            c.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
         }),
-        (Rule::WentBack, |c, id, bad| {
-            if !bad {
-                c.on_cancel_requested(id);
+        (Rule::WentBack, |checker, id, violates| {
+            if !violates {
+                checker.on_cancel_requested(id);
             }
-            c.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
         }),
-        // Older answers to requests that were sent before something newer had
-        // been told are fine, to later ones they are not.
-        (Rule::Forgotten, |c, id, bad| {
-            let early = c.on_request_sent(1, id);
-            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
-            let late = c.on_request_sent(1, id);
-            c.on_response(if bad { late } else { early }, 1, id, false, 404, None);
+        // An older state may be the response to a request that was sent before a newer one
+        // was known, but not to a later request.
+        (Rule::Forgotten, |checker, id, violates| {
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let late = checker.on_request_sent(1, id);
+            checker.on_response(if violates { late } else { early }, 1, id, false, 404, None);
         }),
-        (Rule::Forgotten, |c, id, bad| {
-            let early = c.on_request_sent(1, id);
-            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
-            let late = c.on_request_sent(1, id);
-            c.on_response(if bad { late } else { early }, 1, id, true, 422, None);
+        (Rule::Forgotten, |checker, id, violates| {
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let late = checker.on_request_sent(1, id);
+            checker.on_response(if violates { late } else { early }, 1, id, true, 422, None);
         }),
-        (Rule::WentBack, |c, id, bad| {
-            c.on_cancel_requested(id);
-            let early = c.on_request_sent(1, id);
-            c.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
-            let late = c.on_request_sent(1, id);
-            let ticket = if bad { late } else { early };
-            c.on_response(ticket, 1, id, false, 200, Some(JobStage::Running));
+        (Rule::WentBack, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
+            let late = checker.on_request_sent(1, id);
+            let ticket = if violates { late } else { early };
+            checker.on_response(ticket, 1, id, false, 200, Some(JobStage::Running));
         }),
-        (Rule::WentBack, |c, id, bad| {
-            (0..4).for_each(|i| c.on_task_completed(1, &task(i)));
-            let early = c.on_request_sent(1, id);
-            c.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
-            let late = c.on_request_sent(1, id);
-            let ticket = if bad { late } else { early };
-            c.on_response(ticket, 1, id, true, 200, Some(JobStage::Queued));
+        (Rule::WentBack, |checker, id, violates| {
+            (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
+            let late = checker.on_request_sent(1, id);
+            let ticket = if violates { late } else { early };
+            checker.on_response(ticket, 1, id, true, 200, Some(JobStage::Queued));
         }),
-        // Two final stages never go together.
-        (Rule::WentBack, |c, id, bad| {
-            c.on_cancel_requested(id);
-            (0..4).for_each(|i| c.on_task_completed(1, &task(i)));
-            let early = c.on_request_sent(1, id);
-            c.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
-            let stage = match bad {
+        // Two final stages never occur together.
+        (Rule::WentBack, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
+            let stage = match violates {
                 true => JobStage::Cancelled,
                 false => JobStage::Done,
             };
-            c.on_response(early, 1, id, false, 200, Some(stage));
+            checker.on_response(early, 1, id, false, 200, Some(stage));
         }),
-        (Rule::RanCancelled, |c, id, bad| {
-            c.on_cancel_requested(id);
-            c.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
-            let at = 5 + 100 + u64::from(bad);
-            c.on_task_started(at, &task(0), place("m1", "a"));
+        (Rule::RanCancelled, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            checker.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
+            let at = 5 + 100 + u64::from(violates);
+            checker.on_task_started(at, &task(0), place("m1", "a"));
         }),
-        (Rule::Unfit, |c, _, bad| {
+        (Rule::Unfit, |checker, _, violates| {
             let other = JobId::parse("j-9").unwrap();
-            c.expect_refusal(&other);
-            let status = if bad { 201 } else { 422 };
-            c.on_immediate_response(1, &other, true, status, None);
-            c.check_refusal(1, &other, status, 422);
+            checker.expect_refusal(&other);
+            let status = if violates { 201 } else { 422 };
+            checker.on_immediate_response(1, &other, true, status, None);
+            checker.check_refusal(1, &other, status, 422);
         }),
-        (Rule::WrongAnswer, |c, _, bad| {
+        (Rule::WrongAnswer, |checker, _, violates| {
             let other = JobId::parse("j-9").unwrap();
-            c.expect_refusal(&other);
-            c.check_refusal(1, &other, 503, 400);
-            c.check_refusal(1, &other, if bad { 422 } else { 400 }, 400);
+            checker.expect_refusal(&other);
+            checker.check_refusal(1, &other, 503, 400);
+            checker.check_refusal(1, &other, if violates { 422 } else { 400 }, 400);
         }),
-        (Rule::Unanswered, |c, id, bad| {
-            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
-            c.on_request_sent(10, id);
-            c.tick(90_000, &BTreeSet::new());
-            c.set_quiescence(Quiescence::Since(100_000));
-            c.on_immediate_response(110_000, id, false, 503, None);
-            let status = if bad { 504 } else { 200 };
-            c.on_immediate_response(174_000, id, false, status, Some(JobStage::Queued));
-            c.tick(175_001, &BTreeSet::new());
+        (Rule::Unanswered, |checker, id, violates| {
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            checker.on_request_sent(10, id);
+            checker.tick(90_000, &BTreeSet::new());
+            checker.set_quiescence(Quiescence::Since(100_000));
+            checker.on_immediate_response(110_000, id, false, 503, None);
+            let status = if violates { 504 } else { 200 };
+            checker.on_immediate_response(174_000, id, false, status, Some(JobStage::Queued));
+            checker.tick(175_001, &BTreeSet::new());
         }),
-        (Rule::LeftWaiting, |c, id, bad| {
-            c.on_job_waiting(1, id, true);
-            c.set_quiescence(Quiescence::Since(100_000));
-            c.on_job_waiting(100_000, id, true);
-            c.on_job_waiting(150_000, id, bad);
-            c.on_job_waiting(190_001, id, true);
+        (Rule::LeftWaiting, |checker, id, violates| {
+            checker.on_job_waiting(1, id, true);
+            checker.set_quiescence(Quiescence::Since(100_000));
+            checker.on_job_waiting(100_000, id, true);
+            checker.on_job_waiting(150_000, id, violates);
+            checker.on_job_waiting(190_001, id, true);
         }),
-        (Rule::LeftWaiting, |c, id, bad| {
-            c.set_quiescence(Quiescence::Since(0));
-            c.on_job_waiting(1_000, id, true);
-            if !bad {
-                c.set_quiescence(Quiescence::NotYet);
-                c.on_job_waiting(50_000, id, true);
-                c.set_quiescence(Quiescence::Since(60_000));
+        (Rule::LeftWaiting, |checker, id, violates| {
+            checker.set_quiescence(Quiescence::Since(0));
+            checker.on_job_waiting(1_000, id, true);
+            if !violates {
+                checker.set_quiescence(Quiescence::NotYet);
+                checker.on_job_waiting(50_000, id, true);
+                checker.set_quiescence(Quiescence::Since(60_000));
             }
-            c.on_job_waiting(91_001, id, true);
+            checker.on_job_waiting(91_001, id, true);
         }),
-        (Rule::LateBegin, |c, id, bad| {
-            c.on_request_sent(1, id);
-            c.on_task_started(240_001 + u64::from(bad), &task(0), place("m1", "a"));
-            c.finish(500_000);
+        (Rule::LateBegin, |checker, id, violates| {
+            checker.on_request_sent(1, id);
+            checker.on_task_started(240_001 + u64::from(violates), &task(0), place("m1", "a"));
+            checker.finish(500_000);
         }),
-        // A gang begins with its last task, and never if it does not come.
-        (Rule::LateBegin, |c, id, bad| {
-            let spec = c.jobs.get_mut(id).unwrap();
+        // A gang begins with its last task, and never without it.
+        (Rule::LateBegin, |checker, id, violates| {
+            let spec = checker.jobs.get_mut(id).unwrap();
             (spec.kind, spec.tasks) = (JobKind::Gang, 2);
-            c.on_request_sent(1, id);
-            c.on_task_started(2, &task(0), place("m1", "a"));
-            if !bad {
-                c.on_task_started(3, &task(1), place("m1", "a"));
+            checker.on_request_sent(1, id);
+            checker.on_task_started(2, &task(0), place("m1", "a"));
+            if !violates {
+                checker.on_task_started(3, &task(1), place("m1", "a"));
             }
-            c.finish(240_002);
+            checker.finish(240_002);
         }),
-        (Rule::TooEarly, |c, id, bad| {
-            let next = dependent(c, "j-2", id);
-            let completed = if bad { 3 } else { 4 };
-            (0..completed).for_each(|i| c.on_task_completed(1, &task(i)));
-            c.on_task_started(
+        (Rule::TooEarly, |checker, id, violates| {
+            let next = dependent(checker, "j-2", id);
+            let completed = if violates { 3 } else { 4 };
+            (0..completed).for_each(|i| checker.on_task_completed(1, &task(i)));
+            checker.on_task_started(
                 2,
                 &TaskRef {
                     job: next,
@@ -242,36 +242,36 @@
                 place("m1", "a"),
             );
         }),
-        // Through another, and not before the time for it is over.
-        (Rule::Orphaned, |c, id, bad| {
-            let next = dependent(c, "j-2", id);
-            let last = dependent(c, "j-3", &next);
-            c.on_cancel_requested(id);
-            c.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
-            let at = 5 + 100 + u64::from(bad);
-            c.on_immediate_response(at, &last, false, 200, Some(JobStage::Queued));
-            c.on_immediate_response(at, &last, false, 200, Some(JobStage::Cancelled));
+        // Also through another job, and not before the time for it is over.
+        (Rule::Orphaned, |checker, id, violates| {
+            let next = dependent(checker, "j-2", id);
+            let last = dependent(checker, "j-3", &next);
+            checker.on_cancel_requested(id);
+            checker.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
+            let at = 5 + 100 + u64::from(violates);
+            checker.on_immediate_response(at, &last, false, 200, Some(JobStage::Queued));
+            checker.on_immediate_response(at, &last, false, 200, Some(JobStage::Cancelled));
         }),
-        // A cancellation that is answered with `done` cancels nothing.
-        (Rule::WentBack, |c, id, bad| {
-            let next = dependent(c, "j-2", id);
-            (0..4).for_each(|i| c.on_task_completed(1, &task(i)));
-            c.on_cancel_requested(id);
-            if bad {
-                c.on_immediate_response(5, id, false, 200, Some(JobStage::Done));
+        // A cancellation whose response is `done` cancels nothing.
+        (Rule::WentBack, |checker, id, violates| {
+            let next = dependent(checker, "j-2", id);
+            (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
+            checker.on_cancel_requested(id);
+            if violates {
+                checker.on_immediate_response(5, id, false, 200, Some(JobStage::Done));
             }
-            c.on_immediate_response(6, &next, false, 200, Some(JobStage::Cancelled));
+            checker.on_immediate_response(6, &next, false, 200, Some(JobStage::Cancelled));
         }),
-        // Its time begins when the last job that it needs is done.
-        (Rule::LateBegin, |c, id, bad| {
-            c.jobs.get_mut(id).unwrap().class = "other".to_owned();
-            c.on_request_sent(1, id);
-            c.on_task_started(2, &task(0), place("m1", "a"));
-            let next = dependent(c, "j-2", id);
-            c.on_request_sent(1, &next);
-            (0..4).for_each(|i| c.on_task_completed(100_000, &task(i)));
-            let at = 340_000 + u64::from(bad);
-            c.on_task_started(
+        // Its time begins when the last job that it depends on is done.
+        (Rule::LateBegin, |checker, id, violates| {
+            checker.jobs.get_mut(id).unwrap().class = "other".to_owned();
+            checker.on_request_sent(1, id);
+            checker.on_task_started(2, &task(0), place("m1", "a"));
+            let next = dependent(checker, "j-2", id);
+            checker.on_request_sent(1, &next);
+            (0..4).for_each(|i| checker.on_task_completed(100_000, &task(i)));
+            let at = 340_000 + u64::from(violates);
+            checker.on_task_started(
                 at,
                 &TaskRef {
                     job: next,
@@ -279,38 +279,42 @@
                 },
                 place("m1", "a"),
             );
-            c.finish(500_000);
+            checker.finish(500_000);
         }),
-        (Rule::WrongAnswer, |c, id, bad| {
-            c.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
-            let next = dependent(c, "j-2", id);
-            c.check_admission(2, &next, if bad { 422 } else { 503 });
+        (Rule::WrongAnswer, |checker, id, violates| {
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let next = dependent(checker, "j-2", id);
+            checker.check_admission(2, &next, if violates { 422 } else { 503 });
         }),
     ];
     for (i, (rule, trace)) in cases.into_iter().enumerate() {
-        for bad in [true, false] {
+        for violates in [true, false] {
             let limits = BTreeMap::from([("t".to_owned(), (0.0, 4.0))]);
             let mut checker = Checker::new(limits, 100);
             let spec = spec("j-1", 4);
             checker.on_submitted(&spec);
-            trace(&mut checker, &spec.id, bad);
+            trace(&mut checker, &spec.id, violates);
             let rules: Vec<Rule> = checker.broken.iter().map(|b| b.0).collect();
-            assert_eq!(rules, vec![rule; usize::from(bad)], "case {i}, bad: {bad}");
+            assert_eq!(
+                rules,
+                vec![rule; usize::from(violates)],
+                "case {i}, violated: {violates}"
+            );
         }
     }
 }
 
-/// Starts after a confirmed cancellation are counted, also within the time
-/// that the rule leaves.
+/// Starts after a confirmed cancellation are counted, also within the time that the rule
+/// allows.
 #[test]
-fn starts_after_a_cancellation_are_counted() {
-    let mut c = Checker::new(BTreeMap::new(), 100);
+fn starts_after_a_confirmed_cancellation_are_counted() {
+    let mut checker = Checker::new(BTreeMap::new(), 100);
     let spec = spec("j-1", 4);
-    c.on_submitted(&spec);
-    c.on_cancel_requested(&spec.id);
-    c.on_task_started(1, &task(0), place("m1", "a"));
-    c.on_immediate_response(5, &spec.id, false, 200, Some(JobStage::Cancelled));
-    c.on_task_started(25, &task(1), place("m1", "a"));
-    assert_eq!(c.starts_after_cancel, vec![(25, 20, task(1))]);
-    assert_eq!(c.broken, vec![]);
+    checker.on_submitted(&spec);
+    checker.on_cancel_requested(&spec.id);
+    checker.on_task_started(1, &task(0), place("m1", "a"));
+    checker.on_immediate_response(5, &spec.id, false, 200, Some(JobStage::Cancelled));
+    checker.on_task_started(25, &task(1), place("m1", "a"));
+    assert_eq!(checker.starts_after_cancel, vec![(25, 20, task(1))]);
+    assert_eq!(checker.broken, vec![]);
 }
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -1,4 +1,6 @@
-//! Random days, the same for tests and for the soak.
+//! Random days, for tests and for the soak program.
+//!
+//! The order of draws may not change: a seed stands for the same day in every build.
 
 use crate::{
     random_early_faults, random_faults, random_pairs, random_upgrade, Fault, Ms, NextLimits, Plan,
@@ -11,20 +13,22 @@
 
 /// Jobs of a day.
 const JOBS: u32 = 30;
-/// Jobs and faults begin within these.
+/// Jobs are submitted within these times.
 const FIRST_JOB_AT: Ms = 2_000;
 const LAST_JOB_AT: Ms = 90_000;
+/// Faults begin within these times.
 const FIRST_FAULT_AT: Ms = 15_000;
 const LAST_FAULT_AT: Ms = 110_000;
 
-/// Pipelines of a day that has some, and until when they begin.
+/// Pipelines of a day with an upgrade.
 const PIPELINES: u32 = 8;
+/// Pipelines and large arrays are submitted until then.
 const LAST_PIPELINE_AT: Ms = 150_000;
-/// Arrays of such a day that take more than one record.
+/// Arrays of a day with an upgrade that take more than one record.
 const LARGE_ARRAYS: u32 = 3;
-/// Jobs of a pipeline, at most.
+/// Most jobs of a pipeline.
 pub(crate) const MAX_PIPELINE_JOBS: u32 = 6;
-/// Faults of such a day begin within this.
+/// Faults of a day with an upgrade begin until then.
 const LAST_LATE_FAULT_AT: Ms = 180_000;
 /// Limits that come into force after an upgrade.
 const NEXT_LIMITS: NextLimits = NextLimits {
@@ -38,7 +42,7 @@
 pub enum FaultSchedule {
     /// Each by itself.
     Single,
-    /// Each by itself, of the kinds that there once were.
+    /// Each by itself, of the kinds that early seeds drew from.
     Early,
     /// In pairs and known combinations, of all kinds, on days that are longer and
     /// have longer jobs, more cancellations and tighter limits.
@@ -48,69 +52,30 @@
     Upgrade,
 }
 
+/// Ends of days with single faults, and of days with pairs.
+const DAY_END: Ms = 260_000;
+const LONG_DAY_END: Ms = 600_000;
+
 /// A random day.
 pub struct Day {
-    /// It, at its beginning.
+    /// The simulation at the beginning of the day.
     pub simulation: World,
-    /// What is to go wrong.
+    /// All faults of the day.
     pub faults: Vec<Fault>,
-    /// Its end.
+    /// The end of the day.
     pub end: Ms,
 }
 
 impl Day {
     /// The day of a seed, with so many faults, or half as many pairs.
-    pub fn new(seed: u64, faults: usize, draw: FaultSchedule) -> Self {
-        let pairs = matches!(draw, FaultSchedule::Pairs | FaultSchedule::Upgrade);
+    pub fn new(seed: u64, faults: usize, schedule: FaultSchedule) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let one = |n| {
-            let at = rng.random_range(FIRST_JOB_AT..LAST_JOB_AT);
-            match pairs {
-                true => Plan::long(&mut rng, n, at),
-                false => Plan::random(&mut rng, n, at),
-            }
-        };
-        let mut plans: Vec<Plan> = (0..JOBS).map(one).collect();
-        if draw == FaultSchedule::Upgrade {
-            for n in 0..LARGE_ARRAYS {
-                let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
-                let first = JOBS + PIPELINES * MAX_PIPELINE_JOBS;
-                plans.push(Plan::large_array(&mut rng, first + n, at));
-            }
-            // Services never end, so nobody waits for one.
-            let others = plans.iter().map(|p| &p.spec);
-            let others = others.filter(|s| s.kind != JobKind::Service);
-            let others: Vec<JobId> = others.map(|s| s.id.clone()).collect();
-            for n in 0..PIPELINES {
-                let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
-                let first = JOBS + n * MAX_PIPELINE_JOBS;
-                plans.extend(Plan::pipeline(&mut rng, first, at, &others));
-            }
-        }
-        let (from, to) = (FIRST_FAULT_AT, LAST_FAULT_AT);
-        let faults = match draw {
-            FaultSchedule::Single => random_faults(&mut rng, from, to, faults),
-            FaultSchedule::Early => random_early_faults(&mut rng, from, to, faults),
-            FaultSchedule::Pairs => random_pairs(&mut rng, from, to, faults.div_ceil(2), JOBS),
-            FaultSchedule::Upgrade => {
-                let turns = rng.random_range(from..LAST_FAULT_AT / 2);
-                let upgrade = random_upgrade(&mut rng, turns, Size::default().nodes);
-                let pairs =
-                    random_pairs(&mut rng, from, LAST_LATE_FAULT_AT, faults.div_ceil(2), JOBS);
-                upgrade.into_iter().chain(pairs).collect()
-            }
-        };
-        let (size, end) = match pairs {
-            true if draw == FaultSchedule::Upgrade => {
-                let size = Size {
-                    next_limits: Some(NEXT_LIMITS),
-                    begins_old: true,
-                    ..Size::random(&mut rng)
-                };
-                (size, 600_000)
-            }
-            true => (Size::random(&mut rng), 600_000),
-            false => (Size::default(), 260_000),
+        let plans = random_plans(&mut rng, schedule);
+        let faults = random_day_faults(&mut rng, faults, schedule);
+        let size = random_size(&mut rng, schedule);
+        let end = match schedule.has_pairs() {
+            true => LONG_DAY_END,
+            false => DAY_END,
         };
         Self {
             simulation: World::with_size(seed, plans, faults.clone(), size),
@@ -119,9 +84,82 @@
         }
     }
 
-    /// Plays it to its end, and looks at the whole of it.
+    /// Runs the day to its end, and the checks of the whole day.
     pub fn play(&mut self) {
         self.simulation.run_until(self.end);
         self.simulation.finish();
     }
 }
+
+impl FaultSchedule {
+    /// Whether faults come in pairs, on long days with long jobs.
+    fn has_pairs(self) -> bool {
+        matches!(self, Self::Pairs | Self::Upgrade)
+    }
+}
+
+fn random_plans(rng: &mut StdRng, schedule: FaultSchedule) -> Vec<Plan> {
+    let mut plans: Vec<Plan> = (0..JOBS)
+        .map(|number| {
+            let at = rng.random_range(FIRST_JOB_AT..LAST_JOB_AT);
+            match schedule.has_pairs() {
+                true => Plan::long(rng, number, at),
+                false => Plan::random(rng, number, at),
+            }
+        })
+        .collect();
+    if schedule == FaultSchedule::Upgrade {
+        add_large_arrays(rng, &mut plans);
+        add_pipelines(rng, &mut plans);
+    }
+    plans
+}
+
+fn add_large_arrays(rng: &mut StdRng, plans: &mut Vec<Plan>) {
+    let first = JOBS + PIPELINES * MAX_PIPELINE_JOBS;
+    for index in 0..LARGE_ARRAYS {
+        let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
+        plans.push(Plan::large_array(rng, first + index, at));
+    }
+}
+
+fn add_pipelines(rng: &mut StdRng, plans: &mut Vec<Plan>) {
+    // Services never end, so no job depends on one.
+    let specs = plans.iter().map(|plan| &plan.spec);
+    let others = specs.filter(|spec| spec.kind != JobKind::Service);
+    let others: Vec<JobId> = others.map(|spec| spec.id.clone()).collect();
+    for index in 0..PIPELINES {
+        let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
+        let first = JOBS + index * MAX_PIPELINE_JOBS;
+        plans.extend(Plan::pipeline(rng, first, at, &others));
+    }
+}
+
+/// Faults of a day; pairs are half as many.
+fn random_day_faults(rng: &mut StdRng, count: usize, schedule: FaultSchedule) -> Vec<Fault> {
+    let (from, to) = (FIRST_FAULT_AT, LAST_FAULT_AT);
+    let pairs = count.div_ceil(2);
+    match schedule {
+        FaultSchedule::Single => random_faults(rng, from, to, count),
+        FaultSchedule::Early => random_early_faults(rng, from, to, count),
+        FaultSchedule::Pairs => random_pairs(rng, from, to, pairs, JOBS),
+        FaultSchedule::Upgrade => {
+            let upgrade_at = rng.random_range(from..to / 2);
+            let mut faults = random_upgrade(rng, upgrade_at, Size::default().nodes);
+            faults.extend(random_pairs(rng, from, LAST_LATE_FAULT_AT, pairs, JOBS));
+            faults
+        }
+    }
+}
+
+fn random_size(rng: &mut StdRng, schedule: FaultSchedule) -> Size {
+    match schedule {
+        FaultSchedule::Single | FaultSchedule::Early => Size::default(),
+        FaultSchedule::Pairs => Size::random(rng),
+        FaultSchedule::Upgrade => Size {
+            next_limits: Some(NEXT_LIMITS),
+            begins_old: true,
+            ..Size::random(rng)
+        },
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/fault_schedule/single.rs
@@ -0,0 +1,157 @@
+//! Single faults drawn at random.
+
+use super::{random_controller, random_job, KINDS};
+use crate::faults::{FaultKind, MachineFault, Which, ZONES};
+use crate::Ms;
+use rand::rngs::StdRng;
+use rand::Rng;
+
+/// Downtimes of crashed controllers on plain days.
+const DOWNTIMES_MS: [Ms; 4] = [50, 300, 3_000, 6_000];
+/// Downtimes of crashed controllers on days with pairs of faults.
+const LONG_DOWNTIMES_MS: [Ms; 4] = [50, 900, 5_000, 14_000];
+/// Notice of a reclaim of spot machines that is announced.
+const SPOT_NOTICE_MS: Ms = 4_000;
+
+/// A fault of one of the first `kinds` kinds.
+pub(super) fn random_kind(rng: &mut StdRng, kinds: u32) -> FaultKind {
+    let node = rng.random_range(0..3);
+    let time = rng.random_range(2_000..25_000);
+    match rng.random_range(0..kinds) {
+        0 | 1 => random_crash(rng, node, &DOWNTIMES_MS),
+        2 => random_cut(rng, node, [true, false, false], time),
+        3 => random_cut(rng, node, [false, true, false], time),
+        4 => random_cut(rng, node, [true, true, true], time),
+        5 => FaultKind::StoreRefusal { node, time },
+        6 => FaultKind::StoreOutage(time),
+        7 => FaultKind::CloudOutage(time),
+        8 => FaultKind::SlowTimers { node, time },
+        9 => FaultKind::MachineCrash,
+        10 => FaultKind::MachineHang(time),
+        11 => FaultKind::MachinePartition(time),
+        12 => FaultKind::MachineInboundBlocked(time),
+        13 => FaultKind::MachineFailsTasks(time),
+        14 => FaultKind::SpotReclaim {
+            notice: if rng.random() { 0 } else { SPOT_NOTICE_MS },
+        },
+        16 => FaultKind::ZonePartition {
+            zone: random_zone(rng),
+            time,
+            hold: rng.random(),
+        },
+        17 => FaultKind::SlowStore(time),
+        18 => FaultKind::LateWrites(time),
+        15 if rng.random() => FaultKind::LostResponses(time),
+        _ => FaultKind::LateHeartbeatCopies(time),
+    }
+}
+
+/// A fault of any kind, also of controllers and machines selected by their role.
+pub(super) fn random_fault(rng: &mut StdRng, jobs: u32) -> FaultKind {
+    let time = rng.random_range(2_000..25_000);
+    let percent = rng.random_range(5..60);
+    let hold = rng.random();
+    match rng.random_range(0..24) {
+        0 | 1 => random_kind(rng, KINDS),
+        kind @ (2..=4 | 7..=10) => {
+            let fault = random_controller_fault(rng, kind, time, hold);
+            fault.at(random_controller(rng, jobs))
+        }
+        // Also longer than a cancellation may take.
+        5 | 6 => FaultKind::StoreOutage(rng.random_range(2_000..62_000)),
+        11..=13 => random_machine_fault(rng, jobs),
+        14 | 15 => FaultKind::LostWriteResponses {
+            percent,
+            key_prefix: [None, Some("live/"), Some("c/"), Some("job/")][rng.random_range(0..4)],
+            executes_at_once: rng.random(),
+            time,
+        },
+        16 => FaultKind::LateHeartbeats {
+            percent,
+            until_failover: rng.random(),
+            time,
+        },
+        17 => FaultKind::FastBoots(time),
+        18 => FaultKind::DelayedCommands { percent, time },
+        19 | 20 => FaultKind::CancelRunningJobs {
+            count: rng.random_range(1..8),
+            hang_ms: if rng.random() { time } else { 0 },
+        },
+        21 => FaultKind::CancelCompletingJobs { percent, time },
+        22 => FaultKind::UnusualRequests(time),
+        _ => FaultKind::StatusBursts(time),
+    }
+}
+
+/// A fault of a controller that is selected later, by the number that was drawn for it.
+fn random_controller_fault(rng: &mut StdRng, kind: u32, time: Ms, hold: bool) -> FaultKind {
+    let node = 0;
+    match kind {
+        2 => random_crash(rng, node, &LONG_DOWNTIMES_MS),
+        3 | 4 => FaultKind::StoreLockout { node, time },
+        7 => FaultKind::Cut {
+            node,
+            state: true,
+            workers: false,
+            cloud: rng.random(),
+            time: rng.random_range(2_000..50_000),
+            hold,
+        },
+        8 => FaultKind::PeerPartition {
+            node,
+            peers: rng.random::<bool>().then(|| vec![rng.random_range(0..3)]),
+            time,
+            hold,
+        },
+        9 => FaultKind::CommandPartition { node, time, hold },
+        _ => FaultKind::Pause { node, time },
+    }
+}
+
+fn random_crash(rng: &mut StdRng, node: usize, downtimes: &[Ms; 4]) -> FaultKind {
+    FaultKind::Crash {
+        node,
+        count: rng.random_range(1..=3),
+        restart_after: downtimes[rng.random_range(0..downtimes.len())],
+    }
+}
+
+/// A partition of a controller from store, workers and cloud.
+fn random_cut(
+    rng: &mut StdRng,
+    node: usize,
+    [state, workers, cloud]: [bool; 3],
+    time: Ms,
+) -> FaultKind {
+    FaultKind::Cut {
+        node,
+        state,
+        workers,
+        cloud,
+        time,
+        hold: rng.random(),
+    }
+}
+
+fn random_zone(rng: &mut StdRng) -> &'static str {
+    ZONES[rng.random_range(0..ZONES.len())]
+}
+
+fn random_machine_fault(rng: &mut StdRng, jobs: u32) -> FaultKind {
+    let time = rng.random_range(2_000..30_000);
+    let which = match rng.random_range(0..4) {
+        0 => Which::RunningJob(random_job(rng, jobs)),
+        1 => Which::HeldBy(random_controller(rng, jobs)),
+        2 => Which::InZone(random_zone(rng)),
+        _ => Which::Some(rng.random_range(1..5)),
+    };
+    let fault = match rng.random_range(0..6) {
+        0 => MachineFault::Hang(time),
+        1 => MachineFault::Partition(time),
+        2 => MachineFault::InboundLoss(time),
+        3 => MachineFault::OutboundLoss(time),
+        4 => MachineFault::SlowLink(time),
+        _ => MachineFault::Die,
+    };
+    FaultKind::Machines(which, fault)
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for workers, cloud, state service and users, and a clock of
-//! their own, to drive controllers in virtual time with faults injected.
+//! Deterministic simulation of a deployment, to drive controllers in virtual time with
+//! faults injected.
 //!
-//! [`World`] plays them all; [`Checker`] watches what truly happens and knows
-//! nothing of how the controllers work.
+//! [`World`] models workers, cloud, store, network and users; [`Checker`] checks what truly
+//! happens against the rules of the protocol and knows nothing of how the controllers work.
 
 mod checker;
 mod cloud;
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,7 +1,7 @@
-//! Plays random days with fresh seeds and says which broke a rule.
+//! Plays random days with fresh seeds and prints which violated a rule.
 
 use clap::{Parser, ValueEnum};
-use forkshift_testkit::{Day, FaultSchedule, World};
+use forkshift_testkit::{Day, FaultSchedule, Ms, World};
 use forkshift_wire::JobId;
 use rand::Rng;
 use std::process::ExitCode;
@@ -54,60 +54,76 @@
     every: Option<u64>,
 }
 
+/// Time between two looks at a running day.
+const LOOK_INTERVAL_MS: Ms = 500;
+/// Most violations and unfinished jobs that are printed of a day.
+const MAX_PRINTED: usize = 5;
+
+/// Prints the jobs that are to be described.
+fn describe_jobs(args: &Args, simulation: &World) {
+    for id in &args.describe {
+        let text = simulation.describe(&JobId::new(id));
+        println!("  at {}: {text}", simulation.now());
+    }
+}
+
+/// Runs a day until its end or until a rule is violated.
+fn run_until_violation(args: &Args, day: &mut Day) {
+    let simulation = &mut day.simulation;
+    while simulation.now() < day.end && simulation.check.broken.is_empty() {
+        simulation.run_until(simulation.now() + LOOK_INTERVAL_MS);
+        let is_due = |seconds: u64| simulation.now().is_multiple_of(seconds * 1_000);
+        if args.every.is_some_and(is_due) {
+            describe_jobs(args, simulation);
+        }
+    }
+}
+
+/// Plays the day of a seed and prints its result. Returns whether the day was good.
+fn play_day(args: &Args, seed: u64) -> bool {
+    let mut day = Day::new(seed, args.faults, args.draw.into());
+    run_until_violation(args, &mut day);
+    describe_jobs(args, &day.simulation);
+    day.play();
+    describe_jobs(args, &day.simulation);
+    let simulation = &day.simulation;
+    let unfinished = simulation.unfinished_jobs();
+    println!(
+        "seed {seed}: {} starts, {} writes, {} rules broken, {} unserved, \
+         {} starts after a cancellation, digest {:016x}",
+        simulation.check.starts,
+        simulation.writes(),
+        simulation.check.broken.len(),
+        unfinished.len(),
+        simulation.check.starts_after_cancel.len(),
+        simulation.digest()
+    );
+    let is_good = simulation.check.broken.is_empty() && unfinished.is_empty();
+    if !is_good {
+        print_bad_day(&day, &unfinished);
+    }
+    is_good
+}
+
+fn print_bad_day(day: &Day, unfinished: &[String]) {
+    println!("  faults: {:?}", day.faults);
+    println!("  as they came: {:?}", day.simulation.injected_faults());
+    for violation in day.simulation.check.broken.iter().take(MAX_PRINTED) {
+        println!("  {violation:?}");
+    }
+    for line in unfinished.iter().take(MAX_PRINTED) {
+        println!("  {line}");
+    }
+}
+
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::new().filter("LOG_LEVEL")).init();
     let args = Args::parse();
     let first = args
         .seed
         .unwrap_or_else(|| rand::rng().random_range(0..1 << 40));
-    let mut bad = 0;
-    for seed in first..first + args.days {
-        let mut day = Day::new(seed, args.faults, args.draw.into());
-        let shown = format!("{:?}", day.faults);
-        let describe = |simulation: &World| {
-            for id in &args.describe {
-                println!(
-                    "  at {}: {}",
-                    simulation.now(),
-                    simulation.describe(&JobId::new(id))
-                );
-            }
-        };
-        while day.simulation.now() < day.end && day.simulation.check.broken.is_empty() {
-            day.simulation.run_until(day.simulation.now() + 500);
-            if args
-                .every
-                .is_some_and(|s| day.simulation.now().is_multiple_of(s * 1_000))
-            {
-                describe(&day.simulation);
-            }
-        }
-        describe(&day.simulation);
-        day.play();
-        describe(&day.simulation);
-        let simulation = &day.simulation;
-        let unserved = simulation.unfinished_jobs();
-        println!(
-            "seed {seed}: {} starts, {} writes, {} rules broken, {} unserved, {} starts after a cancellation, digest {:016x}",
-            simulation.check.starts,
-            simulation.writes(),
-            simulation.check.broken.len(),
-            unserved.len(),
-            simulation.check.starts_after_cancel.len(),
-            simulation.digest()
-        );
-        if !simulation.check.broken.is_empty() || !unserved.is_empty() {
-            bad += 1;
-            println!("  faults: {shown}");
-            println!("  as they came: {:?}", simulation.injected_faults());
-            for broken in simulation.check.broken.iter().take(5) {
-                println!("  {broken:?}");
-            }
-            for line in unserved.iter().take(5) {
-                println!("  {line}");
-            }
-        }
-    }
-    println!("{bad} of {} days were bad", args.days);
-    ExitCode::from(u8::from(bad > 0))
+    let seeds = first..first + args.days;
+    let bad_days = seeds.filter(|seed| !play_day(&args, *seed)).count();
+    println!("{bad_days} of {} days were bad", args.days);
+    ExitCode::from(u8::from(bad_days > 0))
 }
--- /dev/null
+++ b/crates/testkit/src/simulation/build.rs
@@ -0,0 +1,152 @@
+//! Construction of simulations.
+
+use super::controllers::Controller;
+use super::digest::Traffic;
+use super::events::EventQueue;
+use super::fault_injection::FaultTimeline;
+use super::network_faults::NetworkFaults;
+use super::remote::RemoteQueues;
+use super::size::{MAX_TRANSACTION_WRITES, MAX_VALUE_KB};
+use super::unusual_requests::{RequestFaults, UnusualRequests};
+use super::users::User;
+use super::workers::WorkerFleet;
+use super::{Plan, Size, World};
+use crate::checker::Checker;
+use crate::cloud::CloudModel;
+use crate::faults::Fault;
+use crate::fleet::Fleet;
+use crate::store::{SizeLimits, StoreBehavior, StoreModel};
+use forkshift_pools::PoolSpec;
+use rand::rngs::StdRng;
+use rand::SeedableRng;
+use std::collections::BTreeMap;
+
+/// Largest page of the store's listings where controllers run as processes.
+const MAX_LIST_ITEMS: usize = 1_000;
+
+/// The external services of a simulation.
+struct Services {
+    fleet: Fleet,
+    /// Limits on the CPUs and GPUs of each team.
+    team_limits: BTreeMap<String, (f64, f64)>,
+    size_limits: SizeLimits,
+    behavior: StoreBehavior,
+}
+
+/// What a simulation whose controllers run as processes consists of, beside its size.
+#[derive(Clone, Debug)]
+pub struct Deployment {
+    /// Machine types on offer and how they boot.
+    pub fleet: Fleet,
+    /// Limits on the CPUs and GPUs of each team; 0: no limit.
+    pub team_limits: BTreeMap<String, (f64, f64)>,
+    /// Largest value that the store accepts, in bytes.
+    pub value_bytes: usize,
+    /// Most writes in one of the store's transactions.
+    pub txn_ops: usize,
+}
+
+impl World {
+    /// A simulation with three controllers that are about to start.
+    pub fn new(seed: u64, plans: Vec<Plan>, faults: Vec<Fault>) -> Self {
+        Self::with_size(seed, plans, faults, Size::default())
+    }
+
+    /// A simulation of any size.
+    pub fn with_size(seed: u64, plans: Vec<Plan>, faults: Vec<Fault>, size: Size) -> Self {
+        Self::with_pools(seed, plans, faults, size, Vec::new())
+    }
+
+    /// A simulation whose controllers declare warm pools, each its own.
+    pub fn with_pools(
+        seed: u64,
+        plans: Vec<Plan>,
+        faults: Vec<Fault>,
+        size: Size,
+        pools: Vec<Vec<PoolSpec>>,
+    ) -> Self {
+        let team_limits = (0..size.teams).map(|team| (format!("team-{team}"), size.limit));
+        let services = Services {
+            fleet: Fleet::default(),
+            team_limits: team_limits.collect(),
+            size_limits: SizeLimits {
+                value_bytes: MAX_VALUE_KB * 1024,
+                txn_ops: MAX_TRANSACTION_WRITES,
+            },
+            behavior: StoreBehavior::default(),
+        };
+        let mut simulation = Self::without_controllers(seed, plans, faults, size, services);
+        for (controller, pools) in simulation.controllers.iter_mut().zip(pools) {
+            controller.pools = pools;
+        }
+        for index in 0..size.nodes {
+            simulation.start_controller(index);
+        }
+        simulation
+    }
+
+    /// A simulation whose controllers are processes of their own; see
+    /// [`World::advance_to`]. The store refuses requests beyond its limits.
+    pub fn remote(
+        seed: u64,
+        plans: Vec<Plan>,
+        faults: Vec<Fault>,
+        size: Size,
+        deployment: Deployment,
+    ) -> Self {
+        let services = Services {
+            fleet: deployment.fleet,
+            team_limits: deployment.team_limits,
+            size_limits: SizeLimits {
+                value_bytes: deployment.value_bytes,
+                txn_ops: deployment.txn_ops,
+            },
+            behavior: StoreBehavior {
+                max_page_items: MAX_LIST_ITEMS,
+                enforces_limits: true,
+            },
+        };
+        let mut simulation = Self::without_controllers(seed, plans, faults, size, services);
+        simulation.remote = Some(RemoteQueues::default());
+        simulation.check.observe();
+        simulation
+    }
+
+    fn without_controllers(
+        seed: u64,
+        plans: Vec<Plan>,
+        faults: Vec<Fault>,
+        size: Size,
+        services: Services,
+    ) -> Self {
+        let store = StoreModel::new(
+            size.rps,
+            size.write_rps,
+            services.size_limits,
+            services.behavior,
+        );
+        Self {
+            now: 0,
+            previous_step_at: 0,
+            rng: StdRng::seed_from_u64(seed),
+            events: EventQueue::default(),
+            controllers: (0..size.nodes)
+                .map(|_| Controller::new(size.begins_old))
+                .collect(),
+            controller_starts: 0,
+            store,
+            cloud: CloudModel::new(size.capacity, services.fleet),
+            size,
+            workers: WorkerFleet::default(),
+            ground_truths: BTreeMap::new(),
+            users: plans.into_iter().map(User::new).collect(),
+            faults: FaultTimeline::new(faults),
+            network_faults: NetworkFaults::default(),
+            request_faults: RequestFaults::default(),
+            unusual_requests: UnusualRequests::default(),
+            traffic: Traffic::default(),
+            remote: None,
+            check: Checker::new(services.team_limits, size.cancel_ms),
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/simulation/controllers.rs
@@ -0,0 +1,252 @@
+//! Simulated controllers: start, step, and what they send.
+
+use super::events::Event;
+use super::network::{Destination, Message, Origin};
+use super::partitions::ControllerFaults;
+use super::size::settings;
+use super::{World, WALL_CLOCK_OFFSET_MS};
+use crate::Ms;
+use forkshift_core::{
+    Config, Effect, FormatVersion, Input, Node, Operator, Reply, RequestId, Target,
+};
+use forkshift_pools::{PoolSpec, Pools};
+use forkshift_wire::settings::Settings;
+use forkshift_wire::MachineId;
+use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
+use rand::Rng;
+use std::collections::{BTreeSet, HashMap};
+
+/// A controller without input is stepped this often.
+const IDLE_STEP_INTERVAL_MS: Ms = 50;
+/// Least time between the steps of a controller with slow timers.
+const SLOW_STEP_INTERVAL_MS: Ms = 1_500;
+
+/// A controller, whether it is up or not.
+pub(super) struct Controller {
+    pub(super) node: Option<Node>,
+    /// Whether it starts as the old release.
+    pub(super) is_old: bool,
+    /// Pools that it declares from its next start on.
+    pub(super) pools: Vec<PoolSpec>,
+    pub(super) incarnation: u64,
+    pub(super) inbox: Vec<Input>,
+    last_step_at: Ms,
+    /// Whether it has been paused since its last step.
+    was_paused: bool,
+    /// Calls without a response or timeout.
+    pub(super) open_calls: BTreeSet<u64>,
+    /// Senders of requests without a reply.
+    open_requests: HashMap<RequestId, Origin>,
+    next_request: u64,
+    pub(super) faults: ControllerFaults,
+}
+
+impl Controller {
+    pub(super) fn new(is_old: bool) -> Self {
+        Self {
+            node: None,
+            is_old,
+            pools: Vec::new(),
+            incarnation: 0,
+            inbox: Vec::new(),
+            last_step_at: 0,
+            was_paused: false,
+            open_calls: BTreeSet::new(),
+            open_requests: HashMap::new(),
+            next_request: 0,
+            faults: ControllerFaults::default(),
+        }
+    }
+
+    pub(super) fn is_up(&self) -> bool {
+        self.node.is_some()
+    }
+
+    /// Begins a new incarnation. What it had received or sent before is lost.
+    fn start(&mut self, settings: &Settings, incarnation: u64, seed: u64) {
+        self.incarnation = incarnation;
+        self.was_paused = false;
+        self.inbox.clear();
+        self.open_calls.clear();
+        self.open_requests.clear();
+        let config = self.config(settings);
+        self.node = Some(Node::new(config, incarnation, seed));
+    }
+
+    fn config(&self, settings: &Settings) -> Config {
+        let teams = settings.cluster.teams.iter();
+        let teams: Vec<&str> = teams.map(|team| team.name.as_str()).collect();
+        let pools = Pools::parse(&self.pools, &teams, &[]);
+        let operator = Operator {
+            pools: pools.unwrap_or_else(|e| panic!("pools: {e}")),
+            ..Operator::default()
+        };
+        let mut config = Config::new(settings, operator);
+        if self.is_old {
+            config.format = FormatVersion::FIRST;
+        }
+        config
+    }
+
+    /// Queues a request for the next step.
+    pub(super) fn receive(&mut self, message: Message) {
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
+        self.open_requests.insert(request, message.origin);
+        self.inbox.push(Input::Request {
+            request,
+            method: message.method,
+            path: message.path,
+            body: Some(message.body),
+        });
+    }
+
+    /// The input of a step, if a step is due.
+    fn begin_step(&mut self, now: Ms, rng: &mut StdRng) -> Option<Vec<Input>> {
+        if !self.is_up() {
+            return None;
+        }
+        if self.faults.paused_until > now {
+            self.was_paused = true;
+            return None;
+        }
+        let has_work = now >= self.last_step_at + IDLE_STEP_INTERVAL_MS || !self.inbox.is_empty();
+        let is_slow = self.faults.slow_timers_until > now;
+        let min_interval = if is_slow { SLOW_STEP_INTERVAL_MS } else { 0 };
+        if !has_work || now < self.last_step_at + min_interval {
+            return None;
+        }
+        self.last_step_at = now;
+        Some(match std::mem::take(&mut self.was_paused) {
+            true => self.resume(rng),
+            false => std::mem::take(&mut self.inbox),
+        })
+    }
+
+    /// The input of the first step after a pause: all that has arrived, from many
+    /// connections in any order, or nothing yet, as timers may fire first.
+    fn resume(&mut self, rng: &mut StdRng) -> Vec<Input> {
+        let mut input = std::mem::take(&mut self.inbox);
+        input.shuffle(rng);
+        if rng.random() {
+            self.inbox = input;
+            return Vec::new();
+        }
+        input
+    }
+}
+
+/// What a controller sends in one step.
+#[derive(Default)]
+struct Outbox {
+    /// Timeouts of its calls.
+    timeouts: Vec<(Ms, Origin)>,
+    calls: Vec<Message>,
+    replies: Vec<(Origin, Reply)>,
+    /// Messages to peers, by the peers' names.
+    peer_messages: Vec<(String, Vec<u8>)>,
+}
+
+impl World {
+    /// Sets the pools that a controller declares from its next start on.
+    pub fn declare_pools(&mut self, node: usize, pools: Vec<PoolSpec>) {
+        self.controllers[node].pools = pools;
+    }
+
+    pub(super) fn start_controller(&mut self, index: usize) {
+        let settings = Settings::parse(&settings(index, &self.size))
+            .unwrap_or_else(|e| panic!("settings: {e}"));
+        self.controller_starts += 1;
+        let seed = self.rng.random();
+        self.controllers[index].start(&settings, self.controller_starts, seed);
+    }
+
+    pub(super) fn step_controller(&mut self, index: usize) {
+        let controller = &mut self.controllers[index];
+        let Some(input) = controller.begin_step(self.now, &mut self.rng) else {
+            return;
+        };
+        let outbox = self.run_step(index, input);
+        self.send_outbox(index, outbox);
+    }
+
+    /// Runs a controller's step and collects what it sends.
+    fn run_step(&mut self, index: usize, input: Vec<Input>) -> Outbox {
+        let now = self.now;
+        let controller = &mut self.controllers[index];
+        let mut outbox = Outbox::default();
+        let Some(node) = controller.node.as_mut() else {
+            return outbox;
+        };
+        for effect in node.step(now, now + WALL_CLOCK_OFFSET_MS, input) {
+            match effect {
+                Effect::Respond { request, reply } => {
+                    if let Some(origin) = controller.open_requests.remove(&request) {
+                        outbox.replies.push((origin, reply));
+                    }
+                }
+                Effect::SendToPeer { node, message } => {
+                    outbox
+                        .peer_messages
+                        .push((node.as_str().to_owned(), message));
+                }
+                Effect::Call {
+                    id,
+                    target,
+                    method,
+                    path,
+                    body,
+                    timeout,
+                } => {
+                    controller.open_calls.insert(id);
+                    let origin = Origin::Controller {
+                        index,
+                        incarnation: controller.incarnation,
+                        call: id,
+                    };
+                    outbox.timeouts.push((now + timeout, origin.clone()));
+                    outbox.calls.push(Message {
+                        origin,
+                        destination: destination_of(target),
+                        method: method.to_owned(),
+                        path,
+                        body: body.unwrap_or_default(),
+                    });
+                }
+            }
+        }
+        outbox
+    }
+
+    /// Sends what a step produced. The order decides the order of random draws.
+    fn send_outbox(&mut self, index: usize, outbox: Outbox) {
+        let now = self.now;
+        for (to, message) in outbox.peer_messages {
+            self.traffic.digest.peer(now, index, &to, &message);
+            self.send_to_peer(index, &to, message);
+        }
+        for (time, to) in outbox.timeouts {
+            let body = Vec::new();
+            let status = 0;
+            self.schedule(time, Event::ResponseArrival { to, status, body });
+        }
+        for message in outbox.calls {
+            self.traffic.digest.call(now, &message);
+            self.send(message);
+        }
+        for (to, reply) in outbox.replies {
+            let Reply { status, body, .. } = reply;
+            self.traffic.digest.reply(now, index, status, &body);
+            self.respond(&Destination::Controller(index), to, status, body);
+        }
+    }
+}
+
+fn destination_of(target: Target) -> Destination {
+    match target {
+        Target::Store => Destination::Store,
+        Target::Cloud => Destination::Cloud,
+        Target::Worker(address) => Destination::Worker(MachineId::new(&address)),
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/simulation/events.rs
@@ -0,0 +1,112 @@
+//! Events that are scheduled for a time, and how they take effect.
+
+use super::network::{Message, Origin};
+use super::unusual_requests::UnusualRequest;
+use super::World;
+use crate::faults::FaultKind;
+use crate::Ms;
+use forkshift_core::Input;
+use forkshift_wire::{JobId, MachineId};
+use std::collections::BTreeMap;
+
+/// Something that happens at a scheduled time.
+pub(super) enum Event {
+    /// A request reaches its destination.
+    RequestArrival(Message),
+    /// A response reaches the sender of the request; status 0: none came in time.
+    ResponseArrival {
+        to: Origin,
+        status: u16,
+        body: Vec<u8>,
+    },
+    /// A message between controllers arrives.
+    PeerMessageArrival { to: usize, message: Vec<u8> },
+    /// A controller starts again unless it is up.
+    ControllerRestart(usize),
+    /// The cloud reclaims a spot machine.
+    SpotReclaim(MachineId),
+    /// A fault begins.
+    FaultStart(FaultKind),
+    /// A user sends an unusual request to a controller.
+    UnusualRequest {
+        job: JobId,
+        controller: usize,
+        request: UnusualRequest,
+    },
+}
+
+/// Scheduled events by time; those of one time keep the order of their scheduling.
+#[derive(Default)]
+pub(super) struct EventQueue {
+    events: BTreeMap<(Ms, u64), Event>,
+    last_sequence: u64,
+}
+
+impl EventQueue {
+    fn push(&mut self, time: Ms, event: Event) {
+        self.last_sequence += 1;
+        self.events.insert((time, self.last_sequence), event);
+    }
+
+    /// Removes the first event that is due.
+    pub(super) fn pop_due(&mut self, now: Ms) -> Option<Event> {
+        let entry = self.events.first_entry()?;
+        (entry.key().0 <= now).then(|| entry.remove())
+    }
+}
+
+impl World {
+    /// Schedules an event, for the next millisecond at the earliest.
+    pub(super) fn schedule(&mut self, time: Ms, event: Event) {
+        self.events.push(time.max(self.now + 1), event);
+    }
+
+    pub(super) fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::RequestArrival(message) => self.deliver_request(message),
+            Event::ResponseArrival { to, status, body } => self.on_response(to, status, body),
+            Event::PeerMessageArrival { to, message } => {
+                if self.controllers[to].is_up() {
+                    self.controllers[to].inbox.push(Input::Peer(message));
+                }
+            }
+            Event::ControllerRestart(controller) => {
+                if !self.controllers[controller].is_up() {
+                    self.start_controller(controller);
+                }
+            }
+            Event::FaultStart(kind) => self.inject(kind),
+            Event::UnusualRequest {
+                job,
+                controller,
+                request,
+            } => self.send_unusual_request(job, controller, request),
+            Event::SpotReclaim(id) => {
+                self.remove_worker(&id);
+                self.cloud.end_billing(&id, self.now);
+                self.cloud.terminate(&id);
+            }
+        }
+    }
+
+    /// Delivers a response, or the timeout of a request. The timeout of a paused
+    /// controller's call waits until the controller resumes, as the response may arrive
+    /// before that.
+    fn on_response(&mut self, to: Origin, status: u16, body: Vec<u8>) {
+        match self.paused_until(&to) {
+            Some(until) if status == 0 => {
+                self.schedule(until + 1, Event::ResponseArrival { to, status, body });
+            }
+            _ => self.deliver_response(to, status, body),
+        }
+    }
+
+    /// The end of the pause of the controller that sent a request, if it is paused.
+    fn paused_until(&self, origin: &Origin) -> Option<Ms> {
+        let Origin::Controller { index, .. } = origin else {
+            return None;
+        };
+        let until = self.controllers[*index].faults.paused_until;
+        (until > self.now).then_some(until)
+    }
+}
--- a/crates/testkit/src/simulation/fault_injection.rs
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -1,181 +1,107 @@
-//! Faults as they come, and whom they hit.
+//! Faults as they begin, and whom they affect.
 
-use super::partitions::LinkPartition;
-use super::{Event, World, STEP_MS};
-use crate::faults::{ControllerSelector, FaultKind, MachineFault, Which};
+use super::events::Event;
+use super::network_faults::{LateHeartbeats, LostWriteResponses, PartialFault};
+use super::partitions::{LinkPartition, Partition, PeerPartition, ZonePartition};
+use super::{World, STEP_MS};
+use crate::faults::{Direction, Fault, FaultKind, MachineFault, Which};
 use crate::store::SizeLimits;
-use crate::worker::Worker;
 use crate::Ms;
-use forkshift_core::records::{self, ShardId};
-use forkshift_wire::{JobId, MachineId};
+use forkshift_wire::MachineId;
 use rand::Rng;
+use std::collections::VecDeque;
 
-impl World {
-    /// The controller that is meant, if there is one now.
-    pub fn select_controller(&self, who: &ControllerSelector) -> Option<usize> {
-        match who {
-            ControllerSelector::Index(n) => Some(*n),
-            ControllerSelector::HolderOfJob(id) => self.holder_of(id),
-            ControllerSelector::Leader => self.leader(),
-            ControllerSelector::NextAfter(who) => {
-                let n = self.select_controller(who)?;
-                let mut others = (1..self.size.nodes).map(|i| (n + i) % self.size.nodes);
-                others.find(|n| self.controllers[*n].node.is_some())
-            }
-        }
-    }
-
-    pub(super) fn controller_index(&self, field: Option<&serde_json::Value>) -> Option<usize> {
-        field?.as_str()?.strip_prefix("berth-")?.parse().ok()
-    }
-
-    /// The leader, as the state service has it.
-    pub fn leader(&self) -> Option<usize> {
-        self.controller_index(self.store.value(records::LEADER)?.get("node"))
-    }
-
-    pub(super) fn shard_of(&self, id: &JobId) -> Option<ShardId> {
-        let shard = self.store.value(&records::job_key(id))?.get("share")?;
-        Some(ShardId(shard.as_u64()? as u32))
-    }
+/// Faults that are still to come, and those that have begun.
+pub(super) struct FaultTimeline {
+    /// Ordered by time.
+    upcoming: VecDeque<Fault>,
+    /// With when they began.
+    injected: Vec<(Ms, FaultKind)>,
+    /// When all faults that have begun are over.
+    active_until: Ms,
+    cloud_down_until: Ms,
+    store_down_until: Ms,
+}
 
-    /// The holder of a job's share, as the state service has it.
-    pub fn holder_of(&self, id: &JobId) -> Option<usize> {
-        let key = records::shard_key(self.shard_of(id)?);
-        self.controller_index(self.store.value(&key)?.get("holder"))
+impl FaultTimeline {
+    pub(super) fn new(mut faults: Vec<Fault>) -> Self {
+        faults.sort_by_key(|fault| fault.at);
+        Self {
+            upcoming: faults.into(),
+            injected: Vec::new(),
+            active_until: 0,
+            cloud_down_until: 0,
+            store_down_until: 0,
+        }
     }
 
-    /// Whether a controller holds a share, as the state service has it.
-    pub fn holds_shards(&self, node: usize) -> bool {
-        let shards = (0..self.size.nodes as u32).map(|k| records::shard_key(ShardId(k)));
-        let mut records = shards.filter_map(|key| self.store.value(&key));
-        records.any(|r| self.controller_index(r.get("holder")) == Some(node))
+    fn pop_due(&mut self, now: Ms) -> Option<Fault> {
+        let is_due = self.upcoming.front().is_some_and(|fault| fault.at <= now);
+        is_due.then(|| self.upcoming.pop_front())?
     }
 
-    /// The epoch of a job's share, as the state service has it.
-    pub fn epoch_of(&self, id: &JobId) -> Option<u64> {
-        let key = records::shard_key(self.shard_of(id)?);
-        self.store.value(&key)?.get("epoch")?.as_u64()
+    fn record(&mut self, now: Ms, kind: FaultKind, duration: Ms) {
+        self.active_until = self.active_until.max(now + duration);
+        self.injected.push((now, kind));
     }
 
-    /// The machines of a zone that are up.
-    pub fn machines_in(&self, zone: &str) -> Vec<MachineId> {
-        let all = self.workers.values().filter(|w| w.zone == zone);
-        all.map(|w| w.id.clone()).collect()
+    /// When the last fault was over, if none is active or still to come.
+    pub(super) fn quiet_since(&self, now: Ms) -> Option<Ms> {
+        let is_quiet = self.upcoming.is_empty() && now >= self.active_until;
+        is_quiet.then_some(self.active_until)
     }
+}
 
-    /// The machines that are meant and are up.
-    pub fn machines_of(&self, which: &Which) -> Vec<MachineId> {
-        let held = |w: &Worker, who: usize| {
-            let machine = self.store.value(&records::machine_key(&w.id))?;
-            let shard = ShardId(machine.get("share")?.as_u64()? as u32);
-            let shard = self.store.value(&records::shard_key(shard))?;
-            Some(self.controller_index(shard.get("holder"))? == who)
-        };
-        let meant = |w: &Worker| match which {
-            Which::RunningJob(id) => w.has_task_of(id),
-            Which::HeldBy(who) => self
-                .select_controller(who)
-                .is_some_and(|n| held(w, n).unwrap_or(false)),
-            Which::InZone(zone) => w.zone == *zone,
-            Which::Named(ids) => ids.contains(&w.id),
-            Which::Some(_) | Which::All => true,
-        };
-        let all = self.workers.values().filter(|w| meant(w));
-        all.map(|w| w.id.clone()).collect()
+impl World {
+    /// Faults that have begun, with when. Controllers that were selected by their role
+    /// appear with their indices.
+    pub fn injected_faults(&self) -> &[(Ms, FaultKind)] {
+        &self.faults.injected
     }
 
-    pub(super) fn inject_machine_fault(&mut self, which: &Which, fault: MachineFault) {
-        let now = self.now;
-        let mut ids = self.machines_of(which);
-        if let Which::Some(n) = which {
-            while ids.len() > *n {
-                let i = self.rng.random_range(0..ids.len());
-                ids.swap_remove(i);
-            }
-        }
-        for id in ids {
-            let Some(w) = self.workers.get_mut(&id) else {
-                continue;
-            };
-            match fault {
-                MachineFault::Die => self.crash_machine(&id),
-                MachineFault::Hang(time) => w.hung_until = now + time,
-                MachineFault::Partition(time) => w.partitioned_until = now + time,
-                MachineFault::InboundLoss(time) => w.inbound_lost_until = now + time,
-                MachineFault::OutboundLoss(time) => w.outbound_lost_until = now + time,
-                MachineFault::SlowLink(time) => w.slow_link_until = now + time,
-                MachineFault::FailTasks(time) => w.failing_until = now + time,
-                MachineFault::EvictImages => w.evict_images(now),
-                MachineFault::StuckPrefetch(time) => w.prefetch_stuck_until = now + time,
-            }
+    pub(super) fn inject_due_faults(&mut self) {
+        while let Some(fault) = self.faults.pop_due(self.now) {
+            self.inject(fault.kind);
         }
     }
 
-    /// A controller ends, and comes back as the old release or the new one.
-    fn restart_with_release(&mut self, node: usize, is_old: bool, restart_after: Ms) {
-        self.controllers[node].node = None;
-        self.controllers[node].is_old = is_old;
-        self.schedule(self.now + restart_after, Event::ControllerRestart(node));
-    }
-
-    /// The limits that were announced come into force.
-    fn lower_limits(&mut self) {
-        if let Some(next) = self.size.next_limits {
-            let sizes = SizeLimits {
-                value_bytes: next.value_kb * 1024,
-                txn_ops: next.txn_ops,
-            };
-            self.store.set_limits(next.write_rps, sizes);
+    /// Ends the outages of cloud and store whose time is over.
+    pub(super) fn end_outages(&mut self) {
+        if self.cloud.is_down && self.now >= self.faults.cloud_down_until {
+            self.cloud.is_down = false;
         }
-    }
-
-    /// A machine stops with all that is on it.
-    pub(super) fn crash_machine(&mut self, id: &MachineId) {
-        self.remove_worker(id);
-        if let Some(m) = self.cloud.machines.get_mut(id) {
-            m.failed = true;
+        if self.store.is_down && self.now >= self.faults.store_down_until {
+            self.store.set_down(false, self.now);
         }
-        self.cloud.end_billing(id, self.now);
-    }
-
-    /// Faults that have come, with when. Controllers that were named by what
-    /// they are have their indices here.
-    pub fn injected_faults(&self) -> &[(Ms, FaultKind)] {
-        &self.injected_faults
     }
 
+    /// Lets a fault begin. A fault of a selected controller waits until there is one.
     pub(super) fn inject(&mut self, kind: FaultKind) {
-        let now = self.now;
         let kind = match kind {
-            FaultKind::At(who, kind) => match self.select_controller(&who) {
-                Some(n) => kind.with_controller(n),
+            FaultKind::At(selector, kind) => match self.select_controller(&selector) {
+                Some(index) => kind.with_controller(index),
                 None => {
-                    self.schedule(now + STEP_MS, Event::FaultStart(FaultKind::At(who, kind)));
+                    let retry = Event::FaultStart(FaultKind::At(selector, kind));
+                    self.schedule(self.now + STEP_MS, retry);
                     return;
                 }
             },
             kind => kind,
         };
-        let over = now + kind.duration(self.size.lease_ms);
-        self.faults_until = self.faults_until.max(over);
-        self.injected_faults.push((now, kind.clone()));
-        let pick = |world: &mut Self| {
-            let ids: Vec<MachineId> = world.workers.keys().cloned().collect();
-            (!ids.is_empty()).then(|| ids[world.rng.random_range(0..ids.len())].clone())
-        };
+        let duration = kind.duration(self.size.lease_ms);
+        self.faults.record(self.now, kind.clone(), duration);
+        self.apply_controller_fault(kind);
+    }
+
+    /// Applies a fault of a controller itself, or passes it on.
+    fn apply_controller_fault(&mut self, kind: FaultKind) {
+        let now = self.now;
         match kind {
             FaultKind::Crash {
                 node,
                 count,
                 restart_after,
-            } => {
-                let nodes = self.size.nodes;
-                for n in (0..count).map(|i| (node + i) % nodes) {
-                    self.controllers[n].node = None;
-                    self.schedule(now + restart_after, Event::ControllerRestart(n));
-                }
-            }
+            } => self.crash_controllers(node, count, restart_after),
             FaultKind::Upgrade {
                 node,
                 restart_after,
@@ -184,7 +110,26 @@
                 node,
                 restart_after,
             } => self.restart_with_release(node, true, restart_after),
-            FaultKind::LowerLimits => self.lower_limits(),
+            FaultKind::StoreRefusal { node, time } => {
+                self.controllers[node].faults.store_refusal_until = now + time;
+            }
+            FaultKind::StoreLockout { node, time } => {
+                self.controllers[node].faults.store_lockout_until = now + time;
+            }
+            FaultKind::SlowTimers { node, time } => {
+                self.controllers[node].faults.slow_timers_until = now + time;
+            }
+            FaultKind::Pause { node, time } => {
+                self.controllers[node].faults.paused_until = now + time;
+            }
+            other => self.apply_partition(other),
+        }
+    }
+
+    /// Applies a network partition, or passes the fault on.
+    fn apply_partition(&mut self, kind: FaultKind) {
+        let now = self.now;
+        match kind {
             FaultKind::Cut {
                 node,
                 state,
@@ -193,48 +138,21 @@
                 time,
                 hold,
             } => {
-                let cuts = &mut self.controllers[node].faults;
-                cuts.holds_messages = hold;
-                for (on, until) in [
-                    (state, &mut cuts.store_partition_until),
-                    (workers, &mut cuts.worker_partition_until),
-                    (cloud, &mut cuts.cloud_partition_until),
+                let faults = &mut self.controllers[node].faults;
+                faults.holds_messages = hold;
+                for (is_lost, until) in [
+                    (state, &mut faults.store_partition_until),
+                    (workers, &mut faults.worker_partition_until),
+                    (cloud, &mut faults.cloud_partition_until),
                 ] {
-                    if on {
+                    if is_lost {
                         *until = now + time;
                     }
                 }
             }
             FaultKind::ZonePartition { zone, time, hold } => {
-                self.zone_partition = (zone, now + time, hold)
-            }
-            FaultKind::StoreRefusal { node, time } => {
-                self.controllers[node].faults.store_refusal_until = now + time
-            }
-            FaultKind::SlowTimers { node, time } => {
-                self.controllers[node].faults.slow_timers_until = now + time
-            }
-            FaultKind::StoreOutage(time) => {
-                self.store.set_down(true, now);
-                self.store_down_until = now + time;
-            }
-            FaultKind::SlowStore(time) => self.slow_store_until = now + time,
-            FaultKind::LateWrites(time) => self.late_writes_until = now + time,
-            FaultKind::CloudOutage(time) => {
-                self.cloud.is_down = true;
-                self.cloud_down_until = now + time;
-            }
-            FaultKind::LateHeartbeatCopies(time) => self.late_copies_until = now + time,
-            FaultKind::LostResponses(time) => self.lost_responses_until = now + time,
-            FaultKind::MachineCrash => {
-                if let Some(id) = pick(self) {
-                    self.crash_machine(&id);
-                }
-            }
-            FaultKind::At(_, kind) => self.inject(*kind),
-            FaultKind::Machines(which, fault) => self.inject_machine_fault(&which, fault),
-            FaultKind::StoreLockout { node, time } => {
-                self.controllers[node].faults.store_lockout_until = now + time
+                let partition = Partition::new(now + time, hold);
+                self.network_faults.zone_partition = ZonePartition { zone, partition };
             }
             FaultKind::PeerPartition {
                 node,
@@ -242,11 +160,12 @@
                 time,
                 hold,
             } => {
-                let bits = peers.map_or(u64::MAX, |w| w.iter().fold(0, |b, n| b | 1 << n));
-                self.controllers[node].faults.peer_partition = (now + time, bits, hold);
+                let partition = Partition::new(now + time, hold);
+                self.controllers[node].faults.peer_partition =
+                    PeerPartition::new(peers.as_deref(), partition);
             }
             FaultKind::CommandPartition { node, time, hold } => {
-                self.controllers[node].faults.command_partition = (now + time, hold);
+                self.controllers[node].faults.command_partition = Partition::new(now + time, hold);
             }
             FaultKind::LinkCut {
                 node,
@@ -254,84 +173,228 @@
                 lost,
                 time,
                 hold,
-            } => {
-                let machines = self.machines_of(&machines).into_iter().collect();
-                let until = now + time;
-                let cut = LinkPartition {
-                    machines,
-                    direction: lost,
-                    until,
-                    holds_messages: hold,
-                };
-                self.controllers[node]
-                    .faults
-                    .link_partitions
-                    .retain(|cut| cut.until > now);
-                self.controllers[node].faults.link_partitions.push(cut);
+            } => self.partition_links(node, &machines, lost, Partition::new(now + time, hold)),
+            other => self.apply_service_fault(other),
+        }
+    }
+
+    /// Applies a fault of store or cloud, or passes it on.
+    fn apply_service_fault(&mut self, kind: FaultKind) {
+        let now = self.now;
+        match kind {
+            FaultKind::LowerLimits => self.lower_limits(),
+            FaultKind::StoreOutage(time) => {
+                self.store.set_down(true, now);
+                self.faults.store_down_until = now + time;
             }
+            FaultKind::SlowStore(time) => self.network_faults.slow_store_until = now + time,
+            FaultKind::LateWrites(time) => self.network_faults.late_writes_until = now + time,
             FaultKind::LostWriteResponses {
                 percent,
                 key_prefix,
                 executes_at_once,
                 time,
             } => {
-                self.active_faults.lost_write_responses =
-                    (now + time, percent, key_prefix, executes_at_once)
+                self.network_faults.lost_write_responses = LostWriteResponses {
+                    until: now + time,
+                    percent,
+                    key_prefix,
+                    executes_at_once,
+                };
+            }
+            FaultKind::CloudOutage(time) => {
+                self.cloud.is_down = true;
+                self.faults.cloud_down_until = now + time;
+            }
+            FaultKind::SlowBoots { which, time } => {
+                self.cloud.slow_boots = Some((now + time, which));
+            }
+            FaultKind::FastBoots(time) => self.cloud.fast_boots_until = now + time,
+            other => self.apply_message_or_request_fault(other),
+        }
+    }
+
+    /// Applies a fault of messages or of users' requests, or passes it on.
+    fn apply_message_or_request_fault(&mut self, kind: FaultKind) {
+        let now = self.now;
+        match kind {
+            FaultKind::LateHeartbeatCopies(time) => {
+                self.network_faults.late_copies_until = now + time;
+            }
+            FaultKind::LostResponses(time) => {
+                self.network_faults.lost_responses_until = now + time;
             }
             FaultKind::LateHeartbeats {
                 percent,
                 until_failover,
                 time,
-            } => self.active_faults.late_heartbeats = (now + time, percent, until_failover),
-            FaultKind::SlowBoots { which, time } => {
-                self.cloud.slow_boots = Some((now + time, which))
+            } => {
+                self.network_faults.late_heartbeats = LateHeartbeats {
+                    until: now + time,
+                    percent,
+                    until_failover,
+                };
             }
-            FaultKind::FastBoots(time) => self.cloud.fast_boots_until = now + time,
             FaultKind::DelayedCommands { percent, time } => {
-                self.active_faults.delayed_commands = (now + time, percent);
+                let until = now + time;
+                self.network_faults.delayed_commands = PartialFault { until, percent };
             }
             FaultKind::CancelRunningJobs { count, hang_ms } => {
-                self.cancel_running_jobs(count, hang_ms)
+                self.cancel_running_jobs(count, hang_ms);
             }
             FaultKind::CancelCompletingJobs { percent, time } => {
-                self.active_faults.cancel_completing_jobs = (now + time, percent);
+                let until = now + time;
+                self.request_faults.cancel_completing_jobs = PartialFault { until, percent };
             }
             FaultKind::UnusualRequests(time) => {
-                self.active_faults.unusual_requests_until = now + time
+                self.request_faults.unusual_requests_until = now + time;
             }
-            FaultKind::StatusBursts(time) => self.active_faults.status_bursts_until = now + time,
-            FaultKind::Pause { node, time } => {
-                self.controllers[node].faults.paused_until = now + time
+            FaultKind::StatusBursts(time) => {
+                self.request_faults.status_bursts_until = now + time;
             }
-            FaultKind::SpotReclaim { notice } => {
-                let ids: Vec<MachineId> = self
-                    .workers
-                    .values()
-                    .filter(|w| w.spot)
-                    .map(|w| w.id.clone())
-                    .collect();
-                for id in ids {
-                    if let Some(w) = self.workers.get_mut(&id) {
-                        w.reclaimed_at = (notice > 0).then_some(now + notice);
-                    }
-                    self.schedule(now + notice, Event::SpotReclaim(id));
+            other => self.apply_machine_fault(other),
+        }
+    }
+
+    /// Applies a fault of machines. Those of other kinds have been applied before.
+    fn apply_machine_fault(&mut self, kind: FaultKind) {
+        let until = |time: Ms| self.now + time;
+        match kind {
+            FaultKind::Machines(which, fault) => self.inject_machine_fault(&which, fault),
+            FaultKind::SpotReclaim { notice } => self.reclaim_spot_machines(notice),
+            FaultKind::MachineCrash => {
+                if let Some(id) = self.random_machine() {
+                    self.crash_machine(&id);
                 }
             }
-            FaultKind::MachineHang(time)
-            | FaultKind::MachinePartition(time)
-            | FaultKind::MachineInboundBlocked(time)
-            | FaultKind::MachineFailsTasks(time) => {
-                let id = pick(self);
-                let Some(w) = id.and_then(|id| self.workers.get_mut(&id)) else {
-                    return;
-                };
-                match kind {
-                    FaultKind::MachineHang(_) => w.hung_until = now + time,
-                    FaultKind::MachinePartition(_) => w.partitioned_until = now + time,
-                    FaultKind::MachineInboundBlocked(_) => w.inbound_blocked_until = now + time,
-                    _ => w.failing_until = now + time,
-                }
+            FaultKind::MachineHang(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.hung_until = until);
+            }
+            FaultKind::MachinePartition(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.partitioned_until = until);
+            }
+            FaultKind::MachineInboundBlocked(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.inbound_blocked_until = until);
+            }
+            FaultKind::MachineFailsTasks(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.failing_until = until);
+            }
+            // A selection within a selection is resolved in turn.
+            FaultKind::At(_, kind) => self.inject(*kind),
+            other => unreachable!("{other:?} is applied before"),
+        }
+    }
+
+    fn crash_controllers(&mut self, first: usize, count: usize, restart_after: Ms) {
+        let nodes = self.size.nodes;
+        for index in (0..count).map(|offset| (first + offset) % nodes) {
+            self.controllers[index].node = None;
+            self.schedule(self.now + restart_after, Event::ControllerRestart(index));
+        }
+    }
+
+    /// A controller exits, and starts again as the old release or the new one.
+    fn restart_with_release(&mut self, index: usize, is_old: bool, restart_after: Ms) {
+        self.controllers[index].node = None;
+        self.controllers[index].is_old = is_old;
+        self.schedule(self.now + restart_after, Event::ControllerRestart(index));
+    }
+
+    fn partition_links(
+        &mut self,
+        index: usize,
+        machines: &Which,
+        direction: Direction,
+        partition: Partition,
+    ) {
+        let now = self.now;
+        let machines = self.machines_of(machines).into_iter().collect();
+        let links = &mut self.controllers[index].faults.link_partitions;
+        links.retain(|link| link.partition.is_active(now));
+        links.push(LinkPartition {
+            machines,
+            direction,
+            partition,
+        });
+    }
+
+    /// The limits that were announced come into force.
+    fn lower_limits(&mut self) {
+        if let Some(next) = self.size.next_limits {
+            let sizes = SizeLimits {
+                value_bytes: next.value_kb * 1024,
+                txn_ops: next.txn_ops,
+            };
+            self.store.set_limits(next.write_rps, sizes);
+        }
+    }
+
+    fn random_machine(&mut self) -> Option<MachineId> {
+        let ids: Vec<MachineId> = self.workers.by_id.keys().cloned().collect();
+        (!ids.is_empty()).then(|| ids[self.rng.random_range(0..ids.len())].clone())
+    }
+
+    fn with_random_worker(&mut self, change: impl FnOnce(&mut crate::worker::Worker)) {
+        let id = self.random_machine();
+        if let Some(worker) = id.and_then(|id| self.workers.by_id.get_mut(&id)) {
+            change(worker);
+        }
+    }
+
+    fn reclaim_spot_machines(&mut self, notice: Ms) {
+        let at = self.now + notice;
+        let workers = self.workers.by_id.values_mut();
+        let mut ids = Vec::new();
+        for worker in workers.filter(|worker| worker.spot) {
+            worker.reclaimed_at = (notice > 0).then_some(at);
+            ids.push(worker.id.clone());
+        }
+        for id in ids {
+            self.schedule(at, Event::SpotReclaim(id));
+        }
+    }
+
+    pub(super) fn inject_machine_fault(&mut self, which: &Which, fault: MachineFault) {
+        let mut ids = self.machines_of(which);
+        if let Which::Some(count) = which {
+            while ids.len() > *count {
+                let index = self.rng.random_range(0..ids.len());
+                ids.swap_remove(index);
             }
         }
+        for id in ids {
+            self.apply_to_machine(&id, fault);
+        }
+    }
+
+    fn apply_to_machine(&mut self, id: &MachineId, fault: MachineFault) {
+        let now = self.now;
+        let Some(worker) = self.workers.by_id.get_mut(id) else {
+            return;
+        };
+        match fault {
+            MachineFault::Die => self.crash_machine(id),
+            MachineFault::Hang(time) => worker.hung_until = now + time,
+            MachineFault::Partition(time) => worker.partitioned_until = now + time,
+            MachineFault::InboundLoss(time) => worker.inbound_lost_until = now + time,
+            MachineFault::OutboundLoss(time) => worker.outbound_lost_until = now + time,
+            MachineFault::SlowLink(time) => worker.slow_link_until = now + time,
+            MachineFault::FailTasks(time) => worker.failing_until = now + time,
+            MachineFault::EvictImages => worker.evict_images(now),
+            MachineFault::StuckPrefetch(time) => worker.prefetch_stuck_until = now + time,
+        }
+    }
+
+    /// A machine stops with everything on it.
+    fn crash_machine(&mut self, id: &MachineId) {
+        self.remove_worker(id);
+        if let Some(instance) = self.cloud.machines.get_mut(id) {
+            instance.failed = true;
+        }
+        self.cloud.end_billing(id, self.now);
     }
 }
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -1,28 +1,29 @@
-//! The network: what arrives where, when, and whether at all.
+//! The network: delays of messages, losses, and delivery to each kind of receiver.
 
-use super::size::zone_of;
-use super::{Event, World};
-use crate::worker::WorkerContext;
+use super::events::Event;
+use super::network_faults::LostWriteResponse;
+use super::size::{controller_index, zone_of};
+use super::{worker_context, World};
 use crate::Ms;
-use forkshift_core::{Input, RequestId};
+use forkshift_core::Input;
 use forkshift_wire::MachineId;
 use rand::Rng;
+use serde_json::Value;
 
+/// The sender of a request, to which the response goes.
 #[derive(Clone, Debug)]
 pub(super) enum Origin {
+    /// A simulated controller, in one of its incarnations.
     Controller {
         index: usize,
         incarnation: u64,
         call: u64,
     },
-    Worker {
-        id: MachineId,
-        sequence: u64,
-    },
-    User {
-        user: usize,
-        request: u64,
-    },
+    /// A worker, with the sequence number of its heartbeat.
+    Worker { id: MachineId, sequence: u64 },
+    /// A user, with the number of its request.
+    User { user: usize, request: u64 },
+    /// An unusual request.
     UnusualRequest(u64),
     /// A controller that is reached over real sockets, by the number of its call, and
     /// which one it is, if that is known.
@@ -30,17 +31,24 @@
         call: u64,
         controller: Option<usize>,
     },
-    Duplicate,
+    /// A copy or a delayed write, for whose response nobody waits.
+    Detached,
 }
 
+/// The receiver of a request.
 #[derive(Clone, Debug)]
 pub(super) enum Destination {
-    State,
+    /// The key-value store.
+    Store,
+    /// The cloud.
     Cloud,
+    /// The worker of a machine.
     Worker(MachineId),
-    Node(usize),
+    /// The controller of an index.
+    Controller(usize),
 }
 
+/// A request.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub(super) origin: Origin,
@@ -50,72 +58,67 @@
     pub(super) body: Vec<u8>,
 }
 
+impl Message {
+    /// A copy for whose response nobody waits.
+    pub(super) fn detached(&self) -> Self {
+        Self {
+            origin: Origin::Detached,
+            ..self.clone()
+        }
+    }
+}
+
 impl World {
-    pub(super) fn random_delay(&mut self) -> Ms {
+    /// The delay of a message on a healthy link.
+    fn random_delay(&mut self) -> Ms {
         match self.rng.random_range(0..100) {
             0 => self.rng.random_range(100..400),
             _ => self.rng.random_range(2..15),
         }
     }
 
-    /// How much longer a message takes from or to a machine on a slow link.
-    pub(super) fn slow_link_delay(&mut self, origin: &Origin, dest: &Destination) -> Ms {
-        let ((Origin::Worker { id, .. }, _) | (_, Destination::Worker(id))) = (origin, dest) else {
+    /// The additional delay of a message from or to a machine on a slow link.
+    fn slow_link_delay(&mut self, origin: &Origin, destination: &Destination) -> Ms {
+        let ((Origin::Worker { id, .. }, _) | (_, Destination::Worker(id))) = (origin, destination)
+        else {
             return 0;
         };
-        match self.workers.get(id) {
-            Some(w) if w.slow_link_until > self.now => self.rng.random_range(500..8_000),
+        match self.workers.by_id.get(id) {
+            Some(worker) if worker.slow_link_until > self.now => self.rng.random_range(500..8_000),
             _ => 0,
         }
     }
 
+    /// Sends a request.
     pub(super) fn send(&mut self, message: Message) {
-        let (until, hold) = self.partition(&message.origin, &message.destination);
+        let partition = self.partition(&message.origin, &message.destination);
         if self.remote.is_some() {
-            // Real sockets take the time that they take.
-            if until <= self.now {
+            // Real sockets have delays of their own.
+            if partition.is_none() {
                 self.deliver_request(message);
             }
             return;
         }
         let delay = self.random_delay();
         let mut time = self.now + delay;
-        if until > self.now {
-            if !hold {
+        if let Some(partition) = partition {
+            if !partition.holds_messages {
                 return;
             }
-            time = until + self.rng.random_range(1..30_000);
+            time = partition.until + self.rng.random_range(1..30_000);
         }
         time += self.slow_link_delay(&message.origin, &message.destination);
         time += self.command_delay(&message.origin, &message.destination);
         self.copy_heartbeat(&message);
-        if matches!(message.destination, Destination::Node(_))
-            && self.now < self.late_copies_until
-            && self.rng.random_range(0..4) == 0
-        {
-            if let Origin::Worker { .. } = message.origin {
-                let copy = Message {
-                    origin: Origin::Duplicate,
-                    ..message.clone()
-                };
-                let late = self.now + self.rng.random_range(1_000..self.size.lease_ms * 4);
-                self.schedule(late, Event::RequestArrival(copy));
-            }
-        }
+        self.send_late_copy(&message);
         self.schedule(time, Event::RequestArrival(message));
     }
 
+    /// Sends a response. Responses are never held back: they are lost or arrive.
     pub(super) fn respond(&mut self, from: &Destination, to: Origin, status: u16, body: Vec<u8>) {
-        let (until, _) = self.partition(&to, from);
-        let lost = self.now < self.lost_responses_until && self.rng.random_range(0..20) == 0;
-        let deaf = match &to {
-            Origin::Worker { id, .. } => self
-                .workers
-                .get(id)
-                .is_some_and(|w| w.inbound_blocked_until.max(w.inbound_lost_until) > self.now),
-            _ => false,
-        };
-        if until > self.now || lost || deaf {
+        let is_partitioned = self.partition(&to, from).is_some();
+        let is_lost = self.is_response_lost();
+        if is_partitioned || is_lost || self.is_inbound_blocked(&to) {
             return;
         }
         if self.remote.is_some() {
@@ -124,174 +127,185 @@
         }
         let mut time = self.now + self.random_delay() + self.slow_link_delay(&to, from);
         time += self.command_delay(&to, from);
-        let slow = matches!(from, Destination::State) && self.now < self.slow_store_until;
-        if slow && self.rng.random_range(0..4) == 0 {
-            time += self.rng.random_range(100..1_500);
-        }
+        time += self.slow_store_delay(from);
         self.schedule(time, Event::ResponseArrival { to, status, body });
     }
 
-    pub(super) fn deliver_request(&mut self, m: Message) {
-        let now = self.now;
-        match m.destination.clone() {
-            Destination::State => {
-                let txn = m.path == "/txn" && !matches!(m.origin, Origin::Duplicate);
-                if txn && now < self.late_writes_until && self.rng.random_range(0..8) == 0 {
-                    let late = now + self.rng.random_range(2_000..12_000);
-                    let origin = Origin::Duplicate;
-                    self.schedule(late, Event::RequestArrival(Message { origin, ..m }));
-                    return;
-                }
-                let lost = self.lost_write_response(&m);
-                let refused = match &m.origin {
-                    Origin::Controller { index: node, .. } => {
-                        let cuts = &self.controllers[*node].faults;
-                        cuts.store_refusal_until.max(cuts.store_lockout_until) > now
-                    }
-                    _ => false,
-                };
-                if !refused && lost == Some(false) {
-                    let late = now + self.rng.random_range(2_000..12_000);
-                    let origin = Origin::Duplicate;
-                    self.schedule(late, Event::RequestArrival(Message { origin, ..m }));
-                    return;
-                }
-                let answer = if refused {
-                    let watch = m.path.starts_with("/changes");
-                    (!watch).then(|| (503, serde_json::json!({"error": "refused"})))
-                } else {
-                    self.store
-                        .handle(now, &m.method, &m.path, &m.body, m.origin.clone())
-                };
-                if lost == Some(true) && !refused {
-                    return;
-                }
-                if let Some((status, value)) = answer {
-                    self.respond(
-                        &m.destination,
-                        m.origin,
-                        status,
-                        value.to_string().into_bytes(),
-                    );
-                }
-            }
-            Destination::Cloud => {
-                let (status, value) = self.cloud.handle(now, &m.path, &m.body, &mut self.rng);
-                // What the cloud deleted is gone by the time it answers.
-                self.sync_workers_with_cloud();
-                self.respond(
-                    &m.destination,
-                    m.origin,
-                    status,
-                    value.to_string().into_bytes(),
-                );
-            }
-            Destination::Worker(id) => {
-                let Some(w) = self.workers.get_mut(&id) else {
-                    return;
-                };
-                if w.hung_until > now {
-                    let until = w.hung_until;
-                    self.schedule(until, Event::RequestArrival(m));
-                    return;
-                }
-                let mut around = WorkerContext {
-                    now,
-                    ground_truths: &self.ground_truths,
-                    checker: &mut self.check,
-                    lease_ms: self.size.lease_ms,
-                };
-                let (status, body) = match m.path.as_str() {
-                    "/status" => (200, w.status(&mut around)),
-                    _ => w.handle_commands(&mut around, &m.body),
-                };
-                self.respond(&m.destination, m.origin, status, body);
+    /// Whether the receiver of a response is a worker that receives nothing.
+    fn is_inbound_blocked(&self, to: &Origin) -> bool {
+        let Origin::Worker { id, .. } = to else {
+            return false;
+        };
+        let worker = self.workers.by_id.get(id);
+        worker.is_some_and(|worker| {
+            let until = worker.inbound_blocked_until.max(worker.inbound_lost_until);
+            until > self.now
+        })
+    }
+
+    /// Delivers a request to its destination.
+    pub(super) fn deliver_request(&mut self, message: Message) {
+        match message.destination.clone() {
+            Destination::Store => self.deliver_to_store(message),
+            Destination::Cloud => self.deliver_to_cloud(message),
+            Destination::Worker(id) => self.deliver_to_worker(&id, message),
+            Destination::Controller(index) if self.remote.is_some() => {
+                self.enqueue_request(index, message);
             }
-            Destination::Node(n) if self.remote.is_some() => self.enqueue_request(n, m),
-            Destination::Node(n) => {
-                let host = &mut self.controllers[n];
-                if host.node.is_none() {
-                    self.respond(&m.destination, m.origin, 0, Vec::new());
-                    return;
-                }
-                let request = RequestId(host.next_request);
-                host.next_request += 1;
-                host.open_requests.insert(request, m.origin);
-                host.inbox.push(Input::Request {
-                    request,
-                    method: m.method,
-                    path: m.path,
-                    body: Some(m.body),
-                });
+            Destination::Controller(index) => self.deliver_to_controller(index, message),
+        }
+    }
+
+    fn deliver_to_store(&mut self, message: Message) {
+        if self.is_write_late(&message) {
+            self.execute_late(&message);
+            return;
+        }
+        let lost_response = self.lost_write_response(&message);
+        if self.is_refused_by_store(&message.origin) {
+            // Watches of a controller that is refused get no response.
+            if !message.path.starts_with("/changes") {
+                let body = serde_json::json!({"error": "refused"});
+                self.respond_json(message, 503, &body);
             }
+            return;
+        }
+        if lost_response == Some(LostWriteResponse::ExecutedLate) {
+            self.execute_late(&message);
+            return;
+        }
+        let answer = self.store.handle(
+            self.now,
+            &message.method,
+            &message.path,
+            &message.body,
+            message.origin.clone(),
+        );
+        if lost_response.is_some() {
+            return;
+        }
+        if let Some((status, value)) = answer {
+            self.respond_json(message, status, &value);
         }
     }
 
+    fn is_refused_by_store(&self, origin: &Origin) -> bool {
+        let Origin::Controller { index, .. } = origin else {
+            return false;
+        };
+        let faults = &self.controllers[*index].faults;
+        let refused_until = faults.store_refusal_until.max(faults.store_lockout_until);
+        refused_until > self.now
+    }
+
+    fn deliver_to_cloud(&mut self, message: Message) {
+        let (status, value) =
+            self.cloud
+                .handle(self.now, &message.path, &message.body, &mut self.rng);
+        // Deleted machines are removed by the time the cloud responds.
+        self.sync_workers_with_cloud();
+        self.respond_json(message, status, &value);
+    }
+
+    fn respond_json(&mut self, request: Message, status: u16, value: &Value) {
+        let body = value.to_string().into_bytes();
+        self.respond(&request.destination, request.origin, status, body);
+    }
+
+    fn deliver_to_worker(&mut self, id: &MachineId, message: Message) {
+        let now = self.now;
+        let Some(worker) = self.workers.by_id.get_mut(id) else {
+            return;
+        };
+        if worker.hung_until > now {
+            let until = worker.hung_until;
+            self.schedule(until, Event::RequestArrival(message));
+            return;
+        }
+        let mut context = worker_context!(self);
+        let (status, body) = match message.path.as_str() {
+            "/status" => (200, worker.status(&mut context)),
+            _ => worker.handle_commands(&mut context, &message.body),
+        };
+        self.respond(&message.destination, message.origin, status, body);
+    }
+
+    fn deliver_to_controller(&mut self, index: usize, message: Message) {
+        let controller = &mut self.controllers[index];
+        if controller.is_up() {
+            controller.receive(message);
+        } else {
+            self.respond(&message.destination, message.origin, 0, Vec::new());
+        }
+    }
+
+    /// Delivers a response to the sender of the request.
     pub(super) fn deliver_response(&mut self, to: Origin, status: u16, body: Vec<u8>) {
         match to {
-            Origin::Duplicate => {}
+            Origin::Detached => {}
             Origin::RemoteController { call, .. } => self.enqueue_response(call, status, body),
             Origin::Controller {
-                index: node,
-                incarnation: start,
+                index,
+                incarnation,
                 call,
             } => {
-                let host = &mut self.controllers[node];
-                if host.incarnation == start && host.open_calls.remove(&call) {
-                    host.inbox.push(Input::Response { call, status, body });
+                let controller = &mut self.controllers[index];
+                if controller.incarnation == incarnation && controller.open_calls.remove(&call) {
+                    let response = Input::Response { call, status, body };
+                    controller.inbox.push(response);
                 }
             }
-            Origin::Worker {
-                id,
-                sequence: report,
-            } => self.on_heartbeat_response(&id, report, status, &body),
-            Origin::User { user, request: op } => self.on_user_response(user, op, status, &body),
-            Origin::UnusualRequest(aside) => self.on_unusual_response(aside, status, &body),
+            Origin::Worker { id, sequence } => {
+                self.on_heartbeat_response(&id, sequence, status, &body);
+            }
+            Origin::User { user, request } => self.on_user_response(user, request, status, &body),
+            Origin::UnusualRequest(request) => self.on_unusual_response(request, status, &body),
         }
     }
 
-    /// A message to a peer comes, or comes late, or comes twice, or is lost.
+    /// Sends a message to a peer. It may arrive late or twice, or be lost.
     pub(super) fn send_to_peer(&mut self, from: usize, to: &str, message: Vec<u8>) {
-        if let Some(kept) = &mut self.recorded_messages {
-            kept.push(message.clone());
+        if let Some(recorded) = &mut self.traffic.recorded_messages {
+            recorded.push(message.clone());
         }
-        let to = to
-            .strip_prefix("berth-")
-            .and_then(|n| n.parse::<usize>().ok());
-        let Some(to) = to.filter(|n| *n < self.controllers.len()) else {
+        let to = controller_index(to).filter(|index| *index < self.controllers.len());
+        let Some(to) = to else {
             return;
         };
-        for (one, other) in [(from, to), (to, from)] {
-            let (until, with, hold) = self.controllers[one].faults.peer_partition;
-            if until > self.now && with >> other & 1 == 1 {
-                if hold {
-                    let late = until + self.rng.random_range(1..30_000);
-                    self.schedule(late, Event::PeerMessageArrival { to, message });
-                }
-                return;
+        if let Some(partition) = self.peer_partition(from, to) {
+            if partition.holds_messages {
+                let late = partition.until + self.rng.random_range(1..30_000);
+                self.schedule(late, Event::PeerMessageArrival { to, message });
             }
+            return;
         }
-        let (zone, until, _) = self.zone_partition;
-        let apart = until > self.now && (zone_of(from) == zone) != (zone_of(to) == zone);
-        let state = self.controllers[from]
-            .faults
-            .store_partition_until
-            .max(self.controllers[to].faults.store_partition_until);
-        let cut = state > self.now || apart;
+        let is_slow = self.is_peer_link_slow(from, to);
         let copies = match self.rng.random_range(0..20) {
             0 => 0,
             1 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let late = cut || self.rng.random_range(0..20) == 0;
-            let delay = if late {
-                self.rng.random_range(100..60_000)
-            } else {
-                self.random_delay()
+            let is_late = is_slow || self.rng.random_range(0..20) == 0;
+            let delay = match is_late {
+                true => self.rng.random_range(100..60_000),
+                false => self.random_delay(),
             };
             let message = message.clone();
             self.schedule(self.now + delay, Event::PeerMessageArrival { to, message });
         }
     }
+
+    /// Whether messages between two controllers are late, as their zones are partitioned
+    /// or one of them doesn't reach the store.
+    fn is_peer_link_slow(&self, from: usize, to: usize) -> bool {
+        let zone_partition = &self.network_faults.zone_partition;
+        let is_apart = zone_partition.partition.is_active(self.now)
+            && zone_partition.separates(zone_of(from), zone_of(to));
+        let store_partition_until = |index: usize| {
+            let faults = &self.controllers[index].faults;
+            faults.store_partition_until
+        };
+        store_partition_until(from).max(store_partition_until(to)) > self.now || is_apart
+    }
 }
--- a/crates/testkit/src/simulation/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -1,22 +1,38 @@
-//! What a world shows to those who look at it from outside.
+//! Read access to a simulation for tests, tools and the emulator.
 
-use super::users::UserState;
-use super::{JobCounts, World, WALL_CLOCK_OFFSET_MS};
+use super::users::{User, UserState};
+use super::{World, WALL_CLOCK_OFFSET_MS};
 use crate::cloud::Boot;
 use crate::Ms;
 use forkshift_core::{records, Node};
-use forkshift_wire::users::{JobKind, JobStage};
+use forkshift_wire::users::{JobKind, JobSpec, JobStage};
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Accepted jobs by the final state that their users know of, or else by whether a task of
+/// them is on a machine.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct JobCounts {
+    /// All accepted jobs.
+    pub accepted: u64,
+    /// Jobs whose users know that they are done.
+    pub done: u64,
+    /// Jobs whose users know that they are cancelled.
+    pub cancelled: u64,
+    /// Others with a task on a machine.
+    pub running: u64,
+    /// Others without one.
+    pub waiting: u64,
+}
+
 impl World {
-    /// What the state service has below a prefix.
+    /// The store's entries whose keys have a prefix.
     pub fn store_entries(&self, prefix: &str) -> Vec<(String, serde_json::Value)> {
         self.store.entries_with_prefix(prefix)
     }
 
-    /// When the cloud's charge for each machine began, and when it ended.
+    /// When the billing of each machine began and ended; no end: it goes on.
     pub fn billing_periods(&self) -> &BTreeMap<MachineId, (Ms, Option<Ms>)> {
         &self.cloud.billing_periods
     }
@@ -24,7 +40,7 @@
     /// Tasks of some jobs that are on machines and have not exited, and whether each runs.
     pub fn tasks_of(&self, jobs: &BTreeSet<JobId>) -> Vec<(TaskRef, MachineId, bool)> {
         let mut found = Vec::new();
-        for worker in self.workers.values() {
+        for worker in self.workers.by_id.values() {
             let tasks = worker.tasks.iter();
             let tasks = tasks
                 .filter(|((task, _), t)| jobs.contains(&task.job) && t.stage != TaskStage::Exited);
@@ -36,48 +52,50 @@
         found
     }
 
-    /// The time of day, as all controllers have it.
+    /// Wall-clock time, as all controllers see it.
     pub fn wall_clock(&self) -> Ms {
         self.now + WALL_CLOCK_OFFSET_MS
     }
 
-    /// The time.
+    /// Virtual time.
     pub fn now(&self) -> Ms {
         self.now
     }
 
-    /// Requests that the state service would have refused by its limits with
-    /// 429, of how many.
+    /// Requests beyond the limits of the store, and requests in all.
     pub fn over_limit(&self) -> (u64, u64) {
         self.store.over_limit
     }
 
-    /// Transactions that the state service refused for their size.
+    /// Transactions that the store refused for their size.
     pub fn too_large(&self) -> u64 {
         self.store.too_large
     }
 
-    /// The format that the controllers have finalized, as it is recorded.
+    /// The format version that the controllers have finalized, by the record in the store.
     pub fn finalized_format(&self) -> Option<u64> {
         self.store.value(records::FINALIZED_FORMAT)?.as_u64()
     }
 
-    /// Records that were put, with their keys, since they are kept.
+    /// Keys and values that were put since the recording began.
     pub fn kept_records(&self) -> &[(String, serde_json::Value)] {
         self.store.recorded_puts.as_deref().unwrap_or_default()
     }
 
-    /// Messages between controllers since they are kept.
+    /// Messages between controllers since the recording began.
     pub fn kept_messages(&self) -> &[Vec<u8>] {
-        self.recorded_messages.as_deref().unwrap_or_default()
+        self.traffic
+            .recorded_messages
+            .as_deref()
+            .unwrap_or_default()
     }
 
-    /// When a user was first told that a job is cancelled.
+    /// When a user first knew that a job is cancelled.
     pub fn cancelled_at(&self, id: &JobId) -> Option<Ms> {
         self.check.cancelled_at(id)
     }
 
-    /// How many jobs are accepted, and how they stand.
+    /// Counts of the accepted jobs.
     pub fn job_counts(&self) -> JobCounts {
         let mut counts = JobCounts::default();
         let ids = self.users.iter().map(|u| &u.plan.spec.id);
@@ -93,7 +111,7 @@
         counts
     }
 
-    /// Replicas of services that were started again.
+    /// Restarts of replicas of services.
     pub fn replicas_restarted(&self) -> u64 {
         let specs = self.users.iter().map(|u| &u.plan.spec);
         let services = specs.filter(|s| s.kind == JobKind::Service);
@@ -101,69 +119,72 @@
         again.sum()
     }
 
-    /// What a quiet end must show: everything accepted is done, or runs.
+    /// Accepted jobs that are neither done nor running, nor cancelled as their users want.
+    /// After a quiet end there must be none.
     pub fn unfinished_jobs(&self) -> Vec<String> {
-        let mut left = Vec::new();
-        for user in &self.users {
-            let spec = &user.plan.spec;
-            if user.state == UserState::Submitting {
-                left.push(format!("{}: not accepted", spec.id));
-            }
-            if user.state != UserState::Polling
-                || user.plan.cancel_at.is_none() && spec.kind == JobKind::Service
-            {
-                continue;
-            }
-            let tasks = (0..spec.tasks).map(|index| TaskRef {
-                job: spec.id.clone(),
-                index,
-            });
-            let cancelled = self.check.is_cancel_confirmed(&spec.id);
-            let done = tasks.clone().all(|t| self.check.is_task_completed(&t));
-            if !cancelled && self.check.is_cancel_wanted(&spec.id) && !done {
-                left.push(format!("{}: not cancelled", spec.id));
-            } else if !cancelled && !done && spec.kind != JobKind::Service {
-                left.push(format!(
-                    "{}: {:?} of {} tasks is not done",
-                    spec.id, spec.kind, spec.tasks
-                ));
-            }
+        let users = self.users.iter();
+        users
+            .filter_map(|user| self.unfinished_reason(user))
+            .collect()
+    }
+
+    fn unfinished_reason(&self, user: &User) -> Option<String> {
+        let spec = &user.plan.spec;
+        let is_service = spec.kind == JobKind::Service;
+        match user.state {
+            UserState::Submitting => return Some(format!("{}: not accepted", spec.id)),
+            UserState::Polling if user.plan.cancel_at.is_some() || !is_service => {}
+            _ => return None,
         }
-        left
+        if self.check.is_cancel_confirmed(&spec.id) || self.has_completed(spec) {
+            return None;
+        }
+        if self.check.is_cancel_wanted(&spec.id) {
+            return Some(format!("{}: not cancelled", spec.id));
+        }
+        let (id, kind, tasks) = (&spec.id, spec.kind, spec.tasks);
+        (!is_service).then(|| format!("{id}: {kind:?} of {tasks} tasks is not done"))
+    }
+
+    fn has_completed(&self, spec: &JobSpec) -> bool {
+        (0..spec.tasks).all(|index| {
+            let job = spec.id.clone();
+            self.check.is_task_completed(&TaskRef { job, index })
+        })
     }
 
-    /// Machines that the cloud has been told to delete, or has taken.
+    /// Machines that were deleted or reclaimed.
     pub fn terminated_machines(&self) -> usize {
         self.cloud.terminated_count
     }
 
-    /// Reports of workers so far, and what controllers that are up looked at.
+    /// Heartbeats of workers so far, and items that the controllers which are up visited.
     pub fn work_counts(&self) -> (u64, u64) {
         let nodes = self.controllers.iter().filter_map(|h| h.node.as_ref());
-        (self.heartbeats_sent, nodes.map(Node::visits).sum())
+        (self.workers.heartbeats_sent, nodes.map(Node::visits).sum())
     }
 
-    /// Machines that were rented.
+    /// Machines that were provisioned.
     pub fn provisioned_machines(&self) -> usize {
         self.cloud.terminated_count + self.cloud.machines.len()
     }
 
-    /// Machines that were given up as their records say, and why.
+    /// Machines that were decommissioned by their records, with the reasons.
     pub fn decommissioned(&self) -> &BTreeMap<MachineId, String> {
         &self.store.decommissioned
     }
 
-    /// Rentals so far: when, type, zone, and how many machines were had.
+    /// Provisioning requests so far: when, type, zone, and how many machines were provisioned.
     pub fn provisioning_log(&self) -> &[(Ms, String, String, u32)] {
         &self.cloud.provisioning_log
     }
 
-    /// The boots of all machines that were rented, in the order of rental.
+    /// The boots of all machines, in the order of provisioning.
     pub fn boots(&self) -> &[Boot] {
         &self.cloud.boots
     }
 
-    /// Machines that are paid for and not up.
+    /// Machines that are billed and not up.
     pub fn booting(&self) -> usize {
         let all = self.cloud.machines.values();
         all.filter(|m| !m.failed && m.up_at > self.now).count()
@@ -171,21 +192,21 @@
 
     /// Machines that are up.
     pub fn machines(&self) -> usize {
-        self.workers.len()
+        self.workers.by_id.len()
     }
 
     /// Most machines that were up at a time.
     pub fn max_machines(&self) -> usize {
-        self.max_machines
+        self.workers.max_count
     }
 
     /// A digest of everything that the controllers have sent, which is the
     /// same for two runs in which they did the same at the same times.
     pub fn digest(&self) -> u64 {
-        self.digest.value()
+        self.traffic.digest.value()
     }
 
-    /// Puts and deletes that the state service has carried out.
+    /// Puts and deletes that the store has executed.
     pub fn writes(&self) -> u64 {
         self.store.writes
     }
--- a/crates/testkit/src/simulation/partitions.rs
+++ b/crates/testkit/src/simulation/partitions.rs
@@ -1,4 +1,4 @@
-//! Cuts: which two ends do not reach each other, and until when.
+//! Network partitions: which two ends do not reach each other, and until when.
 
 use super::network::{Destination, Origin};
 use super::size::zone_of;
@@ -8,142 +8,255 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A cut between a controller and some machines.
+/// A loss of messages that ends at a time.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Partition {
+    pub(super) until: Ms,
+    /// Whether messages are delivered after the end; else they are lost.
+    pub(super) holds_messages: bool,
+}
+
+impl Partition {
+    pub(super) fn new(until: Ms, holds_messages: bool) -> Self {
+        Self {
+            until,
+            holds_messages,
+        }
+    }
+
+    pub(super) fn is_active(self, now: Ms) -> bool {
+        self.until > now
+    }
+}
+
+/// A zone that is partitioned from everything outside of it.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ZonePartition {
+    pub(super) zone: &'static str,
+    pub(super) partition: Partition,
+}
+
+impl ZonePartition {
+    /// Whether exactly one of two zones is the partitioned one.
+    pub(super) fn separates(&self, zone: &str, other: &str) -> bool {
+        (zone == self.zone) != (other == self.zone)
+    }
+}
+
+/// Peers that a controller is partitioned from.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct PeerPartition {
+    /// One bit for each index.
+    peers: u64,
+    partition: Partition,
+}
+
+impl PeerPartition {
+    /// A partition from some peers, or from all if they are left out.
+    pub(super) fn new(peers: Option<&[usize]>, partition: Partition) -> Self {
+        let bits = |peers: &[usize]| peers.iter().fold(0, |bits, peer| bits | 1 << peer);
+        Self {
+            peers: peers.map_or(u64::MAX, bits),
+            partition,
+        }
+    }
+
+    fn contains(&self, peer: usize) -> bool {
+        self.peers >> peer & 1 == 1
+    }
+}
+
+/// A partition between a controller and some machines.
 #[derive(Clone, Debug)]
 pub(super) struct LinkPartition {
     pub(super) machines: BTreeSet<MachineId>,
     pub(super) direction: Direction,
-    pub(super) until: Ms,
-    /// Messages are held back.
-    pub(super) holds_messages: bool,
+    pub(super) partition: Partition,
 }
 
-/// What a controller is cut off from, each until a time.
+impl LinkPartition {
+    fn covers(&self, machine: &MachineId, direction: Direction) -> bool {
+        let is_lost = self.direction == Direction::Both || self.direction == direction;
+        is_lost && self.machines.contains(machine)
+    }
+}
+
+/// Faults of a controller, each until a time.
 #[derive(Default, Clone)]
 pub(super) struct ControllerFaults {
-    /// Refused by the state service, open watches included.
+    /// The store refuses its requests and leaves its watches without a response.
     pub(super) store_lockout_until: Ms,
-    /// Until when it is cut off from which others, one bit each, and whether
-    /// messages are held.
-    pub(super) peer_partition: (Ms, u64, bool),
-    /// Until when direct commands do not reach workers, and whether they are held.
-    pub(super) command_partition: (Ms, bool),
-    /// Machines that it is cut off from.
+    /// The store refuses its requests.
+    pub(super) store_refusal_until: Ms,
+    pub(super) peer_partition: PeerPartition,
+    /// Its commands do not reach workers.
+    pub(super) command_partition: Partition,
     pub(super) link_partitions: Vec<LinkPartition>,
     pub(super) paused_until: Ms,
+    pub(super) slow_timers_until: Ms,
     pub(super) store_partition_until: Ms,
     pub(super) worker_partition_until: Ms,
     pub(super) cloud_partition_until: Ms,
-    pub(super) store_refusal_until: Ms,
-    pub(super) slow_timers_until: Ms,
+    /// Whether the partitions from store, workers and cloud hold messages.
     pub(super) holds_messages: bool,
 }
 
+impl ControllerFaults {
+    /// A partition that holds messages if this controller's partitions do.
+    fn partition(&self, until: Ms) -> Partition {
+        Partition::new(until, self.holds_messages)
+    }
+}
+
 impl World {
-    /// Until when two ends are cut off from each other, and whether messages are held.
-    pub(super) fn partition(&self, origin: &Origin, dest: &Destination) -> (Ms, bool) {
-        let (zone, until, hold) = self.zone_partition;
-        let of_worker = |id: &MachineId| self.workers.get(id).is_some_and(|w| w.zone == zone);
-        let from_inside = match origin {
-            Origin::Controller { index: node, .. } => zone_of(*node) == zone,
-            Origin::Worker { id, .. } => of_worker(id),
+    /// The partition between the two ends of a request, if there is one now.
+    pub(super) fn partition(
+        &self,
+        origin: &Origin,
+        destination: &Destination,
+    ) -> Option<Partition> {
+        if self.is_zone_boundary_crossed(origin, destination) {
+            return Some(self.network_faults.zone_partition.partition);
+        }
+        let partition = match (origin, destination) {
+            (Origin::RemoteController { controller, .. }, _) => {
+                self.remote_controller_partition(*controller, destination)
+            }
+            (Origin::Controller { index, .. }, _) => self.controller_partition(*index, destination),
+            (Origin::Worker { id, .. }, Destination::Controller(index)) => {
+                self.worker_partition(id, *index)
+            }
+            _ => Partition::default(),
+        };
+        partition.is_active(self.now).then_some(partition)
+    }
+
+    /// Whether a request crosses the boundary of a partitioned zone.
+    fn is_zone_boundary_crossed(&self, origin: &Origin, destination: &Destination) -> bool {
+        let ZonePartition { zone, partition } = self.network_faults.zone_partition;
+        let is_worker_inside = |id: &MachineId| {
+            let worker = self.workers.by_id.get(id);
+            worker.is_some_and(|worker| worker.zone == zone)
+        };
+        let is_origin_inside = match origin {
+            Origin::Controller { index, .. } => zone_of(*index) == zone,
+            Origin::Worker { id, .. } => is_worker_inside(id),
             Origin::User { .. }
             | Origin::UnusualRequest(_)
             | Origin::RemoteController { .. }
-            | Origin::Duplicate => false,
+            | Origin::Detached => false,
         };
-        let to_inside = match dest {
-            Destination::Node(n) => zone_of(*n) == zone,
-            Destination::Worker(id) => of_worker(id),
-            Destination::State | Destination::Cloud => false,
+        let is_destination_inside = match destination {
+            Destination::Controller(index) => zone_of(*index) == zone,
+            Destination::Worker(id) => is_worker_inside(id),
+            Destination::Store | Destination::Cloud => false,
         };
-        if until > self.now && from_inside != to_inside {
-            return (until, hold);
+        partition.is_active(self.now) && is_origin_inside != is_destination_inside
+    }
+
+    /// The partition of a controller's call. It may be over already.
+    fn controller_partition(&self, index: usize, destination: &Destination) -> Partition {
+        let faults = &self.controllers[index].faults;
+        match destination {
+            Destination::Store => faults.partition(faults.store_partition_until),
+            Destination::Cloud => faults.partition(faults.cloud_partition_until),
+            Destination::Worker(id) => self.command_partition(index, id),
+            Destination::Controller(_) => Partition::default(),
         }
-        let node = |n: usize| &self.controllers[n].faults;
-        let worker = |id: &MachineId| {
-            self.workers
-                .get(id)
-                .map_or(0, |w| w.partitioned_until.max(w.hung_until))
-        };
-        match (origin, dest) {
-            (
-                Origin::RemoteController {
-                    controller: Some(n),
-                    ..
-                },
-                Destination::State,
-            ) => (node(*n).store_partition_until, false),
-            (
-                Origin::RemoteController {
-                    controller: Some(n),
-                    ..
-                },
-                Destination::Cloud,
-            ) => (node(*n).cloud_partition_until, false),
-            (Origin::RemoteController { controller: n, .. }, Destination::Worker(id)) => {
-                let cut = n.and_then(|n| self.link_partition(n, id, Direction::Calls));
-                if let Some((until, _)) = cut {
-                    return (until, false);
-                }
-                let link = self.workers.get(id);
-                let silent = link.map_or(0, |w| w.inbound_lost_until.max(w.inbound_blocked_until));
-                (worker(id).max(silent), false)
-            }
-            (Origin::Controller { index: n, .. }, Destination::State) => {
-                (node(*n).store_partition_until, node(*n).holds_messages)
-            }
-            (Origin::Controller { index: n, .. }, Destination::Cloud) => {
-                (node(*n).cloud_partition_until, node(*n).holds_messages)
-            }
-            (Origin::Controller { index: n, .. }, Destination::Worker(id)) => {
-                let (direct, direct_hold) = node(*n).command_partition;
-                if direct > self.now {
-                    return (direct, direct_hold);
-                }
-                if let Some(cut) = self.link_partition(*n, id, Direction::Calls) {
-                    return cut;
-                }
-                let lost = self.workers.get(id).map_or(0, |w| w.inbound_lost_until);
-                if lost > self.now {
-                    return (lost, false);
-                }
-                let deaf = self.workers.get(id).map_or(0, |w| w.inbound_blocked_until);
-                (
-                    node(*n).worker_partition_until.max(worker(id)).max(deaf),
-                    true,
-                )
-            }
-            (Origin::Worker { id, .. }, Destination::Node(n)) => {
-                let mute = self.workers.get(id).map_or(0, |w| w.outbound_lost_until);
-                if mute > self.now {
-                    return (mute, false);
-                }
-                if let Some(cut) = self.link_partition(*n, id, Direction::Reports) {
-                    return cut;
+    }
+
+    fn command_partition(&self, index: usize, id: &MachineId) -> Partition {
+        let faults = &self.controllers[index].faults;
+        if faults.command_partition.is_active(self.now) {
+            return faults.command_partition;
+        }
+        if let Some(partition) = self.link_partition(index, id, Direction::Calls) {
+            return partition;
+        }
+        let worker = self.workers.by_id.get(id);
+        let lost_until = worker.map_or(0, |worker| worker.inbound_lost_until);
+        if lost_until > self.now {
+            return Partition::new(lost_until, false);
+        }
+        let blocked_until = worker.map_or(0, |worker| worker.inbound_blocked_until);
+        let until = faults.worker_partition_until;
+        let until = until.max(self.unreachable_until(id)).max(blocked_until);
+        Partition::new(until, true)
+    }
+
+    /// The partition of a call of a controller that runs as a process. Its sockets lose
+    /// messages and hold none.
+    fn remote_controller_partition(
+        &self,
+        controller: Option<usize>,
+        destination: &Destination,
+    ) -> Partition {
+        let faults = controller.map(|index| &self.controllers[index].faults);
+        let until = match (destination, faults) {
+            (Destination::Store, Some(faults)) => faults.store_partition_until,
+            (Destination::Cloud, Some(faults)) => faults.cloud_partition_until,
+            (Destination::Worker(id), _) => {
+                let link =
+                    controller.and_then(|index| self.link_partition(index, id, Direction::Calls));
+                match link {
+                    Some(partition) => partition.until,
+                    None => self.remote_worker_silent_until(id),
                 }
-                (
-                    node(*n).worker_partition_until.max(worker(id)),
-                    node(*n).holds_messages,
-                )
             }
-            _ => (0, false),
+            _ => 0,
+        };
+        Partition::new(until, false)
+    }
+
+    fn remote_worker_silent_until(&self, id: &MachineId) -> Ms {
+        let worker = self.workers.by_id.get(id);
+        let inbound = worker.map_or(0, |worker| {
+            worker.inbound_lost_until.max(worker.inbound_blocked_until)
+        });
+        self.unreachable_until(id).max(inbound)
+    }
+
+    /// The partition of a worker's heartbeat. It may be over already.
+    fn worker_partition(&self, id: &MachineId, index: usize) -> Partition {
+        let worker = self.workers.by_id.get(id);
+        let lost_until = worker.map_or(0, |worker| worker.outbound_lost_until);
+        if lost_until > self.now {
+            return Partition::new(lost_until, false);
         }
+        if let Some(partition) = self.link_partition(index, id, Direction::Reports) {
+            return partition;
+        }
+        let faults = &self.controllers[index].faults;
+        let until = faults.worker_partition_until;
+        faults.partition(until.max(self.unreachable_until(id)))
     }
 
-    /// Until when a controller and a machine are cut off from each other in a direction,
-    /// and whether messages are held.
+    /// Until when a machine is partitioned or hung.
+    fn unreachable_until(&self, id: &MachineId) -> Ms {
+        let worker = self.workers.by_id.get(id);
+        worker.map_or(0, |worker| worker.partitioned_until.max(worker.hung_until))
+    }
+
+    /// The partition between a controller and a machine in a direction, if there is one now.
     fn link_partition(
         &self,
-        node: usize,
+        index: usize,
         id: &MachineId,
         direction: Direction,
-    ) -> Option<(Ms, bool)> {
-        let cuts = self.controllers[node].faults.link_partitions.iter();
-        let mut meant = cuts.filter(|cut| {
-            let lost = cut.direction == Direction::Both || cut.direction == direction;
-            lost && cut.until > self.now && cut.machines.contains(id)
-        });
-        meant.next().map(|cut| (cut.until, cut.holds_messages))
+    ) -> Option<Partition> {
+        let mut links = self.controllers[index].faults.link_partitions.iter();
+        let link =
+            links.find(|link| link.partition.is_active(self.now) && link.covers(id, direction))?;
+        Some(link.partition)
+    }
+
+    /// The partition between two controllers, if there is one now.
+    pub(super) fn peer_partition(&self, from: usize, to: usize) -> Option<Partition> {
+        let mut ends = [(from, to), (to, from)].into_iter();
+        ends.find_map(|(index, peer)| {
+            let peers = self.controllers[index].faults.peer_partition;
+            let is_lost = peers.partition.is_active(self.now) && peers.contains(peer);
+            is_lost.then_some(peers.partition)
+        })
     }
 }
--- a/crates/testkit/src/simulation/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -1,4 +1,4 @@
-//! Warm pools, as the state service has them, and what the cloud charged.
+//! Warm pools by the store's records, and what the cloud billed.
 
 use super::World;
 use crate::Ms;
@@ -10,10 +10,11 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
+/// Prefix of the keys of machine records.
 const MACHINES: &str = "c/machine/";
 
 impl World {
-    /// Machines that are in pools now.
+    /// Members of warm pools now.
     pub fn pool_members(&self) -> Vec<(MachineId, Membership)> {
         let members = self.machine_records().into_iter();
         members
@@ -21,11 +22,11 @@
             .collect()
     }
 
-    /// The accounts of all pools; what goes on is taken to end now.
+    /// The accounts of all pools. Open intervals are taken to end now.
     ///
     /// # Panics
     ///
-    /// If a record is not understood.
+    /// If a record can not be parsed.
     pub fn pool_accounts(&self, now_ms: Ms) -> Accounts {
         let mut accounts = Accounts::default();
         let rows = self
@@ -37,7 +38,7 @@
                 Some(Row::Interval(interval)) => accounts.intervals.push(interval),
                 Some(Row::Asked(asked)) => accounts.asked.push(asked),
                 Some(Row::Miss(miss)) => accounts.misses.push(miss),
-                None => panic!("{key} is not understood: {value}"),
+                None => panic!("{key} can not be parsed: {value}"),
             }
         }
         for (key, value) in self.store_entries(PRICES) {
@@ -60,7 +61,7 @@
         accounts
     }
 
-    /// From when to when the cloud charged for each machine, if the world began then.
+    /// Billing periods of all machines, for a simulation that began at a time.
     pub fn pool_lives(&self, began_ms: Ms) -> BTreeMap<MachineId, Life> {
         let lives = self.billing_periods().iter();
         let life = |(from, to): &(Ms, Option<Ms>)| {
--- a/crates/testkit/src/simulation/remote.rs
+++ b/crates/testkit/src/simulation/remote.rs
@@ -1,25 +1,25 @@
-//! A world whose controllers are processes of their own.
+//! Simulations whose controllers are processes of their own.
 //!
-//! The world then plays users, workers, cloud and state service alone, in real
-//! time. What is for a controller is handed out to whoever carries it there over
-//! a socket, and what controllers ask is handed in.
+//! The simulation then plays users, workers, cloud and store only, in real time. Requests
+//! to controllers are queued for the caller, which sends them over sockets, and the caller
+//! passes in the controllers' calls.
 
 use super::network::{Destination, Message, Origin};
+use super::selectors::controller_in;
 use super::{World, STEP_MS};
 use crate::Ms;
 use forkshift_core::epoch_of_token;
-use forkshift_core::records::{self, ShardId};
 use forkshift_wire::workers::CommandRequest;
 use forkshift_wire::MachineId;
 use rand::Rng;
 use serde_json::Value;
 
-/// Who asks a controller, and is to be told its answer.
+/// The sender of a request to a controller, which gets the response.
 #[derive(Debug)]
 pub struct Requester(Origin);
 
 impl Requester {
-    /// The machine whose report this is, if it is one.
+    /// The machine whose heartbeat this is, if it is one.
     pub fn machine(&self) -> Option<&MachineId> {
         match &self.0 {
             Origin::Worker { id, .. } => Some(id),
@@ -31,7 +31,7 @@
 /// A request for a controller.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Who asks.
+    /// The sender.
     pub asker: Requester,
     /// Index of the controller.
     pub node: usize,
@@ -43,10 +43,10 @@
     pub body: Vec<u8>,
 }
 
-/// An answer to a controller's call.
+/// A response to a controller's call.
 #[derive(Debug)]
 pub struct Answer {
-    /// The number that the call was handed in with.
+    /// The number that the call was passed in with.
     pub call: u64,
     /// HTTP status.
     pub status: u16,
@@ -57,7 +57,7 @@
 /// A service or worker that controllers call.
 #[derive(Clone, Debug)]
 pub enum Service {
-    /// The state service, as the controller of that index reaches it.
+    /// The store, as the controller of that index reaches it.
     State(usize),
     /// The cloud, likewise.
     Cloud(usize),
@@ -65,27 +65,27 @@
     Worker(MachineId),
 }
 
-/// A machine that came or went.
+/// A machine that was added or removed.
 #[derive(Debug)]
 pub enum MachineChange {
     /// Its worker is up.
     Up(MachineId),
-    /// It is gone.
+    /// It was removed.
     Gone(MachineId),
 }
 
-/// What waits to be carried out of the world.
+/// Queues between the simulation and controllers that run as processes.
 #[derive(Default)]
 pub(super) struct RemoteQueues {
     requests: Vec<Outgoing>,
     answers: Vec<Answer>,
     pub(super) machines: Vec<MachineChange>,
-    /// Controllers that the load balancer finds healthy.
+    /// Controllers that are healthy for the load balancer.
     healthy: Vec<usize>,
 }
 
 impl World {
-    /// Plays up to a time, in steps of up to `longest`.
+    /// Runs until a time, in steps of up to `longest`.
     pub fn advance_to(&mut self, time: Ms, longest: Ms) {
         while self.now + STEP_MS <= time {
             let next = (self.now + longest.max(STEP_MS)).min(time);
@@ -93,66 +93,63 @@
         }
     }
 
-    /// Hands in a controller's call. The answer, if there is one, bears its number.
+    /// Passes in a controller's call. The response, if there is one, bears its number.
     pub fn call(&mut self, call: u64, to: Service, method: &str, path: &str, body: Vec<u8>) {
-        let (dest, node) = match to {
-            Service::State(node) => (Destination::State, Some(node)),
+        let (destination, controller) = match to {
+            Service::State(node) => (Destination::Store, Some(node)),
             Service::Cloud(node) => (Destination::Cloud, Some(node)),
             Service::Worker(id) => (Destination::Worker(id), self.controller_of_token(&body)),
         };
         self.send(Message {
-            origin: Origin::RemoteController {
-                call,
-                controller: node,
-            },
-            destination: dest,
+            origin: Origin::RemoteController { call, controller },
+            destination,
             method: method.to_owned(),
             path: path.to_owned(),
             body,
         });
     }
 
-    /// The controller that has sent commands: the holder whose token they bear.
+    /// The controller that has sent commands: the holder with the epoch of their token.
     fn controller_of_token(&self, body: &[u8]) -> Option<usize> {
         let request: CommandRequest = serde_json::from_slice(body).ok()?;
         let epoch = epoch_of_token(request.token);
-        let shards = (0..self.size.nodes as u32).map(|k| records::shard_key(ShardId(k)));
-        let mut records = shards.filter_map(|key| self.store.value(&key));
-        let record = records.find(|r| r.get("epoch").and_then(Value::as_u64) == Some(epoch))?;
-        self.controller_index(record.get("holder"))
+        let has_epoch =
+            |record: &&Value| record.get("epoch").and_then(Value::as_u64) == Some(epoch);
+        let record = self.shard_records().find(has_epoch)?;
+        controller_in(record.get("holder"))
     }
 
-    /// Tells who asked a controller its answer; status 0 stands for none.
+    /// Delivers the response of a controller; status 0 stands for none.
     pub fn deliver(&mut self, asker: Requester, status: u16, body: Vec<u8>) {
         self.deliver_response(asker.0, status, body);
     }
 
-    /// Takes the requests that are to be carried to controllers.
+    /// Takes the requests that are to be sent to controllers.
     pub fn take_requests(&mut self) -> Vec<Outgoing> {
         let remote = self.remote.as_mut();
         remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.requests))
     }
 
-    /// Takes the answers to controllers' calls.
+    /// Takes the responses to controllers' calls.
     pub fn take_answers(&mut self) -> Vec<Answer> {
         let remote = self.remote.as_mut();
         remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.answers))
     }
 
-    /// Takes the machines that came or went.
+    /// Takes the machines that were added or removed.
     pub fn take_machine_changes(&mut self) -> Vec<MachineChange> {
         let remote = self.remote.as_mut();
         remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.machines))
     }
 
-    /// Says which controllers the load balancer finds healthy now.
+    /// Sets which controllers are healthy for the load balancer.
     pub fn set_healthy(&mut self, healthy: Vec<usize>) {
         if let Some(remote) = &mut self.remote {
             remote.healthy = healthy;
         }
     }
 
-    /// The controller that a user's connection is led to.
+    /// The controller to which the load balancer sends a user, drawn at random.
     pub(super) fn pick_user_controller(&mut self) -> usize {
         let healthy = self.remote.as_ref().map_or(&[][..], |r| &r.healthy);
         match healthy.len() {
--- /dev/null
+++ b/crates/testkit/src/simulation/selectors.rs
@@ -0,0 +1,100 @@
+//! Selection of controllers and machines by what they are at the moment.
+
+use super::size::controller_index;
+use super::World;
+use crate::faults::{ControllerSelector, Which};
+use crate::worker::Worker;
+use forkshift_core::records::{self, ShardId};
+use forkshift_wire::{JobId, MachineId};
+use serde_json::Value;
+
+/// The controller that a field of a record names.
+pub(super) fn controller_in(field: Option<&Value>) -> Option<usize> {
+    controller_index(field?.as_str()?)
+}
+
+impl World {
+    /// The selected controller, if there is one now.
+    pub fn select_controller(&self, selector: &ControllerSelector) -> Option<usize> {
+        match selector {
+            ControllerSelector::Index(index) => Some(*index),
+            ControllerSelector::HolderOfJob(id) => self.holder_of(id),
+            ControllerSelector::Leader => self.leader(),
+            ControllerSelector::NextAfter(selector) => {
+                let first = self.select_controller(selector)?;
+                let nodes = self.size.nodes;
+                let mut others = (1..nodes).map(|offset| (first + offset) % nodes);
+                others.find(|index| self.controllers[*index].is_up())
+            }
+        }
+    }
+
+    /// The leader by the store's record.
+    pub fn leader(&self) -> Option<usize> {
+        controller_in(self.store.value(records::LEADER)?.get("node"))
+    }
+
+    fn shard_of(&self, id: &JobId) -> Option<ShardId> {
+        let shard = self.store.value(&records::job_key(id))?.get("share")?;
+        Some(ShardId(shard.as_u64()? as u32))
+    }
+
+    /// The holder of a job's shard by the store's record.
+    pub fn holder_of(&self, id: &JobId) -> Option<usize> {
+        let key = records::shard_key(self.shard_of(id)?);
+        controller_in(self.store.value(&key)?.get("holder"))
+    }
+
+    /// The records of all shards in the store.
+    pub(super) fn shard_records(&self) -> impl Iterator<Item = &Value> {
+        let shards = (0..self.size.nodes as u32).map(|shard| records::shard_key(ShardId(shard)));
+        shards.filter_map(|key| self.store.value(&key))
+    }
+
+    /// Whether a controller holds a shard by the store's records.
+    pub fn holds_shards(&self, node: usize) -> bool {
+        let mut records = self.shard_records();
+        records.any(|record| controller_in(record.get("holder")) == Some(node))
+    }
+
+    /// The epoch of a job's shard by the store's record.
+    pub fn epoch_of(&self, id: &JobId) -> Option<u64> {
+        let key = records::shard_key(self.shard_of(id)?);
+        self.store.value(&key)?.get("epoch")?.as_u64()
+    }
+
+    /// The holder of a machine's shard by the store's records.
+    fn holder_of_machine(&self, id: &MachineId) -> Option<usize> {
+        let machine = self.store.value(&records::machine_key(id))?;
+        let shard = ShardId(machine.get("share")?.as_u64()? as u32);
+        let shard = self.store.value(&records::shard_key(shard))?;
+        controller_in(shard.get("holder"))
+    }
+
+    /// The machines of a zone that are up.
+    pub fn machines_in(&self, zone: &str) -> Vec<MachineId> {
+        let workers = self.workers.by_id.values();
+        let in_zone = workers.filter(|worker| worker.zone == zone);
+        in_zone.map(|worker| worker.id.clone()).collect()
+    }
+
+    /// The selected machines that are up; all of them if some are to be drawn at random.
+    pub fn machines_of(&self, which: &Which) -> Vec<MachineId> {
+        let workers = self.workers.by_id.values();
+        let selected = workers.filter(|worker| self.is_selected(worker, which));
+        selected.map(|worker| worker.id.clone()).collect()
+    }
+
+    fn is_selected(&self, worker: &Worker, which: &Which) -> bool {
+        match which {
+            Which::RunningJob(id) => worker.has_task_of(id),
+            Which::HeldBy(selector) => {
+                let controller = self.select_controller(selector);
+                controller.is_some() && controller == self.holder_of_machine(&worker.id)
+            }
+            Which::InZone(zone) => worker.zone == *zone,
+            Which::Named(ids) => ids.contains(&worker.id),
+            Which::Some(_) | Which::All => true,
+        }
+    }
+}
--- a/crates/testkit/src/simulation/size.rs
+++ b/crates/testkit/src/simulation/size.rs
@@ -1,11 +1,11 @@
-//! How large a world is, and the settings that its controllers get.
+//! Size of a simulated deployment, and the settings files of its controllers.
 
 use crate::faults::ZONES;
 use crate::Ms;
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// How large a world is.
+/// Size and timing of a simulated deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Controllers.
@@ -14,31 +14,31 @@
     pub teams: usize,
     /// Machines of each type, zone and kind.
     pub capacity: u32,
-    /// Requests a second that the state service takes.
+    /// Requests a second that the store accepts.
     pub rps: f64,
-    /// Changes a second that it takes.
+    /// Writes a second that the store accepts.
     pub write_rps: f64,
-    /// Requests a second that the cloud takes.
+    /// Requests a second that the cloud accepts.
     pub cloud_rps: f64,
     /// CPUs and GPUs that each team is guaranteed.
     pub guarantee: (f64, f64),
     /// CPUs and GPUs that each team may use.
     pub limit: (f64, f64),
-    /// Between two reports of a worker.
+    /// Interval between the heartbeats of a worker.
     pub report_ms: Ms,
-    /// Lease of a worker.
+    /// Duration of a worker's lease.
     pub lease_ms: Ms,
-    /// For so long a gang waits for its tasks.
+    /// Time after which an incomplete gang exits.
     pub gang_wait_ms: Ms,
-    /// Time for a cancelled job's tasks to be gone.
+    /// Time within which the tasks of a cancelled job must have exited.
     pub cancel_ms: Ms,
-    /// Between a user's questions about a job that is not over.
+    /// Interval between a user's polls of a job that is not over.
     pub poll_ms: Ms,
-    /// Limits of the state service that are announced for later.
+    /// Limits of the store that are announced for later.
     pub next_limits: Option<NextLimits>,
-    /// All controllers begin as the old release.
+    /// Whether all controllers start as the old release.
     pub begins_old: bool,
-    /// Workers tell their images, and fetch them before a task needs them.
+    /// Whether workers announce their images and prefetch them.
     pub tells_images: bool,
 }
 
@@ -69,17 +69,17 @@
     /// Teams whose limits are soon reached, and little time beyond a lease for
     /// a cancellation, or all as usual.
     pub fn random(rng: &mut StdRng) -> Self {
-        let usual = Self::default();
+        let default = Self::default();
         Self {
             limit: match rng.random() {
                 true => (24.0, 12.0),
-                false => usual.limit,
+                false => default.limit,
             },
             cancel_ms: match rng.random_range(0..3) {
                 0 => 20_000,
-                _ => usual.cancel_ms,
+                _ => default.cancel_ms,
             },
-            ..usual
+            ..default
         }
     }
 
@@ -134,73 +134,108 @@
     }
 }
 
-/// For so long a gang waits for its tasks, usually.
+/// Default time after which an incomplete gang exits.
 const GANG_WAIT_MS: Ms = 20_000;
-/// Between a user's questions, usually: more often than users ask.
+/// Default interval between polls; real users poll less often.
 const POLL_MS: Ms = 1_500;
 
-/// Limits of the state service that are announced.
+/// Announced limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct NextLimits {
-    /// Changes a second.
+    /// Writes a second.
     pub write_rps: f64,
     /// Largest value, in KiB.
     pub value_kb: usize,
-    /// Most changes in a transaction.
+    /// Most writes in a transaction.
     pub txn_ops: usize,
 }
 
-/// Largest value, in KiB, and most changes in a transaction, at the beginning.
-pub(super) const VALUE_KB: usize = 8;
+/// Largest value that the store accepts at the beginning, in KiB.
+pub(super) const MAX_VALUE_KB: usize = 8;
+/// Most writes in a transaction at the beginning.
+pub(super) const MAX_TRANSACTION_WRITES: usize = 12;
+/// Prefix of the controllers' names, before their indices.
+const CONTROLLER_NAME_PREFIX: &str = "berth-";
 
-pub(super) const TXN_OPS: usize = 12;
-
-/// The settings of one of the controllers.
+/// The settings file of the controller of an index.
 pub fn settings(node: usize, size: &Size) -> String {
-    let Size {
-        nodes,
-        teams,
-        rps,
-        write_rps,
-        cloud_rps,
-        guarantee: (cpus, gpus),
-        limit: (cpus_max, gpus_max),
-        report_ms,
-        lease_ms,
-        cancel_ms,
-        next_limits,
-        ..
-    } = size;
-    let next = next_limits.map_or(String::new(), |next| {
-        let (write_rps, value_kb, txn_ops) = (next.write_rps, next.value_kb, next.txn_ops);
-        format!("[cluster.state.next]\nwrite_rps = {write_rps:?}\nvalue_kb = {value_kb}.0\ntxn_ops = {txn_ops}\n")
+    let name = controller_name(node);
+    let zone = zone_of(node);
+    let host = node + 1;
+    format!(
+        "host_name = \"{name}\"\ndomain = \"{zone}\"\n\
+         bind = \"10.0.0.{host}:8080\"\ncluster_listen = \"10.0.0.{host}:8081\"\n\
+         {}\n[external]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n{}",
+        peer_settings(node, size),
+        cluster_settings(size),
+    )
+}
+
+fn peer_settings(node: usize, size: &Size) -> String {
+    let peers = (0..size.nodes).filter(|peer| *peer != node);
+    let settings = peers.map(|peer| {
+        let (name, zone, host) = (controller_name(peer), zone_of(peer), peer + 1);
+        format!(
+            "[[peers]]\nhost_name = \"{name}\"\ndomain = \"{zone}\"\n\
+             endpoint = \"10.0.0.{host}:8081\"\n"
+        )
+    });
+    settings.collect()
+}
+
+fn team_settings(size: &Size) -> String {
+    let ((cpus, gpus), (cpus_max, gpus_max)) = (size.guarantee, size.limit);
+    let settings = (0..size.teams).map(|team| {
+        format!(
+            "[[cluster.teams]]\nname = \"team-{team}\"\ngpus = {gpus:?}\n\
+             gpus_max = {gpus_max:?}\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n"
+        )
     });
-    let seconds = |ms: &Ms| *ms as f64 / 1000.0;
-    let (report_s, lease_s) = (seconds(report_ms), seconds(lease_ms));
-    let cancel_s = seconds(cancel_ms);
-    let peers: String = (0..*nodes)
-        .filter(|n| *n != node)
-        .map(|n| {
-            format!("[[peers]]\nhost_name = \"berth-{n}\"\ndomain = \"{}\"\nendpoint = \"10.0.0.{}:8081\"\n", zone_of(n), n + 1)
-        })
-        .collect();
-    let teams: String = (0..*teams)
-        .map(|t| format!("[[cluster.teams]]\nname = \"team-{t}\"\ngpus = {gpus:?}\ngpus_max = {gpus_max:?}\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n"))
-        .collect();
+    settings.collect()
+}
+
+fn next_limit_settings(size: &Size) -> String {
+    size.next_limits.map_or(String::new(), |next| {
+        let (write_rps, value_kb, txn_ops) = (next.write_rps, next.value_kb, next.txn_ops);
+        format!(
+            "[cluster.state.next]\nwrite_rps = {write_rps:?}\nvalue_kb = {value_kb}.0\n\
+             txn_ops = {txn_ops}\n"
+        )
+    })
+}
+
+/// The settings that all controllers share.
+fn cluster_settings(size: &Size) -> String {
+    let seconds = |ms: Ms| ms as f64 / 1000.0;
+    let (nodes, teams) = (size.nodes, team_settings(size));
+    let (report_s, lease_s) = (seconds(size.report_ms), seconds(size.lease_ms));
+    let cancel_s = seconds(size.cancel_ms);
+    let (rps, write_rps, cloud_rps) = (size.rps, size.write_rps, size.cloud_rps);
+    let next = next_limit_settings(size);
     format!(
-        "host_name = \"berth-{node}\"\ndomain = \"{1}\"\nbind = \"10.0.0.{0}:8080\"\ncluster_listen = \"10.0.0.{0}:8081\"\n\
-         {peers}\n[external]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n\
-         [cluster]\ninitial_size = {nodes}\nzones = [\"a\", \"b\", \"c\"]\ntime_bound_ms = 250.0\n{teams}\
-         [[cluster.objectives]]\nkind = \"wait\"\nclass = \"serve\"\nwithin_s = 8.0\nshare = 0.9\n\
-         [cluster.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 20.0\ngang_peer_s = 3.0\ncancel_s = {cancel_s:?}\n\
-         [cluster.state]\nrps = {rps:?}\nwrite_rps = {write_rps:?}\nvalue_kb = {VALUE_KB}.0\ntxn_ops = {TXN_OPS}\n{next}\
+        "[cluster]\ninitial_size = {nodes}\nzones = [\"a\", \"b\", \"c\"]\n\
+         time_bound_ms = 250.0\n{teams}\
+         [[cluster.objectives]]\nkind = \"wait\"\nclass = \"serve\"\nwithin_s = 8.0\n\
+         share = 0.9\n\
+         [cluster.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\n\
+         gang_wait_s = 20.0\ngang_peer_s = 3.0\ncancel_s = {cancel_s:?}\n\
+         [cluster.state]\nrps = {rps:?}\nwrite_rps = {write_rps:?}\n\
+         value_kb = {MAX_VALUE_KB}.0\ntxn_ops = {MAX_TRANSACTION_WRITES}\n{next}\
          [cluster.cloud]\nrps = {cloud_rps:?}\nlist_lag_s = 4.0\n\
-         [cluster.limits]\ncpu = 0.12\nmem_mb = 40.0\nsockets = 600\n",
-        node + 1,
-        zone_of(node)
+         [cluster.limits]\ncpu = 0.12\nmem_mb = 40.0\nsockets = 600\n"
     )
 }
 
+/// The name of the controller of an index.
+fn controller_name(index: usize) -> String {
+    format!("{CONTROLLER_NAME_PREFIX}{index}")
+}
+
+/// The index of the controller of a name.
+pub(super) fn controller_index(name: &str) -> Option<usize> {
+    name.strip_prefix(CONTROLLER_NAME_PREFIX)?.parse().ok()
+}
+
 /// The zone of a controller.
 pub(super) fn zone_of(node: usize) -> &'static str {
     ZONES[node % ZONES.len()]
--- a/crates/testkit/src/simulation/unusual_requests.rs
+++ b/crates/testkit/src/simulation/unusual_requests.rs
@@ -1,307 +1,371 @@
-//! Requests beside those that users make in turn: they look closely, repeat
-//! themselves, cancel in a hurry, and ask for what can not be.
+//! Requests beside those that each user sends in turn: status bursts, resubmissions, hurried
+//! cancellations, and jobs that must be refused.
 
+use super::events::Event;
 use super::network::{Destination, Message, Origin};
+use super::network_faults::PartialFault;
 use super::users::UserState;
-use super::{Event, World};
-use crate::faults::MachineFault;
-use crate::faults::Which;
+use super::World;
+use crate::faults::{MachineFault, Which};
 use crate::Ms;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus};
 use forkshift_wire::JobId;
+use rand::rngs::StdRng;
 use rand::Rng;
 use serde_json::{json, Value};
+use std::collections::BTreeMap;
 
-/// What is asked.
+/// What is requested.
 #[derive(Clone, Debug)]
 pub(super) enum UnusualRequest {
     /// The state of a job.
     Status,
-    /// Its submission once more, maybe with another body.
+    /// Another submission of a job, maybe with a modified specification.
     Resubmission { is_modified: bool },
-    /// Its cancellation.
+    /// The cancellation of a job.
     Cancel,
-    /// A job that must be refused with this status.
+    /// The submission of a job that must be refused with this status.
     InvalidJob { body: Vec<u8>, status: u16 },
 }
 
-/// A request that is under way.
-pub(super) struct PendingRequest {
+/// A request without a response yet.
+struct PendingRequest {
     job: JobId,
     request: UnusualRequest,
+    /// The checker's ticket.
     ticket: u64,
     sent_at: Ms,
 }
 
-/// Odd requests come this often while they last.
+impl PendingRequest {
+    fn timeout_ms(&self) -> Ms {
+        match self.request {
+            UnusualRequest::Status => STATUS_TIMEOUT_MS,
+            _ => WRITE_TIMEOUT_MS,
+        }
+    }
+
+    fn is_submission(&self) -> bool {
+        matches!(
+            self.request,
+            UnusualRequest::Resubmission { .. } | UnusualRequest::InvalidJob { .. }
+        )
+    }
+}
+
+/// Unusual requests so far.
+#[derive(Default)]
+pub(super) struct UnusualRequests {
+    pending: BTreeMap<u64, PendingRequest>,
+    /// Number of the last request.
+    last: u64,
+    sent: u64,
+    answered_in_time: u64,
+}
+
+/// Faults of users' requests that are active, each until a time.
+#[derive(Default)]
+pub(super) struct RequestFaults {
+    /// Users cancel some jobs as the last task completes.
+    pub(super) cancel_completing_jobs: PartialFault,
+    pub(super) unusual_requests_until: Ms,
+    pub(super) status_bursts_until: Ms,
+}
+
+/// Interval between unusual requests while they last.
 const UNUSUAL_REQUEST_INTERVAL_MS: Ms = 200;
-/// How long a user waits for an answer.
+/// How long a user waits for the response to a submission or a cancellation.
 const WRITE_TIMEOUT_MS: Ms = 5_000;
+/// How long a user waits for the response to a status request.
 const STATUS_TIMEOUT_MS: Ms = 2_000;
-/// Times after the end of a job at which users look at all controllers.
+/// Times after the completion of a job at which status bursts begin.
 const STATUS_BURST_DELAYS_MS: [Ms; 6] = [0, 120, 500, 1_200, 2_900, 3_100];
+/// Requests of a status burst to each controller.
+const STATUS_BURST_REQUESTS: usize = 3;
+/// Most machines that hang as users cancel running jobs.
+const MAX_HUNG_MACHINES: usize = 8;
 
 impl World {
-    /// Requests beside those that users make in turn, and how many of them got
-    /// an answer in time.
+    /// Unusual requests so far, and how many of them got a response in time.
     pub fn unusual_request_counts(&self) -> (u64, u64) {
-        self.unusual_request_counts
+        let requests = &self.unusual_requests;
+        (requests.sent, requests.answered_in_time)
     }
 
-    /// A request beside the others, at a controller.
-    pub(super) fn send_unusual_request(&mut self, id: JobId, node: usize, ask: UnusualRequest) {
-        let spec = self.ground_truths.get(&id).map(|t| t.spec.clone());
-        let (method, path, body) = match (&ask, spec) {
-            (UnusualRequest::Status, _) => ("GET", format!("/submissions/{id}"), Vec::new()),
-            (UnusualRequest::Cancel, _) => {
-                self.check.on_cancel_requested(&id);
-                ("POST", format!("/submissions/{id}/abort"), Vec::new())
+    /// Sends an unusual request about a job to a controller.
+    pub(super) fn send_unusual_request(
+        &mut self,
+        job: JobId,
+        controller: usize,
+        request: UnusualRequest,
+    ) {
+        let (method, path, body) = match &request {
+            UnusualRequest::Status => ("GET", format!("/submissions/{job}"), Vec::new()),
+            UnusualRequest::Cancel => {
+                self.check.on_cancel_requested(&job);
+                ("POST", format!("/submissions/{job}/abort"), Vec::new())
             }
-            (UnusualRequest::Resubmission { is_modified }, Some(mut spec)) => {
-                if *is_modified {
-                    spec.tasks += 1;
-                    spec.cpus = 10_000.0;
-                    spec.team = "nobodys".to_owned();
-                }
-                let body = serde_json::to_vec(&spec).unwrap_or_default();
+            UnusualRequest::Resubmission { is_modified } => {
+                let Some(truth) = self.ground_truths.get(&job) else {
+                    return;
+                };
+                let body = resubmission(truth.spec.clone(), *is_modified);
                 ("POST", "/submissions".to_owned(), body)
             }
-            (UnusualRequest::Resubmission { .. }, None) => return,
-            (UnusualRequest::InvalidJob { body, .. }, _) => {
+            UnusualRequest::InvalidJob { body, .. } => {
                 ("POST", "/submissions".to_owned(), body.clone())
             }
         };
-        let ticket = self.check.on_request_sent(self.now, &id);
-        self.last_unusual_request += 1;
-        let aside = PendingRequest {
-            job: id,
-            request: ask,
+        let ticket = self.check.on_request_sent(self.now, &job);
+        let pending = PendingRequest {
+            job,
+            request,
             ticket,
             sent_at: self.now,
         };
-        self.unusual_requests
-            .insert(self.last_unusual_request, aside);
-        self.unusual_request_counts.0 += 1;
+        let requests = &mut self.unusual_requests;
+        requests.last += 1;
+        requests.sent += 1;
+        requests.pending.insert(requests.last, pending);
+        let origin = Origin::UnusualRequest(requests.last);
         self.send(Message {
-            origin: Origin::UnusualRequest(self.last_unusual_request),
-            destination: Destination::Node(node),
+            origin,
+            destination: Destination::Controller(controller),
             method: method.to_owned(),
             path,
             body,
         });
     }
 
-    pub(super) fn on_unusual_response(&mut self, aside: u64, status: u16, body: &[u8]) {
-        let Some(aside) = self.unusual_requests.remove(&aside) else {
+    pub(super) fn on_unusual_response(&mut self, number: u64, status: u16, body: &[u8]) {
+        let Some(pending) = self.unusual_requests.pending.remove(&number) else {
             return;
         };
-        let patience = match aside.request {
-            UnusualRequest::Status => STATUS_TIMEOUT_MS,
-            _ => WRITE_TIMEOUT_MS,
-        };
-        // By then the user has hung up.
-        if status == 0 || self.now > aside.sent_at + patience {
+        if status == 0 || self.now > pending.sent_at + pending.timeout_ms() {
             return;
         }
-        self.unusual_request_counts.1 += 1;
-        let answer: Option<JobStatus> = serde_json::from_slice(body).ok();
-        let stage = answer.map(|a| a.stage);
-        let submission = matches!(
-            aside.request,
-            UnusualRequest::Resubmission { .. } | UnusualRequest::InvalidJob { .. }
+        self.unusual_requests.answered_in_time += 1;
+        let response: Option<JobStatus> = serde_json::from_slice(body).ok();
+        let stage = response.map(|response| response.stage);
+        let is_news = self.check.on_response(
+            pending.ticket,
+            self.now,
+            &pending.job,
+            pending.is_submission(),
+            status,
+            stage,
         );
-        let (now, ticket) = (self.now, aside.ticket);
-        let news = self
-            .check
-            .on_response(ticket, now, &aside.job, submission, status, stage);
-        if let UnusualRequest::InvalidJob { status: meant, .. } = aside.request {
-            self.check.check_refusal(now, &aside.job, status, meant);
+        if let UnusualRequest::InvalidJob {
+            status: expected, ..
+        } = pending.request
+        {
+            self.check
+                .check_refusal(self.now, &pending.job, status, expected);
         }
-        if news {
-            self.schedule_status_burst(&aside.job, 0);
+        if is_news {
+            self.schedule_status_burst(&pending.job, 0);
         }
     }
 
-    /// Users ask at all controllers, again and again within milliseconds, and
-    /// repeat the submission, while such a spell lasts.
-    pub(super) fn schedule_status_burst(&mut self, id: &JobId, after: Ms) {
-        if self.active_faults.status_bursts_until <= self.now {
+    /// Users request the state of a job at all controllers within milliseconds, and
+    /// resubmit it, while the fault lasts.
+    pub(super) fn schedule_status_burst(&mut self, job: &JobId, after: Ms) {
+        if self.request_faults.status_bursts_until <= self.now {
             return;
         }
-        for node in 0..self.size.nodes {
-            for i in 0..3 {
+        for controller in 0..self.size.nodes {
+            for index in 0..STATUS_BURST_REQUESTS {
                 let time = self.now + after + self.rng.random_range(0..40);
-                let ask = match i {
+                let request = match index {
                     0 => UnusualRequest::Resubmission {
                         is_modified: self.rng.random_range(0..4) == 0,
                     },
                     _ => UnusualRequest::Status,
                 };
-                let id = id.clone();
-                self.schedule(
-                    time,
-                    Event::UnusualRequest {
-                        id,
-                        node,
-                        request: ask,
-                    },
-                );
+                let event = Event::UnusualRequest {
+                    job: job.clone(),
+                    controller,
+                    request,
+                };
+                self.schedule(time, event);
             }
         }
     }
 
-    /// A user that has just got its job accepted may cancel it at once.
-    pub(super) fn maybe_cancel_accepted(&mut self, id: &JobId) {
-        if self.active_faults.status_bursts_until <= self.now || self.rng.random_range(0..4) != 0 {
-            return;
+    /// The user of a job that was just accepted may cancel it at once.
+    pub(super) fn maybe_cancel_accepted(&mut self, job: &JobId) {
+        let is_possible = self.request_faults.status_bursts_until > self.now;
+        if is_possible && self.rng.random_range(0..4) == 0 {
+            self.cancel_after(job, 0);
         }
-        self.cancel_after(id, 0);
     }
 
-    fn cancel_after(&mut self, id: &JobId, after: Ms) {
+    fn cancel_after(&mut self, job: &JobId, after: Ms) {
         let time = self.now + after;
-        let user = self.users.iter_mut().find(|u| u.plan.spec.id == *id);
-        if let Some(user) = user.filter(|u| matches!(u.state, UserState::Polling)) {
+        let user = self.users.iter_mut().find(|user| user.plan.spec.id == *job);
+        if let Some(user) = user.filter(|user| user.state == UserState::Polling) {
             user.state = UserState::Cancelling;
             user.is_waiting = false;
             user.next_request_at = time;
         }
     }
 
-    /// Users cancel jobs that run, all at once, and machines of these hang.
-    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang: Ms) {
-        let mut jobs: Vec<(Ms, JobId)> = Vec::new();
-        for user in &self.users {
-            let id = &user.plan.spec.id;
-            let runs = self.check.running_tasks(id) > 0 && self.check.final_stage(id).is_none();
-            if user.state == UserState::Polling && runs {
-                let service = user.plan.spec.kind == JobKind::Service;
-                let length = if service { Ms::MAX } else { user.plan.run_ms };
-                jobs.push((length, id.clone()));
-            }
-        }
-        // Those that have long to go, as far as anybody knows.
-        jobs.sort_by(|a, b| b.cmp(a));
-        jobs.truncate(count);
+    /// Users cancel running jobs, all at once, and machines of these jobs hang.
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_ms: Ms) {
         let mut hung = 0;
-        for (_, id) in jobs {
+        for job in self.longest_running_jobs(count) {
             let after = self.rng.random_range(0..200);
-            self.cancel_after(&id, after);
-            let mut machines = self.machines_of(&Which::RunningJob(id));
-            machines.truncate(8 - hung);
-            if hang > 0 {
+            self.cancel_after(&job, after);
+            if hang_ms > 0 {
+                let mut machines = self.machines_of(&Which::RunningJob(job));
+                machines.truncate(MAX_HUNG_MACHINES - hung);
                 hung += machines.len();
-                self.inject_machine_fault(&Which::Named(machines), MachineFault::Hang(hang));
+                self.inject_machine_fault(&Which::Named(machines), MachineFault::Hang(hang_ms));
             }
         }
     }
 
-    pub(super) fn tick_unusual_requests(&mut self) {
-        for id in std::mem::take(&mut self.check.newly_completed) {
-            let (until, share) = self.active_faults.cancel_completing_jobs;
-            if until > self.now && self.rng.random_range(0..100) < share {
-                let after = match self.rng.random_range(0..2) {
-                    0 => 0,
-                    _ => self.rng.random_range(0..400),
+    /// Running jobs of which no user knows that they are over, the longest first.
+    fn longest_running_jobs(&self, count: usize) -> Vec<JobId> {
+        let is_running =
+            |id: &JobId| self.check.running_tasks(id) > 0 && self.check.final_stage(id).is_none();
+        let mut jobs: Vec<(Ms, JobId)> = Vec::new();
+        for user in &self.users {
+            let spec = &user.plan.spec;
+            if user.state == UserState::Polling && is_running(&spec.id) {
+                let is_service = spec.kind == JobKind::Service;
+                let run_ms = if is_service {
+                    Ms::MAX
+                } else {
+                    user.plan.run_ms
                 };
-                self.cancel_after(&id, after);
+                jobs.push((run_ms, spec.id.clone()));
             }
+        }
+        jobs.sort_by(|a, b| b.cmp(a));
+        jobs.truncate(count);
+        jobs.into_iter().map(|(_, id)| id).collect()
+    }
+
+    pub(super) fn tick_unusual_requests(&mut self) {
+        for job in std::mem::take(&mut self.check.newly_completed) {
+            self.maybe_cancel_completed(&job);
             for after in STATUS_BURST_DELAYS_MS {
-                self.schedule_status_burst(&id, after);
+                self.schedule_status_burst(&job, after);
             }
         }
-        if self.active_faults.unusual_requests_until > self.now
-            && self.crosses_multiple_of(UNUSUAL_REQUEST_INTERVAL_MS)
-        {
+        let is_active = self.request_faults.unusual_requests_until > self.now;
+        if is_active && self.crosses_multiple_of(UNUSUAL_REQUEST_INTERVAL_MS) {
             self.send_random_unusual_request();
         }
     }
 
+    fn maybe_cancel_completed(&mut self, job: &JobId) {
+        let PartialFault { until, percent } = self.request_faults.cancel_completing_jobs;
+        if until > self.now && self.chance(percent) {
+            let after = match self.rng.random_range(0..2) {
+                0 => 0,
+                _ => self.rng.random_range(0..400),
+            };
+            self.cancel_after(job, after);
+        }
+    }
+
     fn send_random_unusual_request(&mut self) {
-        let node = self.rng.random_range(0..self.size.nodes);
+        let controller = self.rng.random_range(0..self.size.nodes);
         let kind = self.rng.random_range(0..6);
-        let over = kind == 1;
-        let told = |id: &JobId| self.check.final_stage(id) == Some(JobStage::Done);
-        let users = self.users.iter().filter(|u| u.state == UserState::Polling);
-        let ids: Vec<JobId> = users
-            .map(|u| u.plan.spec.id.clone())
-            .filter(|id| !over || told(id))
-            .collect();
-        let some = (!ids.is_empty()).then(|| ids[self.rng.random_range(0..ids.len())].clone());
-        self.last_unusual_request += 1;
-        let stranger = JobId::new(&format!("j-9{:07}", self.last_unusual_request));
-        match (kind, some) {
-            (0, Some(id)) => {
+        let known = self.random_accepted_job(kind == 1);
+        self.unusual_requests.last += 1;
+        let unknown = JobId::new(&format!("j-9{:07}", self.unusual_requests.last));
+        let (job, request) = match (kind, known) {
+            (0, Some(job)) => {
                 let is_modified = self.rng.random();
-                self.send_unusual_request(id, node, UnusualRequest::Resubmission { is_modified });
+                (job, UnusualRequest::Resubmission { is_modified })
             }
-            (1, Some(id)) => self.send_unusual_request(id, node, UnusualRequest::Cancel),
-            (2, _) => self.send_unusual_request(stranger, node, UnusualRequest::Status),
-            (3, _) => self.send_unusual_request(stranger, node, UnusualRequest::Cancel),
-            (_, Some(id)) => {
-                let spec = self.ground_truths[&id].spec.clone();
-                let (body, status) = self.random_invalid_job(spec, &stranger);
-                self.check.expect_refusal(&stranger);
-                self.send_unusual_request(
-                    stranger,
-                    node,
-                    UnusualRequest::InvalidJob { body, status },
-                );
+            (1, Some(job)) => (job, UnusualRequest::Cancel),
+            (2, _) => (unknown, UnusualRequest::Status),
+            (3, _) => (unknown, UnusualRequest::Cancel),
+            (_, Some(job)) => {
+                let spec = self.ground_truths[&job].spec.clone();
+                let invalid = random_invalid_job(&mut self.rng, spec, &unknown);
+                self.check.expect_refusal(&unknown);
+                (unknown, invalid)
             }
-            _ => {}
-        }
+            _ => return,
+        };
+        self.send_unusual_request(job, controller, request);
     }
 
-    /// A job that no controller may accept, and what it must say.
-    fn random_invalid_job(&mut self, spec: JobSpec, id: &JobId) -> (Vec<u8>, u16) {
-        let spec = JobSpec {
-            id: id.clone(),
-            ..spec
-        };
-        let mut body = serde_json::to_value(&spec).unwrap_or_default();
-        let fields = ["uid", "crew", "shape", "rank", "shifts", "cpus", "kit"];
-        let status = match self.rng.random_range(0..7) {
-            // Fits no machine.
-            0 => {
-                body["cpus"] = json!(500.0);
-                422
-            }
-            1 => {
-                body["rigs"] = json!(["none"]);
-                422
-            }
-            // Belongs to nobody.
-            2 => {
-                body["crew"] = json!("nobodys");
-                422
-            }
-            // More than its team may ever use.
-            3 => {
-                body["shape"] = json!("group");
-                body["shifts"] = json!(99);
-                body["cpus"] = json!(7.5);
-                422
-            }
-            // Lacks a field.
-            4 => {
-                let field = fields[self.rng.random_range(0..fields.len())];
-                if let Some(body) = body.as_object_mut() {
-                    body.remove(field);
-                }
-                400
-            }
-            // A field of another type.
-            5 => {
-                let field = fields[self.rng.random_range(0..fields.len())];
-                body[field] = json!([]);
-                400
-            }
-            // Not an object.
-            _ => {
-                body = Value::Array(Vec::new());
-                400
+    /// An accepted job drawn at random, or one that its user knows to be done.
+    fn random_accepted_job(&mut self, must_be_done: bool) -> Option<JobId> {
+        let is_done = |id: &JobId| self.check.final_stage(id) == Some(JobStage::Done);
+        let users = self.users.iter();
+        let ids: Vec<JobId> = users
+            .filter(|user| user.state == UserState::Polling)
+            .map(|user| user.plan.spec.id.clone())
+            .filter(|id| !must_be_done || is_done(id))
+            .collect();
+        (!ids.is_empty()).then(|| ids[self.rng.random_range(0..ids.len())].clone())
+    }
+}
+
+fn resubmission(mut spec: JobSpec, is_modified: bool) -> Vec<u8> {
+    if is_modified {
+        spec.tasks += 1;
+        spec.cpus = 10_000.0;
+        spec.team = UNKNOWN_TEAM.to_owned();
+    }
+    serde_json::to_vec(&spec).unwrap_or_default()
+}
+
+/// A team that no deployment has.
+const UNKNOWN_TEAM: &str = "nobodys";
+/// Fields of a submission that are left out or get a value of another type.
+const REQUIRED_FIELDS: [&str; 7] = ["uid", "crew", "shape", "rank", "shifts", "cpus", "kit"];
+
+/// A job that no controller may accept, with the status of the refusal.
+fn random_invalid_job(rng: &mut StdRng, mut spec: JobSpec, id: &JobId) -> UnusualRequest {
+    spec.id = id.clone();
+    let mut body = serde_json::to_value(&spec).unwrap_or_default();
+    let kind = rng.random_range(0..7);
+    let status = match kind {
+        0..=3 => {
+            make_unschedulable(&mut body, kind);
+            422
+        }
+        4 => {
+            let field = REQUIRED_FIELDS[rng.random_range(0..REQUIRED_FIELDS.len())];
+            if let Some(body) = body.as_object_mut() {
+                body.remove(field);
             }
-        };
-        (body.to_string().into_bytes(), status)
+            400
+        }
+        5 => {
+            let field = REQUIRED_FIELDS[rng.random_range(0..REQUIRED_FIELDS.len())];
+            body[field] = json!([]);
+            400
+        }
+        _ => {
+            body = Value::Array(Vec::new());
+            400
+        }
+    };
+    let body = body.to_string().into_bytes();
+    UnusualRequest::InvalidJob { body, status }
+}
+
+/// Changes a submission to one that is well formed and can never run.
+fn make_unschedulable(body: &mut Value, kind: u32) {
+    match kind {
+        // No machine is so large.
+        0 => body["cpus"] = json!(500.0),
+        1 => body["rigs"] = json!(["none"]),
+        2 => body["crew"] = json!(UNKNOWN_TEAM),
+        // More than the team's limit.
+        _ => {
+            body["shape"] = json!("group");
+            body["shifts"] = json!(99);
+            body["cpus"] = json!(7.5);
+        }
     }
 }
