--- a/crates/testkit/src/simulation/waiting_jobs.rs
+++ b/crates/testkit/src/simulation/waiting_jobs.rs
@@ -1,75 +1,92 @@
-//! Jobs that wait though there is room for them.
+//! Search for jobs that wait although there is room for them.
 
-use super::users::UserState;
+use super::users::{User, UserState};
 use super::World;
-use crate::worker::{tasks_that_fit, Resources, Worker};
+use crate::worker::{Resources, Worker};
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::JobId;
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A machine that may take tasks, and what is free on it.
+/// A machine that may take tasks, and its free resources.
 struct FreeMachine<'a> {
     worker: &'a Worker,
     free: Resources,
 }
 
+/// Tasks on machines that have not exited.
+#[derive(Default)]
+struct Allocation<'a> {
+    /// Jobs with at least one of them.
+    jobs: BTreeSet<&'a JobId>,
+    /// What each team's tasks use.
+    by_team: BTreeMap<&'a str, Resources>,
+}
+
 impl World {
-    /// Tells the checker which accepted jobs have nothing on any machine, and
-    /// whether there is room for them.
+    /// Tells the checker of each job whether it waits without a task on any machine
+    /// although there is room for it.
     pub(super) fn check_waiting_jobs(&mut self) {
-        let mut somewhere: BTreeSet<&JobId> = BTreeSet::new();
-        let mut used: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        for w in self.workers.values() {
-            let here = w.tasks.iter();
-            for ((task, _), _) in here.filter(|(_, t)| t.stage != TaskStage::Exited) {
-                somewhere.insert(&task.job);
-                let s = &self.ground_truths[&task.job].spec;
-                let team = used.entry(&s.team).or_default();
-                *team = (team.0 + s.cpus, team.1 + s.gpus);
-            }
-        }
-        let rooms: OnceCell<Vec<FreeMachine>> = OnceCell::new();
-        // Thousands may wait for the same while a fleet is large.
-        let mut known: HashMap<String, bool> = HashMap::new();
+        let allocation = self.allocation();
+        let machines: OnceCell<Vec<FreeMachine>> = OnceCell::new();
+        // In a large fleet thousands may wait with the same needs.
+        let mut results: HashMap<String, bool> = HashMap::new();
         let mut found = Vec::new();
         for user in &self.users {
-            let s = &user.plan.spec;
-            let called_off = user.plan.cancel_at.is_some_and(|t| t <= self.now);
-            let over =
-                self.check.final_stage(&s.id).is_some() || self.check.is_job_completed(&s.id);
-            // Retries of a job with a mistake are slowed down on purpose.
-            let broken = user.plan.mistake.is_some();
-            let blocked = self.check.is_blocked(&s.id);
-            if blocked || user.state != UserState::Polling || called_off || over || broken {
-                found.push((s.id.clone(), false));
-                continue;
-            }
-            let has = !somewhere.contains(&s.id)
-                && self.is_under_limit(s, used.get(s.team.as_str()).copied().unwrap_or_default())
-                && *known.entry(placement_key(s)).or_insert_with(|| {
-                    let rooms = rooms.get_or_init(|| self.free_machines());
-                    has_room(rooms, s)
+            let spec = &user.plan.spec;
+            let has_room = self.is_waiting_normally(user)
+                && !allocation.jobs.contains(&spec.id)
+                && self.is_under_limit(spec, &allocation)
+                && *results.entry(placement_key(spec)).or_insert_with(|| {
+                    let machines = machines.get_or_init(|| self.free_machines());
+                    has_room(machines, spec)
                 });
-            found.push((s.id.clone(), has));
+            found.push((spec.id.clone(), has_room));
         }
         for (id, has_room) in found {
             self.check.on_job_waiting(self.now, &id, has_room);
         }
     }
 
-    /// A job as it was submitted, and what its team uses, for who looks into a day.
+    fn allocation(&self) -> Allocation<'_> {
+        let mut allocation = Allocation::default();
+        for worker in self.workers.by_id.values() {
+            for (task, _) in worker.present_tasks() {
+                let spec = &self.ground_truths[&task.job].spec;
+                allocation.jobs.insert(&task.job);
+                let used = allocation.by_team.entry(&spec.team).or_default();
+                *used = used.plus(Resources::of_task(spec));
+            }
+        }
+        allocation
+    }
+
+    /// Whether a job should begin as soon as there is room: it is accepted, neither over
+    /// nor cancelled, and depends on no incomplete job. Retries of a job with a defect are
+    /// delayed on purpose.
+    fn is_waiting_normally(&self, user: &User) -> bool {
+        let id = &user.plan.spec.id;
+        let is_cancelled = user.plan.cancel_at.is_some_and(|at| at <= self.now);
+        let is_over = self.check.final_stage(id).is_some() || self.check.is_job_completed(id);
+        user.state == UserState::Polling
+            && user.plan.mistake.is_none()
+            && !is_cancelled
+            && !is_over
+            && !self.check.is_blocked(id)
+    }
+
+    /// A job as it was submitted and what its team uses, for the analysis of a day.
     pub fn describe(&self, id: &JobId) -> String {
-        let Some(spec) = self.ground_truths.get(id).map(|t| &t.spec) else {
+        let Some(spec) = self.ground_truths.get(id).map(|truth| &truth.spec) else {
             return format!("{id} is nobody's");
         };
         let mut team = Vec::new();
-        for w in self.workers.values() {
-            let here = w.tasks.iter().filter(|(_, t)| t.stage != TaskStage::Exited);
-            for ((task, _), t) in here {
+        for worker in self.workers.by_id.values() {
+            for (task, stage) in worker.present_tasks() {
                 if self.ground_truths[&task.job].spec.team == spec.team {
-                    team.push(format!("{task} {:?} on {}", t.stage, w.describe(self.now)));
+                    let worker = worker.describe(self.now);
+                    team.push(format!("{task} {stage:?} on {worker}"));
                 }
             }
         }
@@ -77,63 +94,88 @@
         format!("{spec:?}, held by {holder:?}, cancelled at {cancelled:?}; its team has {team:?}")
     }
 
-    /// Tasks that have to find room at once.
-    fn tasks_needed_at_once(s: &JobSpec) -> u32 {
-        match s.kind {
-            JobKind::Array => 1,
-            _ => s.tasks,
-        }
+    /// Whether a team stays within its limits as a job begins.
+    fn is_under_limit(&self, spec: &JobSpec, allocation: &Allocation) -> bool {
+        let used = allocation.by_team.get(spec.team.as_str());
+        let used = used.copied().unwrap_or_default();
+        let tasks = f64::from(tasks_needed_at_once(spec));
+        let (max_cpus, max_gpus) = self.check.limit_of(&spec.team);
+        let is_under = |used: f64, max: f64| max == 0.0 || used <= max + 1e-6;
+        is_under(used.cpus + tasks * spec.cpus, max_cpus)
+            && is_under(used.gpus + tasks * spec.gpus, max_gpus)
     }
 
-    fn is_under_limit(&self, s: &JobSpec, (cpus, gpus): (f64, f64)) -> bool {
-        let n = f64::from(Self::tasks_needed_at_once(s));
-        let (cpus_max, gpus_max) = self.check.limit_of(&s.team);
-        let under = |used: f64, most: f64| most == 0.0 || used <= most + 1e-6;
-        under(cpus + n * s.cpus, cpus_max) && under(gpus + n * s.gpus, gpus_max)
+    /// Free resources of the machines that the cloud does not reclaim.
+    fn free_machines(&self) -> Vec<FreeMachine<'_>> {
+        let workers = self.workers.by_id.values();
+        workers
+            .filter(|worker| worker.reclaimed_at.is_none())
+            .map(|worker| FreeMachine {
+                worker,
+                free: worker.free_resources(&self.ground_truths),
+            })
+            .collect()
     }
+}
 
-    /// What is free on each machine that the cloud does not take back.
-    fn free_machines(&self) -> Vec<FreeMachine<'_>> {
-        let workers = self.workers.values().filter(|w| w.reclaimed_at.is_none());
-        let free = |worker| FreeMachine {
-            worker,
-            free: worker.free_resources(&self.ground_truths),
-        };
-        workers.map(free).collect()
+impl Worker {
+    /// Tasks that have not exited, with their stages.
+    fn present_tasks(&self) -> impl Iterator<Item = (&forkshift_wire::TaskRef, TaskStage)> {
+        let tasks = self.tasks.iter();
+        let present = tasks.filter(|(_, local)| local.stage != TaskStage::Exited);
+        present.map(|((task, _), local)| (task, local.stage))
     }
 }
 
-/// All of a job that decides whether there is room for it.
-fn placement_key(s: &JobSpec) -> String {
-    let resources = (s.cpus, s.gpus, s.memory_gb);
-    let place = (&s.types, &s.zone, s.spot, s.spread, s.one_zone);
+/// Tasks of a job that must find room at the same time.
+fn tasks_needed_at_once(spec: &JobSpec) -> u32 {
+    match spec.kind {
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => spec.tasks,
+    }
+}
+
+/// Everything of a job that decides whether there is room for it.
+fn placement_key(spec: &JobSpec) -> String {
+    let resources = (spec.cpus, spec.gpus, spec.memory_gb);
+    let place = (
+        &spec.types,
+        &spec.zone,
+        spec.spot,
+        spec.spread,
+        spec.one_zone,
+    );
     format!(
         "{:?}",
-        (World::tasks_needed_at_once(s), s.tasks, resources, place)
+        (tasks_needed_at_once(spec), spec.tasks, resources, place)
     )
 }
 
-/// Whether what a job needs at once has room.
-fn has_room(rooms: &[FreeMachine], s: &JobSpec) -> bool {
-    let fits = |room: &&FreeMachine| {
-        let w = room.worker;
-        s.types.as_ref().is_none_or(|t| t.contains(&w.machine_type))
-            && s.zone.as_ref().is_none_or(|z| *z == w.zone)
-            && (s.spot || !w.spot)
-    };
-    let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-    for room in rooms.iter().filter(fits) {
-        let in_zone = zones.entry(&room.worker.zone).or_default();
-        *in_zone = in_zone.saturating_add(tasks_that_fit(room.free, s));
+/// Whether there is room for the tasks that a job needs at once.
+fn has_room(machines: &[FreeMachine], spec: &JobSpec) -> bool {
+    let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
+    for machine in machines.iter().filter(|m| is_allowed(m.worker, spec)) {
+        let in_zone = tasks_by_zone.entry(&machine.worker.zone).or_default();
+        *in_zone = in_zone.saturating_add(machine.free.tasks_that_fit(spec));
     }
-    let needed = World::tasks_needed_at_once(s);
-    let most = match s.spread {
-        true => s.tasks.div_ceil(2),
+    let needed = tasks_needed_at_once(spec);
+    let max_in_zone = match spec.spread {
+        true => spec.tasks.div_ceil(2),
         false => needed,
     };
-    let rooms = zones.values().map(|n| (*n).min(most));
-    match s.one_zone {
-        true => rooms.max().unwrap_or(0) >= needed,
-        false => rooms.sum::<u32>() >= needed,
+    let fitting = tasks_by_zone
+        .values()
+        .map(|tasks| (*tasks).min(max_in_zone));
+    match spec.one_zone {
+        true => fitting.max().unwrap_or(0) >= needed,
+        false => fitting.sum::<u32>() >= needed,
     }
 }
+
+/// Whether a job allows a machine.
+fn is_allowed(worker: &Worker, spec: &JobSpec) -> bool {
+    let types = spec.types.as_ref();
+    types.is_none_or(|types| types.contains(&worker.machine_type))
+        && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
+        && (spec.spot || !worker.spot)
+}
--- /dev/null
+++ b/crates/testkit/src/store/transactions.rs
@@ -0,0 +1,118 @@
+//! Compare-and-swap transactions.
+
+use super::changes::{Change, MAX_LOG_ENTRIES};
+use super::{Entry, Response, StoreModel};
+use forkshift_wire::state::{Transaction, Write};
+use forkshift_wire::MachineId;
+use serde_json::{json, Value};
+
+/// Largest transaction, in bytes.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// Prefix of the keys of machine records.
+const MACHINES: &str = "c/machine/";
+
+impl<W> StoreModel<W> {
+    /// Responds to `POST /txn`.
+    pub(super) fn handle_transaction(
+        &mut self,
+        body: &[u8],
+        transaction: serde_json::Result<Transaction>,
+    ) -> Response {
+        if body.len() > MAX_TRANSACTION_BYTES {
+            self.too_large += 1;
+            return (400, json!({"error": "too large"}));
+        }
+        match transaction {
+            Ok(transaction) => self.transact(transaction),
+            Err(e) => (400, json!({"error": e.to_string()})),
+        }
+    }
+
+    fn transact(&mut self, transaction: Transaction) -> Response {
+        if let Err(e) = self.size_limits.check(&transaction) {
+            self.too_large += 1;
+            log::info!("store: transaction refused: {e}");
+            return (400, json!({"error": e.to_string()}));
+        }
+        if !self.has_all_leases(&transaction) {
+            return (400, json!({"error": "no such lease"}));
+        }
+        let failed = self.failed_preconditions(&transaction);
+        if !failed.is_empty() {
+            return (409, json!({"failed": failed, "ledger_rev": self.revision}));
+        }
+        self.writes += transaction.writes.len() as u64;
+        self.record_decommissioned(&transaction);
+        if !transaction.writes.is_empty() {
+            self.revision += 1;
+        }
+        for write in transaction.writes {
+            match write {
+                Write::Put { put, value, lease } => self.put(put, value, lease),
+                Write::Remove { remove } => self.remove(remove),
+            }
+        }
+        while self.change_log.len() > MAX_LOG_ENTRIES {
+            self.change_log.pop_front();
+        }
+        (200, json!({"ledger_rev": self.revision}))
+    }
+
+    fn has_all_leases(&self, transaction: &Transaction) -> bool {
+        transaction.writes.iter().all(|write| match write {
+            Write::Put { lease, .. } => lease.is_none_or(|lease| self.leases.contains(lease)),
+            Write::Remove { .. } => true,
+        })
+    }
+
+    /// Keys whose version is not the expected one. A missing key has version 0.
+    fn failed_preconditions<'a>(&self, transaction: &'a Transaction) -> Vec<&'a str> {
+        let version = |key: &str| self.entries.get(key).map_or(0, |entry| entry.version);
+        let preconditions = transaction.preconditions.iter();
+        preconditions
+            .filter(|precondition| version(&precondition.key) != precondition.version)
+            .map(|precondition| precondition.key.as_str())
+            .collect()
+    }
+
+    fn put(&mut self, key: String, value: Value, lease: Option<u64>) {
+        if let Some(puts) = &mut self.recorded_puts {
+            puts.push((key.clone(), value.clone()));
+        }
+        self.change_log.push_back(Change {
+            revision: self.revision,
+            key: key.clone(),
+            value: Some(value.clone()),
+        });
+        let entry = Entry {
+            value,
+            version: self.revision,
+            lease,
+        };
+        self.entries.insert(key, entry);
+    }
+
+    pub(super) fn remove(&mut self, key: String) {
+        if self.entries.remove(&key).is_some() {
+            self.change_log.push_back(Change {
+                revision: self.revision,
+                key,
+                value: None,
+            });
+        }
+    }
+
+    /// Notes the machines whose records say that they are decommissioned.
+    fn record_decommissioned(&mut self, transaction: &Transaction) {
+        for write in &transaction.writes {
+            let Write::Put { put, value, .. } = write else {
+                continue;
+            };
+            let reason = value.get("condemned").and_then(Value::as_str);
+            if let (Some(id), Some(reason)) = (put.strip_prefix(MACHINES), reason) {
+                let first = self.decommissioned.entry(MachineId::new(id));
+                first.or_insert_with(|| reason.to_owned());
+            }
+        }
+    }
+}
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -1,9 +1,11 @@
-//! A machine that hangs, and goes on.
+//! A machine that hangs and resumes.
 
 use super::*;
 use crate::checker::Rule;
 use crate::fleet::Fleet;
 use forkshift_wire::users::{JobStage, Priority};
+use forkshift_wire::workers::{Command, Verb};
+use forkshift_wire::TaskRef;
 
 fn spec() -> JobSpec {
     JobSpec {
@@ -36,8 +38,8 @@
 
 /// A machine whose one task's job was confirmed as cancelled at `CANCELLED_AT`.
 struct Bench {
-    truths: BTreeMap<JobId, GroundTruth>,
-    check: Checker,
+    ground_truths: BTreeMap<JobId, GroundTruth>,
+    checker: Checker,
     worker: Worker,
 }
 
@@ -49,11 +51,11 @@
             spec: spec.clone(),
             run_ms: 60_000,
         };
-        let mut check = Checker::new(BTreeMap::new(), cancel_ms);
-        check.on_submitted(&spec);
+        let mut checker = Checker::new(BTreeMap::new(), cancel_ms);
+        checker.on_submitted(&spec);
         let mut bench = Self {
-            truths: BTreeMap::from([(spec.id.clone(), truth)]),
-            check,
+            ground_truths: BTreeMap::from([(spec.id.clone(), truth)]),
+            checker,
             worker: Worker::new(
                 (MachineId::new("m"), "m".to_owned()),
                 &machine_type("c8"),
@@ -65,22 +67,22 @@
         };
         assert_eq!(bench.command_start(0), 200);
         bench.step(10);
-        assert_eq!(bench.check.running_tasks(&spec.id), 1);
-        bench.check.on_cancel_requested(&spec.id);
-        let told = Some(JobStage::Cancelled);
-        let check = &mut bench.check;
-        check.on_immediate_response(CANCELLED_AT, &spec.id, false, 200, told);
+        assert_eq!(bench.checker.running_tasks(&spec.id), 1);
+        bench.checker.on_cancel_requested(&spec.id);
+        let stage = Some(JobStage::Cancelled);
+        let checker = &mut bench.checker;
+        checker.on_immediate_response(CANCELLED_AT, &spec.id, false, 200, stage);
         bench
     }
 
-    fn around(&mut self, now: Ms) -> (&mut Worker, WorkerContext<'_>) {
-        let around = WorkerContext {
+    fn context(&mut self, now: Ms) -> (&mut Worker, WorkerContext<'_>) {
+        let context = WorkerContext {
             now,
-            ground_truths: &self.truths,
-            checker: &mut self.check,
+            ground_truths: &self.ground_truths,
+            checker: &mut self.checker,
             lease_ms: LEASE_MS,
         };
-        (&mut self.worker, around)
+        (&mut self.worker, context)
     }
 
     fn command_start(&mut self, now: Ms) -> u16 {
@@ -100,95 +102,99 @@
             prefetch: Vec::new(),
         };
         let body = serde_json::to_vec(&commands).unwrap();
-        let (worker, mut around) = self.around(now);
-        worker.handle_commands(&mut around, &body).0
+        let (worker, mut context) = self.context(now);
+        worker.handle_commands(&mut context, &body).0
     }
 
     fn step(&mut self, now: Ms) {
-        let (worker, mut around) = self.around(now);
-        worker.tick(&mut around);
+        let (worker, mut context) = self.context(now);
+        worker.tick(&mut context);
     }
 
-    fn look(&mut self, now: Ms) {
+    fn check(&mut self, now: Ms) {
         let hung = self.worker.is_hung_without_lease(now, LEASE_MS);
         let expired = hung.then(|| self.worker.id.clone()).into_iter().collect();
-        self.check.tick(now, &expired);
+        self.checker.tick(now, &expired);
     }
 
-    fn found(&self) -> Vec<Rule> {
-        self.check.broken.iter().map(|b| b.0).collect()
+    fn violations(&self) -> Vec<Rule> {
+        self.checker
+            .broken
+            .iter()
+            .map(|violation| violation.0)
+            .collect()
     }
 }
 
-/// A task of a cancelled job that goes on, or may go on, after its machine's
-/// hang breaks the rule. Once the lease is over it can not: it is gone before
-/// the machine does anything.
+/// A task of a cancelled job that runs, or may run, after its machine resumes violates the
+/// rule. Once the lease has expired it can not: it is killed before the machine does
+/// anything.
 #[test]
-fn a_cancelled_task_on_a_machine_that_hangs() {
-    // Time for a cancellation, how long it hangs, when the checker looks, and
-    // whether it finds that the rule is broken.
+fn a_cancelled_task_on_a_hung_machine_violates_the_rule_unless_the_lease_has_expired() {
+    // Time for a cancellation, how long the machine hangs, when the checker runs, and
+    // whether it finds a violation.
     let cases = [
-        ("it goes on in time", 6_000, 4_000, 5_000, false),
-        ("it goes on too late", 6_000, 8_000, 9_000, true),
-        ("it may still go on", 6_000, 20_000, 8_000, true),
+        ("it resumes in time", 6_000, 4_000, 5_000, false),
+        ("it resumes too late", 6_000, 8_000, 9_000, true),
+        ("it may still resume", 6_000, 20_000, 8_000, true),
         (
-            "its lease is over before the time is up",
+            "its lease expires before the time is up",
             12_000,
             20_000,
             14_000,
             false,
         ),
         (
-            "its lease is over by the time it goes on",
+            "its lease has expired when it resumes",
             12_000,
             20_000,
             21_000,
             false,
         ),
     ];
-    for (name, cancel_ms, hang, look_at, broken) in cases {
+    for (name, cancel_ms, hang, check_at, is_violated) in cases {
         let mut bench = Bench::new(cancel_ms);
         bench.worker.hung_until = CANCELLED_AT + hang;
-        // Nothing happens on it until it goes on.
-        if look_at >= bench.worker.hung_until {
-            bench.step(look_at);
+        // Nothing happens on it until it resumes.
+        if check_at >= bench.worker.hung_until {
+            bench.step(check_at);
         }
-        bench.look(look_at);
-        let expected = if broken {
+        bench.check(check_at);
+        let expected = if is_violated {
             vec![Rule::RanCancelled]
         } else {
             vec![]
         };
-        assert_eq!(bench.found(), expected, "{name}");
+        assert_eq!(bench.violations(), expected, "{name}");
     }
 }
 
-/// A worker that goes on with its tasks though its lease ended while it hung
-/// is found out.
+/// A worker that resumes its tasks although its lease expired while it hung violates the
+/// rule.
 #[test]
-fn what_goes_on_after_a_lease_that_ended_in_a_hang_counts() {
+fn a_task_that_resumes_after_the_lease_expired_in_a_hang_violates_the_rule() {
     let mut bench = Bench::new(12_000);
     bench.worker.hung_until = 20_000;
-    bench.look(15_000);
-    assert_eq!(bench.found(), []);
-    // It goes on without the step that would end its tasks.
-    bench.look(20_000);
-    assert_eq!(bench.found(), [Rule::RanCancelled]);
+    bench.check(15_000);
+    assert_eq!(bench.violations(), []);
+    // It resumes without the step that would kill its tasks.
+    bench.check(20_000);
+    assert_eq!(bench.violations(), [Rule::RanCancelled]);
 }
 
-/// A command that was held up by a hang finds another incarnation.
+/// A command that was held up by a hang finds another incarnation once the lease expired.
 #[test]
-fn a_command_after_a_lease_that_ended_in_a_hang_is_refused() {
-    for (goes_on, status) in [(9_000, 200), (12_000, 409)] {
+fn a_command_is_refused_after_the_lease_expired_in_a_hang() {
+    for (resumes_at, status) in [(9_000, 200), (12_000, 409)] {
         let mut bench = Bench::new(20_000);
-        bench.worker.hung_until = goes_on;
-        assert_eq!(bench.command_start(goes_on), status, "at {goes_on}");
-        let there = bench.check.running_tasks(&spec().id);
-        assert_eq!(there, usize::from(status == 200), "at {goes_on}");
+        bench.worker.hung_until = resumes_at;
+        assert_eq!(bench.command_start(resumes_at), status, "at {resumes_at}");
+        let running = bench.checker.running_tasks(&spec().id);
+        assert_eq!(running, usize::from(status == 200), "at {resumes_at}");
     }
 }
 
-/// A type of the usual fleet.
+/// A machine type of the default fleet.
 fn machine_type(name: &str) -> MachineType {
     let fleet = Fleet::default();
     fleet.machine_type(name).expect("a type").clone()
