--- a/crates/testkit/src/checker/dependencies.rs
+++ b/crates/testkit/src/checker/dependencies.rs
@@ -1,4 +1,4 @@
-//! The rules about jobs that wait for others, and what follows from them.
+//! The rules about jobs that depend on others.
 
 use super::{Checker, Rule};
 use crate::Ms;
@@ -7,19 +7,19 @@
 use std::collections::BTreeSet;
 
 impl Checker {
-    /// Jobs that a job needs, directly or through others.
+    /// Jobs that a job depends on, directly or through others.
     fn transitive_dependencies(&self, id: &JobId) -> BTreeSet<JobId> {
-        let mut needed = BTreeSet::new();
+        let mut dependencies = BTreeSet::new();
         let mut open = vec![id.clone()];
         while let Some(id) = open.pop() {
             let spec = self.jobs.get(&id);
             for dependency in spec.into_iter().flat_map(|s| &s.dependencies) {
-                if needed.insert(dependency.clone()) {
+                if dependencies.insert(dependency.clone()) {
                     open.push(dependency.clone());
                 }
             }
         }
-        needed
+        dependencies
     }
 
     /// Whether all tasks of a job have completed.
@@ -28,25 +28,24 @@
         self.jobs.get(id).is_some_and(|s| done == s.tasks)
     }
 
-    /// Whether a job waits for another that has not completed.
+    /// Whether a job depends on another that has not completed.
     pub(crate) fn is_blocked(&self, id: &JobId) -> bool {
         let spec = self.jobs.get(id);
         let mut dependencies = spec.into_iter().flat_map(|s| &s.dependencies);
         dependencies.any(|d| !self.is_job_completed(d))
     }
 
-    /// A task of a job has started.
+    /// Checks that a task which starts belongs to a job whose dependencies have completed.
     pub(super) fn check_dependencies(&mut self, now: Ms, id: &JobId, what: &str) {
         if self.is_blocked(id) {
             self.record_violation(Rule::TooEarly, now, format!("{what} starts"));
         }
     }
 
-    /// A job has completed: from now on the times count of those that waited
-    /// for nothing else.
+    /// A job has completed: those that waited for nothing else are ready now.
     pub(super) fn record_ready_dependents(&mut self, now: Ms, completed: &JobId) {
-        let waits = |id: &&JobId| self.jobs[*id].dependencies.contains(completed);
-        let ids: Vec<JobId> = self.jobs.keys().filter(waits).cloned().collect();
+        let depends = |id: &&JobId| self.jobs[*id].dependencies.contains(completed);
+        let ids: Vec<JobId> = self.jobs.keys().filter(depends).cloned().collect();
         for id in ids {
             if !self.is_blocked(&id) {
                 self.ready_at.entry(id).or_insert(now);
@@ -54,8 +53,7 @@
         }
     }
 
-    /// Since when a job could begin, as far as others that it needs matter;
-    /// none: it could not yet.
+    /// Since when no dependency has kept a job from beginning; none: one still does.
     pub(super) fn ready_since(&self, id: &JobId, submitted: Ms) -> Option<Ms> {
         let spec = self.jobs.get(id)?;
         if spec.dependencies.is_empty() {
@@ -71,8 +69,8 @@
         )
     }
 
-    /// Whether its user has asked to cancel it, or that of a job that it needs
-    /// has, and was not told that this one is done.
+    /// Whether the cancellation of a job was requested, or that of a job that it depends on
+    /// which is not known to be done.
     pub fn is_cancel_wanted(&self, id: &JobId) -> bool {
         let cancels_others = |id: &JobId| {
             self.cancel_requested.contains(id) && self.final_stage(id) != Some(JobStage::Done)
@@ -81,25 +79,28 @@
             || self.transitive_dependencies(id).iter().any(cancels_others)
     }
 
-    /// A user was told that a job is queued or running.
+    /// Checks that a job which is reported as queued or running does not depend on one that
+    /// was cancelled long ago.
     pub(super) fn check_orphaned(&mut self, now: Ms, id: &JobId) {
-        let needed = self.transitive_dependencies(id);
-        let cancelled = needed
+        let dependencies = self.transitive_dependencies(id);
+        let cancelled = dependencies
             .iter()
-            .filter_map(|n| Some((n, self.cancelled_at(n)?)));
+            .filter_map(|dependency| Some((dependency, self.cancelled_at(dependency)?)));
         let first = cancelled.min_by_key(|(_, at)| *at);
-        if let Some((needed, _)) = first.filter(|(_, at)| now > at + self.cancel_ms) {
-            let what = format!("{id}, which needs {needed}");
+        if let Some((dependency, _)) = first.filter(|(_, at)| now > at + self.cancel_ms) {
+            let what = format!("{id}, which needs {dependency}");
             self.record_violation(Rule::Orphaned, now, what);
         }
     }
 
-    /// A submission that names only jobs that were accepted got an answer.
+    /// Checks that a submission whose dependencies are all accepted is not refused for them.
     pub(crate) fn check_admission(&mut self, now: Ms, id: &JobId, status: u16) {
         let spec = self.jobs.get(id);
-        let named = spec.map(|s| s.dependencies.clone()).unwrap_or_default();
-        if status == 422 && !named.is_empty() && named.iter().all(|d| self.is_accepted(d)) {
-            self.record_violation(Rule::WrongAnswer, now, format!("{id}: 422 of {named:?}"));
+        let dependencies = spec.map(|s| s.dependencies.clone()).unwrap_or_default();
+        let are_accepted = dependencies.iter().all(|id| self.is_accepted(id));
+        if status == 422 && !dependencies.is_empty() && are_accepted {
+            let what = format!("{id}: 422 of {dependencies:?}");
+            self.record_violation(Rule::WrongAnswer, now, what);
         }
     }
 }
--- a/crates/testkit/src/checker/observations.rs
+++ b/crates/testkit/src/checker/observations.rs
@@ -1,4 +1,4 @@
-//! What the checker notes for measurements.
+//! Measurements of starts and acceptances.
 
 use super::Checker;
 use crate::Ms;
@@ -6,16 +6,16 @@
 use forkshift_wire::{JobId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A task that came onto a machine for the first time.
+/// The first start of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartSeen {
     /// Priority of its job.
     pub priority: Priority,
-    /// Since its job's user first asked, in milliseconds.
+    /// Time since the first request about its job, in milliseconds.
     pub after: Ms,
 }
 
-/// Events that were noted and not taken yet.
+/// Measurements that have not been taken yet.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// First starts of tasks.
@@ -23,41 +23,41 @@
     /// Times from the first attempt to submit until the acceptance, in
     /// milliseconds.
     pub acceptances: Vec<Ms>,
-    /// Tasks that have been seen to start.
+    /// Tasks that have started.
     started: BTreeMap<JobId, BTreeSet<u32>>,
 }
 
 impl Checker {
-    /// Notes starts and acceptances from now on, until they are taken.
+    /// Measures starts and acceptances from now on.
     pub fn observe(&mut self) {
         self.observations.get_or_insert_default();
     }
 
-    /// Takes what was noted since this was last called.
+    /// Takes the measurements since the last call: first starts, and times until acceptances.
     pub fn take_observations(&mut self) -> (Vec<StartSeen>, Vec<Ms>) {
-        let Some(observed) = &mut self.observations else {
+        let Some(observations) = &mut self.observations else {
             return Default::default();
         };
         (
-            std::mem::take(&mut observed.starts),
-            std::mem::take(&mut observed.acceptances),
+            std::mem::take(&mut observations.starts),
+            std::mem::take(&mut observations.acceptances),
         )
     }
 
-    /// Notes a start, unless the task had started before.
+    /// Measures a start, unless the task had started before.
     pub(super) fn observe_start(&mut self, now: Ms, task: &TaskRef, priority: Priority) {
-        let asked = self
+        let requested_at = self
             .first_requested_at
             .get(&task.job)
             .copied()
             .unwrap_or(now);
-        let Some(observed) = &mut self.observations else {
+        let Some(observations) = &mut self.observations else {
             return;
         };
-        let started = observed.started.entry(task.job.clone()).or_default();
+        let started = observations.started.entry(task.job.clone()).or_default();
         if started.insert(task.index) {
-            let after = now.saturating_sub(asked);
-            observed.starts.push(StartSeen { priority, after });
+            let after = now.saturating_sub(requested_at);
+            observations.starts.push(StartSeen { priority, after });
         }
     }
 }
--- a/crates/testkit/src/checker/responses.rs
+++ b/crates/testkit/src/checker/responses.rs
@@ -1,4 +1,4 @@
-//! The rules about what users are told of their jobs.
+//! The rules about responses to users.
 
 use super::{Checker, Quiescence, Rule};
 use crate::Ms;
--- a/crates/testkit/src/checker/usage.rs
+++ b/crates/testkit/src/checker/usage.rs
@@ -1,10 +1,10 @@
-//! What a team's tasks use, counted exactly.
+//! Exact sums of what a team's tasks use.
 
 use forkshift_wire::users::JobSpec;
 
-/// Parts of a CPU or GPU that are counted: sums of these are exact, so tasks
-/// that come and go leave no rounding error behind.
-const PARTS: f64 = 1_000_000.0;
+/// CPUs and GPUs are counted in integer parts, so that adding and removing tasks leaves no
+/// rounding error.
+const PARTS_PER_UNIT: f64 = 1_000_000.0;
 
 /// CPUs and GPUs that are in use.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
@@ -14,13 +14,13 @@
 }
 
 impl Usage {
-    /// A task of a job comes onto a machine.
+    /// Adds a task of a job.
     pub(super) fn add(&mut self, spec: &JobSpec) {
         self.cpu_parts += parts(spec.cpus);
         self.gpu_parts += parts(spec.gpus);
     }
 
-    /// A task of a job is on its machine no more.
+    /// Removes a task of a job.
     pub(super) fn remove(&mut self, spec: &JobSpec) {
         self.cpu_parts -= parts(spec.cpus);
         self.gpu_parts -= parts(spec.gpus);
@@ -28,15 +28,15 @@
 
     /// CPUs in use.
     pub(super) fn cpus(self) -> f64 {
-        self.cpu_parts as f64 / PARTS
+        self.cpu_parts as f64 / PARTS_PER_UNIT
     }
 
     /// GPUs in use.
     pub(super) fn gpus(self) -> f64 {
-        self.gpu_parts as f64 / PARTS
+        self.gpu_parts as f64 / PARTS_PER_UNIT
     }
 }
 
 fn parts(amount: f64) -> i64 {
-    (amount * PARTS).round() as i64
+    (amount * PARTS_PER_UNIT).round() as i64
 }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -1,6 +1,10 @@
-//! A stand-in for the cloud.
+//! A model of the cloud: it provisions, lists and deletes machines.
 
-use crate::fleet::{BootModel, Fleet, BOOT_MS};
+mod boots;
+
+pub use boots::{Boot, SlowBoots};
+
+use crate::fleet::Fleet;
 use crate::Ms;
 use forkshift_wire::cloud::{Catalog, Machines, Rent, LIST_MOST};
 use forkshift_wire::MachineId;
@@ -9,7 +13,14 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A rented machine.
+/// Typical lag of the list of machines.
+const LIST_LAG_MS: Ms = 4_000;
+/// Interval between the snapshots that lagging lists are taken from.
+const SNAPSHOT_INTERVAL_MS: Ms = 500;
+/// Snapshots that are kept.
+const MAX_SNAPSHOTS: usize = 40;
+
+/// A provisioned machine.
 #[derive(Clone, Debug)]
 pub(crate) struct Instance {
     pub(crate) machine_type: String,
@@ -20,85 +31,82 @@
     pub(crate) failed: bool,
 }
 
+impl Instance {
+    fn is_like(&self, request: &Rent) -> bool {
+        self.machine_type == request.machine_type
+            && self.zone == request.zone
+            && self.spot == request.spot
+    }
+
+    fn stage(&self, now: Ms) -> &'static str {
+        match (self.failed, now >= self.up_at) {
+            (true, _) => "failed",
+            (false, true) => "running",
+            (false, false) => "booting",
+        }
+    }
+}
+
+/// The machines that one request has provisioned.
+#[derive(Clone, Debug)]
+pub struct Provisioned {
+    /// When.
+    pub at: Ms,
+    /// Type of the machines.
+    pub machine_type: String,
+    /// Zone of the machines.
+    pub zone: String,
+    /// How many there are.
+    pub count: u32,
+}
+
+/// The cloud.
 pub(crate) struct CloudModel {
     pub(crate) machines: BTreeMap<MachineId, Instance>,
+    /// Results of idempotent requests.
     provisioned_by_request: BTreeMap<String, Vec<MachineId>>,
     last_instance_number: u32,
     list_snapshots: VecDeque<(Ms, BTreeMap<String, Value>)>,
     pub(crate) is_down: bool,
-    /// What is on offer.
+    /// Machine types on offer.
     pub(crate) fleet: Fleet,
-    /// Machines of each zone and kind, where the fleet names no number.
-    pub(crate) capacity: u32,
+    /// Machines of each type and zone where the fleet has no number; spot: half of it.
+    capacity: u32,
     /// Until when machines are up within two seconds.
     pub(crate) fast_boots_until: Ms,
-    /// Until when new machines of a type (any if left out) in a zone (any if
-    /// left out) come late or never.
+    /// Until when some new machines come up late or never, and which.
     pub(crate) slow_boots: Option<(Ms, SlowBoots)>,
-    /// What was asked for: when, type, zone, and how many were had.
-    pub(crate) provisioning_log: Vec<(Ms, String, String, u32)>,
+    /// Requests that provisioned machines.
+    pub(crate) provisioning_log: Vec<Provisioned>,
     /// Machines that are not up yet, by when they will be.
     booting: BTreeSet<(Ms, MachineId)>,
-    /// Every machine that was rented: when, and when it is or would be up.
+    /// Boots of all machines, in the order of provisioning.
     pub(crate) boots: Vec<Boot>,
-    /// Machines that came to an end since this was last looked at.
+    /// Machines that were deleted or reclaimed, until they are taken.
     pub(crate) newly_terminated: Vec<MachineId>,
-    /// How many in all.
+    /// Number of all of them.
     pub(crate) terminated_count: usize,
-    /// When each machine was rented, and when the charge for it ended.
+    /// When the billing of each machine began and ended.
     pub(crate) billing_periods: BTreeMap<MachineId, (Ms, Option<Ms>)>,
-    /// When it was last spoken to.
+    /// Time of the last request.
     now: Ms,
 }
 
-/// How long a machine takes from its rental until it is up.
-#[derive(Clone, Copy, Debug)]
-pub struct Boot {
-    /// When it was rented.
-    pub provisioned_at: Ms,
-    /// When it is up, unless it is deleted before; never, if that is far off.
-    pub up_at: Ms,
-}
-
-/// New machines that come late or never.
-#[derive(Clone, Debug)]
-pub struct SlowBoots {
-    /// Of this type; of any if left out.
-    pub machine_type: Option<&'static str>,
-    /// In this zone; in any if left out.
-    pub zone: Option<&'static str>,
-    /// Boots that they take; never up if left out.
-    pub boots: Option<u32>,
-}
-
-impl SlowBoots {
-    fn applies_to(&self, rent: &Rent) -> bool {
-        self.machine_type.is_none_or(|t| t == rent.machine_type)
-            && self.zone.is_none_or(|z| z == rent.zone)
-    }
-
-    fn boot_ms(&self) -> Ms {
-        self.boots.map_or(Ms::MAX / 2, |n| BOOT_MS * Ms::from(n))
-    }
-}
-
-/// How far the list lags.
-const LIST_LAG_MS: Ms = 4_000;
 impl CloudModel {
     pub(crate) fn new(capacity: u32, fleet: Fleet) -> Self {
         Self {
-            fleet,
             machines: BTreeMap::new(),
             provisioned_by_request: BTreeMap::new(),
             last_instance_number: 0,
             list_snapshots: VecDeque::new(),
             is_down: false,
+            fleet,
             capacity,
             fast_boots_until: 0,
             slow_boots: None,
             provisioning_log: Vec::new(),
-            boots: Vec::new(),
             booting: BTreeSet::new(),
+            boots: Vec::new(),
             newly_terminated: Vec::new(),
             terminated_count: 0,
             billing_periods: BTreeMap::new(),
@@ -106,6 +114,7 @@
         }
     }
 
+    /// Handles a request.
     pub(crate) fn handle(
         &mut self,
         now: Ms,
@@ -123,52 +132,50 @@
                 let types = self.fleet.types.clone();
                 (200, json!(Catalog { types }))
             }
-            "/machines/delete" => {
-                let names: Machines = serde_json::from_slice(body).unwrap_or_default();
-                for id in names.machines {
-                    self.terminate(&id);
-                }
-                (200, json!({}))
-            }
+            "/machines/delete" => self.delete(body),
             "/machines" if !body.is_empty() => match serde_json::from_slice::<Rent>(body) {
-                Ok(rent) => self.provision(now, rent, rng),
+                Ok(request) => self.provision(now, request, rng),
                 Err(e) => (400, json!({"error": e.to_string()})),
             },
-            "/machines" => {
-                let lag = rng.random_range(LIST_LAG_MS / 2..LIST_LAG_MS * 2);
-                let old = self
-                    .list_snapshots
-                    .iter()
-                    .rev()
-                    .find(|(t, _)| t + lag <= now);
-                let from = query.split('&').find_map(|q| q.strip_prefix("from="));
-                let from = from.unwrap_or_default();
-                let all = old.map(|(_, l)| l).into_iter().flatten();
-                let mut rest = all.filter(|(id, _)| id.as_str() > from);
-                let page: Vec<&Value> = rest
-                    .by_ref()
-                    .take(LIST_MOST as usize)
-                    .map(|(_, m)| m)
-                    .collect();
-                (
-                    200,
-                    json!({"berths": page, "has_next": rest.next().is_some()}),
-                )
-            }
+            "/machines" => self.list(now, query, rng),
             _ => (400, json!({})),
         }
     }
 
-    /// Takes the machines that are up by now and were not before, by their names.
+    fn delete(&mut self, body: &[u8]) -> (u16, Value) {
+        let names: Machines = serde_json::from_slice(body).unwrap_or_default();
+        for id in names.machines {
+            self.terminate(&id);
+        }
+        (200, json!({}))
+    }
+
+    /// A page of the machines as they were a random lag ago.
+    fn list(&self, now: Ms, query: &str, rng: &mut StdRng) -> (u16, Value) {
+        let lag = rng.random_range(LIST_LAG_MS / 2..LIST_LAG_MS * 2);
+        let mut snapshots = self.list_snapshots.iter().rev();
+        let snapshot = snapshots.find(|(at, _)| at + lag <= now);
+        let mut parameters = query.split('&');
+        let after = parameters.find_map(|parameter| parameter.strip_prefix("from="));
+        let after = after.unwrap_or_default();
+        let machines = snapshot.map(|(_, machines)| machines).into_iter().flatten();
+        let mut rest = machines.filter(|(id, _)| id.as_str() > after);
+        let page = rest.by_ref().take(LIST_MOST as usize);
+        let page: Vec<&Value> = page.map(|(_, machine)| machine).collect();
+        let has_next = rest.next().is_some();
+        (200, json!({"berths": page, "has_next": has_next}))
+    }
+
+    /// Takes the machines that have come up, by their names.
     pub(crate) fn take_booted(&mut self, now: Ms) -> BTreeSet<MachineId> {
-        let mut up = BTreeSet::new();
+        let mut booted = BTreeSet::new();
         while self.booting.first().is_some_and(|(at, _)| *at <= now) {
-            up.extend(self.booting.pop_first().map(|(_, id)| id));
+            booted.extend(self.booting.pop_first().map(|(_, id)| id));
         }
-        up
+        booted
     }
 
-    /// A machine is no more.
+    /// Removes a machine that is deleted or reclaimed.
     pub(crate) fn terminate(&mut self, id: &MachineId) {
         if self.machines.remove(id).is_some() {
             self.terminated_count += 1;
@@ -177,119 +184,104 @@
         }
     }
 
-    /// The charge for a machine has ended, if it had not before.
+    /// Ends the billing of a machine, if it had not ended before.
     pub(crate) fn end_billing(&mut self, id: &MachineId, now: Ms) {
         if let Some((_, ended)) = self.billing_periods.get_mut(id) {
             ended.get_or_insert(now);
         }
     }
 
-    fn provision(&mut self, now: Ms, rent: Rent, rng: &mut StdRng) -> (u16, Value) {
-        if let Some(known) = self.provisioned_by_request.get(&rent.request) {
+    /// Provisions as many of the requested machines as there are. A repeated request gets
+    /// the machines of the first.
+    fn provision(&mut self, now: Ms, request: Rent, rng: &mut StdRng) -> (u16, Value) {
+        if let Some(known) = self.provisioned_by_request.get(&request.request) {
             return (200, json!({"berths": known}));
         }
-        let there = self.machines.values().filter(|m| {
-            m.machine_type == rent.machine_type && m.zone == rent.zone && m.spot == rent.spot
-        });
-        let most = self.capacity_of(&rent);
-        let n = rent.count.min(most.saturating_sub(there.count() as u32));
-        if n == 0 {
+        let machines = self.machines.values();
+        let in_use = machines.filter(|machine| machine.is_like(&request)).count() as u32;
+        let free = self.capacity_of(&request).saturating_sub(in_use);
+        let count = request.count.min(free);
+        if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
-        let mut ids = Vec::new();
-        for _ in 0..n {
-            self.last_instance_number += 1;
-            let id = MachineId::new(&format!("host-{:06}", self.last_instance_number));
-            let boot = self.draw_boot(&rent.machine_type, rng);
-            let boot = match self.fast_boots_until > now {
-                true => rng.random_range(200..2_000),
-                false => boot,
-            };
-            let slow = self
-                .slow_boots
-                .as_ref()
-                .filter(|(until, s)| *until > now && s.applies_to(&rent));
-            let boot = slow.map_or(boot, |(_, s)| s.boot_ms());
-            let machine = Instance {
-                machine_type: rent.machine_type.clone(),
-                zone: rent.zone.clone(),
-                spot: rent.spot,
-                provisioned_at: now,
-                up_at: now.saturating_add(boot),
-                failed: false,
-            };
-            self.booting.insert((machine.up_at, id.clone()));
-            self.boots.push(Boot {
-                provisioned_at: now,
-                up_at: machine.up_at,
-            });
-            self.machines.insert(id.clone(), machine);
-            self.billing_periods.insert(id.clone(), (now, None));
-            ids.push(id);
-        }
-        let kind = (rent.machine_type, rent.zone);
-        self.provisioning_log.push((now, kind.0, kind.1, n));
+        let ids: Vec<MachineId> = (0..count)
+            .map(|_| self.add_instance(now, &request, rng))
+            .collect();
+        self.provisioning_log.push(Provisioned {
+            at: now,
+            machine_type: request.machine_type,
+            zone: request.zone,
+            count,
+        });
         self.provisioned_by_request
-            .insert(rent.request, ids.clone());
+            .insert(request.request, ids.clone());
         (200, json!({"berths": ids}))
     }
 
-    /// How many machines there are of the kind that is asked for.
-    fn capacity_of(&self, rent: &Rent) -> u32 {
-        let kind = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
-        match self.fleet.capacity.get(&kind) {
-            Some(most) => *most,
-            None if !self.fleet.capacity.is_empty() => 0,
-            None if rent.spot => self.capacity / 2,
-            None => self.capacity,
-        }
+    fn add_instance(&mut self, now: Ms, request: &Rent, rng: &mut StdRng) -> MachineId {
+        self.last_instance_number += 1;
+        let id = MachineId::new(&format!("host-{:06}", self.last_instance_number));
+        let boot_ms = self.random_boot_ms(now, request, rng);
+        let up_at = now.saturating_add(boot_ms);
+        let instance = Instance {
+            machine_type: request.machine_type.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            provisioned_at: now,
+            up_at,
+            failed: false,
+        };
+        self.booting.insert((up_at, id.clone()));
+        self.boots.push(Boot {
+            provisioned_at: now,
+            up_at,
+        });
+        self.machines.insert(id.clone(), instance);
+        self.billing_periods.insert(id.clone(), (now, None));
+        id
     }
 
-    /// How long a new machine takes until it is up.
-    fn draw_boot(&self, machine_type: &str, rng: &mut StdRng) -> Ms {
-        let usual = |boot: Ms, rng: &mut StdRng| rng.random_range(boot * 6 / 10..boot * 15 / 10);
-        match self.fleet.boots {
-            BootModel::Adverse => match rng.random_range(0..20) {
-                0 => Ms::MAX / 2,
-                1 => 500,
-                2 => BOOT_MS * 4,
-                _ => usual(BOOT_MS, rng),
-            },
-            BootModel::Usual { fails } if rng.random_bool(fails) => Ms::MAX / 2,
-            BootModel::Usual { .. } => {
-                let of_type = self.fleet.machine_type(machine_type);
-                let boot_s = of_type.map_or(0.0, |t| t.boot_s);
-                usual((boot_s * 1000.0).max(10.0) as Ms, rng)
-            }
+    /// How many machines of the requested kind there are in all.
+    fn capacity_of(&self, request: &Rent) -> u32 {
+        let key = (
+            request.machine_type.clone(),
+            request.zone.clone(),
+            request.spot,
+        );
+        match self.fleet.capacity.get(&key) {
+            Some(capacity) => *capacity,
+            None if !self.fleet.capacity.is_empty() => 0,
+            None if request.spot => self.capacity / 2,
+            None => self.capacity,
         }
     }
 
-    /// Notes how things are, for lists that lag.
+    /// Takes a snapshot for lists, which lag, if one is due.
     pub(crate) fn tick(&mut self, now: Ms) {
-        if self
-            .list_snapshots
-            .back()
-            .is_some_and(|(t, _)| t + 500 > now)
-        {
+        let last = self.list_snapshots.back();
+        if last.is_some_and(|(at, _)| at + SNAPSHOT_INTERVAL_MS > now) {
             return;
         }
-        let list = self
-            .machines
-            .iter()
-            .map(|(id, m)| {
-                let stage = match (m.failed, now >= m.up_at) {
-                    (true, _) => "failed",
-                    (_, true) => "running",
-                    _ => "booting",
-                };
-                let listed = json!({"uid": id, "addr": (self.fleet.address)(id), "rig": m.machine_type, "yard": m.zone,
-                       "loaner": m.spot, "stage": stage, "held_s": (now - m.provisioned_at) as f64 / 1000.0});
-                (id.to_string(), listed)
-            })
+        let machines = self.machines.iter();
+        let snapshot = machines
+            .map(|(id, machine)| (id.to_string(), self.listed(now, id, machine)))
             .collect();
-        self.list_snapshots.push_back((now, list));
-        while self.list_snapshots.len() > 40 {
+        self.list_snapshots.push_back((now, snapshot));
+        while self.list_snapshots.len() > MAX_SNAPSHOTS {
             self.list_snapshots.pop_front();
         }
     }
+
+    /// A machine as it appears in lists.
+    fn listed(&self, now: Ms, id: &MachineId, machine: &Instance) -> Value {
+        json!({
+            "uid": id,
+            "addr": (self.fleet.address)(id),
+            "rig": machine.machine_type,
+            "yard": machine.zone,
+            "loaner": machine.spot,
+            "stage": machine.stage(now),
+            "held_s": (now - machine.provisioned_at) as f64 / 1000.0,
+        })
+    }
 }
--- /dev/null
+++ b/crates/testkit/src/cloud/boots.rs
@@ -0,0 +1,79 @@
+//! How long new machines take until they are up.
+
+use super::CloudModel;
+use crate::fleet::{BootModel, BOOT_MS};
+use crate::Ms;
+use forkshift_wire::cloud::Rent;
+use rand::rngs::StdRng;
+use rand::Rng;
+
+/// Boot time of a machine that never comes up.
+const NEVER_MS: Ms = Ms::MAX / 2;
+/// Least boot time that is drawn around.
+const MIN_BOOT_MS: f64 = 10.0;
+
+/// The boot of one machine.
+#[derive(Clone, Copy, Debug)]
+pub struct Boot {
+    /// When it was provisioned.
+    pub provisioned_at: Ms,
+    /// When it is up, unless it is deleted before. A time far off stands for never.
+    pub up_at: Ms,
+}
+
+/// New machines that come up late or never.
+#[derive(Clone, Debug)]
+pub struct SlowBoots {
+    /// Of this type; of any if left out.
+    pub machine_type: Option<&'static str>,
+    /// In this zone; in any if left out.
+    pub zone: Option<&'static str>,
+    /// Nominal boot times that they take; never up if left out.
+    pub boots: Option<u32>,
+}
+
+impl SlowBoots {
+    fn applies_to(&self, request: &Rent) -> bool {
+        self.machine_type
+            .is_none_or(|machine_type| machine_type == request.machine_type)
+            && self.zone.is_none_or(|zone| zone == request.zone)
+    }
+
+    fn boot_ms(&self) -> Ms {
+        self.boots
+            .map_or(NEVER_MS, |boots| BOOT_MS * Ms::from(boots))
+    }
+}
+
+impl CloudModel {
+    /// Draws how long a new machine takes until it is up.
+    pub(super) fn random_boot_ms(&self, now: Ms, request: &Rent, rng: &mut StdRng) -> Ms {
+        let mut boot_ms = self.random_normal_boot_ms(&request.machine_type, rng);
+        if self.fast_boots_until > now {
+            boot_ms = rng.random_range(200..2_000);
+        }
+        match &self.slow_boots {
+            Some((until, slow)) if *until > now && slow.applies_to(request) => slow.boot_ms(),
+            _ => boot_ms,
+        }
+    }
+
+    fn random_normal_boot_ms(&self, machine_type: &str, rng: &mut StdRng) -> Ms {
+        let around =
+            |boot_ms: Ms, rng: &mut StdRng| rng.random_range(boot_ms * 6 / 10..boot_ms * 15 / 10);
+        match self.fleet.boots {
+            BootModel::Adverse => match rng.random_range(0..20) {
+                0 => NEVER_MS,
+                1 => 500,
+                2 => BOOT_MS * 4,
+                _ => around(BOOT_MS, rng),
+            },
+            BootModel::Usual { fails } if rng.random_bool(fails) => NEVER_MS,
+            BootModel::Usual { .. } => {
+                let of_type = self.fleet.machine_type(machine_type);
+                let boot_s = of_type.map_or(0.0, |machine_type| machine_type.boot_s);
+                around((boot_s * 1000.0).max(MIN_BOOT_MS) as Ms, rng)
+            }
+        }
+    }
+}
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,26 +1,26 @@
-//! What can go wrong, and whom it hits.
+//! Kinds of faults, and selectors of the controllers and machines that they affect.
 
 use crate::cloud::SlowBoots;
 use crate::Ms;
 use forkshift_wire::{JobId, MachineId};
 
-/// All zones. Controllers are in them in turn.
+/// All zones. Controllers are assigned to them in turn.
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A controller, named by what it is at the moment it is looked for.
+/// A controller, selected by its role as the fault begins.
 #[derive(Clone, Debug)]
 pub enum ControllerSelector {
-    /// The one of that index.
+    /// The one of an index.
     Index(usize),
-    /// The holder of a job's share, as the state service has it.
+    /// The holder of a job's shard, by the store's records.
     HolderOfJob(JobId),
-    /// The leader, as the state service has it.
+    /// The leader, by the store's record.
     Leader,
-    /// The next one that is up and is not this one.
+    /// The next one after another that is up.
     NextAfter(Box<ControllerSelector>),
 }
 
-/// Machines, named by what they are at the moment they are looked for.
+/// Machines, selected by their state as the fault begins.
 #[derive(Clone, Debug)]
 pub enum Which {
     /// Those with a task of a job that has not exited.
@@ -29,9 +29,9 @@
     HeldBy(ControllerSelector),
     /// Those of a zone.
     InZone(&'static str),
-    /// These.
+    /// Those of these names.
     Named(Vec<MachineId>),
-    /// So many, drawn at random.
+    /// A number of machines, drawn at random.
     Some(usize),
     /// All that are up.
     All,
@@ -40,7 +40,7 @@
 /// A direction of the link between a controller and machines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Direction {
-    /// Reports from machines to the controller.
+    /// Heartbeats from machines to the controller.
     Reports,
     /// Calls from the controller to machines.
     Calls,
@@ -48,244 +48,244 @@
     Both,
 }
 
-/// What goes wrong with machines.
+/// A fault of machines. Times are durations.
 #[derive(Clone, Copy, Debug)]
 pub enum MachineFault {
-    /// It stops with all that is on it.
+    /// It stops with everything on it.
     Die,
-    /// It stands still, and goes on.
+    /// It hangs, and resumes.
     Hang(Ms),
-    /// It loses the network; held back messages come later.
+    /// It is partitioned from everything; messages are delivered afterwards.
     Partition(Ms),
-    /// Its reports arrive; answers and direct commands to it are lost.
+    /// Its heartbeats arrive; responses and commands to it are lost.
     InboundLoss(Ms),
-    /// It reaches no controller; direct commands reach it and are answered.
+    /// Its heartbeats are lost; commands arrive and are answered.
     OutboundLoss(Ms),
-    /// What it sends and what is sent to it takes up to eight seconds.
+    /// Messages from and to it take up to eight seconds longer.
     SlowLink(Ms),
-    /// It fails what it starts.
+    /// Tasks that start on it fail.
     FailTasks(Ms),
     /// It loses all images.
     EvictImages,
-    /// What it fetches ahead does not come.
+    /// Its prefetches do not complete.
     StuckPrefetch(Ms),
 }
 
-/// What goes wrong.
+/// A kind of fault. Times are durations unless they say otherwise.
 #[derive(Clone, Debug)]
 pub enum FaultKind {
-    /// A controller ends, and is started again after a while.
+    /// Controllers exit, and start again after a while.
     Crash {
-        /// Which; the others are counted from there.
+        /// The first; the others are those after it.
         node: usize,
-        /// How many.
+        /// Number of controllers.
         count: usize,
-        /// Until they are back.
+        /// Time until they start again.
         restart_after: Ms,
     },
-    /// A controller ends, and comes back as the new release.
+    /// A controller exits, and starts again as the new release.
     Upgrade {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// Until it is back.
+        /// Time until it starts again.
         restart_after: Ms,
     },
-    /// A controller ends, and comes back as the old release.
+    /// A controller exits, and starts again as the old release.
     Downgrade {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// Until it is back.
+        /// Time until it starts again.
         restart_after: Ms,
     },
-    /// The limits of the state service that were announced come into force.
+    /// The announced limits of the store come into force.
     LowerLimits,
-    /// A controller reaches some others no more.
+    /// A controller is partitioned from some services.
     Cut {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// The state service.
+        /// From the store.
         state: bool,
-        /// The workers.
+        /// From the workers.
         workers: bool,
-        /// The cloud.
+        /// From the cloud.
         cloud: bool,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A zone is cut off from everything, and goes on within.
+    /// A zone is partitioned from everything outside of it.
     ZonePartition {
-        /// Which.
+        /// The zone.
         zone: &'static str,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// The state service refuses one controller.
+    /// The store refuses the requests of a controller.
     StoreRefusal {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// The state service is down.
+    /// The store is down.
     StoreOutage(Ms),
-    /// Some answers of the state service take long.
+    /// Some responses of the store are slow.
     SlowStore(Ms),
-    /// Some transactions have no answer and are carried out late, after newer
-    /// ones of the same controller.
+    /// Some transactions get no response and are executed late, after newer ones of the same
+    /// controller.
     LateWrites(Ms),
     /// The cloud is down.
     CloudOutage(Ms),
     /// A controller's timers fire late.
     SlowTimers {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// A machine stops with all that is on it.
+    /// A machine drawn at random stops with everything on it.
     MachineCrash,
-    /// A machine stands still, and goes on.
+    /// A machine drawn at random hangs, and resumes.
     MachineHang(Ms),
-    /// A machine loses the network; held back messages come later.
+    /// A machine drawn at random is partitioned; messages are delivered afterwards.
     MachinePartition(Ms),
-    /// What is sent to a machine does not reach it.
+    /// Responses to a machine drawn at random are lost, and commands to it delivered
+    /// afterwards.
     MachineInboundBlocked(Ms),
-    /// A machine fails what it starts.
+    /// Tasks that start on a machine drawn at random fail.
     MachineFailsTasks(Ms),
-    /// Spot machines are taken.
+    /// The cloud reclaims all spot machines.
     SpotReclaim {
-        /// One in so many stays.
+        /// Time from the notice until the reclaim; 0: no notice.
         notice: Ms,
     },
-    /// Copies of reports come late.
+    /// Copies of some heartbeats arrive late.
     LateHeartbeatCopies(Ms),
-    /// Answers get lost now and then.
+    /// Some responses are lost.
     LostResponses(Ms),
-    /// A fault of one controller, whichever it then is. As long as there is
-    /// none, the fault waits.
+    /// A fault of a selected controller. It waits until there is one.
     At(ControllerSelector, Box<FaultKind>),
-    /// A fault of machines, whichever they then are.
+    /// A fault of selected machines.
     Machines(Which, MachineFault),
-    /// The state service refuses one controller, and leaves its open watches
-    /// without an answer for as long.
+    /// The store refuses the requests of a controller, and its open watches get no response
+    /// meanwhile.
     StoreLockout {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// A controller and others do not hear each other.
+    /// A controller and other controllers are partitioned from each other.
     PeerPartition {
-        /// Which.
+        /// Index of the controller.
         node: usize,
         /// The others; all if left out.
         peers: Option<Vec<usize>>,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A controller's direct commands do not reach workers, whose reports
-    /// still reach it and are answered.
+    /// A controller's commands do not reach workers, whose heartbeats still arrive and are
+    /// answered.
     CommandPartition {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Commands are held back and delivered afterwards.
+        /// Whether commands are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A controller and some machines are cut off from each other; each goes on to reach
-    /// all others.
+    /// A controller and some machines are partitioned from each other; each still reaches all
+    /// others.
     LinkCut {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// The machines, as they are when it begins.
+        /// The machines, selected as the fault begins.
         machines: Which,
-        /// Which direction is lost.
+        /// Direction in which messages are lost.
         lost: Direction,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A controller stands still, and goes on.
+    /// A controller is paused, and resumes.
     Pause {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// Some transactions have no answer.
+    /// Some transactions get no response.
     LostWriteResponses {
-        /// How many of a hundred.
+        /// Percentage of them.
         percent: u32,
-        /// Only those that put a key which begins like this.
+        /// Only those that put a key with this prefix.
         key_prefix: Option<&'static str>,
-        /// They are carried out at once; else 2 to 12 s later.
+        /// Whether they are executed at once; else 2 to 12 s later.
         executes_at_once: bool,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// Copies of reports come late, from 2 s to four leases.
+    /// Copies of some heartbeats arrive late, from 2 s to four leases.
     LateHeartbeats {
-        /// Of how many of a hundred.
+        /// Percentage of heartbeats.
         percent: u32,
-        /// They are kept until a new leader or holder has begun, and then
-        /// reach every controller.
+        /// Whether they are kept until a new leader or holder has begun, and then reach every
+        /// controller.
         until_failover: bool,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// New machines come late or never.
+    /// Some new machines come up late or never.
     SlowBoots {
-        /// Which, and how late.
+        /// Which machines, and how late.
         which: SlowBoots,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// Machines are up within two seconds.
+    /// New machines are up within two seconds.
     FastBoots(Ms),
-    /// Direct commands or their answers are held up for seconds.
+    /// Some commands or their responses are delayed for seconds.
     DelayedCommands {
-        /// How many of a hundred.
+        /// Percentage of them.
         percent: u32,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// Users cancel running jobs, all within a fifth of a second.
+    /// Users cancel running jobs within a fifth of a second.
     CancelRunningJobs {
-        /// How many.
+        /// Number of jobs.
         count: usize,
-        /// For how long up to eight of their machines hang.
+        /// Time for which up to eight of their machines hang.
         hang_ms: Ms,
     },
-    /// Jobs are cancelled at the moment at which their last task ends.
+    /// Some jobs are cancelled as their last task completes.
     CancelCompletingJobs {
-        /// How many of a hundred.
+        /// Percentage of them.
         percent: u32,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// Users repeat submissions, cancel what is done, and send jobs that can
-    /// not run or are malformed.
+    /// Users repeat submissions, cancel completed jobs, and submit jobs that can not run or
+    /// are malformed.
     UnusualRequests(Ms),
-    /// Users ask at all controllers within milliseconds after a job was
-    /// accepted, ended or cancelled.
+    /// Users request the state of a job at all controllers within milliseconds after it was
+    /// accepted, completed or cancelled.
     StatusBursts(Ms),
 }
 
 impl FaultKind {
-    /// The same at whichever controller it then is.
+    /// The fault at a controller that is selected as it begins.
     pub fn at(self, who: ControllerSelector) -> Self {
         Self::At(who, Box::new(self))
     }
 
-    /// How long it lasts, and what it has delayed.
+    /// How long the fault and the messages that it delays last.
     pub(crate) fn duration(&self, lease_ms: Ms) -> Ms {
         match self {
             Self::Crash { restart_after, .. }
@@ -337,7 +337,7 @@
         }
     }
 
-    /// The same at the controller of an index, if it is a controller's fault.
+    /// The fault at the controller of an index, if it is a controller's fault.
     pub(crate) fn with_controller(mut self, n: usize) -> Self {
         match &mut self {
             Self::Crash { node, .. }
@@ -357,11 +357,11 @@
     }
 }
 
-/// Something that goes wrong at some time.
+/// A fault that begins at a time.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// When.
+    /// When it begins.
     pub at: Ms,
-    /// What.
+    /// Its kind.
     pub kind: FaultKind,
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,44 +1,43 @@
-//! The machines that the stand-in for the cloud rents.
+//! Machine types on offer, their numbers and their boot times.
 
 use crate::Ms;
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
-/// Boot time of every type of the usual fleet, nominally.
+/// Nominal boot time of every type of the default fleet.
 pub(crate) const BOOT_MS: Ms = 10_000;
 
 /// How long machines take until they are up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BootModel {
-    /// One in twenty never comes up, one comes late, and one at once.
+    /// One in twenty never comes up, one comes up late, and one at once.
     Adverse,
-    /// As the protocol says is usual, but for this part, which never comes up.
+    /// Around the boot time of the type, except for machines that never come up.
     Usual {
-        /// From 0 to 1.
+        /// Probability that a machine never comes up, from 0 to 1.
         fails: f64,
     },
 }
 
-/// A type of machine in a zone, and whether spot machines are meant.
+/// A machine type, a zone, and whether spot machines are meant.
 pub type CapacityKey = (String, String, bool);
 
-/// What the cloud rents, and how the machines are reached.
+/// The machines that the cloud offers, and the addresses of their workers.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Types on offer, each with its zones.
     pub types: Vec<MachineType>,
-    /// How many of each kind there are; what is left out is bounded by
-    /// `Size::capacity`.
+    /// Number of machines of each kind. If there are none here, `Size::capacity` applies.
     pub capacity: BTreeMap<CapacityKey, u32>,
-    /// How long they boot.
+    /// How long they take to boot.
     pub boots: BootModel,
     /// The address of a machine's worker.
     pub address: fn(&MachineId) -> String,
 }
 
 impl Default for Fleet {
-    /// Two types in three zones, which are reached by their names.
+    /// Two types in three zones, whose workers are addressed by their names.
     fn default() -> Self {
         let machine_type = |name: &str, (cpus, gpus, memory_gb), (cache_gb, rate), price| {
             let (price, spot_price) = price;
@@ -68,8 +67,10 @@
 }
 
 impl Fleet {
-    /// A type by its name.
+    /// The type of a name.
     pub(crate) fn machine_type(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.name == name)
+        self.types
+            .iter()
+            .find(|machine_type| machine_type.name == name)
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -15,7 +15,7 @@
 mod worker;
 
 pub use checker::{Checker, Quiescence, Rule, StartSeen};
-pub use cloud::{Boot, SlowBoots};
+pub use cloud::{Boot, Provisioned, SlowBoots};
 pub use day::{Day, FaultSchedule};
 pub use fault_schedule::{random_early_faults, random_faults, random_pairs, random_upgrade};
 pub use faults::{ControllerSelector, Direction, Fault, FaultKind, MachineFault, Which};
--- a/crates/testkit/src/simulation/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -2,7 +2,7 @@
 
 use super::users::{User, UserState};
 use super::{World, WALL_CLOCK_OFFSET_MS};
-use crate::cloud::Boot;
+use crate::cloud::{Boot, Provisioned};
 use crate::Ms;
 use forkshift_core::{records, Node};
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
@@ -174,8 +174,8 @@
         &self.store.decommissioned
     }
 
-    /// Provisioning requests so far: when, type, zone, and how many machines were provisioned.
-    pub fn provisioning_log(&self) -> &[(Ms, String, String, u32)] {
+    /// Requests so far that provisioned machines.
+    pub fn provisioning_log(&self) -> &[Provisioned] {
         &self.cloud.provisioning_log
     }
 
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -109,8 +109,8 @@
         .collect();
     let rented = |zone: Option<&str>| {
         let all = simulation.provisioning_log().iter();
-        all.filter(|r| zone.is_none_or(|z| z == r.2))
-            .map(|r| r.3)
+        all.filter(|provisioned| zone.is_none_or(|zone| zone == provisioned.zone))
+            .map(|provisioned| provisioned.count)
             .sum()
     };
     Seen {
