--- a/crates/testkit/tests/arranged.rs
+++ b/crates/testkit/tests/arranged.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_holder_is_found_and_another_takes_over() {
+fn a_fault_of_a_jobs_holder_affects_it_and_another_takes_over() {
     let (node, time) = (0, 20_000);
     let kind = FaultKind::StoreLockout { node, time }.at(ControllerSelector::HolderOfJob(id(0)));
     let mut simulation = simulation(vec![job(0, None, None)], kind);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_leader_is_found_and_another_leads() {
+fn a_fault_of_the_leader_affects_it_and_another_is_elected() {
     let (node, time) = (0, 20_000);
     let kind = FaultKind::StoreLockout { node, time }.at(ControllerSelector::Leader);
     let mut simulation = simulation(vec![job(0, None, None)], kind);
@@ -60,7 +60,7 @@
 
 /// A cancelled job's tasks are gone in time, whichever way its machines are lost.
 #[test]
-fn machines_of_a_job_are_found() {
+fn cancelled_tasks_exit_in_time_whichever_fault_their_machines_have() {
     let time = 20_000;
     for what in [
         MachineFault::Die,
@@ -84,7 +84,7 @@
 
 /// Cut off from peers, or from workers' own addresses, the day goes on.
 #[test]
-fn cuts_between_controllers_and_of_direct_commands() {
+fn a_cancellation_completes_while_its_holder_is_partitioned_or_paused() {
     let (node, time) = (0, 20_000);
     for hold in [false, true] {
         for kind in [
@@ -116,7 +116,7 @@
 
 /// The time for a cancellation is what the size says.
 #[test]
-fn a_shorter_time_for_cancellations() {
+fn cancelled_tasks_exit_within_a_shorter_configured_time() {
     let size = Size {
         cancel_ms: 15_000,
         lease_ms: 8_000,
--- a/crates/testkit/tests/broken_jobs.rs
+++ b/crates/testkit/tests/broken_jobs.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn broken_jobs_are_slowed_down_and_cost_others_nothing() {
+fn retries_of_defective_jobs_are_delayed_and_do_not_affect_other_jobs() {
     const GOOD_EVERY: Ms = 6_000;
     use JobDefect::{FailsAfter, FailsAtStart};
     use JobKind::{Array, Gang, Service};
@@ -269,7 +269,7 @@
 /// A machine that turns faulty is found beside broken jobs about as fast as
 /// without them, and little is lost on it until then.
 #[test]
-fn faulty_machines_are_found_beside_broken_jobs() {
+fn faulty_machines_are_decommissioned_while_defective_jobs_fail_elsewhere() {
     use JobDefect::{FailsAfter, FailsAtStart};
     use JobKind::{Array, Service};
     const GOOD_OFTEN: Ms = 1_500;
@@ -348,7 +348,7 @@
 /// A new holder knows nothing of what failed before: it learns it anew within a
 /// few tries, and gives up no machine for it.
 #[test]
-fn a_new_holder_learns_of_broken_jobs_within_a_few_tries() {
+fn a_new_holder_delays_retries_of_defective_jobs_after_a_few_failures() {
     use JobDefect::{FailsAfter, FailsAtStart};
     use JobKind::{Array, Gang, Service};
     const CRASH_AT: Ms = 120_000;
@@ -390,7 +390,7 @@
 /// A broken gang that waits for most of the only machine does not have it kept
 /// free, as one that waited long has: others run as on a day without it.
 #[test]
-fn a_broken_gang_keeps_no_machine_free() {
+fn a_defective_gang_reserves_no_machines_between_retries() {
     use JobKind::{Array, Gang};
     const LONG: Ms = 50_000;
     let fleet = Fleet::Few(1);
--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -2,6 +2,9 @@
 //! What every checker rule says must hold in all of them; besides, each test
 //! makes sure that its faults did coincide.
 
+mod common;
+
+use common::{assert_ran_and_rules_kept, fault, random_plans_of_seed, Ms};
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
     ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
@@ -10,8 +13,6 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-type Ms = u64;
-
 fn job(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> Plan {
     let mut plan = Plan::plain(n, at, kind, tasks, run_ms);
     plan.spec.gpus = 2.0;
@@ -19,19 +20,6 @@
     plan
 }
 
-fn mixed(seed: u64, n: u32) -> Vec<Plan> {
-    let mut rng = StdRng::seed_from_u64(seed);
-    let one = |n| {
-        let at = rng.random_range(2_000..90_000);
-        Plan::random(&mut rng, n, at)
-    };
-    (0..n).map(one).collect()
-}
-
-fn fault(at: Ms, kind: FaultKind) -> Fault {
-    Fault { at, kind }
-}
-
 fn crash(at: Ms, who: ControllerSelector, restart_after: Ms) -> Fault {
     let (node, count) = (0, 1);
     fault(
@@ -76,20 +64,14 @@
     let mut simulation = World::with_size(seed, plans, faults, size);
     simulation.run_until(end);
     simulation.check.finish(simulation.now());
-    assert!(simulation.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(
-        simulation.unfinished_jobs(),
-        Vec::<String>::new(),
-        "{name}: unserved"
-    );
+    assert_ran_and_rules_kept(name, &simulation);
     simulation
 }
 
 /// Users ask at all controllers within milliseconds after something was told,
 /// repeat submissions and cancel at once: no controller answers anything older.
 #[test]
-fn answers_at_all_controllers_within_milliseconds() {
+fn no_controller_reports_an_older_state_during_status_bursts() {
     let looks = || fault(10_000, FaultKind::StatusBursts(150_000));
     let time = 15_000;
     let node = 0;
@@ -146,14 +128,14 @@
     ];
     for (seed, (name, faults)) in (300..).zip(with) {
         let faults = faults.into_iter().chain([looks()]).collect();
-        play(name, seed, mixed(seed, 30), faults, 260_000);
+        play(name, seed, random_plans_of_seed(seed, 30), faults, 260_000);
     }
 }
 
 /// Each kind of write is carried out at once with its answer lost, or 2 to 12 s
 /// late, after newer ones of the same controller, while others read what it wrote.
 #[test]
-fn every_kind_of_write_without_an_answer() {
+fn rules_hold_when_responses_to_any_kind_of_write_are_lost() {
     let kinds = [
         ("accept and end", "job/"),
         ("start and progress", "live/"),
@@ -175,7 +157,7 @@
                 crash(35_000, ControllerSelector::Leader, 3_000),
             ];
             let name = format!("{name}, at once: {executes_at_once}");
-            play(&name, seed, mixed(seed, 25), faults, 260_000);
+            play(&name, seed, random_plans_of_seed(seed, 25), faults, 260_000);
         }
     }
 }
@@ -183,7 +165,7 @@
 /// Every team is at its limit while jobs are cancelled whose machines are cut
 /// off or hang, and the leader changes: places count until there is evidence.
 #[test]
-fn teams_at_their_limits_and_a_new_leader() {
+fn teams_stay_within_their_limits_when_the_leader_changes() {
     let time = 20_000;
     for (seed, what) in [
         (350, MachineFault::Partition(time)),
@@ -235,7 +217,7 @@
 /// A job is cancelled in the seconds in which its shard changes hands, by a
 /// crash and in order, wherever in that time the request falls.
 #[test]
-fn cancelled_while_a_shard_changes_hands() {
+fn jobs_cancelled_during_a_failover_of_their_shard_exit_in_time() {
     for step in 0..10 {
         // The holder ends at 50 s and is back at 53 s; later it gets its shard
         // back, in order.
@@ -266,7 +248,7 @@
 /// New machines are up within two seconds and get work at once while writes
 /// lag, and the leader ends: they are adopted or returned, never both.
 #[test]
-fn machines_up_at_once_while_writes_lag_and_the_leader_ends() {
+fn rules_hold_when_machines_boot_fast_while_writes_are_late_and_the_leader_crashes() {
     for (seed, key_prefix) in [
         (380, None),
         (381, Some("c/machine/")),
@@ -302,7 +284,7 @@
 /// has acted, of earlier sessions and attempts too: nothing is believed gone,
 /// nothing is made current.
 #[test]
-fn old_reports_as_a_new_leader_begins() {
+fn old_heartbeats_change_nothing_when_they_reach_a_new_leader() {
     for (seed, until_failover) in [(400, true), (401, false), (402, true), (403, false)] {
         let faults = vec![
             fault(
@@ -339,7 +321,7 @@
         play(
             &format!("for next: {until_failover}"),
             seed,
-            mixed(seed, 30),
+            random_plans_of_seed(seed, 30),
             faults,
             280_000,
         );
@@ -349,7 +331,7 @@
 /// One-task jobs come four a second for two minutes, a quarter of them
 /// cancelled, alone and with one other trouble.
 #[test]
-fn a_swarm_of_small_jobs() {
+fn rules_hold_for_many_small_jobs_under_each_fault() {
     let (node, time) = (0, 10_000);
     let with: [(&str, Vec<Fault>); 5] = [
         ("alone", vec![]),
@@ -403,7 +385,7 @@
 
 /// Jobs of two tasks whose ends lie far apart, over a change of leader.
 #[test]
-fn tasks_that_end_far_apart_over_a_change_of_leader() {
+fn tasks_that_end_far_apart_are_recorded_across_a_change_of_leader() {
     for (seed, at) in [(440, 40_000), (441, 50_000), (442, 60_000)] {
         let plans = (0..8).map(|n| {
             let mut plan = job(
@@ -441,7 +423,7 @@
 
 /// Leaders change ten times in two minutes, also inside an outage.
 #[test]
-fn ten_changes_of_leader_in_two_minutes() {
+fn rules_hold_over_ten_changes_of_leader_in_two_minutes() {
     for (seed, outage) in [(450, None), (451, Some(80_000))] {
         let crashes =
             (0..10).map(|n| crash(40_000 + 12_000 * n, ControllerSelector::Leader, 2_000));
@@ -457,7 +439,7 @@
         play(
             &format!("outage: {seed}"),
             seed,
-            mixed(seed, 30),
+            random_plans_of_seed(seed, 30),
             faults,
             330_000,
         );
@@ -467,7 +449,7 @@
 /// All controllers are away for longer than a lease, and hand over and back
 /// within a second.
 #[test]
-fn all_away_and_back() {
+fn rules_hold_after_all_controllers_crash_and_restart() {
     let all = |at, restart_after| {
         let (node, count) = (0, 3);
         fault(
@@ -506,14 +488,14 @@
         ),
     ];
     for (seed, (name, faults)) in (460..).zip(cases) {
-        play(name, seed, mixed(seed, 25), faults, 260_000);
+        play(name, seed, random_plans_of_seed(seed, 25), faults, 260_000);
     }
 }
 
 /// Machines that hear nothing, or reach nobody, or hang with a cancelled task,
 /// while the leader ends: the task is gone in time and does not go on.
 #[test]
-fn lost_machines_with_cancelled_tasks_and_a_new_leader() {
+fn cancelled_tasks_on_lost_machines_exit_when_the_leader_changes() {
     let time = 25_000;
     for (seed, what) in [
         (470, MachineFault::InboundLoss(time)),
@@ -545,7 +527,7 @@
 /// Jobs that are bound to one zone, arrays too, lose machines, and a zone with
 /// a controller is cut off for longer than a lease.
 #[test]
-fn jobs_of_one_zone_lose_machines() {
+fn jobs_of_one_zone_restart_after_they_lose_machines() {
     for (seed, hold) in [(480, true), (481, false)] {
         let plans = (0..9).map(|n| {
             let kind = [JobKind::Array, JobKind::Gang, JobKind::Service][n as usize % 3];
@@ -587,7 +569,7 @@
 
 /// Commands and their answers are held up for seconds, and machines go on.
 #[test]
-fn commands_held_up_for_seconds() {
+fn rules_hold_when_commands_are_delayed_for_seconds() {
     for (seed, with) in [(490, false), (491, true)] {
         let mut faults = vec![
             fault(
@@ -611,7 +593,7 @@
         play(
             &format!("a new leader: {with}"),
             seed,
-            mixed(seed, 30),
+            random_plans_of_seed(seed, 30),
             faults,
             280_000,
         );
--- /dev/null
+++ b/crates/testkit/tests/common/mod.rs
@@ -0,0 +1,48 @@
+//! What several test programs share: random jobs, faults at a time, and the checks of a
+//! finished simulation.
+
+// Each test program uses a part of it.
+#![allow(dead_code)]
+
+use forkshift_testkit::{Fault, FaultKind, Plan, World};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+/// Milliseconds of virtual time.
+pub type Ms = u64;
+
+/// A fault that begins at a time.
+pub fn fault(at: Ms, kind: FaultKind) -> Fault {
+    Fault { at, kind }
+}
+
+/// Random jobs that are submitted within the first 90 seconds.
+pub fn random_plans(rng: &mut StdRng, count: u32) -> Vec<Plan> {
+    let plans = (0..count).map(|number| {
+        let at = rng.random_range(2_000..90_000);
+        Plan::random(rng, number, at)
+    });
+    plans.collect()
+}
+
+/// Random jobs of a seed.
+pub fn random_plans_of_seed(seed: u64, count: u32) -> Vec<Plan> {
+    random_plans(&mut StdRng::seed_from_u64(seed), count)
+}
+
+/// Checks that no rule was violated and that every job is done, runs, or is cancelled as
+/// its user wants.
+pub fn assert_rules_kept(name: &str, simulation: &World) {
+    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+    assert_eq!(
+        simulation.unfinished_jobs(),
+        Vec::<String>::new(),
+        "{name}: unserved"
+    );
+}
+
+/// Checks that tasks ran and that all rules were kept.
+pub fn assert_ran_and_rules_kept(name: &str, simulation: &World) {
+    assert!(simulation.check.starts > 0, "{name}: nothing ran");
+    assert_rules_kept(name, simulation);
+}
--- a/crates/testkit/tests/controller_cuts.rs
+++ b/crates/testkit/tests/controller_cuts.rs
@@ -2,13 +2,14 @@
 //! and cancelled. Beside the rules it is asserted how long the work of its
 //! shards stands still, and that no healthy machine is given up.
 
+mod common;
+
+use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{ControllerSelector, FaultKind, Plan, Size, Which, World};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::MachineId;
 
-type Ms = u64;
-
 /// When the trouble begins: the first jobs run by then.
 const TROUBLE: Ms = 60_000;
 /// Jobs that run from the beginning. Every other one is cancelled.
@@ -139,7 +140,7 @@
 /// Each part of the network is lost, at the leader and at the holder of the
 /// busiest share, for less and for more than its lease and those of workers.
 #[test]
-fn a_controller_loses_a_part_of_the_network() {
+fn rules_hold_when_a_controller_loses_part_of_the_network() {
     let mut seed = 600;
     for lost in [Lost::All, Lost::State, Lost::Workers, Lost::Refused] {
         for who in [
--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -5,12 +5,13 @@
 //! once when it goes on, in any order (`World::wake`). By then others may hold
 //! its shards and have told users what it does not know.
 
+mod common;
+
+use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{ControllerSelector, Fault, FaultKind, Plan, Size, World};
 use forkshift_wire::users::JobKind;
 
-type Ms = u64;
-
 /// When the trouble begins: all jobs of the first seconds run by then.
 const TROUBLE: Ms = 60_000;
 /// A controller's lease at the state service with the usual settings.
@@ -97,7 +98,7 @@
 /// have told meanwhile, starts nothing that was cancelled meanwhile, and takes
 /// no machine for silent that it could not have heard.
 #[test]
-fn a_controller_that_stood_still() {
+fn rules_hold_when_a_paused_controller_resumes() {
     let stops = [NODE_LEASE / 2, NODE_LEASE + 500, 8_000, 40_000];
     let roles = [Role::Leader, Role::Holder, Role::TakingOver, Role::All];
     for (seed, (role, stop)) in (500..).zip(
@@ -227,7 +228,7 @@
 /// one. What runs goes on if one has stayed; else it begins anew within
 /// seconds, what was cancelled does not, and the state service is not flooded.
 #[test]
-fn controllers_that_were_away_for_a_minute() {
+fn rules_hold_when_controllers_were_down_for_a_minute() {
     let (minute, more) = (Some(60_000), Some(90_000));
     let cases: [(&str, Away); 6] = [
         ("one", [minute, None, None]),
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -1,6 +1,9 @@
 //! Days in virtual time, each with the faults that once broke a rule or left
 //! a job unserved, and some random ones from fixed seeds.
 
+mod common;
+
+use common::{assert_ran_and_rules_kept, random_plans, random_plans_of_seed};
 use forkshift_testkit::{random_early_faults, random_faults, Fault, FaultKind, Plan, Size, World};
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
@@ -21,24 +24,10 @@
 ) -> World {
     let mut simulation = World::with_size(seed, plans, faults, size);
     simulation.run_until(end);
-    assert!(simulation.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(
-        simulation.unfinished_jobs(),
-        Vec::<String>::new(),
-        "{name}: unserved"
-    );
+    assert_ran_and_rules_kept(name, &simulation);
     simulation
 }
 
-fn random_plans(rng: &mut StdRng, n: u32) -> Vec<Plan> {
-    let one = |n| {
-        let at = rng.random_range(2_000..90_000);
-        Plan::random(rng, n, at)
-    };
-    (0..n).map(one).collect()
-}
-
 type Draw = fn(&mut StdRng, u64, u64, usize) -> Vec<Fault>;
 
 fn random_day(seed: u64, faults: usize, draw: Draw) {
@@ -49,7 +38,7 @@
 }
 
 #[test]
-fn random_days_keep_the_rules() {
+fn rules_hold_on_random_days() {
     for (seed, faults) in [
         (1, 0),
         (2, 4),
@@ -66,7 +55,7 @@
 
 /// Seeds that showed a failure when it was found.
 #[test]
-fn days_that_once_failed() {
+fn rules_hold_on_days_that_once_failed() {
     // What each showed is told where the code guards against it.
     for (seed, faults) in [
         (1123, 8),
@@ -86,7 +75,7 @@
 }
 
 #[test]
-fn every_kind_of_fault_alone() {
+fn rules_hold_under_each_kind_of_fault_alone() {
     let node = 0;
     let (time, hold) = (15_000, true);
     let kinds = [
@@ -156,15 +145,15 @@
     for (i, kind) in kinds.into_iter().enumerate() {
         let seed = 100 + i as u64;
         let name = format!("{kind:?}");
-        let plans = random_plans(&mut StdRng::seed_from_u64(seed), 20);
+        let plans = random_plans_of_seed(seed, 20);
         let fault = Fault { at: 40_000, kind };
         play(&name, seed, plans, vec![fault], 200_000);
     }
 }
 
 #[test]
-fn all_controllers_restart_within_an_outage() {
-    let plans = random_plans(&mut StdRng::seed_from_u64(77), 25);
+fn rules_hold_when_all_controllers_restart_during_a_store_outage() {
+    let plans = random_plans_of_seed(77, 25);
     let crash = FaultKind::Crash {
         node: 0,
         count: 3,
@@ -184,8 +173,8 @@
 }
 
 #[test]
-fn a_roll_of_all_controllers() {
-    let plans = random_plans(&mut StdRng::seed_from_u64(78), 25);
+fn rules_hold_during_a_rolling_restart_of_all_controllers() {
+    let plans = random_plans_of_seed(78, 25);
     let crash = |node| FaultKind::Crash {
         node,
         count: 1,
@@ -201,7 +190,7 @@
 /// A leader that loses its key and leads again must not reuse the names of
 /// its requests: the cloud would repeat old answers, and nothing would be rented.
 #[test]
-fn a_controller_that_leads_twice_still_rents() {
+fn a_controller_that_is_elected_twice_still_provisions_machines() {
     let job = |n: u32, at: u64| Plan::plain(n, at, JobKind::Array, 2, 5_000);
     let refuse = |node, at, time| Fault {
         at,
@@ -222,7 +211,7 @@
 /// Seven controllers, sixteen teams, and a state service that takes few
 /// requests: most controllers end at once, and again during the takeover.
 #[test]
-fn a_grown_deployment_loses_most_controllers_twice() {
+fn rules_hold_when_a_large_deployment_loses_most_controllers_twice() {
     let size = Size {
         nodes: 7,
         teams: 16,
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -1,6 +1,9 @@
 //! Days of large fleets in virtual time: as many machines as half again what
 //! the largest deployments have, fixed seeds, the rule checker on.
 
+mod common;
+
+use common::assert_rules_kept;
 use forkshift_testkit::{
     ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
 };
@@ -55,12 +58,7 @@
     let plans = plans(size.nodes as u64, &size, services, others);
     let mut simulation = World::with_size(size.nodes as u64, plans, faults, size);
     simulation.run_until(end);
-    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(
-        simulation.unfinished_jobs(),
-        Vec::<String>::new(),
-        "{name}: unserved"
-    );
+    assert_rules_kept(name, &simulation);
     let peak = simulation.max_machines();
     assert!(peak >= machines, "{name}: {peak} machines");
     let most = (size.write_rps * end as f64 / 1000.0) as u64;
@@ -82,7 +80,7 @@
 }
 
 #[test]
-fn five_controllers_with_1860_machines_take_over() {
+fn rules_hold_on_failover_among_five_controllers_with_1860_machines() {
     let faults = vec![
         crash(70_000, 0, 4, 3_000),
         Fault {
@@ -96,7 +94,7 @@
 }
 
 #[test]
-fn seven_controllers_with_810_machines_take_over() {
+fn rules_hold_on_failover_among_seven_controllers_with_810_machines() {
     let faults = vec![
         crash(70_000, 1, 6, 6_000),
         crash(100_000, 0, 7, 50),
@@ -109,7 +107,7 @@
 /// A zone's machines stop, the holder of a team's shard ends, and the leader is refused,
 /// all within half a minute, where most machines are in use.
 #[test]
-fn four_thousand_machines_lose_a_zone_a_holder_and_a_leader() {
+fn rules_hold_when_4200_machines_lose_a_zone_a_holder_and_the_leader() {
     let job = JobId::parse("j-000000").expect("an id");
     let holder = FaultKind::Crash {
         node: 0,
@@ -157,7 +155,7 @@
 /// Passes over all machines and jobs in every step once took more than a day's
 /// whole processor time on a fleet of 1,860 machines.
 #[test]
-fn the_work_of_a_report_does_not_grow_with_the_fleet() {
+fn the_work_per_heartbeat_does_not_grow_with_the_fleet() {
     let per_report = |services| {
         let mut simulation = at_rest(Size::five_by_1860(), services, Vec::new());
         let (reports, visits) = simulation.work_counts();
--- a/crates/testkit/tests/hollow_workers.rs
+++ b/crates/testkit/tests/hollow_workers.rs
@@ -1,6 +1,9 @@
 //! Workers of a world whose controllers are elsewhere, against the protocol's
 //! tables: when they report, to whom, and which answers and commands count.
 
+mod common;
+
+use common::Ms;
 use forkshift_testkit::{
     BootModel, Deployment, Fleet, MachineChange, Outgoing, Plan, Requester, Rule, Service, Size,
     World,
@@ -10,8 +13,6 @@
 use forkshift_wire::MachineId;
 use serde_json::{json, Value};
 
-type Ms = u64;
-
 const REPORT_MS: Ms = 1_000;
 const LEASE_MS: Ms = 10_000;
 const STEP_MS: Ms = 20;
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn reports_come_in_time_and_one_at_a_time() {
+fn heartbeats_are_sent_in_time_and_one_at_a_time() {
     let mut scene = Scene::new();
     let mut last = scene.next();
     for _ in 0..40 {
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn answers_lead_to_other_controllers() {
+fn heartbeats_follow_redirects_and_move_on_after_errors() {
     // Status, whom it names, counted from the one that answers; whom the next
     // report goes to, and after how long at most.
     let cases = [
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn tokens_and_sessions_are_kept() {
+fn commands_with_older_tokens_or_incarnations_are_refused() {
     let mut scene = Scene::new();
     let start = |token: u64, session: u64, index: u32| {
         json!({"baton": token, "watch": session, "orders": [
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn a_change_of_tasks_is_reported_soon() {
+fn a_heartbeat_follows_soon_after_a_change_of_tasks() {
     let mut scene = Scene::new();
     let sent = scene.next();
     let token = json!({"baton": 1, "orders": []});
@@ -250,7 +251,7 @@
 /// Steps of a world in real time end anywhere, and the checker looks all the same: at
 /// first it did so only where a step happened to end at a multiple of half a second.
 #[test]
-fn the_checker_looks_however_long_the_steps_are() {
+fn the_checker_runs_however_long_the_steps_are() {
     for step in [20, 70, 130, 990] {
         let mut scene = Scene::new();
         let start = json!({"baton": 1, "watch": 1, "orders": [
--- a/crates/testkit/tests/large_gang.rs
+++ b/crates/testkit/tests/large_gang.rs
@@ -1,12 +1,13 @@
 //! A gang of 512 tasks: it is recorded and started within the transactions that the
 //! state service takes, also when its holder ends between any two writes.
 
+mod common;
+
+use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{ControllerSelector, FaultKind, Plan, Size, World};
 use forkshift_wire::users::{JobKind, JobStage};
 
-type Ms = u64;
-
 const TASKS: u32 = 512;
 const SUBMITTED: Ms = 25_000;
 const RUN: Ms = 15_000;
@@ -73,7 +74,7 @@
 /// The holder ends after each number of changes that the gang takes from its
 /// acceptance until it is done; all 512 tasks run at the same time all the same.
 #[test]
-fn a_holder_may_end_between_any_two_writes_of_a_large_gang() {
+fn a_large_gang_completes_when_its_holder_crashes_between_any_two_writes() {
     let mut whole = simulation(900);
     play_writes(&mut whole, 0);
     let from = whole.writes();
--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -172,7 +172,7 @@
 
 /// Each way in which the pair of troubles can fall, alone.
 #[test]
-fn a_cancelled_task_is_gone_in_time_whatever_fails_in_the_gap() {
+fn a_cancelled_task_exits_in_time_whatever_fails_between_lockout_and_outage() {
     let long = OUTAGE + LONG;
     let variants = [
         PLAIN,
@@ -249,7 +249,7 @@
 
 /// As on the users' day, the two pairs one after the other.
 #[test]
-fn the_gap_twice() {
+fn a_cancelled_task_exits_in_time_when_lockout_and_outage_come_twice() {
     for (seed, then) in [(80, Then::Stays), (81, Then::Ends)] {
         let variant = Variant { then, ..PLAIN };
         play(&format!("twice, {then:?}"), seed, &variant, 2);
@@ -260,7 +260,7 @@
 /// holders the job has had since: its machines hang, and holders end one after
 /// the other before any of them would give the machines up on its own count.
 #[test]
-fn the_deadline_outlives_its_holders() {
+fn the_deadline_of_a_cancellation_survives_changes_of_its_holder() {
     for (seed, restart_after) in [(90, 4_000), (91, 6_000)] {
         let (node, count) = (0, 1);
         let crash = |at| Fault {
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -1,27 +1,18 @@
 //! Troubles that come in pairs, each new one alone, and what the stand-ins do
 //! in them.
 
+mod common;
+
+use common::{assert_ran_and_rules_kept, random_plans_of_seed};
 use forkshift_testkit::{
     ControllerSelector, Day, Fault, FaultKind, FaultSchedule, MachineFault, Plan, Size, Which,
     World,
 };
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::JobId;
-use rand::rngs::StdRng;
-use rand::{Rng, SeedableRng};
-
-fn check(name: &str, simulation: &World) {
-    assert!(simulation.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(
-        simulation.unfinished_jobs(),
-        Vec::<String>::new(),
-        "{name}: unserved"
-    );
-}
 
 #[test]
-fn pairs_of_troubles_keep_the_rules() {
+fn rules_hold_under_random_pairs_of_faults() {
     for (seed, faults) in [
         (70_001, 8),
         (70_002, 8),
@@ -41,12 +32,12 @@
     ] {
         let mut day = Day::new(seed, faults, FaultSchedule::Pairs);
         day.play();
-        check(&format!("seed {seed}, {faults} faults"), &day.simulation);
+        assert_ran_and_rules_kept(&format!("seed {seed}, {faults} faults"), &day.simulation);
     }
 }
 
 #[test]
-fn every_new_trouble_alone() {
+fn rules_hold_under_each_later_kind_of_fault_alone() {
     let (node, time, percent, hold) = (0, 15_000, 50, false);
     let lost = |key_prefix, executes_at_once| FaultKind::LostWriteResponses {
         percent,
@@ -103,17 +94,12 @@
     for (i, kind) in kinds.into_iter().enumerate() {
         let seed = 300 + i as u64;
         let name = format!("{kind:?}");
-        let mut rng = StdRng::seed_from_u64(seed);
-        let plans = (0..20).map(|n| {
-            let at = rng.random_range(2_000..90_000);
-            Plan::random(&mut rng, n, at)
-        });
-        let plans: Vec<Plan> = plans.collect();
+        let plans = random_plans_of_seed(seed, 20);
         let fault = Fault { at: 40_000, kind };
         let mut simulation = World::new(seed, plans, vec![fault]);
         simulation.run_until(300_000);
         simulation.finish();
-        check(&name, &simulation);
+        assert_ran_and_rules_kept(&name, &simulation);
     }
 }
 
@@ -128,7 +114,7 @@
 /// A submission is written at once or seconds later, and in both cases nobody
 /// is told for as long as every answer is lost.
 #[test]
-fn writes_whose_answers_are_lost_are_carried_out() {
+fn writes_whose_responses_are_lost_are_executed() {
     for (executes_at_once, there) in [(true, true), (false, false)] {
         let lost = FaultKind::LostWriteResponses {
             percent: 100,
@@ -154,13 +140,13 @@
         );
         simulation.run_until(120_000);
         assert!(simulation.check.is_accepted(&id));
-        check(&format!("at once: {executes_at_once}"), &simulation);
+        assert_ran_and_rules_kept(&format!("at once: {executes_at_once}"), &simulation);
     }
 }
 
 /// Machines are up at once while it lasts.
 #[test]
-fn quick_boots() {
+fn machines_are_up_within_two_seconds_under_fast_boots() {
     for quick in [true, false] {
         let fault = Fault {
             at: 1_000,
@@ -171,13 +157,13 @@
         simulation.run_until(7_500);
         assert_eq!(simulation.machines() > 0, quick);
         simulation.run_until(60_000);
-        check("quick boots", &simulation);
+        assert_ran_and_rules_kept("quick boots", &simulation);
     }
 }
 
 /// Copies are kept until another has taken over.
 #[test]
-fn late_reports_wait_for_the_next_leader() {
+fn late_heartbeats_are_kept_until_the_next_leader() {
     let late = FaultKind::LateHeartbeats {
         percent: 100,
         until_failover: true,
@@ -205,7 +191,7 @@
     simulation.run_until(60_000);
     assert_eq!(simulation.kept_heartbeats(), 0);
     simulation.run_until(200_000);
-    check("kept reports", &simulation);
+    assert_ran_and_rules_kept("kept reports", &simulation);
 }
 
 /// Users cancel all at once, or as a job ends, and their answers are final.
@@ -239,13 +225,13 @@
             let told = simulation.check.final_stage(&id);
             assert!(told.is_some_and(JobStage::is_final), "{name}: {told:?}");
         }
-        check(&name, &simulation);
+        assert_ran_and_rules_kept(&name, &simulation);
     }
 }
 
 /// Odd requests and close looks are sent, and get what they get on a quiet day.
 #[test]
-fn odd_requests_and_close_looks_are_answered() {
+fn unusual_requests_and_status_bursts_are_answered() {
     let cases = [
         FaultKind::UnusualRequests(40_000),
         FaultKind::StatusBursts(40_000),
@@ -259,6 +245,6 @@
         let (asked, answered) = simulation.unusual_request_counts();
         assert!(asked > 60, "{name}: {asked} asked");
         assert!(answered * 10 > asked * 9, "{name}: {answered} of {asked}");
-        check(&name, &simulation);
+        assert_ran_and_rules_kept(&name, &simulation);
     }
 }
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -4,13 +4,14 @@
 //! answer, no replica is dropped, no task of the sweep runs a second time, and the
 //! sweep goes on while the cut lasts.
 
+mod common;
+
+use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{ControllerSelector, Direction, FaultKind, Plan, Size, Which, World};
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::{JobId, MachineId};
 
-type Ms = u64;
-
 /// When the trouble begins: the replicas serve by then.
 const TROUBLE: Ms = 90_000;
 const SERVICES: u32 = 4;
@@ -217,7 +218,7 @@
 const TIMES: [Ms; 3] = [1_500, 6_000, CUT_FOR];
 
 #[test]
-fn each_link_in_turn_while_a_sweep_runs() {
+fn rules_hold_when_each_link_is_partitioned_in_turn() {
     let mut seed = 4_100;
     for who in [
         ControllerSelector::HolderOfJob(id(0)),
@@ -237,7 +238,7 @@
 /// The holder loses workers, and something happens to a second controller: to the leader,
 /// or to one that passes reports on, or that is about to take over.
 #[test]
-fn two_controllers_with_troubles_of_their_own() {
+fn rules_hold_when_two_controllers_have_different_partitions() {
     let holder = ControllerSelector::HolderOfJob(id(0));
     let second = ControllerSelector::NextAfter(Box::new(holder.clone()));
     let mut seed = 4_200;
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -1,11 +1,13 @@
 //! New machines that come late, never, or at once: how long what waits for
 //! them waits, what is rented twice, and what is paid for nothing.
 
+mod common;
+
+use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{Boot, FaultKind, Plan, Size, SlowBoots, World};
 use forkshift_wire::users::{JobKind, Priority};
 
-type Ms = u64;
 /// Seeds of the cases besides the first one, on which any draw of boots may come.
 const OTHER_SEEDS: std::ops::RangeInclusive<u64> = 701..=721;
 /// By now a machine that has not come up must have been replaced: 1.5 boots, and
@@ -156,7 +158,7 @@
 /// until the machine is overdue; those after it are asked for elsewhere, and
 /// the zone is tried again now and then.
 #[test]
-fn new_machines_late_or_never() {
+fn services_recover_when_new_machines_boot_late_or_never() {
     // Longest wait, rentals in the slow zone and in all, and what is paid for
     // machines that are not up, in seconds.
     let cases = [
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -1,7 +1,9 @@
 //! Upgrades from the first release while it serves, and limits that fall.
 
+mod common;
 mod production;
 
+use common::{assert_ran_and_rules_kept, fault};
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{Day, Fault, FaultKind, FaultSchedule, NextLimits, Plan, Size, World};
 use forkshift_wire::users::{JobKind, JobStage};
@@ -20,10 +22,6 @@
     }
 }
 
-fn fault(at: u64, kind: FaultKind) -> Fault {
-    Fault { at, kind }
-}
-
 fn upgrade(at: u64, node: usize) -> Fault {
     fault(
         at,
@@ -67,20 +65,10 @@
     ]
 }
 
-fn check(name: &str, simulation: &World) {
-    assert!(simulation.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(
-        simulation.unfinished_jobs(),
-        Vec::<String>::new(),
-        "{name}: unserved"
-    );
-}
-
 /// All orders in which three controllers take their turns; before, during and
 /// after a turn another one ends, and limits fall while that is so.
 #[test]
-fn every_order_of_an_upgrade_keeps_the_rules() {
+fn rules_hold_for_every_order_of_an_upgrade() {
     let orders = [
         [0, 1, 2],
         [0, 2, 1],
@@ -112,7 +100,7 @@
             let mut simulation = World::with_size(41, plans(), faults, size());
             simulation.run_until(240_000);
             let name = format!("{order:?}, one ends at {ends_at}");
-            check(&name, &simulation);
+            assert_ran_and_rules_kept(&name, &simulation);
             assert_eq!(simulation.finalized_format(), Some(2), "{name}");
             assert_eq!(
                 simulation.check.final_stage(&id(6)),
@@ -127,7 +115,7 @@
 /// Nothing is finalized while one has not registered as the new release, be it
 /// there or not, and jobs that would need it are not accepted.
 #[test]
-fn absence_of_a_controller_is_no_consent() {
+fn a_format_is_not_finalized_while_a_controller_is_down() {
     let away = |node| {
         fault(
             22_000,
@@ -187,7 +175,7 @@
 /// What the first release wrote and told, recorded from it, is read and written
 /// again to the same bytes.
 #[test]
-fn all_that_the_first_release_wrote_is_read() {
+fn records_and_messages_of_the_first_release_are_readable() {
     use forkshift_core::records as new;
     use serde_json::{from_value, to_value, Value};
     let mut kinds = std::collections::BTreeSet::new();
@@ -255,13 +243,13 @@
         let held = simulation.holds_shards(1);
         assert!(!held, "it holds a shard at {}", simulation.now());
     }
-    check("downgrade", &simulation);
+    assert_ran_and_rules_kept("downgrade", &simulation);
 }
 
 /// The state service is out as the last controller comes back, and late
 /// transactions of the old ones land after that.
 #[test]
-fn an_outage_and_late_writes_across_finalization() {
+fn rules_hold_when_an_outage_and_late_writes_surround_finalization() {
     for from in [32_000, 34_000, 36_500] {
         let mut faults: Vec<Fault> = (0..3)
             .map(|n| upgrade(20_000 + n as u64 * 6_000, n))
@@ -271,7 +259,7 @@
         faults.push(fault(70_000, FaultKind::LowerLimits));
         let mut simulation = World::with_size(45, plans(), faults, size());
         simulation.run_until(260_000);
-        check(&format!("outage from {from}"), &simulation);
+        assert_ran_and_rules_kept(&format!("outage from {from}"), &simulation);
         assert_eq!(simulation.finalized_format(), Some(2), "outage from {from}");
     }
 }
@@ -300,7 +288,7 @@
         let plans = vec![array(1, 3_000, 280, 6_000), array(2, 4_000, 120, 40_000)];
         let mut simulation = World::with_size(46, plans, faults, size());
         simulation.run_until(300_000);
-        check(&format!("pause {pause}"), &simulation);
+        assert_ran_and_rules_kept(&format!("pause {pause}"), &simulation);
     }
 }
 
@@ -317,7 +305,7 @@
     plans.push(chained(length + 1, 95_000, &[1]));
     let mut simulation = World::with_size(47, plans, vec![], Size::default());
     simulation.run_until(300_000);
-    check("chain", &simulation);
+    assert_ran_and_rules_kept("chain", &simulation);
     for n in 1..=length + 1 {
         assert_eq!(
             simulation.check.final_stage(&id(n)),
@@ -337,7 +325,7 @@
     }
     let mut simulation = World::with_size(48, plans, vec![], Size::default());
     simulation.run_until(240_000);
-    check("dependents", &simulation);
+    assert_ran_and_rules_kept("dependents", &simulation);
     for n in 1..=dependents {
         assert_eq!(
             simulation.check.final_stage(&id(n)),
@@ -348,7 +336,7 @@
 }
 
 #[test]
-fn random_upgrades_keep_the_rules() {
+fn rules_hold_on_random_days_with_upgrades() {
     for (seed, faults) in [
         (900_000, 8),
         (910_003, 8),
@@ -359,6 +347,6 @@
     ] {
         let mut day = Day::new(seed, faults, FaultSchedule::Upgrade);
         day.play();
-        check(&format!("seed {seed}, {faults} faults"), &day.simulation);
+        assert_ran_and_rules_kept(&format!("seed {seed}, {faults} faults"), &day.simulation);
     }
 }
--- a/crates/testkit/tests/warm_pools.rs
+++ b/crates/testkit/tests/warm_pools.rs
@@ -2,6 +2,9 @@
 //! controllers end meanwhile. After each day the accounts of all pools are audited against
 //! the lives that the stand-in for the cloud charged.
 
+mod common;
+
+use common::Ms;
 use forkshift_pools::account::{HEADS, POOLS};
 use forkshift_pools::audit::mistakes;
 use forkshift_pools::report::Accounts;
@@ -12,7 +15,6 @@
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::MachineId;
 
-type Ms = u64;
 const NODES: usize = 3;
 /// By then a pool is full: the format is finalized, machines have booted and fetched, also
 /// where the first ones came late or never.
@@ -227,7 +229,7 @@
 }
 
 #[test]
-fn weights_that_are_evicted_are_fetched_again_and_the_time_is_told_apart() {
+fn evicted_weights_are_fetched_again_and_the_time_is_accounted_apart() {
     let mut simulation = simulation(3, Vec::new(), size(), &[pool(2, 2)]);
     simulation.run_until(FULL);
     assert_eq!(warm(&simulation), 2);
@@ -280,7 +282,7 @@
 
 /// Each trouble of machines in turn, and all together: the pool fills again.
 #[test]
-fn pools_outlive_their_machines() {
+fn a_pool_is_refilled_when_its_machines_fail() {
     let faults = [
         vec![MachineFault::Die],
         vec![MachineFault::Hang(25_000)],
@@ -320,7 +322,7 @@
 /// The holder ends at any moment between two writes of a membership, and so does the
 /// leader, alone and together, while the pool fills and in a burst.
 #[test]
-fn accounts_are_right_whoever_ends_in_between() {
+fn accounts_are_correct_whichever_controller_crashes_in_between() {
     let crash = |who, at| {
         let crash = FaultKind::Crash {
             node: 0,
@@ -369,7 +371,7 @@
 /// Writes without an answer, carried out at once or late, are no reason for a second
 /// charge.
 #[test]
-fn accounts_are_right_where_writes_have_no_answer() {
+fn accounts_are_correct_when_responses_to_writes_are_lost() {
     for seed in 0..6 {
         let lost = FaultKind::LostWriteResponses {
             percent: 30,
@@ -467,7 +469,7 @@
 
 /// A declaration that changes its image or its size is followed by the next holder.
 #[test]
-fn a_changed_declaration_is_followed() {
+fn a_pool_follows_a_changed_declaration() {
     let mut simulation = simulation(8, Vec::new(), size(), &[pool(2, 2)]);
     simulation.run_until(FULL);
     assert_eq!(warm(&simulation), 2);
@@ -559,7 +561,7 @@
 /// leader may remove a record as soon as it says that its machine is given up: when that
 /// did not end the membership as well, what was taken was charged until its removal.
 #[test]
-fn a_pool_of_spot_machines_outlives_a_wave_of_recalls() {
+fn a_pool_of_spot_machines_is_refilled_after_they_are_reclaimed() {
     let spot = PoolSpec {
         spot: true,
         ..pool(3, 3)
@@ -593,7 +595,7 @@
 /// A day is played once to find every write of a membership and of the account, and then
 /// again for each of them, with the holder ending right behind it.
 #[test]
-fn accounts_are_right_where_the_holder_ends_after_any_write() {
+fn accounts_are_correct_when_the_holder_crashes_after_any_write() {
     const SEED: u64 = 33;
     const END: Ms = FULL + 15_000;
     let plans = || {
