--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -178,17 +178,3 @@
         self.check.finish(self.now);
     }
 }
-
-/// The context in which a worker acts. It borrows the parts of a simulation one by one, as
-/// the worker itself is borrowed too.
-macro_rules! worker_context {
-    ($simulation:expr) => {
-        $crate::worker::WorkerContext {
-            now: $simulation.now,
-            ground_truths: &$simulation.ground_truths,
-            checker: &mut $simulation.check,
-            lease_ms: $simulation.size.lease_ms,
-        }
-    };
-}
-use worker_context;
--- a/crates/testkit/src/simulation/gangs.rs
+++ b/crates/testkit/src/simulation/gangs.rs
@@ -1,6 +1,7 @@
 //! Gangs across machines: their tasks start together and end together.
 
-use super::{worker_context, World};
+use super::World;
+use crate::worker::WorkerContext;
 use crate::Ms;
 use forkshift_wire::workers::{ExitCause, TaskStage};
 use forkshift_wire::{JobId, MachineId, TaskRef};
@@ -102,7 +103,12 @@
 
     fn exit_gang(&mut self, attempt: u64, members: &[GangMember], cause: ExitCause) {
         for GangMember { machine, task, .. } in members {
-            let mut context = worker_context!(self);
+            let mut context = WorkerContext::new(
+                self.now,
+                &self.ground_truths,
+                &mut self.check,
+                self.size.lease_ms,
+            );
             match cause {
                 ExitCause::Done => context.checker.on_task_completed(context.now, task),
                 ExitCause::Error => context.checker.on_task_failed(context.now, task, machine),
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -3,7 +3,8 @@
 use super::events::Event;
 use super::network_faults::LostWriteResponse;
 use super::size::{controller_index, zone_of};
-use super::{worker_context, World};
+use super::World;
+use crate::worker::WorkerContext;
 use crate::Ms;
 use forkshift_core::Input;
 use forkshift_wire::MachineId;
@@ -222,7 +223,12 @@
             self.schedule(until, Event::RequestArrival(message));
             return;
         }
-        let mut context = worker_context!(self);
+        let mut context = WorkerContext::new(
+            self.now,
+            &self.ground_truths,
+            &mut self.check,
+            self.size.lease_ms,
+        );
         let (status, body) = match message.path.as_str() {
             "/status" => (200, worker.status(&mut context)),
             _ => worker.handle_commands(&mut context, &message.body),
--- a/crates/testkit/src/simulation/workers.rs
+++ b/crates/testkit/src/simulation/workers.rs
@@ -3,8 +3,8 @@
 use super::network::{Destination, Message, Origin};
 use super::remote::MachineChange;
 use super::size::controller_index;
-use super::{worker_context, World};
-use crate::worker::Worker;
+use super::World;
+use crate::worker::{Worker, WorkerContext};
 use crate::Ms;
 use forkshift_wire::workers::{HeartbeatReply, Redirect};
 use forkshift_wire::{JobId, MachineId};
@@ -93,7 +93,12 @@
                 continue;
             }
             let reported = (worker.incarnation, worker.token);
-            worker.tick(&mut worker_context!(self));
+            worker.tick(&mut WorkerContext::new(
+                self.now,
+                &self.ground_truths,
+                &mut self.check,
+                self.size.lease_ms,
+            ));
             if is_remote {
                 worker.schedule_changed_heartbeat(now, self.size.lease_ms, reported);
             }
@@ -137,7 +142,12 @@
         }
         if status == 200 {
             if let Ok(reply) = serde_json::from_slice::<HeartbeatReply>(body) {
-                let mut context = worker_context!(self);
+                let mut context = WorkerContext::new(
+                    self.now,
+                    &self.ground_truths,
+                    &mut self.check,
+                    self.size.lease_ms,
+                );
                 worker.on_heartbeat_reply(&mut context, reply.token, &reply.commands);
                 return;
             }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -67,6 +67,22 @@
     pub(crate) lease_ms: Ms,
 }
 
+impl<'a> WorkerContext<'a> {
+    pub(crate) fn new(
+        now: Ms,
+        ground_truths: &'a BTreeMap<JobId, GroundTruth>,
+        checker: &'a mut Checker,
+        lease_ms: Ms,
+    ) -> Self {
+        Self {
+            now,
+            ground_truths,
+            checker,
+            lease_ms,
+        }
+    }
+}
+
 /// The worker of a machine.
 pub(crate) struct Worker {
     pub(crate) id: MachineId,
