--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -528,7 +528,7 @@
 /// a controller is cut off for longer than a lease.
 #[test]
 fn jobs_of_one_zone_restart_after_they_lose_machines() {
-    for (seed, hold) in [(480, true), (481, false)] {
+    for (seed, holds_messages) in [(480, true), (481, false)] {
         let plans = (0..9).map(|n| {
             let kind = [JobKind::Array, JobKind::Gang, JobKind::Service][n as usize % 3];
             let cancel = (kind == JobKind::Service).then_some(120_000);
@@ -548,7 +548,14 @@
         let faults = vec![
             die(0),
             die(1),
-            fault(60_000, FaultKind::ZonePartition { zone, time, hold }),
+            fault(
+                60_000,
+                FaultKind::ZonePartition {
+                    zone,
+                    time,
+                    hold: holds_messages,
+                },
+            ),
             fault(
                 62_000,
                 FaultKind::CancelRunningJobs {
@@ -558,7 +565,7 @@
             ),
         ];
         play(
-            &format!("held: {hold}"),
+            &format!("held: {holds_messages}"),
             seed,
             plans.collect(),
             faults,
