--- /dev/null
+++ b/crates/testkit/src/checker/tests.rs
@@ -0,0 +1,320 @@
+//! Each rule is checked with a trace that violates it.
+
+use super::*;
+use crate::simulation::Plan;
+use forkshift_wire::users::JobKind;
+
+fn spec(id: &str, tasks: u32) -> JobSpec {
+    JobSpec {
+        id: JobId::parse(id).unwrap(),
+        team: "t".into(),
+        cpus: 1.0,
+        gpus: 2.0,
+        types: Some(vec!["g".into()]),
+        ..Plan::plain(0, 0, JobKind::Array, tasks, 1_000).spec
+    }
+}
+
+fn place(machine: &str, zone: &str) -> Place {
+    Place {
+        machine: MachineId::new(machine),
+        machine_type: "g".into(),
+        zone: zone.into(),
+        spot: false,
+    }
+}
+
+fn task(i: u32) -> TaskRef {
+    TaskRef {
+        job: JobId::parse("j-1").unwrap(),
+        index: i,
+    }
+}
+
+/// Submits a job that depends on another.
+fn dependent(checker: &mut Checker, id: &str, dependency: &JobId) -> JobId {
+    let spec = JobSpec {
+        dependencies: vec![dependency.clone()],
+        ..spec(id, 4)
+    };
+    checker.on_submitted(&spec);
+    spec.id
+}
+
+/// Each trace violates its rule, and the same trace without the mistake violates none.
+#[test]
+fn every_rule_is_violated_by_its_trace_and_by_no_corrected_one() {
+    type Trace = fn(&mut Checker, &JobId, bool);
+    let cases: [(Rule, Trace); 29] = [
+        (Rule::RanTwice, |checker, _, violates| {
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            if !violates {
+                checker.on_task_ended(&task(0), &MachineId::new("m1"));
+            }
+            checker.on_task_started(2, &task(0), place("m2", "a"));
+        }),
+        (Rule::Quota, |checker, _, violates| {
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_task_started(1, &task(1), place("m1", "a"));
+            if violates {
+                checker.on_task_started(1, &task(2), place("m2", "b"));
+            }
+        }),
+        (Rule::WrongPlace, |checker, _, violates| {
+            let spot = violates;
+            checker.on_task_started(
+                1,
+                &task(0),
+                Place {
+                    spot,
+                    ..place("m1", "a")
+                },
+            );
+        }),
+        (Rule::WrongPlace, |checker, _, violates| {
+            let machine_type = if violates { "h" } else { "g" }.to_owned();
+            checker.on_task_started(
+                1,
+                &task(0),
+                Place {
+                    machine_type,
+                    ..place("m1", "a")
+                },
+            );
+        }),
+        (Rule::WrongPlace, |checker, id, violates| {
+            checker.jobs.get_mut(id).unwrap().one_zone = true;
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_task_started(1, &task(1), place("m2", if violates { "b" } else { "a" }));
+        }),
+        (Rule::WrongPlace, |checker, id, violates| {
+            checker.jobs.get_mut(id).unwrap().spread = true;
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_task_started(1, &task(1), place("m2", "a"));
+            if violates {
+                checker.limits.clear();
+                checker.on_task_started(1, &task(2), place("m2", "a"));
+            }
+        }),
+        (Rule::RanCancelled, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            checker.on_task_started(1, &task(0), place("m1", "a"));
+            checker.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
+            if !violates {
+                checker.on_task_ended(&task(0), &MachineId::new("m1"));
+            }
+            checker.tick(5 + 101, &BTreeSet::new());
+        }),
+        (Rule::Forgotten, |checker, id, violates| {
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            checker.on_immediate_response(2, id, false, if violates { 404 } else { 503 }, None);
+        }),
+        (Rule::Invented, |checker, _, violates| {
+            let other = JobId::parse("j-9").unwrap();
+            checker.on_immediate_response(1, &other, false, if violates { 200 } else { 404 }, None);
+        }),
+        (Rule::NotDone, |checker, id, violates| {
+            for i in 0..if violates { 3 } else { 4 } {
+                checker.on_task_completed(1, &task(i));
+            }
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
+        }),
+        (Rule::WentBack, |checker, id, violates| {
+            if !violates {
+                checker.on_cancel_requested(id);
+            }
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
+        }),
+        // An older state may be the response to a request that was sent before a newer one
+        // was known, but not to a later request.
+        (Rule::Forgotten, |checker, id, violates| {
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let late = checker.on_request_sent(1, id);
+            checker.on_response(if violates { late } else { early }, 1, id, false, 404, None);
+        }),
+        (Rule::Forgotten, |checker, id, violates| {
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let late = checker.on_request_sent(1, id);
+            checker.on_response(if violates { late } else { early }, 1, id, true, 422, None);
+        }),
+        (Rule::WentBack, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
+            let late = checker.on_request_sent(1, id);
+            let ticket = if violates { late } else { early };
+            checker.on_response(ticket, 1, id, false, 200, Some(JobStage::Running));
+        }),
+        (Rule::WentBack, |checker, id, violates| {
+            (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
+            let late = checker.on_request_sent(1, id);
+            let ticket = if violates { late } else { early };
+            checker.on_response(ticket, 1, id, true, 200, Some(JobStage::Queued));
+        }),
+        // Two final stages never occur together.
+        (Rule::WentBack, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
+            let early = checker.on_request_sent(1, id);
+            checker.on_immediate_response(1, id, false, 200, Some(JobStage::Done));
+            let stage = match violates {
+                true => JobStage::Cancelled,
+                false => JobStage::Done,
+            };
+            checker.on_response(early, 1, id, false, 200, Some(stage));
+        }),
+        (Rule::RanCancelled, |checker, id, violates| {
+            checker.on_cancel_requested(id);
+            checker.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
+            let at = 5 + 100 + u64::from(violates);
+            checker.on_task_started(at, &task(0), place("m1", "a"));
+        }),
+        (Rule::Unfit, |checker, _, violates| {
+            let other = JobId::parse("j-9").unwrap();
+            checker.expect_refusal(&other);
+            let status = if violates { 201 } else { 422 };
+            checker.on_immediate_response(1, &other, true, status, None);
+            checker.check_refusal(1, &other, status, 422);
+        }),
+        (Rule::WrongAnswer, |checker, _, violates| {
+            let other = JobId::parse("j-9").unwrap();
+            checker.expect_refusal(&other);
+            checker.check_refusal(1, &other, 503, 400);
+            checker.check_refusal(1, &other, if violates { 422 } else { 400 }, 400);
+        }),
+        (Rule::Unanswered, |checker, id, violates| {
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            checker.on_request_sent(10, id);
+            checker.tick(90_000, &BTreeSet::new());
+            checker.set_quiescence(Quiescence::Since(100_000));
+            checker.on_immediate_response(110_000, id, false, 503, None);
+            let status = if violates { 504 } else { 200 };
+            checker.on_immediate_response(174_000, id, false, status, Some(JobStage::Queued));
+            checker.tick(175_001, &BTreeSet::new());
+        }),
+        (Rule::LeftWaiting, |checker, id, violates| {
+            checker.on_job_waiting(1, id, true);
+            checker.set_quiescence(Quiescence::Since(100_000));
+            checker.on_job_waiting(100_000, id, true);
+            checker.on_job_waiting(150_000, id, violates);
+            checker.on_job_waiting(190_001, id, true);
+        }),
+        (Rule::LeftWaiting, |checker, id, violates| {
+            checker.set_quiescence(Quiescence::Since(0));
+            checker.on_job_waiting(1_000, id, true);
+            if !violates {
+                checker.set_quiescence(Quiescence::NotYet);
+                checker.on_job_waiting(50_000, id, true);
+                checker.set_quiescence(Quiescence::Since(60_000));
+            }
+            checker.on_job_waiting(91_001, id, true);
+        }),
+        (Rule::LateBegin, |checker, id, violates| {
+            checker.on_request_sent(1, id);
+            checker.on_task_started(240_001 + u64::from(violates), &task(0), place("m1", "a"));
+            checker.finish(500_000);
+        }),
+        // A gang begins with its last task, and never without it.
+        (Rule::LateBegin, |checker, id, violates| {
+            let spec = checker.jobs.get_mut(id).unwrap();
+            (spec.kind, spec.tasks) = (JobKind::Gang, 2);
+            checker.on_request_sent(1, id);
+            checker.on_task_started(2, &task(0), place("m1", "a"));
+            if !violates {
+                checker.on_task_started(3, &task(1), place("m1", "a"));
+            }
+            checker.finish(240_002);
+        }),
+        (Rule::TooEarly, |checker, id, violates| {
+            let next = dependent(checker, "j-2", id);
+            let completed = if violates { 3 } else { 4 };
+            (0..completed).for_each(|i| checker.on_task_completed(1, &task(i)));
+            checker.on_task_started(
+                2,
+                &TaskRef {
+                    job: next,
+                    index: 0,
+                },
+                place("m1", "a"),
+            );
+        }),
+        // Also through another job, and not before the time for it is over.
+        (Rule::Orphaned, |checker, id, violates| {
+            let next = dependent(checker, "j-2", id);
+            let last = dependent(checker, "j-3", &next);
+            checker.on_cancel_requested(id);
+            checker.on_immediate_response(5, id, false, 200, Some(JobStage::Cancelled));
+            let at = 5 + 100 + u64::from(violates);
+            checker.on_immediate_response(at, &last, false, 200, Some(JobStage::Queued));
+            checker.on_immediate_response(at, &last, false, 200, Some(JobStage::Cancelled));
+        }),
+        // A cancellation whose response is `done` cancels nothing.
+        (Rule::WentBack, |checker, id, violates| {
+            let next = dependent(checker, "j-2", id);
+            (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
+            checker.on_cancel_requested(id);
+            if violates {
+                checker.on_immediate_response(5, id, false, 200, Some(JobStage::Done));
+            }
+            checker.on_immediate_response(6, &next, false, 200, Some(JobStage::Cancelled));
+        }),
+        // Its time begins when the last job that it depends on is done.
+        (Rule::LateBegin, |checker, id, violates| {
+            checker.jobs.get_mut(id).unwrap().class = "other".to_owned();
+            checker.on_request_sent(1, id);
+            checker.on_task_started(2, &task(0), place("m1", "a"));
+            let next = dependent(checker, "j-2", id);
+            checker.on_request_sent(1, &next);
+            (0..4).for_each(|i| checker.on_task_completed(100_000, &task(i)));
+            let at = 340_000 + u64::from(violates);
+            checker.on_task_started(
+                at,
+                &TaskRef {
+                    job: next,
+                    index: 0,
+                },
+                place("m1", "a"),
+            );
+            checker.finish(500_000);
+        }),
+        (Rule::WrongAnswer, |checker, id, violates| {
+            checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
+            let next = dependent(checker, "j-2", id);
+            checker.check_admission(2, &next, if violates { 422 } else { 503 });
+        }),
+    ];
+    for (i, (rule, trace)) in cases.into_iter().enumerate() {
+        for violates in [true, false] {
+            let limits = BTreeMap::from([("t".to_owned(), (0.0, 4.0))]);
+            let mut checker = Checker::new(limits, 100);
+            let spec = spec("j-1", 4);
+            checker.on_submitted(&spec);
+            trace(&mut checker, &spec.id, violates);
+            let rules: Vec<Rule> = checker.broken.iter().map(|b| b.0).collect();
+            assert_eq!(
+                rules,
+                vec![rule; usize::from(violates)],
+                "case {i}, violated: {violates}"
+            );
+        }
+    }
+}
+
+/// Starts after a confirmed cancellation are counted, also within the time that the rule
+/// allows.
+#[test]
+fn starts_after_a_confirmed_cancellation_are_counted() {
+    let mut checker = Checker::new(BTreeMap::new(), 100);
+    let spec = spec("j-1", 4);
+    checker.on_submitted(&spec);
+    checker.on_cancel_requested(&spec.id);
+    checker.on_task_started(1, &task(0), place("m1", "a"));
+    checker.on_immediate_response(5, &spec.id, false, 200, Some(JobStage::Cancelled));
+    checker.on_task_started(25, &task(1), place("m1", "a"));
+    assert_eq!(checker.starts_after_cancel, vec![(25, 20, task(1))]);
+    assert_eq!(checker.broken, vec![]);
+}
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,37 +1,37 @@
-//! What can go wrong, and whom it hits.
+//! Kinds of faults, and selectors of the controllers and machines that they affect.
 
 use crate::cloud::SlowBoots;
 use crate::Ms;
 use forkshift_wire::{JobId, MachineId};
 
-/// All zones. Controllers are in them in turn.
+/// All zones. Controllers are assigned to them in turn.
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A controller, named by what it is at the moment it is looked for.
+/// A controller, selected by its role as the fault begins.
 #[derive(Clone, Debug)]
-pub enum Who {
-    /// The one of that index.
+pub enum ControllerSelector {
+    /// The one of an index.
     Index(usize),
-    /// The holder of a job's share, as the state service has it.
-    HolderOf(JobId),
-    /// The leader, as the state service has it.
+    /// The holder of a job's shard, by the store's records.
+    HolderOfJob(JobId),
+    /// The leader, by the store's record.
     Leader,
-    /// The next one that is up and is not this one.
-    Besides(Box<Who>),
+    /// The next one after another that is up.
+    NextAfter(Box<ControllerSelector>),
 }
 
-/// Machines, named by what they are at the moment they are looked for.
+/// Machines, selected by their state as the fault begins.
 #[derive(Clone, Debug)]
 pub enum Which {
     /// Those with a task of a job that has not exited.
-    OfJob(JobId),
+    RunningJob(JobId),
     /// Those of the shards that a controller holds.
-    OfHolder(Who),
+    HeldBy(ControllerSelector),
     /// Those of a zone.
-    OfZone(&'static str),
-    /// These.
+    InZone(&'static str),
+    /// Those of these names.
     Named(Vec<MachineId>),
-    /// So many, drawn at random.
+    /// A number of machines, drawn at random.
     Some(usize),
     /// All that are up.
     All,
@@ -40,7 +40,7 @@
 /// A direction of the link between a controller and machines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Direction {
-    /// Reports from machines to the controller.
+    /// Heartbeats from machines to the controller.
     Reports,
     /// Calls from the controller to machines.
     Calls,
@@ -48,305 +48,307 @@
     Both,
 }
 
-/// What goes wrong with machines.
+/// A fault of machines. Times are durations.
 #[derive(Clone, Copy, Debug)]
 pub enum MachineFault {
-    /// It stops with all that is on it.
+    /// It stops with everything on it.
     Die,
-    /// It stands still, and goes on.
+    /// It hangs, and resumes.
     Hang(Ms),
-    /// It loses the network; held back messages come later.
-    Cut(Ms),
-    /// Its reports arrive; answers and direct commands to it are lost.
-    Deaf(Ms),
-    /// It reaches no controller; direct commands reach it and are answered.
-    Mute(Ms),
-    /// What it sends and what is sent to it takes up to eight seconds.
-    Slow(Ms),
-    /// It fails what it starts.
-    Sick(Ms),
+    /// It is partitioned from everything; messages are delivered afterwards.
+    Partition(Ms),
+    /// Its heartbeats arrive; responses and commands to it are lost.
+    InboundLoss(Ms),
+    /// Its heartbeats are lost; commands arrive and are answered.
+    OutboundLoss(Ms),
+    /// Messages from and to it take up to eight seconds longer.
+    SlowLink(Ms),
+    /// Tasks that start on it fail.
+    FailTasks(Ms),
     /// It loses all images.
-    Evict,
-    /// What it fetches ahead does not come.
-    StuckFetch(Ms),
+    EvictImages,
+    /// Its prefetches do not complete.
+    StuckPrefetch(Ms),
 }
 
-/// What goes wrong.
+/// A kind of fault. Times are durations unless they say otherwise.
 #[derive(Clone, Debug)]
 pub enum FaultKind {
-    /// A controller ends, and is started again after a while.
+    /// Controllers exit, and start again after a while.
     Crash {
-        /// Which; the others are counted from there.
+        /// The first; the others are those after it.
         node: usize,
-        /// How many.
+        /// Number of controllers.
         count: usize,
-        /// Until they are back.
-        back: Ms,
+        /// Time until they start again.
+        restart_after: Ms,
     },
-    /// A controller ends, and comes back as the new release.
+    /// A controller exits, and starts again as the new release.
     Upgrade {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// Until it is back.
-        back: Ms,
+        /// Time until it starts again.
+        restart_after: Ms,
     },
-    /// A controller ends, and comes back as the old release.
+    /// A controller exits, and starts again as the old release.
     Downgrade {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// Until it is back.
-        back: Ms,
+        /// Time until it starts again.
+        restart_after: Ms,
     },
-    /// The limits of the state service that were announced come into force.
+    /// The announced limits of the store come into force.
     LowerLimits,
-    /// A controller reaches some others no more.
+    /// A controller is partitioned from some services.
     Cut {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// The state service.
+        /// From the store.
         state: bool,
-        /// The workers.
+        /// From the workers.
         workers: bool,
-        /// The cloud.
+        /// From the cloud.
         cloud: bool,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A zone is cut off from everything, and goes on within.
-    ZoneCut {
-        /// Which.
+    /// A zone is partitioned from everything outside of it.
+    ZonePartition {
+        /// The zone.
         zone: &'static str,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// The state service refuses one controller.
-    Refuse {
-        /// Which.
+    /// The store refuses the requests of a controller.
+    StoreRefusal {
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// The state service is down.
-    Outage(Ms),
-    /// Some answers of the state service take long.
-    SlowState(Ms),
-    /// Some transactions have no answer and are carried out late, after newer
-    /// ones of the same controller.
+    /// The store is down.
+    StoreOutage(Ms),
+    /// Some responses of the store are slow.
+    SlowStore(Ms),
+    /// Some transactions get no response and are executed late, after newer ones of the same
+    /// controller.
     LateWrites(Ms),
     /// The cloud is down.
-    CloudTrouble(Ms),
+    CloudOutage(Ms),
     /// A controller's timers fire late.
-    Slow {
-        /// Which.
+    SlowTimers {
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// A machine stops with all that is on it.
-    Die,
-    /// A machine stands still, and goes on.
-    Hang(Ms),
-    /// A machine loses the network; held back messages come later.
-    MachineCut(Ms),
-    /// What is sent to a machine does not reach it.
-    Deaf(Ms),
-    /// A machine fails what it starts.
-    Sick(Ms),
-    /// Spot machines are taken.
-    Taken {
-        /// One in so many stays.
+    /// A machine drawn at random stops with everything on it.
+    MachineCrash,
+    /// A machine drawn at random hangs, and resumes.
+    MachineHang(Ms),
+    /// A machine drawn at random is partitioned; messages are delivered afterwards.
+    MachinePartition(Ms),
+    /// Responses to a machine drawn at random are lost, and commands to it delivered
+    /// afterwards.
+    MachineInboundBlocked(Ms),
+    /// Tasks that start on a machine drawn at random fail.
+    MachineFailsTasks(Ms),
+    /// The cloud reclaims all spot machines.
+    SpotReclaim {
+        /// Time from the notice until the reclaim; 0: no notice.
         notice: Ms,
     },
-    /// Copies of reports come late.
-    LateCopies(Ms),
-    /// Answers get lost now and then.
-    LostAnswers(Ms),
-    /// A fault of one controller, whichever it then is. As long as there is
-    /// none, the fault waits.
-    At(Who, Box<FaultKind>),
-    /// A fault of machines, whichever they then are.
+    /// Copies of some heartbeats arrive late.
+    LateHeartbeatCopies(Ms),
+    /// Some responses are lost.
+    LostResponses(Ms),
+    /// A fault of a selected controller. It waits until there is one.
+    At(ControllerSelector, Box<FaultKind>),
+    /// A fault of selected machines.
     Machines(Which, MachineFault),
-    /// The state service refuses one controller, and leaves its open watches
-    /// without an answer for as long.
-    Shut {
-        /// Which.
+    /// The store refuses the requests of a controller, and its open watches get no response
+    /// meanwhile.
+    StoreLockout {
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// A controller and others do not hear each other.
-    PeerCut {
-        /// Which.
+    /// A controller and other controllers are partitioned from each other.
+    PeerPartition {
+        /// Index of the controller.
         node: usize,
         /// The others; all if left out.
-        with: Option<Vec<usize>>,
-        /// For how long.
+        peers: Option<Vec<usize>>,
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A controller's direct commands do not reach workers, whose reports
-    /// still reach it and are answered.
-    DirectCut {
-        /// Which.
+    /// A controller's commands do not reach workers, whose heartbeats still arrive and are
+    /// answered.
+    CommandPartition {
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Commands are held back and delivered afterwards.
+        /// Whether commands are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A controller and some machines are cut off from each other; each goes on to reach
-    /// all others.
+    /// A controller and some machines are partitioned from each other; each still reaches all
+    /// others.
     LinkCut {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// The machines, as they are when it begins.
+        /// The machines, selected as the fault begins.
         machines: Which,
-        /// Which direction is lost.
+        /// Direction in which messages are lost.
         lost: Direction,
-        /// For how long.
+        /// Duration.
         time: Ms,
-        /// Messages are held back and delivered afterwards.
+        /// Whether messages are delivered afterwards; else they are lost.
         hold: bool,
     },
-    /// A controller stands still, and goes on.
+    /// A controller is paused, and resumes.
     Pause {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// Some transactions have no answer.
-    LostWrites {
-        /// How many of a hundred.
-        share: u32,
-        /// Only those that put a key which begins like this.
-        of: Option<&'static str>,
-        /// They are carried out at once; else 2 to 12 s later.
-        at_once: bool,
-        /// For how long.
+    /// Some transactions get no response.
+    LostWriteResponses {
+        /// Percentage of them.
+        percent: u32,
+        /// Only those that put a key with this prefix.
+        key_prefix: Option<&'static str>,
+        /// Whether they are executed at once; else 2 to 12 s later.
+        executes_at_once: bool,
+        /// Duration.
         time: Ms,
     },
-    /// Copies of reports come late, from 2 s to four leases.
-    LateReports {
-        /// Of how many of a hundred.
-        share: u32,
-        /// They are kept until a new leader or holder has begun, and then
-        /// reach every controller.
-        for_next: bool,
-        /// For how long.
+    /// Copies of some heartbeats arrive late, from 2 s to four leases.
+    LateHeartbeats {
+        /// Percentage of heartbeats.
+        percent: u32,
+        /// Whether they are kept until a new leader or holder has begun, and then reach every
+        /// controller.
+        until_failover: bool,
+        /// Duration.
         time: Ms,
     },
-    /// New machines come late or never.
+    /// Some new machines come up late or never.
     SlowBoots {
-        /// Which, and how late.
+        /// Which machines, and how late.
         which: SlowBoots,
-        /// For how long.
+        /// Duration.
         time: Ms,
     },
-    /// Machines are up within two seconds.
-    QuickBoots(Ms),
-    /// Direct commands or their answers are held up for seconds.
-    HeldCommands {
-        /// How many of a hundred.
-        share: u32,
-        /// For how long.
+    /// New machines are up within two seconds.
+    FastBoots(Ms),
+    /// Some commands or their responses are delayed for seconds.
+    DelayedCommands {
+        /// Percentage of them.
+        percent: u32,
+        /// Duration.
         time: Ms,
     },
-    /// Users cancel running jobs, all within a fifth of a second.
-    CancelNow {
-        /// How many.
+    /// Users cancel running jobs within a fifth of a second.
+    CancelRunningJobs {
+        /// Number of jobs.
         count: usize,
-        /// For how long up to eight of their machines hang.
-        hang: Ms,
+        /// Time for which up to eight of their machines hang.
+        hang_ms: Ms,
     },
-    /// Jobs are cancelled at the moment at which their last task ends.
-    CancelAtEnd {
-        /// How many of a hundred.
-        share: u32,
-        /// For how long.
+    /// Some jobs are cancelled as their last task completes.
+    CancelCompletingJobs {
+        /// Percentage of them.
+        percent: u32,
+        /// Duration.
         time: Ms,
     },
-    /// Users repeat submissions, cancel what is done, and send jobs that can
-    /// not run or are malformed.
-    OddRequests(Ms),
-    /// Users ask at all controllers within milliseconds after a job was
-    /// accepted, ended or cancelled.
-    CloseLooks(Ms),
+    /// Users repeat submissions, cancel completed jobs, and submit jobs that can not run or
+    /// are malformed.
+    UnusualRequests(Ms),
+    /// Users request the state of a job at all controllers within milliseconds after it was
+    /// accepted, completed or cancelled.
+    StatusBursts(Ms),
 }
 
 impl FaultKind {
-    /// The same at whichever controller it then is.
-    pub fn at(self, who: Who) -> Self {
+    /// The fault at a controller that is selected as it begins.
+    pub fn at(self, who: ControllerSelector) -> Self {
         Self::At(who, Box::new(self))
     }
 
-    /// How long it lasts, and what it has delayed.
-    pub(crate) fn lasts(&self, lease_ms: Ms) -> Ms {
+    /// How long the fault and the messages that it delays last.
+    pub(crate) fn duration(&self, lease_ms: Ms) -> Ms {
         match self {
-            Self::Crash { back, .. }
-            | Self::Upgrade { back, .. }
-            | Self::Downgrade { back, .. } => *back,
+            Self::Crash { restart_after, .. }
+            | Self::Upgrade { restart_after, .. }
+            | Self::Downgrade { restart_after, .. } => *restart_after,
             Self::LowerLimits => 0,
             Self::Cut { time, .. }
-            | Self::ZoneCut { time, .. }
-            | Self::Refuse { time, .. }
-            | Self::Slow { time, .. }
-            | Self::Shut { time, .. }
-            | Self::PeerCut { time, .. }
-            | Self::DirectCut { time, .. }
+            | Self::ZonePartition { time, .. }
+            | Self::StoreRefusal { time, .. }
+            | Self::SlowTimers { time, .. }
+            | Self::StoreLockout { time, .. }
+            | Self::PeerPartition { time, .. }
+            | Self::CommandPartition { time, .. }
             | Self::LinkCut { time, .. }
             | Self::Pause { time, .. }
             | Self::SlowBoots { time, .. }
-            | Self::CancelAtEnd { time, .. } => *time,
-            Self::Outage(time)
-            | Self::SlowState(time)
-            | Self::CloudTrouble(time)
-            | Self::Hang(time)
-            | Self::MachineCut(time)
-            | Self::Deaf(time)
-            | Self::Sick(time)
-            | Self::LostAnswers(time)
-            | Self::QuickBoots(time)
-            | Self::OddRequests(time)
-            | Self::CloseLooks(time) => *time,
+            | Self::CancelCompletingJobs { time, .. } => *time,
+            Self::StoreOutage(time)
+            | Self::SlowStore(time)
+            | Self::CloudOutage(time)
+            | Self::MachineHang(time)
+            | Self::MachinePartition(time)
+            | Self::MachineInboundBlocked(time)
+            | Self::MachineFailsTasks(time)
+            | Self::LostResponses(time)
+            | Self::FastBoots(time)
+            | Self::UnusualRequests(time)
+            | Self::StatusBursts(time) => *time,
             Self::LateWrites(time)
-            | Self::LostWrites { time, .. }
-            | Self::HeldCommands { time, .. } => time + 12_000,
-            Self::LateCopies(time) | Self::LateReports { time, .. } => time + 4 * lease_ms,
-            Self::Die => 0,
-            Self::Taken { notice } => *notice,
-            Self::CancelNow { hang, .. } => *hang,
-            Self::At(_, kind) => kind.lasts(lease_ms),
+            | Self::LostWriteResponses { time, .. }
+            | Self::DelayedCommands { time, .. } => time + 12_000,
+            Self::LateHeartbeatCopies(time) | Self::LateHeartbeats { time, .. } => {
+                time + 4 * lease_ms
+            }
+            Self::MachineCrash => 0,
+            Self::SpotReclaim { notice } => *notice,
+            Self::CancelRunningJobs { hang_ms, .. } => *hang_ms,
+            Self::At(_, kind) => kind.duration(lease_ms),
             Self::Machines(_, fault) => match fault {
-                MachineFault::Die | MachineFault::Evict => 0,
-                MachineFault::Slow(time) => time + 8_000,
+                MachineFault::Die | MachineFault::EvictImages => 0,
+                MachineFault::SlowLink(time) => time + 8_000,
                 MachineFault::Hang(time)
-                | MachineFault::Cut(time)
-                | MachineFault::Deaf(time)
-                | MachineFault::Mute(time)
-                | MachineFault::Sick(time)
-                | MachineFault::StuckFetch(time) => *time,
+                | MachineFault::Partition(time)
+                | MachineFault::InboundLoss(time)
+                | MachineFault::OutboundLoss(time)
+                | MachineFault::FailTasks(time)
+                | MachineFault::StuckPrefetch(time) => *time,
             },
         }
     }
 
-    /// The same at the controller of an index, if it is a controller's fault.
-    pub(crate) fn aimed(mut self, n: usize) -> Self {
+    /// The fault at the controller of an index, if it is a controller's fault.
+    pub(crate) fn with_controller(mut self, n: usize) -> Self {
         match &mut self {
             Self::Crash { node, .. }
             | Self::Upgrade { node, .. }
             | Self::Downgrade { node, .. }
             | Self::Cut { node, .. }
-            | Self::Refuse { node, .. }
-            | Self::Slow { node, .. }
-            | Self::Shut { node, .. }
-            | Self::PeerCut { node, .. }
-            | Self::DirectCut { node, .. }
+            | Self::StoreRefusal { node, .. }
+            | Self::SlowTimers { node, .. }
+            | Self::StoreLockout { node, .. }
+            | Self::PeerPartition { node, .. }
+            | Self::CommandPartition { node, .. }
             | Self::LinkCut { node, .. }
             | Self::Pause { node, .. } => *node = n,
             _ => {}
@@ -355,11 +357,11 @@
     }
 }
 
-/// Something that goes wrong at some time.
+/// A fault that begins at a time.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// When.
+    /// When it begins.
     pub at: Ms,
-    /// What.
+    /// Its kind.
     pub kind: FaultKind,
 }
--- /dev/null
+++ b/crates/testkit/src/simulation.rs
@@ -0,0 +1,180 @@
+//! Deterministic simulation of everything around the controllers, in virtual time.
+//!
+//! [`World`] owns the clock, the random number generator and the parts; each part keeps
+//! its own state in a module of its own.
+
+mod build;
+mod controllers;
+mod digest;
+mod events;
+mod fault_injection;
+mod gangs;
+mod network;
+mod network_faults;
+mod observe;
+mod partitions;
+mod plan;
+mod pools;
+mod remote;
+mod selectors;
+mod size;
+mod unusual_requests;
+mod users;
+mod waiting_jobs;
+mod workers;
+
+pub use build::Deployment;
+pub use observe::JobCounts;
+pub(crate) use plan::random_job_id;
+pub use plan::{job_id, JobDefect, Plan};
+pub use remote::{Answer, MachineChange, Outgoing, Requester, Service};
+pub use size::{settings, NextLimits, Size};
+
+use crate::checker::{Checker, Quiescence};
+use crate::cloud::CloudModel;
+use crate::faults::FaultKind;
+use crate::store::StoreModel;
+use crate::worker::GroundTruth;
+use crate::Ms;
+use controllers::Controller;
+use digest::Traffic;
+use events::EventQueue;
+use fault_injection::FaultTimeline;
+use forkshift_wire::JobId;
+use network::{Destination, Origin};
+use network_faults::NetworkFaults;
+use rand::rngs::StdRng;
+use remote::RemoteQueues;
+use std::collections::BTreeMap;
+use unusual_requests::{RequestFaults, UnusualRequests};
+use users::User;
+use workers::WorkerFleet;
+
+/// Length of a simulation step in virtual time.
+const STEP_MS: Ms = 10;
+/// Interval between the checker's scans for conditions that may not last.
+const CHECK_INTERVAL_MS: Ms = 500;
+/// Interval between scans for jobs that wait although there is room for them.
+const WAITING_JOBS_INTERVAL_MS: Ms = 2_000;
+/// Wall-clock time at the start of the simulation.
+const WALL_CLOCK_OFFSET_MS: Ms = 1_000_000;
+
+/// A simulated deployment: controllers, store, cloud, workers, users and faults.
+pub struct World {
+    size: Size,
+    now: Ms,
+    previous_step_at: Ms,
+    rng: StdRng,
+    events: EventQueue,
+    controllers: Vec<Controller>,
+    /// Controller starts so far, of all controllers.
+    controller_starts: u64,
+    store: StoreModel<Origin>,
+    cloud: CloudModel,
+    workers: WorkerFleet,
+    ground_truths: BTreeMap<JobId, GroundTruth>,
+    users: Vec<User>,
+    faults: FaultTimeline,
+    network_faults: NetworkFaults,
+    request_faults: RequestFaults,
+    unusual_requests: UnusualRequests,
+    traffic: Traffic,
+    /// Queues to and from controllers that run as processes of their own.
+    remote: Option<RemoteQueues>,
+    /// Checks the protocol's rules against what truly happens.
+    pub check: Checker,
+}
+
+impl World {
+    /// Runs until a time.
+    pub fn run_until(&mut self, end: Ms) {
+        while self.now < end {
+            self.step_to(self.now + STEP_MS);
+        }
+    }
+
+    /// Makes one step, which ends at a time.
+    fn step_to(&mut self, time: Ms) {
+        self.previous_step_at = self.now;
+        self.now = time;
+        self.step();
+    }
+
+    /// Whether the current step passed a multiple of a period. Steps in real time
+    /// rarely end exactly at one.
+    fn crosses_multiple_of(&self, period: Ms) -> bool {
+        self.now / period > self.previous_step_at / period
+    }
+
+    /// The order of these parts decides the order of random draws.
+    fn step(&mut self) {
+        self.release_kept_heartbeats();
+        self.inject_due_faults();
+        while let Some(event) = self.events.pop_due(self.now) {
+            self.handle_event(event);
+        }
+        self.end_outages();
+        self.answer_watches();
+        self.cloud.tick(self.now);
+        self.sync_workers_with_cloud();
+        self.workers.record_count();
+        self.tick_workers();
+        self.tick_gangs();
+        self.tick_users();
+        self.tick_unusual_requests();
+        for controller in 0..self.controllers.len() {
+            self.step_controller(controller);
+        }
+        if self.crosses_multiple_of(CHECK_INTERVAL_MS) {
+            self.tick_checker();
+        }
+        if self.crosses_multiple_of(WAITING_JOBS_INTERVAL_MS) {
+            self.check_waiting_jobs();
+        }
+    }
+
+    /// Responds to the store's watches that have changes or expired.
+    fn answer_watches(&mut self) {
+        let (now, controllers) = (self.now, &self.controllers);
+        let is_locked_out = |watcher: &Origin| match watcher {
+            Origin::Controller { index, .. } => {
+                controllers[*index].faults.store_lockout_until > now
+            }
+            _ => false,
+        };
+        for (to, value) in self.store.tick(now, is_locked_out) {
+            let body = value.to_string().into_bytes();
+            self.respond(&Destination::Store, to, 200, body);
+        }
+    }
+
+    fn tick_checker(&mut self) {
+        let quiescence = match self.faults.quiet_since(self.now) {
+            Some(since) => Quiescence::Since(since),
+            None => Quiescence::NotYet,
+        };
+        self.check.set_quiescence(quiescence);
+        let workers = self.workers.by_id.values();
+        let expired = workers
+            .filter(|worker| worker.is_hung_without_lease(self.now, self.size.lease_ms))
+            .map(|worker| worker.id.clone())
+            .collect();
+        self.check.tick(self.now, &expired);
+    }
+
+    /// Injects a fault now.
+    pub fn fault_now(&mut self, kind: FaultKind) {
+        self.inject(kind);
+    }
+
+    /// Records from now on all that controllers write to the store and send to each other.
+    pub fn record_formats(&mut self) {
+        self.store.recorded_puts = Some(Vec::new());
+        self.traffic.recorded_messages = Some(Vec::new());
+    }
+
+    /// Runs the checks that need the whole simulation, at its end.
+    pub fn finish(&mut self) {
+        self.check.finish(self.now);
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -0,0 +1,400 @@
+//! Faults as they begin, and whom they affect.
+
+use super::events::Event;
+use super::network_faults::{LateHeartbeats, LostWriteResponses, PartialFault};
+use super::partitions::{LinkPartition, Partition, PeerPartition, ZonePartition};
+use super::{World, STEP_MS};
+use crate::faults::{Direction, Fault, FaultKind, MachineFault, Which};
+use crate::store::SizeLimits;
+use crate::Ms;
+use forkshift_wire::MachineId;
+use rand::Rng;
+use std::collections::VecDeque;
+
+/// Faults that are still to come, and those that have begun.
+pub(super) struct FaultTimeline {
+    /// Ordered by time.
+    upcoming: VecDeque<Fault>,
+    /// With when they began.
+    injected: Vec<(Ms, FaultKind)>,
+    /// When all faults that have begun are over.
+    active_until: Ms,
+    cloud_down_until: Ms,
+    store_down_until: Ms,
+}
+
+impl FaultTimeline {
+    pub(super) fn new(mut faults: Vec<Fault>) -> Self {
+        faults.sort_by_key(|fault| fault.at);
+        Self {
+            upcoming: faults.into(),
+            injected: Vec::new(),
+            active_until: 0,
+            cloud_down_until: 0,
+            store_down_until: 0,
+        }
+    }
+
+    fn pop_due(&mut self, now: Ms) -> Option<Fault> {
+        let is_due = self.upcoming.front().is_some_and(|fault| fault.at <= now);
+        is_due.then(|| self.upcoming.pop_front())?
+    }
+
+    fn record(&mut self, now: Ms, kind: FaultKind, duration: Ms) {
+        self.active_until = self.active_until.max(now + duration);
+        self.injected.push((now, kind));
+    }
+
+    /// When the last fault was over, if none is active or still to come.
+    pub(super) fn quiet_since(&self, now: Ms) -> Option<Ms> {
+        let is_quiet = self.upcoming.is_empty() && now >= self.active_until;
+        is_quiet.then_some(self.active_until)
+    }
+}
+
+impl World {
+    /// Faults that have begun, with when. Controllers that were selected by their role
+    /// appear with their indices.
+    pub fn injected_faults(&self) -> &[(Ms, FaultKind)] {
+        &self.faults.injected
+    }
+
+    pub(super) fn inject_due_faults(&mut self) {
+        while let Some(fault) = self.faults.pop_due(self.now) {
+            self.inject(fault.kind);
+        }
+    }
+
+    /// Ends the outages of cloud and store whose time is over.
+    pub(super) fn end_outages(&mut self) {
+        if self.cloud.is_down && self.now >= self.faults.cloud_down_until {
+            self.cloud.is_down = false;
+        }
+        if self.store.is_down && self.now >= self.faults.store_down_until {
+            self.store.set_down(false, self.now);
+        }
+    }
+
+    /// Lets a fault begin. A fault of a selected controller waits until there is one.
+    pub(super) fn inject(&mut self, kind: FaultKind) {
+        let kind = match kind {
+            FaultKind::At(selector, kind) => match self.select_controller(&selector) {
+                Some(index) => kind.with_controller(index),
+                None => {
+                    let retry = Event::FaultStart(FaultKind::At(selector, kind));
+                    self.schedule(self.now + STEP_MS, retry);
+                    return;
+                }
+            },
+            kind => kind,
+        };
+        let duration = kind.duration(self.size.lease_ms);
+        self.faults.record(self.now, kind.clone(), duration);
+        self.apply_controller_fault(kind);
+    }
+
+    /// Applies a fault of a controller itself, or passes it on.
+    fn apply_controller_fault(&mut self, kind: FaultKind) {
+        let now = self.now;
+        match kind {
+            FaultKind::Crash {
+                node,
+                count,
+                restart_after,
+            } => self.crash_controllers(node, count, restart_after),
+            FaultKind::Upgrade {
+                node,
+                restart_after,
+            } => self.restart_with_release(node, false, restart_after),
+            FaultKind::Downgrade {
+                node,
+                restart_after,
+            } => self.restart_with_release(node, true, restart_after),
+            FaultKind::StoreRefusal { node, time } => {
+                self.controllers[node].faults.store_refusal_until = now + time;
+            }
+            FaultKind::StoreLockout { node, time } => {
+                self.controllers[node].faults.store_lockout_until = now + time;
+            }
+            FaultKind::SlowTimers { node, time } => {
+                self.controllers[node].faults.slow_timers_until = now + time;
+            }
+            FaultKind::Pause { node, time } => {
+                self.controllers[node].faults.paused_until = now + time;
+            }
+            other => self.apply_partition(other),
+        }
+    }
+
+    /// Applies a network partition, or passes the fault on.
+    fn apply_partition(&mut self, kind: FaultKind) {
+        let now = self.now;
+        match kind {
+            FaultKind::Cut {
+                node,
+                state,
+                workers,
+                cloud,
+                time,
+                hold,
+            } => {
+                let faults = &mut self.controllers[node].faults;
+                faults.holds_messages = hold;
+                for (is_lost, until) in [
+                    (state, &mut faults.store_partition_until),
+                    (workers, &mut faults.worker_partition_until),
+                    (cloud, &mut faults.cloud_partition_until),
+                ] {
+                    if is_lost {
+                        *until = now + time;
+                    }
+                }
+            }
+            FaultKind::ZonePartition { zone, time, hold } => {
+                let partition = Partition::new(now + time, hold);
+                self.network_faults.zone_partition = ZonePartition { zone, partition };
+            }
+            FaultKind::PeerPartition {
+                node,
+                peers,
+                time,
+                hold,
+            } => {
+                let partition = Partition::new(now + time, hold);
+                self.controllers[node].faults.peer_partition =
+                    PeerPartition::new(peers.as_deref(), partition);
+            }
+            FaultKind::CommandPartition { node, time, hold } => {
+                self.controllers[node].faults.command_partition = Partition::new(now + time, hold);
+            }
+            FaultKind::LinkCut {
+                node,
+                machines,
+                lost,
+                time,
+                hold,
+            } => self.partition_links(node, &machines, lost, Partition::new(now + time, hold)),
+            other => self.apply_service_fault(other),
+        }
+    }
+
+    /// Applies a fault of store or cloud, or passes it on.
+    fn apply_service_fault(&mut self, kind: FaultKind) {
+        let now = self.now;
+        match kind {
+            FaultKind::LowerLimits => self.lower_limits(),
+            FaultKind::StoreOutage(time) => {
+                self.store.set_down(true, now);
+                self.faults.store_down_until = now + time;
+            }
+            FaultKind::SlowStore(time) => self.network_faults.slow_store_until = now + time,
+            FaultKind::LateWrites(time) => self.network_faults.late_writes_until = now + time,
+            FaultKind::LostWriteResponses {
+                percent,
+                key_prefix,
+                executes_at_once,
+                time,
+            } => {
+                self.network_faults.lost_write_responses = LostWriteResponses {
+                    until: now + time,
+                    percent,
+                    key_prefix,
+                    executes_at_once,
+                };
+            }
+            FaultKind::CloudOutage(time) => {
+                self.cloud.is_down = true;
+                self.faults.cloud_down_until = now + time;
+            }
+            FaultKind::SlowBoots { which, time } => {
+                self.cloud.slow_boots = Some((now + time, which));
+            }
+            FaultKind::FastBoots(time) => self.cloud.fast_boots_until = now + time,
+            other => self.apply_message_or_request_fault(other),
+        }
+    }
+
+    /// Applies a fault of messages or of users' requests, or passes it on.
+    fn apply_message_or_request_fault(&mut self, kind: FaultKind) {
+        let now = self.now;
+        match kind {
+            FaultKind::LateHeartbeatCopies(time) => {
+                self.network_faults.late_copies_until = now + time;
+            }
+            FaultKind::LostResponses(time) => {
+                self.network_faults.lost_responses_until = now + time;
+            }
+            FaultKind::LateHeartbeats {
+                percent,
+                until_failover,
+                time,
+            } => {
+                self.network_faults.late_heartbeats = LateHeartbeats {
+                    until: now + time,
+                    percent,
+                    until_failover,
+                };
+            }
+            FaultKind::DelayedCommands { percent, time } => {
+                let until = now + time;
+                self.network_faults.delayed_commands = PartialFault { until, percent };
+            }
+            FaultKind::CancelRunningJobs { count, hang_ms } => {
+                self.cancel_running_jobs(count, hang_ms);
+            }
+            FaultKind::CancelCompletingJobs { percent, time } => {
+                let until = now + time;
+                self.request_faults.cancel_completing_jobs = PartialFault { until, percent };
+            }
+            FaultKind::UnusualRequests(time) => {
+                self.request_faults.unusual_requests_until = now + time;
+            }
+            FaultKind::StatusBursts(time) => {
+                self.request_faults.status_bursts_until = now + time;
+            }
+            other => self.apply_machine_fault(other),
+        }
+    }
+
+    /// Applies a fault of machines. Those of other kinds have been applied before.
+    fn apply_machine_fault(&mut self, kind: FaultKind) {
+        let until = |time: Ms| self.now + time;
+        match kind {
+            FaultKind::Machines(which, fault) => self.inject_machine_fault(&which, fault),
+            FaultKind::SpotReclaim { notice } => self.reclaim_spot_machines(notice),
+            FaultKind::MachineCrash => {
+                if let Some(id) = self.random_machine() {
+                    self.crash_machine(&id);
+                }
+            }
+            FaultKind::MachineHang(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.hung_until = until);
+            }
+            FaultKind::MachinePartition(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.partitioned_until = until);
+            }
+            FaultKind::MachineInboundBlocked(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.inbound_blocked_until = until);
+            }
+            FaultKind::MachineFailsTasks(time) => {
+                let until = until(time);
+                self.with_random_worker(|worker| worker.failing_until = until);
+            }
+            // A selection within a selection is resolved in turn.
+            FaultKind::At(_, kind) => self.inject(*kind),
+            other => unreachable!("{other:?} is applied before"),
+        }
+    }
+
+    fn crash_controllers(&mut self, first: usize, count: usize, restart_after: Ms) {
+        let nodes = self.size.nodes;
+        for index in (0..count).map(|offset| (first + offset) % nodes) {
+            self.controllers[index].node = None;
+            self.schedule(self.now + restart_after, Event::ControllerRestart(index));
+        }
+    }
+
+    /// A controller exits, and starts again as the old release or the new one.
+    fn restart_with_release(&mut self, index: usize, is_old: bool, restart_after: Ms) {
+        self.controllers[index].node = None;
+        self.controllers[index].is_old = is_old;
+        self.schedule(self.now + restart_after, Event::ControllerRestart(index));
+    }
+
+    fn partition_links(
+        &mut self,
+        index: usize,
+        machines: &Which,
+        direction: Direction,
+        partition: Partition,
+    ) {
+        let now = self.now;
+        let machines = self.machines_of(machines).into_iter().collect();
+        let links = &mut self.controllers[index].faults.link_partitions;
+        links.retain(|link| link.partition.is_active(now));
+        links.push(LinkPartition {
+            machines,
+            direction,
+            partition,
+        });
+    }
+
+    /// The limits that were announced come into force.
+    fn lower_limits(&mut self) {
+        if let Some(next) = self.size.next_limits {
+            let sizes = SizeLimits {
+                value_bytes: next.value_kb * 1024,
+                txn_ops: next.txn_ops,
+            };
+            self.store.set_limits(next.write_rps, sizes);
+        }
+    }
+
+    fn random_machine(&mut self) -> Option<MachineId> {
+        let ids: Vec<MachineId> = self.workers.by_id.keys().cloned().collect();
+        (!ids.is_empty()).then(|| ids[self.rng.random_range(0..ids.len())].clone())
+    }
+
+    fn with_random_worker(&mut self, change: impl FnOnce(&mut crate::worker::Worker)) {
+        let id = self.random_machine();
+        if let Some(worker) = id.and_then(|id| self.workers.by_id.get_mut(&id)) {
+            change(worker);
+        }
+    }
+
+    fn reclaim_spot_machines(&mut self, notice: Ms) {
+        let at = self.now + notice;
+        let workers = self.workers.by_id.values_mut();
+        let mut ids = Vec::new();
+        for worker in workers.filter(|worker| worker.spot) {
+            worker.reclaimed_at = (notice > 0).then_some(at);
+            ids.push(worker.id.clone());
+        }
+        for id in ids {
+            self.schedule(at, Event::SpotReclaim(id));
+        }
+    }
+
+    pub(super) fn inject_machine_fault(&mut self, which: &Which, fault: MachineFault) {
+        let mut ids = self.machines_of(which);
+        if let Which::Some(count) = which {
+            while ids.len() > *count {
+                let index = self.rng.random_range(0..ids.len());
+                ids.swap_remove(index);
+            }
+        }
+        for id in ids {
+            self.apply_to_machine(&id, fault);
+        }
+    }
+
+    fn apply_to_machine(&mut self, id: &MachineId, fault: MachineFault) {
+        let now = self.now;
+        let Some(worker) = self.workers.by_id.get_mut(id) else {
+            return;
+        };
+        match fault {
+            MachineFault::Die => self.crash_machine(id),
+            MachineFault::Hang(time) => worker.hung_until = now + time,
+            MachineFault::Partition(time) => worker.partitioned_until = now + time,
+            MachineFault::InboundLoss(time) => worker.inbound_lost_until = now + time,
+            MachineFault::OutboundLoss(time) => worker.outbound_lost_until = now + time,
+            MachineFault::SlowLink(time) => worker.slow_link_until = now + time,
+            MachineFault::FailTasks(time) => worker.failing_until = now + time,
+            MachineFault::EvictImages => worker.evict_images(now),
+            MachineFault::StuckPrefetch(time) => worker.prefetch_stuck_until = now + time,
+        }
+    }
+
+    /// A machine stops with everything on it.
+    fn crash_machine(&mut self, id: &MachineId) {
+        self.remove_worker(id);
+        if let Some(instance) = self.cloud.machines.get_mut(id) {
+            instance.failed = true;
+        }
+        self.cloud.end_billing(id, self.now);
+    }
+}
--- a/crates/testkit/src/world/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -1,4 +1,4 @@
-//! Warm pools, as the state service has them, and what the cloud charged.
+//! Warm pools by the store's records, and what the cloud billed.
 
 use super::World;
 use crate::Ms;
@@ -10,10 +10,11 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
+/// Prefix of the keys of machine records.
 const MACHINES: &str = "c/machine/";
 
 impl World {
-    /// Machines that are in pools now.
+    /// Members of warm pools now.
     pub fn pool_members(&self) -> Vec<(MachineId, Membership)> {
         let members = self.machine_records().into_iter();
         members
@@ -21,23 +22,26 @@
             .collect()
     }
 
-    /// The accounts of all pools; what goes on is taken to end now.
+    /// The accounts of all pools. Open intervals are taken to end now.
     ///
     /// # Panics
     ///
-    /// If a record is not understood.
+    /// If a record can not be parsed.
     pub fn pool_accounts(&self, now_ms: Ms) -> Accounts {
         let mut accounts = Accounts::default();
-        let rows = self.records(POOLS).into_iter().chain(self.records(HEADS));
+        let rows = self
+            .store_entries(POOLS)
+            .into_iter()
+            .chain(self.store_entries(HEADS));
         for (key, value) in rows {
             match Row::parse(&key, &value.to_string()) {
                 Some(Row::Interval(interval)) => accounts.intervals.push(interval),
                 Some(Row::Asked(asked)) => accounts.asked.push(asked),
                 Some(Row::Miss(miss)) => accounts.misses.push(miss),
-                None => panic!("{key} is not understood: {value}"),
+                None => panic!("{key} can not be parsed: {value}"),
             }
         }
-        for (key, value) in self.records(PRICES) {
+        for (key, value) in self.store_entries(PRICES) {
             let price: Price =
                 serde_json::from_value(value).unwrap_or_else(|e| panic!("{key}: {e}"));
             accounts.prices.push(price);
@@ -57,9 +61,9 @@
         accounts
     }
 
-    /// From when to when the cloud charged for each machine, if the world began then.
+    /// Billing periods of all machines, for a simulation that began at a time.
     pub fn pool_lives(&self, began_ms: Ms) -> BTreeMap<MachineId, Life> {
-        let lives = self.lives().iter();
+        let lives = self.billing_periods().iter();
         let life = |(from, to): &(Ms, Option<Ms>)| {
             let to = to.unwrap_or(self.now());
             (began_ms + from, began_ms + to)
@@ -68,7 +72,7 @@
     }
 
     fn machine_records(&self) -> Vec<(MachineId, MachineRecord)> {
-        let machines = self.records(MACHINES).into_iter();
+        let machines = self.store_entries(MACHINES).into_iter();
         let record = |(key, value): (String, serde_json::Value)| {
             let id = MachineId::new(key.strip_prefix(MACHINES)?);
             Some((id, serde_json::from_value(value).ok()?))
--- /dev/null
+++ b/crates/testkit/src/simulation/size.rs
@@ -0,0 +1,242 @@
+//! Size of a simulated deployment, and the settings files of its controllers.
+
+use crate::faults::ZONES;
+use crate::Ms;
+use rand::rngs::StdRng;
+use rand::Rng;
+
+/// Size and timing of a simulated deployment.
+#[derive(Clone, Copy, Debug)]
+pub struct Size {
+    /// Controllers.
+    pub nodes: usize,
+    /// Teams.
+    pub teams: usize,
+    /// Machines of each type, zone and kind.
+    pub capacity: u32,
+    /// Requests a second that the store accepts.
+    pub rps: f64,
+    /// Writes a second that the store accepts.
+    pub write_rps: f64,
+    /// Requests a second that the cloud accepts.
+    pub cloud_rps: f64,
+    /// CPUs and GPUs that each team is guaranteed.
+    pub guarantee: (f64, f64),
+    /// CPUs and GPUs that each team may use.
+    pub limit: (f64, f64),
+    /// Interval between the heartbeats of a worker.
+    pub report_ms: Ms,
+    /// Duration of a worker's lease.
+    pub lease_ms: Ms,
+    /// Time after which an incomplete gang exits.
+    pub gang_wait_ms: Ms,
+    /// Time within which the tasks of a cancelled job must have exited.
+    pub cancel_ms: Ms,
+    /// Interval between a user's polls of a job that is not over.
+    pub poll_ms: Ms,
+    /// Limits of the store that are announced for later.
+    pub next_limits: Option<NextLimits>,
+    /// Whether all controllers start as the old release.
+    pub begins_old: bool,
+    /// Whether workers announce their images and prefetch them.
+    pub tells_images: bool,
+}
+
+impl Default for Size {
+    fn default() -> Self {
+        Self {
+            nodes: 3,
+            teams: 4,
+            capacity: 5,
+            rps: 200.0,
+            write_rps: 80.0,
+            cloud_rps: 5.0,
+            guarantee: (16.0, 8.0),
+            limit: (96.0, 24.0),
+            report_ms: 1_000,
+            lease_ms: 10_000,
+            gang_wait_ms: GANG_WAIT_MS,
+            cancel_ms: 35_000,
+            poll_ms: POLL_MS,
+            next_limits: None,
+            begins_old: false,
+            tells_images: false,
+        }
+    }
+}
+
+impl Size {
+    /// Teams whose limits are soon reached, and little time beyond a lease for
+    /// a cancellation, or all as usual.
+    pub fn random(rng: &mut StdRng) -> Self {
+        let default = Self::default();
+        Self {
+            limit: match rng.random() {
+                true => (24.0, 12.0),
+                false => default.limit,
+            },
+            cancel_ms: match rng.random_range(0..3) {
+                0 => 20_000,
+                _ => default.cancel_ms,
+            },
+            ..default
+        }
+    }
+
+    /// Five controllers, and room for some 1,860 machines, spot ones apart.
+    pub fn five_by_1860() -> Self {
+        Self {
+            nodes: 5,
+            teams: 5,
+            capacity: 300,
+            rps: 700.0,
+            write_rps: 250.0,
+            cloud_rps: 8.0,
+            guarantee: (5_000.0, 1_000.0),
+            limit: (20_000.0, 4_000.0),
+            report_ms: 5_000,
+            lease_ms: 24_000,
+            cancel_ms: 35_000,
+            ..Self::default()
+        }
+    }
+
+    /// Five controllers, and room for some 4,200 machines, spot ones apart.
+    pub fn five_by_4200() -> Self {
+        Self {
+            capacity: 700,
+            rps: 1_600.0,
+            write_rps: 570.0,
+            cloud_rps: 18.0,
+            guarantee: (12_000.0, 2_300.0),
+            limit: (46_000.0, 9_200.0),
+            ..Self::five_by_1860()
+        }
+    }
+
+    /// Seven controllers, sixteen teams, and room for some 810 machines, spot
+    /// ones apart.
+    pub fn seven_by_810() -> Self {
+        Self {
+            nodes: 7,
+            teams: 16,
+            capacity: 130,
+            rps: 300.0,
+            write_rps: 100.0,
+            cloud_rps: 4.0,
+            guarantee: (500.0, 250.0),
+            limit: (2_000.0, 900.0),
+            report_ms: 2_000,
+            lease_ms: 13_000,
+            cancel_ms: 35_000,
+            ..Self::default()
+        }
+    }
+}
+
+/// Default time after which an incomplete gang exits.
+const GANG_WAIT_MS: Ms = 20_000;
+/// Default interval between polls; real users poll less often.
+const POLL_MS: Ms = 1_500;
+
+/// Announced limits of the store.
+#[derive(Clone, Copy, Debug)]
+pub struct NextLimits {
+    /// Writes a second.
+    pub write_rps: f64,
+    /// Largest value, in KiB.
+    pub value_kb: usize,
+    /// Most writes in a transaction.
+    pub txn_ops: usize,
+}
+
+/// Largest value that the store accepts at the beginning, in KiB.
+pub(super) const MAX_VALUE_KB: usize = 8;
+/// Most writes in a transaction at the beginning.
+pub(super) const MAX_TRANSACTION_WRITES: usize = 12;
+/// Prefix of the controllers' names, before their indices.
+const CONTROLLER_NAME_PREFIX: &str = "berth-";
+
+/// The settings file of the controller of an index.
+pub fn settings(node: usize, size: &Size) -> String {
+    let name = controller_name(node);
+    let zone = zone_of(node);
+    let host = node + 1;
+    format!(
+        "host_name = \"{name}\"\ndomain = \"{zone}\"\n\
+         bind = \"10.0.0.{host}:8080\"\ncluster_listen = \"10.0.0.{host}:8081\"\n\
+         {}\n[external]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n{}",
+        peer_settings(node, size),
+        cluster_settings(size),
+    )
+}
+
+fn peer_settings(node: usize, size: &Size) -> String {
+    let peers = (0..size.nodes).filter(|peer| *peer != node);
+    let settings = peers.map(|peer| {
+        let (name, zone, host) = (controller_name(peer), zone_of(peer), peer + 1);
+        format!(
+            "[[peers]]\nhost_name = \"{name}\"\ndomain = \"{zone}\"\n\
+             endpoint = \"10.0.0.{host}:8081\"\n"
+        )
+    });
+    settings.collect()
+}
+
+fn team_settings(size: &Size) -> String {
+    let ((cpus, gpus), (cpus_max, gpus_max)) = (size.guarantee, size.limit);
+    let settings = (0..size.teams).map(|team| {
+        format!(
+            "[[cluster.teams]]\nname = \"team-{team}\"\ngpus = {gpus:?}\n\
+             gpus_max = {gpus_max:?}\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n"
+        )
+    });
+    settings.collect()
+}
+
+fn next_limit_settings(size: &Size) -> String {
+    size.next_limits.map_or(String::new(), |next| {
+        let (write_rps, value_kb, txn_ops) = (next.write_rps, next.value_kb, next.txn_ops);
+        format!(
+            "[cluster.state.next]\nwrite_rps = {write_rps:?}\nvalue_kb = {value_kb}.0\n\
+             txn_ops = {txn_ops}\n"
+        )
+    })
+}
+
+/// The settings that all controllers share.
+fn cluster_settings(size: &Size) -> String {
+    let seconds = |ms: Ms| ms as f64 / 1000.0;
+    let (nodes, teams) = (size.nodes, team_settings(size));
+    let (report_s, lease_s) = (seconds(size.report_ms), seconds(size.lease_ms));
+    let cancel_s = seconds(size.cancel_ms);
+    let (rps, write_rps, cloud_rps) = (size.rps, size.write_rps, size.cloud_rps);
+    let next = next_limit_settings(size);
+    format!(
+        "[cluster]\ninitial_size = {nodes}\nzones = [\"a\", \"b\", \"c\"]\n\
+         time_bound_ms = 250.0\n{teams}\
+         [[cluster.objectives]]\nkind = \"wait\"\nclass = \"serve\"\nwithin_s = 8.0\n\
+         share = 0.9\n\
+         [cluster.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\n\
+         gang_wait_s = 20.0\ngang_peer_s = 3.0\ncancel_s = {cancel_s:?}\n\
+         [cluster.state]\nrps = {rps:?}\nwrite_rps = {write_rps:?}\n\
+         value_kb = {MAX_VALUE_KB}.0\ntxn_ops = {MAX_TRANSACTION_WRITES}\n{next}\
+         [cluster.cloud]\nrps = {cloud_rps:?}\nlist_lag_s = 4.0\n\
+         [cluster.limits]\ncpu = 0.12\nmem_mb = 40.0\nsockets = 600\n"
+    )
+}
+
+/// The name of the controller of an index.
+fn controller_name(index: usize) -> String {
+    format!("{CONTROLLER_NAME_PREFIX}{index}")
+}
+
+/// The index of the controller of a name.
+pub(super) fn controller_index(name: &str) -> Option<usize> {
+    name.strip_prefix(CONTROLLER_NAME_PREFIX)?.parse().ok()
+}
+
+/// The zone of a controller.
+pub(super) fn zone_of(node: usize) -> &'static str {
+    ZONES[node % ZONES.len()]
+}
--- /dev/null
+++ b/crates/testkit/src/simulation/users.rs
@@ -0,0 +1,216 @@
+//! Users: each submits one job, polls it and perhaps cancels it.
+
+use super::network::{Destination, Message, Origin};
+use super::{Plan, World};
+use crate::faults::ControllerSelector;
+use crate::worker::GroundTruth;
+use crate::Ms;
+use forkshift_wire::users::{JobStage, JobStatus};
+
+/// Interval at which a user checks whether the jobs that its job depends on are accepted.
+const DEPENDENCY_POLL_MS: Ms = 200;
+/// Pause before a failed request is repeated.
+const RETRY_MS: Ms = 1_500;
+/// A user waits this long for a response.
+const REQUEST_TIMEOUT_MS: Ms = 5_000;
+/// Pause after a request without a response.
+const TIMEOUT_RETRY_MS: Ms = 1_000;
+/// Least pause between an accepted submission and the first poll.
+const MIN_FIRST_POLL_MS: Ms = 2_000;
+/// Pause after an accepted cancellation.
+const CANCELLED_POLL_MS: Ms = 3_000;
+/// Interval at which a final state is polled, to check that it stays.
+const FINAL_POLL_MS: Ms = 20_000;
+
+/// What a user does next.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(super) enum UserState {
+    Submitting,
+    Polling,
+    Cancelling,
+    /// The job was refused.
+    Finished,
+}
+
+/// The user of one job.
+pub(super) struct User {
+    pub(super) plan: Plan,
+    pub(super) state: UserState,
+    pub(super) next_request_at: Ms,
+    /// Number of the last request.
+    last_request: u64,
+    /// The checker's ticket of the last request.
+    ticket: u64,
+    /// Whether the last request has no response yet.
+    pub(super) is_waiting: bool,
+    sent_at: Ms,
+}
+
+impl User {
+    pub(super) fn new(plan: Plan) -> Self {
+        Self {
+            next_request_at: plan.at,
+            plan,
+            state: UserState::Submitting,
+            last_request: 0,
+            ticket: 0,
+            is_waiting: false,
+            sent_at: 0,
+        }
+    }
+
+    /// Gives up a request that has no response in time.
+    fn expire_request(&mut self, now: Ms) {
+        if self.is_waiting && now >= self.sent_at + REQUEST_TIMEOUT_MS {
+            self.is_waiting = false;
+            self.next_request_at = now + TIMEOUT_RETRY_MS;
+        }
+    }
+
+    fn is_request_due(&self, now: Ms) -> bool {
+        !self.is_waiting && self.state != UserState::Finished && now >= self.next_request_at
+    }
+
+    fn begin_request(&mut self, now: Ms) {
+        self.last_request += 1;
+        self.is_waiting = true;
+        self.sent_at = now;
+    }
+
+    /// The state after a response, and the pause until the next request.
+    fn state_after(&self, status: u16, stage: Option<JobStage>, poll_ms: Ms) -> (UserState, Ms) {
+        let is_success = is_success(status);
+        let is_final = stage.is_some_and(JobStage::is_final);
+        match self.state {
+            UserState::Submitting if is_success => {
+                (UserState::Polling, poll_ms.max(MIN_FIRST_POLL_MS))
+            }
+            UserState::Submitting if matches!(status, 400 | 422) => (UserState::Finished, 0),
+            UserState::Cancelling if is_success => (UserState::Polling, CANCELLED_POLL_MS),
+            UserState::Polling if is_success && is_final => (UserState::Polling, FINAL_POLL_MS),
+            UserState::Polling if is_success => (UserState::Polling, poll_ms),
+            state => (state, RETRY_MS),
+        }
+    }
+}
+
+fn is_success(status: u16) -> bool {
+    matches!(status, 200 | 201)
+}
+
+impl World {
+    /// Sends all users' requests to one controller from now on.
+    pub fn route_users_to(&mut self, node: usize) {
+        for user in &mut self.users {
+            user.plan.at_node = Some(ControllerSelector::Index(node));
+        }
+    }
+
+    /// Lets all users send the requests that are due.
+    pub(super) fn tick_users(&mut self) {
+        for index in 0..self.users.len() {
+            if self.prepare_request(index) {
+                self.send_user_request(index);
+            }
+        }
+    }
+
+    /// Whether a user sends a request now.
+    fn prepare_request(&mut self, index: usize) -> bool {
+        let now = self.now;
+        let user = &mut self.users[index];
+        user.expire_request(now);
+        if !user.is_request_due(now) {
+            return false;
+        }
+        // Users submit a job once the jobs that it depends on are accepted.
+        let mut dependencies = user.plan.spec.dependencies.iter();
+        let is_submitting = user.state == UserState::Submitting;
+        if is_submitting && !dependencies.all(|id| self.check.is_accepted(id)) {
+            user.next_request_at = now + DEPENDENCY_POLL_MS;
+            return false;
+        }
+        let is_cancel_due = user.plan.cancel_at.is_some_and(|at| now >= at);
+        if user.state == UserState::Polling && is_cancel_due {
+            user.state = UserState::Cancelling;
+        }
+        true
+    }
+
+    fn send_user_request(&mut self, index: usize) {
+        let user = &mut self.users[index];
+        user.begin_request(self.now);
+        let plan = user.plan.clone();
+        let id = &plan.spec.id;
+        let request = user.last_request;
+        let (method, path, body) = match user.state {
+            UserState::Submitting => {
+                self.check.on_submitted(&plan.spec);
+                self.ground_truths
+                    .insert(id.clone(), GroundTruth::of(&plan));
+                let body = serde_json::to_vec(&plan.spec).unwrap_or_default();
+                ("POST", "/submissions".to_owned(), body)
+            }
+            UserState::Cancelling => {
+                self.check.on_cancel_requested(id);
+                ("POST", format!("/submissions/{id}/abort"), Vec::new())
+            }
+            UserState::Polling | UserState::Finished => {
+                ("GET", format!("/submissions/{id}"), Vec::new())
+            }
+        };
+        user.ticket = self.check.on_request_sent(self.now, id);
+        let selected = plan
+            .at_node
+            .and_then(|selector| self.select_controller(&selector));
+        let controller = selected.unwrap_or_else(|| self.pick_user_controller());
+        self.send(Message {
+            origin: Origin::User {
+                user: index,
+                request,
+            },
+            destination: Destination::Controller(controller),
+            method: method.to_owned(),
+            path,
+            body,
+        });
+    }
+
+    pub(super) fn on_user_response(
+        &mut self,
+        index: usize,
+        request: u64,
+        status: u16,
+        body: &[u8],
+    ) {
+        let now = self.now;
+        let user = &mut self.users[index];
+        if user.last_request != request || !user.is_waiting {
+            return;
+        }
+        user.is_waiting = false;
+        let response: Option<JobStatus> = serde_json::from_slice(body).ok();
+        let stage = response.map(|response| response.stage);
+        let id = user.plan.spec.id.clone();
+        let is_submission = user.state == UserState::Submitting;
+        let is_news = status > 0
+            && self
+                .check
+                .on_response(user.ticket, now, &id, is_submission, status, stage);
+        if is_submission {
+            self.check.check_admission(now, &id, status);
+        }
+        let (state, pause) = user.state_after(status, stage, self.size.poll_ms);
+        user.state = state;
+        user.next_request_at = now + pause;
+        if is_success(status) && stage.is_some_and(JobStage::is_final) {
+            user.plan.cancel_at = None;
+        }
+        if is_news {
+            self.schedule_status_burst(&id, 0);
+            if is_submission {
+                self.maybe_cancel_accepted(&id);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/simulation/workers.rs
@@ -0,0 +1,187 @@
+//! The fleet of machines: they boot, send heartbeats and are removed.
+
+use super::network::{Destination, Message, Origin};
+use super::remote::MachineChange;
+use super::size::controller_index;
+use super::World;
+use crate::worker::{Worker, WorkerContext};
+use crate::Ms;
+use forkshift_wire::workers::{HeartbeatReply, Redirect};
+use forkshift_wire::{JobId, MachineId};
+use rand::Rng;
+use std::collections::BTreeMap;
+
+/// Least time between two heartbeats of a worker of the emulator.
+const MIN_HEARTBEAT_GAP_MS: Ms = 500;
+/// A worker waits this long for the response to a heartbeat.
+const HEARTBEAT_TIMEOUT_MS: Ms = 4_000;
+/// Time until the next heartbeat after one that failed.
+const HEARTBEAT_RETRY_MS: Ms = 1_000;
+/// Time until the next heartbeat after a redirect.
+const REDIRECT_DELAY_MS: Ms = 100;
+
+/// The machines that are up.
+#[derive(Default)]
+pub(super) struct WorkerFleet {
+    pub(super) by_id: BTreeMap<MachineId, Worker>,
+    /// When each attempt of a gang began to run.
+    pub(super) gang_starts: BTreeMap<(JobId, u64), Ms>,
+    /// Most machines that were up at a time.
+    pub(super) max_count: usize,
+    pub(super) heartbeats_sent: u64,
+}
+
+impl WorkerFleet {
+    pub(super) fn record_count(&mut self) {
+        self.max_count = self.max_count.max(self.by_id.len());
+    }
+}
+
+impl World {
+    /// Removes a worker with all its tasks.
+    pub(super) fn remove_worker(&mut self, id: &MachineId) {
+        let Some(mut worker) = self.workers.by_id.remove(id) else {
+            return;
+        };
+        worker.kill_all_tasks(&mut self.check);
+        if let Some(remote) = &mut self.remote {
+            remote.machines.push(MachineChange::Gone(id.clone()));
+        }
+    }
+
+    /// Removes the workers of terminated machines and adds those of booted ones.
+    pub(super) fn sync_workers_with_cloud(&mut self) {
+        for id in std::mem::take(&mut self.cloud.newly_terminated) {
+            self.remove_worker(&id);
+        }
+        for id in self.cloud.take_booted(self.now) {
+            self.add_worker(id);
+        }
+    }
+
+    fn add_worker(&mut self, id: MachineId) {
+        let instance = self.cloud.machines.get(&id);
+        let Some(instance) = instance.filter(|instance| !instance.failed) else {
+            return;
+        };
+        let fleet = &self.cloud.fleet;
+        let Some(machine_type) = fleet.machine_type(&instance.machine_type) else {
+            return;
+        };
+        let mut worker = Worker::new(
+            (id.clone(), (fleet.address)(&id)),
+            machine_type,
+            &instance.zone,
+            instance.spot,
+            self.now,
+            self.size.tells_images,
+        );
+        worker.controller = self.rng.random_range(0..self.size.nodes);
+        self.workers.by_id.insert(id.clone(), worker);
+        if let Some(remote) = &mut self.remote {
+            remote.machines.push(MachineChange::Up(id));
+        }
+    }
+
+    /// Lets time pass for all workers, then sends the heartbeats that are due.
+    pub(super) fn tick_workers(&mut self) {
+        let now = self.now;
+        let is_remote = self.remote.is_some();
+        let mut heartbeats = Vec::new();
+        for worker in self.workers.by_id.values_mut() {
+            if worker.hung_until > now {
+                continue;
+            }
+            let reported = (worker.incarnation, worker.token);
+            worker.tick(&mut WorkerContext::new(
+                self.now,
+                &self.ground_truths,
+                &mut self.check,
+                self.size.lease_ms,
+            ));
+            if is_remote {
+                worker.schedule_changed_heartbeat(now, self.size.lease_ms, reported);
+            }
+            if worker.is_heartbeat_overdue(now, HEARTBEAT_TIMEOUT_MS) {
+                worker.pending_heartbeat = None;
+                worker.controller = (worker.controller + 1) % self.size.nodes;
+                worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
+            }
+            let min_gap = if is_remote { MIN_HEARTBEAT_GAP_MS } else { 0 };
+            if !worker.is_heartbeat_due(now, min_gap) {
+                continue;
+            }
+            let period = self.size.report_ms;
+            // Many processes on one computer would send all at once.
+            let next = match is_remote {
+                true => self.rng.random_range(period * 3 / 4..=period * 5 / 4),
+                false => period,
+            };
+            heartbeats.push(heartbeat_message(worker, now, next));
+        }
+        for heartbeat in heartbeats {
+            self.workers.heartbeats_sent += 1;
+            self.send(heartbeat);
+        }
+    }
+
+    pub(super) fn on_heartbeat_response(
+        &mut self,
+        id: &MachineId,
+        sequence: u64,
+        status: u16,
+        body: &[u8],
+    ) {
+        let now = self.now;
+        let worker = self.workers.by_id.get_mut(id);
+        let Some(worker) = worker.filter(|worker| worker.hung_until <= now) else {
+            return;
+        };
+        if !worker.is_heartbeat_pending(sequence) {
+            return;
+        }
+        if status == 200 {
+            if let Ok(reply) = serde_json::from_slice::<HeartbeatReply>(body) {
+                let mut context = WorkerContext::new(
+                    self.now,
+                    &self.ground_truths,
+                    &mut self.check,
+                    self.size.lease_ms,
+                );
+                worker.on_heartbeat_reply(&mut context, reply.token, &reply.commands);
+                return;
+            }
+        }
+        worker.pending_heartbeat = None;
+        let redirect: Redirect = serde_json::from_slice(body).unwrap_or_default();
+        let target = redirect.report_to.as_deref().and_then(controller_index);
+        match target {
+            Some(index)
+                if status == 421 && index != worker.controller && index < self.size.nodes =>
+            {
+                worker.controller = index;
+                worker.next_heartbeat_at = now + REDIRECT_DELAY_MS;
+            }
+            _ => {
+                worker.controller = (worker.controller + 1) % self.size.nodes;
+                worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
+            }
+        }
+    }
+}
+
+/// Begins a worker's heartbeat; the following one is due after `next`.
+fn heartbeat_message(worker: &mut Worker, now: Ms, next: Ms) -> Message {
+    let heartbeat = worker.begin_heartbeat(now);
+    worker.next_heartbeat_at = now + next;
+    Message {
+        origin: Origin::Worker {
+            id: worker.id.clone(),
+            sequence: heartbeat.sequence,
+        },
+        destination: Destination::Controller(worker.controller),
+        method: "POST".to_owned(),
+        path: "/v1/report".to_owned(),
+        body: serde_json::to_vec(&heartbeat).unwrap_or_default(),
+    }
+}
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -1,7 +1,10 @@
 //! Days in virtual time, each with the faults that once broke a rule or left
 //! a job unserved, and some random ones from fixed seeds.
 
-use forkshift_testkit::{random_faults, random_faults_once, Fault, FaultKind, Plan, Size, World};
+mod common;
+
+use common::{assert_ran_and_rules_kept, random_plans, random_plans_of_seed};
+use forkshift_testkit::{random_early_faults, random_faults, Fault, FaultKind, Plan, Size, World};
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -19,20 +22,10 @@
     end: u64,
     size: Size,
 ) -> World {
-    let mut world = World::sized(seed, plans, faults, size);
-    world.run_until(end);
-    assert!(world.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
-    world
-}
-
-fn random_plans(rng: &mut StdRng, n: u32) -> Vec<Plan> {
-    let one = |n| {
-        let at = rng.random_range(2_000..90_000);
-        Plan::random(rng, n, at)
-    };
-    (0..n).map(one).collect()
+    let mut simulation = World::with_size(seed, plans, faults, size);
+    simulation.run_until(end);
+    assert_ran_and_rules_kept(name, &simulation);
+    simulation
 }
 
 type Draw = fn(&mut StdRng, u64, u64, usize) -> Vec<Fault>;
@@ -45,7 +38,7 @@
 }
 
 #[test]
-fn random_days_keep_the_rules() {
+fn rules_hold_on_random_days() {
     for (seed, faults) in [
         (1, 0),
         (2, 4),
@@ -62,7 +55,7 @@
 
 /// Seeds that showed a failure when it was found.
 #[test]
-fn days_that_once_failed() {
+fn rules_hold_on_days_that_once_failed() {
     // What each showed is told where the code guards against it.
     for (seed, faults) in [
         (1123, 8),
@@ -76,40 +69,40 @@
         // answered `queued` after another had read and told `cancelled`.
         (200_160, 12),
     ] {
-        random_day(seed, faults, random_faults_once);
+        random_day(seed, faults, random_early_faults);
     }
     random_day(4_000_016, 20, random_faults);
 }
 
 #[test]
-fn every_kind_of_fault_alone() {
+fn rules_hold_under_each_kind_of_fault_alone() {
     let node = 0;
     let (time, hold) = (15_000, true);
     let kinds = [
         FaultKind::Crash {
             node,
             count: 1,
-            back: 50,
+            restart_after: 50,
         },
         FaultKind::Crash {
             node,
             count: 1,
-            back: 6_000,
+            restart_after: 6_000,
         },
         FaultKind::Crash {
             node,
             count: 2,
-            back: 3_000,
+            restart_after: 3_000,
         },
         FaultKind::Crash {
             node,
             count: 3,
-            back: 300,
+            restart_after: 300,
         },
         FaultKind::Crash {
             node,
             count: 3,
-            back: 6_000,
+            restart_after: 6_000,
         },
         FaultKind::Cut {
             node,
@@ -135,41 +128,41 @@
             time,
             hold,
         },
-        FaultKind::Refuse { node, time },
-        FaultKind::Outage(time),
-        FaultKind::CloudTrouble(time),
-        FaultKind::Slow { node, time },
-        FaultKind::Die,
-        FaultKind::Hang(time),
-        FaultKind::MachineCut(time),
-        FaultKind::Deaf(time),
-        FaultKind::Sick(time),
-        FaultKind::Taken { notice: 0 },
-        FaultKind::Taken { notice: 4_000 },
-        FaultKind::LateCopies(time),
-        FaultKind::LostAnswers(time),
+        FaultKind::StoreRefusal { node, time },
+        FaultKind::StoreOutage(time),
+        FaultKind::CloudOutage(time),
+        FaultKind::SlowTimers { node, time },
+        FaultKind::MachineCrash,
+        FaultKind::MachineHang(time),
+        FaultKind::MachinePartition(time),
+        FaultKind::MachineInboundBlocked(time),
+        FaultKind::MachineFailsTasks(time),
+        FaultKind::SpotReclaim { notice: 0 },
+        FaultKind::SpotReclaim { notice: 4_000 },
+        FaultKind::LateHeartbeatCopies(time),
+        FaultKind::LostResponses(time),
     ];
     for (i, kind) in kinds.into_iter().enumerate() {
         let seed = 100 + i as u64;
         let name = format!("{kind:?}");
-        let plans = random_plans(&mut StdRng::seed_from_u64(seed), 20);
+        let plans = random_plans_of_seed(seed, 20);
         let fault = Fault { at: 40_000, kind };
         play(&name, seed, plans, vec![fault], 200_000);
     }
 }
 
 #[test]
-fn all_controllers_restart_within_an_outage() {
-    let plans = random_plans(&mut StdRng::seed_from_u64(77), 25);
+fn rules_hold_when_all_controllers_restart_during_a_store_outage() {
+    let plans = random_plans_of_seed(77, 25);
     let crash = FaultKind::Crash {
         node: 0,
         count: 3,
-        back: 2_000,
+        restart_after: 2_000,
     };
     let faults = vec![
         Fault {
             at: 40_000,
-            kind: FaultKind::Outage(20_000),
+            kind: FaultKind::StoreOutage(20_000),
         },
         Fault {
             at: 50_000,
@@ -180,12 +173,12 @@
 }
 
 #[test]
-fn a_roll_of_all_controllers() {
-    let plans = random_plans(&mut StdRng::seed_from_u64(78), 25);
+fn rules_hold_during_a_rolling_restart_of_all_controllers() {
+    let plans = random_plans_of_seed(78, 25);
     let crash = |node| FaultKind::Crash {
         node,
         count: 1,
-        back: 3_000,
+        restart_after: 3_000,
     };
     let faults = (0..3).map(|node| Fault {
         at: 40_000 + 15_000 * node as u64,
@@ -197,11 +190,11 @@
 /// A leader that loses its key and leads again must not reuse the names of
 /// its requests: the cloud would repeat old answers, and nothing would be rented.
 #[test]
-fn a_controller_that_leads_twice_still_rents() {
+fn a_controller_that_is_elected_twice_still_provisions_machines() {
     let job = |n: u32, at: u64| Plan::plain(n, at, JobKind::Array, 2, 5_000);
     let refuse = |node, at, time| Fault {
         at,
-        kind: FaultKind::Refuse { node, time },
+        kind: FaultKind::StoreRefusal { node, time },
     };
     let faults = vec![
         refuse(0, 30_000, 15_000),
@@ -211,14 +204,14 @@
         refuse(1, 150_000, 15_000),
     ];
     let plans = (0..8).map(|n| job(n, 2_000 + 30_000 * u64::from(n)));
-    let world = play("leads twice", 5, plans.collect(), faults, 330_000);
-    assert!(world.check.starts >= 16);
+    let simulation = play("leads twice", 5, plans.collect(), faults, 330_000);
+    assert!(simulation.check.starts >= 16);
 }
 
 /// Seven controllers, sixteen teams, and a state service that takes few
 /// requests: most controllers end at once, and again during the takeover.
 #[test]
-fn a_grown_deployment_loses_most_controllers_twice() {
+fn rules_hold_when_a_large_deployment_loses_most_controllers_twice() {
     let size = Size {
         nodes: 7,
         teams: 16,
@@ -237,7 +230,7 @@
         kind: FaultKind::Crash {
             node,
             count,
-            back: 6_000,
+            restart_after: 6_000,
         },
     };
     let faults = vec![
@@ -245,9 +238,13 @@
         crash(64_000, 0, 6),
         crash(100_000, 0, 7),
     ];
-    let world = play_sized("grown", 700, plans.collect(), faults, 300_000, size);
+    let simulation = play_sized("grown", 700, plans.collect(), faults, 300_000, size);
     // The budget of the state service is kept, whoever needs it.
-    assert!(world.writes() < 30 * 300, "{} writes", world.writes());
+    assert!(
+        simulation.writes() < 30 * 300,
+        "{} writes",
+        simulation.writes()
+    );
 }
 
 /// From nothing, a large fleet is asked for in few calls and recorded bit by
@@ -278,6 +275,10 @@
         plan.cancel_at = None;
         plan
     });
-    let world = play_sized("large", 701, plans.collect(), Vec::new(), 90_000, size);
-    assert!(world.check.starts >= 240, "{} starts", world.check.starts);
+    let simulation = play_sized("large", 701, plans.collect(), Vec::new(), 90_000, size);
+    assert!(
+        simulation.check.starts >= 240,
+        "{} starts",
+        simulation.check.starts
+    );
 }
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -1,11 +1,13 @@
 //! New machines that come late, never, or at once: how long what waits for
 //! them waits, what is rented twice, and what is paid for nothing.
 
+mod common;
+
+use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{Boot, FaultKind, Plan, Size, SlowBoots, World};
 use forkshift_wire::users::{JobKind, Priority};
 
-type Ms = u64;
 /// Seeds of the cases besides the first one, on which any draw of boots may come.
 const OTHER_SEEDS: std::ops::RangeInclusive<u64> = 701..=721;
 /// By now a machine that has not come up must have been replaced: 1.5 boots, and
@@ -51,13 +53,13 @@
     fn new(boots: &[Boot], asked: Ms, began: Ms) -> Self {
         let mine: Vec<&Boot> = boots
             .iter()
-            .filter(|b| (asked..began).contains(&b.rented))
+            .filter(|b| (asked..began).contains(&b.provisioned_at))
             .collect();
-        let is_overdue = |b: &&&Boot| b.up_at > b.rented + BOOT * 3 / 2;
+        let is_overdue = |b: &&&Boot| b.up_at > b.provisioned_at + BOOT * 3 / 2;
         let unreplaced = |first: &Boot| {
-            let later = mine.iter().map(|b| b.rented);
-            let next = later.filter(|at| *at > first.rented).min();
-            next.unwrap_or(began).min(began) - first.rented
+            let later = mine.iter().map(|b| b.provisioned_at);
+            let next = later.filter(|at| *at > first.provisioned_at).min();
+            next.unwrap_or(began).min(began) - first.provisioned_at
         };
         let overdue: Vec<_> = mine.iter().filter(is_overdue).collect();
         Self {
@@ -86,26 +88,31 @@
         limit: (96.0, 96.0),
         ..Size::default()
     };
-    let mut world = World::sized(seed, plans.collect(), Vec::new(), size);
+    let mut simulation = World::with_size(seed, plans.collect(), Vec::new(), size);
     if let Some(kind) = kind {
-        world.fault_now(kind);
+        simulation.fault_now(kind);
     }
     let mut booting_s = 0;
-    while world.now() < FIRST + EVERY * u64::from(JOBS) + 60_000 {
-        world.run_until(world.now() + 1_000);
-        booting_s += world.booting();
+    while simulation.now() < FIRST + EVERY * u64::from(JOBS) + 60_000 {
+        simulation.run_until(simulation.now() + 1_000);
+        booting_s += simulation.booting();
     }
-    assert_eq!(world.check.broken, vec![], "{name}");
-    let began = (0..JOBS).map(|n| world.check.began_at(&id(n)).unwrap_or(world.now()));
+    assert_eq!(simulation.check.broken, vec![], "{name}");
+    let began = (0..JOBS).map(|n| {
+        simulation
+            .check
+            .began_at(&id(n))
+            .unwrap_or(simulation.now())
+    });
     let asked = (0..JOBS).map(|n| FIRST + EVERY * u64::from(n));
     let replicas: Vec<Wait> = began
         .zip(asked)
-        .map(|(began, at)| Wait::new(world.boots(), at, began))
+        .map(|(began, at)| Wait::new(simulation.boots(), at, began))
         .collect();
     let rented = |zone: Option<&str>| {
-        let all = world.rentals().iter();
-        all.filter(|r| zone.is_none_or(|z| z == r.2))
-            .map(|r| r.3)
+        let all = simulation.provisioning_log().iter();
+        all.filter(|provisioned| zone.is_none_or(|zone| zone == provisioned.zone))
+            .map(|provisioned| provisioned.count)
             .sum()
     };
     Seen {
@@ -151,7 +158,7 @@
 /// until the machine is overdue; those after it are asked for elsewhere, and
 /// the zone is tried again now and then.
 #[test]
-fn new_machines_late_or_never() {
+fn services_recover_when_new_machines_boot_late_or_never() {
     // Longest wait, rentals in the slow zone and in all, and what is paid for
     // machines that are not up, in seconds.
     let cases = [
@@ -182,7 +189,7 @@
         ),
         (
             "at once",
-            Some(FaultKind::QuickBoots(400_000)),
+            Some(FaultKind::FastBoots(400_000)),
             BOOT,
             4,
             9,
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -1,9 +1,11 @@
 //! Upgrades from the first release while it serves, and limits that fall.
 
+mod common;
 mod production;
 
+use common::{assert_ran_and_rules_kept, fault};
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Day, Draw, Fault, FaultKind, NextLimits, Plan, Size, World};
+use forkshift_testkit::{Day, Fault, FaultKind, FaultSchedule, NextLimits, Plan, Size, World};
 use forkshift_wire::users::{JobKind, JobStage};
 
 const LIMITS: NextLimits = NextLimits {
@@ -20,12 +22,14 @@
     }
 }
 
-fn fault(at: u64, kind: FaultKind) -> Fault {
-    Fault { at, kind }
-}
-
 fn upgrade(at: u64, node: usize) -> Fault {
-    fault(at, FaultKind::Upgrade { node, back: 3_000 })
+    fault(
+        at,
+        FaultKind::Upgrade {
+            node,
+            restart_after: 3_000,
+        },
+    )
 }
 
 /// An array of which no task is too large for anything.
@@ -61,16 +65,10 @@
     ]
 }
 
-fn check(name: &str, world: &World) {
-    assert!(world.check.starts > 0, "{name}: nothing ran");
-    assert_eq!(world.check.broken, vec![], "{name}: rules broken");
-    assert_eq!(world.unserved(), Vec::<String>::new(), "{name}: unserved");
-}
-
 /// All orders in which three controllers take their turns; before, during and
 /// after a turn another one ends, and limits fall while that is so.
 #[test]
-fn every_order_of_an_upgrade_keeps_the_rules() {
+fn rules_hold_for_every_order_of_an_upgrade() {
     let orders = [
         [0, 1, 2],
         [0, 2, 1],
@@ -80,8 +78,15 @@
         [2, 1, 0],
     ];
     let crash = |at, node| {
-        let (count, back) = (1, 2_000);
-        fault(at, FaultKind::Crash { node, count, back })
+        let (count, restart_after) = (1, 2_000);
+        fault(
+            at,
+            FaultKind::Crash {
+                node,
+                count,
+                restart_after,
+            },
+        )
     };
     for order in orders {
         for ends_at in [15_000, 21_000, 26_000, 36_000] {
@@ -92,13 +97,17 @@
             faults.push(crash(ends_at, order[2]));
             faults.push(fault(50_000, FaultKind::LowerLimits));
             faults.push(crash(70_000, order[1]));
-            let mut world = World::sized(41, plans(), faults, size());
-            world.run_until(240_000);
+            let mut simulation = World::with_size(41, plans(), faults, size());
+            simulation.run_until(240_000);
             let name = format!("{order:?}, one ends at {ends_at}");
-            check(&name, &world);
-            assert_eq!(world.finalized_format(), Some(2), "{name}");
-            assert_eq!(world.check.told(&id(6)), Some(JobStage::Done), "{name}");
-            assert_eq!(world.too_large(), 0, "{name}: too large");
+            assert_ran_and_rules_kept(&name, &simulation);
+            assert_eq!(simulation.finalized_format(), Some(2), "{name}");
+            assert_eq!(
+                simulation.check.final_stage(&id(6)),
+                Some(JobStage::Done),
+                "{name}"
+            );
+            assert_eq!(simulation.too_large(), 0, "{name}: too large");
         }
     }
 }
@@ -106,14 +115,14 @@
 /// Nothing is finalized while one has not registered as the new release, be it
 /// there or not, and jobs that would need it are not accepted.
 #[test]
-fn absence_of_a_controller_is_no_consent() {
+fn a_format_is_not_finalized_while_a_controller_is_down() {
     let away = |node| {
         fault(
             22_000,
             FaultKind::Crash {
                 node,
                 count: 1,
-                back: 400_000,
+                restart_after: 400_000,
             },
         )
     };
@@ -124,12 +133,12 @@
             vec![upgrade(20_000, 0), away(2), upgrade(24_000, 1)],
         ),
     ] {
-        let mut world = World::sized(42, plans(), faults, size());
-        world.run_until(120_000);
-        assert_eq!(world.finalized_format(), None, "{name}");
-        assert!(world.check.is_accepted(&id(3)), "{name}");
-        assert!(!world.check.is_accepted(&id(4)), "{name}");
-        assert_eq!(world.check.broken, vec![], "{name}");
+        let mut simulation = World::with_size(42, plans(), faults, size());
+        simulation.run_until(120_000);
+        assert_eq!(simulation.finalized_format(), None, "{name}");
+        assert!(simulation.check.is_accepted(&id(3)), "{name}");
+        assert!(!simulation.check.is_accepted(&id(4)), "{name}");
+        assert_eq!(simulation.check.broken, vec![], "{name}");
     }
 }
 
@@ -138,18 +147,18 @@
 #[test]
 fn the_first_release_reads_all_that_is_written_before_finalization() {
     let faults = vec![upgrade(20_000, 0), upgrade(24_000, 1)];
-    let mut world = World::sized(43, plans(), faults, size());
-    world.keep_formats();
-    world.run_until(110_000);
+    let mut simulation = World::with_size(43, plans(), faults, size());
+    simulation.record_formats();
+    simulation.run_until(110_000);
     for kind in [
         "node/", "leader", "share/", "machine/", "charter/", "demand/",
     ] {
         let prefix = format!("c/{kind}");
-        let mut keys = world.kept_records().iter().map(|(key, _)| key);
+        let mut keys = simulation.kept_records().iter().map(|(key, _)| key);
         assert!(keys.any(|key| key.starts_with(&prefix)), "no {prefix}");
     }
-    assert!(!world.kept_messages().is_empty());
-    for (key, value) in world.kept_records() {
+    assert!(!simulation.kept_messages().is_empty());
+    for (key, value) in simulation.kept_records() {
         let mut expected = value.clone();
         if let (true, Some(fields)) = (key.starts_with("c/node/"), expected.as_object_mut()) {
             fields.remove("format");
@@ -158,7 +167,7 @@
         let read = read.unwrap_or_else(|e| panic!("{key}: {e}, {value}"));
         assert_eq!(read, expected, "{key}");
     }
-    for message in world.kept_messages() {
+    for message in simulation.kept_messages() {
         production::read_message(message).expect("the first release reads it");
     }
 }
@@ -166,7 +175,7 @@
 /// What the first release wrote and told, recorded from it, is read and written
 /// again to the same bytes.
 #[test]
-fn all_that_the_first_release_wrote_is_read() {
+fn records_and_messages_of_the_first_release_are_readable() {
     use forkshift_core::records as new;
     use serde_json::{from_value, to_value, Value};
     let mut kinds = std::collections::BTreeSet::new();
@@ -219,33 +228,39 @@
     let mut faults: Vec<Fault> = (0..3)
         .map(|n| upgrade(20_000 + n as u64 * 5_000, n))
         .collect();
-    let back = 2_000;
-    faults.push(fault(80_000, FaultKind::Downgrade { node: 1, back }));
-    let mut world = World::sized(44, plans(), faults, size());
-    world.run_until(90_000);
-    while world.now() < 200_000 {
-        world.run_until(world.now() + 500);
-        let held = world.holds_shards(1);
-        assert!(!held, "it holds a shard at {}", world.now());
+    let restart_after = 2_000;
+    faults.push(fault(
+        80_000,
+        FaultKind::Downgrade {
+            node: 1,
+            restart_after,
+        },
+    ));
+    let mut simulation = World::with_size(44, plans(), faults, size());
+    simulation.run_until(90_000);
+    while simulation.now() < 200_000 {
+        simulation.run_until(simulation.now() + 500);
+        let held = simulation.holds_shards(1);
+        assert!(!held, "it holds a shard at {}", simulation.now());
     }
-    check("downgrade", &world);
+    assert_ran_and_rules_kept("downgrade", &simulation);
 }
 
 /// The state service is out as the last controller comes back, and late
 /// transactions of the old ones land after that.
 #[test]
-fn an_outage_and_late_writes_across_finalization() {
+fn rules_hold_when_an_outage_and_late_writes_surround_finalization() {
     for from in [32_000, 34_000, 36_500] {
         let mut faults: Vec<Fault> = (0..3)
             .map(|n| upgrade(20_000 + n as u64 * 6_000, n))
             .collect();
         faults.push(fault(18_000, FaultKind::LateWrites(16_000)));
-        faults.push(fault(from, FaultKind::Outage(12_000)));
+        faults.push(fault(from, FaultKind::StoreOutage(12_000)));
         faults.push(fault(70_000, FaultKind::LowerLimits));
-        let mut world = World::sized(45, plans(), faults, size());
-        world.run_until(260_000);
-        check(&format!("outage from {from}"), &world);
-        assert_eq!(world.finalized_format(), Some(2), "outage from {from}");
+        let mut simulation = World::with_size(45, plans(), faults, size());
+        simulation.run_until(260_000);
+        assert_ran_and_rules_kept(&format!("outage from {from}"), &simulation);
+        assert_eq!(simulation.finalized_format(), Some(2), "outage from {from}");
     }
 }
 
@@ -259,14 +274,21 @@
             .collect();
         faults.push(fault(33_000, FaultKind::LowerLimits));
         for i in 0..12 {
-            let (node, count, back) = ((i % 3) as usize, 1, 900);
+            let (node, count, restart_after) = ((i % 3) as usize, 1, 900);
             let at = 33_200 + i * (4_000 + pause);
-            faults.push(fault(at, FaultKind::Crash { node, count, back }));
+            faults.push(fault(
+                at,
+                FaultKind::Crash {
+                    node,
+                    count,
+                    restart_after,
+                },
+            ));
         }
         let plans = vec![array(1, 3_000, 280, 6_000), array(2, 4_000, 120, 40_000)];
-        let mut world = World::sized(46, plans, faults, size());
-        world.run_until(300_000);
-        check(&format!("pause {pause}"), &world);
+        let mut simulation = World::with_size(46, plans, faults, size());
+        simulation.run_until(300_000);
+        assert_ran_and_rules_kept(&format!("pause {pause}"), &simulation);
     }
 }
 
@@ -281,11 +303,15 @@
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[n - 1]));
     }
     plans.push(chained(length + 1, 95_000, &[1]));
-    let mut world = World::sized(47, plans, vec![], Size::default());
-    world.run_until(300_000);
-    check("chain", &world);
+    let mut simulation = World::with_size(47, plans, vec![], Size::default());
+    simulation.run_until(300_000);
+    assert_ran_and_rules_kept("chain", &simulation);
     for n in 1..=length + 1 {
-        assert_eq!(world.check.told(&id(n)), Some(JobStage::Cancelled), "j-{n}");
+        assert_eq!(
+            simulation.check.final_stage(&id(n)),
+            Some(JobStage::Cancelled),
+            "j-{n}"
+        );
     }
 }
 
@@ -297,16 +323,20 @@
     for n in 2..=dependents {
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[1]));
     }
-    let mut world = World::sized(48, plans, vec![], Size::default());
-    world.run_until(240_000);
-    check("dependents", &world);
+    let mut simulation = World::with_size(48, plans, vec![], Size::default());
+    simulation.run_until(240_000);
+    assert_ran_and_rules_kept("dependents", &simulation);
     for n in 1..=dependents {
-        assert_eq!(world.check.told(&id(n)), Some(JobStage::Done), "j-{n}");
+        assert_eq!(
+            simulation.check.final_stage(&id(n)),
+            Some(JobStage::Done),
+            "j-{n}"
+        );
     }
 }
 
 #[test]
-fn random_upgrades_keep_the_rules() {
+fn rules_hold_on_random_days_with_upgrades() {
     for (seed, faults) in [
         (900_000, 8),
         (910_003, 8),
@@ -315,8 +345,8 @@
         (920_003, 16),
         (920_004, 30),
     ] {
-        let mut day = Day::new(seed, faults, Draw::Upgrade);
+        let mut day = Day::new(seed, faults, FaultSchedule::Upgrade);
         day.play();
-        check(&format!("seed {seed}, {faults} faults"), &day.world);
+        assert_ran_and_rules_kept(&format!("seed {seed}, {faults} faults"), &day.simulation);
     }
 }
