--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -24,7 +24,7 @@
 pub(crate) const ANSWER_MS: Ms = 4_000;
 
 /// The status of a job without counts of its tasks.
-pub(crate) fn status(id: &JobId, stage: JobStage) -> JobStatus {
+pub(crate) fn status_of_stage(id: &JobId, stage: JobStage) -> JobStatus {
     JobStatus {
         id: id.clone(),
         stage,
@@ -85,7 +85,7 @@
         if self.is_ready() {
             Reply::json(200, &serde_json::json!({}))
         } else {
-            Reply::later("not ready")
+            Reply::unavailable("not ready")
         }
     }
 }
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -5,7 +5,7 @@
 use crate::api::read_versioned_job;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::pending_call::{Creation, Lookup, PendingCall};
+use crate::pending_call::{JobCreation, LookupPurpose, PendingCall};
 use crate::records::job_key;
 use crate::store::queue::Urgency;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
@@ -14,7 +14,7 @@
 
 /// A submission whose dependencies are being read.
 pub(crate) struct Admission {
-    creation: Creation,
+    creation: JobCreation,
     /// Dependencies whose records have not been read yet.
     pending_reads: BTreeSet<JobId>,
 }
@@ -27,7 +27,7 @@
         }
         // Controllers of the first release would start such a job at once.
         if self.ctx.format.is_first() {
-            return Some(Reply::later("not until all controllers are upgraded"));
+            return Some(Reply::unavailable("not until all controllers are upgraded"));
         }
         if spec.dependencies.contains(&spec.id) {
             return Some(Reply::error(422, "a job can't await itself"));
@@ -42,7 +42,7 @@
     }
 
     /// Reads the records of a job's dependencies before it is created.
-    pub(crate) fn admit(&mut self, creation: Creation) {
+    pub(crate) fn admit(&mut self, creation: JobCreation) {
         if creation.spec.dependencies.is_empty() {
             return self.create_job(creation);
         }
@@ -51,7 +51,7 @@
         for id in &pending_reads {
             self.read_for_admission(request, id.clone());
         }
-        let creation = Creation {
+        let creation = JobCreation {
             dependencies: Vec::new(),
             is_cancelled: false,
             ..creation
@@ -86,7 +86,7 @@
         if !admission.pending_reads.contains(id) {
             return;
         }
-        let until = admission.creation.until;
+        let until = admission.creation.deadline;
         match (status, read_versioned_job(body)) {
             (200, Some((record, _))) if record.spec.kind == JobKind::Service => {
                 self.refuse_admission(request, &format!("{id} is a service"));
@@ -98,7 +98,7 @@
             (0, _) if self.ctx.now < until => self.read_for_admission(request, id.clone()),
             _ => {
                 self.admissions.remove(&request);
-                self.ctx.respond(request, Reply::later("not now"));
+                self.ctx.respond(request, Reply::unavailable("not now"));
             }
         }
     }
@@ -133,7 +133,7 @@
         let Some(admission) = self.admissions.remove(&request) else {
             return;
         };
-        let refusal = Lookup::Submission(Reply::error(422, why));
+        let refusal = LookupPurpose::Submission(Reply::error(422, why));
         if let Some(reply) = self.look_up(request, admission.creation.spec.id, refusal) {
             self.ctx.respond(request, reply);
         }
--- a/crates/core/src/api/admission/tests.rs
+++ b/crates/core/src/api/admission/tests.rs
@@ -175,7 +175,7 @@
         let conflict = json!({"failed": [job_key(&id(failed))], "ledger_rev": 60});
         f.answer(is_create, 409, &conflict);
         let is_pending = |f: &Fixture, which: &dyn Fn(&PendingCall) -> bool| {
-            f.node.ctx.pending.values().any(which)
+            f.node.ctx.pending_calls.values().any(which)
         };
         assert_eq!(is_pending(&f, &reads(2)), is_read_again, "{name}");
         assert_eq!(is_pending(&f, &is_lookup), !is_read_again, "{name}");
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -2,11 +2,11 @@
 //! theirs.
 
 use crate::api::status_queries::read_job;
-use crate::api::{status, ANSWER_MS};
+use crate::api::{status_of_stage, ANSWER_MS};
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of_mut, Node};
-use crate::pending_call::{CancellationPoll, Lookup, PendingCall};
+use crate::pending_call::{CancellationPoll, LookupPurpose, PendingCall};
 use crate::records::{cancellation_key, job_key, ShardId};
 use crate::store::queue::Urgency;
 use crate::Ms;
@@ -25,23 +25,23 @@
             return Some(Reply::error(404, "no such job"));
         };
         if let Some(stage) = self.final_stages.get(&id) {
-            return Some(Reply::json(200, &status(&id, stage)));
+            return Some(Reply::json(200, &status_of_stage(&id, stage)));
         }
         let has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         let Node { shards, ctx, .. } = self;
         let Some(shard) = holder_of_mut(shards, &id) else {
-            return self.look_up(request, id, Lookup::Cancellation);
+            return self.look_up(request, id, LookupPurpose::Cancellation);
         };
         shard.cancel(ctx, &id);
         let job = shard.jobs.get_mut(&id)?;
         // An earlier holder may have confirmed it already; the remaining tasks of
         // the job may take long to end.
         if job.is_cancellation_durable {
-            return Some(Reply::json(200, &status(&id, JobStage::Cancelled)));
+            return Some(Reply::json(200, &status_of_stage(&id, JobStage::Cancelled)));
         }
         // Stopping is always allowed, but only a valid lease allows to confirm it.
         if !has_valid_lease {
-            return Some(Reply::later("not now"));
+            return Some(Reply::unavailable("not now"));
         }
         job.cancel_waiters.push(request);
         let until = ctx.now + ANSWER_MS;
@@ -60,7 +60,7 @@
             request,
             id,
             version: known.unwrap_or(0),
-            until,
+            deadline: until,
         };
         if known.is_some() {
             return self.poll_cancellation(poll);
@@ -87,7 +87,8 @@
             poll.version = revision_of(body);
             self.poll_cancellation(poll);
         } else {
-            self.ctx.respond(poll.request, Reply::later("not now"));
+            self.ctx
+                .respond(poll.request, Reply::unavailable("not now"));
         }
     }
 
@@ -103,21 +104,23 @@
             request,
             id,
             version,
-            until,
+            deadline: until,
         } = &poll;
         let record = if code == 200 { read_job(body) } else { None };
         match record {
             Some(record) if record.stage.is_final() => {
                 self.final_stages.insert(id.clone(), record.stage);
-                let reply = Reply::json(200, &status(id, record.stage));
+                let reply = Reply::json(200, &status_of_stage(id, record.stage));
                 self.ctx.respond(*request, reply);
                 // The holder may have had the message, and have carried it out before any
                 // view showed the key: then the key is removed here.
                 crate::shard::remove_key(&mut self.ctx, cancellation_key(id), *version);
             }
-            _ if code == 503 => self.ctx.respond(*request, Reply::later("not now")),
+            _ if code == 503 => self.ctx.respond(*request, Reply::unavailable("not now")),
             _ if self.ctx.now < *until => self.delayed_polls.push((self.ctx.now + POLL_MS, poll)),
-            _ => self.ctx.respond(*request, Reply::later("being cancelled")),
+            _ => self
+                .ctx
+                .respond(*request, Reply::unavailable("being cancelled")),
         }
     }
 
@@ -138,7 +141,8 @@
             let waiting = job.cancel_waiters.len();
             job.cancel_waiters.retain(|waiter| *waiter != request);
             if job.cancel_waiters.len() < waiting {
-                self.ctx.respond(request, Reply::later("being cancelled"));
+                self.ctx
+                    .respond(request, Reply::unavailable("being cancelled"));
             }
         }
     }
--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use crate::protocol::relay::Relaying;
 use crate::records::ShardId;
-use crate::shard::{epoch_of_token, Phase};
+use crate::shard::{epoch_of_token, RecoveryState};
 use forkshift_links::Route;
 use forkshift_wire::workers::{Command, HeartbeatReply, Redirect, WorkerHeartbeat};
 use forkshift_wire::MachineId;
@@ -54,7 +54,7 @@
         if !self.ctx.has_valid_lease && !self.may_answer_without_lease(shard) {
             return redirect_to_next();
         }
-        if shard.phase == Phase::Active {
+        if shard.recovery_state == RecoveryState::Active {
             return self.answer_as_holder(heartbeat, route, shard_id);
         }
         let token = shard.first_token(&machine.record);
@@ -70,7 +70,12 @@
             return accept(heartbeat.token, Vec::new());
         }
         let report_to = self.redirect_target(shard_id, &heartbeat.machine);
-        Reply::json(421, &Redirect { report_to })
+        Reply::json(
+            421,
+            &Redirect {
+                holder_addr: report_to,
+            },
+        )
     }
 
     /// Answers a worker of a shard that is active here.
@@ -100,7 +105,7 @@
         if shard.on_worker_heartbeat(ctx, heartbeat) {
             shard.note_route(ctx, id, route);
         }
-        match shard.report_reply(ctx, id) {
+        match shard.heartbeat_reply(ctx, id) {
             Some((token, commands)) => accept(token, commands),
             None => redirect_to_next(),
         }
@@ -121,7 +126,7 @@
             return None;
         }
         let Context { redirects, now, .. } = &mut self.ctx;
-        if redirects.has_returned(machine, &holder, incarnation, *now) {
+        if redirects.was_recently_redirected(machine, &holder, incarnation, *now) {
             return None;
         }
         redirects.on_redirected(machine.clone(), holder.clone(), incarnation, *now);
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -1,9 +1,9 @@
 //! Status queries: answered from memory under a valid lease, or from the jobs' records.
 
-use crate::api::status;
+use crate::api::status_of_stage;
 use crate::io::{Reply, RequestId};
 use crate::node::{holder_of, Node};
-use crate::pending_call::{Lookup, PendingCall};
+use crate::pending_call::{LookupPurpose, PendingCall};
 use crate::records::{job_key, JobRecord};
 use crate::store::queue::Urgency;
 use crate::Ms;
@@ -23,19 +23,19 @@
             return Some(Reply::error(404, "no such job"));
         };
         if let Some(stage) = self.final_stages.get(&id) {
-            return Some(Reply::json(200, &status(&id, stage)));
+            return Some(Reply::json(200, &status_of_stage(&id, stage)));
         }
         if self.membership.has_valid_lease(&self.ctx, &self.view) {
-            if let Some(reply) = self.remembered_status(&id) {
+            if let Some(reply) = self.status_from_memory(&id) {
                 return Some(reply);
             }
         }
-        self.look_up(request, id, Lookup::Question)
+        self.look_up(request, id, LookupPurpose::StatusQuery)
     }
 
     /// The status of a job that is held here, from memory; none, if its record may be
     /// newer.
-    pub(crate) fn remembered_status(&self, id: &JobId) -> Option<Reply> {
+    pub(crate) fn status_from_memory(&self, id: &JobId) -> Option<Reply> {
         let shard = holder_of(&self.shards, id)?;
         // The view may show since this batch that the shard has a new holder.
         let current = self.view.shards.get(&shard.id);
@@ -46,26 +46,31 @@
         }
         // A cancellation that is not known here may have been confirmed.
         if !self.is_known_unfinished(job) {
-            return Some(Reply::later("not known at the moment"));
+            return Some(Reply::unavailable("not known at the moment"));
         }
         Some(Reply::json(200, &job.status()))
     }
 
     /// Reads a job's record, for an answer that must not be older than what
     /// any controller has answered.
-    pub(crate) fn look_up(&mut self, request: RequestId, id: JobId, why: Lookup) -> Option<Reply> {
+    pub(crate) fn look_up(
+        &mut self,
+        request: RequestId,
+        id: JobId,
+        why: LookupPurpose,
+    ) -> Option<Reply> {
         let until = self.ctx.now + LOOKUP_MS;
         self.read_job(request, id, why, until);
         None
     }
 
-    fn read_job(&mut self, request: RequestId, id: JobId, why: Lookup, until: Ms) {
+    fn read_job(&mut self, request: RequestId, id: JobId, why: LookupPurpose, until: Ms) {
         let path = format!("/kv/{}", job_key(&id));
         let pending = PendingCall::JobLookup {
             request,
             id,
-            why,
-            until,
+            purpose: why,
+            deadline: until,
         };
         self.ctx.read_store(Urgency::User, path, pending);
     }
@@ -75,14 +80,14 @@
         &mut self,
         request: RequestId,
         id: JobId,
-        why: Lookup,
+        why: LookupPurpose,
         until: Ms,
         status_code: u16,
         body: &[u8],
     ) {
         // A final stage that became known meanwhile is newer than what was read.
         if let Some(stage) = self.final_stages.get(&id) {
-            let reply = Reply::json(200, &status(&id, stage));
+            let reply = Reply::json(200, &status_of_stage(&id, stage));
             return self.ctx.respond(request, reply);
         }
         let record = match status_code {
@@ -96,8 +101,10 @@
             }
             404 => {
                 let reply = match why {
-                    Lookup::Submission(otherwise) => otherwise,
-                    Lookup::Question | Lookup::Cancellation => Reply::error(404, "no such job"),
+                    LookupPurpose::Submission(otherwise) => otherwise,
+                    LookupPurpose::StatusQuery | LookupPurpose::Cancellation => {
+                        Reply::error(404, "no such job")
+                    }
                 };
                 return self.ctx.respond(request, reply);
             }
@@ -106,23 +113,31 @@
             _ => None,
         };
         let Some(record) = record.filter(|r| !self.is_cancelled_by_dependency(r)) else {
-            return self.ctx.respond(request, Reply::later("not now"));
+            return self.ctx.respond(request, Reply::unavailable("not now"));
         };
         self.on_record_found(request, id, &why, &record);
     }
 
     /// Answers a request by the record of its job.
-    fn on_record_found(&mut self, request: RequestId, id: JobId, why: &Lookup, record: &JobRecord) {
+    fn on_record_found(
+        &mut self,
+        request: RequestId,
+        id: JobId,
+        why: &LookupPurpose,
+        record: &JobRecord,
+    ) {
         if record.stage.is_final() {
             self.final_stages.insert(id.clone(), record.stage);
         } else {
             self.job_shards.insert(id.clone(), record.shard);
         }
-        if !record.stage.is_final() && matches!(why, Lookup::Cancellation) {
+        if !record.stage.is_final() && matches!(why, LookupPurpose::Cancellation) {
             return self.forward_cancellation(request, id, record.shard);
         }
-        self.ctx
-            .respond(request, Reply::json(200, &status(&id, record.stage)));
+        self.ctx.respond(
+            request,
+            Reply::json(200, &status_of_stage(&id, record.stage)),
+        );
     }
 
     /// Whether a job is known to be cancelled with one of its dependencies, while its
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -1,10 +1,10 @@
 //! Submissions: the validation of a job, and the transaction that accepts it.
 
-use crate::api::{status, ANSWER_MS};
+use crate::api::{status_of_stage, ANSWER_MS};
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::pending_call::{Creation, Lookup, PendingCall};
+use crate::pending_call::{JobCreation, LookupPurpose, PendingCall};
 use crate::records::{
     capacity_of, job_key, unfinished_key, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
 };
@@ -31,42 +31,42 @@
                 // it would not be accepted any more.
                 let refusal = Reply::error(400, &e.to_string());
                 return match id_of(&body) {
-                    Some(id) => self.look_up(request, id, Lookup::Submission(refusal)),
+                    Some(id) => self.look_up(request, id, LookupPurpose::Submission(refusal)),
                     None => Some(refusal),
                 };
             }
         };
         let id = spec.id.clone();
         if let Some(stage) = self.final_stages.get(&id) {
-            return Some(Reply::json(200, &status(&id, stage)));
+            return Some(Reply::json(200, &status_of_stage(&id, stage)));
         }
         if self.membership.has_valid_lease(&self.ctx, &self.view) {
-            if let Some(reply) = self.remembered_status(&id) {
+            if let Some(reply) = self.status_from_memory(&id) {
                 return Some(reply);
             }
             if self.shard_of(&id).is_some() {
-                let unknown = Lookup::Submission(Reply::later("try again"));
+                let unknown = LookupPurpose::Submission(Reply::unavailable("try again"));
                 return self.look_up(request, id, unknown);
             }
         }
         if let Some(refusal) = self.refuse_dependencies(&spec) {
-            return self.look_up(request, id, Lookup::Submission(refusal));
+            return self.look_up(request, id, LookupPurpose::Submission(refusal));
         }
         match self.validate(&spec) {
             Ok(shard) => {
                 let until = self.ctx.now + ANSWER_MS;
-                let creation = Creation {
+                let creation = JobCreation {
                     request,
                     spec,
                     shard,
-                    until,
+                    deadline: until,
                     dependencies: Vec::new(),
                     is_cancelled: false,
                 };
                 self.admit(creation);
                 None
             }
-            Err(refusal) => self.look_up(request, id, Lookup::Submission(refusal)),
+            Err(refusal) => self.look_up(request, id, LookupPurpose::Submission(refusal)),
         }
     }
 
@@ -76,7 +76,7 @@
             return Err(Reply::error(422, "unknown team"));
         };
         if self.view.machine_types.is_empty() {
-            return Err(Reply::later("the machine types are not known yet"));
+            return Err(Reply::unavailable("the machine types are not known yet"));
         }
         let task = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
         let mut types = self.view.machine_types.values().map(|known| &known.record);
@@ -91,7 +91,7 @@
             limit: team.limit,
             ..Quota::default()
         };
-        if !quota.could_allow(&task, concurrent_tasks) {
+        if !quota.could_ever_allow(&task, concurrent_tasks) {
             return Err(Reply::error(422, "more than the team's limit"));
         }
         if !can_be_recorded(spec, &self.ctx.limits) {
@@ -101,7 +101,7 @@
     }
 
     /// Writes the records by which a job is accepted.
-    pub(crate) fn create_job(&mut self, creation: Creation) {
+    pub(crate) fn create_job(&mut self, creation: JobCreation) {
         let transaction = self.creation_transaction(&creation);
         let pending = PendingCall::JobCreation(Box::new(creation));
         self.ctx.transact(Urgency::User, &transaction, pending);
@@ -109,8 +109,8 @@
 
     /// Writes the records of a new job, on condition that it has none and that its
     /// dependencies have not changed. A job that is cancelled at once has no head.
-    fn creation_transaction(&self, creation: &Creation) -> Transaction {
-        let Creation { spec, shard, .. } = creation;
+    fn creation_transaction(&self, creation: &JobCreation) -> Transaction {
+        let JobCreation { spec, shard, .. } = creation;
         let record = JobRecord {
             spec: spec.clone(),
             shard: *shard,
@@ -148,15 +148,15 @@
     }
 
     /// The transaction that accepts a job was answered.
-    pub(crate) fn on_created(&mut self, creation: Creation, status_code: u16, body: &[u8]) {
-        let is_in_time = self.ctx.now < creation.until;
+    pub(crate) fn on_job_created(&mut self, creation: JobCreation, status_code: u16, body: &[u8]) {
+        let is_in_time = self.ctx.now < creation.deadline;
         match status_code {
             200 => self.on_accepted(creation, revision_of(body)),
             // A dependency has changed since it was read.
             409 if is_in_time && !was_accepted_before(&creation, body) => self.admit(creation),
             409 => {
-                let otherwise = Lookup::Submission(Reply::later("try again"));
-                let Creation { request, spec, .. } = creation;
+                let otherwise = LookupPurpose::Submission(Reply::unavailable("try again"));
+                let JobCreation { request, spec, .. } = creation;
                 if let Some(reply) = self.look_up(request, spec.id, otherwise) {
                     self.ctx.respond(request, reply);
                 }
@@ -164,14 +164,16 @@
             // If an earlier copy is carried out after all, the condition fails and the
             // job is found.
             0 | 429 if is_in_time => self.create_job(creation),
-            _ => self.ctx.respond(creation.request, Reply::later("not now")),
+            _ => self
+                .ctx
+                .respond(creation.request, Reply::unavailable("not now")),
         }
     }
 
     /// A job was accepted: its holder is notified, and its user is answered.
-    fn on_accepted(&mut self, creation: Creation, revision: u64) {
+    fn on_accepted(&mut self, creation: JobCreation, revision: u64) {
         let stage = creation.stage();
-        let Creation {
+        let JobCreation {
             request,
             spec,
             shard: shard_id,
@@ -188,22 +190,22 @@
                 shard.on_job_accepted(&mut self.ctx, spec, submitted_at_ms, revision);
             }
         }
-        let reply = Reply::json(201, &status(&id, stage));
+        let reply = Reply::json(201, &status_of_stage(&id, stage));
         self.ctx.respond(request, reply);
     }
 }
 
 /// Whether a task of a job may run on a machine type.
 fn fits_type(spec: &JobSpec, task: &Resources, machine_type: &MachineType) -> bool {
-    let (types, zone) = (spec.types.as_ref(), spec.zone.as_ref());
+    let (types, zone) = (spec.machine_types.as_ref(), spec.zone.as_ref());
     types.is_none_or(|names| names.contains(&machine_type.name))
         && zone.is_none_or(|zone| machine_type.zones.contains(zone))
-        && task.fits(&capacity_of(machine_type))
+        && task.fits_in(&capacity_of(machine_type))
 }
 
 /// Whether a transaction that was to accept a job failed because the job was
 /// accepted before.
-fn was_accepted_before(creation: &Creation, body: &[u8]) -> bool {
+fn was_accepted_before(creation: &JobCreation, body: &[u8]) -> bool {
     let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
     let key = job_key(&creation.spec.id);
     reply.failed.is_empty() || reply.failed.contains(&key)
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -51,9 +51,9 @@
                 (job.is_cancelled, job.is_cancellation_durable) = (true, true);
             }
             Case::New => {}
-            Case::WithoutLease => f.lose_right(),
+            Case::WithoutLease => f.lose_lease(),
         }
-        let answer = f.ask(1, "POST", "/submissions/j-1/abort");
+        let answer = f.request(1, "POST", "/submissions/j-1/abort");
         assert_eq!(answer.as_ref().map(|a| a.0), status, "{case:?}");
         assert!(
             f.shard().jobs[&id].is_cancelled,
@@ -84,14 +84,14 @@
     let id = f.job("j-1", JobKind::Service, 1);
     let old = record(&mut f, &id, JobStage::Queued);
     f.shard().forget_job(&id, 9);
-    assert_eq!(f.ask(1, "GET", "/submissions/j-1"), None);
+    assert_eq!(f.request(1, "GET", "/submissions/j-1"), None);
     f.node.final_stages.insert(id.clone(), JobStage::Cancelled);
     let effects = f.answer(is_lookup, 200, &old);
     let cancelled = (200, Some(JobStage::Cancelled));
     assert_eq!(stage(answer_to(&effects, 1)), cancelled, "final meanwhile");
     // It was accepted here while its record was not found: it is read again.
     let mut f = Fixture::new();
-    assert_eq!(f.ask(1, "GET", "/submissions/j-2"), None);
+    assert_eq!(f.request(1, "GET", "/submissions/j-2"), None);
     let id = f.job("j-2", JobKind::Service, 1);
     let new = record(&mut f, &id, JobStage::Queued);
     let shard = f.shard;
@@ -102,7 +102,7 @@
     assert_eq!(stage(answer_to(&effects, 1)), (200, Some(JobStage::Queued)));
     // It was never accepted.
     let mut f = Fixture::new();
-    assert_eq!(f.ask(1, "GET", "/submissions/j-3"), None);
+    assert_eq!(f.request(1, "GET", "/submissions/j-3"), None);
     let effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
     assert_eq!(stage(answer_to(&effects, 1)), (404, None));
 }
@@ -117,7 +117,7 @@
         let shard = f.shard;
         let record = f.node.view.shards.get_mut(&shard).expect("it is there");
         record.record.epoch = epoch;
-        let answer = f.node.remembered_status(&id);
+        let answer = f.node.status_from_memory(&id);
         assert_eq!(answer.is_some(), answers, "epoch {epoch}");
     }
 }
@@ -149,7 +149,7 @@
         let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("no other reference");
         config.nodes.push(NodeName::new("another"));
         let token = f.token();
-        let heartbeat = f.message(1, token, &[]);
+        let heartbeat = f.heartbeat_message(1, token, &[]);
         let request = crate::io::Input::Request {
             request: RequestId(1),
             method: "POST".to_owned(),
@@ -179,7 +179,7 @@
             200,
             &json!({}),
         );
-        let answer = f.ask(1, "GET", "/submissions/j-1");
+        let answer = f.request(1, "GET", "/submissions/j-1");
         assert_eq!(answer.is_some(), from_memory, "after {pause} ms");
     }
 }
--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -15,7 +15,7 @@
 
 /// The part of the sockets that incoming connections may take; the rest is
 /// for outgoing calls.
-pub(crate) const INCOMING_PART: f64 = 0.6;
+pub(crate) const INCOMING_CONNECTIONS_PART: f64 = 0.6;
 /// The part of the sockets up to which incoming connections are kept open.
 const KEPT_INCOMING_PART: f64 = 0.3;
 /// The part of the sockets that idle outgoing connections may take.
@@ -72,7 +72,7 @@
     pub answer_bytes: u64,
     /// Tasks of one job that a round considers: as many as can be recorded until the next
     /// one. The others wait for that.
-    pub tasks_a_round: usize,
+    pub tasks_per_round: usize,
     /// Bytes of a list in a message to another controller.
     pub list_bytes: usize,
 }
@@ -86,17 +86,17 @@
         let memory = |part: f64| limits.memory_mb * BYTES_PER_MB * part;
         let peers = settings.peers.len().max(1) as f64;
         Self {
-            connections: sockets(INCOMING_PART),
+            connections: sockets(INCOMING_CONNECTIONS_PART),
             kept_connections: sockets(KEPT_INCOMING_PART),
             idle_connections: sockets(IDLE_OUTGOING_PART),
             worker_calls: sockets(WORKER_CALLS_PART),
-            forwarded_requests: sockets(INCOMING_PART),
+            forwarded_requests: sockets(INCOMING_CONNECTIONS_PART),
             remembered_jobs: at_least_one(memory(REMEMBERED_PART) / REMEMBERED_JOB_BYTES),
             image_names: at_least_one(memory(IMAGE_NAMES_PART) / IMAGE_NAME_BYTES),
             // Any single message has room.
             peer_queue_bytes: ((memory(PEER_QUEUE_PART) / peers) as usize).max(MAX_MESSAGE_BYTES),
             answer_bytes: (memory(ANSWER_PART) as u64).max(MIN_ANSWER_BYTES),
-            tasks_a_round: tasks_recorded_in(round_s, settings).max(MIN_TASKS_A_ROUND),
+            tasks_per_round: tasks_recorded_in(round_s, settings).max(MIN_TASKS_A_ROUND),
             list_bytes: (MAX_MESSAGE_BYTES as f64 * LIST_PART) as usize,
         }
     }
@@ -106,8 +106,8 @@
 /// that the key-value store accepts.
 fn tasks_recorded_in(seconds: f64, settings: &Settings) -> usize {
     let state = &settings.cluster.state;
-    let tasks_per_change = state.value_kb * BYTES_PER_KB / TASK_BYTES as f64;
-    let changes = state.write_rps / (settings.peers.len() + 1) as f64 * seconds;
+    let tasks_per_change = state.max_value_kib * BYTES_PER_KB / TASK_BYTES as f64;
+    let changes = state.writes_per_s / (settings.peers.len() + 1) as f64 * seconds;
     (tasks_per_change * changes) as usize
 }
 
@@ -117,7 +117,7 @@
 }
 
 /// Bytes of a name in a list in a message.
-pub(crate) fn listed_bytes(name: &str) -> usize {
+pub(crate) fn encoded_name_bytes(name: &str) -> usize {
     name.len() + NAME_LENGTH_BYTES
 }
 
--- a/crates/core/src/bounds/tests.rs
+++ b/crates/core/src/bounds/tests.rs
@@ -94,9 +94,9 @@
 fn round_considers_as_many_tasks_as_can_be_recorded() {
     let tasks_a_round = |write_rps: f64, value_kb: f64, round_s: f64| {
         let mut settings = settings(40.0, 600, 4);
-        settings.cluster.state.write_rps = write_rps;
-        settings.cluster.state.value_kb = value_kb;
-        Bounds::new(&settings, round_s).tasks_a_round
+        settings.cluster.state.writes_per_s = write_rps;
+        settings.cluster.state.max_value_kib = value_kb;
+        Bounds::new(&settings, round_s).tasks_per_round
     };
     let cases = [
         (250.0, 8.0, 1.0, 10_240),
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -17,21 +17,21 @@
     /// Weights of the score by which machines are chosen.
     pub weights: Weights,
     /// Seconds between the starts of two scheduling rounds.
-    pub round_s: f64,
+    pub round_interval_s: f64,
     /// Least seconds between two rounds that arrivals trigger.
-    pub round_gap_s: f64,
+    pub min_round_interval_s: f64,
     /// Seconds between two checks of the shards' assignment by the leader.
-    pub assign_s: f64,
+    pub assignment_interval_s: f64,
     /// Spare places for classes with a short wait, as a multiple of the tasks that
     /// arrive while a machine boots.
-    pub spare: f64,
+    pub spare_ratio: f64,
     /// An empty machine is released after this part of its boot time.
     pub idle_boots: f64,
     /// A silent machine is decommissioned after this part of a lease.
-    pub silent_leases: f64,
+    pub max_silence_leases: f64,
     /// The largest fleet that is expected, in machines. Limits that are too small for it
     /// are logged.
-    pub machines: Option<u32>,
+    pub expected_machines: Option<u32>,
     /// Warm pools; none: they are disabled.
     pub pools: Pools,
 }
@@ -44,13 +44,13 @@
                 cost: 1.0 / 6.0,
                 latency: 1.0 / 2.0,
             },
-            round_s: 1.0,
-            round_gap_s: 0.1,
-            assign_s: 0.5,
-            spare: 1.0,
+            round_interval_s: 1.0,
+            min_round_interval_s: 0.1,
+            assignment_interval_s: 0.5,
+            spare_ratio: 1.0,
             idle_boots: 0.2,
-            silent_leases: 0.6,
-            machines: None,
+            max_silence_leases: 0.6,
+            expected_machines: None,
             pools: Pools::default(),
         }
     }
@@ -74,8 +74,8 @@
     fn new(settings: &TeamSettings, shard: ShardId) -> Self {
         Self {
             name: settings.name.clone(),
-            guarantee: Resources::new(settings.cpus, settings.gpus, 0.0),
-            limit: Resources::new(settings.cpus_max, settings.gpus_max, 0.0),
+            guarantee: Resources::new(settings.guaranteed_cpus, settings.guaranteed_gpus, 0.0),
+            limit: Resources::new(settings.max_cpus, settings.max_gpus, 0.0),
             shard,
         }
     }
@@ -105,23 +105,25 @@
 impl StateLimits {
     fn new(settings: &forkshift_wire::settings::StateLimits) -> Self {
         Self {
-            rps: settings.rps,
-            write_rps: settings.write_rps,
-            txn_ops: settings.txn_ops,
-            value_bytes: (settings.value_kb * BYTES_PER_KB) as usize,
+            rps: settings.requests_per_s,
+            write_rps: settings.writes_per_s,
+            txn_ops: settings.max_transaction_writes,
+            value_bytes: (settings.max_value_kib * BYTES_PER_KB) as usize,
         }
     }
 
     /// The smaller of each limit and the one that is announced for later.
     fn min_with(&self, next: &NextStateLimits) -> Self {
-        let value_bytes = next.value_kb.map(|kb| (kb * BYTES_PER_KB) as usize);
+        let value_bytes = next.max_value_kib.map(|kb| (kb * BYTES_PER_KB) as usize);
         Self {
-            rps: next.rps.map_or(self.rps, |rps| rps.min(self.rps)),
+            rps: next
+                .requests_per_s
+                .map_or(self.rps, |rps| rps.min(self.rps)),
             write_rps: next
-                .write_rps
+                .writes_per_s
                 .map_or(self.write_rps, |rps| rps.min(self.write_rps)),
             txn_ops: next
-                .txn_ops
+                .max_transaction_writes
                 .map_or(self.txn_ops, |ops| ops.min(self.txn_ops)),
             value_bytes: value_bytes.map_or(self.value_bytes, |bytes| bytes.min(self.value_bytes)),
         }
@@ -146,19 +148,19 @@
     pub teams: BTreeMap<String, Team>,
     /// Whether some teams are guests: they are guaranteed nothing, while others are
     /// guaranteed something.
-    pub has_guests: bool,
+    pub has_borrowers: bool,
     /// Shortest `wait` objective of each class, in seconds.
-    pub waits: BTreeMap<String, f64>,
+    pub wait_objectives: BTreeMap<String, f64>,
     /// Shortest `finished` objective of each class, in seconds.
-    pub finishes: BTreeMap<String, f64>,
+    pub completion_objectives: BTreeMap<String, f64>,
     /// Lease of a worker, in milliseconds.
     pub lease_ms: Ms,
     /// Interval between two heartbeats of a worker, in milliseconds.
-    pub report_ms: Ms,
+    pub heartbeat_interval_ms: Ms,
     /// Time within which the tasks of a cancelled job must have exited, in milliseconds.
-    pub cancel_ms: Ms,
+    pub cancellation_timeout_ms: Ms,
     /// Bound on the error of the time of day, in milliseconds.
-    pub clock_off_ms: Ms,
+    pub max_clock_error_ms: Ms,
     /// Time within which a gang must be complete, in milliseconds.
     pub gang_wait_ms: Ms,
     /// Limits of the key-value store as they are now.
@@ -175,7 +177,7 @@
     /// Bounds on what is held and sent.
     pub bounds: Bounds,
     /// The operators' own settings.
-    pub ops: Operator,
+    pub operator: Operator,
 }
 
 /// The part of the time for a cancellation that is reserved for clock drift and late timers.
@@ -184,7 +186,7 @@
 /// The longest pause between two heartbeats, as a multiple of the interval.
 const MAX_HEARTBEAT_JITTER: f64 = 1.25;
 /// Allowance for delays of a heartbeat on the network and for late timers, in milliseconds.
-pub(crate) const REPORT_LATE_MS: Ms = 500;
+pub(crate) const HEARTBEAT_DELAY_ALLOWANCE_MS: Ms = 500;
 
 /// Time that a worker's attempt at a controller that does not answer takes, in
 /// milliseconds: 4 s without an answer and 1 s more.
@@ -203,7 +205,7 @@
         let cluster = &settings.cluster;
         let zones = zones_by_node(settings);
         let nodes: Vec<NodeName> = zones.keys().cloned().collect();
-        let shard_count = nodes.len().max(cluster.nodes as usize);
+        let shard_count = nodes.len().max(cluster.node_count as usize);
         let ms = |seconds: f64| (seconds * 1000.0) as Ms;
         let state_limits = StateLimits::new(&cluster.state);
         let next_limits = cluster.state.next.clone().unwrap_or_default();
@@ -212,21 +214,21 @@
             teams: assign_teams(&cluster.teams, shard_count),
             nodes,
             zones,
-            has_guests: has_guests(&cluster.teams),
-            waits: shortest_objectives(&cluster.objectives, "wait"),
-            finishes: shortest_objectives(&cluster.objectives, "finished"),
+            has_borrowers: has_guests(&cluster.teams),
+            wait_objectives: shortest_objectives(&cluster.objectives, "wait"),
+            completion_objectives: shortest_objectives(&cluster.objectives, "finished"),
             lease_ms: ms(cluster.workers.lease_s),
-            report_ms: ms(cluster.workers.report_s),
-            cancel_ms: ms(cluster.workers.cancel_s),
-            clock_off_ms: cluster.clock_off_ms.max(0.0) as Ms,
-            gang_wait_ms: ms(cluster.workers.gang_wait_s),
+            heartbeat_interval_ms: ms(cluster.workers.heartbeat_interval_s),
+            cancellation_timeout_ms: ms(cluster.workers.cancellation_deadline_s),
+            max_clock_error_ms: cluster.max_clock_error_ms.max(0.0) as Ms,
+            gang_wait_ms: ms(cluster.workers.gang_start_timeout_s),
             state_limits,
             least_state_limits: state_limits.min_with(&next_limits),
             format: FormatVersion::CURRENT,
-            cloud_rps: cluster.cloud.rps,
+            cloud_rps: cluster.cloud.requests_per_s,
             list_lag_ms: ms(cluster.cloud.list_lag_s),
-            bounds: Bounds::new(settings, ops.round_s),
-            ops,
+            bounds: Bounds::new(settings, ops.round_interval_s),
+            operator: ops,
         }
     }
 
@@ -234,7 +236,7 @@
     /// That of warm pools is registered by controllers that have them enabled, and by all
     /// others once it is finalized.
     pub fn registered_format(&self, finalized: FormatVersion) -> FormatVersion {
-        if !self.ops.pools.is_empty() || finalized >= FormatVersion::POOLS {
+        if !self.operator.pools.is_empty() || finalized >= FormatVersion::POOLS {
             self.format
         } else {
             self.format.min(FormatVersion::DEPENDENCIES)
@@ -247,7 +249,7 @@
     }
 
     /// Number of shards.
-    pub fn shards(&self) -> u32 {
+    pub fn shard_count(&self) -> u32 {
         self.nodes.len() as u32
     }
 
@@ -259,25 +261,25 @@
 
     /// For how long a worker may be answered by a new holder that does not know
     /// yet what was cancelled, in milliseconds: the cancellation may be a lease old.
-    pub fn loading_grace_ms(&self) -> Ms {
+    pub fn recovery_grace_ms(&self) -> Ms {
         self.safe_cancel_ms().saturating_sub(self.lease_ms * 2)
     }
 
     /// Timeout of calls to workers, in milliseconds. A start whose call times out late
     /// delays its task for as long.
-    pub fn call_ms(&self) -> Ms {
-        (self.report_ms * 2).clamp(MIN_CALL_MS, MAX_CALL_MS)
+    pub fn worker_call_timeout_ms(&self) -> Ms {
+        (self.heartbeat_interval_ms * 2).clamp(MIN_CALL_MS, MAX_CALL_MS)
     }
 
     /// The longest pause between two heartbeats, in milliseconds.
-    pub fn longest_report_ms(&self) -> Ms {
-        (self.report_ms as f64 * MAX_HEARTBEAT_JITTER) as Ms
+    pub fn max_heartbeat_interval_ms(&self) -> Ms {
+        (self.heartbeat_interval_ms as f64 * MAX_HEARTBEAT_JITTER) as Ms
     }
 
     /// Timing of the links to workers.
     pub fn link_timing(&self) -> Timing {
         Timing {
-            report_ms: self.longest_report_ms() + REPORT_LATE_MS,
+            heartbeat_interval_ms: self.max_heartbeat_interval_ms() + HEARTBEAT_DELAY_ALLOWANCE_MS,
             lease_ms: self.lease_ms,
         }
     }
@@ -285,7 +287,7 @@
     /// The time that a cancellation has, less the allowance for clock drift and late
     /// timers, in milliseconds.
     fn safe_cancel_ms(&self) -> Ms {
-        (self.cancel_ms as f64 * (1.0 - CLOCK_DRIFT_PART)) as Ms
+        (self.cancellation_timeout_ms as f64 * (1.0 - CLOCK_DRIFT_PART)) as Ms
     }
 
     /// The part of a zone's workers that find a controller inside before their
@@ -293,7 +295,7 @@
     pub fn zones_kept_in_partition(&self, zone: &str) -> f64 {
         let controllers_inside = self.zones.values().filter(|z| *z == zone).count() as f64;
         let other_controllers = self.nodes.len().saturating_sub(1).max(1) as f64;
-        let time_ms = self.lease_ms.saturating_sub(self.report_ms) as f64;
+        let time_ms = self.lease_ms.saturating_sub(self.heartbeat_interval_ms) as f64;
         let attempts = time_ms / UNANSWERED_ATTEMPT_MS;
         let hit_rate = (controllers_inside / other_controllers).min(1.0);
         1.0 - (1.0 - hit_rate).powf(attempts)
@@ -318,7 +320,7 @@
 
 /// Whether some teams are guaranteed nothing, and others something.
 fn has_guests(teams: &[TeamSettings]) -> bool {
-    let is_guest = |team: &TeamSettings| team.cpus <= 0.0 && team.gpus <= 0.0;
+    let is_guest = |team: &TeamSettings| team.guaranteed_cpus <= 0.0 && team.guaranteed_gpus <= 0.0;
     teams.iter().any(is_guest) && !teams.iter().all(is_guest)
 }
 
@@ -341,8 +343,11 @@
         let sum = teams.iter().map(resource).sum::<f64>();
         sum.max(MIN_TOTAL)
     };
-    let (cpus, gpus) = (total(|team| team.cpus), total(|team| team.gpus));
-    let weight = |team: &TeamSettings| team.cpus / cpus + team.gpus / gpus;
+    let (cpus, gpus) = (
+        total(|team| team.guaranteed_cpus),
+        total(|team| team.guaranteed_gpus),
+    );
+    let weight = |team: &TeamSettings| team.guaranteed_cpus / cpus + team.guaranteed_gpus / gpus;
     let mut by_weight: Vec<&TeamSettings> = teams.iter().collect();
     by_weight.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.name.cmp(&b.name)));
     let mut loads = vec![0.0; shard_count];
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -22,7 +22,7 @@
 use crate::store::budget::BudgetTerms;
 use crate::store::queue::StoreQueue;
 use crate::Ms;
-use forkshift_links::{CloudLink, Links, Redirects, RelayTable};
+use forkshift_links::{CloudLink, LinkStates, RedirectHistory, RelayTable};
 use forkshift_wire::state::TransactionReply;
 use peer_requests::PeerRequest;
 use rand::rngs::StdRng;
@@ -64,7 +64,7 @@
     pub(crate) store: StoreQueue,
     pub(crate) rng: StdRng,
     /// Calls in flight, and what is to be done when each of them ends.
-    pub(crate) pending: HashMap<CallId, PendingCall>,
+    pub(crate) pending_calls: HashMap<CallId, PendingCall>,
     /// Calls to the store that failed without having been sent.
     pub(crate) unsent_calls: Vec<PendingCall>,
     /// Unmet demand of the shards held here, while this controller leads.
@@ -77,19 +77,19 @@
     pub(crate) resumed_at: Ms,
     pub(crate) failure_detector: FailureDetector,
     /// Which links of this controller are up.
-    pub(crate) links: Links,
+    pub(crate) links: LinkStates,
     pub(crate) cloud_link: CloudLink,
     /// Workers whose heartbeats other controllers do not receive.
     pub(crate) relays: RelayTable,
     /// Workers that were redirected to other controllers recently.
-    pub(crate) redirects: Redirects,
+    pub(crate) redirects: RedirectHistory,
     /// Until then the record of this controller says that it receives no heartbeats.
     pub(crate) reports_no_heartbeats_until: Ms,
     /// The other controllers from which messages were received.
     pub(crate) peers: PeerTable,
     pub(crate) peer_confirmations: PeerConfirmations,
     /// How many calls to workers are in flight.
-    pub(crate) worker_calls: usize,
+    pub(crate) worker_calls_in_flight: usize,
     /// Machines, jobs and tasks visited so far, as a measure of work.
     pub(crate) work_units: u64,
     next_call: CallId,
@@ -105,7 +105,7 @@
     pub(crate) fn new(config: Rc<Config>, incarnation: u64, seed: u64) -> Self {
         let node_count = config.nodes.len() as f64;
         let image_names = config.bounds.image_names;
-        let redirects = Redirects::new(config.lease_ms);
+        let redirects = RedirectHistory::new(config.lease_ms);
         Self {
             now: 0,
             wall_clock_ms: 0,
@@ -120,21 +120,21 @@
             incarnation,
             effects: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
-            pending: HashMap::new(),
+            pending_calls: HashMap::new(),
             unsent_calls: Vec::new(),
             unmet_demand: Vec::new(),
             peer_requests: BTreeMap::new(),
             has_valid_lease: false,
             resumed_at: 0,
             failure_detector: FailureDetector::default(),
-            links: Links::default(),
+            links: LinkStates::default(),
             cloud_link: CloudLink::default(),
             relays: RelayTable::default(),
             redirects,
             reports_no_heartbeats_until: 0,
             peers: PeerTable::default(),
             peer_confirmations: PeerConfirmations::default(),
-            worker_calls: 0,
+            worker_calls_in_flight: 0,
             work_units: 0,
             next_call: 0,
             places: PlaceNames::default(),
--- a/crates/core/src/context/calls.rs
+++ b/crates/core/src/context/calls.rs
@@ -8,7 +8,7 @@
 use crate::pending_call::PendingCall;
 use crate::store::queue::{StoreCall, Urgency};
 use crate::Ms;
-use forkshift_wire::cloud::Machines;
+use forkshift_wire::cloud::MachineIds;
 use forkshift_wire::peer::{Body, Envelope};
 use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::{MachineId, NodeName};
@@ -51,7 +51,7 @@
     ) -> CallId {
         self.next_call += 1;
         let id = self.next_call;
-        self.pending.insert(id, pending);
+        self.pending_calls.insert(id, pending);
         self.effects.push(Effect::Call {
             id,
             target,
@@ -189,14 +189,14 @@
 
     /// Requests the deletion of machines from the cloud.
     pub(crate) fn delete_machines(&mut self, machines: Vec<MachineId>, pending: PendingCall) {
-        let body = serde_json::to_vec(&Machines { machines }).unwrap_or_default();
+        let body = serde_json::to_vec(&MachineIds { machines }).unwrap_or_default();
         let path = "/machines/delete".to_owned();
         self.call_cloud("POST", path, Some(body), pending);
     }
 
     /// Requests a status heartbeat from a worker.
     pub(crate) fn request_worker_status(&mut self, addr: &str, timeout: Ms, pending: PendingCall) {
-        self.worker_calls += 1;
+        self.worker_calls_in_flight += 1;
         let target = Target::Worker(addr.to_owned());
         let path = "/status".to_owned();
         self.call(target, "GET", path, None, timeout, pending);
@@ -210,7 +210,7 @@
         timeout: Ms,
         pending: PendingCall,
     ) -> CallId {
-        self.worker_calls += 1;
+        self.worker_calls_in_flight += 1;
         self.call(
             Target::Worker(addr.to_owned()),
             "POST",
--- a/crates/core/src/context/liveness.rs
+++ b/crates/core/src/context/liveness.rs
@@ -16,37 +16,39 @@
 impl Context {
     /// The interval of heartbeats, failure detection and demand reports, in milliseconds.
     pub(crate) fn heartbeat_interval_ms(&self) -> Ms {
-        crate::ms(self.config.ops.assign_s).max(MIN_HEARTBEAT_INTERVAL_MS)
+        crate::ms(self.config.operator.assignment_interval_s).max(MIN_HEARTBEAT_INTERVAL_MS)
     }
 
     /// The greatest possible age of a time of day that another controller has read, in
     /// milliseconds: the clocks of both controllers may be off.
-    pub(crate) fn longest_age_of(&self, wall: Ms) -> Ms {
-        self.wall_clock_ms.saturating_sub(wall) + self.config.clock_off_ms * 2
+    pub(crate) fn max_age_ms(&self, wall: Ms) -> Ms {
+        self.wall_clock_ms.saturating_sub(wall) + self.config.max_clock_error_ms * 2
     }
 
     /// Whether warm pools are configured, and their format is finalized.
     pub(crate) fn has_pools(&self) -> bool {
-        self.format >= FormatVersion::POOLS && !self.config.ops.pools.is_empty()
+        self.format >= FormatVersion::POOLS && !self.config.operator.pools.is_empty()
     }
 
     /// Detects that the process was paused until `now`. Silence is counted from there on, as
     /// nothing was received meanwhile.
     pub(crate) fn note_process_pause(&mut self, now: Ms) {
-        if now > self.now + self.config.report_ms / 2 {
+        if now > self.now + self.config.heartbeat_interval_ms / 2 {
             self.resumed_at = now;
             self.store.note_pause(now);
         }
     }
 
     /// Time that a single machine may be silent, in milliseconds.
-    pub(crate) fn silent_ms(&self) -> Ms {
+    pub(crate) fn max_silence_ms(&self) -> Ms {
         max_silence_ms(&self.config)
     }
 
     /// Time that a machine may be silent before it is removed, in milliseconds.
     pub(crate) fn removal_timeout_ms(&self, machine: &Machine) -> Ms {
-        let may_remove_silent = self.links.allow(Decision::RemoveSilentMachines);
+        let may_remove_silent = self
+            .links
+            .allows(Decision::DecommissionUnresponsiveMachines);
         let profile = MachineProfile {
             zone: machine.zone,
             boot_ms: machine.boot_ms,
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -10,13 +10,13 @@
     ShardRecord, LEADER,
 };
 use crate::shard::job::{Binding, StartState};
-use crate::shard::{Phase, Shard};
+use crate::shard::{RecoveryState, Shard};
 use crate::store::view::Versioned;
 use crate::Ms;
 use forkshift_wire::settings::Settings;
 use forkshift_wire::state::Item;
 use forkshift_wire::users::{JobKind, JobSpec, Priority};
-use forkshift_wire::workers::{ExitCause, TaskReport, TaskStage, WorkerHeartbeat};
+use forkshift_wire::workers::{ExitCause, TaskStage, TaskStatus, WorkerHeartbeat};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use serde::Serialize;
 use serde_json::{json, to_value, Value};
@@ -87,7 +87,7 @@
     }
 
     /// The controller's lease expires.
-    pub(crate) fn lose_right(&mut self) {
+    pub(crate) fn lose_lease(&mut self) {
         self.node.ctx.now += self.node.ctx.config.node_lease_ms();
         self.node.run_failure_detector();
     }
@@ -113,7 +113,7 @@
             start,
             stage: None,
             stop: None,
-            since,
+            bound_at: since,
             running_since: None,
         };
         self.shard().bind(id, index, binding);
@@ -126,21 +126,21 @@
         token: u64,
         tasks: &[(&JobId, u32, TaskStage)],
     ) {
-        let heartbeat = self.message(incarnation, token, tasks);
+        let heartbeat = self.heartbeat_message(incarnation, token, tasks);
         let Node { shards, ctx, .. } = &mut self.node;
         let shard = shards.get_mut(&self.shard).expect("the shard is held");
         shard.on_worker_heartbeat(ctx, &heartbeat);
     }
 
     /// A heartbeat of the machine that lists tasks in their first attempt.
-    pub(crate) fn message(
+    pub(crate) fn heartbeat_message(
         &mut self,
         incarnation: u64,
         token: u64,
         tasks: &[(&JobId, u32, TaskStage)],
     ) -> WorkerHeartbeat {
         self.seq += 1;
-        let report = |(id, index, stage): &(&JobId, u32, TaskStage)| TaskReport {
+        let report = |(id, index, stage): &(&JobId, u32, TaskStage)| TaskStatus {
             task: TaskRef {
                 job: (*id).clone(),
                 index: *index,
@@ -148,7 +148,7 @@
             attempt: 1,
             stage: *stage,
             cause: (*stage == TaskStage::Exited).then_some(ExitCause::Stopped),
-            saved: false,
+            checkpoint_saved: false,
         };
         WorkerHeartbeat {
             machine: self.machine.clone(),
@@ -159,7 +159,7 @@
             incarnation,
             sequence: self.seq,
             token,
-            notice_s: None,
+            reclaim_notice_s: None,
             images: None,
             tasks: tasks.iter().map(report).collect(),
         }
@@ -187,7 +187,7 @@
     }
 
     /// Recovers the shard again, from these records.
-    pub(crate) fn load(&mut self, items: Vec<Item>) {
+    pub(crate) fn recover_shard(&mut self, items: Vec<Item>) {
         let Node { ctx, view, .. } = &mut self.node;
         let mut shard = Shard::new(ctx, self.shard, EPOCH, 3);
         let page = json!({"items": items.iter().map(|i| json!({"key": i.key, "data": i.value,
@@ -204,7 +204,12 @@
     }
 
     /// Sends a request without a body. Returns status and body if it is answered at once.
-    pub(crate) fn ask(&mut self, request: u64, method: &str, path: &str) -> Option<(u16, String)> {
+    pub(crate) fn request(
+        &mut self,
+        request: u64,
+        method: &str,
+        path: &str,
+    ) -> Option<(u16, String)> {
         self.send(request, method, path, Vec::new())
     }
 
@@ -239,7 +244,7 @@
         status: u16,
         body: &Value,
     ) -> Vec<Effect> {
-        let pending = self.node.ctx.pending.iter();
+        let pending = self.node.ctx.pending_calls.iter();
         let calls = pending.filter(|(_, call)| is_kind(call));
         let call = calls.map(|(id, _)| *id).max().expect("a pending call");
         let body = body.to_string().into_bytes();
@@ -293,7 +298,7 @@
 /// The controller has recovered the shard, which had no jobs.
 fn activate_shard(node: &mut Node, shard_id: ShardId) {
     let mut shard = Shard::new(&mut node.ctx, shard_id, EPOCH, 3);
-    shard.phase = Phase::Waiting(5);
+    shard.recovery_state = RecoveryState::Waiting(5);
     shard.activate(&mut node.ctx, &node.view);
     node.shards.insert(shard_id, shard);
 }
@@ -335,21 +340,21 @@
         memory_gb: 1.0,
         image: "img".to_owned(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        require_same_zone: false,
+        spread_over_zones: false,
+        allow_spot: false,
+        estimated_run_time_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
         dependencies: Vec::new(),
     }
 }
 
 /// Indices of a job's tasks that are to be stopped.
-pub(crate) fn stopped(f: &mut Fixture, id: &JobId) -> Vec<u32> {
+pub(crate) fn stopping_tasks(f: &mut Fixture, id: &JobId) -> Vec<u32> {
     let bound = f.shard().jobs[id].bound.iter();
     bound
         .filter(|(_, b)| b.stop.is_some())
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -149,7 +149,7 @@
     awaits_itself.dependencies = vec![awaits_itself.id.clone()];
     let mut awaits = submission(&mut f, "j-6");
     awaits.dependencies = vec![JobId::new("j-1")];
-    let heartbeat = to_string(&f.message(1, 0, &[])).expect("JSON");
+    let heartbeat = to_string(&f.heartbeat_message(1, 0, &[])).expect("JSON");
     let elsewhere = heartbeat.replace("\"m-1\"", "\"m-9\"");
     let body = |spec: &JobSpec| to_string(spec).expect("JSON");
     let requests = [
@@ -217,7 +217,7 @@
     let mut f = Fixture::new();
     f.step(0);
     let token = f.token();
-    let heartbeat = to_value(f.message(1, token, &[])).expect("JSON");
+    let heartbeat = to_value(f.heartbeat_message(1, token, &[])).expect("JSON");
     let is_command = |p: &PendingCall| matches!(p, PendingCall::Commands { .. });
     f.answer(is_command, 200, &heartbeat);
     let mut transcript = Transcript::default();
@@ -228,7 +228,7 @@
     let accepted = f.answer(is_submission, 200, &json!({"ledger_rev": 8}));
     transcript.add("accepted", &accepted);
     run(&mut f.node, 10, &mut transcript);
-    let heartbeat = to_string(&f.message(1, token, &[])).expect("JSON");
+    let heartbeat = to_string(&f.heartbeat_message(1, token, &[])).expect("JSON");
     transcript.add("report", &request(&mut f, "POST", "/v1/report", &heartbeat));
     compare(include_str!("job.tsv"), &transcript.0);
 }
@@ -317,13 +317,13 @@
         team: team_of(&mut f),
         image: "img".to_owned(),
         image_gb: 1.0,
-        least: 2,
-        most: 2,
+        min_machines: 2,
+        max_machines: 2,
         ..PoolSpec::default()
     };
     let teams = [spec.team.as_str()];
     let mut config = (*f.node.ctx.config).clone();
-    config.ops.pools = Pools::parse(std::slice::from_ref(&spec), &teams, &[]).expect("a pool");
+    config.operator.pools = Pools::parse(std::slice::from_ref(&spec), &teams, &[]).expect("a pool");
     config.format = FormatVersion::POOLS;
     f.node.ctx.config = Rc::new(config);
     let mut transcript = Transcript::default();
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -9,7 +9,9 @@
 };
 use crate::shard::layout::Layout;
 use crate::store::view::ClusterView;
-use forkshift_pools::account::{head_key, HEADS, POOLS, PRICES};
+use forkshift_pools::account::{
+    current_request_key, ACCOUNT_PREFIX, CURRENT_REQUEST_PREFIX, PRICE_PREFIX,
+};
 use forkshift_pools::PoolName;
 use forkshift_wire::state::Item;
 use forkshift_wire::{JobId, MachineId, NodeName};
@@ -57,10 +59,10 @@
             "unnamed_layout_tasks_a_block",
             unnamed.tasks_of(0).1.to_string(),
         ),
-        key("pools", POOLS),
-        key("pool_heads", HEADS),
-        key("pool_head", head_key(&pool)),
-        key("prices", PRICES),
+        key("pools", ACCOUNT_PREFIX),
+        key("pool_heads", CURRENT_REQUEST_PREFIX),
+        key("pool_head", current_request_key(&pool)),
+        key("prices", PRICE_PREFIX),
     ];
     compare(include_str!("keys.tsv"), &cases);
     assert_eq!(unnamed.parse_block("3"), Some(3));
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -7,8 +7,8 @@
     DemandRecord, JobHeadRecord, JobRecord, LeaderRecord, MachineRecord, NodeRecord,
     ProvisioningIntent, ShapeRecord, ShardId, ShardRecord, TaskBlockRecord,
 };
-use forkshift_pools::account::{Asked, Miss, Price};
-use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
+use forkshift_pools::account::{ColdStart, PoolRequest, Price};
+use forkshift_pools::{EndReason, Membership, PoolName, PoolState, UsageInterval};
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
 use forkshift_wire::{JobId, MachineId, NodeName};
@@ -126,8 +126,8 @@
         memory_gb: 768.0,
         cache_gb: 200.0,
         fetch_gb_per_s: 1.5,
-        price: 12.25,
-        spot_price: None,
+        price_per_hour: 12.25,
+        spot_price_per_hour: None,
         boot_s: 45.0,
         zones: texts(&["hall-a"]),
     };
@@ -250,7 +250,7 @@
 
 #[test]
 fn pools() {
-    let interval = |ended| Interval {
+    let interval = |ended| UsageInterval {
         pool: pool(),
         machine: MachineId::new("m-1"),
         machine_type: "big".to_owned(),
@@ -258,16 +258,16 @@
         state: PoolState::Fetching,
         from_ms: 1000,
         to_ms: 2000,
-        ended,
+        end_reason: ended,
     };
-    let asked = |to_ms| Asked {
+    let asked = |to_ms| PoolRequest {
         pool: pool(),
         team: "vision".to_owned(),
         machines: 3,
         from_ms: 1000,
         to_ms,
     };
-    let miss = Miss {
+    let miss = ColdStart {
         pool: pool(),
         job: "j-412".to_owned(),
         tasks: 4,
@@ -286,15 +286,15 @@
         stored("state_up", &PoolState::Up),
         stored("state_fetching", &PoolState::Fetching),
         stored("state_warm", &PoolState::Warm),
-        stored("ended_handed_out", &Ended::HandedOut),
-        stored("ended_reclaimed", &Ended::Reclaimed),
-        stored("ended_surplus", &Ended::Surplus),
-        stored("ended_withdrawn", &Ended::Withdrawn),
-        stored("ended_stalled", &Ended::Stalled),
-        stored("ended_lost", &Ended::Lost),
-        stored("interval_full", &interval(Some(Ended::Lost))),
+        stored("ended_handed_out", &EndReason::Allocated),
+        stored("ended_reclaimed", &EndReason::Reclaimed),
+        stored("ended_surplus", &EndReason::ScaledIn),
+        stored("ended_withdrawn", &EndReason::PoolRemoved),
+        stored("ended_stalled", &EndReason::FetchTimedOut),
+        stored("ended_lost", &EndReason::Failed),
+        stored("interval_full", &interval(Some(EndReason::Failed))),
         stored("interval_least", &interval(None)),
-        read::<Interval>("interval_fields_left_out", interval_left_out),
+        read::<UsageInterval>("interval_fields_left_out", interval_left_out),
         stored("asked_full", &asked(Some(2000))),
         stored("asked_least", &asked(None)),
         stored("miss", &miss),
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -86,11 +86,11 @@
     /// An answer with an error message.
     pub(crate) fn error(status: u16, error: &str) -> Self {
         let error = error.to_owned();
-        Self::json(status, &forkshift_wire::users::Refusal { error })
+        Self::json(status, &forkshift_wire::users::ErrorBody { error })
     }
 
     /// A 503 with an error message, to be retried after a second.
-    pub(crate) fn later(error: &str) -> Self {
+    pub(crate) fn unavailable(error: &str) -> Self {
         Self {
             retry_after_s: Some(RETRY_AFTER_S),
             ..Self::error(503, error)
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -137,7 +137,8 @@
 
     /// The checks that run at a fixed interval: formats, assignment, cancellations.
     fn check_cluster(&mut self, ctx: &mut Context, view: &ClusterView) {
-        self.assignment.next_check_at = ctx.now + crate::ms(ctx.config.ops.assign_s);
+        self.assignment.next_check_at =
+            ctx.now + crate::ms(ctx.config.operator.assignment_interval_s);
         self.finalize_format(ctx, view);
         self.log_unsupported_nodes(ctx, view);
         self.assign(ctx, view);
@@ -147,7 +148,7 @@
     /// Moves machines between shards and provisions new ones, if the last time is
     /// long enough ago.
     fn plan_machines(&mut self, ctx: &mut Context, view: &ClusterView) {
-        let interval = crate::ms(ctx.config.ops.round_gap_s);
+        let interval = crate::ms(ctx.config.operator.min_round_interval_s);
         if ctx.now < self.last_planned_at + interval {
             return;
         }
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -36,7 +36,7 @@
     pub(super) fn assign(&mut self, ctx: &mut Context, view: &ClusterView) {
         let mut counts = eligible_nodes(view);
         let mut unassigned = Vec::new();
-        for shard_id in (0..ctx.config.shards()).map(ShardId) {
+        for shard_id in (0..ctx.config.shard_count()).map(ShardId) {
             match view.holder(shard_id) {
                 Some(holder) => {
                     if let Some(count) = counts.get_mut(holder) {
@@ -64,7 +64,7 @@
     /// registered yet, lest the first one be given everything. Where one has
     /// stayed, shards are not kept waiting for those that may return.
     fn retain_assignable(&self, ctx: &Context, view: &ClusterView, unassigned: &mut Vec<ShardId>) {
-        let is_first_start = unassigned.len() == ctx.config.shards() as usize;
+        let is_first_start = unassigned.len() == ctx.config.shard_count() as usize;
         let registration_ends_at = self.elected_at + ctx.config.node_lease_ms() / 2;
         let is_early = is_first_start && ctx.now < registration_ends_at;
         unassigned.retain(|shard_id| {
--- a/crates/core/src/leader/cancellations.rs
+++ b/crates/core/src/leader/cancellations.rs
@@ -32,7 +32,7 @@
         for (id, &version) in &view.cancellations {
             let seen = known.get(id).filter(|known| known.version == version);
             let since = seen.map_or(ctx.now, |known| known.since);
-            if ctx.now > since + ctx.config.cancel_ms {
+            if ctx.now > since + ctx.config.cancellation_timeout_ms {
                 remove_key(ctx, cancellation_key(id), version);
             } else {
                 let waiting = WaitingCancellation { version, since };
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -6,7 +6,9 @@
 use crate::records::MachineRecord;
 use crate::store::view::{ChangedMachines, ClusterView};
 use crate::Ms;
-use forkshift_wire::cloud::{Listed, MachineList, MachineStage, DELETE_MOST, LIST_MOST};
+use forkshift_wire::cloud::{
+    ListedMachine, MachineList, MachineStage, MAX_DELETION_COUNT, MAX_LIST_PAGE_SIZE,
+};
 use forkshift_wire::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -80,7 +82,7 @@
 }
 
 /// Machines of a complete list, by their names.
-type ListedMachines<'a> = BTreeMap<&'a MachineId, &'a Listed>;
+type ListedMachines<'a> = BTreeMap<&'a MachineId, &'a ListedMachine>;
 
 impl Leader {
     /// Reads the catalogue and the list of machines when they are due.
@@ -100,7 +102,7 @@
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
-        mut machines: Vec<Listed>,
+        mut machines: Vec<ListedMachine>,
         status: u16,
         body: &[u8],
     ) {
@@ -113,7 +115,7 @@
             return;
         };
         machines.extend(page.machines);
-        if page.more && !machines.is_empty() {
+        if page.has_next && !machines.is_empty() {
             self.inventory.is_listing = true;
             list_machines(ctx, machines);
             return;
@@ -146,7 +148,7 @@
         view: &ClusterView,
         id: &MachineId,
         record: &MachineRecord,
-        listed: Option<&Listed>,
+        listed: Option<&ListedMachine>,
     ) -> Option<&'static str> {
         let known_for = self.inventory.known_for(ctx.now, id);
         let max_boot_ms = crate::ms(boot_seconds(view, &record.machine_type) * MAX_BOOTS);
@@ -169,7 +171,7 @@
     /// Deletes machines that have no record: they were provisioned by a request that
     /// was carried out late, and nothing was ever started there. Without a valid
     /// lease there may be a successor, whose machines this view does not show.
-    fn delete_unknown(&mut self, ctx: &mut Context, view: &ClusterView, listed: &[Listed]) {
+    fn delete_unknown(&mut self, ctx: &mut Context, view: &ClusterView, listed: &[ListedMachine]) {
         let has_intents =
             !view.provisioning_intents.is_empty() || self.provisioning.is_writing_intents();
         if !ctx.has_valid_lease || has_intents {
@@ -184,7 +186,7 @@
             .filter(|id| !view.machines.contains_key(*id))
             .filter(|id| !inventory.being_deleted.contains(*id))
             .filter(|id| !inventory.first_seen_at.contains_key(*id))
-            .take(DELETE_MOST)
+            .take(MAX_DELETION_COUNT)
             .cloned()
             .collect();
         if !unknown.is_empty() && self.cloud.try_acquire(ctx.now) {
@@ -195,8 +197,8 @@
 }
 
 /// Reads the list of machines from behind the last one of those that are read.
-fn list_machines(ctx: &mut Context, page: Vec<Listed>) {
-    let mut path = format!("/machines?most={LIST_MOST}");
+fn list_machines(ctx: &mut Context, page: Vec<ListedMachine>) {
+    let mut path = format!("/machines?most={MAX_LIST_PAGE_SIZE}");
     if let Some(last) = page.last() {
         path.push_str(&format!("&from={}", last.id));
     }
--- a/crates/core/src/leader/prices.rs
+++ b/crates/core/src/leader/prices.rs
@@ -8,7 +8,7 @@
 use super::Leader;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
-use crate::pools::add_row;
+use crate::pools::add_account_row;
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
 use forkshift_pools::account::Price;
@@ -35,8 +35,8 @@
             let price = Price {
                 machine_type: machine_type.name.clone(),
                 from_ms: ctx.wall_clock_ms,
-                hourly: machine_type.price,
-                spot_hourly: machine_type.spot_price,
+                hourly: machine_type.price_per_hour,
+                spot_hourly: machine_type.spot_price_per_hour,
             };
             if !self.is_recorded(&price) {
                 write_price(ctx, view, price);
@@ -54,7 +54,7 @@
 
     /// The write of a price was answered. Without an answer it is written again after
     /// the next read of the catalogue.
-    pub(crate) fn on_price_row(&mut self, price: Price, status: u16) {
+    pub(crate) fn on_price_recorded(&mut self, price: Price, status: u16) {
         if status == 200 {
             let machine_type = price.machine_type.clone();
             self.catalog.recorded_prices.insert(machine_type, price);
@@ -67,7 +67,7 @@
         preconditions: vec![leader_precondition(view)],
         writes: Vec::new(),
     };
-    add_row(&mut transaction, price.key(), &price);
+    add_account_row(&mut transaction, price.key(), &price);
     ctx.transact(
         Urgency::Background,
         &transaction,
--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -43,7 +43,7 @@
         ctx: &Context,
         view: &ClusterView,
     ) -> BTreeMap<ShardId, DemandRecord> {
-        let ttl = crate::ms(ctx.config.ops.round_s * REPORTED_DEMAND_ROUNDS);
+        let ttl = crate::ms(ctx.config.operator.round_interval_s * REPORTED_DEMAND_ROUNDS);
         let written = view
             .demands
             .iter()
@@ -99,7 +99,7 @@
 
 impl Leader {
     /// A holder has sent the unmet demand of its shard.
-    pub(crate) fn on_demand(
+    pub(crate) fn on_demand_received(
         &mut self,
         now: Ms,
         shard_id: ShardId,
@@ -286,13 +286,13 @@
 /// Whether a task of a shape fits an empty machine.
 fn fits(view: &ClusterView, shape: &ShapeRecord, record: &MachineRecord) -> bool {
     let capacity = capacity_of_type(view, &record.machine_type);
-    capacity.is_some_and(|capacity| shape.resources().fits(&capacity))
+    capacity.is_some_and(|capacity| shape.resources().fits_in(&capacity))
 }
 
 /// Reserves room for up to `max_tasks` tasks, and returns for how many.
 fn reserve(room: &mut Resources, task: &Resources, max_tasks: u32) -> u32 {
     let mut reserved = 0;
-    while reserved < max_tasks && task.fits(room) && !task.is_zero() {
+    while reserved < max_tasks && task.fits_in(room) && !task.is_zero() {
         *room -= *task;
         reserved += 1;
     }
--- a/crates/core/src/leader/scale_in.rs
+++ b/crates/core/src/leader/scale_in.rs
@@ -6,12 +6,12 @@
 use super::Leader;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
-use crate::pools::add_row;
+use crate::pools::add_account_row;
 use crate::records::{machine_key, MachineRecord};
 use crate::store::queue::Urgency;
 use crate::store::view::{ClusterView, Versioned};
-use forkshift_pools::{Ended, Interval};
-use forkshift_wire::cloud::DELETE_MOST;
+use forkshift_pools::{EndReason, UsageInterval};
+use forkshift_wire::cloud::MAX_DELETION_COUNT;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::MachineId;
 
@@ -43,7 +43,7 @@
             .decommissioned
             .iter()
             .filter(|id| !self.inventory.being_deleted.contains(*id))
-            .take(DELETE_MOST)
+            .take(MAX_DELETION_COUNT)
             .cloned()
             .collect();
         if !decommissioned.is_empty() && self.cloud.try_acquire(ctx.now) {
@@ -124,7 +124,7 @@
     /// Version of its record.
     version: u64,
     /// The end of a pool's charge for it, if its holder has not recorded one.
-    row: Option<Interval>,
+    row: Option<UsageInterval>,
 }
 
 impl DeletedMachine {
@@ -133,7 +133,7 @@
         Self {
             id: id.clone(),
             version: machine.version,
-            row: record.close_membership(id, wall_clock_ms, Err(Ended::Lost)),
+            row: record.close_membership(id, wall_clock_ms, Err(EndReason::Failed)),
         }
     }
 
@@ -157,7 +157,7 @@
         });
         transaction.writes.push(Write::Remove { remove: key });
         if let Some(row) = &machine.row {
-            add_row(&mut transaction, row.key(), row);
+            add_account_row(&mut transaction, row.key(), row);
         }
     }
     transaction
--- a/crates/core/src/leader/scale_out/intents.rs
+++ b/crates/core/src/leader/scale_out/intents.rs
@@ -9,7 +9,7 @@
 use crate::records::{provisioning_intent_key, ProvisioningIntent, ShardId};
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
-use forkshift_wire::cloud::{Rent, RENT_MOST};
+use forkshift_wire::cloud::{ProvisionRequest, MAX_PROVISION_COUNT};
 
 impl Leader {
     /// Writes one intent. The name of its request is never used again.
@@ -22,7 +22,7 @@
     ) {
         let type_names: Vec<&String> = view.machine_types.keys().collect();
         let intent = ProvisioningIntent {
-            parts: limit_parts(parts, RENT_MOST),
+            parts: limit_parts(parts, MAX_PROVISION_COUNT),
             machine_type: type_names[kind.machine_type as usize].clone(),
             zone: zone_names(view)[kind.zone as usize].clone(),
             spot: kind.spot,
@@ -75,8 +75,8 @@
 
 /// Requests the machines of an intent from the cloud.
 fn send_request(ctx: &mut Context, request: &str, intent: &ProvisioningIntent) {
-    let body = Rent {
-        request: request.to_owned(),
+    let body = ProvisionRequest {
+        request_name: request.to_owned(),
         machine_type: intent.machine_type.clone(),
         zone: intent.zone.clone(),
         spot: intent.spot,
--- a/crates/core/src/leader/scale_out/planning.rs
+++ b/crates/core/src/leader/scale_out/planning.rs
@@ -6,8 +6,8 @@
 use crate::leader::Leader;
 use crate::records::{capacity_of, DemandRecord, ShapeRecord, ShardId};
 use crate::store::view::ClusterView;
-use forkshift_sched::{plan, Offer, Shape};
-use forkshift_wire::cloud::{MachineType, RENT_MOST};
+use forkshift_sched::{plan_scale_out, MachineOffer, TaskShape};
+use forkshift_wire::cloud::{MachineType, MAX_PROVISION_COUNT};
 use std::collections::{BTreeMap, HashMap};
 
 /// Zones of a machine type that are considered where tasks may run in any: enough
@@ -57,13 +57,13 @@
             let held = held.get_or_insert_with(|| held_machines(view));
             let offers = self.offers(ctx, view, *shard_id, held);
             let shapes = shapes_to_provision(view, &demand.shapes);
-            let are_zones_free = shapes.iter().all(|shape| shape.zones.is_none());
+            let are_zones_free = shapes.iter().all(|shape| shape.allowed_zones.is_none());
             let offers = if are_zones_free {
                 limit_zones(offers)
             } else {
                 offers
             };
-            for part in plan(&shapes, &offers, RENT_MOST) {
+            for part in plan_scale_out(&shapes, &offers, MAX_PROVISION_COUNT) {
                 let kind = kind_of_offer(&offers[part.offer]);
                 planned
                     .entry(kind)
@@ -89,7 +89,7 @@
         view: &ClusterView,
         shard_id: ShardId,
         held: &HeldMachines,
-    ) -> Vec<Offer> {
+    ) -> Vec<MachineOffer> {
         let zones = zone_names(view);
         let capacity = &self.provisioning.capacity;
         let mut offers = Vec::new();
@@ -112,13 +112,13 @@
                     if capacity.is_out_of_capacity(ctx.now, &kind) {
                         continue;
                     }
-                    offers.push(Offer {
+                    offers.push(MachineOffer {
                         machine_type: type_number as u16,
                         zone: zone_number as u16,
-                        spot,
+                        is_spot: spot,
                         total: capacity_of(machine_type),
-                        price,
-                        held: held_machines + capacity.penalty_machines(ctx.now, &kind),
+                        price_per_hour: price,
+                        machines_in_zone: held_machines + capacity.penalty_machines(ctx.now, &kind),
                     });
                 }
             }
@@ -129,20 +129,20 @@
 
 /// Prices of a machine type, each with whether it is that of a spot machine.
 fn prices(machine_type: &MachineType) -> impl Iterator<Item = (bool, f64)> {
-    let spot_price = machine_type.spot_price.map(|price| (true, price));
-    std::iter::once((false, machine_type.price)).chain(spot_price)
+    let spot_price = machine_type.spot_price_per_hour.map(|price| (true, price));
+    std::iter::once((false, machine_type.price_per_hour)).chain(spot_price)
 }
 
-fn kind_of_offer(offer: &Offer) -> OfferedKind {
+fn kind_of_offer(offer: &MachineOffer) -> OfferedKind {
     OfferedKind {
         machine_type: offer.machine_type,
         zone: offer.zone,
-        spot: offer.spot,
+        spot: offer.is_spot,
     }
 }
 
 /// The shapes of a demand, with types and zones by their numbers in offers.
-fn shapes_to_provision(view: &ClusterView, shapes: &[ShapeRecord]) -> Vec<Shape> {
+fn shapes_to_provision(view: &ClusterView, shapes: &[ShapeRecord]) -> Vec<TaskShape> {
     let zones = zone_names(view);
     let type_number = |name: &String| {
         let position = view.machine_types.keys().position(|known| known == name);
@@ -152,19 +152,19 @@
         let position = zones.iter().position(|known| known == name);
         position.map(|number| number as u16)
     };
-    let to_shape = |shape: &ShapeRecord| Shape {
-        task: shape.resources(),
+    let to_shape = |shape: &ShapeRecord| TaskShape {
+        task_resources: shape.resources(),
         count: shape.count,
-        types: shape
+        allowed_types: shape
             .types
             .as_ref()
             .map(|names| names.iter().filter_map(type_number).collect()),
-        zones: shape
+        allowed_zones: shape
             .zones
             .as_ref()
             .map(|names| names.iter().filter_map(zone_number).collect()),
-        spot: shape.spot,
-        spot_only: shape.is_borrowing,
+        allows_spot: shape.spot,
+        requires_spot: shape.is_borrowing,
     };
     shapes.iter().map(to_shape).collect()
 }
@@ -185,11 +185,11 @@
 
 /// Keeps of each type, spot and not, only the zones where the fewest machines are
 /// held.
-fn limit_zones(mut offers: Vec<Offer>) -> Vec<Offer> {
-    offers.sort_by_key(|offer| (offer.machine_type, offer.spot, offer.held));
+fn limit_zones(mut offers: Vec<MachineOffer>) -> Vec<MachineOffer> {
+    offers.sort_by_key(|offer| (offer.machine_type, offer.is_spot, offer.machines_in_zone));
     let mut zone_counts: BTreeMap<(u16, bool), u32> = BTreeMap::new();
     offers.retain(|offer| {
-        let kind = (offer.machine_type, offer.spot);
+        let kind = (offer.machine_type, offer.is_spot);
         let zones = zone_counts.entry(kind).or_default();
         *zones += 1;
         *zones <= MAX_ZONES
--- a/crates/core/src/leader/scale_out/results.rs
+++ b/crates/core/src/leader/scale_out/results.rs
@@ -9,7 +9,7 @@
 use crate::records::{machine_key, provisioning_intent_key, MachineRecord, ProvisioningIntent};
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
-use forkshift_wire::cloud::Machines;
+use forkshift_wire::cloud::MachineIds;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::to_value;
@@ -187,6 +187,6 @@
     if status != 200 {
         return Vec::new();
     }
-    let answer: Machines = serde_json::from_slice(body).unwrap_or_default();
+    let answer: MachineIds = serde_json::from_slice(body).unwrap_or_default();
     answer.machines
 }
--- a/crates/core/src/leader/scale_out/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -67,7 +67,7 @@
         let mut put = put_machines(&f.step(0));
         f.finalize_format();
         for revision in 20..40 {
-            if !f.node.ctx.pending.values().any(is_result_write) {
+            if !f.node.ctx.pending_calls.values().any(is_result_write) {
                 break;
             }
             let mut effects = f.answer(is_result_write, 200, &json!({"ledger_rev": revision}));
--- a/crates/core/src/membership/failure_detector.rs
+++ b/crates/core/src/membership/failure_detector.rs
@@ -8,7 +8,7 @@
 //! answer (`Node::may_keep_worker_alive`), and is reachable again sooner than replacements
 //! would have booted.
 
-use crate::config::{Config, REPORT_LATE_MS};
+use crate::config::{Config, HEARTBEAT_DELAY_ALLOWANCE_MS};
 use crate::Ms;
 use std::collections::BTreeMap;
 use std::ops::Add;
@@ -42,16 +42,16 @@
 
 /// Time that a single machine may be silent, as configured, in milliseconds.
 pub(crate) fn configured_silence_ms(config: &Config) -> Ms {
-    (config.lease_ms as f64 * config.ops.silent_leases) as Ms
+    (config.lease_ms as f64 * config.operator.max_silence_leases) as Ms
 }
 
 /// Time from a worker's lost heartbeat until its next one can be received, in milliseconds.
 pub(crate) fn reconnect_ms(config: &Config) -> Ms {
-    config.longest_report_ms()
+    config.max_heartbeat_interval_ms()
         + HEARTBEAT_TIMEOUT_MS
         + NEXT_CONTROLLER_PAUSE_MS
         + REDIRECT_MS
-        + REPORT_LATE_MS
+        + HEARTBEAT_DELAY_ALLOWANCE_MS
 }
 
 /// Time that a single machine may be silent, in milliseconds. One lost heartbeat must not
--- a/crates/core/src/membership/failure_detector/tests.rs
+++ b/crates/core/src/membership/failure_detector/tests.rs
@@ -27,7 +27,7 @@
         let zone = |n: usize| if n < inside { "in" } else { "out" }.to_owned();
         let zones = config.nodes.iter().enumerate();
         config.zones = zones.map(|(n, name)| (name.clone(), zone(n))).collect();
-        (config.lease_ms, config.report_ms) = (lease, heartbeat);
+        (config.lease_ms, config.heartbeat_interval_ms) = (lease, heartbeat);
         assert_eq!(is_zone_worth_waiting(&config, "in"), waits, "{name}");
     }
 }
@@ -63,8 +63,8 @@
     for (lease, heartbeat, waited) in cases {
         let mut f = crate::fixture::Fixture::new();
         let config = std::rc::Rc::get_mut(&mut f.node.ctx.config).expect("nobody else has it");
-        (config.lease_ms, config.report_ms) = (lease, heartbeat);
-        assert_eq!(f.node.ctx.silent_ms(), waited, "lease of {lease} ms");
+        (config.lease_ms, config.heartbeat_interval_ms) = (lease, heartbeat);
+        assert_eq!(f.node.ctx.max_silence_ms(), waited, "lease of {lease} ms");
     }
 }
 
@@ -80,7 +80,7 @@
             are_all_isolated,
             ..FailureDetector::default()
         };
-        f.node.note_link(Link::Heartbeats, !is_isolated);
+        f.node.set_link(Link::Heartbeats, !is_isolated);
         let machine = &f.node.shards[&f.shard].machines[&id];
         f.node.ctx.removal_timeout_ms(machine)
     };
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -12,7 +12,7 @@
 use crate::store::view::ClusterView;
 use crate::Ms;
 use forkshift_wire::state::{LeaseReply, LeaseRequest, Precondition, Transaction, Write};
-use forkshift_wire::users::Refusal;
+use forkshift_wire::users::ErrorBody;
 use serde::Serialize;
 use serde_json::to_value;
 
@@ -347,7 +347,7 @@
 /// Whether the body of a 400 says that the lease has expired, rather than that the
 /// transaction is malformed or too large.
 pub(crate) fn is_no_such_lease(body: &[u8]) -> bool {
-    serde_json::from_slice::<Refusal>(body).is_ok_and(|r| r.error == NO_SUCH_LEASE)
+    serde_json::from_slice::<ErrorBody>(body).is_ok_and(|r| r.error == NO_SUCH_LEASE)
 }
 
 fn is_lease_expired(status: u16, body: &[u8]) -> bool {
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -80,13 +80,13 @@
     }
 
     /// Whether there are so many names that those out of use should be forgotten.
-    pub(crate) fn are_many(&self) -> bool {
+    pub(crate) fn is_over_limit(&self) -> bool {
         self.names.len() > self.max_names
     }
 
     /// Forgets all images that are not in use. The limit grows to twice the number of those
     /// that are, so that this is not done too often.
-    pub(crate) fn keep(&mut self, used: &BTreeSet<u32>) {
+    pub(crate) fn retain_used(&mut self, used: &BTreeSet<u32>) {
         self.names.retain(|number, _| used.contains(number));
         self.numbers.retain(|_, number| used.contains(number));
         self.max_names = self.max_names.max(self.names.len() * 2);
--- a/crates/core/src/names/tests.rs
+++ b/crates/core/src/names/tests.rs
@@ -38,11 +38,11 @@
     for n in 0..3 {
         images.number(&format!("img-{n}"));
     }
-    assert!(!images.are_many());
+    assert!(!images.is_over_limit());
     images.number("img-3");
-    assert!(images.are_many());
-    images.keep(&BTreeSet::from([1]));
-    assert!(!images.are_many());
+    assert!(images.is_over_limit());
+    images.retain_used(&BTreeSet::from([1]));
+    assert!(!images.is_over_limit());
     assert_eq!(images.name(1), Some("img-1"));
     assert_eq!(images.name(0), None);
     assert_eq!(images.number("img-1"), 1);
@@ -53,11 +53,11 @@
 fn limit_of_images_doubles_when_all_are_in_use() {
     let mut images = ImageNames::new(2);
     let used: BTreeSet<u32> = (0..3).map(|n| images.number(&format!("img-{n}"))).collect();
-    images.keep(&used);
+    images.retain_used(&used);
     for n in 3..6 {
         images.number(&format!("img-{n}"));
-        assert!(!images.are_many());
+        assert!(!images.is_over_limit());
     }
     images.number("img-6");
-    assert!(images.are_many());
+    assert!(images.is_over_limit());
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -24,7 +24,7 @@
 use crate::recent_jobs::{FinalStages, RecentJobs};
 use crate::records::ShardId;
 use crate::shard::dependencies::DependencyTracker;
-use crate::shard::{Phase, Shard};
+use crate::shard::{RecoveryState, Shard};
 use crate::store::budget::{Budget, BudgetTerms};
 use crate::store::view::{ChangedMachines, ClusterView};
 use crate::Ms;
@@ -135,7 +135,7 @@
             } => self.on_request(request, &method, &path, body),
             Input::Peer(message) => self.on_peer_message(&message),
             Input::Response { call, status, body } => {
-                if let Some(pending) = self.ctx.pending.remove(&call) {
+                if let Some(pending) = self.ctx.pending_calls.remove(&call) {
                     self.on_call_ended(pending, status, &body);
                 }
             }
@@ -146,7 +146,7 @@
     fn on_call_ended(&mut self, pending: PendingCall, status: u16, body: &[u8]) {
         let now = self.ctx.now;
         match pending.service() {
-            Service::Worker => self.ctx.worker_calls -= 1,
+            Service::Worker => self.ctx.worker_calls_in_flight -= 1,
             Service::Cloud => self.ctx.cloud_link.on_call(now, status != 0),
             Service::Store => {
                 let Context { store, rng, .. } = &mut self.ctx;
@@ -204,9 +204,10 @@
         self.follow_dependencies();
         self.tick_shards(&machines, has_view_changed);
         for (shard, epoch, record) in std::mem::take(&mut self.ctx.unmet_demand) {
-            self.leader.on_demand(self.ctx.now, shard, epoch, record);
+            self.leader
+                .on_demand_received(self.ctx.now, shard, epoch, record);
         }
-        self.follow_forwards();
+        self.expire_forwards();
         self.repeat_cancellation_polls();
         self.expire_cancel_waits();
         self.log_status();
@@ -217,12 +218,12 @@
         for shard in self.shards.values_mut() {
             shard.relist_jobs(&mut self.ctx);
             shard.watch_jobs(&mut self.ctx);
-            if let Phase::Waiting(revision) = shard.phase {
+            if let RecoveryState::Waiting(revision) = shard.recovery_state {
                 if self.view.revision >= revision {
                     shard.activate(&mut self.ctx, &self.view);
                 }
             }
-            if shard.phase != Phase::Active {
+            if shard.recovery_state != RecoveryState::Active {
                 continue;
             }
             if has_view_changed {
@@ -256,8 +257,8 @@
     fn follow_cloud_link(&mut self) {
         let max_outage_ms = self.ctx.config.node_lease_ms();
         let is_lost = self.ctx.cloud_link.is_lost(self.ctx.now, max_outage_ms);
-        self.note_link(Link::Cloud, !is_lost);
-        let may_lead = self.ctx.links.allow(Decision::Lead) || self.view.nodes.len() < 2;
+        self.set_link(Link::Cloud, !is_lost);
+        let may_lead = self.ctx.links.allows(Decision::RemainLeader) || self.view.nodes.len() < 2;
         let (node, incarnation) = (&self.ctx.config.node, self.ctx.incarnation);
         if !may_lead && self.view.is_led_by(node, incarnation) {
             self.membership.resign(&mut self.ctx, &self.view);
@@ -281,7 +282,7 @@
     /// Forgets the names of images that no job and no machine here uses: users name new
     /// ones for as long as the process lives.
     fn forget_images(&mut self) {
-        if !self.ctx.images.are_many() {
+        if !self.ctx.images.is_over_limit() {
             return;
         }
         let mut used = BTreeSet::new();
@@ -290,6 +291,6 @@
             let machines = shard.machines.values();
             used.extend(machines.flat_map(|m| m.images.iter().map(|(image, _)| *image)));
         }
-        self.ctx.images.keep(&used);
+        self.ctx.images.retain_used(&used);
     }
 }
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -8,7 +8,7 @@
     MIN_CALLED_MACHINES,
 };
 use crate::shard::machine::Machine;
-use crate::shard::{Phase, Shard};
+use crate::shard::{RecoveryState, Shard};
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
 use forkshift_wire::NodeName;
@@ -27,13 +27,13 @@
         }
         self.next_failure_detection_at = self.ctx.now + self.ctx.heartbeat_interval_ms();
         self.send_heartbeats();
-        self.ask_for_relays();
+        self.request_relays();
         let zones = self.machine_counts();
         let total = zones
             .values()
             .fold(MachineCounts::default(), |sum, counts| sum + *counts);
-        self.note_link(Link::Heartbeats, !total.lacks_heartbeats());
-        self.note_link(Link::WorkerCalls, !total.lacks_answers());
+        self.set_link(Link::Heartbeats, !total.lacks_heartbeats());
+        self.set_link(Link::WorkerCalls, !total.lacks_answers());
         if total.needs_more_calls() {
             self.call_uncalled_machines();
         }
@@ -43,7 +43,7 @@
     /// Recomputes whether the lease is valid, and notes it where decisions rest on it.
     fn update_lease_validity(&mut self) {
         self.ctx.has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
-        self.note_link(Link::Store, self.ctx.has_valid_lease);
+        self.set_link(Link::Store, self.ctx.has_valid_lease);
         if self.ctx.has_valid_lease {
             self.ctx
                 .peer_confirmations
@@ -54,7 +54,11 @@
     /// Counts the machines of the active shards by zone.
     fn machine_counts(&self) -> BTreeMap<u16, MachineCounts> {
         let mut zones = BTreeMap::new();
-        for shard in self.shards.values().filter(|s| s.phase == Phase::Active) {
+        for shard in self
+            .shards
+            .values()
+            .filter(|s| s.recovery_state == RecoveryState::Active)
+        {
             count_machines(shard, &self.ctx, &mut zones);
         }
         zones
@@ -68,7 +72,7 @@
         total: &MachineCounts,
     ) {
         let ctx = &mut self.ctx;
-        let is_isolated = ctx.has_valid_lease && !ctx.links.allow(Decision::HoldShards);
+        let is_isolated = ctx.has_valid_lease && !ctx.links.allows(Decision::HoldShards);
         if is_isolated && !ctx.failure_detector.is_isolated() {
             log::info!(
                 "failure detector: isolated, {} of {} machines silent, {} without answer to calls",
@@ -100,18 +104,18 @@
         let timing = self.ctx.config.link_timing();
         let now = self.ctx.now;
         let shards = self.shards.values_mut();
-        for shard in shards.filter(|s| s.phase == Phase::Active) {
+        for shard in shards.filter(|s| s.recovery_state == RecoveryState::Active) {
             let Shard {
                 machines, recheck, ..
             } = shard;
             let uncalled = machines.values_mut().filter(|machine| {
                 machine.last_heartbeat_at.is_some()
                     && !machine.has_call_in_flight
-                    && !machine.link.is_call_recent(now, &timing)
+                    && !machine.link.has_recent_call(now, &timing)
             });
             for machine in uncalled.take(MIN_CALLED_MACHINES as usize) {
                 machine.must_send_token = true;
-                recheck.touch(&machine.id);
+                recheck.mark_due(&machine.id);
             }
         }
     }
@@ -158,7 +162,8 @@
     if machine.addr.is_none() && machine.last_heartbeat_at.is_none() {
         return None;
     }
-    let quiet_ms = (configured_silence_ms(&ctx.config) / 2).max(ctx.config.longest_report_ms());
+    let quiet_ms =
+        (configured_silence_ms(&ctx.config) / 2).max(ctx.config.max_heartbeat_interval_ms());
     let is_silent = ctx.now > machine.last_sign_of_life(ctx.resumed_at) + quiet_ms;
     // A machine of a shard that has just been recovered has not reported here yet. Counted
     // as heard, such machines would hide that a zone is partitioned.
@@ -167,7 +172,7 @@
     }
     // A worker that has never reported here may take a lease to find this controller.
     let timing = Timing {
-        report_ms: quiet_ms,
+        heartbeat_interval_ms: quiet_ms,
         lease_ms: ctx.config.lease_ms * 2,
     };
     let since = machine.known_since.max(ctx.resumed_at);
@@ -184,8 +189,8 @@
     }
     Some(MachineCounts {
         all: 1,
-        called: u32::from(machine.link.is_call_recent(ctx.now, &timing)),
-        uncallable: u32::from(!machine.link.is_callable()),
+        called: u32::from(machine.link.has_recent_call(ctx.now, &timing)),
+        uncallable: u32::from(!machine.link.is_reachable()),
         ..MachineCounts::default()
     })
 }
--- a/crates/core/src/node/peer_heartbeats.rs
+++ b/crates/core/src/node/peer_heartbeats.rs
@@ -2,10 +2,10 @@
 //! others', and which workers it may answer on their confirmations.
 
 use super::Node;
-use crate::bounds::listed_bytes;
+use crate::bounds::encoded_name_bytes;
 use crate::overflow::Overflow;
 use crate::records::ShardId;
-use crate::shard::{Phase, Shard};
+use crate::shard::{RecoveryState, Shard};
 use crate::Ms;
 use forkshift_wire::peer::{Body, PeerHeartbeat, SettledShard};
 use forkshift_wire::{MachineId, NodeName};
@@ -54,7 +54,7 @@
         let room = self.ctx.config.bounds.list_bytes;
         if keep_shortest_within(&mut settled, room) > 0 {
             let now = self.ctx.now;
-            self.ctx.overflows.note(now, Overflow::UnsettledMachines);
+            self.ctx.overflows.record(now, Overflow::UnsettledMachines);
         }
         settled
     }
@@ -123,7 +123,7 @@
     /// carried the command to stop; it is less than a lease old, or the worker's
     /// incarnation would have ended.
     pub(crate) fn may_answer_while_loading(&self, shard: &Shard, machine: &MachineId) -> bool {
-        self.ctx.now < shard.active_since + self.ctx.config.loading_grace_ms()
+        self.ctx.now < shard.active_since + self.ctx.config.recovery_grace_ms()
             || self.is_settled(shard.id, machine)
     }
 
@@ -166,7 +166,7 @@
             .map(ToString::to_string)
             .collect(),
     };
-    (shard.phase == Phase::Active).then(statement)
+    (shard.recovery_state == RecoveryState::Active).then(statement)
 }
 
 /// Keeps the statements that fit into `room` bytes, the shortest first, in the order of
@@ -175,7 +175,7 @@
 fn keep_shortest_within(settled: &mut Vec<SettledShard>, mut room: usize) -> usize {
     let bytes = |statement: &SettledShard| -> usize {
         let names = statement.unsettled_machines.iter();
-        names.map(|name| listed_bytes(name)).sum()
+        names.map(|name| encoded_name_bytes(name)).sum()
     };
     let count = settled.len();
     settled.sort_by_key(|statement| (bytes(statement), statement.shard));
--- a/crates/core/src/node/peer_heartbeats/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -101,7 +101,7 @@
     let config = node().ctx.config.clone();
     let own = config.node_lease_ms() - config.node_lease_ms() / 500;
     let grace = config.grace_ms();
-    assert!(grace + config.lease_ms < config.cancel_ms);
+    assert!(grace + config.lease_ms < config.cancellation_timeout_ms);
     let end = RENEWED_AT + own + grace;
     let later = end + 10_000;
     let seen = Some(EPOCH);
@@ -366,7 +366,7 @@
         // what an earlier holder confirmed is a lease old at the most.
         let stated = stated.is_some_and(|(_, held)| held.is_empty());
         let in_time =
-            (stated && now < RENEWED_AT + grace) || now < RENEWED_AT + config.loading_grace_ms();
+            (stated && now < RENEWED_AT + grace) || now < RENEWED_AT + config.recovery_grace_ms();
         let mut shard = node
             .shards
             .remove(&HELD_SHARD)
@@ -378,7 +378,7 @@
             "{name}: a shard held here"
         );
     }
-    assert!(config.loading_grace_ms() + config.lease_ms * 2 < config.cancel_ms);
+    assert!(config.recovery_grace_ms() + config.lease_ms * 2 < config.cancellation_timeout_ms);
 }
 
 fn unsettled(shard: u32, machines: usize) -> SettledShard {
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -37,12 +37,12 @@
                 self.on_handed_over(&shards, status, body);
             }
 
-            PendingCall::JobCreation(creation) => self.on_created(*creation, status, body),
+            PendingCall::JobCreation(creation) => self.on_job_created(*creation, status, body),
             PendingCall::JobLookup {
                 request,
                 id,
-                why,
-                until,
+                purpose: why,
+                deadline: until,
             } => self.on_lookup(request, id, why, until, status, body),
             PendingCall::AdmissionRead { request, id } => {
                 self.on_admission_read(request, &id, status, body);
@@ -93,19 +93,19 @@
             }
             PendingCall::PoolRecordsRead { shard, epoch } => {
                 self.with_shard(shard, epoch, |shard, ctx| {
-                    shard.on_pool_heads(ctx, status, body);
+                    shard.on_pool_requests_read(ctx, status, body);
                 });
             }
             PendingCall::PoolRequestWrite {
                 shard,
                 epoch,
-                asked,
+                request: asked,
             } => self.with_shard(shard, epoch, |shard, _| {
-                shard.on_pool_asked(*asked, status, body);
+                shard.on_pool_request_written(*asked, status, body);
             }),
             PendingCall::PoolRowWrite { shard, epoch, key } => {
                 self.with_shard(shard, epoch, |shard, ctx| {
-                    shard.on_pool_row(ctx, &key, status);
+                    shard.on_pool_row_written(ctx, &key, status);
                 });
             }
             PendingCall::DemandWrite { shard } => self.on_demand_written(shard, status, body),
@@ -118,7 +118,7 @@
             }),
             PendingCall::Housekeeping => {}
 
-            PendingCall::PriceRowWrite(price) => self.leader.on_price_row(*price, status),
+            PendingCall::PriceRowWrite(price) => self.leader.on_price_recorded(*price, status),
             PendingCall::Catalog => {
                 let leader = &mut self.leader;
                 leader.on_catalog(&mut self.ctx, &self.view, status, body);
@@ -189,7 +189,7 @@
             if let Some(machine) = shard.machines.get_mut(id) {
                 machine.is_writing_record = false;
                 machine.record_required_revision = machine.record_required_revision.max(revision);
-                shard.recheck.touch(id);
+                shard.recheck.mark_due(id);
             }
         }
     }
--- a/crates/core/src/node/shard_lookup.rs
+++ b/crates/core/src/node/shard_lookup.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::records::ShardId;
-use crate::shard::{Phase, Shard};
+use crate::shard::{RecoveryState, Shard};
 use forkshift_wire::JobId;
 use std::collections::BTreeMap;
 
@@ -15,7 +15,9 @@
 
 /// The active shard that holds an unfinished job.
 pub(crate) fn holder_of<'a>(shards: &'a BTreeMap<ShardId, Shard>, id: &JobId) -> Option<&'a Shard> {
-    let mut active = shards.values().filter(|shard| shard.phase == Phase::Active);
+    let mut active = shards
+        .values()
+        .filter(|shard| shard.recovery_state == RecoveryState::Active);
     active.find(|shard| shard.jobs.contains_key(id))
 }
 
@@ -26,6 +28,6 @@
 ) -> Option<&'a mut Shard> {
     let mut active = shards
         .values_mut()
-        .filter(|shard| shard.phase == Phase::Active);
+        .filter(|shard| shard.recovery_state == RecoveryState::Active);
     active.find(|shard| shard.jobs.contains_key(id))
 }
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -4,7 +4,7 @@
 use crate::context::{is_watch_lost, revision_of};
 use crate::pending_call::PendingCall;
 use crate::records::CLUSTER;
-use crate::shard::{Phase, Shard};
+use crate::shard::{RecoveryState, Shard};
 use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Changes, Item, Page};
@@ -64,7 +64,7 @@
     /// ending the watch.
     fn poll_if_due(&mut self) {
         let revision = self.view.revision;
-        let is_awaited = |shard: &Shard| matches!(shard.phase, Phase::Waiting(r) if r > revision);
+        let is_awaited = |shard: &Shard| matches!(shard.recovery_state, RecoveryState::Waiting(r) if r > revision);
         let is_behind = self.shards.values().any(is_awaited)
             || self.membership.waits_for_view(&self.view)
             || revision < self.view_sync.required_revision;
--- a/crates/core/src/overflow.rs
+++ b/crates/core/src/overflow.rs
@@ -48,7 +48,7 @@
 impl OverflowLog {
     /// A bound was exceeded. Returns how often it was since the last log line, if
     /// one is written now.
-    pub(crate) fn note(&mut self, now: Ms, bound: Overflow) -> Option<u64> {
+    pub(crate) fn record(&mut self, now: Ms, bound: Overflow) -> Option<u64> {
         let count = self.counts.entry(bound).or_default();
         count.since_logged += 1;
         if now < count.next_log_at {
--- a/crates/core/src/pending_call.rs
+++ b/crates/core/src/pending_call.rs
@@ -5,7 +5,7 @@
 use crate::io::{Reply, RequestId};
 use crate::records::ShardId;
 use crate::Ms;
-use forkshift_pools::account::{Asked, Price};
+use forkshift_pools::account::{PoolRequest, Price};
 use forkshift_wire::users::{JobSpec, JobStage};
 use forkshift_wire::workers::Command;
 use forkshift_wire::{JobId, MachineId, NodeName};
@@ -56,13 +56,13 @@
         serial: u64,
     },
     /// Writes the records of a submission.
-    JobCreation(Box<Creation>),
+    JobCreation(Box<JobCreation>),
     /// Reads the record of a job that is not held here.
     JobLookup {
         request: RequestId,
         id: JobId,
-        why: Lookup,
-        until: Ms,
+        purpose: LookupPurpose,
+        deadline: Ms,
     },
     /// Reads a dependency of a submission.
     AdmissionRead { request: RequestId, id: JobId },
@@ -99,7 +99,7 @@
     PoolRequestWrite {
         shard: ShardId,
         epoch: u64,
-        asked: Box<Asked>,
+        request: Box<PoolRequest>,
     },
     /// Writes a row of a pool's account in a transaction of its own.
     PoolRowWrite {
@@ -126,7 +126,7 @@
     /// Reads a page of the cloud's list of machines.
     MachineList {
         /// The machines of earlier pages.
-        page: Vec<forkshift_wire::cloud::Listed>,
+        page: Vec<forkshift_wire::cloud::ListedMachine>,
     },
     /// Records the intent to provision machines.
     ProvisioningIntentWrite { request: String },
@@ -163,19 +163,19 @@
 
 /// A submission whose records are being written.
 #[derive(Debug)]
-pub(crate) struct Creation {
+pub(crate) struct JobCreation {
     pub(crate) request: RequestId,
     pub(crate) spec: JobSpec,
     pub(crate) shard: ShardId,
     /// When the user is answered at the latest.
-    pub(crate) until: Ms,
+    pub(crate) deadline: Ms,
     /// The versions of its dependencies' records that its stage was decided on.
     pub(crate) dependencies: Vec<(JobId, u64)>,
     /// A dependency is cancelled, so the job is cancelled in the same transaction.
     pub(crate) is_cancelled: bool,
 }
 
-impl Creation {
+impl JobCreation {
     /// The stage of the job when it is accepted.
     pub(crate) fn stage(&self) -> JobStage {
         if self.is_cancelled {
@@ -193,14 +193,14 @@
     pub(crate) id: JobId,
     /// Version of the cancellation's key, for its removal.
     pub(crate) version: u64,
-    pub(crate) until: Ms,
+    pub(crate) deadline: Ms,
 }
 
 /// What a job is looked up for, as it is not held here.
 #[derive(Debug)]
-pub(crate) enum Lookup {
+pub(crate) enum LookupPurpose {
     /// A status query.
-    Question,
+    StatusQuery,
     /// A repeated submission; if the job does not exist, this is the answer.
     Submission(Reply),
     /// A cancellation.
--- a/crates/core/src/pools.rs
+++ b/crates/core/src/pools.rs
@@ -23,7 +23,7 @@
 mod requests;
 mod sizing;
 
-pub(crate) use ledger::{add_row, ShardPools};
+pub(crate) use ledger::{add_account_row, ShardPools};
 pub(crate) use membership::MachinePool;
 pub(crate) use placement::open_reservations;
 
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -8,8 +8,8 @@
 use crate::shard::Shard;
 use crate::store::queue::Urgency;
 use crate::Ms;
-use forkshift_pools::account::Miss;
-use forkshift_pools::{BadPool, PoolName};
+use forkshift_pools::account::ColdStart;
+use forkshift_pools::{PoolError, PoolName};
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::JobId;
 use serde::Serialize;
@@ -21,7 +21,7 @@
 
 /// Adds an account row to a transaction, on condition that its key does not exist. Keys
 /// name what a row is about, so writing a row again is idempotent.
-pub(crate) fn add_row(transaction: &mut Transaction, key: String, row: &impl Serialize) {
+pub(crate) fn add_account_row(transaction: &mut Transaction, key: String, row: &impl Serialize) {
     transaction.preconditions.push(Precondition {
         key: key.clone(),
         version: 0,
@@ -68,7 +68,7 @@
     /// When machines of each pool were handed out, the oldest first.
     handed_out_at: BTreeMap<PoolName, VecDeque<Ms>>,
     /// Pools that the catalogue rules out, and why.
-    pub(super) catalog_errors: BTreeMap<PoolName, BadPool>,
+    pub(super) catalog_errors: BTreeMap<PoolName, PoolError>,
 }
 
 impl ShardPools {
@@ -92,7 +92,7 @@
     }
 
     /// Records that a job found no machine of its pool, once for each job.
-    pub(super) fn note_miss(&mut self, id: &JobId, miss: Miss) {
+    pub(super) fn note_miss(&mut self, id: &JobId, miss: ColdStart) {
         if !self.counted_misses.insert(id.clone()) {
             return;
         }
@@ -113,7 +113,7 @@
 
 impl Shard {
     /// Reads the recorded requests if that is due, and writes the rows that are due.
-    pub(crate) fn write_pool_rows(&mut self, ctx: &mut Context) {
+    pub(crate) fn sync_pool_records(&mut self, ctx: &mut Context) {
         if ctx.format < FormatVersion::POOLS {
             return;
         }
@@ -131,7 +131,7 @@
                 preconditions: vec![held.clone()],
                 writes: Vec::new(),
             };
-            add_row(&mut transaction, key.clone(), &row.value);
+            add_account_row(&mut transaction, key.clone(), &row.value);
             let call = PendingCall::PoolRowWrite {
                 shard: self.id,
                 epoch: self.epoch,
@@ -143,7 +143,7 @@
 
     /// Handles the answer to the write of a row: 409 means that it had been written
     /// before.
-    pub(crate) fn on_pool_row(&mut self, ctx: &Context, key: &str, status: u16) {
+    pub(crate) fn on_pool_row_written(&mut self, ctx: &Context, key: &str, status: u16) {
         if matches!(status, 200 | 409) {
             self.pools.pending_rows.remove(key);
         } else if let Some(row) = self.pools.pending_rows.get_mut(key) {
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -9,7 +9,7 @@
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
-use forkshift_pools::{Ended, Membership, Pool, PoolName, PoolState};
+use forkshift_pools::{EndReason, Membership, Pool, PoolName, PoolState};
 use forkshift_wire::workers::HeldImages;
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
     }
 
     /// Takes in a changed record.
-    pub(crate) fn follow(&mut self, record: &MachineRecord) {
+    pub(crate) fn apply_record(&mut self, record: &MachineRecord) {
         let previous = std::mem::replace(&mut self.membership, record.pool.clone());
         if previous.map(|m| m.pool) != self.membership.as_ref().map(|m| m.pool.clone()) {
             self.joining = None;
@@ -55,7 +55,7 @@
 
     /// Whether a write or a fetch is outstanding, so that the machine is to be checked
     /// again soon.
-    pub(crate) fn is_busy(&self) -> bool {
+    pub(crate) fn is_pending(&self) -> bool {
         self.is_unrecorded || self.joining.is_some() || self.missing_since.is_some()
     }
 }
@@ -69,7 +69,7 @@
     }
 
     /// Takes in which images its worker reports.
-    pub(crate) fn note_images(&mut self, ctx: &mut Context, reported: Option<&HeldImages>) {
+    pub(crate) fn update_held_images(&mut self, ctx: &mut Context, reported: Option<&HeldImages>) {
         let Some(reported) = reported else {
             self.pool.held_images = None;
             return;
@@ -124,7 +124,7 @@
     /// Reconciles a machine's recorded membership with its state: it joins, changes its
     /// state, or leaves. One charged interval ends and the next begins at the moment at
     /// which this is decided.
-    pub(crate) fn note_membership(
+    pub(crate) fn reconcile_membership(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -155,7 +155,7 @@
                 "machine {id}: leaves pool {}, reason {reason:?}",
                 membership.pool
             );
-            if reason == Ended::HandedOut {
+            if reason == EndReason::Allocated {
                 self.pools.note_handed_out(&membership.pool, ctx.now);
             }
         }
@@ -174,7 +174,7 @@
             return;
         };
         let may_join = machine.may_join_pool(view) && ctx.format >= FormatVersion::POOLS;
-        let pool = ctx.config.ops.pools.get(&name).filter(|_| may_join);
+        let pool = ctx.config.operator.pools.get(&name).filter(|_| may_join);
         let Some(pool) = pool else {
             machine.pool.joining = None;
             return;
@@ -197,35 +197,35 @@
         ctx: &Context,
         id: &MachineId,
         membership: &Membership,
-    ) -> Result<PoolState, Ended> {
-        let machine = self.machines.get(id).ok_or(Ended::Lost)?;
+    ) -> Result<PoolState, EndReason> {
+        let machine = self.machines.get(id).ok_or(EndReason::Failed)?;
         if machine.decommission_reason.is_some() {
             return Err(self.end_of_membership(ctx, id).1);
         }
-        let declared = ctx.config.ops.pools.get(&membership.pool);
+        let declared = ctx.config.operator.pools.get(&membership.pool);
         if !machine.tasks.is_empty() {
             let mut tasks = machine.tasks.iter();
             let is_own = tasks.any(|task| self.is_for_pool(&task.job, declared));
             return Err(match is_own {
-                true => Ended::HandedOut,
-                false => Ended::Reclaimed,
+                true => EndReason::Allocated,
+                false => EndReason::Reclaimed,
             });
         }
         let pool = declared
             .filter(|pool| self.teams.contains_key(&pool.team) && allows(ctx, pool, machine))
-            .ok_or(Ended::Withdrawn)?;
+            .ok_or(EndReason::PoolRemoved)?;
         match machine.pool.is_surplus {
-            true => Err(Ended::Surplus),
+            true => Err(EndReason::ScaledIn),
             false => Ok(machine.state_for(pool)),
         }
     }
 
     /// When and why the membership of a machine ends that is decommissioned.
-    pub(crate) fn end_of_membership(&self, ctx: &Context, id: &MachineId) -> (u64, Ended) {
+    pub(crate) fn end_of_membership(&self, ctx: &Context, id: &MachineId) -> (u64, EndReason) {
         let machine = self.machines.get(id);
         let ended = match machine.and_then(|m| m.decommission_reason.as_deref()) {
-            Some(STALLED_REASON) => Ended::Stalled,
-            _ => Ended::Lost,
+            Some(STALLED_REASON) => EndReason::FetchTimedOut,
+            _ => EndReason::Failed,
         };
         (self.transition_time(ctx, id, Err(ended)), ended)
     }
@@ -236,9 +236,9 @@
         &self,
         ctx: &Context,
         id: &MachineId,
-        next: Result<PoolState, Ended>,
+        next: Result<PoolState, EndReason>,
     ) -> u64 {
-        if next != Err(Ended::Lost) {
+        if next != Err(EndReason::Failed) {
             return ctx.wall_clock_ms;
         }
         let machine = self.machines.get(id);
@@ -252,5 +252,5 @@
 pub(super) fn allows(ctx: &Context, pool: &Pool, machine: &Machine) -> bool {
     let machine_type = ctx.places.name(machine.machine_type).unwrap_or_default();
     let zone = ctx.places.name(machine.zone).unwrap_or_default();
-    pool.allows(machine_type, zone, machine.spot)
+    pool.allows(machine_type, zone, machine.is_spot)
 }
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -13,10 +13,10 @@
 use crate::shard::machine::Machine;
 use crate::shard::scheduling::{is_usable, PendingJobs, RECLAIM_ROUNDS};
 use crate::shard::Shard;
-use forkshift_pools::account::Miss;
-use forkshift_pools::choice::{core_members, Member};
+use forkshift_pools::account::ColdStart;
+use forkshift_pools::choice::{retained_members, PoolMember};
 use forkshift_pools::{Pool, PoolName};
-use forkshift_sched::{run_round, Host, PendingTasks, Placement, Quota};
+use forkshift_sched::{run_round, MachineSnapshot, PendingTasks, Placement, Quota};
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +37,7 @@
 
 /// The reservations that are open to a job of a team with an image.
 pub(crate) fn open_reservations(ctx: &Context, team: &str, image: &str) -> BTreeSet<u32> {
-    let pools = ctx.config.ops.pools.iter().enumerate();
+    let pools = ctx.config.operator.pools.iter().enumerate();
     let own = pools.filter(|(_, pool)| pool.team == team && pool.image == image);
     own.flat_map(|(i, _)| [minimum_reservation(i), surplus_reservation(i)])
         .collect()
@@ -65,11 +65,11 @@
     }
 
     /// Machines of a pool, as input of the choices on its size.
-    pub(super) fn as_members(&self, pool: &Pool, ids: &[&MachineId]) -> Vec<Member> {
+    pub(super) fn as_members(&self, pool: &Pool, ids: &[&MachineId]) -> Vec<PoolMember> {
         let machines = ids.iter().filter_map(|id| self.machines.get(*id));
-        let member = |machine: &Machine| Member {
+        let member = |machine: &Machine| PoolMember {
             state: machine.state_for(pool),
-            price: price_per_hour(machine),
+            price_per_hour: price_per_hour(machine),
         };
         machines.map(member).collect()
     }
@@ -78,13 +78,13 @@
     fn member_reservations(&self, ctx: &Context) -> BTreeMap<MachineId, u32> {
         let mut reservations = BTreeMap::new();
         let members = self.members();
-        for (pool_index, pool) in ctx.config.ops.pools.iter().enumerate() {
+        for (pool_index, pool) in ctx.config.operator.pools.iter().enumerate() {
             let Some(ids) = members.get(&pool.name) else {
                 continue;
             };
-            let minimum = pool.calendar.size_at(ctx.wall_clock_ms).least;
+            let minimum = pool.calendar.size_at(ctx.wall_clock_ms).min_machines;
             let id_refs: Vec<&MachineId> = ids.iter().collect();
-            let core = core_members(&self.as_members(pool, &id_refs), minimum);
+            let core = retained_members(&self.as_members(pool, &id_refs), minimum);
             for (member, id) in ids.iter().enumerate() {
                 let reservation = match core.contains(&member) {
                     true => minimum_reservation(pool_index),
@@ -97,7 +97,12 @@
     }
 
     /// Reserves the hosts that are pools' machines.
-    pub(crate) fn reserve_members(&self, ctx: &Context, usable: &[MachineId], hosts: &mut [Host]) {
+    pub(crate) fn reserve_members(
+        &self,
+        ctx: &Context,
+        usable: &[MachineId],
+        hosts: &mut [MachineSnapshot],
+    ) {
         let reservations = self.member_reservations(ctx);
         if reservations.is_empty() {
             return;
@@ -133,7 +138,7 @@
         &self,
         ctx: &Context,
         pending: &mut PendingJobs,
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
         quotas: &mut [Quota],
     ) -> Vec<Placement> {
         let reserved: BTreeSet<u32> = hosts.iter().filter_map(|h| h.reserved_for).collect();
@@ -147,10 +152,10 @@
             .collect();
         let open = |job: &usize| with_pools_open(&pending.tasks[*job], &reserved);
         let mut opened: Vec<PendingTasks> = reclaiming.iter().map(open).collect();
-        let mut placements = run_round(&mut opened, hosts, quotas, &ctx.config.ops.weights);
+        let mut placements = run_round(&mut opened, hosts, quotas, &ctx.config.operator.weights);
         for (job, tasks) in reclaiming.iter().zip(opened) {
             pending.tasks[*job].waiting = tasks.waiting;
-            pending.tasks[*job].zones = tasks.zones;
+            pending.tasks[*job].tasks_by_zone = tasks.tasks_by_zone;
         }
         for placement in &mut placements {
             placement.job = reclaiming[placement.job];
@@ -167,10 +172,10 @@
         pending: &PendingTasks,
         quotas: &[Quota],
     ) -> bool {
-        let patience = crate::ms(ctx.config.ops.round_s * RECLAIM_ROUNDS);
+        let patience = crate::ms(ctx.config.operator.round_interval_s * RECLAIM_ROUNDS);
         let has_waited = |job: &Job| job.age(ctx.now) > patience;
         !pending.waiting.is_empty()
-            && quotas[pending.team].guarantees(&pending.at_once())
+            && quotas[pending.team].is_within_guarantee(&pending.minimum_resources())
             && self.jobs.get(id).is_some_and(has_waited)
     }
 
@@ -201,13 +206,13 @@
     }
 
     /// The miss of a job with waiting tasks, if a pool should have had machines for it.
-    fn pool_miss(&self, ctx: &Context, id: &JobId, pending: &PendingTasks) -> Option<Miss> {
-        let mut pools = ctx.config.ops.pools.iter();
+    fn pool_miss(&self, ctx: &Context, id: &JobId, pending: &PendingTasks) -> Option<ColdStart> {
+        let mut pools = ctx.config.operator.pools.iter();
         let pool = pools.find(|pool| self.is_for_pool(id, Some(pool)))?;
         let job = self.jobs.get(id)?;
-        let has_window = pool.calendar.size_at(ctx.wall_clock_ms).most > 0;
+        let has_window = pool.calendar.size_at(ctx.wall_clock_ms).max_machines > 0;
         let is_missing = pending.waiting.len() > self.unconfirmed_members(ctx, pool);
-        (has_window && is_missing).then(|| Miss {
+        (has_window && is_missing).then(|| ColdStart {
             pool: pool.name.clone(),
             job: id.to_string(),
             tasks: pending.waiting.len() as u32,
@@ -219,9 +224,9 @@
 /// Waiting tasks to which pools' machines are open: all to a gang, and to other jobs those
 /// beyond the pools' minimum.
 fn with_pools_open(pending: &PendingTasks, reserved: &BTreeSet<u32>) -> PendingTasks {
-    let is_open = |reservation: &u32| pending.gang || is_surplus_reservation(*reservation);
+    let is_open = |reservation: &u32| pending.is_gang || is_surplus_reservation(*reservation);
     PendingTasks {
-        reservations: reserved.iter().copied().filter(is_open).collect(),
+        open_reservations: reserved.iter().copied().filter(is_open).collect(),
         ..pending.clone()
     }
 }
--- a/crates/core/src/pools/prefetch.rs
+++ b/crates/core/src/pools/prefetch.rs
@@ -5,7 +5,7 @@
 use crate::shard::machine::Machine;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_pools::{Ended, Membership, Pool, PoolState};
+use forkshift_pools::{EndReason, Membership, Pool, PoolState};
 use forkshift_wire::workers::Prefetch;
 use forkshift_wire::MachineId;
 
@@ -26,7 +26,7 @@
         ctx: &Context,
         id: &MachineId,
         membership: &Membership,
-        next: Result<PoolState, Ended>,
+        next: Result<PoolState, EndReason>,
     ) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -37,7 +37,7 @@
             return;
         }
         let since = *machine.pool.missing_since.get_or_insert(ctx.now);
-        let Some(pool) = ctx.config.ops.pools.get(&membership.pool) else {
+        let Some(pool) = ctx.config.operator.pools.get(&membership.pool) else {
             return;
         };
         if ctx.now > since + fetch_timeout(machine, ctx, pool) {
@@ -46,16 +46,16 @@
     }
 
     /// The images that a machine is to be commanded to fetch now.
-    pub(crate) fn prefetch_due(&mut self, ctx: &Context, id: &MachineId) -> Vec<Prefetch> {
+    pub(crate) fn due_prefetches(&mut self, ctx: &Context, id: &MachineId) -> Vec<Prefetch> {
         let Some(machine) = self.machines.get_mut(id) else {
             return Vec::new();
         };
         let membership = machine.pool.membership.as_ref();
-        let pool = membership.and_then(|m| ctx.config.ops.pools.get(&m.pool));
+        let pool = membership.and_then(|m| ctx.config.operator.pools.get(&m.pool));
         let Some(pool) = pool.filter(|_| machine.is_pool_member() && ctx.has_valid_lease) else {
             return Vec::new();
         };
-        let repeat_after = ctx.config.report_ms * REPEAT_HEARTBEATS;
+        let repeat_after = ctx.config.heartbeat_interval_ms * REPEAT_HEARTBEATS;
         let sent_at = machine.pool.prefetch_sent_at;
         let was_sent = sent_at.is_some_and(|at| ctx.now < at + repeat_after);
         if machine.state_for(pool) != PoolState::Fetching || was_sent {
--- a/crates/core/src/pools/requests.rs
+++ b/crates/core/src/pools/requests.rs
@@ -1,13 +1,13 @@
 //! How many machines each pool requests, as recorded in the pool's account.
 
-use super::ledger::{add_row, RETRY_PAUSE_MS};
+use super::ledger::{add_account_row, RETRY_PAUSE_MS};
 use crate::context::{revision_of, Context};
 use crate::membership::format::FormatVersion;
 use crate::pending_call::PendingCall;
 use crate::shard::Shard;
 use crate::store::queue::Urgency;
 use crate::Ms;
-use forkshift_pools::account::{Asked, HEADS};
+use forkshift_pools::account::{PoolRequest, CURRENT_REQUEST_PREFIX};
 use forkshift_pools::{Pool, PoolName};
 use forkshift_wire::state::{Item, Page, Precondition, Transaction, Write};
 use serde_json::{from_value, to_value};
@@ -17,7 +17,7 @@
 pub(super) struct StoredRequest {
     /// Version of its key; 0 if the key does not exist.
     version: u64,
-    request: Asked,
+    request: PoolRequest,
     /// Whether a write is in flight.
     is_writing: bool,
 }
@@ -58,7 +58,7 @@
             }
             return;
         }
-        let request = Asked {
+        let request = PoolRequest {
             pool: pool.name.clone(),
             team: pool.team.clone(),
             machines,
@@ -67,7 +67,7 @@
         };
         let stored = StoredRequest {
             version: 0,
-            request: Asked {
+            request: PoolRequest {
                 machines: 0,
                 ..request.clone()
             },
@@ -79,9 +79,9 @@
 
     /// Records that pools of our teams that are no longer declared request no machine.
     pub(super) fn withdraw_undeclared_pools(&mut self, ctx: &mut Context) {
-        let declared = &ctx.config.ops.pools;
+        let declared = &ctx.config.operator.pools;
         let requests = self.pools.requests.iter();
-        let withdrawn: Vec<Asked> = requests
+        let withdrawn: Vec<PoolRequest> = requests
             .filter(|(name, stored)| stored.request.machines > 0 && declared.get(name).is_none())
             .map(|(_, stored)| stored.request.clone())
             .collect();
@@ -103,7 +103,10 @@
             stored.request.machines
         );
         let version = stored.version;
-        let (ended, mut next) = stored.request.clone().change(machines, ctx.wall_clock_ms);
+        let (ended, mut next) = stored
+            .request
+            .clone()
+            .replace_with(machines, ctx.wall_clock_ms);
         team.clone_into(&mut next.team);
         self.write_request(ctx, next, version, Some(ended));
     }
@@ -113,9 +116,9 @@
     fn write_request(
         &mut self,
         ctx: &mut Context,
-        next: Asked,
+        next: PoolRequest,
         version: u64,
-        ended: Option<Asked>,
+        ended: Option<PoolRequest>,
     ) {
         let key = next.key();
         let unchanged = Precondition {
@@ -127,19 +130,24 @@
             writes: vec![Write::put(key, to_value(&next).unwrap_or_default())],
         };
         if let Some(ended) = ended {
-            add_row(&mut transaction, ended.key(), &ended);
+            add_account_row(&mut transaction, ended.key(), &ended);
         }
         let call = PendingCall::PoolRequestWrite {
             shard: self.id,
             epoch: self.epoch,
-            asked: Box::new(next),
+            request: Box::new(next),
         };
         ctx.transact(Urgency::Background, &transaction, call);
     }
 
     /// Handles the answer to the write of a request. If the write may have failed, all
     /// requests are read again.
-    pub(crate) fn on_pool_asked(&mut self, request: Asked, status: u16, body: &[u8]) {
+    pub(crate) fn on_pool_request_written(
+        &mut self,
+        request: PoolRequest,
+        status: u16,
+        body: &[u8],
+    ) {
         if status != 200 {
             self.pools.requests_read = ReadState::Due;
             return;
@@ -158,12 +166,12 @@
             shard: self.id,
             epoch: self.epoch,
         };
-        let path = format!("/kv?starts={HEADS}&most=1000");
+        let path = format!("/kv?starts={CURRENT_REQUEST_PREFIX}&most=1000");
         ctx.read_store(Urgency::Background, path, call);
     }
 
     /// Handles the answer to the read of the recorded requests.
-    pub(crate) fn on_pool_heads(&mut self, ctx: &Context, status: u16, body: &[u8]) {
+    pub(crate) fn on_pool_requests_read(&mut self, ctx: &Context, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok();
         let Some(page) = page.filter(|page| status == 200 && !page.has_next) else {
             self.pools.requests_read = ReadState::Pause(ctx.now + RETRY_PAUSE_MS);
@@ -178,7 +186,7 @@
 
     /// Takes in a record that was read, if it is a request of one of our teams.
     fn store_read_request(&mut self, item: Item) {
-        match from_value::<Asked>(item.value) {
+        match from_value::<PoolRequest>(item.value) {
             Ok(request) if self.teams.contains_key(&request.team) => {
                 self.store_request(request, item.version);
             }
@@ -187,7 +195,7 @@
         }
     }
 
-    fn store_request(&mut self, request: Asked, version: u64) {
+    fn store_request(&mut self, request: PoolRequest, version: u64) {
         let name = request.pool.clone();
         let stored = StoredRequest {
             version,
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -16,9 +16,11 @@
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
-use forkshift_pools::choice::{affordable, joining, leaving, target, Candidate};
+use forkshift_pools::choice::{
+    affordable_machines, candidates_to_add, members_to_remove, target_size, PoolCandidate,
+};
 use forkshift_pools::{Pool, PoolName};
-use forkshift_sched::{Host, Resources};
+use forkshift_sched::{MachineSnapshot, Resources};
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
@@ -30,12 +32,12 @@
     spot: bool,
 }
 
-impl From<&Host> for ProvisionedMachine {
-    fn from(host: &Host) -> Self {
+impl From<&MachineSnapshot> for ProvisionedMachine {
+    fn from(host: &MachineSnapshot) -> Self {
         Self {
             machine_type: host.machine_type,
             zone: host.zone,
-            spot: host.spot,
+            spot: host.is_spot,
         }
     }
 }
@@ -72,13 +74,13 @@
         ctx: &mut Context,
         view: &ClusterView,
         expected: &ExpectedMachines,
-        hosts: &[Host],
+        hosts: &[MachineSnapshot],
     ) -> Vec<ShapeRecord> {
         if ctx.format < FormatVersion::POOLS {
             return Vec::new();
         }
         self.withdraw_undeclared_pools(ctx);
-        let declared = ctx.config.ops.pools.iter();
+        let declared = ctx.config.operator.pools.iter();
         let own = declared.filter(|pool| self.teams.contains_key(&pool.team));
         let pools: Vec<Pool> = own.cloned().collect();
         if pools.is_empty() {
@@ -109,7 +111,7 @@
             .calendar
             .size_within(ctx.wall_clock_ms, ctx.wall_clock_ms + lead);
         let handed_out = self.pools.handed_out_within(&pool.name, ctx.now, lead);
-        target(size, handed_out)
+        target_size(size, handed_out)
     }
 
     /// Whether the catalogue has machines for a pool. If not, the reason is logged once.
@@ -139,7 +141,7 @@
         let (overdue, ids): (Vec<&MachineId>, Vec<&MachineId>) =
             ids.iter().partition(|id| self.is_overdue(ctx, id));
         let members = self.as_members(pool, &ids);
-        let leave = leaving(&members, machines, pool.cost_per_hour_most);
+        let leave = members_to_remove(&members, machines, pool.max_cost_per_hour);
         self.mark_surplus_members(&ids, &leave);
         let joining = self.joining_machines(&pool.name);
         let staying = ids.len() - leave.len() + joining.len();
@@ -147,7 +149,7 @@
         let mut cost = self.cost_per_hour(ids.iter().copied());
         cost -= self.cost_per_hour(leave.iter().map(|member| ids[*member]));
         cost += self.cost_per_hour(overdue) + self.cost_per_hour(&joining);
-        let mut budget = pool.cost_per_hour_most.map(|max| max - cost);
+        let mut budget = pool.max_cost_per_hour.map(|max| max - cost);
         let joined = self.choose_joining(ctx, pool, missing, budget, surplus);
         missing -= joined.len() as u32;
         budget = budget.map(|budget| budget - self.cost_per_hour(&joined));
@@ -161,7 +163,7 @@
             if let Some(machine) = self.machines.get_mut(*id) {
                 machine.pool.is_surplus = leaving.contains(&member);
                 if machine.pool.is_surplus {
-                    self.recheck.touch(id);
+                    self.recheck.mark_due(id);
                 }
             }
         }
@@ -202,20 +204,20 @@
         let machines = surplus.machines.iter();
         let machines = machines.filter_map(|id| self.machines.get(id));
         let allowed: Vec<&Machine> = machines.filter(may_join).collect();
-        let candidate = |machine: &&Machine| Candidate {
+        let candidate = |machine: &&Machine| PoolCandidate {
             has_image: machine.images.iter().any(|(held, _)| *held == image),
             is_up: machine.last_heartbeat_at.is_some(),
-            price: price_per_hour(machine),
+            price_per_hour: price_per_hour(machine),
         };
-        let candidates: Vec<Candidate> = allowed.iter().map(candidate).collect();
-        let chosen = joining(&candidates, missing, budget).into_iter();
+        let candidates: Vec<PoolCandidate> = allowed.iter().map(candidate).collect();
+        let chosen = candidates_to_add(&candidates, missing, budget).into_iter();
         let chosen: Vec<MachineId> = chosen.map(|i| allowed[i].id.clone()).collect();
         for id in &chosen {
             surplus.machines.remove(id);
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.pool.joining = Some(pool.name.clone());
                 machine.idle_since = None;
-                self.recheck.touch(id);
+                self.recheck.mark_due(id);
             }
         }
         chosen
@@ -226,9 +228,9 @@
         &self,
         view: &ClusterView,
         expected: &ExpectedMachines,
-        hosts: &[Host],
+        hosts: &[MachineSnapshot],
     ) -> SurplusMachines {
-        let is_unused = |host: &Host| host.free == host.total && !host.held;
+        let is_unused = |host: &MachineSnapshot| host.free == host.total && !host.is_held;
         let may_join = |id: &&MachineId| {
             let machine = self.machines.get(*id);
             !is_requested(view, id) && machine.is_some_and(is_unneeded)
@@ -281,7 +283,7 @@
 ) -> Option<ShapeRecord> {
     let affordable_price = |t: &&MachineType| {
         pool.price_of(t)
-            .filter(|price| affordable(1, *price, budget) > 0)
+            .filter(|price| affordable_machines(1, *price, budget) > 0)
     };
     let types: Vec<&MachineType> = catalog
         .iter()
@@ -289,11 +291,11 @@
         .collect();
     let prices = types.iter().filter_map(affordable_price);
     let min_price = prices.min_by(f64::total_cmp)?;
-    let count = affordable(missing, min_price, budget);
+    let count = affordable_machines(missing, min_price, budget);
     let capacities = types.iter().map(|t| capacity_of(t));
-    let smallest: Resources = capacities.reduce(|a, b| a.least(&b))?;
+    let smallest: Resources = capacities.reduce(|a, b| a.component_min(&b))?;
     (count > 0).then(|| ShapeRecord {
-        milli_resources: (smallest.cpus, smallest.gpus, smallest.memory),
+        milli_resources: (smallest.milli_cpus, smallest.milli_gpus, smallest.memory_mb),
         count,
         types: Some(types.iter().map(|t| t.name.clone()).collect()),
         zones: (!pool.zones.is_empty()).then(|| pool.zones.clone()),
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -3,7 +3,7 @@
 use crate::fixture::{Fixture, WALL};
 use crate::io::Effect;
 use crate::records::{machine_key, MachineRecord, ShardId};
-use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
+use forkshift_pools::{EndReason, Membership, PoolName, PoolState, UsageInterval};
 use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::MachineId;
 use serde_json::from_value;
@@ -22,7 +22,7 @@
     });
     let record = versioned.record.clone();
     let machine = fixture.shard().machines.get_mut(&id).expect("it is ours");
-    machine.pool.follow(&record);
+    machine.pool.apply_record(&record);
 }
 
 /// Transactions that were sent.
@@ -38,7 +38,10 @@
 
 /// The transaction that writes or removes a machine's record, and the row of an account
 /// that is written with it.
-fn machine_change(effects: &[Effect], id: &MachineId) -> (Option<MachineRecord>, Option<Interval>) {
+fn machine_change(
+    effects: &[Effect],
+    id: &MachineId,
+) -> (Option<MachineRecord>, Option<UsageInterval>) {
     let key = machine_key(id);
     let touches = |w: &Write| match w {
         Write::Put { put, .. } => *put == key,
@@ -87,7 +90,7 @@
         assert_eq!(row.is_some(), is_member);
         let Some(row) = row else { continue };
         assert_eq!((row.from_ms, row.to_ms), (SINCE, WALL));
-        assert_eq!(row.ended, Some(Ended::Lost));
+        assert_eq!(row.end_reason, Some(EndReason::Failed));
     }
 }
 
@@ -119,8 +122,8 @@
         assert_eq!(record.reassign_to, None);
         assert_eq!(record.shard == other, is_offered);
         assert_eq!(record.pool.is_none(), is_offered);
-        let ended = row.map(|row| (row.to_ms, row.ended));
-        let expected = is_offered.then_some((WALL, Some(Ended::Reclaimed)));
+        let ended = row.map(|row| (row.to_ms, row.end_reason));
+        let expected = is_offered.then_some((WALL, Some(EndReason::Reclaimed)));
         assert_eq!(ended, expected);
     }
 }
--- a/crates/core/src/protocol/forwarding.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -7,7 +7,7 @@
 //! request and answer at which the other controller gave it, as if the user had sent the
 //! request there. Without an answer in time the request is handled here.
 
-use crate::api::status;
+use crate::api::status_of_stage;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
 use crate::overflow::Overflow;
@@ -230,8 +230,10 @@
         if is_full {
             // The sender handles the request itself, and need not wait to do so.
             let now = self.ctx.now;
-            self.ctx.overflows.note(now, Overflow::ForwardedRequests);
-            return self.ctx.respond(request, Reply::later("too many requests"));
+            self.ctx.overflows.record(now, Overflow::ForwardedRequests);
+            return self
+                .ctx
+                .respond(request, Reply::unavailable("too many requests"));
         }
         self.on_request(request, method, path, body);
     }
@@ -267,14 +269,14 @@
             return reply;
         }
         match self.final_stages.get(&reported.id) {
-            Some(stage) => Reply::json(200, &status(&reported.id, stage)),
+            Some(stage) => Reply::json(200, &status_of_stage(&reported.id, stage)),
             None => reply,
         }
     }
 
     /// Handles here the requests that had no answer in time, and forgets requests of
     /// other controllers that can have none.
-    pub(crate) fn follow_forwards(&mut self) {
+    pub(crate) fn expire_forwards(&mut self) {
         let now = self.ctx.now;
         let expired: Vec<u64> = self
             .forwards
--- a/crates/core/src/protocol/forwarding/tests.rs
+++ b/crates/core/src/protocol/forwarding/tests.rs
@@ -66,7 +66,7 @@
     };
     f.node.forwards.insert(5, forward);
     f.node
-        .on_forwarded_response(5, Reply::later("too many requests"));
+        .on_forwarded_response(5, Reply::unavailable("too many requests"));
     let effects = f.step(0);
     let reads = |e: &Effect| matches!(e, Effect::Call { path, .. } if path == "/kv/job/j-1");
     assert!(effects.iter().any(reads), "{effects:?}");
--- a/crates/core/src/protocol/messages.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -111,10 +111,13 @@
                 revision,
             } => self.on_new_job_message(ShardId(shard), epoch, &spec, submitted_at_ms, revision),
             Body::CancelJob { id } => self.on_cancel_message(epoch, &id),
-            Body::RelayRequest { list, machines } => {
+            Body::RelayRequest {
+                list_number: list,
+                machines,
+            } => {
                 self.on_relay_request(&node, incarnation, list, &machines);
             }
-            Body::ProbeRequest { machines } => self.on_probe(&node, &machines),
+            Body::ProbeRequest { machines } => self.on_probe_request(&node, &machines),
             Body::ProbeResult { heartbeat } => self.on_probe_result(&heartbeat),
             Body::InheritPriority { id, priority } => {
                 self.on_inherited_priority_message(&id, priority);
@@ -131,7 +134,8 @@
     fn on_demand_message(&mut self, shard_id: ShardId, epoch: u64, demand: &str) {
         match serde_json::from_str(demand) {
             Ok(record) => {
-                self.leader.on_demand(self.ctx.now, shard_id, epoch, record);
+                self.leader
+                    .on_demand_received(self.ctx.now, shard_id, epoch, record);
             }
             Err(e) => log::error!("shard {shard_id}: demand from a peer malformed, {e}"),
         }
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -11,13 +11,13 @@
 //! lease. So a machine that some controller reaches is not decommissioned, and that its
 //! lease has expired is known from its incarnation.
 
-use crate::bounds::listed_bytes;
+use crate::bounds::encoded_name_bytes;
 use crate::context::Context;
 use crate::io::RequestId;
 use crate::node::Node;
 use crate::pending_call::PendingCall;
 use crate::protocol::forwarding::ForwardedRequest;
-use crate::shard::{Phase, Shard};
+use crate::shard::{RecoveryState, Shard};
 use crate::Ms;
 use forkshift_links::{Decision, Link, Timing};
 use forkshift_wire::peer::Body;
@@ -71,13 +71,13 @@
             if !is_up || !link.has_missed_heartbeats(now, since, timing) {
                 continue;
             }
-            if link.wants_relay(now, since, timing) {
+            if link.needs_relay(now, since, timing) {
                 found.relayed.push(machine.id.clone());
             }
-            if !link.is_recently_relayed(now, timing) && link.take_probe(now, timing) {
+            if !link.is_recently_relayed(now, timing) && link.start_probe_if_due(now, timing) {
                 found.probed.push(machine.id.clone());
                 machine.must_send_token = true;
-                recheck.touch(&machine.id);
+                recheck.mark_due(&machine.id);
             }
         }
     }
@@ -86,14 +86,14 @@
 impl Node {
     /// Requests the heartbeats and probes of machines whose heartbeats are missing from the
     /// other controllers.
-    pub(crate) fn ask_for_relays(&mut self) {
+    pub(crate) fn request_relays(&mut self) {
         let timing = self.ctx.config.link_timing();
         let (now, resumed_at) = (self.ctx.now, self.ctx.resumed_at);
         self.ctx.relays.remove_expired(now);
         self.ctx.redirects.remove_expired(now);
         let mut unreachable = UnreachableMachines::default();
         let shards = self.shards.values_mut();
-        for shard in shards.filter(|shard| shard.phase == Phase::Active) {
+        for shard in shards.filter(|shard| shard.recovery_state == RecoveryState::Active) {
             shard.find_unreachable_machines(now, resumed_at, &timing, &mut unreachable);
         }
         self.send_probes(unreachable.probed);
@@ -113,8 +113,14 @@
         for machines in split_into_messages(relayed, config.bounds.list_bytes) {
             for node in config.other_nodes() {
                 let machines = machines.clone();
-                self.ctx
-                    .send_to_peer(node, 0, Body::RelayRequest { list, machines });
+                self.ctx.send_to_peer(
+                    node,
+                    0,
+                    Body::RelayRequest {
+                        list_number: list,
+                        machines,
+                    },
+                );
             }
         }
     }
@@ -144,13 +150,13 @@
 
     /// Another controller receives no heartbeats of these machines, and requests probes
     /// of them.
-    pub(crate) fn on_probe(&mut self, from: &NodeName, machines: &[String]) {
-        let timeout = self.ctx.config.call_ms();
+    pub(crate) fn on_probe_request(&mut self, from: &NodeName, machines: &[String]) {
+        let timeout = self.ctx.config.worker_call_timeout_ms();
         let max_calls = self.ctx.config.bounds.worker_calls;
         for id in machines.iter().map(|id| MachineId::new(id)) {
             let machine = self.view.machines.get(&id);
             let addr = machine.and_then(|machine| machine.record.addr.clone());
-            let Some(addr) = addr.filter(|_| self.ctx.worker_calls < max_calls) else {
+            let Some(addr) = addr.filter(|_| self.ctx.worker_calls_in_flight < max_calls) else {
                 continue;
             };
             let holder = from.clone();
@@ -176,7 +182,7 @@
         };
         let Node { shards, ctx, .. } = self;
         let shards = shards.values_mut();
-        for shard in shards.filter(|shard| shard.phase == Phase::Active) {
+        for shard in shards.filter(|shard| shard.recovery_state == RecoveryState::Active) {
             shard.on_worker_heartbeat(ctx, &heartbeat);
         }
     }
@@ -228,19 +234,19 @@
             ..
         } = &self.ctx;
         let is_link_lost = relays.is_requested_by(machine, holder, incarnation, *now)
-            || redirects.has_returned(machine, holder, incarnation, *now);
+            || redirects.was_recently_redirected(machine, holder, incarnation, *now);
         is_link_lost.then(|| holder.clone())
     }
 
     /// Notes the state of a link, and logs it if it has changed.
-    pub(crate) fn note_link(&mut self, link: Link, is_up: bool) {
+    pub(crate) fn set_link(&mut self, link: Link, is_up: bool) {
         if !self.ctx.links.set(link, is_up) {
             return;
         }
         let state = if is_up { "up" } else { "lost" };
         log::info!("link to {link}: {state}");
         for decision in Decision::ALL {
-            if self.ctx.links.missing_for(decision) == Some(link) {
+            if self.ctx.links.missing_link(decision) == Some(link) {
                 log::info!("link to {link}: decision suspended, {decision:?}");
             }
         }
@@ -252,7 +258,7 @@
     let mut messages = vec![Vec::new()];
     let mut used = 0;
     for name in machines.iter().map(ToString::to_string) {
-        let bytes = listed_bytes(&name);
+        let bytes = encoded_name_bytes(&name);
         if used + bytes > max_bytes {
             messages.push(Vec::new());
             used = 0;
--- a/crates/core/src/records/demand.rs
+++ b/crates/core/src/records/demand.rs
@@ -116,6 +116,10 @@
     /// The resources of each task.
     pub fn resources(&self) -> Resources {
         let (cpus, gpus, memory) = self.milli_resources;
-        Resources { cpus, gpus, memory }
+        Resources {
+            milli_cpus: cpus,
+            milli_gpus: gpus,
+            memory_mb: memory,
+        }
     }
 }
--- a/crates/core/src/records/machines.rs
+++ b/crates/core/src/records/machines.rs
@@ -1,8 +1,8 @@
 //! Machines.
 
 use super::{is_zero_ms, ShardId};
-use forkshift_pools::account::MachineFacts;
-use forkshift_pools::{Ended, Interval, Membership, PoolState};
+use forkshift_pools::account::BilledMachine;
+use forkshift_pools::{EndReason, Membership, PoolState, UsageInterval};
 use forkshift_sched::Resources;
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::MachineId;
@@ -77,10 +77,10 @@
         &mut self,
         id: &MachineId,
         at_ms: u64,
-        next: Result<PoolState, Ended>,
-    ) -> Option<Interval> {
+        next: Result<PoolState, EndReason>,
+    ) -> Option<UsageInterval> {
         let membership = self.pool.take()?;
-        let machine = MachineFacts {
+        let machine = BilledMachine {
             id: id.clone(),
             machine_type: self.machine_type.clone(),
             spot: self.spot,
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -59,7 +59,7 @@
 
 /// Recovery state of a shard after its holder changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Phase {
+pub(crate) enum RecoveryState {
     /// The records of its jobs are being read.
     Loading,
     /// Its jobs are read as of this revision, which the view has not reached.
@@ -80,7 +80,7 @@
     /// Version of the shard's record.
     pub(crate) version: u64,
     /// How far its recovery is.
-    pub(crate) phase: Phase,
+    pub(crate) recovery_state: RecoveryState,
     /// When it became active; until then, when it was assigned.
     pub(crate) active_since: Ms,
     /// Its unfinished jobs.
@@ -108,7 +108,7 @@
     /// When the last scheduling round was.
     pub(crate) last_round_at: Ms,
     /// Arrivals of each job class.
-    pub(crate) classes: BTreeMap<String, ArrivalStats>,
+    pub(crate) arrivals_by_class: BTreeMap<String, ArrivalStats>,
     /// Since when arrivals are counted. Jobs that were recovered, or submitted
     /// before anything could run, are a backlog and give no arrival rate.
     pub(crate) arrivals_counted_since: Option<Ms>,
@@ -160,7 +160,7 @@
             id,
             epoch,
             version,
-            phase: Phase::Loading,
+            recovery_state: RecoveryState::Loading,
             active_since: ctx.now,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -174,7 +174,7 @@
             jobs_watch: JobsWatch::default(),
             next_round_at: ctx.now,
             last_round_at: 0,
-            classes: BTreeMap::new(),
+            arrivals_by_class: BTreeMap::new(),
             arrivals_counted_since: None,
             last_drain_at: 0,
             last_replica_move_at: 0,
@@ -232,7 +232,7 @@
     /// Brings the next scheduling round forward, as far as the least gap between
     /// two rounds allows.
     pub(crate) fn schedule_round_soon(&mut self, ctx: &Context) {
-        let min_gap_ms = crate::ms(ctx.config.ops.round_gap_s);
+        let min_gap_ms = crate::ms(ctx.config.operator.min_round_interval_s);
         let earliest = ctx.now.max(self.last_round_at + min_gap_ms);
         self.next_round_at = self.next_round_at.min(earliest);
     }
@@ -242,7 +242,7 @@
     pub(crate) fn release(self, ctx: &mut Context) {
         let waiters = self.jobs.into_values().flat_map(|job| job.cancel_waiters);
         for request in waiters {
-            ctx.respond(request, Reply::later("try again"));
+            ctx.respond(request, Reply::unavailable("try again"));
         }
     }
 
--- a/crates/core/src/shard/arrivals.rs
+++ b/crates/core/src/shard/arrivals.rs
@@ -49,7 +49,7 @@
     pub(super) fn count_arrival(&mut self, spec: &JobSpec, now: Ms) {
         let last_shape = spare_shape(spec);
         let stats = self
-            .classes
+            .arrivals_by_class
             .entry(spec.class.clone())
             .or_insert_with(|| ArrivalStats {
                 weight: 0.0,
@@ -70,11 +70,15 @@
 fn spare_shape(spec: &JobSpec) -> ShapeRecord {
     let resources = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
     ShapeRecord {
-        milli_resources: (resources.cpus, resources.gpus, resources.memory),
+        milli_resources: (
+            resources.milli_cpus,
+            resources.milli_gpus,
+            resources.memory_mb,
+        ),
         count: 1,
-        types: spec.types.clone(),
+        types: spec.machine_types.clone(),
         zones: None,
-        spot: spec.spot,
+        spot: spec.allow_spot,
         is_spare: true,
         may_reclaim: false,
         is_borrowing: false,
--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -3,7 +3,7 @@
 //! A task that may have been started stays bound to its machine and counts
 //! against its team's quota until there is evidence that it is not running.
 
-use super::{Phase, Shard};
+use super::{RecoveryState, Shard};
 use crate::context::Context;
 use crate::shard::job::{Binding, Job, StartState, Stop};
 use crate::shard::layout::Layout;
@@ -35,7 +35,7 @@
         let mut job = Job::new(spec, image, head_version, layout, ctx.now);
         job.submitted_at_wall_ms = submitted_at_wall_ms;
         job.submission_age.when_learned_ms = ctx.wall_clock_ms.saturating_sub(submitted_at_wall_ms);
-        if ctx.config.waits.contains_key(&job.spec.class) {
+        if ctx.config.wait_objectives.contains_key(&job.spec.class) {
             self.schedule_round_soon(ctx);
         }
         if job.is_blocked() {
@@ -55,7 +55,7 @@
         submitted_at_wall_ms: Ms,
         revision: u64,
     ) {
-        if self.phase == Phase::Active && self.jobs_watch.is_behind(revision) {
+        if self.recovery_state == RecoveryState::Active && self.jobs_watch.is_behind(revision) {
             self.add_job(ctx, spec, None, submitted_at_wall_ms, revision);
         }
     }
@@ -63,8 +63,8 @@
     /// Drops a finished job whose head was removed at a revision.
     pub(crate) fn forget_job(&mut self, id: &JobId, revision: u64) {
         self.jobs.remove(id);
-        self.unwritten_jobs.forget(id);
-        self.cancelled_jobs.forget(id);
+        self.unwritten_jobs.remove(id);
+        self.cancelled_jobs.remove(id);
         self.progress_writes.jobs.remove(id);
         self.incomplete_gangs.remove(id);
         self.jobs_watch.note_removed(id, revision);
@@ -110,7 +110,7 @@
         if job.is_gang() {
             self.incomplete_gangs.insert(id.clone());
         }
-        self.unwritten_jobs.touch(id);
+        self.unwritten_jobs.mark_due(id);
         Some(binding)
     }
 
@@ -134,7 +134,7 @@
         };
         for binding in job.bound.values_mut() {
             binding.stop.get_or_insert(Stop::after(0.0));
-            self.recheck.touch(&binding.machine);
+            self.recheck.mark_due(&binding.machine);
         }
     }
 
@@ -170,10 +170,10 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let stop = Stop::after(job.spec.save_s);
+        let stop = Stop::after(job.spec.checkpoint_save_time_s);
         if let Some(binding) = job.bound.get_mut(&task.index) {
             binding.stop = Some(stop);
-            self.recheck.touch(&binding.machine);
+            self.recheck.mark_due(&binding.machine);
         }
     }
 }
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -34,7 +34,7 @@
 
     /// Notes that a call had no answer.
     fn on_call_unanswered(&mut self, ctx: &Context, had_commands: bool) {
-        self.retry_at = ctx.now + ctx.config.report_ms / 2;
+        self.retry_at = ctx.now + ctx.config.heartbeat_interval_ms / 2;
         if had_commands {
             // They may be carried out late, unless a newer token arrives first.
             self.has_unanswered_call = true;
@@ -63,17 +63,17 @@
     /// Sends the due commands to a machine that has no call under way.
     pub(crate) fn send_due_commands(&mut self, ctx: &mut Context, id: &MachineId) {
         // A machine that finds all calls in use is tried again soon (`is_busy`).
-        let has_free_call = ctx.worker_calls < ctx.config.bounds.worker_calls;
+        let has_free_call = ctx.worker_calls_in_flight < ctx.config.bounds.worker_calls;
         let machine = self.machines.get(id);
         if !has_free_call || !machine.is_some_and(|machine| machine.may_be_called(ctx)) {
             return;
         }
         let mut commands = self.safe_commands(ctx, id);
         // Without a valid lease another holder may have confirmed a cancellation.
-        if ctx.links.allow(Decision::StartTasks) {
+        if ctx.links.allows(Decision::StartTasks) {
             commands.extend(self.due_starts(id));
         }
-        let prefetch = self.prefetch_due(ctx, id);
+        let prefetch = self.due_prefetches(ctx, id);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -102,7 +102,7 @@
             token: request.token,
             commands: request.commands,
         };
-        ctx.send_commands(&addr, body, ctx.config.call_ms(), pending);
+        ctx.send_commands(&addr, body, ctx.config.worker_call_timeout_ms(), pending);
     }
 
     /// Commands that are safe however often and late they arrive: `forget` for
@@ -112,7 +112,7 @@
             return Vec::new();
         };
         let mut commands = self.forget_commands(machine);
-        let repeat_ms = ctx.config.report_ms * REPEAT_HEARTBEATS;
+        let repeat_ms = ctx.config.heartbeat_interval_ms * REPEAT_HEARTBEATS;
         for task in &machine.tasks {
             if commands.len() >= MAX_COMMANDS {
                 break;
@@ -176,7 +176,7 @@
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
-        let takes_starts = machine.link.accepts_starts() && machine.is_confirmed();
+        let takes_starts = machine.link.can_start_tasks() && machine.is_confirmed();
         if machine.decommission_reason.is_some() || !takes_starts {
             return Vec::new();
         }
@@ -191,7 +191,7 @@
             };
             if let Some(binding) = job.bound.get_mut(&task.index) {
                 commands.push(command(Verb::Start, task, binding.attempt, None));
-                binding.start = StartState::SentByUs {
+                binding.start = StartState::SentByThisHolder {
                     token: machine.token,
                     incarnation: machine.incarnation,
                 };
@@ -217,7 +217,7 @@
         let is_answered = matches!(status, 200 | 409);
         let timing = ctx.config.link_timing();
         machine.link.on_call(ctx.now, is_answered, &timing);
-        self.recheck.touch(id);
+        self.recheck.mark_due(id);
         let heartbeat: Option<WorkerHeartbeat> = serde_json::from_slice(body).ok();
         let Some(heartbeat) = heartbeat.filter(|_| is_answered) else {
             log::debug!("machine {id}: no answer to commands, status {status}");
@@ -230,7 +230,7 @@
             if heartbeat.token > machine.token {
                 // A newer holder has the machine, as the view will show; calls
                 // without a pause would only load both ends.
-                machine.retry_at = ctx.now + ctx.config.report_ms;
+                machine.retry_at = ctx.now + ctx.config.heartbeat_interval_ms;
             }
             self.mark_starts_unsent(id, token, commands);
         }
@@ -243,8 +243,7 @@
             let job = self.jobs.get_mut(&command.task.job);
             let binding = job.and_then(|job| job.bound.get_mut(&command.task.index));
             let Some(binding) = binding else { continue };
-            let is_of_call =
-                matches!(binding.start, StartState::SentByUs { token: t, .. } if t == token);
+            let is_of_call = matches!(binding.start, StartState::SentByThisHolder { token: t, .. } if t == token);
             if is_of_call && binding.machine == *id && binding.attempt == command.attempt {
                 binding.start = StartState::NotSent;
                 // A task that is to be stopped needs no evidence of its exit any
@@ -271,15 +270,15 @@
         job.mark_block_changed(0);
         for binding in job.bound.values_mut() {
             binding.stop = Some(Stop::after(0.0));
-            self.recheck.touch(&binding.machine);
+            self.recheck.mark_due(&binding.machine);
         }
-        self.unwritten_jobs.touch(id);
-        self.cancelled_jobs.touch(id);
+        self.unwritten_jobs.mark_due(id);
+        self.cancelled_jobs.mark_due(id);
         self.unbind_unsent(id);
     }
 
     /// The token and the commands for the answer to a worker's heartbeat.
-    pub(crate) fn report_reply(
+    pub(crate) fn heartbeat_reply(
         &mut self,
         ctx: &Context,
         id: &MachineId,
--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -32,7 +32,7 @@
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::NotSent);
         if !has_valid_lease {
-            f.lose_right();
+            f.lose_lease();
         }
         assert_eq!(
             sent(&f.step(1)),
@@ -49,11 +49,11 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         let (token, incarnation) = (f.token(), 1);
-        f.bind(&id, 0, StartState::SentByUs { token, incarnation });
+        f.bind(&id, 0, StartState::SentByThisHolder { token, incarnation });
         if !has_valid_lease {
-            f.lose_right();
+            f.lose_lease();
         }
-        f.ask(1, "POST", "/submissions/j-1/abort");
+        f.request(1, "POST", "/submissions/j-1/abort");
         let calling = f.shard().machines.values().any(|m| m.has_call_in_flight);
         assert!(calling, "has_valid_lease: {has_valid_lease}");
     }
@@ -73,7 +73,7 @@
             f.shard().stop_remaining_tasks(&id);
         }
         let token = f.token();
-        let heartbeat = f.message(2, token, &[]);
+        let heartbeat = f.heartbeat_message(2, token, &[]);
         f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
         let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, if stopped { 0 } else { 2 }, "stopped: {stopped}");
@@ -90,7 +90,7 @@
         f.bind(&id, 0, StartState::NotSent);
         f.step(1);
         let token = f.token() + newer;
-        let heartbeat = f.message(2, token, &[]);
+        let heartbeat = f.heartbeat_message(2, token, &[]);
         let effects = f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
         assert_eq!(!sent(&effects).is_empty(), calls, "newer by {newer}");
     }
@@ -129,7 +129,7 @@
         assert_eq!(sent(&f.step(1)).len() as u32, first, "{tasks} tasks");
         let token = f.token();
         let started: Vec<_> = (0..first).map(|i| (&id, i, TaskStage::Running)).collect();
-        let heartbeat = to_value(f.message(1, token, &started)).expect("a heartbeat");
+        let heartbeat = to_value(f.heartbeat_message(1, token, &started)).expect("a heartbeat");
         let mut effects = f.answer(is_call, 200, &heartbeat);
         effects.extend(f.step(1));
         assert_eq!(sent(&effects).len() as u32, second, "{tasks} tasks");
@@ -144,10 +144,10 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::NotSent);
-        f.node.ctx.worker_calls = f.node.ctx.config.bounds.worker_calls - beside;
+        f.node.ctx.worker_calls_in_flight = f.node.ctx.config.bounds.worker_calls - beside;
         assert_eq!(sent(&f.step(1)).len(), starts, "{beside} free");
-        f.node.ctx.worker_calls = 0;
-        let report_ms = f.node.ctx.config.report_ms;
+        f.node.ctx.worker_calls_in_flight = 0;
+        let report_ms = f.node.ctx.config.heartbeat_interval_ms;
         assert_eq!(
             sent(&f.step(report_ms)).len(),
             1 - starts,
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -15,14 +15,14 @@
 use crate::shard::machine::Machine;
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
-use forkshift_sched::{run_round, Host, PendingTasks, Placement, Quota, Resources};
+use forkshift_sched::{run_round, MachineSnapshot, PendingTasks, Placement, Quota, Resources};
 use forkshift_wire::MachineId;
 use shapes::shapes_of;
 
 /// What a round has left of machines and quotas.
 pub(crate) struct RemainingCapacity {
     /// The usable machines; while the demand is computed, expected ones follow.
-    pub(crate) hosts: Vec<Host>,
+    pub(crate) hosts: Vec<MachineSnapshot>,
     /// The quotas of the shard's teams.
     pub(crate) quotas: Vec<Quota>,
 }
@@ -30,7 +30,7 @@
 impl RemainingCapacity {
     /// Books what fits, and removes it from the waiting tasks.
     fn book(&mut self, ctx: &Context, pending: &mut [PendingTasks]) -> Vec<Placement> {
-        let weights = &ctx.config.ops.weights;
+        let weights = &ctx.config.operator.weights;
         run_round(pending, &mut self.hosts, &mut self.quotas, weights)
     }
 }
@@ -64,7 +64,7 @@
         mut pending: Vec<PendingTasks>,
     ) {
         let _span = tracing::debug_span!("unmet_demand").entered();
-        pending.sort_by(PendingTasks::by_claim);
+        pending.sort_by(PendingTasks::precedence_order);
         self.exclude_newly_quarantined(ctx, usable, &mut remaining.hosts);
         let waiting = shapes_of(ctx, view, &pending, &mut remaining.quotas.clone());
         let BookedDemand {
@@ -110,7 +110,7 @@
     ) -> BookedDemand<'a> {
         let (mut borrowers, mut owners): (Vec<PendingTasks>, Vec<PendingTasks>) = pending
             .into_iter()
-            .partition(|tasks| tasks.standing.is_guest());
+            .partition(|tasks| tasks.capacity_class.is_borrower());
         let reclaimable = usable.iter().map(|id| self.reclaimable_on(ctx, id));
         let reclaimable: Vec<Resources> = reclaimable.collect();
         for (host, more) in remaining.hosts.iter_mut().zip(&reclaimable) {
@@ -139,24 +139,29 @@
         owners: &mut [PendingTasks],
     ) -> Vec<ShapeRecord> {
         for tasks in owners.iter_mut() {
-            tasks.avoid.clear();
+            tasks.excluded_machines.clear();
         }
         let booked = remaining.book(ctx, owners);
         for (i, id) in expected.draining.iter().enumerate() {
             let host = expected.usable.len() + i;
-            if booked.iter().any(|b| b.host == host) {
+            if booked.iter().any(|b| b.machine == host) {
                 self.stop_draining(id);
             }
         }
-        owners.sort_by(PendingTasks::by_claim);
+        owners.sort_by(PendingTasks::precedence_order);
         shapes_of(ctx, view, owners, &mut remaining.quotas)
     }
 
     /// Makes hosts that have been in quarantine for less than a boot count for nothing:
     /// they are probed with few tasks, and may be decommissioned. Nothing is held any more.
-    fn exclude_newly_quarantined(&self, ctx: &Context, usable: &[MachineId], hosts: &mut [Host]) {
+    fn exclude_newly_quarantined(
+        &self,
+        ctx: &Context,
+        usable: &[MachineId],
+        hosts: &mut [MachineSnapshot],
+    ) {
         for (id, host) in usable.iter().zip(hosts) {
-            host.held = false;
+            host.is_held = false;
             if self.is_newly_quarantined(ctx, id) {
                 host.free = Resources::default();
             }
@@ -185,10 +190,10 @@
 
     /// Records since when each machine has been idle. `hosts` shows what is free once all
     /// tasks and spare places are booked.
-    fn note_idle(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[Host]) {
+    fn note_idle(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[MachineSnapshot]) {
         for machine in self.machines.values_mut().filter(|m| m.is_draining) {
-            if machine.note_empty(machine.tasks.is_empty(), ctx.now) {
-                self.recheck.touch(&machine.id);
+            if machine.update_idle_since(machine.tasks.is_empty(), ctx.now) {
+                self.recheck.mark_due(&machine.id);
             }
         }
         for (id, host) in usable.iter().zip(hosts) {
@@ -197,8 +202,8 @@
             };
             let is_idle =
                 machine.tasks.is_empty() && host.free == machine.total && !machine.is_pool_member();
-            if machine.note_empty(is_idle, ctx.now) {
-                self.recheck.touch(id);
+            if machine.update_idle_since(is_idle, ctx.now) {
+                self.recheck.mark_due(id);
             }
         }
     }
--- a/crates/core/src/shard/demand/expected_machines.rs
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -8,7 +8,7 @@
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
-use forkshift_sched::Host;
+use forkshift_sched::MachineSnapshot;
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
@@ -52,7 +52,7 @@
         ctx: &mut Context,
         view: &ClusterView,
         usable: &'a [MachineId],
-        hosts: &mut Vec<Host>,
+        hosts: &mut Vec<MachineSnapshot>,
     ) -> ExpectedMachines<'a> {
         let draining = self.add_draining_machines(hosts);
         let booting = self.add_booting_machines(ctx, hosts);
@@ -64,7 +64,7 @@
         }
     }
 
-    fn add_draining_machines(&self, hosts: &mut Vec<Host>) -> Vec<MachineId> {
+    fn add_draining_machines(&self, hosts: &mut Vec<MachineSnapshot>) -> Vec<MachineId> {
         let draining = self.machines.values().filter(|m| m.is_draining);
         let mut ids = Vec::new();
         for machine in draining {
@@ -74,7 +74,11 @@
         ids
     }
 
-    fn add_booting_machines(&self, ctx: &Context, hosts: &mut Vec<Host>) -> Vec<MachineId> {
+    fn add_booting_machines(
+        &self,
+        ctx: &Context,
+        hosts: &mut Vec<MachineSnapshot>,
+    ) -> Vec<MachineId> {
         let mut ids = Vec::new();
         for machine in self.machines.values() {
             let is_booting =
@@ -91,7 +95,7 @@
         &self,
         ctx: &mut Context,
         view: &ClusterView,
-        hosts: &mut Vec<Host>,
+        hosts: &mut Vec<MachineSnapshot>,
     ) {
         for intent in view.provisioning_intents.values().map(|i| &i.record) {
             let Some(machine_type) = view.machine_types.get(&intent.machine_type) else {
@@ -112,12 +116,12 @@
 }
 
 /// A machine that boots, as a round sees it.
-fn booting_host(machine: &Machine, now: Ms) -> Host {
+fn booting_host(machine: &Machine, now: Ms) -> MachineSnapshot {
     let elapsed = now.saturating_sub(machine.known_since);
     let boot_remaining_ms = machine.boot_ms.saturating_sub(elapsed);
-    Host {
+    MachineSnapshot {
         free: machine.total,
-        delay: boot_remaining_ms as f64 / 1000.0,
+        startup_delay_s: boot_remaining_ms as f64 / 1000.0,
         ..host_of(machine)
     }
 }
@@ -127,18 +131,18 @@
     ctx: &mut Context,
     intent: &ProvisioningIntent,
     machine_type: &MachineType,
-) -> Host {
-    Host {
+) -> MachineSnapshot {
+    MachineSnapshot {
         free: capacity_of(machine_type),
         total: capacity_of(machine_type),
         machine_type: ctx.places.number(&intent.machine_type),
         zone: ctx.places.number(&intent.zone),
-        spot: intent.spot,
-        price: machine_type.price / SECONDS_PER_HOUR,
-        fetch_rate: machine_type.fetch_gb_per_s,
+        is_spot: intent.spot,
+        price_per_s: machine_type.price_per_hour / SECONDS_PER_HOUR,
+        fetch_gb_per_s: machine_type.fetch_gb_per_s,
         images: BTreeSet::new(),
-        held: false,
-        delay: machine_type.boot_s,
+        is_held: false,
+        startup_delay_s: machine_type.boot_s,
         reserved_for: None,
     }
 }
--- a/crates/core/src/shard/demand/publication.rs
+++ b/crates/core/src/shard/demand/publication.rs
@@ -36,7 +36,7 @@
         let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
             return;
         };
-        let resend_at = self.last_demand_sent_at + crate::ms(ctx.config.ops.round_s);
+        let resend_at = self.last_demand_sent_at + crate::ms(ctx.config.operator.round_interval_s);
         if record.has_same_demand(&self.last_demand_sent) && ctx.now < resend_at {
             return;
         }
@@ -48,7 +48,7 @@
         }
         let truncated = record.clone().truncated_to(ctx.config.bounds.list_bytes);
         if !truncated.has_same_demand(record) {
-            ctx.overflows.note(ctx.now, Overflow::Demand);
+            ctx.overflows.record(ctx.now, Overflow::Demand);
         }
         let body = Body::UnmetDemand {
             shard: self.id.0,
@@ -61,7 +61,7 @@
     /// revision. At most one write is in flight, and all shards share a part of the
     /// store's write rate.
     fn write_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
-        let shards = f64::from(ctx.config.shards());
+        let shards = f64::from(ctx.config.shard_count());
         let pause = crate::ms(shards / (ctx.limits.write_rps * DEMAND_WRITE_PART));
         let pause = pause.max(MIN_WRITE_PAUSE_MS);
         let is_unseen = self.is_writing_demand || view.revision < self.demand_required_revision;
--- a/crates/core/src/shard/demand/shapes.rs
+++ b/crates/core/src/shard/demand/shapes.rs
@@ -27,13 +27,13 @@
 
     /// Names of the machine types that are allowed for some tasks; none: any.
     fn types_of(&self, pending: &PendingTasks) -> Option<Vec<String>> {
-        let numbers = pending.types.as_ref()?.iter();
+        let numbers = pending.allowed_types.as_ref()?.iter();
         Some(numbers.filter_map(|t| self.types.get(t).cloned()).collect())
     }
 
     /// Names of the zones that are allowed for some tasks; none: any.
     fn zones_of(&self, pending: &PendingTasks) -> Option<Vec<String>> {
-        let allowed = self.zones.iter().filter(|(z, _)| pending.zone_allowed(**z));
+        let allowed = self.zones.iter().filter(|(z, _)| pending.allows_zone(**z));
         let allowed: Vec<String> = allowed.map(|(_, name)| name.clone()).collect();
         (allowed.len() < self.zones.len()).then_some(allowed)
     }
@@ -54,29 +54,33 @@
         let quota = &mut quotas[tasks.team];
         // What a round keeps from being placed needs no machine either.
         let reserved_before = reserved.get(&tasks.team);
-        if reserved_before.is_some_and(|s| s.concerns(&tasks.task)) {
+        if reserved_before.is_some_and(|s| s.affects(&tasks.task_resources)) {
             continue;
         }
         if tasks.reservation.reserves() && !tasks.waiting.is_empty() {
             let shortfall = reserved.entry(tasks.team).or_default();
-            *shortfall = shortfall.or(&quota.shortfall(&tasks.task));
+            *shortfall = shortfall.union(&quota.shortfall(&tasks.task_resources));
         }
         let count = charge_quota(tasks, quota);
-        if count == 0 || (tasks.gang && count < tasks.waiting.len()) {
+        if count == 0 || (tasks.is_gang && count < tasks.waiting.len()) {
             continue;
         }
         add_shape(
             &mut shapes,
             ShapeRecord {
-                milli_resources: (tasks.task.cpus, tasks.task.gpus, tasks.task.memory),
+                milli_resources: (
+                    tasks.task_resources.milli_cpus,
+                    tasks.task_resources.milli_gpus,
+                    tasks.task_resources.memory_mb,
+                ),
                 count: count as u32,
                 types: names.types_of(tasks),
                 zones: names.zones_of(tasks),
-                spot: tasks.spot,
+                spot: tasks.allows_spot,
                 is_spare: false,
                 may_reclaim: tasks.reclaim.reclaims_machines(),
-                is_borrowing: tasks.standing.borrows(),
-                is_gang: tasks.gang && has_pools,
+                is_borrowing: tasks.capacity_class.uses_idle_capacity_only(),
+                is_gang: tasks.is_gang && has_pools,
             },
         );
     }
@@ -86,8 +90,8 @@
 /// Charges a quota for as many waiting tasks as it allows. Returns how many.
 fn charge_quota(pending: &PendingTasks, quota: &mut Quota) -> usize {
     let mut count = 0;
-    while count < pending.waiting.len() && quota.allows(&pending.task) {
-        quota.used += pending.task;
+    while count < pending.waiting.len() && quota.allows(&pending.task_resources) {
+        quota.used += pending.task_resources;
         count += 1;
     }
     count
--- a/crates/core/src/shard/demand/spare_places.rs
+++ b/crates/core/src/shard/demand/spare_places.rs
@@ -8,7 +8,7 @@
 use crate::shard::scheduling::type_numbers;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_sched::{Host, Resources};
+use forkshift_sched::{MachineSnapshot, Resources};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
         &mut self,
         ctx: &mut Context,
         usable: &[MachineId],
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
     ) -> Vec<ShapeRecord> {
         let mut hosts_soon = hosts.to_vec();
         for (id, host) in usable.iter().zip(&mut hosts_soon) {
@@ -43,16 +43,20 @@
         }
         let missing = self.book_spare_classes(ctx, &mut hosts_soon);
         for (host, soon) in hosts.iter_mut().zip(&hosts_soon) {
-            host.free = host.free.least(&soon.free);
+            host.free = host.free.component_min(&soon.free);
         }
         missing
     }
 
     /// Books spare places for all classes, the most urgent first, and returns those that
     /// found none.
-    fn book_spare_classes(&mut self, ctx: &mut Context, hosts: &mut [Host]) -> Vec<ShapeRecord> {
+    fn book_spare_classes(
+        &mut self,
+        ctx: &mut Context,
+        hosts: &mut [MachineSnapshot],
+    ) -> Vec<ShapeRecord> {
         let boot_s = self.boot_ms() as f64 / 1000.0;
-        let factor = ctx.config.ops.spare;
+        let factor = ctx.config.operator.spare_ratio;
         let mut missing = Vec::new();
         for class in self.spare_classes(ctx, boot_s) {
             let arrivals = class.arrival_rate * boot_s * factor;
@@ -74,8 +78,8 @@
     fn spare_classes(&mut self, ctx: &Context, boot_s: f64) -> Vec<SpareClass> {
         let elapsed = self.arrivals_counted_for(ctx.now);
         let mut classes: Vec<SpareClass> = Vec::new();
-        for (name, stats) in &mut self.classes {
-            let Some(max_wait_s) = ctx.config.waits.get(name) else {
+        for (name, stats) in &mut self.arrivals_by_class {
+            let Some(max_wait_s) = ctx.config.wait_objectives.get(name) else {
                 continue;
             };
             if *max_wait_s < boot_s {
@@ -110,7 +114,7 @@
         let soon = ctx.now + (machine.boot_ms as f64 * SOON_BOOTS) as Ms;
         let released = |task: &TaskRef| {
             let (job, binding) = self.binding(task)?;
-            let end = binding.running_since? + crate::ms(job.spec.estimate_s);
+            let end = binding.running_since? + crate::ms(job.spec.estimated_run_time_s);
             let ends_soon = job.spec.kind != JobKind::Service && end < soon;
             (ends_soon && !self.is_reclaimable(ctx, job, binding)).then_some(job.task)
         };
@@ -123,13 +127,13 @@
 
 impl SpareClass {
     /// Books up to so many places, and returns how many found no room.
-    fn book(&self, ctx: &mut Context, places: u32, hosts: &mut [Host]) -> u32 {
+    fn book(&self, ctx: &mut Context, places: u32, hosts: &mut [MachineSnapshot]) -> u32 {
         let task = self.shape.resources();
         let types = type_numbers(ctx, self.shape.types.as_deref());
         let mut unbooked = places;
         for host in hosts.iter_mut() {
             let is_allowed = self.may_use(host, types.as_deref());
-            while unbooked > 0 && is_allowed && task.fits(&host.free) {
+            while unbooked > 0 && is_allowed && task.fits_in(&host.free) {
                 host.free -= task;
                 unbooked -= 1;
             }
@@ -139,12 +143,12 @@
 
     /// Whether a spare place may be on a host. Arrivals that find a pool's machine need no
     /// spare place besides, so machines of open pools count.
-    fn may_use(&self, host: &Host, types: Option<&[u16]>) -> bool {
+    fn may_use(&self, host: &MachineSnapshot, types: Option<&[u16]>) -> bool {
         let is_open = host
             .reserved_for
             .is_none_or(|number| self.open_reservations.contains(&number));
         is_open
-            && (self.shape.spot || !host.spot)
+            && (self.shape.spot || !host.is_spot)
             && types.is_none_or(|t| t.contains(&host.machine_type))
     }
 }
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -19,7 +19,7 @@
 use crate::recent_jobs::FinalStage;
 use crate::records::{job_key, ShardId};
 use crate::shard::job::{EventAge, Job};
-use crate::shard::Phase;
+use crate::shard::RecoveryState;
 use crate::store::queue::Urgency;
 use crate::timers::TimerQueue;
 use crate::Ms;
@@ -82,12 +82,12 @@
             shard: None,
         });
         entry.dependents.insert(dependent.clone());
-        self.reads.touch(dependency);
+        self.reads.mark_due(dependency);
     }
 
     /// Removes a finished dependency, and returns the jobs that waited for it.
     fn remove(&mut self, dependency: &JobId) -> BTreeSet<JobId> {
-        self.reads.forget(dependency);
+        self.reads.remove(dependency);
         let entry = self.waiting.remove(dependency);
         entry.map(|d| d.dependents).unwrap_or_default()
     }
@@ -101,7 +101,7 @@
     /// Pause between two reads of a record, so that all controllers together
     /// keep within their part of the requests.
     fn pause(&self, ctx: &Context) -> Ms {
-        let min_pause_ms = ctx.config.cancel_ms as f64 * READ_PART;
+        let min_pause_ms = ctx.config.cancellation_timeout_ms as f64 * READ_PART;
         let rate = ctx.limits.rps * READ_RATE_PART / ctx.config.nodes.len().max(1) as f64;
         let read_all_ms = self.waiting.len() as f64 * 1000.0 / rate.max(MIN_READ_RATE);
         min_pause_ms.max(read_all_ms) as Ms
@@ -151,7 +151,7 @@
     fn register_blocked_jobs(&mut self) {
         let mut new_jobs: Vec<(ShardId, JobId)> = Vec::new();
         for (shard_id, shard) in &mut self.shards {
-            if shard.phase == Phase::Active {
+            if shard.recovery_state == RecoveryState::Active {
                 let ids = std::mem::take(&mut shard.new_blocked_jobs);
                 new_jobs.extend(ids.into_iter().map(|id| (*shard_id, id)));
             }
@@ -252,7 +252,7 @@
     /// Reads the records of dependencies that are due.
     fn read_dependencies(&mut self) {
         let pause = self.dependencies.pause(&self.ctx);
-        for id in self.dependencies.reads.take(self.ctx.now) {
+        for id in self.dependencies.reads.take_due(self.ctx.now) {
             self.ctx.work_units += 1;
             let shards = &self.shards;
             let waits = |dependent: &JobId| {
@@ -268,7 +268,9 @@
                 self.dependencies.waiting.remove(&id);
                 continue;
             }
-            self.dependencies.reads.wake(&id, self.ctx.now + pause);
+            self.dependencies
+                .reads
+                .set_deadline(&id, self.ctx.now + pause);
             // The end of a job that is held here is known at once.
             if dependency.is_reading || holder_of(shards, &id).is_some() {
                 continue;
@@ -293,7 +295,7 @@
         let Some(record) = record else {
             self.dependencies
                 .reads
-                .wake(id, self.ctx.now + RETRY_PAUSE_MS);
+                .set_deadline(id, self.ctx.now + RETRY_PAUSE_MS);
             return;
         };
         if record.stage.is_final() {
@@ -308,7 +310,7 @@
     /// Whether every dependency of a blocked job was recently known to be
     /// unfinished.
     pub(crate) fn is_known_unfinished(&self, job: &Job) -> bool {
-        let max_age_ms = (self.ctx.config.cancel_ms as f64 * CERTAIN_PART) as Ms;
+        let max_age_ms = (self.ctx.config.cancellation_timeout_ms as f64 * CERTAIN_PART) as Ms;
         let is_certain = |id: &JobId| {
             let dependency = self.dependencies.waiting.get(id);
             let since = dependency.map(|d| d.unfinished_at);
--- a/crates/core/src/shard/dependencies/tests.rs
+++ b/crates/core/src/shard/dependencies/tests.rs
@@ -182,10 +182,16 @@
         };
         let mut f = Fixture::new();
         f.finalize_format();
-        f.load(vec![item]);
+        f.recover_shard(vec![item]);
         f.step(0);
         assert_eq!(f.shard().jobs[&id(1)].is_blocked(), is_blocked, "{next}");
-        let reads = f.node.ctx.pending.values().filter(|p| is_read(p)).count();
+        let reads = f
+            .node
+            .ctx
+            .pending_calls
+            .values()
+            .filter(|p| is_read(p))
+            .count();
         assert_eq!(reads, usize::from(is_blocked), "{next}");
     }
 }
@@ -194,7 +200,7 @@
 /// queued: it may have been cancelled.
 #[test]
 fn the_status_of_a_blocked_job_is_uncertain_after_half_the_cancellation_time() {
-    let half = |f: &Fixture| f.node.ctx.config.cancel_ms / 2;
+    let half = |f: &Fixture| f.node.ctx.config.cancellation_timeout_ms / 2;
     for (is_held_here, after_half, answers) in
         [(false, false, 200), (false, true, 503), (true, true, 200)]
     {
@@ -210,7 +216,10 @@
         f.node.ctx.now += passes;
         let now = f.node.ctx.now;
         f.node.membership.on_lease_renewed(&f.node.ctx, now, 200);
-        let reply = f.node.remembered_status(&id(1)).expect("the shard is held");
+        let reply = f
+            .node
+            .status_from_memory(&id(1))
+            .expect("the shard is held");
         assert_eq!(
             reply.status, answers,
             "here {is_held_here}, late {after_half}"
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -14,7 +14,7 @@
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
-use forkshift_sched::Host;
+use forkshift_sched::MachineSnapshot;
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, MachineId};
@@ -58,7 +58,7 @@
         ctx: &mut Context,
         view: &ClusterView,
         usable: &[MachineId],
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
     ) {
         let context = MoveContext {
             value_ratios: self.value_ratios(view, usable),
@@ -120,7 +120,7 @@
         &mut self,
         ctx: &mut Context,
         usable: &[MachineId],
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
         context: &MoveContext,
         max_chosen: usize,
     ) {
@@ -184,10 +184,10 @@
         &mut self,
         ctx: &mut Context,
         draining: &[MachineId],
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
         context: &MoveContext,
     ) {
-        let pause = crate::ms(ctx.config.ops.round_s * MOVE_PAUSE_ROUNDS);
+        let pause = crate::ms(ctx.config.operator.round_interval_s * MOVE_PAUSE_ROUNDS);
         if ctx.now < self.last_replica_move_at + pause {
             return;
         }
@@ -207,14 +207,17 @@
     let allowed = types.filter(|t| allows_type(&job.spec, t));
     let prices = allowed.filter_map(|t| {
         let total = capacity_of(t);
-        let price = t.spot_price.filter(|_| job.spec.spot).unwrap_or(t.price);
-        let fits = job.task.fits(&total);
-        fits.then(|| job.task.largest_share(&total) * price)
+        let price = t
+            .spot_price_per_hour
+            .filter(|_| job.spec.allow_spot)
+            .unwrap_or(t.price_per_hour);
+        let fits = job.task.fits_in(&total);
+        fits.then(|| job.task.dominant_share(&total) * price)
     });
     prices.fold(f64::INFINITY, f64::min).min(MAX_PRICE_PER_HOUR)
 }
 
 fn allows_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
-    let types = spec.types.as_ref();
+    let types = spec.machine_types.as_ref();
     types.is_none_or(|names| names.contains(&machine_type.name))
 }
--- a/crates/core/src/shard/drain/moves.rs
+++ b/crates/core/src/shard/drain/moves.rs
@@ -6,7 +6,7 @@
 use crate::shard::job::Job;
 use crate::shard::scheduling::pending_tasks_of;
 use crate::shard::Shard;
-use forkshift_sched::{run_round, Host, PendingTasks, Quota, Resources};
+use forkshift_sched::{run_round, MachineSnapshot, PendingTasks, Quota, Resources};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::{MachineId, TaskRef};
@@ -37,11 +37,11 @@
         ctx: &mut Context,
         id: &MachineId,
         host: usize,
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
         context: &MoveContext,
     ) -> bool {
         let free = std::mem::take(&mut hosts[host].free);
-        let price = hosts[host].price;
+        let price = hosts[host].price_per_s;
         let mut bookings = Vec::new();
         let all_fit = self.machines[id].tasks.iter().all(|task| {
             let booking = self.book_elsewhere(ctx, task, hosts, price, context);
@@ -62,27 +62,28 @@
         &self,
         ctx: &mut Context,
         task: &TaskRef,
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
         source_price: f64,
         context: &MoveContext,
     ) -> Option<Booking> {
         let (job, binding) = self.binding(task)?;
         let mut pending = pending_tasks_of(ctx, job, 0, &context.zones);
         let zone = context.zones.get(&binding.machine);
-        if let Some(count) = zone.and_then(|z| pending.zones.get_mut(z)) {
+        if let Some(count) = zone.and_then(|z| pending.tasks_by_zone.get_mut(z)) {
             *count -= 1;
         }
-        pending.gang = false;
+        pending.is_gang = false;
         pending.waiting = vec![task.index];
         if job.spec.kind == JobKind::Service {
-            let max_fetch_s = ctx.config.report_ms as f64 / 1000.0 * MAX_FETCH_HEARTBEATS;
+            let max_fetch_s =
+                ctx.config.heartbeat_interval_ms as f64 / 1000.0 * MAX_FETCH_HEARTBEATS;
             let slow = slow_hosts(hosts, &pending, max_fetch_s);
-            pending.avoid.extend(slow);
+            pending.excluded_machines.extend(slow);
         }
         pending
-            .avoid
+            .excluded_machines
             .extend(context.wasteful_targets(hosts, source_price));
-        let weights = ctx.config.ops.weights;
+        let weights = ctx.config.operator.weights;
         let unlimited = &mut [Quota::default()];
         let placements = run_round(
             std::slice::from_mut(&mut pending),
@@ -91,7 +92,7 @@
             &weights,
         );
         Some(Booking {
-            host: placements.first()?.host,
+            host: placements.first()?.machine,
             resources: job.task,
         })
     }
@@ -102,7 +103,7 @@
         &mut self,
         ctx: &mut Context,
         id: &MachineId,
-        hosts: &mut [Host],
+        hosts: &mut [MachineSnapshot],
         context: &MoveContext,
     ) -> bool {
         let price = self.machines[id].price;
@@ -131,9 +132,9 @@
 
 impl MoveContext {
     /// Costlier hosts that should rather be drained themselves.
-    fn wasteful_targets(&self, hosts: &[Host], source_price: f64) -> Vec<usize> {
-        let is_wasteful = |(index, host): &(usize, &Host)| {
-            host.price > source_price * COSTLIER_FACTOR
+    fn wasteful_targets(&self, hosts: &[MachineSnapshot], source_price: f64) -> Vec<usize> {
+        let is_wasteful = |(index, host): &(usize, &MachineSnapshot)| {
+            host.price_per_s > source_price * COSTLIER_FACTOR
                 && self.value_ratios[*index] < MIN_TARGET_VALUE_RATIO
         };
         let wasteful = hosts.iter().enumerate().filter(is_wasteful);
@@ -142,9 +143,10 @@
 }
 
 /// Hosts that don't have an image and would take longer to fetch it.
-fn slow_hosts(hosts: &[Host], pending: &PendingTasks, max_fetch_s: f64) -> Vec<usize> {
-    let is_slow = |(_, host): &(usize, &Host)| {
-        !host.images.contains(&pending.image) && pending.image_gb > max_fetch_s * host.fetch_rate
+fn slow_hosts(hosts: &[MachineSnapshot], pending: &PendingTasks, max_fetch_s: f64) -> Vec<usize> {
+    let is_slow = |(_, host): &(usize, &MachineSnapshot)| {
+        !host.images.contains(&pending.image)
+            && pending.image_gb > max_fetch_s * host.fetch_gb_per_s
     };
     let slow = hosts.iter().enumerate().filter(is_slow);
     slow.map(|(index, _)| index).collect()
--- a/crates/core/src/shard/failure_attribution.rs
+++ b/crates/core/src/shard/failure_attribution.rs
@@ -214,17 +214,17 @@
     }
 
     /// Whether a job failed on the machine in the last `while_ms`.
-    pub(crate) fn is_recent(&self, now: Ms, while_ms: Ms) -> bool {
+    pub(crate) fn has_failed_within(&self, now: Ms, while_ms: Ms) -> bool {
         now < self.last_failure_at() + while_ms
     }
 
     /// Whether a quarantined machine is to be tried again. The pause grows with
     /// the number of jobs that have failed on it, up to a boot time.
-    pub(crate) fn is_tried(&self, now: Ms, heartbeat_interval_ms: Ms, boot_ms: Ms) -> bool {
+    pub(crate) fn is_retry_due(&self, now: Ms, heartbeat_interval_ms: Ms, boot_ms: Ms) -> bool {
         let extra_jobs = self.jobs.len().saturating_sub(FAULTY_AFTER_JOBS);
         let doublings = extra_jobs.min(MAX_DOUBLINGS);
         let pause_ms = (heartbeat_interval_ms * QUARANTINE_HEARTBEATS) << doublings;
-        !self.is_recent(now, pause_ms.min(boot_ms))
+        !self.has_failed_within(now, pause_ms.min(boot_ms))
     }
 }
 
--- a/crates/core/src/shard/failure_attribution/tests.rs
+++ b/crates/core/src/shard/failure_attribution/tests.rs
@@ -144,8 +144,15 @@
         let now = BOOT_MS;
         assert_eq!(failures.is_faulty(), faulty, "{name}");
         assert_eq!(failures.is_quarantined(), quarantined, "{name}");
-        assert_eq!(failures.is_recent(now, BOOT_MS), failed > 0, "{name}");
-        assert!(!failures.is_recent(now + BOOT_MS, BOOT_MS), "{name}");
+        assert_eq!(
+            failures.has_failed_within(now, BOOT_MS),
+            failed > 0,
+            "{name}"
+        );
+        assert!(
+            !failures.has_failed_within(now + BOOT_MS, BOOT_MS),
+            "{name}"
+        );
         for n in 1..=failed {
             failures.remove(&job(n));
         }
@@ -161,11 +168,11 @@
     failures.add(&job(1), 0, 100);
     failures.add(&job(2), 0, 100);
     let first = 100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_HEARTBEATS;
-    assert!(!failures.is_tried(first - 1, HEARTBEAT_INTERVAL_MS, BOOT_MS));
-    assert!(failures.is_tried(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
+    assert!(!failures.is_retry_due(first - 1, HEARTBEAT_INTERVAL_MS, BOOT_MS));
+    assert!(failures.is_retry_due(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     failures.add(&job(3), 0, 100);
-    assert!(!failures.is_tried(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
-    assert!(failures.is_tried(
+    assert!(!failures.is_retry_due(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
+    assert!(failures.is_retry_due(
         100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_HEARTBEATS * 2,
         HEARTBEAT_INTERVAL_MS,
         BOOT_MS
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -13,12 +13,12 @@
 use crate::shard::machine::{Machine, Orphan, TaskAttempt};
 use crate::shard::Shard;
 use forkshift_sched::Resources;
-use forkshift_wire::workers::{TaskReport, TaskStage, WorkerHeartbeat};
+use forkshift_wire::workers::{TaskStage, TaskStatus, WorkerHeartbeat};
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeMap;
 
 /// Tasks that a heartbeat lists, by task and attempt.
-type ListedTasks<'a> = BTreeMap<(&'a TaskRef, u64), &'a TaskReport>;
+type ListedTasks<'a> = BTreeMap<(&'a TaskRef, u64), &'a TaskStatus>;
 
 impl Machine {
     /// Whether a heartbeat is newer than all that were handled. Whatever comes
@@ -35,7 +35,7 @@
         self.acknowledged_token = heartbeat.token;
         self.last_heartbeat_at = Some(ctx.now);
         self.addr.get_or_insert_with(|| heartbeat.addr.clone());
-        if let (Some(notice_s), None) = (heartbeat.notice_s, self.reclaimed_at) {
+        if let (Some(notice_s), None) = (heartbeat.reclaim_notice_s, self.reclaimed_at) {
             log::info!(
                 "machine {}: reclaimed by the cloud in {notice_s} s",
                 self.id
@@ -50,7 +50,7 @@
         }
         self.exited.clear();
         self.orphans.clear();
-        self.note_images(ctx, heartbeat.images.as_ref());
+        self.update_held_images(ctx, heartbeat.images.as_ref());
     }
 }
 
@@ -76,7 +76,7 @@
         machine.apply_heartbeat(ctx, heartbeat);
         self.apply_listed_tasks(ctx, heartbeat);
         ctx.work_units += 1 + heartbeat.tasks.len() as u64;
-        self.recheck.touch(&heartbeat.machine);
+        self.recheck.mark_due(&heartbeat.machine);
         true
     }
 
@@ -124,7 +124,7 @@
         ctx: &Context,
         heartbeat: &WorkerHeartbeat,
         task: &TaskRef,
-        report: &TaskReport,
+        report: &TaskStatus,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -145,7 +145,7 @@
         binding.stage = Some(report.stage);
         if binding.start == StartState::NotSent {
             // An earlier copy of the start has arrived.
-            binding.start = StartState::SentByUs {
+            binding.start = StartState::SentByThisHolder {
                 token: machine.token,
                 incarnation: heartbeat.incarnation,
             };
@@ -167,7 +167,7 @@
         };
         let has_ended = match binding.start {
             StartState::NotSent => return,
-            StartState::SentByUs { token, incarnation } => {
+            StartState::SentByThisHolder { token, incarnation } => {
                 heartbeat.incarnation > incarnation || heartbeat.token > token
             }
             // Every token of this holder is newer than those of earlier holders.
@@ -186,7 +186,7 @@
 
     /// Handles a task that a machine lists and that is not bound to it in this
     /// attempt.
-    fn apply_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskReport) {
+    fn apply_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let job = self.jobs.get(&task.job);
         let binding = job.and_then(|job| job.bound.get(&task.index));
@@ -223,7 +223,7 @@
 
     /// Binds an unexpected task, to be stopped: it must have exited before it is
     /// started elsewhere.
-    fn adopt(&mut self, ctx: &Context, id: &MachineId, report: &TaskReport) {
+    fn adopt(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let (Some(machine), Some(job)) = (self.machines.get(id), self.jobs.get_mut(&task.job))
         else {
@@ -234,17 +234,17 @@
             machine: id.clone(),
             attempt: report.attempt,
             version: job.mark_block_changed(block),
-            start: StartState::SentByUs {
+            start: StartState::SentByThisHolder {
                 token: machine.token,
                 incarnation: machine.incarnation,
             },
             stage: Some(report.stage),
             stop: Some(Stop::after(0.0)),
-            since: ctx.now,
+            bound_at: ctx.now,
             running_since: None,
         };
         self.bind(&task.job, task.index, binding);
-        self.unwritten_jobs.touch(&task.job);
+        self.unwritten_jobs.mark_due(&task.job);
     }
 }
 
