--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -7,7 +7,7 @@
 use crate::shard::machine::TaskAttempt;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_wire::workers::{ExitCause, TaskReport};
+use forkshift_wire::workers::{ExitCause, TaskStatus};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
 /// Pause before a start that its worker refused is tried again, in
@@ -24,7 +24,7 @@
         ctx: &mut Context,
         machine_id: &MachineId,
         task: &TaskRef,
-        report: &TaskReport,
+        report: &TaskStatus,
     ) {
         let Some(binding) = self.unbind(&task.job, task.index) else {
             return;
@@ -49,7 +49,7 @@
         if cause != ExitCause::Done {
             log::debug!(
                 "task {task}: exited on {machine_id}, {cause:?}, after {} ms",
-                ctx.now - binding.since
+                ctx.now - binding.bound_at
             );
         }
         self.on_exit_cause(ctx, machine_id, &task.job, &binding, cause);
@@ -67,20 +67,21 @@
     ) {
         match cause {
             ExitCause::Done => {
-                let began = binding.running_since.unwrap_or(binding.since);
+                let began = binding.running_since.unwrap_or(binding.bound_at);
                 self.on_task_ran_well(machine_id, job_id, began);
                 if let Some(job) = self.jobs.get_mut(job_id) {
                     job.failures.reset();
                 }
             }
             ExitCause::Error => self.on_task_failed(ctx, machine_id, job_id, binding),
-            ExitCause::NoRoom => {
+            ExitCause::InsufficientResources => {
                 // The accounts of the shard and the worker differ for a while.
                 if let Some(machine) = self.machines.get_mut(machine_id) {
-                    machine.full_until = ctx.now + ctx.config.report_ms * NO_ROOM_HEARTBEATS;
+                    machine.full_until =
+                        ctx.now + ctx.config.heartbeat_interval_ms * NO_ROOM_HEARTBEATS;
                 }
             }
-            ExitCause::InUse | ExitCause::UnknownTask => {
+            ExitCause::OtherAttemptPresent | ExitCause::UnknownTask => {
                 if let Some(job) = self.jobs.get_mut(job_id) {
                     job.not_before = job.not_before.max(ctx.now + REFUSED_PAUSE_MS);
                 }
@@ -101,7 +102,8 @@
             return;
         };
         let ran_ms = binding.running_since.map_or(0, |since| ctx.now - since);
-        job.failures.add(machine_id, binding.since, ran_ms, ctx.now);
+        job.failures
+            .add(machine_id, binding.bound_at, ran_ms, ctx.now);
         job.not_before = job.not_before.max(ctx.now + job.failures.pause());
         // It fails on every machine, so it counts against none of them.
         if job.failures.is_blamed() {
@@ -132,7 +134,7 @@
             return;
         }
         let longest_run = job.failures.longest_run.max(machine.failures.longest_run);
-        if ctx.now >= began + well_after(longest_run, ctx.config.report_ms) {
+        if ctx.now >= began + well_after(longest_run, ctx.config.heartbeat_interval_ms) {
             self.on_task_ran_well(machine_id, job_id, began);
         }
     }
@@ -149,7 +151,7 @@
         for failed_on in job.failures.machines() {
             if let Some(machine) = self.machines.get_mut(&failed_on) {
                 machine.failures.note_runs_elsewhere(job_id);
-                self.recheck.touch(&failed_on);
+                self.recheck.mark_due(&failed_on);
             }
         }
         job.failures.ran_well(began);
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -17,7 +17,7 @@
 }
 
 fn under_token(token: u64) -> StartState {
-    StartState::SentByUs {
+    StartState::SentByThisHolder {
         token,
         incarnation: 1,
     }
@@ -76,7 +76,7 @@
         let mut f = Fixture::new();
         let token = f.token();
         f.heartbeat(1, token, &[]);
-        let mut copy = f.message(incarnation, token, &[]);
+        let mut copy = f.heartbeat_message(incarnation, token, &[]);
         f.heartbeat(1, token, &[]);
         copy.sequence += later * 2;
         let Fixture { node, shard, .. } = &mut f;
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -74,7 +74,7 @@
     /// was restored.
     pub(crate) last_completion_at: Option<Ms>,
     /// Since when, having waited long, it has lacked nothing but machines.
-    pub(crate) lacking_room_since: Option<Ms>,
+    pub(crate) lacking_machines_since: Option<Ms>,
     /// No task is placed before this.
     pub(crate) not_before: Ms,
     /// Its failures since a task last ran well.
@@ -123,7 +123,7 @@
                 learned_at: now,
             },
             last_completion_at: None,
-            lacking_room_since: None,
+            lacking_machines_since: None,
             not_before: 0,
             failures: JobFailures::default(),
             spec: Rc::new(spec),
--- a/crates/core/src/shard/job/binding.rs
+++ b/crates/core/src/shard/job/binding.rs
@@ -13,7 +13,7 @@
     NotSent,
     /// By this holder. `token` is the fencing token of the last call that
     /// carried the start, `incarnation` that of the worker it was sent to.
-    SentByUs { token: u64, incarnation: u64 },
+    SentByThisHolder { token: u64, incarnation: u64 },
     /// Possibly: an earlier holder of the shard recorded the binding.
     Unknown,
 }
@@ -61,7 +61,7 @@
     /// Its stop, if it is to be stopped.
     pub(crate) stop: Option<Stop>,
     /// When this holder bound or restored the task.
-    pub(crate) since: Ms,
+    pub(crate) bound_at: Ms,
     /// When this holder first saw the task run.
     pub(crate) running_since: Option<Ms>,
 }
@@ -76,7 +76,7 @@
             start: StartState::Unknown,
             stage: None,
             stop: None,
-            since: now,
+            bound_at: now,
             running_since: None,
         }
     }
--- a/crates/core/src/shard/job/tests.rs
+++ b/crates/core/src/shard/job/tests.rs
@@ -74,7 +74,7 @@
     ];
     for (name, since, kept) in cases {
         let mut job = job("j-1");
-        job.lacking_room_since = since;
+        job.lacking_machines_since = since;
         assert_eq!(job.may_keep_quota(SINCE, BOOT_MS), kept, "{name}");
     }
 }
--- a/crates/core/src/shard/job/waiting.rs
+++ b/crates/core/src/shard/job/waiting.rs
@@ -47,7 +47,7 @@
     /// once. Where none can be provisioned, its team must not be blocked.
     pub(crate) fn may_keep_quota(&self, now: Ms, boot_ms: Ms) -> bool {
         let keep_ms = (boot_ms as f64 * KEEP_QUOTA_BOOTS) as Ms;
-        self.lacking_room_since
+        self.lacking_machines_since
             .is_none_or(|since| now < since + keep_ms)
     }
 
--- a/crates/core/src/shard/job_writes.rs
+++ b/crates/core/src/shard/job_writes.rs
@@ -53,11 +53,11 @@
     pub(crate) fn write_jobs(&mut self, ctx: &mut Context, writes_progress: bool) {
         if writes_progress {
             for id in std::mem::take(&mut self.progress_writes.jobs) {
-                self.unwritten_jobs.touch(&id);
+                self.unwritten_jobs.mark_due(&id);
             }
         }
         let mut changes: Vec<JobChange> = Vec::new();
-        for id in self.unwritten_jobs.take(ctx.now) {
+        for id in self.unwritten_jobs.take_due(ctx.now) {
             ctx.work_units += 1;
             changes.extend(self.due_change(ctx, id, writes_progress));
         }
@@ -73,7 +73,7 @@
             return None;
         }
         if ctx.now < job.retry_at {
-            self.unwritten_jobs.wake(&id, job.retry_at);
+            self.unwritten_jobs.set_deadline(&id, job.retry_at);
             return None;
         }
         if job.is_dirty() && !job.is_over() && !job.is_changing_layout {
--- a/crates/core/src/shard/job_writes/responses.rs
+++ b/crates/core/src/shard/job_writes/responses.rs
@@ -1,7 +1,7 @@
 //! Answers of the key-value store to writes of jobs, and the reads that resolve
 //! conflicts.
 
-use crate::api::status;
+use crate::api::status_of_stage;
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
 use crate::pending_call::{JobWrite, PendingCall};
@@ -27,7 +27,7 @@
     fn end_write(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(id)?;
         job.has_write_in_flight = false;
-        self.unwritten_jobs.touch(id);
+        self.unwritten_jobs.mark_due(id);
         Some(job)
     }
 
@@ -54,7 +54,7 @@
                 // The write is tried again all the same; users who wait for it
                 // are answered at once to retry.
                 for request in std::mem::take(&mut job.cancel_waiters) {
-                    ctx.respond(request, Reply::later("not now"));
+                    ctx.respond(request, Reply::unavailable("not now"));
                 }
             }
             // Without an answer the write may have been carried out, or may be
@@ -187,7 +187,7 @@
         // Tasks whose binding is recorded may be started now.
         let bindings = job.bound.values();
         for binding in bindings.filter(|b| b.start == StartState::NotSent) {
-            self.recheck.touch(&binding.machine);
+            self.recheck.mark_due(&binding.machine);
         }
         let stage = job.final_stage();
         if write.is_final || write.records_cancellation {
@@ -264,6 +264,6 @@
 /// ended.
 fn answer_waiters(ctx: &mut Context, waiters: Vec<RequestId>, id: &JobId, stage: JobStage) {
     for request in waiters {
-        ctx.respond(request, Reply::json(200, &status(id, stage)));
+        ctx.respond(request, Reply::json(200, &status_of_stage(id, stage)));
     }
 }
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -33,7 +33,7 @@
     let id = f.job("j-1", JobKind::Service, 1);
     // Cancelled at revision 7; the head was written again at 9; the last write
     // landed at 10.
-    f.ask(1, "POST", "/submissions/j-1/abort");
+    f.request(1, "POST", "/submissions/j-1/abort");
     f.shard()
         .jobs
         .get_mut(&id)
@@ -299,7 +299,7 @@
         let mut f = Fixture::new();
         let id = JobId::new("j-1");
         let mut records = old_records(&mut f, &id, tasks);
-        f.load(records.live());
+        f.recover_shard(records.live());
         let before = tasks_of(&mut f, &id);
         assert!(!before.0.is_empty() && !before.1.is_empty());
         f.finalize_format();
@@ -310,7 +310,7 @@
         settle(&mut f, &mut records, |records| {
             let mut next = Fixture::new();
             next.finalize_format();
-            next.load(records.live());
+            next.recover_shard(records.live());
             seen.push(tasks_of(&mut next, &JobId::new("j-1")));
         });
         assert!(
@@ -332,7 +332,7 @@
         }
         let mut next = Fixture::new();
         next.finalize_format();
-        next.load(records.live());
+        next.recover_shard(records.live());
         let effects = next.step(200);
         assert_eq!(
             removals(&effects),
@@ -349,11 +349,11 @@
     let mut f = Fixture::new();
     let (id, index) = (JobId::new("j-1"), 30);
     let mut records = old_records(&mut f, &id, 300);
-    f.load(records.live());
+    f.recover_shard(records.live());
     f.finalize_format();
     let job = f.shard().jobs.get_mut(&id).expect("it is there");
     let version = job.mark_block_changed(job.block_of(index));
-    f.shard().unwritten_jobs.touch(&id);
+    f.shard().unwritten_jobs.mark_due(&id);
     let shard_key = shard_key(f.shard);
     let mut durable = Vec::new();
     let mut effects = f.step(1_000);
--- a/crates/core/src/shard/jobs_watch.rs
+++ b/crates/core/src/shard/jobs_watch.rs
@@ -4,7 +4,7 @@
 //! from the revision of the first page then shows the jobs that other
 //! controllers accept.
 
-use super::{Phase, Shard};
+use super::{RecoveryState, Shard};
 use crate::context::{is_watch_lost, Context};
 use crate::pending_call::PendingCall;
 use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
@@ -124,7 +124,7 @@
                 let from = last.key.clone();
                 self.list_jobs(ctx, &from);
             }
-            _ => self.phase = Phase::Waiting(page.revision),
+            _ => self.recovery_state = RecoveryState::Waiting(page.revision),
         }
     }
 
--- a/crates/core/src/shard/layout/tests.rs
+++ b/crates/core/src/shard/layout/tests.rs
@@ -58,12 +58,12 @@
 fn a_head_fits_with_its_submission() {
     let small = limits(2 * 1024);
     let mut spec = spec(&JobId::new("j-1"), "team", JobKind::Array, 25);
-    spec.types = Some(vec!["a-long-type-name".to_owned(); 50]);
+    spec.machine_types = Some(vec!["a-long-type-name".to_owned(); 50]);
     assert!(can_be_recorded(&spec, &small));
     let layout = Layout::unnamed(&limits(8 * 1024)).within(&small, &spec);
     let (from, to) = layout.tasks_of(0);
     let tasks = (to - from) as usize * TASK_BYTES;
     assert!(to > 0 && head_bytes(&spec) + tasks <= small.value_bytes);
-    spec.types = Some(vec!["a-long-type-name".to_owned(); 150]);
+    spec.machine_types = Some(vec!["a-long-type-name".to_owned(); 150]);
     assert!(!can_be_recorded(&spec, &small));
 }
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -64,7 +64,7 @@
     /// Number of its zone.
     pub(crate) zone: u16,
     /// Whether it is a spot instance, which the cloud may reclaim.
-    pub(crate) spot: bool,
+    pub(crate) is_spot: bool,
     /// Its capacity.
     pub(crate) total: Resources,
     /// Its price per second.
@@ -158,7 +158,7 @@
             id: recorded.id.clone(),
             machine_type: ctx.places.number(&record.machine_type),
             zone: ctx.places.number(&record.zone),
-            spot: record.spot,
+            is_spot: record.spot,
             total: capacity_of(machine_type),
             price: price_per_second(record, machine_type),
             fetch_rate: machine_type.fetch_gb_per_s,
@@ -216,7 +216,7 @@
 
     /// Whether a heartbeat came recently.
     pub(crate) fn has_recent_heartbeat(&self, ctx: &Context) -> bool {
-        let timeout = ctx.config.report_ms * MAX_MISSED_HEARTBEATS;
+        let timeout = ctx.config.heartbeat_interval_ms * MAX_MISSED_HEARTBEATS;
         let last = self.last_heartbeat_at;
         last.is_some_and(|last| ctx.now < last + timeout)
     }
@@ -230,7 +230,7 @@
 
     /// Updates since when nothing has needed it. Returns whether it has just
     /// become idle.
-    pub(crate) fn note_empty(&mut self, is_idle: bool, now: Ms) -> bool {
+    pub(crate) fn update_idle_since(&mut self, is_idle: bool, now: Ms) -> bool {
         let becomes_idle = is_idle && self.idle_since.is_none();
         self.idle_since = is_idle.then(|| self.idle_since.unwrap_or(now));
         becomes_idle
@@ -268,9 +268,11 @@
 /// that have one.
 fn price_per_second(record: &MachineRecord, machine_type: &MachineType) -> f64 {
     let hourly = if record.spot {
-        machine_type.spot_price.unwrap_or(machine_type.price)
+        machine_type
+            .spot_price_per_hour
+            .unwrap_or(machine_type.price_per_hour)
     } else {
-        machine_type.price
+        machine_type.price_per_hour
     };
     hourly / SECONDS_PER_HOUR
 }
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -4,13 +4,13 @@
 use super::Shard;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
-use crate::pools::add_row;
+use crate::pools::add_account_row;
 use crate::records::{machine_key, MachineRecord};
 use crate::shard::machine::{Machine, RecordedMachine};
 use crate::store::queue::Urgency;
 use crate::store::view::{ChangedMachines, ClusterView, Versioned};
 use forkshift_links::Route;
-use forkshift_pools::{Ended, Interval};
+use forkshift_pools::{EndReason, UsageInterval};
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::{MachineId, TaskRef};
 use serde_json::to_value;
@@ -29,7 +29,7 @@
             self.decommission_reason = record.decommission_reason.clone();
         }
         self.addr = record.addr.clone().or(self.addr.take());
-        self.pool.follow(record);
+        self.pool.apply_record(record);
     }
 
     /// Whether nothing is or may come on it, so that another shard can use it.
@@ -75,7 +75,7 @@
             self.remove_machine(ctx, id);
             return;
         };
-        self.recheck.touch(id);
+        self.recheck.mark_due(id);
         if let Some(machine) = self.machines.get_mut(id) {
             machine.follow_record(versioned);
             return;
@@ -101,7 +101,7 @@
         }
         self.unbind_all(ctx, id);
         self.machines.remove(id);
-        self.recheck.forget(id);
+        self.recheck.remove(id);
     }
 
     /// Notes by which route a machine's heartbeat has come.
@@ -115,7 +115,7 @@
         if was_relayed != machine.link.is_relayed() {
             log::info!("machine {id}: heartbeat route changed, {route:?}");
         }
-        if machine.link.is_probe_due(ctx.now) {
+        if machine.link.is_failback_probe_due(ctx.now) {
             // Any answered call will do.
             machine.must_send_token = true;
         }
@@ -167,7 +167,7 @@
                 record.reassign_to = None;
                 record.token_floor = token_floor;
                 record.images = images;
-                record.close_membership(id, at_ms, Err(Ended::Reclaimed))
+                record.close_membership(id, at_ms, Err(EndReason::Reclaimed))
             });
         } else if !self.vacate(ctx, id) {
             self.update_machine_record(ctx, view, id, |record| record.reassign_to = None);
@@ -218,7 +218,7 @@
         ctx: &mut Context,
         view: &ClusterView,
         id: &MachineId,
-        change: impl FnOnce(&mut MachineRecord) -> Option<Interval>,
+        change: impl FnOnce(&mut MachineRecord) -> Option<UsageInterval>,
     ) {
         let (Some(machine), Some(versioned)) = (self.machines.get_mut(id), view.machines.get(id))
         else {
@@ -250,7 +250,7 @@
             writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
         };
         if let Some(row) = row {
-            add_row(&mut transaction, row.key(), &row);
+            add_account_row(&mut transaction, row.key(), &row);
         }
         ctx.transact(
             urgency,
@@ -271,7 +271,7 @@
                 machine.tasks.len()
             );
             machine.decommission_reason = Some(reason.to_owned());
-            self.recheck.touch(id);
+            self.recheck.mark_due(id);
         }
     }
 
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -12,7 +12,7 @@
 use crate::shard::scheduling::PendingJobs;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_sched::{PendingTasks, Quota, Requirement, Resources};
+use forkshift_sched::{PendingTasks, PlacementRequirement, Quota, Resources};
 use forkshift_wire::users::Priority;
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::{BTreeMap, HashSet};
@@ -65,10 +65,10 @@
     /// there is room already.
     fn plan_for(&self, pending: &PendingTasks) -> Option<PreemptionPlan<'_>> {
         let machine = self.machine;
-        let may_fit = pending.allowed(machine.machine_type, machine.zone, machine.spot)
-            && pending.task.fits(&machine.total)
-            && pending.task.fits(&self.max_free);
-        if !may_fit || pending.task.fits(&self.free) {
+        let may_fit = pending.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
+            && pending.task_resources.fits_in(&machine.total)
+            && pending.task_resources.fits_in(&self.max_free);
+        if !may_fit || pending.task_resources.fits_in(&self.free) {
             return None;
         }
         let mut free = self.free;
@@ -76,7 +76,7 @@
         for (i, victim) in self.victims.iter().enumerate() {
             free += victim.resources;
             lost_ms += victim.lost_ms;
-            if pending.task.fits(&free) {
+            if pending.task_resources.fits_in(&free) {
                 return Some(PreemptionPlan {
                     lost_ms,
                     victims: &self.victims[..=i],
@@ -96,15 +96,15 @@
         usable: &[MachineId],
         quotas: &[Quota],
     ) {
-        if ctx.now < self.last_preemption_at + ctx.config.report_ms * PAUSE_HEARTBEATS {
+        if ctx.now < self.last_preemption_at + ctx.config.heartbeat_interval_ms * PAUSE_HEARTBEATS {
             return;
         }
         let _span = tracing::debug_span!("preempt").entered();
         let urgent_wait_ms = (self.boot_ms() as f64 * URGENT_WAIT_BOOTS).ceil() as Ms;
         let may_preempt = |(id, tasks): &(&JobId, &PendingTasks)| {
             !tasks.waiting.is_empty()
-                && !tasks.gang
-                && quotas[tasks.team].allows(&tasks.task)
+                && !tasks.is_gang
+                && quotas[tasks.team].allows(&tasks.task_resources)
                 && self.has_preempting_priority(ctx, id, urgent_wait_ms)
         };
         let mut preempting = pending.iter().filter(may_preempt).peekable();
@@ -148,7 +148,7 @@
         zones.dedup();
         let mut without_victims = HashSet::new();
         for (id, tasks) in preempting {
-            let requirement = Requirement::new(tasks, &zones);
+            let requirement = PlacementRequirement::new(tasks, &zones);
             let is_known = requirement
                 .as_ref()
                 .is_some_and(|r| without_victims.contains(r));
--- a/crates/core/src/shard/preemption/tests.rs
+++ b/crates/core/src/shard/preemption/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of preemption.
 
-use crate::fixture::{spec, stopped, team_of, Fixture, WALL};
+use crate::fixture::{spec, stopping_tasks, team_of, Fixture, WALL};
 use crate::node::Node;
 use crate::shard::job::StartState;
 use forkshift_wire::users::{JobKind, JobSpec, Priority};
@@ -33,7 +33,7 @@
         fixture.bind(
             &job,
             index,
-            StartState::SentByUs {
+            StartState::SentByThisHolder {
                 token,
                 incarnation: 1,
             },
@@ -71,7 +71,7 @@
         });
         fixture.step(2_000);
         assert_eq!(
-            stopped(&mut fixture, &job),
+            stopping_tasks(&mut fixture, &job),
             expected,
             "{runs:?} {waits:?} {cpus}"
         );
@@ -93,7 +93,7 @@
     }
     fixture.step(2_000);
     assert_eq!(
-        stopped(&mut fixture, &job),
+        stopping_tasks(&mut fixture, &job),
         [7],
         "for the only one for which room can be made"
     );
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -55,12 +55,12 @@
         if reclaiming.is_empty() || !self.has_borrowers() {
             return;
         }
-        reclaiming.sort_by_key(|p| Reverse(p.band));
+        reclaiming.sort_by_key(|p| Reverse(p.priority_band));
         let mut candidates = self.reclaim_candidates(ctx, usable);
         let mut quotas = quotas.to_vec();
         for tasks in reclaiming {
             let waiting = tasks.waiting.len();
-            if tasks.gang {
+            if tasks.is_gang {
                 self.reclaim_for(tasks, waiting, &mut candidates, &mut quotas);
                 continue;
             }
@@ -80,7 +80,7 @@
         candidates: &mut [ReclaimCandidate],
         quotas: &mut [Quota],
     ) -> bool {
-        let need = pending.task.times(count as i64);
+        let need = pending.task_resources.scaled_by(count as i64);
         if !quotas[pending.team].allows(&need) {
             return false;
         }
@@ -98,7 +98,7 @@
                 );
                 self.stop_task(&victim.task);
             }
-            candidate.free -= pending.task;
+            candidate.free -= pending.task_resources;
         }
         true
     }
@@ -130,7 +130,7 @@
         ReclaimCandidate {
             machine_type: machine.machine_type,
             zone: machine.zone,
-            spot: machine.spot,
+            spot: machine.is_spot,
             free,
             victims,
         }
@@ -164,7 +164,7 @@
 /// between its checkpoints.
 fn lost_run_time(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
     let run_time = ctx.now - binding.running_since.unwrap_or(ctx.now).min(ctx.now);
-    let checkpoint_interval = crate::ms(job.spec.checkpoint_s);
+    let checkpoint_interval = crate::ms(job.spec.checkpoint_interval_s);
     if checkpoint_interval > 0 {
         run_time.min(checkpoint_interval)
     } else {
--- a/crates/core/src/shard/reclaim/borrowers.rs
+++ b/crates/core/src/shard/reclaim/borrowers.rs
@@ -6,7 +6,7 @@
 use crate::shard::machine::Machine;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_sched::{Host, Quota, Standing};
+use forkshift_sched::{CapacityClass, MachineSnapshot, Quota};
 use forkshift_wire::users::Priority;
 use forkshift_wire::{MachineId, TaskRef};
 
@@ -27,7 +27,7 @@
 impl Shard {
     /// Whether a team without a guarantee uses anything.
     pub(super) fn has_borrowers(&self) -> bool {
-        let borrows = |quota: &Quota| quota.is_guest() && quota.is_borrowing();
+        let borrows = |quota: &Quota| quota.has_no_guarantee() && quota.is_borrowing();
         self.quotas.iter().any(borrows)
     }
 
@@ -35,8 +35,8 @@
     /// has one, none borrows.
     fn is_borrowed_work(&self, ctx: &Context, job: &Job) -> bool {
         let team = self.teams.get(&job.spec.team);
-        let has_no_guarantee = team.is_some_and(|team| self.quotas[*team].is_guest());
-        ctx.config.has_guests && has_no_guarantee && job.priority() == Priority::Low
+        let has_no_guarantee = team.is_some_and(|team| self.quotas[*team].has_no_guarantee());
+        ctx.config.has_borrowers && has_no_guarantee && job.priority() == Priority::Low
     }
 
     /// Whether a task runs on borrowed resources and may be stopped to give them back. A
@@ -48,11 +48,11 @@
 
     /// Whether a job is borrowed work, and whether it is content with unused machines,
     /// where machines take `boot_ms` to boot.
-    pub(crate) fn standing_of(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> Standing {
+    pub(crate) fn standing_of(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> CapacityClass {
         match self.is_borrowed_work(ctx, job) {
-            true if is_patient(ctx, job, boot_ms) => Standing::PatientGuest,
-            true => Standing::Guest,
-            false => Standing::Ordinary,
+            true if is_patient(ctx, job, boot_ms) => CapacityClass::PatientBorrower,
+            true => CapacityClass::Borrower,
+            false => CapacityClass::Ordinary,
         }
     }
 
@@ -60,7 +60,12 @@
     /// once, so no machine would ever be released otherwise. `hosts` shows what is free on
     /// the usable machines once all other work and the spare places are booked, with
     /// borrowed work counted as stopped.
-    pub(crate) fn drain_borrowers(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[Host]) {
+    pub(crate) fn drain_borrowers(
+        &mut self,
+        ctx: &Context,
+        usable: &[MachineId],
+        hosts: &[MachineSnapshot],
+    ) {
         if !self.has_borrowers() {
             return;
         }
@@ -102,7 +107,9 @@
                 self.is_reclaimable(ctx, job, binding) && is_patient(ctx, job, boot_ms)
             })
         };
-        !machine.spot && !machine.tasks.is_empty() && machine.tasks.iter().all(is_patient_borrower)
+        !machine.is_spot
+            && !machine.tasks.is_empty()
+            && machine.tasks.iter().all(is_patient_borrower)
     }
 }
 
@@ -111,7 +118,7 @@
 /// time until it should be complete.
 fn is_patient(ctx: &Context, job: &Job, boot_ms: Ms) -> bool {
     let spec = &job.spec;
-    let objective_s = ctx.config.finishes.get(&spec.class);
+    let objective_s = ctx.config.completion_objectives.get(&spec.class);
     let by_objective = objective_s.map(|s| s * PATIENT_OBJECTIVE_PART);
     let by_deadline = spec.deadline_s.map(|s| s * PATIENT_DEADLINE_PART);
     let ends = by_objective.into_iter().chain(by_deadline);
--- a/crates/core/src/shard/reclaim/plan.rs
+++ b/crates/core/src/shard/reclaim/plan.rs
@@ -25,18 +25,21 @@
         let mut lost_ms = 0;
         let mut victims = 0;
         for victim in &self.victims {
-            if pending.task.fits(&free) {
+            if pending.task_resources.fits_in(&free) {
                 break;
             }
             free += victim.resources;
             lost_ms += victim.lost_ms;
             victims += 1;
         }
-        pending.task.fits(&free).then_some(PlannedPlace {
-            lost_ms,
-            candidate,
-            victims,
-        })
+        pending
+            .task_resources
+            .fits_in(&free)
+            .then_some(PlannedPlace {
+                lost_ms,
+                candidate,
+                victims,
+            })
     }
 }
 
@@ -87,7 +90,7 @@
     zone: Option<u16>,
 ) -> Option<ReclaimPlan> {
     let is_allowed = |c: &ReclaimCandidate| {
-        zone.is_none_or(|z| z == c.zone) && pending.allowed(c.machine_type, c.zone, c.spot)
+        zone.is_none_or(|z| z == c.zone) && pending.allows_machine(c.machine_type, c.zone, c.spot)
     };
     let allowed = candidates.iter().enumerate().filter(|(_, c)| is_allowed(c));
     let mut places: Vec<PlannedPlace> = allowed
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of reclaiming.
 
-use crate::fixture::{spec, stopped, Fixture, WALL};
+use crate::fixture::{spec, stopping_tasks, Fixture, WALL};
 use crate::io::Effect;
 use crate::node::Node;
 use crate::records::{machine_key, MachineRecord, ShardId};
@@ -38,7 +38,7 @@
 fn with_borrower(priority: Priority) -> (Fixture, JobId) {
     let mut fixture = Fixture::new();
     set_spot(&mut fixture, true);
-    Rc::make_mut(&mut fixture.node.ctx.config).has_guests = true;
+    Rc::make_mut(&mut fixture.node.ctx.config).has_borrowers = true;
     let index = fixture.shard().quotas.len();
     fixture.shard().teams.insert(BORROWER.to_owned(), index);
     fixture.shard().quotas.push(Quota::default());
@@ -51,7 +51,7 @@
         fixture.bind(
             &borrower,
             index,
-            StartState::SentByUs {
+            StartState::SentByThisHolder {
                 token,
                 incarnation: 1,
             },
@@ -135,12 +135,12 @@
         let owner = owner_team(&mut fixture);
         add(&mut fixture, "j-2", &owner, |s| {
             s.cpus = OWNER_CPUS;
-            s.spot = true;
+            s.allow_spot = true;
             (case.owner)(s);
         });
         fixture.step(2_000);
         assert_eq!(
-            stopped(&mut fixture, &borrower),
+            stopping_tasks(&mut fixture, &borrower),
             case.stopped,
             "{}",
             case.name
@@ -148,7 +148,7 @@
         // What is being stopped counts as room: nothing more is stopped.
         fixture.step(2_000);
         assert_eq!(
-            stopped(&mut fixture, &borrower),
+            stopping_tasks(&mut fixture, &borrower),
             case.stopped,
             "{}: later",
             case.name
@@ -159,7 +159,7 @@
 fn set_spot(fixture: &mut Fixture, spot: bool) {
     let id = fixture.machine.clone();
     let machine = fixture.shard().machines.get_mut(&id);
-    machine.expect("the machine").spot = spot;
+    machine.expect("the machine").is_spot = spot;
 }
 
 /// A machine on which only borrowed work runs.
@@ -227,7 +227,7 @@
         let is_draining = fixture.shard().machines[&machine].is_draining;
         assert_eq!(is_draining, case.is_drained, "{}", case.name);
         assert_eq!(
-            stopped(&mut fixture, &borrower).len() == 8,
+            stopping_tasks(&mut fixture, &borrower).len() == 8,
             case.is_drained,
             "{}: stopped",
             case.name
@@ -243,7 +243,7 @@
     fixture.bind(
         &id,
         0,
-        StartState::SentByUs {
+        StartState::SentByThisHolder {
             token,
             incarnation: 1,
         },
@@ -286,7 +286,7 @@
         for _ in 0..5 {
             effects.extend(fixture.step(100));
         }
-        let all_stopped = stopped(&mut fixture, &borrower).len() == 8;
+        let all_stopped = stopping_tasks(&mut fixture, &borrower).len() == 8;
         assert_eq!(
             all_stopped, is_vacated,
             "stopped, with other work: {with_owner}"
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -26,14 +26,15 @@
     pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &ClusterView) {
         self.stop_broken_gangs();
         self.enforce_cancellations(ctx);
-        self.round(ctx, view);
-        self.write_pool_rows(ctx);
-        for id in self.recheck.take(ctx.now) {
+        self.run_scheduling_round(ctx, view);
+        self.sync_pool_records(ctx);
+        for id in self.recheck.take_due(ctx.now) {
             self.reconcile_machine(ctx, view, &id);
         }
         let writes_progress = ctx.now >= self.progress_writes.next_at;
         if writes_progress {
-            self.progress_writes.next_at = ctx.now + crate::ms(ctx.config.ops.round_s);
+            self.progress_writes.next_at =
+                ctx.now + crate::ms(ctx.config.operator.round_interval_s);
         }
         self.write_jobs(ctx, writes_progress);
     }
@@ -77,20 +78,20 @@
         self.record_decommission(ctx, view, id);
         self.reclaim_unsent_tasks(ctx, id);
         self.note_address(ctx, view, id);
-        self.note_membership(ctx, view, id);
+        self.reconcile_membership(ctx, view, id);
         self.transfer_machine(ctx, view, id);
         self.send_due_commands(ctx, id);
         let Some(machine) = self.machines.get(id) else {
             return;
         };
         let next_check = if self.is_busy(view, machine) {
-            let soon = ctx.now + (ctx.config.report_ms / CHECKS_PER_HEARTBEAT).max(1);
+            let soon = ctx.now + (ctx.config.heartbeat_interval_ms / CHECKS_PER_HEARTBEAT).max(1);
             soon.max(machine.retry_at)
         } else {
             ctx.now + ctx.config.lease_ms
         };
         self.recheck
-            .wake(id, next_check.min(deadline).max(ctx.now + 1));
+            .set_deadline(id, next_check.min(deadline).max(ctx.now + 1));
     }
 
     /// Unbinds tasks whose start was never sent from a machine whose heartbeats
@@ -99,7 +100,7 @@
     fn reclaim_unsent_tasks(&mut self, ctx: &Context, id: &MachineId) {
         let is_out_of_reach = |m: &&Machine| {
             let is_silent = m.last_heartbeat_at.is_some() && !m.has_recent_heartbeat(ctx);
-            is_silent || !m.link.accepts_starts()
+            is_silent || !m.link.can_start_tasks()
         };
         if let Some(machine) = self.machines.get(id).filter(is_out_of_reach) {
             let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
@@ -116,7 +117,7 @@
             binding.is_some_and(|b| b.stop.is_some() || b.start == StartState::NotSent)
         };
         is_record_outdated(view, machine)
-            || machine.pool.is_busy()
+            || machine.pool.is_pending()
             || machine.must_send_token
             || !machine.exited.is_empty()
             || !machine.orphans.is_empty()
@@ -186,13 +187,13 @@
 /// The deadlines of a machine. The first one that has passed gives the reason.
 fn removal_deadlines(ctx: &Context, machine: &Machine) -> [RemovalDeadline; 4] {
     let last = machine.last_sign_of_life(ctx.resumed_at);
-    let idle_ms = (machine.boot_ms as f64 * ctx.config.ops.idle_boots) as Ms;
+    let idle_ms = (machine.boot_ms as f64 * ctx.config.operator.idle_boots) as Ms;
     // A task is only ever placed on a machine that was heard, by an earlier
     // holder perhaps, which had no time to write the address.
     let was_heard =
         machine.addr.is_some() || machine.last_heartbeat_at.is_some() || !machine.tasks.is_empty();
-    let reclaim_grace_ms = ctx.config.report_ms * RECLAIM_HEARTBEATS;
-    let unacknowledged_ms = ctx.silent_ms() * UNACKNOWLEDGED_TIMEOUTS;
+    let reclaim_grace_ms = ctx.config.heartbeat_interval_ms * RECLAIM_HEARTBEATS;
+    let unacknowledged_ms = ctx.max_silence_ms() * UNACKNOWLEDGED_TIMEOUTS;
     [
         RemovalDeadline {
             at: was_heard.then_some(last + ctx.removal_timeout_ms(machine)),
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -11,7 +11,7 @@
 use crate::shard::job::Job;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_wire::cloud::DELETE_MOST;
+use forkshift_wire::cloud::MAX_DELETION_COUNT;
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
@@ -35,9 +35,9 @@
 
 impl Deadlines {
     fn of(ctx: &Context, job: &Job) -> Self {
-        let part = |part: f64| (ctx.config.cancel_ms as f64 * part) as Ms;
+        let part = |part: f64| (ctx.config.cancellation_timeout_ms as f64 * part) as Ms;
         // A new holder tries to stop the tasks first, if there is time.
-        let stop_ms = ctx.config.report_ms * STOP_HEARTBEATS;
+        let stop_ms = ctx.config.heartbeat_interval_ms * STOP_HEARTBEATS;
         let tried = job.cancellation_age.when_learned_ms + stop_ms;
         let tried = tried.min(part(LATEST_DECOMMISSION_PART));
         Self {
@@ -52,7 +52,7 @@
     /// that may still hold one when a deadline has passed.
     pub(super) fn enforce_cancellations(&mut self, ctx: &mut Context) {
         let mut overdue = BTreeSet::new();
-        for id in self.cancelled_jobs.take(ctx.now) {
+        for id in self.cancelled_jobs.take_due(ctx.now) {
             self.stop_remaining_tasks(&id);
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -69,11 +69,11 @@
             if age >= deadlines.delete {
                 overdue.extend(holding);
             }
-            let mut next_check = ctx.now + ctx.config.report_ms;
+            let mut next_check = ctx.now + ctx.config.heartbeat_interval_ms;
             if age < deadlines.decommission {
                 next_check = next_check.min(ctx.now + deadlines.decommission - age);
             }
-            self.cancelled_jobs.wake(&id, next_check);
+            self.cancelled_jobs.set_deadline(&id, next_check);
         }
         self.delete_overdue(ctx, overdue);
     }
@@ -92,8 +92,8 @@
             };
             let deletion = &mut machine.deletion;
             let is_due = !deletion.is_confirmed && ctx.now >= deletion.next_request_at;
-            if is_due && due.len() < DELETE_MOST {
-                deletion.next_request_at = ctx.now + ctx.config.report_ms;
+            if is_due && due.len() < MAX_DELETION_COUNT {
+                deletion.next_request_at = ctx.now + ctx.config.heartbeat_interval_ms;
                 due.push(id);
             }
         }
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -24,14 +24,18 @@
 #[test]
 fn a_machine_with_a_cancelled_task_is_deleted_without_a_write() {
     let mut f = Fixture::new();
-    let cancel = f.node.ctx.config.cancel_ms;
+    let cancel = f.node.ctx.config.cancellation_timeout_ms;
     let id = f.job("j-1", JobKind::Service, 1);
     let other = f.job("j-2", JobKind::Service, 1);
     let (token, incarnation) = (f.token(), 1);
-    f.bind(&id, 0, StartState::SentByUs { token, incarnation });
-    f.bind(&other, 0, StartState::SentByUs { token, incarnation });
-    f.ask(1, "POST", "/submissions/j-1/abort");
-    f.lose_right();
+    f.bind(&id, 0, StartState::SentByThisHolder { token, incarnation });
+    f.bind(
+        &other,
+        0,
+        StartState::SentByThisHolder { token, incarnation },
+    );
+    f.request(1, "POST", "/submissions/j-1/abort");
+    f.lose_lease();
     let begun = f.node.ctx.now;
     let mut deleted_at = None;
     while f.node.ctx.now < begun + cancel && deleted_at.is_none() {
@@ -48,7 +52,7 @@
     // Without an answer nothing is unbound, and the request is repeated.
     f.answer(is_deletion, 0, &json!({}));
     assert_eq!(f.shard().jobs[&id].bound.len(), 1);
-    let report_ms = f.node.ctx.config.report_ms;
+    let report_ms = f.node.ctx.config.heartbeat_interval_ms;
     let again = (0..4).any(|_| deletes_machines(&f.step(report_ms)));
     assert!(again, "it is tried again");
     f.answer(is_deletion, 200, &json!({}));
@@ -77,7 +81,7 @@
         (0.9, 0.95),
     ] {
         let mut f = Fixture::new();
-        let cancel = f.node.ctx.config.cancel_ms;
+        let cancel = f.node.ctx.config.cancellation_timeout_ms;
         let ago = (cancel as f64 * age) as Ms;
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::Unknown);
@@ -90,7 +94,7 @@
             value: to_value(head).expect("a record"),
             version: 8,
         };
-        f.load(vec![item]);
+        f.recover_shard(vec![item]);
         let begun = f.node.ctx.now;
         let machine = f.machine.clone();
         let end = begun + (cancel as f64 * (by - age)) as Ms;
--- a/crates/core/src/shard/recovery.rs
+++ b/crates/core/src/shard/recovery.rs
@@ -4,7 +4,7 @@
 //! A shard is active only once the view is as new as the records that were
 //! read: then a machine that the view lacks is known to be deleted.
 
-use super::{remove_key, Phase, Shard};
+use super::{remove_key, RecoveryState, Shard};
 use crate::context::Context;
 use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::shard::job::EventAge;
@@ -21,12 +21,12 @@
             log::error!("shard {}: not recovered, unknown machine type", self.id);
             return;
         }
-        self.phase = Phase::Active;
+        self.recovery_state = RecoveryState::Active;
         self.active_since = ctx.now;
         self.apply_machine_records(ctx, view, &ChangedMachines::everything());
         self.restore_jobs(ctx);
         for (id, job) in &self.jobs {
-            self.unwritten_jobs.touch(id);
+            self.unwritten_jobs.mark_due(id);
             if job.is_gang() {
                 self.incomplete_gangs.insert(id.clone());
             }
@@ -91,10 +91,10 @@
                 job.is_cancellation_durable = true;
                 job.cancelled_at_wall_ms = head.cancelled_at_ms;
                 job.cancellation_age = EventAge {
-                    when_learned_ms: ctx.longest_age_of(head.cancelled_at_ms),
+                    when_learned_ms: ctx.max_age_ms(head.cancelled_at_ms),
                     learned_at: ctx.now,
                 };
-                self.cancelled_jobs.touch(&id);
+                self.cancelled_jobs.mark_due(&id);
             }
         }
     }
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -15,7 +15,7 @@
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
-use forkshift_sched::{run_round, Host, Placement};
+use forkshift_sched::{run_round, MachineSnapshot, Placement};
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,22 +24,22 @@
 
 impl Shard {
     /// Runs a scheduling round if one is due.
-    pub(crate) fn round(&mut self, ctx: &mut Context, view: &ClusterView) {
+    pub(crate) fn run_scheduling_round(&mut self, ctx: &mut Context, view: &ClusterView) {
         if ctx.now < self.next_round_at {
             return;
         }
         let _span = tracing::debug_span!("round").entered();
         self.last_round_at = ctx.now;
-        self.next_round_at = ctx.now + crate::ms(ctx.config.ops.round_s);
+        self.next_round_at = ctx.now + crate::ms(ctx.config.operator.round_interval_s);
         let usable = self.usable_machines(ctx);
-        let mut hosts: Vec<Host> = usable
+        let mut hosts: Vec<MachineSnapshot> = usable
             .iter()
             .map(|id| host_of(&self.machines[id]))
             .collect();
         self.reserve_members(ctx, &usable, &mut hosts);
         let mut pending = self.pending_jobs(ctx, &usable);
         let mut quotas = self.quotas.clone();
-        let weights = ctx.config.ops.weights;
+        let weights = ctx.config.operator.weights;
         let mut placements = run_round(&mut pending.tasks, &mut hosts, &mut quotas, &weights);
         self.note_pool_misses(ctx, &pending);
         placements.extend(self.reclaim_members(ctx, &mut pending, &mut hosts, &mut quotas));
@@ -70,9 +70,9 @@
         let mut probed_hosts = BTreeSet::new();
         for placement in placements {
             let id = &job_ids[placement.job];
-            let machine = &usable[placement.host];
+            let machine = &usable[placement.machine];
             // A quarantined machine is probed with one task at a time.
-            if self.is_quarantined(machine) && !probed_hosts.insert(placement.host) {
+            if self.is_quarantined(machine) && !probed_hosts.insert(placement.machine) {
                 continue;
             }
             let Some(job) = self.jobs.get_mut(id) else {
@@ -86,16 +86,16 @@
             };
             let binding = new_binding(job, placement.task, attempt, machine, now);
             self.bind(id, placement.task, binding);
-            self.unwritten_jobs.touch(id);
+            self.unwritten_jobs.mark_due(id);
         }
     }
 
     /// Records since when jobs that waited long have lacked nothing but machines.
     fn note_lacking_room(&mut self, now: Ms, pending: &PendingJobs) {
-        let lacking = pending.iter().filter(|(_, tasks)| tasks.lacks_room);
+        let lacking = pending.iter().filter(|(_, tasks)| tasks.lacks_machines);
         for (id, _) in lacking {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.lacking_room_since.get_or_insert(now);
+                job.lacking_machines_since.get_or_insert(now);
             }
         }
     }
@@ -118,7 +118,7 @@
         start: StartState::NotSent,
         stage: None,
         stop: None,
-        since: now,
+        bound_at: now,
         running_since: None,
     }
 }
@@ -133,24 +133,24 @@
         && machine.reclaimed_at.is_none()
         && machine.is_confirmed()
         && !machine.has_unanswered_call
-        && machine.link.accepts_starts()
+        && machine.link.can_start_tasks()
         && !machine.has_missed_heartbeats(ctx)
         && ctx.now >= machine.full_until
 }
 
 /// A machine as a round sees it, with what is free now.
-pub(crate) fn host_of(machine: &Machine) -> Host {
-    Host {
+pub(crate) fn host_of(machine: &Machine) -> MachineSnapshot {
+    MachineSnapshot {
         free: machine.free(),
         total: machine.total,
         machine_type: machine.machine_type,
         zone: machine.zone,
-        spot: machine.spot,
-        price: machine.price,
-        fetch_rate: machine.fetch_rate,
+        is_spot: machine.is_spot,
+        price_per_s: machine.price,
+        fetch_gb_per_s: machine.fetch_rate,
         images: machine.images.iter().map(|(image, _)| *image).collect(),
-        held: false,
-        delay: 0.0,
+        is_held: false,
+        startup_delay_s: 0.0,
         reserved_for: None,
     }
 }
--- a/crates/core/src/shard/scheduling/pending_tasks.rs
+++ b/crates/core/src/shard/scheduling/pending_tasks.rs
@@ -5,7 +5,7 @@
 use crate::shard::job::Job;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_sched::{PendingTasks, Reclaim, Reservation, Resources, Standing};
+use forkshift_sched::{CapacityClass, PendingTasks, Reclaim, Reservation, Resources};
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +105,7 @@
         for job in self.jobs.values() {
             let team = self.teams.get(&job.spec.team);
             if let (JobKind::Service, Some(team)) = (job.spec.kind, team) {
-                held[*team] += job.task.times(job.bound.len() as i64);
+                held[*team] += job.task.scaled_by(job.bound.len() as i64);
             }
         }
         held
@@ -125,18 +125,18 @@
         let team = *self.teams.get(&job.spec.team)?;
         let mut pending = pending_tasks_of(ctx, job, team, &round.zones);
         let is_probed = job.failures.is_limited_to_one_task();
-        if is_probed && job.is_trying(ctx.now, ctx.config.report_ms) {
+        if is_probed && job.is_trying(ctx.now, ctx.config.heartbeat_interval_ms) {
             return None;
         }
         let is_deferred = is_probed && ctx.now < job.not_before + FAILING_JOB_DEFERRAL_MS;
         let is_aged = !is_deferred && is_aged(job, ctx.now, round.boot_ms);
-        let need = job.task.times(waiting.len() as i64);
-        let is_guaranteed = self.quotas[team].guarantees(&need);
+        let need = job.task.scaled_by(waiting.len() as i64);
+        let is_guaranteed = self.quotas[team].is_within_guarantee(&need);
         pending.reservation = match is_aged {
             true => self.reservation_of(ctx, job, team, waiting.len(), round),
             false => Reservation::None,
         };
-        pending.band = match is_deferred {
+        pending.priority_band = match is_deferred {
             true => FAILING_JOB_BAND,
             false => band(job, is_guaranteed, is_aged),
         };
@@ -144,12 +144,12 @@
             true => Reclaim::Nothing,
             false => reclaim_of(ctx, job, is_guaranteed),
         };
-        pending.standing = self.standing_of(ctx, job, round.boot_ms);
+        pending.capacity_class = self.standing_of(ctx, job, round.boot_ms);
         if is_aged {
             pending.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
         }
         pending.waiting = waiting;
-        pending.avoid = excluded_hosts(ctx, job, round);
+        pending.excluded_machines = excluded_hosts(ctx, job, round);
         Some(pending)
     }
 
@@ -165,10 +165,10 @@
         // Reserved quota must become free some day, and what services hold does not:
         // otherwise a whole team would wait for one job in vain.
         let at_once = if job.is_gang() { waiting as i64 } else { 1 };
-        let need = round.held_by_services[team] + job.task.times(at_once);
-        match self.quotas[team].could_allow(&need, 1) {
-            true if job.may_keep_quota(ctx.now, round.boot_ms) => Reservation::RoomAndQuota,
-            true => Reservation::Room,
+        let need = round.held_by_services[team] + job.task.scaled_by(at_once);
+        match self.quotas[team].could_ever_allow(&need, 1) {
+            true if job.may_keep_quota(ctx.now, round.boot_ms) => Reservation::CapacityAndQuota,
+            true => Reservation::Capacity,
             false => Reservation::None,
         }
     }
@@ -184,7 +184,7 @@
     let is_gang = job.is_gang();
     let max_tasks = match is_gang {
         true => usize::MAX,
-        false => ctx.config.bounds.tasks_a_round,
+        false => ctx.config.bounds.tasks_per_round,
     };
     let mut waiting = job.waiting(max_tasks);
     // A job that failed repeatedly starts one task at a time: all at once could take a
@@ -200,12 +200,13 @@
 /// What of borrowed resources may be given back to a job.
 fn reclaim_of(ctx: &Context, job: &Job, is_guaranteed: bool) -> Reclaim {
     let is_entitled = is_guaranteed || job.priority() >= Priority::High;
-    let from_borrowers = ctx.config.has_guests && is_entitled;
+    let from_borrowers = ctx.config.has_borrowers && is_entitled;
     let from_pools = ctx.has_pools() && is_guaranteed;
     if !(from_borrowers || from_pools) {
         return Reclaim::Nothing;
     }
-    let is_late = job.age(ctx.now) > crate::ms(ctx.config.ops.round_s * RECLAIM_ROUNDS);
+    let is_late =
+        job.age(ctx.now) > crate::ms(ctx.config.operator.round_interval_s * RECLAIM_ROUNDS);
     match is_late {
         true => Reclaim::TasksAndMachines,
         false => Reclaim::Tasks,
@@ -233,28 +234,28 @@
 ) -> PendingTasks {
     let spec = &job.spec;
     PendingTasks {
-        task: job.task,
-        band: 0,
+        task_resources: job.task,
+        priority_band: 0,
         waited_s: 0.0,
         reservation: Reservation::None,
         reclaim: Reclaim::Nothing,
-        standing: Standing::Ordinary,
-        lacks_room: false,
+        capacity_class: CapacityClass::Ordinary,
+        lacks_machines: false,
         waiting: Vec::new(),
-        total: spec.tasks,
-        gang: job.is_gang(),
-        estimate: spec.estimate_s,
+        total_tasks: spec.tasks,
+        is_gang: job.is_gang(),
+        estimated_run_s: spec.estimated_run_time_s,
         team,
         image: job.image,
         image_gb: spec.image_gb,
-        types: type_numbers(ctx, spec.types.as_deref()),
-        zone: spec.zone.as_ref().map(|z| ctx.places.number(z)),
-        one_zone: spec.one_zone,
-        spread: spec.spread,
-        spot: spec.spot,
-        zones: bound_per_zone(job, zones),
-        avoid: BTreeSet::new(),
-        reservations: open_reservations(ctx, &spec.team, &spec.image),
+        allowed_types: type_numbers(ctx, spec.machine_types.as_deref()),
+        required_zone: spec.zone.as_ref().map(|z| ctx.places.number(z)),
+        one_zone: spec.require_same_zone,
+        spread: spec.spread_over_zones,
+        allows_spot: spec.allow_spot,
+        tasks_by_zone: bound_per_zone(job, zones),
+        excluded_machines: BTreeSet::new(),
+        open_reservations: open_reservations(ctx, &spec.team, &spec.image),
     }
 }
 
--- a/crates/core/src/shard/scheduling/quarantine.rs
+++ b/crates/core/src/shard/scheduling/quarantine.rs
@@ -24,7 +24,7 @@
     pub(crate) fn is_newly_quarantined(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
         machine.is_some_and(|m| {
-            m.failures.is_quarantined() && m.failures.is_recent(ctx.now, m.boot_ms)
+            m.failures.is_quarantined() && m.failures.has_failed_within(ctx.now, m.boot_ms)
         })
     }
 
@@ -37,9 +37,11 @@
             let found = self.binding(task);
             found.is_some_and(|(_, binding)| binding.running_since.is_none())
         };
-        let is_due = machine
-            .failures
-            .is_tried(ctx.now, ctx.config.report_ms, machine.boot_ms);
+        let is_due = machine.failures.is_retry_due(
+            ctx.now,
+            ctx.config.heartbeat_interval_ms,
+            machine.boot_ms,
+        );
         is_due && !machine.tasks.iter().any(is_starting)
     }
 
@@ -64,8 +66,8 @@
     fn fits_some_machine(&self, pending: &PendingTasks) -> bool {
         let fits = |machine: &Machine| {
             machine.decommission_reason.is_none()
-                && pending.allowed(machine.machine_type, machine.zone, machine.spot)
-                && pending.task.fits(&machine.total)
+                && pending.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
+                && pending.task_resources.fits_in(&machine.total)
         };
         self.machines.values().any(fits)
     }
--- a/crates/core/src/sizing.rs
+++ b/crates/core/src/sizing.rs
@@ -52,8 +52,8 @@
 pub fn shortfalls(settings: &Settings, machines: u32) -> Vec<Shortfall> {
     let cluster = &settings.cluster;
     let fleet = f64::from(machines);
-    let heartbeats_per_second = fleet / cluster.workers.report_s;
-    let sockets = heartbeats_per_second * CONNECTION_S / crate::bounds::INCOMING_PART;
+    let heartbeats_per_second = fleet / cluster.workers.heartbeat_interval_s;
+    let sockets = heartbeats_per_second * CONNECTION_S / crate::bounds::INCOMING_CONNECTIONS_PART;
     let memory_mb = (BASE_MB + fleet * MB_PER_MACHINE) / STATE_MEMORY_PART;
     let needs = [
         Shortfall {
--- a/crates/core/src/sizing/tests.rs
+++ b/crates/core/src/sizing/tests.rs
@@ -22,7 +22,7 @@
     ];
     for (machines, report_s, sockets, memory_mb, fields) in cases {
         let mut settings = Settings::parse(SETTINGS).expect("the example is good");
-        settings.cluster.workers.report_s = report_s;
+        settings.cluster.workers.heartbeat_interval_s = report_s;
         settings.cluster.limits.sockets = sockets;
         settings.cluster.limits.memory_mb = memory_mb;
         let found = shortfalls(&settings, machines);
@@ -44,7 +44,7 @@
 #[test]
 fn shortfall_displays_value_need_and_effect() {
     let mut settings = Settings::parse(SETTINGS).expect("the example is good");
-    settings.cluster.workers.report_s = 1.0;
+    settings.cluster.workers.heartbeat_interval_s = 1.0;
     settings.cluster.limits.memory_mb = 500.0;
     let found = shortfalls(&settings, 4_000);
     let text =
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -29,14 +29,14 @@
 
 impl<K: Ord + Clone> TimerQueue<K> {
     /// Makes a key due at once.
-    pub(crate) fn touch(&mut self, key: &K) {
+    pub(crate) fn mark_due(&mut self, key: &K) {
         if !self.touched.contains(key) {
             self.touched.insert(key.clone());
         }
     }
 
     /// Sets the deadline of a key, in place of any that was set before.
-    pub(crate) fn wake(&mut self, key: &K, at: Ms) {
+    pub(crate) fn set_deadline(&mut self, key: &K, at: Ms) {
         match self.deadlines.insert(key.clone(), at) {
             Some(old) if old == at => return,
             Some(old) => drop(self.by_deadline.remove(&(old, key.clone()))),
@@ -46,7 +46,7 @@
     }
 
     /// Drops a key and its deadline.
-    pub(crate) fn forget(&mut self, key: &K) {
+    pub(crate) fn remove(&mut self, key: &K) {
         self.touched.remove(key);
         if let Some(old) = self.deadlines.remove(key) {
             self.by_deadline.remove(&(old, key.clone()));
@@ -55,7 +55,7 @@
 
     /// Takes all keys that are due. Their deadlines are dropped with them:
     /// a key that has to be checked again must be given a new one.
-    pub(crate) fn take(&mut self, now: Ms) -> Vec<K> {
+    pub(crate) fn take_due(&mut self, now: Ms) -> Vec<K> {
         while let Some((at, _)) = self.by_deadline.first() {
             if *at > now {
                 break;
--- a/crates/core/src/timers/tests.rs
+++ b/crates/core/src/timers/tests.rs
@@ -6,10 +6,10 @@
 fn touched_and_due_keys_are_taken_once() {
     let mut timers = TimerQueue::default();
     for (key, at) in [("a", 10), ("b", 20), ("c", 30), ("a", 25)] {
-        timers.wake(&key, at);
+        timers.set_deadline(&key, at);
     }
-    timers.touch(&"d");
-    timers.touch(&"c");
+    timers.mark_due(&"d");
+    timers.mark_due(&"c");
     let cases: [(Ms, &[&str]); 5] = [
         (10, &["c", "d"]),
         (10, &[]),
@@ -18,10 +18,10 @@
         (100, &["c"]),
     ];
     for (now, expected) in cases {
-        assert_eq!(timers.take(now), expected, "at {now}");
+        assert_eq!(timers.take_due(now), expected, "at {now}");
     }
-    timers.wake(&"e", 110);
-    timers.touch(&"e");
-    timers.forget(&"e");
-    assert!(timers.take(200).is_empty());
+    timers.set_deadline(&"e", 110);
+    timers.mark_due(&"e");
+    timers.remove(&"e");
+    assert!(timers.take_due(200).is_empty());
 }
--- a/crates/daemon/src/check.rs
+++ b/crates/daemon/src/check.rs
@@ -35,7 +35,7 @@
     if let Some(path) = catalog {
         check_catalog(path, &operator)?;
     }
-    let machines = operator.machines;
+    let machines = operator.expected_machines;
     let shortfalls = machines.map_or(Vec::new(), |n| shortfalls(&settings, n));
     if !shortfalls.is_empty() {
         let path = load::display(config);
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -111,7 +111,7 @@
     let settings = load::settings(config)?;
     let operator = load::operator(operator, &settings)?;
     start_log();
-    let machines = operator.machines;
+    let machines = operator.expected_machines;
     for shortfall in machines.map_or(Vec::new(), |n| shortfalls(&settings, n)) {
         log::warn!("{shortfall}");
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -4,7 +4,7 @@
 //! defaults, which are those of [`Operator`].
 
 use forkshift_core::Operator;
-use forkshift_pools::{BadPool, PoolSpec, Pools, WindowSpec};
+use forkshift_pools::{PoolError, PoolSpec, Pools, WindowSpec};
 use forkshift_sched::Weights;
 use forkshift_wire::settings::Settings;
 use std::ops::RangeInclusive;
@@ -32,7 +32,7 @@
     Text(#[from] protobuf::text_format::ParseError),
     /// The declaration of a pool is refused.
     #[error("{0}")]
-    Pool(#[from] BadPool),
+    Pool(#[from] PoolError),
     /// The value of a field is outside its range.
     #[error("`{field}` must be {range}")]
     Field {
@@ -60,23 +60,23 @@
         };
     }
     let optional_fields = [
-        (message.round_s, &mut operator.round_s),
-        (message.round_gap_s, &mut operator.round_gap_s),
-        (message.assign_s, &mut operator.assign_s),
-        (message.spare, &mut operator.spare),
+        (message.round_s, &mut operator.round_interval_s),
+        (message.round_gap_s, &mut operator.min_round_interval_s),
+        (message.assign_s, &mut operator.assignment_interval_s),
+        (message.spare, &mut operator.spare_ratio),
         (message.idle_boots, &mut operator.idle_boots),
-        (message.silent_leases, &mut operator.silent_leases),
+        (message.silent_leases, &mut operator.max_silence_leases),
     ];
     for (value, field) in optional_fields {
         *field = value.unwrap_or(*field);
     }
-    operator.machines = message.machines;
+    operator.expected_machines = message.machines;
     operator.pools = parse_pools(&message.pools, settings)?;
     validate(&operator)?;
     Ok(operator)
 }
 
-fn parse_pools(messages: &[PoolMessage], settings: &Settings) -> Result<Pools, BadPool> {
+fn parse_pools(messages: &[PoolMessage], settings: &Settings) -> Result<Pools, PoolError> {
     let specs: Vec<PoolSpec> = messages.iter().map(pool_spec).collect();
     let cluster = &settings.cluster;
     let teams: Vec<&str> = cluster
@@ -96,9 +96,9 @@
         types: message.types.clone(),
         zones: message.zones.clone(),
         spot: message.spot,
-        least: message.least,
-        most: message.most,
-        cost_per_hour_most: message.cost_per_hour_most,
+        min_machines: message.least,
+        max_machines: message.most,
+        max_cost_per_hour: message.cost_per_hour_most,
         time_zone: message.time_zone.clone(),
         windows: message.windows.iter().map(window_spec).collect(),
     }
@@ -112,8 +112,8 @@
         first_date: message.first_date.clone(),
         last_date: message.last_date.clone(),
         last_days_of_month: message.last_days_of_month,
-        least: message.least,
-        most: message.most,
+        min_machines: message.least,
+        max_machines: message.most,
     }
 }
 
@@ -168,10 +168,10 @@
         check(field, allowed.contains(&value), range)
     };
     [
-        period("round_s", operator.round_s),
-        period("round_gap_s", operator.round_gap_s),
-        period("assign_s", operator.assign_s),
-        factor("spare", operator.spare, 0.0..=10.0, "from 0 to 10"),
+        period("round_s", operator.round_interval_s),
+        period("round_gap_s", operator.min_round_interval_s),
+        period("assign_s", operator.assignment_interval_s),
+        factor("spare", operator.spare_ratio, 0.0..=10.0, "from 0 to 10"),
         factor(
             "idle_boots",
             operator.idle_boots,
@@ -180,11 +180,11 @@
         ),
         factor(
             "silent_leases",
-            operator.silent_leases,
+            operator.max_silence_leases,
             0.1..=10.0,
             "from 0.1 to 10",
         ),
-        check("machines", operator.machines != Some(0), "above 0"),
+        check("machines", operator.expected_machines != Some(0), "above 0"),
     ]
 }
 
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -47,8 +47,11 @@
             (Err(e), None) => panic!("{text:?}: {e}"),
         }
     }
-    assert_eq!(parse("round_s: 0.5").unwrap().round_s, 0.5);
-    assert_eq!(parse("").unwrap().spare, Operator::default().spare);
+    assert_eq!(parse("round_s: 0.5").unwrap().round_interval_s, 0.5);
+    assert_eq!(
+        parse("").unwrap().spare_ratio,
+        Operator::default().spare_ratio
+    );
 }
 
 /// A valid declaration of a pool, with additional or overriding fields.
@@ -99,22 +102,28 @@
     );
     text += &format!(
         "round_s {}\nround_gap_s {}\n",
-        operator.round_s, operator.round_gap_s
+        operator.round_interval_s, operator.min_round_interval_s
+    );
+    text += &format!(
+        "assign_s {}\nspare {}\n",
+        operator.assignment_interval_s, operator.spare_ratio
     );
-    text += &format!("assign_s {}\nspare {}\n", operator.assign_s, operator.spare);
     text += &format!("idle_boots {}\n", operator.idle_boots);
-    text += &format!("silent_leases {}\n", operator.silent_leases);
-    text += &format!("machines {:?}\n", operator.machines);
+    text += &format!("silent_leases {}\n", operator.max_silence_leases);
+    text += &format!("machines {:?}\n", operator.expected_machines);
     for pool in operator.pools.iter() {
         text += &format!("pool {} team {} ", pool.name, pool.team);
         text += &format!("image {} image_gb {}\n", pool.image, pool.image_gb);
         text += &format!("  types {:?} zones {:?}", pool.types, pool.zones);
         text += &format!(" spot {}", pool.spot);
-        text += &format!(" cost_per_hour_most {:?}\n", pool.cost_per_hour_most);
+        text += &format!(" cost_per_hour_most {:?}\n", pool.max_cost_per_hour);
         // The last minute of the first window, the next minute, in the second window, in none.
         for minutes in [29_939_999, 29_940_000, 29_979_210, 29_962_680] {
             let size = pool.calendar.size_at(minutes * 60_000);
-            text += &format!("  {minutes}: {} to {}\n", size.least, size.most);
+            text += &format!(
+                "  {minutes}: {} to {}\n",
+                size.min_machines, size.max_machines
+            );
         }
     }
     text
--- a/crates/daemon/src/pools.rs
+++ b/crates/daemon/src/pools.rs
@@ -11,7 +11,7 @@
 use crate::clock;
 use crate::load::{self, LoadError};
 use clap::{Args, Subcommand};
-use forkshift_pools::report::{report, Span};
+use forkshift_pools::report::{usage_report, TimeSpan};
 use records::{RecordReader, RecordsError};
 use std::path::PathBuf;
 
@@ -98,7 +98,7 @@
             let span = parse_span(from, to)?;
             let now_ms = clock::unix_time_ms();
             let accounts = accounts::read(&reader(source)?, now_ms)?;
-            let report = report(&accounts, span, now_ms);
+            let report = usage_report(&accounts, span, now_ms);
             match source.json {
                 true => serde_json::to_string_pretty(&report)?,
                 false => render::report(&report)?,
@@ -109,11 +109,11 @@
     Ok(())
 }
 
-fn parse_span(from: &str, to: &str) -> Result<Span, SpanError> {
+fn parse_span(from: &str, to: &str) -> Result<TimeSpan, SpanError> {
     let from_ms = parse_time("from", from)?;
     let to_ms = parse_time("to", to)?;
     match from_ms < to_ms {
-        true => Ok(Span { from_ms, to_ms }),
+        true => Ok(TimeSpan { from_ms, to_ms }),
         false => Err(SpanError::EndNotAfterStart),
     }
 }
--- a/crates/daemon/src/pools/records.rs
+++ b/crates/daemon/src/pools/records.rs
@@ -2,7 +2,7 @@
 
 use forkshift_core::records::{MachineRecord, CLUSTER};
 use forkshift_net::{Call, Client, ClientLimits};
-use forkshift_pools::account::{Asked, HEADS};
+use forkshift_pools::account::{PoolRequest, CURRENT_REQUEST_PREFIX};
 use forkshift_wire::state::{Item, Page};
 use forkshift_wire::MachineId;
 use serde::de::DeserializeOwned;
@@ -81,17 +81,17 @@
     /// A reader of the state service at an address.
     pub fn new(addr: SocketAddr) -> Self {
         let client = Client::new(ClientLimits {
-            per_host: 1,
-            idle: 1,
-            keep: PAGE_TIMEOUT,
-            largest: MAX_PAGE_BYTES,
+            max_idle_per_host: 1,
+            max_idle: 1,
+            idle_timeout: PAGE_TIMEOUT,
+            max_response_bytes: MAX_PAGE_BYTES,
         });
         Self { addr, client }
     }
 
     /// The number of machines that each pool is asked for at present.
-    pub fn requested_sizes(&self) -> Result<Vec<Asked>, RecordsError> {
-        let items = self.with_prefix(HEADS)?;
+    pub fn requested_sizes(&self) -> Result<Vec<PoolRequest>, RecordsError> {
+        let items = self.with_prefix(CURRENT_REQUEST_PREFIX)?;
         items.iter().map(parse).collect()
     }
 
--- a/crates/daemon/src/pools/render.rs
+++ b/crates/daemon/src/pools/render.rs
@@ -5,7 +5,7 @@
 
 use super::status::PoolStatus;
 use super::times;
-use forkshift_pools::report::Report;
+use forkshift_pools::report::UsageReport;
 use minijinja::{context, Environment, Error};
 
 /// Template of `pools status`.
@@ -51,7 +51,7 @@
 }
 
 /// Renders a report.
-pub fn report(report: &Report) -> Result<String, Error> {
+pub fn report(report: &UsageReport) -> Result<String, Error> {
     let from = times::format(report.span.from_ms);
     let to = times::format(report.span.to_ms);
     let (pools, teams) = (&report.pools, &report.teams);
--- a/crates/daemon/src/pools/render/tests.rs
+++ b/crates/daemon/src/pools/render/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::pools::status::{CountByState, PoolStatus};
-use forkshift_pools::report::{ByState, PoolReport, Span};
+use forkshift_pools::report::{PoolReport, StateTotals, TimeSpan};
 use forkshift_pools::PoolName;
 use std::collections::BTreeMap;
 
@@ -41,27 +41,27 @@
     let pool_report = PoolReport {
         pool: pool(),
         team: "readers".to_owned(),
-        asked_s: 7_200.0,
-        machine_s: ByState {
+        requested_s: 7_200.0,
+        machine_s: StateTotals {
             warm: 3_600.0,
-            ..ByState::default()
+            ..StateTotals::default()
         },
-        short_s: 3_600.0,
-        cost: ByState {
+        unmet_s: 3_600.0,
+        cost: StateTotals {
             warm: 16.0,
-            ..ByState::default()
+            ..StateTotals::default()
         },
         unpriced_s: 1_800.0,
-        handed_out: 5,
-        missed: 2,
+        allocated: 5,
+        cold_starts: 2,
         reclaimed: 1,
         lost: 0,
     };
-    let span = Span {
+    let span = TimeSpan {
         from_ms: 0,
         to_ms: 86_400_000,
     };
-    let mut pools_report = Report {
+    let mut pools_report = UsageReport {
         span,
         pools: vec![pool_report],
         teams: BTreeMap::from([("readers".to_owned(), 16.0)]),
--- a/crates/daemon/src/pools/status.rs
+++ b/crates/daemon/src/pools/status.rs
@@ -92,7 +92,7 @@
 fn current_price(machine: &MachineRecord, machine_type: Option<&MachineType>) -> Option<f64> {
     let machine_type = machine_type?;
     match machine.spot {
-        true => machine_type.spot_price,
-        false => Some(machine_type.price),
+        true => machine_type.spot_price_per_hour,
+        false => Some(machine_type.price_per_hour),
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -71,17 +71,17 @@
     let listener = forkshift_net::bind(settings.listen, bounds.connections)?;
     let peer_listener = TcpListener::bind(settings.peer_listen)?;
     let server_limits = ServerLimits {
-        connections: bounds.connections,
-        roomy: bounds.kept_connections,
-        body: MAX_BODY_BYTES,
-        idle: IDLE_TIMEOUT,
-        read: BODY_TIMEOUT,
+        max_connections: bounds.connections,
+        max_keep_alive_connections: bounds.kept_connections,
+        max_body_bytes: MAX_BODY_BYTES,
+        idle_timeout: IDLE_TIMEOUT,
+        body_timeout: BODY_TIMEOUT,
     };
     let client_limits = ClientLimits {
-        per_host: MAX_IDLE_PER_HOST,
-        idle: bounds.idle_connections,
-        keep: CLIENT_IDLE_TIMEOUT,
-        largest: bounds.answer_bytes,
+        max_idle_per_host: MAX_IDLE_PER_HOST,
+        max_idle: bounds.idle_connections,
+        idle_timeout: CLIENT_IDLE_TIMEOUT,
+        max_response_bytes: bounds.answer_bytes,
     };
     let ex: Executor = Rc::new(LocalExecutor::new());
     let mut rng = rand::rng();
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -164,10 +164,10 @@
     fn show_progress(&mut self, now_s: f64) {
         let starts = self.bridge.with_metrics(|metrics| metrics.task_starts());
         let (machines, running, violations) = self.bridge.with_world(|world| {
-            let violations = world.check.broken.len();
+            let violations = world.checker.violations.len();
             (
                 world.machines(),
-                world.check.tasks_on_machines(),
+                world.checker.tasks_on_machines(),
                 violations,
             )
         });
--- a/crates/emulator/src/emulation/faults.rs
+++ b/crates/emulator/src/emulation/faults.rs
@@ -4,7 +4,7 @@
 use crate::load::milliseconds;
 use crate::settings::controller_name;
 use crate::site::{CrashSpec, CrashTarget, LinkCutSpec, LinkKind};
-use forkshift_testkit::{Direction, FaultKind, MachineFault, Which, World};
+use forkshift_testkit::{FaultKind, LinkDirection, MachineFault, MachineSelector, Simulation};
 use std::collections::VecDeque;
 
 impl Run<'_> {
@@ -25,12 +25,12 @@
             }
             Some(CrashTarget::Workers(count)) => {
                 let description = format!("{count} workers");
-                self.crash_workers(now_s, Which::Some(count), &description);
+                self.crash_workers(now_s, MachineSelector::Random(count), &description);
             }
             Some(CrashTarget::Zone(zone)) => {
                 let machines = self.bridge.with_world(|world| world.machines_in(&zone));
                 let description = format!("all {} workers of zone {zone}", machines.len());
-                self.crash_workers(now_s, Which::Named(machines), &description);
+                self.crash_workers(now_s, MachineSelector::Named(machines), &description);
             }
             // Validation of the site ensures a target.
             None => {}
@@ -45,9 +45,9 @@
     }
 
     /// Crashes workers together with their machines.
-    fn crash_workers(&self, now_s: f64, which: Which, description: &str) {
-        let fault = FaultKind::Machines(which, MachineFault::Die);
-        self.bridge.with_world(|world| world.fault_now(fault));
+    fn crash_workers(&self, now_s: f64, which: MachineSelector, description: &str) {
+        let fault = FaultKind::Machines(which, MachineFault::Crash);
+        self.bridge.with_world(|world| world.inject_fault(fault));
         self.print_event(now_s, &format!("{description} are killed"));
     }
 
@@ -66,7 +66,7 @@
     fn cut_link(&self, now_s: f64, cut: &LinkCutSpec, index: usize) {
         self.bridge.with_world(|world| {
             let fault = link_fault(cut, index, world);
-            world.fault_now(fault);
+            world.inject_fault(fault);
         });
         let (name, link, for_s) = (controller_name(index), cut.link, cut.for_s);
         self.print_event(now_s, &format!("{name} loses {link:?} for {for_s} s"));
@@ -80,30 +80,30 @@
 }
 
 /// A cut of the site file as a fault of the simulated world.
-fn link_fault(cut: &LinkCutSpec, node: usize, world: &World) -> FaultKind {
+fn link_fault(cut: &LinkCutSpec, node: usize, world: &Simulation) -> FaultKind {
     let time = milliseconds(cut.for_s);
     let lost = match cut.link {
         LinkKind::State | LinkKind::Cloud => {
-            return FaultKind::Cut {
+            return FaultKind::ServicePartition {
                 node,
-                state: cut.link == LinkKind::State,
+                store: cut.link == LinkKind::State,
                 workers: false,
                 cloud: cut.link == LinkKind::Cloud,
                 time,
-                hold: false,
+                holds_messages: false,
             }
         }
-        LinkKind::Reports => Direction::Reports,
-        LinkKind::Calls => Direction::Calls,
-        LinkKind::Workers => Direction::Both,
+        LinkKind::Reports => LinkDirection::Heartbeats,
+        LinkKind::Calls => LinkDirection::Commands,
+        LinkKind::Workers => LinkDirection::Both,
     };
-    let machines = world.machines_of(&Which::All).into_iter();
-    let machines = Which::Named(machines.step_by(cut.every.max(1)).collect());
-    FaultKind::LinkCut {
+    let machines = world.select_machines(&MachineSelector::All).into_iter();
+    let machines = MachineSelector::Named(machines.step_by(cut.every.max(1)).collect());
+    FaultKind::LinkPartition {
         node,
         machines,
-        lost,
+        direction: lost,
         time,
-        hold: false,
+        holds_messages: false,
     }
 }
--- a/crates/emulator/src/emulation/measurement.rs
+++ b/crates/emulator/src/emulation/measurement.rs
@@ -5,7 +5,7 @@
 use crate::process::ProcessUsage;
 use crate::report::{ProcessLoad, Report};
 use crate::settings::controller_name;
-use forkshift_testkit::World;
+use forkshift_testkit::Simulation;
 
 /// Largest number of rule violations that a report lists.
 const MAX_VIOLATIONS: usize = 20;
@@ -85,13 +85,13 @@
     }
 
     /// Adds the state of the simulated world at the end of the run.
-    fn add_world_state(&self, report: &mut Report, world: &World) {
-        let violations = world.check.broken.iter().take(MAX_VIOLATIONS);
+    fn add_world_state(&self, report: &mut Report, world: &Simulation) {
+        let violations = world.checker.violations.iter().take(MAX_VIOLATIONS);
         report.rule_violations = violations
             .map(|violation| format!("{violation:?}"))
             .collect();
         report.workers = world.machines() as u64;
-        report.tasks_running = world.check.tasks_on_machines() as u64;
+        report.tasks_running = world.checker.tasks_on_machines() as u64;
         let jobs = world.job_counts();
         report.jobs_accepted = jobs.accepted;
         report.jobs_done = jobs.done;
--- a/crates/emulator/src/emulation/simulation.rs
+++ b/crates/emulator/src/emulation/simulation.rs
@@ -3,36 +3,36 @@
 use crate::addresses;
 use crate::load::milliseconds;
 use crate::site::{CapacitySpec, MachineTypeSpec, Site, TeamSpec};
-use forkshift_testkit::{BootModel, Deployment, Fleet, Plan, Size, World};
+use forkshift_testkit::{BootModel, Deployment, Fleet, JobPlan, Simulation, Size};
 use forkshift_wire::cloud::MachineType;
 
 /// Interval at which users poll the status of their jobs, in milliseconds.
 const STATUS_POLL_MS: u64 = 5_000;
 
 /// The simulated world of a site with the planned jobs; it has no controllers.
-pub fn world(site: &Site, plans: Vec<Plan>) -> World {
+pub fn world(site: &Site, plans: Vec<JobPlan>) -> Simulation {
     let deployment = Deployment {
         fleet: fleet(site),
         team_limits: site.teams.iter().flat_map(team_limits).collect(),
-        value_bytes: (site.state.value_kb * 1024.0) as usize,
-        txn_ops: site.state.txn_ops,
+        max_value_bytes: (site.state.value_kb * 1024.0) as usize,
+        max_transaction_writes: site.state.txn_ops,
     };
-    World::remote(site.seed, plans, Vec::new(), size(site), deployment)
+    Simulation::remote(site.seed, plans, Vec::new(), size(site), deployment)
 }
 
 fn size(site: &Site) -> Size {
     let timeouts = &site.workers;
     Size {
-        nodes: site.controllers.count,
-        rps: site.state.rps,
-        write_rps: site.state.write_rps,
+        controllers: site.controllers.count,
+        store_rps: site.state.rps,
+        store_write_rps: site.state.write_rps,
         cloud_rps: site.cloud.rps,
-        report_ms: milliseconds(timeouts.report_s),
+        heartbeat_ms: milliseconds(timeouts.report_s),
         lease_ms: milliseconds(timeouts.lease_s),
         gang_wait_ms: milliseconds(timeouts.gang_wait_s),
         cancel_ms: milliseconds(timeouts.cancel_s),
         poll_ms: STATUS_POLL_MS,
-        tells_images: timeouts.tells_images,
+        announces_images: timeouts.tells_images,
         ..Size::default()
     }
 }
@@ -57,8 +57,8 @@
             .map(|spec| machine_type(spec, &site.capacity))
             .collect(),
         capacity: capacity.collect(),
-        boots: BootModel::Usual {
-            fails: site.cloud.boot_fail,
+        boots: BootModel::Normal {
+            failure_probability: site.cloud.boot_fail,
         },
         address: addresses::worker,
     }
@@ -75,8 +75,8 @@
         memory_gb: spec.memory_gb,
         cache_gb: spec.cache_gb,
         fetch_gb_per_s: spec.fetch_gb_per_s,
-        price: spec.price,
-        spot_price: spec.spot_price,
+        price_per_hour: spec.price,
+        spot_price_per_hour: spec.spot_price,
         boot_s: spec.boot_s,
         zones: of_type.map(|capacity| capacity.zone.clone()).collect(),
     }
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,7 +1,7 @@
 //! Draws the jobs that users submit during a run.
 
 use crate::site::{JobClass, JobKindSpec, Site};
-use forkshift_testkit::Plan;
+use forkshift_testkit::JobPlan;
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::JobId;
 use rand::rngs::StdRng;
@@ -15,7 +15,7 @@
 const FIRST_SUBMISSION_S: f64 = 3.0;
 
 /// All jobs of a run, drawn from the site's seed.
-pub fn plans(site: &Site) -> Vec<Plan> {
+pub fn plans(site: &Site) -> Vec<JobPlan> {
     let mut rng = StdRng::seed_from_u64(site.seed);
     let teams = site.team_names();
     let mut plans = Vec::new();
@@ -52,7 +52,7 @@
 }
 
 /// Draws a job of a class that is submitted at a time, in seconds.
-fn plan(class: &JobClass, number: usize, team: &str, at_s: f64, rng: &mut StdRng) -> Plan {
+fn plan(class: &JobClass, number: usize, team: &str, at_s: f64, rng: &mut StdRng) -> JobPlan {
     let run_s = match class.kind {
         JobKindSpec::Service => 0.0,
         _ => class.run_s * rng.random_range(0.5..1.5),
@@ -71,24 +71,24 @@
         memory_gb: class.memory_gb,
         image: image(class, rng),
         image_gb: class.image_gb,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: class.one_zone,
-        spread: class.spread,
-        spot: class.spot,
-        estimate_s: run_s,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        require_same_zone: class.one_zone,
+        spread_over_zones: class.spread,
+        allow_spot: class.spot,
+        estimated_run_time_s: run_s,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
         dependencies: Vec::new(),
     };
-    Plan {
-        at: milliseconds(at_s),
+    JobPlan {
+        submit_at: milliseconds(at_s),
         spec,
         run_ms: milliseconds(run_s),
         cancel_at: cancel_at_s.map(milliseconds),
-        at_node: None,
-        mistake: None,
+        target_controller: None,
+        defect: None,
     }
 }
 
--- a/crates/emulator/src/load/tests.rs
+++ b/crates/emulator/src/load/tests.rs
@@ -8,7 +8,8 @@
     let site = Site::parse(text).expect("a valid site");
     let drawn = plans(&site);
     let again = plans(&site);
-    let shape = |p: &forkshift_testkit::Plan| (p.at, p.spec.clone(), p.run_ms, p.cancel_at);
+    let shape =
+        |p: &forkshift_testkit::JobPlan| (p.submit_at, p.spec.clone(), p.run_ms, p.cancel_at);
     assert!(
         drawn.iter().map(shape).eq(again.iter().map(shape)),
         "repeats"
@@ -26,7 +27,7 @@
         assert!((found - expected).abs() < spread, "classes[{i}]: {found}");
         for plan in of_class {
             assert!(class.tasks.contains(&plan.spec.tasks));
-            assert!(plan.at < (site.duration_s * 1000.0) as u64);
+            assert!(plan.submit_at < (site.duration_s * 1000.0) as u64);
         }
     }
 }
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::request_category::{ClassifiedRequest, RequestCategory};
 use forkshift_net::Traffic;
-use forkshift_testkit::StartSeen;
+use forkshift_testkit::FirstStart;
 use forkshift_wire::users::Priority;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -79,12 +79,12 @@
     }
 
     /// Records first starts of tasks, and latencies of accepted jobs in milliseconds.
-    pub fn record_observations(&mut self, starts: &[StartSeen], acceptances_ms: &[u64]) {
+    pub fn record_observations(&mut self, starts: &[FirstStart], acceptances_ms: &[u64]) {
         for start in starts {
             let latencies = self.start_latencies.entry(start.priority);
             latencies
                 .or_insert_with(histogram)
-                .saturating_record(start.after);
+                .saturating_record(start.after_ms);
         }
         for latency_ms in acceptances_ms {
             self.submission_latencies.saturating_record(*latency_ms);
--- a/crates/emulator/src/model_servers.rs
+++ b/crates/emulator/src/model_servers.rs
@@ -135,11 +135,11 @@
     let address = addresses::model_server(&replica.machine, replica.task.index);
     let listener = forkshift_net::bind(address, MAX_CONNECTIONS)?;
     let limits = ServerLimits {
-        connections: MAX_CONNECTIONS,
-        roomy: MAX_CONNECTIONS,
-        body: MAX_BODY_BYTES,
-        idle: IDLE_TIMEOUT,
-        read: IDLE_TIMEOUT,
+        max_connections: MAX_CONNECTIONS,
+        max_keep_alive_connections: MAX_CONNECTIONS,
+        max_body_bytes: MAX_BODY_BYTES,
+        idle_timeout: IDLE_TIMEOUT,
+        body_timeout: IDLE_TIMEOUT,
     };
     let is_ready = Rc::new(Cell::new(replica.is_ready));
     let is_ready_now = is_ready.clone();
--- a/crates/emulator/src/model_servers/load_generator.rs
+++ b/crates/emulator/src/model_servers/load_generator.rs
@@ -37,10 +37,10 @@
         first_answers: FirstAnswers,
     ) -> Rc<Self> {
         let client = Client::new(ClientLimits {
-            per_host: 1,
-            idle: MAX_CONCURRENT_REQUESTS,
-            keep: IDLE_TIMEOUT,
-            largest: MAX_BODY_BYTES as u64,
+            max_idle_per_host: 1,
+            max_idle: MAX_CONCURRENT_REQUESTS,
+            idle_timeout: IDLE_TIMEOUT,
+            max_response_bytes: MAX_BODY_BYTES as u64,
         });
         Rc::new(Self {
             executor: executor.clone(),
--- a/crates/emulator/src/pools.rs
+++ b/crates/emulator/src/pools.rs
@@ -3,10 +3,10 @@
 
 use crate::model_servers::Replica;
 use crate::site::Site;
-use forkshift_pools::audit::{mistakes, Life};
-use forkshift_pools::report::{report, Accounts, PriceList, Span};
-use forkshift_pools::Interval;
-use forkshift_testkit::{Plan, World};
+use forkshift_pools::audit::{audit_errors, BillingPeriod};
+use forkshift_pools::report::{usage_report, PriceList, TimeSpan, UsageRecords};
+use forkshift_pools::UsageInterval;
+use forkshift_testkit::{JobPlan, Simulation};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,9 +90,9 @@
 
 impl AnsweringJobs {
     /// Selects the planned jobs whose class has answering replicas.
-    pub fn new(site: &Site, plans: &[Plan]) -> Self {
+    pub fn new(site: &Site, plans: &[JobPlan]) -> Self {
         let mut jobs = Self::default();
-        for Plan { spec, .. } in plans {
+        for JobPlan { spec, .. } in plans {
             let class = site.classes.iter().find(|class| class.name == spec.class);
             let Some(class) = class.filter(|class| class.answers) else {
                 continue;
@@ -108,7 +108,7 @@
     }
 
     /// The replicas of the jobs that are on machines.
-    pub fn replicas(&self, world: &World) -> Vec<Replica> {
+    pub fn replicas(&self, world: &Simulation) -> Vec<Replica> {
         let tasks = world.tasks_of(&self.all).into_iter();
         tasks
             .map(|(task, machine, is_ready)| Replica {
@@ -157,26 +157,26 @@
 
 /// Compares the pools' accounts in the key-value store with the charges of the cloud. The
 /// run started at `start_time_ms`, in milliseconds since 1970.
-pub fn pool_summary(world: &World, site: &Site, start_time_ms: u64) -> PoolSummary {
+pub fn pool_summary(world: &Simulation, site: &Site, start_time_ms: u64) -> PoolSummary {
     let now_ms = start_time_ms + world.now();
     let accounts = world.pool_accounts(now_ms);
     let lives = world.pool_lives(start_time_ms);
-    let whole_run = Span {
+    let whole_run = TimeSpan {
         from_ms: 0,
         to_ms: now_ms + 1,
     };
-    let discrepancies = mistakes(&accounts.intervals, &lives, MAX_CLOCK_ERROR_MS);
+    let discrepancies = audit_errors(&accounts.intervals, &lives, MAX_CLOCK_ERROR_MS);
     let mut summary = PoolSummary {
         discrepancies: discrepancies.iter().map(ToString::to_string).collect(),
         ..PoolSummary::default()
     };
-    for pool in &report(&accounts, whole_run, now_ms).pools {
-        summary.requested_s += pool.asked_s;
-        summary.short_s += pool.short_s;
+    for pool in &usage_report(&accounts, whole_run, now_ms).pools {
+        summary.requested_s += pool.requested_s;
+        summary.short_s += pool.unmet_s;
         summary.warm_s += pool.machine_s.warm;
         summary.cost += pool.cost.sum();
-        summary.handed_out += u64::from(pool.handed_out);
-        summary.missed += u64::from(pool.missed);
+        summary.handed_out += u64::from(pool.allocated);
+        summary.missed += u64::from(pool.cold_starts);
         summary.reclaimed += u64::from(pool.reclaimed);
         summary.lost += u64::from(pool.lost);
     }
@@ -215,10 +215,10 @@
 
 /// Cost of each machine of the accounts.
 fn machine_costs<'a>(
-    accounts: &'a Accounts,
-    lives: &BTreeMap<MachineId, Life>,
+    accounts: &'a UsageRecords,
+    lives: &BTreeMap<MachineId, BillingPeriod>,
     site: &Site,
-    span: Span,
+    span: TimeSpan,
 ) -> BTreeMap<&'a MachineId, MachineCost> {
     let prices = PriceList::new(&accounts.prices);
     let mut costs: BTreeMap<&MachineId, MachineCost> = BTreeMap::new();
@@ -237,7 +237,7 @@
 }
 
 /// Price an hour of the simulated cloud. Its prices never change.
-fn cloud_price(site: &Site, interval: &Interval) -> f64 {
+fn cloud_price(site: &Site, interval: &UsageInterval) -> f64 {
     let machine_type = site
         .machine_types
         .iter()
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -4,7 +4,7 @@
 use crate::process::ProcessUsage;
 use crate::request_category::{ClassifiedRequest, RequestCategory};
 use forkshift_net::Traffic;
-use forkshift_testkit::StartSeen;
+use forkshift_testkit::FirstStart;
 use forkshift_wire::users::Priority;
 
 fn request(category: RequestCategory, writes: &[RequestCategory]) -> ClassifiedRequest {
@@ -17,11 +17,11 @@
 /// Metrics of ten measured seconds with two workers.
 fn some_metrics() -> Metrics {
     let mut metrics = Metrics::default();
-    let start = |after| StartSeen {
+    let start = |after| FirstStart {
         priority: Priority::High,
-        after,
+        after_ms: after,
     };
-    let starts: Vec<StartSeen> = (1..=100).map(|n| start(n * 10)).collect();
+    let starts: Vec<FirstStart> = (1..=100).map(|n| start(n * 10)).collect();
     metrics.record_observations(&starts, &[5, 15]);
     for status in [200, 200, 421, 0] {
         metrics.record_heartbeat(status, 3);
@@ -108,7 +108,13 @@
     ];
     for (n, priority) in priorities.into_iter().enumerate() {
         let after = 100 * (n as u64 + 1);
-        metrics.record_observations(&[StartSeen { priority, after }], &[after / 10]);
+        metrics.record_observations(
+            &[FirstStart {
+                priority,
+                after_ms: after,
+            }],
+            &[after / 10],
+        );
     }
     for (status, took_ms) in [(200, 3), (200, 4), (200, 5), (421, 6), (0, 7), (503, 8)] {
         metrics.record_heartbeat(status, took_ms);
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -52,31 +52,31 @@
 
 fn cluster(site: &Site) -> Cluster {
     Cluster {
-        nodes: site.controllers.count as u32,
+        node_count: site.controllers.count as u32,
         zones: site.zones.clone(),
-        clock_off_ms: MAX_CLOCK_ERROR_MS,
+        max_clock_error_ms: MAX_CLOCK_ERROR_MS,
         teams: teams(site),
         objectives: objectives(site),
         workers: Workers {
-            report_s: site.workers.report_s,
+            heartbeat_interval_s: site.workers.report_s,
             lease_s: site.workers.lease_s,
-            gang_wait_s: site.workers.gang_wait_s,
-            gang_peer_s: site.workers.gang_peer_s,
-            cancel_s: site.workers.cancel_s,
+            gang_start_timeout_s: site.workers.gang_wait_s,
+            gang_exit_detection_s: site.workers.gang_peer_s,
+            cancellation_deadline_s: site.workers.cancel_s,
         },
         state: StateLimits {
-            rps: site.state.rps,
-            write_rps: site.state.write_rps,
-            value_kb: site.state.value_kb,
-            txn_ops: site.state.txn_ops,
+            requests_per_s: site.state.rps,
+            writes_per_s: site.state.write_rps,
+            max_value_kib: site.state.value_kb,
+            max_transaction_writes: site.state.txn_ops,
             next: None,
         },
         cloud: CloudLimits {
-            rps: site.cloud.rps,
+            requests_per_s: site.cloud.rps,
             list_lag_s: CLOUD_LIST_LAG_S,
         },
         limits: Limits {
-            cpu_share: MAX_CPU_CORES,
+            cpu_fraction: MAX_CPU_CORES,
             memory_mb: MAX_MEMORY_MB,
             sockets: site.controllers.sockets,
         },
@@ -88,10 +88,10 @@
     for spec in &site.teams {
         teams.extend(spec.names().into_iter().map(|name| Team {
             name,
-            cpus: spec.cpus,
-            cpus_max: spec.cpus_max,
-            gpus: spec.gpus,
-            gpus_max: spec.gpus_max,
+            guaranteed_cpus: spec.cpus,
+            max_cpus: spec.cpus_max,
+            guaranteed_gpus: spec.gpus,
+            max_gpus: spec.gpus_max,
         }));
     }
     teams
@@ -103,7 +103,7 @@
             kind: "wait".to_owned(),
             class: Some(class.name.clone()),
             within_s: class.wait_s?,
-            share: START_OBJECTIVE_FRACTION,
+            target_fraction: START_OBJECTIVE_FRACTION,
         })
     });
     objectives.collect()
--- a/crates/emulator/src/socket_bridge.rs
+++ b/crates/emulator/src/socket_bridge.rs
@@ -17,7 +17,7 @@
 use async_channel::Sender;
 use async_io::Timer;
 use forkshift_net::{Client, ClientLimits, Executor, Response};
-use forkshift_testkit::{Service, World};
+use forkshift_testkit::{Service, Simulation};
 use forkshift_wire::MachineId;
 use health::ProbeFailures;
 use hollow_workers::HollowWorker;
@@ -44,7 +44,7 @@
 /// Everything of a run but the controllers.
 pub struct SocketBridge {
     executor: Executor,
-    world: RefCell<World>,
+    world: RefCell<Simulation>,
     /// Calls of controllers that wait for a response of the world, by call number.
     pending_calls: RefCell<HashMap<u64, Sender<Response>>>,
     next_call_number: Cell<u64>,
@@ -68,7 +68,7 @@
     /// advance the simulated time and to probe the controllers.
     pub fn start(
         executor: &Executor,
-        world: World,
+        world: Simulation,
         addresses: Addresses,
         controllers: usize,
         jobs: AnsweringJobs,
@@ -76,7 +76,7 @@
         let bridge = Rc::new(Self::new(executor, world, addresses, controllers, jobs));
         for index in 0..controllers {
             let services = [
-                (addresses.state(index), Service::State(index)),
+                (addresses.state(index), Service::Store(index)),
                 (addresses.cloud(index), Service::Cloud(index)),
             ];
             for (address, service) in services {
@@ -93,7 +93,7 @@
 
     fn new(
         executor: &Executor,
-        world: World,
+        world: Simulation,
         addresses: Addresses,
         controllers: usize,
         jobs: AnsweringJobs,
@@ -124,7 +124,7 @@
     }
 
     /// Calls a function with the simulated world. The function must not call the bridge.
-    pub fn with_world<T>(&self, function: impl FnOnce(&mut World) -> T) -> T {
+    pub fn with_world<T>(&self, function: impl FnOnce(&mut Simulation) -> T) -> T {
         function(&mut self.world.borrow_mut())
     }
 
@@ -169,7 +169,7 @@
         let mut metrics = self.metrics.borrow_mut();
         metrics.record_lag(now_ms.saturating_sub(world.now()));
         world.advance_to(now_ms, MAX_STEP_MS);
-        let (starts, acceptances) = world.check.take_observations();
+        let (starts, acceptances) = world.checker.take_observations();
         metrics.record_observations(&starts, &acceptances);
     }
 
@@ -191,7 +191,7 @@
         let (requests, answers, machines) = self.with_world(|world| {
             (
                 world.take_requests(),
-                world.take_answers(),
+                world.take_responses(),
                 world.take_machine_changes(),
             )
         });
@@ -211,9 +211,9 @@
 
 fn http_client(connections_per_host: usize, idle_connections: usize) -> Client {
     Client::new(ClientLimits {
-        per_host: connections_per_host,
-        idle: idle_connections,
-        keep: IDLE_TIMEOUT,
-        largest: MAX_RESPONSE_BYTES,
+        max_idle_per_host: connections_per_host,
+        max_idle: idle_connections,
+        idle_timeout: IDLE_TIMEOUT,
+        max_response_bytes: MAX_RESPONSE_BYTES,
     })
 }
--- a/crates/emulator/src/socket_bridge/hollow_workers.rs
+++ b/crates/emulator/src/socket_bridge/hollow_workers.rs
@@ -25,7 +25,7 @@
     /// Opens or closes the sockets of a worker after its machine came up or was removed.
     pub(super) fn apply_machine_change(self: &Rc<Self>, change: MachineChange) {
         match change {
-            MachineChange::Gone(machine) => {
+            MachineChange::Removed(machine) => {
                 self.workers.borrow_mut().remove(&machine);
             }
             MachineChange::Up(machine) => self.add_worker(machine),
--- a/crates/emulator/src/socket_bridge/requests.rs
+++ b/crates/emulator/src/socket_bridge/requests.rs
@@ -2,7 +2,7 @@
 
 use super::SocketBridge;
 use forkshift_net::Call;
-use forkshift_testkit::Outgoing;
+use forkshift_testkit::ControllerRequest;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,10 @@
 
 impl SocketBridge {
     /// Sends a request of a user or a worker to a controller, and delivers the response.
-    pub(super) async fn send_request(self: Rc<Self>, request: Outgoing) {
-        let machine = request.asker.machine().cloned();
+    pub(super) async fn send_request(self: Rc<Self>, request: ControllerRequest) {
+        let machine = request.requester.machine().cloned();
         let client = match &machine {
-            Some(machine) => match self.worker_client(machine, request.node) {
+            Some(machine) => match self.worker_client(machine, request.controller) {
                 Some(client) => client,
                 None => return,
             },
@@ -26,7 +26,7 @@
         };
         let is_query = request.method == "GET";
         let call = Call {
-            addr: self.controllers[request.node],
+            addr: self.controllers[request.controller],
             method: if is_query { "GET" } else { "POST" },
             path: request.path,
             body: (!is_query).then_some(request.body),
@@ -39,7 +39,7 @@
             metrics.record_heartbeat(outcome.status, sent_at.elapsed().as_millis() as u64);
             metrics.record_worker_traffic(client.take_traffic());
         }
-        self.with_world(|world| world.deliver(request.asker, outcome.status, outcome.body));
+        self.with_world(|world| world.deliver(request.requester, outcome.status, outcome.body));
         self.dispatch();
     }
 }
--- a/crates/emulator/src/socket_bridge/services.rs
+++ b/crates/emulator/src/socket_bridge/services.rs
@@ -4,7 +4,7 @@
 use crate::request_category::{classify, ClassifiedRequest};
 use async_executor::Task;
 use forkshift_net::{Request, Response, ServerLimits, Traffic};
-use forkshift_testkit::{Answer, Service};
+use forkshift_testkit::{CallResponse, Service};
 use futures_lite::future;
 use std::io;
 use std::net::SocketAddr;
@@ -41,11 +41,11 @@
         let listener = forkshift_net::bind(address, max_connections)
             .map_err(|error| io::Error::new(error.kind(), format!("{address}: {error}")))?;
         let limits = ServerLimits {
-            connections: max_connections,
-            roomy: max_connections,
-            body: MAX_BODY_BYTES,
-            idle: IDLE_TIMEOUT,
-            read: READ_TIMEOUT,
+            max_connections,
+            max_keep_alive_connections: max_connections,
+            max_body_bytes: MAX_BODY_BYTES,
+            idle_timeout: IDLE_TIMEOUT,
+            body_timeout: READ_TIMEOUT,
         };
         let bridge = self.clone();
         let handler = move |request| {
@@ -65,7 +65,7 @@
         let (method, path) = (request.method, request.path);
         let is_worker = matches!(service, Service::Worker(_));
         let store_request =
-            matches!(service, Service::State(_)).then(|| classify(&method, &path, &body));
+            matches!(service, Service::Store(_)).then(|| classify(&method, &path, &body));
         let received_bytes = body.len() as u64;
         let response = self.call_world(service, &method, &path, body).await;
         if response.status >= HTTP_BAD_REQUEST {
@@ -105,7 +105,7 @@
     }
 
     /// Completes a controller's call with the answer of the world.
-    pub(super) fn complete_call(&self, answer: Answer) {
+    pub(super) fn complete_call(&self, answer: CallResponse) {
         if let Some(sender) = self.pending_calls.borrow_mut().remove(&answer.call) {
             let response = Response {
                 status: answer.status,
--- a/crates/links/src/decision.rs
+++ b/crates/links/src/decision.rs
@@ -56,41 +56,41 @@
     StartTasks,
     /// To decommission a machine for missed heartbeats: they are no evidence against it
     /// while most machines miss theirs.
-    RemoveSilentMachines,
+    DecommissionUnresponsiveMachines,
     /// To keep holding shards that another controller could hold.
     HoldShards,
     /// To remain leader although another controller could lead: the leader alone scales
     /// the fleet out and in.
-    Lead,
+    RemainLeader,
 }
 
 impl Decision {
     /// All decisions.
     pub const ALL: [Self; 4] = [
         Self::StartTasks,
-        Self::RemoveSilentMachines,
+        Self::DecommissionUnresponsiveMachines,
         Self::HoldShards,
-        Self::Lead,
+        Self::RemainLeader,
     ];
 
     /// The links that must be up for it.
-    pub fn needs(self) -> &'static [Link] {
+    pub fn required_links(self) -> &'static [Link] {
         match self {
             Self::StartTasks => &[Link::Store],
-            Self::RemoveSilentMachines => &[Link::Store, Link::Heartbeats],
+            Self::DecommissionUnresponsiveMachines => &[Link::Store, Link::Heartbeats],
             Self::HoldShards => &[Link::Heartbeats, Link::WorkerCalls],
-            Self::Lead => &[Link::Cloud],
+            Self::RemainLeader => &[Link::Cloud],
         }
     }
 }
 
 /// Known states of a controller's links.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Links {
+pub struct LinkStates {
     is_up: [bool; Link::ALL.len()],
 }
 
-impl Default for Links {
+impl Default for LinkStates {
     /// A controller that starts has no valid lease, and no evidence of a partition.
     fn default() -> Self {
         let mut links = Self {
@@ -101,7 +101,7 @@
     }
 }
 
-impl Links {
+impl LinkStates {
     /// Sets the state of a link. Returns whether it has changed.
     pub fn set(&mut self, link: Link, is_up: bool) -> bool {
         std::mem::replace(&mut self.is_up[link.index()], is_up) != is_up
@@ -113,13 +113,13 @@
     }
 
     /// Whether all links that a decision requires are up.
-    pub fn allow(&self, decision: Decision) -> bool {
-        self.missing_for(decision).is_none()
+    pub fn allows(&self, decision: Decision) -> bool {
+        self.missing_link(decision).is_none()
     }
 
     /// The first link that a decision requires and that is down.
-    pub fn missing_for(&self, decision: Decision) -> Option<Link> {
-        let mut required = decision.needs().iter().copied();
+    pub fn missing_link(&self, decision: Decision) -> Option<Link> {
+        let mut required = decision.required_links().iter().copied();
         required.find(|link| !self.is_up(*link))
     }
 }
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -16,9 +16,9 @@
 mod relay;
 
 pub use cloud_link::CloudLink;
-pub use decision::{Decision, Link, Links};
+pub use decision::{Decision, Link, LinkStates};
 pub use machine_link::{MachineLink, Route, Timing};
-pub use redirect::Redirects;
+pub use redirect::RedirectHistory;
 pub use relay::RelayTable;
 
 /// Milliseconds of a monotonic clock.
--- a/crates/links/src/machine_link.rs
+++ b/crates/links/src/machine_link.rs
@@ -23,7 +23,7 @@
 pub struct Timing {
     /// Heartbeat interval: the longest pause between two heartbeats, with the delay that is
     /// allowed for, in milliseconds.
-    pub report_ms: Ms,
+    pub heartbeat_interval_ms: Ms,
     /// Duration of a worker's lease, in milliseconds.
     pub lease_ms: Ms,
 }
@@ -31,7 +31,7 @@
 impl Timing {
     /// Time that a worker has for its failback.
     fn failback_ms(&self) -> Ms {
-        self.report_ms * FAILBACK_HEARTBEATS
+        self.heartbeat_interval_ms * FAILBACK_HEARTBEATS
     }
 
     /// Backoff before the first failback.
@@ -108,7 +108,7 @@
             return;
         }
         self.unanswered_calls = 0;
-        if self.is_probe_due(now) {
+        if self.is_failback_probe_due(now) {
             self.failback_until = now + timing.failback_ms();
             self.backoff = (self.backoff * 2).min(timing.longest_backoff_ms());
             self.next_failback_at = self.failback_until + self.backoff;
@@ -123,24 +123,24 @@
     /// Whether the latest heartbeat was relayed, within the heartbeat interval.
     pub fn is_recently_relayed(&self, now: Ms, timing: &Timing) -> bool {
         let relayed_at = self.last_relayed_at.filter(|_| self.is_relayed());
-        relayed_at.is_some_and(|at| now < at + timing.report_ms)
+        relayed_at.is_some_and(|at| now < at + timing.heartbeat_interval_ms)
     }
 
     /// Whether calls reach the machine, as far as is known.
-    pub fn is_callable(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         self.unanswered_calls < MIN_LOST_CALLS
     }
 
     /// Whether a call has ended within a lease, so that [`Self::is_callable`] is recent.
-    pub fn is_call_recent(&self, now: Ms, timing: &Timing) -> bool {
+    pub fn has_recent_call(&self, now: Ms, timing: &Timing) -> bool {
         self.last_call_at
             .is_some_and(|at| now < at + timing.lease_ms)
     }
 
     /// Whether tasks may be started on the machine: the start is sent by a call, and its
     /// outcome is reported by direct heartbeats.
-    pub fn accepts_starts(&self) -> bool {
-        self.is_callable() && !self.is_relayed()
+    pub fn can_start_tasks(&self) -> bool {
+        self.is_reachable() && !self.is_relayed()
     }
 
     /// Whether a direct heartbeat is overdue. `since` is when the controller began to
@@ -148,20 +148,20 @@
     /// controller: it has half of its lease.
     pub fn has_missed_heartbeats(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
         match self.last_direct_at {
-            Some(direct_at) => now > direct_at.max(since) + timing.report_ms,
+            Some(direct_at) => now > direct_at.max(since) + timing.heartbeat_interval_ms,
             None => now > since + timing.lease_ms / 2,
         }
     }
 
     /// Whether other controllers should relay the worker's heartbeats: direct ones are
     /// missed and no failback is in progress.
-    pub fn wants_relay(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
+    pub fn needs_relay(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
         now >= self.failback_until && self.has_missed_heartbeats(now, since, timing)
     }
 
     /// Whether a probe of a machine without heartbeats is due: calls by this controller
     /// and by others. If so, the next one is due after a quarter of a lease.
-    pub fn take_probe(&mut self, now: Ms, timing: &Timing) -> bool {
+    pub fn start_probe_if_due(&mut self, now: Ms, timing: &Timing) -> bool {
         if now < self.next_probe_at {
             return false;
         }
@@ -170,7 +170,7 @@
     }
 
     /// Whether a call is due that shows if a failback can succeed.
-    pub fn is_probe_due(&self, now: Ms) -> bool {
+    pub fn is_failback_probe_due(&self, now: Ms) -> bool {
         self.is_relayed() && now >= self.next_failback_at
     }
 }
--- a/crates/links/src/redirect.rs
+++ b/crates/links/src/redirect.rs
@@ -17,13 +17,13 @@
 /// redirect would bring it back here again, until its lease expires. In between it may have
 /// tried other controllers, and lost 5 s with each that did not respond.
 #[derive(Debug)]
-pub struct Redirects {
+pub struct RedirectHistory {
     by_machine: BTreeMap<MachineId, Redirect>,
     /// Duration of a worker's lease.
     lease_ms: Ms,
 }
 
-impl Redirects {
+impl RedirectHistory {
     /// No redirects yet, of workers with such a lease in milliseconds.
     pub fn new(lease_ms: Ms) -> Self {
         Self {
@@ -50,7 +50,7 @@
 
     /// Whether a worker that sends a heartbeat now was redirected to that incarnation of a
     /// holder within its lease.
-    pub fn has_returned(
+    pub fn was_recently_redirected(
         &self,
         machine: &MachineId,
         holder: &NodeName,
--- a/crates/links/tests/decisions.rs
+++ b/crates/links/tests/decisions.rs
@@ -1,16 +1,18 @@
 //! Which decisions each partition permits, and the states of links.
 
-use forkshift_links::{CloudLink, Decision, Link, Links, MachineLink, RelayTable, Route, Timing};
+use forkshift_links::{
+    CloudLink, Decision, Link, LinkStates, MachineLink, RelayTable, Route, Timing,
+};
 use forkshift_wire::{MachineId, NodeName};
 use proptest::prelude::*;
 
 const TIMING: Timing = Timing {
-    report_ms: 1_000,
+    heartbeat_interval_ms: 1_000,
     lease_ms: 10_000,
 };
 
-fn links_without(lost: &[Link]) -> Links {
-    let mut links = Links::default();
+fn links_without(lost: &[Link]) -> LinkStates {
+    let mut links = LinkStates::default();
     for link in Link::ALL {
         links.set(link, !lost.contains(&link));
     }
@@ -20,13 +22,19 @@
 /// The expected table of decisions, so that a change to it is deliberate.
 #[test]
 fn each_lost_link_forbids_the_decisions_that_require_it() {
-    use Decision::{HoldShards, Lead, RemoveSilentMachines, StartTasks};
+    use Decision::{DecommissionUnresponsiveMachines, HoldShards, RemainLeader, StartTasks};
     let cases: [(&[Link], &[Decision]); 6] = [
         (&[], &[]),
-        (&[Link::Store], &[StartTasks, RemoveSilentMachines]),
-        (&[Link::Heartbeats], &[RemoveSilentMachines, HoldShards]),
+        (
+            &[Link::Store],
+            &[StartTasks, DecommissionUnresponsiveMachines],
+        ),
+        (
+            &[Link::Heartbeats],
+            &[DecommissionUnresponsiveMachines, HoldShards],
+        ),
         (&[Link::WorkerCalls], &[HoldShards]),
-        (&[Link::Cloud], &[Lead]),
+        (&[Link::Cloud], &[RemainLeader]),
         (&Link::ALL, &Decision::ALL),
     ];
     for (lost, forbidden) in cases {
@@ -34,7 +42,7 @@
         for decision in Decision::ALL {
             let expected = !forbidden.contains(&decision);
             assert_eq!(
-                links.allow(decision),
+                links.allows(decision),
                 expected,
                 "{decision:?} without {lost:?}"
             );
@@ -46,14 +54,14 @@
     /// The loss of a link never permits another decision.
     #[test]
     fn lost_link_permits_no_further_decision(up in any::<[bool; 4]>(), lost in 0_usize..4) {
-        let mut links = Links::default();
+        let mut links = LinkStates::default();
         for (link, is_up) in Link::ALL.into_iter().zip(up) {
             links.set(link, is_up);
         }
         let before = links;
         links.set(Link::ALL[lost], false);
         for decision in Decision::ALL {
-            prop_assert!(!links.allow(decision) || before.allow(decision));
+            prop_assert!(!links.allows(decision) || before.allows(decision));
         }
     }
 }
@@ -65,7 +73,7 @@
     for (is_answered, is_callable) in [(false, true), (false, false), (false, false), (true, true)]
     {
         link.on_call(1, is_answered, &TIMING);
-        assert_eq!(link.is_callable(), is_callable);
+        assert_eq!(link.is_reachable(), is_callable);
     }
 }
 
@@ -75,18 +83,18 @@
 fn failback_of_a_relayed_worker_backs_off() {
     let mut link = MachineLink::default();
     link.on_heartbeat(0, Route::Direct, &TIMING);
-    assert!(link.accepts_starts() && !link.wants_relay(1_000, 0, &TIMING));
-    assert!(link.wants_relay(1_001, 0, &TIMING));
+    assert!(link.can_start_tasks() && !link.needs_relay(1_000, 0, &TIMING));
+    assert!(link.needs_relay(1_001, 0, &TIMING));
     link.on_heartbeat(2_000, Route::Relayed, &TIMING);
-    assert!(!link.accepts_starts() && !link.is_probe_due(6_999));
+    assert!(!link.can_start_tasks() && !link.is_failback_probe_due(6_999));
     let mut now = 7_000;
     let mut backoffs = Vec::new();
     for _ in 0..3 {
-        assert!(link.is_probe_due(now));
+        assert!(link.is_failback_probe_due(now));
         link.on_call(now, true, &TIMING);
-        assert!(!link.wants_relay(now, 0, &TIMING), "failback in progress");
+        assert!(!link.needs_relay(now, 0, &TIMING), "failback in progress");
         let started_at = now;
-        while !link.is_probe_due(now) {
+        while !link.is_failback_probe_due(now) {
             now += 100;
             link.on_heartbeat(now, Route::Relayed, &TIMING);
         }
@@ -97,7 +105,7 @@
         "{backoffs:?}"
     );
     link.on_heartbeat(now, Route::Direct, &TIMING);
-    assert!(link.accepts_starts());
+    assert!(link.can_start_tasks());
 }
 
 /// Only calls without any response count, and a leader that resigned abstains longer each
--- a/crates/links/tests/worker_and_controllers.rs
+++ b/crates/links/tests/worker_and_controllers.rs
@@ -6,7 +6,7 @@
 //! another controller has lost the holder. The worker's lease must not expire then, and
 //! after all links are restored its heartbeats must be direct again.
 
-use forkshift_links::{MachineLink, Ms, Redirects, RelayTable, Route, Timing};
+use forkshift_links::{MachineLink, Ms, RedirectHistory, RelayTable, Route, Timing};
 use forkshift_wire::{MachineId, NodeName};
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
@@ -23,7 +23,7 @@
 const RELAY_REQUEST_TTL_MS: Ms = 2_500;
 const HOLDER_INCARNATION: u64 = 7;
 const TIMING: Timing = Timing {
-    report_ms: 6_750,
+    heartbeat_interval_ms: 6_750,
     lease_ms: LEASE_MS,
 };
 
@@ -110,7 +110,7 @@
     next_relay_request_at: Ms,
     relay_requests: u64,
     relays: Vec<RelayTable>,
-    redirects: Vec<Redirects>,
+    redirects: Vec<RedirectHistory>,
 }
 
 impl Deployment {
@@ -128,7 +128,9 @@
             next_relay_request_at: 0,
             relay_requests: 0,
             relays: controllers().map(|_| RelayTable::default()).collect(),
-            redirects: controllers().map(|_| Redirects::new(LEASE_MS)).collect(),
+            redirects: controllers()
+                .map(|_| RedirectHistory::new(LEASE_MS))
+                .collect(),
         }
     }
 
@@ -159,7 +161,8 @@
     /// The holder calls the worker when a failback is due, and requests relays if direct
     /// heartbeats are missed.
     fn step_holder(&mut self, network: &Network) {
-        let is_call_due = self.link.is_probe_due(self.now) && self.now >= self.next_call_at;
+        let is_call_due =
+            self.link.is_failback_probe_due(self.now) && self.now >= self.next_call_at;
         if is_call_due {
             self.next_call_at = self.now + TIMEOUT_MS;
             let is_answered = network.worker[HOLDER];
@@ -170,7 +173,7 @@
         }
         self.next_relay_request_at = self.now + RELAY_REQUEST_INTERVAL_MS;
         self.relay_requests += 1;
-        let wants_relay = self.link.wants_relay(self.now, 0, &TIMING);
+        let wants_relay = self.link.needs_relay(self.now, 0, &TIMING);
         for node in (HOLDER + 1..CONTROLLERS).filter(|node| network.peers[*node]) {
             let machines = wants_relay.then(|| self.machine.clone());
             let until = self.now + RELAY_REQUEST_TTL_MS;
@@ -201,7 +204,7 @@
         let (incarnation, now) = (HOLDER_INCARNATION, self.now);
         let is_relayed = self.relays[node].is_requested_by(&machine, &holder, incarnation, now);
         let redirects = &mut self.redirects[node];
-        let has_returned = redirects.has_returned(&machine, &holder, incarnation, now);
+        let has_returned = redirects.was_recently_redirected(&machine, &holder, incarnation, now);
         if !is_relayed && !has_returned {
             redirects.on_redirected(machine, holder, incarnation, now);
             self.controller = HOLDER;
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -52,19 +52,19 @@
 /// Status of an outcome without a response.
 const NO_RESPONSE: u16 = 0;
 /// Status of an outcome whose response was longer than the client allows.
-pub const TOO_LONG: u16 = 413;
+pub const STATUS_RESPONSE_TOO_LONG: u16 = 413;
 
 /// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Maximum number of idle connections to one server.
-    pub per_host: usize,
+    pub max_idle_per_host: usize,
     /// Maximum number of idle connections in all.
-    pub idle: usize,
+    pub max_idle: usize,
     /// Time for which an idle connection is kept.
-    pub keep: Duration,
+    pub idle_timeout: Duration,
     /// Maximum size of a response body, in bytes.
-    pub largest: u64,
+    pub max_response_bytes: u64,
 }
 
 /// Why a call has no response.
@@ -142,7 +142,7 @@
 
     /// Closes connections that have been idle for longer than the client keeps them.
     pub fn sweep(&self) {
-        let keep = self.limits.keep;
+        let keep = self.limits.idle_timeout;
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|idle| idle.idle_since.elapsed() < keep);
             !connections.is_empty()
@@ -161,8 +161,8 @@
         let mut response = async_h1::client::decode(stream.clone()).await?;
         let body = self.read_body(&mut response).await?;
         self.add_traffic(stream.take_traffic());
-        if body.len() as u64 > self.limits.largest {
-            return Err(CallError::TooLong(self.limits.largest));
+        if body.len() as u64 > self.limits.max_response_bytes {
+            return Err(CallError::TooLong(self.limits.max_response_bytes));
         }
         if !is_last(&response) {
             self.put_back(call.addr, connection.keep_open());
@@ -183,7 +183,7 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&addr)?;
         while let Some(connection) = connections.pop() {
-            let is_recent = connection.idle_since.elapsed() < self.limits.keep;
+            let is_recent = connection.idle_since.elapsed() < self.limits.idle_timeout;
             if is_recent && connection.stream.is_reusable() {
                 return Some(connection.stream);
             }
@@ -196,7 +196,7 @@
         // There may be thousands of workers, most of which are not called again soon.
         let total: usize = idle.values().map(Vec::len).sum();
         let connections = idle.entry(addr).or_default();
-        if connections.len() < self.limits.per_host && total < self.limits.idle {
+        if connections.len() < self.limits.max_idle_per_host && total < self.limits.max_idle {
             let idle_since = Instant::now();
             connections.push(IdleConnection { stream, idle_since });
         }
@@ -205,7 +205,7 @@
     /// Reads a body up to one byte beyond the limit, so that a longer one is detected.
     async fn read_body(&self, response: &mut http_types::Response) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
-        let mut limited = response.take(self.limits.largest + 1);
+        let mut limited = response.take(self.limits.max_response_bytes + 1);
         limited.read_to_end(&mut body).await?;
         Ok(body)
     }
@@ -225,7 +225,7 @@
         // A retry would fail as well: the caller must request less.
         CallError::TooLong(_) => {
             log::error!("{} {}: {error}", call.addr, call.path);
-            Outcome::without_body(TOO_LONG)
+            Outcome::without_body(STATUS_RESPONSE_TOO_LONG)
         }
         _ => {
             log::debug!("{} {} {}: {error}", call.addr, call.method, call.path);
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -28,7 +28,7 @@
 mod stream;
 
 pub use bind::bind;
-pub use client::{Call, Client, ClientLimits, Outcome, TOO_LONG};
+pub use client::{Call, Client, ClientLimits, Outcome, STATUS_RESPONSE_TOO_LONG};
 pub use deadline::{after, Deadline};
 pub use peers::{listen, PeerLink};
 pub use server::{serve, Request, Response, ServerLimits};
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -45,16 +45,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
     /// Maximum number of open connections; more wait in the backlog.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Number of open connections beyond which each is closed after its response: there
     /// may be more workers than sockets, and each of them sends heartbeats.
-    pub roomy: usize,
+    pub max_keep_alive_connections: usize,
     /// Maximum size of a request body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time after which a connection without any traffic is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Timeout for the body of a request.
-    pub read: Duration,
+    pub body_timeout: Duration,
 }
 
 /// Idle time after which a connection may be closed in favour of a new one.
@@ -141,7 +141,7 @@
     loop {
         // Idle clients must not lock others out. Connections beyond the limit wait in the
         // backlog, where a load balancer sees that they are not accepted and fails over.
-        if table.len() >= limits.connections {
+        if table.len() >= limits.max_connections {
             table.evict_idle();
             Timer::after(FULL_TABLE_DELAY).await;
             continue;
@@ -176,7 +176,7 @@
         Ok::<(), ConnectionError>(())
     };
     let idle = async {
-        connection.stream.wait_idle(limits.idle).await;
+        connection.stream.wait_idle(limits.idle_timeout).await;
         Ok(())
     };
     if let Err(e) = future::or(serving, idle).await {
@@ -207,7 +207,7 @@
 {
     let stream = &connection.stream;
     let head_timeout = async {
-        deadline::after(limits.idle * 2).await;
+        deadline::after(limits.idle_timeout * 2).await;
         Ok(None)
     };
     let decoding = async_h1::server::decode(stream.clone());
@@ -221,7 +221,7 @@
     let handled = handle(request, limits, handler).await;
     connection.is_busy.set(false);
     let mut response = handled?;
-    if table.len() > limits.roomy {
+    if table.len() > limits.max_keep_alive_connections {
         response.insert_header(CONNECTION, "close");
     }
     let is_last = closed_by_client || is_close(response.header(CONNECTION));
@@ -269,7 +269,10 @@
     request: &mut http_types::Request,
     limits: ServerLimits,
 ) -> Result<Option<Vec<u8>>, ConnectionError> {
-    if request.len().is_some_and(|length| length > limits.body) {
+    if request
+        .len()
+        .is_some_and(|length| length > limits.max_body_bytes)
+    {
         return Ok(None);
     }
     let mut body = Vec::new();
@@ -277,16 +280,16 @@
         return Ok(Some(body));
     }
     let reading = async {
-        let mut limited = request.take(limits.body as u64 + 1);
+        let mut limited = request.take(limits.max_body_bytes as u64 + 1);
         limited.read_to_end(&mut body).await
     };
     let timeout = async {
-        deadline::after(limits.read).await;
+        deadline::after(limits.body_timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     let read = future::or(reading, timeout).await;
     read.map_err(ConnectionError::IncompleteBody)?;
-    Ok((body.len() <= limits.body).then_some(body))
+    Ok((body.len() <= limits.max_body_bytes).then_some(body))
 }
 
 fn path_and_query(request: &http_types::Request) -> String {
--- a/crates/net/tests/client.rs
+++ b/crates/net/tests/client.rs
@@ -11,10 +11,10 @@
 
 fn client() -> Client {
     Client::new(ClientLimits {
-        per_host: 1,
-        idle: 1,
-        keep: Duration::from_secs(1),
-        largest: 1_000,
+        max_idle_per_host: 1,
+        max_idle: 1,
+        idle_timeout: Duration::from_secs(1),
+        max_response_bytes: 1_000,
     })
 }
 
--- a/crates/net/tests/server.rs
+++ b/crates/net/tests/server.rs
@@ -47,11 +47,11 @@
 
 fn limits(connections: usize, roomy: usize) -> ServerLimits {
     ServerLimits {
-        connections,
-        roomy,
-        body: 1024,
-        idle: Duration::from_secs(60),
-        read: Duration::from_secs(60),
+        max_connections: connections,
+        max_keep_alive_connections: roomy,
+        max_body_bytes: 1024,
+        idle_timeout: Duration::from_secs(60),
+        body_timeout: Duration::from_secs(60),
     }
 }
 
--- a/crates/pools/src/account.rs
+++ b/crates/pools/src/account.rs
@@ -12,10 +12,12 @@
 mod records;
 mod row;
 
-pub use interval::{Interval, MachineFacts};
-pub use membership::{Ended, Membership, PoolState};
-pub use records::{Asked, Miss, Price};
-pub use row::{head_key, Row, HEADS, POOLS, PRICES};
+pub use interval::{BilledMachine, UsageInterval};
+pub use membership::{EndReason, Membership, PoolState};
+pub use records::{ColdStart, PoolRequest, Price};
+pub use row::{
+    current_request_key, AccountRow, ACCOUNT_PREFIX, CURRENT_REQUEST_PREFIX, PRICE_PREFIX,
+};
 
 #[cfg(test)]
 mod tests;
--- a/crates/pools/src/account/interval.rs
+++ b/crates/pools/src/account/interval.rs
@@ -1,6 +1,6 @@
 //! The intervals for which pools are charged.
 
-use super::membership::{Ended, PoolState};
+use super::membership::{EndReason, PoolState};
 use super::row::row_key;
 use crate::declaration::PoolName;
 use forkshift_wire::MachineId;
@@ -8,7 +8,7 @@
 
 /// What an account records of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MachineFacts {
+pub struct BilledMachine {
     /// Id of the machine.
     pub id: MachineId,
     /// Machine type.
@@ -19,7 +19,7 @@
 
 /// A past interval for which a pool is charged for a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Interval {
+pub struct UsageInterval {
     /// The pool.
     pub pool: PoolName,
     /// The machine.
@@ -38,10 +38,10 @@
     pub to_ms: u64,
     /// Why the machine left the pool at the end; `None` if it changed its state.
     #[serde(rename = "ended", default, skip_serializing_if = "Option::is_none")]
-    pub ended: Option<Ended>,
+    pub end_reason: Option<EndReason>,
 }
 
-impl Interval {
+impl UsageInterval {
     /// Key at the key-value store: ordered by time within a pool, and the same for whichever
     /// controller writes it.
     pub fn key(&self) -> String {
--- a/crates/pools/src/account/membership.rs
+++ b/crates/pools/src/account/membership.rs
@@ -1,6 +1,6 @@
 //! The membership of a machine in a pool.
 
-use super::interval::{Interval, MachineFacts};
+use super::interval::{BilledMachine, UsageInterval};
 use crate::declaration::PoolName;
 use serde::{Deserialize, Serialize};
 
@@ -30,25 +30,25 @@
 
 /// Why a machine left its pool. The serde names are those of stored records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Ended {
+pub enum EndReason {
     /// It was allocated to a task of the pool's team and image.
     #[serde(rename = "handed_out")]
-    HandedOut,
+    Allocated,
     /// It was reclaimed for a task that was entitled to capacity and fitted on no other.
     #[serde(rename = "reclaimed")]
     Reclaimed,
     /// The pool was scaled in.
     #[serde(rename = "surplus")]
-    Surplus,
+    ScaledIn,
     /// The pool is no longer declared.
     #[serde(rename = "withdrawn")]
-    Withdrawn,
+    PoolRemoved,
     /// It did not get the image in time.
     #[serde(rename = "stalled")]
-    Stalled,
+    FetchTimedOut,
     /// It failed, was preempted by the cloud, or never came up.
     #[serde(rename = "lost")]
-    Lost,
+    Failed,
 }
 
 /// A machine's membership in a pool, as stored in the machine's record.
@@ -76,8 +76,13 @@
 
     /// The interval up to `at_ms`, for a machine that changes its state or leaves the pool.
     /// Clocks of controllers differ: an interval never ends before it begins.
-    pub fn close(&self, machine: &MachineFacts, at_ms: u64, ended: Option<Ended>) -> Interval {
-        Interval {
+    pub fn close(
+        &self,
+        machine: &BilledMachine,
+        at_ms: u64,
+        ended: Option<EndReason>,
+    ) -> UsageInterval {
+        UsageInterval {
             pool: self.pool.clone(),
             machine: machine.id.clone(),
             machine_type: machine.machine_type.clone(),
@@ -85,7 +90,7 @@
             state: self.state,
             from_ms: self.since_ms,
             to_ms: at_ms.max(self.since_ms),
-            ended,
+            end_reason: ended,
         }
     }
 }
--- a/crates/pools/src/account/records.rs
+++ b/crates/pools/src/account/records.rs
@@ -1,12 +1,12 @@
 //! Stored records of an account besides intervals: requests, cold starts and prices.
 
-use super::row::{head_key, price_key, row_key};
+use super::row::{current_request_key, price_key, row_key};
 use crate::declaration::PoolName;
 use serde::{Deserialize, Serialize};
 
 /// The number of machines that a pool was to keep for a time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct PoolRequest {
     /// The pool.
     pub pool: PoolName,
     /// Team that is charged.
@@ -20,17 +20,17 @@
     pub to_ms: Option<u64>,
 }
 
-impl Asked {
+impl PoolRequest {
     /// Key at the key-value store: the pool's present request, or a row of its account.
     pub fn key(&self) -> String {
         match self.to_ms {
-            None => head_key(&self.pool),
+            None => current_request_key(&self.pool),
             Some(_) => row_key(&self.pool, self.from_ms, "asked"),
         }
     }
 
     /// Ends this request and begins one for another number of machines. Returns both.
-    pub fn change(self, machines: u32, at_ms: u64) -> (Self, Self) {
+    pub fn replace_with(self, machines: u32, at_ms: u64) -> (Self, Self) {
         let at_ms = at_ms.max(self.from_ms);
         let next = Self {
             machines,
@@ -44,7 +44,7 @@
 
 /// A cold start: a job of a pool's team and image that found no machine of the pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Miss {
+pub struct ColdStart {
     /// The pool.
     pub pool: PoolName,
     /// Id of the job.
@@ -56,7 +56,7 @@
     pub at_ms: u64,
 }
 
-impl Miss {
+impl ColdStart {
     /// Key at the key-value store.
     pub fn key(&self) -> String {
         row_key(&self.pool, self.at_ms, &format!("missed-{}", self.job))
--- a/crates/pools/src/account/row.rs
+++ b/crates/pools/src/account/row.rs
@@ -1,57 +1,57 @@
 //! Keys of stored records, and the rows that are read from them.
 
-use super::interval::Interval;
-use super::records::{Asked, Miss};
+use super::interval::UsageInterval;
+use super::records::{ColdStart, PoolRequest};
 use crate::declaration::PoolName;
 
 /// Prefix of the rows of all accounts.
-pub const POOLS: &str = "pool/";
+pub const ACCOUNT_PREFIX: &str = "pool/";
 /// Prefix of the present requests of all pools.
-pub const HEADS: &str = "pool-asked/";
+pub const CURRENT_REQUEST_PREFIX: &str = "pool-asked/";
 /// Prefix of prices.
-pub const PRICES: &str = "price/";
+pub const PRICE_PREFIX: &str = "price/";
 /// Digits of a time in a key, so that keys are ordered by time.
 const TIME_DIGITS: usize = 14;
 
 /// Key of the present request of a pool.
-pub fn head_key(pool: &PoolName) -> String {
-    format!("{HEADS}{pool}")
+pub fn current_request_key(pool: &PoolName) -> String {
+    format!("{CURRENT_REQUEST_PREFIX}{pool}")
 }
 
 /// Key of a row of a pool's account.
 pub(super) fn row_key(pool: &PoolName, at_ms: u64, kind: &str) -> String {
-    format!("{POOLS}{pool}/{at_ms:0TIME_DIGITS$}-{kind}")
+    format!("{ACCOUNT_PREFIX}{pool}/{at_ms:0TIME_DIGITS$}-{kind}")
 }
 
 /// Key of the prices of a machine type from a time on.
 pub(super) fn price_key(machine_type: &str, from_ms: u64) -> String {
-    format!("{PRICES}{machine_type}/{from_ms:0TIME_DIGITS$}")
+    format!("{PRICE_PREFIX}{machine_type}/{from_ms:0TIME_DIGITS$}")
 }
 
 /// A row of a pool's account.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Row {
+pub enum AccountRow {
     /// An interval of a machine.
-    Interval(Interval),
+    Interval(UsageInterval),
     /// A past request, or the present one.
-    Asked(Asked),
+    Request(PoolRequest),
     /// A cold start.
-    Miss(Miss),
+    ColdStart(ColdStart),
 }
 
-impl Row {
+impl AccountRow {
     /// Parses a record below [`POOLS`] or [`HEADS`]; `None` if the kind of its key is
     /// unknown or its value is invalid.
     pub fn parse(key: &str, value: &str) -> Option<Self> {
-        if key.starts_with(HEADS) {
-            return parse_json(value).map(Self::Asked);
+        if key.starts_with(CURRENT_REQUEST_PREFIX) {
+            return parse_json(value).map(Self::Request);
         }
-        let (_, row) = key.strip_prefix(POOLS)?.split_once('/')?;
+        let (_, row) = key.strip_prefix(ACCOUNT_PREFIX)?.split_once('/')?;
         let (_, kind) = row.split_once('-')?;
         match kind.split_once('-') {
-            None if kind == "asked" => parse_json(value).map(Self::Asked),
+            None if kind == "asked" => parse_json(value).map(Self::Request),
             Some(("machine", _)) => parse_json(value).map(Self::Interval),
-            Some(("missed", _)) => parse_json(value).map(Self::Miss),
+            Some(("missed", _)) => parse_json(value).map(Self::ColdStart),
             _ => None,
         }
     }
--- a/crates/pools/src/account/tests.rs
+++ b/crates/pools/src/account/tests.rs
@@ -8,8 +8,8 @@
     PoolName::parse("exam-help").expect("a name")
 }
 
-fn machine() -> MachineFacts {
-    MachineFacts {
+fn machine() -> BilledMachine {
+    BilledMachine {
         id: MachineId::new("host-000001"),
         machine_type: "big".to_owned(),
         spot: false,
@@ -29,15 +29,15 @@
     for (at, to) in [(5_000, 5_000), (1_000, 1_000), (400, 1_000)] {
         let interval = membership().close(&machine(), at, None);
         assert_eq!((interval.from_ms, interval.to_ms), (1_000, to));
-        let (past, next) = request().change(4, at);
+        let (past, next) = request().replace_with(4, at);
         assert_eq!((past.machines, past.to_ms), (3, Some(to)));
         assert_eq!((next.machines, next.from_ms, next.to_ms), (4, to, None));
     }
 }
 
 /// The present request of a pool, for three machines.
-fn request() -> Asked {
-    Asked {
+fn request() -> PoolRequest {
+    PoolRequest {
         pool: name(),
         team: "readers".to_owned(),
         machines: 3,
@@ -49,9 +49,9 @@
 /// Keys are ordered by time, and every row is parsed from its key and value.
 #[test]
 fn rows_are_parsed_from_their_stored_form() {
-    let interval = membership().close(&machine(), 5_000, Some(Ended::HandedOut));
-    let (past, present) = request().change(4, 2_000);
-    let cold_start = Miss {
+    let interval = membership().close(&machine(), 5_000, Some(EndReason::Allocated));
+    let (past, present) = request().replace_with(4, 2_000);
+    let cold_start = ColdStart {
         pool: name(),
         job: "j-000001".to_owned(),
         tasks: 2,
@@ -62,34 +62,34 @@
         (
             interval.key(),
             json(&|| serde_json::to_string(&interval)),
-            Row::Interval(interval),
+            AccountRow::Interval(interval),
         ),
         (
             past.key(),
             json(&|| serde_json::to_string(&past)),
-            Row::Asked(past),
+            AccountRow::Request(past),
         ),
         (
             present.key(),
             json(&|| serde_json::to_string(&present)),
-            Row::Asked(present),
+            AccountRow::Request(present),
         ),
         (
             cold_start.key(),
             json(&|| serde_json::to_string(&cold_start)),
-            Row::Miss(cold_start),
+            AccountRow::ColdStart(cold_start),
         ),
     ];
     for (key, value, row) in &rows {
-        assert_eq!(Row::parse(key, value).as_ref(), Some(row), "{key}");
+        assert_eq!(AccountRow::parse(key, value).as_ref(), Some(row), "{key}");
     }
     assert!(
         rows[3].0 < rows[0].0,
         "a cold start at 999 ms is ordered before an interval from 1,000 ms"
     );
     assert_eq!(
-        Row::parse("pool/exam-help/00000000001000-other", "{}"),
+        AccountRow::parse("pool/exam-help/00000000001000-other", "{}"),
         None
     );
-    assert_eq!(Row::parse(&rows[0].0, "{}"), None);
+    assert_eq!(AccountRow::parse(&rows[0].0, "{}"), None);
 }
--- a/crates/pools/src/audit.rs
+++ b/crates/pools/src/audit.rs
@@ -1,38 +1,38 @@
 //! Checks that accounts are consistent, and agree with the charges of the cloud.
 
-use crate::account::Interval;
+use crate::account::UsageInterval;
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
 /// Beginning and end of the time for which the cloud charged for a machine, in
 /// milliseconds since 1970.
-pub type Life = (u64, u64);
+pub type BillingPeriod = (u64, u64);
 
 /// An error in an account.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Mistake {
+pub enum AuditError {
     /// Two intervals of a machine overlap.
     #[error("{0}: charged twice")]
-    ChargedTwice(MachineId),
+    DoubleCharge(MachineId),
     /// Some time of a membership belongs to no interval.
     #[error("{0}: not charged")]
-    NotCharged(MachineId),
+    MissingCharge(MachineId),
     /// An interval begins before the cloud's charge for the machine, or ends after it, by
     /// more than clocks may differ.
     #[error("{0}: charged outside its life")]
-    OutsideLife(MachineId),
+    ChargeOutsideBillingPeriod(MachineId),
 }
 
 /// All errors in the accounts of all pools together. Clocks may differ from the cloud's by
 /// `clock_off_ms`. The intervals include present memberships, as if they ended now; the
 /// lives include those of present machines. A machine without a life was never
 /// provisioned.
-pub fn mistakes(
-    intervals: &[Interval],
-    lives: &BTreeMap<MachineId, Life>,
+pub fn audit_errors(
+    intervals: &[UsageInterval],
+    lives: &BTreeMap<MachineId, BillingPeriod>,
     clock_off_ms: u64,
-) -> Vec<Mistake> {
-    let mut by_machine: BTreeMap<&MachineId, Vec<&Interval>> = BTreeMap::new();
+) -> Vec<AuditError> {
+    let mut by_machine: BTreeMap<&MachineId, Vec<&UsageInterval>> = BTreeMap::new();
     for interval in intervals {
         let of_machine = by_machine.entry(&interval.machine).or_default();
         of_machine.push(interval);
@@ -57,41 +57,44 @@
 struct MachineAudit<'a> {
     machine: &'a MachineId,
     /// Its intervals, by their beginnings.
-    intervals: Vec<&'a Interval>,
-    life: Option<Life>,
+    intervals: Vec<&'a UsageInterval>,
+    life: Option<BillingPeriod>,
     clock_off_ms: u64,
 }
 
 impl MachineAudit<'_> {
     /// An error if some interval is not within the machine's life.
-    fn outside_life(&self) -> Option<Mistake> {
-        let is_outside = |interval: &&Interval| {
+    fn outside_life(&self) -> Option<AuditError> {
+        let is_outside = |interval: &&UsageInterval| {
             self.life.is_none_or(|(from, to)| {
                 interval.from_ms + self.clock_off_ms < from
                     || interval.to_ms > to.saturating_add(self.clock_off_ms)
             })
         };
         let any_outside = self.intervals.iter().any(is_outside);
-        any_outside.then(|| Mistake::OutsideLife(self.machine.clone()))
+        any_outside.then(|| AuditError::ChargeOutsideBillingPeriod(self.machine.clone()))
     }
 
     /// An error if the last interval does not end the membership, and the machine's life
     /// goes on after it.
-    fn unrecorded_end(&self) -> Option<Mistake> {
-        let last = self.intervals.last().filter(|last| last.ended.is_none())?;
+    fn unrecorded_end(&self) -> Option<AuditError> {
+        let last = self
+            .intervals
+            .last()
+            .filter(|last| last.end_reason.is_none())?;
         let (_, life_end) = self.life?;
         let ends_early = last.to_ms.saturating_add(self.clock_off_ms) < life_end;
-        ends_early.then(|| Mistake::NotCharged(self.machine.clone()))
+        ends_early.then(|| AuditError::MissingCharge(self.machine.clone()))
     }
 
     /// Errors between each interval and the next one.
-    fn gaps_and_overlaps(&self) -> impl Iterator<Item = Mistake> + '_ {
+    fn gaps_and_overlaps(&self) -> impl Iterator<Item = AuditError> + '_ {
         self.intervals.windows(2).filter_map(|pair| {
             let (first, second) = (pair[0], pair[1]);
             if second.from_ms < first.to_ms {
-                Some(Mistake::ChargedTwice(self.machine.clone()))
-            } else if first.ended.is_none() && second.from_ms > first.to_ms {
-                Some(Mistake::NotCharged(self.machine.clone()))
+                Some(AuditError::DoubleCharge(self.machine.clone()))
+            } else if first.end_reason.is_none() && second.from_ms > first.to_ms {
+                Some(AuditError::MissingCharge(self.machine.clone()))
             } else {
                 None
             }
--- a/crates/pools/src/audit/tests.rs
+++ b/crates/pools/src/audit/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of audits.
 
 use super::*;
-use crate::account::{Ended, PoolState};
+use crate::account::{EndReason, PoolState};
 use crate::declaration::PoolName;
 
-fn interval(from_ms: u64, to_ms: u64, ended: Option<Ended>) -> Interval {
-    Interval {
+fn interval(from_ms: u64, to_ms: u64, ended: Option<EndReason>) -> UsageInterval {
+    UsageInterval {
         pool: PoolName::parse("help").expect("a name"),
         machine: MachineId::new("m"),
         machine_type: "big".to_owned(),
@@ -13,7 +13,7 @@
         state: PoolState::Warm,
         from_ms,
         to_ms,
-        ended,
+        end_reason: ended,
     }
 }
 
@@ -22,13 +22,13 @@
 fn each_kind_of_error_in_an_account_is_found() {
     let id = MachineId::new("m");
     let lives = BTreeMap::from([(id.clone(), (100, 900))]);
-    let removed = Some(Ended::Surplus);
+    let removed = Some(EndReason::ScaledIn);
     let (twice, gap, outside) = (
-        Mistake::ChargedTwice(id.clone()),
-        Mistake::NotCharged(id.clone()),
-        Mistake::OutsideLife(id),
+        AuditError::DoubleCharge(id.clone()),
+        AuditError::MissingCharge(id.clone()),
+        AuditError::ChargeOutsideBillingPeriod(id),
     );
-    let cases: [(Vec<Interval>, u64, Vec<Mistake>); 12] = [
+    let cases: [(Vec<UsageInterval>, u64, Vec<AuditError>); 12] = [
         (
             vec![
                 interval(100, 200, None),
@@ -64,11 +64,11 @@
     ];
     for (n, (intervals, clock_off_ms, expected)) in cases.into_iter().enumerate() {
         assert_eq!(
-            mistakes(&intervals, &lives, clock_off_ms),
+            audit_errors(&intervals, &lives, clock_off_ms),
             expected,
             "case {n}"
         );
     }
-    let never_provisioned = mistakes(&[interval(100, 200, removed)], &BTreeMap::new(), 0);
+    let never_provisioned = audit_errors(&[interval(100, 200, removed)], &BTreeMap::new(), 0);
     assert_eq!(never_provisioned, vec![outside]);
 }
--- a/crates/pools/src/calendar.rs
+++ b/crates/pools/src/calendar.rs
@@ -24,19 +24,19 @@
 
 /// Bounds on the number of machines of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Size {
+pub struct PoolSize {
     /// Least number of machines.
-    pub least: u32,
+    pub min_machines: u32,
     /// Most machines.
-    pub most: u32,
+    pub max_machines: u32,
 }
 
-impl Size {
+impl PoolSize {
     /// The larger of each bound.
     fn max(self, other: Self) -> Self {
         Self {
-            least: self.least.max(other.least),
-            most: self.most.max(other.most),
+            min_machines: self.min_machines.max(other.min_machines),
+            max_machines: self.max_machines.max(other.max_machines),
         }
     }
 }
@@ -57,7 +57,7 @@
     /// Number of last days of a month on which alone it begins.
     pub last_days_of_month: Option<u8>,
     /// Size of the pool in it.
-    pub size: Size,
+    pub size: PoolSize,
 }
 
 impl Window {
@@ -132,13 +132,13 @@
     zone: TimeZone,
     windows: Vec<Window>,
     /// Size of the pool if there are no windows.
-    always: Size,
+    always: PoolSize,
 }
 
 impl Calendar {
     /// A calendar of windows in a time zone. Windows that overlap must have the same size.
     /// Without windows the size is always `always`.
-    pub fn new(zone: TimeZone, windows: Vec<Window>, always: Size) -> Self {
+    pub fn new(zone: TimeZone, windows: Vec<Window>, always: PoolSize) -> Self {
         Self {
             zone,
             windows,
@@ -147,31 +147,31 @@
     }
 
     /// Size of the pool at a time, in milliseconds since 1970; zero outside all windows.
-    pub fn size_at(&self, wall_ms: u64) -> Size {
+    pub fn size_at(&self, wall_ms: u64) -> PoolSize {
         if self.windows.is_empty() {
             return self.always;
         }
         let milliseconds = i64::try_from(wall_ms).ok();
         let timestamp = milliseconds.and_then(|ms| Timestamp::from_millisecond(ms).ok());
         let Some(timestamp) = timestamp else {
-            return Size::default();
+            return PoolSize::default();
         };
         let local = self.zone.to_datetime(timestamp);
         let window = self.windows.iter().find(|window| window.contains(local));
-        window.map_or(Size::default(), |window| window.size)
+        window.map_or(PoolSize::default(), |window| window.size)
     }
 
     /// The largest bounds at any minute of a time span, in milliseconds since 1970. Over the
     /// time that a machine takes to be ready, this fills a pool before its window begins,
     /// and does not empty it in a shorter gap between two windows.
-    pub fn size_within(&self, from_ms: u64, to_ms: u64) -> Size {
+    pub fn size_within(&self, from_ms: u64, to_ms: u64) -> PoolSize {
         if self.windows.is_empty() {
             return self.always;
         }
         let minutes = (from_ms / MS_A_MINUTE + 1)..=(to_ms / MS_A_MINUTE);
         let starts = minutes.map(|minute| minute * MS_A_MINUTE);
         let times = std::iter::once(from_ms).chain(starts);
-        times.fold(Size::default(), |size, at| size.max(self.size_at(at)))
+        times.fold(PoolSize::default(), |size, at| size.max(self.size_at(at)))
     }
 }
 
--- a/crates/pools/src/calendar/tests.rs
+++ b/crates/pools/src/calendar/tests.rs
@@ -3,8 +3,14 @@
 use super::*;
 use jiff::civil::date;
 
-const SIZE: Size = Size { least: 2, most: 5 };
-const NONE: Size = Size { least: 0, most: 0 };
+const SIZE: PoolSize = PoolSize {
+    min_machines: 2,
+    max_machines: 5,
+};
+const NONE: PoolSize = PoolSize {
+    min_machines: 0,
+    max_machines: 0,
+};
 
 fn window(from: u16, to: u16) -> Window {
     Window {
@@ -125,7 +131,10 @@
 #[test]
 fn size_within_a_span_covers_coming_windows_and_short_gaps() {
     let larger = Window {
-        size: Size { least: 4, most: 4 },
+        size: PoolSize {
+            min_machines: 4,
+            max_machines: 4,
+        },
         ..window(12 * 60 + 5, 14 * 60)
     };
     let calendar = calendar("UTC", vec![hours(9, 12), larger]);
@@ -134,9 +143,27 @@
         ("2026-12-02T08:49:59Z", NONE),
         ("2026-12-02T08:50:00Z", SIZE),
         ("2026-12-02T11:54:59Z", SIZE),
-        ("2026-12-02T11:55:00Z", Size { least: 4, most: 5 }),
-        ("2026-12-02T12:02:00Z", Size { least: 4, most: 4 }),
-        ("2026-12-02T13:59:59Z", Size { least: 4, most: 4 }),
+        (
+            "2026-12-02T11:55:00Z",
+            PoolSize {
+                min_machines: 4,
+                max_machines: 5,
+            },
+        ),
+        (
+            "2026-12-02T12:02:00Z",
+            PoolSize {
+                min_machines: 4,
+                max_machines: 4,
+            },
+        ),
+        (
+            "2026-12-02T13:59:59Z",
+            PoolSize {
+                min_machines: 4,
+                max_machines: 4,
+            },
+        ),
         ("2026-12-02T14:00:00Z", NONE),
     ];
     for (time, expected) in cases {
--- a/crates/pools/src/choice.rs
+++ b/crates/pools/src/choice.rs
@@ -1,7 +1,7 @@
 //! The target size of a pool, and the machines that join and leave it.
 
 use crate::account::PoolState;
-use crate::calendar::Size;
+use crate::calendar::PoolSize;
 use std::cmp::Ordering;
 
 /// Relative tolerance for sums of prices.
@@ -10,31 +10,31 @@
 /// Target number of machines of a pool, given the number that was allocated to jobs within
 /// the time that a new machine takes to be ready: as many may be needed again before a
 /// machine that is provisioned now can replace any.
-pub fn target(size: Size, handed_out: u32) -> u32 {
-    handed_out.max(size.least).min(size.most)
+pub fn target_size(size: PoolSize, handed_out: u32) -> u32 {
+    handed_out.max(size.min_machines).min(size.max_machines)
 }
 
 /// A machine of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Member {
+pub struct PoolMember {
     /// Its state.
     pub state: PoolState,
     /// Price per hour.
-    pub price: f64,
+    pub price_per_hour: f64,
 }
 
-impl Member {
+impl PoolMember {
     /// Orders the members that a pool keeps first: the closest to being warm, then the
     /// cheapest.
     fn retention_order(&self, other: &Self) -> Ordering {
         let by_state = other.state.cmp(&self.state);
-        by_state.then(self.price.total_cmp(&other.price))
+        by_state.then(self.price_per_hour.total_cmp(&other.price_per_hour))
     }
 }
 
 /// Indices of the members that are the pool's least size: the closest to being warm, then
 /// the cheapest. The others may be reclaimed.
-pub fn core_members(members: &[Member], least: u32) -> Vec<usize> {
+pub fn retained_members(members: &[PoolMember], least: u32) -> Vec<usize> {
     let mut order = by_retention(members);
     order.truncate(least as usize);
     order
@@ -42,9 +42,13 @@
 
 /// Indices of the members that leave a pool of more than `max_members`, or beyond its cost
 /// limit per hour: the farthest from being warm first, then the most expensive.
-pub fn leaving(members: &[Member], max_members: u32, cost_most: Option<f64>) -> Vec<usize> {
+pub fn members_to_remove(
+    members: &[PoolMember],
+    max_members: u32,
+    cost_most: Option<f64>,
+) -> Vec<usize> {
     let mut remaining = members.len();
-    let mut cost: f64 = members.iter().map(|member| member.price).sum();
+    let mut cost: f64 = members.iter().map(|member| member.price_per_hour).sum();
     let mut removed = Vec::new();
     for index in by_retention(members).into_iter().rev() {
         let is_over_cost = cost_most.is_some_and(|most| cost > most * ROUNDING);
@@ -52,14 +56,14 @@
             break;
         }
         remaining -= 1;
-        cost -= members[index].price;
+        cost -= members[index].price_per_hour;
         removed.push(index);
     }
     removed
 }
 
 /// Indices of all members, those that are kept first in front.
-fn by_retention(members: &[Member]) -> Vec<usize> {
+fn by_retention(members: &[PoolMember]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..members.len()).collect();
     order.sort_by(|&a, &b| {
         let by_retention = members[a].retention_order(&members[b]);
@@ -70,29 +74,33 @@
 
 /// An idle machine that a pool may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Candidate {
+pub struct PoolCandidate {
     /// Whether its cache still holds the image, as far as is known.
     pub has_image: bool,
     /// Whether it is up.
     pub is_up: bool,
     /// Price per hour.
-    pub price: f64,
+    pub price_per_hour: f64,
 }
 
-impl Candidate {
+impl PoolCandidate {
     /// Orders the candidates that join first: those with the image, then those that are
     /// up, then the cheapest.
     fn preference_order(&self, other: &Self) -> Ordering {
         let by_image = other.has_image.cmp(&self.has_image);
         let by_boot = other.is_up.cmp(&self.is_up);
-        let by_price = self.price.total_cmp(&other.price);
+        let by_price = self.price_per_hour.total_cmp(&other.price_per_hour);
         by_image.then(by_boot).then(by_price)
     }
 }
 
 /// Indices of the candidates that join, in order of preference: at most `missing`, within
 /// `cost_left` per hour. A candidate that costs too much is skipped.
-pub fn joining(candidates: &[Candidate], missing: u32, cost_left: Option<f64>) -> Vec<usize> {
+pub fn candidates_to_add(
+    candidates: &[PoolCandidate],
+    missing: u32,
+    cost_left: Option<f64>,
+) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by(|&a, &b| {
         let by_preference = candidates[a].preference_order(&candidates[b]);
@@ -104,7 +112,7 @@
         if added.len() as u32 == missing {
             break;
         }
-        let price = candidates[index].price;
+        let price = candidates[index].price_per_hour;
         if budget.is_some_and(|budget| price > budget) {
             continue;
         }
@@ -116,7 +124,7 @@
 
 /// Number of machines of a price, at most `missing`, that may be provisioned within
 /// `cost_left` per hour.
-pub fn affordable(missing: u32, price: f64, cost_left: Option<f64>) -> u32 {
+pub fn affordable_machines(missing: u32, price: f64, cost_left: Option<f64>) -> u32 {
     match cost_left {
         Some(cost) if price > 0.0 => {
             // The cast rounds down, and saturates.
--- a/crates/pools/src/choice/tests.rs
+++ b/crates/pools/src/choice/tests.rs
@@ -3,18 +3,24 @@
 use super::*;
 use PoolState::{Booting, Fetching, Up, Warm};
 
-fn members(list: &[(PoolState, f64)]) -> Vec<Member> {
-    let member = |&(state, price)| Member { state, price };
+fn members(list: &[(PoolState, f64)]) -> Vec<PoolMember> {
+    let member = |&(state, price)| PoolMember {
+        state,
+        price_per_hour: price,
+    };
     list.iter().map(member).collect()
 }
 
 #[test]
 fn target_is_the_allocated_number_within_the_bounds() {
-    let size = Size { least: 2, most: 5 };
+    let size = PoolSize {
+        min_machines: 2,
+        max_machines: 5,
+    };
     for (handed_out, expected) in [(0, 2), (2, 2), (3, 3), (5, 5), (9, 5)] {
-        assert_eq!(target(size, handed_out), expected, "{handed_out}");
+        assert_eq!(target_size(size, handed_out), expected, "{handed_out}");
     }
-    assert_eq!(target(Size::default(), 9), 0);
+    assert_eq!(target_size(PoolSize::default(), 9), 0);
 }
 
 #[test]
@@ -35,18 +41,22 @@
         (5, Some(4.5), &[1, 4]),
     ];
     for (target, cost, expected) in cases {
-        assert_eq!(leaving(&list, target, cost), expected, "{target} {cost:?}");
+        assert_eq!(
+            members_to_remove(&list, target, cost),
+            expected,
+            "{target} {cost:?}"
+        );
     }
-    assert_eq!(core_members(&list, 2), vec![0, 3]);
-    assert_eq!(core_members(&list, 9).len(), 5);
+    assert_eq!(retained_members(&list, 2), vec![0, 3]);
+    assert_eq!(retained_members(&list, 9).len(), 5);
 }
 
 #[test]
 fn candidates_with_the_image_join_first_within_the_cost_limit() {
-    let candidate = |has_image, is_up, price| Candidate {
+    let candidate = |has_image, is_up, price| PoolCandidate {
         has_image,
         is_up,
-        price,
+        price_per_hour: price,
     };
     let list = [
         candidate(false, false, 1.0),
@@ -64,7 +74,7 @@
     ];
     for (missing, cost, expected) in cases {
         assert_eq!(
-            joining(&list, missing, cost),
+            candidates_to_add(&list, missing, cost),
             expected,
             "{missing} {cost:?}"
         );
@@ -75,6 +85,10 @@
         (4, 3.0, Some(-1.0), 0),
         (4, 0.0, Some(1.0), 4),
     ] {
-        assert_eq!(affordable(missing, price, cost), expected, "{cost:?}");
+        assert_eq!(
+            affordable_machines(missing, price, cost),
+            expected,
+            "{cost:?}"
+        );
     }
 }
--- a/crates/pools/src/declaration.rs
+++ b/crates/pools/src/declaration.rs
@@ -9,7 +9,7 @@
 mod pool;
 mod spec;
 
-pub use error::{BadPool, FieldError};
+pub use error::{FieldError, PoolError};
 pub use name::PoolName;
 pub use pool::{Pool, Pools};
 pub use spec::{PoolSpec, WindowSpec};
--- a/crates/pools/src/declaration/catalog.rs
+++ b/crates/pools/src/declaration/catalog.rs
@@ -1,6 +1,6 @@
 //! The check of a pool against the catalogue of machine types.
 
-use super::error::{BadPool, FieldError};
+use super::error::{FieldError, PoolError};
 use super::pool::Pool;
 use forkshift_wire::cloud::MachineType;
 
@@ -11,7 +11,7 @@
     ///
     /// The first field that names an unknown machine type or zone, or that no machine can
     /// satisfy.
-    pub fn check_catalog(&self, catalog: &[MachineType]) -> Result<(), BadPool> {
+    pub fn check_catalog(&self, catalog: &[MachineType]) -> Result<(), PoolError> {
         self.check_names(catalog)?;
         let allowed = catalog.iter().filter(|t| self.allows_type(t));
         let allowed: Vec<&MachineType> = allowed.collect();
@@ -26,7 +26,7 @@
     }
 
     /// Checks that its machine types and zones exist.
-    fn check_names(&self, catalog: &[MachineType]) -> Result<(), BadPool> {
+    fn check_names(&self, catalog: &[MachineType]) -> Result<(), PoolError> {
         for (i, name) in self.types.iter().enumerate() {
             if !catalog.iter().any(|t| t.name == *name) {
                 let problem = FieldError::UnknownMachineType(name.clone());
@@ -43,13 +43,13 @@
     }
 
     /// Checks that one machine is offered within the cost limit.
-    fn check_price(&self, allowed: &[&MachineType]) -> Result<(), BadPool> {
+    fn check_price(&self, allowed: &[&MachineType]) -> Result<(), PoolError> {
         let prices = allowed.iter().filter_map(|t| self.price_of(t));
         let cheapest = prices.fold(f64::INFINITY, f64::min);
         if cheapest.is_infinite() {
             return Err(self.error("spot", FieldError::NoSpotOffer));
         }
-        match self.cost_per_hour_most {
+        match self.max_cost_per_hour {
             Some(most) if most < cheapest => {
                 let problem = FieldError::BelowCheapestMachine { cheapest };
                 Err(self.error("cost_per_hour_most", problem))
@@ -58,7 +58,7 @@
         }
     }
 
-    fn error(&self, field: impl Into<String>, problem: FieldError) -> BadPool {
-        BadPool::new(self.name.as_str(), field, problem)
+    fn error(&self, field: impl Into<String>, problem: FieldError) -> PoolError {
+        PoolError::new(self.name.as_str(), field, problem)
     }
 }
--- a/crates/pools/src/declaration/error.rs
+++ b/crates/pools/src/declaration/error.rs
@@ -3,7 +3,7 @@
 /// A declaration of a pool that was refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("pool `{pool}`: `{field}` {problem}")]
-pub struct BadPool {
+pub struct PoolError {
     /// Name of the pool as declared.
     pub pool: String,
     /// The field, as in `windows[0].from`.
@@ -12,7 +12,7 @@
     pub problem: FieldError,
 }
 
-impl BadPool {
+impl PoolError {
     /// The error for a field of a declaration.
     pub(super) fn new(pool: &str, field: impl Into<String>, problem: FieldError) -> Self {
         Self {
--- a/crates/pools/src/declaration/parse.rs
+++ b/crates/pools/src/declaration/parse.rs
@@ -1,11 +1,11 @@
 //! Parsing of a pool's declaration.
 
-use super::error::{BadPool, FieldError};
+use super::error::{FieldError, PoolError};
 use super::name::PoolName;
 use super::parse_window::parse_window;
 use super::pool::Pool;
 use super::spec::PoolSpec;
-use crate::calendar::{Calendar, Size, Window};
+use crate::calendar::{Calendar, PoolSize, Window};
 use jiff::tz::TimeZone;
 
 /// Most windows of a pool; each pair of them is compared day by day.
@@ -16,8 +16,8 @@
     spec: &PoolSpec,
     teams: &[&str],
     zones: &[String],
-) -> Result<Pool, BadPool> {
-    let error = |field: &str, problem| BadPool::new(&spec.name, field, problem);
+) -> Result<Pool, PoolError> {
+    let error = |field: &str, problem| PoolError::new(&spec.name, field, problem);
     let name = PoolName::parse(&spec.name);
     let name = name.ok_or_else(|| error("name", FieldError::InvalidName))?;
     if !teams.contains(&spec.team.as_str()) {
@@ -30,9 +30,9 @@
         return Err(error("image_gb", FieldError::NotPositive));
     }
     check_zones(spec, zones)?;
-    let always = parse_size(spec.least, spec.most).map_err(|e| error("least", e))?;
+    let always = parse_size(spec.min_machines, spec.max_machines).map_err(|e| error("least", e))?;
     if spec
-        .cost_per_hour_most
+        .max_cost_per_hour
         .is_some_and(|cost| !is_positive(cost))
     {
         return Err(error("cost_per_hour_most", FieldError::NotPositive));
@@ -45,7 +45,7 @@
         types: spec.types.clone(),
         zones: spec.zones.clone(),
         spot: spec.spot,
-        cost_per_hour_most: spec.cost_per_hour_most,
+        max_cost_per_hour: spec.max_cost_per_hour,
         calendar: parse_calendar(spec, always)?,
     })
 }
@@ -55,46 +55,49 @@
 }
 
 /// Checks that the zones are among those of the settings, if these name any.
-fn check_zones(spec: &PoolSpec, zones: &[String]) -> Result<(), BadPool> {
+fn check_zones(spec: &PoolSpec, zones: &[String]) -> Result<(), PoolError> {
     if zones.is_empty() {
         return Ok(());
     }
     for (i, zone) in spec.zones.iter().enumerate() {
         if !zones.contains(zone) {
             let problem = FieldError::UnknownZone(zone.clone());
-            return Err(BadPool::new(&spec.name, format!("zones[{i}]"), problem));
+            return Err(PoolError::new(&spec.name, format!("zones[{i}]"), problem));
         }
     }
     Ok(())
 }
 
 /// Parses the least number of machines and the most. Errors are about the least.
-pub(super) fn parse_size(least: u32, most: u32) -> Result<Size, FieldError> {
+pub(super) fn parse_size(least: u32, most: u32) -> Result<PoolSize, FieldError> {
     match (least, most) {
         (_, 0) => Err(FieldError::MostIsZero),
         (least, most) if least > most => Err(FieldError::AboveMost),
-        (least, most) => Ok(Size { least, most }),
+        (least, most) => Ok(PoolSize {
+            min_machines: least,
+            max_machines: most,
+        }),
     }
 }
 
 /// Parses the windows of a pool, which has the size `always` if there are none.
-fn parse_calendar(spec: &PoolSpec, always: Size) -> Result<Calendar, BadPool> {
-    let zone =
-        parse_time_zone(spec).map_err(|problem| BadPool::new(&spec.name, "time_zone", problem))?;
+fn parse_calendar(spec: &PoolSpec, always: PoolSize) -> Result<Calendar, PoolError> {
+    let zone = parse_time_zone(spec)
+        .map_err(|problem| PoolError::new(&spec.name, "time_zone", problem))?;
     if spec.windows.len() > MAX_WINDOWS {
         let problem = FieldError::TooManyWindows(MAX_WINDOWS);
-        return Err(BadPool::new(&spec.name, "windows", problem));
+        return Err(PoolError::new(&spec.name, "windows", problem));
     }
     let mut windows: Vec<Window> = Vec::new();
     for (i, window_spec) in spec.windows.iter().enumerate() {
         let window = parse_window(window_spec, always).map_err(|wrong| {
             let field = format!("windows[{i}].{}", wrong.field);
-            BadPool::new(&spec.name, field, wrong.problem)
+            PoolError::new(&spec.name, field, wrong.problem)
         })?;
         let contradicts = |other: &Window| other.size != window.size && other.overlaps(&window);
         if let Some(other) = windows.iter().position(contradicts) {
             let problem = FieldError::ContradictsWindow(other);
-            return Err(BadPool::new(&spec.name, format!("windows[{i}]"), problem));
+            return Err(PoolError::new(&spec.name, format!("windows[{i}]"), problem));
         }
         windows.push(window);
     }
--- a/crates/pools/src/declaration/parse_window.rs
+++ b/crates/pools/src/declaration/parse_window.rs
@@ -3,7 +3,7 @@
 use super::error::FieldError;
 use super::parse::parse_size;
 use super::spec::WindowSpec;
-use crate::calendar::{Size, Window, MINUTES_AN_HOUR, MINUTES_A_DAY};
+use crate::calendar::{PoolSize, Window, MINUTES_AN_HOUR, MINUTES_A_DAY};
 use jiff::civil::Date;
 
 /// Days of the shortest month.
@@ -27,7 +27,10 @@
 }
 
 /// Parses a window. What it leaves out of the size is that of the pool, `always`.
-pub(super) fn parse_window(spec: &WindowSpec, always: Size) -> Result<Window, WindowFieldError> {
+pub(super) fn parse_window(
+    spec: &WindowSpec,
+    always: PoolSize,
+) -> Result<Window, WindowFieldError> {
     let in_field = WindowFieldError::in_field;
     let from = parse_time(&spec.from, 0).map_err(in_field("from"))?;
     let to = parse_time(&spec.to, MINUTES_A_DAY).map_err(in_field("to"))?;
@@ -46,8 +49,8 @@
     let last_days_of_month =
         parse_last_days(spec.last_days_of_month).map_err(in_field("last_days_of_month"))?;
     let weekdays = parse_weekdays(&spec.weekdays).map_err(in_field("weekdays"))?;
-    let least = spec.least.unwrap_or(always.least);
-    let most = spec.most.unwrap_or(always.most);
+    let least = spec.min_machines.unwrap_or(always.min_machines);
+    let most = spec.max_machines.unwrap_or(always.max_machines);
     let size = parse_size(least, most).map_err(in_field("least"))?;
     Ok(Window {
         weekdays,
--- a/crates/pools/src/declaration/pool.rs
+++ b/crates/pools/src/declaration/pool.rs
@@ -1,6 +1,6 @@
 //! Pools whose declarations have been checked.
 
-use super::error::{BadPool, FieldError};
+use super::error::{FieldError, PoolError};
 use super::name::PoolName;
 use super::parse::parse_pool;
 use super::spec::PoolSpec;
@@ -26,7 +26,7 @@
     /// Whether it uses spot machines, and no others.
     pub spot: bool,
     /// Most that all its machines may cost per hour.
-    pub cost_per_hour_most: Option<f64>,
+    pub max_cost_per_hour: Option<f64>,
     /// Number of machines that it keeps at any time.
     pub calendar: Calendar,
 }
@@ -46,8 +46,8 @@
     /// Price per hour of a machine type; `None` if the pool may not use it.
     pub fn price_of(&self, machine_type: &MachineType) -> Option<f64> {
         let price = match self.spot {
-            true => machine_type.spot_price,
-            false => Some(machine_type.price),
+            true => machine_type.spot_price_per_hour,
+            false => Some(machine_type.price_per_hour),
         };
         let can_cache = self.image_gb <= machine_type.cache_gb;
         price.filter(|_| can_cache && self.allows_type(machine_type))
@@ -69,13 +69,17 @@
     /// # Errors
     ///
     /// The first field that is wrong, with its pool.
-    pub fn parse(specs: &[PoolSpec], teams: &[&str], zones: &[String]) -> Result<Self, BadPool> {
+    pub fn parse(specs: &[PoolSpec], teams: &[&str], zones: &[String]) -> Result<Self, PoolError> {
         let mut names = BTreeSet::new();
         let mut pools = Vec::new();
         for spec in specs {
             let pool = parse_pool(spec, teams, zones)?;
             if !names.insert(pool.name.clone()) {
-                return Err(BadPool::new(&spec.name, "name", FieldError::DuplicateName));
+                return Err(PoolError::new(
+                    &spec.name,
+                    "name",
+                    FieldError::DuplicateName,
+                ));
             }
             pools.push(pool);
         }
--- a/crates/pools/src/declaration/spec.rs
+++ b/crates/pools/src/declaration/spec.rs
@@ -18,11 +18,11 @@
     /// Whether it uses spot machines, and no others.
     pub spot: bool,
     /// Least number of machines that it keeps.
-    pub least: u32,
+    pub min_machines: u32,
     /// Most machines that it keeps.
-    pub most: u32,
+    pub max_machines: u32,
     /// Most that all its machines may cost per hour.
-    pub cost_per_hour_most: Option<f64>,
+    pub max_cost_per_hour: Option<f64>,
     /// IANA name of the time zone of its windows.
     pub time_zone: String,
     /// Times at which it keeps machines; empty for always.
@@ -45,7 +45,7 @@
     /// Number of last days of a month on which alone it begins.
     pub last_days_of_month: Option<u32>,
     /// Least number of machines, in place of the pool's.
-    pub least: Option<u32>,
+    pub min_machines: Option<u32>,
     /// Most machines, in place of the pool's.
-    pub most: Option<u32>,
+    pub max_machines: Option<u32>,
 }
--- a/crates/pools/src/declaration/tests.rs
+++ b/crates/pools/src/declaration/tests.rs
@@ -11,16 +11,16 @@
         image_gb: 34.0,
         types: vec!["big".to_owned()],
         zones: vec!["hall-a".to_owned()],
-        least: 2,
-        most: 6,
-        cost_per_hour_most: Some(100.0),
+        min_machines: 2,
+        max_machines: 6,
+        max_cost_per_hour: Some(100.0),
         time_zone: "Africa/Lagos".to_owned(),
         windows: vec![WindowSpec::default()],
         ..PoolSpec::default()
     }
 }
 
-fn parse(specs: &[PoolSpec]) -> Result<Pools, BadPool> {
+fn parse(specs: &[PoolSpec]) -> Result<Pools, PoolError> {
     Pools::parse(specs, &["readers"], &["hall-a".to_owned()])
 }
 
@@ -52,14 +52,14 @@
             "zones[0]",
             "`hall-x`",
         ),
-        (|p| p.least = 7, "least", "above `most`"),
+        (|p| p.min_machines = 7, "least", "above `most`"),
         (
-            |p| (p.least, p.most) = (0, 0),
+            |p| (p.min_machines, p.max_machines) = (0, 0),
             "least",
             "`most` must be above 0",
         ),
         (
-            |p| p.cost_per_hour_most = Some(0.0),
+            |p| p.max_cost_per_hour = Some(0.0),
             "cost_per_hour_most",
             "above 0",
         ),
@@ -135,12 +135,12 @@
             "1 to 28",
         ),
         (
-            |p| p.windows = vec![window(|w| w.least = Some(9))],
+            |p| p.windows = vec![window(|w| w.min_machines = Some(9))],
             "windows[0].least",
             "above `most`",
         ),
         (
-            |p| p.windows = vec![window(|_| ()), window(|w| w.least = Some(1))],
+            |p| p.windows = vec![window(|_| ()), window(|w| w.min_machines = Some(1))],
             "windows[1]",
             "contradicts windows[0]",
         ),
@@ -168,7 +168,7 @@
         window(|w| w.from = "17:00".to_owned()),
         window(|w| {
             (w.from, w.to) = ("18:00".to_owned(), "24:00".to_owned());
-            w.most = Some(3);
+            w.max_machines = Some(3);
         }),
     ];
     let pools = parse(&[valid_spec(), always, twice]).expect("all are valid");
@@ -191,8 +191,8 @@
         memory_gb: 16.0,
         cache_gb,
         fetch_gb_per_s: 1.0,
-        price,
-        spot_price,
+        price_per_hour: price,
+        spot_price_per_hour: spot_price,
         boot_s: 45.0,
         zones: vec!["hall-a".to_owned()],
     };
@@ -219,7 +219,7 @@
             "largest cache, 20 GB",
         ),
         (
-            |p| p.cost_per_hour_most = Some(11.9),
+            |p| p.max_cost_per_hour = Some(11.9),
             "cost_per_hour_most",
             "12",
         ),
--- a/crates/pools/src/lib.rs
+++ b/crates/pools/src/lib.rs
@@ -13,6 +13,6 @@
 mod declaration;
 pub mod report;
 
-pub use account::{Ended, Interval, Membership, PoolState};
-pub use calendar::{Size, Window};
-pub use declaration::{BadPool, FieldError, Pool, PoolName, PoolSpec, Pools, WindowSpec};
+pub use account::{EndReason, Membership, PoolState, UsageInterval};
+pub use calendar::{PoolSize, Window};
+pub use declaration::{FieldError, Pool, PoolError, PoolName, PoolSpec, Pools, WindowSpec};
--- a/crates/pools/src/report.rs
+++ b/crates/pools/src/report.rs
@@ -5,7 +5,7 @@
 mod span;
 mod unmet;
 
-use crate::account::{Asked, Ended, Interval, Miss, PoolState, Price};
+use crate::account::{ColdStart, EndReason, PoolRequest, PoolState, Price, UsageInterval};
 use crate::declaration::PoolName;
 use serde::Serialize;
 use span::{seconds, MS_A_SECOND};
@@ -13,32 +13,32 @@
 use unmet::unmet_s;
 
 pub use price_list::PriceList;
-pub use span::Span;
+pub use span::TimeSpan;
 
 /// The accounts of pools.
 #[derive(Clone, Debug, Default)]
-pub struct Accounts {
+pub struct UsageRecords {
     /// Intervals for which machines are charged; present memberships are included as if
     /// they ended now.
-    pub intervals: Vec<Interval>,
+    pub intervals: Vec<UsageInterval>,
     /// Requested numbers of machines. The present requests have no end.
-    pub asked: Vec<Asked>,
+    pub requests: Vec<PoolRequest>,
     /// Cold starts.
-    pub misses: Vec<Miss>,
+    pub cold_starts: Vec<ColdStart>,
     /// Prices, in any order.
     pub prices: Vec<Price>,
     /// The team of each pool that is declared.
     pub teams: BTreeMap<PoolName, String>,
 }
 
-impl Accounts {
+impl UsageRecords {
     /// The pools that have an interval, a request or a cold start in a span.
-    fn pools_in(&self, span: Span, now_ms: u64) -> BTreeSet<&PoolName> {
+    fn pools_in(&self, span: TimeSpan, now_ms: u64) -> BTreeSet<&PoolName> {
         let intervals = self.intervals.iter();
         let intervals = intervals.filter(|i| span.overlaps(i.from_ms, i.to_ms));
-        let requests = self.asked.iter();
+        let requests = self.requests.iter();
         let requests = requests.filter(|r| span.overlaps(r.from_ms, r.to_ms.unwrap_or(now_ms)));
-        let cold_starts = self.misses.iter().filter(|c| span.contains(c.at_ms));
+        let cold_starts = self.cold_starts.iter().filter(|c| span.contains(c.at_ms));
         intervals
             .map(|interval| &interval.pool)
             .chain(requests.map(|request| &request.pool))
@@ -49,7 +49,7 @@
 
 /// Totals by state of machines: seconds or costs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct ByState {
+pub struct StateTotals {
     /// Of machines that booted.
     pub booting: f64,
     /// Of machines that were up, whose workers don't report their images.
@@ -60,7 +60,7 @@
     pub warm: f64,
 }
 
-impl ByState {
+impl StateTotals {
     fn get_mut(&mut self, state: PoolState) -> &mut f64 {
         match state {
             PoolState::Booting => &mut self.booting,
@@ -85,22 +85,22 @@
     pub team: String,
     /// Requested machine-seconds.
     #[serde(rename = "asked_s")]
-    pub asked_s: f64,
+    pub requested_s: f64,
     /// Machine-seconds by state.
-    pub machine_s: ByState,
+    pub machine_s: StateTotals,
     /// Machine-seconds for which fewer machines were ready than requested.
     #[serde(rename = "short_s")]
-    pub short_s: f64,
+    pub unmet_s: f64,
     /// Cost by state.
-    pub cost: ByState,
+    pub cost: StateTotals,
     /// Machine-seconds without a recorded price, which the cost does not include.
     pub unpriced_s: f64,
     /// Number of machines that were allocated to tasks of the pool's team and image.
     #[serde(rename = "handed_out")]
-    pub handed_out: u32,
+    pub allocated: u32,
     /// Number of cold starts.
     #[serde(rename = "missed")]
-    pub missed: u32,
+    pub cold_starts: u32,
     /// Number of machines that were reclaimed for other tasks.
     pub reclaimed: u32,
     /// Number of machines that failed, were preempted by the cloud, or did not get the image.
@@ -113,51 +113,54 @@
         Self {
             pool,
             team,
-            asked_s: 0.0,
-            machine_s: ByState::default(),
-            short_s: 0.0,
-            cost: ByState::default(),
+            requested_s: 0.0,
+            machine_s: StateTotals::default(),
+            unmet_s: 0.0,
+            cost: StateTotals::default(),
             unpriced_s: 0.0,
-            handed_out: 0,
-            missed: 0,
+            allocated: 0,
+            cold_starts: 0,
             reclaimed: 0,
             lost: 0,
         }
     }
 
-    fn add_interval(&mut self, interval: &Interval, span: Span, prices: &PriceList) {
+    fn add_interval(&mut self, interval: &UsageInterval, span: TimeSpan, prices: &PriceList) {
         let charged = span.clip(interval.from_ms, interval.to_ms);
         *self.machine_s.get_mut(interval.state) += charged.length_s();
         let (cost, unpriced_ms) = prices.cost(interval, span);
         *self.cost.get_mut(interval.state) += cost;
         self.unpriced_s += seconds(unpriced_ms);
-        match interval.ended.filter(|_| span.contains(interval.to_ms)) {
-            Some(Ended::HandedOut) => self.handed_out += 1,
-            Some(Ended::Reclaimed) => self.reclaimed += 1,
-            Some(Ended::Stalled | Ended::Lost) => self.lost += 1,
-            Some(Ended::Surplus | Ended::Withdrawn) | None => {}
+        match interval
+            .end_reason
+            .filter(|_| span.contains(interval.to_ms))
+        {
+            Some(EndReason::Allocated) => self.allocated += 1,
+            Some(EndReason::Reclaimed) => self.reclaimed += 1,
+            Some(EndReason::FetchTimedOut | EndReason::Failed) => self.lost += 1,
+            Some(EndReason::ScaledIn | EndReason::PoolRemoved) | None => {}
         }
     }
 
-    fn add_request(&mut self, request: &Asked, span: Span, now_ms: u64) {
+    fn add_request(&mut self, request: &PoolRequest, span: TimeSpan, now_ms: u64) {
         let requested = span.clip(request.from_ms, request.to_ms.unwrap_or(now_ms));
         let machine_ms = f64::from(request.machines) * requested.length_ms() as f64;
-        self.asked_s += machine_ms / MS_A_SECOND;
+        self.requested_s += machine_ms / MS_A_SECOND;
     }
 }
 
 /// Usage of several pools in a span.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Report {
+pub struct UsageReport {
     /// The span.
-    pub span: Span,
+    pub span: TimeSpan,
     /// The pools, ordered by team and name.
     pub pools: Vec<PoolReport>,
     /// Cost by team.
     pub teams: BTreeMap<String, f64>,
 }
 
-impl Report {
+impl UsageReport {
     /// Whether nothing is recorded in the span.
     pub fn is_empty(&self) -> bool {
         self.pools.is_empty()
@@ -166,7 +169,7 @@
 
 /// Reports the usage of all pools with any record in a span. Present requests are counted
 /// until `now_ms`.
-pub fn report(accounts: &Accounts, span: Span, now_ms: u64) -> Report {
+pub fn usage_report(accounts: &UsageRecords, span: TimeSpan, now_ms: u64) -> UsageReport {
     let prices = PriceList::new(&accounts.prices);
     let names = accounts.pools_in(span, now_ms).into_iter();
     let mut pools: Vec<PoolReport> = names
@@ -177,22 +180,22 @@
     for pool in &pools {
         *teams.entry(pool.team.clone()).or_default() += pool.cost.sum();
     }
-    Report { span, pools, teams }
+    UsageReport { span, pools, teams }
 }
 
 /// Reports the usage of one pool.
 fn report_pool(
-    accounts: &Accounts,
+    accounts: &UsageRecords,
     pool: &PoolName,
-    span: Span,
+    span: TimeSpan,
     now_ms: u64,
     prices: &PriceList,
 ) -> PoolReport {
-    let requests = accounts.asked.iter().filter(|r| r.pool == *pool);
-    let requests: Vec<&Asked> = requests.collect();
+    let requests = accounts.requests.iter().filter(|r| r.pool == *pool);
+    let requests: Vec<&PoolRequest> = requests.collect();
     let intervals = accounts.intervals.iter().filter(|i| i.pool == *pool);
-    let intervals: Vec<&Interval> = intervals.collect();
-    let cold_starts = accounts.misses.iter().filter(|c| c.pool == *pool);
+    let intervals: Vec<&UsageInterval> = intervals.collect();
+    let cold_starts = accounts.cold_starts.iter().filter(|c| c.pool == *pool);
     let latest = requests.iter().max_by_key(|request| request.from_ms);
     let team = latest.map(|request| &request.team);
     let team = team.or(accounts.teams.get(pool)).cloned();
@@ -203,8 +206,8 @@
     for request in &requests {
         usage.add_request(request, span, now_ms);
     }
-    usage.missed = cold_starts.filter(|c| span.contains(c.at_ms)).count() as u32;
-    usage.short_s = unmet_s(&requests, &intervals, span, now_ms);
+    usage.cold_starts = cold_starts.filter(|c| span.contains(c.at_ms)).count() as u32;
+    usage.unmet_s = unmet_s(&requests, &intervals, span, now_ms);
     usage
 }
 
--- a/crates/pools/src/report/price_list.rs
+++ b/crates/pools/src/report/price_list.rs
@@ -1,7 +1,7 @@
 //! The prices of machine types over time.
 
-use super::span::Span;
-use crate::account::{Interval, Price};
+use super::span::TimeSpan;
+use crate::account::{Price, UsageInterval};
 use std::collections::BTreeMap;
 
 /// Milliseconds in an hour.
@@ -26,7 +26,7 @@
 
     /// The cost of an interval within a span, and the number of milliseconds of it for which
     /// no price is recorded.
-    pub fn cost(&self, interval: &Interval, span: Span) -> (f64, u64) {
+    pub fn cost(&self, interval: &UsageInterval, span: TimeSpan) -> (f64, u64) {
         let charged = span.clip(interval.from_ms, interval.to_ms);
         let prices = self.0.get(interval.machine_type.as_str());
         let prices = prices.map_or(&[][..], Vec::as_slice);
--- a/crates/pools/src/report/span.rs
+++ b/crates/pools/src/report/span.rs
@@ -4,14 +4,14 @@
 
 /// A time span, in milliseconds since 1970; its end is not included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Span {
+pub struct TimeSpan {
     /// Beginning.
     pub from_ms: u64,
     /// End.
     pub to_ms: u64,
 }
 
-impl Span {
+impl TimeSpan {
     /// The part of an interval that is in this span; an empty span if there is none.
     pub(super) fn clip(&self, from_ms: u64, to_ms: u64) -> Self {
         let from_ms = from_ms.max(self.from_ms);
--- a/crates/pools/src/report/unmet.rs
+++ b/crates/pools/src/report/unmet.rs
@@ -1,7 +1,7 @@
 //! The unmet part of requests for machines.
 
-use super::span::{seconds, Span};
-use crate::account::{Asked, Interval};
+use super::span::{seconds, TimeSpan};
+use crate::account::{PoolRequest, UsageInterval};
 use std::collections::BTreeMap;
 
 /// Numbers of machines, or changes of them.
@@ -33,7 +33,7 @@
 
 impl Timeline {
     /// Adds machines for the duration of a span.
-    fn add(&mut self, span: Span, counts: MachineCounts) {
+    fn add(&mut self, span: TimeSpan, counts: MachineCounts) {
         self.0.entry(span.from_ms).or_default().add(counts);
         self.0.entry(span.to_ms).or_default().subtract(counts);
     }
@@ -54,9 +54,9 @@
 
 /// Machine-seconds within a span for which fewer machines were ready than requested.
 pub(super) fn unmet_s(
-    requests: &[&Asked],
-    intervals: &[&Interval],
-    span: Span,
+    requests: &[&PoolRequest],
+    intervals: &[&UsageInterval],
+    span: TimeSpan,
     now_ms: u64,
 ) -> f64 {
     let mut timeline = Timeline::default();
--- a/crates/pools/tests/golden.rs
+++ b/crates/pools/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden bytes of warm pools: stored account rows with their keys, the report as JSON,
 //! and parsed declarations. The expected forms are in `golden/`.
 
-use forkshift_pools::account::{Price, Row, PRICES};
-use forkshift_pools::report::{report, Accounts, Span};
+use forkshift_pools::account::{AccountRow, Price, PRICE_PREFIX};
+use forkshift_pools::report::{usage_report, TimeSpan, UsageRecords};
 use forkshift_pools::{Pool, PoolName, PoolSpec, Pools, WindowSpec};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -21,23 +21,23 @@
     })
 }
 
-fn accounts() -> Accounts {
+fn accounts() -> UsageRecords {
     let nights = PoolName::parse("nights").expect("a name");
-    let mut accounts = Accounts {
+    let mut accounts = UsageRecords {
         teams: BTreeMap::from([(nights, "writers".to_owned())]),
-        ..Accounts::default()
+        ..UsageRecords::default()
     };
     for (key, data) in rows() {
-        if key.starts_with(PRICES) {
+        if key.starts_with(PRICE_PREFIX) {
             accounts
                 .prices
                 .push(serde_json::from_value(data).expect("a price"));
             continue;
         }
-        match Row::parse(&key, &data.to_string()).expect("a row") {
-            Row::Interval(interval) => accounts.intervals.push(interval),
-            Row::Asked(request) => accounts.asked.push(request),
-            Row::Miss(cold_start) => accounts.misses.push(cold_start),
+        match AccountRow::parse(&key, &data.to_string()).expect("a row") {
+            AccountRow::Interval(interval) => accounts.intervals.push(interval),
+            AccountRow::Request(request) => accounts.requests.push(request),
+            AccountRow::ColdStart(cold_start) => accounts.cold_starts.push(cold_start),
         }
     }
     accounts
@@ -46,14 +46,14 @@
 /// A row's key and its bytes as they would be stored now.
 fn stored(key: &str, data: &Value) -> (String, String) {
     let text = data.to_string();
-    if key.starts_with(PRICES) {
+    if key.starts_with(PRICE_PREFIX) {
         let price: Price = serde_json::from_str(&text).expect("a price");
         return (price.key(), serde_json::to_string(&price).expect("JSON"));
     }
-    match Row::parse(key, &text).expect("a row") {
-        Row::Interval(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
-        Row::Asked(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
-        Row::Miss(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
+    match AccountRow::parse(key, &text).expect("a row") {
+        AccountRow::Interval(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
+        AccountRow::Request(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
+        AccountRow::ColdStart(row) => (row.key(), serde_json::to_string(&row).expect("JSON")),
     }
 }
 
@@ -76,14 +76,14 @@
 
 #[test]
 fn report_has_the_golden_json() {
-    let span = |from, to| Span {
+    let span = |from, to| TimeSpan {
         from_ms: from * HOUR_MS,
         to_ms: to * HOUR_MS,
     };
     let accounts = accounts();
     let mut seen = String::new();
     for span in [span(0, 10), span(2, 4), span(20, 21)] {
-        let found = report(&accounts, span, 8 * HOUR_MS);
+        let found = usage_report(&accounts, span, 8 * HOUR_MS);
         seen += &serde_json::to_string(&found).expect("JSON");
         seen += "\n";
     }
@@ -101,9 +101,9 @@
         types: vec![text("g8"), text("g16")],
         zones: vec![text("hall-a")],
         spot: true,
-        least: 2,
-        most: 6,
-        cost_per_hour_most: Some(100.5),
+        min_machines: 2,
+        max_machines: 6,
+        max_cost_per_hour: Some(100.5),
         time_zone: text("Africa/Lagos"),
         windows: vec![
             WindowSpec {
@@ -113,8 +113,8 @@
                 first_date: text("2026-12-01"),
                 last_date: text("2026-12-18"),
                 last_days_of_month: None,
-                least: Some(3),
-                most: Some(9),
+                min_machines: Some(3),
+                max_machines: Some(9),
             },
             WindowSpec {
                 from: text("22:00"),
@@ -126,7 +126,7 @@
     }
 }
 
-fn parse(specs: &[PoolSpec]) -> Result<Pools, forkshift_pools::BadPool> {
+fn parse(specs: &[PoolSpec]) -> Result<Pools, forkshift_pools::PoolError> {
     Pools::parse(specs, &["readers"], &["hall-a".to_owned()])
 }
 
@@ -151,11 +151,14 @@
         "types {:?}\nzones {:?}\nspot {}\n",
         pool.types, pool.zones, pool.spot
     );
-    text += &format!("cost_per_hour_most {:?}\n", pool.cost_per_hour_most);
+    text += &format!("cost_per_hour_most {:?}\n", pool.max_cost_per_hour);
     for time_text in TIMES {
         let time: jiff::Timestamp = time_text.parse().expect("a time");
         let size = pool.calendar.size_at(time.as_millisecond() as u64);
-        text += &format!("{time_text} {} to {}\n", size.least, size.most);
+        text += &format!(
+            "{time_text} {} to {}\n",
+            size.min_machines, size.max_machines
+        );
     }
     text
 }
@@ -167,7 +170,7 @@
         types: Vec::new(),
         zones: Vec::new(),
         spot: false,
-        cost_per_hour_most: None,
+        max_cost_per_hour: None,
         time_zone: String::new(),
         windows: Vec::new(),
         ..full()
@@ -190,8 +193,8 @@
         |p| p.image.clear(),
         |p| p.image_gb = 0.0,
         |p| p.zones = vec!["hall-a".to_owned(), "hall-x".to_owned()],
-        |p| p.least = 7,
-        |p| p.cost_per_hour_most = Some(0.0),
+        |p| p.min_machines = 7,
+        |p| p.max_cost_per_hour = Some(0.0),
         |p| p.time_zone = "Africa/Lagoss".to_owned(),
         |p| p.windows = vec![WindowSpec::default(); 33],
         |p| p.windows[0].weekdays = vec!["monday".to_owned()],
@@ -200,11 +203,11 @@
         |p| p.windows[0].first_date = "2026-13-01".to_owned(),
         |p| p.windows[0].last_date = "2026-11-01".to_owned(),
         |p| p.windows[1].last_days_of_month = Some(29),
-        |p| p.windows[1].least = Some(10),
-        |p| p.windows[1].most = Some(0),
+        |p| p.windows[1].min_machines = Some(10),
+        |p| p.windows[1].max_machines = Some(0),
         |p| {
             p.windows[1] = WindowSpec {
-                least: Some(1),
+                min_machines: Some(1),
                 ..p.windows[0].clone()
             }
         },
--- a/crates/pools/tests/model.rs
+++ b/crates/pools/tests/model.rs
@@ -2,11 +2,13 @@
 //! machine is in two pools, none is charged outside its life or twice, the report's costs sum
 //! to the charges, and the limits hold. The audit's own tests show that it finds errors.
 
-use forkshift_pools::account::{MachineFacts, Price};
-use forkshift_pools::audit::{mistakes, Life};
-use forkshift_pools::choice::{affordable, joining, leaving, Candidate, Member};
-use forkshift_pools::report::{PriceList, Span};
-use forkshift_pools::{Ended, Interval, Membership, PoolName, PoolState};
+use forkshift_pools::account::{BilledMachine, Price};
+use forkshift_pools::audit::{audit_errors, BillingPeriod};
+use forkshift_pools::choice::{
+    affordable_machines, candidates_to_add, members_to_remove, PoolCandidate, PoolMember,
+};
+use forkshift_pools::report::{PriceList, TimeSpan};
+use forkshift_pools::{EndReason, Membership, PoolName, PoolState, UsageInterval};
 use forkshift_wire::MachineId;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -64,15 +66,15 @@
     behind: u64,
     machines: Vec<Machine>,
     pools: [(u32, Option<f64>); 3],
-    rows: Vec<Interval>,
+    rows: Vec<UsageInterval>,
 }
 
 fn pool(index: usize) -> PoolName {
     PoolName::parse(&format!("pool-{index}")).expect("a name")
 }
 
-fn facts(index: usize) -> MachineFacts {
-    MachineFacts {
+fn facts(index: usize) -> BilledMachine {
+    BilledMachine {
         id: MachineId::new(&format!("host-{index:06}")),
         machine_type: format!("type-{index}"),
         spot: false,
@@ -84,7 +86,7 @@
         self.now - self.behind.min(self.now)
     }
 
-    fn change(&mut self, index: usize, next: Option<PoolState>, ended: Option<Ended>) {
+    fn change(&mut self, index: usize, next: Option<PoolState>, ended: Option<EndReason>) {
         let wall_ms = self.wall_ms();
         let Some(old) = self.machines[index].membership.take() else {
             return;
@@ -112,17 +114,17 @@
         let (target, cost_most) = self.pools[pool_index];
         let ids = self.members(pool_index);
         let state = |i: &usize| self.machines[*i].membership.as_ref().map(|m| m.state);
-        let members: Vec<Member> = ids
+        let members: Vec<PoolMember> = ids
             .iter()
             .filter_map(|i| {
-                Some(Member {
+                Some(PoolMember {
                     state: state(i)?,
-                    price: self.machines[*i].price,
+                    price_per_hour: self.machines[*i].price,
                 })
             })
             .collect();
-        for index in leaving(&members, target, cost_most) {
-            self.change(ids[index], None, Some(Ended::Surplus));
+        for index in members_to_remove(&members, target, cost_most) {
+            self.change(ids[index], None, Some(EndReason::ScaledIn));
         }
         let ids = self.members(pool_index);
         let cost: f64 = ids.iter().map(|i| self.machines[*i].price).sum();
@@ -134,15 +136,15 @@
                 m.ended_ms.is_none() && m.membership.is_none() && !m.is_busy
             })
             .collect();
-        let candidates: Vec<Candidate> = free
+        let candidates: Vec<PoolCandidate> = free
             .iter()
-            .map(|i| Candidate {
+            .map(|i| PoolCandidate {
                 has_image: i % 3 == 0,
                 is_up: i % 2 == 0,
-                price: self.machines[*i].price,
+                price_per_hour: self.machines[*i].price,
             })
             .collect();
-        let joins = joining(&candidates, missing, left);
+        let joins = candidates_to_add(&candidates, missing, left);
         let mut cost_left = left;
         for index in &joins {
             let machine = free[*index];
@@ -153,7 +155,7 @@
             self.machines[machine].membership = Some(joined);
         }
         let price = 3.0 + pool_index as f64;
-        let provisioned = affordable(missing - joins.len() as u32, price, cost_left);
+        let provisioned = affordable_machines(missing - joins.len() as u32, price, cost_left);
         for _ in 0..provisioned {
             self.machines.push(Machine {
                 price,
@@ -189,16 +191,16 @@
             }
             Step::Burst(pool_index, count) => {
                 for i in self.members(*pool_index).into_iter().take(*count) {
-                    self.change(i, None, Some(Ended::HandedOut));
+                    self.change(i, None, Some(EndReason::Allocated));
                     self.machines[i].is_busy = true;
                 }
             }
             Step::Reclaim(i) if alive(self, *i) => {
-                self.change(*i, None, Some(Ended::Reclaimed));
+                self.change(*i, None, Some(EndReason::Reclaimed));
                 self.machines[*i].is_busy = true;
             }
             Step::End(i) if alive(self, *i) => {
-                self.change(*i, None, Some(Ended::Lost));
+                self.change(*i, None, Some(EndReason::Failed));
                 let from = self.machines[*i].from_ms;
                 self.machines[*i].ended_ms = Some(self.now.max(from));
             }
@@ -210,7 +212,7 @@
     }
 }
 
-fn lives(model: &Model) -> BTreeMap<MachineId, Life> {
+fn lives(model: &Model) -> BTreeMap<MachineId, BillingPeriod> {
     let machines = model.machines.iter().enumerate();
     let life = |m: &Machine| (m.from_ms, m.ended_ms.unwrap_or(model.now));
     machines.map(|(i, m)| (facts(i).id, life(m))).collect()
@@ -243,9 +245,9 @@
         }
         model.behind = 0;
         for i in 0..model.machines.len() {
-            model.change(i, None, Some(Ended::Withdrawn));
+            model.change(i, None, Some(EndReason::PoolRemoved));
         }
-        prop_assert_eq!(mistakes(&model.rows, &lives(&model), 0), vec![]);
+        prop_assert_eq!(audit_errors(&model.rows, &lives(&model), 0), vec![]);
 
         // The price list's costs equal the charges of each machine.
         let prices: Vec<Price> = (0..model.machines.len()).map(|i| Price {
@@ -255,9 +257,9 @@
             spot_hourly: None,
         }).collect();
         let list = PriceList::new(&prices);
-        let all = Span { from_ms: 0, to_ms: u64::MAX };
+        let all = TimeSpan { from_ms: 0, to_ms: u64::MAX };
         for (i, machine) in model.machines.iter().enumerate() {
-            let rows: Vec<&Interval> = model.rows.iter().filter(|r| r.machine == facts(i).id).collect();
+            let rows: Vec<&UsageInterval> = model.rows.iter().filter(|r| r.machine == facts(i).id).collect();
             let charged: f64 = rows.iter().map(|r| list.cost(r, all).0).sum();
             let ms: u64 = rows.iter().map(|r| r.to_ms - r.from_ms).sum();
             let expected = machine.price * ms as f64 / MS_AN_HOUR;
--- a/crates/sched/src/entitlement.rs
+++ b/crates/sched/src/entitlement.rs
@@ -9,10 +9,10 @@
     None,
     /// What the job lacks: its team's quota or, if the quota suffices, a machine that
     /// could run one of its tasks.
-    Room,
+    Capacity,
     /// As [`Self::Room`], and the quota stays reserved also while no machine has room,
     /// because machines for the job may be booting.
-    RoomAndQuota,
+    CapacityAndQuota,
 }
 
 impl Reservation {
@@ -49,25 +49,25 @@
 
 /// Whether a job has an ordinary entitlement to capacity or runs on idle capacity.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Standing {
+pub enum CapacityClass {
     /// Ordinary work of any team.
     #[default]
     Ordinary,
     /// Best effort: low-priority work of a team without a guarantee.
-    Guest,
+    Borrower,
     /// Best effort on idle capacity alone: nothing is preempted for it and no on-demand
     /// machine is provisioned for it.
-    PatientGuest,
+    PatientBorrower,
 }
 
-impl Standing {
+impl CapacityClass {
     /// Whether the job is best-effort work.
-    pub fn is_guest(self) -> bool {
+    pub fn is_borrower(self) -> bool {
         self != Self::Ordinary
     }
 
     /// Whether the job uses idle capacity alone.
-    pub fn borrows(self) -> bool {
-        self == Self::PatientGuest
+    pub fn uses_idle_capacity_only(self) -> bool {
+        self == Self::PatientBorrower
     }
 }
