--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -24,12 +24,12 @@
 mod round;
 mod score;
 
-pub use entitlement::{Reclaim, Reservation, Standing};
-pub use machine::Host;
+pub use entitlement::{CapacityClass, Reclaim, Reservation};
+pub use machine::MachineSnapshot;
 pub use pending::PendingTasks;
-pub use provision::{plan, Offer, Rental, Shape};
+pub use provision::{plan_scale_out, MachineOffer, PlannedMachines, TaskShape};
 pub use quota::{Quota, Shortfall};
-pub use requirement::Requirement;
+pub use requirement::PlacementRequirement;
 pub use resources::Resources;
 pub use round::{run_round, Placement};
 pub use score::Weights;
--- a/crates/sched/src/machine_table.rs
+++ b/crates/sched/src/machine_table.rs
@@ -9,9 +9,9 @@
 
 mod image_index;
 
-use crate::machine::Host;
+use crate::machine::MachineSnapshot;
 use crate::pending::PendingTasks;
-use crate::requirement::Requirement;
+use crate::requirement::PlacementRequirement;
 use crate::resources::Resources;
 use crate::score::{choose, Candidate, Weights};
 use image_index::{ImageIndex, ImageMachines};
@@ -32,24 +32,24 @@
 }
 
 impl ClassKey {
-    fn new(machine: &Host) -> Self {
+    fn new(machine: &MachineSnapshot) -> Self {
         Self {
             free: machine.free,
             machine_type: machine.machine_type,
             zone: machine.zone,
-            spot: machine.spot,
-            price_bits: machine.price.to_bits(),
-            fetch_rate_bits: machine.fetch_rate.to_bits(),
-            delay_bits: machine.delay.to_bits(),
+            spot: machine.is_spot,
+            price_bits: machine.price_per_s.to_bits(),
+            fetch_rate_bits: machine.fetch_gb_per_s.to_bits(),
+            delay_bits: machine.startup_delay_s.to_bits(),
             reserved_for: machine.reserved_for,
         }
     }
 
     /// Whether a task of the job may be placed on such a machine, in `zone` if it is given.
     fn accepts(&self, job: &PendingTasks, zone: Option<u16>) -> bool {
-        job.task.fits(&self.free)
+        job.task_resources.fits_in(&self.free)
             && zone.is_none_or(|zone| zone == self.zone)
-            && job.allowed(self.machine_type, self.zone, self.spot)
+            && job.allows_machine(self.machine_type, self.zone, self.spot)
             && job.may_use_reserved(self.reserved_for)
     }
 
@@ -66,7 +66,7 @@
     fn candidate(&self, job: &PendingTasks, fetch_s: f64) -> Candidate {
         Candidate {
             free: self.free,
-            cost: f64::from_bits(self.price_bits) * job.estimate,
+            cost: f64::from_bits(self.price_bits) * job.estimated_run_s,
             latency: f64::from_bits(self.delay_bits) + fetch_s,
         }
     }
@@ -87,7 +87,7 @@
         image_machines: &ImageMachines,
         with_image: usize,
     ) -> (Option<usize>, Option<usize>) {
-        let is_open = |machine: &&usize| !job.avoid.contains(*machine);
+        let is_open = |machine: &&usize| !job.excluded_machines.contains(*machine);
         let open = || self.machines.iter().filter(is_open).copied();
         let has_image = |machine: &usize| image_machines.contains(*machine);
         let first_with = || open().find(has_image);
@@ -114,7 +114,7 @@
 
 /// The machines of a round. All bookings go through it.
 pub(crate) struct MachineTable<'a> {
-    machines: &'a mut [Host],
+    machines: &'a mut [MachineSnapshot],
     classes: Vec<MachineClass>,
     class_by_key: FxHashMap<ClassKey, usize>,
     /// The class of each machine; `None` while it is held.
@@ -123,12 +123,12 @@
     /// All zones, in ascending order.
     zones: Vec<u16>,
     /// Requirements that no machine meets for the rest of the round.
-    unmet: FxHashSet<Requirement>,
+    unmet: FxHashSet<PlacementRequirement>,
 }
 
 impl<'a> MachineTable<'a> {
     /// Groups machines. Those that are held already take no tasks.
-    pub(crate) fn new(machines: &'a mut [Host]) -> Self {
+    pub(crate) fn new(machines: &'a mut [MachineSnapshot]) -> Self {
         let mut zones: Vec<u16> = machines.iter().map(|machine| machine.zone).collect();
         zones.sort_unstable();
         zones.dedup();
@@ -149,7 +149,7 @@
     }
 
     /// The machines, less what has been booked so far.
-    pub(crate) fn machines(&self) -> &[Host] {
+    pub(crate) fn machines(&self) -> &[MachineSnapshot] {
         self.machines
     }
 
@@ -166,7 +166,7 @@
         zone: Option<u16>,
         weights: &Weights,
     ) -> Option<usize> {
-        let requirement = Requirement::new(job, &self.zones);
+        let requirement = PlacementRequirement::new(job, &self.zones);
         let is_unmet = |requirement| self.unmet.contains(requirement);
         if requirement.as_ref().is_some_and(is_unmet) {
             return None;
@@ -175,11 +175,11 @@
         if candidates.is_empty() {
             // A gang's bookings may be undone, and only a gang is searched for in a given
             // zone; a job with excluded machines says nothing about others.
-            let is_lasting = !job.gang && job.avoid.is_empty();
+            let is_lasting = !job.is_gang && job.excluded_machines.is_empty();
             self.unmet.extend(requirement.filter(|_| is_lasting));
             return None;
         }
-        choose(&job.task, candidates.into_iter(), weights)
+        choose(&job.task_resources, candidates.into_iter(), weights)
     }
 
     /// The first machines of each class that may take a task, with and without its image.
@@ -203,7 +203,7 @@
     /// Books a task on a machine. Returns whether its image was there already.
     pub(crate) fn book(&mut self, machine: usize, job: &PendingTasks) -> bool {
         let booked = &mut self.machines[machine];
-        booked.free -= job.task;
+        booked.free -= job.task_resources;
         let had_image = !booked.images.insert(job.image);
         let class = self.class_of[machine];
         self.images.set(job.image, machine, class, true);
@@ -214,7 +214,7 @@
     /// Undoes a booking. The image is removed unless it was there before.
     pub(crate) fn undo(&mut self, machine: usize, job: &PendingTasks, had_image: bool) {
         let booked = &mut self.machines[machine];
-        booked.free += job.task;
+        booked.free += job.task_resources;
         if !had_image {
             booked.images.remove(&job.image);
             let class = self.class_of[machine];
@@ -225,7 +225,7 @@
 
     /// Keeps a machine from taking any more tasks in this round.
     pub(crate) fn hold(&mut self, machine: usize) {
-        self.machines[machine].held = true;
+        self.machines[machine].is_held = true;
         self.classify(machine);
     }
 
@@ -235,7 +235,7 @@
             self.classes[class].remove(machine);
             self.images.on_class_left(machine, class);
         }
-        if self.machines[machine].held {
+        if self.machines[machine].is_held {
             return;
         }
         let class = self.class_for(ClassKey::new(&self.machines[machine]));
--- a/crates/sched/src/machine_table/image_index.rs
+++ b/crates/sched/src/machine_table/image_index.rs
@@ -1,6 +1,6 @@
 //! Which machines have which images, counted by class of machines.
 
-use crate::machine::Host;
+use crate::machine::MachineSnapshot;
 use rustc_hash::FxHashMap;
 
 /// The machines that have an image, for each image that was looked up so far.
@@ -14,7 +14,7 @@
     pub(super) fn of(
         &mut self,
         image: u32,
-        machines: &[Host],
+        machines: &[MachineSnapshot],
         class_of: &[Option<usize>],
     ) -> &ImageMachines {
         let index = || ImageMachines::new(image, machines, class_of);
@@ -66,7 +66,7 @@
 }
 
 impl ImageMachines {
-    fn new(image: u32, machines: &[Host], class_of: &[Option<usize>]) -> Self {
+    fn new(image: u32, machines: &[MachineSnapshot], class_of: &[Option<usize>]) -> Self {
         let has_image = machines.iter().map(|m| m.images.contains(&image));
         let mut indexed = Self {
             has_image: has_image.collect(),
--- a/crates/sched/src/machine_table/tests.rs
+++ b/crates/sched/src/machine_table/tests.rs
@@ -3,7 +3,7 @@
 mod reference;
 
 use crate::entitlement::Reservation;
-use crate::machine::Host;
+use crate::machine::MachineSnapshot;
 use crate::pending::PendingTasks;
 use crate::quota::Quota;
 use crate::requirement::MAX_ZONES;
@@ -23,7 +23,7 @@
 const TEAMS: usize = 2;
 
 /// Machines of a few types; many are equal, some are partly filled.
-fn machines() -> impl Strategy<Value = Vec<Host>> {
+fn machines() -> impl Strategy<Value = Vec<MachineSnapshot>> {
     let machine = (
         0..3_u16,
         0..3_u16,
@@ -37,18 +37,18 @@
     let machine = machine.prop_map(
         |(machine_type, zone, spot, used, images, delay, held, reserved_for)| {
             let size = i64::from(machine_type) + 1;
-            let total = Resources::new(8.0, 2.0, 32.0).times(size);
-            Host {
-                free: total - Resources::new(2.0, 0.5, 8.0).times(used),
+            let total = Resources::new(8.0, 2.0, 32.0).scaled_by(size);
+            MachineSnapshot {
+                free: total - Resources::new(2.0, 0.5, 8.0).scaled_by(used),
                 total,
                 machine_type,
                 zone,
-                spot,
-                price: if spot { 1.0 } else { 3.0 } * size as f64,
-                fetch_rate: f64::from(machine_type),
+                is_spot: spot,
+                price_per_s: if spot { 1.0 } else { 3.0 } * size as f64,
+                fetch_gb_per_s: f64::from(machine_type),
                 images,
-                held,
-                delay,
+                is_held: held,
+                startup_delay_s: delay,
                 reserved_for,
             }
         },
@@ -70,10 +70,10 @@
     fn apply(self, templates: &[PendingTasks]) -> PendingTasks {
         PendingTasks {
             waiting: (0..self.tasks).collect(),
-            total: self.tasks,
-            gang: self.gang,
-            band: self.band,
-            avoid: self.excluded_machines,
+            total_tasks: self.tasks,
+            is_gang: self.gang,
+            priority_band: self.band,
+            excluded_machines: self.excluded_machines,
             ..self.template.get(templates).clone()
         }
     }
@@ -118,8 +118,8 @@
     );
     let reservation = prop_oneof![
         Just(Reservation::None),
-        Just(Reservation::Room),
-        Just(Reservation::RoomAndQuota),
+        Just(Reservation::Capacity),
+        Just(Reservation::CapacityAndQuota),
     ];
     let reservations = btree_set(0..2_u32, 0..2);
     let rest = (0..3_u32, 0..TEAMS, reservation, 0..3_u32, reservations);
@@ -128,22 +128,22 @@
         let (types, zone, one_zone, spread, spot) = place;
         let (image, team, reservation, estimate, reservations) = rest;
         PendingTasks {
-            task: Resources::new(cpus as f64, gpus as f64 * 0.5, 2.0),
+            task_resources: Resources::new(cpus as f64, gpus as f64 * 0.5, 2.0),
             waiting: (0..tasks).collect(),
-            total: tasks,
-            gang,
-            band,
+            total_tasks: tasks,
+            is_gang: gang,
+            priority_band: band,
             reservation,
-            estimate: f64::from(estimate) * 10.0,
+            estimated_run_s: f64::from(estimate) * 10.0,
             team,
             image,
             image_gb: f64::from(image) * 4.0,
-            types,
-            zone,
+            allowed_types: types,
+            required_zone: zone,
             one_zone,
             spread: spread && !one_zone,
-            spot,
-            reservations,
+            allows_spot: spot,
+            open_reservations: reservations,
             ..PendingTasks::default()
         }
     })
@@ -192,26 +192,26 @@
 fn more_zones_than_mask_bits_change_no_placement() {
     for zones in [MAX_ZONES as u16, MAX_ZONES as u16 + 1] {
         let total = Resources::new(8.0, 0.0, 32.0);
-        let machine = |zone| Host {
+        let machine = |zone| MachineSnapshot {
             free: total,
             total,
             zone,
-            price: 1.0,
-            fetch_rate: 1.0,
-            ..Host::default()
+            price_per_s: 1.0,
+            fetch_gb_per_s: 1.0,
+            ..MachineSnapshot::default()
         };
         let job = |zone: Option<u16>, tasks: u32| PendingTasks {
-            task: Resources::new(5.0, 0.0, 2.0),
+            task_resources: Resources::new(5.0, 0.0, 2.0),
             waiting: (0..tasks).collect(),
-            total: tasks,
-            estimate: 1.0,
-            zone,
+            total_tasks: tasks,
+            estimated_run_s: 1.0,
+            required_zone: zone,
             ..PendingTasks::default()
         };
         // Two tasks for the last zone, which has room for one, and more for any zone than
         // there is room for.
         let jobs = vec![job(Some(zones - 1), 2), job(None, u32::from(zones) + 3)];
-        let machines: Vec<Host> = (0..zones).map(machine).collect();
+        let machines: Vec<MachineSnapshot> = (0..zones).map(machine).collect();
         let (mut grouped, mut scanned) = (machines.clone(), machines);
         let (mut grouped_jobs, mut scanned_jobs) = (jobs.clone(), jobs);
         let mut quotas = vec![Quota::default()];
--- a/crates/sched/src/machine_table/tests/reference.rs
+++ b/crates/sched/src/machine_table/tests/reference.rs
@@ -1,7 +1,7 @@
 //! The reference for rounds: it scores every machine for every task, without classes.
 
 use crate::entitlement::Reservation;
-use crate::machine::Host;
+use crate::machine::MachineSnapshot;
 use crate::pending::PendingTasks;
 use crate::quota::{Quota, Shortfall};
 use crate::resources::Resources;
@@ -12,7 +12,7 @@
 /// Places the tasks for which there are quota and room, like the round under test.
 pub(super) fn run_round(
     jobs: &mut [PendingTasks],
-    machines: &mut [Host],
+    machines: &mut [MachineSnapshot],
     quotas: &mut [Quota],
     weights: &Weights,
 ) -> Vec<Placement> {
@@ -25,25 +25,25 @@
         let job = &mut jobs[job_index];
         if shortfalls
             .get(&job.team)
-            .is_some_and(|s| s.concerns(&job.task))
+            .is_some_and(|s| s.affects(&job.task_resources))
         {
             continue;
         }
-        if job.gang {
+        if job.is_gang {
             placed.extend(place_gang(job_index, job, machines, quotas, weights));
         }
-        while !job.gang && place_next(job_index, job, machines, quotas, weights, &mut placed) {}
+        while !job.is_gang && place_next(job_index, job, machines, quotas, weights, &mut placed) {}
         if job.reservation.reserves() && !job.waiting.is_empty() {
             let team = &mut quotas[job.team];
-            let amount = job.at_once();
+            let amount = job.minimum_resources();
             if !team.allows(&amount) {
                 let shortfall = shortfalls.entry(job.team).or_default();
-                *shortfall = shortfall.or(&team.shortfall(&amount));
+                *shortfall = shortfall.union(&team.shortfall(&amount));
                 continue;
             }
-            job.lacks_room = true;
+            job.lacks_machines = true;
             hold_machine(job, machines);
-            if job.reservation == Reservation::RoomAndQuota {
+            if job.reservation == Reservation::CapacityAndQuota {
                 team.used += amount;
                 quota_holds.push((job.team, amount));
             }
@@ -56,20 +56,22 @@
 }
 
 /// Reserves the machine with the largest share of free resources that could run a task.
-fn hold_machine(job: &PendingTasks, machines: &mut [Host]) {
-    let fits = |machine: &Host| {
-        job.task.fits(&machine.total)
-            && job.allowed(machine.machine_type, machine.zone, machine.spot)
+fn hold_machine(job: &PendingTasks, machines: &mut [MachineSnapshot]) {
+    let fits = |machine: &MachineSnapshot| {
+        job.task_resources.fits_in(&machine.total)
+            && job.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
             && job.may_use_reserved(machine.reserved_for)
     };
-    let free = |machine: &Host| 1.0 - (machine.total - machine.free).largest_share(&machine.total);
+    let free = |machine: &MachineSnapshot| {
+        1.0 - (machine.total - machine.free).dominant_share(&machine.total)
+    };
     let best = machines
         .iter_mut()
         .enumerate()
-        .filter(|(index, machine)| fits(machine) && !job.avoid.contains(index))
+        .filter(|(index, machine)| fits(machine) && !job.excluded_machines.contains(index))
         .max_by(|(_, a), (_, b)| free(a).total_cmp(&free(b)));
     if let Some((_, machine)) = best {
-        machine.held = true;
+        machine.is_held = true;
     }
 }
 
@@ -77,7 +79,7 @@
 fn place_next(
     job_index: usize,
     job: &mut PendingTasks,
-    machines: &mut [Host],
+    machines: &mut [MachineSnapshot],
     quotas: &mut [Quota],
     weights: &Weights,
     placed: &mut Vec<Placement>,
@@ -92,7 +94,7 @@
     placed.push(Placement {
         job: job_index,
         task,
-        host: machine,
+        machine,
     });
     true
 }
@@ -100,44 +102,48 @@
 /// Chooses a machine for one task and books it.
 fn place_one(
     job: &mut PendingTasks,
-    machines: &mut [Host],
+    machines: &mut [MachineSnapshot],
     quotas: &mut [Quota],
     weights: &Weights,
     zone: Option<u16>,
 ) -> Option<usize> {
-    if !quotas[job.team].allows(&job.task) {
+    if !quotas[job.team].allows(&job.task_resources) {
         return None;
     }
     let mut indices = Vec::new();
     let mut candidates = Vec::new();
     for (index, machine) in machines.iter().enumerate() {
-        let fits = !machine.held
-            && job.task.fits(&machine.free)
+        let fits = !machine.is_held
+            && job.task_resources.fits_in(&machine.free)
             && zone.is_none_or(|z| z == machine.zone)
-            && job.allowed(machine.machine_type, machine.zone, machine.spot)
+            && job.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
             && job.may_use_reserved(machine.reserved_for)
-            && !job.avoid.contains(&index);
+            && !job.excluded_machines.contains(&index);
         if !fits {
             continue;
         }
-        let fetch = if machine.images.contains(&job.image) || machine.fetch_rate <= 0.0 {
+        let fetch = if machine.images.contains(&job.image) || machine.fetch_gb_per_s <= 0.0 {
             0.0
         } else {
-            job.image_gb / machine.fetch_rate
+            job.image_gb / machine.fetch_gb_per_s
         };
         indices.push(index);
         candidates.push(Candidate {
             free: machine.free,
-            cost: machine.price * job.estimate,
-            latency: machine.delay + fetch,
+            cost: machine.price_per_s * job.estimated_run_s,
+            latency: machine.startup_delay_s + fetch,
         });
     }
-    let chosen = indices[choose(&job.task, candidates.into_iter().enumerate(), weights)?];
+    let chosen = indices[choose(
+        &job.task_resources,
+        candidates.into_iter().enumerate(),
+        weights,
+    )?];
     let machine = &mut machines[chosen];
-    machine.free -= job.task;
+    machine.free -= job.task_resources;
     machine.images.insert(job.image);
-    quotas[job.team].used += job.task;
-    *job.zones.entry(machine.zone).or_default() += 1;
+    quotas[job.team].used += job.task_resources;
+    *job.tasks_by_zone.entry(machine.zone).or_default() += 1;
     Some(chosen)
 }
 
@@ -145,7 +151,7 @@
 fn place_gang(
     job_index: usize,
     job: &mut PendingTasks,
-    machines: &mut [Host],
+    machines: &mut [MachineSnapshot],
     quotas: &mut [Quota],
     weights: &Weights,
 ) -> Vec<Placement> {
@@ -156,7 +162,7 @@
         vec![None]
     };
     for zone in zones {
-        let before = (job.zones.clone(), quotas[job.team].used);
+        let before = (job.tasks_by_zone.clone(), quotas[job.team].used);
         let mut booked: Vec<(usize, bool)> = Vec::new();
         let mut placed = Vec::new();
         for task in job.waiting.clone() {
@@ -171,7 +177,7 @@
             placed.push(Placement {
                 job: job_index,
                 task,
-                host: machine,
+                machine,
             });
         }
         if placed.len() == job.waiting.len() {
@@ -179,12 +185,12 @@
             return placed;
         }
         for (machine, had_image) in booked.into_iter().rev() {
-            machines[machine].free += job.task;
+            machines[machine].free += job.task_resources;
             if !had_image {
                 machines[machine].images.remove(&job.image);
             }
         }
-        (job.zones, quotas[job.team].used) = before;
+        (job.tasks_by_zone, quotas[job.team].used) = before;
     }
     Vec::new()
 }
--- a/crates/sched/src/pending.rs
+++ b/crates/sched/src/pending.rs
@@ -1,6 +1,6 @@
 //! The waiting tasks of a job, with the constraints on their placement.
 
-use crate::entitlement::{Reclaim, Reservation, Standing};
+use crate::entitlement::{CapacityClass, Reclaim, Reservation};
 use crate::resources::Resources;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,16 +9,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct PendingTasks {
     /// Resources of each task.
-    pub task: Resources,
+    pub task_resources: Resources,
     /// Numbers of the waiting tasks, at most as many as the round may place.
     pub waiting: Vec<u32>,
     /// Number of all tasks of the job.
-    pub total: u32,
+    pub total_tasks: u32,
     /// Gang scheduling: all of `waiting` are placed, or none.
-    pub gang: bool,
+    pub is_gang: bool,
     /// Priority band; the larger goes first. Within a band the longest wait goes first,
     /// then the longest estimate.
-    pub band: i32,
+    pub priority_band: i32,
     /// Seconds since the submission of a job that has waited long; 0 for all
     /// others, among which the longest estimate goes first.
     pub waited_s: f64,
@@ -27,11 +27,11 @@
     /// What borrowed capacity may be reclaimed for it.
     pub reclaim: Reclaim,
     /// Whether it runs on idle capacity.
-    pub standing: Standing,
+    pub capacity_class: CapacityClass,
     /// Set by a round: the job has a reservation, and lacks nothing but machines.
-    pub lacks_room: bool,
+    pub lacks_machines: bool,
     /// Predicted run time in seconds.
-    pub estimate: f64,
+    pub estimated_run_s: f64,
     /// Index of the team's quota.
     pub team: usize,
     /// Image, as a number given by the caller.
@@ -39,59 +39,59 @@
     /// Size of the image in GB.
     pub image_gb: f64,
     /// Allowed machine types; `None` allows any.
-    pub types: Option<Vec<u16>>,
+    pub allowed_types: Option<Vec<u16>>,
     /// The only allowed zone; `None` allows any.
-    pub zone: Option<u16>,
+    pub required_zone: Option<u16>,
     /// Whether all tasks must be in one zone.
     pub one_zone: bool,
     /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
     /// Whether spot instances are allowed.
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Number of the job's placed tasks by zone.
-    pub zones: BTreeMap<u16, u32>,
+    pub tasks_by_zone: BTreeMap<u16, u32>,
     /// Indices of the machines that are excluded for this job.
-    pub avoid: BTreeSet<usize>,
+    pub excluded_machines: BTreeSet<usize>,
     /// Reservations of machines that this job may use.
-    pub reservations: BTreeSet<u32>,
+    pub open_reservations: BTreeSet<u32>,
 }
 
 impl PendingTasks {
     /// Orders by precedence: the higher band, and within it the longest wait. By estimate
     /// alone, a short job that had waited for minutes was overtaken by every longer one
     /// that had come to wait long, too.
-    pub fn by_claim(&self, other: &Self) -> Ordering {
-        let band = other.band.cmp(&self.band);
+    pub fn precedence_order(&self, other: &Self) -> Ordering {
+        let band = other.priority_band.cmp(&self.priority_band);
         band.then(other.waited_s.total_cmp(&self.waited_s))
     }
 
     /// Orders by a round's sequence: by precedence, then the longest estimate first.
     pub(crate) fn round_order(&self, other: &Self) -> Ordering {
-        let precedence = self.by_claim(other);
-        precedence.then(other.estimate.total_cmp(&self.estimate))
+        let precedence = self.precedence_order(other);
+        precedence.then(other.estimated_run_s.total_cmp(&self.estimated_run_s))
     }
 
     /// Resources that must be free at the same time for any of its tasks to be placed:
     /// those of all waiting tasks of a gang, of one task otherwise.
-    pub fn at_once(&self) -> Resources {
-        let tasks = if self.gang { self.waiting.len() } else { 1 };
-        self.task.times(tasks as i64)
+    pub fn minimum_resources(&self) -> Resources {
+        let tasks = if self.is_gang { self.waiting.len() } else { 1 };
+        self.task_resources.scaled_by(tasks as i64)
     }
 
     /// Whether a task may be placed in a zone, given the job's placed tasks.
-    pub fn zone_allowed(&self, zone: u16) -> bool {
-        if self.zone.is_some_and(|required| required != zone) {
+    pub fn allows_zone(&self, zone: u16) -> bool {
+        if self.required_zone.is_some_and(|required| required != zone) {
             return false;
         }
         if self.one_zone && self.has_task_outside(zone) {
             return false;
         }
-        let placed = self.zones.get(&zone).copied().unwrap_or(0);
-        !self.spread || placed < self.total.div_ceil(2)
+        let placed = self.tasks_by_zone.get(&zone).copied().unwrap_or(0);
+        !self.spread || placed < self.total_tasks.div_ceil(2)
     }
 
     fn has_task_outside(&self, zone: u16) -> bool {
-        self.zones
+        self.tasks_by_zone
             .iter()
             .any(|(other, count)| *other != zone && *count > 0)
     }
@@ -99,14 +99,14 @@
     /// Whether it may use a machine that is reserved like this; any job may use a machine
     /// without a reservation.
     pub fn may_use_reserved(&self, reserved_for: Option<u32>) -> bool {
-        reserved_for.is_none_or(|number| self.reservations.contains(&number))
+        reserved_for.is_none_or(|number| self.open_reservations.contains(&number))
     }
 
     /// Whether a task may run on a machine of this type, zone and kind.
-    pub fn allowed(&self, machine_type: u16, zone: u16, spot: bool) -> bool {
+    pub fn allows_machine(&self, machine_type: u16, zone: u16, spot: bool) -> bool {
         let allows_type = |types: &Vec<u16>| types.contains(&machine_type);
-        (self.spot || !spot)
-            && self.types.as_ref().is_none_or(allows_type)
-            && self.zone_allowed(zone)
+        (self.allows_spot || !spot)
+            && self.allowed_types.as_ref().is_none_or(allows_type)
+            && self.allows_zone(zone)
     }
 }
--- a/crates/sched/src/provision.rs
+++ b/crates/sched/src/provision.rs
@@ -11,43 +11,43 @@
 
 /// Tasks of the same shape that have no room.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct TaskShape {
     /// Resources of each task.
-    pub task: Resources,
+    pub task_resources: Resources,
     /// Number of tasks.
     pub count: u32,
     /// Allowed machine types; `None` allows any.
-    pub types: Option<Vec<u16>>,
+    pub allowed_types: Option<Vec<u16>>,
     /// Allowed zones; `None` allows any.
-    pub zones: Option<Vec<u16>>,
+    pub allowed_zones: Option<Vec<u16>>,
     /// Whether spot instances are allowed.
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Whether no on-demand machine is provisioned for these tasks.
-    pub spot_only: bool,
+    pub requires_spot: bool,
 }
 
-impl Shape {
+impl TaskShape {
     /// Whether a task could run on such a machine.
-    fn allows(&self, offer: &Offer) -> bool {
-        self.allows_kind(offer.spot)
-            && is_allowed(self.types.as_deref(), offer.machine_type)
-            && is_allowed(self.zones.as_deref(), offer.zone)
-            && self.task.fits(&offer.total)
+    fn allows(&self, offer: &MachineOffer) -> bool {
+        self.allows_kind(offer.is_spot)
+            && is_allowed(self.allowed_types.as_deref(), offer.machine_type)
+            && is_allowed(self.allowed_zones.as_deref(), offer.zone)
+            && self.task_resources.fits_in(&offer.total)
     }
 
     fn allows_kind(&self, spot: bool) -> bool {
         if spot {
-            self.spot
+            self.allows_spot
         } else {
-            !self.spot_only
+            !self.requires_spot
         }
     }
 
     /// Value of one task: the lowest cost of the part of a machine that it uses.
-    fn task_value(&self, offers: &[Offer]) -> f64 {
+    fn task_value(&self, offers: &[MachineOffer]) -> f64 {
         let allowed = offers.iter().filter(|offer| self.allows(offer));
         allowed
-            .map(|offer| self.task.largest_share(&offer.total) * offer.price)
+            .map(|offer| self.task_resources.dominant_share(&offer.total) * offer.price_per_hour)
             .fold(f64::INFINITY, f64::min)
             .min(MAX_TASK_VALUE)
     }
@@ -59,25 +59,25 @@
 
 /// A kind of machine that the cloud offers in a zone.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct MachineOffer {
     /// Machine type, as a number given by the caller.
     pub machine_type: u16,
     /// Zone, as a number given by the caller.
     pub zone: u16,
     /// Whether it is a spot instance, which the cloud may preempt.
-    pub spot: bool,
+    pub is_spot: bool,
     /// Installed resources.
     pub total: Resources,
     /// Price per hour.
-    pub price: f64,
+    pub price_per_hour: f64,
     /// Number of the shard's machines in the zone; of equal offers, the one with fewer is
     /// preferred.
-    pub held: u32,
+    pub machines_in_zone: u32,
 }
 
 /// A number of machines to provision of one offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rental {
+pub struct PlannedMachines {
     /// Index of the offer.
     pub offer: usize,
     /// Number of machines.
@@ -87,7 +87,11 @@
 /// Chooses machines for unplaced tasks, at most `max_machines`. Each machine is chosen for
 /// the first shape that still has tasks, by the value of all tasks that it could run per
 /// price.
-pub fn plan(shapes: &[Shape], offers: &[Offer], max_machines: u32) -> Vec<Rental> {
+pub fn plan_scale_out(
+    shapes: &[TaskShape],
+    offers: &[MachineOffer],
+    max_machines: u32,
+) -> Vec<PlannedMachines> {
     let mut planner = Planner::new(shapes, offers);
     for _ in 0..max_machines {
         if !planner.add_machine() {
@@ -99,15 +103,15 @@
 
 /// The state of a plan while machines are added to it.
 struct Planner<'a> {
-    offers: &'a [Offer],
+    offers: &'a [MachineOffer],
     /// The shapes, with the tasks that the plan has no machine for yet.
-    remaining: Vec<Shape>,
+    remaining: Vec<TaskShape>,
     /// Value of one task of each shape.
     task_values: Vec<f64>,
     /// Number of the shard's machines in each offer's zone, with the planned ones of the
     /// offer.
     machines_held: Vec<u32>,
-    rentals: Vec<Rental>,
+    rentals: Vec<PlannedMachines>,
 }
 
 /// What one machine of an offer would add to a plan.
@@ -128,12 +132,12 @@
 }
 
 impl<'a> Planner<'a> {
-    fn new(shapes: &[Shape], offers: &'a [Offer]) -> Self {
+    fn new(shapes: &[TaskShape], offers: &'a [MachineOffer]) -> Self {
         Self {
             offers,
             remaining: shapes.to_vec(),
             task_values: shapes.iter().map(|s| s.task_value(offers)).collect(),
-            machines_held: offers.iter().map(|offer| offer.held).collect(),
+            machines_held: offers.iter().map(|offer| offer.machines_in_zone).collect(),
             rentals: Vec::new(),
         }
     }
@@ -157,7 +161,7 @@
 
     /// The first shape with remaining tasks that some offer can run.
     fn first_shape(&self) -> Option<usize> {
-        let is_open = |shape: &Shape| {
+        let is_open = |shape: &TaskShape| {
             let mut offers = self.offers.iter();
             shape.count > 0 && offers.any(|offer| shape.allows(offer))
         };
@@ -185,7 +189,7 @@
         let value: f64 = counts.map(|(count, value)| f64::from(*count) * value).sum();
         OfferValue {
             offer,
-            value_per_price: value / self.offers[offer].price.max(MIN_PRICE),
+            value_per_price: value / self.offers[offer].price_per_hour.max(MIN_PRICE),
             machines_held: self.machines_held[offer],
         }
     }
@@ -193,13 +197,13 @@
     fn add_rental(&mut self, offer: usize) {
         match self.rentals.iter_mut().find(|r| r.offer == offer) {
             Some(rental) => rental.count += 1,
-            None => self.rentals.push(Rental { offer, count: 1 }),
+            None => self.rentals.push(PlannedMachines { offer, count: 1 }),
         }
     }
 }
 
 /// Number of tasks of each shape that a new machine runs, `first` before the others.
-fn fill(shapes: &[Shape], first: usize, offer: &Offer) -> Vec<u32> {
+fn fill(shapes: &[TaskShape], first: usize, offer: &MachineOffer) -> Vec<u32> {
     let mut free = offer.total;
     let mut placed = vec![0; shapes.len()];
     let others = (0..shapes.len()).filter(|index| *index != first);
@@ -208,8 +212,8 @@
         if !shape.allows(offer) {
             continue;
         }
-        while placed[index] < shape.count && shape.task.fits(&free) {
-            free -= shape.task;
+        while placed[index] < shape.count && shape.task_resources.fits_in(&free) {
+            free -= shape.task_resources;
             placed[index] += 1;
         }
     }
--- a/crates/sched/src/provision/tests.rs
+++ b/crates/sched/src/provision/tests.rs
@@ -2,25 +2,32 @@
 
 use super::*;
 
-fn offer(machine_type: u16, zone: u16, cpus: f64, gpus: f64, price: f64, spot: bool) -> Offer {
-    Offer {
+fn offer(
+    machine_type: u16,
+    zone: u16,
+    cpus: f64,
+    gpus: f64,
+    price: f64,
+    spot: bool,
+) -> MachineOffer {
+    MachineOffer {
         machine_type,
         zone,
-        spot,
+        is_spot: spot,
         total: Resources::new(cpus, gpus, cpus * 4.0),
-        price,
-        held: 0,
+        price_per_hour: price,
+        machines_in_zone: 0,
     }
 }
 
-fn shape(cpus: f64, gpus: f64, count: u32) -> Shape {
-    Shape {
-        task: Resources::new(cpus, gpus, 1.0),
+fn shape(cpus: f64, gpus: f64, count: u32) -> TaskShape {
+    TaskShape {
+        task_resources: Resources::new(cpus, gpus, 1.0),
         count,
-        types: None,
-        zones: None,
-        spot: false,
-        spot_only: false,
+        allowed_types: None,
+        allowed_zones: None,
+        allows_spot: false,
+        requires_spot: false,
     }
 }
 
@@ -31,11 +38,11 @@
         offer(1, 0, 96.0, 8.0, 28.0, false),
         offer(0, 0, 8.0, 0.0, 0.15, true),
     ];
-    let spot = Shape {
-        spot: true,
+    let spot = TaskShape {
+        allows_spot: true,
         ..shape(4.0, 0.0, 2)
     };
-    type Case = (&'static str, Vec<Shape>, Vec<(usize, u32)>);
+    type Case = (&'static str, Vec<TaskShape>, Vec<(usize, u32)>);
     let cases: [Case; 6] = [
         ("nothing", vec![], vec![]),
         (
@@ -61,7 +68,7 @@
         ),
     ];
     for (name, shapes, expected) in cases {
-        let found: Vec<(usize, u32)> = plan(&shapes, &offers, 50)
+        let found: Vec<(usize, u32)> = plan_scale_out(&shapes, &offers, 50)
             .iter()
             .map(|rental| (rental.offer, rental.count))
             .collect();
@@ -75,10 +82,10 @@
         offer(0, 0, 8.0, 0.0, 0.5, false),
         offer(0, 1, 8.0, 0.0, 0.5, false),
     ];
-    let planned = plan(&[shape(8.0, 0.0, 4)], &offers, 50);
+    let planned = plan_scale_out(&[shape(8.0, 0.0, 4)], &offers, 50);
     assert_eq!(planned.iter().map(|r| r.count).collect::<Vec<_>>(), [2, 2]);
     assert_eq!(
-        plan(&[shape(8.0, 0.0, 40)], &offers, 3)
+        plan_scale_out(&[shape(8.0, 0.0, 40)], &offers, 3)
             .iter()
             .map(|r| r.count)
             .sum::<u32>(),
--- a/crates/sched/src/quota.rs
+++ b/crates/sched/src/quota.rs
@@ -20,27 +20,27 @@
     }
 
     /// Whether `count` tasks at the same time could be allowed if nothing else were used.
-    pub fn could_allow(&self, task: &Resources, count: i64) -> bool {
-        is_within(&task.times(count), &self.limit)
+    pub fn could_ever_allow(&self, task: &Resources, count: i64) -> bool {
+        is_within(&task.scaled_by(count), &self.limit)
     }
 
     /// Whether the team stays within its guarantee with these resources in addition.
     /// A resource whose guarantee is 0 does not count, unless all are 0.
-    pub fn guarantees(&self, additional: &Resources) -> bool {
-        !self.is_guest() && is_within(&(self.used + *additional), &self.guarantee)
+    pub fn is_within_guarantee(&self, additional: &Resources) -> bool {
+        !self.has_no_guarantee() && is_within(&(self.used + *additional), &self.guarantee)
     }
 
     /// Whether the team uses more than its guarantee. A team without any
     /// guarantee borrows all that it uses.
     pub fn is_borrowing(&self) -> bool {
-        if self.is_guest() {
+        if self.has_no_guarantee() {
             return !self.used.is_zero();
         }
         !is_within(&self.used, &self.guarantee)
     }
 
     /// Whether the team has no guarantee.
-    pub fn is_guest(&self) -> bool {
+    pub fn has_no_guarantee(&self) -> bool {
         self.guarantee.is_zero()
     }
 
@@ -48,8 +48,8 @@
     pub fn shortfall(&self, additional: &Resources) -> Shortfall {
         let sum = self.used + *additional;
         Shortfall {
-            cpus: !is_within_bound(sum.cpus, self.limit.cpus),
-            gpus: !is_within_bound(sum.gpus, self.limit.gpus),
+            cpus: !is_within_bound(sum.milli_cpus, self.limit.milli_cpus),
+            gpus: !is_within_bound(sum.milli_gpus, self.limit.milli_gpus),
         }
     }
 }
@@ -63,12 +63,12 @@
 
 impl Shortfall {
     /// Whether a task would use any of the lacking resources.
-    pub fn concerns(&self, task: &Resources) -> bool {
-        (self.cpus && task.cpus > 0) || (self.gpus && task.gpus > 0)
+    pub fn affects(&self, task: &Resources) -> bool {
+        (self.cpus && task.milli_cpus > 0) || (self.gpus && task.milli_gpus > 0)
     }
 
     /// The resources that either lacks.
-    pub fn or(&self, other: &Self) -> Self {
+    pub fn union(&self, other: &Self) -> Self {
         Self {
             cpus: self.cpus || other.cpus,
             gpus: self.gpus || other.gpus,
@@ -82,7 +82,8 @@
 }
 
 fn is_within(sum: &Resources, bound: &Resources) -> bool {
-    is_within_bound(sum.cpus, bound.cpus) && is_within_bound(sum.gpus, bound.gpus)
+    is_within_bound(sum.milli_cpus, bound.milli_cpus)
+        && is_within_bound(sum.milli_gpus, bound.milli_gpus)
 }
 
 #[cfg(test)]
--- a/crates/sched/src/quota/tests.rs
+++ b/crates/sched/src/quota/tests.rs
@@ -22,8 +22,8 @@
     ];
     for (i, (quota, task, allowed, guaranteed)) in cases.into_iter().enumerate() {
         assert_eq!(quota.allows(&task), allowed, "case {i}");
-        assert_eq!(quota.guarantees(&task), guaranteed, "case {i}");
+        assert_eq!(quota.is_within_guarantee(&task), guaranteed, "case {i}");
     }
-    assert!(quota(0.0).could_allow(&gpu, 4));
-    assert!(!quota(0.0).could_allow(&gpu, 5));
+    assert!(quota(0.0).could_ever_allow(&gpu, 4));
+    assert!(!quota(0.0).could_ever_allow(&gpu, 5));
 }
--- a/crates/sched/src/requirement.rs
+++ b/crates/sched/src/requirement.rs
@@ -10,7 +10,7 @@
 /// What tasks require of any machine, given the zones that they may still use. Jobs with
 /// equal requirements fit on the same machines.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub struct Requirement {
+pub struct PlacementRequirement {
     task: Resources,
     types: Option<Vec<u16>>,
     /// One bit for each allowed zone.
@@ -19,7 +19,7 @@
     reservations: BTreeSet<u32>,
 }
 
-impl Requirement {
+impl PlacementRequirement {
     /// The requirement of a job's tasks in a fleet with these zones; `None` if there are
     /// more zones than bits in the mask.
     pub fn new(job: &PendingTasks, zones: &[u16]) -> Option<Self> {
@@ -27,13 +27,13 @@
             return None;
         }
         let zones = zones.iter().enumerate();
-        let allowed = zones.filter(|(_, zone)| job.zone_allowed(**zone));
+        let allowed = zones.filter(|(_, zone)| job.allows_zone(**zone));
         Some(Self {
-            task: job.task,
-            types: job.types.clone(),
+            task: job.task_resources,
+            types: job.allowed_types.clone(),
             zone_mask: allowed.fold(0, |mask, (bit, _)| mask | 1 << bit),
-            spot: job.spot,
-            reservations: job.reservations.clone(),
+            spot: job.allows_spot,
+            reservations: job.open_reservations.clone(),
         })
     }
 }
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, Debug)]
 pub struct Resources {
     /// Thousandths of a CPU.
-    pub cpus: i64,
+    pub milli_cpus: i64,
     /// Thousandths of a GPU.
-    pub gpus: i64,
+    pub milli_gpus: i64,
     /// Memory in thousandths of a GB.
-    pub memory: i64,
+    pub memory_mb: i64,
 }
 
 impl Resources {
@@ -21,21 +21,21 @@
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let thousandths = |amount: f64| (amount * THOUSANDTHS).round() as i64;
         Self {
-            cpus: thousandths(cpus),
-            gpus: thousandths(gpus),
-            memory: thousandths(memory_gb),
+            milli_cpus: thousandths(cpus),
+            milli_gpus: thousandths(gpus),
+            memory_mb: thousandths(memory_gb),
         }
     }
 
     /// Whether no resource exceeds that of `available`.
-    pub fn fits(&self, available: &Self) -> bool {
-        self.cpus <= available.cpus
-            && self.gpus <= available.gpus
-            && self.memory <= available.memory
+    pub fn fits_in(&self, available: &Self) -> bool {
+        self.milli_cpus <= available.milli_cpus
+            && self.milli_gpus <= available.milli_gpus
+            && self.memory_mb <= available.memory_mb
     }
 
     /// The smaller amount of each resource.
-    pub fn least(&self, other: &Self) -> Self {
+    pub fn component_min(&self, other: &Self) -> Self {
         self.combine(other, i64::min)
     }
 
@@ -45,11 +45,11 @@
     }
 
     /// `factor` times each resource.
-    pub fn times(&self, factor: i64) -> Self {
+    pub fn scaled_by(&self, factor: i64) -> Self {
         Self {
-            cpus: self.cpus * factor,
-            gpus: self.gpus * factor,
-            memory: self.memory * factor,
+            milli_cpus: self.milli_cpus * factor,
+            milli_gpus: self.milli_gpus * factor,
+            memory_mb: self.memory_mb * factor,
         }
     }
 
@@ -60,23 +60,23 @@
 
     /// Dominant share: the largest ratio of a resource to that of `total`. It is infinite
     /// if `total` has none of a resource that this has.
-    pub fn largest_share(&self, total: &Self) -> f64 {
+    pub fn dominant_share(&self, total: &Self) -> f64 {
         let share = |part: i64, whole: i64| match (part, whole) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
             _ => part as f64 / whole as f64,
         };
-        share(self.cpus, total.cpus)
-            .max(share(self.gpus, total.gpus))
-            .max(share(self.memory, total.memory))
+        share(self.milli_cpus, total.milli_cpus)
+            .max(share(self.milli_gpus, total.milli_gpus))
+            .max(share(self.memory_mb, total.memory_mb))
     }
 
     /// Applies an operation to each resource.
     fn combine(&self, other: &Self, operation: impl Fn(i64, i64) -> i64) -> Self {
         Self {
-            cpus: operation(self.cpus, other.cpus),
-            gpus: operation(self.gpus, other.gpus),
-            memory: operation(self.memory, other.memory),
+            milli_cpus: operation(self.milli_cpus, other.milli_cpus),
+            milli_gpus: operation(self.milli_gpus, other.milli_gpus),
+            memory_mb: operation(self.memory_mb, other.memory_mb),
         }
     }
 }
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -1,7 +1,7 @@
 //! A scheduling round: waiting tasks are placed greedily, longest first; among jobs that
 //! have waited long, the oldest first.
 
-use crate::machine::Host;
+use crate::machine::MachineSnapshot;
 use crate::machine_table::MachineTable;
 use crate::pending::PendingTasks;
 use crate::quota::{Quota, Shortfall};
@@ -18,7 +18,7 @@
     /// The task's number within its job.
     pub task: u32,
     /// Index of the machine.
-    pub host: usize,
+    pub machine: usize,
 }
 
 /// Places the tasks for which there are quota and room. Placed tasks are removed from
@@ -26,7 +26,7 @@
 /// for what is placed.
 pub fn run_round(
     jobs: &mut [PendingTasks],
-    machines: &mut [Host],
+    machines: &mut [MachineSnapshot],
     quotas: &mut [Quota],
     weights: &Weights,
 ) -> Vec<Placement> {
@@ -67,7 +67,11 @@
 }
 
 impl<'a> Round<'a> {
-    fn new(machines: &'a mut [Host], quotas: &'a mut [Quota], weights: &'a Weights) -> Self {
+    fn new(
+        machines: &'a mut [MachineSnapshot],
+        quotas: &'a mut [Quota],
+        weights: &'a Weights,
+    ) -> Self {
         Self {
             table: MachineTable::new(machines),
             quotas,
@@ -83,7 +87,7 @@
         if self.is_quota_reserved(job) {
             return;
         }
-        if job.gang {
+        if job.is_gang {
             self.place_gang(job_index, job);
         } else {
             self.place_each(job_index, job);
@@ -97,20 +101,20 @@
     /// resources count: a team at its limit of GPUs once kept jobs without any from running.
     fn is_quota_reserved(&self, job: &PendingTasks) -> bool {
         let shortfall = self.shortfalls.get(&job.team);
-        shortfall.is_some_and(|shortfall| shortfall.concerns(&job.task))
+        shortfall.is_some_and(|shortfall| shortfall.affects(&job.task_resources))
     }
 
     /// Reserves quota or, if the quota suffices, a machine for a job that is still waiting.
     fn reserve(&mut self, job: &mut PendingTasks) {
         let quota = &mut self.quotas[job.team];
-        let amount = job.at_once();
+        let amount = job.minimum_resources();
         if !quota.allows(&amount) {
             let shortfall = self.shortfalls.entry(job.team).or_default();
-            *shortfall = shortfall.or(&quota.shortfall(&amount));
+            *shortfall = shortfall.union(&quota.shortfall(&amount));
             return;
         }
-        job.lacks_room = true;
-        if job.reservation == Reservation::RoomAndQuota {
+        job.lacks_machines = true;
+        if job.reservation == Reservation::CapacityAndQuota {
             quota.used += amount;
             let team = job.team;
             self.quota_holds.push(QuotaHold { team, amount });
@@ -121,18 +125,19 @@
     /// Reserves the machine with the largest share of free resources among those that could
     /// run a task of the job, so that the jobs behind it do not fill it up.
     fn hold_machine(&mut self, job: &PendingTasks) {
-        let could_run = |machine: &Host| {
-            job.task.fits(&machine.total)
-                && job.allowed(machine.machine_type, machine.zone, machine.spot)
+        let could_run = |machine: &MachineSnapshot| {
+            job.task_resources.fits_in(&machine.total)
+                && job.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
                 && job.may_use_reserved(machine.reserved_for)
         };
-        let free_share =
-            |machine: &Host| 1.0 - (machine.total - machine.free).largest_share(&machine.total);
+        let free_share = |machine: &MachineSnapshot| {
+            1.0 - (machine.total - machine.free).dominant_share(&machine.total)
+        };
         let machines = self.table.machines().iter().enumerate();
         let emptiest = machines
             // No excluded machine is held for the job: a gang that had failed on the only
             // machine once kept all others off it.
-            .filter(|(index, machine)| could_run(machine) && !job.avoid.contains(index))
+            .filter(|(index, machine)| could_run(machine) && !job.excluded_machines.contains(index))
             .max_by(|(_, a), (_, b)| free_share(a).total_cmp(&free_share(b)));
         if let Some((index, _)) = emptiest {
             self.table.hold(index);
@@ -149,7 +154,7 @@
             self.placements.push(Placement {
                 job: job_index,
                 task: job.waiting[count],
-                host: booking.machine,
+                machine: booking.machine,
             });
             count += 1;
         }
@@ -158,14 +163,14 @@
 
     /// Chooses a machine for one task, in `zone` if it is given, and books it.
     fn book_task(&mut self, job: &mut PendingTasks, zone: Option<u16>) -> Option<Booking> {
-        if !self.quotas[job.team].allows(&job.task) {
+        if !self.quotas[job.team].allows(&job.task_resources) {
             return None;
         }
         let machine = self.table.choose(job, zone, self.weights)?;
         let had_image = self.table.book(machine, job);
-        self.quotas[job.team].used += job.task;
+        self.quotas[job.team].used += job.task_resources;
         let zone = self.table.machines()[machine].zone;
-        *job.zones.entry(zone).or_default() += 1;
+        *job.tasks_by_zone.entry(zone).or_default() += 1;
         Some(Booking { machine, had_image })
     }
 
@@ -186,7 +191,7 @@
             let placements = booked_tasks.map(|(task, booking)| Placement {
                 job: job_index,
                 task,
-                host: booking.machine,
+                machine: booking.machine,
             });
             self.placements.extend(placements);
             return;
@@ -195,7 +200,7 @@
 
     /// Books all waiting tasks of a gang; if one finds no room, undoes the others.
     fn book_gang(&mut self, job: &mut PendingTasks, zone: Option<u16>) -> Option<Vec<Booking>> {
-        let zones_before = job.zones.clone();
+        let zones_before = job.tasks_by_zone.clone();
         let used_before = self.quotas[job.team].used;
         let mut bookings = Vec::new();
         while bookings.len() < job.waiting.len() {
@@ -210,7 +215,7 @@
         for booking in bookings.into_iter().rev() {
             self.table.undo(booking.machine, job, booking.had_image);
         }
-        job.zones = zones_before;
+        job.tasks_by_zone = zones_before;
         self.quotas[job.team].used = used_before;
         None
     }
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -3,27 +3,27 @@
 use super::*;
 
 /// A machine with 64 CPUs and so many GPUs, all free.
-fn machine(gpus: f64, zone: u16) -> Host {
+fn machine(gpus: f64, zone: u16) -> MachineSnapshot {
     let total = Resources::new(64.0, gpus, 256.0);
-    Host {
+    MachineSnapshot {
         free: total,
         total,
         zone,
-        price: 1.0,
-        fetch_rate: 1.0,
-        ..Host::default()
+        price_per_s: 1.0,
+        fetch_gb_per_s: 1.0,
+        ..MachineSnapshot::default()
     }
 }
 
 /// A job with so many waiting tasks, each of so many GPUs.
 fn pending(tasks: u32, gpus: f64) -> PendingTasks {
     PendingTasks {
-        task: Resources::new(1.0, gpus, 1.0),
+        task_resources: Resources::new(1.0, gpus, 1.0),
         waiting: (0..tasks).collect(),
-        total: tasks,
-        estimate: 10.0,
+        total_tasks: tasks,
+        estimated_run_s: 10.0,
         image_gb: 1.0,
-        spot: true,
+        allows_spot: true,
         ..PendingTasks::default()
     }
 }
@@ -35,16 +35,16 @@
     }]
 }
 
-fn run(jobs: &mut [PendingTasks], machines: &mut [Host], gpus: f64) -> Vec<Placement> {
+fn run(jobs: &mut [PendingTasks], machines: &mut [MachineSnapshot], gpus: f64) -> Vec<Placement> {
     run_round(jobs, machines, &mut quota(gpus), &Weights::default())
 }
 
 #[test]
 fn longest_estimate_goes_first_within_a_band() {
     let mut jobs = [pending(1, 8.0), pending(1, 8.0), pending(1, 8.0)];
-    jobs[1].estimate = 20.0;
-    jobs[2].band = 1;
-    jobs[2].estimate = 1.0;
+    jobs[1].estimated_run_s = 20.0;
+    jobs[2].priority_band = 1;
+    jobs[2].estimated_run_s = 1.0;
     let mut machines = [machine(8.0, 0), machine(8.0, 0)];
     let placed = run(&mut jobs, &mut machines, 100.0);
     let order: Vec<usize> = placed.iter().map(|p| p.job).collect();
@@ -72,9 +72,9 @@
     for (name, first, second, expected) in cases {
         let mut jobs = [pending(1, 8.0), pending(1, 8.0)];
         for (job, (band, waited_s, estimate)) in jobs.iter_mut().zip([first, second]) {
-            job.band = band;
+            job.priority_band = band;
             job.waited_s = waited_s;
-            job.estimate = estimate;
+            job.estimated_run_s = estimate;
         }
         let placed = run(&mut jobs, &mut [machine(8.0, 0)], 100.0);
         let placed: Vec<usize> = placed.iter().map(|p| p.job).collect();
@@ -87,7 +87,7 @@
     let mut jobs = [pending(5, 4.0)];
     let mut machines = [machine(8.0, 0), machine(8.0, 0)];
     assert_eq!(run(&mut jobs, &mut machines, 100.0).len(), 4);
-    assert!(machines.iter().all(|machine| machine.free.gpus == 0));
+    assert!(machines.iter().all(|machine| machine.free.milli_gpus == 0));
 }
 
 #[test]
@@ -100,7 +100,7 @@
             "one zone, with a task in another zone",
             |job| {
                 job.one_zone = true;
-                job.zones.insert(7, 1);
+                job.tasks_by_zone.insert(7, 1);
             },
             0,
         ),
@@ -109,11 +109,11 @@
             "spread, half of the tasks placed in one zone",
             |job| {
                 job.spread = true;
-                job.zones.insert(0, 2);
+                job.tasks_by_zone.insert(0, 2);
             },
             2,
         ),
-        ("required zone", |job| job.zone = Some(1), 2),
+        ("required zone", |job| job.required_zone = Some(1), 2),
     ];
     for (name, change, expected) in cases {
         let mut jobs = [pending(4, 4.0)];
@@ -146,14 +146,14 @@
     ];
     for (name, aged, limit, free, expected) in cases {
         let mut jobs = [pending(1, 8.0), pending(2, 2.0)];
-        jobs[0].band = 1;
+        jobs[0].priority_band = 1;
         jobs[0].reservation = if aged {
-            Reservation::Room
+            Reservation::Capacity
         } else {
             Reservation::None
         };
         let mut machines = [machine(8.0, 0)];
-        machines[0].free.gpus = (free * 1000.0) as i64;
+        machines[0].free.milli_gpus = (free * 1000.0) as i64;
         let mut quotas = quota(limit);
         quotas[0].used = Resources::new(0.0, limit.min(8.0), 0.0);
         let placed = run_round(&mut jobs, &mut machines, &mut quotas, &Weights::default());
@@ -173,24 +173,24 @@
     ];
     for (name, reserves_quota, limit, expected) in cases {
         let mut jobs = [pending(3, 4.0), pending(1, 4.0)];
-        jobs[0].gang = true;
-        jobs[0].band = 8;
+        jobs[0].is_gang = true;
+        jobs[0].priority_band = 8;
         jobs[0].reservation = if reserves_quota {
-            Reservation::RoomAndQuota
+            Reservation::CapacityAndQuota
         } else {
-            Reservation::Room
+            Reservation::Capacity
         };
-        jobs[0].types = Some(vec![0]);
+        jobs[0].allowed_types = Some(vec![0]);
         let mut other = machine(4.0, 0);
         other.machine_type = 1;
         let mut machines = [machine(8.0, 0), other];
         let mut quotas = quota(limit);
         let placed = run_round(&mut jobs, &mut machines, &mut quotas, &Weights::default());
         assert_eq!(placed.len(), expected, "{name}");
-        assert!(jobs[0].lacks_room, "{name}");
+        assert!(jobs[0].lacks_machines, "{name}");
         let used = 4_000 * expected as i64;
         assert_eq!(
-            quotas[0].used.gpus, used,
+            quotas[0].used.milli_gpus, used,
             "{name}: only what is placed is used"
         );
     }
@@ -207,7 +207,7 @@
     ];
     for (tasks, one_zone, limit, expected) in cases {
         let mut jobs = [pending(tasks, 4.0)];
-        jobs[0].gang = true;
+        jobs[0].is_gang = true;
         jobs[0].one_zone = one_zone;
         let mut machines = [machine(8.0, 0), machine(8.0, 1)];
         let placed = run(&mut jobs, &mut machines, limit);
@@ -216,7 +216,7 @@
             expected,
             "{tasks} tasks, one zone: {one_zone}"
         );
-        let free: i64 = machines.iter().map(|machine| machine.free.gpus).sum();
+        let free: i64 = machines.iter().map(|machine| machine.free.milli_gpus).sum();
         assert_eq!(free, 16_000 - 4_000 * expected as i64);
         if expected == 0 {
             assert!(machines.iter().all(|machine| machine.images.is_empty()));
@@ -229,12 +229,12 @@
     let mut jobs = [pending(4, 4.0)];
     assert_eq!(run(&mut jobs, &mut [machine(16.0, 0)], 9.0).len(), 2);
     let mut jobs = [pending(1, 4.0)];
-    jobs[0].spot = false;
+    jobs[0].allows_spot = false;
     let mut spot = machine(8.0, 0);
-    spot.spot = true;
+    spot.is_spot = true;
     assert!(run(&mut jobs, &mut [spot], 100.0).is_empty());
     let mut jobs = [pending(1, 4.0)];
-    jobs[0].types = Some(vec![3]);
+    jobs[0].allowed_types = Some(vec![3]);
     assert!(run(&mut jobs, &mut [machine(8.0, 0)], 100.0).is_empty());
 }
 
@@ -245,12 +245,12 @@
     let cases = [("uses GPUs", 2.0, 0), ("uses none", 0.0, 1)];
     for (name, gpus, expected) in cases {
         let mut jobs = [pending(1, 8.0), pending(1, gpus)];
-        jobs[0].band = 1;
-        jobs[0].reservation = Reservation::Room;
-        jobs[1].task.cpus = 1_000;
+        jobs[0].priority_band = 1;
+        jobs[0].reservation = Reservation::Capacity;
+        jobs[1].task_resources.milli_cpus = 1_000;
         let mut machines = [machine(8.0, 0)];
-        machines[0].total.cpus = 8_000;
-        machines[0].free.cpus = 8_000;
+        machines[0].total.milli_cpus = 8_000;
+        machines[0].free.milli_cpus = 8_000;
         let mut quotas = quota(11.0);
         quotas[0].used = Resources::new(0.0, 8.0, 0.0);
         let placed = run_round(&mut jobs, &mut machines, &mut quotas, &Weights::default());
@@ -264,12 +264,12 @@
 fn excluded_machine_is_not_held_for_the_job() {
     for (is_excluded, expected) in [(false, 0), (true, 1)] {
         let mut jobs = [pending(1, 8.0), pending(1, 2.0)];
-        jobs[0].band = 1;
-        jobs[0].reservation = Reservation::Room;
+        jobs[0].priority_band = 1;
+        jobs[0].reservation = Reservation::Capacity;
         let mut machines = [machine(8.0, 0)];
-        machines[0].free.gpus -= 1_000;
+        machines[0].free.milli_gpus -= 1_000;
         if is_excluded {
-            jobs[0].avoid.insert(0);
+            jobs[0].excluded_machines.insert(0);
         }
         let placed = run(&mut jobs, &mut machines, 100.0);
         assert_eq!(placed.len(), expected, "excluded: {is_excluded}");
--- a/crates/sched/src/score.rs
+++ b/crates/sched/src/score.rs
@@ -40,9 +40,9 @@
 /// is left out of the mean.
 fn fit(task: &Resources, free: &Resources) -> f64 {
     let used_and_free = [
-        (task.cpus, free.cpus),
-        (task.gpus, free.gpus),
-        (task.memory, free.memory),
+        (task.milli_cpus, free.milli_cpus),
+        (task.milli_gpus, free.milli_gpus),
+        (task.memory_mb, free.memory_mb),
     ];
     let (mut sum, mut count) = (0.0, 0);
     for (used, free) in used_and_free {
--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -10,7 +10,7 @@
 mod tasks;
 mod usage;
 
-pub use observations::{Observations, StartSeen};
+pub use observations::{FirstStart, Observations};
 use usage::Usage;
 
 use crate::Ms;
@@ -123,7 +123,7 @@
     /// Tasks that failed: when, which, and on which machine.
     pub failures: Vec<(Ms, TaskRef, MachineId)>,
     /// Violated rules, with when and how.
-    pub broken: Vec<(Rule, Ms, String)>,
+    pub violations: Vec<(Rule, Ms, String)>,
 }
 
 impl Checker {
@@ -137,7 +137,7 @@
     }
 
     fn record_violation(&mut self, rule: Rule, now: Ms, what: String) {
-        self.broken.push((rule, now, what));
+        self.violations.push((rule, now, what));
     }
 
     /// Limits on the CPUs and GPUs of a team; 0: no limit.
--- a/crates/testkit/src/checker/observations.rs
+++ b/crates/testkit/src/checker/observations.rs
@@ -8,18 +8,18 @@
 
 /// The first start of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StartSeen {
+pub struct FirstStart {
     /// Priority of its job.
     pub priority: Priority,
     /// Time since the first request about its job, in milliseconds.
-    pub after: Ms,
+    pub after_ms: Ms,
 }
 
 /// Measurements that have not been taken yet.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// First starts of tasks.
-    pub starts: Vec<StartSeen>,
+    pub starts: Vec<FirstStart>,
     /// Times from the first attempt to submit until the acceptance, in
     /// milliseconds.
     pub acceptances: Vec<Ms>,
@@ -34,7 +34,7 @@
     }
 
     /// Takes the measurements since the last call: first starts, and times until acceptances.
-    pub fn take_observations(&mut self) -> (Vec<StartSeen>, Vec<Ms>) {
+    pub fn take_observations(&mut self) -> (Vec<FirstStart>, Vec<Ms>) {
         let Some(observations) = &mut self.observations else {
             return Default::default();
         };
@@ -57,7 +57,10 @@
         let started = observations.started.entry(task.job.clone()).or_default();
         if started.insert(task.index) {
             let after = now.saturating_sub(requested_at);
-            observations.starts.push(StartSeen { priority, after });
+            observations.starts.push(FirstStart {
+                priority,
+                after_ms: after,
+            });
         }
     }
 }
--- a/crates/testkit/src/checker/tasks.rs
+++ b/crates/testkit/src/checker/tasks.rs
@@ -50,12 +50,12 @@
             .collect();
         let in_same_zone = others.iter().filter(|other| other.zone == place.zone);
         let in_same_zone = in_same_zone.count() as u32;
-        let types = spec.types.as_ref();
+        let types = spec.machine_types.as_ref();
         let is_wrong = types.is_some_and(|types| !types.contains(&place.machine_type))
             || spec.zone.as_ref().is_some_and(|zone| *zone != place.zone)
-            || (place.spot && !spec.spot)
-            || (spec.one_zone && in_same_zone < others.len() as u32)
-            || (spec.spread && in_same_zone + 1 > spec.tasks.div_ceil(2));
+            || (place.spot && !spec.allow_spot)
+            || (spec.require_same_zone && in_same_zone < others.len() as u32)
+            || (spec.spread_over_zones && in_same_zone + 1 > spec.tasks.div_ceil(2));
         if is_wrong {
             self.record_violation(Rule::WrongPlace, now, format!("{task} on {place:?}"));
         }
--- a/crates/testkit/src/checker/tests.rs
+++ b/crates/testkit/src/checker/tests.rs
@@ -1,7 +1,7 @@
 //! Each rule is checked with a trace that violates it.
 
 use super::*;
-use crate::simulation::Plan;
+use crate::simulation::JobPlan;
 use forkshift_wire::users::JobKind;
 
 fn spec(id: &str, tasks: u32) -> JobSpec {
@@ -10,8 +10,8 @@
         team: "t".into(),
         cpus: 1.0,
         gpus: 2.0,
-        types: Some(vec!["g".into()]),
-        ..Plan::plain(0, 0, JobKind::Array, tasks, 1_000).spec
+        machine_types: Some(vec!["g".into()]),
+        ..JobPlan::plain(0, 0, JobKind::Array, tasks, 1_000).spec
     }
 }
 
@@ -83,12 +83,12 @@
             );
         }),
         (Rule::WrongPlace, |checker, id, violates| {
-            checker.jobs.get_mut(id).unwrap().one_zone = true;
+            checker.jobs.get_mut(id).unwrap().require_same_zone = true;
             checker.on_task_started(1, &task(0), place("m1", "a"));
             checker.on_task_started(1, &task(1), place("m2", if violates { "b" } else { "a" }));
         }),
         (Rule::WrongPlace, |checker, id, violates| {
-            checker.jobs.get_mut(id).unwrap().spread = true;
+            checker.jobs.get_mut(id).unwrap().spread_over_zones = true;
             checker.on_task_started(1, &task(0), place("m1", "a"));
             checker.on_task_started(1, &task(1), place("m2", "a"));
             if violates {
@@ -294,7 +294,7 @@
             let spec = spec("j-1", 4);
             checker.on_submitted(&spec);
             trace(&mut checker, &spec.id, violates);
-            let rules: Vec<Rule> = checker.broken.iter().map(|b| b.0).collect();
+            let rules: Vec<Rule> = checker.violations.iter().map(|b| b.0).collect();
             assert_eq!(
                 rules,
                 vec![rule; usize::from(violates)],
@@ -316,5 +316,5 @@
     checker.on_immediate_response(5, &spec.id, false, 200, Some(JobStage::Cancelled));
     checker.on_task_started(25, &task(1), place("m1", "a"));
     assert_eq!(checker.starts_after_cancel, vec![(25, 20, task(1))]);
-    assert_eq!(checker.broken, vec![]);
+    assert_eq!(checker.violations, vec![]);
 }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::Fleet;
 use crate::Ms;
-use forkshift_wire::cloud::{Catalog, Machines, Rent, LIST_MOST};
+use forkshift_wire::cloud::{Catalog, MachineIds, ProvisionRequest, MAX_LIST_PAGE_SIZE};
 use forkshift_wire::MachineId;
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -32,7 +32,7 @@
 }
 
 impl Instance {
-    fn is_like(&self, request: &Rent) -> bool {
+    fn is_like(&self, request: &ProvisionRequest) -> bool {
         self.machine_type == request.machine_type
             && self.zone == request.zone
             && self.spot == request.spot
@@ -133,17 +133,19 @@
                 (200, json!(Catalog { types }))
             }
             "/machines/delete" => self.delete(body),
-            "/machines" if !body.is_empty() => match serde_json::from_slice::<Rent>(body) {
-                Ok(request) => self.provision(now, request, rng),
-                Err(e) => (400, json!({"error": e.to_string()})),
-            },
+            "/machines" if !body.is_empty() => {
+                match serde_json::from_slice::<ProvisionRequest>(body) {
+                    Ok(request) => self.provision(now, request, rng),
+                    Err(e) => (400, json!({"error": e.to_string()})),
+                }
+            }
             "/machines" => self.list(now, query, rng),
             _ => (400, json!({})),
         }
     }
 
     fn delete(&mut self, body: &[u8]) -> (u16, Value) {
-        let names: Machines = serde_json::from_slice(body).unwrap_or_default();
+        let names: MachineIds = serde_json::from_slice(body).unwrap_or_default();
         for id in names.machines {
             self.terminate(&id);
         }
@@ -160,7 +162,7 @@
         let after = after.unwrap_or_default();
         let machines = snapshot.map(|(_, machines)| machines).into_iter().flatten();
         let mut rest = machines.filter(|(id, _)| id.as_str() > after);
-        let page = rest.by_ref().take(LIST_MOST as usize);
+        let page = rest.by_ref().take(MAX_LIST_PAGE_SIZE as usize);
         let page: Vec<&Value> = page.map(|(_, machine)| machine).collect();
         let has_next = rest.next().is_some();
         (200, json!({"berths": page, "has_next": has_next}))
@@ -193,8 +195,8 @@
 
     /// Provisions as many of the requested machines as there are. A repeated request gets
     /// the machines of the first.
-    fn provision(&mut self, now: Ms, request: Rent, rng: &mut StdRng) -> (u16, Value) {
-        if let Some(known) = self.provisioned_by_request.get(&request.request) {
+    fn provision(&mut self, now: Ms, request: ProvisionRequest, rng: &mut StdRng) -> (u16, Value) {
+        if let Some(known) = self.provisioned_by_request.get(&request.request_name) {
             return (200, json!({"berths": known}));
         }
         let machines = self.machines.values();
@@ -214,11 +216,11 @@
             count,
         });
         self.provisioned_by_request
-            .insert(request.request, ids.clone());
+            .insert(request.request_name, ids.clone());
         (200, json!({"berths": ids}))
     }
 
-    fn add_instance(&mut self, now: Ms, request: &Rent, rng: &mut StdRng) -> MachineId {
+    fn add_instance(&mut self, now: Ms, request: &ProvisionRequest, rng: &mut StdRng) -> MachineId {
         self.last_instance_number += 1;
         let id = MachineId::new(&format!("host-{:06}", self.last_instance_number));
         let boot_ms = self.random_boot_ms(now, request, rng);
@@ -242,7 +244,7 @@
     }
 
     /// How many machines of the requested kind there are in all.
-    fn capacity_of(&self, request: &Rent) -> u32 {
+    fn capacity_of(&self, request: &ProvisionRequest) -> u32 {
         let key = (
             request.machine_type.clone(),
             request.zone.clone(),
--- a/crates/testkit/src/cloud/boots.rs
+++ b/crates/testkit/src/cloud/boots.rs
@@ -3,7 +3,7 @@
 use super::CloudModel;
 use crate::fleet::{BootModel, BOOT_MS};
 use crate::Ms;
-use forkshift_wire::cloud::Rent;
+use forkshift_wire::cloud::ProvisionRequest;
 use rand::rngs::StdRng;
 use rand::Rng;
 
@@ -33,7 +33,7 @@
 }
 
 impl SlowBoots {
-    fn applies_to(&self, request: &Rent) -> bool {
+    fn applies_to(&self, request: &ProvisionRequest) -> bool {
         self.machine_type
             .is_none_or(|machine_type| machine_type == request.machine_type)
             && self.zone.is_none_or(|zone| zone == request.zone)
@@ -47,7 +47,12 @@
 
 impl CloudModel {
     /// Draws how long a new machine takes until it is up.
-    pub(super) fn random_boot_ms(&self, now: Ms, request: &Rent, rng: &mut StdRng) -> Ms {
+    pub(super) fn random_boot_ms(
+        &self,
+        now: Ms,
+        request: &ProvisionRequest,
+        rng: &mut StdRng,
+    ) -> Ms {
         let mut boot_ms = self.random_normal_boot_ms(&request.machine_type, rng);
         if self.fast_boots_until > now {
             boot_ms = rng.random_range(200..2_000);
@@ -68,8 +73,10 @@
                 2 => BOOT_MS * 4,
                 _ => around(BOOT_MS, rng),
             },
-            BootModel::Usual { fails } if rng.random_bool(fails) => NEVER_MS,
-            BootModel::Usual { .. } => {
+            BootModel::Normal {
+                failure_probability: fails,
+            } if rng.random_bool(fails) => NEVER_MS,
+            BootModel::Normal { .. } => {
                 let of_type = self.fleet.machine_type(machine_type);
                 let boot_s = of_type.map_or(0.0, |machine_type| machine_type.boot_s);
                 around((boot_s * 1000.0).max(MIN_BOOT_MS) as Ms, rng)
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -3,8 +3,8 @@
 //! The order of draws may not change: a seed stands for the same day in every build.
 
 use crate::{
-    random_early_faults, random_faults, random_pairs, random_upgrade, Fault, Ms, NextLimits, Plan,
-    Size, World,
+    random_early_faults, random_faults, random_pairs, random_upgrade, Fault, JobPlan, Ms,
+    NextLimits, Simulation, Size,
 };
 use forkshift_wire::users::JobKind;
 use forkshift_wire::JobId;
@@ -59,7 +59,7 @@
 /// A random day.
 pub struct Day {
     /// The simulation at the beginning of the day.
-    pub simulation: World,
+    pub simulation: Simulation,
     /// All faults of the day.
     pub faults: Vec<Fault>,
     /// The end of the day.
@@ -78,7 +78,7 @@
             false => DAY_END,
         };
         Self {
-            simulation: World::with_size(seed, plans, faults.clone(), size),
+            simulation: Simulation::with_size(seed, plans, faults.clone(), size),
             faults,
             end,
         }
@@ -98,13 +98,13 @@
     }
 }
 
-fn random_plans(rng: &mut StdRng, schedule: FaultSchedule) -> Vec<Plan> {
-    let mut plans: Vec<Plan> = (0..JOBS)
+fn random_plans(rng: &mut StdRng, schedule: FaultSchedule) -> Vec<JobPlan> {
+    let mut plans: Vec<JobPlan> = (0..JOBS)
         .map(|number| {
             let at = rng.random_range(FIRST_JOB_AT..LAST_JOB_AT);
             match schedule.has_pairs() {
-                true => Plan::long(rng, number, at),
-                false => Plan::random(rng, number, at),
+                true => JobPlan::long(rng, number, at),
+                false => JobPlan::random(rng, number, at),
             }
         })
         .collect();
@@ -115,15 +115,15 @@
     plans
 }
 
-fn add_large_arrays(rng: &mut StdRng, plans: &mut Vec<Plan>) {
+fn add_large_arrays(rng: &mut StdRng, plans: &mut Vec<JobPlan>) {
     let first = JOBS + PIPELINES * MAX_PIPELINE_JOBS;
     for index in 0..LARGE_ARRAYS {
         let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
-        plans.push(Plan::large_array(rng, first + index, at));
+        plans.push(JobPlan::large_array(rng, first + index, at));
     }
 }
 
-fn add_pipelines(rng: &mut StdRng, plans: &mut Vec<Plan>) {
+fn add_pipelines(rng: &mut StdRng, plans: &mut Vec<JobPlan>) {
     // Services never end, so no job depends on one.
     let specs = plans.iter().map(|plan| &plan.spec);
     let others = specs.filter(|spec| spec.kind != JobKind::Service);
@@ -131,7 +131,7 @@
     for index in 0..PIPELINES {
         let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
         let first = JOBS + index * MAX_PIPELINE_JOBS;
-        plans.extend(Plan::pipeline(rng, first, at, &others));
+        plans.extend(JobPlan::pipeline(rng, first, at, &others));
     }
 }
 
@@ -145,7 +145,7 @@
         FaultSchedule::Pairs => random_pairs(rng, from, to, pairs, JOBS),
         FaultSchedule::Upgrade => {
             let upgrade_at = rng.random_range(from..to / 2);
-            let mut faults = random_upgrade(rng, upgrade_at, Size::default().nodes);
+            let mut faults = random_upgrade(rng, upgrade_at, Size::default().controllers);
             faults.extend(random_pairs(rng, from, LAST_LATE_FAULT_AT, pairs, JOBS));
             faults
         }
--- a/crates/testkit/src/fault_schedule/combinations.rs
+++ b/crates/testkit/src/fault_schedule/combinations.rs
@@ -1,7 +1,7 @@
 //! Combinations of faults that once violated a rule, or are close to such ones.
 
 use super::random_job;
-use crate::faults::{ControllerSelector, Fault, FaultKind, MachineFault, Which};
+use crate::faults::{ControllerSelector, Fault, FaultKind, MachineFault, MachineSelector};
 use crate::Ms;
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -111,13 +111,13 @@
 
     /// The controller is partitioned from the store.
     fn store_partition(&self) -> FaultKind {
-        self.at_controller(FaultKind::Cut {
+        self.at_controller(FaultKind::ServicePartition {
             node: SELECTED,
-            state: true,
+            store: true,
             workers: false,
             cloud: false,
             time: self.long,
-            hold: false,
+            holds_messages: false,
         })
     }
 
@@ -127,13 +127,13 @@
             node: SELECTED,
             peers: None,
             time: self.long,
-            hold: self.hold,
+            holds_messages: self.hold,
         })
     }
 
     /// A fault of the machines of the controller's shards.
     fn machines(&self, fault: MachineFault) -> FaultKind {
-        FaultKind::Machines(Which::HeldBy(self.controller.clone()), fault)
+        FaultKind::Machines(MachineSelector::HeldBy(self.controller.clone()), fault)
     }
 
     /// The controller is locked out of the store alone, then comes an outage that is longer
@@ -234,7 +234,7 @@
         let command_partition = |node| FaultKind::CommandPartition {
             node,
             time: self.long,
-            hold: self.hold,
+            holds_messages: self.hold,
         };
         vec![
             (self.at, self.lockout()),
--- a/crates/testkit/src/fault_schedule/single.rs
+++ b/crates/testkit/src/fault_schedule/single.rs
@@ -1,7 +1,7 @@
 //! Single faults drawn at random.
 
 use super::{random_controller, random_job, KINDS};
-use crate::faults::{FaultKind, MachineFault, Which, ZONES};
+use crate::faults::{FaultKind, MachineFault, MachineSelector, ZONES};
 use crate::Ms;
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -37,7 +37,7 @@
         16 => FaultKind::ZonePartition {
             zone: random_zone(rng),
             time,
-            hold: rng.random(),
+            holds_messages: rng.random(),
         },
         17 => FaultKind::SlowStore(time),
         18 => FaultKind::LateWrites(time),
@@ -89,21 +89,25 @@
     match kind {
         2 => random_crash(rng, node, &LONG_DOWNTIMES_MS),
         3 | 4 => FaultKind::StoreLockout { node, time },
-        7 => FaultKind::Cut {
+        7 => FaultKind::ServicePartition {
             node,
-            state: true,
+            store: true,
             workers: false,
             cloud: rng.random(),
             time: rng.random_range(2_000..50_000),
-            hold,
+            holds_messages: hold,
         },
         8 => FaultKind::PeerPartition {
             node,
             peers: rng.random::<bool>().then(|| vec![rng.random_range(0..3)]),
             time,
-            hold,
+            holds_messages: hold,
+        },
+        9 => FaultKind::CommandPartition {
+            node,
+            time,
+            holds_messages: hold,
         },
-        9 => FaultKind::CommandPartition { node, time, hold },
         _ => FaultKind::Pause { node, time },
     }
 }
@@ -123,13 +127,13 @@
     [state, workers, cloud]: [bool; 3],
     time: Ms,
 ) -> FaultKind {
-    FaultKind::Cut {
+    FaultKind::ServicePartition {
         node,
-        state,
+        store: state,
         workers,
         cloud,
         time,
-        hold: rng.random(),
+        holds_messages: rng.random(),
     }
 }
 
@@ -140,10 +144,10 @@
 fn random_machine_fault(rng: &mut StdRng, jobs: u32) -> FaultKind {
     let time = rng.random_range(2_000..30_000);
     let which = match rng.random_range(0..4) {
-        0 => Which::RunningJob(random_job(rng, jobs)),
-        1 => Which::HeldBy(random_controller(rng, jobs)),
-        2 => Which::InZone(random_zone(rng)),
-        _ => Which::Some(rng.random_range(1..5)),
+        0 => MachineSelector::RunningJob(random_job(rng, jobs)),
+        1 => MachineSelector::HeldBy(random_controller(rng, jobs)),
+        2 => MachineSelector::InZone(random_zone(rng)),
+        _ => MachineSelector::Random(rng.random_range(1..5)),
     };
     let fault = match rng.random_range(0..6) {
         0 => MachineFault::Hang(time),
@@ -151,7 +155,7 @@
         2 => MachineFault::InboundLoss(time),
         3 => MachineFault::OutboundLoss(time),
         4 => MachineFault::SlowLink(time),
-        _ => MachineFault::Die,
+        _ => MachineFault::Crash,
     };
     FaultKind::Machines(which, fault)
 }
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -22,7 +22,7 @@
 
 /// Machines, selected by their state as the fault begins.
 #[derive(Clone, Debug)]
-pub enum Which {
+pub enum MachineSelector {
     /// Those with a task of a job that has not exited.
     RunningJob(JobId),
     /// Those of the shards that a controller holds.
@@ -32,18 +32,18 @@
     /// Those of these names.
     Named(Vec<MachineId>),
     /// A number of machines, drawn at random.
-    Some(usize),
+    Random(usize),
     /// All that are up.
     All,
 }
 
 /// A direction of the link between a controller and machines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Direction {
+pub enum LinkDirection {
     /// Heartbeats from machines to the controller.
-    Reports,
+    Heartbeats,
     /// Calls from the controller to machines.
-    Calls,
+    Commands,
     /// Both.
     Both,
 }
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum MachineFault {
     /// It stops with everything on it.
-    Die,
+    Crash,
     /// It hangs, and resumes.
     Hang(Ms),
     /// It is partitioned from everything; messages are delivered afterwards.
@@ -100,11 +100,11 @@
     /// The announced limits of the store come into force.
     LowerLimits,
     /// A controller is partitioned from some services.
-    Cut {
+    ServicePartition {
         /// Index of the controller.
         node: usize,
         /// From the store.
-        state: bool,
+        store: bool,
         /// From the workers.
         workers: bool,
         /// From the cloud.
@@ -112,7 +112,7 @@
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
-        hold: bool,
+        holds_messages: bool,
     },
     /// A zone is partitioned from everything outside of it.
     ZonePartition {
@@ -121,7 +121,7 @@
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
-        hold: bool,
+        holds_messages: bool,
     },
     /// The store refuses the requests of a controller.
     StoreRefusal {
@@ -169,7 +169,7 @@
     /// A fault of a selected controller. It waits until there is one.
     At(ControllerSelector, Box<FaultKind>),
     /// A fault of selected machines.
-    Machines(Which, MachineFault),
+    Machines(MachineSelector, MachineFault),
     /// The store refuses the requests of a controller, and its open watches get no response
     /// meanwhile.
     StoreLockout {
@@ -187,7 +187,7 @@
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
-        hold: bool,
+        holds_messages: bool,
     },
     /// A controller's commands do not reach workers, whose heartbeats still arrive and are
     /// answered.
@@ -197,21 +197,21 @@
         /// Duration.
         time: Ms,
         /// Whether commands are delivered afterwards; else they are lost.
-        hold: bool,
+        holds_messages: bool,
     },
     /// A controller and some machines are partitioned from each other; each still reaches all
     /// others.
-    LinkCut {
+    LinkPartition {
         /// Index of the controller.
         node: usize,
         /// The machines, selected as the fault begins.
-        machines: Which,
+        machines: MachineSelector,
         /// Direction in which messages are lost.
-        lost: Direction,
+        direction: LinkDirection,
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
-        hold: bool,
+        holds_messages: bool,
     },
     /// A controller is paused, and resumes.
     Pause {
@@ -292,14 +292,14 @@
             | Self::Upgrade { restart_after, .. }
             | Self::Downgrade { restart_after, .. } => *restart_after,
             Self::LowerLimits => 0,
-            Self::Cut { time, .. }
+            Self::ServicePartition { time, .. }
             | Self::ZonePartition { time, .. }
             | Self::StoreRefusal { time, .. }
             | Self::SlowTimers { time, .. }
             | Self::StoreLockout { time, .. }
             | Self::PeerPartition { time, .. }
             | Self::CommandPartition { time, .. }
-            | Self::LinkCut { time, .. }
+            | Self::LinkPartition { time, .. }
             | Self::Pause { time, .. }
             | Self::SlowBoots { time, .. }
             | Self::CancelCompletingJobs { time, .. } => *time,
@@ -325,7 +325,7 @@
             Self::CancelRunningJobs { hang_ms, .. } => *hang_ms,
             Self::At(_, kind) => kind.duration(lease_ms),
             Self::Machines(_, fault) => match fault {
-                MachineFault::Die | MachineFault::EvictImages => 0,
+                MachineFault::Crash | MachineFault::EvictImages => 0,
                 MachineFault::SlowLink(time) => time + 8_000,
                 MachineFault::Hang(time)
                 | MachineFault::Partition(time)
@@ -343,13 +343,13 @@
             Self::Crash { node, .. }
             | Self::Upgrade { node, .. }
             | Self::Downgrade { node, .. }
-            | Self::Cut { node, .. }
+            | Self::ServicePartition { node, .. }
             | Self::StoreRefusal { node, .. }
             | Self::SlowTimers { node, .. }
             | Self::StoreLockout { node, .. }
             | Self::PeerPartition { node, .. }
             | Self::CommandPartition { node, .. }
-            | Self::LinkCut { node, .. }
+            | Self::LinkPartition { node, .. }
             | Self::Pause { node, .. } => *node = n,
             _ => {}
         }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -14,9 +14,9 @@
     /// One in twenty never comes up, one comes up late, and one at once.
     Adverse,
     /// Around the boot time of the type, except for machines that never come up.
-    Usual {
+    Normal {
         /// Probability that a machine never comes up, from 0 to 1.
-        fails: f64,
+        failure_probability: f64,
     },
 }
 
@@ -48,8 +48,8 @@
                 memory_gb,
                 cache_gb,
                 fetch_gb_per_s: rate,
-                price,
-                spot_price: Some(spot_price),
+                price_per_hour: price,
+                spot_price_per_hour: Some(spot_price),
                 boot_s: BOOT_MS as f64 / 1000.0,
                 zones: ["a", "b", "c"].map(str::to_owned).to_vec(),
             }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -14,15 +14,17 @@
 mod store;
 mod worker;
 
-pub use checker::{Checker, Quiescence, Rule, StartSeen};
+pub use checker::{Checker, FirstStart, Quiescence, Rule};
 pub use cloud::{Boot, Provisioned, SlowBoots};
 pub use day::{Day, FaultSchedule};
 pub use fault_schedule::{random_early_faults, random_faults, random_pairs, random_upgrade};
-pub use faults::{ControllerSelector, Direction, Fault, FaultKind, MachineFault, Which};
+pub use faults::{
+    ControllerSelector, Fault, FaultKind, LinkDirection, MachineFault, MachineSelector,
+};
 pub use fleet::{BootModel, CapacityKey, Fleet};
 pub use simulation::{
-    job_id, settings, Answer, Deployment, JobCounts, JobDefect, MachineChange, NextLimits,
-    Outgoing, Plan, Requester, Service, Size, World,
+    job_id, settings, CallResponse, ControllerRequest, Deployment, JobCounts, JobDefect, JobPlan,
+    MachineChange, NextLimits, Requester, Service, Simulation, Size,
 };
 
 /// Milliseconds of virtual time.
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays random days with fresh seeds and prints which violated a rule.
 
 use clap::{Parser, ValueEnum};
-use forkshift_testkit::{Day, FaultSchedule, Ms, World};
+use forkshift_testkit::{Day, FaultSchedule, Ms, Simulation};
 use forkshift_wire::JobId;
 use rand::Rng;
 use std::process::ExitCode;
@@ -60,7 +60,7 @@
 const MAX_PRINTED: usize = 5;
 
 /// Prints the jobs that are to be described.
-fn describe_jobs(args: &Args, simulation: &World) {
+fn describe_jobs(args: &Args, simulation: &Simulation) {
     for id in &args.describe {
         let text = simulation.describe(&JobId::new(id));
         println!("  at {}: {text}", simulation.now());
@@ -70,7 +70,7 @@
 /// Runs a day until its end or until a rule is violated.
 fn run_until_violation(args: &Args, day: &mut Day) {
     let simulation = &mut day.simulation;
-    while simulation.now() < day.end && simulation.check.broken.is_empty() {
+    while simulation.now() < day.end && simulation.checker.violations.is_empty() {
         simulation.run_until(simulation.now() + LOOK_INTERVAL_MS);
         let is_due = |seconds: u64| simulation.now().is_multiple_of(seconds * 1_000);
         if args.every.is_some_and(is_due) {
@@ -91,14 +91,14 @@
     println!(
         "seed {seed}: {} starts, {} writes, {} rules broken, {} unserved, \
          {} starts after a cancellation, digest {:016x}",
-        simulation.check.starts,
+        simulation.checker.starts,
         simulation.writes(),
-        simulation.check.broken.len(),
+        simulation.checker.violations.len(),
         unfinished.len(),
-        simulation.check.starts_after_cancel.len(),
+        simulation.checker.starts_after_cancel.len(),
         simulation.digest()
     );
-    let is_good = simulation.check.broken.is_empty() && unfinished.is_empty();
+    let is_good = simulation.checker.violations.is_empty() && unfinished.is_empty();
     if !is_good {
         print_bad_day(&day, &unfinished);
     }
@@ -108,7 +108,7 @@
 fn print_bad_day(day: &Day, unfinished: &[String]) {
     println!("  faults: {:?}", day.faults);
     println!("  as they came: {:?}", day.simulation.injected_faults());
-    for violation in day.simulation.check.broken.iter().take(MAX_PRINTED) {
+    for violation in day.simulation.checker.violations.iter().take(MAX_PRINTED) {
         println!("  {violation:?}");
     }
     for line in unfinished.iter().take(MAX_PRINTED) {
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -26,8 +26,8 @@
 pub use build::Deployment;
 pub use observe::JobCounts;
 pub(crate) use plan::random_job_id;
-pub use plan::{job_id, JobDefect, Plan};
-pub use remote::{Answer, MachineChange, Outgoing, Requester, Service};
+pub use plan::{job_id, JobDefect, JobPlan};
+pub use remote::{CallResponse, ControllerRequest, MachineChange, Requester, Service};
 pub use size::{settings, NextLimits, Size};
 
 use crate::checker::{Checker, Quiescence};
@@ -60,7 +60,7 @@
 const WALL_CLOCK_OFFSET_MS: Ms = 1_000_000;
 
 /// A simulated deployment: controllers, store, cloud, workers, users and faults.
-pub struct World {
+pub struct Simulation {
     size: Size,
     now: Ms,
     previous_step_at: Ms,
@@ -82,10 +82,10 @@
     /// Queues to and from controllers that run as processes of their own.
     remote: Option<RemoteQueues>,
     /// Checks the protocol's rules against what truly happens.
-    pub check: Checker,
+    pub checker: Checker,
 }
 
-impl World {
+impl Simulation {
     /// Runs until a time.
     pub fn run_until(&mut self, end: Ms) {
         while self.now < end {
@@ -153,17 +153,17 @@
             Some(since) => Quiescence::Since(since),
             None => Quiescence::NotYet,
         };
-        self.check.set_quiescence(quiescence);
+        self.checker.set_quiescence(quiescence);
         let workers = self.workers.by_id.values();
         let expired = workers
             .filter(|worker| worker.is_hung_without_lease(self.now, self.size.lease_ms))
             .map(|worker| worker.id.clone())
             .collect();
-        self.check.tick(self.now, &expired);
+        self.checker.tick(self.now, &expired);
     }
 
     /// Injects a fault now.
-    pub fn fault_now(&mut self, kind: FaultKind) {
+    pub fn inject_fault(&mut self, kind: FaultKind) {
         self.inject(kind);
     }
 
@@ -175,6 +175,6 @@
 
     /// Runs the checks that need the whole simulation, at its end.
     pub fn finish(&mut self) {
-        self.check.finish(self.now);
+        self.checker.finish(self.now);
     }
 }
--- a/crates/testkit/src/simulation/build.rs
+++ b/crates/testkit/src/simulation/build.rs
@@ -10,7 +10,7 @@
 use super::unusual_requests::{RequestFaults, UnusualRequests};
 use super::users::User;
 use super::workers::WorkerFleet;
-use super::{Plan, Size, World};
+use super::{JobPlan, Simulation, Size};
 use crate::checker::Checker;
 use crate::cloud::CloudModel;
 use crate::faults::Fault;
@@ -41,26 +41,26 @@
     /// Limits on the CPUs and GPUs of each team; 0: no limit.
     pub team_limits: BTreeMap<String, (f64, f64)>,
     /// Largest value that the store accepts, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Most writes in one of the store's transactions.
-    pub txn_ops: usize,
+    pub max_transaction_writes: usize,
 }
 
-impl World {
+impl Simulation {
     /// A simulation with three controllers that are about to start.
-    pub fn new(seed: u64, plans: Vec<Plan>, faults: Vec<Fault>) -> Self {
+    pub fn new(seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>) -> Self {
         Self::with_size(seed, plans, faults, Size::default())
     }
 
     /// A simulation of any size.
-    pub fn with_size(seed: u64, plans: Vec<Plan>, faults: Vec<Fault>, size: Size) -> Self {
+    pub fn with_size(seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, size: Size) -> Self {
         Self::with_pools(seed, plans, faults, size, Vec::new())
     }
 
     /// A simulation whose controllers declare warm pools, each its own.
     pub fn with_pools(
         seed: u64,
-        plans: Vec<Plan>,
+        plans: Vec<JobPlan>,
         faults: Vec<Fault>,
         size: Size,
         pools: Vec<Vec<PoolSpec>>,
@@ -79,7 +79,7 @@
         for (controller, pools) in simulation.controllers.iter_mut().zip(pools) {
             controller.pools = pools;
         }
-        for index in 0..size.nodes {
+        for index in 0..size.controllers {
             simulation.start_controller(index);
         }
         simulation
@@ -89,7 +89,7 @@
     /// [`World::advance_to`]. The store refuses requests beyond its limits.
     pub fn remote(
         seed: u64,
-        plans: Vec<Plan>,
+        plans: Vec<JobPlan>,
         faults: Vec<Fault>,
         size: Size,
         deployment: Deployment,
@@ -98,8 +98,8 @@
             fleet: deployment.fleet,
             team_limits: deployment.team_limits,
             size_limits: SizeLimits {
-                value_bytes: deployment.value_bytes,
-                txn_ops: deployment.txn_ops,
+                value_bytes: deployment.max_value_bytes,
+                txn_ops: deployment.max_transaction_writes,
             },
             behavior: StoreBehavior {
                 max_page_items: MAX_LIST_ITEMS,
@@ -108,20 +108,20 @@
         };
         let mut simulation = Self::without_controllers(seed, plans, faults, size, services);
         simulation.remote = Some(RemoteQueues::default());
-        simulation.check.observe();
+        simulation.checker.observe();
         simulation
     }
 
     fn without_controllers(
         seed: u64,
-        plans: Vec<Plan>,
+        plans: Vec<JobPlan>,
         faults: Vec<Fault>,
         size: Size,
         services: Services,
     ) -> Self {
         let store = StoreModel::new(
-            size.rps,
-            size.write_rps,
+            size.store_rps,
+            size.store_write_rps,
             services.size_limits,
             services.behavior,
         );
@@ -130,7 +130,7 @@
             previous_step_at: 0,
             rng: StdRng::seed_from_u64(seed),
             events: EventQueue::default(),
-            controllers: (0..size.nodes)
+            controllers: (0..size.controllers)
                 .map(|_| Controller::new(size.begins_old))
                 .collect(),
             controller_starts: 0,
@@ -146,7 +146,7 @@
             unusual_requests: UnusualRequests::default(),
             traffic: Traffic::default(),
             remote: None,
-            check: Checker::new(services.team_limits, size.cancel_ms),
+            checker: Checker::new(services.team_limits, size.cancel_ms),
         }
     }
 }
--- a/crates/testkit/src/simulation/controllers.rs
+++ b/crates/testkit/src/simulation/controllers.rs
@@ -4,7 +4,7 @@
 use super::network::{Destination, Message, Origin};
 use super::partitions::ControllerFaults;
 use super::size::settings;
-use super::{World, WALL_CLOCK_OFFSET_MS};
+use super::{Simulation, WALL_CLOCK_OFFSET_MS};
 use crate::Ms;
 use forkshift_core::{
     Config, Effect, FormatVersion, Input, Node, Operator, Reply, RequestId, Target,
@@ -148,7 +148,7 @@
     peer_messages: Vec<(String, Vec<u8>)>,
 }
 
-impl World {
+impl Simulation {
     /// Sets the pools that a controller declares from its next start on.
     pub fn declare_pools(&mut self, node: usize, pools: Vec<PoolSpec>) {
         self.controllers[node].pools = pools;
--- a/crates/testkit/src/simulation/events.rs
+++ b/crates/testkit/src/simulation/events.rs
@@ -2,7 +2,7 @@
 
 use super::network::{Message, Origin};
 use super::unusual_requests::UnusualRequest;
-use super::World;
+use super::Simulation;
 use crate::faults::FaultKind;
 use crate::Ms;
 use forkshift_core::Input;
@@ -55,7 +55,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Schedules an event, for the next millisecond at the earliest.
     pub(super) fn schedule(&mut self, time: Ms, event: Event) {
         self.events.push(time.max(self.now + 1), event);
--- a/crates/testkit/src/simulation/fault_injection.rs
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -3,8 +3,8 @@
 use super::events::Event;
 use super::network_faults::{LateHeartbeats, LostWriteResponses, PartialFault};
 use super::partitions::{LinkPartition, Partition, PeerPartition, ZonePartition};
-use super::{World, STEP_MS};
-use crate::faults::{Direction, Fault, FaultKind, MachineFault, Which};
+use super::{Simulation, STEP_MS};
+use crate::faults::{Fault, FaultKind, LinkDirection, MachineFault, MachineSelector};
 use crate::store::SizeLimits;
 use crate::Ms;
 use forkshift_wire::MachineId;
@@ -52,7 +52,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Faults that have begun, with when. Controllers that were selected by their role
     /// appear with their indices.
     pub fn injected_faults(&self) -> &[(Ms, FaultKind)] {
@@ -130,13 +130,13 @@
     fn apply_partition(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
-            FaultKind::Cut {
+            FaultKind::ServicePartition {
                 node,
-                state,
+                store: state,
                 workers,
                 cloud,
                 time,
-                hold,
+                holds_messages: hold,
             } => {
                 let faults = &mut self.controllers[node].faults;
                 faults.holds_messages = hold;
@@ -150,7 +150,11 @@
                     }
                 }
             }
-            FaultKind::ZonePartition { zone, time, hold } => {
+            FaultKind::ZonePartition {
+                zone,
+                time,
+                holds_messages: hold,
+            } => {
                 let partition = Partition::new(now + time, hold);
                 self.network_faults.zone_partition = ZonePartition { zone, partition };
             }
@@ -158,21 +162,25 @@
                 node,
                 peers,
                 time,
-                hold,
+                holds_messages: hold,
             } => {
                 let partition = Partition::new(now + time, hold);
                 self.controllers[node].faults.peer_partition =
                     PeerPartition::new(peers.as_deref(), partition);
             }
-            FaultKind::CommandPartition { node, time, hold } => {
+            FaultKind::CommandPartition {
+                node,
+                time,
+                holds_messages: hold,
+            } => {
                 self.controllers[node].faults.command_partition = Partition::new(now + time, hold);
             }
-            FaultKind::LinkCut {
+            FaultKind::LinkPartition {
                 node,
                 machines,
-                lost,
+                direction: lost,
                 time,
-                hold,
+                holds_messages: hold,
             } => self.partition_links(node, &machines, lost, Partition::new(now + time, hold)),
             other => self.apply_service_fault(other),
         }
@@ -290,7 +298,7 @@
     }
 
     fn crash_controllers(&mut self, first: usize, count: usize, restart_after: Ms) {
-        let nodes = self.size.nodes;
+        let nodes = self.size.controllers;
         for index in (0..count).map(|offset| (first + offset) % nodes) {
             self.controllers[index].node = None;
             self.schedule(self.now + restart_after, Event::ControllerRestart(index));
@@ -307,12 +315,12 @@
     fn partition_links(
         &mut self,
         index: usize,
-        machines: &Which,
-        direction: Direction,
+        machines: &MachineSelector,
+        direction: LinkDirection,
         partition: Partition,
     ) {
         let now = self.now;
-        let machines = self.machines_of(machines).into_iter().collect();
+        let machines = self.select_machines(machines).into_iter().collect();
         let links = &mut self.controllers[index].faults.link_partitions;
         links.retain(|link| link.partition.is_active(now));
         links.push(LinkPartition {
@@ -358,9 +366,9 @@
         }
     }
 
-    pub(super) fn inject_machine_fault(&mut self, which: &Which, fault: MachineFault) {
-        let mut ids = self.machines_of(which);
-        if let Which::Some(count) = which {
+    pub(super) fn inject_machine_fault(&mut self, which: &MachineSelector, fault: MachineFault) {
+        let mut ids = self.select_machines(which);
+        if let MachineSelector::Random(count) = which {
             while ids.len() > *count {
                 let index = self.rng.random_range(0..ids.len());
                 ids.swap_remove(index);
@@ -377,7 +385,7 @@
             return;
         };
         match fault {
-            MachineFault::Die => self.crash_machine(id),
+            MachineFault::Crash => self.crash_machine(id),
             MachineFault::Hang(time) => worker.hung_until = now + time,
             MachineFault::Partition(time) => worker.partitioned_until = now + time,
             MachineFault::InboundLoss(time) => worker.inbound_lost_until = now + time,
--- a/crates/testkit/src/simulation/gangs.rs
+++ b/crates/testkit/src/simulation/gangs.rs
@@ -1,6 +1,6 @@
 //! Gangs across machines: their tasks start together and end together.
 
-use super::World;
+use super::Simulation;
 use crate::worker::WorkerContext;
 use crate::Ms;
 use forkshift_wire::workers::{ExitCause, TaskStage};
@@ -26,12 +26,12 @@
     Exit(ExitCause),
 }
 
-impl World {
+impl Simulation {
     /// Starts gangs that are complete, and ends those that are done, fail or have lost a
     /// member.
     pub(super) fn tick_gangs(&mut self) {
         for worker in self.workers.by_id.values_mut() {
-            worker.time_out_gangs(self.now, &mut self.check, self.size.gang_wait_ms);
+            worker.time_out_gangs(self.now, &mut self.checker, self.size.gang_wait_ms);
         }
         for (attempt, members) in self.gang_members() {
             match self.gang_transition(&attempt, &members) {
@@ -85,7 +85,7 @@
     fn has_gang_completed(&self, job: &JobId) -> bool {
         (0..self.ground_truths[job].spec.tasks).all(|index| {
             let job = job.clone();
-            self.check.is_task_completed(&TaskRef { job, index })
+            self.checker.is_task_completed(&TaskRef { job, index })
         })
     }
 
@@ -106,7 +106,7 @@
             let mut context = WorkerContext::new(
                 self.now,
                 &self.ground_truths,
-                &mut self.check,
+                &mut self.checker,
                 self.size.lease_ms,
             );
             match cause {
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -3,7 +3,7 @@
 use super::events::Event;
 use super::network_faults::LostWriteResponse;
 use super::size::{controller_index, zone_of};
-use super::World;
+use super::Simulation;
 use crate::worker::WorkerContext;
 use crate::Ms;
 use forkshift_core::Input;
@@ -69,7 +69,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// The delay of a message on a healthy link.
     fn random_delay(&mut self) -> Ms {
         match self.rng.random_range(0..100) {
@@ -226,7 +226,7 @@
         let mut context = WorkerContext::new(
             self.now,
             &self.ground_truths,
-            &mut self.check,
+            &mut self.checker,
             self.size.lease_ms,
         );
         let (status, body) = match message.path.as_str() {
--- a/crates/testkit/src/simulation/network_faults.rs
+++ b/crates/testkit/src/simulation/network_faults.rs
@@ -3,7 +3,7 @@
 use super::events::Event;
 use super::network::{Destination, Message, Origin};
 use super::partitions::ZonePartition;
-use super::World;
+use super::Simulation;
 use crate::Ms;
 use forkshift_wire::state::{Transaction, Write};
 use rand::Rng;
@@ -66,7 +66,7 @@
     terms_when_kept: String,
 }
 
-impl World {
+impl Simulation {
     /// Copies of heartbeats that are kept for the next leader.
     pub fn kept_heartbeats(&self) -> usize {
         self.network_faults.kept_heartbeats.len()
@@ -184,7 +184,7 @@
                 1 => self.rng.random_range(100..1_000),
                 _ => self.rng.random_range(1_000..5_000),
             };
-            for index in 0..self.size.nodes {
+            for index in 0..self.size.controllers {
                 let copy = Message {
                     destination: Destination::Controller(index),
                     ..copy.clone()
--- a/crates/testkit/src/simulation/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -1,7 +1,7 @@
 //! Read access to a simulation for tests, tools and the emulator.
 
 use super::users::{User, UserState};
-use super::{World, WALL_CLOCK_OFFSET_MS};
+use super::{Simulation, WALL_CLOCK_OFFSET_MS};
 use crate::cloud::{Boot, Provisioned};
 use crate::Ms;
 use forkshift_core::{records, Node};
@@ -26,7 +26,7 @@
     pub waiting: u64,
 }
 
-impl World {
+impl Simulation {
     /// The store's entries whose keys have a prefix.
     pub fn store_entries(&self, prefix: &str) -> Vec<(String, serde_json::Value)> {
         self.store.entries_with_prefix(prefix)
@@ -92,19 +92,19 @@
 
     /// When a user first knew that a job is cancelled.
     pub fn cancelled_at(&self, id: &JobId) -> Option<Ms> {
-        self.check.cancelled_at(id)
+        self.checker.cancelled_at(id)
     }
 
     /// Counts of the accepted jobs.
     pub fn job_counts(&self) -> JobCounts {
         let mut counts = JobCounts::default();
         let ids = self.users.iter().map(|u| &u.plan.spec.id);
-        for id in ids.filter(|id| self.check.is_accepted(id)) {
+        for id in ids.filter(|id| self.checker.is_accepted(id)) {
             counts.accepted += 1;
-            match self.check.final_stage(id) {
+            match self.checker.final_stage(id) {
                 Some(JobStage::Done) => counts.done += 1,
                 Some(JobStage::Cancelled) => counts.cancelled += 1,
-                _ if self.check.running_tasks(id) > 0 => counts.running += 1,
+                _ if self.checker.running_tasks(id) > 0 => counts.running += 1,
                 _ => counts.waiting += 1,
             }
         }
@@ -115,7 +115,7 @@
     pub fn replicas_restarted(&self) -> u64 {
         let specs = self.users.iter().map(|u| &u.plan.spec);
         let services = specs.filter(|s| s.kind == JobKind::Service);
-        let again = services.map(|s| self.check.starts_of(&s.id).saturating_sub(s.tasks.into()));
+        let again = services.map(|s| self.checker.starts_of(&s.id).saturating_sub(s.tasks.into()));
         again.sum()
     }
 
@@ -136,10 +136,10 @@
             UserState::Polling if user.plan.cancel_at.is_some() || !is_service => {}
             _ => return None,
         }
-        if self.check.is_cancel_confirmed(&spec.id) || self.has_completed(spec) {
+        if self.checker.is_cancel_confirmed(&spec.id) || self.has_completed(spec) {
             return None;
         }
-        if self.check.is_cancel_wanted(&spec.id) {
+        if self.checker.is_cancel_wanted(&spec.id) {
             return Some(format!("{}: not cancelled", spec.id));
         }
         let (id, kind, tasks) = (&spec.id, spec.kind, spec.tasks);
@@ -149,7 +149,7 @@
     fn has_completed(&self, spec: &JobSpec) -> bool {
         (0..spec.tasks).all(|index| {
             let job = spec.id.clone();
-            self.check.is_task_completed(&TaskRef { job, index })
+            self.checker.is_task_completed(&TaskRef { job, index })
         })
     }
 
--- a/crates/testkit/src/simulation/partitions.rs
+++ b/crates/testkit/src/simulation/partitions.rs
@@ -2,8 +2,8 @@
 
 use super::network::{Destination, Origin};
 use super::size::zone_of;
-use super::World;
-use crate::faults::Direction;
+use super::Simulation;
+use crate::faults::LinkDirection;
 use crate::Ms;
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug)]
 pub(super) struct LinkPartition {
     pub(super) machines: BTreeSet<MachineId>,
-    pub(super) direction: Direction,
+    pub(super) direction: LinkDirection,
     pub(super) partition: Partition,
 }
 
 impl LinkPartition {
-    fn covers(&self, machine: &MachineId, direction: Direction) -> bool {
-        let is_lost = self.direction == Direction::Both || self.direction == direction;
+    fn covers(&self, machine: &MachineId, direction: LinkDirection) -> bool {
+        let is_lost = self.direction == LinkDirection::Both || self.direction == direction;
         is_lost && self.machines.contains(machine)
     }
 }
@@ -108,7 +108,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// The partition between the two ends of a request, if there is one now.
     pub(super) fn partition(
         &self,
@@ -170,7 +170,7 @@
         if faults.command_partition.is_active(self.now) {
             return faults.command_partition;
         }
-        if let Some(partition) = self.link_partition(index, id, Direction::Calls) {
+        if let Some(partition) = self.link_partition(index, id, LinkDirection::Commands) {
             return partition;
         }
         let worker = self.workers.by_id.get(id);
@@ -196,8 +196,8 @@
             (Destination::Store, Some(faults)) => faults.store_partition_until,
             (Destination::Cloud, Some(faults)) => faults.cloud_partition_until,
             (Destination::Worker(id), _) => {
-                let link =
-                    controller.and_then(|index| self.link_partition(index, id, Direction::Calls));
+                let link = controller
+                    .and_then(|index| self.link_partition(index, id, LinkDirection::Commands));
                 match link {
                     Some(partition) => partition.until,
                     None => self.remote_worker_silent_until(id),
@@ -223,7 +223,7 @@
         if lost_until > self.now {
             return Partition::new(lost_until, false);
         }
-        if let Some(partition) = self.link_partition(index, id, Direction::Reports) {
+        if let Some(partition) = self.link_partition(index, id, LinkDirection::Heartbeats) {
             return partition;
         }
         let faults = &self.controllers[index].faults;
@@ -242,7 +242,7 @@
         &self,
         index: usize,
         id: &MachineId,
-        direction: Direction,
+        direction: LinkDirection,
     ) -> Option<Partition> {
         let mut links = self.controllers[index].faults.link_partitions.iter();
         let link =
--- a/crates/testkit/src/simulation/plan.rs
+++ b/crates/testkit/src/simulation/plan.rs
@@ -37,9 +37,9 @@
 
 /// A job that a user will submit.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct JobPlan {
     /// When the user submits it.
-    pub at: Ms,
+    pub submit_at: Ms,
     /// The submitted specification.
     pub spec: JobSpec,
     /// How long each task really runs.
@@ -47,20 +47,20 @@
     /// When the user wants it cancelled.
     pub cancel_at: Option<Ms>,
     /// The controller that the user's requests go to; any if left out, or if there is none.
-    pub at_node: Option<ControllerSelector>,
+    pub target_controller: Option<ControllerSelector>,
     /// Its defect. Jobs drawn at random have none.
-    pub mistake: Option<JobDefect>,
+    pub defect: Option<JobDefect>,
 }
 
-impl Plan {
+impl JobPlan {
     fn new(at: Ms, spec: JobSpec, run_ms: Ms, cancel_at: Option<Ms>) -> Self {
         Self {
-            at,
+            submit_at: at,
             spec,
             run_ms,
             cancel_at,
-            at_node: None,
-            mistake: None,
+            target_controller: None,
+            defect: None,
         }
     }
 
@@ -79,14 +79,14 @@
             memory_gb: 4.0,
             image: "img".to_owned(),
             image_gb: 1.0,
-            types: None,
+            machine_types: None,
             zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s: estimate_s(kind, run_ms),
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            require_same_zone: false,
+            spread_over_zones: false,
+            allow_spot: false,
+            estimated_run_time_s: estimate_s(kind, run_ms),
+            checkpoint_interval_s: 0.0,
+            checkpoint_save_time_s: 0.0,
             deadline_s: None,
             dependencies: Vec::new(),
         };
@@ -118,16 +118,16 @@
             gpus,
             image: format!("img-{}", rng.random_range(0..4)),
             image_gb: 4.0,
-            types: (gpus > 0.0 && rng.random()).then(|| vec!["g8".to_owned()]),
+            machine_types: (gpus > 0.0 && rng.random()).then(|| vec!["g8".to_owned()]),
             zone: (rng.random_range(0..8) == 0).then(|| "b".to_owned()),
-            one_zone,
-            spread: !one_zone && is_service && rng.random(),
-            spot: !is_service && rng.random(),
-            checkpoint_s: if has_checkpoints { 3.0 } else { 0.0 },
-            save_s: if has_checkpoints { 1.0 } else { 0.0 },
+            require_same_zone: one_zone,
+            spread_over_zones: !one_zone && is_service && rng.random(),
+            allow_spot: !is_service && rng.random(),
+            checkpoint_interval_s: if has_checkpoints { 3.0 } else { 0.0 },
+            checkpoint_save_time_s: if has_checkpoints { 1.0 } else { 0.0 },
             ..Self::plain(n, at, kind, tasks, run_ms).spec
         };
-        if spec.spread {
+        if spec.spread_over_zones {
             spec.zone = None;
         }
         let is_cancelled = is_service || rng.random_range(0..4) == 0;
@@ -140,7 +140,7 @@
     pub fn long(rng: &mut StdRng, n: u32, at: Ms) -> Self {
         let mut plan = Self::random(rng, n, at);
         plan.run_ms = rng.random_range(5_000..60_000);
-        plan.spec.estimate_s = estimate_s(plan.spec.kind, plan.run_ms);
+        plan.spec.estimated_run_time_s = estimate_s(plan.spec.kind, plan.run_ms);
         if rng.random() {
             plan.cancel_at = Some(at + rng.random_range(1_000..90_000));
         }
@@ -174,7 +174,7 @@
             last.spec.priority = Priority::High;
             last.spec.deadline_s = Some(PIPELINE_DEADLINE_S);
             if rng.random_range(0..6) == 0 {
-                last.at += rng.random_range(20_000..90_000);
+                last.submit_at += rng.random_range(20_000..90_000);
             }
         }
         plans
@@ -191,15 +191,15 @@
         plan.spec = JobSpec {
             class: "chained".to_owned(),
             kind,
-            spread: false,
+            spread_over_zones: false,
             tasks: rng.random_range(1..4),
-            estimate_s: estimate_s(kind, plan.run_ms),
+            estimated_run_time_s: estimate_s(kind, plan.run_ms),
             priority: Priority::Low,
             dependencies: pipeline_dependencies(rng, first, index, others),
             ..plan.spec
         };
         let is_cancelled = rng.random_range(0..12) == 0;
-        plan.cancel_at = is_cancelled.then(|| plan.at + rng.random_range(500..60_000));
+        plan.cancel_at = is_cancelled.then(|| plan.submit_at + rng.random_range(500..60_000));
         plan
     }
 }
--- a/crates/testkit/src/simulation/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -1,11 +1,13 @@
 //! Warm pools by the store's records, and what the cloud billed.
 
-use super::World;
+use super::Simulation;
 use crate::Ms;
 use forkshift_core::records::MachineRecord;
-use forkshift_pools::account::{MachineFacts, Price, Row, HEADS, POOLS, PRICES};
-use forkshift_pools::audit::Life;
-use forkshift_pools::report::Accounts;
+use forkshift_pools::account::{
+    AccountRow, BilledMachine, Price, ACCOUNT_PREFIX, CURRENT_REQUEST_PREFIX, PRICE_PREFIX,
+};
+use forkshift_pools::audit::BillingPeriod;
+use forkshift_pools::report::UsageRecords;
 use forkshift_pools::Membership;
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
@@ -13,7 +15,7 @@
 /// Prefix of the keys of machine records.
 const MACHINES: &str = "c/machine/";
 
-impl World {
+impl Simulation {
     /// Members of warm pools now.
     pub fn pool_members(&self) -> Vec<(MachineId, Membership)> {
         let members = self.machine_records().into_iter();
@@ -27,21 +29,21 @@
     /// # Panics
     ///
     /// If a record can not be parsed.
-    pub fn pool_accounts(&self, now_ms: Ms) -> Accounts {
-        let mut accounts = Accounts::default();
+    pub fn pool_accounts(&self, now_ms: Ms) -> UsageRecords {
+        let mut accounts = UsageRecords::default();
         let rows = self
-            .store_entries(POOLS)
+            .store_entries(ACCOUNT_PREFIX)
             .into_iter()
-            .chain(self.store_entries(HEADS));
+            .chain(self.store_entries(CURRENT_REQUEST_PREFIX));
         for (key, value) in rows {
-            match Row::parse(&key, &value.to_string()) {
-                Some(Row::Interval(interval)) => accounts.intervals.push(interval),
-                Some(Row::Asked(asked)) => accounts.asked.push(asked),
-                Some(Row::Miss(miss)) => accounts.misses.push(miss),
+            match AccountRow::parse(&key, &value.to_string()) {
+                Some(AccountRow::Interval(interval)) => accounts.intervals.push(interval),
+                Some(AccountRow::Request(asked)) => accounts.requests.push(asked),
+                Some(AccountRow::ColdStart(miss)) => accounts.cold_starts.push(miss),
                 None => panic!("{key} can not be parsed: {value}"),
             }
         }
-        for (key, value) in self.store_entries(PRICES) {
+        for (key, value) in self.store_entries(PRICE_PREFIX) {
             let price: Price =
                 serde_json::from_value(value).unwrap_or_else(|e| panic!("{key}: {e}"));
             accounts.prices.push(price);
@@ -50,7 +52,7 @@
             let Some(membership) = record.pool else {
                 continue;
             };
-            let machine = MachineFacts {
+            let machine = BilledMachine {
                 id,
                 machine_type: record.machine_type,
                 spot: record.spot,
@@ -62,7 +64,7 @@
     }
 
     /// Billing periods of all machines, for a simulation that began at a time.
-    pub fn pool_lives(&self, began_ms: Ms) -> BTreeMap<MachineId, Life> {
+    pub fn pool_lives(&self, began_ms: Ms) -> BTreeMap<MachineId, BillingPeriod> {
         let lives = self.billing_periods().iter();
         let life = |(from, to): &(Ms, Option<Ms>)| {
             let to = to.unwrap_or(self.now());
--- a/crates/testkit/src/simulation/remote.rs
+++ b/crates/testkit/src/simulation/remote.rs
@@ -6,7 +6,7 @@
 
 use super::network::{Destination, Message, Origin};
 use super::selectors::controller_in;
-use super::{World, STEP_MS};
+use super::{Simulation, STEP_MS};
 use crate::Ms;
 use forkshift_core::epoch_of_token;
 use forkshift_wire::workers::CommandRequest;
@@ -30,11 +30,11 @@
 
 /// A request for a controller.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct ControllerRequest {
     /// The sender.
-    pub asker: Requester,
+    pub requester: Requester,
     /// Index of the controller.
-    pub node: usize,
+    pub controller: usize,
     /// HTTP method.
     pub method: String,
     /// Path.
@@ -45,7 +45,7 @@
 
 /// A response to a controller's call.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CallResponse {
     /// The number that the call was passed in with.
     pub call: u64,
     /// HTTP status.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub enum Service {
     /// The store, as the controller of that index reaches it.
-    State(usize),
+    Store(usize),
     /// The cloud, likewise.
     Cloud(usize),
     /// A machine's worker.
@@ -71,20 +71,20 @@
     /// Its worker is up.
     Up(MachineId),
     /// It was removed.
-    Gone(MachineId),
+    Removed(MachineId),
 }
 
 /// Queues between the simulation and controllers that run as processes.
 #[derive(Default)]
 pub(super) struct RemoteQueues {
-    requests: Vec<Outgoing>,
-    answers: Vec<Answer>,
+    requests: Vec<ControllerRequest>,
+    responses: Vec<CallResponse>,
     pub(super) machines: Vec<MachineChange>,
     /// Controllers that are healthy for the load balancer.
     healthy: Vec<usize>,
 }
 
-impl World {
+impl Simulation {
     /// Runs until a time, in steps of up to `longest`.
     pub fn advance_to(&mut self, time: Ms, longest: Ms) {
         while self.now + STEP_MS <= time {
@@ -96,7 +96,7 @@
     /// Passes in a controller's call. The response, if there is one, bears its number.
     pub fn call(&mut self, call: u64, to: Service, method: &str, path: &str, body: Vec<u8>) {
         let (destination, controller) = match to {
-            Service::State(node) => (Destination::Store, Some(node)),
+            Service::Store(node) => (Destination::Store, Some(node)),
             Service::Cloud(node) => (Destination::Cloud, Some(node)),
             Service::Worker(id) => (Destination::Worker(id), self.controller_of_token(&body)),
         };
@@ -125,15 +125,15 @@
     }
 
     /// Takes the requests that are to be sent to controllers.
-    pub fn take_requests(&mut self) -> Vec<Outgoing> {
+    pub fn take_requests(&mut self) -> Vec<ControllerRequest> {
         let remote = self.remote.as_mut();
         remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.requests))
     }
 
     /// Takes the responses to controllers' calls.
-    pub fn take_answers(&mut self) -> Vec<Answer> {
+    pub fn take_responses(&mut self) -> Vec<CallResponse> {
         let remote = self.remote.as_mut();
-        remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.answers))
+        remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.responses))
     }
 
     /// Takes the machines that were added or removed.
@@ -153,7 +153,7 @@
     pub(super) fn pick_user_controller(&mut self) -> usize {
         let healthy = self.remote.as_ref().map_or(&[][..], |r| &r.healthy);
         match healthy.len() {
-            0 => self.rng.random_range(0..self.size.nodes),
+            0 => self.rng.random_range(0..self.size.controllers),
             n => healthy[self.rng.random_range(0..n)],
         }
     }
@@ -162,9 +162,9 @@
         let Some(remote) = &mut self.remote else {
             return;
         };
-        remote.requests.push(Outgoing {
-            asker: Requester(message.origin),
-            node,
+        remote.requests.push(ControllerRequest {
+            requester: Requester(message.origin),
+            controller: node,
             method: message.method,
             path: message.path,
             body: message.body,
@@ -173,7 +173,7 @@
 
     pub(super) fn enqueue_response(&mut self, call: u64, status: u16, body: Vec<u8>) {
         if let Some(remote) = &mut self.remote {
-            remote.answers.push(Answer { call, status, body });
+            remote.responses.push(CallResponse { call, status, body });
         }
     }
 }
--- a/crates/testkit/src/simulation/selectors.rs
+++ b/crates/testkit/src/simulation/selectors.rs
@@ -1,8 +1,8 @@
 //! Selection of controllers and machines by what they are at the moment.
 
 use super::size::controller_index;
-use super::World;
-use crate::faults::{ControllerSelector, Which};
+use super::Simulation;
+use crate::faults::{ControllerSelector, MachineSelector};
 use crate::worker::Worker;
 use forkshift_core::records::{self, ShardId};
 use forkshift_wire::{JobId, MachineId};
@@ -13,7 +13,7 @@
     controller_index(field?.as_str()?)
 }
 
-impl World {
+impl Simulation {
     /// The selected controller, if there is one now.
     pub fn select_controller(&self, selector: &ControllerSelector) -> Option<usize> {
         match selector {
@@ -22,7 +22,7 @@
             ControllerSelector::Leader => self.leader(),
             ControllerSelector::NextAfter(selector) => {
                 let first = self.select_controller(selector)?;
-                let nodes = self.size.nodes;
+                let nodes = self.size.controllers;
                 let mut others = (1..nodes).map(|offset| (first + offset) % nodes);
                 others.find(|index| self.controllers[*index].is_up())
             }
@@ -47,7 +47,8 @@
 
     /// The records of all shards in the store.
     pub(super) fn shard_records(&self) -> impl Iterator<Item = &Value> {
-        let shards = (0..self.size.nodes as u32).map(|shard| records::shard_key(ShardId(shard)));
+        let shards =
+            (0..self.size.controllers as u32).map(|shard| records::shard_key(ShardId(shard)));
         shards.filter_map(|key| self.store.value(&key))
     }
 
@@ -79,22 +80,22 @@
     }
 
     /// The selected machines that are up; all of them if some are to be drawn at random.
-    pub fn machines_of(&self, which: &Which) -> Vec<MachineId> {
+    pub fn select_machines(&self, which: &MachineSelector) -> Vec<MachineId> {
         let workers = self.workers.by_id.values();
         let selected = workers.filter(|worker| self.is_selected(worker, which));
         selected.map(|worker| worker.id.clone()).collect()
     }
 
-    fn is_selected(&self, worker: &Worker, which: &Which) -> bool {
+    fn is_selected(&self, worker: &Worker, which: &MachineSelector) -> bool {
         match which {
-            Which::RunningJob(id) => worker.has_task_of(id),
-            Which::HeldBy(selector) => {
+            MachineSelector::RunningJob(id) => worker.has_task_of(id),
+            MachineSelector::HeldBy(selector) => {
                 let controller = self.select_controller(selector);
                 controller.is_some() && controller == self.holder_of_machine(&worker.id)
             }
-            Which::InZone(zone) => worker.zone == *zone,
-            Which::Named(ids) => ids.contains(&worker.id),
-            Which::Some(_) | Which::All => true,
+            MachineSelector::InZone(zone) => worker.zone == *zone,
+            MachineSelector::Named(ids) => ids.contains(&worker.id),
+            MachineSelector::Random(_) | MachineSelector::All => true,
         }
     }
 }
--- a/crates/testkit/src/simulation/size.rs
+++ b/crates/testkit/src/simulation/size.rs
@@ -9,15 +9,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Controllers.
-    pub nodes: usize,
+    pub controllers: usize,
     /// Teams.
     pub teams: usize,
     /// Machines of each type, zone and kind.
     pub capacity: u32,
     /// Requests a second that the store accepts.
-    pub rps: f64,
+    pub store_rps: f64,
     /// Writes a second that the store accepts.
-    pub write_rps: f64,
+    pub store_write_rps: f64,
     /// Requests a second that the cloud accepts.
     pub cloud_rps: f64,
     /// CPUs and GPUs that each team is guaranteed.
@@ -25,7 +25,7 @@
     /// CPUs and GPUs that each team may use.
     pub limit: (f64, f64),
     /// Interval between the heartbeats of a worker.
-    pub report_ms: Ms,
+    pub heartbeat_ms: Ms,
     /// Duration of a worker's lease.
     pub lease_ms: Ms,
     /// Time after which an incomplete gang exits.
@@ -39,28 +39,28 @@
     /// Whether all controllers start as the old release.
     pub begins_old: bool,
     /// Whether workers announce their images and prefetch them.
-    pub tells_images: bool,
+    pub announces_images: bool,
 }
 
 impl Default for Size {
     fn default() -> Self {
         Self {
-            nodes: 3,
+            controllers: 3,
             teams: 4,
             capacity: 5,
-            rps: 200.0,
-            write_rps: 80.0,
+            store_rps: 200.0,
+            store_write_rps: 80.0,
             cloud_rps: 5.0,
             guarantee: (16.0, 8.0),
             limit: (96.0, 24.0),
-            report_ms: 1_000,
+            heartbeat_ms: 1_000,
             lease_ms: 10_000,
             gang_wait_ms: GANG_WAIT_MS,
             cancel_ms: 35_000,
             poll_ms: POLL_MS,
             next_limits: None,
             begins_old: false,
-            tells_images: false,
+            announces_images: false,
         }
     }
 }
@@ -86,15 +86,15 @@
     /// Five controllers, and room for some 1,860 machines, spot ones apart.
     pub fn five_by_1860() -> Self {
         Self {
-            nodes: 5,
+            controllers: 5,
             teams: 5,
             capacity: 300,
-            rps: 700.0,
-            write_rps: 250.0,
+            store_rps: 700.0,
+            store_write_rps: 250.0,
             cloud_rps: 8.0,
             guarantee: (5_000.0, 1_000.0),
             limit: (20_000.0, 4_000.0),
-            report_ms: 5_000,
+            heartbeat_ms: 5_000,
             lease_ms: 24_000,
             cancel_ms: 35_000,
             ..Self::default()
@@ -105,8 +105,8 @@
     pub fn five_by_4200() -> Self {
         Self {
             capacity: 700,
-            rps: 1_600.0,
-            write_rps: 570.0,
+            store_rps: 1_600.0,
+            store_write_rps: 570.0,
             cloud_rps: 18.0,
             guarantee: (12_000.0, 2_300.0),
             limit: (46_000.0, 9_200.0),
@@ -118,15 +118,15 @@
     /// ones apart.
     pub fn seven_by_810() -> Self {
         Self {
-            nodes: 7,
+            controllers: 7,
             teams: 16,
             capacity: 130,
-            rps: 300.0,
-            write_rps: 100.0,
+            store_rps: 300.0,
+            store_write_rps: 100.0,
             cloud_rps: 4.0,
             guarantee: (500.0, 250.0),
             limit: (2_000.0, 900.0),
-            report_ms: 2_000,
+            heartbeat_ms: 2_000,
             lease_ms: 13_000,
             cancel_ms: 35_000,
             ..Self::default()
@@ -172,7 +172,7 @@
 }
 
 fn peer_settings(node: usize, size: &Size) -> String {
-    let peers = (0..size.nodes).filter(|peer| *peer != node);
+    let peers = (0..size.controllers).filter(|peer| *peer != node);
     let settings = peers.map(|peer| {
         let (name, zone, host) = (controller_name(peer), zone_of(peer), peer + 1);
         format!(
@@ -207,10 +207,10 @@
 /// The settings that all controllers share.
 fn cluster_settings(size: &Size) -> String {
     let seconds = |ms: Ms| ms as f64 / 1000.0;
-    let (nodes, teams) = (size.nodes, team_settings(size));
-    let (report_s, lease_s) = (seconds(size.report_ms), seconds(size.lease_ms));
+    let (nodes, teams) = (size.controllers, team_settings(size));
+    let (report_s, lease_s) = (seconds(size.heartbeat_ms), seconds(size.lease_ms));
     let cancel_s = seconds(size.cancel_ms);
-    let (rps, write_rps, cloud_rps) = (size.rps, size.write_rps, size.cloud_rps);
+    let (rps, write_rps, cloud_rps) = (size.store_rps, size.store_write_rps, size.cloud_rps);
     let next = next_limit_settings(size);
     format!(
         "[cluster]\ninitial_size = {nodes}\nzones = [\"a\", \"b\", \"c\"]\n\
--- a/crates/testkit/src/simulation/unusual_requests.rs
+++ b/crates/testkit/src/simulation/unusual_requests.rs
@@ -5,8 +5,8 @@
 use super::network::{Destination, Message, Origin};
 use super::network_faults::PartialFault;
 use super::users::UserState;
-use super::World;
-use crate::faults::{MachineFault, Which};
+use super::Simulation;
+use crate::faults::{MachineFault, MachineSelector};
 use crate::Ms;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus};
 use forkshift_wire::JobId;
@@ -85,7 +85,7 @@
 /// Most machines that hang as users cancel running jobs.
 const MAX_HUNG_MACHINES: usize = 8;
 
-impl World {
+impl Simulation {
     /// Unusual requests so far, and how many of them got a response in time.
     pub fn unusual_request_counts(&self) -> (u64, u64) {
         let requests = &self.unusual_requests;
@@ -102,7 +102,7 @@
         let (method, path, body) = match &request {
             UnusualRequest::Status => ("GET", format!("/submissions/{job}"), Vec::new()),
             UnusualRequest::Cancel => {
-                self.check.on_cancel_requested(&job);
+                self.checker.on_cancel_requested(&job);
                 ("POST", format!("/submissions/{job}/abort"), Vec::new())
             }
             UnusualRequest::Resubmission { is_modified } => {
@@ -116,7 +116,7 @@
                 ("POST", "/submissions".to_owned(), body.clone())
             }
         };
-        let ticket = self.check.on_request_sent(self.now, &job);
+        let ticket = self.checker.on_request_sent(self.now, &job);
         let pending = PendingRequest {
             job,
             request,
@@ -147,7 +147,7 @@
         self.unusual_requests.answered_in_time += 1;
         let response: Option<JobStatus> = serde_json::from_slice(body).ok();
         let stage = response.map(|response| response.stage);
-        let is_news = self.check.on_response(
+        let is_news = self.checker.on_response(
             pending.ticket,
             self.now,
             &pending.job,
@@ -159,7 +159,7 @@
             status: expected, ..
         } = pending.request
         {
-            self.check
+            self.checker
                 .check_refusal(self.now, &pending.job, status, expected);
         }
         if is_news {
@@ -173,7 +173,7 @@
         if self.request_faults.status_bursts_until <= self.now {
             return;
         }
-        for controller in 0..self.size.nodes {
+        for controller in 0..self.size.controllers {
             for index in 0..STATUS_BURST_REQUESTS {
                 let time = self.now + after + self.rng.random_range(0..40);
                 let request = match index {
@@ -217,18 +217,22 @@
             let after = self.rng.random_range(0..200);
             self.cancel_after(&job, after);
             if hang_ms > 0 {
-                let mut machines = self.machines_of(&Which::RunningJob(job));
+                let mut machines = self.select_machines(&MachineSelector::RunningJob(job));
                 machines.truncate(MAX_HUNG_MACHINES - hung);
                 hung += machines.len();
-                self.inject_machine_fault(&Which::Named(machines), MachineFault::Hang(hang_ms));
+                self.inject_machine_fault(
+                    &MachineSelector::Named(machines),
+                    MachineFault::Hang(hang_ms),
+                );
             }
         }
     }
 
     /// Running jobs of which no user knows that they are over, the longest first.
     fn longest_running_jobs(&self, count: usize) -> Vec<JobId> {
-        let is_running =
-            |id: &JobId| self.check.running_tasks(id) > 0 && self.check.final_stage(id).is_none();
+        let is_running = |id: &JobId| {
+            self.checker.running_tasks(id) > 0 && self.checker.final_stage(id).is_none()
+        };
         let mut jobs: Vec<(Ms, JobId)> = Vec::new();
         for user in &self.users {
             let spec = &user.plan.spec;
@@ -248,7 +252,7 @@
     }
 
     pub(super) fn tick_unusual_requests(&mut self) {
-        for job in std::mem::take(&mut self.check.newly_completed) {
+        for job in std::mem::take(&mut self.checker.newly_completed) {
             self.maybe_cancel_completed(&job);
             for after in STATUS_BURST_DELAYS_MS {
                 self.schedule_status_burst(&job, after);
@@ -272,7 +276,7 @@
     }
 
     fn send_random_unusual_request(&mut self) {
-        let controller = self.rng.random_range(0..self.size.nodes);
+        let controller = self.rng.random_range(0..self.size.controllers);
         let kind = self.rng.random_range(0..6);
         let known = self.random_accepted_job(kind == 1);
         self.unusual_requests.last += 1;
@@ -288,7 +292,7 @@
             (_, Some(job)) => {
                 let spec = self.ground_truths[&job].spec.clone();
                 let invalid = random_invalid_job(&mut self.rng, spec, &unknown);
-                self.check.expect_refusal(&unknown);
+                self.checker.expect_refusal(&unknown);
                 (unknown, invalid)
             }
             _ => return,
@@ -298,7 +302,7 @@
 
     /// An accepted job drawn at random, or one that its user knows to be done.
     fn random_accepted_job(&mut self, must_be_done: bool) -> Option<JobId> {
-        let is_done = |id: &JobId| self.check.final_stage(id) == Some(JobStage::Done);
+        let is_done = |id: &JobId| self.checker.final_stage(id) == Some(JobStage::Done);
         let users = self.users.iter();
         let ids: Vec<JobId> = users
             .filter(|user| user.state == UserState::Polling)
--- a/crates/testkit/src/simulation/users.rs
+++ b/crates/testkit/src/simulation/users.rs
@@ -1,7 +1,7 @@
 //! Users: each submits one job, polls it and perhaps cancels it.
 
 use super::network::{Destination, Message, Origin};
-use super::{Plan, World};
+use super::{JobPlan, Simulation};
 use crate::faults::ControllerSelector;
 use crate::worker::GroundTruth;
 use crate::Ms;
@@ -34,7 +34,7 @@
 
 /// The user of one job.
 pub(super) struct User {
-    pub(super) plan: Plan,
+    pub(super) plan: JobPlan,
     pub(super) state: UserState,
     pub(super) next_request_at: Ms,
     /// Number of the last request.
@@ -47,9 +47,9 @@
 }
 
 impl User {
-    pub(super) fn new(plan: Plan) -> Self {
+    pub(super) fn new(plan: JobPlan) -> Self {
         Self {
-            next_request_at: plan.at,
+            next_request_at: plan.submit_at,
             plan,
             state: UserState::Submitting,
             last_request: 0,
@@ -98,11 +98,11 @@
     matches!(status, 200 | 201)
 }
 
-impl World {
+impl Simulation {
     /// Sends all users' requests to one controller from now on.
     pub fn route_users_to(&mut self, node: usize) {
         for user in &mut self.users {
-            user.plan.at_node = Some(ControllerSelector::Index(node));
+            user.plan.target_controller = Some(ControllerSelector::Index(node));
         }
     }
 
@@ -126,7 +126,7 @@
         // Users submit a job once the jobs that it depends on are accepted.
         let mut dependencies = user.plan.spec.dependencies.iter();
         let is_submitting = user.state == UserState::Submitting;
-        if is_submitting && !dependencies.all(|id| self.check.is_accepted(id)) {
+        if is_submitting && !dependencies.all(|id| self.checker.is_accepted(id)) {
             user.next_request_at = now + DEPENDENCY_POLL_MS;
             return false;
         }
@@ -145,23 +145,23 @@
         let request = user.last_request;
         let (method, path, body) = match user.state {
             UserState::Submitting => {
-                self.check.on_submitted(&plan.spec);
+                self.checker.on_submitted(&plan.spec);
                 self.ground_truths
                     .insert(id.clone(), GroundTruth::of(&plan));
                 let body = serde_json::to_vec(&plan.spec).unwrap_or_default();
                 ("POST", "/submissions".to_owned(), body)
             }
             UserState::Cancelling => {
-                self.check.on_cancel_requested(id);
+                self.checker.on_cancel_requested(id);
                 ("POST", format!("/submissions/{id}/abort"), Vec::new())
             }
             UserState::Polling | UserState::Finished => {
                 ("GET", format!("/submissions/{id}"), Vec::new())
             }
         };
-        user.ticket = self.check.on_request_sent(self.now, id);
+        user.ticket = self.checker.on_request_sent(self.now, id);
         let selected = plan
-            .at_node
+            .target_controller
             .and_then(|selector| self.select_controller(&selector));
         let controller = selected.unwrap_or_else(|| self.pick_user_controller());
         self.send(Message {
@@ -195,10 +195,10 @@
         let is_submission = user.state == UserState::Submitting;
         let is_news = status > 0
             && self
-                .check
+                .checker
                 .on_response(user.ticket, now, &id, is_submission, status, stage);
         if is_submission {
-            self.check.check_admission(now, &id, status);
+            self.checker.check_admission(now, &id, status);
         }
         let (state, pause) = user.state_after(status, stage, self.size.poll_ms);
         user.state = state;
--- a/crates/testkit/src/simulation/waiting_jobs.rs
+++ b/crates/testkit/src/simulation/waiting_jobs.rs
@@ -1,7 +1,7 @@
 //! Search for jobs that wait although there is room for them.
 
 use super::users::{User, UserState};
-use super::World;
+use super::Simulation;
 use crate::worker::{Resources, Worker};
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::workers::TaskStage;
@@ -24,7 +24,7 @@
     by_team: BTreeMap<&'a str, Resources>,
 }
 
-impl World {
+impl Simulation {
     /// Tells the checker of each job whether it waits without a task on any machine
     /// although there is room for it.
     pub(super) fn check_waiting_jobs(&mut self) {
@@ -45,7 +45,7 @@
             found.push((spec.id.clone(), has_room));
         }
         for (id, has_room) in found {
-            self.check.on_job_waiting(self.now, &id, has_room);
+            self.checker.on_job_waiting(self.now, &id, has_room);
         }
     }
 
@@ -68,12 +68,12 @@
     fn is_waiting_normally(&self, user: &User) -> bool {
         let id = &user.plan.spec.id;
         let is_cancelled = user.plan.cancel_at.is_some_and(|at| at <= self.now);
-        let is_over = self.check.final_stage(id).is_some() || self.check.is_job_completed(id);
+        let is_over = self.checker.final_stage(id).is_some() || self.checker.is_job_completed(id);
         user.state == UserState::Polling
-            && user.plan.mistake.is_none()
+            && user.plan.defect.is_none()
             && !is_cancelled
             && !is_over
-            && !self.check.is_blocked(id)
+            && !self.checker.is_blocked(id)
     }
 
     /// A job as it was submitted and what its team uses, for the analysis of a day.
@@ -99,7 +99,7 @@
         let used = allocation.by_team.get(spec.team.as_str());
         let used = used.copied().unwrap_or_default();
         let tasks = f64::from(tasks_needed_at_once(spec));
-        let (max_cpus, max_gpus) = self.check.limit_of(&spec.team);
+        let (max_cpus, max_gpus) = self.checker.limit_of(&spec.team);
         let is_under = |used: f64, max: f64| max == 0.0 || used <= max + 1e-6;
         is_under(used.cpus + tasks * spec.cpus, max_cpus)
             && is_under(used.gpus + tasks * spec.gpus, max_gpus)
@@ -139,11 +139,11 @@
 fn placement_key(spec: &JobSpec) -> String {
     let resources = (spec.cpus, spec.gpus, spec.memory_gb);
     let place = (
-        &spec.types,
+        &spec.machine_types,
         &spec.zone,
-        spec.spot,
-        spec.spread,
-        spec.one_zone,
+        spec.allow_spot,
+        spec.spread_over_zones,
+        spec.require_same_zone,
     );
     format!(
         "{:?}",
@@ -159,14 +159,14 @@
         *in_zone = in_zone.saturating_add(machine.free.tasks_that_fit(spec));
     }
     let needed = tasks_needed_at_once(spec);
-    let max_in_zone = match spec.spread {
+    let max_in_zone = match spec.spread_over_zones {
         true => spec.tasks.div_ceil(2),
         false => needed,
     };
     let fitting = tasks_by_zone
         .values()
         .map(|tasks| (*tasks).min(max_in_zone));
-    match spec.one_zone {
+    match spec.require_same_zone {
         true => fitting.max().unwrap_or(0) >= needed,
         false => fitting.sum::<u32>() >= needed,
     }
@@ -174,8 +174,8 @@
 
 /// Whether a job allows a machine.
 fn is_allowed(worker: &Worker, spec: &JobSpec) -> bool {
-    let types = spec.types.as_ref();
+    let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.contains(&worker.machine_type))
         && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
-        && (spec.spot || !worker.spot)
+        && (spec.allow_spot || !worker.spot)
 }
--- a/crates/testkit/src/simulation/workers.rs
+++ b/crates/testkit/src/simulation/workers.rs
@@ -3,7 +3,7 @@
 use super::network::{Destination, Message, Origin};
 use super::remote::MachineChange;
 use super::size::controller_index;
-use super::World;
+use super::Simulation;
 use crate::worker::{Worker, WorkerContext};
 use crate::Ms;
 use forkshift_wire::workers::{HeartbeatReply, Redirect};
@@ -37,15 +37,15 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Removes a worker with all its tasks.
     pub(super) fn remove_worker(&mut self, id: &MachineId) {
         let Some(mut worker) = self.workers.by_id.remove(id) else {
             return;
         };
-        worker.kill_all_tasks(&mut self.check);
+        worker.kill_all_tasks(&mut self.checker);
         if let Some(remote) = &mut self.remote {
-            remote.machines.push(MachineChange::Gone(id.clone()));
+            remote.machines.push(MachineChange::Removed(id.clone()));
         }
     }
 
@@ -74,9 +74,9 @@
             &instance.zone,
             instance.spot,
             self.now,
-            self.size.tells_images,
+            self.size.announces_images,
         );
-        worker.controller = self.rng.random_range(0..self.size.nodes);
+        worker.controller = self.rng.random_range(0..self.size.controllers);
         self.workers.by_id.insert(id.clone(), worker);
         if let Some(remote) = &mut self.remote {
             remote.machines.push(MachineChange::Up(id));
@@ -96,7 +96,7 @@
             worker.tick(&mut WorkerContext::new(
                 self.now,
                 &self.ground_truths,
-                &mut self.check,
+                &mut self.checker,
                 self.size.lease_ms,
             ));
             if is_remote {
@@ -104,14 +104,14 @@
             }
             if worker.is_heartbeat_overdue(now, HEARTBEAT_TIMEOUT_MS) {
                 worker.pending_heartbeat = None;
-                worker.controller = (worker.controller + 1) % self.size.nodes;
+                worker.controller = (worker.controller + 1) % self.size.controllers;
                 worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
             }
             let min_gap = if is_remote { MIN_HEARTBEAT_GAP_MS } else { 0 };
             if !worker.is_heartbeat_due(now, min_gap) {
                 continue;
             }
-            let period = self.size.report_ms;
+            let period = self.size.heartbeat_ms;
             // Many processes on one computer would send all at once.
             let next = match is_remote {
                 true => self.rng.random_range(period * 3 / 4..=period * 5 / 4),
@@ -145,7 +145,7 @@
                 let mut context = WorkerContext::new(
                     self.now,
                     &self.ground_truths,
-                    &mut self.check,
+                    &mut self.checker,
                     self.size.lease_ms,
                 );
                 worker.on_heartbeat_reply(&mut context, reply.token, &reply.commands);
@@ -154,16 +154,16 @@
         }
         worker.pending_heartbeat = None;
         let redirect: Redirect = serde_json::from_slice(body).unwrap_or_default();
-        let target = redirect.report_to.as_deref().and_then(controller_index);
+        let target = redirect.holder_addr.as_deref().and_then(controller_index);
         match target {
             Some(index)
-                if status == 421 && index != worker.controller && index < self.size.nodes =>
+                if status == 421 && index != worker.controller && index < self.size.controllers =>
             {
                 worker.controller = index;
                 worker.next_heartbeat_at = now + REDIRECT_DELAY_MS;
             }
             _ => {
-                worker.controller = (worker.controller + 1) % self.size.nodes;
+                worker.controller = (worker.controller + 1) % self.size.controllers;
                 worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
             }
         }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -11,7 +11,7 @@
 pub(crate) use tasks::{LocalTask, TaskAttempt};
 
 use crate::checker::Checker;
-use crate::simulation::{JobDefect, Plan};
+use crate::simulation::{JobDefect, JobPlan};
 use crate::Ms;
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::users::{JobKind, JobSpec};
@@ -29,27 +29,27 @@
 pub(crate) struct GroundTruth {
     pub(crate) spec: JobSpec,
     pub(crate) run_ms: Ms,
-    pub(crate) mistake: Option<JobDefect>,
+    pub(crate) defect: Option<JobDefect>,
 }
 
 impl GroundTruth {
-    pub(crate) fn of(plan: &Plan) -> Self {
+    pub(crate) fn of(plan: &JobPlan) -> Self {
         Self {
             spec: plan.spec.clone(),
             run_ms: plan.run_ms,
-            mistake: plan.mistake,
+            defect: plan.defect,
         }
     }
 
     /// Whether a gang that began to run at a time has failed by now.
     pub(crate) fn has_failed_by(&self, began_at: Ms, now: Ms) -> bool {
-        matches!(self.mistake, Some(JobDefect::FailsAfter(time)) if now >= began_at + time)
+        matches!(self.defect, Some(JobDefect::FailsAfter(time)) if now >= began_at + time)
     }
 
     /// When a task that starts now ends by itself. Gangs end together and services not at
     /// all, unless they fail; a task that has completed before ends at once.
     fn run_ends_at(&self, now: Ms, is_completed: bool) -> Ms {
-        match (self.spec.kind, self.mistake) {
+        match (self.spec.kind, self.defect) {
             (JobKind::Gang, _) => Ms::MAX,
             (_, Some(JobDefect::FailsAfter(time))) => now + time,
             (JobKind::Service, _) => Ms::MAX,
--- a/crates/testkit/src/worker/heartbeats.rs
+++ b/crates/testkit/src/worker/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::{Worker, WorkerContext};
 use crate::Ms;
-use forkshift_wire::workers::{Command, HeldImages, TaskReport, WorkerHeartbeat};
+use forkshift_wire::workers::{Command, HeldImages, TaskStatus, WorkerHeartbeat};
 
 /// A heartbeat without a response yet.
 #[derive(Clone, Copy, Debug)]
@@ -26,7 +26,7 @@
             incarnation: self.incarnation,
             sequence: self.last_sequence,
             token: self.token,
-            notice_s: notice_ms.map(|ms| ms as f64 / 1000.0),
+            reclaim_notice_s: notice_ms.map(|ms| ms as f64 / 1000.0),
             tasks: self.task_reports(),
             images: self.announces_images.then(|| HeldImages {
                 held: self.images.clone(),
@@ -35,15 +35,15 @@
         }
     }
 
-    fn task_reports(&self) -> Vec<TaskReport> {
+    fn task_reports(&self) -> Vec<TaskStatus> {
         let tasks = self.tasks.iter();
         tasks
-            .map(|((task, attempt), local)| TaskReport {
+            .map(|((task, attempt), local)| TaskStatus {
                 task: task.clone(),
                 attempt: *attempt,
                 stage: local.stage,
                 cause: local.cause,
-                saved: local.is_checkpoint_saved,
+                checkpoint_saved: local.is_checkpoint_saved,
             })
             .collect()
     }
--- a/crates/testkit/src/worker/tasks.rs
+++ b/crates/testkit/src/worker/tasks.rs
@@ -116,12 +116,12 @@
         };
         let spec = &truth.spec;
         if self.has_other_attempt(task) {
-            self.reject_task(attempt, ExitCause::InUse);
+            self.reject_task(attempt, ExitCause::OtherAttemptPresent);
             return;
         }
         let free = self.free_resources(context.ground_truths);
         if free.tasks_that_fit(spec) == 0 {
-            self.reject_task(attempt, ExitCause::NoRoom);
+            self.reject_task(attempt, ExitCause::InsufficientResources);
             return;
         }
         let fetch_ms = match self.images.contains(&spec.image) {
@@ -149,12 +149,13 @@
             return;
         };
         let spec = &context.ground_truths[&attempt.0.job].spec;
-        let saves_checkpoint = spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
+        let saves_checkpoint =
+            spec.checkpoint_interval_s > 0.0 && grace_s >= spec.checkpoint_save_time_s;
         match local.stage {
             TaskStage::Exited => {}
             TaskStage::Running if saves_checkpoint => {
                 local.stage = TaskStage::Saving;
-                local.stage_ends_at = context.now + (spec.save_s * 1000.0) as Ms;
+                local.stage_ends_at = context.now + (spec.checkpoint_save_time_s * 1000.0) as Ms;
                 self.next_stage_end = self.next_stage_end.min(local.stage_ends_at);
             }
             TaskStage::Saving if grace_s > 0.0 => {}
@@ -232,7 +233,7 @@
         match self.tasks[attempt].stage {
             TaskStage::Fetching => self.on_image_ready(context, attempt),
             TaskStage::Saving => self.exit_task(context, attempt, ExitCause::Stopped),
-            TaskStage::Running if context.ground_truths[&task.job].mistake.is_some() => {
+            TaskStage::Running if context.ground_truths[&task.job].defect.is_some() => {
                 context.checker.on_task_failed(context.now, task, &self.id);
                 self.exit_task(context, attempt, ExitCause::Error);
             }
@@ -248,7 +249,7 @@
         let (now, task) = (context.now, &attempt.0);
         let truth = &context.ground_truths[&task.job];
         self.add_image(truth.spec.image.clone());
-        let is_defective = truth.mistake == Some(JobDefect::FailsAtStart);
+        let is_defective = truth.defect == Some(JobDefect::FailsAtStart);
         if is_defective || now < self.failing_until {
             context.checker.on_task_failed(now, task, &self.id);
             if is_defective {
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -20,14 +20,14 @@
         memory_gb: 1.0,
         image: "i".into(),
         image_gb: 0.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        require_same_zone: false,
+        spread_over_zones: false,
+        allow_spot: false,
+        estimated_run_time_s: 1.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
         dependencies: Vec::new(),
     }
@@ -47,7 +47,7 @@
     fn new(cancel_ms: Ms) -> Self {
         let spec = spec();
         let truth = GroundTruth {
-            mistake: None,
+            defect: None,
             spec: spec.clone(),
             run_ms: 60_000,
         };
@@ -119,7 +119,7 @@
 
     fn violations(&self) -> Vec<Rule> {
         self.checker
-            .broken
+            .violations
             .iter()
             .map(|violation| violation.0)
             .collect()
--- a/crates/testkit/tests/arranged.rs
+++ b/crates/testkit/tests/arranged.rs
@@ -3,25 +3,25 @@
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
 };
 use forkshift_wire::users::JobKind;
 
 /// A long array of two tasks.
-fn job(n: u32, cancel_at: Option<u64>, at_node: Option<ControllerSelector>) -> Plan {
-    Plan {
+fn job(n: u32, cancel_at: Option<u64>, at_node: Option<ControllerSelector>) -> JobPlan {
+    JobPlan {
         cancel_at,
-        at_node,
-        ..Plan::plain(n, 2_000, JobKind::Array, 2, 200_000)
+        target_controller: at_node,
+        ..JobPlan::plain(n, 2_000, JobKind::Array, 2, 200_000)
     }
 }
 
-fn simulation(plans: Vec<Plan>, kind: FaultKind) -> World {
+fn simulation(plans: Vec<JobPlan>, kind: FaultKind) -> Simulation {
     let fault = Fault { at: 50_000, kind };
-    let mut simulation = World::with_size(31, plans, vec![fault], Size::default());
+    let mut simulation = Simulation::with_size(31, plans, vec![fault], Size::default());
     simulation.run_until(50_000 - 10);
     assert_eq!(
-        simulation.check.running_tasks(&id(0)),
+        simulation.checker.running_tasks(&id(0)),
         2,
         "the job runs by then"
     );
@@ -44,7 +44,7 @@
         "another holds it"
     );
     assert!(simulation.epoch_of(&id(0)).expect("an epoch") > epoch);
-    assert_eq!(simulation.check.broken, vec![]);
+    assert_eq!(simulation.checker.violations, vec![]);
 }
 
 #[test]
@@ -55,7 +55,7 @@
     let leader = simulation.leader().expect("a leader");
     simulation.run_until(69_000);
     assert!(simulation.leader().is_some_and(|n| n != leader));
-    assert_eq!(simulation.check.broken, vec![]);
+    assert_eq!(simulation.checker.violations, vec![]);
 }
 
 /// A cancelled job's tasks are gone in time, whichever way its machines are lost.
@@ -63,7 +63,7 @@
 fn cancelled_tasks_exit_in_time_whichever_fault_their_machines_have() {
     let time = 20_000;
     for what in [
-        MachineFault::Die,
+        MachineFault::Crash,
         MachineFault::Hang(time),
         MachineFault::Partition(time),
         MachineFault::InboundLoss(time),
@@ -71,14 +71,14 @@
         MachineFault::SlowLink(time),
         MachineFault::FailTasks(time),
     ] {
-        let kind = FaultKind::Machines(Which::RunningJob(id(0)), what);
+        let kind = FaultKind::Machines(MachineSelector::RunningJob(id(0)), what);
         let mut simulation = simulation(vec![job(0, Some(51_000), None)], kind);
-        let machines = simulation.machines_of(&Which::RunningJob(id(0)));
+        let machines = simulation.select_machines(&MachineSelector::RunningJob(id(0)));
         assert!(!machines.is_empty());
         simulation.run_until(130_000);
         assert!(simulation.cancelled_at(&id(0)).is_some(), "{what:?}");
-        assert_eq!(simulation.check.running_tasks(&id(0)), 0, "{what:?}");
-        assert_eq!(simulation.check.broken, vec![], "{what:?}");
+        assert_eq!(simulation.checker.running_tasks(&id(0)), 0, "{what:?}");
+        assert_eq!(simulation.checker.violations, vec![], "{what:?}");
     }
 }
 
@@ -92,15 +92,19 @@
                 node,
                 peers: None,
                 time,
-                hold,
+                holds_messages: hold,
             },
             FaultKind::PeerPartition {
                 node,
                 peers: Some(vec![1]),
                 time,
-                hold,
+                holds_messages: hold,
+            },
+            FaultKind::CommandPartition {
+                node,
+                time,
+                holds_messages: hold,
             },
-            FaultKind::CommandPartition { node, time, hold },
             FaultKind::Pause { node, time },
         ] {
             let name = format!("{kind:?}");
@@ -108,8 +112,8 @@
             let mut simulation = simulation(vec![job(0, Some(52_000), None)], kind);
             simulation.run_until(120_000);
             assert!(simulation.cancelled_at(&id(0)).is_some(), "{name}");
-            assert_eq!(simulation.check.running_tasks(&id(0)), 0, "{name}");
-            assert_eq!(simulation.check.broken, vec![], "{name}");
+            assert_eq!(simulation.checker.running_tasks(&id(0)), 0, "{name}");
+            assert_eq!(simulation.checker.violations, vec![], "{name}");
         }
     }
 }
@@ -122,15 +126,18 @@
         lease_ms: 8_000,
         ..Size::default()
     };
-    let kind = FaultKind::Machines(Which::RunningJob(id(0)), MachineFault::InboundLoss(30_000));
+    let kind = FaultKind::Machines(
+        MachineSelector::RunningJob(id(0)),
+        MachineFault::InboundLoss(30_000),
+    );
     let at = Some(ControllerSelector::NextAfter(Box::new(
         ControllerSelector::Leader,
     )));
     let plans = vec![job(0, Some(51_000), at)];
     let fault = Fault { at: 50_000, kind };
-    let mut simulation = World::with_size(32, plans, vec![fault], size);
+    let mut simulation = Simulation::with_size(32, plans, vec![fault], size);
     simulation.run_until(100_000);
     assert!(simulation.cancelled_at(&id(0)).is_some());
-    assert_eq!(simulation.check.running_tasks(&id(0)), 0);
-    assert_eq!(simulation.check.broken, vec![]);
+    assert_eq!(simulation.checker.running_tasks(&id(0)), 0);
+    assert_eq!(simulation.checker.violations, vec![]);
 }
--- a/crates/testkit/tests/broken_jobs.rs
+++ b/crates/testkit/tests/broken_jobs.rs
@@ -4,7 +4,8 @@
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, JobDefect, MachineFault, Ms, Plan, Size, Which, World,
+    ControllerSelector, Fault, FaultKind, JobDefect, JobPlan, MachineFault, MachineSelector, Ms,
+    Simulation, Size,
 };
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::{JobId, MachineId};
@@ -20,8 +21,8 @@
 const GOOD_FROM: u32 = 100;
 const TWO_MINUTES: Ms = 120_000;
 
-fn plan(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms) -> Plan {
-    let mut plan = Plan::plain(n, at, kind, tasks, run_ms);
+fn plan(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, kind, tasks, run_ms);
     plan.spec.gpus = 0.0;
     plan
 }
@@ -47,7 +48,7 @@
 
     fn restrict(self, spec: &mut JobSpec) {
         if !matches!(self, Self::Mixed) {
-            spec.types = Some(vec!["c8".to_owned()]);
+            spec.machine_types = Some(vec!["c8".to_owned()]);
         }
         if matches!(self, Self::Few(_)) {
             spec.zone = Some("b".to_owned());
@@ -56,7 +57,7 @@
 }
 
 /// Good jobs of two teams, one so often, and a service of each.
-fn good(fleet: Fleet, every: Ms) -> Vec<Plan> {
+fn good(fleet: Fleet, every: Ms) -> Vec<JobPlan> {
     let mut plans = vec![plan(0, 1_000, JobKind::Service, 1, 0)];
     // Else the other team's machine would come and go, with the boots of chance.
     if !matches!(fleet, Fleet::Few(_)) {
@@ -80,11 +81,11 @@
 
 type Broken = (JobKind, u32, JobDefect);
 
-fn broken(fleet: Fleet, jobs: &[Broken]) -> Vec<Plan> {
+fn broken(fleet: Fleet, jobs: &[Broken]) -> Vec<JobPlan> {
     let one = |(n, (kind, tasks, mistake)): (usize, &Broken)| {
         let at = BROKEN_FROM + 500 * n as Ms;
         let mut plan = plan(1 + n as u32, at, *kind, *tasks, 30_000);
-        plan.mistake = Some(*mistake);
+        plan.defect = Some(*mistake);
         plan.cancel_at = Some(CANCEL_AT);
         fleet.restrict(&mut plan.spec);
         plan
@@ -94,20 +95,20 @@
 
 /// What a day came to.
 struct Outcome {
-    simulation: World,
+    simulation: Simulation,
     /// Machines that were given up as faulty, and when.
     given_up: BTreeMap<MachineId, Ms>,
     /// The longest wait of a good job for its first start.
     longest_wait: Ms,
 }
 
-fn play(plans: Vec<Plan>, faults: Vec<Fault>, fleet: Fleet) -> Outcome {
+fn play(plans: Vec<JobPlan>, faults: Vec<Fault>, fleet: Fleet) -> Outcome {
     let good: Vec<(JobId, Ms)> = plans
         .iter()
-        .filter(|p| p.mistake.is_none())
-        .map(|p| (p.spec.id.clone(), p.at))
+        .filter(|p| p.defect.is_none())
+        .map(|p| (p.spec.id.clone(), p.submit_at))
         .collect();
-    let mut simulation = World::with_size(7, plans, faults, fleet.size());
+    let mut simulation = Simulation::with_size(7, plans, faults, fleet.size());
     let mut given_up = BTreeMap::new();
     while simulation.now() < END {
         simulation.run_until(simulation.now() + 1_000);
@@ -117,7 +118,7 @@
             }
         }
     }
-    let wait = |(id, at): &(JobId, Ms)| simulation.check.began_at(id).unwrap_or(END) - at;
+    let wait = |(id, at): &(JobId, Ms)| simulation.checker.began_at(id).unwrap_or(END) - at;
     let longest_wait = good.iter().map(wait).max().unwrap_or(0);
     Outcome {
         simulation,
@@ -127,14 +128,18 @@
 }
 
 /// What must hold on every day and does not.
-fn amiss(simulation: &World) -> Vec<String> {
-    let broken = simulation.check.broken.iter().map(|b| format!("{b:?}"));
+fn amiss(simulation: &Simulation) -> Vec<String> {
+    let broken = simulation
+        .checker
+        .violations
+        .iter()
+        .map(|b| format!("{b:?}"));
     broken.chain(simulation.unfinished_jobs()).collect()
 }
 
 /// Failures of a job within a time.
-fn failures(simulation: &World, id: &JobId, from: Ms, to: Ms) -> usize {
-    let all = simulation.check.failures.iter();
+fn failures(simulation: &Simulation, id: &JobId, from: Ms, to: Ms) -> usize {
+    let all = simulation.checker.failures.iter();
     all.filter(|(at, task, _)| task.job == *id && (from..to).contains(at))
         .count()
 }
@@ -259,7 +264,7 @@
 }
 
 /// A service whose replicas fill half of each of five machines.
-fn on_five_machines(fleet: Fleet) -> Plan {
+fn on_five_machines(fleet: Fleet) -> JobPlan {
     let mut plan = plan(60, 1_000, JobKind::Service, 5, 0);
     plan.spec.cpus = 5.0;
     fleet.restrict(&mut plan.spec);
@@ -303,12 +308,13 @@
             if roomy {
                 plans.push(on_five_machines(fleet));
             }
-            let which = Which::RunningJob(id(RUNS_THEN));
+            let which = MachineSelector::RunningJob(id(RUNS_THEN));
             let kind = FaultKind::Machines(which.clone(), MachineFault::FailTasks(END));
             let fault = Fault { at: SICK_AT, kind };
-            let mut before = World::with_size(7, plans.clone(), vec![fault.clone()], fleet.size());
+            let mut before =
+                Simulation::with_size(7, plans.clone(), vec![fault.clone()], fleet.size());
             before.run_until(SICK_AT - 10);
-            let sick = before.machines_of(&which);
+            let sick = before.select_machines(&which);
             assert_eq!(sick.len(), 1, "{name}");
             let day = play(plans, vec![fault], fleet);
             let mut must = |holds: bool, what: String| {
@@ -330,7 +336,7 @@
             );
             let lost = day
                 .simulation
-                .check
+                .checker
                 .failures
                 .iter()
                 .filter(|(at, task, on)| {
@@ -394,9 +400,9 @@
     use JobKind::{Array, Gang};
     const LONG: Ms = 50_000;
     let fleet = Fleet::Few(1);
-    let long_jobs = || -> Vec<Plan> {
+    let long_jobs = || -> Vec<JobPlan> {
         let one = |n| plan(GOOD_FROM + n, 45_000 + Ms::from(n) * 20_000, Array, 1, LONG);
-        let mut plans: Vec<Plan> = (0..8).map(one).collect();
+        let mut plans: Vec<JobPlan> = (0..8).map(one).collect();
         // It brings the machine up before the others come.
         plans.push(plan(0, 1_000, JobKind::Service, 1, 0));
         for plan in &mut plans {
@@ -407,8 +413,8 @@
     let usual = play(long_jobs(), vec![], fleet);
     let mut plans = long_jobs();
     plans.extend(broken(fleet, &[(Gang, 3, JobDefect::FailsAtStart)]));
-    for plan in plans.iter_mut().filter(|p| p.mistake.is_some()) {
-        plan.at = 25_000;
+    for plan in plans.iter_mut().filter(|p| p.defect.is_some()) {
+        plan.submit_at = 25_000;
     }
     let day = play(plans, vec![], fleet);
     assert_eq!(amiss(&day.simulation), Vec::<String>::new());
@@ -419,7 +425,7 @@
     let wait_of = |day: &Outcome, n: u32| {
         let at = 45_000 + Ms::from(n) * 20_000;
         day.simulation
-            .check
+            .checker
             .began_at(&id(GOOD_FROM + n))
             .unwrap_or(END)
             - at
--- a/crates/testkit/tests/chains.rs
+++ b/crates/testkit/tests/chains.rs
@@ -1,7 +1,7 @@
 //! Jobs that wait for others, beside work that fills the fleet.
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Plan, Size, World};
+use forkshift_testkit::{JobPlan, Simulation, Size};
 use forkshift_wire::users::{JobKind, JobStage, Priority};
 use forkshift_wire::JobId;
 
@@ -11,9 +11,9 @@
 const CHAIN_AT: u64 = 60_000;
 
 /// A stage of low priority and an urgent end, which is submitted last.
-fn chain(first: u32) -> Vec<Plan> {
+fn chain(first: u32) -> Vec<JobPlan> {
     let stage = |n: u32, priority, needs: &[JobId]| {
-        let mut plan = Plan::plain(
+        let mut plan = JobPlan::plain(
             n,
             CHAIN_AT + u64::from(n - first) * 200,
             JobKind::Array,
@@ -34,9 +34,9 @@
 /// before, and with them the urgent end that needs them.
 #[test]
 fn an_urgent_end_is_not_held_back_by_the_priority_of_its_stages() {
-    let mut plans: Vec<Plan> = (0..BUSY_JOBS)
+    let mut plans: Vec<JobPlan> = (0..BUSY_JOBS)
         .map(|n| {
-            let mut plan = Plan::plain(n, 2_000 + u64::from(n) * 100, JobKind::Array, 6, 15_000);
+            let mut plan = JobPlan::plain(n, 2_000 + u64::from(n) * 100, JobKind::Array, 6, 15_000);
             plan.spec.cpus = 8.0;
             plan.spec.gpus = 0.0;
             plan
@@ -48,14 +48,14 @@
         limit: (0.0, 0.0),
         ..Size::default()
     };
-    let mut simulation = World::with_size(51, plans, vec![], size);
+    let mut simulation = Simulation::with_size(51, plans, vec![], size);
     simulation.run_until(400_000);
-    assert_eq!(simulation.check.broken, vec![]);
-    let begun = |n| simulation.check.began_at(&id(n)).expect("it has begun");
+    assert_eq!(simulation.checker.violations, vec![]);
+    let begun = |n| simulation.checker.began_at(&id(n)).expect("it has begun");
     let behind = (0..BUSY_JOBS).filter(|n| begun(*n) > begun(BUSY_JOBS));
     assert!(behind.count() > 0, "ordinary work was waiting");
     assert_eq!(
-        simulation.check.final_stage(&id(BUSY_JOBS + 2)),
+        simulation.checker.final_stage(&id(BUSY_JOBS + 2)),
         Some(JobStage::Done)
     );
     let took = begun(BUSY_JOBS + 2) - CHAIN_AT;
--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -7,14 +7,14 @@
 use common::{assert_ran_and_rules_kept, fault, random_plans_of_seed, Ms};
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
 };
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-fn job(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> Plan {
-    let mut plan = Plan::plain(n, at, kind, tasks, run_ms);
+fn job(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, kind, tasks, run_ms);
     plan.spec.gpus = 2.0;
     plan.cancel_at = cancel_at;
     plan
@@ -48,22 +48,22 @@
 }
 
 /// Plays a day to its end. Nobody is left unserved, and no rule is broken.
-fn play(name: &str, seed: u64, plans: Vec<Plan>, faults: Vec<Fault>, end: Ms) -> World {
+fn play(name: &str, seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, end: Ms) -> Simulation {
     play_sized(name, seed, plans, faults, end, Size::default())
 }
 
 fn play_sized(
     name: &str,
     seed: u64,
-    plans: Vec<Plan>,
+    plans: Vec<JobPlan>,
     mut faults: Vec<Fault>,
     end: Ms,
     size: Size,
-) -> World {
+) -> Simulation {
     faults.sort_by_key(|f| f.at);
-    let mut simulation = World::with_size(seed, plans, faults, size);
+    let mut simulation = Simulation::with_size(seed, plans, faults, size);
     simulation.run_until(end);
-    simulation.check.finish(simulation.now());
+    simulation.checker.finish(simulation.now());
     assert_ran_and_rules_kept(name, &simulation);
     simulation
 }
@@ -120,7 +120,7 @@
                         node,
                         peers: None,
                         time,
-                        hold: true,
+                        holds_messages: true,
                     },
                 ),
             ],
@@ -179,7 +179,7 @@
             ..Size::default()
         };
         let kinds = [JobKind::Array, JobKind::Gang, JobKind::Service];
-        let mut plans: Vec<Plan> = (0..24)
+        let mut plans: Vec<JobPlan> = (0..24)
             .map(|n| {
                 let kind = kinds[n as usize % 3];
                 // Two are cancelled; services end some day.
@@ -197,15 +197,21 @@
                     cancel_at,
                 );
                 plan.spec.team = format!("team-{}", n % 2);
-                plan.spec.one_zone = n % 4 == 1;
-                plan.spec.spread = kind == JobKind::Service && n % 4 != 1;
+                plan.spec.require_same_zone = n % 4 == 1;
+                plan.spec.spread_over_zones = kind == JobKind::Service && n % 4 != 1;
                 plan
             })
             .collect();
         plans.truncate(24);
         let faults = vec![
-            fault(50_000, FaultKind::Machines(Which::RunningJob(id(0)), what)),
-            fault(50_000, FaultKind::Machines(Which::RunningJob(id(1)), what)),
+            fault(
+                50_000,
+                FaultKind::Machines(MachineSelector::RunningJob(id(0)), what),
+            ),
+            fault(
+                50_000,
+                FaultKind::Machines(MachineSelector::RunningJob(id(1)), what),
+            ),
             crash(51_500, ControllerSelector::HolderOfJob(id(0)), 3_000),
             crash(58_000, ControllerSelector::Leader, 3_000),
         ];
@@ -235,12 +241,12 @@
             crash(50_000, ControllerSelector::HolderOfJob(id(0)), 3_000),
         ];
         let name = format!("at {at}");
-        let plans: Vec<Plan> = plans.chain(later).collect();
+        let plans: Vec<JobPlan> = plans.chain(later).collect();
         let simulation = play(&name, 360 + step, plans, faults, 160_000);
         for n in 0..12 {
             let told = simulation.cancelled_at(&id(n)).expect("cancelled");
             assert!(told < at + 30_000, "{name}: {n} was told at {told}");
-            assert_eq!(simulation.check.running_tasks(&id(n)), 0, "{name}: {n}");
+            assert_eq!(simulation.checker.running_tasks(&id(n)), 0, "{name}: {n}");
         }
     }
 }
@@ -297,7 +303,10 @@
             ),
             fault(
                 38_000,
-                FaultKind::Machines(Which::Some(3), MachineFault::InboundLoss(15_000)),
+                FaultKind::Machines(
+                    MachineSelector::Random(3),
+                    MachineFault::InboundLoss(15_000),
+                ),
             ),
             fault(
                 42_000,
@@ -377,7 +386,7 @@
         });
         let simulation = play_sized(name, seed, plans.collect(), faults, 280_000, size);
         if quiet {
-            let slow = simulation.check.max_acceptance_ms();
+            let slow = simulation.checker.max_acceptance_ms();
             assert!(slow < 1_000, "{name}: accepted after {slow} ms");
         }
     }
@@ -510,7 +519,12 @@
             let run = if n < 4 { 200_000 } else { 70_000 };
             job(n, 2_000, JobKind::Array, 2, run, cancel)
         });
-        let lose = |n| fault(50_000, FaultKind::Machines(Which::RunningJob(id(n)), what));
+        let lose = |n| {
+            fault(
+                50_000,
+                FaultKind::Machines(MachineSelector::RunningJob(id(n)), what),
+            )
+        };
         let faults = vec![
             lose(0),
             lose(1),
@@ -533,7 +547,7 @@
             let kind = [JobKind::Array, JobKind::Gang, JobKind::Service][n as usize % 3];
             let cancel = (kind == JobKind::Service).then_some(120_000);
             let mut plan = job(n, 2_000, kind, 3, 20_000, cancel);
-            plan.spec.one_zone = n % 2 == 0;
+            plan.spec.require_same_zone = n % 2 == 0;
             plan.spec.zone = (n % 2 == 1).then(|| "b".to_owned());
             plan.spec.team = format!("team-{}", n % 4);
             plan
@@ -541,7 +555,7 @@
         let die = |n| {
             fault(
                 40_000,
-                FaultKind::Machines(Which::RunningJob(id(n)), MachineFault::Die),
+                FaultKind::Machines(MachineSelector::RunningJob(id(n)), MachineFault::Crash),
             )
         };
         let (zone, time) = ("b", 16_000);
@@ -553,7 +567,7 @@
                 FaultKind::ZonePartition {
                     zone,
                     time,
-                    hold: holds_messages,
+                    holds_messages,
                 },
             ),
             fault(
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -4,7 +4,7 @@
 // Each test program uses a part of it.
 #![allow(dead_code)]
 
-use forkshift_testkit::{Fault, FaultKind, Plan, World};
+use forkshift_testkit::{Fault, FaultKind, JobPlan, Simulation};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -17,23 +17,27 @@
 }
 
 /// Random jobs that are submitted within the first 90 seconds.
-pub fn random_plans(rng: &mut StdRng, count: u32) -> Vec<Plan> {
+pub fn random_plans(rng: &mut StdRng, count: u32) -> Vec<JobPlan> {
     let plans = (0..count).map(|number| {
         let at = rng.random_range(2_000..90_000);
-        Plan::random(rng, number, at)
+        JobPlan::random(rng, number, at)
     });
     plans.collect()
 }
 
 /// Random jobs of a seed.
-pub fn random_plans_of_seed(seed: u64, count: u32) -> Vec<Plan> {
+pub fn random_plans_of_seed(seed: u64, count: u32) -> Vec<JobPlan> {
     random_plans(&mut StdRng::seed_from_u64(seed), count)
 }
 
 /// Checks that no rule was violated and that every job is done, runs, or is cancelled as
 /// its user wants.
-pub fn assert_rules_kept(name: &str, simulation: &World) {
-    assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+pub fn assert_rules_kept(name: &str, simulation: &Simulation) {
+    assert_eq!(
+        simulation.checker.violations,
+        vec![],
+        "{name}: rules broken"
+    );
     assert_eq!(
         simulation.unfinished_jobs(),
         Vec::<String>::new(),
@@ -42,7 +46,7 @@
 }
 
 /// Checks that tasks ran and that all rules were kept.
-pub fn assert_ran_and_rules_kept(name: &str, simulation: &World) {
-    assert!(simulation.check.starts > 0, "{name}: nothing ran");
+pub fn assert_ran_and_rules_kept(name: &str, simulation: &Simulation) {
+    assert!(simulation.checker.starts > 0, "{name}: nothing ran");
     assert_rules_kept(name, simulation);
 }
--- a/crates/testkit/tests/controller_cuts.rs
+++ b/crates/testkit/tests/controller_cuts.rs
@@ -6,7 +6,9 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{ControllerSelector, FaultKind, Plan, Size, Which, World};
+use forkshift_testkit::{
+    ControllerSelector, FaultKind, JobPlan, MachineSelector, Simulation, Size,
+};
 use forkshift_wire::users::JobKind;
 use forkshift_wire::MachineId;
 
@@ -23,8 +25,8 @@
 const STILL_MOST: Ms = 5_000;
 
 /// An array of a team, all of which are in one shard.
-fn job(n: u32, at: Ms, gpus: f64, run_ms: Ms, cancel_at: Option<Ms>) -> Plan {
-    let mut plan = Plan::plain(n, at, JobKind::Array, 1, run_ms);
+fn job(n: u32, at: Ms, gpus: f64, run_ms: Ms, cancel_at: Option<Ms>) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, JobKind::Array, 1, run_ms);
     plan.spec.cpus = 1.0;
     plan.spec.gpus = gpus;
     plan.spec.memory_gb = 1.0;
@@ -42,7 +44,7 @@
 
 /// Each long job has a machine of its own, with room for new ones: these wait
 /// for nothing but a controller.
-fn plans() -> Vec<Plan> {
+fn plans() -> Vec<JobPlan> {
     let long = (0..LONG).map(|n| {
         let cancel_at = TROUBLE - 500 + u64::from(n) * 700;
         job(n, 2_000, 6.0, 150_000, (n % 2 == 1).then_some(cancel_at))
@@ -66,28 +68,28 @@
     Refused,
 }
 
-fn lose(simulation: &mut World, node: usize, lost: Lost, time: Ms) {
-    let cut = |state, workers, cloud| FaultKind::Cut {
+fn lose(simulation: &mut Simulation, node: usize, lost: Lost, time: Ms) {
+    let cut = |state, workers, cloud| FaultKind::ServicePartition {
         node,
-        state,
+        store: state,
         workers,
         cloud,
         time,
-        hold: true,
+        holds_messages: true,
     };
     match lost {
         Lost::All => {
-            simulation.fault_now(cut(true, true, true));
-            simulation.fault_now(FaultKind::PeerPartition {
+            simulation.inject_fault(cut(true, true, true));
+            simulation.inject_fault(FaultKind::PeerPartition {
                 node,
                 peers: None,
                 time,
-                hold: true,
+                holds_messages: true,
             });
         }
-        Lost::State => simulation.fault_now(cut(true, false, false)),
-        Lost::Workers => simulation.fault_now(cut(false, true, false)),
-        Lost::Refused => simulation.fault_now(FaultKind::StoreLockout { node, time }),
+        Lost::State => simulation.inject_fault(cut(true, false, false)),
+        Lost::Workers => simulation.inject_fault(cut(false, true, false)),
+        Lost::Refused => simulation.inject_fault(FaultKind::StoreLockout { node, time }),
     }
 }
 
@@ -100,27 +102,27 @@
 }
 
 fn play(name: &str, seed: u64, who: &ControllerSelector, lost: Lost, time: Ms) -> Seen {
-    let mut simulation = World::with_size(seed, plans(), Vec::new(), size());
+    let mut simulation = Simulation::with_size(seed, plans(), Vec::new(), size());
     simulation.run_until(TROUBLE);
     let node = simulation.select_controller(who).expect("there is one");
     let machines: Vec<MachineId> = (0..LONG)
         .step_by(2)
-        .flat_map(|n| simulation.machines_of(&Which::RunningJob(id(n))))
+        .flat_map(|n| simulation.select_machines(&MachineSelector::RunningJob(id(n))))
         .collect();
     assert!(!machines.is_empty(), "{name}: the long jobs run");
     lose(&mut simulation, node, lost, time);
     // A load balancer may send users to the controller all the same. How long
     // they wait for an answer there is not what is measured.
-    simulation.route_users_to((node + 1) % size().nodes);
+    simulation.route_users_to((node + 1) % size().controllers);
     simulation.run_until(TROUBLE + time + 15_000);
     let there = simulation
-        .machines_of(&Which::Named(machines.clone()))
+        .select_machines(&MachineSelector::Named(machines.clone()))
         .len();
     let mut all = machines;
     all.sort();
     all.dedup();
     simulation.run_until(300_000);
-    assert_eq!(simulation.check.broken, vec![], "{name}");
+    assert_eq!(simulation.checker.violations, vec![], "{name}");
     assert_eq!(
         simulation.unfinished_jobs(),
         Vec::<String>::new(),
@@ -130,7 +132,7 @@
         .into_iter()
         .skip(LONG as usize)
         .filter(|p| p.cancel_at.is_none())
-        .map(|p| simulation.check.began_at(&p.spec.id).expect("it ran") - p.at);
+        .map(|p| simulation.checker.began_at(&p.spec.id).expect("it ran") - p.submit_at);
     Seen {
         stood_still: waits.max().unwrap_or(0),
         given_up: all.len() - there,
--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -9,7 +9,7 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{ControllerSelector, Fault, FaultKind, Plan, Size, World};
+use forkshift_testkit::{ControllerSelector, Fault, FaultKind, JobPlan, Simulation, Size};
 use forkshift_wire::users::JobKind;
 
 /// When the trouble begins: all jobs of the first seconds run by then.
@@ -18,8 +18,8 @@
 const NODE_LEASE: Ms = 2_500;
 
 /// An array whose tasks run for a while.
-fn job(n: u32, at: Ms, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> Plan {
-    let mut plan = Plan::plain(n, at, JobKind::Array, tasks, run_ms);
+fn job(n: u32, at: Ms, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, JobKind::Array, tasks, run_ms);
     plan.spec.team = format!("team-{}", n % 4);
     plan.spec.cpus = 1.0;
     plan.spec.gpus = 1.0;
@@ -29,7 +29,7 @@
 
 /// Jobs that run through the trouble, jobs that are submitted around its
 /// beginning and in it, and cancellations of both before, in and after it.
-fn through_the_trouble(stop: Ms) -> Vec<Plan> {
+fn through_the_trouble(stop: Ms) -> Vec<JobPlan> {
     let mut plans = Vec::new();
     for n in 0..8 {
         let cancel_at = TROUBLE - 200 + u64::from(n) * (stop + 400) / 8;
@@ -64,12 +64,12 @@
 }
 
 /// Plays until controllers in a role stop for a while.
-fn stop_in_role(simulation: &mut World, role: Role, time: Ms) {
+fn stop_in_role(simulation: &mut Simulation, role: Role, time: Ms) {
     simulation.run_until(TROUBLE);
     match role {
-        Role::Leader => simulation.fault_now(pause(0, time).at(ControllerSelector::Leader)),
+        Role::Leader => simulation.inject_fault(pause(0, time).at(ControllerSelector::Leader)),
         Role::Holder => {
-            simulation.fault_now(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))))
+            simulation.inject_fault(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))))
         }
         Role::TakingOver => {
             let (node, count, restart_after) = (0, 1, 30_000);
@@ -79,16 +79,16 @@
                 count,
                 restart_after,
             };
-            simulation.fault_now(crash.at(ControllerSelector::HolderOfJob(id(0))));
+            simulation.inject_fault(crash.at(ControllerSelector::HolderOfJob(id(0))));
             while simulation.epoch_of(&id(0)) == before {
                 simulation.run_until(simulation.now() + 10);
                 assert!(simulation.now() < TROUBLE + 10_000, "nobody takes over");
             }
-            simulation.fault_now(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))));
+            simulation.inject_fault(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))));
         }
         Role::All => {
             for node in 0..3 {
-                simulation.fault_now(pause(node, time));
+                simulation.inject_fault(pause(node, time));
             }
         }
     }
@@ -113,7 +113,7 @@
         let at = TROUBLE - 2_000;
         let faults = vec![Fault { at: 0, kind: looks }, Fault { at, kind: slow }];
         let plans = through_the_trouble(stop);
-        let mut simulation = World::with_size(seed, plans, faults, Size::default());
+        let mut simulation = Simulation::with_size(seed, plans, faults, Size::default());
         stop_in_role(&mut simulation, role, stop);
         let ended = simulation.terminated_machines();
         simulation.run_until(TROUBLE + stop + 8_000);
@@ -125,8 +125,8 @@
             );
         }
         simulation.run_until(TROUBLE + stop + 200_000);
-        assert_eq!(simulation.check.broken, vec![], "{name}");
-        let after_cancel = &simulation.check.starts_after_cancel;
+        assert_eq!(simulation.checker.violations, vec![], "{name}");
+        let after_cancel = &simulation.checker.starts_after_cancel;
         assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
         let (over, all) = simulation.over_limit();
         assert_eq!(over, 0, "{name}: of {all} requests, beyond the limits");
@@ -151,7 +151,7 @@
 
 /// Long jobs, one of which is cancelled just before and two in the time, and
 /// a few short ones for that time.
-fn while_away() -> Vec<Plan> {
+fn while_away() -> Vec<JobPlan> {
     let long = (0..8).map(|n| {
         let cancel_at = match n {
             1 => Some(TROUBLE - 150),
@@ -168,22 +168,24 @@
 fn play_away(name: &str, seed: u64, away: Away) -> Seen {
     // The service takes little: a burst shows.
     let size = Size {
-        rps: 80.0,
-        write_rps: 30.0,
+        store_rps: 80.0,
+        store_write_rps: 30.0,
         ..Size::default()
     };
-    let mut simulation = World::with_size(seed, while_away(), Vec::new(), size);
+    let mut simulation = Simulation::with_size(seed, while_away(), Vec::new(), size);
     simulation.run_until(TROUBLE);
-    let running = |simulation: &World| -> usize {
+    let running = |simulation: &Simulation| -> usize {
         let kept = [0, 2, 4, 6].map(id);
-        kept.iter().map(|j| simulation.check.running_tasks(j)).sum()
+        kept.iter()
+            .map(|j| simulation.checker.running_tasks(j))
+            .sum()
     };
     assert_eq!(running(&simulation), 8, "{name}: the long jobs run");
-    let starts = simulation.check.starts;
+    let starts = simulation.checker.starts;
     for (node, restart_after) in away.into_iter().enumerate() {
         if let Some(restart_after) = restart_after {
             let count = 1;
-            simulation.fault_now(FaultKind::Crash {
+            simulation.inject_fault(FaultKind::Crash {
                 node,
                 count,
                 restart_after,
@@ -199,10 +201,10 @@
             resumed = simulation.now() - TROUBLE - first;
         }
     }
-    let short = (8..14).filter(|n| simulation.check.began_at(&id(*n)).is_some());
-    let begun_anew = simulation.check.starts - starts - short.count() as u64;
-    assert_eq!(simulation.check.broken, vec![], "{name}");
-    let after_cancel = &simulation.check.starts_after_cancel;
+    let short = (8..14).filter(|n| simulation.checker.began_at(&id(*n)).is_some());
+    let begun_anew = simulation.checker.starts - starts - short.count() as u64;
+    assert_eq!(simulation.checker.violations, vec![], "{name}");
+    let after_cancel = &simulation.checker.starts_after_cancel;
     assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
     for n in [1, 3, 5].map(id) {
         assert!(
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -4,25 +4,27 @@
 mod common;
 
 use common::{assert_ran_and_rules_kept, random_plans, random_plans_of_seed};
-use forkshift_testkit::{random_early_faults, random_faults, Fault, FaultKind, Plan, Size, World};
+use forkshift_testkit::{
+    random_early_faults, random_faults, Fault, FaultKind, JobPlan, Simulation, Size,
+};
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 /// Plays a day and checks that no rule was broken and nobody left unserved.
-fn play(name: &str, seed: u64, plans: Vec<Plan>, faults: Vec<Fault>, end: u64) -> World {
+fn play(name: &str, seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, end: u64) -> Simulation {
     play_sized(name, seed, plans, faults, end, Size::default())
 }
 
 fn play_sized(
     name: &str,
     seed: u64,
-    plans: Vec<Plan>,
+    plans: Vec<JobPlan>,
     faults: Vec<Fault>,
     end: u64,
     size: Size,
-) -> World {
-    let mut simulation = World::with_size(seed, plans, faults, size);
+) -> Simulation {
+    let mut simulation = Simulation::with_size(seed, plans, faults, size);
     simulation.run_until(end);
     assert_ran_and_rules_kept(name, &simulation);
     simulation
@@ -104,29 +106,29 @@
             count: 3,
             restart_after: 6_000,
         },
-        FaultKind::Cut {
+        FaultKind::ServicePartition {
             node,
-            state: true,
+            store: true,
             workers: false,
             cloud: false,
             time,
-            hold,
+            holds_messages: hold,
         },
-        FaultKind::Cut {
+        FaultKind::ServicePartition {
             node,
-            state: false,
+            store: false,
             workers: true,
             cloud: false,
             time,
-            hold,
+            holds_messages: hold,
         },
-        FaultKind::Cut {
+        FaultKind::ServicePartition {
             node,
-            state: true,
+            store: true,
             workers: true,
             cloud: true,
             time,
-            hold,
+            holds_messages: hold,
         },
         FaultKind::StoreRefusal { node, time },
         FaultKind::StoreOutage(time),
@@ -191,7 +193,7 @@
 /// its requests: the cloud would repeat old answers, and nothing would be rented.
 #[test]
 fn a_controller_that_is_elected_twice_still_provisions_machines() {
-    let job = |n: u32, at: u64| Plan::plain(n, at, JobKind::Array, 2, 5_000);
+    let job = |n: u32, at: u64| JobPlan::plain(n, at, JobKind::Array, 2, 5_000);
     let refuse = |node, at, time| Fault {
         at,
         kind: FaultKind::StoreRefusal { node, time },
@@ -205,7 +207,7 @@
     ];
     let plans = (0..8).map(|n| job(n, 2_000 + 30_000 * u64::from(n)));
     let simulation = play("leads twice", 5, plans.collect(), faults, 330_000);
-    assert!(simulation.check.starts >= 16);
+    assert!(simulation.checker.starts >= 16);
 }
 
 /// Seven controllers, sixteen teams, and a state service that takes few
@@ -213,11 +215,11 @@
 #[test]
 fn rules_hold_when_a_large_deployment_loses_most_controllers_twice() {
     let size = Size {
-        nodes: 7,
+        controllers: 7,
         teams: 16,
         capacity: 20,
-        rps: 80.0,
-        write_rps: 30.0,
+        store_rps: 80.0,
+        store_write_rps: 30.0,
         ..Size::default()
     };
     let mut rng = StdRng::seed_from_u64(700);
@@ -253,32 +255,32 @@
 #[test]
 fn a_large_fleet_is_up_within_a_few_boots() {
     let size = Size {
-        nodes: 7,
+        controllers: 7,
         teams: 16,
         capacity: 200,
-        rps: 80.0,
-        write_rps: 30.0,
+        store_rps: 80.0,
+        store_write_rps: 30.0,
         ..Size::default()
     };
     let mut rng = StdRng::seed_from_u64(701);
     let plans = (0..60).map(|n| {
-        let mut plan = Plan::random(&mut rng, n, 1_000);
+        let mut plan = JobPlan::random(&mut rng, n, 1_000);
         plan.spec.kind = JobKind::Service;
         plan.spec.tasks = 4;
         plan.spec.cpus = 4.0;
         plan.spec.gpus = 0.0;
-        plan.spec.types = None;
+        plan.spec.machine_types = None;
         plan.spec.zone = None;
-        plan.spec.one_zone = false;
-        plan.spec.spread = true;
+        plan.spec.require_same_zone = false;
+        plan.spec.spread_over_zones = true;
         plan.spec.team = format!("team-{}", n % 16);
         plan.cancel_at = None;
         plan
     });
     let simulation = play_sized("large", 701, plans.collect(), Vec::new(), 90_000, size);
     assert!(
-        simulation.check.starts >= 240,
+        simulation.checker.starts >= 240,
         "{} starts",
-        simulation.check.starts
+        simulation.checker.starts
     );
 }
