--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 use common::assert_rules_kept;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
 };
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::JobId;
@@ -14,7 +14,7 @@
 
 /// Services that fill most of the fleet at the start, and arrays and gangs
 /// that come all the time.
-fn plans(seed: u64, size: &Size, services: u32, others: u32) -> Vec<Plan> {
+fn plans(seed: u64, size: &Size, services: u32, others: u32) -> Vec<JobPlan> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut plans = Vec::new();
     for n in 0..services + others {
@@ -24,7 +24,7 @@
         } else {
             rng.random_range(30_000..80_000)
         };
-        let mut plan = Plan::random(&mut rng, n, at);
+        let mut plan = JobPlan::random(&mut rng, n, at);
         plan.spec.team = format!("team-{}", n as usize % size.teams);
         if service {
             plan.spec.kind = JobKind::Service;
@@ -33,11 +33,11 @@
             plan.spec.tasks = rng.random_range(2..12);
             plan.spec.gpus = if n % 5 == 0 { 4.0 } else { 0.0 };
             plan.spec.cpus = 6.0;
-            plan.spec.types = None;
+            plan.spec.machine_types = None;
             plan.spec.zone = None;
-            plan.spec.one_zone = false;
-            plan.spec.spread = true;
-            plan.spec.spot = false;
+            plan.spec.require_same_zone = false;
+            plan.spec.spread_over_zones = true;
+            plan.spec.allow_spot = false;
             plan.cancel_at = (n % 3 == 0).then(|| rng.random_range(60_000..100_000));
         } else if plan.spec.kind == JobKind::Array {
             plan.spec.tasks = rng.random_range(20..120);
@@ -54,14 +54,14 @@
     machines: usize,
     faults: Vec<Fault>,
     end: u64,
-) -> World {
-    let plans = plans(size.nodes as u64, &size, services, others);
-    let mut simulation = World::with_size(size.nodes as u64, plans, faults, size);
+) -> Simulation {
+    let plans = plans(size.controllers as u64, &size, services, others);
+    let mut simulation = Simulation::with_size(size.controllers as u64, plans, faults, size);
     simulation.run_until(end);
     assert_rules_kept(name, &simulation);
     let peak = simulation.max_machines();
     assert!(peak >= machines, "{name}: {peak} machines");
-    let most = (size.write_rps * end as f64 / 1000.0) as u64;
+    let most = (size.store_write_rps * end as f64 / 1000.0) as u64;
     assert!(
         simulation.writes() < most,
         "{name}: {} writes",
@@ -121,7 +121,7 @@
     let faults = vec![
         Fault {
             at: 70_000,
-            kind: FaultKind::Machines(Which::InZone("b"), MachineFault::Die),
+            kind: FaultKind::Machines(MachineSelector::InZone("b"), MachineFault::Crash),
         },
         Fault {
             at: 78_000,
@@ -142,12 +142,12 @@
 }
 
 /// A fleet of replicas that has come to rest.
-fn at_rest(size: Size, services: u32, faults: Vec<Fault>) -> World {
+fn at_rest(size: Size, services: u32, faults: Vec<Fault>) -> Simulation {
     let mut plans = plans(9, &size, services, 0);
     for plan in &mut plans {
         plan.cancel_at = None;
     }
-    let mut simulation = World::with_size(9, plans, faults, size);
+    let mut simulation = Simulation::with_size(9, plans, faults, size);
     simulation.run_until(90_000);
     simulation
 }
@@ -173,7 +173,7 @@
 /// Machines that were returned for reasons that no cut has to do with: nothing
 /// needed them, or they had not come up after several boots; and why others
 /// were given up.
-fn given_up(simulation: &World) -> (usize, Vec<String>) {
+fn given_up(simulation: &Simulation) -> (usize, Vec<String>) {
     const ORDINARY: [&str; 2] = ["it is not needed", "it never came up"];
     let reasons = simulation.decommissioned().values();
     let (returned, lost): (Vec<&String>, Vec<&String>) =
@@ -186,7 +186,7 @@
 #[test]
 fn many_silent_machines_are_not_deleted() {
     let size = Size {
-        report_ms: 1_000,
+        heartbeat_ms: 1_000,
         lease_ms: 10_000,
         ..Size::five_by_1860()
     };
@@ -195,15 +195,15 @@
         FaultKind::ZonePartition {
             zone: "b",
             time,
-            hold,
+            holds_messages: hold,
         },
-        FaultKind::Cut {
+        FaultKind::ServicePartition {
             node: 1,
-            state: false,
+            store: false,
             workers: true,
             cloud: false,
             time: 30_000,
-            hold,
+            holds_messages: hold,
         },
     ];
     for kind in cases {
@@ -212,7 +212,11 @@
         let (ended, machines) = (simulation.terminated_machines(), simulation.machines());
         let (returned, _) = given_up(&simulation);
         simulation.run_until(140_000);
-        assert_eq!(simulation.check.broken, vec![], "{name}: rules broken");
+        assert_eq!(
+            simulation.checker.violations,
+            vec![],
+            "{name}: rules broken"
+        );
         let (returned_later, lost) = given_up(&simulation);
         assert_eq!(lost, Vec::<String>::new(), "{name}: given up");
         let gone = simulation.terminated_machines() - ended - (returned_later - returned);
--- a/crates/testkit/tests/hollow_workers.rs
+++ b/crates/testkit/tests/hollow_workers.rs
@@ -5,8 +5,8 @@
 
 use common::Ms;
 use forkshift_testkit::{
-    BootModel, Deployment, Fleet, MachineChange, Outgoing, Plan, Requester, Rule, Service, Size,
-    World,
+    BootModel, ControllerRequest, Deployment, Fleet, JobPlan, MachineChange, Requester, Rule,
+    Service, Simulation, Size,
 };
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::workers::{TaskStage, WorkerHeartbeat};
@@ -19,7 +19,7 @@
 
 /// A world with one worker that is up, and the controller that it reports to.
 struct Scene {
-    simulation: World,
+    simulation: Simulation,
     machine: MachineId,
     calls: u64,
 }
@@ -35,25 +35,27 @@
 impl Scene {
     fn new() -> Self {
         let size = Size {
-            report_ms: REPORT_MS,
+            heartbeat_ms: REPORT_MS,
             lease_ms: LEASE_MS,
             ..Size::default()
         };
         let fleet = Fleet {
-            boots: BootModel::Usual { fails: 0.0 },
+            boots: BootModel::Normal {
+                failure_probability: 0.0,
+            },
             ..Fleet::default()
         };
         let deployment = Deployment {
             fleet,
             team_limits: [("team-0".to_owned(), (0.0, 0.0))].into(),
-            value_bytes: 8_192,
-            txn_ops: 12,
+            max_value_bytes: 8_192,
+            max_transaction_writes: 12,
         };
         // Its user submits it at once, which is when workers can fetch it.
-        let mut plan = Plan::plain(0, 0, JobKind::Array, 2, 60_000);
+        let mut plan = JobPlan::plain(0, 0, JobKind::Array, 2, 60_000);
         plan.spec.gpus = 1.0;
         plan.spec.image_gb = 8.0;
-        let simulation = World::remote(1, vec![plan], Vec::new(), size, deployment);
+        let simulation = Simulation::remote(1, vec![plan], Vec::new(), size, deployment);
         let mut scene = Self {
             simulation,
             machine: MachineId::new("none"),
@@ -69,7 +71,7 @@
             let changes = scene.simulation.take_machine_changes().into_iter();
             up = changes.into_iter().find_map(|change| match change {
                 MachineChange::Up(id) => Some(id),
-                MachineChange::Gone(_) => None,
+                MachineChange::Removed(_) => None,
             });
         }
         scene.machine = up.expect("it is up");
@@ -80,7 +82,7 @@
         self.calls += 1;
         let body = body.to_string().into_bytes();
         self.simulation.call(self.calls, to, "POST", path, body);
-        let answers = self.simulation.take_answers();
+        let answers = self.simulation.take_responses();
         let answer = answers.into_iter().find(|a| a.call == self.calls);
         let answer = answer.expect("it is answered at once");
         let body = serde_json::from_slice(&answer.body).unwrap_or_default();
@@ -124,12 +126,12 @@
 }
 
 impl Sent {
-    fn new(at: Ms, request: Outgoing) -> Self {
+    fn new(at: Ms, request: ControllerRequest) -> Self {
         Self {
             at,
-            node: request.node,
+            node: request.controller,
             report: serde_json::from_slice(&request.body).expect("a report"),
-            asker: request.asker,
+            asker: request.requester,
         }
     }
 }
@@ -227,7 +229,7 @@
     }
     assert_eq!(last.report.incarnation, 2);
     assert!(last.report.tasks.is_empty(), "all forgotten");
-    assert_eq!(scene.simulation.check.tasks_on_machines(), 0);
+    assert_eq!(scene.simulation.checker.tasks_on_machines(), 0);
 }
 
 #[test]
@@ -260,13 +262,17 @@
         scene
             .simulation
             .advance_to(scene.simulation.now() + 3_000, step);
-        assert_eq!(scene.simulation.check.tasks_on_machines(), 1, "step {step}");
+        assert_eq!(
+            scene.simulation.checker.tasks_on_machines(),
+            1,
+            "step {step}"
+        );
         let (id, now) = (forkshift_testkit::job_id(0), scene.simulation.now());
-        scene.simulation.check.on_cancel_requested(&id);
+        scene.simulation.checker.on_cancel_requested(&id);
         let told = Some(JobStage::Cancelled);
         scene
             .simulation
-            .check
+            .checker
             .on_immediate_response(now, &id, false, 200, told);
         // The lease is lost before that, if nobody answers its reports.
         let mut broken_at = None;
@@ -276,9 +282,9 @@
                 .advance_to(scene.simulation.now() + step, step);
             for request in scene.simulation.take_requests() {
                 let body = json!({"baton": 1, "orders": []}).to_string().into_bytes();
-                scene.simulation.deliver(request.asker, 200, body);
+                scene.simulation.deliver(request.requester, 200, body);
             }
-            let broken = scene.simulation.check.broken.first();
+            let broken = scene.simulation.checker.violations.first();
             broken_at = broken.map(|(rule, at, _)| (*rule, *at));
         }
         let (rule, at) = broken_at.expect("the task is still there");
--- a/crates/testkit/tests/large_gang.rs
+++ b/crates/testkit/tests/large_gang.rs
@@ -5,7 +5,7 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{ControllerSelector, FaultKind, Plan, Size, World};
+use forkshift_testkit::{ControllerSelector, FaultKind, JobPlan, Simulation, Size};
 use forkshift_wire::users::{JobKind, JobStage};
 
 const TASKS: u32 = 512;
@@ -13,8 +13,8 @@
 const RUN: Ms = 15_000;
 const END: Ms = 200_000;
 
-fn simulation(seed: u64) -> World {
-    let mut gang = Plan::plain(0, SUBMITTED, JobKind::Gang, TASKS, RUN);
+fn simulation(seed: u64) -> Simulation {
+    let mut gang = JobPlan::plain(0, SUBMITTED, JobKind::Gang, TASKS, RUN);
     gang.spec.cpus = 1.0;
     gang.spec.gpus = 0.0;
     gang.spec.memory_gb = 1.0;
@@ -23,12 +23,12 @@
         limit: (1_000.0, 100.0),
         ..Size::default()
     };
-    World::with_size(seed, vec![gang], Vec::new(), size)
+    Simulation::with_size(seed, vec![gang], Vec::new(), size)
 }
 
 /// Plays until so many changes were written since the gang was accepted, or the end.
-fn play_writes(simulation: &mut World, writes: u64) {
-    while !simulation.check.is_accepted(&id(0)) && simulation.now() < END {
+fn play_writes(simulation: &mut Simulation, writes: u64) {
+    while !simulation.checker.is_accepted(&id(0)) && simulation.now() < END {
         simulation.run_until(simulation.now() + 10);
     }
     let from = simulation.writes();
@@ -37,17 +37,17 @@
     }
 }
 
-fn finish(simulation: &mut World, what: &str) {
-    while simulation.check.final_stage(&id(0)).is_none() && simulation.now() < END {
+fn finish(simulation: &mut Simulation, what: &str) {
+    while simulation.checker.final_stage(&id(0)).is_none() && simulation.now() < END {
         simulation.run_until(simulation.now() + 1_000);
     }
     simulation.finish();
     assert_eq!(
-        simulation.check.final_stage(&id(0)),
+        simulation.checker.final_stage(&id(0)),
         Some(JobStage::Done),
         "{what}"
     );
-    assert_eq!(simulation.check.broken, vec![], "{what}");
+    assert_eq!(simulation.checker.violations, vec![], "{what}");
     assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new(), "{what}");
     assert_eq!(
         simulation.too_large(),
@@ -67,7 +67,7 @@
         records.any(|(key, _)| key.ends_with("/5")),
         "its last block"
     );
-    let began = simulation.check.began_at(&id(0)).expect("it began");
+    let began = simulation.checker.began_at(&id(0)).expect("it began");
     assert!(began < SUBMITTED + 60_000, "it began at {began}");
 }
 
@@ -92,7 +92,7 @@
             count: 1,
             restart_after: 3_000,
         };
-        simulation.fault_now(FaultKind::At(
+        simulation.inject_fault(FaultKind::At(
             ControllerSelector::HolderOfJob(id(0)),
             Box::new(crash),
         ));
--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -5,7 +5,7 @@
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
 };
 use forkshift_wire::users::JobKind;
 
@@ -60,11 +60,11 @@
 };
 
 /// A long array of two tasks.
-fn job(n: u32, cancel_at: Option<u64>) -> Plan {
-    Plan {
+fn job(n: u32, cancel_at: Option<u64>) -> JobPlan {
+    JobPlan {
         cancel_at,
-        at_node: Some(ControllerSelector::HolderOfJob(id(n))),
-        ..Plan::plain(n, 2_000, JobKind::Array, 2, 300_000)
+        target_controller: Some(ControllerSelector::HolderOfJob(id(n))),
+        ..JobPlan::plain(n, 2_000, JobKind::Array, 2, 300_000)
     }
 }
 
@@ -89,7 +89,7 @@
         node,
         peers,
         time: all,
-        hold,
+        holds_messages: hold,
     };
     match v.hears {
         Hears::All => {}
@@ -103,11 +103,18 @@
         Reaches::Never => all,
     };
     for node in (0..NODES).filter(|_| time > 0) {
-        faults.push(fault(at, FaultKind::CommandPartition { node, time, hold }));
+        faults.push(fault(
+            at,
+            FaultKind::CommandPartition {
+                node,
+                time,
+                holds_messages: hold,
+            },
+        ));
     }
     let taken_over = at + v.before / 2;
     if let Some(what) = v.machines {
-        let kind = FaultKind::Machines(Which::RunningJob(id(0)), what);
+        let kind = FaultKind::Machines(MachineSelector::RunningJob(id(0)), what);
         faults.push(fault(taken_over, kind));
     }
     if v.then == Then::Ends {
@@ -131,14 +138,14 @@
         .collect();
     faults.sort_by_key(|f| f.at);
     let size = Size {
-        nodes: NODES,
+        controllers: NODES,
         cancel_ms: CANCEL,
         ..Size::default()
     };
-    let mut simulation = World::with_size(seed, plans.collect(), faults, size);
+    let mut simulation = Simulation::with_size(seed, plans.collect(), faults, size);
     simulation.run_until(REFUSED - 10);
     assert_eq!(
-        simulation.check.running_tasks(&id(0)),
+        simulation.checker.running_tasks(&id(0)),
         2,
         "{name}: the job runs"
     );
@@ -156,17 +163,17 @@
         let cut = v.reaches == Reaches::Never && v.hears == Hears::None;
         if cut && v.then == Then::Stays {
             assert_eq!(
-                simulation.check.running_tasks(&id(0)),
+                simulation.checker.running_tasks(&id(0)),
                 2,
                 "{name}: it still runs"
             );
         }
     }
     simulation.run_until(REFUSED + pairs * gap + 60_000);
-    assert_eq!(simulation.check.broken, vec![], "{name}");
+    assert_eq!(simulation.checker.violations, vec![], "{name}");
     for n in 0..pairs as u32 {
         assert!(simulation.cancelled_at(&id(n)).is_some(), "{name}: {n}");
-        assert_eq!(simulation.check.running_tasks(&id(n)), 0, "{name}: {n}");
+        assert_eq!(simulation.checker.running_tasks(&id(n)), 0, "{name}: {n}");
     }
 }
 
@@ -272,7 +279,10 @@
             }
             .at(holder()),
         };
-        let hang_ms = FaultKind::Machines(Which::RunningJob(id(0)), MachineFault::Hang(60_000));
+        let hang_ms = FaultKind::Machines(
+            MachineSelector::RunningJob(id(0)),
+            MachineFault::Hang(60_000),
+        );
         let hang_ms = Fault {
             at: REFUSED,
             kind: hang_ms,
@@ -281,28 +291,28 @@
         let crashes = (0..6).map(|n| crash(REFUSED + 5_500 + n * 6_000));
         let faults = [hang_ms].into_iter().chain(crashes).collect();
         let size = Size {
-            nodes: NODES,
+            controllers: NODES,
             cancel_ms: CANCEL,
             ..Size::default()
         };
         let plans = vec![job(0, Some(REFUSED + 100))];
-        let mut simulation = World::with_size(seed, plans, faults, size);
+        let mut simulation = Simulation::with_size(seed, plans, faults, size);
         simulation.run_until(REFUSED + 5_000);
         let confirmed = simulation.cancelled_at(&id(0)).expect("confirmed");
         assert_eq!(
-            simulation.check.running_tasks(&id(0)),
+            simulation.checker.running_tasks(&id(0)),
             2,
             "its machines hang"
         );
         simulation.run_until(confirmed + CANCEL);
         assert_eq!(
-            simulation.check.running_tasks(&id(0)),
+            simulation.checker.running_tasks(&id(0)),
             0,
             "back after {restart_after} ms"
         );
         simulation.run_until(200_000);
         assert_eq!(
-            simulation.check.broken,
+            simulation.checker.violations,
             vec![],
             "back after {restart_after} ms"
         );
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -5,8 +5,8 @@
 
 use common::{assert_ran_and_rules_kept, random_plans_of_seed};
 use forkshift_testkit::{
-    ControllerSelector, Day, Fault, FaultKind, FaultSchedule, MachineFault, Plan, Size, Which,
-    World,
+    ControllerSelector, Day, Fault, FaultKind, FaultSchedule, JobPlan, MachineFault,
+    MachineSelector, Simulation, Size,
 };
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::JobId;
@@ -50,7 +50,7 @@
         until_failover,
         time,
     };
-    let machines = |fault| FaultKind::Machines(Which::Some(4), fault);
+    let machines = |fault| FaultKind::Machines(MachineSelector::Random(4), fault);
     let kinds = [
         lost(None, true),
         lost(None, false),
@@ -77,10 +77,15 @@
             node,
             peers: None,
             time,
-            hold,
+            holds_messages: hold,
+        }
+        .at(ControllerSelector::Leader),
+        FaultKind::CommandPartition {
+            node,
+            time,
+            holds_messages: hold,
         }
         .at(ControllerSelector::Leader),
-        FaultKind::CommandPartition { node, time, hold }.at(ControllerSelector::Leader),
         FaultKind::Pause { node, time }.at(ControllerSelector::Leader),
         FaultKind::Pause { node, time: 60_000 }.at(ControllerSelector::Leader),
         machines(MachineFault::Hang(time)),
@@ -89,22 +94,22 @@
         machines(MachineFault::OutboundLoss(time)),
         machines(MachineFault::SlowLink(time)),
         machines(MachineFault::FailTasks(time)),
-        machines(MachineFault::Die),
+        machines(MachineFault::Crash),
     ];
     for (i, kind) in kinds.into_iter().enumerate() {
         let seed = 300 + i as u64;
         let name = format!("{kind:?}");
         let plans = random_plans_of_seed(seed, 20);
         let fault = Fault { at: 40_000, kind };
-        let mut simulation = World::new(seed, plans, vec![fault]);
+        let mut simulation = Simulation::new(seed, plans, vec![fault]);
         simulation.run_until(300_000);
         simulation.finish();
         assert_ran_and_rules_kept(&name, &simulation);
     }
 }
 
-fn job(n: u32, at: u64, run_ms: u64) -> Plan {
-    let mut plan = Plan::plain(n, at, JobKind::Array, 1, run_ms);
+fn job(n: u32, at: u64, run_ms: u64) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, JobKind::Array, 1, run_ms);
     plan.spec.cpus = 1.0;
     plan.spec.gpus = 1.0;
     plan.spec.memory_gb = 1.0;
@@ -126,7 +131,7 @@
             at: 30_000,
             kind: lost,
         };
-        let mut simulation = World::new(40, vec![job(0, 30_000, 5_000)], vec![fault]);
+        let mut simulation = Simulation::new(40, vec![job(0, 30_000, 5_000)], vec![fault]);
         let id = JobId::new("j-0");
         simulation.run_until(31_400);
         assert_eq!(
@@ -135,11 +140,11 @@
             "at once: {executes_at_once}"
         );
         assert!(
-            !simulation.check.is_accepted(&id),
+            !simulation.checker.is_accepted(&id),
             "at once: {executes_at_once}"
         );
         simulation.run_until(120_000);
-        assert!(simulation.check.is_accepted(&id));
+        assert!(simulation.checker.is_accepted(&id));
         assert_ran_and_rules_kept(&format!("at once: {executes_at_once}"), &simulation);
     }
 }
@@ -153,7 +158,7 @@
             kind: FaultKind::FastBoots(60_000),
         };
         let faults = if quick { vec![fault] } else { Vec::new() };
-        let mut simulation = World::new(41, vec![job(0, 2_000, 5_000)], faults);
+        let mut simulation = Simulation::new(41, vec![job(0, 2_000, 5_000)], faults);
         simulation.run_until(7_500);
         assert_eq!(simulation.machines() > 0, quick);
         simulation.run_until(60_000);
@@ -184,7 +189,7 @@
             kind: crash.at(ControllerSelector::Leader),
         },
     ];
-    let mut simulation = World::new(42, vec![job(0, 2_000, 100_000)], faults);
+    let mut simulation = Simulation::new(42, vec![job(0, 2_000, 100_000)], faults);
     simulation.run_until(44_900);
     let kept = simulation.kept_heartbeats();
     assert!(kept > 5, "{kept} kept");
@@ -217,12 +222,12 @@
         let name = format!("{kind:?}");
         let fault = Fault { at: 30_000, kind };
         let plans = (0..4).map(|n| job(n, 2_000, run_ms)).collect();
-        let mut simulation = World::new(43, plans, vec![fault]);
+        let mut simulation = Simulation::new(43, plans, vec![fault]);
         simulation.run_until(120_000);
         for n in 0..4 {
             let id = JobId::new(&format!("j-{n}"));
-            assert!(simulation.check.is_cancel_requested(&id), "{name}: {id}");
-            let told = simulation.check.final_stage(&id);
+            assert!(simulation.checker.is_cancel_requested(&id), "{name}: {id}");
+            let told = simulation.checker.final_stage(&id);
             assert!(told.is_some_and(JobStage::is_final), "{name}: {told:?}");
         }
         assert_ran_and_rules_kept(&name, &simulation);
@@ -240,7 +245,8 @@
         let name = format!("{kind:?}");
         let fault = Fault { at: 1_000, kind };
         let plans = (0..6).map(|n| job(n, 15_000 + 1_000 * u64::from(n), 6_000));
-        let mut simulation = World::with_size(44, plans.collect(), vec![fault], Size::default());
+        let mut simulation =
+            Simulation::with_size(44, plans.collect(), vec![fault], Size::default());
         simulation.run_until(90_000);
         let (asked, answered) = simulation.unusual_request_counts();
         assert!(asked > 60, "{name}: {asked} asked");
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -8,7 +8,9 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{ControllerSelector, Direction, FaultKind, Plan, Size, Which, World};
+use forkshift_testkit::{
+    ControllerSelector, FaultKind, JobPlan, LinkDirection, MachineSelector, Simulation, Size,
+};
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::{JobId, MachineId};
 
@@ -38,9 +40,9 @@
         Pace::Long => (5_000, 24_000, 49_000),
     };
     Size {
-        nodes: 5,
+        controllers: 5,
         limit: (96.0, 96.0),
-        report_ms,
+        heartbeat_ms: report_ms,
         lease_ms,
         cancel_ms,
         ..Size::default()
@@ -49,16 +51,16 @@
 
 /// Replicas of a team that take so much of a machine that none is moved to save money, and
 /// a sweep of the same team in what is left.
-fn plans() -> Vec<Plan> {
+fn plans() -> Vec<JobPlan> {
     let services = (0..SERVICES).map(|n| {
-        let mut plan = Plan::plain(n, 1_000, JobKind::Service, REPLICAS, 0);
+        let mut plan = JobPlan::plain(n, 1_000, JobKind::Service, REPLICAS, 0);
         plan.spec.priority = Priority::Production;
         (plan.spec.cpus, plan.spec.gpus, plan.spec.memory_gb) = (1.0, 7.0, 1.0);
         plan
     });
     let sweep = (SERVICES..SERVICES + SWEEPS).map(|n| {
         let at = TROUBLE - 5_000 + u64::from(n - SERVICES) * SWEEP_EVERY;
-        let mut plan = Plan::plain(n, at, JobKind::Array, SWEEP_TASKS, 4_000);
+        let mut plan = JobPlan::plain(n, at, JobKind::Array, SWEEP_TASKS, 4_000);
         (plan.spec.cpus, plan.spec.gpus, plan.spec.memory_gb) = (0.5, 0.25, 0.5);
         plan.cancel_at = (n % CANCELLED == 0).then_some(at + 2_000);
         plan
@@ -72,7 +74,7 @@
     Cloud,
     Peers,
     /// Workers: which part of the controller's, and in which direction.
-    Workers(Part, Direction),
+    Workers(Part, LinkDirection),
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -82,48 +84,49 @@
     All,
 }
 
-fn lose(simulation: &mut World, node: usize, lost: Lost, time: Ms) {
-    let cut = |state, cloud| FaultKind::Cut {
+fn lose(simulation: &mut Simulation, node: usize, lost: Lost, time: Ms) {
+    let cut = |state, cloud| FaultKind::ServicePartition {
         node,
-        state,
+        store: state,
         workers: false,
         cloud,
         time,
-        hold: true,
+        holds_messages: true,
     };
     match lost {
-        Lost::State => simulation.fault_now(cut(true, false)),
-        Lost::Cloud => simulation.fault_now(cut(false, true)),
-        Lost::Peers => simulation.fault_now(FaultKind::PeerPartition {
+        Lost::State => simulation.inject_fault(cut(true, false)),
+        Lost::Cloud => simulation.inject_fault(cut(false, true)),
+        Lost::Peers => simulation.inject_fault(FaultKind::PeerPartition {
             node,
             peers: None,
             time,
-            hold: true,
+            holds_messages: true,
         }),
         Lost::Workers(part, lost) => {
             let machines = match part {
-                Part::All => Which::All,
-                Part::Some => Which::Named(
+                Part::All => MachineSelector::All,
+                Part::Some => MachineSelector::Named(
                     replica_machines(simulation)
                         .into_iter()
                         .step_by(2)
                         .collect(),
                 ),
             };
-            simulation.fault_now(FaultKind::LinkCut {
+            simulation.inject_fault(FaultKind::LinkPartition {
                 node,
                 machines,
-                lost,
+                direction: lost,
                 time,
-                hold: true,
+                holds_messages: true,
             });
         }
     }
 }
 
 /// Machines with replicas, in order.
-fn replica_machines(simulation: &World) -> Vec<MachineId> {
-    let services = (0..SERVICES).flat_map(|n| simulation.machines_of(&Which::RunningJob(id(n))));
+fn replica_machines(simulation: &Simulation) -> Vec<MachineId> {
+    let services =
+        (0..SERVICES).flat_map(|n| simulation.select_machines(&MachineSelector::RunningJob(id(n))));
     let mut machines: Vec<MachineId> = services.collect();
     machines.sort();
     machines.dedup();
@@ -158,13 +161,13 @@
 }
 
 fn play(name: &str, seed: u64, pace: Pace, cuts: &[(ControllerSelector, Lost, Ms)]) -> Cost {
-    let mut simulation = World::with_size(seed, plans(), Vec::new(), size(pace));
+    let mut simulation = Simulation::with_size(seed, plans(), Vec::new(), size(pace));
     simulation.run_until(TROUBLE);
-    let starts = |simulation: &World, jobs: std::ops::Range<u32>| -> u64 {
-        jobs.map(|n| simulation.check.starts_of(&id(n))).sum()
+    let starts = |simulation: &Simulation, jobs: std::ops::Range<u32>| -> u64 {
+        jobs.map(|n| simulation.checker.starts_of(&id(n))).sum()
     };
     let up: usize = (0..SERVICES)
-        .map(|n| simulation.check.running_tasks(&id(n)))
+        .map(|n| simulation.checker.running_tasks(&id(n)))
         .sum();
     assert_eq!(up as u32, SERVICES * REPLICAS, "{name}: replicas serve");
     let serving = starts(&simulation, 0..SERVICES);
@@ -178,21 +181,21 @@
     }
     // A load balancer may send users to such a controller all the same. How long they
     // wait for an answer there is not what is measured.
-    let mut nodes = 0..size(pace).nodes;
+    let mut nodes = 0..size(pace).controllers;
     let other = nodes.find(|n| !lost_at.contains(n));
     simulation.route_users_to(other.expect("one has no trouble"));
     simulation.run_until(TROUBLE + longest + 180_000);
-    assert_eq!(simulation.check.broken, vec![], "{name}");
+    assert_eq!(simulation.checker.violations, vec![], "{name}");
     assert_eq!(
         simulation.unfinished_jobs(),
         Vec::<String>::new(),
         "{name}: unserved"
     );
     let sweep = plans().into_iter().skip(SERVICES as usize);
-    let kept: Vec<Plan> = sweep.filter(|p| p.cancel_at.is_none()).collect();
+    let kept: Vec<JobPlan> = sweep.filter(|p| p.cancel_at.is_none()).collect();
     let ids: Vec<JobId> = kept.iter().map(|p| p.spec.id.clone()).collect();
-    let started: u64 = ids.iter().map(|id| simulation.check.starts_of(id)).sum();
-    let wait = |p: &Plan| simulation.check.began_at(&p.spec.id).expect("it ran") - p.at;
+    let started: u64 = ids.iter().map(|id| simulation.checker.starts_of(id)).sum();
+    let wait = |p: &JobPlan| simulation.checker.began_at(&p.spec.id).expect("it ran") - p.submit_at;
     Cost {
         dropped: starts(&simulation, 0..SERVICES) - serving,
         repeated: started - ids.len() as u64 * u64::from(SWEEP_TASKS),
@@ -204,12 +207,12 @@
     Lost::State,
     Lost::Cloud,
     Lost::Peers,
-    Lost::Workers(Part::Some, Direction::Both),
-    Lost::Workers(Part::Some, Direction::Reports),
-    Lost::Workers(Part::Some, Direction::Calls),
-    Lost::Workers(Part::All, Direction::Both),
-    Lost::Workers(Part::All, Direction::Reports),
-    Lost::Workers(Part::All, Direction::Calls),
+    Lost::Workers(Part::Some, LinkDirection::Both),
+    Lost::Workers(Part::Some, LinkDirection::Heartbeats),
+    Lost::Workers(Part::Some, LinkDirection::Commands),
+    Lost::Workers(Part::All, LinkDirection::Both),
+    Lost::Workers(Part::All, LinkDirection::Heartbeats),
+    Lost::Workers(Part::All, LinkDirection::Commands),
 ];
 
 /// Several leases of workers.
@@ -242,7 +245,11 @@
     let holder = ControllerSelector::HolderOfJob(id(0));
     let second = ControllerSelector::NextAfter(Box::new(holder.clone()));
     let mut seed = 4_200;
-    for direction in [Direction::Both, Direction::Reports, Direction::Calls] {
+    for direction in [
+        LinkDirection::Both,
+        LinkDirection::Heartbeats,
+        LinkDirection::Commands,
+    ] {
         let first = (
             holder.clone(),
             Lost::Workers(Part::Some, direction),
@@ -263,23 +270,23 @@
 fn a_leader_without_the_cloud_resigns() {
     let cut: Ms = 300_000;
     // No machine that is up has room for it.
-    let mut large = Plan::plain(SERVICES + SWEEPS, TROUBLE + 5_000, JobKind::Array, 4, 5_000);
+    let mut large = JobPlan::plain(SERVICES + SWEEPS, TROUBLE + 5_000, JobKind::Array, 4, 5_000);
     (large.spec.cpus, large.spec.gpus) = (1.0, 8.0);
     let large_id = large.spec.id.clone();
     let all = plans().into_iter().chain([large]).collect();
-    let mut simulation = World::with_size(4_300, all, Vec::new(), size(Pace::Short));
+    let mut simulation = Simulation::with_size(4_300, all, Vec::new(), size(Pace::Short));
     simulation.run_until(TROUBLE);
     let first = simulation.leader().expect("somebody leads");
     lose(&mut simulation, first, Lost::Cloud, cut);
     simulation.run_until(TROUBLE + cut);
     let began = simulation
-        .check
+        .checker
         .began_at(&large_id)
         .expect("it began in the cut");
     assert!(began < TROUBLE + cut / 2, "after {} ms", began - TROUBLE);
     assert_ne!(simulation.leader(), Some(first), "another leads");
     simulation.run_until(TROUBLE + cut + 120_000);
-    assert_eq!(simulation.check.broken, vec![]);
+    assert_eq!(simulation.checker.violations, vec![]);
     assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new());
 }
 
@@ -288,9 +295,9 @@
 #[test]
 fn an_unreachable_cloud_moves_leadership_ever_more_seldom() {
     let cut: Ms = 240_000;
-    let mut simulation = World::with_size(4_301, plans(), Vec::new(), size(Pace::Short));
+    let mut simulation = Simulation::with_size(4_301, plans(), Vec::new(), size(Pace::Short));
     simulation.run_until(TROUBLE);
-    for node in 0..size(Pace::Short).nodes {
+    for node in 0..size(Pace::Short).controllers {
         lose(&mut simulation, node, Lost::Cloud, cut);
     }
     let mut changes = [0_u32; 2];
@@ -308,6 +315,6 @@
     assert!(changes[0] >= 1, "{changes:?}");
     assert!(changes[1] * 3 < changes[0] * 2, "{changes:?}");
     simulation.run_until(TROUBLE + cut + 120_000);
-    assert_eq!(simulation.check.broken, vec![]);
+    assert_eq!(simulation.checker.violations, vec![]);
     assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new());
 }
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -5,7 +5,7 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Boot, FaultKind, Plan, Size, SlowBoots, World};
+use forkshift_testkit::{Boot, FaultKind, JobPlan, Simulation, Size, SlowBoots};
 use forkshift_wire::users::{JobKind, Priority};
 
 /// Seeds of the cases besides the first one, on which any draw of boots may come.
@@ -23,12 +23,12 @@
 const JOBS: u32 = 4;
 
 /// A replica that takes a whole machine.
-fn replica(n: u32, at: Ms) -> Plan {
-    let mut plan = Plan::plain(n, at, JobKind::Service, 1, 0);
+fn replica(n: u32, at: Ms) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, JobKind::Service, 1, 0);
     plan.spec.priority = Priority::Production;
     plan.spec.cpus = 1.0;
     plan.spec.gpus = 8.0;
-    plan.spec.types = Some(vec!["g8".to_owned()]);
+    plan.spec.machine_types = Some(vec!["g8".to_owned()]);
     plan
 }
 
@@ -88,19 +88,19 @@
         limit: (96.0, 96.0),
         ..Size::default()
     };
-    let mut simulation = World::with_size(seed, plans.collect(), Vec::new(), size);
+    let mut simulation = Simulation::with_size(seed, plans.collect(), Vec::new(), size);
     if let Some(kind) = kind {
-        simulation.fault_now(kind);
+        simulation.inject_fault(kind);
     }
     let mut booting_s = 0;
     while simulation.now() < FIRST + EVERY * u64::from(JOBS) + 60_000 {
         simulation.run_until(simulation.now() + 1_000);
         booting_s += simulation.booting();
     }
-    assert_eq!(simulation.check.broken, vec![], "{name}");
+    assert_eq!(simulation.checker.violations, vec![], "{name}");
     let began = (0..JOBS).map(|n| {
         simulation
-            .check
+            .checker
             .began_at(&id(n))
             .unwrap_or(simulation.now())
     });
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -5,7 +5,9 @@
 
 use common::{assert_ran_and_rules_kept, fault};
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Day, Fault, FaultKind, FaultSchedule, NextLimits, Plan, Size, World};
+use forkshift_testkit::{
+    Day, Fault, FaultKind, FaultSchedule, JobPlan, NextLimits, Simulation, Size,
+};
 use forkshift_wire::users::{JobKind, JobStage};
 
 const LIMITS: NextLimits = NextLimits {
@@ -33,25 +35,25 @@
 }
 
 /// An array of which no task is too large for anything.
-fn array(n: u32, at: u64, tasks: u32, run_ms: u64) -> Plan {
-    let mut plan = Plan::plain(n, at, JobKind::Array, tasks, run_ms);
+fn array(n: u32, at: u64, tasks: u32, run_ms: u64) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, JobKind::Array, tasks, run_ms);
     plan.spec.cpus = 0.5;
     plan.spec.gpus = 0.0;
     plan.spec.memory_gb = 0.5;
     plan
 }
 
-fn chained(n: u32, at: u64, needs: &[u32]) -> Plan {
+fn chained(n: u32, at: u64, needs: &[u32]) -> JobPlan {
     let mut plan = array(n, at, 2, 3_000);
     plan.spec.dependencies = needs.iter().map(|n| id(*n)).collect();
     plan
 }
 
 /// A service, an array of two records, and a pipeline with a fan-out and a join.
-fn plans() -> Vec<Plan> {
-    let mut service = Plan::plain(1, 2_000, JobKind::Service, 2, 1_000_000);
+fn plans() -> Vec<JobPlan> {
+    let mut service = JobPlan::plain(1, 2_000, JobKind::Service, 2, 1_000_000);
     service.spec.class = "serve".to_owned();
-    let other_team = |mut plan: Plan| {
+    let other_team = |mut plan: JobPlan| {
         plan.spec.team = "team-1".to_owned();
         plan
     };
@@ -97,13 +99,13 @@
             faults.push(crash(ends_at, order[2]));
             faults.push(fault(50_000, FaultKind::LowerLimits));
             faults.push(crash(70_000, order[1]));
-            let mut simulation = World::with_size(41, plans(), faults, size());
+            let mut simulation = Simulation::with_size(41, plans(), faults, size());
             simulation.run_until(240_000);
             let name = format!("{order:?}, one ends at {ends_at}");
             assert_ran_and_rules_kept(&name, &simulation);
             assert_eq!(simulation.finalized_format(), Some(2), "{name}");
             assert_eq!(
-                simulation.check.final_stage(&id(6)),
+                simulation.checker.final_stage(&id(6)),
                 Some(JobStage::Done),
                 "{name}"
             );
@@ -133,12 +135,12 @@
             vec![upgrade(20_000, 0), away(2), upgrade(24_000, 1)],
         ),
     ] {
-        let mut simulation = World::with_size(42, plans(), faults, size());
+        let mut simulation = Simulation::with_size(42, plans(), faults, size());
         simulation.run_until(120_000);
         assert_eq!(simulation.finalized_format(), None, "{name}");
-        assert!(simulation.check.is_accepted(&id(3)), "{name}");
-        assert!(!simulation.check.is_accepted(&id(4)), "{name}");
-        assert_eq!(simulation.check.broken, vec![], "{name}");
+        assert!(simulation.checker.is_accepted(&id(3)), "{name}");
+        assert!(!simulation.checker.is_accepted(&id(4)), "{name}");
+        assert_eq!(simulation.checker.violations, vec![], "{name}");
     }
 }
 
@@ -147,7 +149,7 @@
 #[test]
 fn the_first_release_reads_all_that_is_written_before_finalization() {
     let faults = vec![upgrade(20_000, 0), upgrade(24_000, 1)];
-    let mut simulation = World::with_size(43, plans(), faults, size());
+    let mut simulation = Simulation::with_size(43, plans(), faults, size());
     simulation.record_formats();
     simulation.run_until(110_000);
     for kind in [
@@ -236,7 +238,7 @@
             restart_after,
         },
     ));
-    let mut simulation = World::with_size(44, plans(), faults, size());
+    let mut simulation = Simulation::with_size(44, plans(), faults, size());
     simulation.run_until(90_000);
     while simulation.now() < 200_000 {
         simulation.run_until(simulation.now() + 500);
@@ -257,7 +259,7 @@
         faults.push(fault(18_000, FaultKind::LateWrites(16_000)));
         faults.push(fault(from, FaultKind::StoreOutage(12_000)));
         faults.push(fault(70_000, FaultKind::LowerLimits));
-        let mut simulation = World::with_size(45, plans(), faults, size());
+        let mut simulation = Simulation::with_size(45, plans(), faults, size());
         simulation.run_until(260_000);
         assert_ran_and_rules_kept(&format!("outage from {from}"), &simulation);
         assert_eq!(simulation.finalized_format(), Some(2), "outage from {from}");
@@ -286,7 +288,7 @@
             ));
         }
         let plans = vec![array(1, 3_000, 280, 6_000), array(2, 4_000, 120, 40_000)];
-        let mut simulation = World::with_size(46, plans, faults, size());
+        let mut simulation = Simulation::with_size(46, plans, faults, size());
         simulation.run_until(300_000);
         assert_ran_and_rules_kept(&format!("pause {pause}"), &simulation);
     }
@@ -303,12 +305,12 @@
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[n - 1]));
     }
     plans.push(chained(length + 1, 95_000, &[1]));
-    let mut simulation = World::with_size(47, plans, vec![], Size::default());
+    let mut simulation = Simulation::with_size(47, plans, vec![], Size::default());
     simulation.run_until(300_000);
     assert_ran_and_rules_kept("chain", &simulation);
     for n in 1..=length + 1 {
         assert_eq!(
-            simulation.check.final_stage(&id(n)),
+            simulation.checker.final_stage(&id(n)),
             Some(JobStage::Cancelled),
             "j-{n}"
         );
@@ -323,12 +325,12 @@
     for n in 2..=dependents {
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[1]));
     }
-    let mut simulation = World::with_size(48, plans, vec![], Size::default());
+    let mut simulation = Simulation::with_size(48, plans, vec![], Size::default());
     simulation.run_until(240_000);
     assert_ran_and_rules_kept("dependents", &simulation);
     for n in 1..=dependents {
         assert_eq!(
-            simulation.check.final_stage(&id(n)),
+            simulation.checker.final_stage(&id(n)),
             Some(JobStage::Done),
             "j-{n}"
         );
--- a/crates/testkit/tests/warm_pools.rs
+++ b/crates/testkit/tests/warm_pools.rs
@@ -5,12 +5,13 @@
 mod common;
 
 use common::Ms;
-use forkshift_pools::account::{HEADS, POOLS};
-use forkshift_pools::audit::mistakes;
-use forkshift_pools::report::Accounts;
-use forkshift_pools::{Ended, Interval, Membership, PoolSpec, PoolState, WindowSpec};
+use forkshift_pools::account::{ACCOUNT_PREFIX, CURRENT_REQUEST_PREFIX};
+use forkshift_pools::audit::audit_errors;
+use forkshift_pools::report::UsageRecords;
+use forkshift_pools::{EndReason, Membership, PoolSpec, PoolState, UsageInterval, WindowSpec};
 use forkshift_testkit::{
-    job_id, ControllerSelector, Fault, FaultKind, MachineFault, Plan, Size, Which, World,
+    job_id, ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector,
+    Simulation, Size,
 };
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::MachineId;
@@ -27,10 +28,10 @@
 
 fn size() -> Size {
     Size {
-        nodes: NODES,
+        controllers: NODES,
         guarantee: (64.0, 32.0),
         limit: (256.0, 96.0),
-        tells_images: true,
+        announces_images: true,
         ..Size::default()
     }
 }
@@ -43,15 +44,15 @@
         image: "weights".to_owned(),
         image_gb: 20.0,
         types: vec!["g8".to_owned()],
-        least,
-        most,
+        min_machines: least,
+        max_machines: most,
         ..PoolSpec::default()
     }
 }
 
 /// Replicas that take a whole machine each.
-fn replicas(n: u32, at: Ms, tasks: u32, image: &str) -> Plan {
-    let mut plan = Plan::plain(n, at, JobKind::Service, tasks, 0);
+fn replicas(n: u32, at: Ms, tasks: u32, image: &str) -> JobPlan {
+    let mut plan = JobPlan::plain(n, at, JobKind::Service, tasks, 0);
     plan.spec.priority = Priority::High;
     plan.spec.gpus = 8.0;
     plan.spec.image = image.to_owned();
@@ -59,16 +60,16 @@
     plan
 }
 
-fn simulation(seed: u64, plans: Vec<Plan>, size: Size, pools: &[PoolSpec]) -> World {
-    World::with_pools(seed, plans, Vec::new(), size, vec![pools.to_vec(); NODES])
+fn simulation(seed: u64, plans: Vec<JobPlan>, size: Size, pools: &[PoolSpec]) -> Simulation {
+    Simulation::with_pools(seed, plans, Vec::new(), size, vec![pools.to_vec(); NODES])
 }
 
 /// Memberships that go on.
-fn members(simulation: &World) -> Vec<(MachineId, Membership)> {
+fn members(simulation: &Simulation) -> Vec<(MachineId, Membership)> {
     simulation.pool_members()
 }
 
-fn warm(simulation: &World) -> usize {
+fn warm(simulation: &Simulation) -> usize {
     let members = members(simulation);
     members
         .iter()
@@ -77,24 +78,24 @@
 }
 
 /// No rule is broken, and every second is charged once at most, within machines' lives.
-fn audit(simulation: &World, name: &str) -> Accounts {
-    assert_eq!(simulation.check.broken, vec![], "{name}: rules");
+fn audit(simulation: &Simulation, name: &str) -> UsageRecords {
+    assert_eq!(simulation.checker.violations, vec![], "{name}: rules");
     let accounts = simulation.pool_accounts(simulation.wall_clock());
     let lives = simulation.pool_lives(simulation.wall_clock() - simulation.now());
-    let found = mistakes(&accounts.intervals, &lives, CLOCK_OFF);
+    let found = audit_errors(&accounts.intervals, &lives, CLOCK_OFF);
     assert_eq!(found, vec![], "{name}: accounts");
     accounts
 }
 
-fn ended(accounts: &Accounts, why: Ended) -> Vec<&Interval> {
+fn ended(accounts: &UsageRecords, why: EndReason) -> Vec<&UsageInterval> {
     let intervals = accounts.intervals.iter();
-    intervals.filter(|i| i.ended == Some(why)).collect()
+    intervals.filter(|i| i.end_reason == Some(why)).collect()
 }
 
 /// How long the first task of a job waited.
-fn waited(simulation: &World, n: u32, at: Ms) -> Ms {
+fn waited(simulation: &Simulation, n: u32, at: Ms) -> Ms {
     simulation
-        .check
+        .checker
         .began_at(&job_id(n))
         .map_or(Ms::MAX, |began| began - at)
 }
@@ -108,7 +109,7 @@
         assert_eq!(warm(&with), 3, "seed {seed}: {:?}", members(&with));
         with.run_until(FULL + AT_ONCE * 2);
         assert_eq!(
-            with.check.running_tasks(&job_id(0)),
+            with.checker.running_tasks(&job_id(0)),
             3,
             "seed {seed}: all began"
         );
@@ -116,8 +117,12 @@
         with.run_until(FULL * 2);
         assert!(warm(&with) >= 3, "seed {seed}: it fills again");
         let accounts = audit(&with, "with");
-        assert_eq!(ended(&accounts, Ended::HandedOut).len(), 3, "seed {seed}");
-        assert_eq!(accounts.misses, vec![], "seed {seed}");
+        assert_eq!(
+            ended(&accounts, EndReason::Allocated).len(),
+            3,
+            "seed {seed}"
+        );
+        assert_eq!(accounts.cold_starts, vec![], "seed {seed}");
 
         let mut without = simulation(seed, burst(), size(), &[]);
         without.run_until(FULL * 2);
@@ -131,7 +136,7 @@
 #[test]
 fn machines_of_workers_that_announce_nothing_are_up_and_never_warm() {
     let size = Size {
-        tells_images: false,
+        announces_images: false,
         ..size()
     };
     let mut simulation = simulation(
@@ -145,9 +150,9 @@
     assert_eq!(states, vec![PoolState::Up; 2]);
     simulation.run_until(FULL + 30_000);
     let accounts = audit(&simulation, "up");
-    let tells = |i: &&Interval| matches!(i.state, PoolState::Fetching | PoolState::Warm);
+    let tells = |i: &&UsageInterval| matches!(i.state, PoolState::Fetching | PoolState::Warm);
     assert_eq!(accounts.intervals.iter().find(tells), None);
-    assert_eq!(ended(&accounts, Ended::HandedOut).len(), 1);
+    assert_eq!(ended(&accounts, EndReason::Allocated).len(), 1);
 }
 
 /// A burst for another image takes the ordinary path. It does not empty a pool below its
@@ -172,14 +177,14 @@
         assert!(kept >= 2, "at {}", simulation.now());
     }
     simulation.run_until(FULL + 60_000);
-    assert_eq!(simulation.check.running_tasks(&job_id(0)), 3);
-    assert_eq!(simulation.check.running_tasks(&job_id(1)), 1);
+    assert_eq!(simulation.checker.running_tasks(&job_id(0)), 3);
+    assert_eq!(simulation.checker.running_tasks(&job_id(1)), 1);
     let accounts = audit(&simulation, "misses");
-    let [miss] = accounts.misses.as_slice() else {
-        panic!("{:?}", accounts.misses);
+    let [miss] = accounts.cold_starts.as_slice() else {
+        panic!("{:?}", accounts.cold_starts);
     };
     assert_eq!((miss.pool.as_str(), miss.tasks), ("other", 3));
-    assert!(ended(&accounts, Ended::Reclaimed).is_empty());
+    assert!(ended(&accounts, EndReason::Reclaimed).is_empty());
 }
 
 /// Three machines in all: two are in use, one is a pool's. A gang within its team's
@@ -191,7 +196,7 @@
     for team in ["team-3", "team-1"] {
         let mut reclaims = 0;
         for (seed, burst_at) in (1..).zip([0, 500, 1_500, 2_500, 3_000, 3_500, ALONE, ALONE]) {
-            let mut gang = Plan::plain(1, FULL, JobKind::Gang, 1, 200_000);
+            let mut gang = JobPlan::plain(1, FULL, JobKind::Gang, 1, 200_000);
             gang.spec.team = team.to_owned();
             gang.spec.gpus = 8.0;
             gang.spec.priority = Priority::High;
@@ -210,10 +215,10 @@
             assert_eq!(warm(&simulation), 1, "{name}: {:?}", members(&simulation));
             simulation.run_until(FULL + 25_000);
             let accounts = audit(&simulation, &name);
-            let out = ended(&accounts, Ended::HandedOut).len();
-            let reclaimed = ended(&accounts, Ended::Reclaimed).len();
+            let out = ended(&accounts, EndReason::Allocated).len();
+            let reclaimed = ended(&accounts, EndReason::Reclaimed).len();
             assert_eq!(out + reclaimed, 1, "{name}: {out} and {reclaimed}");
-            let began = [0, 1].map(|n| simulation.check.began_at(&job_id(n)).is_some());
+            let began = [0, 1].map(|n| simulation.checker.began_at(&job_id(n)).is_some());
             assert_eq!(began, [out == 1, reclaimed == 1], "{name}");
             assert!(
                 burst_at < ALONE || reclaimed == 1,
@@ -234,8 +239,8 @@
     simulation.run_until(FULL);
     assert_eq!(warm(&simulation), 2);
     let ids = members(&simulation).into_iter().map(|(id, _)| id).collect();
-    simulation.fault_now(FaultKind::Machines(
-        Which::Named(ids),
+    simulation.inject_fault(FaultKind::Machines(
+        MachineSelector::Named(ids),
         MachineFault::EvictImages,
     ));
     simulation.run_until(FULL + 3_000);
@@ -244,8 +249,8 @@
     assert_eq!(warm(&simulation), 2);
     let accounts = audit(&simulation, "evicted");
     let since = simulation.wall_clock() - 15_000;
-    let again = |i: &&Interval| i.state == PoolState::Fetching && i.from_ms >= since;
-    let again: Vec<&Interval> = accounts.intervals.iter().filter(again).collect();
+    let again = |i: &&UsageInterval| i.state == PoolState::Fetching && i.from_ms >= since;
+    let again: Vec<&UsageInterval> = accounts.intervals.iter().filter(again).collect();
     assert_eq!(again.len(), 2);
     for interval in again {
         let took = interval.to_ms - interval.from_ms;
@@ -265,13 +270,13 @@
     }
     let stuck = members(&simulation)[0].0.clone();
     let never = MachineFault::StuckPrefetch(Ms::MAX / 4);
-    simulation.fault_now(FaultKind::Machines(
-        Which::Named(vec![stuck.clone()]),
+    simulation.inject_fault(FaultKind::Machines(
+        MachineSelector::Named(vec![stuck.clone()]),
         never,
     ));
     simulation.run_until(simulation.now() + 90_000);
     let accounts = audit(&simulation, "stuck");
-    let stalled: Vec<&MachineId> = ended(&accounts, Ended::Stalled)
+    let stalled: Vec<&MachineId> = ended(&accounts, EndReason::FetchTimedOut)
         .iter()
         .map(|i| &i.machine)
         .collect();
@@ -284,12 +289,12 @@
 #[test]
 fn a_pool_is_refilled_when_its_machines_fail() {
     let faults = [
-        vec![MachineFault::Die],
+        vec![MachineFault::Crash],
         vec![MachineFault::Hang(25_000)],
         vec![MachineFault::Partition(25_000)],
         vec![MachineFault::InboundLoss(25_000)],
         vec![
-            MachineFault::Die,
+            MachineFault::Crash,
             MachineFault::EvictImages,
             MachineFault::Hang(25_000),
         ],
@@ -305,7 +310,7 @@
             members(&simulation)
         );
         for (fault, (id, _)) in faults.into_iter().zip(members(&simulation)) {
-            simulation.fault_now(FaultKind::Machines(Which::Named(vec![id]), fault));
+            simulation.inject_fault(FaultKind::Machines(MachineSelector::Named(vec![id]), fault));
         }
         simulation.run_until(FULL * 2);
         assert_eq!(
@@ -350,17 +355,17 @@
         steady.spec.gpus = 0.0;
         let plans = vec![steady, replicas(0, FULL, 2, "weights")];
         let pools = vec![vec![pool(2, 4)]; NODES];
-        let mut simulation = World::with_pools(n, plans, faults, size(), pools);
+        let mut simulation = Simulation::with_pools(n, plans, faults, size(), pools);
         simulation.run_until(FULL * 2 + 20_000);
         let name = format!("case {n}, {at} ms");
         let accounts = audit(&simulation, &name);
         assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new(), "{name}");
-        assert_eq!(simulation.check.running_tasks(&job_id(0)), 2, "{name}");
+        assert_eq!(simulation.checker.running_tasks(&job_id(0)), 2, "{name}");
         assert!(warm(&simulation) >= 2, "{name}: {:?}", members(&simulation));
-        let out = ended(&accounts, Ended::HandedOut).len();
+        let out = ended(&accounts, EndReason::Allocated).len();
         assert!(out <= 2, "{name}: {out} handed out");
         // A new holder does not hear the pool's machines at once: that is no miss.
-        let missed = accounts.misses.len();
+        let missed = accounts.cold_starts.len();
         assert!(
             out < 2 || missed == 0,
             "{name}: {missed} missed, all were handed out"
@@ -385,7 +390,7 @@
         }];
         let plans = vec![replicas(0, FULL, 2, "weights")];
         let pools = vec![vec![pool(2, 3)]; NODES];
-        let mut simulation = World::with_pools(seed, plans, faults, size(), pools);
+        let mut simulation = Simulation::with_pools(seed, plans, faults, size(), pools);
         simulation.run_until(FULL * 2 + 40_000);
         audit(&simulation, &format!("seed {seed}"));
         assert!(
@@ -414,7 +419,7 @@
         kind: FaultKind::StoreOutage(20_000),
     }];
     let pools = vec![vec![windowed]; NODES];
-    let mut simulation = World::with_pools(6, Vec::new(), faults, size(), pools);
+    let mut simulation = Simulation::with_pools(6, Vec::new(), faults, size(), pools);
     simulation.run_until(74_000);
     assert_eq!(warm(&simulation), 2);
     simulation.run_until(95_000);
@@ -423,14 +428,14 @@
     assert_eq!(members(&simulation), vec![]);
     assert_eq!(simulation.machines(), 0, "they were returned");
     let accounts = audit(&simulation, "outage");
-    assert_eq!(ended(&accounts, Ended::Surplus).len(), 2);
-    let asked = accounts.asked.iter().filter(|a| a.to_ms.is_none());
+    assert_eq!(ended(&accounts, EndReason::ScaledIn).len(), 2);
+    let asked = accounts.requests.iter().filter(|a| a.to_ms.is_none());
     assert_eq!(asked.map(|a| a.machines).collect::<Vec<_>>(), vec![0]);
 }
 
-fn restart(simulation: &mut World, node: usize, pools: Vec<PoolSpec>) {
+fn restart(simulation: &mut Simulation, node: usize, pools: Vec<PoolSpec>) {
     simulation.declare_pools(node, pools);
-    simulation.fault_now(FaultKind::Crash {
+    simulation.inject_fault(FaultKind::Crash {
         node,
         count: 1,
         restart_after: 1_000,
@@ -444,7 +449,7 @@
     let on = || vec![pool(2, 2)];
     let pools = vec![on(), on(), Vec::new()];
     let early = vec![replicas(0, 20_000, 1, "weights")];
-    let mut simulation = World::with_pools(7, early, Vec::new(), size(), pools);
+    let mut simulation = Simulation::with_pools(7, early, Vec::new(), size(), pools);
     simulation.run_until(FULL);
     assert_eq!(simulation.finalized_format(), Some(2), "one has none");
     assert!(audit(&simulation, "off at one").intervals.is_empty());
@@ -452,7 +457,7 @@
     simulation.run_until(FULL * 2);
     assert_eq!(simulation.finalized_format(), Some(3));
     assert_eq!(warm(&simulation), 2);
-    let misses = audit(&simulation, "on").misses;
+    let misses = audit(&simulation, "on").cold_starts;
     assert_eq!(misses, vec![], "what came before pools began missed none");
     // Whoever has no declaration gives the machines back, and still holds shards.
     for node in 0..NODES {
@@ -461,8 +466,8 @@
     simulation.run_until(simulation.now() + 30_000);
     assert_eq!(members(&simulation), vec![]);
     let accounts = audit(&simulation, "withdrawn");
-    assert!(ended(&accounts, Ended::Withdrawn).len() >= 2);
-    let asked = accounts.asked.iter().filter(|a| a.to_ms.is_none());
+    assert!(ended(&accounts, EndReason::PoolRemoved).len() >= 2);
+    let asked = accounts.requests.iter().filter(|a| a.to_ms.is_none());
     assert_eq!(asked.map(|a| a.machines).collect::<Vec<_>>(), vec![0]);
     assert!((0..NODES).any(|n| simulation.holds_shards(n)));
 }
@@ -483,7 +488,7 @@
     simulation.run_until(simulation.now() + 30_000);
     assert_eq!(warm(&simulation), 1, "{:?}", members(&simulation));
     let accounts = audit(&simulation, "changed");
-    assert!(!ended(&accounts, Ended::Surplus).is_empty());
+    assert!(!ended(&accounts, EndReason::ScaledIn).is_empty());
 }
 
 /// A release without pools never sees a record of them: nothing is written before all
@@ -496,17 +501,17 @@
     };
     let pools = vec![vec![pool(2, 2)]; NODES];
     let plans = vec![replicas(0, 5_000, 2, "weights")];
-    let mut simulation = World::with_pools(9, plans, Vec::new(), size, pools);
+    let mut simulation = Simulation::with_pools(9, plans, Vec::new(), size, pools);
     simulation.run_until(20_000);
     for node in 0..NODES - 1 {
-        simulation.fault_now(FaultKind::Upgrade {
+        simulation.inject_fault(FaultKind::Upgrade {
             node,
             restart_after: 1_000,
         });
         simulation.run_until(simulation.now() + 15_000);
     }
     for node in 0..NODES - 1 {
-        simulation.fault_now(FaultKind::Downgrade {
+        simulation.inject_fault(FaultKind::Downgrade {
             node,
             restart_after: 1_000,
         });
@@ -516,11 +521,11 @@
     assert!(audit(&simulation, "old").intervals.is_empty());
     assert!(simulation
         .pool_accounts(simulation.wall_clock())
-        .asked
+        .requests
         .is_empty());
-    assert_eq!(simulation.check.running_tasks(&job_id(0)), 2);
+    assert_eq!(simulation.checker.running_tasks(&job_id(0)), 2);
     for node in 0..NODES {
-        simulation.fault_now(FaultKind::Upgrade {
+        simulation.inject_fault(FaultKind::Upgrade {
             node,
             restart_after: 1_000,
         });
@@ -536,7 +541,7 @@
 #[test]
 fn a_pool_is_no_larger_than_what_it_may_cost() {
     let cheap = PoolSpec {
-        cost_per_hour_most: Some(33.0),
+        max_cost_per_hour: Some(33.0),
         ..pool(4, 4)
     };
     let mut simulation = simulation(11, Vec::new(), size(), &[cheap]);
@@ -546,15 +551,15 @@
     }
     assert_eq!(warm(&simulation), 2);
     let accounts = audit(&simulation, "cost");
-    let report = forkshift_pools::report::report(
+    let report = forkshift_pools::report::usage_report(
         &accounts,
-        forkshift_pools::report::Span {
+        forkshift_pools::report::TimeSpan {
             from_ms: 0,
             to_ms: simulation.wall_clock(),
         },
         simulation.wall_clock(),
     );
-    assert!(report.pools[0].short_s > 0.0);
+    assert!(report.pools[0].unmet_s > 0.0);
 }
 
 /// A pool of spot machines takes no others, and fills again when they are taken back. The
@@ -570,12 +575,15 @@
         let mut simulation = simulation(seed, Vec::new(), size(), std::slice::from_ref(&spot));
         simulation.run_until(FULL);
         assert_eq!(warm(&simulation), 3, "{:?}", members(&simulation));
-        simulation.fault_now(FaultKind::SpotReclaim { notice });
+        simulation.inject_fault(FaultKind::SpotReclaim { notice });
         simulation.run_until(FULL * 2 + 30_000);
         assert_eq!(warm(&simulation), 3, "{:?}", members(&simulation));
         let accounts = audit(&simulation, &format!("notice {notice}"));
         assert!(accounts.intervals.iter().all(|i| i.spot));
-        assert!(!ended(&accounts, Ended::Lost).is_empty(), "some were taken");
+        assert!(
+            !ended(&accounts, EndReason::Failed).is_empty(),
+            "some were taken"
+        );
     }
 }
 
@@ -587,9 +595,13 @@
 );
 
 /// What is recorded of pools, for telling whether something was written.
-fn recorded(simulation: &World) -> Recorded {
-    let rows = simulation.store_entries(POOLS).len();
-    (members(simulation), rows, simulation.store_entries(HEADS))
+fn recorded(simulation: &Simulation) -> Recorded {
+    let rows = simulation.store_entries(ACCOUNT_PREFIX).len();
+    (
+        members(simulation),
+        rows,
+        simulation.store_entries(CURRENT_REQUEST_PREFIX),
+    )
 }
 
 /// A day is played once to find every write of a membership and of the account, and then
@@ -625,11 +637,11 @@
         let kind = FaultKind::At(ControllerSelector::HolderOfJob(job_id(5)), Box::new(crash));
         let faults = vec![Fault { at, kind }];
         let pools = vec![vec![pool(2, 4)]; NODES];
-        let mut simulation = World::with_pools(SEED, plans(), faults, size(), pools);
+        let mut simulation = Simulation::with_pools(SEED, plans(), faults, size(), pools);
         simulation.run_until(FULL * 2 + 20_000);
         let name = format!("ended at {at} ms");
         audit(&simulation, &name);
-        assert_eq!(simulation.check.running_tasks(&job_id(0)), 2, "{name}");
+        assert_eq!(simulation.checker.running_tasks(&job_id(0)), 2, "{name}");
         assert!(warm(&simulation) >= 2, "{name}: {:?}", members(&simulation));
     }
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -35,10 +35,10 @@
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine per hour.
     #[serde(rename = "hourly")]
-    pub price: f64,
+    pub price_per_hour: f64,
     /// Current price of a spot machine per hour; none: there are no spot machines.
     #[serde(rename = "market_price", default)]
-    pub spot_price: Option<f64>,
+    pub spot_price_per_hour: Option<f64>,
     /// Typical time from the request until the machine is up, in seconds.
     #[serde(default)]
     pub boot_s: f64,
@@ -49,10 +49,10 @@
 
 /// Body of `POST /machines`, a request to provision machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Rent {
+pub struct ProvisionRequest {
     /// Unique name of the request, which makes repetitions idempotent.
     #[serde(rename = "charter")]
-    pub request: String,
+    pub request_name: String,
     /// Machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
@@ -67,15 +67,15 @@
 }
 
 /// Maximum number of machines in one provisioning request.
-pub const RENT_MOST: u32 = 50;
+pub const MAX_PROVISION_COUNT: u32 = 50;
 /// Maximum number of machines in one deletion request.
-pub const DELETE_MOST: usize = 100;
+pub const MAX_DELETION_COUNT: usize = 100;
 /// Maximum number of machines on one page of the list.
-pub const LIST_MOST: u32 = 500;
+pub const MAX_LIST_PAGE_SIZE: u32 = 500;
 
 /// Response to `POST /machines`, and body of `POST /machines/delete`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineIds {
     /// Identifiers of the machines.
     #[serde(rename = "berths")]
     pub machines: Vec<MachineId>,
@@ -86,15 +86,15 @@
 pub struct MachineList {
     /// The machines, in the order of their identifiers.
     #[serde(rename = "berths")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// Whether there is another page.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_next: bool,
 }
 
 /// A machine on the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Identifier of the machine.
     #[serde(rename = "uid")]
     pub id: MachineId,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -14,7 +14,7 @@
 const DEPENDENCIES_VERSION: u16 = 6;
 /// Latest version of the format. A message is sent with the oldest version that has its
 /// body, so that controllers of earlier releases can decode it.
-pub const VERSION: u16 = 7;
+pub const LATEST_VERSION: u16 = 7;
 /// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 96 * 1024;
 
@@ -122,7 +122,7 @@
     RelayRequest {
         /// Number of the list within the incarnation. Messages with the same number are
         /// parts of one list; a list replaces those with lower numbers.
-        list: u64,
+        list_number: u64,
         /// The machines.
         machines: Vec<String>,
     },
@@ -145,7 +145,7 @@
         match self {
             Self::JobEnded { .. } | Self::InheritPriority { .. } => DEPENDENCIES_VERSION,
             Self::RelayRequest { .. } | Self::ProbeRequest { .. } | Self::ProbeResult { .. } => {
-                VERSION
+                LATEST_VERSION
             }
             _ => FIRST_VERSION,
         }
@@ -227,7 +227,7 @@
         }
         // The version comes first, so that an unsupported one is distinguished from garbage.
         let version = u16::deserialize(&mut &bytes[..])?;
-        if !(FIRST_VERSION..=VERSION).contains(&version) {
+        if !(FIRST_VERSION..=LATEST_VERSION).contains(&version) {
             return Err(MessageError::UnsupportedVersion(version));
         }
         Ok(borsh::from_slice(bytes)?)
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn malformed_or_unsupported_message_is_refused() {
     let message = Envelope {
-        version: VERSION,
+        version: LATEST_VERSION,
         from: "berth-1".to_owned(),
         incarnation: 7,
         epoch: 3,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -68,13 +68,13 @@
 pub struct Cluster {
     /// Number of controllers.
     #[serde(rename = "initial_size")]
-    pub nodes: u32,
+    pub node_count: u32,
     /// All zones.
     #[serde(default)]
     pub zones: Vec<String>,
     /// Bound on the error of the wall clock, in milliseconds.
     #[serde(rename = "time_bound_ms", default)]
-    pub clock_off_ms: f64,
+    pub max_clock_error_ms: f64,
     /// Quotas of the teams.
     #[serde(default)]
     pub teams: Vec<Team>,
@@ -98,16 +98,16 @@
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(rename = "cpus", default)]
-    pub cpus: f64,
+    pub guaranteed_cpus: f64,
     /// Maximum CPUs; 0: no limit.
     #[serde(rename = "cpus_max", default)]
-    pub cpus_max: f64,
+    pub max_cpus: f64,
     /// Guaranteed GPUs.
     #[serde(rename = "gpus", default)]
-    pub gpus: f64,
+    pub guaranteed_gpus: f64,
     /// Maximum GPUs; 0: no limit.
     #[serde(rename = "gpus_max", default)]
-    pub gpus_max: f64,
+    pub max_gpus: f64,
 }
 
 /// A service-level objective.
@@ -123,7 +123,7 @@
     pub within_s: f64,
     /// Fraction of the cases in which it is to be met, from 0 to 1.
     #[serde(rename = "share", default)]
-    pub share: f64,
+    pub target_fraction: f64,
 }
 
 /// Timing of the workers, in seconds.
@@ -131,19 +131,19 @@
 pub struct Workers {
     /// Interval between two heartbeats.
     #[serde(rename = "report_s")]
-    pub report_s: f64,
+    pub heartbeat_interval_s: f64,
     /// Lease of a worker: without an answered heartbeat it stops its tasks after this time.
     #[serde(rename = "lease_s")]
     pub lease_s: f64,
     /// Timeout for a gang to become complete.
     #[serde(rename = "gang_wait_s")]
-    pub gang_wait_s: f64,
+    pub gang_start_timeout_s: f64,
     /// Time within which a gang detects that one of its tasks exited.
     #[serde(rename = "gang_peer_s")]
-    pub gang_peer_s: f64,
+    pub gang_exit_detection_s: f64,
     /// Time within which the tasks of a cancelled job must have exited.
     #[serde(rename = "cancel_s")]
-    pub cancel_s: f64,
+    pub cancellation_deadline_s: f64,
 }
 
 /// Limits of the state service.
@@ -151,16 +151,16 @@
 pub struct StateLimits {
     /// Requests per second, of all controllers together.
     #[serde(rename = "rps")]
-    pub rps: f64,
+    pub requests_per_s: f64,
     /// Changes per second, of all controllers together.
     #[serde(rename = "write_rps")]
-    pub write_rps: f64,
+    pub writes_per_s: f64,
     /// Maximum size of a value, in KiB.
     #[serde(rename = "value_kb")]
-    pub value_kb: f64,
+    pub max_value_kib: f64,
     /// Maximum number of changes in a transaction.
     #[serde(rename = "txn_ops")]
-    pub txn_ops: usize,
+    pub max_transaction_writes: usize,
     /// Limits that come into force some time after an upgrade, without notice.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
@@ -171,16 +171,16 @@
 pub struct NextStateLimits {
     /// Requests per second, of all controllers together.
     #[serde(rename = "rps", default)]
-    pub rps: Option<f64>,
+    pub requests_per_s: Option<f64>,
     /// Changes per second, of all controllers together.
     #[serde(rename = "write_rps", default)]
-    pub write_rps: Option<f64>,
+    pub writes_per_s: Option<f64>,
     /// Maximum size of a value, in KiB.
     #[serde(rename = "value_kb", default)]
-    pub value_kb: Option<f64>,
+    pub max_value_kib: Option<f64>,
     /// Maximum number of changes in a transaction.
     #[serde(rename = "txn_ops", default)]
-    pub txn_ops: Option<usize>,
+    pub max_transaction_writes: Option<usize>,
 }
 
 /// Limits of the cloud.
@@ -188,7 +188,7 @@
 pub struct CloudLimits {
     /// Requests per second.
     #[serde(rename = "rps")]
-    pub rps: f64,
+    pub requests_per_s: f64,
     /// Typical staleness of the machine list, in seconds.
     #[serde(default)]
     pub list_lag_s: f64,
@@ -199,7 +199,7 @@
 pub struct Limits {
     /// Fraction of a CPU core.
     #[serde(rename = "cpu")]
-    pub cpu_share: f64,
+    pub cpu_fraction: f64,
     /// Memory, in MB.
     #[serde(rename = "mem_mb")]
     pub memory_mb: f64,
--- a/crates/wire/src/settings/tests.rs
+++ b/crates/wire/src/settings/tests.rs
@@ -75,5 +75,8 @@
     let without_limit = VALID.replacen("write_rps = 20.0\n", "", 1);
     let settings = Settings::parse(&without_limit).expect("valid settings");
     let next = settings.cluster.state.next.expect("announced limits");
-    assert_eq!((next.write_rps, next.txn_ops), (None, Some(4)));
+    assert_eq!(
+        (next.writes_per_s, next.max_transaction_writes),
+        (None, Some(4))
+    );
 }
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -53,22 +53,34 @@
 /// Times, rates and sizes that must be above zero.
 fn validate_positive(cluster: &Cluster, next: &NextStateLimits) -> Result<(), SettingsError> {
     let required = [
-        ("cluster.workers.report_s", cluster.workers.report_s),
+        (
+            "cluster.workers.report_s",
+            cluster.workers.heartbeat_interval_s,
+        ),
         ("cluster.workers.lease_s", cluster.workers.lease_s),
-        ("cluster.workers.gang_wait_s", cluster.workers.gang_wait_s),
-        ("cluster.workers.gang_peer_s", cluster.workers.gang_peer_s),
-        ("cluster.workers.cancel_s", cluster.workers.cancel_s),
-        ("cluster.state.rps", cluster.state.rps),
-        ("cluster.state.write_rps", cluster.state.write_rps),
-        ("cluster.state.value_kb", cluster.state.value_kb),
-        ("cluster.cloud.rps", cluster.cloud.rps),
-        ("cluster.limits.cpu", cluster.limits.cpu_share),
+        (
+            "cluster.workers.gang_wait_s",
+            cluster.workers.gang_start_timeout_s,
+        ),
+        (
+            "cluster.workers.gang_peer_s",
+            cluster.workers.gang_exit_detection_s,
+        ),
+        (
+            "cluster.workers.cancel_s",
+            cluster.workers.cancellation_deadline_s,
+        ),
+        ("cluster.state.rps", cluster.state.requests_per_s),
+        ("cluster.state.write_rps", cluster.state.writes_per_s),
+        ("cluster.state.value_kb", cluster.state.max_value_kib),
+        ("cluster.cloud.rps", cluster.cloud.requests_per_s),
+        ("cluster.limits.cpu", cluster.limits.cpu_fraction),
         ("cluster.limits.mem_mb", cluster.limits.memory_mb),
     ];
     let optional = [
-        ("cluster.state.next.rps", next.rps),
-        ("cluster.state.next.write_rps", next.write_rps),
-        ("cluster.state.next.value_kb", next.value_kb),
+        ("cluster.state.next.rps", next.requests_per_s),
+        ("cluster.state.next.write_rps", next.writes_per_s),
+        ("cluster.state.next.value_kb", next.max_value_kib),
     ];
     let announced = optional
         .into_iter()
@@ -83,19 +95,19 @@
 
 /// Counts that have a minimum.
 fn validate_minimums(cluster: &Cluster, next: &NextStateLimits) -> Result<(), SettingsError> {
-    if cluster.nodes == 0 {
+    if cluster.node_count == 0 {
         let problem = FieldProblem::NotPositive;
         return Err(field_error("cluster.initial_size", problem));
     }
     let minimums = [
         (
             "cluster.state.txn_ops",
-            Some(cluster.state.txn_ops),
+            Some(cluster.state.max_transaction_writes),
             MIN_TRANSACTION_WRITES,
         ),
         (
             "cluster.state.next.txn_ops",
-            next.txn_ops,
+            next.max_transaction_writes,
             MIN_TRANSACTION_WRITES,
         ),
         (
@@ -129,10 +141,10 @@
 fn validate_quotas(teams: &[Team]) -> Result<(), SettingsError> {
     for (index, team) in teams.iter().enumerate() {
         let amounts = [
-            ("cpus", team.cpus),
-            ("cpus_max", team.cpus_max),
-            ("gpus", team.gpus),
-            ("gpus_max", team.gpus_max),
+            ("cpus", team.guaranteed_cpus),
+            ("cpus_max", team.max_cpus),
+            ("gpus", team.guaranteed_gpus),
+            ("gpus_max", team.max_gpus),
         ];
         for (name, value) in amounts {
             if !(value.is_finite() && value >= 0.0) {
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -46,28 +46,28 @@
     pub image_gb: f64,
     /// Allowed machine types; none: any.
     #[serde(rename = "rigs", default)]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone; none: any.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
     /// Whether all tasks must be in one zone.
     #[serde(rename = "same_place")]
-    pub one_zone: bool,
+    pub require_same_zone: bool,
     /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
-    pub spread: bool,
+    pub spread_over_zones: bool,
     /// Whether tasks may run on spot machines.
     #[serde(rename = "loaner")]
-    pub spot: bool,
+    pub allow_spot: bool,
     /// The owner's estimate of the run time of a task, in seconds.
     #[serde(rename = "expect_s")]
-    pub estimate_s: f64,
+    pub estimated_run_time_s: f64,
     /// Interval between the checkpoints of a running task, in seconds; 0: no checkpoints.
     #[serde(rename = "bookmark_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs for saving a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
-    pub save_s: f64,
+    pub checkpoint_save_time_s: f64,
     /// Time from the submission until the job should be complete, in seconds.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
@@ -190,7 +190,7 @@
 
 /// Body of a response with an error status.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorBody {
     /// Human-readable reason.
     pub error: String,
 }
--- a/crates/wire/src/users/validation.rs
+++ b/crates/wire/src/users/validation.rs
@@ -43,11 +43,11 @@
         check("mem_gb", is_amount(spec.memory_gb)),
         check("kit", is_name(&spec.image)),
         check("image_gb", is_amount(spec.image_gb)),
-        check("expect_s", is_amount(spec.estimate_s)),
-        check("bookmark_s", is_amount(spec.checkpoint_s)),
-        check("stow_s", is_amount(spec.save_s)),
+        check("expect_s", is_amount(spec.estimated_run_time_s)),
+        check("bookmark_s", is_amount(spec.checkpoint_interval_s)),
+        check("stow_s", is_amount(spec.checkpoint_save_time_s)),
         check("due_s", spec.deadline_s.is_none_or(is_amount)),
-        check("rigs", spec.types.as_deref().is_none_or(are_names)),
+        check("rigs", spec.machine_types.as_deref().is_none_or(are_names)),
     ]
 }
 
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -38,10 +38,10 @@
     pub token: u64,
     /// Seconds until the cloud reclaims the machine, once it has given notice.
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_notice_s: Option<f64>,
     /// All tasks on the machine, including exited ones that are not forgotten yet.
     #[serde(rename = "shifts", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
     /// Images on the machine. Present only if the worker supports
     /// [`CommandRequest::prefetch`].
     #[serde(rename = "kits", default, skip_serializing_if = "Option::is_none")]
@@ -61,7 +61,7 @@
 
 /// Status of one task, as its worker reports it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task.
     #[serde(rename = "shift")]
     pub task: TaskRef,
@@ -76,7 +76,7 @@
     pub cause: Option<ExitCause>,
     /// Whether a checkpoint was saved before the task exited.
     #[serde(rename = "stored", default)]
-    pub saved: bool,
+    pub checkpoint_saved: bool,
 }
 
 /// Lifecycle stage of a task on a machine.
@@ -119,10 +119,10 @@
     Error,
     /// Refused: the machine lacks free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// Refused: the machine has another attempt of the task.
     #[serde(rename = "in_use")]
-    InUse,
+    OtherAttemptPresent,
     /// Refused: no such job or task.
     #[serde(rename = "no_such")]
     UnknownTask,
@@ -202,7 +202,7 @@
 pub struct Redirect {
     /// Address of that controller; absent if it is not known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
-    pub report_to: Option<String>,
+    pub holder_addr: Option<String>,
 }
 
 #[cfg(test)]
--- a/crates/wire/src/workers/tests.rs
+++ b/crates/wire/src/workers/tests.rs
@@ -13,10 +13,10 @@
         (heartbeat.incarnation, heartbeat.sequence, heartbeat.token),
         (1, 88, 41)
     );
-    assert!(heartbeat.spot && heartbeat.notice_s.is_none());
+    assert!(heartbeat.spot && heartbeat.reclaim_notice_s.is_none());
     assert_eq!(heartbeat.tasks[0].stage, TaskStage::Running);
     assert_eq!(heartbeat.tasks[1].cause, Some(ExitCause::Stopped));
-    assert!(heartbeat.tasks[1].saved);
+    assert!(heartbeat.tasks[1].checkpoint_saved);
 }
 
 #[test]
--- a/crates/wire/tests/golden/cloud.rs
+++ b/crates/wire/tests/golden/cloud.rs
@@ -16,8 +16,8 @@
         memory_gb: 768.0,
         cache_gb: 200.0,
         fetch_gb_per_s: 1.5,
-        price: 12.25,
-        spot_price: Some(4.75),
+        price_per_hour: 12.25,
+        spot_price_per_hour: Some(4.75),
         boot_s: 45.0,
         zones: texts(&["hall-a", "hall-b"]),
     }
@@ -28,15 +28,15 @@
     let catalog = Catalog {
         types: vec![machine_type()],
     };
-    let request = Rent {
-        request: "r-1".to_owned(),
+    let request = ProvisionRequest {
+        request_name: "r-1".to_owned(),
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
         spot: true,
         count: 7,
     };
     let list = MachineList {
-        machines: vec![Listed {
+        machines: vec![ListedMachine {
             id: MachineId::new("m-1"),
             addr: "10.1.0.1:9000".to_owned(),
             machine_type: "big".to_owned(),
@@ -45,9 +45,9 @@
             stage: MachineStage::Running,
             age_s: 61.5,
         }],
-        more: true,
+        has_next: true,
     };
-    let names = Machines {
+    let names = MachineIds {
         machines: machines(&["m-1", "m-2"]),
     };
     let cases = [
--- a/crates/wire/tests/golden/peers.rs
+++ b/crates/wire/tests/golden/peers.rs
@@ -109,7 +109,7 @@
         priority: 3,
     };
     let relay_request = Body::RelayRequest {
-        list: 8,
+        list_number: 8,
         machines: texts(&["m-1", "m-2"]),
     };
     let probe_request = Body::ProbeRequest {
@@ -140,7 +140,7 @@
     vec![
         encoded("version_5", &in_version(FIRST_VERSION)),
         encoded("version_6", &in_version(FIRST_VERSION + 1)),
-        encoded("version_7", &in_version(VERSION)),
+        encoded("version_7", &in_version(LATEST_VERSION)),
     ]
 }
 
@@ -158,7 +158,7 @@
 
 #[test]
 fn unsupported_versions_are_refused() {
-    for version in [0, FIRST_VERSION - 1, VERSION + 1] {
+    for version in [0, FIRST_VERSION - 1, LATEST_VERSION + 1] {
         let envelope = Envelope {
             version,
             from: "b".to_owned(),
--- a/crates/wire/tests/golden/users.rs
+++ b/crates/wire/tests/golden/users.rs
@@ -22,14 +22,14 @@
         memory_gb: 3.25,
         image: "train:7".to_owned(),
         image_gb: 4.5,
-        types: Some(texts(&["big", "small"])),
+        machine_types: Some(texts(&["big", "small"])),
         zone: Some("hall-a".to_owned()),
-        one_zone: true,
-        spread: false,
-        spot: true,
-        estimate_s: 600.0,
-        checkpoint_s: 60.0,
-        save_s: 5.0,
+        require_same_zone: true,
+        spread_over_zones: false,
+        allow_spot: true,
+        estimated_run_time_s: 600.0,
+        checkpoint_interval_s: 60.0,
+        checkpoint_save_time_s: 5.0,
         deadline_s: Some(3600.0),
         dependencies: vec![job("j-1"), job("j-2")],
     }
@@ -40,11 +40,11 @@
     let minimal = JobSpec {
         kind: JobKind::Array,
         priority: Priority::Normal,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: true,
-        spot: false,
+        require_same_zone: false,
+        spread_over_zones: true,
+        allow_spot: false,
         deadline_s: None,
         dependencies: Vec::new(),
         ..submission()
@@ -55,7 +55,7 @@
         done,
         running,
     };
-    let refusal = Refusal {
+    let refusal = ErrorBody {
         error: "no such job".to_owned(),
     };
     let cases = [
--- a/crates/wire/tests/golden/workers.rs
+++ b/crates/wire/tests/golden/workers.rs
@@ -12,19 +12,19 @@
 }
 
 fn heartbeat() -> WorkerHeartbeat {
-    let ended = TaskReport {
+    let ended = TaskStatus {
         task: task(3),
         attempt: 2,
         stage: TaskStage::Exited,
         cause: Some(ExitCause::Done),
-        saved: true,
+        checkpoint_saved: true,
     };
-    let running = TaskReport {
+    let running = TaskStatus {
         task: task(4),
         attempt: 1,
         stage: TaskStage::Running,
         cause: None,
-        saved: false,
+        checkpoint_saved: false,
     };
     WorkerHeartbeat {
         machine: MachineId::new("m-1"),
@@ -35,7 +35,7 @@
         incarnation: 11,
         sequence: 12,
         token: 13,
-        notice_s: Some(29.5),
+        reclaim_notice_s: Some(29.5),
         tasks: vec![ended, running],
         images: Some(HeldImages {
             held: texts(&["train:7"]),
@@ -71,7 +71,7 @@
     let minimal = WorkerHeartbeat {
         spot: false,
         token: 0,
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
         images: None,
         ..heartbeat()
@@ -81,7 +81,7 @@
         round_trip("report_full", &heartbeat()),
         round_trip("report_least", &minimal),
         reencode::<WorkerHeartbeat>("report_fields_left_out", short),
-        reencode::<TaskReport>(
+        reencode::<TaskStatus>(
             "shift_fields_left_out",
             r#"{"shift":"j-1/0","try":1,"stage":"running"}"#,
         ),
@@ -97,8 +97,8 @@
         round_trip("cause_peers", &ExitCause::GangMemberLost),
         round_trip("cause_alone", &ExitCause::GangTimeout),
         round_trip("cause_error", &ExitCause::Error),
-        round_trip("cause_full", &ExitCause::NoRoom),
-        round_trip("cause_in_use", &ExitCause::InUse),
+        round_trip("cause_full", &ExitCause::InsufficientResources),
+        round_trip("cause_in_use", &ExitCause::OtherAttemptPresent),
         round_trip("cause_no_such", &ExitCause::UnknownTask),
     ]
 }
@@ -113,7 +113,7 @@
         commands: commands(),
     };
     let redirect = Redirect {
-        report_to: Some("10.0.0.1:8080".to_owned()),
+        holder_addr: Some("10.0.0.1:8080".to_owned()),
     };
     vec![
         round_trip("orders_full", &command_request(vec![image])),
