--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -67,9 +67,8 @@
             ("POST", ["submissions", id, "abort"]) => self.cancel_job(request, id),
             (
                 _,
-                ["up"]
+                ["up" | "submissions"]
                 | ["v1", "report"]
-                | ["submissions"]
                 | ["submissions", _]
                 | ["submissions", _, "abort"],
             ) => Some(Reply::error(405, "wrong method")),
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -13,6 +13,7 @@
     ///
     /// The table is exhaustive, in the order of membership, view and shard assignments, jobs
     /// and cancellations, shards held here, the leader, and workers.
+    #[allow(clippy::too_many_lines, reason = "one exhaustive table of dispatch")]
     pub(super) fn on_response(&mut self, pending: PendingCall, status: u16, body: &[u8]) {
         match pending {
             PendingCall::LeaseGrant { sent } => {
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -228,7 +228,7 @@
             return;
         }
         let own_name = self.ctx.config.node.clone();
-        let peers: Vec<NodeName> = self.ctx.config.nodes.to_vec();
+        let peers: Vec<NodeName> = self.ctx.config.nodes.clone();
         for peer in peers.iter().filter(|peer| **peer != own_name) {
             let body = Body::JobEnded {
                 id: end.id.to_string(),
--- a/crates/core/src/shard/dependencies/tests.rs
+++ b/crates/core/src/shard/dependencies/tests.rs
@@ -162,7 +162,7 @@
     assert_eq!(f.shard().jobs[&id(1)].priority(), Priority::High);
 }
 
-/// After a takeover a job that has begun waits for nothing; any other reads its
+/// After a failover a job that has begun waits for nothing; any other reads its
 /// dependencies again.
 #[test]
 fn what_a_job_waits_for_is_rebuilt_from_records() {
--- a/crates/core/src/shard/job/tests.rs
+++ b/crates/core/src/shard/job/tests.rs
@@ -29,6 +29,9 @@
     }
 }
 
+/// A name, what happens to the job, and how long it has waited.
+type Case = (&'static str, fn(&mut Job, TaskBlockRecord), Ms);
+
 /// A large array between two of its tasks was counted by its whole age and
 /// went before jobs that had not begun at all.
 #[test]
@@ -38,7 +41,6 @@
         done: vec![(from, to)],
         bound: Vec::new(),
     };
-    type Case = (&'static str, fn(&mut Job, TaskBlockRecord), Ms);
     let cases: [Case; 3] = [
         ("nothing has completed", |_, _| (), 35_000),
         (
--- a/crates/daemon/src/check.rs
+++ b/crates/daemon/src/check.rs
@@ -6,7 +6,7 @@
 
 /// Why settings are not good.
 #[derive(Debug, thiserror::Error)]
-pub enum CheckError {
+pub(crate) enum CheckError {
     /// A file can't be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// [`CheckError`], for the first file that is refused, or for limits that are too small.
-pub fn run(
+pub(crate) fn run(
     config: &Path,
     operator: Option<&Path>,
     catalog: Option<&Path>,
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -9,7 +9,7 @@
 
 /// Why a file can't be used; each variant has the path of the file.
 #[derive(Debug, thiserror::Error)]
-pub enum LoadError {
+pub(crate) enum LoadError {
     /// The file can't be read.
     #[error("{path}: {source}")]
     Read {
@@ -45,7 +45,7 @@
 }
 
 /// Loads the platform's settings.
-pub fn settings(path: &Path) -> Result<Settings, LoadError> {
+pub(crate) fn settings(path: &Path) -> Result<Settings, LoadError> {
     Settings::parse(&read(path)?).map_err(|source| LoadError::Settings {
         path: display(path),
         source,
@@ -53,7 +53,7 @@
 }
 
 /// Loads the operators' settings; without a file, the defaults.
-pub fn operator(path: Option<&Path>, settings: &Settings) -> Result<Operator, LoadError> {
+pub(crate) fn operator(path: Option<&Path>, settings: &Settings) -> Result<Operator, LoadError> {
     let Some(path) = path else {
         return Ok(Operator::default());
     };
@@ -64,7 +64,7 @@
 }
 
 /// Loads the cloud's catalogue.
-pub fn catalog(path: &Path) -> Result<Catalog, LoadError> {
+pub(crate) fn catalog(path: &Path) -> Result<Catalog, LoadError> {
     serde_json::from_str(&read(path)?).map_err(|source| LoadError::Catalog {
         path: display(path),
         source,
@@ -79,6 +79,6 @@
 }
 
 /// A path as error messages show it.
-pub fn display(path: &Path) -> String {
+pub(crate) fn display(path: &Path) -> String {
     path.display().to_string()
 }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -10,7 +10,14 @@
 use std::ops::RangeInclusive;
 
 /// Types generated from `proto/operator.proto` by the build script.
-#[allow(missing_docs, clippy::all, clippy::pedantic)]
+#[allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::all,
+    clippy::pedantic,
+    clippy::unwrap_used,
+    reason = "generated code"
+)]
 mod generated {
     include!(concat!(env!("OUT_DIR"), "/proto/mod.rs"));
 }
@@ -26,7 +33,7 @@
 
 /// Why the operators' settings are refused.
 #[derive(Debug, thiserror::Error)]
-pub enum OperatorError {
+pub(crate) enum OperatorError {
     /// The text is not the expected message.
     #[error("{0}")]
     Text(#[from] protobuf::text_format::ParseError),
@@ -49,7 +56,7 @@
 /// # Errors
 ///
 /// [`OperatorError`], for the first field that is refused.
-pub fn parse(text: &str, settings: &Settings) -> Result<Operator, OperatorError> {
+pub(crate) fn parse(text: &str, settings: &Settings) -> Result<Operator, OperatorError> {
     let message: Message = protobuf::text_format::parse_from_str(text)?;
     let mut operator = Operator::default();
     if let Some(weights) = message.weights.as_ref() {
--- a/crates/daemon/src/pools.rs
+++ b/crates/daemon/src/pools.rs
@@ -17,7 +17,7 @@
 
 /// What is to be said of pools.
 #[derive(Subcommand)]
-pub enum PoolsCommand {
+pub(crate) enum PoolsCommand {
     /// What each pool is asked for and has now.
     Status(Source),
     /// What pools were asked for, had and cost in a span of time, by team and pool.
@@ -35,7 +35,7 @@
 
 /// Where it is read, and how it is written.
 #[derive(Args)]
-pub struct Source {
+pub(crate) struct Source {
     /// The platform's settings (TOML), for the address of the state service.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
@@ -46,7 +46,7 @@
 
 /// Why pools can't be shown.
 #[derive(Debug, thiserror::Error)]
-pub enum PoolsError {
+pub(crate) enum PoolsError {
     /// The settings can't be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
@@ -66,7 +66,7 @@
 
 /// Why options don't give a span of time.
 #[derive(Debug, thiserror::Error)]
-pub enum SpanError {
+pub(crate) enum SpanError {
     /// The value of an option is neither a time nor a date.
     #[error("`--{option}` is `{text}`, which is no time such as 2026-12-01T08:00:00Z")]
     NotATime {
@@ -85,7 +85,7 @@
 /// # Errors
 ///
 /// [`PoolsError`]. What can't be read is never shown as nothing.
-pub fn run(command: &PoolsCommand) -> Result<(), PoolsError> {
+pub(crate) fn run(command: &PoolsCommand) -> Result<(), PoolsError> {
     let text = match command {
         PoolsCommand::Status(source) => {
             let status = status::read(&reader(source)?)?;
--- a/crates/daemon/src/pools/accounts.rs
+++ b/crates/daemon/src/pools/accounts.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// If the service does not respond or refuses, or a record is malformed.
-pub fn read(reader: &RecordReader, now_ms: u64) -> Result<UsageRecords, RecordsError> {
+pub(super) fn read(reader: &RecordReader, now_ms: u64) -> Result<UsageRecords, RecordsError> {
     // Open intervals are read first: one that ends meanwhile is then among the rows as
     // well, and is recognised by its key.
     let open = open_intervals(reader, now_ms)?;
--- a/crates/daemon/src/pools/records.rs
+++ b/crates/daemon/src/pools/records.rs
@@ -29,7 +29,7 @@
 
 /// Why records can't be read.
 #[derive(Debug, thiserror::Error)]
-pub enum RecordsError {
+pub(crate) enum RecordsError {
     /// A page can't be read from the service.
     #[error("the state service at {addr} {problem}")]
     Service {
@@ -56,7 +56,7 @@
 
 /// What a service does instead of answering.
 #[derive(Debug, thiserror::Error)]
-pub enum ServiceProblem {
+pub(crate) enum ServiceProblem {
     /// There was no response in time.
     #[error("does not answer")]
     NoResponse,
@@ -72,14 +72,14 @@
 }
 
 /// A client that reads records. Its methods block.
-pub struct RecordReader {
+pub(super) struct RecordReader {
     addr: SocketAddr,
     client: Client,
 }
 
 impl RecordReader {
     /// A reader of the state service at an address.
-    pub fn new(addr: SocketAddr) -> Self {
+    pub(super) fn new(addr: SocketAddr) -> Self {
         let client = Client::new(ClientLimits {
             max_idle_per_host: 1,
             max_idle: 1,
@@ -90,13 +90,13 @@
     }
 
     /// The number of machines that each pool is asked for at present.
-    pub fn requested_sizes(&self) -> Result<Vec<PoolRequest>, RecordsError> {
+    pub(super) fn requested_sizes(&self) -> Result<Vec<PoolRequest>, RecordsError> {
         let items = self.with_prefix(CURRENT_REQUEST_PREFIX)?;
         items.iter().map(parse).collect()
     }
 
     /// All machines, in the order of their identifiers.
-    pub fn machines(&self) -> Result<Vec<(MachineId, MachineRecord)>, RecordsError> {
+    pub(super) fn machines(&self) -> Result<Vec<(MachineId, MachineRecord)>, RecordsError> {
         let machines: BTreeMap<String, MachineRecord> = self.of_kind("machine")?;
         let machines = machines.into_iter();
         Ok(machines
@@ -105,7 +105,7 @@
     }
 
     /// All records of a kind of the cluster, by their names.
-    pub fn of_kind<T: DeserializeOwned>(
+    pub(super) fn of_kind<T: DeserializeOwned>(
         &self,
         kind: &str,
     ) -> Result<BTreeMap<String, T>, RecordsError> {
@@ -119,7 +119,7 @@
     }
 
     /// All records whose keys have a prefix, in the order of their keys.
-    pub fn with_prefix(&self, prefix: &str) -> Result<Vec<Item>, RecordsError> {
+    pub(super) fn with_prefix(&self, prefix: &str) -> Result<Vec<Item>, RecordsError> {
         let mut items: Vec<Item> = Vec::new();
         loop {
             let from = items.last().map(|last| format!("&from={}", last.key));
@@ -164,7 +164,7 @@
 }
 
 /// Parses the value of a record.
-pub fn parse<T: DeserializeOwned>(item: &Item) -> Result<T, RecordsError> {
+pub(super) fn parse<T: DeserializeOwned>(item: &Item) -> Result<T, RecordsError> {
     serde_json::from_value(item.value.clone()).map_err(|source| RecordsError::Malformed {
         key: item.key.clone(),
         source,
--- a/crates/daemon/src/pools/render.rs
+++ b/crates/daemon/src/pools/render.rs
@@ -46,12 +46,12 @@
 {% endif %}{% endfor %}{% else %}nothing is recorded of pools in this time{% endif %}";
 
 /// Renders the status of all pools.
-pub fn status(pools: &[PoolStatus]) -> Result<String, Error> {
+pub(super) fn status(pools: &[PoolStatus]) -> Result<String, Error> {
     environment().render_str(STATUS, context! { pools })
 }
 
 /// Renders a report.
-pub fn report(report: &UsageReport) -> Result<String, Error> {
+pub(super) fn report(report: &UsageReport) -> Result<String, Error> {
     let from = times::format(report.span.from_ms);
     let to = times::format(report.span.to_ms);
     let (pools, teams) = (&report.pools, &report.teams);
--- a/crates/daemon/src/pools/status.rs
+++ b/crates/daemon/src/pools/status.rs
@@ -9,7 +9,7 @@
 
 /// Number of machines of a pool in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct CountByState {
+pub(super) struct CountByState {
     /// Machines that are booting.
     pub booting: u32,
     /// Machines that are up, and whose workers don't report their images.
@@ -34,7 +34,7 @@
 
 /// Status of a pool. The serde names are those of the command's JSON output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct PoolStatus {
+pub(super) struct PoolStatus {
     /// Name of the pool.
     pub pool: PoolName,
     /// The team that is charged; empty if the pool is not declared any more.
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// If the service does not respond or refuses, or a record is malformed.
-pub fn read(reader: &RecordReader) -> Result<Vec<PoolStatus>, RecordsError> {
+pub(super) fn read(reader: &RecordReader) -> Result<Vec<PoolStatus>, RecordsError> {
     let types: BTreeMap<String, MachineType> = reader.of_kind("rig")?;
     let mut pools: BTreeMap<PoolName, PoolStatus> = BTreeMap::new();
     for size in reader.requested_sizes()? {
--- a/crates/daemon/src/pools/times.rs
+++ b/crates/daemon/src/pools/times.rs
@@ -6,7 +6,7 @@
 
 /// Parses a time, or a date as its midnight UTC, to milliseconds since 1970; none if the
 /// text is neither, or before 1970.
-pub fn parse(text: &str) -> Option<u64> {
+pub(super) fn parse(text: &str) -> Option<u64> {
     let time = text.parse::<Timestamp>().ok();
     let midnight = || {
         let date: Date = text.parse().ok()?;
@@ -17,7 +17,7 @@
 }
 
 /// Formats milliseconds since 1970 as a UTC time, to the second; empty if out of range.
-pub fn format(ms: u64) -> String {
+pub(super) fn format(ms: u64) -> String {
     let seconds = i64::try_from(ms / 1_000).ok();
     let time = seconds.and_then(|s| Timestamp::from_second(s).ok());
     time.map_or_else(String::new, |time| time.to_string())
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// Those of the system if an address can't be listened on.
-pub fn run(settings: &Settings, config: Config, spans: Option<SpanTimes>) -> io::Result<()> {
+pub(crate) fn run(settings: &Settings, config: Config, spans: Option<SpanTimes>) -> io::Result<()> {
     let bounds = config.bounds;
     let listener = forkshift_net::bind(settings.listen, bounds.connections)?;
     let peer_listener = TcpListener::bind(settings.peer_listen)?;
--- a/crates/daemon/src/run/controller.rs
+++ b/crates/daemon/src/run/controller.rs
@@ -21,7 +21,7 @@
 const NO_RESPONSE: u16 = 0;
 
 /// Where the effects of a step go.
-pub struct Endpoints {
+pub(super) struct Endpoints {
     /// The client for all calls.
     pub client: Rc<Client>,
     /// Address of the state service.
@@ -35,7 +35,7 @@
 }
 
 /// Owner of the state machine; see [`super`] for the concurrency.
-pub struct Controller {
+pub(super) struct Controller {
     node: Node,
     ex: Executor,
     endpoints: Endpoints,
@@ -47,7 +47,12 @@
 
 impl Controller {
     /// A controller whose clock starts now.
-    pub fn new(node: Node, ex: Executor, endpoints: Endpoints, inputs: Sender<Input>) -> Self {
+    pub(super) fn new(
+        node: Node,
+        ex: Executor,
+        endpoints: Endpoints,
+        inputs: Sender<Input>,
+    ) -> Self {
         Self {
             node,
             ex,
@@ -59,7 +64,7 @@
 
     /// Steps the state machine for each batch of inputs, or at the latest after
     /// [`MAX_STEP_INTERVAL`]; never returns.
-    pub async fn run(mut self, inputs: Receiver<Input>) {
+    pub(super) async fn run(mut self, inputs: Receiver<Input>) {
         let mut last_sweep = Instant::now();
         loop {
             let batch = next_batch(&inputs).await;
--- a/crates/daemon/src/run/requests.rs
+++ b/crates/daemon/src/run/requests.rs
@@ -10,7 +10,7 @@
 const RETRY_AFTER_S: u32 = 1;
 
 /// Hands requests to the controller, and its replies to the connections.
-pub struct PendingRequests {
+pub(super) struct PendingRequests {
     inputs: Sender<Input>,
     /// Where the reply to each request goes.
     replies: RefCell<HashMap<RequestId, Sender<Reply>>>,
@@ -19,7 +19,7 @@
 
 impl PendingRequests {
     /// No requests yet; they will be queued as inputs.
-    pub fn new(inputs: Sender<Input>) -> Self {
+    pub(super) fn new(inputs: Sender<Input>) -> Self {
         Self {
             inputs,
             replies: RefCell::default(),
@@ -29,7 +29,7 @@
 
     /// Queues a request and waits for the reply. If dropped before that, because the
     /// connection is closed, the reply will be ignored.
-    pub async fn handle(&self, request: Request) -> Response {
+    pub(super) async fn handle(&self, request: Request) -> Response {
         let id = self.new_id();
         let (reply_sender, reply) = async_channel::bounded(1);
         self.replies.borrow_mut().insert(id, reply_sender);
@@ -54,7 +54,7 @@
     }
 
     /// Passes the controller's reply on, unless the connection is closed.
-    pub fn reply(&self, request: RequestId, reply: Reply) {
+    pub(super) fn reply(&self, request: RequestId, reply: Reply) {
         if let Some(sender) = self.replies.borrow_mut().remove(&request) {
             // It fails only if the connection has been closed.
             let _ = sender.try_send(reply);
--- a/crates/daemon/src/spans.rs
+++ b/crates/daemon/src/spans.rs
@@ -33,14 +33,14 @@
 
 /// A subscriber that measures spans by their names. Clones share the measurements.
 #[derive(Clone, Default)]
-pub struct SpanTimes {
+pub(crate) struct SpanTimes {
     last_id: Arc<AtomicU64>,
     state: Arc<Mutex<State>>,
 }
 
 impl SpanTimes {
     /// Measures all spans of this process from now on.
-    pub fn install() -> Self {
+    pub(crate) fn install() -> Self {
         let times = Self::default();
         let subscriber = times.clone();
         if tracing::subscriber::set_global_default(subscriber).is_err() {
@@ -51,7 +51,7 @@
 
     /// Returns one line with the count, sum, median and maximum of the durations of each
     /// span since this was last called; none if no span was exited.
-    pub fn take_line(&self) -> Option<String> {
+    pub(crate) fn take_line(&self) -> Option<String> {
         let durations_us = std::mem::take(&mut self.lock().durations_us);
         let mut line = String::new();
         for (name, histogram) in &durations_us {
--- a/crates/emulator/src/addresses.rs
+++ b/crates/emulator/src/addresses.rs
@@ -20,34 +20,34 @@
 
 /// Addresses of the services and the controllers of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Addresses {
+pub(crate) struct Addresses {
     base_port: u16,
 }
 
 impl Addresses {
     /// Addresses with ports from `base_port` on.
-    pub fn new(base_port: u16) -> Self {
+    pub(crate) fn new(base_port: u16) -> Self {
         Self { base_port }
     }
 
     /// Address of the key-value store for one controller. Each controller has its own, so
     /// that its link can be cut alone.
-    pub fn state(self, controller: usize) -> SocketAddr {
+    pub(crate) fn state(self, controller: usize) -> SocketAddr {
         self.at(STATE_SUBNET, controller, self.base_port)
     }
 
     /// Address of the cloud for one controller. Each controller has its own.
-    pub fn cloud(self, controller: usize) -> SocketAddr {
+    pub(crate) fn cloud(self, controller: usize) -> SocketAddr {
         self.at(CLOUD_SUBNET, controller, self.base_port)
     }
 
     /// Address at which a controller serves users and workers.
-    pub fn controller(self, index: usize) -> SocketAddr {
+    pub(crate) fn controller(self, index: usize) -> SocketAddr {
         self.at(CONTROLLER_SUBNET, index, self.base_port)
     }
 
     /// Address at which a controller receives messages of its peers.
-    pub fn controller_peer(self, index: usize) -> SocketAddr {
+    pub(crate) fn controller_peer(self, index: usize) -> SocketAddr {
         self.at(CONTROLLER_SUBNET, index, self.base_port + 1)
     }
 
@@ -59,7 +59,7 @@
 
 /// Address of a replica's model server: the IP address of its machine's worker, with a port
 /// of the task's index.
-pub fn model_server(machine: &MachineId, task_index: u32) -> SocketAddr {
+pub(crate) fn model_server(machine: &MachineId, task_index: u32) -> SocketAddr {
     let worker: Option<SocketAddr> = worker(machine).parse().ok();
     let ip = worker.map_or(IpAddr::V4(Ipv4Addr::LOCALHOST), |address| address.ip());
     let offset = (task_index % MODEL_SERVER_PORTS) as u16;
@@ -67,7 +67,7 @@
 }
 
 /// Address of a machine's worker, computed from the number at the end of the machine's name.
-pub fn worker(machine: &MachineId) -> String {
+pub(crate) fn worker(machine: &MachineId) -> String {
     let suffix = machine.as_str().rsplit('-').next();
     let number: u32 = suffix.and_then(|text| text.parse().ok()).unwrap_or(0);
     let [_, high, middle, low] = number.to_be_bytes();
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -11,7 +11,7 @@
 
 /// Why controllers can't be started.
 #[derive(Debug, thiserror::Error)]
-pub enum ControllerError {
+pub(crate) enum ControllerError {
     /// The controller's program does not exist.
     #[error("{0}: not found; build it with `cargo build --release --locked`")]
     ProgramNotFound(PathBuf),
@@ -82,7 +82,7 @@
 }
 
 /// All controllers of a run. They are killed on drop.
-pub struct Controllers {
+pub(crate) struct Controllers {
     program: PathBuf,
     operator: Option<PathBuf>,
     arguments: Vec<String>,
@@ -91,7 +91,7 @@
 
 impl Controllers {
     /// Writes the settings of a site's controllers to a directory. None is started.
-    pub fn prepare(
+    pub(crate) fn prepare(
         site: &Site,
         addresses: Addresses,
         directory: &Path,
@@ -111,12 +111,12 @@
     }
 
     /// Number of controllers.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.all.len()
     }
 
     /// Starts a controller; does nothing if it is running.
-    pub fn start(&mut self, index: usize) -> Result<(), ControllerError> {
+    pub(crate) fn start(&mut self, index: usize) -> Result<(), ControllerError> {
         let controller = &mut self.all[index];
         if controller.child.is_some() {
             return Ok(());
@@ -139,7 +139,7 @@
     }
 
     /// Kills a controller with a signal that it can't catch.
-    pub fn kill(&mut self, index: usize) {
+    pub(crate) fn kill(&mut self, index: usize) {
         let controller = &mut self.all[index];
         if let Some(mut child) = controller.child.take() {
             let usage = ProcessUsage::of_process(child.id());
@@ -151,7 +151,7 @@
     }
 
     /// Indexes of the controllers that exited without [`Self::kill`] since the last call.
-    pub fn take_exited(&mut self) -> Vec<usize> {
+    pub(crate) fn take_exited(&mut self) -> Vec<usize> {
         let mut exited = Vec::new();
         for (index, controller) in self.all.iter_mut().enumerate() {
             let child = controller.child.as_mut();
@@ -165,7 +165,7 @@
 
     /// A function that runs the program's `pools report` over all time and returns its JSON,
     /// or `None` if it fails.
-    pub fn pools_report(&self) -> impl FnOnce() -> Option<String> + Send + 'static {
+    pub(crate) fn pools_report(&self) -> impl FnOnce() -> Option<String> + Send + 'static {
         let program = self.program.clone();
         let settings = self
             .all
@@ -186,7 +186,7 @@
     }
 
     /// Resources that each controller has used, over all its processes.
-    pub fn usage(&self) -> Vec<ProcessUsage> {
+    pub(crate) fn usage(&self) -> Vec<ProcessUsage> {
         self.all.iter().map(Controller::usage).collect()
     }
 }
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -31,7 +31,7 @@
 
 /// Why a run can't be made.
 #[derive(Debug, thiserror::Error)]
-pub enum EmulationError {
+pub(crate) enum EmulationError {
     /// The limits of this machine are too low.
     #[error(transparent)]
     Preflight(#[from] PreflightError),
@@ -69,7 +69,7 @@
 }
 
 /// Runs a site. The run ends early once `stop` is set.
-pub fn run(site: &Site, stop: &AtomicBool) -> Result<Report, EmulationError> {
+pub(crate) fn run(site: &Site, stop: &AtomicBool) -> Result<Report, EmulationError> {
     MachineLimits::read()?.check(site)?;
     let directory = TemporaryDirectory::create()?;
     let addresses = Addresses::new(site.controllers.base_port);
--- a/crates/emulator/src/emulation/measurement.rs
+++ b/crates/emulator/src/emulation/measurement.rs
@@ -32,7 +32,8 @@
             at_s: now_s,
             usage: self.resource_usage(),
         });
-        self.bridge.with_metrics(|metrics| metrics.reset());
+        self.bridge
+            .with_metrics(super::super::metrics::Metrics::reset);
     }
 
     fn resource_usage(&self) -> ResourceUsage {
--- a/crates/emulator/src/emulation/simulation.rs
+++ b/crates/emulator/src/emulation/simulation.rs
@@ -10,7 +10,7 @@
 const STATUS_POLL_MS: u64 = 5_000;
 
 /// The simulated world of a site with the planned jobs; it has no controllers.
-pub fn world(site: &Site, plans: Vec<JobPlan>) -> Simulation {
+pub(super) fn world(site: &Site, plans: Vec<JobPlan>) -> Simulation {
     let deployment = Deployment {
         fleet: fleet(site),
         team_limits: site.teams.iter().flat_map(team_limits).collect(),
--- a/crates/emulator/src/emulation/temporary_directory.rs
+++ b/crates/emulator/src/emulation/temporary_directory.rs
@@ -7,11 +7,11 @@
 const KEEP_VARIABLE: &str = "FORKSHIFT_KEEP_LOGS";
 
 /// A directory of this process that is removed on drop.
-pub struct TemporaryDirectory(PathBuf);
+pub(super) struct TemporaryDirectory(PathBuf);
 
 impl TemporaryDirectory {
     /// Creates the directory.
-    pub fn create() -> io::Result<Self> {
+    pub(super) fn create() -> io::Result<Self> {
         let name = format!("forkshift-emulator-{}", process::id());
         let path = env::temp_dir().join(name);
         fs::create_dir_all(&path)?;
@@ -19,7 +19,7 @@
     }
 
     /// Path of the directory.
-    pub fn path(&self) -> &Path {
+    pub(super) fn path(&self) -> &Path {
         &self.0
     }
 }
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -15,7 +15,7 @@
 const FIRST_SUBMISSION_S: f64 = 3.0;
 
 /// All jobs of a run, drawn from the site's seed.
-pub fn plans(site: &Site) -> Vec<JobPlan> {
+pub(crate) fn plans(site: &Site) -> Vec<JobPlan> {
     let mut rng = StdRng::seed_from_u64(site.seed);
     let teams = site.team_names();
     let mut plans = Vec::new();
@@ -101,7 +101,7 @@
 }
 
 /// Converts seconds to milliseconds, rounded towards 0.
-pub fn milliseconds(seconds: f64) -> u64 {
+pub(crate) fn milliseconds(seconds: f64) -> u64 {
     (seconds * MILLISECONDS_PER_S) as u64
 }
 
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -19,7 +19,7 @@
 
 /// Requests and writes of one category.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StoreUsage {
+pub(crate) struct StoreUsage {
     /// Requests.
     pub requests: u64,
     /// Puts and deletes of successful transactions.
@@ -27,7 +27,7 @@
 }
 
 /// Counters and histograms since the last [`Metrics::reset`]. Latencies are in milliseconds.
-pub struct Metrics {
+pub(crate) struct Metrics {
     /// From a user's first attempt to submit until a task's first start, by priority.
     pub start_latencies: BTreeMap<Priority, Histogram<u64>>,
     /// From a user's first attempt to submit until the job was accepted.
@@ -74,12 +74,12 @@
 
 impl Metrics {
     /// Clears all values, at the end of the warm-up.
-    pub fn reset(&mut self) {
+    pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// Records first starts of tasks, and latencies of accepted jobs in milliseconds.
-    pub fn record_observations(&mut self, starts: &[FirstStart], acceptances_ms: &[u64]) {
+    pub(crate) fn record_observations(&mut self, starts: &[FirstStart], acceptances_ms: &[u64]) {
         for start in starts {
             let latencies = self.start_latencies.entry(start.priority);
             latencies
@@ -92,7 +92,7 @@
     }
 
     /// Records a completed heartbeat with the status of its response.
-    pub fn record_heartbeat(&mut self, status: u16, latency_ms: u64) {
+    pub(crate) fn record_heartbeat(&mut self, status: u16, latency_ms: u64) {
         self.heartbeat_latencies.saturating_record(latency_ms);
         match status {
             HTTP_OK => {}
@@ -102,13 +102,13 @@
     }
 
     /// Records bytes that a worker sent and received.
-    pub fn record_worker_traffic(&mut self, traffic: Traffic) {
+    pub(crate) fn record_worker_traffic(&mut self, traffic: Traffic) {
         self.worker_traffic.sent += traffic.sent;
         self.worker_traffic.received += traffic.received;
     }
 
     /// Records a completed request to the key-value store with the status of its response.
-    pub fn record_store_request(&mut self, request: &ClassifiedRequest, status: u16) {
+    pub(crate) fn record_store_request(&mut self, request: &ClassifiedRequest, status: u16) {
         self.store.entry(request.category).or_default().requests += 1;
         if matches!(status, HTTP_TOO_MANY_REQUESTS | HTTP_UNAVAILABLE) {
             self.store_refused += 1;
@@ -121,12 +121,12 @@
     }
 
     /// Records the lag of the simulated time behind the clock.
-    pub fn record_lag(&mut self, lag_ms: u64) {
+    pub(crate) fn record_lag(&mut self, lag_ms: u64) {
         self.max_lag_ms = self.max_lag_ms.max(lag_ms);
     }
 
     /// Number of first starts of tasks.
-    pub fn task_starts(&self) -> u64 {
+    pub(crate) fn task_starts(&self) -> u64 {
         self.start_latencies.values().map(Histogram::len).sum()
     }
 }
--- a/crates/emulator/src/model_servers.rs
+++ b/crates/emulator/src/model_servers.rs
@@ -32,7 +32,7 @@
 
 /// A replica on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Replica {
+pub(crate) struct Replica {
     /// The task of the replica.
     pub task: TaskRef,
     /// The machine that the task is on.
@@ -42,10 +42,10 @@
 }
 
 /// Time of the first answer of each replica since the start of the run.
-pub type FirstAnswers = Arc<Mutex<BTreeMap<TaskRef, Duration>>>;
+pub(crate) type FirstAnswers = Arc<Mutex<BTreeMap<TaskRef, Duration>>>;
 
 /// Handle of the thread with all model servers. The thread is joined on drop.
-pub struct ModelServers {
+pub(crate) struct ModelServers {
     replicas: Sender<Vec<Replica>>,
     first_answers: FirstAnswers,
     thread: Option<JoinHandle<()>>,
@@ -53,7 +53,7 @@
 
 impl ModelServers {
     /// Starts the thread. The times of answers count from `started`.
-    pub fn start(started: Instant) -> Self {
+    pub(crate) fn start(started: Instant) -> Self {
         let (replicas, updates) = async_channel::unbounded();
         let first_answers = FirstAnswers::default();
         let answers = first_answers.clone();
@@ -66,13 +66,13 @@
     }
 
     /// Replaces the set of replicas.
-    pub fn set_replicas(&self, replicas: Vec<Replica>) {
+    pub(crate) fn set_replicas(&self, replicas: Vec<Replica>) {
         // The receiver is dropped only after this sender was closed.
         let _ = self.replicas.try_send(replicas);
     }
 
     /// Time of the first answer of each replica that has answered.
-    pub fn first_answers(&self) -> BTreeMap<TaskRef, Duration> {
+    pub(crate) fn first_answers(&self) -> BTreeMap<TaskRef, Duration> {
         let answers = self.first_answers.lock();
         answers.map(|answers| answers.clone()).unwrap_or_default()
     }
--- a/crates/emulator/src/plot.rs
+++ b/crates/emulator/src/plot.rs
@@ -20,13 +20,13 @@
 /// A plot that can't be written.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {source}")]
-pub struct PlotError {
+pub(crate) struct PlotError {
     path: String,
     source: ChartError,
 }
 
 /// A figure over a size.
-pub struct Plot<'a> {
+pub(crate) struct Plot<'a> {
     /// Name of the figure.
     pub figure: &'a str,
     /// Name of the size.
@@ -39,7 +39,7 @@
 
 impl Plot<'_> {
     /// Writes the plot to an SVG file.
-    pub fn write(&self, path: &Path) -> Result<(), PlotError> {
+    pub(crate) fn write(&self, path: &Path) -> Result<(), PlotError> {
         self.draw(path).map_err(|source| PlotError {
             path: path.display().to_string(),
             source,
--- a/crates/emulator/src/pools.rs
+++ b/crates/emulator/src/pools.rs
@@ -23,7 +23,7 @@
 
 /// Answers of the replicas of bursts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BurstSummary {
+pub(crate) struct BurstSummary {
     /// Replicas that the jobs of bursts have.
     pub replicas: u64,
     /// Replicas that have answered.
@@ -36,7 +36,7 @@
 
 /// Totals of the pools' accounts, compared with the charges of the cloud.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PoolSummary {
+pub(crate) struct PoolSummary {
     /// Number of machines that were in pools.
     pub machines: u64,
     /// Machine-seconds that the pools' sizes required.
@@ -70,7 +70,7 @@
 
 /// A job whose replicas start together and answer requests.
 #[derive(Clone, Debug)]
-pub struct Burst {
+pub(crate) struct Burst {
     /// Time of the submission, in seconds since the start of the run.
     pub at_s: f64,
     /// The job.
@@ -81,7 +81,7 @@
 
 /// The jobs whose replicas answer requests.
 #[derive(Clone, Debug, Default)]
-pub struct AnsweringJobs {
+pub(crate) struct AnsweringJobs {
     /// All of the jobs.
     pub all: BTreeSet<JobId>,
     /// The jobs that are submitted in bursts.
@@ -90,7 +90,7 @@
 
 impl AnsweringJobs {
     /// Selects the planned jobs whose class has answering replicas.
-    pub fn new(site: &Site, plans: &[JobPlan]) -> Self {
+    pub(crate) fn new(site: &Site, plans: &[JobPlan]) -> Self {
         let mut jobs = Self::default();
         for JobPlan { spec, .. } in plans {
             let class = site.classes.iter().find(|class| class.name == spec.class);
@@ -108,7 +108,7 @@
     }
 
     /// The replicas of the jobs that are on machines.
-    pub fn replicas(&self, world: &Simulation) -> Vec<Replica> {
+    pub(crate) fn replicas(&self, world: &Simulation) -> Vec<Replica> {
         let tasks = world.tasks_of(&self.all).into_iter();
         tasks
             .map(|(task, machine, is_ready)| Replica {
@@ -121,7 +121,10 @@
 
     /// Summarises the first answers of the replicas of bursts. Times count from the start
     /// of the run.
-    pub fn burst_summary(&self, first_answers: &BTreeMap<TaskRef, Duration>) -> BurstSummary {
+    pub(crate) fn burst_summary(
+        &self,
+        first_answers: &BTreeMap<TaskRef, Duration>,
+    ) -> BurstSummary {
         let mut latencies_ms: Vec<u64> = Vec::new();
         let mut replicas = 0;
         for burst in &self.bursts {
@@ -157,7 +160,7 @@
 
 /// Compares the pools' accounts in the key-value store with the charges of the cloud. The
 /// run started at `start_time_ms`, in milliseconds since 1970.
-pub fn pool_summary(world: &Simulation, site: &Site, start_time_ms: u64) -> PoolSummary {
+pub(crate) fn pool_summary(world: &Simulation, site: &Site, start_time_ms: u64) -> PoolSummary {
     let now_ms = start_time_ms + world.now();
     let accounts = world.pool_accounts(now_ms);
     let lives = world.pool_lives(start_time_ms);
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -18,7 +18,7 @@
 
 /// Why a run is refused on this machine.
 #[derive(Debug, thiserror::Error)]
-pub enum PreflightError {
+pub(crate) enum PreflightError {
     /// A file of `/proc` can't be read.
     #[error("{path}: {source}")]
     Read {
@@ -60,7 +60,7 @@
 
 /// Resource limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MachineLimits {
+pub(crate) struct MachineLimits {
     /// Limit of open files of a process.
     pub files: u64,
     /// Memory, in KiB.
@@ -69,7 +69,7 @@
 
 impl MachineLimits {
     /// Reads the limits of this machine.
-    pub fn read() -> Result<Self, PreflightError> {
+    pub(crate) fn read() -> Result<Self, PreflightError> {
         Ok(Self {
             files: read("/proc/self/limits", parse_open_files)?,
             memory_kb: read("/proc/meminfo", parse_total_memory_kb)?,
@@ -77,7 +77,7 @@
     }
 
     /// Checks that a run of a site stays within the limits.
-    pub fn check(&self, site: &Site) -> Result<(), PreflightError> {
+    pub(crate) fn check(&self, site: &Site) -> Result<(), PreflightError> {
         let workers = site.on_demand_machines() + site.spot_machines();
         self.check_files(site, workers)?;
         self.check_memory(site, workers)
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -9,7 +9,7 @@
 
 /// Resources that a process has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ProcessUsage {
+pub(crate) struct ProcessUsage {
     /// Processor seconds in user and kernel mode since the start of the process.
     pub cpu_s: f64,
     /// Resident memory, in KiB.
@@ -18,7 +18,7 @@
 
 impl ProcessUsage {
     /// Usage of a running process. `None` if it can't be read.
-    pub fn of_process(pid: u32) -> Option<Self> {
+    pub(crate) fn of_process(pid: u32) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let rollup = fs::read_to_string(format!("/proc/{pid}/smaps_rollup")).ok()?;
         Some(Self {
@@ -28,7 +28,7 @@
     }
 
     /// Usage of this process. `None` if it can't be read.
-    pub fn of_this_process() -> Option<Self> {
+    pub(crate) fn of_this_process() -> Option<Self> {
         Self::of_process(std::process::id())
     }
 }
--- a/crates/emulator/src/progress.rs
+++ b/crates/emulator/src/progress.rs
@@ -9,7 +9,7 @@
 const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The progress of a run.
-pub struct Progress {
+pub(crate) struct Progress {
     bar: Option<ProgressBar>,
     /// Time of the last plain line.
     last_line: Option<Instant>,
@@ -17,7 +17,7 @@
 
 impl Progress {
     /// Starts the progress of a run of so many seconds.
-    pub fn new(seconds: u64) -> Self {
+    pub(crate) fn new(seconds: u64) -> Self {
         let template = "[{elapsed_precise}] {bar:24} {msg}";
         let style = ProgressStyle::with_template(template);
         let bar = std::io::stderr().is_terminal().then(|| {
@@ -32,7 +32,7 @@
     }
 
     /// Shows the elapsed seconds with a message. Plain lines are rate-limited.
-    pub fn show(&mut self, seconds: u64, message: &str) {
+    pub(crate) fn show(&mut self, seconds: u64, message: &str) {
         if let Some(bar) = &self.bar {
             bar.set_position(seconds);
             bar.set_message(message.to_owned());
@@ -48,7 +48,7 @@
     }
 
     /// Prints an event on a line of its own.
-    pub fn event(&self, message: &str) {
+    pub(crate) fn event(&self, message: &str) {
         match &self.bar {
             Some(bar) => bar.println(message),
             None => eprintln!("{message}"),
@@ -56,7 +56,7 @@
     }
 
     /// Leaves the progress bar as it is, at the end of the run.
-    pub fn finish(&self) {
+    pub(crate) fn finish(&self) {
         if let Some(bar) = &self.bar {
             bar.finish();
         }
--- a/crates/emulator/src/regression.rs
+++ b/crates/emulator/src/regression.rs
@@ -3,12 +3,12 @@
 use serde::Serialize;
 
 /// A point of size and figure.
-pub type Point = (f64, f64);
+pub(crate) type Point = (f64, f64);
 
 /// A linear regression `figure = intercept + slope * size`, with the exponent of a power
 /// law `figure ~ size ^ exponent`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Regression {
+pub(crate) struct Regression {
     /// The figure at size 0.
     pub intercept: f64,
     /// Increase of the figure by one unit of the size.
@@ -21,7 +21,7 @@
 
 impl Regression {
     /// Fits points by least squares. `None` unless there are two different sizes.
-    pub fn fit(points: &[Point]) -> Option<Self> {
+    pub(crate) fn fit(points: &[Point]) -> Option<Self> {
         let line = Line::fit(points)?;
         Some(Self {
             intercept: line.intercept,
@@ -32,7 +32,7 @@
     }
 
     /// The figure of the line at a size.
-    pub fn value_at(&self, size: f64) -> f64 {
+    pub(crate) fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -17,7 +17,7 @@
 
 /// Summary of a latency distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LatencySummary {
+pub(crate) struct LatencySummary {
     /// Number of values.
     pub count: u64,
     /// Median.
@@ -42,7 +42,7 @@
 
 /// Rates of requests and writes at the key-value store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StoreRates {
+pub(crate) struct StoreRates {
     /// Requests a second.
     pub requests_per_s: f64,
     /// Writes a second.
@@ -61,7 +61,7 @@
 
 /// Load of a process over the measured part of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ProcessLoad {
+pub(crate) struct ProcessLoad {
     /// Name of the process.
     pub name: String,
     /// Mean processor use, in cores.
@@ -72,7 +72,12 @@
 
 impl ProcessLoad {
     /// The load between two moments that are so many seconds apart.
-    pub fn between(name: &str, start: ProcessUsage, end: ProcessUsage, seconds: f64) -> Self {
+    pub(crate) fn between(
+        name: &str,
+        start: ProcessUsage,
+        end: ProcessUsage,
+        seconds: f64,
+    ) -> Self {
         Self {
             name: name.to_owned(),
             cpu_cores: (end.cpu_s - start.cpu_s).max(0.0) / seconds,
@@ -83,7 +88,7 @@
 
 /// Results of one run. Rates and latencies are those after the warm-up.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub(crate) struct Report {
     /// Name of the site.
     pub site: String,
     /// Seed of all random draws.
@@ -198,14 +203,14 @@
 
 impl Report {
     /// Whether a rule was violated, or the accounts of the pools are wrong.
-    pub fn has_failures(&self) -> bool {
+    pub(crate) fn has_failures(&self) -> bool {
         let discrepancies = self.pools.as_ref().map(|pools| &pools.discrepancies);
         !self.rule_violations.is_empty() || discrepancies.is_some_and(|list| !list.is_empty())
     }
 
     /// Sets the fields that are computed from metrics. The measured time and the number of
     /// workers must be set before.
-    pub fn set_metrics(&mut self, metrics: &Metrics) {
+    pub(crate) fn set_metrics(&mut self, metrics: &Metrics) {
         let seconds = self.measured_s.max(MIN_MEASURED_S);
         self.set_start_metrics(metrics, seconds);
         self.set_worker_metrics(metrics, seconds);
@@ -248,7 +253,7 @@
     }
 
     /// Sets the loads of the controllers, with their sum and maximum.
-    pub fn set_controller_loads(&mut self, loads: Vec<ProcessLoad>) {
+    pub(crate) fn set_controller_loads(&mut self, loads: Vec<ProcessLoad>) {
         self.controllers_cpu_cores = loads.iter().map(|load| load.cpu_cores).sum();
         let memory = loads.iter().map(|load| load.resident_mb);
         self.max_controller_mb = memory.fold(0.0, f64::max);
--- a/crates/emulator/src/request_category.rs
+++ b/crates/emulator/src/request_category.rs
@@ -9,7 +9,7 @@
 /// serialised names are those of the report.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RequestCategory {
+pub(crate) enum RequestCategory {
     /// Long polling for changed keys.
     Watch,
     /// Granting and renewing leases.
@@ -35,7 +35,7 @@
 
 /// A request to the key-value store with its categories.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClassifiedRequest {
+pub(crate) struct ClassifiedRequest {
     /// Category of the request.
     pub category: RequestCategory,
     /// Category of each write of a transaction.
@@ -44,7 +44,7 @@
 
 impl ClassifiedRequest {
     /// A request without writes.
-    pub fn without_writes(category: RequestCategory) -> Self {
+    pub(crate) fn without_writes(category: RequestCategory) -> Self {
         Self {
             category,
             writes: Vec::new(),
@@ -53,7 +53,7 @@
 }
 
 /// Classifies a request to the key-value store.
-pub fn classify(method: &str, path: &str, body: &[u8]) -> ClassifiedRequest {
+pub(crate) fn classify(method: &str, path: &str, body: &[u8]) -> ClassifiedRequest {
     if path.starts_with("/changes") {
         return ClassifiedRequest::without_writes(RequestCategory::Watch);
     }
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -19,7 +19,7 @@
 const START_OBJECTIVE_FRACTION: f64 = 0.9;
 
 /// Name of a controller.
-pub fn controller_name(index: usize) -> String {
+pub(crate) fn controller_name(index: usize) -> String {
     format!("berth-{index}")
 }
 
@@ -29,7 +29,7 @@
 }
 
 /// Settings of one controller.
-pub fn settings(site: &Site, addresses: Addresses, index: usize) -> Settings {
+pub(crate) fn settings(site: &Site, addresses: Addresses, index: usize) -> Settings {
     let peers = (0..site.controllers.count).filter(|peer| *peer != index);
     let peer = |peer| Peer {
         node: NodeName::new(&controller_name(peer)),
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -13,18 +13,18 @@
 
 use serde::Deserialize;
 
-pub use controllers::ControllersSpec;
-pub use error::SiteError;
-pub use faults::{CrashSpec, CrashTarget, LinkCutSpec, LinkKind};
-pub use fleet::{CapacitySpec, MachineTypeSpec};
-pub use overrides::Overrides;
-pub use services::{CloudSpec, StateStoreSpec, WorkerTimeouts};
-pub use workload::{JobClass, JobKindSpec, TeamSpec};
+pub(crate) use controllers::ControllersSpec;
+pub(crate) use error::SiteError;
+pub(crate) use faults::{CrashSpec, CrashTarget, LinkCutSpec, LinkKind};
+pub(crate) use fleet::{CapacitySpec, MachineTypeSpec};
+pub(crate) use overrides::Overrides;
+pub(crate) use services::{CloudSpec, StateStoreSpec, WorkerTimeouts};
+pub(crate) use workload::{JobClass, JobKindSpec, TeamSpec};
 
 /// A whole site file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Site {
+pub(crate) struct Site {
     /// Name of the site, for reports.
     pub name: String,
     /// Seed of all random draws.
@@ -67,29 +67,29 @@
 
 impl Site {
     /// Parses and validates a site file.
-    pub fn parse(text: &str) -> Result<Self, SiteError> {
+    pub(crate) fn parse(text: &str) -> Result<Self, SiteError> {
         let site: Self = toml::from_str(text)?;
         validation::validate(&site)?;
         Ok(site)
     }
 
     /// The largest number of on-demand machines; spot machines are not counted.
-    pub fn on_demand_machines(&self) -> u32 {
+    pub(crate) fn on_demand_machines(&self) -> u32 {
         self.capacity.iter().map(|capacity| capacity.count).sum()
     }
 
     /// The largest number of spot machines.
-    pub fn spot_machines(&self) -> u32 {
+    pub(crate) fn spot_machines(&self) -> u32 {
         self.capacity.iter().map(|capacity| capacity.spot).sum()
     }
 
     /// Names of all teams, in the order of the file.
-    pub fn team_names(&self) -> Vec<String> {
+    pub(crate) fn team_names(&self) -> Vec<String> {
         self.teams.iter().flat_map(TeamSpec::names).collect()
     }
 
     /// Mean task starts a second of the jobs that arrive after the start of the run.
-    pub fn starts_per_s(&self) -> f64 {
+    pub(crate) fn starts_per_s(&self) -> f64 {
         let rates = self
             .classes
             .iter()
--- a/crates/emulator/src/site/controllers.rs
+++ b/crates/emulator/src/site/controllers.rs
@@ -6,7 +6,7 @@
 /// The controllers, each a process of its own.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ControllersSpec {
+pub(crate) struct ControllersSpec {
     /// Number of controllers.
     pub count: usize,
     /// Path of the controller's program.
--- a/crates/emulator/src/site/error.rs
+++ b/crates/emulator/src/site/error.rs
@@ -2,7 +2,7 @@
 
 /// Why a site file is rejected.
 #[derive(Debug, thiserror::Error)]
-pub enum SiteError {
+pub(crate) enum SiteError {
     /// Not TOML, or a field is unknown, missing or of another type.
     #[error(transparent)]
     Toml(#[from] toml::de::Error),
@@ -18,7 +18,7 @@
 
 /// The rule that the value of a field violates.
 #[derive(Debug, thiserror::Error)]
-pub enum FieldProblem {
+pub(crate) enum FieldProblem {
     /// Must be finite and above 0.
     #[error("must be above 0")]
     NotPositive,
--- a/crates/emulator/src/site/faults.rs
+++ b/crates/emulator/src/site/faults.rs
@@ -6,7 +6,7 @@
 /// and `holder` is set in a valid site.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CrashSpec {
+pub(crate) struct CrashSpec {
     /// Time of the crash, in seconds since the start of the run.
     pub at_s: f64,
     /// Index of the controller that crashes.
@@ -22,7 +22,7 @@
 
 /// What crashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CrashTarget {
+pub(crate) enum CrashTarget {
     /// The controller of this index.
     Controller(usize),
     /// The controller that holds the shard of the answering replicas.
@@ -35,7 +35,7 @@
 
 impl CrashSpec {
     /// The target, or `None` unless exactly one is set.
-    pub fn target(&self) -> Option<CrashTarget> {
+    pub(crate) fn target(&self) -> Option<CrashTarget> {
         match (self.controller, self.workers, &self.zone, self.holder) {
             (Some(index), None, None, false) => Some(CrashTarget::Controller(index)),
             (None, Some(count), None, false) => Some(CrashTarget::Workers(count)),
@@ -49,7 +49,7 @@
 /// A link of a controller that is cut for a while.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LinkCutSpec {
+pub(crate) struct LinkCutSpec {
     /// Start of the cut, in seconds since the start of the run.
     pub at_s: f64,
     /// Duration of the cut, in seconds.
@@ -71,7 +71,7 @@
 /// A kind of link that can be cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum LinkKind {
+pub(crate) enum LinkKind {
     /// From the controller to the key-value store.
     State,
     /// From the controller to the cloud.
--- a/crates/emulator/src/site/fleet.rs
+++ b/crates/emulator/src/site/fleet.rs
@@ -5,7 +5,7 @@
 /// A machine type that the simulated cloud offers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MachineTypeSpec {
+pub(crate) struct MachineTypeSpec {
     /// Name of the type.
     pub name: String,
     /// CPUs of a machine.
@@ -30,7 +30,7 @@
 /// Number of machines of one type in one zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CapacitySpec {
+pub(crate) struct CapacitySpec {
     /// Name of the machine type.
     #[serde(rename = "type")]
     pub machine_type: String,
--- a/crates/emulator/src/site/overrides.rs
+++ b/crates/emulator/src/site/overrides.rs
@@ -4,7 +4,7 @@
 
 /// Values that the command line sets in place of those of the site file.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Overrides {
+pub(crate) struct Overrides {
     /// Workers in all; capacity, the teams' quotas and the load are scaled with them.
     pub workers: Option<u32>,
     /// Task starts a second of the jobs that arrive; the rates of all classes are scaled.
@@ -21,7 +21,7 @@
 
 impl Overrides {
     /// The arguments of the command line that set the same values.
-    pub fn to_arguments(self) -> Vec<String> {
+    pub(crate) fn to_arguments(self) -> Vec<String> {
         let options = [
             ("--workers", self.workers.map(|n| n.to_string())),
             (
@@ -45,7 +45,7 @@
 
 impl Site {
     /// The site with the values of the command line, validated again.
-    pub fn with_overrides(mut self, overrides: &Overrides) -> Result<Self, SiteError> {
+    pub(crate) fn with_overrides(mut self, overrides: &Overrides) -> Result<Self, SiteError> {
         if let Some(seed) = overrides.seed {
             self.seed = seed;
         }
--- a/crates/emulator/src/site/services.rs
+++ b/crates/emulator/src/site/services.rs
@@ -5,7 +5,7 @@
 /// Intervals and timeouts of the workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WorkerTimeouts {
+pub(crate) struct WorkerTimeouts {
     /// Interval between two heartbeats.
     pub report_s: f64,
     /// A worker stops its tasks after this long without an acknowledged heartbeat.
@@ -24,7 +24,7 @@
 /// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StateStoreSpec {
+pub(crate) struct StateStoreSpec {
     /// Requests a second.
     pub rps: f64,
     /// Writes a second.
@@ -38,7 +38,7 @@
 /// Limits and failures of the simulated cloud.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CloudSpec {
+pub(crate) struct CloudSpec {
     /// Requests a second.
     pub rps: f64,
     /// Fraction of the new machines that never come up, from 0 to 1.
--- a/crates/emulator/src/site/workload.rs
+++ b/crates/emulator/src/site/workload.rs
@@ -6,7 +6,7 @@
 /// One team, or several teams of the same quotas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TeamSpec {
+pub(crate) struct TeamSpec {
     /// Name of the team; a number is appended to it where there are several.
     pub name: String,
     /// Number of teams.
@@ -40,7 +40,7 @@
     }
 
     /// Names of all teams of the entry.
-    pub fn names(&self) -> Vec<String> {
+    pub(crate) fn names(&self) -> Vec<String> {
         match self.count {
             1 => vec![self.name.clone()],
             count => (0..count)
@@ -100,7 +100,7 @@
 /// A class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct JobClass {
+pub(crate) struct JobClass {
     /// Name of the class.
     pub name: String,
     /// Kind of the jobs.
@@ -169,7 +169,7 @@
 
 impl JobClass {
     /// Mean number of tasks of a job.
-    pub fn mean_tasks(&self) -> f64 {
+    pub(crate) fn mean_tasks(&self) -> f64 {
         let sum: u32 = self.tasks.iter().sum();
         f64::from(sum) / self.tasks.len().max(1) as f64
     }
--- a/crates/emulator/src/socket_bridge.rs
+++ b/crates/emulator/src/socket_bridge.rs
@@ -42,7 +42,7 @@
 const USER_CONNECTIONS: usize = 64;
 
 /// Everything of a run but the controllers.
-pub struct SocketBridge {
+pub(crate) struct SocketBridge {
     executor: Executor,
     world: RefCell<Simulation>,
     /// Calls of controllers that wait for a response of the world, by call number.
@@ -66,7 +66,7 @@
 impl SocketBridge {
     /// Serves the world's cloud and key-value store to each controller, and starts to
     /// advance the simulated time and to probe the controllers.
-    pub fn start(
+    pub(crate) fn start(
         executor: &Executor,
         world: Simulation,
         addresses: Addresses,
@@ -124,33 +124,33 @@
     }
 
     /// Calls a function with the simulated world. The function must not call the bridge.
-    pub fn with_world<T>(&self, function: impl FnOnce(&mut Simulation) -> T) -> T {
+    pub(crate) fn with_world<T>(&self, function: impl FnOnce(&mut Simulation) -> T) -> T {
         function(&mut self.world.borrow_mut())
     }
 
     /// Calls a function with the metrics. The function must not call the bridge.
-    pub fn with_metrics<T>(&self, function: impl FnOnce(&mut Metrics) -> T) -> T {
+    pub(crate) fn with_metrics<T>(&self, function: impl FnOnce(&mut Metrics) -> T) -> T {
         function(&mut self.metrics.borrow_mut())
     }
 
     /// Time of day at the start of the run, in milliseconds since 1970.
-    pub fn start_time_ms(&self) -> u64 {
+    pub(crate) fn start_time_ms(&self) -> u64 {
         self.start_time_ms
     }
 
     /// Time since the start of the run.
-    pub fn elapsed(&self) -> Duration {
+    pub(crate) fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
     /// Index of the controller that holds the shard of the answering replicas.
-    pub fn answering_shard_holder(&self) -> Option<usize> {
+    pub(crate) fn answering_shard_holder(&self) -> Option<usize> {
         let job = self.jobs.all.first()?;
         self.with_world(|world| world.holder_of(job))
     }
 
     /// Times until the replicas of bursts answered.
-    pub fn burst_summary(&self) -> BurstSummary {
+    pub(crate) fn burst_summary(&self) -> BurstSummary {
         self.jobs.burst_summary(&self.model_servers.first_answers())
     }
 
--- a/crates/emulator/src/socket_bridge/health.rs
+++ b/crates/emulator/src/socket_bridge/health.rs
@@ -34,7 +34,7 @@
 
 impl SocketBridge {
     /// Indexes of the controllers that the load balancer finds healthy.
-    pub fn healthy_controllers(&self) -> Vec<usize> {
+    pub(crate) fn healthy_controllers(&self) -> Vec<usize> {
         self.probe_failures.borrow().healthy()
     }
 
--- a/crates/emulator/src/sweep.rs
+++ b/crates/emulator/src/sweep.rs
@@ -14,7 +14,7 @@
 
 /// The size that a sweep varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Dimension {
+pub(crate) enum Dimension {
     /// Workers, with all that goes with them.
     Workers,
     /// Task starts a second.
@@ -27,7 +27,7 @@
 
 impl Dimension {
     /// Name of the size, for files and plots.
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Workers => "workers",
             Self::Starts => "starts",
@@ -72,7 +72,7 @@
 
 /// Why a sweep fails.
 #[derive(Debug, thiserror::Error)]
-pub enum SweepError {
+pub(crate) enum SweepError {
     /// A run ended without a report; it has printed the reason.
     #[error("the run of {size} {dimension} has made no report")]
     NoReport {
@@ -104,7 +104,7 @@
 }
 
 /// A sweep and the directory of its results.
-pub struct Sweep<'a> {
+pub(crate) struct Sweep<'a> {
     /// Path of the site file.
     pub site: &'a Path,
     /// The size that is varied.
@@ -122,7 +122,7 @@
 impl Sweep<'_> {
     /// Runs all sizes until `stop` is set, and writes each report as it is made, then
     /// regressions and plots. Returns whether a rule was violated.
-    pub fn run(&self, stop: &AtomicBool) -> Result<bool, SweepError> {
+    pub(crate) fn run(&self, stop: &AtomicBool) -> Result<bool, SweepError> {
         fs::create_dir_all(self.directory).map_err(SweepError::file(self.directory))?;
         let path = self.file("jsonl");
         let mut lines = File::create(&path).map_err(SweepError::file(&path))?;
--- a/crates/emulator/src/sweep/growth.rs
+++ b/crates/emulator/src/sweep/growth.rs
@@ -63,7 +63,7 @@
 
 /// Growth of one figure with a size.
 #[derive(Clone, Debug, Serialize)]
-pub struct Growth {
+pub(super) struct Growth {
     /// Name of the size.
     pub dimension: &'static str,
     /// Name of the figure.
@@ -91,7 +91,7 @@
 }
 
 /// Growth of all tracked figures over reports.
-pub fn growth_of_figures(dimension: Dimension, reports: &[Report]) -> Vec<Growth> {
+pub(super) fn growth_of_figures(dimension: Dimension, reports: &[Report]) -> Vec<Growth> {
     FIGURES
         .iter()
         .map(|figure| Growth::new(figure, dimension, reports))
--- a/crates/links/src/decision.rs
+++ b/crates/links/src/decision.rs
@@ -24,7 +24,7 @@
         Self::Cloud,
     ];
 
-    /// The index of a link in [`Links`].
+    /// The index of a link in [`LinkStates`].
     fn index(self) -> usize {
         match self {
             Self::Store => 0,
--- a/crates/links/src/machine_link.rs
+++ b/crates/links/src/machine_link.rs
@@ -131,7 +131,7 @@
         self.unanswered_calls < MIN_LOST_CALLS
     }
 
-    /// Whether a call has ended within a lease, so that [`Self::is_callable`] is recent.
+    /// Whether a call has ended within a lease, so that [`Self::is_reachable`] is recent.
     pub fn has_recent_call(&self, now: Ms, timing: &Timing) -> bool {
         self.last_call_at
             .is_some_and(|at| now < at + timing.lease_ms)
--- a/crates/net/tests/server.rs
+++ b/crates/net/tests/server.rs
@@ -12,7 +12,7 @@
 fn get_up(stream: &mut TcpStream) -> String {
     stream
         .write_all(b"GET /up HTTP/1.1\r\nhost: x\r\n\r\n")
-        .unwrap();
+        .expect("the request is sent");
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n{}") {
@@ -28,8 +28,8 @@
     limits: ServerLimits,
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> T {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let addr = listener.local_addr().unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let addr = listener.local_addr().expect("an address");
     let ex: Executor = Rc::new(LocalExecutor::new());
     let handler = |_| async {
         Response {
@@ -42,7 +42,7 @@
         .detach();
     let (result_sender, result) = async_channel::bounded(1);
     std::thread::spawn(move || result_sender.send_blocking(client(addr)));
-    async_io::block_on(ex.run(async { result.recv().await.unwrap() }))
+    async_io::block_on(ex.run(async { result.recv().await.expect("the client ends") }))
 }
 
 fn limits(connections: usize, roomy: usize) -> ServerLimits {
--- a/crates/pools/src/account.rs
+++ b/crates/pools/src/account.rs
@@ -2,7 +2,7 @@
 //! numbers of machines, cold starts and prices, as they are stored.
 //!
 //! A machine's membership holds its present state and the time since when it has been in
-//! it. Whenever that changes, the time up to then becomes an [`Interval`] that is never
+//! it. Whenever that changes, the time up to then becomes a [`UsageInterval`] that is never
 //! changed again, and the membership goes on from the same moment. Both are written in one
 //! compare-and-swap on the machine's record, so no second is charged twice or not at all,
 //! whichever controller writes.
--- a/crates/pools/src/account/row.rs
+++ b/crates/pools/src/account/row.rs
@@ -40,7 +40,7 @@
 }
 
 impl AccountRow {
-    /// Parses a record below [`POOLS`] or [`HEADS`]; `None` if the kind of its key is
+    /// Parses a record below [`ACCOUNT_PREFIX`] or [`CURRENT_REQUEST_PREFIX`]; `None` if the kind of its key is
     /// unknown or its value is invalid.
     pub fn parse(key: &str, value: &str) -> Option<Self> {
         if key.starts_with(CURRENT_REQUEST_PREFIX) {
--- a/crates/pools/src/declaration/tests.rs
+++ b/crates/pools/src/declaration/tests.rs
@@ -39,6 +39,7 @@
 type Case = (fn(&mut PoolSpec), &'static str, &'static str);
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a table of cases")]
 fn invalid_declaration_is_refused_with_its_field() {
     let cases: [Case; 26] = [
         (|p| p.name = "Exam Help".to_owned(), "name", "a-z"),
--- a/crates/sched/src/entitlement.rs
+++ b/crates/sched/src/entitlement.rs
@@ -10,7 +10,7 @@
     /// What the job lacks: its team's quota or, if the quota suffices, a machine that
     /// could run one of its tasks.
     Capacity,
-    /// As [`Self::Room`], and the quota stays reserved also while no machine has room,
+    /// As [`Self::Capacity`], and the quota stays reserved also while no machine has room,
     /// because machines for the job may be booting.
     CapacityAndQuota,
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -8,10 +8,10 @@
 //!
 //! - [`run_round`] places the waiting tasks of all jobs on machines, by a score with
 //!   [`Weights`].
-//! - [`Reservation`], [`Reclaim`] and [`Standing`] say what capacity a waiting job may
+//! - [`Reservation`], [`Reclaim`] and [`CapacityClass`] say what capacity a waiting job may
 //!   reserve or reclaim from others.
 //! - [`Quota`] counts what a team uses against its guarantee and its limit.
-//! - [`plan`] chooses the machines to provision for tasks that fit on none.
+//! - [`plan_scale_out`] chooses the machines to provision for tasks that fit on none.
 
 mod entitlement;
 mod machine;
--- a/crates/sched/src/provision.rs
+++ b/crates/sched/src/provision.rs
@@ -98,7 +98,7 @@
             break;
         }
     }
-    planner.rentals
+    planner.planned
 }
 
 /// The state of a plan while machines are added to it.
@@ -111,7 +111,7 @@
     /// Number of the shard's machines in each offer's zone, with the planned ones of the
     /// offer.
     machines_held: Vec<u32>,
-    rentals: Vec<PlannedMachines>,
+    planned: Vec<PlannedMachines>,
 }
 
 /// What one machine of an offer would add to a plan.
@@ -138,7 +138,7 @@
             remaining: shapes.to_vec(),
             task_values: shapes.iter().map(|s| s.task_value(offers)).collect(),
             machines_held: offers.iter().map(|offer| offer.machines_in_zone).collect(),
-            rentals: Vec::new(),
+            planned: Vec::new(),
         }
     }
 
@@ -155,7 +155,7 @@
             shape.count -= count;
         }
         self.machines_held[best] += 1;
-        self.add_rental(best);
+        self.add_planned(best);
         true
     }
 
@@ -194,10 +194,10 @@
         }
     }
 
-    fn add_rental(&mut self, offer: usize) {
-        match self.rentals.iter_mut().find(|r| r.offer == offer) {
-            Some(rental) => rental.count += 1,
-            None => self.rentals.push(PlannedMachines { offer, count: 1 }),
+    fn add_planned(&mut self, offer: usize) {
+        match self.planned.iter_mut().find(|r| r.offer == offer) {
+            Some(machines) => machines.count += 1,
+            None => self.planned.push(PlannedMachines { offer, count: 1 }),
         }
     }
 }
--- a/crates/sched/src/provision/tests.rs
+++ b/crates/sched/src/provision/tests.rs
@@ -31,6 +31,9 @@
     }
 }
 
+/// A name, the shapes, and the machines planned: offers with counts.
+type Case = (&'static str, Vec<TaskShape>, Vec<(usize, u32)>);
+
 #[test]
 fn offers_are_chosen_by_the_value_of_their_tasks_per_price() {
     let offers = [
@@ -42,7 +45,6 @@
         allows_spot: true,
         ..shape(4.0, 0.0, 2)
     };
-    type Case = (&'static str, Vec<TaskShape>, Vec<(usize, u32)>);
     let cases: [Case; 6] = [
         ("nothing", vec![], vec![]),
         (
@@ -70,7 +72,7 @@
     for (name, shapes, expected) in cases {
         let found: Vec<(usize, u32)> = plan_scale_out(&shapes, &offers, 50)
             .iter()
-            .map(|rental| (rental.offer, rental.count))
+            .map(|machines| (machines.offer, machines.count))
             .collect();
         assert_eq!(found, expected, "{name}");
     }
--- a/crates/sched/src/requirement.rs
+++ b/crates/sched/src/requirement.rs
@@ -4,7 +4,7 @@
 use crate::resources::Resources;
 use std::collections::BTreeSet;
 
-/// Most zones whose bits fit into a mask; with more, there is no [`Requirement`].
+/// Most zones whose bits fit into a mask; with more, there is no [`PlacementRequirement`].
 pub(crate) const MAX_ZONES: usize = u64::BITS as usize;
 
 /// What tasks require of any machine, given the zones that they may still use. Jobs with
--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -10,7 +10,8 @@
 mod tasks;
 mod usage;
 
-pub use observations::{FirstStart, Observations};
+pub use observations::FirstStart;
+pub(crate) use observations::Observations;
 use usage::Usage;
 
 use crate::Ms;
--- a/crates/testkit/src/checker/observations.rs
+++ b/crates/testkit/src/checker/observations.rs
@@ -17,7 +17,7 @@
 
 /// Measurements that have not been taken yet.
 #[derive(Clone, Debug, Default)]
-pub struct Observations {
+pub(crate) struct Observations {
     /// First starts of tasks.
     pub starts: Vec<FirstStart>,
     /// Times from the first attempt to submit until the acceptance, in
--- a/crates/testkit/src/checker/tests.rs
+++ b/crates/testkit/src/checker/tests.rs
@@ -43,6 +43,7 @@
 
 /// Each trace violates its rule, and the same trace without the mistake violates none.
 #[test]
+#[allow(clippy::too_many_lines, reason = "a table of cases")]
 fn every_rule_is_violated_by_its_trace_and_by_no_corrected_one() {
     type Trace = fn(&mut Checker, &JobId, bool);
     let cases: [(Rule, Trace); 29] = [
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -28,7 +28,7 @@
 pub struct Fleet {
     /// Types on offer, each with its zones.
     pub types: Vec<MachineType>,
-    /// Number of machines of each kind. If there are none here, `Size::capacity` applies.
+    /// Number of machines of each kind. If there are none here, `PoolSize::capacity` applies.
     pub capacity: BTreeMap<CapacityKey, u32>,
     /// How long they take to boot.
     pub boots: BootModel,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Deterministic simulation of a deployment, to drive controllers in virtual time with
 //! faults injected.
 //!
-//! [`World`] models workers, cloud, store, network and users; [`Checker`] checks what truly
+//! [`Simulation`] models workers, cloud, store, network and users; [`Checker`] checks what truly
 //! happens against the rules of the protocol and knows nothing of how the controllers work.
 
 mod checker;
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -1,6 +1,6 @@
 //! Deterministic simulation of everything around the controllers, in virtual time.
 //!
-//! [`World`] owns the clock, the random number generator and the parts; each part keeps
+//! [`Simulation`] owns the clock, the random number generator and the parts; each part keeps
 //! its own state in a module of its own.
 
 mod build;
--- a/crates/testkit/src/simulation/build.rs
+++ b/crates/testkit/src/simulation/build.rs
@@ -86,7 +86,7 @@
     }
 
     /// A simulation whose controllers are processes of their own; see
-    /// [`World::advance_to`]. The store refuses requests beyond its limits.
+    /// [`Simulation::advance_to`]. The store refuses requests beyond its limits.
     pub fn remote(
         seed: u64,
         plans: Vec<JobPlan>,
--- a/crates/testkit/src/simulation/plan.rs
+++ b/crates/testkit/src/simulation/plan.rs
@@ -16,7 +16,7 @@
 /// Deadline of a pipeline's last job, in seconds.
 const PIPELINE_DEADLINE_S: f64 = 120.0;
 
-/// The id of a numbered job that [`Plan::plain`] builds.
+/// The id of a numbered job that [`JobPlan::plain`] builds.
 pub fn job_id(n: u32) -> JobId {
     JobId::new(&format!("j-{n}"))
 }
@@ -135,7 +135,7 @@
         Self::new(at, spec, run_ms, cancel_at)
     }
 
-    /// A job drawn at random that runs longer than most of [`Plan::random`], and is
+    /// A job drawn at random that runs longer than most of [`JobPlan::random`], and is
     /// cancelled more often.
     pub fn long(rng: &mut StdRng, n: u32, at: Ms) -> Self {
         let mut plan = Self::random(rng, n, at);
--- a/crates/testkit/tests/broken_jobs.rs
+++ b/crates/testkit/tests/broken_jobs.rs
@@ -150,10 +150,10 @@
 const FAILURES_MOST: usize = 40;
 /// How much longer than without them a good job may wait.
 const WAIT_MORE: Ms = 15_000;
-/// Machines that may be rented for each broken job, beside those for all the
+/// Machines that may be provisioned for each broken job, beside those for all the
 /// tasks that its team's limit allows at once: nothing tells them from good ones
 /// before they have failed.
-const RENTED_MORE: usize = 6;
+const MAX_EXTRA_MACHINES_PER_JOB: usize = 6;
 /// Tasks that one machine takes, and that a team's limit allows.
 const TASKS_A_MACHINE: u32 = 4;
 const TASKS_A_TEAM: u32 = 48;
@@ -221,13 +221,14 @@
                 wait <= before + WAIT_MORE,
                 format!("a good job waited {wait} ms, {before} without"),
             );
-            let (rented, before) = (
+            let (provisioned, before) = (
                 day.simulation.provisioned_machines(),
                 usual.simulation.provisioned_machines(),
             );
             must(
-                rented <= before + first_demand(jobs) + RENTED_MORE * jobs.len(),
-                format!("{rented} machines rented, {before} without"),
+                provisioned
+                    <= before + first_demand(jobs) + MAX_EXTRA_MACHINES_PER_JOB * jobs.len(),
+                format!("{provisioned} machines rented, {before} without"),
             );
             for n in 1..=jobs.len() as u32 {
                 let cancelled = day.simulation.cancelled_at(&id(n));
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -9,15 +9,15 @@
 use rand::{Rng, SeedableRng};
 
 /// Milliseconds of virtual time.
-pub type Ms = u64;
+pub(crate) type Ms = u64;
 
 /// A fault that begins at a time.
-pub fn fault(at: Ms, kind: FaultKind) -> Fault {
+pub(crate) fn fault(at: Ms, kind: FaultKind) -> Fault {
     Fault { at, kind }
 }
 
 /// Random jobs that are submitted within the first 90 seconds.
-pub fn random_plans(rng: &mut StdRng, count: u32) -> Vec<JobPlan> {
+pub(crate) fn random_plans(rng: &mut StdRng, count: u32) -> Vec<JobPlan> {
     let plans = (0..count).map(|number| {
         let at = rng.random_range(2_000..90_000);
         JobPlan::random(rng, number, at)
@@ -26,13 +26,13 @@
 }
 
 /// Random jobs of a seed.
-pub fn random_plans_of_seed(seed: u64, count: u32) -> Vec<JobPlan> {
+pub(crate) fn random_plans_of_seed(seed: u64, count: u32) -> Vec<JobPlan> {
     random_plans(&mut StdRng::seed_from_u64(seed), count)
 }
 
 /// Checks that no rule was violated and that every job is done, runs, or is cancelled as
 /// its user wants.
-pub fn assert_rules_kept(name: &str, simulation: &Simulation) {
+pub(crate) fn assert_rules_kept(name: &str, simulation: &Simulation) {
     assert_eq!(
         simulation.checker.violations,
         vec![],
@@ -46,7 +46,7 @@
 }
 
 /// Checks that tasks ran and that all rules were kept.
-pub fn assert_ran_and_rules_kept(name: &str, simulation: &Simulation) {
+pub(crate) fn assert_ran_and_rules_kept(name: &str, simulation: &Simulation) {
     assert!(simulation.checker.starts > 0, "{name}: nothing ran");
     assert_rules_kept(name, simulation);
 }
--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -2,7 +2,7 @@
 //! are away for a minute or more.
 //!
 //! What waits in the sockets of a controller that stands still is delivered at
-//! once when it goes on, in any order (`World::wake`). By then others may hold
+//! once when it goes on, in any order (`Simulation::wake`). By then others may hold
 //! its shards and have told users what it does not know.
 
 mod common;
@@ -69,7 +69,7 @@
     match role {
         Role::Leader => simulation.inject_fault(pause(0, time).at(ControllerSelector::Leader)),
         Role::Holder => {
-            simulation.inject_fault(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))))
+            simulation.inject_fault(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))));
         }
         Role::TakingOver => {
             let (node, count, restart_after) = (0, 1, 30_000);
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -190,7 +190,7 @@
 }
 
 /// A leader that loses its key and leads again must not reuse the names of
-/// its requests: the cloud would repeat old answers, and nothing would be rented.
+/// its requests: the cloud would repeat old answers, and nothing would be provisioned.
 #[test]
 fn a_controller_that_is_elected_twice_still_provisions_machines() {
     let job = |n: u32, at: u64| JobPlan::plain(n, at, JobKind::Array, 2, 5_000);
@@ -211,7 +211,7 @@
 }
 
 /// Seven controllers, sixteen teams, and a state service that takes few
-/// requests: most controllers end at once, and again during the takeover.
+/// requests: most controllers end at once, and again during the failover.
 #[test]
 fn rules_hold_when_a_large_deployment_loses_most_controllers_twice() {
     let size = Size {
--- a/crates/testkit/tests/golden/help.rs
+++ b/crates/testkit/tests/golden/help.rs
@@ -1,7 +1,7 @@
 //! What scripts use of a program's `--help`: names and defaults, not prose.
 
 /// Names of commands, options, their values and their defaults, a line each.
-pub fn option_names(help: &str) -> String {
+pub(crate) fn option_names(help: &str) -> String {
     let mut names = String::new();
     let mut is_command = false;
     for line in help.lines() {
--- a/crates/testkit/tests/hollow_workers.rs
+++ b/crates/testkit/tests/hollow_workers.rs
@@ -177,10 +177,10 @@
         let mut scene = Scene::new();
         let sent = scene.next();
         let (at, node) = (sent.at, sent.node);
-        let foreman = named.map(|n: usize| format!("berth-{}", (node + n) % 3));
+        let redirect = named.map(|n: usize| format!("berth-{}", (node + n) % 3));
         let body = match status {
             200 => json!({"baton": 1, "orders": []}),
-            _ => json!({"foreman": foreman}),
+            _ => json!({"foreman": redirect}),
         };
         scene.answer(sent, status, &body);
         let then = scene.next();
--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -1,4 +1,4 @@
-//! A long outage after a takeover: the state service refuses the holder of a
+//! A long outage after a failover: the state service refuses the holder of a
 //! shard alone, another takes the shard and confirms a cancellation, then the service is out for
 //! all, for longer than a cancelled task may stay. Workers go on reporting to
 //! the old holder. The task must be gone in time all the same.
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -265,7 +265,7 @@
 }
 
 /// The leader alone speaks to the cloud. One that lost it went on leading, and nothing was
-/// rented until its link was back.
+/// provisioned until its link was back.
 #[test]
 fn a_leader_without_the_cloud_resigns() {
     let cut: Ms = 300_000;
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -1,5 +1,5 @@
 //! New machines that come late, never, or at once: how long what waits for
-//! them waits, what is rented twice, and what is paid for nothing.
+//! them waits, what is provisioned twice, and what is paid for nothing.
 
 mod common;
 
@@ -41,10 +41,10 @@
 struct Wait {
     /// How long it took.
     took: Ms,
-    /// Machines rented for it that were not up within 1.5 boots.
+    /// Machines provisioned for it that were not up within 1.5 boots.
     overdue: u64,
     /// The longest time for which it waited for one overdue machine before
-    /// another was rented.
+    /// another was provisioned.
     unreplaced: Ms,
 }
 
@@ -72,12 +72,12 @@
 
 /// What is seen of a day.
 struct Seen {
-    /// Every replica's wait, with the machines that were rented for it.
+    /// Every replica's wait, with the machines that were provisioned for it.
     replicas: Vec<Wait>,
-    /// Machines that were rented in the slow zone.
+    /// Machines that were provisioned in the slow zone.
     there: u32,
     /// In all.
-    rented: u32,
+    provisioned: u32,
     /// Seconds for which machines were paid for that were not up.
     booting_s: usize,
 }
@@ -109,7 +109,7 @@
         .zip(asked)
         .map(|(began, at)| Wait::new(simulation.boots(), at, began))
         .collect();
-    let rented = |zone: Option<&str>| {
+    let provisioned = |zone: Option<&str>| {
         let all = simulation.provisioning_log().iter();
         all.filter(|provisioned| zone.is_none_or(|zone| zone == provisioned.zone))
             .map(|provisioned| provisioned.count)
@@ -117,8 +117,8 @@
     };
     Seen {
         replicas,
-        there: rented(Some("a")),
-        rented: rented(None),
+        there: provisioned(Some("a")),
+        provisioned: provisioned(None),
         booting_s,
     }
 }
@@ -138,7 +138,7 @@
 /// machine that does not is replaced after 1.5 boots, which is what the replica
 /// may wait longer for each such machine. One in ten machines of the stand-in
 /// comes late or never, so two boots for all replicas of a day, whatever its
-/// draws, was more than any scheduler can promise without renting twice.
+/// draws, was more than any scheduler can promise without provisioning twice.
 #[test]
 fn an_overdue_machine_is_replaced_at_once() {
     let mut overdue = 0;
@@ -159,7 +159,7 @@
 /// the zone is tried again now and then.
 #[test]
 fn services_recover_when_new_machines_boot_late_or_never() {
-    // Longest wait, rentals in the slow zone and in all, and what is paid for
+    // Longest wait, machines provisioned in the slow zone and in all, and what is paid for
     // machines that are not up, in seconds.
     let cases = [
         ("usual", None, 2 * BOOT, 4, 9, 100),
@@ -196,7 +196,7 @@
             20,
         ),
     ];
-    for (name, kind, wait, there, rented, booting_s) in cases {
+    for (name, kind, wait, there, provisioned, booting_s) in cases {
         // Where nothing is made to go wrong, what the draws make overdue counts as
         // in `an_overdue_machine_is_replaced_at_once`.
         let for_overdue = if kind.is_none() { REPLACED_WITHIN } else { 0 };
@@ -206,7 +206,11 @@
             assert!(replica.took < allowed, "{name}: {replica:?}");
         }
         assert!(seen.there <= there, "{name}: {} there", seen.there);
-        assert!(seen.rented <= rented, "{name}: {} rented", seen.rented);
+        assert!(
+            seen.provisioned <= provisioned,
+            "{name}: {} rented",
+            seen.provisioned
+        );
         let overdue = seen
             .replicas
             .iter()
--- a/crates/wire/tests/golden/case.rs
+++ b/crates/wire/tests/golden/case.rs
@@ -4,10 +4,10 @@
 use serde::Serialize;
 
 /// Name of a case and its encoding.
-pub type Case = (&'static str, String);
+pub(crate) type Case = (&'static str, String);
 
 /// Compares all cases with all lines of a fixture file, in order.
-pub fn compare(fixture: &str, cases: &[Case]) {
+pub(crate) fn compare(fixture: &str, cases: &[Case]) {
     let to_line = |(name, bytes): &Case| format!("{name}\t{bytes}\n");
     let text: String = cases.iter().map(to_line).collect();
     let only_in = |one: &str, other: &str, sign: &str| -> String {
@@ -23,7 +23,7 @@
 }
 
 /// Encodes a value; checks that decoding and encoding again gives the same bytes.
-pub fn round_trip<T: Serialize + DeserializeOwned>(name: &'static str, value: &T) -> Case {
+pub(crate) fn round_trip<T: Serialize + DeserializeOwned>(name: &'static str, value: &T) -> Case {
     let bytes = serde_json::to_string(value).expect("JSON");
     let decoded: T = serde_json::from_str(&bytes).expect(name);
     assert_eq!(
@@ -35,12 +35,12 @@
 }
 
 /// Decodes bytes and encodes the value again.
-pub fn reencode<T: Serialize + DeserializeOwned>(name: &'static str, bytes: &str) -> Case {
+pub(crate) fn reencode<T: Serialize + DeserializeOwned>(name: &'static str, bytes: &str) -> Case {
     let value: T = serde_json::from_str(bytes).expect(name);
     (name, serde_json::to_string(&value).expect("JSON"))
 }
 
 /// Owned copies of names.
-pub fn texts(names: &[&str]) -> Vec<String> {
+pub(crate) fn texts(names: &[&str]) -> Vec<String> {
     names.iter().map(|&name| name.to_owned()).collect()
 }
