--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,6 +3,21 @@
 //! [`Node`] is a deterministic state machine. It handles batches of [`Input`]s and returns
 //! [`Effect`]s; time is passed in, and its random numbers come from a seed. The daemon runs
 //! it against the real services, the testkit against simulated ones in virtual time.
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `node` | the step: dispatch of inputs and responses, shard ownership, keeping the view |
+//! | `membership` | lease, election, failure detection, what peers confirm |
+//! | `store` | queue, rates, budget and local view of the key-value store |
+//! | `shard` | jobs and machines of a shard |
+//! | `leader` | assignment of shards, scale-out and scale-in, rebalancing, finalization |
+//! | `api` | requests of users, heartbeats of workers |
+//! | `protocol` | messages between controllers, forwarding, relays |
+//! | `pools` | warm pools of a shard's teams |
+//! | [`records`] | keys and records at the key-value store |
+//! | [`config`] | settings in the form that the core uses |
+//!
+//! `docs/architecture.md` shows who owns which state and the path of a request.
 
 mod api;
 mod bounds;
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -135,7 +135,7 @@
     /// Version of its record at which it was offered to another shard. Nothing
     /// is placed on it until the record has changed and is still in this shard.
     pub(crate) transfer_version: Option<u64>,
-    /// Its guest work is being stopped, as another shard has requested it:
+    /// Its borrowed work is being stopped, as another shard has requested it:
     /// nothing is placed on it.
     pub(crate) is_vacating: bool,
     /// Its deletion by this holder.
