--- a/crates/testkit/tests/production/mod.rs
+++ b/crates/testkit/tests/production/mod.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct JobSpec {
+pub struct JobSpec {
     #[serde(rename = "uid")]
     pub id: String,
     #[serde(rename = "roster")]
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub(crate) enum JobKind {
+pub enum JobKind {
     #[serde(rename = "batch")]
     Array,
     #[serde(rename = "group")]
@@ -68,7 +68,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
-pub(crate) enum Priority {
+pub enum Priority {
     #[serde(rename = "idle")]
     Low,
     #[serde(rename = "standard")]
@@ -80,7 +80,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub(crate) enum JobStage {
+pub enum JobStage {
     #[serde(rename = "pending")]
     Queued,
     #[serde(rename = "running")]
@@ -92,20 +92,20 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct NodeRecord {
+pub struct NodeRecord {
     pub inc: u64,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub blind: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct LeaderRecord {
+pub struct LeaderRecord {
     pub node: String,
     pub inc: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ShareRecord {
+pub struct ShareRecord {
     pub holder: String,
     pub inc: u64,
     pub epoch: u64,
@@ -114,7 +114,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct MachineRecord {
+pub struct MachineRecord {
     pub share: u32,
     #[serde(rename = "type")]
     pub machine_type: String,
@@ -133,7 +133,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct RentalIntent {
+pub struct RentalIntent {
     pub parts: Vec<(u32, u32)>,
     #[serde(rename = "type")]
     pub machine_type: String,
@@ -144,7 +144,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct DemandRecord {
+pub struct DemandRecord {
     pub rev: u64,
     pub shapes: Vec<ShapeRecord>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -158,7 +158,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ShapeRecord {
+pub struct ShapeRecord {
     pub res: (i64, i64, i64),
     pub n: u32,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -176,14 +176,14 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct JobRecord {
+pub struct JobRecord {
     pub spec: JobSpec,
     pub share: u32,
     pub stage: JobStage,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct JobHeadRecord {
+pub struct JobHeadRecord {
     pub spec: JobSpec,
     #[serde(default)]
     pub cancelled: bool,
@@ -196,7 +196,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct TaskBlockRecord {
+pub struct TaskBlockRecord {
     #[serde(default)]
     pub next: u64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -206,7 +206,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub(crate) struct Envelope {
+pub struct Envelope {
     pub version: u16,
     pub from: String,
     pub inc: u64,
@@ -215,7 +215,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub(crate) enum Body {
+pub enum Body {
     NewJob {
         share: u32,
         spec: String,
@@ -255,7 +255,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub(crate) struct Heartbeat {
+pub struct Heartbeat {
     pub sent: u64,
     pub echo: Option<Echo>,
     pub epochs: Option<Vec<(u32, u64)>>,
@@ -264,19 +264,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub(crate) struct Echo {
+pub struct Echo {
     pub inc: u64,
     pub sent: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub(crate) struct Settled {
+pub struct Settled {
     pub share: u32,
     pub unsettled: Vec<String>,
 }
 
 /// Reads a record as the first release does, and writes it again.
-pub(crate) fn rewrite(key: &str, value: &Value) -> Result<Value, serde_json::Error> {
+pub fn rewrite(key: &str, value: &Value) -> Result<Value, serde_json::Error> {
     fn through<T: Serialize + for<'de> Deserialize<'de>>(
         value: &Value,
     ) -> Result<Value, serde_json::Error> {
@@ -300,7 +300,7 @@
 }
 
 /// Reads a message as the first release does.
-pub(crate) fn read_message(bytes: &[u8]) -> Result<Envelope, std::io::Error> {
+pub fn read_message(bytes: &[u8]) -> Result<Envelope, std::io::Error> {
     let message: Envelope = borsh::from_slice(bytes)?;
     match message.version {
         5 => Ok(message),
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -1,6 +1,7 @@
 //! Upgrades from the first release while it serves, and limits that fall.
 
 mod common;
+#[allow(unreachable_pub, reason = "a frozen copy of the first release's types")]
 mod production;
 
 use common::{assert_ran_and_rules_kept, fault};
