--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -298,7 +298,7 @@
 /// The controller has recovered the shard, which had no jobs.
 fn activate_shard(node: &mut Node, shard_id: ShardId) {
     let mut shard = Shard::new(&mut node.ctx, shard_id, EPOCH, 3);
-    shard.recovery_state = RecoveryState::Waiting(5);
+    shard.recovery_state = RecoveryState::AwaitingView(5);
     shard.activate(&mut node.ctx, &node.view);
     node.shards.insert(shard_id, shard);
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -218,7 +218,7 @@
         for shard in self.shards.values_mut() {
             shard.relist_jobs(&mut self.ctx);
             shard.watch_jobs(&mut self.ctx);
-            if let RecoveryState::Waiting(revision) = shard.recovery_state {
+            if let RecoveryState::AwaitingView(revision) = shard.recovery_state {
                 if self.view.revision >= revision {
                     shard.activate(&mut self.ctx, &self.view);
                 }
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -106,7 +106,9 @@
         let shards = self.shards.values_mut();
         for shard in shards.filter(|s| s.recovery_state == RecoveryState::Active) {
             let Shard {
-                machines, recheck, ..
+                machines,
+                machines_to_reconcile,
+                ..
             } = shard;
             let uncalled = machines.values_mut().filter(|machine| {
                 machine.last_heartbeat_at.is_some()
@@ -115,7 +117,7 @@
             });
             for machine in uncalled.take(MIN_CALLED_MACHINES as usize) {
                 machine.must_send_token = true;
-                recheck.mark_due(&machine.id);
+                machines_to_reconcile.mark_due(&machine.id);
             }
         }
     }
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -190,7 +190,7 @@
             if let Some(machine) = shard.machines.get_mut(id) {
                 machine.is_writing_record = false;
                 machine.record_required_revision = machine.record_required_revision.max(revision);
-                shard.recheck.mark_due(id);
+                shard.machines_to_reconcile.mark_due(id);
             }
         }
     }
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -64,7 +64,7 @@
     /// ending the watch.
     fn poll_if_due(&mut self) {
         let revision = self.view.revision;
-        let is_awaited = |shard: &Shard| matches!(shard.recovery_state, RecoveryState::Waiting(r) if r > revision);
+        let is_awaited = |shard: &Shard| matches!(shard.recovery_state, RecoveryState::AwaitingView(r) if r > revision);
         let is_behind = self.shards.values().any(is_awaited)
             || self.membership.waits_for_view(&self.view)
             || revision < self.view_sync.required_revision;
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -122,7 +122,7 @@
     }
 
     fn write_due_rows(&mut self, ctx: &mut Context) {
-        let held = self.held_precondition();
+        let held = self.fencing_precondition();
         let rows = self.pools.pending_rows.iter_mut();
         let now = ctx.now;
         for (key, row) in rows.filter(|(_, row)| row.is_due(now)) {
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -11,7 +11,7 @@
 use crate::records::DemandRecord;
 use crate::shard::job::Job;
 use crate::shard::machine::Machine;
-use crate::shard::scheduling::{is_usable, PendingJobs, RECLAIM_ROUNDS};
+use crate::shard::scheduling::{is_usable, PendingJobs, MACHINE_RECLAIM_DELAY_ROUNDS};
 use crate::shard::Shard;
 use forkshift_pools::account::ColdStart;
 use forkshift_pools::choice::{retained_members, PoolMember};
@@ -172,7 +172,8 @@
         pending: &PendingTasks,
         quotas: &[Quota],
     ) -> bool {
-        let patience = crate::ms(ctx.config.operator.round_interval_s * RECLAIM_ROUNDS);
+        let patience =
+            crate::ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
         let has_waited = |job: &Job| job.age(ctx.now) > patience;
         !pending.waiting.is_empty()
             && quotas[pending.team].is_within_guarantee(&pending.minimum_resources())
--- a/crates/core/src/pools/requests.rs
+++ b/crates/core/src/pools/requests.rs
@@ -126,7 +126,7 @@
             version,
         };
         let mut transaction = Transaction {
-            preconditions: vec![self.held_precondition(), unchanged],
+            preconditions: vec![self.fencing_precondition(), unchanged],
             writes: vec![Write::put(key, to_value(&next).unwrap_or_default())],
         };
         if let Some(ended) = ended {
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -163,7 +163,7 @@
             if let Some(machine) = self.machines.get_mut(*id) {
                 machine.pool.is_surplus = leaving.contains(&member);
                 if machine.pool.is_surplus {
-                    self.recheck.mark_due(id);
+                    self.machines_to_reconcile.mark_due(id);
                 }
             }
         }
@@ -217,7 +217,7 @@
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.pool.joining = Some(pool.name.clone());
                 machine.idle_since = None;
-                self.recheck.mark_due(id);
+                self.machines_to_reconcile.mark_due(id);
             }
         }
         chosen
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -59,7 +59,9 @@
         found: &mut UnreachableMachines,
     ) {
         let Self {
-            machines, recheck, ..
+            machines,
+            machines_to_reconcile,
+            ..
         } = self;
         let in_use = machines
             .values_mut()
@@ -77,7 +79,7 @@
             if !link.is_recently_relayed(now, timing) && link.start_probe_if_due(now, timing) {
                 found.probed.push(machine.id.clone());
                 machine.must_send_token = true;
-                recheck.mark_due(&machine.id);
+                machines_to_reconcile.mark_due(&machine.id);
             }
         }
     }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -50,11 +50,11 @@
 
 /// Bits of a fencing token below the epoch: a counter of the tokens that were
 /// minted under that epoch.
-pub(crate) const TOKEN_BITS: u32 = 24;
+pub(crate) const TOKEN_COUNTER_BITS: u32 = 24;
 
 /// The epoch of a shard's holding under which a fencing token was minted.
 pub fn epoch_of_token(token: u64) -> u64 {
-    token >> TOKEN_BITS
+    token >> TOKEN_COUNTER_BITS
 }
 
 /// Recovery state of a shard after its holder changed.
@@ -63,7 +63,7 @@
     /// The records of its jobs are being read.
     Loading,
     /// Its jobs are read as of this revision, which the view has not reached.
-    Waiting(u64),
+    AwaitingView(u64),
     /// Recovered: its jobs are scheduled and its requests served.
     Active,
 }
@@ -92,7 +92,7 @@
     /// Guarantee, limit and use of each team.
     pub(crate) quotas: Vec<Quota>,
     /// Machines that are due for reconciliation.
-    pub(crate) recheck: TimerQueue<MachineId>,
+    pub(crate) machines_to_reconcile: TimerQueue<MachineId>,
     /// Jobs whose records may have to be written.
     pub(crate) unwritten_jobs: TimerQueue<JobId>,
     /// Jobs of which nothing but progress has to be written.
@@ -166,7 +166,7 @@
             machines: BTreeMap::new(),
             teams: BTreeMap::new(),
             quotas: Vec::new(),
-            recheck: TimerQueue::default(),
+            machines_to_reconcile: TimerQueue::default(),
             unwritten_jobs: TimerQueue::default(),
             progress_writes: ProgressWrites::default(),
             incomplete_gangs: BTreeSet::new(),
@@ -218,11 +218,11 @@
     /// The first token that is used for a machine: above those of earlier
     /// holders of the shard, and of the machine's earlier shards.
     pub(crate) fn first_token(&self, record: &MachineRecord) -> u64 {
-        (self.epoch << TOKEN_BITS).max(record.token_floor + 1)
+        (self.epoch << TOKEN_COUNTER_BITS).max(record.token_floor + 1)
     }
 
     /// The condition that the shard is still held under this epoch.
-    pub(crate) fn held_precondition(&self) -> Precondition {
+    pub(crate) fn fencing_precondition(&self) -> Precondition {
         Precondition {
             key: shard_key(self.id),
             version: self.version,
@@ -247,7 +247,7 @@
     }
 
     /// The longest boot time of its machines, in milliseconds; 0 without any.
-    pub(crate) fn boot_ms(&self) -> Ms {
+    pub(crate) fn max_boot_ms(&self) -> Ms {
         self.machines.values().map(|m| m.boot_ms).max().unwrap_or(0)
     }
 }
--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -134,7 +134,7 @@
         };
         for binding in job.bound.values_mut() {
             binding.stop.get_or_insert(Stop::after(0.0));
-            self.recheck.mark_due(&binding.machine);
+            self.machines_to_reconcile.mark_due(&binding.machine);
         }
     }
 
@@ -173,7 +173,7 @@
         let stop = Stop::after(job.spec.checkpoint_save_time_s);
         if let Some(binding) = job.bound.get_mut(&task.index) {
             binding.stop = Some(stop);
-            self.recheck.mark_due(&binding.machine);
+            self.machines_to_reconcile.mark_due(&binding.machine);
         }
     }
 }
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -217,7 +217,7 @@
         let is_answered = matches!(status, 200 | 409);
         let timing = ctx.config.link_timing();
         machine.link.on_call(ctx.now, is_answered, &timing);
-        self.recheck.mark_due(id);
+        self.machines_to_reconcile.mark_due(id);
         let heartbeat: Option<WorkerHeartbeat> = serde_json::from_slice(body).ok();
         let Some(heartbeat) = heartbeat.filter(|_| is_answered) else {
             log::debug!("machine {id}: no answer to commands, status {status}");
@@ -270,7 +270,7 @@
         job.mark_block_changed(0);
         for binding in job.bound.values_mut() {
             binding.stop = Some(Stop::after(0.0));
-            self.recheck.mark_due(&binding.machine);
+            self.machines_to_reconcile.mark_due(&binding.machine);
         }
         self.unwritten_jobs.mark_due(id);
         self.cancelled_jobs.mark_due(id);
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -4,9 +4,9 @@
 //! The demand is sent to the leader, which provisions machines for it.
 
 mod expected_machines;
+mod headroom;
 mod publication;
 mod shapes;
-mod spare_places;
 
 pub(crate) use expected_machines::{overdue_at, ExpectedMachines, OVERDUE_BOOTS};
 
@@ -29,7 +29,7 @@
 
 impl RemainingCapacity {
     /// Books what fits, and removes it from the waiting tasks.
-    fn book(&mut self, ctx: &Context, pending: &mut [PendingTasks]) -> Vec<Placement> {
+    fn place_tentatively(&mut self, ctx: &Context, pending: &mut [PendingTasks]) -> Vec<Placement> {
         let weights = &ctx.config.operator.weights;
         run_round(pending, &mut self.hosts, &mut self.quotas, weights)
     }
@@ -45,7 +45,7 @@
 }
 
 /// Where the waiting tasks of a round were booked.
-struct BookedDemand<'a> {
+struct ExpectedPlacement<'a> {
     /// What found no room.
     shapes: Vec<ShapeRecord>,
     /// The machines behind the hosts.
@@ -67,11 +67,11 @@
         pending.sort_by(PendingTasks::precedence_order);
         self.exclude_newly_quarantined(ctx, usable, &mut remaining.hosts);
         let waiting = shapes_of(ctx, view, &pending, &mut remaining.quotas.clone());
-        let BookedDemand {
+        let ExpectedPlacement {
             mut shapes,
             expected,
-        } = self.book_waiting_tasks(ctx, view, usable, &mut remaining, pending);
-        self.note_idle(ctx, usable, &remaining.hosts);
+        } = self.place_on_expected_machines(ctx, view, usable, &mut remaining, pending);
+        self.update_idle_times(ctx, usable, &remaining.hosts);
         let pool_shapes = self.keep_pools(ctx, view, &expected, &remaining.hosts);
         // A missing spare place fits on no existing machine, or it would have been
         // booked there: only waiting tasks keep machines from being drained.
@@ -100,56 +100,56 @@
     /// What borrowers use here counts as room for all other jobs, as it can be reclaimed
     /// at once. Their tasks fill spare places as soon as these are free: if they counted
     /// as taken, machine after machine would be provisioned.
-    fn book_waiting_tasks<'a>(
+    fn place_on_expected_machines<'a>(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         usable: &'a [MachineId],
         remaining: &mut RemainingCapacity,
         pending: Vec<PendingTasks>,
-    ) -> BookedDemand<'a> {
-        let (mut borrowers, mut owners): (Vec<PendingTasks>, Vec<PendingTasks>) = pending
+    ) -> ExpectedPlacement<'a> {
+        let (mut borrowers, mut ordinary): (Vec<PendingTasks>, Vec<PendingTasks>) = pending
             .into_iter()
             .partition(|tasks| tasks.capacity_class.is_borrower());
         let reclaimable = usable.iter().map(|id| self.reclaimable_on(ctx, id));
         let reclaimable: Vec<Resources> = reclaimable.collect();
-        for (host, more) in remaining.hosts.iter_mut().zip(&reclaimable) {
-            host.free += *more;
+        for (host, amount) in remaining.hosts.iter_mut().zip(&reclaimable) {
+            host.free += *amount;
         }
         let expected = self.add_expected_machines(ctx, view, usable, &mut remaining.hosts);
-        let mut shapes = self.book_owners(ctx, view, &expected, remaining, &mut owners);
-        shapes.extend(self.book_spare_places(ctx, usable, &mut remaining.hosts));
-        self.drain_borrowers(ctx, usable, &remaining.hosts);
-        for (host, more) in remaining.hosts.iter_mut().zip(&reclaimable) {
-            host.free = host.free.saturating_sub(more);
+        let mut shapes = self.place_ordinary_tasks(ctx, view, &expected, remaining, &mut ordinary);
+        shapes.extend(self.place_headroom(ctx, usable, &mut remaining.hosts));
+        self.drain_machines_with_only_borrowed_work(ctx, usable, &remaining.hosts);
+        for (host, amount) in remaining.hosts.iter_mut().zip(&reclaimable) {
+            host.free = host.free.saturating_sub(amount);
         }
-        remaining.book(ctx, &mut borrowers);
+        remaining.place_tentatively(ctx, &mut borrowers);
         shapes.extend(shapes_of(ctx, view, &borrowers, &mut remaining.quotas));
-        BookedDemand { shapes, expected }
+        ExpectedPlacement { shapes, expected }
     }
 
     /// Books the tasks that run on their own teams' quotas. Draining ends on machines that
     /// are needed for them. Returns what found no room.
-    fn book_owners(
+    fn place_ordinary_tasks(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         expected: &ExpectedMachines,
         remaining: &mut RemainingCapacity,
-        owners: &mut [PendingTasks],
+        ordinary: &mut [PendingTasks],
     ) -> Vec<ShapeRecord> {
-        for tasks in owners.iter_mut() {
+        for tasks in ordinary.iter_mut() {
             tasks.excluded_machines.clear();
         }
-        let booked = remaining.book(ctx, owners);
+        let placements = remaining.place_tentatively(ctx, ordinary);
         for (i, id) in expected.draining.iter().enumerate() {
             let host = expected.usable.len() + i;
-            if booked.iter().any(|b| b.machine == host) {
-                self.stop_draining(id);
+            if placements.iter().any(|b| b.machine == host) {
+                self.cancel_draining(id);
             }
         }
-        owners.sort_by(PendingTasks::precedence_order);
-        shapes_of(ctx, view, owners, &mut remaining.quotas)
+        ordinary.sort_by(PendingTasks::precedence_order);
+        shapes_of(ctx, view, ordinary, &mut remaining.quotas)
     }
 
     /// Makes hosts that have been in quarantine for less than a boot count for nothing:
@@ -190,10 +190,15 @@
 
     /// Records since when each machine has been idle. `hosts` shows what is free once all
     /// tasks and spare places are booked.
-    fn note_idle(&mut self, ctx: &Context, usable: &[MachineId], hosts: &[MachineSnapshot]) {
+    fn update_idle_times(
+        &mut self,
+        ctx: &Context,
+        usable: &[MachineId],
+        hosts: &[MachineSnapshot],
+    ) {
         for machine in self.machines.values_mut().filter(|m| m.is_draining) {
             if machine.update_idle_since(machine.tasks.is_empty(), ctx.now) {
-                self.recheck.mark_due(&machine.id);
+                self.machines_to_reconcile.mark_due(&machine.id);
             }
         }
         for (id, host) in usable.iter().zip(hosts) {
@@ -203,7 +208,7 @@
             let is_idle =
                 machine.tasks.is_empty() && host.free == machine.total && !machine.is_pool_member();
             if machine.update_idle_since(is_idle, ctx.now) {
-                self.recheck.mark_due(id);
+                self.machines_to_reconcile.mark_due(id);
             }
         }
     }
--- a/crates/core/src/shard/demand/expected_machines.rs
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::records::{capacity_of, ProvisioningIntent};
 use crate::shard::machine::Machine;
-use crate::shard::scheduling::{host_of, SECONDS_PER_HOUR};
+use crate::shard::scheduling::{machine_snapshot, SECONDS_PER_HOUR};
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
@@ -69,7 +69,7 @@
         let mut ids = Vec::new();
         for machine in draining {
             ids.push(machine.id.clone());
-            hosts.push(host_of(machine));
+            hosts.push(machine_snapshot(machine));
         }
         ids
     }
@@ -122,7 +122,7 @@
     MachineSnapshot {
         free: machine.total,
         startup_delay_s: boot_remaining_ms as f64 / 1000.0,
-        ..host_of(machine)
+        ..machine_snapshot(machine)
     }
 }
 
--- a/crates/core/src/shard/demand/spare_places.rs
+++ b/crates/core/src/shard/demand/headroom.rs
@@ -14,10 +14,10 @@
 use std::collections::BTreeSet;
 
 /// A running task that should end within this many boots leaves a spare place.
-const SOON_BOOTS: f64 = 0.8;
+const RELEASE_HORIZON_BOOTS: f64 = 0.8;
 
 /// A class of jobs that needs spare places.
-struct SpareClass {
+struct HeadroomClass {
     /// How long its tasks may wait, in seconds.
     max_wait_s: f64,
     /// One of its tasks, as a shape.
@@ -31,18 +31,18 @@
 impl Shard {
     /// Books spare places, also on what is released soon, and returns those that are
     /// missing.
-    pub(super) fn book_spare_places(
+    pub(super) fn place_headroom(
         &mut self,
         ctx: &mut Context,
         usable: &[MachineId],
         hosts: &mut [MachineSnapshot],
     ) -> Vec<ShapeRecord> {
-        let mut hosts_soon = hosts.to_vec();
-        for (id, host) in usable.iter().zip(&mut hosts_soon) {
-            host.free += self.released_soon(ctx, id);
+        let mut hosts_with_releases = hosts.to_vec();
+        for (id, host) in usable.iter().zip(&mut hosts_with_releases) {
+            host.free += self.resources_released_soon(ctx, id);
         }
-        let missing = self.book_spare_classes(ctx, &mut hosts_soon);
-        for (host, soon) in hosts.iter_mut().zip(&hosts_soon) {
+        let missing = self.place_headroom_classes(ctx, &mut hosts_with_releases);
+        for (host, soon) in hosts.iter_mut().zip(&hosts_with_releases) {
             host.free = host.free.component_min(&soon.free);
         }
         missing
@@ -50,21 +50,21 @@
 
     /// Books spare places for all classes, the most urgent first, and returns those that
     /// found none.
-    fn book_spare_classes(
+    fn place_headroom_classes(
         &mut self,
         ctx: &mut Context,
         hosts: &mut [MachineSnapshot],
     ) -> Vec<ShapeRecord> {
-        let boot_s = self.boot_ms() as f64 / 1000.0;
+        let boot_s = self.max_boot_ms() as f64 / 1000.0;
         let factor = ctx.config.operator.spare_ratio;
         let mut missing = Vec::new();
-        for class in self.spare_classes(ctx, boot_s) {
+        for class in self.headroom_classes(ctx, boot_s) {
             let arrivals = class.arrival_rate * boot_s * factor;
             let target = (arrivals + arrivals.sqrt() * factor.min(1.0)).ceil() as u32;
-            let unbooked = class.book(ctx, target, hosts);
-            if unbooked > 0 {
+            let unplaced = class.place_tasks(ctx, target, hosts);
+            if unplaced > 0 {
                 let shape = ShapeRecord {
-                    count: unbooked,
+                    count: unplaced,
                     ..class.shape
                 };
                 add_shape(&mut missing, shape);
@@ -75,15 +75,15 @@
 
     /// The classes whose tasks must start sooner than a machine boots, the most urgent
     /// first.
-    fn spare_classes(&mut self, ctx: &Context, boot_s: f64) -> Vec<SpareClass> {
+    fn headroom_classes(&mut self, ctx: &Context, boot_s: f64) -> Vec<HeadroomClass> {
         let elapsed = self.arrivals_counted_for(ctx.now);
-        let mut classes: Vec<SpareClass> = Vec::new();
+        let mut classes: Vec<HeadroomClass> = Vec::new();
         for (name, stats) in &mut self.arrivals_by_class {
             let Some(max_wait_s) = ctx.config.wait_objectives.get(name) else {
                 continue;
             };
             if *max_wait_s < boot_s {
-                classes.push(SpareClass {
+                classes.push(HeadroomClass {
                     max_wait_s: *max_wait_s,
                     shape: stats.last_shape.clone(),
                     arrival_rate: stats.rate(ctx.now, elapsed),
@@ -107,11 +107,11 @@
 
     /// What running tasks will release on a machine before another one could be up, by
     /// their estimates: it serves as spare as well as a new machine would.
-    fn released_soon(&self, ctx: &Context, id: &MachineId) -> Resources {
+    fn resources_released_soon(&self, ctx: &Context, id: &MachineId) -> Resources {
         let Some(machine) = self.machines.get(id) else {
             return Resources::default();
         };
-        let soon = ctx.now + (machine.boot_ms as f64 * SOON_BOOTS) as Ms;
+        let soon = ctx.now + (machine.boot_ms as f64 * RELEASE_HORIZON_BOOTS) as Ms;
         let released = |task: &TaskRef| {
             let (job, binding) = self.binding(task)?;
             let end = binding.running_since? + crate::ms(job.spec.estimated_run_time_s);
@@ -125,20 +125,20 @@
     }
 }
 
-impl SpareClass {
+impl HeadroomClass {
     /// Books up to so many places, and returns how many found no room.
-    fn book(&self, ctx: &mut Context, places: u32, hosts: &mut [MachineSnapshot]) -> u32 {
+    fn place_tasks(&self, ctx: &mut Context, places: u32, hosts: &mut [MachineSnapshot]) -> u32 {
         let task = self.shape.resources();
         let types = type_numbers(ctx, self.shape.types.as_deref());
-        let mut unbooked = places;
+        let mut unplaced = places;
         for host in hosts.iter_mut() {
             let is_allowed = self.may_use(host, types.as_deref());
-            while unbooked > 0 && is_allowed && task.fits_in(&host.free) {
+            while unplaced > 0 && is_allowed && task.fits_in(&host.free) {
                 host.free -= task;
-                unbooked -= 1;
+                unplaced -= 1;
             }
         }
-        unbooked
+        unplaced
     }
 
     /// Whether a spare place may be on a host. Arrivals that find a pool's machine need no
--- a/crates/core/src/shard/demand/publication.rs
+++ b/crates/core/src/shard/demand/publication.rs
@@ -14,10 +14,10 @@
 use serde_json::to_value;
 
 /// The part of the key-value store's writes that goes into demand records.
-const DEMAND_WRITE_PART: f64 = 0.05;
+const DEMAND_WRITE_FRACTION: f64 = 0.05;
 
 /// The shortest pause between two writes of a shard's demand record.
-const MIN_WRITE_PAUSE_MS: Ms = 1_500;
+const MIN_DEMAND_WRITE_INTERVAL_MS: Ms = 1_500;
 
 impl Shard {
     /// Publishes the demand as a message to the leader and as a record.
@@ -62,15 +62,16 @@
     /// store's write rate.
     fn write_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
         let shards = f64::from(ctx.config.shard_count());
-        let pause = crate::ms(shards / (ctx.limits.write_rps * DEMAND_WRITE_PART));
-        let pause = pause.max(MIN_WRITE_PAUSE_MS);
-        let is_unseen = self.is_writing_demand || view.revision < self.demand_required_revision;
-        if is_unseen || ctx.now < self.last_demand_write_at + pause {
+        let min_interval_ms = crate::ms(shards / (ctx.limits.write_rps * DEMAND_WRITE_FRACTION));
+        let min_interval_ms = min_interval_ms.max(MIN_DEMAND_WRITE_INTERVAL_MS);
+        let has_unobserved_write =
+            self.is_writing_demand || view.revision < self.demand_required_revision;
+        if has_unobserved_write || ctx.now < self.last_demand_write_at + min_interval_ms {
             return;
         }
         let record = record.truncated_to(ctx.limits.value_bytes);
-        let none = DemandRecord::default();
-        let stored = view.demands.get(&self.id).map_or(&none, |d| &d.record);
+        let no_demand = DemandRecord::default();
+        let stored = view.demands.get(&self.id).map_or(&no_demand, |d| &d.record);
         let is_stale = !record.shapes.is_empty() && stored.revision < view.revision;
         if record.has_same_demand(stored) && !is_stale {
             return;
@@ -85,7 +86,7 @@
         );
         let value = to_value(record).unwrap_or_default();
         let transaction = Transaction {
-            preconditions: vec![self.held_precondition()],
+            preconditions: vec![self.fencing_precondition()],
             writes: vec![Write::put(demand_key(self.id), value)],
         };
         let call = PendingCall::DemandWrite { shard: self.id };
--- a/crates/core/src/shard/demand/shapes.rs
+++ b/crates/core/src/shard/demand/shapes.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// Names of machine types and zones, by the numbers that rounds use for them.
-struct PlaceNames {
+struct TypeAndZoneNames {
     types: BTreeMap<u16, String>,
     zones: BTreeMap<u16, String>,
 }
 
-impl PlaceNames {
+impl TypeAndZoneNames {
     fn new(ctx: &mut Context, view: &ClusterView) -> Self {
         let types = view.machine_types.keys();
         let types = types.map(|name| (ctx.places.number(name), name.clone()));
@@ -46,7 +46,7 @@
     pending: &[PendingTasks],
     quotas: &mut [Quota],
 ) -> Vec<ShapeRecord> {
-    let names = PlaceNames::new(ctx, view);
+    let names = TypeAndZoneNames::new(ctx, view);
     let has_pools = ctx.has_pools();
     let mut shapes: Vec<ShapeRecord> = Vec::new();
     let mut reserved: BTreeMap<usize, Shortfall> = BTreeMap::new();
@@ -99,7 +99,7 @@
 
 /// Adds a shape, or its count to the same one that is there already.
 pub(super) fn add_shape(shapes: &mut Vec<ShapeRecord>, shape: ShapeRecord) {
-    let is_same = |s: &&mut ShapeRecord| {
+    let has_same_requirements = |s: &&mut ShapeRecord| {
         s.milli_resources == shape.milli_resources
             && s.types == shape.types
             && s.zones == shape.zones
@@ -108,8 +108,8 @@
             && s.is_borrowing == shape.is_borrowing
             && s.is_gang == shape.is_gang
     };
-    match shapes.iter_mut().find(is_same) {
-        Some(known) => known.count += shape.count,
+    match shapes.iter_mut().find(has_same_requirements) {
+        Some(existing) => existing.count += shape.count,
         None => shapes.push(shape),
     }
 }
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -23,21 +23,21 @@
 /// A machine is drained only if the value of its tasks is at most this part of its price.
 const MAX_DRAINED_VALUE_RATIO: f64 = 0.75;
 /// One in so many machines of a shard is drained at a time.
-const DRAINING_PART: usize = 64;
+const DRAINING_MACHINES_DIVISOR: usize = 64;
 /// At least this many are, and are tried in a round.
-const MIN_DRAINING: usize = 3;
+const MIN_DRAINING_MACHINES: usize = 3;
 /// One in so many machines is tried in a round: each try goes over all of them.
-const TRIES_PART: usize = 16;
+const DRAIN_CANDIDATES_DIVISOR: usize = 16;
 /// One in so many machines is chosen, and has a replica moved, at a time.
-const STEP_PART: usize = 256;
+const DRAIN_STEP_DIVISOR: usize = 256;
 /// Rounds between two moves: each takes a replica down for about a second.
-const MOVE_PAUSE_ROUNDS: f64 = 2.0;
+const MIN_MOVE_INTERVAL_ROUNDS: f64 = 2.0;
 /// Pause between two machines, in boots.
-const PAUSE_BOOTS: f64 = 0.1;
+const MIN_DRAIN_INTERVAL_BOOTS: f64 = 0.1;
 /// Machines younger than this many boots are not drained.
-const MIN_AGE_BOOTS: Ms = 2;
+const MIN_DRAINED_AGE_BOOTS: Ms = 2;
 /// The lowest price of a machine by which values are divided.
-const MIN_PRICE: f64 = 1e-12;
+const MIN_PRICE_PER_S: f64 = 1e-12;
 /// The hourly price that counts for a job that fits on no machine type.
 const MAX_PRICE_PER_HOUR: f64 = 1e9;
 
@@ -62,12 +62,12 @@
     ) {
         let context = MoveContext {
             value_ratios: self.value_ratios(view, usable),
-            zones: self.zones(),
+            zones: self.machine_zones(),
         };
         let draining = self.draining_machines();
-        let max_draining = self.machines_part(DRAINING_PART, MIN_DRAINING);
-        let max_chosen = max_draining.saturating_sub(draining.len());
-        self.choose_drained(ctx, usable, hosts, &context, max_chosen);
+        let max_draining = self.machine_limit(DRAINING_MACHINES_DIVISOR, MIN_DRAINING_MACHINES);
+        let max_started = max_draining.saturating_sub(draining.len());
+        self.start_draining(ctx, usable, hosts, &context, max_started);
         self.move_replicas(ctx, &draining, hosts, &context);
     }
 
@@ -78,12 +78,12 @@
     }
 
     /// One in so many of the shard's machines, and at least so many.
-    fn machines_part(&self, part: usize, min: usize) -> usize {
-        part_of_machines(self.machines.len(), part, min)
+    fn machine_limit(&self, divisor: usize, min: usize) -> usize {
+        part_of_machines(self.machines.len(), divisor, min)
     }
 
     /// Cancels the draining of a machine that is needed.
-    pub(crate) fn stop_draining(&mut self, id: &MachineId) {
+    pub(crate) fn cancel_draining(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             log::info!("machine {id}: draining cancelled, needed again");
             machine.is_draining = false;
@@ -110,39 +110,39 @@
                 });
                 sum += *value;
             }
-            ratios.push(sum / machine.price.max(MIN_PRICE));
+            ratios.push(sum / machine.price.max(MIN_PRICE_PER_S));
         }
         ratios
     }
 
     /// Starts to drain up to `max_chosen` machines, if a pause since the last ones is over.
-    fn choose_drained(
+    fn start_draining(
         &mut self,
         ctx: &mut Context,
         usable: &[MachineId],
         hosts: &mut [MachineSnapshot],
         context: &MoveContext,
-        max_chosen: usize,
+        max_started: usize,
     ) {
-        let boot_ms = self.boot_ms();
-        let pause = (boot_ms as f64 * PAUSE_BOOTS) as Ms;
-        if ctx.now < self.last_drain_at + pause || ctx.now < self.active_since + boot_ms {
+        let boot_ms = self.max_boot_ms();
+        let min_interval_ms = (boot_ms as f64 * MIN_DRAIN_INTERVAL_BOOTS) as Ms;
+        if ctx.now < self.last_drain_at + min_interval_ms || ctx.now < self.active_since + boot_ms {
             return;
         }
-        let mut to_choose = max_chosen.min(self.machines_part(STEP_PART, 1));
-        let tries = (hosts.len() / TRIES_PART).max(MIN_DRAINING);
-        let wasteful = self.wasteful_hosts(ctx, usable, context);
-        for host in wasteful.into_iter().take(tries) {
-            if to_choose == 0 {
+        let mut starts_left = max_started.min(self.machine_limit(DRAIN_STEP_DIVISOR, 1));
+        let max_candidates = (hosts.len() / DRAIN_CANDIDATES_DIVISOR).max(MIN_DRAINING_MACHINES);
+        let underused = self.underused_hosts(ctx, usable, context);
+        for host in underused.into_iter().take(max_candidates) {
+            if starts_left == 0 {
                 return;
             }
             let id = &usable[host];
-            let has_places = self.book_all_elsewhere(ctx, id, host, hosts, context);
+            let all_fit = self.place_all_elsewhere(ctx, id, host, hosts, context);
             let Some(machine) = self.machines.get_mut(id) else {
                 continue;
             };
-            if !has_places {
-                machine.drain_retry_at = ctx.now + pause;
+            if !all_fit {
+                machine.drain_retry_at = ctx.now + min_interval_ms;
                 continue;
             }
             log::info!(
@@ -151,31 +151,31 @@
             );
             machine.is_draining = true;
             self.last_drain_at = ctx.now;
-            to_choose -= 1;
+            starts_left -= 1;
         }
     }
 
     /// Hosts that may be drained, as indices, the one that wastes most first.
-    fn wasteful_hosts(
+    fn underused_hosts(
         &self,
         ctx: &Context,
         usable: &[MachineId],
         context: &MoveContext,
     ) -> Vec<usize> {
-        let min_age = self.boot_ms() * MIN_AGE_BOOTS;
-        let waste_of = |(host, id): (usize, &MachineId)| {
+        let min_age_ms = self.max_boot_ms() * MIN_DRAINED_AGE_BOOTS;
+        let unused_price = |(host, id): (usize, &MachineId)| {
             let machine = self.machines.get(id)?;
             let value_ratio = context.value_ratios[host];
             let may_drain = !machine.tasks.is_empty()
                 && value_ratio <= MAX_DRAINED_VALUE_RATIO
-                && ctx.now > machine.known_since + min_age
+                && ctx.now > machine.known_since + min_age_ms
                 && ctx.now >= machine.drain_retry_at;
             may_drain.then_some((machine.price * (1.0 - value_ratio), host))
         };
-        let mut wasteful: Vec<(f64, usize)> =
-            usable.iter().enumerate().filter_map(waste_of).collect();
-        wasteful.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-        wasteful.into_iter().map(|(_, host)| host).collect()
+        let mut underused: Vec<(f64, usize)> =
+            usable.iter().enumerate().filter_map(unused_price).collect();
+        underused.sort_by(|(a, _), (b, _)| b.total_cmp(a));
+        underused.into_iter().map(|(_, host)| host).collect()
     }
 
     /// Moves a replica off each of some draining machines, if a pause since the last moves
@@ -187,11 +187,12 @@
         hosts: &mut [MachineSnapshot],
         context: &MoveContext,
     ) {
-        let pause = crate::ms(ctx.config.operator.round_interval_s * MOVE_PAUSE_ROUNDS);
-        if ctx.now < self.last_replica_move_at + pause {
+        let min_interval_ms =
+            crate::ms(ctx.config.operator.round_interval_s * MIN_MOVE_INTERVAL_ROUNDS);
+        if ctx.now < self.last_replica_move_at + min_interval_ms {
             return;
         }
-        let mut moves_left = self.machines_part(STEP_PART, 1);
+        let mut moves_left = self.machine_limit(DRAIN_STEP_DIVISOR, 1);
         for id in draining {
             if moves_left > 0 && self.move_one_replica(ctx, id, hosts, context) {
                 self.last_replica_move_at = ctx.now;
--- a/crates/core/src/shard/drain/moves.rs
+++ b/crates/core/src/shard/drain/moves.rs
@@ -22,7 +22,7 @@
 
 /// A place that is booked for a task.
 #[derive(Clone, Copy)]
-struct Booking {
+struct TentativePlacement {
     /// Index of the host.
     host: usize,
     /// What is booked there.
@@ -32,7 +32,7 @@
 impl Shard {
     /// Books places on other machines for all tasks of one, or for none. Returns whether
     /// all have one.
-    pub(super) fn book_all_elsewhere(
+    pub(super) fn place_all_elsewhere(
         &self,
         ctx: &mut Context,
         id: &MachineId,
@@ -42,30 +42,30 @@
     ) -> bool {
         let free = std::mem::take(&mut hosts[host].free);
         let price = hosts[host].price_per_s;
-        let mut bookings = Vec::new();
+        let mut placements = Vec::new();
         let all_fit = self.machines[id].tasks.iter().all(|task| {
-            let booking = self.book_elsewhere(ctx, task, hosts, price, context);
-            bookings.extend(booking);
-            booking.is_some()
+            let placement = self.place_elsewhere(ctx, task, hosts, price, context);
+            placements.extend(placement);
+            placement.is_some()
         });
         if !all_fit {
             hosts[host].free = free;
-            for booking in bookings {
-                hosts[booking.host].free += booking.resources;
+            for placement in placements {
+                hosts[placement.host].free += placement.resources;
             }
         }
         all_fit
     }
 
     /// Books a place for one task of another machine, which costs `source_price` a second.
-    fn book_elsewhere(
+    fn place_elsewhere(
         &self,
         ctx: &mut Context,
         task: &TaskRef,
         hosts: &mut [MachineSnapshot],
         source_price: f64,
         context: &MoveContext,
-    ) -> Option<Booking> {
+    ) -> Option<TentativePlacement> {
         let (job, binding) = self.binding(task)?;
         let mut pending = pending_tasks_of(ctx, job, 0, &context.zones);
         let zone = context.zones.get(&binding.machine);
@@ -77,12 +77,12 @@
         if job.spec.kind == JobKind::Service {
             let max_fetch_s =
                 ctx.config.heartbeat_interval_ms as f64 / 1000.0 * MAX_FETCH_HEARTBEATS;
-            let slow = slow_hosts(hosts, &pending, max_fetch_s);
+            let slow = slow_fetch_hosts(hosts, &pending, max_fetch_s);
             pending.excluded_machines.extend(slow);
         }
         pending
             .excluded_machines
-            .extend(context.wasteful_targets(hosts, source_price));
+            .extend(context.underused_costlier_hosts(hosts, source_price));
         let weights = ctx.config.operator.weights;
         let unlimited = &mut [Quota::default()];
         let placements = run_round(
@@ -91,7 +91,7 @@
             unlimited,
             &weights,
         );
-        Some(Booking {
+        Some(TentativePlacement {
             host: placements.first()?.machine,
             resources: job.task,
         })
@@ -117,11 +117,11 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            if !may_move(job, task.index) {
+            if !is_movable_replica(job, task.index) {
                 continue;
             }
-            let booking = self.book_elsewhere(ctx, &task, hosts, price, context);
-            if booking.is_some() {
+            let placement = self.place_elsewhere(ctx, &task, hosts, price, context);
+            if placement.is_some() {
                 self.stop_task(&task);
                 return true;
             }
@@ -132,18 +132,22 @@
 
 impl MoveContext {
     /// Costlier hosts that should rather be drained themselves.
-    fn wasteful_targets(&self, hosts: &[MachineSnapshot], source_price: f64) -> Vec<usize> {
-        let is_wasteful = |(index, host): &(usize, &MachineSnapshot)| {
+    fn underused_costlier_hosts(&self, hosts: &[MachineSnapshot], source_price: f64) -> Vec<usize> {
+        let is_underused = |(index, host): &(usize, &MachineSnapshot)| {
             host.price_per_s > source_price * COSTLIER_FACTOR
                 && self.value_ratios[*index] < MIN_TARGET_VALUE_RATIO
         };
-        let wasteful = hosts.iter().enumerate().filter(is_wasteful);
-        wasteful.map(|(index, _)| index).collect()
+        let underused = hosts.iter().enumerate().filter(is_underused);
+        underused.map(|(index, _)| index).collect()
     }
 }
 
 /// Hosts that don't have an image and would take longer to fetch it.
-fn slow_hosts(hosts: &[MachineSnapshot], pending: &PendingTasks, max_fetch_s: f64) -> Vec<usize> {
+fn slow_fetch_hosts(
+    hosts: &[MachineSnapshot],
+    pending: &PendingTasks,
+    max_fetch_s: f64,
+) -> Vec<usize> {
     let is_slow = |(_, host): &(usize, &MachineSnapshot)| {
         !host.images.contains(&pending.image)
             && pending.image_gb > max_fetch_s * host.fetch_gb_per_s
@@ -153,7 +157,7 @@
 }
 
 /// Whether a task is a running replica of a service that has all of its replicas.
-fn may_move(job: &Job, index: u32) -> bool {
+fn is_movable_replica(job: &Job, index: u32) -> bool {
     let binding = job.bound.get(&index);
     let is_running = binding.is_some_and(|b| b.stage == Some(TaskStage::Running));
     let is_complete = job.bound.len() as u32 == job.spec.tasks;
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -76,7 +76,7 @@
         machine.apply_heartbeat(ctx, heartbeat);
         self.apply_listed_tasks(ctx, heartbeat);
         ctx.work_units += 1 + heartbeat.tasks.len() as u64;
-        self.recheck.mark_due(&heartbeat.machine);
+        self.machines_to_reconcile.mark_due(&heartbeat.machine);
         true
     }
 
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -151,7 +151,7 @@
         for failed_on in job.failures.machines() {
             if let Some(machine) = self.machines.get_mut(&failed_on) {
                 machine.failures.note_runs_elsewhere(job_id);
-                self.recheck.mark_due(&failed_on);
+                self.machines_to_reconcile.mark_due(&failed_on);
             }
         }
         job.failures.ran_well(began);
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -93,7 +93,7 @@
     let mut f = Fixture::new();
     let machine = f.machine.clone();
     let record: MachineRecord = f.node.view.machines[&machine].record.clone();
-    let first = f.shard().epoch << crate::shard::TOKEN_BITS;
+    let first = f.shard().epoch << crate::shard::TOKEN_COUNTER_BITS;
     for (floor, expected) in [
         (0, first),
         (first - 1, first),
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -13,7 +13,7 @@
 use crate::io::RequestId;
 use crate::shard::failure_attribution::{well_after, JobFailures};
 use crate::shard::layout::Layout;
-use crate::shard::ranges::Ranges;
+use crate::shard::ranges::RangeSet;
 use crate::Ms;
 use forkshift_sched::Resources;
 use forkshift_wire::users::{JobKind, JobSpec, JobStage, JobStatus, Priority};
@@ -44,7 +44,7 @@
     /// Write state of its blocks; block 0 is part of the head.
     pub(crate) blocks: BTreeMap<u32, Block>,
     /// Completed tasks.
-    pub(crate) done: Ranges,
+    pub(crate) done: RangeSet,
     /// Tasks that may be on a machine, by index.
     pub(crate) bound: BTreeMap<u32, Binding>,
     /// Whether the job was cancelled.
@@ -103,7 +103,7 @@
             old_blocks: Vec::new(),
             version: 0,
             blocks: BTreeMap::from([(0, head)]),
-            done: Ranges::default(),
+            done: RangeSet::default(),
             bound: BTreeMap::new(),
             is_cancelled: false,
             cancelled_at_wall_ms: 0,
@@ -177,7 +177,7 @@
         if self.is_cancelled {
             return Vec::new();
         }
-        let missing = self.done.missing(self.spec.tasks);
+        let missing = self.done.missing_below(self.spec.tasks);
         missing
             .filter(|index| !self.bound.contains_key(index))
             .take(max_tasks)
--- a/crates/core/src/shard/job/blocks.rs
+++ b/crates/core/src/shard/job/blocks.rs
@@ -119,7 +119,7 @@
                 .blocks
                 .get(&block)
                 .map_or(0, |state| state.next_attempt),
-            done: self.done.within(from, to),
+            done: self.done.ranges_within(from, to),
             bound: bound
                 .map(|(index, binding)| (*index, binding.attempt, binding.machine.clone()))
                 .collect(),
--- a/crates/core/src/shard/job_writes.rs
+++ b/crates/core/src/shard/job_writes.rs
@@ -126,7 +126,7 @@
             return;
         };
         let mut transaction = Transaction {
-            preconditions: vec![self.held_precondition()],
+            preconditions: vec![self.fencing_precondition()],
             writes: Vec::new(),
         };
         let mut jobs = Vec::new();
--- a/crates/core/src/shard/job_writes/responses.rs
+++ b/crates/core/src/shard/job_writes/responses.rs
@@ -187,7 +187,7 @@
         // Tasks whose binding is recorded may be started now.
         let bindings = job.bound.values();
         for binding in bindings.filter(|b| b.start == StartState::NotSent) {
-            self.recheck.mark_due(&binding.machine);
+            self.machines_to_reconcile.mark_due(&binding.machine);
         }
         let stage = job.final_stage();
         if write.is_final || write.records_cancellation {
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -172,7 +172,7 @@
 fn tasks_of(f: &mut Fixture, id: &JobId) -> Tasks {
     let job = &f.shard().jobs[id];
     let bound = job.bound.iter().map(|(i, b)| (*i, b.attempt)).collect();
-    (job.done.within(0, job.spec.tasks), bound)
+    (job.done.ranges_within(0, job.spec.tasks), bound)
 }
 
 /// Answers every transaction that is sent until none is left; after each, the
--- a/crates/core/src/shard/jobs_watch.rs
+++ b/crates/core/src/shard/jobs_watch.rs
@@ -124,7 +124,7 @@
                 let from = last.key.clone();
                 self.list_jobs(ctx, &from);
             }
-            _ => self.recovery_state = RecoveryState::Waiting(page.revision),
+            _ => self.recovery_state = RecoveryState::AwaitingView(page.revision),
         }
     }
 
--- a/crates/core/src/shard/machine_costs.rs
+++ b/crates/core/src/shard/machine_costs.rs
@@ -69,7 +69,9 @@
         } else if machine.tasks.is_empty() {
             costs.empty += price;
         } else {
-            let running = self.running_on(machine).dominant_share(&machine.total);
+            let running = self
+                .running_resources(machine)
+                .dominant_share(&machine.total);
             let bound = machine.used.dominant_share(&machine.total);
             costs.running += price * running;
             costs.starting += price * (bound - running).max(0.0);
@@ -77,7 +79,7 @@
     }
 
     /// What the running tasks on a machine use.
-    fn running_on(&self, machine: &Machine) -> Resources {
+    fn running_resources(&self, machine: &Machine) -> Resources {
         let resources = |task: &TaskRef| {
             let (job, binding) = self.binding(task)?;
             binding.running_since.map(|_| job.task)
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -75,7 +75,7 @@
             self.remove_machine(ctx, id);
             return;
         };
-        self.recheck.mark_due(id);
+        self.machines_to_reconcile.mark_due(id);
         if let Some(machine) = self.machines.get_mut(id) {
             machine.follow_record(versioned);
             return;
@@ -101,7 +101,7 @@
         }
         self.unbind_all(ctx, id);
         self.machines.remove(id);
-        self.recheck.remove(id);
+        self.machines_to_reconcile.remove(id);
     }
 
     /// Notes by which route a machine's heartbeat has come.
@@ -241,7 +241,7 @@
         let key = machine_key(id);
         let mut transaction = Transaction {
             preconditions: vec![
-                self.held_precondition(),
+                self.fencing_precondition(),
                 Precondition {
                     key: key.clone(),
                     version: versioned.version,
@@ -271,7 +271,7 @@
                 machine.tasks.len()
             );
             machine.decommission_reason = Some(reason.to_owned());
-            self.recheck.mark_due(id);
+            self.machines_to_reconcile.mark_due(id);
         }
     }
 
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -19,9 +19,9 @@
 
 /// Heartbeats between two preemptions: victims must be seen to have exited, and their
 /// room be used, before more is stopped.
-const PAUSE_HEARTBEATS: u64 = 2;
+const MIN_INTERVAL_HEARTBEATS: u64 = 2;
 /// The part of a boot that an urgent service waits first.
-const URGENT_WAIT_BOOTS: f64 = 0.25;
+const HIGH_PRIORITY_WAIT_BOOTS: f64 = 0.25;
 
 /// A machine on which tasks may be stopped.
 struct PreemptionCandidate<'a> {
@@ -96,16 +96,19 @@
         usable: &[MachineId],
         quotas: &[Quota],
     ) {
-        if ctx.now < self.last_preemption_at + ctx.config.heartbeat_interval_ms * PAUSE_HEARTBEATS {
+        if ctx.now
+            < self.last_preemption_at + ctx.config.heartbeat_interval_ms * MIN_INTERVAL_HEARTBEATS
+        {
             return;
         }
         let _span = tracing::debug_span!("preempt").entered();
-        let urgent_wait_ms = (self.boot_ms() as f64 * URGENT_WAIT_BOOTS).ceil() as Ms;
+        let high_priority_wait_ms =
+            (self.max_boot_ms() as f64 * HIGH_PRIORITY_WAIT_BOOTS).ceil() as Ms;
         let may_preempt = |(id, tasks): &(&JobId, &PendingTasks)| {
             !tasks.waiting.is_empty()
                 && !tasks.is_gang
                 && quotas[tasks.team].allows(&tasks.task_resources)
-                && self.has_preempting_priority(ctx, id, urgent_wait_ms)
+                && self.has_preempting_priority(ctx, id, high_priority_wait_ms)
         };
         let mut preempting = pending.iter().filter(may_preempt).peekable();
         if preempting.peek().is_none() {
@@ -125,10 +128,15 @@
     }
 
     /// Whether a job's priority lets it preempt now: an urgent one waits for so long first.
-    fn has_preempting_priority(&self, ctx: &Context, id: &JobId, urgent_wait_ms: Ms) -> bool {
+    fn has_preempting_priority(
+        &self,
+        ctx: &Context,
+        id: &JobId,
+        high_priority_wait_ms: Ms,
+    ) -> bool {
         self.jobs.get(id).is_some_and(|job| match job.priority() {
             Priority::Production => true,
-            Priority::High => job.age(ctx.now) >= urgent_wait_ms,
+            Priority::High => job.age(ctx.now) >= high_priority_wait_ms,
             _ => false,
         })
     }
@@ -146,13 +154,13 @@
         let mut zones: Vec<u16> = candidates.iter().map(|c| c.machine.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        let mut without_victims = HashSet::new();
+        let mut infeasible_requirements = HashSet::new();
         for (id, tasks) in preempting {
             let requirement = PlacementRequirement::new(tasks, &zones);
-            let is_known = requirement
+            let is_known_infeasible = requirement
                 .as_ref()
-                .is_some_and(|r| without_victims.contains(r));
-            if is_known {
+                .is_some_and(|r| infeasible_requirements.contains(r));
+            if is_known_infeasible {
                 continue;
             }
             let plans = candidates.iter().filter_map(|c| c.plan_for(tasks));
@@ -163,7 +171,7 @@
                     victims: victims.collect(),
                 });
             }
-            without_victims.extend(requirement);
+            infeasible_requirements.extend(requirement);
         }
         None
     }
--- a/crates/core/src/shard/preemption/tests.rs
+++ b/crates/core/src/shard/preemption/tests.rs
@@ -10,7 +10,7 @@
 /// CPUs of a task that runs; the fixture's machine has 96.
 const RUNNING_CPUS: f64 = 12.0;
 
-fn add(fixture: &mut Fixture, id: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
+fn add_job(fixture: &mut Fixture, id: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
     let id = JobId::new(id);
     let team = team_of(fixture);
     let mut spec = spec(&id, &team, JobKind::Array, 8);
@@ -27,7 +27,7 @@
 /// for a shorter time.
 fn full_machine(priority: Priority) -> (Fixture, JobId) {
     let mut fixture = Fixture::new();
-    let job = add(&mut fixture, "j-1", |s| s.priority = priority);
+    let job = add_job(&mut fixture, "j-1", |s| s.priority = priority);
     let token = fixture.token();
     for index in 0..8 {
         fixture.bind(
@@ -51,7 +51,7 @@
 /// Victims for one waiting replica are as few as make room, those that ran for the
 /// shortest, and only of low or normal priority.
 #[test]
-fn as_few_tasks_as_make_room_are_preempted() {
+fn preemption_stops_the_shortest_running_tasks_until_the_pending_task_fits() {
     // Priority of the running and of the waiting job, CPUs of one replica, victims.
     let cases: [(Priority, Priority, f64, &[u32]); 6] = [
         (Priority::Low, Priority::Production, 10.0, &[7]),
@@ -63,7 +63,7 @@
     ];
     for (runs, waits, cpus, expected) in cases {
         let (mut fixture, job) = full_machine(runs);
-        add(&mut fixture, "j-2", |s| {
+        add_job(&mut fixture, "j-2", |s| {
             s.kind = JobKind::Service;
             s.priority = waits;
             s.cpus = cpus;
@@ -81,10 +81,10 @@
 /// Candidates are computed once for all waiting jobs, not once for each: thousands of
 /// replicas would take most of their controller's processor time.
 #[test]
-fn many_jobs_with_the_same_requirement_preempt_one_task() {
+fn preemption_skips_many_unplaceable_jobs_and_frees_capacity_for_one() {
     let (mut fixture, job) = full_machine(Priority::Low);
     for n in 0..2_000 {
-        add(&mut fixture, &format!("j-{}", 10 + n), |s| {
+        add_job(&mut fixture, &format!("j-{}", 10 + n), |s| {
             s.kind = JobKind::Service;
             s.priority = Priority::Production;
             s.cpus = if n < 1_999 { 97.0 } else { 10.0 };
--- a/crates/core/src/shard/ranges.rs
+++ b/crates/core/src/shard/ranges.rs
@@ -4,14 +4,14 @@
 
 /// A set of numbers that is mostly made of long runs.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ranges {
+pub(crate) struct RangeSet {
     /// Start of each run, and its exclusive end.
     runs: BTreeMap<u32, u32>,
     /// How many numbers are in the set.
     len: u32,
 }
 
-impl Ranges {
+impl RangeSet {
     /// Adds numbers from `from` up to, not including, `to`.
     pub(crate) fn insert_range(&mut self, from: u32, to: u32) {
         for number in from..to {
@@ -51,7 +51,7 @@
     }
 
     /// The runs within `from..to`, as starts and exclusive ends.
-    pub(crate) fn within(&self, from: u32, to: u32) -> Vec<(u32, u32)> {
+    pub(crate) fn ranges_within(&self, from: u32, to: u32) -> Vec<(u32, u32)> {
         self.runs
             .iter()
             .map(|(&start, &end)| (start.max(from), end.min(to)))
@@ -61,7 +61,7 @@
 
     /// The numbers below `to` that are not in the set, without the runs
     /// being walked one number at a time.
-    pub(crate) fn missing(&self, to: u32) -> impl Iterator<Item = u32> + '_ {
+    pub(crate) fn missing_below(&self, to: u32) -> impl Iterator<Item = u32> + '_ {
         let ends = std::iter::once(0).chain(self.runs.values().copied());
         let starts = self.runs.keys().copied().chain(std::iter::once(to));
         ends.zip(starts)
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -88,9 +88,9 @@
             return false;
         };
         quotas[pending.team].used += need;
-        for place in plan.places {
-            let candidate = &mut candidates[place.candidate];
-            for victim in candidate.victims.drain(..place.victims) {
+        for placement in plan.placements {
+            let candidate = &mut candidates[placement.candidate];
+            for victim in candidate.victims.drain(..placement.victims) {
                 candidate.free += victim.resources;
                 log::info!(
                     "task {}: stopped, resources reclaimed from borrower",
@@ -122,7 +122,7 @@
                 victims.push(Victim {
                     task: task.clone(),
                     resources: job.task,
-                    lost_ms: lost_run_time(ctx, job, binding),
+                    lost_ms: lost_run_time_ms(ctx, job, binding),
                 });
             }
         }
@@ -162,7 +162,7 @@
 
 /// Run time that a task loses if it is stopped now: all of it, or at most the interval
 /// between its checkpoints.
-fn lost_run_time(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
+fn lost_run_time_ms(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
     let run_time = ctx.now - binding.running_since.unwrap_or(ctx.now).min(ctx.now);
     let checkpoint_interval = crate::ms(job.spec.checkpoint_interval_s);
     if checkpoint_interval > 0 {
--- a/crates/core/src/shard/reclaim/borrowers.rs
+++ b/crates/core/src/shard/reclaim/borrowers.rs
@@ -12,17 +12,17 @@
 
 /// A borrower's job is content with unused machines for this part of the time in which
 /// its class should finish. With a quarter, a huge array of short tasks came too late.
-const PATIENT_OBJECTIVE_PART: f64 = 0.1;
+const IDLE_ONLY_OBJECTIVE_FRACTION: f64 = 0.1;
 /// The same, as a part of the job's own deadline.
-const PATIENT_DEADLINE_PART: f64 = 0.5;
+const IDLE_ONLY_DEADLINE_FRACTION: f64 = 0.5;
 
 /// A job of which no task has started is content for no more than this many boots.
-const PATIENT_START_BOOTS: f64 = 2.0;
+const IDLE_ONLY_START_BOOTS: f64 = 2.0;
 
 /// One in so many machines of a shard is drained of borrowed work in a round.
-const DRAINED_PART: usize = 64;
+const DRAINED_MACHINES_DIVISOR: usize = 64;
 /// At least this many are.
-const MIN_DRAINED: usize = 4;
+const MIN_DRAINED_MACHINES: usize = 4;
 
 impl Shard {
     /// Whether a team without a guarantee uses anything.
@@ -48,9 +48,9 @@
 
     /// Whether a job is borrowed work, and whether it is content with unused machines,
     /// where machines take `boot_ms` to boot.
-    pub(crate) fn standing_of(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> CapacityClass {
+    pub(crate) fn capacity_class_of(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> CapacityClass {
         match self.is_borrowed_work(ctx, job) {
-            true if is_patient(ctx, job, boot_ms) => CapacityClass::PatientBorrower,
+            true if uses_idle_capacity_only(ctx, job, boot_ms) => CapacityClass::PatientBorrower,
             true => CapacityClass::Borrower,
             false => CapacityClass::Ordinary,
         }
@@ -60,7 +60,7 @@
     /// once, so no machine would ever be released otherwise. `hosts` shows what is free on
     /// the usable machines once all other work and the spare places are booked, with
     /// borrowed work counted as stopped.
-    pub(crate) fn drain_borrowers(
+    pub(crate) fn drain_machines_with_only_borrowed_work(
         &mut self,
         ctx: &Context,
         usable: &[MachineId],
@@ -69,15 +69,19 @@
         if !self.has_borrowers() {
             return;
         }
-        let boot_ms = self.boot_ms();
-        let max_drained = part_of_machines(self.machines.len(), DRAINED_PART, MIN_DRAINED);
+        let boot_ms = self.max_boot_ms();
+        let max_drained = part_of_machines(
+            self.machines.len(),
+            DRAINED_MACHINES_DIVISOR,
+            MIN_DRAINED_MACHINES,
+        );
         let unneeded = usable
             .iter()
             .zip(hosts)
             .filter(|(_, host)| host.free == host.total);
         let drained: Vec<MachineId> = unneeded
             .filter_map(|(id, _)| self.machines.get(id))
-            .filter(|machine| self.is_kept_by_borrowers(ctx, machine, boot_ms))
+            .filter(|machine| self.runs_only_idle_capacity_work(ctx, machine, boot_ms))
             .map(|machine| machine.id.clone())
             .take(max_drained)
             .collect();
@@ -100,31 +104,31 @@
 
     /// Whether a machine is on-demand and runs nothing but work that is content with
     /// unused machines.
-    fn is_kept_by_borrowers(&self, ctx: &Context, machine: &Machine, boot_ms: Ms) -> bool {
-        let is_patient_borrower = |task: &TaskRef| {
+    fn runs_only_idle_capacity_work(&self, ctx: &Context, machine: &Machine, boot_ms: Ms) -> bool {
+        let is_idle_capacity_work = |task: &TaskRef| {
             let found = self.binding(task);
             found.is_some_and(|(job, binding)| {
-                self.is_reclaimable(ctx, job, binding) && is_patient(ctx, job, boot_ms)
+                self.is_reclaimable(ctx, job, binding) && uses_idle_capacity_only(ctx, job, boot_ms)
             })
         };
         !machine.is_spot
             && !machine.tasks.is_empty()
-            && machine.tasks.iter().all(is_patient_borrower)
+            && machine.tasks.iter().all(is_idle_capacity_work)
     }
 }
 
 /// Whether a borrower's job is content with what others leave unused, so that no
 /// on-demand machine is provisioned for it: it has begun, or came lately, and there is
 /// time until it should be complete.
-fn is_patient(ctx: &Context, job: &Job, boot_ms: Ms) -> bool {
+fn uses_idle_capacity_only(ctx: &Context, job: &Job, boot_ms: Ms) -> bool {
     let spec = &job.spec;
     let objective_s = ctx.config.completion_objectives.get(&spec.class);
-    let by_objective = objective_s.map(|s| s * PATIENT_OBJECTIVE_PART);
-    let by_deadline = spec.deadline_s.map(|s| s * PATIENT_DEADLINE_PART);
-    let ends = by_objective.into_iter().chain(by_deadline);
-    let patience_s = ends.fold(f64::INFINITY, f64::min);
+    let objective_limit_s = objective_s.map(|s| s * IDLE_ONLY_OBJECTIVE_FRACTION);
+    let deadline_limit_s = spec.deadline_s.map(|s| s * IDLE_ONLY_DEADLINE_FRACTION);
+    let limits_s = objective_limit_s.into_iter().chain(deadline_limit_s);
+    let idle_only_until_age_s = limits_s.fold(f64::INFINITY, f64::min);
     let age_s = job.age(ctx.now) as f64 / 1000.0;
-    let has_begun = !job.bound.is_empty() || job.done.len() > 0;
-    let start_patience_s = boot_ms as f64 / 1000.0 * PATIENT_START_BOOTS;
-    age_s < patience_s && (has_begun || age_s < start_patience_s)
+    let has_started = !job.bound.is_empty() || job.done.len() > 0;
+    let idle_only_start_s = boot_ms as f64 / 1000.0 * IDLE_ONLY_START_BOOTS;
+    age_s < idle_only_until_age_s && (has_started || age_s < idle_only_start_s)
 }
--- a/crates/core/src/shard/reclaim/offers.rs
+++ b/crates/core/src/shard/reclaim/offers.rs
@@ -4,7 +4,7 @@
 use crate::bounds::part_of_machines;
 use crate::context::Context;
 use crate::shard::machine::Machine;
-use crate::shard::reclaim::lost_run_time;
+use crate::shard::reclaim::lost_run_time_ms;
 use crate::shard::scheduling::is_usable;
 use crate::shard::Shard;
 use crate::Ms;
@@ -12,9 +12,9 @@
 use std::collections::BTreeSet;
 
 /// One in so many machines of a shard is offered to others at a time.
-const OFFERED_PART: usize = 16;
+const OFFERED_MACHINES_DIVISOR: usize = 16;
 /// At least this many are.
-const MIN_OFFERED: usize = 16;
+const MIN_OFFERED_MACHINES: usize = 16;
 
 impl Shard {
     /// Machines on which nothing but borrowed work runs, those first that lose the least
@@ -29,21 +29,25 @@
         }
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
         let mut offered: Vec<(Ms, &MachineId)> = machines
-            .filter_map(|m| Some((self.lost_by_vacating(ctx, m)?, &m.id)))
+            .filter_map(|m| Some((self.run_time_lost_by_vacating_ms(ctx, m)?, &m.id)))
             .collect();
         offered.sort();
-        let max_offered = part_of_machines(self.machines.len(), OFFERED_PART, MIN_OFFERED);
+        let max_offered = part_of_machines(
+            self.machines.len(),
+            OFFERED_MACHINES_DIVISOR,
+            MIN_OFFERED_MACHINES,
+        );
         offered.truncate(max_offered);
         offered.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
     /// Run time that is lost if all tasks of a machine are stopped; none if one of them
     /// must not be stopped, or there are none.
-    fn lost_by_vacating(&self, ctx: &Context, machine: &Machine) -> Option<Ms> {
+    fn run_time_lost_by_vacating_ms(&self, ctx: &Context, machine: &Machine) -> Option<Ms> {
         if machine.tasks.is_empty() || !machine.orphans.is_empty() {
             return None;
         }
-        let mut lost = 0;
+        let mut lost_ms = 0;
         for task in &machine.tasks {
             let (job, binding) = self.binding(task)?;
             if binding.stop.is_some() {
@@ -52,9 +56,9 @@
             if !self.is_reclaimable(ctx, job, binding) {
                 return None;
             }
-            lost += lost_run_time(ctx, job, binding);
+            lost_ms += lost_run_time_ms(ctx, job, binding);
         }
-        Some(lost)
+        Some(lost_ms)
     }
 
     /// Stops the borrowed work on a machine that another shard has requested. Returns
@@ -65,7 +69,7 @@
         };
         let is_offered = machine.decommission_reason.is_none()
             && (machine.is_vacating || is_usable(machine, ctx));
-        if !is_offered || self.lost_by_vacating(ctx, machine).is_none() {
+        if !is_offered || self.run_time_lost_by_vacating_ms(ctx, machine).is_none() {
             return false;
         }
         let is_running =
--- a/crates/core/src/shard/reclaim/plan.rs
+++ b/crates/core/src/shard/reclaim/plan.rs
@@ -20,7 +20,7 @@
 impl ReclaimCandidate {
     /// A place for one task with as few victims as make room for it; none if it does not
     /// fit even if all are stopped. `candidate` is the index of this candidate.
-    fn place_for(&self, pending: &PendingTasks, candidate: usize) -> Option<PlannedPlace> {
+    fn placement_for(&self, pending: &PendingTasks, candidate: usize) -> Option<PlannedPlacement> {
         let mut free = self.free;
         let mut lost_ms = 0;
         let mut victims = 0;
@@ -35,7 +35,7 @@
         pending
             .task_resources
             .fits_in(&free)
-            .then_some(PlannedPlace {
+            .then_some(PlannedPlacement {
                 lost_ms,
                 candidate,
                 victims,
@@ -45,7 +45,7 @@
 
 /// A place for one task. Places are ordered by the run time that is lost.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct PlannedPlace {
+pub(super) struct PlannedPlacement {
     /// Run time that is lost.
     lost_ms: Ms,
     /// Index of the candidate.
@@ -56,12 +56,12 @@
 
 /// The places for all tasks of one request.
 pub(super) struct ReclaimPlan {
-    pub(super) places: Vec<PlannedPlace>,
+    pub(super) placements: Vec<PlannedPlacement>,
 }
 
 impl ReclaimPlan {
     fn lost_ms(&self) -> Ms {
-        self.places.iter().map(|place| place.lost_ms).sum()
+        self.placements.iter().map(|place| place.lost_ms).sum()
     }
 }
 
@@ -93,13 +93,13 @@
         zone.is_none_or(|z| z == c.zone) && pending.allows_machine(c.machine_type, c.zone, c.spot)
     };
     let allowed = candidates.iter().enumerate().filter(|(_, c)| is_allowed(c));
-    let mut places: Vec<PlannedPlace> = allowed
-        .filter_map(|(index, candidate)| candidate.place_for(pending, index))
+    let mut placements: Vec<PlannedPlacement> = allowed
+        .filter_map(|(index, candidate)| candidate.placement_for(pending, index))
         .collect();
-    places.sort_unstable();
-    if places.len() < count {
+    placements.sort_unstable();
+    if placements.len() < count {
         return None;
     }
-    places.truncate(count);
-    Some(ReclaimPlan { places })
+    placements.truncate(count);
+    Some(ReclaimPlan { placements })
 }
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -22,7 +22,12 @@
 const OWNER_CPUS: f64 = 30.0;
 
 /// Adds a job, described as a change of an ordinary one.
-fn add(fixture: &mut Fixture, id: &str, team: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
+fn add_job(
+    fixture: &mut Fixture,
+    id: &str,
+    team: &str,
+    change: impl FnOnce(&mut JobSpec),
+) -> JobId {
     let id = JobId::new(id);
     let mut spec = spec(&id, team, JobKind::Array, 8);
     change(&mut spec);
@@ -35,14 +40,14 @@
 
 /// A shard with a team without any guarantee, whose tasks fill the machine, a
 /// spot one. Those with a higher index have run for a shorter time.
-fn with_borrower(priority: Priority) -> (Fixture, JobId) {
+fn machine_full_of_borrowed_tasks(priority: Priority) -> (Fixture, JobId) {
     let mut fixture = Fixture::new();
     set_spot(&mut fixture, true);
     Rc::make_mut(&mut fixture.node.ctx.config).has_borrowers = true;
     let index = fixture.shard().quotas.len();
     fixture.shard().teams.insert(BORROWER.to_owned(), index);
     fixture.shard().quotas.push(Quota::default());
-    let borrower = add(&mut fixture, "j-1", BORROWER, |s| {
+    let borrower = add_job(&mut fixture, "j-1", BORROWER, |s| {
         s.cpus = BORROWER_CPUS;
         s.priority = priority;
     });
@@ -129,11 +134,11 @@
 /// Queued work of a team without a guarantee must not keep jobs of all other teams
 /// waiting.
 #[test]
-fn borrowed_work_gives_way_to_what_may_reclaim_its_resources() {
+fn pending_tasks_that_may_reclaim_stop_borrowed_tasks() {
     for case in RECLAIM_CASES {
-        let (mut fixture, borrower) = with_borrower(case.borrower);
+        let (mut fixture, borrower) = machine_full_of_borrowed_tasks(case.borrower);
         let owner = owner_team(&mut fixture);
-        add(&mut fixture, "j-2", &owner, |s| {
+        add_job(&mut fixture, "j-2", &owner, |s| {
             s.cpus = OWNER_CPUS;
             s.allow_spot = true;
             (case.owner)(s);
@@ -207,13 +212,13 @@
 /// Borrowers fill what becomes free at once, so a machine that they use would never be
 /// released once its own work has ended.
 #[test]
-fn on_demand_machines_that_only_patient_borrowers_use_are_drained() {
+fn on_demand_machines_with_only_idle_capacity_work_are_drained() {
     for case in DRAIN_CASES {
-        let (mut fixture, borrower) = with_borrower(Priority::Low);
+        let (mut fixture, borrower) = machine_full_of_borrowed_tasks(Priority::Low);
         set_spot(&mut fixture, case.spot);
         fixture.node.ctx.now += 10_000;
         let token = fixture.token();
-        fixture.heartbeat(1, token, &in_stage(&borrower, TaskStage::Running));
+        fixture.heartbeat(1, token, &all_tasks_in_stage(&borrower, TaskStage::Running));
         if let Some(job) = fixture.shard().jobs.get_mut(&borrower) {
             let mut spec = (*job.spec).clone();
             spec.deadline_s = case.deadline_s;
@@ -238,7 +243,7 @@
 /// Binds a task of another team to the machine.
 fn bind_owner_task(fixture: &mut Fixture) {
     let owner = owner_team(fixture);
-    let id = add(fixture, "j-2", &owner, |s| s.tasks = 1);
+    let id = add_job(fixture, "j-2", &owner, |s| s.tasks = 1);
     let token = fixture.token();
     fixture.bind(
         &id,
@@ -257,16 +262,16 @@
 }
 
 /// All tasks of a borrower's job, in one stage.
-fn in_stage(job: &JobId, stage: TaskStage) -> Vec<(&JobId, u32, TaskStage)> {
+fn all_tasks_in_stage(job: &JobId, stage: TaskStage) -> Vec<(&JobId, u32, TaskStage)> {
     (0..8).map(|index| (job, index, stage)).collect()
 }
 
 /// A machine is transferred to another shard that reclaims it only if nothing but borrowed
 /// work is there; until that has exited the machine stays with its shard.
 #[test]
-fn a_machine_with_nothing_but_borrowed_work_is_vacated_on_request() {
+fn a_machine_with_only_borrowed_work_is_vacated_on_request() {
     for (with_owner, is_vacated) in [(false, true), (true, false)] {
-        let (mut fixture, borrower) = with_borrower(Priority::Low);
+        let (mut fixture, borrower) = machine_full_of_borrowed_tasks(Priority::Low);
         let machine = fixture.machine.clone();
         if with_owner {
             bind_owner_task(&mut fixture);
@@ -293,14 +298,14 @@
         );
         assert_eq!(fixture.shard().machines[&machine].is_vacating, is_vacated);
         // Transferred only once empty; a request that is declined is withdrawn.
-        let written = machine_puts(&effects, &machine);
+        let written = written_machine_records(&effects, &machine);
         assert!(written.iter().all(|r| r.shard == shard_id));
         let is_withdrawn = written.iter().any(|r| r.reassign_to.is_none());
         assert_eq!(is_withdrawn, !is_vacated);
 
         if is_vacated {
             let token = fixture.token();
-            fixture.heartbeat(1, token, &in_stage(&borrower, TaskStage::Exited));
+            fixture.heartbeat(1, token, &all_tasks_in_stage(&borrower, TaskStage::Exited));
             for _ in 0..5 {
                 fixture.step(100);
             }
@@ -310,7 +315,7 @@
 }
 
 /// The values that are written to a machine's record.
-fn machine_puts(effects: &[Effect], id: &MachineId) -> Vec<MachineRecord> {
+fn written_machine_records(effects: &[Effect], id: &MachineId) -> Vec<MachineRecord> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { body, .. } => body.as_deref(),
         _ => None,
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -28,7 +28,7 @@
         self.enforce_cancellations(ctx);
         self.run_scheduling_round(ctx, view);
         self.sync_pool_records(ctx);
-        for id in self.recheck.take_due(ctx.now) {
+        for id in self.machines_to_reconcile.take_due(ctx.now) {
             self.reconcile_machine(ctx, view, &id);
         }
         let writes_progress = ctx.now >= self.progress_writes.next_at;
@@ -90,7 +90,7 @@
         } else {
             ctx.now + ctx.config.lease_ms
         };
-        self.recheck
+        self.machines_to_reconcile
             .set_deadline(id, next_check.min(deadline).max(ctx.now + 1));
     }
 
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -6,7 +6,9 @@
 mod pending_tasks;
 mod quarantine;
 
-pub(crate) use pending_tasks::{pending_tasks_of, type_numbers, PendingJobs, RECLAIM_ROUNDS};
+pub(crate) use pending_tasks::{
+    pending_tasks_of, type_numbers, PendingJobs, MACHINE_RECLAIM_DELAY_ROUNDS,
+};
 
 use crate::context::Context;
 use crate::shard::demand::RemainingCapacity;
@@ -34,7 +36,7 @@
         let usable = self.usable_machines(ctx);
         let mut hosts: Vec<MachineSnapshot> = usable
             .iter()
-            .map(|id| host_of(&self.machines[id]))
+            .map(|id| machine_snapshot(&self.machines[id]))
             .collect();
         self.reserve_members(ctx, &usable, &mut hosts);
         let mut pending = self.pending_jobs(ctx, &usable);
@@ -43,7 +45,7 @@
         let mut placements = run_round(&mut pending.tasks, &mut hosts, &mut quotas, &weights);
         self.note_pool_misses(ctx, &pending);
         placements.extend(self.reclaim_members(ctx, &mut pending, &mut hosts, &mut quotas));
-        self.note_lacking_room(ctx.now, &pending);
+        self.record_machine_shortages(ctx.now, &pending);
         self.bind_placements(ctx.now, &placements, &pending.ids, &usable);
         self.skip_recently_failing_jobs(ctx, &mut pending);
         self.preempt(ctx, &pending, &usable, &quotas);
@@ -91,7 +93,7 @@
     }
 
     /// Records since when jobs that waited long have lacked nothing but machines.
-    fn note_lacking_room(&mut self, now: Ms, pending: &PendingJobs) {
+    fn record_machine_shortages(&mut self, now: Ms, pending: &PendingJobs) {
         let lacking = pending.iter().filter(|(_, tasks)| tasks.lacks_machines);
         for (id, _) in lacking {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -101,7 +103,7 @@
     }
 
     /// The zone of every machine.
-    pub(crate) fn zones(&self) -> BTreeMap<MachineId, u16> {
+    pub(crate) fn machine_zones(&self) -> BTreeMap<MachineId, u16> {
         let machines = self.machines.values();
         machines.map(|m| (m.id.clone(), m.zone)).collect()
     }
@@ -139,7 +141,7 @@
 }
 
 /// A machine as a round sees it, with what is free now.
-pub(crate) fn host_of(machine: &Machine) -> MachineSnapshot {
+pub(crate) fn machine_snapshot(machine: &Machine) -> MachineSnapshot {
     MachineSnapshot {
         free: machine.free(),
         total: machine.total,
--- a/crates/core/src/shard/scheduling/pending_tasks.rs
+++ b/crates/core/src/shard/scheduling/pending_tasks.rs
@@ -12,11 +12,11 @@
 
 /// Jobs that waited for this many boots go before all others, so that large ones
 /// do not starve.
-const AGED_BOOTS: f64 = 2.0;
+const AGED_AFTER_BOOTS: f64 = 2.0;
 
 /// A job reclaims machines of other shards after it has waited for this many
 /// rounds: by then its own shard has no room for it.
-pub(crate) const RECLAIM_ROUNDS: f64 = 2.0;
+pub(crate) const MACHINE_RECLAIM_DELAY_ROUNDS: f64 = 2.0;
 
 /// Jobs that failed repeatedly go behind all others for this long: they may be well,
 /// and other jobs may never leave them room.
@@ -26,10 +26,10 @@
 const FAILING_JOB_BAND: i32 = -1;
 
 /// Added to the band of a job within its team's guarantee.
-const GUARANTEED_BAND: i32 = 4;
+const GUARANTEED_BAND_INCREASE: i32 = 4;
 
 /// Added to the band of a job that has waited long.
-const AGED_BAND: i32 = 8;
+const AGED_BAND_INCREASE: i32 = 8;
 
 /// The waiting tasks of a round, with the jobs that they belong to: both lists have the
 /// same length and order.
@@ -56,11 +56,11 @@
     /// The longest boot of the shard's machines.
     boot_ms: Ms,
     /// What services hold of each team's quota.
-    held_by_services: Vec<Resources>,
+    quota_used_by_services: Vec<Resources>,
     /// Hosts that have been in quarantine for less than a boot.
     newly_quarantined: Vec<usize>,
     /// Quarantined hosts that are not to be probed now.
-    not_probed: Vec<usize>,
+    unavailable_for_probe: Vec<usize>,
 }
 
 impl Shard {
@@ -84,23 +84,23 @@
         let is_quarantined = |host: &usize| self.is_quarantined(&usable[*host]);
         let quarantined: Vec<usize> = (0..usable.len()).filter(is_quarantined).collect();
         let is_new = |host: &&usize| self.is_newly_quarantined(ctx, &usable[**host]);
-        let may_probe = |host: &&usize| self.may_probe(ctx, &usable[**host]);
+        let may_start_probe = |host: &&usize| self.may_start_probe(ctx, &usable[**host]);
         RoundContext {
             usable,
-            zones: self.zones(),
-            boot_ms: self.boot_ms(),
-            held_by_services: self.held_by_services(),
+            zones: self.machine_zones(),
+            boot_ms: self.max_boot_ms(),
+            quota_used_by_services: self.quota_used_by_services(),
             newly_quarantined: quarantined.iter().filter(is_new).copied().collect(),
-            not_probed: quarantined
+            unavailable_for_probe: quarantined
                 .iter()
-                .filter(|host| !may_probe(host))
+                .filter(|host| !may_start_probe(host))
                 .copied()
                 .collect(),
         }
     }
 
     /// What services hold of each team's quota.
-    fn held_by_services(&self) -> Vec<Resources> {
+    fn quota_used_by_services(&self) -> Vec<Resources> {
         let mut held = vec![Resources::default(); self.quotas.len()];
         for job in self.jobs.values() {
             let team = self.teams.get(&job.spec.team);
@@ -124,27 +124,28 @@
         let waiting = waiting_tasks(ctx, job)?;
         let team = *self.teams.get(&job.spec.team)?;
         let mut pending = pending_tasks_of(ctx, job, team, &round.zones);
-        let is_probed = job.failures.is_limited_to_one_task();
-        if is_probed && job.is_trying(ctx.now, ctx.config.heartbeat_interval_ms) {
+        let is_limited_to_one_task = job.failures.is_limited_to_one_task();
+        if is_limited_to_one_task && job.is_trying(ctx.now, ctx.config.heartbeat_interval_ms) {
             return None;
         }
-        let is_deferred = is_probed && ctx.now < job.not_before + FAILING_JOB_DEFERRAL_MS;
+        let is_deferred =
+            is_limited_to_one_task && ctx.now < job.not_before + FAILING_JOB_DEFERRAL_MS;
         let is_aged = !is_deferred && is_aged(job, ctx.now, round.boot_ms);
-        let need = job.task.scaled_by(waiting.len() as i64);
-        let is_guaranteed = self.quotas[team].is_within_guarantee(&need);
+        let needed = job.task.scaled_by(waiting.len() as i64);
+        let is_guaranteed = self.quotas[team].is_within_guarantee(&needed);
         pending.reservation = match is_aged {
             true => self.reservation_of(ctx, job, team, waiting.len(), round),
             false => Reservation::None,
         };
         pending.priority_band = match is_deferred {
             true => FAILING_JOB_BAND,
-            false => band(job, is_guaranteed, is_aged),
+            false => priority_band(job, is_guaranteed, is_aged),
         };
-        pending.reclaim = match is_probed {
+        pending.reclaim = match is_limited_to_one_task {
             true => Reclaim::Nothing,
             false => reclaim_of(ctx, job, is_guaranteed),
         };
-        pending.capacity_class = self.standing_of(ctx, job, round.boot_ms);
+        pending.capacity_class = self.capacity_class_of(ctx, job, round.boot_ms);
         if is_aged {
             pending.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
         }
@@ -164,9 +165,9 @@
     ) -> Reservation {
         // Reserved quota must become free some day, and what services hold does not:
         // otherwise a whole team would wait for one job in vain.
-        let at_once = if job.is_gang() { waiting as i64 } else { 1 };
-        let need = round.held_by_services[team] + job.task.scaled_by(at_once);
-        match self.quotas[team].could_ever_allow(&need, 1) {
+        let simultaneous_tasks = if job.is_gang() { waiting as i64 } else { 1 };
+        let needed = round.quota_used_by_services[team] + job.task.scaled_by(simultaneous_tasks);
+        match self.quotas[team].could_ever_allow(&needed, 1) {
             true if job.may_keep_quota(ctx.now, round.boot_ms) => Reservation::CapacityAndQuota,
             true => Reservation::Capacity,
             false => Reservation::None,
@@ -193,8 +194,8 @@
         waiting.truncate(1);
     }
     // The tasks of a gang's last attempt must have exited first.
-    let has_old_attempt = is_gang && !job.bound.is_empty();
-    (!waiting.is_empty() && !has_old_attempt).then_some(waiting)
+    let has_bound_attempt = is_gang && !job.bound.is_empty();
+    (!waiting.is_empty() && !has_bound_attempt).then_some(waiting)
 }
 
 /// What of borrowed resources may be given back to a job.
@@ -205,9 +206,9 @@
     if !(from_borrowers || from_pools) {
         return Reclaim::Nothing;
     }
-    let is_late =
-        job.age(ctx.now) > crate::ms(ctx.config.operator.round_interval_s * RECLAIM_ROUNDS);
-    match is_late {
+    let may_reclaim_machines = job.age(ctx.now)
+        > crate::ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
+    match may_reclaim_machines {
         true => Reclaim::TasksAndMachines,
         false => Reclaim::Tasks,
     }
@@ -218,7 +219,7 @@
     let machines = job.failures.excluded_machines(ctx.now, round.boot_ms);
     let host_index = |machine: &MachineId| round.usable.iter().position(|u| u == machine);
     let mut hosts: BTreeSet<usize> = machines.filter_map(host_index).collect();
-    hosts.extend(&round.not_probed);
+    hosts.extend(&round.unavailable_for_probe);
     if job.is_gang() || job.failures.is_suspect() {
         hosts.extend(&round.newly_quarantined);
     }
@@ -280,22 +281,22 @@
     job.spec.kind != JobKind::Service
         && job.bound.is_empty()
         && boot_ms > 0
-        && job.waiting_for(now) as f64 > AGED_BOOTS * boot_ms as f64
+        && job.waiting_for(now) as f64 > AGED_AFTER_BOOTS * boot_ms as f64
 }
 
 /// The band of a job in a round: its priority, raised by a guarantee and by a long wait.
-fn band(job: &Job, is_guaranteed: bool, is_aged: bool) -> i32 {
-    let mut band = match job.priority() {
+fn priority_band(job: &Job, is_guaranteed: bool, is_aged: bool) -> i32 {
+    let mut priority_band = match job.priority() {
         Priority::Low => 0,
         Priority::Normal => 1,
         Priority::High => 2,
         Priority::Production => 3,
     };
     if is_guaranteed {
-        band += GUARANTEED_BAND;
+        priority_band += GUARANTEED_BAND_INCREASE;
     }
     if is_aged {
-        band += AGED_BAND;
+        priority_band += AGED_BAND_INCREASE;
     }
-    band
+    priority_band
 }
--- a/crates/core/src/shard/scheduling/quarantine.rs
+++ b/crates/core/src/shard/scheduling/quarantine.rs
@@ -10,7 +10,7 @@
 
 /// For this long after its back-off, a job that failed repeatedly waits for room on
 /// existing machines: none is provisioned for it.
-const FAILING_JOB_WAIT_MS: Ms = 60_000;
+const FAILING_JOB_NO_PROVISIONING_MS: Ms = 60_000;
 
 impl Shard {
     /// Whether a machine is in quarantine, as it may be faulty.
@@ -29,7 +29,7 @@
     }
 
     /// Whether a quarantined machine may be probed with one more task now.
-    pub(super) fn may_probe(&self, ctx: &Context, id: &MachineId) -> bool {
+    pub(super) fn may_start_probe(&self, ctx: &Context, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get(id) else {
             return false;
         };
@@ -58,7 +58,8 @@
 
     fn has_recently_failed(&self, ctx: &Context, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|job| {
-            job.failures.is_limited_to_one_task() && ctx.now < job.not_before + FAILING_JOB_WAIT_MS
+            job.failures.is_limited_to_one_task()
+                && ctx.now < job.not_before + FAILING_JOB_NO_PROVISIONING_MS
         })
     }
 
