--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -1,7 +1,8 @@
-//! A shard that this controller holds: its jobs and its machines.
+//! The in-memory state of one shard that this controller holds: the shard's teams, their
+//! unfinished jobs, and the machines that run them.
 //!
-//! [`Shard`] is the state in memory. The modules below act on it, each for one
-//! concern; [`Shard::reconcile`] runs them after every batch of messages.
+//! [`Shard`] is the state. Each module below implements one concern on it;
+//! [`Shard::reconcile`] runs them after every batch of messages.
 
 mod arrivals;
 mod bindings;
@@ -48,112 +49,117 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bits of a fencing token below the epoch: a counter of the tokens that were
-/// minted under that epoch.
+/// Number of low bits of a fencing token that count the tokens minted under one epoch.
+/// The bits above hold the epoch of the shard.
 pub(crate) const TOKEN_COUNTER_BITS: u32 = 24;
 
-/// The epoch of a shard's holding under which a fencing token was minted.
+/// The shard epoch under which a fencing token was minted.
 pub fn epoch_of_token(token: u64) -> u64 {
     token >> TOKEN_COUNTER_BITS
 }
 
-/// Recovery state of a shard after its holder changed.
+/// Progress of a shard's recovery after another controller held it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum RecoveryState {
-    /// The records of its jobs are being read.
+    /// The job records are being read from the key-value store.
     Loading,
-    /// Its jobs are read as of this revision, which the view has not reached.
+    /// All job records have been read as of this store revision. The shard becomes active
+    /// once the cluster view has reached the same revision.
     AwaitingView(u64),
-    /// Recovered: its jobs are scheduled and its requests served.
+    /// Recovery is complete: the controller schedules the shard's jobs and serves
+    /// requests for them.
     Active,
 }
 
 /// A shard that this controller holds.
 ///
-/// Times are in milliseconds of the steady clock ([`Context::now`]) unless a
-/// field's name says otherwise.
+/// Times are in milliseconds of the steady clock ([`Context::now`]). A `last_..._at` of 0
+/// means that the event has not happened under this holder.
 pub(crate) struct Shard {
-    /// Number of the shard.
     pub(crate) id: ShardId,
-    /// The epoch under which it is held; no two holdings have the same.
+    /// The epoch under which this controller holds the shard. No two holdings of a shard
+    /// have the same epoch.
     pub(crate) epoch: u64,
-    /// Version of the shard's record.
+    /// Version of the shard's ownership record in the key-value store, which
+    /// [`Shard::fencing_precondition`] requires to be unchanged.
     pub(crate) version: u64,
-    /// How far its recovery is.
     pub(crate) recovery_state: RecoveryState,
-    /// When it became active; until then, when it was assigned.
+    /// When the shard became active, or was assigned if its recovery is not complete.
     pub(crate) active_since: Ms,
-    /// Its unfinished jobs.
+    /// Unfinished jobs of the shard's teams.
     pub(crate) jobs: BTreeMap<JobId, Job>,
-    /// Its machines, as the view's records show them.
+    /// Machines whose records in the cluster view name this shard.
     pub(crate) machines: BTreeMap<MachineId, Machine>,
-    /// Its teams, with their index in `quotas`.
+    /// Teams that the settings assign to this shard, each with the index of its quota in
+    /// `quotas`.
     pub(crate) teams: BTreeMap<String, usize>,
-    /// Guarantee, limit and use of each team.
+    /// Guarantee, limit and current use of each team.
     pub(crate) quotas: Vec<Quota>,
-    /// Machines that are due for reconciliation.
+    /// Machines to reconcile, each with the time at which it is due.
     pub(crate) machines_to_reconcile: TimerQueue<MachineId>,
-    /// Jobs whose records may have to be written.
+    /// Jobs whose stored records may differ from memory, each with the time at which this
+    /// is checked.
     pub(crate) unwritten_jobs: TimerQueue<JobId>,
-    /// Jobs of which nothing but progress has to be written.
     progress_writes: ProgressWrites,
-    /// Gangs that may have lost a task.
+    /// Gangs that may have lost a task. Their remaining tasks must be stopped before the
+    /// next attempt.
     pub(crate) incomplete_gangs: BTreeSet<JobId>,
-    /// Cancelled jobs, due when the stop of their tasks is to be enforced.
+    /// Cancelled jobs, each with the time at which its tasks are stopped by force.
     pub(crate) cancelled_jobs: TimerQueue<JobId>,
-    /// The list of its jobs' records, and the watch that keeps it current.
+    /// Lists the job records during recovery, then watches them for changes.
     jobs_watch: JobsWatch,
-    /// When the next scheduling round is due.
     pub(crate) next_round_at: Ms,
-    /// When the last scheduling round was.
     pub(crate) last_round_at: Ms,
-    /// Arrivals of each job class.
+    /// Arrival statistics of each job class, from which headroom is computed.
     pub(crate) arrivals_by_class: BTreeMap<String, ArrivalStats>,
-    /// Since when arrivals are counted. Jobs that were recovered, or submitted
-    /// before anything could run, are a backlog and give no arrival rate.
+    /// Start of the period over which arrival rates are computed; `None` until the first
+    /// machine has reported. Jobs that were recovered, or submitted before any machine
+    /// was up, are a backlog and say nothing about the arrival rate.
     pub(crate) arrivals_counted_since: Option<Ms>,
-    /// When a machine was last chosen to be drained.
+    /// When draining of a machine last started.
     pub(crate) last_drain_at: Ms,
-    /// When replicas were last moved.
+    /// When a replica was last moved off a draining machine.
     pub(crate) last_replica_move_at: Ms,
-    /// When work was last preempted.
+    /// When tasks were last preempted.
     pub(crate) last_preemption_at: Ms,
-    /// When the demand was last written to the key-value store.
+    /// When a write of the unmet demand to the key-value store was last started.
     pub(crate) last_demand_write_at: Ms,
-    /// The demand that was last sent to the leader.
+    /// The unmet demand that was last sent to the leader.
     pub(crate) last_demand_sent: DemandRecord,
-    /// When the demand was last sent to the leader.
+    /// When the unmet demand was last sent to the leader.
     pub(crate) last_demand_sent_at: Ms,
-    /// Whether the record of the demand is being written.
+    /// Whether a write of the demand record is in flight.
     pub(crate) is_writing_demand: bool,
-    /// The demand is written again only once the view has reached this
-    /// revision.
+    /// Store revision of the last write of the demand record. The record is not written
+    /// again before the cluster view has reached this revision, because until then the
+    /// view shows an outdated record.
     pub(crate) demand_required_revision: u64,
-    /// The watch on the jobs was lost: the shard is to be recovered anew.
+    /// The watch on the job records was lost, so changes may have been missed: the shard
+    /// must be recovered again from the store.
     pub(crate) must_reload: bool,
-    /// Another process has seen a higher epoch of the shard, which our view has
-    /// not reached: without a valid lease its requests are no longer served.
+    /// Another process has reported a higher epoch of the shard, which this controller's
+    /// view has not reached. Requests are then served only under a valid lease.
     pub(crate) is_superseded: bool,
-    /// A job was added for which a request to cancel it may be recorded.
+    /// A job was added whose cancellation may already be recorded in the cluster view.
     pub(crate) must_check_cancellations: bool,
-    /// Jobs with dependencies that are not registered yet.
+    /// Jobs whose dependencies have not been registered yet.
     new_blocked_jobs: Vec<JobId>,
-    /// Warm pools of its teams.
+    /// Warm pools of the shard's teams.
     pub(crate) pools: ShardPools,
 }
 
-/// Jobs of which nothing but progress is to be written, at most once a round.
+/// Jobs whose only unwritten change is progress. They are written at most once a
+/// scheduling interval, to limit the write rate of the key-value store.
 #[derive(Default)]
 struct ProgressWrites {
-    /// Jobs with unwritten progress.
     jobs: BTreeSet<JobId>,
-    /// When they are written next, in milliseconds of the steady clock.
+    /// When the jobs are written next, in milliseconds of the steady clock.
     next_at: Ms,
 }
 
 impl Shard {
-    /// A shard that was just assigned to this controller; starts to read its
-    /// jobs.
+    /// Creates a shard that was just assigned to this controller, and starts to read its
+    /// job records.
     pub(crate) fn new(ctx: &mut Context, id: ShardId, epoch: u64, version: u64) -> Self {
         log::info!("shard {id}: assigned to this controller, epoch {epoch}");
         let mut shard = Self {
@@ -195,7 +201,7 @@
         shard
     }
 
-    /// Adds the teams that the settings place in this shard.
+    /// Adds the teams that the settings assign to this shard, with unused quotas.
     fn add_teams(&mut self, config: &Config) {
         for team in config.teams.values().filter(|t| t.shard == self.id) {
             self.teams.insert(team.name.clone(), self.quotas.len());
@@ -207,7 +213,8 @@
         }
     }
 
-    /// Notes that another process has seen a higher epoch of the shard.
+    /// Marks the shard as superseded because another process has reported a higher epoch.
+    /// `how` says by which message, for the log.
     pub(crate) fn mark_superseded(&mut self, how: &str) {
         if !self.is_superseded {
             log::info!("shard {}: superseded, {how}", self.id);
@@ -215,13 +222,15 @@
         }
     }
 
-    /// The first token that is used for a machine: above those of earlier
-    /// holders of the shard, and of the machine's earlier shards.
+    /// The first fencing token that this holder uses for a machine. The token is higher
+    /// than every token of earlier holders of the shard and of the shards that the
+    /// machine belonged to before.
     pub(crate) fn first_token(&self, record: &MachineRecord) -> u64 {
         (self.epoch << TOKEN_COUNTER_BITS).max(record.token_floor + 1)
     }
 
-    /// The condition that the shard is still held under this epoch.
+    /// The precondition that fences a write: it fails if another controller has taken
+    /// over the shard, since this changes the version of the ownership record.
     pub(crate) fn fencing_precondition(&self) -> Precondition {
         Precondition {
             key: shard_key(self.id),
@@ -229,16 +238,17 @@
         }
     }
 
-    /// Brings the next scheduling round forward, as far as the least gap between
-    /// two rounds allows.
+    /// Brings the next scheduling round forward, to the earliest time that the minimum
+    /// interval between two rounds allows.
     pub(crate) fn schedule_round_soon(&mut self, ctx: &Context) {
         let min_gap_ms = crate::ms(ctx.config.operator.min_round_interval_s);
         let earliest = ctx.now.max(self.last_round_at + min_gap_ms);
         self.next_round_at = self.next_round_at.min(earliest);
     }
 
-    /// Drops the shard, which another controller holds now: requests that wait
-    /// for a cancellation are answered to be retried.
+    /// Drops the shard, which another controller now holds. Requests that wait for a
+    /// cancellation to be written are answered with "unavailable", so that their clients
+    /// retry.
     pub(crate) fn release(self, ctx: &mut Context) {
         let waiters = self.jobs.into_values().flat_map(|job| job.cancel_waiters);
         for request in waiters {
@@ -246,13 +256,16 @@
         }
     }
 
-    /// The longest boot time of its machines, in milliseconds; 0 without any.
+    /// The longest boot time of the shard's machines, in milliseconds; 0 if the shard has
+    /// no machines. Many delays are multiples of this time, because it is how long a
+    /// replacement machine takes.
     pub(crate) fn max_boot_ms(&self) -> Ms {
         self.machines.values().map(|m| m.boot_ms).max().unwrap_or(0)
     }
 }
 
-/// Removes a record to which nothing refers, if it still has this version.
+/// Removes a record that is no longer referenced, on the condition that its version is
+/// still `version`.
 pub(crate) fn remove_key(ctx: &mut Context, key: String, version: u64) {
     let transaction = Transaction {
         preconditions: vec![Precondition {
--- a/crates/core/src/shard/arrivals.rs
+++ b/crates/core/src/shard/arrivals.rs
@@ -1,4 +1,5 @@
-//! Rates at which the tasks of each class of jobs arrive: spare places are kept for them.
+//! Estimates at which rate the tasks of each job class arrive. Headroom is computed from
+//! these rates.
 
 use super::Shard;
 use crate::records::ShapeRecord;
@@ -6,20 +7,20 @@
 use forkshift_sched::Resources;
 use forkshift_wire::users::JobSpec;
 
-/// Time constant, in milliseconds, with which counted arrivals decay.
+/// Time constant of the exponential decay of counted arrivals, in milliseconds.
 const ARRIVAL_DECAY_MS: f64 = 150_000.0;
 
-/// Arrivals are taken to be counted for at least this long, in milliseconds, lest one of
-/// them look like a rush.
+/// Lower bound on the period over which a rate is computed, in milliseconds, so that one
+/// early arrival does not look like a high rate.
 const MIN_COUNTED_PERIOD_MS: f64 = ARRIVAL_DECAY_MS / 3.0;
 
-/// Exponentially decaying count of a class's arrivals.
+/// Exponentially decaying count of the tasks of a job class that have arrived.
 #[derive(Clone, Debug)]
 pub(crate) struct ArrivalStats {
-    /// Tasks that arrived, decayed until `updated_at`.
+    /// Number of arrived tasks, decayed until `updated_at`.
     decayed_tasks: f64,
     updated_at: Ms,
-    /// A spare place for one task of the last arrival.
+    /// Headroom shape for one task of the last arrival.
     pub(crate) last_shape: ShapeRecord,
     /// Team of the last arrival.
     pub(crate) last_team: String,
@@ -28,14 +29,14 @@
 }
 
 impl ArrivalStats {
-    /// Lets the count decay until now.
+    /// Applies the decay since the last update.
     fn decay(&mut self, now: Ms) {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         self.decayed_tasks *= (-elapsed / ARRIVAL_DECAY_MS).exp();
         self.updated_at = now;
     }
 
-    /// Arriving tasks a second, if arrivals have been counted for `counted_ms`.
+    /// Arriving tasks per second, if arrivals have been counted for `counted_period_ms`.
     pub(crate) fn rate(&mut self, now: Ms, counted_period_ms: Ms) -> f64 {
         self.decay(now);
         let counted_period_ms = (counted_period_ms as f64).max(MIN_COUNTED_PERIOD_MS);
@@ -46,7 +47,7 @@
 }
 
 impl Shard {
-    /// Counts the tasks of a job that has just arrived.
+    /// Counts the tasks of a job that has just been submitted.
     pub(super) fn count_arrival(&mut self, spec: &JobSpec, now: Ms) {
         let last_shape = headroom_shape(spec);
         let stats = self
@@ -67,7 +68,7 @@
     }
 }
 
-/// A spare place for one task of a job.
+/// The headroom shape for one task of a job.
 fn headroom_shape(spec: &JobSpec) -> ShapeRecord {
     let resources = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
     ShapeRecord {
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -1,7 +1,12 @@
-//! The unmet demand of a shard: tasks that found no room on existing or expected
-//! machines, and spare places that are missing.
+//! Computes the unmet demand of a shard: pending tasks that fit on no existing or
+//! expected machine, and missing headroom.
 //!
-//! The demand is sent to the leader, which provisions machines for it.
+//! Headroom is capacity that is kept free for job classes whose tasks must start sooner
+//! than a machine boots. The demand is sent to the leader, which provisions machines for
+//! it.
+//!
+//! All placements in this module are tentative: they reduce the free capacity of the
+//! round's hosts and the remaining quotas, but bind no task.
 
 mod expected_machines;
 mod headroom;
@@ -19,42 +24,44 @@
 use forkshift_wire::MachineId;
 use shapes::shapes_of;
 
-/// What a round has left of machines and quotas.
+/// Free capacity and quotas that a scheduling round has left.
 pub(crate) struct RemainingCapacity {
-    /// The usable machines; while the demand is computed, expected ones follow.
+    /// Snapshots of the usable machines. While the demand is computed, those of expected
+    /// machines follow.
     pub(crate) hosts: Vec<MachineSnapshot>,
-    /// The quotas of the shard's teams.
+    /// Quotas of the shard's teams, charged for all placements so far.
     pub(crate) quotas: Vec<Quota>,
 }
 
 impl RemainingCapacity {
-    /// Books what fits, and removes it from the waiting tasks.
+    /// Places tentatively the tasks that fit, and removes them from `pending`.
     fn place_tentatively(&mut self, ctx: &Context, pending: &mut [PendingTasks]) -> Vec<Placement> {
         let weights = &ctx.config.operator.weights;
         run_round(pending, &mut self.hosts, &mut self.quotas, weights)
     }
 }
 
-/// Usable machines without tasks.
+/// Usable machines without tasks, warm pools excepted.
 #[derive(Default)]
 struct EmptyMachines {
-    /// Those that spare places need.
+    /// Machines that headroom or pending tasks need.
     spare: Vec<MachineId>,
-    /// Those that nothing needs.
+    /// Machines that nothing needs.
     surplus: Vec<MachineId>,
 }
 
-/// Where the waiting tasks of a round were booked.
+/// Result of the tentative placement on existing and expected machines.
 struct ExpectedPlacement<'a> {
-    /// What found no room.
+    /// Tasks and headroom that fit on no machine, merged by requirements.
     shapes: Vec<ShapeRecord>,
-    /// The machines behind the hosts.
+    /// The machine that each host stands for.
     expected: ExpectedMachines<'a>,
 }
 
 impl Shard {
-    /// Books waiting tasks on expected machines, then spare places and the machines of
-    /// pools. What found no room is published as the shard's unmet demand.
+    /// Places pending tasks tentatively on existing and expected machines, then headroom
+    /// and the machines of warm pools. What fits on none is published as the shard's
+    /// unmet demand. Machines that this shows to be underused are drained.
     pub(crate) fn compute_unmet_demand(
         &mut self,
         ctx: &mut Context,
@@ -73,13 +80,13 @@
         } = self.place_on_expected_machines(ctx, view, usable, &mut remaining, pending);
         self.update_idle_times(ctx, usable, &remaining.hosts);
         let pool_shapes = self.keep_pools(ctx, view, &expected, &remaining.hosts);
-        // A missing spare place fits on no existing machine, or it would have been
-        // booked there: only waiting tasks keep machines from being drained.
+        // Only unmet demand of ordinary tasks prevents draining. Missing headroom
+        // doesn't: if it fitted on an existing machine, it would have been placed there.
         if shapes.iter().all(|s| s.is_spare || s.is_borrowing) {
             remaining.hosts.truncate(usable.len());
             self.drain(ctx, view, usable, &mut remaining.hosts);
         }
-        // After everything that waits for room.
+        // The demand is in order of urgency: pools come after pending tasks and headroom.
         shapes.extend(pool_shapes);
         let empty = self.empty_machines(usable);
         let record = DemandRecord {
@@ -95,11 +102,12 @@
         self.publish_demand(ctx, view, record);
     }
 
-    /// Books waiting tasks and spare places on existing and expected machines.
+    /// Places pending tasks and headroom tentatively on existing and expected machines.
     ///
-    /// What borrowers use here counts as room for all other jobs, as it can be reclaimed
-    /// at once. Their tasks fill spare places as soon as these are free: if they counted
-    /// as taken, machine after machine would be provisioned.
+    /// Capacity that borrowed work uses counts as free for ordinary tasks and headroom,
+    /// because it can be reclaimed at once. Borrowed tasks fill the headroom as soon as
+    /// it is free: if their capacity counted as used, machine after machine would be
+    /// provisioned for headroom.
     fn place_on_expected_machines<'a>(
         &mut self,
         ctx: &mut Context,
@@ -128,8 +136,9 @@
         ExpectedPlacement { shapes, expected }
     }
 
-    /// Books the tasks that run on their own teams' quotas. Draining ends on machines that
-    /// are needed for them. Returns what found no room.
+    /// Places the ordinary tasks tentatively, and returns those that fit on no machine.
+    /// Draining ends on machines that the tasks need. Machines that are excluded for a
+    /// job count here, because exclusions are temporary.
     fn place_ordinary_tasks(
         &mut self,
         ctx: &mut Context,
@@ -144,7 +153,7 @@
         let placements = remaining.place_tentatively(ctx, ordinary);
         for (i, id) in expected.draining.iter().enumerate() {
             let host = expected.usable.len() + i;
-            if placements.iter().any(|b| b.machine == host) {
+            if placements.iter().any(|p| p.machine == host) {
                 self.cancel_draining(id);
             }
         }
@@ -152,8 +161,9 @@
         shapes_of(ctx, view, ordinary, &mut remaining.quotas)
     }
 
-    /// Makes hosts that have been in quarantine for less than a boot count for nothing:
-    /// they are probed with few tasks, and may be decommissioned. Nothing is held any more.
+    /// Sets the free capacity of newly quarantined hosts to zero, because they get few
+    /// tasks and may be decommissioned. Reservations of hosts for jobs that waited long
+    /// end here: they apply only within the round.
     fn exclude_newly_quarantined(
         &self,
         ctx: &Context,
@@ -168,7 +178,7 @@
         }
     }
 
-    /// The usable machines without tasks; pools' machines aside.
+    /// The usable machines without tasks that belong to no warm pool.
     fn empty_machines(&self, usable: &[MachineId]) -> EmptyMachines {
         let is_empty = |machine: &&Machine| {
             machine.tasks.is_empty()
@@ -188,8 +198,8 @@
         empty
     }
 
-    /// Records since when each machine has been idle. `hosts` shows what is free once all
-    /// tasks and spare places are booked.
+    /// Updates since when each machine has been idle. `hosts` shows the free capacity
+    /// once all pending tasks and the headroom are placed.
     fn update_idle_times(
         &mut self,
         ctx: &Context,
--- a/crates/core/src/shard/demand/expected_machines.rs
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -1,5 +1,6 @@
-//! Machines beside the usable ones on which waiting tasks may be booked: those that
-//! drain, that boot, or that are being provisioned.
+//! Adds hosts for machines on which pending tasks may be placed tentatively although they
+//! are not usable now: draining machines, booting machines, and machines that are being
+//! provisioned.
 
 use crate::context::Context;
 use crate::records::{capacity_of, ProvisioningIntent};
@@ -13,23 +14,24 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A machine that is not up after this many boots is overdue: nothing waits for it, and
-/// its shard requests another one.
+/// A machine that has not reported after this many boot times is overdue: pending tasks
+/// no longer count on it, and its shard requests another machine.
 pub(crate) const OVERDUE_BOOTS: f64 = 1.5;
 
-/// Which machine each host is: the usable ones come first, then those that drain, those
-/// that boot, and those that are being provisioned.
+/// The machine that each host stands for. Usable machines come first, then draining ones,
+/// booting ones, and those that are being provisioned.
 pub(crate) struct ExpectedMachines<'a> {
     /// Machines on which tasks may be placed.
     pub(crate) usable: &'a [MachineId],
-    /// Machines that are being drained.
+    /// Draining machines.
     pub(crate) draining: Vec<MachineId>,
-    /// Machines that boot and are not overdue.
+    /// Booting machines that are not overdue.
     pub(crate) booting: Vec<MachineId>,
 }
 
 impl ExpectedMachines<'_> {
-    /// The machine behind a host, if it may join a pool.
+    /// The machine that a host stands for, if it may join a warm pool: it is usable or
+    /// booting.
     pub(crate) fn pool_candidate(&self, host: usize) -> Option<&MachineId> {
         let first_booting = self.usable.len() + self.draining.len();
         if host < self.usable.len() {
@@ -39,14 +41,15 @@
         self.booting.get(booting)
     }
 
-    /// The index of the first host that is being provisioned.
+    /// The index of the first host that stands for a machine that is being provisioned.
     pub(crate) fn first_provisioned_host(&self) -> usize {
         self.usable.len() + self.draining.len() + self.booting.len()
     }
 }
 
 impl Shard {
-    /// Adds hosts for the machines that drain, boot, or are being provisioned.
+    /// Adds hosts for draining and booting machines, and for machines of this shard that
+    /// are being provisioned.
     pub(super) fn add_expected_machines<'a>(
         &self,
         ctx: &mut Context,
@@ -110,12 +113,13 @@
     }
 }
 
-/// When a machine that has not reported by then is overdue.
+/// The time after which a machine that has not reported is overdue.
 pub(crate) fn overdue_at(machine: &Machine) -> Ms {
     machine.known_since + (machine.boot_ms as f64 * OVERDUE_BOOTS) as Ms
 }
 
-/// A machine that boots, as a round sees it.
+/// A snapshot of a booting machine: all of its capacity is free after the rest of its
+/// boot time.
 fn booting_host(machine: &Machine, now: Ms) -> MachineSnapshot {
     let elapsed = now.saturating_sub(machine.known_since);
     let boot_remaining_ms = machine.boot_ms.saturating_sub(elapsed);
@@ -126,7 +130,8 @@
     }
 }
 
-/// A machine that is being provisioned, as a round sees it.
+/// A snapshot of a machine that is being provisioned: all of its capacity is free after a
+/// full boot time.
 fn provisioned_host(
     ctx: &mut Context,
     intent: &ProvisioningIntent,
--- a/crates/core/src/shard/demand/headroom.rs
+++ b/crates/core/src/shard/demand/headroom.rs
@@ -1,5 +1,5 @@
-//! Spare places: room that is kept free for classes of jobs whose tasks must start
-//! sooner than a machine boots.
+//! Headroom: free capacity that is kept for job classes whose tasks must start sooner
+//! than a machine boots.
 
 use crate::context::Context;
 use crate::pools::open_reservations;
@@ -13,24 +13,25 @@
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeSet;
 
-/// A running task that should end within this many boots leaves a spare place.
+/// A running task that should end within this many boot times counts as headroom. The
+/// value is below 1, so that the capacity is free before a new machine would be up.
 const RELEASE_HORIZON_BOOTS: f64 = 0.8;
 
-/// A class of jobs that needs spare places.
+/// A job class that needs headroom.
 struct HeadroomClass {
-    /// How long its tasks may wait, in seconds.
+    /// The class's objective for the wait of a task, in seconds.
     max_wait_s: f64,
-    /// One of its tasks, as a shape.
+    /// Requirements of one task, from the class's last arrival.
     shape: ShapeRecord,
-    /// Arriving tasks a second.
+    /// Tasks that arrive in a second.
     arrival_rate: f64,
-    /// Reservations of pools' machines that are open to it.
+    /// Reservations of warm pools' machines that the class may use.
     open_reservations: BTreeSet<u32>,
 }
 
 impl Shard {
-    /// Books spare places, also on what is released soon, and returns those that are
-    /// missing.
+    /// Places headroom tentatively on free capacity and on capacity that running tasks
+    /// release soon. Returns the headroom that fits on no machine.
     pub(super) fn place_headroom(
         &mut self,
         ctx: &mut Context,
@@ -42,14 +43,14 @@
             host.free += self.resources_released_soon(ctx, id);
         }
         let missing = self.place_headroom_classes(ctx, &mut hosts_with_releases);
-        for (host, soon) in hosts.iter_mut().zip(&hosts_with_releases) {
-            host.free = host.free.component_min(&soon.free);
+        for (host, remaining) in hosts.iter_mut().zip(&hosts_with_releases) {
+            host.free = host.free.component_min(&remaining.free);
         }
         missing
     }
 
-    /// Books spare places for all classes, the most urgent first, and returns those that
-    /// found none.
+    /// Places the headroom of all classes, the shortest wait objective first. Returns the
+    /// headroom that fits on no machine.
     fn place_headroom_classes(
         &mut self,
         ctx: &mut Context,
@@ -73,10 +74,10 @@
         missing
     }
 
-    /// The classes whose tasks must start sooner than a machine boots, the most urgent
+    /// The job classes whose wait objective is shorter than a boot time, the shortest
     /// first.
     fn headroom_classes(&mut self, ctx: &Context, boot_s: f64) -> Vec<HeadroomClass> {
-        let elapsed = self.arrivals_counted_for(ctx.now);
+        let counted_period_ms = self.arrivals_counted_for(ctx.now);
         let mut classes: Vec<HeadroomClass> = Vec::new();
         for (name, stats) in &mut self.arrivals_by_class {
             let Some(max_wait_s) = ctx.config.wait_objectives.get(name) else {
@@ -86,7 +87,7 @@
                 classes.push(HeadroomClass {
                     max_wait_s: *max_wait_s,
                     shape: stats.last_shape.clone(),
-                    arrival_rate: stats.rate(ctx.now, elapsed),
+                    arrival_rate: stats.rate(ctx.now, counted_period_ms),
                     open_reservations: open_reservations(ctx, &stats.last_team, &stats.last_image),
                 });
             }
@@ -95,7 +96,8 @@
         classes
     }
 
-    /// For how long arrivals have been counted: since the shard's first machine was up.
+    /// For how long arrivals have been counted, in milliseconds. Counting starts once the
+    /// shard's first machine has reported.
     fn arrivals_counted_for(&mut self, now: Ms) -> Ms {
         let mut machines = self.machines.values();
         let has_machine = machines.any(|m| m.last_heartbeat_at.is_some());
@@ -105,17 +107,19 @@
         self.arrivals_counted_since.map_or(0, |since| now - since)
     }
 
-    /// What running tasks will release on a machine before another one could be up, by
-    /// their estimates: it serves as spare as well as a new machine would.
+    /// Resources that running tasks on a machine should release, by their estimated run
+    /// times, before a new machine could be up. They serve as headroom as well as a new
+    /// machine would. Reclaimable tasks are left out: their resources already count as
+    /// free.
     fn resources_released_soon(&self, ctx: &Context, id: &MachineId) -> Resources {
         let Some(machine) = self.machines.get(id) else {
             return Resources::default();
         };
-        let soon = ctx.now + (machine.boot_ms as f64 * RELEASE_HORIZON_BOOTS) as Ms;
+        let horizon = ctx.now + (machine.boot_ms as f64 * RELEASE_HORIZON_BOOTS) as Ms;
         let released = |task: &TaskRef| {
             let (job, binding) = self.binding(task)?;
             let end = binding.running_since? + crate::ms(job.spec.estimated_run_time_s);
-            let ends_soon = job.spec.kind != JobKind::Service && end < soon;
+            let ends_soon = job.spec.kind != JobKind::Service && end < horizon;
             (ends_soon && !self.is_reclaimable(ctx, job, binding)).then_some(job.task)
         };
         let tasks = machine.tasks.iter();
@@ -126,11 +130,12 @@
 }
 
 impl HeadroomClass {
-    /// Books up to so many places, and returns how many found no room.
-    fn place_tasks(&self, ctx: &mut Context, places: u32, hosts: &mut [MachineSnapshot]) -> u32 {
+    /// Places headroom for `count` tasks tentatively. Returns for how many there is no
+    /// capacity.
+    fn place_tasks(&self, ctx: &mut Context, count: u32, hosts: &mut [MachineSnapshot]) -> u32 {
         let task = self.shape.resources();
         let types = type_numbers(ctx, self.shape.types.as_deref());
-        let mut unplaced = places;
+        let mut unplaced = count;
         for host in hosts.iter_mut() {
             let is_allowed = self.may_use(host, types.as_deref());
             while unplaced > 0 && is_allowed && task.fits_in(&host.free) {
@@ -141,8 +146,9 @@
         unplaced
     }
 
-    /// Whether a spare place may be on a host. Arrivals that find a pool's machine need no
-    /// spare place besides, so machines of open pools count.
+    /// Whether headroom of this class may be on a host. Machines of warm pools that are
+    /// open to the class count, because arrivals that run there need no headroom
+    /// elsewhere.
     fn may_use(&self, host: &MachineSnapshot, types: Option<&[u16]>) -> bool {
         let is_open = host
             .reserved_for
--- a/crates/core/src/shard/demand/publication.rs
+++ b/crates/core/src/shard/demand/publication.rs
@@ -1,5 +1,5 @@
-//! Publication of the unmet demand: by messages to the leader, and as a record for a
-//! leader that no message reaches.
+//! Publishes the unmet demand: as a message to the leader, and as a record in the
+//! key-value store for a leader that messages do not reach.
 
 use crate::context::Context;
 use crate::overflow::Overflow;
@@ -13,14 +13,15 @@
 use forkshift_wire::state::{Transaction, Write};
 use serde_json::to_value;
 
-/// The part of the key-value store's writes that goes into demand records.
+/// Fraction of the key-value store's write rate that the demand records of all shards may
+/// use.
 const DEMAND_WRITE_FRACTION: f64 = 0.05;
 
-/// The shortest pause between two writes of a shard's demand record.
+/// Minimum interval between two writes of a shard's demand record, in milliseconds.
 const MIN_DEMAND_WRITE_INTERVAL_MS: Ms = 1_500;
 
 impl Shard {
-    /// Publishes the demand as a message to the leader and as a record.
+    /// Publishes the unmet demand as a message to the leader and as a record.
     pub(super) fn publish_demand(
         &mut self,
         ctx: &mut Context,
@@ -31,7 +32,8 @@
         self.write_demand(ctx, view, record);
     }
 
-    /// Sends the demand to the leader whenever it has changed, and once a round otherwise.
+    /// Sends the unmet demand to the leader when it has changed, and otherwise once a
+    /// scheduling interval.
     fn send_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: &DemandRecord) {
         let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
             return;
@@ -57,9 +59,9 @@
         ctx.send_to_peer(&leader.node, self.epoch, body);
     }
 
-    /// Writes the demand record if it has changed, or if it shows demand as of an old
-    /// revision. At most one write is in flight, and all shards share a part of the
-    /// store's write rate.
+    /// Writes the demand record if the demand has changed, or if the stored record has
+    /// unmet demand as of an older revision. At most one write is in flight. All shards
+    /// share [`DEMAND_WRITE_FRACTION`] of the store's write rate.
     fn write_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
         let shards = f64::from(ctx.config.shard_count());
         let min_interval_ms = crate::ms(shards / (ctx.limits.write_rps * DEMAND_WRITE_FRACTION));
--- a/crates/core/src/shard/demand/shapes.rs
+++ b/crates/core/src/shard/demand/shapes.rs
@@ -1,4 +1,5 @@
-//! Waiting tasks as shapes of a demand record, merged by what they need.
+//! Converts pending tasks to the shapes of a demand record. A shape is a number of tasks
+//! with the same requirements.
 
 use crate::context::Context;
 use crate::records::ShapeRecord;
@@ -6,7 +7,7 @@
 use forkshift_sched::{PendingTasks, Quota, Shortfall};
 use std::collections::BTreeMap;
 
-/// Names of machine types and zones, by the numbers that rounds use for them.
+/// Names of machine types and zones, by the numbers that scheduling rounds use for them.
 struct TypeAndZoneNames {
     types: BTreeMap<u16, String>,
     zones: BTreeMap<u16, String>,
@@ -25,13 +26,13 @@
         }
     }
 
-    /// Names of the machine types that are allowed for some tasks; none: any.
+    /// Names of the machine types that are allowed for a job's tasks; `None` allows any.
     fn types_of(&self, pending: &PendingTasks) -> Option<Vec<String>> {
         let numbers = pending.allowed_types.as_ref()?.iter();
         Some(numbers.filter_map(|t| self.types.get(t).cloned()).collect())
     }
 
-    /// Names of the zones that are allowed for some tasks; none: any.
+    /// Names of the zones that are allowed for a job's tasks; `None` allows any.
     fn zones_of(&self, pending: &PendingTasks) -> Option<Vec<String>> {
         let allowed = self.zones.iter().filter(|(z, _)| pending.allows_zone(**z));
         let allowed: Vec<String> = allowed.map(|(_, name)| name.clone()).collect();
@@ -39,7 +40,8 @@
     }
 }
 
-/// Waiting tasks as shapes, as far as the quotas allow; the quotas are charged for them.
+/// Converts pending tasks to shapes, as far as the quotas allow, and charges the quotas
+/// for them. `pending` must be in order of precedence.
 pub(super) fn shapes_of(
     ctx: &mut Context,
     view: &ClusterView,
@@ -52,7 +54,8 @@
     let mut reserved: BTreeMap<usize, Shortfall> = BTreeMap::new();
     for tasks in pending {
         let quota = &mut quotas[tasks.team];
-        // What a round keeps from being placed needs no machine either.
+        // A task that a round does not place because of another job's quota reservation
+        // needs no machine either.
         let reserved_before = reserved.get(&tasks.team);
         if reserved_before.is_some_and(|s| s.affects(&tasks.task_resources)) {
             continue;
@@ -87,7 +90,7 @@
     shapes
 }
 
-/// Charges a quota for as many waiting tasks as it allows. Returns how many.
+/// Charges a quota for as many pending tasks as it allows. Returns their number.
 fn charge_quota(pending: &PendingTasks, quota: &mut Quota) -> usize {
     let mut count = 0;
     while count < pending.waiting.len() && quota.allows(&pending.task_resources) {
@@ -97,7 +100,7 @@
     count
 }
 
-/// Adds a shape, or its count to the same one that is there already.
+/// Adds a shape, or adds its count to a shape with the same requirements.
 pub(super) fn add_shape(shapes: &mut Vec<ShapeRecord>, shape: ShapeRecord) {
     let has_same_requirements = |s: &&mut ShapeRecord| {
         s.milli_resources == shape.milli_resources
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -1,8 +1,9 @@
-//! Draining of machines that are hardly used, so that they can be released.
+//! Drains underused machines, so that they can be released.
 //!
-//! Replicas run until their users cancel them, so a machine that holds a few of them is
-//! never idle by itself. A replica is moved when it finds a place at once where its image
-//! is; tasks that complete by themselves are waited for.
+//! Replicas run until their users cancel them, so a machine with a few replicas never
+//! becomes idle by itself. A replica is moved when another machine has capacity for it
+//! now and has its image, or fetches it within a heartbeat interval. Tasks that complete
+//! by themselves are left to run to their end.
 
 mod moves;
 
@@ -20,39 +21,48 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// A machine is drained only if the value of its tasks is at most this part of its price.
+/// A machine is drained only if its value ratio is at most this: its tasks would then
+/// cost at least a quarter less on the cheapest machines that fit them.
 const MAX_DRAINED_VALUE_RATIO: f64 = 0.75;
-/// One in so many machines of a shard is drained at a time.
+/// One in this many machines of a shard is draining at a time.
 const DRAINING_MACHINES_DIVISOR: usize = 64;
-/// At least this many are, and are tried in a round.
+/// Lower bound on the number of machines that may be draining at a time, and on the
+/// number of candidates that are checked in a round.
 const MIN_DRAINING_MACHINES: usize = 3;
-/// One in so many machines is tried in a round: each try goes over all of them.
+/// One in this many machines is checked as a candidate in a round. The number is bounded
+/// because each check considers all hosts.
 const DRAIN_CANDIDATES_DIVISOR: usize = 16;
-/// One in so many machines is chosen, and has a replica moved, at a time.
+/// One in this many machines, and at least one, starts to drain at a time. The same bound
+/// applies to the draining machines that have a replica moved at a time.
 const DRAIN_STEP_DIVISOR: usize = 256;
-/// Rounds between two moves: each takes a replica down for about a second.
+/// Minimum interval between two moves of replicas, in scheduling intervals. A move takes
+/// the replica down for about a second.
 const MIN_MOVE_INTERVAL_ROUNDS: f64 = 2.0;
-/// Pause between two machines, in boots.
+/// Minimum interval between two starts of draining, in boot times. A machine whose tasks
+/// don't fit elsewhere is checked again after the same time.
 const MIN_DRAIN_INTERVAL_BOOTS: f64 = 0.1;
-/// Machines younger than this many boots are not drained.
+/// Machines that have been known for less than this many boot times are not drained.
 const MIN_DRAINED_AGE_BOOTS: Ms = 2;
-/// The lowest price of a machine by which values are divided.
+/// Lower bound on the price per second by which a value is divided, so that a free
+/// machine causes no division by zero.
 const MIN_PRICE_PER_S: f64 = 1e-12;
-/// The hourly price that counts for a job that fits on no machine type.
+/// Price per hour of a task that fits on no machine type: so high that its machine is
+/// never drained.
 const MAX_PRICE_PER_HOUR: f64 = 1e9;
 
-/// What is the same for all tasks that might be moved in a round.
+/// Values that are computed once a round and used for all moves.
 struct MoveContext {
-    /// The value of the tasks of every usable machine, as a part of its price.
+    /// Value ratio of each usable machine; see [`Shard::value_ratios`].
     value_ratios: Vec<f64>,
-    /// The zone of every machine.
+    /// Zone of every machine of the shard.
     zones: BTreeMap<MachineId, u16>,
 }
 
 impl Shard {
-    /// Drains the machines that waste most, if their tasks fit elsewhere, and moves
-    /// replicas off machines that are being drained. `hosts` shows what is free on the
-    /// usable machines once all that waits, and the spare places, are booked.
+    /// Starts to drain the machines with the highest unused price whose tasks fit
+    /// elsewhere, and moves replicas off machines that are draining. `hosts` shows the
+    /// free capacity of the usable machines once all pending tasks and the headroom are
+    /// placed.
     pub(crate) fn drain(
         &mut self,
         ctx: &mut Context,
@@ -77,12 +87,12 @@
         draining.map(|m| m.id.clone()).collect()
     }
 
-    /// One in so many of the shard's machines, and at least so many.
+    /// One in `divisor` of the shard's machines, at least `min`.
     fn machine_limit(&self, divisor: usize, min: usize) -> usize {
         part_of_machines(self.machines.len(), divisor, min)
     }
 
-    /// Cancels the draining of a machine that is needed.
+    /// Cancels the draining of a machine whose capacity is needed again.
     pub(crate) fn cancel_draining(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             log::info!("machine {id}: draining cancelled, needed again");
@@ -91,9 +101,9 @@
         }
     }
 
-    /// The value of the tasks of every usable machine: the least that their parts of
-    /// machines cost, as a part of the machine's own price. GPUs that are idle below
-    /// replicas without any make the value of a costly machine low.
+    /// The value ratio of every usable machine: the lowest price of its tasks' shares on
+    /// any allowed machine type, divided by the machine's own price. The ratio is low for
+    /// a costly machine whose GPUs are idle while its tasks use none.
     fn value_ratios(&self, view: &ClusterView, usable: &[MachineId]) -> Vec<f64> {
         let mut value_of_job: BTreeMap<&JobId, f64> = BTreeMap::new();
         let mut ratios = Vec::new();
@@ -115,7 +125,8 @@
         ratios
     }
 
-    /// Starts to drain up to `max_chosen` machines, if a pause since the last ones is over.
+    /// Starts to drain up to `max_started` machines, if the minimum interval since the
+    /// last start is over. A shard starts none within one boot time of its recovery.
     fn start_draining(
         &mut self,
         ctx: &mut Context,
@@ -155,7 +166,8 @@
         }
     }
 
-    /// Hosts that may be drained, as indices, the one that wastes most first.
+    /// Indices of the hosts that may be drained, the one with the highest unused price
+    /// first.
     fn underused_hosts(
         &self,
         ctx: &Context,
@@ -178,8 +190,8 @@
         underused.into_iter().map(|(_, host)| host).collect()
     }
 
-    /// Moves a replica off each of some draining machines, if a pause since the last moves
-    /// is over.
+    /// Moves one replica off each of some draining machines, if the minimum interval
+    /// since the last moves is over.
     fn move_replicas(
         &mut self,
         ctx: &mut Context,
@@ -202,7 +214,8 @@
     }
 }
 
-/// The least that one task's part of a machine costs an hour.
+/// The lowest price per hour of one task's share of a machine, over all machine types
+/// that the job allows and that the task fits on.
 fn min_price_per_hour(job: &Job, view: &ClusterView) -> f64 {
     let types = view.machine_types.values().map(|t| &t.record);
     let allowed = types.filter(|t| allows_type(&job.spec, t));
--- a/crates/core/src/shard/drain/moves.rs
+++ b/crates/core/src/shard/drain/moves.rs
@@ -1,5 +1,5 @@
-//! Moves of tasks to other machines: places are booked first, and replicas are stopped
-//! one at a time, so that a round can place them there.
+//! Moves tasks to other machines. Capacity elsewhere is reserved tentatively first; then
+//! a replica is stopped, so that a scheduling round can place it again.
 
 use crate::context::Context;
 use crate::shard::drain::MoveContext;
@@ -11,27 +11,26 @@
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::{MachineId, TaskRef};
 
-/// Tasks are not moved to a costlier machine if the value of its own tasks is less than
-/// this part of its price: it should be drained itself.
+/// Tasks are not moved to a costlier machine whose value ratio is below this: that
+/// machine should be drained itself.
 const MIN_TARGET_VALUE_RATIO: f64 = 0.5;
-/// A machine is costlier than another if its price is more than so many times as high.
+/// A machine is costlier than another if its price is more than this many times as high.
+/// The margin absorbs rounding.
 const COSTLIER_FACTOR: f64 = 1.001;
-/// A replica is moved only to where its image is, or is fetched within this many
-/// heartbeats.
+/// A replica is moved only to a machine that has its image, or fetches it within this
+/// many heartbeat intervals.
 const MAX_FETCH_HEARTBEATS: f64 = 1.0;
 
-/// A place that is booked for a task.
+/// Capacity that is reserved tentatively for a task within one round.
 #[derive(Clone, Copy)]
 struct TentativePlacement {
-    /// Index of the host.
     host: usize,
-    /// What is booked there.
     resources: Resources,
 }
 
 impl Shard {
-    /// Books places on other machines for all tasks of one, or for none. Returns whether
-    /// all have one.
+    /// Reserves capacity on other machines for all tasks of one machine, or for none.
+    /// Returns whether all tasks fit.
     pub(super) fn place_all_elsewhere(
         &self,
         ctx: &mut Context,
@@ -57,7 +56,9 @@
         all_fit
     }
 
-    /// Books a place for one task of another machine, which costs `source_price` a second.
+    /// Reserves capacity for one task on another machine. The present machine costs
+    /// `source_price` a second. Quotas don't apply, because the task is already charged
+    /// to its team.
     fn place_elsewhere(
         &self,
         ctx: &mut Context,
@@ -97,8 +98,9 @@
         })
     }
 
-    /// Moves one replica of a machine. Returns whether one was: not while another one
-    /// moves, so that no service is thinned out.
+    /// Stops one replica of a machine for which another machine has capacity. Returns
+    /// whether a replica was stopped. Nothing is stopped while another task of the
+    /// machine is stopping, so that no service loses several replicas at once.
     pub(super) fn move_one_replica(
         &mut self,
         ctx: &mut Context,
@@ -131,7 +133,7 @@
 }
 
 impl MoveContext {
-    /// Costlier hosts that should rather be drained themselves.
+    /// Indices of costlier hosts that should be drained themselves.
     fn underused_costlier_hosts(&self, hosts: &[MachineSnapshot], source_price: f64) -> Vec<usize> {
         let is_underused = |(index, host): &(usize, &MachineSnapshot)| {
             host.price_per_s > source_price * COSTLIER_FACTOR
@@ -142,7 +144,8 @@
     }
 }
 
-/// Hosts that don't have an image and would take longer to fetch it.
+/// Indices of the hosts that don't have the image and would take longer than
+/// `max_fetch_s` to fetch it.
 fn slow_fetch_hosts(
     hosts: &[MachineSnapshot],
     pending: &PendingTasks,
@@ -156,7 +159,7 @@
     slow.map(|(index, _)| index).collect()
 }
 
-/// Whether a task is a running replica of a service that has all of its replicas.
+/// Whether a task is a running replica of a service of which all replicas are bound.
 fn is_movable_replica(job: &Job, index: u32) -> bool {
     let binding = job.bound.get(&index);
     let is_running = binding.is_some_and(|b| b.stage == Some(TaskStage::Running));
--- a/crates/core/src/shard/machine_costs.rs
+++ b/crates/core/src/shard/machine_costs.rs
@@ -1,4 +1,4 @@
-//! What a shard's machines cost, by what they are used for.
+//! Splits the cost of a shard's machines by their use, for the log.
 
 use super::Shard;
 use crate::shard::machine::Machine;
@@ -7,25 +7,27 @@
 use forkshift_wire::TaskRef;
 use std::fmt;
 
-/// The price of a shard's machines an hour, by what they are used for. Machines with tasks
-/// are split by the largest part that these take of any resource.
+/// Price of a shard's machines per hour, by their use. The price of a machine with tasks
+/// is split by the tasks' dominant share: the largest fraction that they use of any
+/// resource.
 #[derive(Default)]
 pub(crate) struct MachineCosts {
     total: f64,
-    /// Of machines that have not reported yet.
+    /// Price of machines that have not reported yet.
     booting: f64,
-    /// Of machines without tasks.
+    /// Price of machines without tasks.
     empty: f64,
-    /// Parts of machines that are used by tasks that do not run yet.
+    /// Price of the shares of tasks that are bound but not running yet.
     starting: f64,
-    /// Parts of machines that are used by running tasks.
+    /// Price of the shares of running tasks.
     running: f64,
-    /// Of spot machines, whatever they are used for.
+    /// Price of spot machines, whatever their use. It is also contained in the other
+    /// figures.
     spot: f64,
 }
 
 impl MachineCosts {
-    /// Parts of machines with tasks that no task uses.
+    /// Price of the shares of machines with tasks that no task uses.
     fn unused(&self) -> f64 {
         self.total - self.booting - self.empty - self.starting - self.running
     }
@@ -49,7 +51,7 @@
 }
 
 impl Shard {
-    /// What the shard's machines cost now.
+    /// Splits the present cost of the shard's machines by their use.
     pub(crate) fn machine_costs(&self) -> MachineCosts {
         let mut costs = MachineCosts::default();
         for machine in self.machines.values() {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// What the running tasks on a machine use.
+    /// Resources of the running tasks on a machine.
     fn running_resources(&self, machine: &Machine) -> Resources {
         let resources = |task: &TaskRef| {
             let (job, binding) = self.binding(task)?;
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -1,9 +1,14 @@
-//! Preemption: stopping work to make room for work of a higher priority.
+//! Preemption: stops running tasks so that pending tasks of a higher priority can be
+//! placed.
 //!
-//! Production work that finds no room preempts at once, and only work at least two
-//! priorities below it: what is stopped loses its progress, and a machine for the next
-//! priority up is but a boot away. Urgent services preempt once they have waited for a
-//! part of a boot: by then no machine is to be had, or theirs comes late.
+//! Only tasks of low or normal priority are stopped, and only for jobs without gang
+//! scheduling, for one pending task at a time.
+//!
+//! Production jobs preempt at once, and only work at least two priorities below them: a
+//! stopped task loses its progress, which a smaller difference in priority does not
+//! justify while a new machine is only a boot time away. High-priority jobs preempt after
+//! they have waited for a fraction of a boot time: by then either no machine is available
+//! or theirs is late.
 
 use crate::context::Context;
 use crate::shard::job::{Job, StartState};
@@ -17,37 +22,40 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::{BTreeMap, HashSet};
 
-/// Heartbeats between two preemptions: victims must be seen to have exited, and their
-/// room be used, before more is stopped.
+/// Minimum interval between two preemptions, in heartbeat intervals. The controller must
+/// first see that the victims have exited, and use the freed capacity, before it stops
+/// more tasks.
 const MIN_INTERVAL_HEARTBEATS: u64 = 2;
-/// The part of a boot that an urgent service waits first.
+/// Fraction of the longest boot time for which a high-priority job waits before it
+/// preempts.
 const HIGH_PRIORITY_WAIT_BOOTS: f64 = 0.25;
 
-/// A machine on which tasks may be stopped.
+/// A machine with tasks that may be stopped.
 struct PreemptionCandidate<'a> {
     machine: &'a Machine,
     free: Resources,
-    /// What would be free if all victims were stopped.
+    /// Resources that would be free if all victims were stopped.
     max_free: Resources,
-    /// Those that ran for the shortest first.
+    /// Tasks that may be stopped, the one that has run for the shortest time first.
     victims: Vec<Victim>,
 }
 
-/// The victims on one machine that make room for a task.
+/// The victims on one machine whose resources are enough for a task.
 struct PreemptionPlan<'a> {
-    /// Run time that is lost with them.
+    /// Run time that is lost if the victims are stopped, in milliseconds.
     lost_ms: Ms,
     victims: &'a [Victim],
 }
 
-/// What is stopped, and for which job.
+/// Tasks to be stopped, and the job that gets their resources.
 struct Preemption {
     beneficiary: JobId,
     victims: Vec<TaskRef>,
 }
 
 impl<'a> PreemptionCandidate<'a> {
-    /// A machine with its victims, those that ran for the shortest first.
+    /// Sorts the victims on a machine by run time, the shortest first. Victims that are
+    /// not among the machine's tasks are left out.
     fn new(machine: &'a Machine, mut victims: Vec<Victim>) -> Self {
         victims.retain(|v| machine.tasks.contains(&v.task));
         victims.sort_by_key(|v| v.lost_ms);
@@ -61,8 +69,8 @@
         }
     }
 
-    /// The victims that make room for a task of a job. None if no room can be made, or if
-    /// there is room already.
+    /// The victims whose resources are enough for a task of a job. `None` if the task
+    /// does not fit even if all victims are stopped, or if it fits without preemption.
     fn plan_for(&self, pending: &PendingTasks) -> Option<PreemptionPlan<'_>> {
         let machine = self.machine;
         let may_fit = pending.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
@@ -88,7 +96,8 @@
 }
 
 impl Shard {
-    /// Makes room for the first task that may preempt and has found none.
+    /// Preempts tasks for the first pending task that may preempt and for which this
+    /// frees enough capacity.
     pub(crate) fn preempt(
         &mut self,
         ctx: &Context,
@@ -120,14 +129,15 @@
         self.last_preemption_at = ctx.now;
         for victim in preemption.victims {
             log::info!(
-                "task {victim}: preempted, makes room for {}",
+                "task {victim}: preempted, resources needed by job {}",
                 preemption.beneficiary
             );
             self.stop_task(&victim);
         }
     }
 
-    /// Whether a job's priority lets it preempt now: an urgent one waits for so long first.
+    /// Whether a job's priority lets it preempt now. A high-priority job must have waited
+    /// for `high_priority_wait_ms`.
     fn has_preempting_priority(
         &self,
         ctx: &Context,
@@ -141,9 +151,9 @@
         })
     }
 
-    /// The preemption for the first job for a task of which room can be made. Thousands of
-    /// replicas may wait: candidates are computed once for all of them, and searched once
-    /// for all that have the same requirement.
+    /// The preemption for the first job of which a task can be placed by stopping others.
+    /// Thousands of replicas may be pending, so the candidates are computed once for all
+    /// jobs, and searched once for all jobs with the same requirement.
     fn first_preemption<'a>(
         &self,
         ctx: &Context,
@@ -190,8 +200,8 @@
         candidates.collect()
     }
 
-    /// Tasks that may be stopped: those of low or normal priority that have started and
-    /// are not of a gang.
+    /// Tasks that may be stopped, by machine: tasks of low or normal priority whose start
+    /// has been sent, except those of gangs.
     fn victims_per_machine(&self, ctx: &Context) -> BTreeMap<&MachineId, Vec<Victim>> {
         let mut victims: BTreeMap<&MachineId, Vec<Victim>> = BTreeMap::new();
         let is_preemptible = |j: &&Job| j.priority() <= Priority::Normal && !j.is_gang();
--- a/crates/core/src/shard/preemption/tests.rs
+++ b/crates/core/src/shard/preemption/tests.rs
@@ -7,7 +7,7 @@
 use forkshift_wire::workers::TaskStage;
 use forkshift_wire::JobId;
 
-/// CPUs of a task that runs; the fixture's machine has 96.
+/// CPUs of one running task; the fixture's machine has 96.
 const RUNNING_CPUS: f64 = 12.0;
 
 fn add_job(fixture: &mut Fixture, id: &str, change: impl FnOnce(&mut JobSpec)) -> JobId {
@@ -23,7 +23,7 @@
     id
 }
 
-/// A machine that is full of tasks of one job; those with a higher index have run
+/// A machine that is full of running tasks of one job. Tasks with a higher index have run
 /// for a shorter time.
 fn full_machine(priority: Priority) -> (Fixture, JobId) {
     let mut fixture = Fixture::new();
@@ -48,11 +48,13 @@
     (fixture, job)
 }
 
-/// Victims for one waiting replica are as few as make room, those that ran for the
-/// shortest, and only of low or normal priority.
+/// Preemption for one pending replica must not stop more tasks than needed. Victims are
+/// the tasks that have run for the shortest time, and only tasks of low or normal
+/// priority.
 #[test]
 fn preemption_stops_the_shortest_running_tasks_until_the_pending_task_fits() {
-    // Priority of the running and of the waiting job, CPUs of one replica, victims.
+    // Priority of the running and of the pending job, CPUs of one pending replica,
+    // victims.
     let cases: [(Priority, Priority, f64, &[u32]); 6] = [
         (Priority::Low, Priority::Production, 10.0, &[7]),
         (Priority::Normal, Priority::Production, 12.0, &[7]),
@@ -61,11 +63,11 @@
         (Priority::High, Priority::Production, 10.0, &[]),
         (Priority::Low, Priority::Normal, 10.0, &[]),
     ];
-    for (runs, waits, cpus, expected) in cases {
-        let (mut fixture, job) = full_machine(runs);
+    for (running, pending, cpus, expected) in cases {
+        let (mut fixture, job) = full_machine(running);
         add_job(&mut fixture, "j-2", |s| {
             s.kind = JobKind::Service;
-            s.priority = waits;
+            s.priority = pending;
             s.cpus = cpus;
             s.tasks = 1;
         });
@@ -73,13 +75,14 @@
         assert_eq!(
             stopping_tasks(&mut fixture, &job),
             expected,
-            "{runs:?} {waits:?} {cpus}"
+            "{running:?} {pending:?} {cpus}"
         );
     }
 }
 
-/// Candidates are computed once for all waiting jobs, not once for each: thousands of
-/// replicas would take most of their controller's processor time.
+/// Guards against computing the candidates once for each pending job instead of once for
+/// all: with thousands of pending replicas that would take most of the controller's
+/// processor time.
 #[test]
 fn preemption_skips_many_unplaceable_jobs_and_frees_capacity_for_one() {
     let (mut fixture, job) = full_machine(Priority::Low);
@@ -95,6 +98,6 @@
     assert_eq!(
         stopping_tasks(&mut fixture, &job),
         [7],
-        "for the only one for which room can be made"
+        "preempted for the only job whose task can fit"
     );
 }
--- a/crates/core/src/shard/ranges.rs
+++ b/crates/core/src/shard/ranges.rs
@@ -1,25 +1,26 @@
-//! A set of task numbers, kept as ranges.
+//! A set of task indices that is stored as ranges, because completed tasks of a large
+//! array mostly form long runs.
 
 use std::collections::BTreeMap;
 
-/// A set of numbers that is mostly made of long runs.
+/// A set of numbers, stored as maximal ranges.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RangeSet {
-    /// Start of each run, and its exclusive end.
+    /// Start of each range, and its exclusive end. Ranges neither overlap nor touch.
     runs: BTreeMap<u32, u32>,
-    /// How many numbers are in the set.
+    /// Number of elements.
     len: u32,
 }
 
 impl RangeSet {
-    /// Adds numbers from `from` up to, not including, `to`.
+    /// Adds the numbers from `from` up to, but not including, `to`.
     pub(crate) fn insert_range(&mut self, from: u32, to: u32) {
         for number in from..to {
             self.insert(number);
         }
     }
 
-    /// Adds a number, and returns whether it is new.
+    /// Adds a number. Returns whether it was not in the set before.
     pub(crate) fn insert(&mut self, number: u32) -> bool {
         if self.contains(number) {
             return false;
@@ -39,18 +40,18 @@
         true
     }
 
-    /// Whether a number is in the set.
     pub(crate) fn contains(&self, number: u32) -> bool {
         let run = self.runs.range(..=number).next_back();
         run.is_some_and(|(_, &end)| number < end)
     }
 
-    /// How many numbers are in the set.
+    /// Number of elements.
     pub(crate) fn len(&self) -> u32 {
         self.len
     }
 
-    /// The runs within `from..to`, as starts and exclusive ends.
+    /// The parts of the set within `from..to`, as starts and exclusive ends in ascending
+    /// order.
     pub(crate) fn ranges_within(&self, from: u32, to: u32) -> Vec<(u32, u32)> {
         self.runs
             .iter()
@@ -59,8 +60,8 @@
             .collect()
     }
 
-    /// The numbers below `to` that are not in the set, without the runs
-    /// being walked one number at a time.
+    /// The numbers below `to` that are not in the set, in ascending order. The cost of
+    /// skipping a range does not depend on its length.
     pub(crate) fn missing_below(&self, to: u32) -> impl Iterator<Item = u32> + '_ {
         let ends = std::iter::once(0).chain(self.runs.values().copied());
         let starts = self.runs.keys().copied().chain(std::iter::once(to));
--- a/crates/core/src/shard/ranges/tests.rs
+++ b/crates/core/src/shard/ranges/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `ranges`.
+//! Tests of the set of ranges.
 
 use super::*;
 
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -1,21 +1,21 @@
-//! Reclaiming of resources from teams that borrow.
+//! Reclaims resources from teams that borrow.
 //!
-//! The low-priority work of a team without a guarantee runs on what others leave
-//! unused: it is *borrowed work*, and the team a *borrower*. As soon as a job within its
-//! own team's guarantee, or an urgent one, finds no room, borrowed work is stopped for
-//! it: on the machines of the same shard directly, and on those of other shards by
-//! giving a whole machine away when the leader requests it. Without this, one borrower
-//! with much queued work could fill the fleet, and the jobs of all other teams would
-//! wait for it.
+//! The low-priority work of a team without a guarantee runs on capacity that other teams
+//! leave unused: it is *borrowed work*, and the team is a *borrower*. Borrowed work is
+//! stopped as soon as a job within its own team's guarantee, or an urgent one, lacks
+//! capacity. On machines of the same shard its tasks are stopped directly. From other
+//! shards, whole machines are transferred when the leader requests them. Without
+//! reclaiming, one borrower with many queued tasks could fill the fleet, and the jobs of
+//! all other teams would wait for it.
 //!
-//! Teams that have a guarantee keep what they use beyond it: reclaiming from them as
-//! well cost batch work without checkpoints more than others won.
+//! Teams that have a guarantee keep what they use beyond it: reclaiming from them as well
+//! cost batch work without checkpoints more than other teams gained.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`borrowers`] | which work is borrowed, and which machines it alone keeps up |
+//! | [`borrowers`] | which work is borrowed, and which machines run nothing else |
 //! | [`offers`] | machines that are offered to other shards, and vacated for them |
-//! | [`plan`] | where the least run time is lost |
+//! | [`plan`] | placements for which the least run time is lost |
 
 mod borrowers;
 mod offers;
@@ -31,18 +31,17 @@
 use plan::{cheapest_plan, ReclaimCandidate};
 use std::cmp::Reverse;
 
-/// A task that may be stopped to make room for another.
+/// A running task that may be stopped so that another task can be placed.
 pub(crate) struct Victim {
-    /// The task.
     pub(crate) task: TaskRef,
-    /// What it uses.
     pub(crate) resources: Resources,
-    /// Run time that is lost with it.
+    /// Run time that is lost if the task is stopped now, in milliseconds.
     pub(crate) lost_ms: Ms,
 }
 
 impl Shard {
-    /// Makes room for pending jobs that may reclaim it, the most urgent first.
+    /// Reclaims capacity for the pending jobs that may do so, the highest priority band
+    /// first. A gang gets capacity for all of its pending tasks or for none.
     pub(crate) fn reclaim(
         &mut self,
         ctx: &Context,
@@ -71,8 +70,9 @@
         }
     }
 
-    /// Stops what is in the way of `count` tasks of a job, if that makes room for all of
-    /// them. Returns whether there is, or will be, room.
+    /// Stops borrowed tasks so that `count` tasks of a job fit, if capacity for all of
+    /// them can be reclaimed. Returns whether their capacity is free or will be once the
+    /// stopped tasks have exited.
     fn reclaim_for(
         &mut self,
         pending: &PendingTasks,
@@ -136,13 +136,14 @@
         }
     }
 
-    /// A bound task's job and binding.
+    /// The job and the binding of a bound task; `None` if the task is not bound.
     pub(super) fn binding(&self, task: &TaskRef) -> Option<(&Job, &Binding)> {
         let job = self.jobs.get(&task.job)?;
         Some((job, job.bound.get(&task.index)?))
     }
 
-    /// What could be reclaimed on a machine, or is being stopped there already.
+    /// Resources of the tasks on a machine that could be reclaimed or are being stopped
+    /// already.
     pub(crate) fn reclaimable_on(&self, ctx: &Context, id: &MachineId) -> Resources {
         let mut sum = Resources::default();
         let Some(machine) = self.machines.get(id).filter(|_| self.has_borrowers()) else {
@@ -160,8 +161,8 @@
     }
 }
 
-/// Run time that a task loses if it is stopped now: all of it, or at most the interval
-/// between its checkpoints.
+/// Run time that a task loses if it is stopped now, in milliseconds: its whole run time,
+/// or at most one checkpoint interval if it writes checkpoints.
 fn lost_run_time_ms(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
     let run_time = ctx.now - binding.running_since.unwrap_or(ctx.now).min(ctx.now);
     let checkpoint_interval = crate::ms(job.spec.checkpoint_interval_s);
--- a/crates/core/src/shard/reclaim/borrowers.rs
+++ b/crates/core/src/shard/reclaim/borrowers.rs
@@ -1,4 +1,4 @@
-//! Borrowed work: which it is, and the machines that only it keeps up.
+//! Determines which work is borrowed, and drains the machines that run nothing else.
 
 use crate::bounds::part_of_machines;
 use crate::context::Context;
@@ -10,44 +10,46 @@
 use forkshift_wire::users::Priority;
 use forkshift_wire::{MachineId, TaskRef};
 
-/// A borrower's job is content with unused machines for this part of the time in which
-/// its class should finish. With a quarter, a huge array of short tasks came too late.
+/// A borrower's job uses idle capacity only until its age reaches this fraction of its
+/// class's completion objective. With a quarter, a huge array of short tasks finished too
+/// late.
 const IDLE_ONLY_OBJECTIVE_FRACTION: f64 = 0.1;
-/// The same, as a part of the job's own deadline.
+/// The same limit as a fraction of the job's own deadline.
 const IDLE_ONLY_DEADLINE_FRACTION: f64 = 0.5;
 
-/// A job of which no task has started is content for no more than this many boots.
+/// A borrower's job of which no task has been placed uses idle capacity only for at most
+/// this many boot times after its submission.
 const IDLE_ONLY_START_BOOTS: f64 = 2.0;
 
-/// One in so many machines of a shard is drained of borrowed work in a round.
+/// One in this many machines of a shard is drained of borrowed work in a round.
 const DRAINED_MACHINES_DIVISOR: usize = 64;
-/// At least this many are.
+/// Lower bound on the number of machines that are drained in a round.
 const MIN_DRAINED_MACHINES: usize = 4;
 
 impl Shard {
-    /// Whether a team without a guarantee uses anything.
+    /// Whether any team without a guarantee uses resources.
     pub(super) fn has_borrowers(&self) -> bool {
         let borrows = |quota: &Quota| quota.has_no_guarantee() && quota.is_borrowing();
         self.quotas.iter().any(borrows)
     }
 
-    /// Whether a job is the low-priority work of a team without a guarantee. Where no team
-    /// has one, none borrows.
+    /// Whether a job is the low-priority work of a team without a guarantee. Where no
+    /// team has a guarantee, no team is a borrower.
     fn is_borrowed_work(&self, ctx: &Context, job: &Job) -> bool {
         let team = self.teams.get(&job.spec.team);
         let has_no_guarantee = team.is_some_and(|team| self.quotas[*team].has_no_guarantee());
         ctx.config.has_borrowers && has_no_guarantee && job.priority() == Priority::Low
     }
 
-    /// Whether a task runs on borrowed resources and may be stopped to give them back. A
-    /// gang would be lost whole with one of its tasks.
+    /// Whether a task is borrowed work that may be stopped. Tasks of gangs may not,
+    /// because the whole gang would be lost with one of its tasks.
     pub(crate) fn is_reclaimable(&self, ctx: &Context, job: &Job, binding: &Binding) -> bool {
         let has_started = binding.start != StartState::NotSent;
         self.is_borrowed_work(ctx, job) && !job.is_gang() && has_started
     }
 
-    /// Whether a job is borrowed work, and whether it is content with unused machines,
-    /// where machines take `boot_ms` to boot.
+    /// Whether a job is ordinary or borrowed work, and whether borrowed work uses idle
+    /// capacity only. `boot_ms` is the longest boot time of the shard's machines.
     pub(crate) fn capacity_class_of(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> CapacityClass {
         match self.is_borrowed_work(ctx, job) {
             true if uses_idle_capacity_only(ctx, job, boot_ms) => CapacityClass::PatientBorrower,
@@ -56,10 +58,10 @@
         }
     }
 
-    /// Drains on-demand machines that only borrowers use: these fill what becomes free at
-    /// once, so no machine would ever be released otherwise. `hosts` shows what is free on
-    /// the usable machines once all other work and the spare places are booked, with
-    /// borrowed work counted as stopped.
+    /// Drains on-demand machines that run nothing but borrowed work. Borrowers fill
+    /// capacity as soon as it is free, so without this no such machine would ever be
+    /// released. `hosts` shows the free capacity of the usable machines once all other
+    /// work and the headroom are placed, with borrowed work counted as stopped.
     pub(crate) fn drain_machines_with_only_borrowed_work(
         &mut self,
         ctx: &Context,
@@ -90,9 +92,9 @@
         }
     }
 
-    /// Stops all tasks of a machine that is to be released.
+    /// Starts to drain a machine and stops all of its tasks.
     fn drain_borrowed_work(&mut self, id: &MachineId) {
-        log::info!("machine {id}: draining started, only borrowers use it");
+        log::info!("machine {id}: draining started, runs only borrowed work");
         let tasks = self.machines.get(id).map(|m| m.tasks.clone());
         for task in tasks.into_iter().flatten() {
             self.stop_task(&task);
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Whether a machine is on-demand and runs nothing but work that is content with
-    /// unused machines.
+    /// Whether a machine is on-demand and runs nothing but borrowed work that uses idle
+    /// capacity only.
     fn runs_only_idle_capacity_work(&self, ctx: &Context, machine: &Machine, boot_ms: Ms) -> bool {
         let is_idle_capacity_work = |task: &TaskRef| {
             let found = self.binding(task);
@@ -117,9 +119,9 @@
     }
 }
 
-/// Whether a borrower's job is content with what others leave unused, so that no
-/// on-demand machine is provisioned for it: it has begun, or came lately, and there is
-/// time until it should be complete.
+/// Whether a borrower's job uses idle capacity only, so that no on-demand machine is
+/// provisioned for it: the job has started or was submitted recently, and there is time
+/// until it should be complete.
 fn uses_idle_capacity_only(ctx: &Context, job: &Job, boot_ms: Ms) -> bool {
     let spec = &job.spec;
     let objective_s = ctx.config.completion_objectives.get(&spec.class);
--- a/crates/core/src/shard/reclaim/offers.rs
+++ b/crates/core/src/shard/reclaim/offers.rs
@@ -1,5 +1,5 @@
-//! Machines that run nothing but borrowed work: they are offered to other shards, and
-//! vacated if one of these requests them.
+//! Offers machines that run nothing but borrowed work to other shards, and vacates them
+//! if another shard requests them.
 
 use crate::bounds::part_of_machines;
 use crate::context::Context;
@@ -11,14 +11,14 @@
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeSet;
 
-/// One in so many machines of a shard is offered to others at a time.
+/// One in this many machines of a shard is offered to other shards at a time.
 const OFFERED_MACHINES_DIVISOR: usize = 16;
-/// At least this many are.
+/// Lower bound on the number of machines that are offered at a time.
 const MIN_OFFERED_MACHINES: usize = 16;
 
 impl Shard {
-    /// Machines on which nothing but borrowed work runs, those first that lose the least
-    /// of it. Other shards may request them.
+    /// Machines that run nothing but borrowed work, those with the least run time to lose
+    /// first. Other shards may request them.
     pub(crate) fn reclaimable_machines(
         &self,
         ctx: &Context,
@@ -41,8 +41,8 @@
         offered.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Run time that is lost if all tasks of a machine are stopped; none if one of them
-    /// must not be stopped, or there are none.
+    /// Run time that is lost if all tasks of a machine are stopped, in milliseconds;
+    /// `None` if the machine has no tasks, or one that must not be stopped.
     fn run_time_lost_by_vacating_ms(&self, ctx: &Context, machine: &Machine) -> Option<Ms> {
         if machine.tasks.is_empty() || !machine.orphans.is_empty() {
             return None;
@@ -62,7 +62,7 @@
     }
 
     /// Stops the borrowed work on a machine that another shard has requested. Returns
-    /// whether the machine will be free for it.
+    /// whether the machine will be empty once the stopped tasks have exited.
     pub(crate) fn vacate(&mut self, ctx: &Context, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get(id) else {
             return false;
--- a/crates/core/src/shard/reclaim/plan.rs
+++ b/crates/core/src/shard/reclaim/plan.rs
@@ -1,25 +1,27 @@
-//! Plans of reclaiming: the places for tasks at which the least run time is lost.
+//! Plans the reclaiming of borrowed capacity: finds the placements of tasks for which the
+//! least run time is lost.
 
 use crate::shard::reclaim::Victim;
 use crate::Ms;
 use forkshift_sched::{PendingTasks, Resources};
 use std::collections::BTreeSet;
 
-/// A machine with its free resources, and the tasks that may be stopped there.
+/// A machine with its free resources and the borrowed tasks that may be stopped there.
 pub(super) struct ReclaimCandidate {
     pub(super) machine_type: u16,
     pub(super) zone: u16,
     pub(super) spot: bool,
-    /// What is free or about to be: tasks that are being stopped are not counted as
-    /// running, so that no more is stopped than is needed.
+    /// Resources that are free or will be soon. Tasks that are being stopped count as
+    /// gone, so that no more tasks are stopped than needed.
     pub(super) free: Resources,
-    /// In the order in which they are to be stopped.
+    /// Tasks that may be stopped, the one that loses the least run time first.
     pub(super) victims: Vec<Victim>,
 }
 
 impl ReclaimCandidate {
-    /// A place for one task with as few victims as make room for it; none if it does not
-    /// fit even if all are stopped. `candidate` is the index of this candidate.
+    /// A placement for one task that stops the first victims until the task fits; `None`
+    /// if it does not fit even if all are stopped. `candidate` is the index of this
+    /// candidate.
     fn placement_for(&self, pending: &PendingTasks, candidate: usize) -> Option<PlannedPlacement> {
         let mut free = self.free;
         let mut lost_ms = 0;
@@ -43,18 +45,18 @@
     }
 }
 
-/// A place for one task. Places are ordered by the run time that is lost.
+/// A placement for one task. Placements are ordered by the run time that is lost.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PlannedPlacement {
-    /// Run time that is lost.
+    /// Run time that is lost, in milliseconds.
     lost_ms: Ms,
-    /// Index of the candidate.
+    /// Index of the machine in the list of candidates.
     pub(super) candidate: usize,
-    /// How many of the candidate's first victims are stopped.
+    /// Number of the candidate's victims that are stopped, counted from the first.
     pub(super) victims: usize,
 }
 
-/// The places for all tasks of one request.
+/// Placements for all tasks of one request.
 pub(super) struct ReclaimPlan {
     pub(super) placements: Vec<PlannedPlacement>,
 }
@@ -65,8 +67,8 @@
     }
 }
 
-/// The places for `count` tasks with which the least run time is lost; all of them in one
-/// zone if the job needs that.
+/// The placements for `count` tasks with which the least run time is lost; `None` if they
+/// do not all fit. All placements are in one zone if the job requires that.
 pub(super) fn cheapest_plan(
     pending: &PendingTasks,
     count: usize,
@@ -82,7 +84,8 @@
     plans.min_by_key(ReclaimPlan::lost_ms)
 }
 
-/// The cheapest places in a zone, or in any if none is given.
+/// The placements with the least lost run time in a zone, or in all zones if `zone` is
+/// `None`. A machine gets at most one of the tasks.
 fn plan_in_zone(
     pending: &PendingTasks,
     count: usize,
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -21,7 +21,7 @@
 /// CPUs of one task of a team with a guarantee.
 const OWNER_CPUS: f64 = 30.0;
 
-/// Adds a job, described as a change of an ordinary one.
+/// Adds an array job of 8 tasks, after `change` has been applied to its specification.
 fn add_job(
     fixture: &mut Fixture,
     id: &str,
@@ -38,8 +38,8 @@
     id
 }
 
-/// A shard with a team without any guarantee, whose tasks fill the machine, a
-/// spot one. Those with a higher index have run for a shorter time.
+/// A shard with a team without a guarantee, whose 8 tasks fill the only machine, a spot
+/// machine. Tasks with a higher index have run for a shorter time.
 fn machine_full_of_borrowed_tasks(priority: Priority) -> (Fixture, JobId) {
     let mut fixture = Fixture::new();
     set_spot(&mut fixture, true);
@@ -75,64 +75,64 @@
     (fixture, borrower)
 }
 
-/// A job that lacks room beside borrowed work.
+/// A pending job that lacks capacity because of borrowed work.
 struct ReclaimCase {
     name: &'static str,
     /// Priority of the borrowed work.
     borrower: Priority,
-    /// Changes an ordinary job to the one that lacks room.
+    /// Changes an ordinary job to the pending one.
     owner: fn(&mut JobSpec),
-    /// The borrower's tasks that are stopped: those that lose least.
+    /// The borrower's tasks that are stopped: those that lose the least run time.
     stopped: &'static [u32],
 }
 
 const RECLAIM_CASES: [ReclaimCase; 7] = [
     ReclaimCase {
-        name: "one task within the guarantee takes three places",
+        name: "one task within the guarantee stops three borrowed tasks",
         borrower: Priority::Low,
         owner: |s| s.tasks = 1,
         stopped: &[5, 6, 7],
     },
     ReclaimCase {
-        name: "each task of a batch finds its room",
+        name: "each task of an array reclaims capacity",
         borrower: Priority::Low,
         owner: |s| s.tasks = 2,
         stopped: &[3, 4, 5, 6, 7],
     },
     ReclaimCase {
-        name: "a gang that fits on no machine together stops nothing",
+        name: "a gang of two tasks with one machine stops nothing",
         borrower: Priority::Low,
         owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 2),
         stopped: &[],
     },
     ReclaimCase {
-        name: "a gang of one task",
+        name: "a gang of one task stops three borrowed tasks",
         borrower: Priority::Low,
         owner: |s| (s.kind, s.tasks) = (JobKind::Gang, 1),
         stopped: &[5, 6, 7],
     },
     ReclaimCase {
-        name: "work of a higher priority is left alone",
+        name: "work of normal priority is not reclaimed",
         borrower: Priority::Normal,
         owner: |s| s.tasks = 1,
         stopped: &[],
     },
     ReclaimCase {
-        name: "neither guaranteed nor urgent",
+        name: "a job neither guaranteed nor urgent reclaims nothing",
         borrower: Priority::Low,
         owner: |s| (s.tasks, s.team) = (1, BORROWER.to_owned()),
         stopped: &[],
     },
     ReclaimCase {
-        name: "what fits no machine",
+        name: "a task that fits no machine reclaims nothing",
         borrower: Priority::Low,
         owner: |s| (s.tasks, s.gpus) = (1, 9.0),
         stopped: &[],
     },
 ];
 
-/// Queued work of a team without a guarantee must not keep jobs of all other teams
-/// waiting.
+/// Guards against starvation: queued work of a team without a guarantee could occupy all
+/// capacity, so that jobs of other teams would stay pending.
 #[test]
 fn pending_tasks_that_may_reclaim_stop_borrowed_tasks() {
     for case in RECLAIM_CASES {
@@ -150,12 +150,13 @@
             "{}",
             case.name
         );
-        // What is being stopped counts as room: nothing more is stopped.
+        // Capacity of stopping tasks counts as free, so the next round stops nothing
+        // more.
         fixture.step(2_000);
         assert_eq!(
             stopping_tasks(&mut fixture, &borrower),
             case.stopped,
-            "{}: later",
+            "{}: after another round",
             case.name
         );
     }
@@ -167,7 +168,7 @@
     machine.expect("the machine").is_spot = spot;
 }
 
-/// A machine on which only borrowed work runs.
+/// A machine with borrowed work.
 struct DrainCase {
     name: &'static str,
     spot: bool,
@@ -180,28 +181,28 @@
 
 const DRAIN_CASES: [DrainCase; 4] = [
     DrainCase {
-        name: "an on-demand machine",
+        name: "an on-demand machine with borrowed work",
         spot: false,
         deadline_s: None,
         with_owner: false,
         is_drained: true,
     },
     DrainCase {
-        name: "a spot machine",
+        name: "a spot machine with borrowed work",
         spot: true,
         deadline_s: None,
         with_owner: false,
         is_drained: false,
     },
     DrainCase {
-        name: "other work is there, too",
+        name: "an on-demand machine with other work, too",
         spot: false,
         deadline_s: None,
         with_owner: true,
         is_drained: false,
     },
     DrainCase {
-        name: "the time is nearly up",
+        name: "borrowed work close to its deadline",
         spot: false,
         deadline_s: Some(1.0),
         with_owner: false,
@@ -209,8 +210,8 @@
     },
 ];
 
-/// Borrowers fill what becomes free at once, so a machine that they use would never be
-/// released once its own work has ended.
+/// Guards against machines that are never released: borrowers fill capacity as soon as it
+/// is free, so their machine never becomes idle after other work has ended.
 #[test]
 fn on_demand_machines_with_only_idle_capacity_work_are_drained() {
     for case in DRAIN_CASES {
@@ -261,13 +262,13 @@
     teams.find(|t| *t != BORROWER).cloned().expect("a team")
 }
 
-/// All tasks of a borrower's job, in one stage.
+/// All 8 tasks of a borrower's job in the same stage, as a heartbeat reports them.
 fn all_tasks_in_stage(job: &JobId, stage: TaskStage) -> Vec<(&JobId, u32, TaskStage)> {
     (0..8).map(|index| (job, index, stage)).collect()
 }
 
-/// A machine is transferred to another shard that reclaims it only if nothing but borrowed
-/// work is there; until that has exited the machine stays with its shard.
+/// A machine is transferred to another shard that requests it only if nothing but
+/// borrowed work runs there, and only after that work has exited.
 #[test]
 fn a_machine_with_only_borrowed_work_is_vacated_on_request() {
     for (with_owner, is_vacated) in [(false, true), (true, false)] {
@@ -297,7 +298,8 @@
             "stopped, with other work: {with_owner}"
         );
         assert_eq!(fixture.shard().machines[&machine].is_vacating, is_vacated);
-        // Transferred only once empty; a request that is declined is withdrawn.
+        // The machine is transferred only once it is empty. A declined request is
+        // withdrawn.
         let written = written_machine_records(&effects, &machine);
         assert!(written.iter().all(|r| r.shard == shard_id));
         let is_withdrawn = written.iter().any(|r| r.reassign_to.is_none());
@@ -314,7 +316,7 @@
     }
 }
 
-/// The values that are written to a machine's record.
+/// The values that the controller writes to a machine's record.
 fn written_machine_records(effects: &[Effect], id: &MachineId) -> Vec<MachineRecord> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { body, .. } => body.as_deref(),
@@ -334,7 +336,7 @@
     records
 }
 
-/// The leader requests the machine on behalf of another shard.
+/// Sets in the view that the leader requests the machine on behalf of another shard.
 fn request_machine(fixture: &mut Fixture, to: ShardId) {
     let id = fixture.machine.clone();
     let mut record = fixture.node.view.machines[&id].record.clone();
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -1,7 +1,11 @@
 //! Scheduling rounds of a shard.
 //!
-//! A round places waiting tasks on usable machines, then makes room for those that
-//! found none by preemption and reclaiming, and computes the unmet demand.
+//! A round places pending tasks on usable machines. For tasks that fit on none, it frees
+//! capacity by preemption and by reclaiming borrowed capacity, and then computes the
+//! unmet demand, for which the leader provisions machines.
+//!
+//! A round works on snapshots of the machines, called hosts. The host at an index stands
+//! for the usable machine at the same index.
 
 mod pending_tasks;
 mod quarantine;
@@ -21,11 +25,11 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Prices of machine types are those of an hour, prices of hosts those of a second.
+/// Converts the hourly price of a machine type to a price per second, the unit of a
+/// host's price.
 pub(crate) const SECONDS_PER_HOUR: f64 = 3600.0;
 
 impl Shard {
-    /// Runs a scheduling round if one is due.
     pub(crate) fn run_scheduling_round(&mut self, ctx: &mut Context, view: &ClusterView) {
         if ctx.now < self.next_round_at {
             return;
@@ -54,13 +58,14 @@
         self.compute_unmet_demand(ctx, view, &usable, remaining, pending.tasks);
     }
 
-    /// Machines on which tasks may be placed. Hosts of a round have their indices.
+    /// Machines on which tasks may be placed, in the order of the round's hosts.
     fn usable_machines(&self, ctx: &Context) -> Vec<MachineId> {
         let usable = self.machines.values().filter(|m| is_usable(m, ctx));
         usable.map(|m| m.id.clone()).collect()
     }
 
-    /// Binds placed tasks to their machines. The tasks of a gang share one attempt.
+    /// Binds placed tasks to their machines. All tasks of a gang get the same attempt
+    /// number.
     fn bind_placements(
         &mut self,
         now: Ms,
@@ -73,7 +78,8 @@
         for placement in placements {
             let id = &job_ids[placement.job];
             let machine = &usable[placement.machine];
-            // A quarantined machine is probed with one task at a time.
+            // A quarantined machine gets one task at a time, as a probe: it may be
+            // faulty.
             if self.is_quarantined(machine) && !probed_hosts.insert(placement.machine) {
                 continue;
             }
@@ -92,24 +98,26 @@
         }
     }
 
-    /// Records since when jobs that waited long have lacked nothing but machines.
+    /// Records, for jobs with a reservation, since when only a lack of machines has kept
+    /// them pending.
     fn record_machine_shortages(&mut self, now: Ms, pending: &PendingJobs) {
-        let lacking = pending.iter().filter(|(_, tasks)| tasks.lacks_machines);
-        for (id, _) in lacking {
+        let lacking_machines = pending.iter().filter(|(_, tasks)| tasks.lacks_machines);
+        for (id, _) in lacking_machines {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.lacking_machines_since.get_or_insert(now);
             }
         }
     }
 
-    /// The zone of every machine.
+    /// Zone of every machine of the shard, as a zone number.
     pub(crate) fn machine_zones(&self) -> BTreeMap<MachineId, u16> {
         let machines = self.machines.values();
         machines.map(|m| (m.id.clone(), m.zone)).collect()
     }
 }
 
-/// A binding whose start was not sent yet; the job's block is marked as changed.
+/// Creates a binding whose start command has not been sent yet, and marks the job's block
+/// of the task as changed.
 fn new_binding(job: &mut Job, task: u32, attempt: u64, machine: &MachineId, now: Ms) -> Binding {
     let block = job.block_of(task);
     let version = job.mark_block_changed(block);
@@ -125,7 +133,9 @@
     }
 }
 
-/// Whether tasks may be placed on a machine.
+/// Whether tasks may be placed on a machine: its worker reports and has confirmed this
+/// holder's fencing token, no earlier call may still be executed late, and the machine is
+/// not about to leave the shard.
 pub(crate) fn is_usable(machine: &Machine, ctx: &Context) -> bool {
     machine.has_recent_heartbeat(ctx)
         && machine.decommission_reason.is_none()
@@ -140,7 +150,7 @@
         && ctx.now >= machine.full_until
 }
 
-/// A machine as a round sees it, with what is free now.
+/// A snapshot of a machine for a scheduling round, with its present free capacity.
 pub(crate) fn machine_snapshot(machine: &Machine) -> MachineSnapshot {
     MachineSnapshot {
         free: machine.free(),
--- a/crates/core/src/shard/scheduling/pending_tasks.rs
+++ b/crates/core/src/shard/scheduling/pending_tasks.rs
@@ -1,4 +1,5 @@
-//! The tasks that wait for a place, as input of a scheduling round.
+//! Collects the pending tasks of a shard, with their priority bands and constraints, as
+//! input of a scheduling round.
 
 use crate::context::Context;
 use crate::pools::open_reservations;
@@ -10,61 +11,63 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs that waited for this many boots go before all others, so that large ones
-/// do not starve.
+/// Wait, in multiples of the longest boot time, after which a job goes before all others,
+/// so that large jobs do not starve.
 const AGED_AFTER_BOOTS: f64 = 2.0;
 
-/// A job reclaims machines of other shards after it has waited for this many
-/// rounds: by then its own shard has no room for it.
+/// Wait, in scheduling intervals, after which a job may reclaim whole machines of other
+/// shards. By then its own shard has proved to have no capacity for it.
 pub(crate) const MACHINE_RECLAIM_DELAY_ROUNDS: f64 = 2.0;
 
-/// Jobs that failed repeatedly go behind all others for this long: they may be well,
-/// and other jobs may never leave them room.
+/// After its backoff, a job that failed repeatedly is scheduled behind all others for
+/// this long, and at its usual priority afterwards. The limit is needed because the job
+/// may have been repaired, and other jobs may never leave capacity for it.
 const FAILING_JOB_DEFERRAL_MS: Ms = 180_000;
 
-/// The band of a job that is deferred as it failed repeatedly.
+/// Priority band of a job that is deferred after repeated failures; below every other
+/// band.
 const FAILING_JOB_BAND: i32 = -1;
 
-/// Added to the band of a job within its team's guarantee.
+/// Added to the priority band of a job that is within its team's guarantee; exceeds the
+/// difference between any two priorities.
 const GUARANTEED_BAND_INCREASE: i32 = 4;
 
-/// Added to the band of a job that has waited long.
+/// Added to the priority band of a job that has waited long; exceeds every other band.
 const AGED_BAND_INCREASE: i32 = 8;
 
-/// The waiting tasks of a round, with the jobs that they belong to: both lists have the
+/// The pending tasks of a round, with the jobs that they belong to. Both lists have the
 /// same length and order.
 pub(crate) struct PendingJobs {
-    /// Identifiers of the jobs.
     pub(crate) ids: Vec<JobId>,
-    /// The waiting tasks of each job.
+    /// The pending tasks of each job.
     pub(crate) tasks: Vec<PendingTasks>,
 }
 
 impl PendingJobs {
-    /// The jobs with their waiting tasks.
+    /// Iterates over the jobs with their pending tasks.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&JobId, &PendingTasks)> {
         self.ids.iter().zip(&self.tasks)
     }
 }
 
-/// What is the same for all jobs of a round.
+/// Values that are computed once a round and used for all jobs.
 struct RoundContext<'a> {
-    /// Machines on which tasks may be placed; hosts have their indices.
+    /// Machines on which tasks may be placed, in the order of the round's hosts.
     usable: &'a [MachineId],
-    /// The zone of every machine.
+    /// Zone of every machine of the shard.
     zones: BTreeMap<MachineId, u16>,
-    /// The longest boot of the shard's machines.
+    /// Longest boot time of the shard's machines, in milliseconds; 0 without machines.
     boot_ms: Ms,
     /// What services hold of each team's quota.
     quota_used_by_services: Vec<Resources>,
-    /// Hosts that have been in quarantine for less than a boot.
+    /// Indices of quarantined hosts whose last failure is more recent than one boot time.
     newly_quarantined: Vec<usize>,
-    /// Quarantined hosts that are not to be probed now.
+    /// Indices of quarantined hosts that must not get another task as a probe now.
     unavailable_for_probe: Vec<usize>,
 }
 
 impl Shard {
-    /// The jobs with tasks that wait for a place.
+    /// Collects the jobs with tasks that may be placed in this round.
     pub(super) fn pending_jobs(&self, ctx: &mut Context, usable: &[MachineId]) -> PendingJobs {
         let round = self.round_context(ctx, usable);
         let mut pending = PendingJobs {
@@ -101,17 +104,18 @@
 
     /// What services hold of each team's quota.
     fn quota_used_by_services(&self) -> Vec<Resources> {
-        let mut held = vec![Resources::default(); self.quotas.len()];
+        let mut used = vec![Resources::default(); self.quotas.len()];
         for job in self.jobs.values() {
             let team = self.teams.get(&job.spec.team);
             if let (JobKind::Service, Some(team)) = (job.spec.kind, team) {
-                held[*team] += job.task.scaled_by(job.bound.len() as i64);
+                used[*team] += job.task.scaled_by(job.bound.len() as i64);
             }
         }
-        held
+        used
     }
 
-    /// The tasks of a job that wait for a place, if it has any that may be placed now.
+    /// The pending tasks of a job, with the job's priority band, reservation and
+    /// constraints; `None` if none of its tasks may be placed now.
     fn pending_tasks_of_job(
         &self,
         ctx: &mut Context,
@@ -154,7 +158,7 @@
         Some(pending)
     }
 
-    /// What a job that has waited long keeps from those behind it.
+    /// What is reserved for a job that has waited long, against the jobs behind it.
     fn reservation_of(
         &self,
         ctx: &Context,
@@ -163,8 +167,9 @@
         waiting: usize,
         round: &RoundContext,
     ) -> Reservation {
-        // Reserved quota must become free some day, and what services hold does not:
-        // otherwise a whole team would wait for one job in vain.
+        // Quota is reserved only if it can become free. The quota that services use never
+        // does by itself, so a reservation that needs it would block the whole team for a
+        // job that can never start.
         let simultaneous_tasks = if job.is_gang() { waiting as i64 } else { 1 };
         let needed = round.quota_used_by_services[team] + job.task.scaled_by(simultaneous_tasks);
         match self.quotas[team].could_ever_allow(&needed, 1) {
@@ -175,10 +180,10 @@
     }
 }
 
-/// Indices of a job's tasks that wait for a place; none if it has none, or may not start
-/// any now.
+/// Indices of a job's pending tasks; `None` if the job has none, or may not start any
+/// now.
 fn waiting_tasks(ctx: &Context, job: &Job) -> Option<Vec<u32>> {
-    // Most jobs wait for nothing.
+    // Fast path: all tasks of most jobs are bound or done.
     if job.bound.len() + job.done.len() as usize >= job.spec.tasks as usize {
         return None;
     }
@@ -188,17 +193,17 @@
         false => ctx.config.bounds.tasks_per_round,
     };
     let mut waiting = job.waiting(max_tasks);
-    // A job that failed repeatedly starts one task at a time: all at once could take a
-    // fleet's room, and the machines that are provisioned for it.
+    // A job that failed repeatedly starts one task at a time. All tasks at once could
+    // occupy the capacity of the fleet, and the machines that are provisioned for them.
     if job.failures.is_limited_to_one_task() && !is_gang {
         waiting.truncate(1);
     }
-    // The tasks of a gang's last attempt must have exited first.
+    // A gang starts a new attempt only after all tasks of the last attempt have exited.
     let has_bound_attempt = is_gang && !job.bound.is_empty();
     (!waiting.is_empty() && !has_bound_attempt).then_some(waiting)
 }
 
-/// What of borrowed resources may be given back to a job.
+/// Which capacity may be reclaimed for a job from borrowing teams and from warm pools.
 fn reclaim_of(ctx: &Context, job: &Job, is_guaranteed: bool) -> Reclaim {
     let is_entitled = is_guaranteed || job.priority() >= Priority::High;
     let from_borrowers = ctx.config.has_borrowers && is_entitled;
@@ -214,7 +219,10 @@
     }
 }
 
-/// Hosts on which a job must not be placed.
+/// Indices of the hosts on which a job must not be placed: those on which its tasks
+/// failed recently and quarantined hosts that must not be probed now. All newly
+/// quarantined hosts are excluded for gangs, and for jobs that have failed themselves of
+/// late: a probe needs a job that is not at fault.
 fn excluded_hosts(ctx: &Context, job: &Job, round: &RoundContext) -> BTreeSet<usize> {
     let machines = job.failures.excluded_machines(ctx.now, round.boot_ms);
     let host_index = |machine: &MachineId| round.usable.iter().position(|u| u == machine);
@@ -226,7 +234,8 @@
     hosts
 }
 
-/// A job as a round sees it, without any waiting task.
+/// The placement constraints of a job for a scheduling round, without any pending task,
+/// reservation or priority band. The caller sets those.
 pub(crate) fn pending_tasks_of(
     ctx: &mut Context,
     job: &Job,
@@ -260,7 +269,7 @@
     }
 }
 
-/// How many of a job's tasks are bound in each zone.
+/// Number of the job's bound tasks in each zone.
 fn bound_per_zone(job: &Job, zones: &BTreeMap<MachineId, u16>) -> BTreeMap<u16, u32> {
     let mut counts = BTreeMap::new();
     for binding in job.bound.values() {
@@ -271,12 +280,14 @@
     counts
 }
 
-/// The numbers of machine types, as rounds use them in place of names.
+/// Converts names of machine types to the numbers that rounds use; `None` allows any
+/// type.
 pub(crate) fn type_numbers(ctx: &mut Context, types: Option<&[String]>) -> Option<Vec<u16>> {
     types.map(|t| t.iter().map(|name| ctx.places.number(name)).collect())
 }
 
-/// Whether a job has waited for so long that it goes before all others.
+/// Whether a job has waited long enough to go before all others. Services and jobs with a
+/// bound task never do, and no job does in a shard without machines.
 fn is_aged(job: &Job, now: Ms, boot_ms: Ms) -> bool {
     job.spec.kind != JobKind::Service
         && job.bound.is_empty()
@@ -284,7 +295,8 @@
         && job.waiting_for(now) as f64 > AGED_AFTER_BOOTS * boot_ms as f64
 }
 
-/// The band of a job in a round: its priority, raised by a guarantee and by a long wait.
+/// The priority band of a job in a round: the job's priority, raised if the job is within
+/// its team's guarantee and if it has waited long.
 fn priority_band(job: &Job, is_guaranteed: bool, is_aged: bool) -> i32 {
     let mut priority_band = match job.priority() {
         Priority::Low => 0,
--- a/crates/core/src/shard/scheduling/quarantine.rs
+++ b/crates/core/src/shard/scheduling/quarantine.rs
@@ -1,4 +1,5 @@
-//! Rounds on machines and jobs that may be faulty: both are probed with few tasks.
+//! Scheduling rules for machines and jobs that may be faulty: both get few tasks, as
+//! probes, until one of these runs for long enough.
 
 use crate::context::Context;
 use crate::shard::machine::Machine;
@@ -8,19 +9,20 @@
 use forkshift_sched::PendingTasks;
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
-/// For this long after its back-off, a job that failed repeatedly waits for room on
-/// existing machines: none is provisioned for it.
+/// For this long after its backoff, no machine is provisioned and no task is stopped for
+/// a job that failed repeatedly, unless its tasks fit on no machine of the shard.
 const FAILING_JOB_NO_PROVISIONING_MS: Ms = 60_000;
 
 impl Shard {
-    /// Whether a machine is in quarantine, as it may be faulty.
+    /// Whether a machine is in quarantine because several jobs failed on it.
     pub(super) fn is_quarantined(&self, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
         machine.is_some_and(|m| m.failures.is_quarantined())
     }
 
-    /// Whether a machine has been in quarantine for less than a boot. After that it is
-    /// used for more: it may be well, and another one may never come.
+    /// Whether a machine is in quarantine and its last failure is more recent than one
+    /// boot time. After that time the machine is scheduled with fewer restrictions: it
+    /// may be healthy, and a replacement may never come.
     pub(crate) fn is_newly_quarantined(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
         machine.is_some_and(|m| {
@@ -28,7 +30,8 @@
         })
     }
 
-    /// Whether a quarantined machine may be probed with one more task now.
+    /// Whether a quarantined machine may get one more task as a probe: its retry is due,
+    /// and no task on it is still starting.
     pub(super) fn may_start_probe(&self, ctx: &Context, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get(id) else {
             return false;
@@ -45,9 +48,9 @@
         is_due && !machine.tasks.iter().any(is_starting)
     }
 
-    /// Removes the waiting tasks of jobs that failed repeatedly, of late: nothing is
-    /// stopped and no machine is provisioned for them, as long as they fit on one that
-    /// exists.
+    /// Removes the pending tasks of jobs that recently failed repeatedly, so that nothing
+    /// is stopped and no machine is provisioned for them. Jobs whose tasks fit on no
+    /// existing machine stay.
     pub(super) fn skip_recently_failing_jobs(&self, ctx: &Context, pending: &mut PendingJobs) {
         for (id, tasks) in pending.ids.iter().zip(&mut pending.tasks) {
             if self.has_recently_failed(ctx, id) && self.fits_some_machine(tasks) {
@@ -63,7 +66,8 @@
         })
     }
 
-    /// Whether a task would fit on some machine of the shard if that were empty.
+    /// Whether a task would fit on some machine of the shard if the machine ran nothing
+    /// else.
     fn fits_some_machine(&self, pending: &PendingTasks) -> bool {
         let fits = |machine: &Machine| {
             machine.decommission_reason.is_none()
