--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -58,7 +58,7 @@
     token >> TOKEN_COUNTER_BITS
 }
 
-/// Progress of a shard's recovery after another controller held it.
+/// Progress of a shard's recovery after its assignment to this controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum RecoveryState {
     /// The job records are being read from the key-value store.
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -6,7 +6,7 @@
 //! it.
 //!
 //! All placements in this module are tentative: they reduce the free capacity of the
-//! round's hosts and the remaining quotas, but bind no task.
+//! round's hosts and, for pending tasks, the remaining quotas, but bind no task.
 
 mod expected_machines;
 mod headroom;
@@ -45,7 +45,7 @@
 #[derive(Default)]
 struct EmptyMachines {
     /// Machines that headroom or pending tasks need.
-    spare: Vec<MachineId>,
+    needed: Vec<MachineId>,
     /// Machines that nothing needs.
     surplus: Vec<MachineId>,
 }
@@ -80,11 +80,12 @@
         } = self.place_on_expected_machines(ctx, view, usable, &mut remaining, pending);
         self.update_idle_times(ctx, usable, &remaining.hosts);
         let pool_shapes = self.keep_pools(ctx, view, &expected, &remaining.hosts);
-        // Only unmet demand of ordinary tasks prevents draining. Missing headroom
-        // doesn't: if it fitted on an existing machine, it would have been placed there.
+        // Unmet demand does not prevent draining if it is headroom or work that uses idle
+        // capacity only. Headroom that fitted on an existing machine would have been
+        // placed there.
         if shapes.iter().all(|s| s.is_spare || s.is_borrowing) {
             remaining.hosts.truncate(usable.len());
-            self.drain(ctx, view, usable, &mut remaining.hosts);
+            self.drain_underused_machines(ctx, view, usable, &mut remaining.hosts);
         }
         // The demand is in order of urgency: pools come after pending tasks and headroom.
         shapes.extend(pool_shapes);
@@ -93,7 +94,7 @@
             revision: view.revision,
             shapes,
             waiting,
-            spare_machines: empty.spare,
+            spare_machines: empty.needed,
             surplus_machines: empty.surplus,
             reclaimable_machines: self.reclaimable_machines(ctx, usable),
             pool_machines: Vec::new(),
@@ -191,7 +192,7 @@
         for machine in machines.filter(is_empty) {
             let list = match machine.idle_since {
                 Some(_) => &mut empty.surplus,
-                None => &mut empty.spare,
+                None => &mut empty.needed,
             };
             list.push(machine.id.clone());
         }
--- a/crates/core/src/shard/demand/headroom.rs
+++ b/crates/core/src/shard/demand/headroom.rs
@@ -60,6 +60,9 @@
         let factor = ctx.config.operator.spare_ratio;
         let mut missing = Vec::new();
         for class in self.headroom_classes(ctx, boot_s) {
+            // Tasks that are expected to arrive during a boot, scaled by the ratio in the
+            // settings, plus their standard deviation if arrivals are a Poisson process.
+            // A ratio below 1 reduces this margin further.
             let arrivals = class.arrival_rate * boot_s * factor;
             let target = (arrivals + arrivals.sqrt() * factor.min(1.0)).ceil() as u32;
             let unplaced = class.place_tasks(ctx, target, hosts);
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -63,7 +63,7 @@
     /// elsewhere, and moves replicas off machines that are draining. `hosts` shows the
     /// free capacity of the usable machines once all pending tasks and the headroom are
     /// placed.
-    pub(crate) fn drain(
+    pub(crate) fn drain_underused_machines(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -2,11 +2,11 @@
 //!
 //! The low-priority work of a team without a guarantee runs on capacity that other teams
 //! leave unused: it is *borrowed work*, and the team is a *borrower*. Borrowed work is
-//! stopped as soon as a job within its own team's guarantee, or an urgent one, lacks
-//! capacity. On machines of the same shard its tasks are stopped directly. From other
-//! shards, whole machines are transferred when the leader requests them. Without
-//! reclaiming, one borrower with many queued tasks could fill the fleet, and the jobs of
-//! all other teams would wait for it.
+//! stopped as soon as capacity is lacking for a job that is within its own team's
+//! guarantee, or that has high or production priority. On machines of the same shard its
+//! tasks are stopped directly. From other shards, whole machines are transferred when the
+//! leader requests them. Without reclaiming, one borrower with many queued tasks could
+//! fill the fleet, and the jobs of all other teams would wait for it.
 //!
 //! Teams that have a guarantee keep what they use beyond it: reclaiming from them as well
 //! cost batch work without checkpoints more than other teams gained.
@@ -42,7 +42,7 @@
 impl Shard {
     /// Reclaims capacity for the pending jobs that may do so, the highest priority band
     /// first. A gang gets capacity for all of its pending tasks or for none.
-    pub(crate) fn reclaim(
+    pub(crate) fn reclaim_borrowed_capacity(
         &mut self,
         ctx: &Context,
         pending: &[PendingTasks],
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -53,7 +53,7 @@
         self.bind_placements(ctx.now, &placements, &pending.ids, &usable);
         self.skip_recently_failing_jobs(ctx, &mut pending);
         self.preempt(ctx, &pending, &usable, &quotas);
-        self.reclaim(ctx, &pending.tasks, &usable, &quotas);
+        self.reclaim_borrowed_capacity(ctx, &pending.tasks, &usable, &quotas);
         let remaining = RemainingCapacity { hosts, quotas };
         self.compute_unmet_demand(ctx, view, &usable, remaining, pending.tasks);
     }
