--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -1,21 +1,21 @@
-//! Reclaiming of resources from teams that borrow.
+//! Reclaims resources from teams that borrow.
 //!
-//! The low-priority work of a team without a guarantee runs on what others leave
-//! unused: it is *borrowed work*, and the team a *borrower*. As soon as a job within its
-//! own team's guarantee, or an urgent one, finds no room, borrowed work is stopped for
-//! it: on the machines of the same shard directly, and on those of other shards by
-//! giving a whole machine away when the leader requests it. Without this, one borrower
-//! with much queued work could fill the fleet, and the jobs of all other teams would
-//! wait for it.
+//! The low-priority work of a team without a guarantee runs on capacity that other teams
+//! leave unused: it is *borrowed work*, and the team is a *borrower*. Borrowed work is
+//! stopped as soon as capacity is lacking for a job that is within its own team's
+//! guarantee, or that has high or production priority. On machines of the same shard its
+//! tasks are stopped directly. From other shards, whole machines are transferred when the
+//! leader requests them. Without reclaiming, one borrower with many queued tasks could
+//! fill the fleet, and the jobs of all other teams would wait for it.
 //!
-//! Teams that have a guarantee keep what they use beyond it: reclaiming from them as
-//! well cost batch work without checkpoints more than others won.
+//! Teams that have a guarantee keep what they use beyond it: reclaiming from them as well
+//! cost batch work without checkpoints more than other teams gained.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`borrowers`] | which work is borrowed, and which machines it alone keeps up |
+//! | [`borrowers`] | which work is borrowed, and which machines run nothing else |
 //! | [`offers`] | machines that are offered to other shards, and vacated for them |
-//! | [`plan`] | where the least run time is lost |
+//! | [`plan`] | placements for which the least run time is lost |
 
 mod borrowers;
 mod offers;
@@ -31,19 +31,18 @@
 use plan::{cheapest_plan, ReclaimCandidate};
 use std::cmp::Reverse;
 
-/// A task that may be stopped to make room for another.
+/// A running task that may be stopped so that another task can be placed.
 pub(crate) struct Victim {
-    /// The task.
     pub(crate) task: TaskRef,
-    /// What it uses.
     pub(crate) resources: Resources,
-    /// Run time that is lost with it.
+    /// Run time that is lost if the task is stopped now, in milliseconds.
     pub(crate) lost_ms: Ms,
 }
 
 impl Shard {
-    /// Makes room for pending jobs that may reclaim it, the most urgent first.
-    pub(crate) fn reclaim(
+    /// Reclaims capacity for the pending jobs that may do so, the highest priority band
+    /// first. A gang gets capacity for all of its pending tasks or for none.
+    pub(crate) fn reclaim_borrowed_capacity(
         &mut self,
         ctx: &Context,
         pending: &[PendingTasks],
@@ -71,8 +70,9 @@
         }
     }
 
-    /// Stops what is in the way of `count` tasks of a job, if that makes room for all of
-    /// them. Returns whether there is, or will be, room.
+    /// Stops borrowed tasks so that `count` tasks of a job fit, if capacity for all of
+    /// them can be reclaimed. Returns whether their capacity is free or will be once the
+    /// stopped tasks have exited.
     fn reclaim_for(
         &mut self,
         pending: &PendingTasks,
@@ -88,9 +88,9 @@
             return false;
         };
         quotas[pending.team].used += need;
-        for place in plan.places {
-            let candidate = &mut candidates[place.candidate];
-            for victim in candidate.victims.drain(..place.victims) {
+        for placement in plan.placements {
+            let candidate = &mut candidates[placement.candidate];
+            for victim in candidate.victims.drain(..placement.victims) {
                 candidate.free += victim.resources;
                 log::info!(
                     "task {}: stopped, resources reclaimed from borrower",
@@ -122,7 +122,7 @@
                 victims.push(Victim {
                     task: task.clone(),
                     resources: job.task,
-                    lost_ms: lost_run_time(ctx, job, binding),
+                    lost_ms: lost_run_time_ms(ctx, job, binding),
                 });
             }
         }
@@ -136,13 +136,14 @@
         }
     }
 
-    /// A bound task's job and binding.
+    /// The job and the binding of a bound task; `None` if the task is not bound.
     pub(super) fn binding(&self, task: &TaskRef) -> Option<(&Job, &Binding)> {
         let job = self.jobs.get(&task.job)?;
         Some((job, job.bound.get(&task.index)?))
     }
 
-    /// What could be reclaimed on a machine, or is being stopped there already.
+    /// Resources of the tasks on a machine that could be reclaimed or are being stopped
+    /// already.
     pub(crate) fn reclaimable_on(&self, ctx: &Context, id: &MachineId) -> Resources {
         let mut sum = Resources::default();
         let Some(machine) = self.machines.get(id).filter(|_| self.has_borrowers()) else {
@@ -160,9 +161,9 @@
     }
 }
 
-/// Run time that a task loses if it is stopped now: all of it, or at most the interval
-/// between its checkpoints.
-fn lost_run_time(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
+/// Run time that a task loses if it is stopped now, in milliseconds: its whole run time,
+/// or at most one checkpoint interval if it writes checkpoints.
+fn lost_run_time_ms(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
     let run_time = ctx.now - binding.running_since.unwrap_or(ctx.now).min(ctx.now);
     let checkpoint_interval = crate::ms(job.spec.checkpoint_interval_s);
     if checkpoint_interval > 0 {
