--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -85,7 +85,7 @@
         route: Route,
         shard_id: ShardId,
     ) -> Reply {
-        let newest_epoch = self.view.epoch().1;
+        let newest_epoch = self.view.epoch_counter().1;
         let Node { shards, ctx, .. } = self;
         let Some(shard) = shards.get_mut(&shard_id) else {
             return redirect_to_next();
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -19,7 +19,7 @@
 use crate::overflow::OverflowLog;
 use crate::pending_call::PendingCall;
 use crate::records::{DemandRecord, ShardId};
-use crate::store::budget::BudgetTerms;
+use crate::store::budget::BudgetInputs;
 use crate::store::queue::StoreQueue;
 use crate::Ms;
 use forkshift_links::{CloudLink, LinkStates, RedirectHistory, RelayTable};
@@ -144,7 +144,7 @@
     }
 }
 
-impl From<&Context> for BudgetTerms {
+impl From<&Context> for BudgetInputs {
     fn from(ctx: &Context) -> Self {
         Self {
             config: Rc::clone(&ctx.config),
--- a/crates/core/src/context/calls.rs
+++ b/crates/core/src/context/calls.rs
@@ -72,7 +72,7 @@
                 call.method,
                 call.path,
                 call.body,
-                call.timeout,
+                call.timeout_ms,
                 call.pending,
             );
         }
@@ -87,8 +87,8 @@
             path,
             body: None,
             writes: 0,
-            timeout: STORE_TIMEOUT_MS,
-            expires: self.now + STORE_TIMEOUT_MS,
+            timeout_ms: STORE_TIMEOUT_MS,
+            expires_at: self.now + STORE_TIMEOUT_MS,
             pending,
         };
         self.store.push(urgency, call);
@@ -109,8 +109,8 @@
             path: format!("/changes?starts={prefix}&from={from}&wait_ms={wait}"),
             body: None,
             writes: 0,
-            timeout: wait + STORE_TIMEOUT_MS * 2,
-            expires: self.now + STORE_TIMEOUT_MS,
+            timeout_ms: wait + STORE_TIMEOUT_MS * 2,
+            expires_at: self.now + STORE_TIMEOUT_MS,
             pending,
         };
         self.store.push(Urgency::Membership, call);
@@ -129,8 +129,8 @@
             path,
             body,
             writes: 0,
-            timeout: STORE_TIMEOUT_MS,
-            expires: self.now + STORE_TIMEOUT_MS,
+            timeout_ms: STORE_TIMEOUT_MS,
+            expires_at: self.now + STORE_TIMEOUT_MS,
             pending,
         };
         self.store.push(Urgency::Membership, call);
@@ -152,8 +152,8 @@
             path: "/txn".to_owned(),
             body: Some(body),
             writes: transaction.writes.len(),
-            timeout: STORE_TIMEOUT_MS,
-            expires: self.now + STORE_TIMEOUT_MS,
+            timeout_ms: STORE_TIMEOUT_MS,
+            expires_at: self.now + STORE_TIMEOUT_MS,
             pending,
         };
         self.store.push(urgency, call);
--- a/crates/core/src/context/liveness.rs
+++ b/crates/core/src/context/liveness.rs
@@ -35,7 +35,7 @@
     pub(crate) fn note_process_pause(&mut self, now: Ms) {
         if now > self.now + self.config.heartbeat_interval_ms / 2 {
             self.resumed_at = now;
-            self.store.note_pause(now);
+            self.store.limit_burst_after_pause(now);
         }
     }
 
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -57,7 +57,7 @@
         let mut node = Node::new(config, INCARNATION, 1);
         node.ctx.now = NOW;
         node.ctx.wall_clock_ms = WALL;
-        node.view.replace(items, 5);
+        node.view.replace_all(items, 5);
         acquire_lease(&mut node);
         activate_shard(&mut node, shard);
         node.run_failure_detector();
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -103,7 +103,7 @@
         version: 4,
     };
     let mut view = ClusterView::default();
-    view.replace(records.map(item).into(), 9);
+    view.replace_all(records.map(item).into(), 9);
     assert_eq!(view.nodes[&NodeName::new("berth-0")].record.incarnation, 5);
     assert_eq!(view.leader.expect("a leader").record.incarnation, 5);
     assert_eq!(view.epoch.expect("an epoch").record, 7);
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -36,10 +36,10 @@
 const DEFAULT_BOOT_S: f64 = 60.0;
 
 /// One incarnation of a controller, as seen by this one.
-struct NodePresence {
+struct RegisteredNode {
     incarnation: u64,
     /// Since when it has been registered.
-    since: Ms,
+    registered_at: Ms,
 }
 
 /// State of the leader role. All but [`Leader::nodes`] and the count of intents
@@ -52,7 +52,7 @@
     /// When rebalancing and scale-out were last considered.
     last_planned_at: Ms,
     /// Controllers that are alive; kept up to date while another one leads, too.
-    nodes: BTreeMap<NodeName, NodePresence>,
+    nodes: BTreeMap<NodeName, RegisteredNode>,
     cloud: CloudAccess,
     assignment: AssignmentState,
     finalization: FinalizationState,
@@ -141,7 +141,7 @@
             ctx.now + crate::ms(ctx.config.operator.assignment_interval_s);
         self.finalize_format(ctx, view);
         self.log_unsupported_nodes(ctx, view);
-        self.assign(ctx, view);
+        self.assign_shards(ctx, view);
         self.remove_stale_cancellations(ctx, view);
     }
 
@@ -154,8 +154,8 @@
         }
         self.last_planned_at = ctx.now;
         let demands = self.rebalancing.demands(ctx, view);
-        if self.rebalancing.take_changed(view.revision) {
-            self.rebalance(ctx, view, &demands);
+        if self.rebalancing.observe_changes(view.revision) {
+            self.rebalance_machines(ctx, view, &demands);
         }
         self.scale_out(ctx, view, &demands);
     }
@@ -163,11 +163,11 @@
     /// Notes since when each incarnation of a controller has been registered.
     fn track_nodes(&mut self, ctx: &Context, view: &ClusterView) {
         self.nodes
-            .retain(|name, presence| view.is_alive(name, presence.incarnation));
+            .retain(|name, presence| view.is_registered(name, presence.incarnation));
         for (name, node) in &view.nodes {
-            self.nodes.entry(name.clone()).or_insert(NodePresence {
+            self.nodes.entry(name.clone()).or_insert(RegisteredNode {
                 incarnation: node.record.incarnation,
-                since: ctx.now,
+                registered_at: ctx.now,
             });
         }
     }
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A controller that restarted is given a shard after this many of its leases.
-const STEADY_LEASES: u64 = 4;
+const MIN_UPTIME_LEASES: u64 = 4;
 /// Shards are moved between controllers whose numbers of shards differ by this many.
 const MIN_IMBALANCE: u32 = 2;
 
@@ -24,7 +24,7 @@
     /// When shards are checked next.
     pub(super) next_check_at: Ms,
     /// Shards whose new assignment is being written.
-    being_written: BTreeSet<ShardId>,
+    writes_in_flight: BTreeSet<ShardId>,
 }
 
 /// How many shards each controller holds, of those that may hold shards.
@@ -33,7 +33,7 @@
 impl Leader {
     /// Gives every shard a holder that is alive, and brings shards back to
     /// controllers that have none.
-    pub(super) fn assign(&mut self, ctx: &mut Context, view: &ClusterView) {
+    pub(super) fn assign_shards(&mut self, ctx: &mut Context, view: &ClusterView) {
         let mut counts = eligible_nodes(view);
         let mut unassigned = Vec::new();
         for shard_id in (0..ctx.config.shard_count()).map(ShardId) {
@@ -51,10 +51,10 @@
             return;
         };
         if assignments.is_empty() {
-            self.balance(ctx, view, &counts);
-        } else if self.assignment.being_written.is_empty() {
+            self.balance_shards(ctx, view, &counts);
+        } else if self.assignment.writes_in_flight.is_empty() {
             let shards = assignments.iter().map(|(shard_id, _)| *shard_id);
-            self.assignment.being_written.extend(shards);
+            self.assignment.writes_in_flight.extend(shards);
             hand_over(ctx, view, &assignments);
         }
     }
@@ -64,23 +64,25 @@
     /// registered yet, lest the first one be given everything. Where one has
     /// stayed, shards are not kept waiting for those that may return.
     fn retain_assignable(&self, ctx: &Context, view: &ClusterView, unassigned: &mut Vec<ShardId>) {
-        let is_first_start = unassigned.len() == ctx.config.shard_count() as usize;
+        let is_cluster_start = unassigned.len() == ctx.config.shard_count() as usize;
         let registration_ends_at = self.elected_at + ctx.config.node_lease_ms() / 2;
-        let is_early = is_first_start && ctx.now < registration_ends_at;
+        let may_more_nodes_register = is_cluster_start && ctx.now < registration_ends_at;
         unassigned.retain(|shard_id| {
-            let home = home_of(ctx, *shard_id);
-            let is_home_registered = home.is_some_and(|node| view.nodes.contains_key(node));
-            !self.assignment.being_written.contains(shard_id) && (is_home_registered || !is_early)
+            let preferred = preferred_node(ctx, *shard_id);
+            let is_preferred_node_registered =
+                preferred.is_some_and(|node| view.nodes.contains_key(node));
+            !self.assignment.writes_in_flight.contains(shard_id)
+                && (is_preferred_node_registered || !may_more_nodes_register)
         });
     }
 
     /// Requests the handover of one shard at a time from the controller that holds
     /// most to the one that holds least.
-    fn balance(&mut self, ctx: &mut Context, view: &ClusterView, counts: &ShardCounts) {
+    fn balance_shards(&mut self, ctx: &mut Context, view: &ClusterView, counts: &ShardCounts) {
         let largest = counts.iter().max_by_key(|(_, count)| **count);
         let smallest = counts
             .iter()
-            .filter(|(node, _)| self.is_steady(ctx, node))
+            .filter(|(node, _)| self.is_stable(ctx, node))
             .min_by_key(|(_, count)| **count);
         let (Some((from, max_count)), Some((to, min_count))) = (largest, smallest) else {
             return;
@@ -92,15 +94,15 @@
             .shards
             .iter()
             .filter(|(_, shard)| shard.record.holder == **from);
-        let is_home = |shard_id: ShardId| home_of(ctx, shard_id) == Some(*to);
-        let Some((shard_id, shard)) = candidates.max_by_key(|(id, _)| is_home(**id)) else {
+        let is_preferred = |shard_id: ShardId| preferred_node(ctx, shard_id) == Some(*to);
+        let Some((shard_id, shard)) = candidates.max_by_key(|(id, _)| is_preferred(**id)) else {
             return;
         };
         log::info!("shard {shard_id}: handover requested, from {from} to {to}");
         let mut record = shard.record.clone();
         record.handover_to = Some((*to).clone());
         let transaction = put_if_unchanged(view, shard_key(*shard_id), shard.version, &record);
-        self.assignment.being_written.insert(*shard_id);
+        self.assignment.writes_in_flight.insert(*shard_id);
         ctx.transact(
             Urgency::Membership,
             &transaction,
@@ -110,16 +112,16 @@
 
     /// Whether a controller has been registered for long enough to be given shards
     /// of others.
-    fn is_steady(&self, ctx: &Context, node: &NodeName) -> bool {
-        let min_age = ctx.config.node_lease_ms() * STEADY_LEASES;
+    fn is_stable(&self, ctx: &Context, node: &NodeName) -> bool {
+        let min_age = ctx.config.node_lease_ms() * MIN_UPTIME_LEASES;
         let presence = self.nodes.get(node);
-        presence.is_some_and(|presence| ctx.now >= presence.since + min_age)
+        presence.is_some_and(|presence| ctx.now >= presence.registered_at + min_age)
     }
 
     /// The write of assignments was answered, whatever the answer.
     pub(crate) fn on_shard_record_written(&mut self, shards: &[ShardId]) {
         self.assignment
-            .being_written
+            .writes_in_flight
             .retain(|shard_id| !shards.contains(shard_id));
     }
 }
@@ -127,7 +129,7 @@
 /// The controllers that may hold shards, each with a count of 0. One that receives
 /// no heartbeats may not, as long as there are others.
 fn eligible_nodes(view: &ClusterView) -> ShardCounts<'_> {
-    let are_all_isolated = view.has_no_node_with_heartbeats();
+    let are_all_isolated = view.are_all_nodes_isolated();
     view.nodes
         .iter()
         .filter(|(_, node)| are_all_isolated || !node.record.receives_no_heartbeats)
@@ -138,7 +140,7 @@
 }
 
 /// Chooses a holder for each shard: the controller with the fewest shards, the
-/// shard's home among equals. None, if no controller may hold shards.
+/// shard's preferred among equals. None, if no controller may hold shards.
 ///
 /// All are assigned at once: after a crash of most controllers, workers are left
 /// with what remains of their leases. Each shard takes a value of the epoch
@@ -151,10 +153,10 @@
     let max_shards = ctx.limits.txn_ops - 1;
     let mut assignments = Vec::new();
     for shard_id in unassigned.into_iter().take(max_shards) {
-        let home = home_of(ctx, shard_id);
+        let preferred = preferred_node(ctx, shard_id);
         let (node, count) = counts
             .iter_mut()
-            .min_by_key(|(node, count)| (**count, Some(**node) != home))?;
+            .min_by_key(|(node, count)| (**count, Some(**node) != preferred))?;
         *count += 1;
         log::info!("shard {shard_id}: assigned, to {node}");
         assignments.push((shard_id, (*node).clone()));
@@ -163,7 +165,7 @@
 }
 
 /// The controller that a shard is assigned to while all are alive.
-fn home_of(ctx: &Context, shard_id: ShardId) -> Option<&NodeName> {
+fn preferred_node(ctx: &Context, shard_id: ShardId) -> Option<&NodeName> {
     ctx.config.nodes.get(shard_id.0 as usize)
 }
 
--- a/crates/core/src/leader/cancellations.rs
+++ b/crates/core/src/leader/cancellations.rs
@@ -10,33 +10,36 @@
 use std::collections::BTreeMap;
 
 /// A cancellation that waits for the holder of its job.
-struct WaitingCancellation {
+struct TrackedCancellation {
     /// Version of its key.
     version: u64,
     /// Since when that version has been seen.
-    since: Ms,
+    first_seen_at: Ms,
 }
 
 /// Cancellations that wait, by job.
 #[derive(Default)]
 pub(super) struct CancellationTracker {
-    waiting: BTreeMap<JobId, WaitingCancellation>,
+    tracked: BTreeMap<JobId, TrackedCancellation>,
 }
 
 impl Leader {
     /// Removes cancellations that have waited for too long: their jobs have ended
-    /// since, or the write of the key was carried out late. Users without an
+    /// first_seen_at, or the write of the key was carried out late. Users without an
     /// answer repeat the request.
     pub(super) fn remove_stale_cancellations(&mut self, ctx: &mut Context, view: &ClusterView) {
-        let known = std::mem::take(&mut self.cancellations.waiting);
+        let known = std::mem::take(&mut self.cancellations.tracked);
         for (id, &version) in &view.cancellations {
             let seen = known.get(id).filter(|known| known.version == version);
-            let since = seen.map_or(ctx.now, |known| known.since);
-            if ctx.now > since + ctx.config.cancellation_timeout_ms {
+            let first_seen_at = seen.map_or(ctx.now, |known| known.first_seen_at);
+            if ctx.now > first_seen_at + ctx.config.cancellation_timeout_ms {
                 remove_key(ctx, cancellation_key(id), version);
             } else {
-                let waiting = WaitingCancellation { version, since };
-                self.cancellations.waiting.insert(id.clone(), waiting);
+                let tracked = TrackedCancellation {
+                    version,
+                    first_seen_at,
+                };
+                self.cancellations.tracked.insert(id.clone(), tracked);
             }
         }
     }
--- a/crates/core/src/leader/catalog.rs
+++ b/crates/core/src/leader/catalog.rs
@@ -13,11 +13,11 @@
 use std::collections::BTreeMap;
 
 /// Pause before the catalogue is read again if no answer came, in milliseconds.
-const RETRY_MS: Ms = 5_000;
+const RETRY_INTERVAL_MS: Ms = 5_000;
 /// Pause between two reads of the prices, in milliseconds.
-const REFRESH_MS: Ms = 60_000;
+const REFRESH_INTERVAL_MS: Ms = 60_000;
 /// The same while a type's record is not seen yet.
-const UNKNOWN_TYPE_REFRESH_MS: Ms = 1_000;
+const UNRECORDED_TYPE_REFRESH_INTERVAL_MS: Ms = 1_000;
 
 /// What is known of the catalogue.
 #[derive(Default)]
@@ -32,11 +32,11 @@
     /// Reads the catalogue when it is due.
     pub(super) fn poll_catalog(&mut self, ctx: &mut Context) {
         if self.lacks_prices(ctx) {
-            let soon = ctx.now + UNKNOWN_TYPE_REFRESH_MS;
+            let soon = ctx.now + UNRECORDED_TYPE_REFRESH_INTERVAL_MS;
             self.catalog.next_read_at = self.catalog.next_read_at.min(soon);
         }
         if ctx.now >= self.catalog.next_read_at && self.cloud.try_acquire(ctx.now) {
-            self.catalog.next_read_at = ctx.now + RETRY_MS;
+            self.catalog.next_read_at = ctx.now + RETRY_INTERVAL_MS;
             ctx.call_cloud("GET", "/catalog".to_owned(), None, PendingCall::Catalog);
         }
     }
@@ -73,9 +73,9 @@
 fn refresh_interval(view: &ClusterView, types: &[MachineType]) -> Ms {
     let is_known = |t: &MachineType| view.machine_types.contains_key(&t.name);
     if types.iter().all(is_known) {
-        REFRESH_MS
+        REFRESH_INTERVAL_MS
     } else {
-        UNKNOWN_TYPE_REFRESH_MS
+        UNRECORDED_TYPE_REFRESH_INTERVAL_MS
     }
 }
 
--- a/crates/core/src/leader/cloud_access.rs
+++ b/crates/core/src/leader/cloud_access.rs
@@ -4,7 +4,7 @@
 use crate::Ms;
 
 /// The part of the cloud's rate limit that the leader uses.
-const RATE_LIMIT_PART: f64 = 0.9;
+const RATE_LIMIT_FRACTION: f64 = 0.9;
 /// Pause of all calls after the cloud was unavailable, in milliseconds.
 const UNAVAILABLE_PAUSE_MS: Ms = 500;
 
@@ -18,7 +18,7 @@
     /// `rps` is the rate limit that the cloud announces, in requests a second.
     pub(super) fn new(rps: f64) -> Self {
         Self {
-            rate_limit: TokenBucket::new(rps * RATE_LIMIT_PART),
+            rate_limit: TokenBucket::new(rps * RATE_LIMIT_FRACTION),
             paused_until: 0,
         }
     }
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -40,7 +40,7 @@
         }
         self.log_unregistered_nodes(ctx, view, newest);
         // One that all know is finalized while a newer one waits.
-        let format = format_known_to_all(ctx, view).min(newest);
+        let format = newest_common_format(ctx, view).min(newest);
         if format <= view.format() {
             return;
         }
@@ -109,7 +109,7 @@
 }
 
 /// The newest format that all configured controllers have registered with.
-fn format_known_to_all(ctx: &Context, view: &ClusterView) -> FormatVersion {
+fn newest_common_format(ctx: &Context, view: &ClusterView) -> FormatVersion {
     let registered = |name: &NodeName| {
         view.nodes
             .get(name)
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -13,12 +13,12 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A machine that has not come up after this many boots never will.
-const MAX_BOOTS: f64 = 3.0;
+const MAX_BOOT_TIMES: f64 = 3.0;
 /// Least pause between two lists, in milliseconds.
-const MIN_LIST_PAUSE_MS: Ms = 2_000;
+const MIN_LIST_INTERVAL_MS: Ms = 2_000;
 /// After this many times the list's lag a machine should be listed, and the
 /// record of a listed one seen.
-const SETTLED_LAGS: u64 = 4;
+const SETTLING_LAGS: u64 = 4;
 /// A machine missing from this many lists in a row no longer exists.
 const MAX_MISSED_LISTS: u32 = 3;
 
@@ -60,20 +60,20 @@
     }
 
     /// For how long a machine has been known, in milliseconds.
-    pub(super) fn known_for(&self, now: Ms, id: &MachineId) -> Ms {
+    pub(super) fn known_for_ms(&self, now: Ms, id: &MachineId) -> Ms {
         now - self.first_seen_at.get(id).copied().unwrap_or(now)
     }
 
     /// Counts a list that lacks a machine. Returns whether enough of them do: a list
     /// may be older than those before it.
-    fn miss(&mut self, id: &MachineId) -> bool {
+    fn count_missed_list(&mut self, id: &MachineId) -> bool {
         let missed = self.missed_lists.entry(id.clone()).or_default();
         *missed += 1;
         *missed >= MAX_MISSED_LISTS
     }
 
     /// Drops what is known of machines that have no record any more.
-    fn forget_removed(&mut self, view: &ClusterView, listed: &ListedMachines) {
+    fn retain_existing(&mut self, view: &ClusterView, listed: &ListedMachines) {
         self.first_seen_at
             .retain(|id, _| view.machines.contains_key(id) || listed.contains_key(id));
         self.missed_lists
@@ -91,7 +91,8 @@
         let is_due = !self.inventory.is_listing && ctx.now >= self.inventory.next_list_at;
         if is_due && self.cloud.try_acquire(ctx.now) {
             self.inventory.is_listing = true;
-            self.inventory.next_list_at = ctx.now + ctx.config.list_lag_ms.max(MIN_LIST_PAUSE_MS);
+            self.inventory.next_list_at =
+                ctx.now + ctx.config.list_lag_ms.max(MIN_LIST_INTERVAL_MS);
             list_machines(ctx, Vec::new());
         }
     }
@@ -122,8 +123,8 @@
         }
         let listed: ListedMachines = machines.iter().map(|m| (&m.id, m)).collect();
         self.decommission_listed(ctx, view, &listed);
-        self.delete_unknown(ctx, view, &machines);
-        self.inventory.forget_removed(view, &listed);
+        self.delete_unrecorded(ctx, view, &machines);
+        self.inventory.retain_existing(view, &listed);
     }
 
     /// Decommissions machines that failed, never came up, or are no longer listed.
@@ -150,9 +151,9 @@
         record: &MachineRecord,
         listed: Option<&ListedMachine>,
     ) -> Option<&'static str> {
-        let known_for = self.inventory.known_for(ctx.now, id);
-        let max_boot_ms = crate::ms(boot_seconds(view, &record.machine_type) * MAX_BOOTS);
-        let is_overdue = record.addr.is_none() && known_for > max_boot_ms;
+        let known_for_ms = self.inventory.known_for_ms(ctx.now, id);
+        let max_boot_ms = crate::ms(boot_seconds(view, &record.machine_type) * MAX_BOOT_TIMES);
+        let is_overdue = record.addr.is_none() && known_for_ms > max_boot_ms;
         match listed {
             Some(machine) if machine.stage == MachineStage::Failed => Some("it failed"),
             _ if is_overdue => Some("it never came up"),
@@ -160,8 +161,8 @@
                 self.inventory.missed_lists.remove(id);
                 None
             }
-            None if known_for > ctx.config.list_lag_ms * SETTLED_LAGS => {
-                let is_removed = self.inventory.miss(id);
+            None if known_for_ms > ctx.config.list_lag_ms * SETTLING_LAGS => {
+                let is_removed = self.inventory.count_missed_list(id);
                 is_removed.then_some("it is gone from the list")
             }
             None => None,
@@ -171,17 +172,22 @@
     /// Deletes machines that have no record: they were provisioned by a request that
     /// was carried out late, and nothing was ever started there. Without a valid
     /// lease there may be a successor, whose machines this view does not show.
-    fn delete_unknown(&mut self, ctx: &mut Context, view: &ClusterView, listed: &[ListedMachine]) {
+    fn delete_unrecorded(
+        &mut self,
+        ctx: &mut Context,
+        view: &ClusterView,
+        listed: &[ListedMachine],
+    ) {
         let has_intents =
             !view.provisioning_intents.is_empty() || self.provisioning.is_writing_intents();
         if !ctx.has_valid_lease || has_intents {
             return;
         }
-        let settled_ms = ctx.config.list_lag_ms as f64 * SETTLED_LAGS as f64;
+        let settling_ms = ctx.config.list_lag_ms as f64 * SETTLING_LAGS as f64;
         let inventory = &self.inventory;
         let unknown: Vec<MachineId> = listed
             .iter()
-            .filter(|machine| machine.age_s * 1000.0 > settled_ms)
+            .filter(|machine| machine.age_s * 1000.0 > settling_ms)
             .map(|machine| &machine.id)
             .filter(|id| !view.machines.contains_key(*id))
             .filter(|id| !inventory.being_deleted.contains(*id))
--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -13,10 +13,10 @@
 use std::collections::BTreeMap;
 
 /// A demand that a holder has sent counts for this many rounds.
-const REPORTED_DEMAND_ROUNDS: f64 = 4.0;
+const REPORTED_DEMAND_TTL_ROUNDS: f64 = 4.0;
 
 /// A demand that the holder of a shard has sent to the leader.
-struct ReportedDemand {
+struct ShardDemandReport {
     /// The epoch under which it held the shard.
     epoch: u64,
     received_at: Ms,
@@ -28,10 +28,10 @@
 pub(super) struct RebalancingState {
     /// Machines whose move was requested, with the version of the record at which
     /// it was.
-    machines_requested: BTreeMap<MachineId, u64>,
+    requested_machines: BTreeMap<MachineId, u64>,
     /// The revision at which rebalancing was last considered.
-    considered_revision: u64,
-    reported_demands: BTreeMap<ShardId, ReportedDemand>,
+    last_considered_revision: u64,
+    reported_demands: BTreeMap<ShardId, ShardDemandReport>,
     /// Whether a demand was received since rebalancing was last considered.
     has_new_demands: bool,
 }
@@ -43,7 +43,7 @@
         ctx: &Context,
         view: &ClusterView,
     ) -> BTreeMap<ShardId, DemandRecord> {
-        let ttl = crate::ms(ctx.config.operator.round_interval_s * REPORTED_DEMAND_ROUNDS);
+        let ttl = crate::ms(ctx.config.operator.round_interval_s * REPORTED_DEMAND_TTL_ROUNDS);
         let written = view
             .demands
             .iter()
@@ -60,10 +60,10 @@
     }
 
     /// Whether the view or a demand has changed since the last call.
-    pub(super) fn take_changed(&mut self, revision: u64) -> bool {
-        let has_changed = revision > self.considered_revision || self.has_new_demands;
+    pub(super) fn observe_changes(&mut self, revision: u64) -> bool {
+        let has_changed = revision > self.last_considered_revision || self.has_new_demands;
         if has_changed {
-            self.considered_revision = revision;
+            self.last_considered_revision = revision;
             self.has_new_demands = false;
         }
         has_changed
@@ -71,7 +71,7 @@
 
     /// Drops requests that the view shows to be carried out or refused.
     fn drop_completed_requests(&mut self, view: &ClusterView) {
-        self.machines_requested.retain(|id, requested_version| {
+        self.requested_machines.retain(|id, requested_version| {
             let machine = view.machines.get(id);
             machine.is_some_and(|machine| machine.version <= *requested_version)
         });
@@ -79,7 +79,7 @@
 
     /// Capacities of the machines that a shard is about to be given.
     fn requested_capacities(&self, view: &ClusterView, shard_id: ShardId) -> Vec<Resources> {
-        self.machines_requested
+        self.requested_machines
             .keys()
             .filter_map(|id| view.machines.get(id))
             .filter(|machine| machine.record.reassign_to == Some(shard_id))
@@ -89,12 +89,12 @@
 }
 
 /// Tasks for which machines may be moved.
-struct Request<'a> {
+struct TransferRequest<'a> {
     /// The shard that needs them.
     shard_id: ShardId,
     shape: &'a ShapeRecord,
     /// Whether it may take spare machines of other shards, beside surplus ones.
-    may_take_spares: bool,
+    may_take_reserved: bool,
 }
 
 impl Leader {
@@ -111,7 +111,7 @@
         if known.is_some_and(|known| epoch < known.epoch) {
             return;
         }
-        let reported = ReportedDemand {
+        let reported = ShardDemandReport {
             epoch,
             received_at: now,
             record,
@@ -122,7 +122,7 @@
 
     /// Moves free machines to shards with waiting tasks: what waits takes any
     /// that is free, and spare places take what no other shard needs.
-    pub(super) fn rebalance(
+    pub(super) fn rebalance_machines(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -130,40 +130,40 @@
     ) {
         self.rebalancing.drop_completed_requests(view);
         for (shard_id, demand) in demands {
-            let mut rooms = self.rebalancing.requested_capacities(view, *shard_id);
+            let mut free_capacities = self.rebalancing.requested_capacities(view, *shard_id);
             for request in requests_of(*shard_id, demand) {
-                self.request_machines(ctx, view, demands, &request, &mut rooms);
+                self.request_machines(ctx, view, demands, &request, &mut free_capacities);
             }
         }
     }
 
-    /// Requests machines of other shards until all tasks of a shape have room.
-    /// `rooms` is what is left of the machines that were requested for the shard.
+    /// Requests machines of other shards until all tasks of a shape have free.
+    /// `free_capacities` is what is left of the machines that were requested for the shard.
     fn request_machines(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
-        request: &Request,
-        rooms: &mut Vec<Resources>,
+        request: &TransferRequest,
+        free_capacities: &mut Vec<Resources>,
     ) {
         let task = request.shape.resources();
         let mut remaining = request.shape.count;
-        for room in rooms.iter_mut() {
-            remaining -= reserve(room, &task, remaining);
+        for free in free_capacities.iter_mut() {
+            remaining -= reserve(free, &task, remaining);
         }
         while remaining > 0 {
             let found = self
-                .find_transferable(view, demands, request)
-                .or_else(|| self.find_reclaimable(view, demands, request));
+                .find_empty_machine(view, demands, request)
+                .or_else(|| self.find_reclaimable_machine(view, demands, request));
             let Some((id, machine)) = found.and_then(|id| Some((id, view.machines.get(id)?)))
             else {
                 return;
             };
             let capacity = capacity_of_type(view, &machine.record.machine_type);
-            let mut room = capacity.unwrap_or_default();
-            remaining -= reserve(&mut room, &task, remaining);
-            rooms.push(room);
+            let mut free = capacity.unwrap_or_default();
+            remaining -= reserve(&mut free, &task, remaining);
+            free_capacities.push(free);
             self.request_machine(ctx, view, id, machine, request.shard_id);
         }
     }
@@ -183,64 +183,67 @@
         record.reassign_to = Some(to);
         let transaction = put_if_unchanged(view, machine_key(id), machine.version, &record);
         self.rebalancing
-            .machines_requested
+            .requested_machines
             .insert(id.clone(), machine.version);
         ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
     /// A free machine of another shard that a shape may use.
-    fn find_transferable<'a>(
+    fn find_empty_machine<'a>(
         &self,
         view: &ClusterView,
         demands: &'a BTreeMap<ShardId, DemandRecord>,
-        request: &Request,
+        request: &TransferRequest,
     ) -> Option<&'a MachineId> {
         let candidates = demands.iter().flat_map(|(owner, demand)| {
             // A shard that has waiting tasks itself gives no spare machines away.
-            let gives_spares = request.may_take_spares && demand.waiting.is_empty();
-            let spares = demand.spare_machines.iter().filter(move |_| gives_spares);
-            let machines = demand.surplus_machines.iter().chain(spares);
+            let offers_reserved = request.may_take_reserved && demand.waiting.is_empty();
+            let reserved_machines = demand
+                .spare_machines
+                .iter()
+                .filter(move |_| offers_reserved);
+            let machines = demand.surplus_machines.iter().chain(reserved_machines);
             machines.map(move |id| (*owner, id))
         });
-        self.find_movable(view, request, candidates)
+        self.find_first_transferable(view, request, candidates)
     }
 
     /// A machine of another shard that holds nothing but borrowed work, for a
     /// shape that may have it given back.
-    fn find_reclaimable<'a>(
+    fn find_reclaimable_machine<'a>(
         &self,
         view: &ClusterView,
         demands: &'a BTreeMap<ShardId, DemandRecord>,
-        request: &Request,
+        request: &TransferRequest,
     ) -> Option<&'a MachineId> {
         if !request.shape.may_reclaim {
             return None;
         }
         let is_gang = request.shape.is_gang;
         let candidates = demands.iter().flat_map(|(owner, demand)| {
-            let pooled = demand.pool_machines.iter().filter(move |_| is_gang);
-            let machines = demand.reclaimable_machines.iter().chain(pooled);
+            let pool_machines = demand.pool_machines.iter().filter(move |_| is_gang);
+            let machines = demand.reclaimable_machines.iter().chain(pool_machines);
             machines.map(move |id| (*owner, id))
         });
-        self.find_movable(view, request, candidates)
+        self.find_first_transferable(view, request, candidates)
     }
 
     /// The first of some machines, each named with its shard, that may be moved.
-    fn find_movable<'a>(
+    fn find_first_transferable<'a>(
         &self,
         view: &ClusterView,
-        request: &Request,
+        request: &TransferRequest,
         mut candidates: impl Iterator<Item = (ShardId, &'a MachineId)>,
     ) -> Option<&'a MachineId> {
         candidates
             .find(|(owner, id)| {
-                *owner != request.shard_id && self.may_move(view, *owner, id, request.shape)
+                *owner != request.shard_id && self.is_transferable(view, *owner, id, request.shape)
             })
             .map(|(_, id)| id)
     }
 
     /// Whether a machine of a shard suits a shape and may be requested.
-    fn may_move(
+    fn is_transferable(
         &self,
         view: &ClusterView,
         from: ShardId,
@@ -253,48 +256,48 @@
         let is_available = record.shard == from
             && record.reassign_to.is_none()
             && record.decommission_reason.is_none()
-            && !self.rebalancing.machines_requested.contains_key(id);
-        is_available && allows(shape, record) && fits(view, shape, record)
+            && !self.rebalancing.requested_machines.contains_key(id);
+        is_available && is_allowed(shape, record) && fits_empty_machine(view, shape, record)
     }
 }
 
 /// What a shard's demand requests, in order: first for waiting tasks, then for
 /// spare places. Borrowed work takes only what no shard needs.
-fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<Request<'_>> {
-    let waiting = demand.waiting.iter().map(|shape| Request {
+fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<TransferRequest<'_>> {
+    let waiting = demand.waiting.iter().map(|shape| TransferRequest {
         shard_id,
         shape,
-        may_take_spares: !shape.is_borrowing,
+        may_take_reserved: !shape.is_borrowing,
     });
-    let spare_shapes = demand.shapes.iter().filter(|shape| shape.is_spare);
-    let spare_places = spare_shapes.map(|shape| Request {
+    let reserve_shapes = demand.shapes.iter().filter(|shape| shape.is_spare);
+    let reserve_requests = reserve_shapes.map(|shape| TransferRequest {
         shard_id,
         shape,
-        may_take_spares: false,
+        may_take_reserved: false,
     });
-    waiting.chain(spare_places).collect()
+    waiting.chain(reserve_requests).collect()
 }
 
 /// Whether a shape's constraints allow a machine.
-fn allows(shape: &ShapeRecord, record: &MachineRecord) -> bool {
+fn is_allowed(shape: &ShapeRecord, record: &MachineRecord) -> bool {
     let (types, zones) = (shape.types.as_ref(), shape.zones.as_ref());
     (shape.spot || !record.spot)
         && types.is_none_or(|types| types.contains(&record.machine_type))
         && zones.is_none_or(|zones| zones.contains(&record.zone))
 }
 
-/// Whether a task of a shape fits an empty machine.
-fn fits(view: &ClusterView, shape: &ShapeRecord, record: &MachineRecord) -> bool {
+/// Whether a task of a shape fits_empty_machine an empty machine.
+fn fits_empty_machine(view: &ClusterView, shape: &ShapeRecord, record: &MachineRecord) -> bool {
     let capacity = capacity_of_type(view, &record.machine_type);
     capacity.is_some_and(|capacity| shape.resources().fits_in(&capacity))
 }
 
-/// Reserves room for up to `max_tasks` tasks, and returns for how many.
-fn reserve(room: &mut Resources, task: &Resources, max_tasks: u32) -> u32 {
-    let mut reserved = 0;
-    while reserved < max_tasks && task.fits_in(room) && !task.is_zero() {
-        *room -= *task;
-        reserved += 1;
+/// Reserves free for up to `max_tasks` tasks, and returns for how many.
+fn reserve(free: &mut Resources, task: &Resources, max_tasks: u32) -> u32 {
+    let mut placed = 0;
+    while placed < max_tasks && task.fits_in(free) && !task.is_zero() {
+        *free -= *task;
+        placed += 1;
     }
-    reserved
+    placed
 }
--- a/crates/core/src/leader/scale_in.rs
+++ b/crates/core/src/leader/scale_in.rs
@@ -124,7 +124,7 @@
     /// Version of its record.
     version: u64,
     /// The end of a pool's charge for it, if its holder has not recorded one.
-    row: Option<UsageInterval>,
+    usage_row: Option<UsageInterval>,
 }
 
 impl DeletedMachine {
@@ -133,13 +133,13 @@
         Self {
             id: id.clone(),
             version: machine.version,
-            row: record.close_membership(id, wall_clock_ms, Err(EndReason::Failed)),
+            usage_row: record.close_membership(id, wall_clock_ms, Err(EndReason::Failed)),
         }
     }
 
     /// Changes that its removal takes.
-    fn changes(&self) -> usize {
-        1 + usize::from(self.row.is_some())
+    fn write_count(&self) -> usize {
+        1 + usize::from(self.usage_row.is_some())
     }
 }
 
@@ -156,24 +156,24 @@
             version: machine.version,
         });
         transaction.writes.push(Write::Remove { remove: key });
-        if let Some(row) = &machine.row {
+        if let Some(row) = &machine.usage_row {
             add_account_row(&mut transaction, row.key(), row);
         }
     }
     transaction
 }
 
-/// Batches of machines whose removal takes up to `max_changes` changes each.
-fn batches(deleted: Vec<DeletedMachine>, max_changes: usize) -> Vec<Vec<DeletedMachine>> {
+/// Batches of machines whose removal takes up to `max_writes` changes each.
+fn batches(deleted: Vec<DeletedMachine>, max_writes: usize) -> Vec<Vec<DeletedMachine>> {
     let mut batches: Vec<Vec<DeletedMachine>> = Vec::new();
     let mut remaining = 0;
     for machine in deleted {
-        let changes = machine.changes();
-        if changes > remaining || batches.is_empty() {
+        let writes = machine.write_count();
+        if writes > remaining || batches.is_empty() {
             batches.push(Vec::new());
-            remaining = max_changes;
+            remaining = max_writes;
         }
-        remaining -= changes;
+        remaining -= writes;
         if let Some(batch) = batches.last_mut() {
             batch.push(machine);
         }
--- a/crates/core/src/leader/scale_out/capacity.rs
+++ b/crates/core/src/leader/scale_out/capacity.rs
@@ -12,13 +12,13 @@
 
 /// Where a machine was overdue, others are requested only if nothing as good
 /// is to be had elsewhere, for this many boots.
-const SLOW_ZONE_BOOTS: f64 = 6.0;
+const SLOW_ZONE_PENALTY_BOOTS: f64 = 6.0;
 /// What a slow zone counts for: more machines than a shard ever holds.
 const SLOW_ZONE_PENALTY_MACHINES: u32 = 1 << 20;
 /// A boot takes as long as this many of the shortest pauses after a lack of capacity.
-const MIN_BACKOFFS_PER_BOOT: f64 = 5.0;
+const MIN_PAUSES_PER_BOOT: f64 = 5.0;
 /// The shortest pause where a type boots at once, in milliseconds.
-const MIN_BACKOFF_MS: Ms = 1;
+const MIN_PAUSE_MS: Ms = 1;
 
 /// The pause after a lack of capacity.
 #[derive(Clone, Copy, Default)]
@@ -57,7 +57,7 @@
     }
 
     /// The cloud has provided all machines of a request.
-    pub(super) fn on_provided(&mut self, kind: &MachineKind) {
+    pub(super) fn on_fully_provisioned(&mut self, kind: &MachineKind) {
         self.out_of_capacity.remove(kind);
     }
 
@@ -65,7 +65,7 @@
     /// there are too few, up to one boot.
     pub(super) fn on_shortage(&mut self, now: Ms, kind: MachineKind, boot_s: f64) {
         let last = self.out_of_capacity.get(&kind).copied().unwrap_or_default();
-        let min_pause = crate::ms(boot_s / MIN_BACKOFFS_PER_BOOT).max(MIN_BACKOFF_MS);
+        let min_pause = crate::ms(boot_s / MIN_PAUSES_PER_BOOT).max(MIN_PAUSE_MS);
         let max_pause = crate::ms(boot_s).max(min_pause);
         let pause = (last.pause * 2).clamp(min_pause, max_pause);
         let until = now + pause;
@@ -85,8 +85,8 @@
                 continue;
             }
             let boot_s = boot_seconds(view, &record.machine_type);
-            if inventory.known_for(ctx.now, id) > crate::ms(boot_s * OVERDUE_BOOTS) {
-                let until = ctx.now + crate::ms(boot_s * SLOW_ZONE_BOOTS);
+            if inventory.known_for_ms(ctx.now, id) > crate::ms(boot_s * OVERDUE_BOOTS) {
+                let until = ctx.now + crate::ms(boot_s * SLOW_ZONE_PENALTY_BOOTS);
                 self.slow_until
                     .insert(MachineKind::of_machine(record), until);
             }
--- a/crates/core/src/leader/scale_out/planning.rs
+++ b/crates/core/src/leader/scale_out/planning.rs
@@ -12,7 +12,7 @@
 
 /// Zones of a machine type that are considered where tasks may run in any: enough
 /// for what must be spread, with few calls to the cloud.
-const MAX_ZONES: u32 = 2;
+const MAX_ZONES_PER_TYPE: u32 = 2;
 
 /// A kind of machine, with type and zone by their numbers in offers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -57,8 +57,8 @@
             let held = held.get_or_insert_with(|| held_machines(view));
             let offers = self.offers(ctx, view, *shard_id, held);
             let shapes = shapes_to_provision(view, &demand.shapes);
-            let are_zones_free = shapes.iter().all(|shape| shape.allowed_zones.is_none());
-            let offers = if are_zones_free {
+            let allow_all_zones = shapes.iter().all(|shape| shape.allowed_zones.is_none());
+            let offers = if allow_all_zones {
                 limit_zones(offers)
             } else {
                 offers
@@ -152,7 +152,7 @@
         let position = zones.iter().position(|known| known == name);
         position.map(|number| number as u16)
     };
-    let to_shape = |shape: &ShapeRecord| TaskShape {
+    let to_task_shape = |shape: &ShapeRecord| TaskShape {
         task_resources: shape.resources(),
         count: shape.count,
         allowed_types: shape
@@ -166,7 +166,7 @@
         allows_spot: shape.spot,
         requires_spot: shape.is_borrowing,
     };
-    shapes.iter().map(to_shape).collect()
+    shapes.iter().map(to_task_shape).collect()
 }
 
 /// Counts the machines that shards hold.
@@ -192,7 +192,7 @@
         let kind = (offer.machine_type, offer.is_spot);
         let zones = zone_counts.entry(kind).or_default();
         *zones += 1;
-        *zones <= MAX_ZONES
+        *zones <= MAX_ZONES_PER_TYPE
     });
     offers
 }
--- a/crates/core/src/leader/scale_out/results.rs
+++ b/crates/core/src/leader/scale_out/results.rs
@@ -24,7 +24,7 @@
     machines: Vec<MachineId>,
     /// How many machines have their records once the write that is under way
     /// is carried out. The limits may change before its answer comes.
-    placed_after_write: u32,
+    recorded_after_write: u32,
 }
 
 impl ProvisioningResult {
@@ -95,7 +95,7 @@
             intent: intent.record,
             version: intent.version,
             machines,
-            placed_after_write: 0,
+            recorded_after_write: 0,
         };
         let results = &mut self.provisioning.results;
         results.insert(request.to_owned(), result);
@@ -123,7 +123,7 @@
             let boot_s = boot_seconds(view, &kind.machine_type);
             capacity.on_shortage(ctx.now, kind, boot_s);
         } else {
-            capacity.on_provided(&kind);
+            capacity.on_fully_provisioned(&kind);
         }
     }
 
@@ -135,7 +135,7 @@
         // One change is for the intent.
         let limit = result.intent.placed as usize + ctx.limits.txn_ops - 1;
         let end = result.machines.len().min(limit);
-        result.placed_after_write = end as u32;
+        result.recorded_after_write = end as u32;
         let transaction = result.transaction(view, request, end);
         let request = request.to_owned();
         ctx.transact(
@@ -160,7 +160,7 @@
         match status {
             200 => {
                 result.version = revision_of(body);
-                result.intent.placed = result.placed_after_write;
+                result.intent.placed = result.recorded_after_write;
                 if result.is_recorded() {
                     // The request stays in flight: its name must not be used again
                     // while the view still shows the intent.
--- a/crates/core/src/leader/scale_out/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -10,12 +10,12 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-fn is_result_write(pending: &PendingCall) -> bool {
+fn is_provisioned_records_write(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::ProvisionedRecordsWrite { .. })
 }
 
 /// Machines whose records a transaction puts.
-fn put_machines(effects: &[Effect]) -> Vec<String> {
+fn recorded_machines(effects: &[Effect]) -> Vec<String> {
     let mut put = Vec::new();
     for effect in effects {
         let Effect::Call { path, body, .. } = effect else {
@@ -36,7 +36,7 @@
 /// The limits fall between the write of a part of a result and its answer: each
 /// machine gets its record all the same, once.
 #[test]
-fn result_is_recorded_completely_when_limits_fall_between_its_parts() {
+fn each_machine_is_recorded_once_when_limits_fall_between_batches() {
     for provisioned in [5, 11, 12, 30] {
         let mut f = Fixture::new();
         // It is elected.
@@ -64,15 +64,25 @@
             leader, ctx, view, ..
         } = &mut f.node;
         leader.on_provisioned(ctx, view, "r-1", 200, body.as_bytes());
-        let mut put = put_machines(&f.step(0));
+        let mut put = recorded_machines(&f.step(0));
         f.finalize_format();
         for revision in 20..40 {
-            if !f.node.ctx.pending_calls.values().any(is_result_write) {
+            if !f
+                .node
+                .ctx
+                .pending_calls
+                .values()
+                .any(is_provisioned_records_write)
+            {
                 break;
             }
-            let mut effects = f.answer(is_result_write, 200, &json!({"ledger_rev": revision}));
+            let mut effects = f.answer(
+                is_provisioned_records_write,
+                200,
+                &json!({"ledger_rev": revision}),
+            );
             effects.extend(f.step(1_000));
-            put.extend(put_machines(&effects));
+            put.extend(recorded_machines(&effects));
         }
         let distinct: BTreeSet<&String> = put.iter().collect();
         assert_eq!(put.len(), provisioned as usize, "of {provisioned}: {put:?}");
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -172,7 +172,7 @@
     /// Tries to become the leader if there is none. Only a controller whose current
     /// registration is visible in the view may run.
     fn run_for_leader(&mut self, ctx: &mut Context, view: &ClusterView, lease: u64) {
-        let is_visible = view.is_alive(&ctx.config.node, ctx.incarnation);
+        let is_visible = view.is_registered(&ctx.config.node, ctx.incarnation);
         if !is_visible
             || !self.is_registered()
             || self.is_writing_leader_record
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -25,7 +25,7 @@
 use crate::records::ShardId;
 use crate::shard::dependencies::DependencyTracker;
 use crate::shard::{RecoveryState, Shard};
-use crate::store::budget::{Budget, BudgetTerms};
+use crate::store::budget::{Budget, BudgetInputs};
 use crate::store::view::{ChangedMachines, ClusterView};
 use crate::Ms;
 use forkshift_links::{Decision, Link};
@@ -195,7 +195,7 @@
         self.forget_images();
         self.run_failure_detector();
         self.follow_cloud_link();
-        let machines = self.view.take_changed();
+        let machines = self.view.take_changed_machines();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
         self.follow_shard_records();
         let has_view_changed = self.processed_revision != self.view.revision;
@@ -242,15 +242,15 @@
 
     /// Sends what the budget requires, and sets the rate limit of calls to the store.
     fn follow_budget(&mut self) {
-        let terms = BudgetTerms::from(&self.ctx);
+        let terms = BudgetInputs::from(&self.ctx);
         let messages = self.budget.tick(&terms, &mut self.ctx.store, &self.view);
         for message in messages {
             self.ctx.send_to_peer(&message.to, 0, message.body);
         }
         let rate = self.budget.rate(&terms, &self.view);
         self.ctx.store.set_rates(&rate);
-        let allowed = self.budget.allows_advance(&terms, &self.view);
-        self.ctx.store.allow_advance(allowed);
+        let allowed = self.budget.allows_overdraft(&terms, &self.view);
+        self.ctx.store.set_overdraft_allowed(allowed);
     }
 
     /// Resigns as the leader if no call reaches the cloud and others may do better.
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -87,7 +87,7 @@
             zones,
             receives_heartbeats: ctx.links.is_up(Link::Heartbeats),
             is_isolated,
-            are_all_isolated: is_isolated && self.view.has_no_node_with_heartbeats(),
+            are_all_isolated: is_isolated && self.view.are_all_nodes_isolated(),
         };
         let (config, places) = (&ctx.config, &ctx.places);
         ctx.failure_detector.update(&observations, |zone| {
--- a/crates/core/src/node/peer_heartbeats.rs
+++ b/crates/core/src/node/peer_heartbeats.rs
@@ -27,7 +27,7 @@
     pub(super) fn send_heartbeats(&mut self) {
         let config = self.ctx.config.clone();
         let epochs = self.view.shard_epochs();
-        let store_out_since = self.ctx.store.out_since();
+        let store_out_since = self.ctx.store.refusing_since();
         let store_refused_for_ms = store_out_since.map(|t| self.ctx.now.saturating_sub(t));
         let settled_shards = self.settled_shards();
         for node in config.other_nodes() {
@@ -101,7 +101,7 @@
     pub(crate) fn may_answer_without_lease(&self, shard: &Shard) -> bool {
         let until = self.ctx.peer_confirmations.unclaimed_until(
             &self.ctx.config,
-            self.ctx.store.out_since(),
+            self.ctx.store.refusing_since(),
             shard.id,
             shard.epoch,
         );
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -124,7 +124,7 @@
         sync.is_listing = false;
         let items = std::mem::take(&mut sync.listed_items);
         if sync.listed_revision > self.view.revision || !self.view.is_complete {
-            self.view.replace(items, sync.listed_revision);
+            self.view.replace_all(items, sync.listed_revision);
         }
     }
 
@@ -161,7 +161,9 @@
     /// Applies the changes in the answer to a watch or poll. Returns false if it failed.
     fn take_changes(&mut self, status: u16, body: &[u8]) -> bool {
         match serde_json::from_slice::<Changes>(body) {
-            Ok(changes) if status == 200 => self.view.apply(changes.events, changes.revision),
+            Ok(changes) if status == 200 => {
+                self.view.apply_changes(changes.events, changes.revision);
+            }
             // The listing starts over.
             _ if is_watch_lost(status) => self.view.is_complete = false,
             _ => return false,
--- a/crates/core/src/protocol/forwarding.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -199,7 +199,7 @@
     /// Another controller, if the store refuses this one and perhaps not all: each time
     /// the next one.
     fn peer_with_store_access(&self) -> Option<&NodeName> {
-        if !self.ctx.store.is_out() || self.ctx.now < self.store_down_everywhere_until {
+        if !self.ctx.store.is_refusing_calls() || self.ctx.now < self.store_down_everywhere_until {
             return None;
         }
         let own_name = &self.ctx.config.node;
@@ -247,7 +247,7 @@
             return self.ctx.respond(forward.request, reply);
         }
         if reply.status == 503 {
-            if self.ctx.store.is_out() {
+            if self.ctx.store.is_refusing_calls() {
                 // The store refuses the other controller, too.
                 self.store_down_everywhere_until = self.ctx.now + STORE_DOWN_PAUSE_MS;
             }
--- a/crates/core/src/protocol/messages.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -32,7 +32,7 @@
             incarnation: envelope.incarnation,
         };
         // An earlier incarnation of a peer may still have messages on the way.
-        let is_alive = self.view.is_alive(&sender.node, sender.incarnation);
+        let is_alive = self.view.is_registered(&sender.node, sender.incarnation);
         if self.ctx.config.nodes.contains(&sender.node) {
             self.note_peer_alive(&sender.node, sender.incarnation);
         }
--- a/crates/core/src/shard/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -16,7 +16,7 @@
 /// holders are as the view shows them: an old holder is removed, was restarted,
 /// or offers the shard.
 pub(crate) fn hand_over(ctx: &mut Context, view: &ClusterView, given: &[(ShardId, NodeName)]) {
-    let (epoch_version, mut epoch) = view.epoch();
+    let (epoch_version, mut epoch) = view.epoch_counter();
     let mut preconditions = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
     let mut writes = Vec::new();
     let mut shards = Vec::new();
--- a/crates/core/src/shard/job_writes.rs
+++ b/crates/core/src/shard/job_writes.rs
@@ -90,7 +90,7 @@
     /// Sends changes, in order of urgency, in as few transactions as the
     /// limits of the store and of the queue allow.
     fn send_changes(&mut self, ctx: &mut Context, changes: Vec<JobChange>) {
-        let max_batch = ctx.limits.txn_ops.min(ctx.store.batch_limit());
+        let max_batch = ctx.limits.txn_ops.min(ctx.store.max_writes_per_batch());
         let mut batch = TransactionBatch::default();
         for change in changes {
             let max_operations = match change.urgency {
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -339,5 +339,5 @@
         value: to_value(record).expect("a record"),
         version: 6,
     };
-    fixture.node.view.apply(vec![put], 6);
+    fixture.node.view.apply_changes(vec![put], 6);
 }
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -20,25 +20,25 @@
 
 /// Part of the limit on requests that is used; the rest allows for differences between
 /// clocks and for calls that arrive late.
-const REQUESTS_PART: f64 = 0.9;
+const REQUEST_LIMIT_FRACTION: f64 = 0.9;
 /// Part of the limit on writes that is used.
-const WRITES_PART: f64 = 0.95;
+const WRITE_LIMIT_FRACTION: f64 = 0.95;
 /// Part of the usable limits that is divided evenly.
-const FIXED_PART: f64 = 0.4;
+const GUARANTEED_FRACTION: f64 = 0.4;
 /// Part of the last demand that the next one is at least: what was needed a moment ago may
 /// be needed again.
 const DEMAND_DECAY: f64 = 0.7;
 /// Nothing is sent in advance of the budget for this long after a pause of the process: in
 /// that time all controllers use up the tokens that they have accumulated.
-const ADVANCE_PAUSE: Ms = 5_000;
+const OVERDRAFT_PAUSE_MS: Ms = 5_000;
 /// Heartbeat intervals for which a grant or a reported demand is valid.
-const VALID_INTERVALS: Ms = 4;
+const VALIDITY_HEARTBEATS: Ms = 4;
 /// Least total excess demand that is divided by, in calls a second.
-const MIN_EXCESS: f64 = 1e-9;
+const MIN_TOTAL_EXCESS: f64 = 1e-9;
 
 /// What the budget is computed from, as of one step.
 #[derive(Clone, Debug)]
-pub(crate) struct BudgetTerms {
+pub(crate) struct BudgetInputs {
     pub(crate) config: Rc<Config>,
     /// This controller's incarnation.
     pub(crate) incarnation: u64,
@@ -50,41 +50,42 @@
     pub(crate) heartbeat_interval_ms: Ms,
 }
 
-impl BudgetTerms {
+impl BudgetInputs {
     fn node_count(&self) -> f64 {
         self.config.nodes.len().max(1) as f64
     }
 
     /// The most that all controllers use together.
-    fn total(&self) -> StoreRate {
+    fn total_rate(&self) -> StoreRate {
         StoreRate {
-            requests: self.limits.rps * REQUESTS_PART,
-            writes: self.limits.write_rps * WRITES_PART,
+            requests: self.limits.rps * REQUEST_LIMIT_FRACTION,
+            writes: self.limits.write_rps * WRITE_LIMIT_FRACTION,
         }
     }
 
     /// The part of the total that follows demand.
-    fn pool(&self) -> StoreRate {
-        self.total().scaled(1.0 - FIXED_PART)
+    fn shared_rate(&self) -> StoreRate {
+        self.total_rate().scaled(1.0 - GUARANTEED_FRACTION)
     }
 
     /// One controller's even part of the pool.
-    fn even_part_of_pool(&self) -> StoreRate {
-        self.pool().scaled(1.0 / self.node_count())
+    fn equal_share(&self) -> StoreRate {
+        self.shared_rate().scaled(1.0 / self.node_count())
     }
 
     /// One controller's fixed part.
-    fn fixed_part(&self) -> StoreRate {
-        self.total().scaled(FIXED_PART / self.node_count())
+    fn guaranteed_rate(&self) -> StoreRate {
+        self.total_rate()
+            .scaled(GUARANTEED_FRACTION / self.node_count())
     }
 
     /// For how long grants and reported demands are valid, in milliseconds.
     fn validity_ms(&self) -> Ms {
-        self.heartbeat_interval_ms * VALID_INTERVALS
+        self.heartbeat_interval_ms * VALIDITY_HEARTBEATS
     }
 
     /// A grant that starts now.
-    fn grant(&self, leader: LeaderRecord, rate: StoreRate) -> Grant {
+    fn new_grant(&self, leader: LeaderRecord, rate: StoreRate) -> Grant {
         Grant {
             leader,
             valid_until: self.now + self.validity_ms(),
@@ -110,12 +111,12 @@
 
 /// The demand that a controller has reported to the leader.
 #[derive(Clone, Debug)]
-struct NodeDemand {
+struct ReportedDemand {
     received_at: Ms,
     incarnation: u64,
     rate: StoreRate,
     /// The controller has a valid grant, so it uses no even part of the pool.
-    keeps_to_grant: bool,
+    has_valid_grant: bool,
 }
 
 /// This controller's grant and demand and, on the leader, the demands of all controllers.
@@ -123,34 +124,35 @@
 pub(crate) struct Budget {
     grant: Option<Grant>,
     /// Reported demands; empty unless this controller leads.
-    demands: BTreeMap<NodeName, NodeDemand>,
+    demands: BTreeMap<NodeName, ReportedDemand>,
     own_demand: StoreRate,
     next_report_at: Ms,
 }
 
 impl Budget {
     /// The rate that this controller may use.
-    pub(crate) fn rate(&self, terms: &BudgetTerms, view: &ClusterView) -> StoreRate {
-        let fixed = terms.fixed_part();
-        match self.valid_grant(terms, view) {
+    pub(crate) fn rate(&self, inputs: &BudgetInputs, view: &ClusterView) -> StoreRate {
+        let fixed = inputs.guaranteed_rate();
+        match self.valid_grant(inputs, view) {
             Some(grant) => fixed.plus(&grant.rate),
-            None => fixed.plus(&terms.even_part_of_pool()),
+            None => fixed.plus(&inputs.equal_share()),
         }
     }
 
     /// Whether users' writes may be sent in advance of the budget. Only under a grant does
     /// the leader know the demand of all controllers. Soon after a pause of the process the
     /// others may have been paused, too, and all resume at once.
-    pub(crate) fn allows_advance(&self, terms: &BudgetTerms, view: &ClusterView) -> bool {
-        let is_settled = terms.resumed_at == 0 || terms.now >= terms.resumed_at + ADVANCE_PAUSE;
-        is_settled && self.valid_grant(terms, view).is_some()
+    pub(crate) fn allows_overdraft(&self, inputs: &BudgetInputs, view: &ClusterView) -> bool {
+        let is_settled =
+            inputs.resumed_at == 0 || inputs.now >= inputs.resumed_at + OVERDRAFT_PAUSE_MS;
+        is_settled && self.valid_grant(inputs, view).is_some()
     }
 
     /// The grant, as long as the controller that gave it leads.
-    fn valid_grant(&self, terms: &BudgetTerms, view: &ClusterView) -> Option<&Grant> {
+    fn valid_grant(&self, inputs: &BudgetInputs, view: &ClusterView) -> Option<&Grant> {
         self.grant
             .as_ref()
-            .filter(|grant| terms.now < grant.valid_until)
+            .filter(|grant| inputs.now < grant.valid_until)
             .filter(|grant| view.is_led_by(&grant.leader.node, grant.leader.incarnation))
     }
 
@@ -158,31 +160,31 @@
     /// the leader, grants rates. Returns the messages to be sent.
     pub(crate) fn tick(
         &mut self,
-        terms: &BudgetTerms,
+        inputs: &BudgetInputs,
         store: &mut StoreQueue,
         view: &ClusterView,
     ) -> Vec<PeerMessage> {
-        if terms.now < self.next_report_at {
+        if inputs.now < self.next_report_at {
             return Vec::new();
         }
-        self.next_report_at = terms.now + terms.heartbeat_interval_ms;
-        let demand = store.take_demand(terms.now);
+        self.next_report_at = inputs.now + inputs.heartbeat_interval_ms;
+        let demand = store.measure_demand(inputs.now);
         self.own_demand = demand.max(&self.own_demand.scaled(DEMAND_DECAY));
         let Some(leader) = view.leader.as_ref().map(|l| &l.record) else {
             return Vec::new();
         };
-        if view.is_led_by(&terms.config.node, terms.incarnation) {
-            return self.grant_rates(terms, view);
+        if view.is_led_by(&inputs.config.node, inputs.incarnation) {
+            return self.grant_rates(inputs, view);
         }
         self.demands.clear();
-        vec![self.demand_report(leader, terms, view)]
+        vec![self.demand_report(leader, inputs, view)]
     }
 
     /// The report of this controller's demand to the leader.
     fn demand_report(
         &self,
         leader: &LeaderRecord,
-        terms: &BudgetTerms,
+        inputs: &BudgetInputs,
         view: &ClusterView,
     ) -> PeerMessage {
         let (requests, writes) = self.own_demand.as_milli();
@@ -191,24 +193,24 @@
             body: Body::BudgetRequest {
                 writes,
                 requests,
-                granted: self.valid_grant(terms, view).is_some(),
+                granted: self.valid_grant(inputs, view).is_some(),
             },
         }
     }
 
     /// Grants rates to all controllers whose demands are known, this one included.
-    fn grant_rates(&mut self, terms: &BudgetTerms, view: &ClusterView) -> Vec<PeerMessage> {
-        self.update_demands(terms, view);
-        let allocation = Allocation::new(&self.demands, terms, view);
+    fn grant_rates(&mut self, inputs: &BudgetInputs, view: &ClusterView) -> Vec<PeerMessage> {
+        self.update_demands(inputs, view);
+        let allocation = Allocation::new(&self.demands, inputs, view);
         let mut messages = Vec::new();
         for (node, demand) in &self.demands {
             let rate = allocation.rate_for(demand);
-            if *node == terms.config.node {
+            if *node == inputs.config.node {
                 let leader = LeaderRecord {
                     node: node.clone(),
-                    incarnation: terms.incarnation,
+                    incarnation: inputs.incarnation,
                 };
-                self.grant = Some(terms.grant(leader, rate));
+                self.grant = Some(inputs.new_grant(leader, rate));
                 continue;
             }
             let (requests, writes) = rate.as_milli();
@@ -222,17 +224,17 @@
 
     /// Adds the leader's own demand, and drops those that are old or of controllers that
     /// have exited.
-    fn update_demands(&mut self, terms: &BudgetTerms, view: &ClusterView) {
-        let own = NodeDemand {
-            received_at: terms.now,
-            incarnation: terms.incarnation,
+    fn update_demands(&mut self, inputs: &BudgetInputs, view: &ClusterView) {
+        let own = ReportedDemand {
+            received_at: inputs.now,
+            incarnation: inputs.incarnation,
             rate: self.own_demand,
-            keeps_to_grant: true,
+            has_valid_grant: true,
         };
-        self.demands.insert(terms.config.node.clone(), own);
+        self.demands.insert(inputs.config.node.clone(), own);
         self.demands.retain(|node, demand| {
-            terms.now < demand.received_at + terms.validity_ms()
-                && view.is_alive(node, demand.incarnation)
+            inputs.now < demand.received_at + inputs.validity_ms()
+                && view.is_registered(node, demand.incarnation)
         });
     }
 
@@ -245,11 +247,11 @@
         rate: StoreRate,
         granted: bool,
     ) {
-        let demand = NodeDemand {
+        let demand = ReportedDemand {
             received_at: now,
             incarnation,
             rate,
-            keeps_to_grant: granted,
+            has_valid_grant: granted,
         };
         self.demands.insert(from, demand);
     }
@@ -259,27 +261,27 @@
     /// granted to others since.
     pub(crate) fn on_grant(
         &mut self,
-        terms: impl Into<BudgetTerms>,
+        inputs: impl Into<BudgetInputs>,
         leader: NodeName,
         incarnation: u64,
         rate: StoreRate,
     ) {
-        let terms = terms.into();
-        if terms.now < terms.resumed_at + terms.heartbeat_interval_ms {
+        let inputs = inputs.into();
+        if inputs.now < inputs.resumed_at + inputs.heartbeat_interval_ms {
             return;
         }
         let leader = LeaderRecord {
             node: leader,
             incarnation,
         };
-        self.grant = Some(terms.grant(leader, rate));
+        self.grant = Some(inputs.new_grant(leader, rate));
     }
 }
 
 /// How the leader divides the pool between the controllers with grants.
 struct Allocation {
-    even_part: StoreRate,
-    fixed_part: StoreRate,
+    equal_share: StoreRate,
+    guaranteed_rate: StoreRate,
     /// The pool without the even parts of controllers that have no grant.
     grantable: StoreRate,
     /// Demand beyond the fixed parts, of all controllers with grants.
@@ -289,22 +291,24 @@
 
 impl Allocation {
     fn new(
-        demands: &BTreeMap<NodeName, NodeDemand>,
-        terms: &BudgetTerms,
+        demands: &BTreeMap<NodeName, ReportedDemand>,
+        inputs: &BudgetInputs,
         view: &ClusterView,
     ) -> Self {
-        let even_part = terms.even_part_of_pool();
-        let fixed_part = terms.fixed_part();
-        let grantees = || demands.values().filter(|demand| demand.keeps_to_grant);
+        let equal_share = inputs.equal_share();
+        let guaranteed_rate = inputs.guaranteed_rate();
+        let grantees = || demands.values().filter(|demand| demand.has_valid_grant);
         let grantee_count = grantees().count();
-        let reserved_parts = view.nodes.len().saturating_sub(grantee_count) as f64;
+        let reserved_shares = view.nodes.len().saturating_sub(grantee_count) as f64;
         let total_excess = grantees()
-            .map(|demand| demand.rate.saturating_sub(&fixed_part))
+            .map(|demand| demand.rate.saturating_sub(&guaranteed_rate))
             .fold(StoreRate::default(), |sum, excess| sum.plus(&excess));
         Self {
-            even_part,
-            fixed_part,
-            grantable: terms.pool().plus(&even_part.scaled(-reserved_parts)),
+            equal_share,
+            guaranteed_rate,
+            grantable: inputs
+                .shared_rate()
+                .plus(&equal_share.scaled(-reserved_shares)),
             total_excess,
             grantee_count,
         }
@@ -312,23 +316,23 @@
 
     /// The rate that is granted for a demand. A controller that does not keep to a grant yet
     /// gets the even part that is reserved for it.
-    fn rate_for(&self, demand: &NodeDemand) -> StoreRate {
-        if !demand.keeps_to_grant {
-            return self.even_part;
+    fn rate_for(&self, demand: &ReportedDemand) -> StoreRate {
+        if !demand.has_valid_grant {
+            return self.equal_share;
         }
-        let excess = demand.rate.saturating_sub(&self.fixed_part);
+        let excess = demand.rate.saturating_sub(&self.guaranteed_rate);
         let (grantable, total) = (&self.grantable, &self.total_excess);
         StoreRate {
-            requests: self.divide(grantable.requests, excess.requests, total.requests),
-            writes: self.divide(grantable.writes, excess.writes, total.writes),
+            requests: self.allocate(grantable.requests, excess.requests, total.requests),
+            writes: self.allocate(grantable.writes, excess.writes, total.writes),
         }
     }
 
     /// One controller's part of `grantable`: its excess demand, reduced in proportion if the
     /// total exceeds what is there, and an even part of what nobody demands.
-    fn divide(&self, grantable: f64, excess: f64, total_excess: f64) -> f64 {
+    fn allocate(&self, grantable: f64, excess: f64, total_excess: f64) -> f64 {
         let unused = (grantable - total_excess).max(0.0) / self.grantee_count.max(1) as f64;
-        unused + excess * (grantable / total_excess.max(MIN_EXCESS)).min(1.0)
+        unused + excess * (grantable / total_excess.max(MIN_TOTAL_EXCESS)).min(1.0)
     }
 }
 
--- a/crates/core/src/store/budget/tests.rs
+++ b/crates/core/src/store/budget/tests.rs
@@ -44,7 +44,7 @@
 /// Whichever controllers have demand, and whichever have grants: the sum of all rates stays
 /// within the limit, and demand is served before the rest is divided.
 #[test]
-fn the_sum_of_all_rates_stays_within_the_limit() {
+fn sum_of_all_rates_stays_within_the_limit() {
     let names = ["n0", "n1", "n2", "n3"];
     let view = view(&names);
     // Writes a second that n1 to n3 demand, and whether they receive and keep to
@@ -67,9 +67,9 @@
             };
             budget.on_budget_request(10_000, NodeName::new(n), 1, rate, granted);
         }
-        let terms = BudgetTerms::from(&leader);
-        let messages = budget.tick(&terms, &mut leader.store, &view);
-        let mut rates = vec![budget.rate(&terms, &view).writes];
+        let inputs = BudgetInputs::from(&leader);
+        let messages = budget.tick(&inputs, &mut leader.store, &view);
+        let mut rates = vec![budget.rate(&inputs, &view).writes];
         for ((n, _), granted) in others {
             let member = ctx(n, &names);
             let mut own = Budget::default();
@@ -82,7 +82,7 @@
                     own.on_grant(&member, NodeName::new("n0"), 1, rate);
                 }
             }
-            rates.push(own.rate(&BudgetTerms::from(&member), &view).writes);
+            rates.push(own.rate(&BudgetInputs::from(&member), &view).writes);
         }
         let limit = leader.limits.write_rps;
         let sum: f64 = rates.iter().sum();
@@ -106,23 +106,23 @@
     };
     own.on_grant(&member, NodeName::new("n0"), 1, rate);
     let mut view = view(&names);
-    assert!(own.rate(&BudgetTerms::from(&member), &view).writes > 1_000.0);
+    assert!(own.rate(&BudgetInputs::from(&member), &view).writes > 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
         leader.record.incarnation = 2;
     }
-    assert!(own.rate(&BudgetTerms::from(&member), &view).writes < 1_000.0);
+    assert!(own.rate(&BudgetInputs::from(&member), &view).writes < 1_000.0);
     if let Some(leader) = view.leader.as_mut() {
         leader.record.incarnation = 1;
     }
     member.now += 60_000;
-    assert!(own.rate(&BudgetTerms::from(&member), &view).writes < 1_000.0);
+    assert!(own.rate(&BudgetInputs::from(&member), &view).writes < 1_000.0);
 }
 
 /// The rate of a grant that waited in the socket during a pause of the process may have been
 /// granted to others since. Until the next grant the even part is used, which the leader
 /// reserves for controllers without one.
 #[test]
-fn a_grant_from_before_a_pause_is_ignored() {
+fn grant_received_during_a_process_pause_is_ignored() {
     let names = ["n0", "n1"];
     let view = view(&names);
     let all = StoreRate {
@@ -135,11 +135,11 @@
     for (pause_ms, after_ms, counts) in cases {
         let mut ctx = ctx("n1", &names);
         let mut budget = Budget::default();
-        let even = budget.rate(&BudgetTerms::from(&ctx), &view);
+        let even = budget.rate(&BudgetInputs::from(&ctx), &view);
         ctx.note_process_pause(ctx.now + pause_ms);
         ctx.now += pause_ms + after_ms;
         budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
-        let rate = budget.rate(&BudgetTerms::from(&ctx), &view);
+        let rate = budget.rate(&BudgetInputs::from(&ctx), &view);
         assert_eq!(
             rate != even,
             counts,
--- a/crates/core/src/store/queue.rs
+++ b/crates/core/src/store/queue.rs
@@ -11,13 +11,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Longest pause between two attempts at a store that refuses calls.
-const MAX_BACKOFF: Ms = 1_000;
+const MAX_BACKOFF_MS: Ms = 1_000;
 /// First pause between two attempts at a store that refuses calls.
-const MIN_BACKOFF: Ms = 50;
+const MIN_BACKOFF_MS: Ms = 50;
 /// Shortest time between two recoveries that are noted.
-const RECOVERY_PAUSE: Ms = 1_000;
+const MIN_RECOVERY_INTERVAL_MS: Ms = 1_000;
 /// Writes in a transaction that accepts a job.
-const SUBMISSION_WRITES: f64 = 2.0;
+const WRITES_PER_SUBMISSION: f64 = 2.0;
 
 /// How urgent a call is; the order is that of the queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -42,7 +42,7 @@
     fn reserved_writes(self) -> f64 {
         match self {
             Self::Membership | Self::Leadership | Self::User => 0.0,
-            Self::Tasks | Self::Background => SUBMISSION_WRITES,
+            Self::Tasks | Self::Background => WRITES_PER_SUBMISSION,
         }
     }
 }
@@ -55,9 +55,9 @@
     pub(crate) body: Option<Vec<u8>>,
     /// Puts and removals in it.
     pub(crate) writes: usize,
-    pub(crate) timeout: Ms,
+    pub(crate) timeout_ms: Ms,
     /// A call that has not been sent by then fails with 503.
-    pub(crate) expires: Ms,
+    pub(crate) expires_at: Ms,
     pub(crate) pending: PendingCall,
 }
 
@@ -77,76 +77,76 @@
 pub(crate) struct StoreQueue {
     /// Calls without writes and calls with writes, each in order: while no write may be
     /// sent, only the former are looked at.
-    reads: BTreeMap<QueuePosition, StoreCall>,
-    changes: BTreeMap<QueuePosition, StoreCall>,
+    read_calls: BTreeMap<QueuePosition, StoreCall>,
+    write_calls: BTreeMap<QueuePosition, StoreCall>,
     /// When each call expires.
     expiries: BTreeSet<(Ms, QueuePosition)>,
     /// Writes in the queued calls.
-    writes_queued: usize,
+    queued_writes: usize,
     next_sequence: u64,
-    requests: TokenBucket,
-    writes: TokenBucket,
+    request_tokens: TokenBucket,
+    write_tokens: TokenBucket,
     /// Only calls of `Urgency::Membership` are sent before this.
-    pause_until: Ms,
+    paused_until: Ms,
     backoff: Ms,
     /// Since when the store has answered with 503; none if it served the last call.
-    out_since: Option<Ms>,
+    refusing_since: Option<Ms>,
     /// Whether users' writes may be sent in advance of the rate limit.
-    allows_advance: bool,
+    is_overdraft_allowed: bool,
     /// A call has had no answer, or a 503, since the last other answer.
-    is_disturbed: bool,
+    has_unserved_calls: bool,
     /// When the store answered again after a disturbance, if that is not noted yet.
     recovered_at: Option<Ms>,
     /// When a recovery was noted last.
-    recovery_noted_at: Ms,
+    recovery_reported_at: Ms,
     /// Calls sent since the demand was last computed.
     sent: StoreRate,
-    sent_since: Ms,
+    measured_since: Ms,
 }
 
 impl StoreQueue {
     /// An empty queue with a rate limit in requests and writes a second.
     pub(crate) fn new(rps: f64, write_rps: f64) -> Self {
         Self {
-            reads: BTreeMap::new(),
-            changes: BTreeMap::new(),
+            read_calls: BTreeMap::new(),
+            write_calls: BTreeMap::new(),
             expiries: BTreeSet::new(),
-            writes_queued: 0,
+            queued_writes: 0,
             next_sequence: 0,
-            requests: TokenBucket::new(rps),
-            writes: TokenBucket::new(write_rps),
-            pause_until: 0,
-            backoff: MIN_BACKOFF,
-            out_since: None,
-            allows_advance: false,
-            is_disturbed: false,
+            request_tokens: TokenBucket::new(rps),
+            write_tokens: TokenBucket::new(write_rps),
+            paused_until: 0,
+            backoff: MIN_BACKOFF_MS,
+            refusing_since: None,
+            is_overdraft_allowed: false,
+            has_unserved_calls: false,
             recovered_at: None,
-            recovery_noted_at: 0,
+            recovery_reported_at: 0,
             sent: StoreRate::default(),
-            sent_since: 0,
+            measured_since: 0,
         }
     }
 
     /// Sets the rate limit.
     pub(crate) fn set_rates(&mut self, rate: &StoreRate) {
-        self.requests.set_rate(rate.requests);
-        self.writes.set_rate(rate.writes);
+        self.request_tokens.set_rate(rate.requests);
+        self.write_tokens.set_rate(rate.writes);
     }
 
     /// Sets whether users' writes may be sent in advance of the rate limit. That is allowed
     /// only while other controllers are known to leave some of the budget unused.
-    pub(crate) fn allow_advance(&mut self, allowed: bool) {
-        self.allows_advance = allowed;
+    pub(crate) fn set_overdraft_allowed(&mut self, allowed: bool) {
+        self.is_overdraft_allowed = allowed;
     }
 
     /// The demand a second: the rate since the last call of this, and the queued calls.
-    pub(crate) fn take_demand(&mut self, now: Ms) -> StoreRate {
-        let seconds = now.saturating_sub(self.sent_since).max(1) as f64 / 1000.0;
+    pub(crate) fn measure_demand(&mut self, now: Ms) -> StoreRate {
+        let seconds = now.saturating_sub(self.measured_since).max(1) as f64 / 1000.0;
         let sent = std::mem::take(&mut self.sent).scaled(1.0 / seconds);
-        self.sent_since = now;
+        self.measured_since = now;
         let queued = StoreRate {
             requests: self.len() as f64,
-            writes: self.writes_queued as f64,
+            writes: self.queued_writes as f64,
         };
         sent.plus(&queued)
     }
@@ -155,97 +155,102 @@
     pub(crate) fn push(&mut self, urgency: Urgency, call: StoreCall) {
         self.next_sequence += 1;
         let position = (urgency, self.next_sequence);
-        self.expiries.insert((call.expires, position));
-        self.writes_queued += call.writes;
+        self.expiries.insert((call.expires_at, position));
+        self.queued_writes += call.writes;
         let queue = if call.writes > 0 {
-            &mut self.changes
+            &mut self.write_calls
         } else {
-            &mut self.reads
+            &mut self.read_calls
         };
         queue.insert(position, call);
     }
 
     /// Removes a call from the queue.
     fn remove(&mut self, position: &QueuePosition) -> Option<StoreCall> {
-        let call = self.reads.remove(position);
-        let call = call.or_else(|| self.changes.remove(position))?;
-        self.expiries.remove(&(call.expires, *position));
-        self.writes_queued -= call.writes;
+        let call = self.read_calls.remove(position);
+        let call = call.or_else(|| self.write_calls.remove(position))?;
+        self.expiries.remove(&(call.expires_at, *position));
+        self.queued_writes -= call.writes;
         Some(call)
     }
 
-    /// The first call at or behind a position; calls with writes count only if `with_changes`
+    /// The first call at or behind a position; calls with writes count only if `includes_writes`
     /// is set.
-    fn first(&self, from: QueuePosition, with_changes: bool) -> Option<QueuePosition> {
-        let read = self.reads.range(from..).next().map(|(p, _)| *p);
-        let change = self.changes.range(from..).next().map(|(p, _)| *p);
-        match (read, change.filter(|_| with_changes)) {
+    fn first_at_or_after(
+        &self,
+        from: QueuePosition,
+        includes_writes: bool,
+    ) -> Option<QueuePosition> {
+        let read = self.read_calls.range(from..).next().map(|(p, _)| *p);
+        let change = self.write_calls.range(from..).next().map(|(p, _)| *p);
+        match (read, change.filter(|_| includes_writes)) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
     }
 
     /// Whether the store refuses calls of this controller.
-    pub(crate) fn is_out(&self) -> bool {
-        self.out_since.is_some()
+    pub(crate) fn is_refusing_calls(&self) -> bool {
+        self.refusing_since.is_some()
     }
 
     /// Since when the store has refused calls without serving any.
-    pub(crate) fn out_since(&self) -> Option<Ms> {
-        self.out_since
+    pub(crate) fn refusing_since(&self) -> Option<Ms> {
+        self.refusing_since
     }
 
     /// The process was paused until now.
-    pub(crate) fn note_pause(&mut self, now: Ms) {
-        self.requests.note_process_pause(now);
-        self.writes.note_process_pause(now);
+    pub(crate) fn limit_burst_after_pause(&mut self, now: Ms) {
+        self.request_tokens.limit_burst_after_pause(now);
+        self.write_tokens.limit_burst_after_pause(now);
     }
 
     /// Whether the store answers again after a disturbance. Returns true once for each
-    /// recovery, and at most once in `RECOVERY_PAUSE`.
+    /// recovery, and at most once in `MIN_RECOVERY_INTERVAL_MS`.
     pub(crate) fn take_recovered(&mut self, now: Ms) -> bool {
-        if self.recovered_at.is_none() || now < self.recovery_noted_at + RECOVERY_PAUSE {
+        if self.recovered_at.is_none() || now < self.recovery_reported_at + MIN_RECOVERY_INTERVAL_MS
+        {
             return false;
         }
         self.recovered_at = None;
-        self.recovery_noted_at = now;
+        self.recovery_reported_at = now;
         true
     }
 
     /// Most writes that a transaction of `Urgency::Tasks` or less should have: more would
     /// use up the reserve for submissions.
-    pub(crate) fn batch_limit(&self) -> usize {
-        (self.writes.burst() - SUBMISSION_WRITES).max(SUBMISSION_WRITES) as usize
+    pub(crate) fn max_writes_per_batch(&self) -> usize {
+        (self.write_tokens.burst() - WRITES_PER_SUBMISSION).max(WRITES_PER_SUBMISSION) as usize
     }
 
     /// How many calls are queued.
     pub(crate) fn len(&self) -> usize {
-        self.reads.len() + self.changes.len()
+        self.read_calls.len() + self.write_calls.len()
     }
 
     /// Updates the backoff and the state of the store from the status of an answer.
     pub(crate) fn on_response(&mut self, status: u16, now: Ms, rng: &mut StdRng) {
         if matches!(status, 0 | 503) {
-            self.is_disturbed = true;
-        } else if std::mem::take(&mut self.is_disturbed) {
+            self.has_unserved_calls = true;
+        } else if std::mem::take(&mut self.has_unserved_calls) {
             self.recovered_at = Some(now);
         }
         match status {
             0 => {}
             429 => {
-                self.requests.empty();
-                self.writes.empty();
+                self.request_tokens.discard_tokens();
+                self.write_tokens.discard_tokens();
             }
             503 => {
-                self.out_since.get_or_insert(now);
+                self.refusing_since.get_or_insert(now);
                 let pause = rng.random_range(self.backoff / 2..=self.backoff);
-                self.pause_until = self.pause_until.max(now + pause);
-                self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+                self.paused_until = self.paused_until.max(now + pause);
+                self.backoff = (self.backoff * 2).min(MAX_BACKOFF_MS);
             }
             _ => {
-                self.out_since = None;
-                self.backoff = MIN_BACKOFF;
-                self.pause_until = 0;
+                self.refusing_since = None;
+                self.backoff = MIN_BACKOFF_MS;
+                self.paused_until = 0;
             }
         }
     }
@@ -255,69 +260,73 @@
     /// limit are not iterated over, as the queue is long when many machines start or end at
     /// once.
     pub(crate) fn take_due(&mut self, now: Ms) -> DueCalls {
-        self.requests.refill(now);
-        self.writes.refill(now);
+        self.request_tokens.refill(now);
+        self.write_tokens.refill(now);
         let mut due = DueCalls {
             to_send: Vec::new(),
             // Expired calls go first: after a pause, earlier decisions are outdated.
-            rejected: self.expired(now),
+            rejected: self.take_expired(now),
         };
         let mut may_write = true;
         let mut from = (Urgency::Membership, 0);
-        while let Some(position) = self.first(from, may_write) {
+        while let Some(position) = self.first_at_or_after(from, may_write) {
             from = (position.0, position.1 + 1);
             match self.admit(&position, now) {
-                Verdict::Send => due.to_send.extend(self.take_to_send(&position)),
-                Verdict::Reject => due.rejected.extend(self.remove(&position)),
-                Verdict::Skip => {}
-                Verdict::SkipWrites => may_write = false,
-                Verdict::Stop => break,
+                Admission::Send => due.to_send.extend(self.dequeue(&position)),
+                Admission::Reject => due.rejected.extend(self.remove(&position)),
+                Admission::Skip => {}
+                Admission::SkipWrites => may_write = false,
+                Admission::Stop => break,
             }
         }
         due
     }
 
     /// Decides about a call, and takes its tokens if it is sent.
-    fn admit(&mut self, position: &QueuePosition, now: Ms) -> Verdict {
+    fn admit(&mut self, position: &QueuePosition, now: Ms) -> Admission {
         let urgency = position.0;
-        if self.is_out() && urgency == Urgency::User {
-            return Verdict::Reject;
+        if self.is_refusing_calls() && urgency == Urgency::User {
+            return Admission::Reject;
         }
         let is_forced = urgency == Urgency::Membership;
-        if !is_forced && now < self.pause_until {
+        if !is_forced && now < self.paused_until {
             // Users' calls behind this one are still to be rejected.
-            let may_reject_more = self.is_out() && urgency <= Urgency::User;
+            let may_reject_more = self.is_refusing_calls() && urgency <= Urgency::User;
             return if may_reject_more {
-                Verdict::Skip
+                Admission::Skip
             } else {
-                Verdict::Stop
+                Admission::Stop
             };
         }
-        let writes = self.changes.get(position).map_or(0, |c| c.writes) as f64;
-        if writes > 0.0 && !self.take_writes(writes, urgency) {
-            return Verdict::SkipWrites;
+        let writes = self.write_calls.get(position).map_or(0, |c| c.writes) as f64;
+        if writes > 0.0 && !self.take_write_tokens(writes, urgency) {
+            return Admission::SkipWrites;
         }
-        if !self.requests.take(1.0, is_forced) {
+        if !self.request_tokens.take(1.0, is_forced) {
             // The writes are not sent after all.
-            self.writes.take(-writes, true);
-            return Verdict::Stop;
+            self.write_tokens.take(-writes, true);
+            return Admission::Stop;
         }
-        Verdict::Send
+        Admission::Send
     }
 
     /// Takes the tokens of `n` writes if the urgency allows it.
-    fn take_writes(&mut self, n: f64, urgency: Urgency) -> bool {
-        if self.allows_advance && urgency == Urgency::User && self.writes.take_in_advance(n) {
+    fn take_write_tokens(&mut self, n: f64, urgency: Urgency) -> bool {
+        if self.is_overdraft_allowed
+            && urgency == Urgency::User
+            && self.write_tokens.take_with_overdraft(n)
+        {
             return true;
         }
         if urgency == Urgency::Membership {
-            return self.writes.take(n, true);
+            return self.write_tokens.take(n, true);
         }
-        self.writes.take_above_reserve(n, urgency.reserved_writes())
+        self.write_tokens
+            .take_above_reserve(n, urgency.reserved_writes())
     }
 
     /// Removes a call that is sent now, and counts it.
-    fn take_to_send(&mut self, position: &QueuePosition) -> Option<StoreCall> {
+    fn dequeue(&mut self, position: &QueuePosition) -> Option<StoreCall> {
         let call = self.remove(position)?;
         let sent = StoreRate {
             requests: 1.0,
@@ -328,7 +337,7 @@
     }
 
     /// Removes and returns the calls that have expired.
-    fn expired(&mut self, now: Ms) -> Vec<StoreCall> {
+    fn take_expired(&mut self, now: Ms) -> Vec<StoreCall> {
         let mut expired = Vec::new();
         while let Some((at, position)) = self.expiries.first().copied() {
             if at > now {
@@ -342,7 +351,7 @@
 
 /// What happens to a queued call now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Verdict {
+enum Admission {
     Send,
     /// It fails unsent.
     Reject,
--- a/crates/core/src/store/queue/tests.rs
+++ b/crates/core/src/store/queue/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-fn call(expires: Ms, writes: usize) -> StoreCall {
+fn call(expires_at: Ms, writes: usize) -> StoreCall {
     StoreCall {
         method: "POST",
         path: "/txn".to_owned(),
         body: None,
         writes,
-        timeout: 2_000,
-        expires,
+        timeout_ms: 2_000,
+        expires_at,
         pending: PendingCall::Housekeeping,
     }
 }
@@ -17,7 +17,7 @@
 /// Calls that were queued before the process was paused are not sent once it resumes,
 /// though the rate limit allows them by then.
 #[test]
-fn expired_calls_are_rejected_after_a_pause() {
+fn expired_calls_are_rejected_after_a_process_pause() {
     for urgency in [Urgency::Membership, Urgency::User, Urgency::Tasks] {
         for (pause_ms, is_sent) in [(1_000, true), (30_000, false)] {
             let mut store = StoreQueue::new(10.0, 10.0);
@@ -42,7 +42,7 @@
 /// With few writes a second, other calls leave a reserve for submissions, and no more is
 /// sent than the rate and one second's burst allow.
 #[test]
-fn users_calls_pass_calls_of_lower_urgency() {
+fn user_calls_overtake_queued_calls_of_lower_urgency() {
     for (urgency, goes) in [(Urgency::User, true), (Urgency::Tasks, false)] {
         let mut store = StoreQueue::new(100.0, 4.0);
         for _ in 0..10 {
@@ -65,7 +65,7 @@
 /// Where writes in advance are allowed, users' calls may use up to one second's worth of
 /// them; calls of lower urgency never do.
 #[test]
-fn users_calls_are_sent_in_advance_up_to_one_second_where_allowed() {
+fn user_calls_overdraw_at_most_one_second_of_writes_where_allowed() {
     // Calls sent at once and after three more seconds, at four writes a second.
     for (in_advance, urgency, first, in_all) in [
         (true, Urgency::User, 4, 10),
@@ -73,7 +73,7 @@
         (true, Urgency::Tasks, 1, 7),
     ] {
         let mut store = StoreQueue::new(100.0, 4.0);
-        store.allow_advance(in_advance);
+        store.set_overdraft_allowed(in_advance);
         for _ in 0..20 {
             store.push(urgency, call(10_000, 2));
         }
@@ -88,14 +88,14 @@
 
 /// After a pause of the process half a burst is available.
 #[test]
-fn a_pause_does_not_fill_the_token_bucket() {
+fn token_bucket_holds_half_a_burst_after_a_process_pause() {
     for (is_paused, sent) in [(false, 10), (true, 5)] {
         let mut store = StoreQueue::new(10.0, 100.0);
         for _ in 0..20 {
             store.push(Urgency::User, call(90_000, 1));
         }
         if is_paused {
-            store.note_pause(60_000);
+            store.limit_burst_after_pause(60_000);
         }
         assert_eq!(store.take_due(60_000).to_send.len(), sent);
     }
@@ -104,7 +104,7 @@
 /// After calls without an answer, or with a 503, the next answer is reported as a recovery
 /// once, and no other one within a second.
 #[test]
-fn a_recovery_is_noted_once() {
+fn recovery_is_reported_once() {
     let mut rng = rand::SeedableRng::seed_from_u64(1);
     let cases: [(&str, &[u16], bool); 5] = [
         ("answers", &[200, 409, 200], false),
--- a/crates/core/src/store/rate.rs
+++ b/crates/core/src/store/rate.rs
@@ -4,7 +4,7 @@
 
 /// Part of a burst that is left after the process was paused. All controllers may have been
 /// paused together, and each of them first sends what must not be held back.
-const RESUMED_BURST_PART: f64 = 0.5;
+const BURST_FRACTION_AFTER_PAUSE: f64 = 0.5;
 
 /// Requests and writes a second.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
@@ -29,7 +29,7 @@
     }
 
     /// Applies `f` to the requests and to the writes of both rates.
-    fn combine(&self, other: &Self, f: fn(f64, f64) -> f64) -> Self {
+    fn zip_with(&self, other: &Self, f: fn(f64, f64) -> f64) -> Self {
         Self {
             requests: f(self.requests, other.requests),
             writes: f(self.writes, other.writes),
@@ -38,17 +38,17 @@
 
     /// The sum of both rates.
     pub(crate) fn plus(&self, other: &Self) -> Self {
-        self.combine(other, |a, b| a + b)
+        self.zip_with(other, |a, b| a + b)
     }
 
     /// The larger number of requests and the larger number of writes.
     pub(crate) fn max(&self, other: &Self) -> Self {
-        self.combine(other, f64::max)
+        self.zip_with(other, f64::max)
     }
 
     /// The difference of both rates, at least 0.
     pub(crate) fn saturating_sub(&self, other: &Self) -> Self {
-        self.combine(other, |a, b| (a - b).max(0.0))
+        self.zip_with(other, |a, b| (a - b).max(0.0))
     }
 
     /// The rate times `factor`.
@@ -114,19 +114,19 @@
     }
 
     /// Takes `n` tokens of those that come within the next second at the latest.
-    pub(super) fn take_in_advance(&mut self, n: f64) -> bool {
+    pub(super) fn take_with_overdraft(&mut self, n: f64) -> bool {
         self.tokens - n >= -self.burst() && self.take(n, true)
     }
 
     /// Removes all tokens; a debt stays.
-    pub(crate) fn empty(&mut self) {
+    pub(crate) fn discard_tokens(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
 
     /// The process was paused until now: what accumulated meanwhile counts only in part.
-    pub(super) fn note_process_pause(&mut self, now: Ms) {
+    pub(super) fn limit_burst_after_pause(&mut self, now: Ms) {
         self.refill(now);
-        self.tokens = self.tokens.min(self.burst() * RESUMED_BURST_PART);
+        self.tokens = self.tokens.min(self.burst() * BURST_FRACTION_AFTER_PAUSE);
     }
 }
 
--- a/crates/core/src/store/rate/tests.rs
+++ b/crates/core/src/store/rate/tests.rs
@@ -56,7 +56,7 @@
 
 /// The unit of messages holds a thousandth of a call a second.
 #[test]
-fn rates_survive_the_unit_of_messages() {
+fn rates_survive_conversion_to_message_units() {
     let rate = StoreRate {
         requests: 12.5,
         writes: 0.125,
--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -54,7 +54,7 @@
 
 impl ChangedMachines {
     /// All machines may have changed.
-    pub(crate) fn everything() -> Self {
+    pub(crate) fn all_machines() -> Self {
         Self {
             all: true,
             ..Self::default()
@@ -74,7 +74,7 @@
 }
 
 /// Decodes a record into a map; one that cannot be decoded is removed from it.
-fn put_into<K: Ord, T: DeserializeOwned>(
+fn insert_decoded<K: Ord, T: DeserializeOwned>(
     map: &mut BTreeMap<K, Versioned<T>>,
     name: K,
     key: &str,
@@ -119,16 +119,16 @@
 impl ClusterView {
     /// Whether all controllers have recorded that they receive hardly any heartbeats of
     /// workers.
-    pub(crate) fn has_no_node_with_heartbeats(&self) -> bool {
+    pub(crate) fn are_all_nodes_isolated(&self) -> bool {
         self.nodes.values().all(|n| n.record.receives_no_heartbeats)
     }
 
     /// Replaces all records by those of a full listing.
-    pub(crate) fn replace(&mut self, items: Vec<Item>, revision: u64) {
+    pub(crate) fn replace_all(&mut self, items: Vec<Item>, revision: u64) {
         *self = Self {
             revision,
             is_complete: true,
-            changed: ChangedMachines::everything(),
+            changed: ChangedMachines::all_machines(),
             ..Self::default()
         };
         for item in items {
@@ -137,7 +137,7 @@
     }
 
     /// Applies the changes of a watch, but those that are older than the view.
-    pub(crate) fn apply(&mut self, events: Vec<Change>, revision: u64) {
+    pub(crate) fn apply_changes(&mut self, events: Vec<Change>, revision: u64) {
         for event in events {
             match event {
                 Change::Put {
@@ -172,24 +172,26 @@
 
     fn put_record(&mut self, record_key: RecordKey, key: &str, value: Value, version: u64) {
         match record_key {
-            RecordKey::Node(node) => put_into(&mut self.nodes, node, key, value, version),
+            RecordKey::Node(node) => insert_decoded(&mut self.nodes, node, key, value, version),
             RecordKey::Machine(id) => {
-                put_into(&mut self.machines, id.clone(), key, value, version);
-                self.note_machine_change(id);
+                insert_decoded(&mut self.machines, id.clone(), key, value, version);
+                self.track_machine_change(id);
             }
             RecordKey::ProvisioningIntent(name) => {
-                put_into(&mut self.provisioning_intents, name, key, value, version);
+                insert_decoded(&mut self.provisioning_intents, name, key, value, version);
             }
             RecordKey::MachineType(name) => {
                 // The capacity of every machine follows from its type.
                 self.changed.all = true;
-                put_into(&mut self.machine_types, name, key, value, version);
+                insert_decoded(&mut self.machine_types, name, key, value, version);
             }
             RecordKey::Cancellation(job) => {
                 self.cancellations.insert(job, version);
             }
-            RecordKey::Shard(shard) => put_into(&mut self.shards, shard, key, value, version),
-            RecordKey::Demand(shard) => put_into(&mut self.demands, shard, key, value, version),
+            RecordKey::Shard(shard) => insert_decoded(&mut self.shards, shard, key, value, version),
+            RecordKey::Demand(shard) => {
+                insert_decoded(&mut self.demands, shard, key, value, version);
+            }
         }
     }
 
@@ -205,7 +207,7 @@
             Some(RecordKey::Node(node)) => drop(self.nodes.remove(&node)),
             Some(RecordKey::Machine(id)) => {
                 self.machines.remove(&id);
-                self.note_machine_change(id);
+                self.track_machine_change(id);
             }
             Some(RecordKey::ProvisioningIntent(name)) => {
                 drop(self.provisioning_intents.remove(&name));
@@ -218,7 +220,7 @@
     }
 
     /// Notes the change of a machine's record, and whether it is to be decommissioned.
-    fn note_machine_change(&mut self, id: MachineId) {
+    fn track_machine_change(&mut self, id: MachineId) {
         let record = self.machines.get(&id);
         if record.is_some_and(|m| m.record.decommission_reason.is_some()) {
             self.decommissioned.insert(id.clone());
@@ -229,7 +231,7 @@
     }
 
     /// The machines that have changed since the last call of this.
-    pub(crate) fn take_changed(&mut self) -> ChangedMachines {
+    pub(crate) fn take_changed_machines(&mut self) -> ChangedMachines {
         std::mem::take(&mut self.changed)
     }
 
@@ -256,14 +258,14 @@
     }
 
     /// The version of the epoch counter, and its value.
-    pub(crate) fn epoch(&self) -> (u64, u64) {
+    pub(crate) fn epoch_counter(&self) -> (u64, u64) {
         self.epoch
             .as_ref()
             .map_or((0, 0), |e| (e.version, e.record))
     }
 
     /// Whether the view shows an incarnation of a controller as registered.
-    pub(crate) fn is_alive(&self, node: &NodeName, incarnation: u64) -> bool {
+    pub(crate) fn is_registered(&self, node: &NodeName, incarnation: u64) -> bool {
         self.nodes
             .get(node)
             .is_some_and(|n| n.record.incarnation == incarnation)
@@ -272,7 +274,7 @@
     /// The controller that holds a shard, if it is registered.
     pub(crate) fn holder(&self, shard_id: ShardId) -> Option<&NodeName> {
         let shard = &self.shards.get(&shard_id)?.record;
-        self.is_alive(&shard.holder, shard.holder_incarnation)
+        self.is_registered(&shard.holder, shard.holder_incarnation)
             .then_some(&shard.holder)
     }
 
