--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,8 +1,9 @@
-//! The leader role: assigns shards to controllers, and alone calls the cloud.
+//! The leader role: assigns shards to controllers, moves machines between shards,
+//! and provisions and deletes machines. Only the leader calls the cloud.
 //!
-//! Its jobs are in the modules below; each is a part of [`Leader::tick`]. Every
-//! write is conditional on the leader's own record, so that a deposed leader
-//! can't write any more.
+//! [`Leader::tick`] runs the tasks of the modules below. Every transaction of the
+//! leader has the version of the leader record as a precondition, which fences
+//! off a deposed leader: its writes fail.
 
 mod assignment;
 mod cancellations;
@@ -32,26 +33,27 @@
 use scale_out::ProvisioningState;
 use std::collections::BTreeMap;
 
-/// Boot time that is assumed of a machine type that is not known, in seconds.
+/// Boot time assumed for a machine type whose record is missing, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// One incarnation of a controller, as seen by this one.
+/// A registered incarnation of a controller.
 struct RegisteredNode {
     incarnation: u64,
-    /// Since when it has been registered.
+    /// When this controller first saw the registration.
     registered_at: Ms,
 }
 
-/// State of the leader role. All but [`Leader::nodes`] and the count of intents
-/// is reset at each election.
+/// State of the leader role. Each election resets the state, except for
+/// [`Leader::nodes`] and the number of intents written.
 pub(crate) struct Leader {
-    /// Whether this controller led at the last tick.
+    /// Whether this controller was the leader at the last tick.
     was_leader: bool,
-    /// When it was elected.
+    /// When this controller was last elected.
     elected_at: Ms,
-    /// When rebalancing and scale-out were last considered.
+    /// When rebalancing of machines and scale-out last ran.
     last_planned_at: Ms,
-    /// Controllers that are alive; kept up to date while another one leads, too.
+    /// Registered controllers. Every controller tracks them, also while another
+    /// one leads, so that a new leader knows how long each has been registered.
     nodes: BTreeMap<NodeName, RegisteredNode>,
     cloud: CloudAccess,
     assignment: AssignmentState,
@@ -64,8 +66,8 @@
 }
 
 impl Leader {
-    /// The role of a controller that does not lead yet. `cloud_rps` is the rate
-    /// limit of the cloud, in requests a second.
+    /// The initial state, before any election. `cloud_rps` is the rate limit of
+    /// the cloud, in requests per second.
     pub(crate) fn new(cloud_rps: f64) -> Self {
         Self {
             was_leader: false,
@@ -83,14 +85,15 @@
         }
     }
 
-    /// Whether this incarnation of this controller is the recorded leader.
+    /// Whether the leader record names this incarnation of this controller.
     pub(crate) fn is_leader(ctx: &Context, view: &ClusterView) -> bool {
         view.leader.as_ref().is_some_and(|leader| {
             leader.record.node == ctx.config.node && leader.record.incarnation == ctx.incarnation
         })
     }
 
-    /// Does what is due, as long as this controller leads.
+    /// Runs the leader's tasks that are due. On a controller that does not lead,
+    /// only the registered controllers are tracked.
     pub(crate) fn tick(
         &mut self,
         ctx: &mut Context,
@@ -122,7 +125,7 @@
         self.poll_cloud(ctx);
     }
 
-    /// Resets the state after an election.
+    /// Resets the state after this controller was elected.
     fn start_term(&mut self, ctx: &mut Context) {
         log::info!("leader: elected, incarnation {}", ctx.incarnation);
         ctx.cloud_link.on_elected();
@@ -135,7 +138,8 @@
         };
     }
 
-    /// The checks that run at a fixed interval: formats, assignment, cancellations.
+    /// Runs the periodic tasks: finalization of formats, assignment of shards, and
+    /// removal of stale cancellations.
     fn check_cluster(&mut self, ctx: &mut Context, view: &ClusterView) {
         self.assignment.next_check_at =
             ctx.now + crate::ms(ctx.config.operator.assignment_interval_s);
@@ -145,8 +149,8 @@
         self.remove_stale_cancellations(ctx, view);
     }
 
-    /// Moves machines between shards and provisions new ones, if the last time is
-    /// long enough ago.
+    /// Moves machines between shards and provisions new ones, at most once per
+    /// minimum round interval.
     fn plan_machines(&mut self, ctx: &mut Context, view: &ClusterView) {
         let interval = crate::ms(ctx.config.operator.min_round_interval_s);
         if ctx.now < self.last_planned_at + interval {
@@ -160,7 +164,7 @@
         self.scale_out(ctx, view, &demands);
     }
 
-    /// Notes since when each incarnation of a controller has been registered.
+    /// Records when each incarnation of a controller was first seen as registered.
     fn track_nodes(&mut self, ctx: &Context, view: &ClusterView) {
         self.nodes
             .retain(|name, presence| view.is_registered(name, presence.incarnation));
@@ -173,14 +177,14 @@
     }
 }
 
-/// The capacity of a machine of a type, if the type is known.
+/// The capacity of a machine of this type. None if the type has no record.
 fn capacity_of_type(view: &ClusterView, machine_type: &str) -> Option<Resources> {
     view.machine_types
         .get(machine_type)
         .map(|known| capacity_of(&known.record))
 }
 
-/// The boot time of a machine of a type, in seconds.
+/// The boot time of machines of this type, in seconds.
 fn boot_seconds(view: &ClusterView, machine_type: &str) -> f64 {
     view.machine_types
         .get(machine_type)
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -1,5 +1,6 @@
-//! Assignment of shards: every shard has a live holder, and controllers that
-//! restarted get their part of the shards again.
+//! Assignment of shards to controllers: shards whose holder is not registered are
+//! reassigned, and shards are moved to controllers that hold too few of them, such
+//! as those that have restarted.
 
 use super::transactions::put_if_unchanged;
 use super::Leader;
@@ -13,26 +14,28 @@
 use forkshift_wire::NodeName;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller that restarted is given a shard after this many of its leases.
+/// A controller receives shards of other controllers once it has been registered
+/// for this many controller leases.
 const MIN_UPTIME_LEASES: u64 = 4;
-/// Shards are moved between controllers whose numbers of shards differ by this many.
+/// Smallest difference between the shard counts of two controllers at which a
+/// shard is moved from one to the other.
 const MIN_IMBALANCE: u32 = 2;
 
 /// State of the assignment of shards.
 #[derive(Default)]
 pub(super) struct AssignmentState {
-    /// When shards are checked next.
+    /// When the periodic tasks of the leader run next.
     pub(super) next_check_at: Ms,
-    /// Shards whose new assignment is being written.
+    /// Shards with an assignment or a handover request in flight to the store.
     writes_in_flight: BTreeSet<ShardId>,
 }
 
-/// How many shards each controller holds, of those that may hold shards.
+/// Number of shards per controller, of the controllers that may hold shards.
 type ShardCounts<'a> = BTreeMap<&'a NodeName, u32>;
 
 impl Leader {
-    /// Gives every shard a holder that is alive, and brings shards back to
-    /// controllers that have none.
+    /// Assigns the shards that have no registered holder. If there are none,
+    /// balances the number of shards per controller.
     pub(super) fn assign_shards(&mut self, ctx: &mut Context, view: &ClusterView) {
         let mut counts = eligible_nodes(view);
         let mut unassigned = Vec::new();
@@ -59,10 +62,12 @@
         }
     }
 
-    /// Keeps of the unassigned shards those that can be assigned now. When all
-    /// controllers start at once, the leader waits a little for those that have not
-    /// registered yet, lest the first one be given everything. Where one has
-    /// stayed, shards are not kept waiting for those that may return.
+    /// Retains the unassigned shards that can be assigned now.
+    ///
+    /// If no shard has a holder, the whole cluster is starting: for half a lease,
+    /// a shard is assigned only if its preferred controller is registered, or the
+    /// first controller to register would receive all shards. If any controller
+    /// still holds a shard, the other shards are assigned without this delay.
     fn retain_assignable(&self, ctx: &Context, view: &ClusterView, unassigned: &mut Vec<ShardId>) {
         let is_cluster_start = unassigned.len() == ctx.config.shard_count() as usize;
         let registration_ends_at = self.elected_at + ctx.config.node_lease_ms() / 2;
@@ -76,8 +81,8 @@
         });
     }
 
-    /// Requests the handover of one shard at a time from the controller that holds
-    /// most to the one that holds least.
+    /// Requests the handover of one shard from the controller with the most shards
+    /// to the stable controller with the fewest. One handover is requested at a time.
     fn balance_shards(&mut self, ctx: &mut Context, view: &ClusterView, counts: &ShardCounts) {
         let largest = counts.iter().max_by_key(|(_, count)| **count);
         let smallest = counts
@@ -110,15 +115,16 @@
         );
     }
 
-    /// Whether a controller has been registered for long enough to be given shards
-    /// of others.
+    /// Whether a controller has been registered for long enough to receive shards
+    /// of other controllers.
     fn is_stable(&self, ctx: &Context, node: &NodeName) -> bool {
         let min_age = ctx.config.node_lease_ms() * MIN_UPTIME_LEASES;
         let presence = self.nodes.get(node);
         presence.is_some_and(|presence| ctx.now >= presence.registered_at + min_age)
     }
 
-    /// The write of assignments was answered, whatever the answer.
+    /// Handles the response to an assignment or a handover request, whatever its
+    /// status.
     pub(crate) fn on_shard_record_written(&mut self, shards: &[ShardId]) {
         self.assignment
             .writes_in_flight
@@ -126,8 +132,8 @@
     }
 }
 
-/// The controllers that may hold shards, each with a count of 0. One that receives
-/// no heartbeats may not, as long as there are others.
+/// The controllers that may hold shards, each with a count of 0. A controller that
+/// receives no worker heartbeats is excluded, unless this holds for all controllers.
 fn eligible_nodes(view: &ClusterView) -> ShardCounts<'_> {
     let are_all_isolated = view.are_all_nodes_isolated();
     view.nodes
@@ -139,12 +145,14 @@
         .collect()
 }
 
-/// Chooses a holder for each shard: the controller with the fewest shards, the
-/// shard's preferred among equals. None, if no controller may hold shards.
+/// Chooses a holder for each unassigned shard: the controller with the fewest
+/// shards, and the shard's preferred controller if several have equally few. None
+/// if no controller may hold shards.
 ///
-/// All are assigned at once: after a crash of most controllers, workers are left
-/// with what remains of their leases. Each shard takes a value of the epoch
-/// counter, which is written once.
+/// All shards are assigned in one transaction, up to its limit on writes: after a
+/// crash of most controllers, the workers need a new holder before their leases
+/// expire. Each shard takes a new value of the epoch counter; one write of the
+/// transaction updates the counter.
 fn choose_holders(
     ctx: &Context,
     unassigned: Vec<ShardId>,
@@ -164,13 +172,14 @@
     Some(assignments)
 }
 
-/// The controller that a shard is assigned to while all are alive.
+/// The controller that a shard is assigned to while all controllers are
+/// registered. None if there are more shards than configured controllers.
 fn preferred_node(ctx: &Context, shard_id: ShardId) -> Option<&NodeName> {
     ctx.config.nodes.get(shard_id.0 as usize)
 }
 
-/// Whether a handover to a controller that is registered has been requested. One
-/// to a controller that was removed holds nothing up.
+/// Whether a handover to a registered controller is pending. A handover to a
+/// controller that is no longer registered doesn't block others.
 fn is_handover_requested(view: &ClusterView) -> bool {
     view.shards.values().any(|shard| {
         let target = shard.record.handover_to.as_ref();
--- a/crates/core/src/leader/cancellations.rs
+++ b/crates/core/src/leader/cancellations.rs
@@ -1,4 +1,5 @@
-//! Removal of cancellation requests that nobody has removed in time.
+//! Removal of stale cancellation requests: those that the holder of the job has not
+//! removed in time.
 
 use super::Leader;
 use crate::context::Context;
@@ -9,29 +10,31 @@
 use forkshift_wire::JobId;
 use std::collections::BTreeMap;
 
-/// A cancellation that waits for the holder of its job.
+/// A pending cancellation request.
 struct TrackedCancellation {
-    /// Version of its key.
+    /// Version of the request's key.
     version: u64,
-    /// Since when that version has been seen.
+    /// When this leader first saw this version.
     first_seen_at: Ms,
 }
 
-/// Cancellations that wait, by job.
+/// Pending cancellation requests, by job.
 #[derive(Default)]
 pub(super) struct CancellationTracker {
     tracked: BTreeMap<JobId, TrackedCancellation>,
 }
 
 impl Leader {
-    /// Removes cancellations that have waited for too long: their jobs have ended
-    /// first_seen_at, or the write of the key was carried out late. Users without an
-    /// answer repeat the request.
+    /// Removes cancellation requests that are older than the timeout: their jobs have ended
+    /// in the meantime, or the store carried out the write of the key late. A user
+    /// who received no response repeats the request.
     pub(super) fn remove_stale_cancellations(&mut self, ctx: &mut Context, view: &ClusterView) {
-        let known = std::mem::take(&mut self.cancellations.tracked);
+        let previous = std::mem::take(&mut self.cancellations.tracked);
         for (id, &version) in &view.cancellations {
-            let seen = known.get(id).filter(|known| known.version == version);
-            let first_seen_at = seen.map_or(ctx.now, |known| known.first_seen_at);
+            let earlier = previous
+                .get(id)
+                .filter(|earlier| earlier.version == version);
+            let first_seen_at = earlier.map_or(ctx.now, |earlier| earlier.first_seen_at);
             if ctx.now > first_seen_at + ctx.config.cancellation_timeout_ms {
                 remove_key(ctx, cancellation_key(id), version);
             } else {
--- a/crates/core/src/leader/catalog.rs
+++ b/crates/core/src/leader/catalog.rs
@@ -1,4 +1,5 @@
-//! The cloud's catalogue of machine types, which is written to the state service.
+//! The cloud's catalogue of machine types. The leader reads it at intervals and
+//! writes the machine types to the key-value store, for all controllers.
 
 use super::transactions::put_if_unchanged;
 use super::Leader;
@@ -12,24 +13,28 @@
 use forkshift_wire::cloud::{Catalog, MachineType};
 use std::collections::BTreeMap;
 
-/// Pause before the catalogue is read again if no answer came, in milliseconds.
+/// Interval until the catalogue is read again if the read fails, in milliseconds.
 const RETRY_INTERVAL_MS: Ms = 5_000;
-/// Pause between two reads of the prices, in milliseconds.
+/// Interval between two reads of the catalogue, in milliseconds. Prices change all the
+/// time but need not be followed closely.
 const REFRESH_INTERVAL_MS: Ms = 60_000;
-/// The same while a type's record is not seen yet.
+/// Interval between two reads while the view lacks the record of a machine type, in
+/// milliseconds. No job can be accepted until all types are recorded, so a failed
+/// write of a type must be repeated soon.
 const UNRECORDED_TYPE_REFRESH_INTERVAL_MS: Ms = 1_000;
 
-/// What is known of the catalogue.
+/// State of the reads of the catalogue.
 #[derive(Default)]
 pub(super) struct CatalogState {
-    /// When it is read next.
+    /// When the catalogue is read next.
     next_read_at: Ms,
-    /// Prices that are recorded for the accounts of pools, by machine type.
+    /// The last price that this leader recorded for the accounts of warm pools, by
+    /// machine type.
     pub(super) recorded_prices: BTreeMap<String, Price>,
 }
 
 impl Leader {
-    /// Reads the catalogue when it is due.
+    /// Requests the catalogue if a read is due and the cloud's rate limit allows it.
     pub(super) fn poll_catalog(&mut self, ctx: &mut Context) {
         if self.lacks_prices(ctx) {
             let soon = ctx.now + UNRECORDED_TYPE_REFRESH_INTERVAL_MS;
@@ -41,7 +46,8 @@
         }
     }
 
-    /// The cloud has sent its catalogue: types that changed are written.
+    /// Handles the cloud's response with the catalogue: new and changed machine types
+    /// and prices are written.
     pub(crate) fn on_catalog(
         &mut self,
         ctx: &mut Context,
@@ -67,9 +73,8 @@
     }
 }
 
-/// Time until the catalogue is read again. Prices move all the time; they need not
-/// be followed closely. But until all types are known nothing can be accepted, so a
-/// write of them that fails must not wait for the next read of the prices.
+/// Interval until the next read of the catalogue, in milliseconds. It is shorter while
+/// the view lacks the record of any type.
 fn refresh_interval(view: &ClusterView, types: &[MachineType]) -> Ms {
     let is_known = |t: &MachineType| view.machine_types.contains_key(&t.name);
     if types.iter().all(is_known) {
@@ -79,7 +84,7 @@
     }
 }
 
-/// Writes a machine type that is new or has changed.
+/// Writes the record of a machine type if the type is new or has changed.
 fn record_type(ctx: &mut Context, view: &ClusterView, machine_type: &MachineType) {
     let known = view.machine_types.get(&machine_type.name);
     if known.is_some_and(|known| known.record == *machine_type) {
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -1,6 +1,7 @@
-//! Finalization of a format: once every configured controller has registered
-//! with it, that is recorded, one way. A controller that is not registered may come
-//! back as the old release, so its absence is no consent.
+//! Finalization of a record format: once every configured controller has registered
+//! with support for a format, the format is recorded as finalized. Finalization is
+//! irreversible. A controller that is not registered blocks it, as that controller
+//! may restart with an old release.
 
 use super::transactions::preconditions;
 use super::Leader;
@@ -15,31 +16,33 @@
 use forkshift_wire::NodeName;
 use serde_json::to_value;
 
-/// Checks of the cluster from one attempt at finalization to the next.
+/// Number of check intervals between two attempts at finalization.
 const CHECKS_PER_ATTEMPT: Ms = 4;
-/// Checks of the cluster from one log line about the same thing to the next.
+/// Number of check intervals between two log lines on the same subject.
 const CHECKS_PER_LOG_LINE: Ms = 20;
 
 /// State of the finalization of formats.
 #[derive(Default)]
 pub(super) struct FinalizationState {
-    /// When the finalization of a format is attempted next.
+    /// Earliest time of the next attempt at finalization.
     next_attempt_at: Ms,
-    /// When controllers that have not registered with a new format are logged next.
+    /// Earliest time at which unregistered controllers are logged again.
     next_unregistered_log_at: Ms,
-    /// When controllers that do not know the finalized format are logged next.
+    /// Earliest time at which controllers that don't support the finalized format are
+    /// logged again.
     next_unsupported_log_at: Ms,
 }
 
 impl Leader {
-    /// Records the newest format that all controllers know, if it is not yet.
+    /// Finalizes the newest format that all controllers support, unless it is finalized.
     pub(super) fn finalize_format(&mut self, ctx: &mut Context, view: &ClusterView) {
         let newest = ctx.config.registered_format(view.format());
         if view.format() >= newest || ctx.now < self.finalization.next_attempt_at {
             return;
         }
         self.log_unregistered_nodes(ctx, view, newest);
-        // One that all know is finalized while a newer one waits.
+        // A format that all controllers support is finalized even if a newer one must
+        // wait for some of them.
         let format = newest_common_format(ctx, view).min(newest);
         if format <= view.format() {
             return;
@@ -50,7 +53,7 @@
         ctx.transact(Urgency::Membership, &transaction, PendingCall::Housekeeping);
     }
 
-    /// Logs the controllers that a format's finalization waits for.
+    /// Logs the controllers that block the finalization of a format.
     fn log_unregistered_nodes(&mut self, ctx: &Context, view: &ClusterView, format: FormatVersion) {
         let unregistered = nodes_not_registered_with(ctx, view, format);
         if unregistered.is_empty() || ctx.now < self.finalization.next_unregistered_log_at {
@@ -62,14 +65,15 @@
         log::info!("leader: format {format} not finalized, not registered with it: {names}");
     }
 
-    /// Whether a controller may hold shards. One of a release that does not
-    /// know the finalized format can't read what is written.
+    /// Whether a controller may hold shards. A controller whose release doesn't support
+    /// the finalized format can't read the records that others write.
     pub(super) fn may_hold_shards(view: &ClusterView, name: &NodeName) -> bool {
         let node = view.nodes.get(name);
         node.is_some_and(|node| node.record.format >= view.format())
     }
 
-    /// Logs controllers that came back as an old release after finalization.
+    /// Logs controllers that were downgraded to a release without support for the
+    /// finalized format.
     pub(super) fn log_unsupported_nodes(&mut self, ctx: &Context, view: &ClusterView) {
         if ctx.now < self.finalization.next_unsupported_log_at {
             return;
@@ -87,8 +91,10 @@
     }
 }
 
-/// Records a format, on condition that each controller is still the incarnation
-/// that registered with it.
+/// The transaction that finalizes a format. Its preconditions include the versions of
+/// the registrations, as many as the store's limit on preconditions allows, so the
+/// transaction fails if one of these controllers has restarted, possibly with an old
+/// release.
 fn finalization_transaction(
     ctx: &Context,
     view: &ClusterView,
@@ -108,7 +114,8 @@
     }
 }
 
-/// The newest format that all configured controllers have registered with.
+/// The newest format that all configured controllers have registered support for; the
+/// first format if any of them is not registered.
 fn newest_common_format(ctx: &Context, view: &ClusterView) -> FormatVersion {
     let registered = |name: &NodeName| {
         view.nodes
@@ -119,7 +126,7 @@
     formats.min().unwrap_or(FormatVersion::FIRST)
 }
 
-/// Names of the configured controllers that have not registered with a format.
+/// Names of the configured controllers that have not registered support for a format.
 fn nodes_not_registered_with<'a>(
     ctx: &'a Context,
     view: &ClusterView,
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -1,4 +1,6 @@
-//! The machines that the cloud lists, compared with the records of machines.
+//! Reconciliation of the cloud's list of machines with the machine records:
+//! machines that failed, never came up or disappeared are decommissioned, and
+//! machines without a record are deleted.
 
 use super::{boot_seconds, Leader};
 use crate::context::Context;
@@ -12,34 +14,36 @@
 use forkshift_wire::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A machine that has not come up after this many boots never will.
+/// A machine that has not come up after this many boot times of its type is
+/// decommissioned.
 const MAX_BOOT_TIMES: f64 = 3.0;
-/// Least pause between two lists, in milliseconds.
+/// Shortest interval between two reads of the list, in milliseconds.
 const MIN_LIST_INTERVAL_MS: Ms = 2_000;
-/// After this many times the list's lag a machine should be listed, and the
-/// record of a listed one seen.
+/// After this many times the lag of the list, a machine with a record is expected
+/// in the list, and a machine in the list is expected to have a record.
 const SETTLING_LAGS: u64 = 4;
-/// A machine missing from this many lists in a row no longer exists.
+/// A machine that is missing from this many consecutive lists no longer exists.
 const MAX_MISSED_LISTS: u32 = 3;
 
-/// What is known of machines beside their records.
+/// State of machines that their records don't hold.
 #[derive(Default)]
 pub(super) struct MachineInventory {
     /// When the list of machines is read next.
     next_list_at: Ms,
-    /// Whether a list is being read.
+    /// Whether a read of the list is in flight.
     is_listing: bool,
-    /// Since when machines have been known.
+    /// When this leader first saw the record of each machine.
     first_seen_at: HashMap<MachineId, Ms>,
-    /// In how many lists in a row machines have been missing.
+    /// Number of consecutive lists that each machine was missing from.
     missed_lists: HashMap<MachineId, u32>,
-    /// Machines whose deletion, or the removal of whose record, is under way.
+    /// Machines whose deletion, or the removal of whose record, is in flight.
     pub(super) being_deleted: BTreeSet<MachineId>,
 }
 
 impl MachineInventory {
-    /// Notes since when machines have been known. A deletion of a machine without a
-    /// record may be repeated: the cloud ignores names that it does not know.
+    /// Records when each machine was first seen. Machines without a record are
+    /// dropped from `being_deleted`, as repeating their deletion is safe: the cloud
+    /// ignores names that it does not know.
     pub(super) fn track_all(&mut self, now: Ms, view: &ClusterView) {
         for id in view.machines.keys() {
             self.first_seen_at.entry(id.clone()).or_insert(now);
@@ -48,7 +52,7 @@
             .retain(|id| view.machines.contains_key(id));
     }
 
-    /// The same for machines whose records have changed.
+    /// Like [`Self::track_all`], for the machines whose records have changed.
     pub(super) fn track_changed(&mut self, now: Ms, view: &ClusterView, changed: &ChangedMachines) {
         for id in &changed.machines {
             if view.machines.contains_key(id) {
@@ -59,20 +63,22 @@
         }
     }
 
-    /// For how long a machine has been known, in milliseconds.
+    /// Time since a machine's record was first seen, in milliseconds; 0 if never.
     pub(super) fn known_for_ms(&self, now: Ms, id: &MachineId) -> Ms {
         now - self.first_seen_at.get(id).copied().unwrap_or(now)
     }
 
-    /// Counts a list that lacks a machine. Returns whether enough of them do: a list
-    /// may be older than those before it.
+    /// Counts a list that a machine is missing from. Returns whether the machine was
+    /// missing from enough consecutive lists. One list is no proof, as a list may be
+    /// older than the one before it.
     fn count_missed_list(&mut self, id: &MachineId) -> bool {
         let missed = self.missed_lists.entry(id.clone()).or_default();
         *missed += 1;
         *missed >= MAX_MISSED_LISTS
     }
 
-    /// Drops what is known of machines that have no record any more.
+    /// Drops the state of machines that no longer have a record. The time at which a
+    /// machine was first seen is kept while the machine is listed.
     fn retain_existing(&mut self, view: &ClusterView, listed: &ListedMachines) {
         self.first_seen_at
             .retain(|id, _| view.machines.contains_key(id) || listed.contains_key(id));
@@ -81,11 +87,11 @@
     }
 }
 
-/// Machines of a complete list, by their names.
+/// Machines of a complete list, by ID.
 type ListedMachines<'a> = BTreeMap<&'a MachineId, &'a ListedMachine>;
 
 impl Leader {
-    /// Reads the catalogue and the list of machines when they are due.
+    /// Sends the reads of the catalogue and of the list of machines that are due.
     pub(super) fn poll_cloud(&mut self, ctx: &mut Context) {
         self.poll_catalog(ctx);
         let is_due = !self.inventory.is_listing && ctx.now >= self.inventory.next_list_at;
@@ -97,8 +103,8 @@
         }
     }
 
-    /// The cloud has sent a page of its list. After the last one, machines that
-    /// failed, are late or are missing are decommissioned, and unknown ones deleted.
+    /// Handles a page of the cloud's list of machines; `machines` are those of the
+    /// earlier pages. After the last page, the list is compared with the records.
     pub(crate) fn on_machine_list(
         &mut self,
         ctx: &mut Context,
@@ -127,7 +133,7 @@
         self.inventory.retain_existing(view, &listed);
     }
 
-    /// Decommissions machines that failed, never came up, or are no longer listed.
+    /// Decommissions machines that failed, never came up, or disappeared from the list.
     fn decommission_listed(
         &mut self,
         ctx: &mut Context,
@@ -136,13 +142,14 @@
     ) {
         for (id, machine) in &view.machines {
             let listed = listed.get(id).copied();
-            if let Some(why) = self.decommission_reason(ctx, view, id, &machine.record, listed) {
-                self.decommission(ctx, view, id, why);
+            if let Some(reason) = self.decommission_reason(ctx, view, id, &machine.record, listed) {
+                self.decommission(ctx, view, id, reason);
             }
         }
     }
 
-    /// Why a machine is to be decommissioned, as far as a list shows.
+    /// The reason to decommission a machine, given its entry in the list. None if
+    /// the machine stays.
     fn decommission_reason(
         &mut self,
         ctx: &Context,
@@ -169,9 +176,13 @@
         }
     }
 
-    /// Deletes machines that have no record: they were provisioned by a request that
-    /// was carried out late, and nothing was ever started there. Without a valid
-    /// lease there may be a successor, whose machines this view does not show.
+    /// Deletes listed machines that have no record. Such a machine comes from a
+    /// provisioning request that the cloud carried out late, and no task was ever
+    /// started on it.
+    ///
+    /// No machine is deleted while an intent exists, as its machines are not
+    /// recorded yet, or without a valid lease, as the view may lack the machines of
+    /// a new leader.
     fn delete_unrecorded(
         &mut self,
         ctx: &mut Context,
@@ -202,7 +213,8 @@
     }
 }
 
-/// Reads the list of machines from behind the last one of those that are read.
+/// Requests the next page of the list. `page` holds the machines read so far; the
+/// next page begins after the last of them.
 fn list_machines(ctx: &mut Context, page: Vec<ListedMachine>) {
     let mut path = format!("/machines?most={MAX_LIST_PAGE_SIZE}");
     if let Some(last) = page.last() {
--- a/crates/core/src/leader/prices.rs
+++ b/crates/core/src/leader/prices.rs
@@ -1,8 +1,8 @@
-//! Prices of machine types, recorded for the accounts of warm pools.
+//! Price history of machine types, recorded for the accounts of warm pools.
 //!
-//! A pool's account holds times; what they cost follows from the prices that the
-//! catalogue had then. These are recorded whenever the leader learns that one has
-//! changed, once for all pools and machines.
+//! A pool's account holds usage intervals; their cost is computed from the prices
+//! that the catalogue had at the time. The leader records a price whenever the
+//! catalogue shows a changed one, once for all pools and machines.
 
 use super::transactions::leader_precondition;
 use super::Leader;
@@ -16,12 +16,12 @@
 use forkshift_wire::state::Transaction;
 
 impl Leader {
-    /// Whether accounts may need prices of which none is recorded yet.
+    /// Whether warm pools are configured and this leader has not recorded any price yet.
     pub(super) fn lacks_prices(&self, ctx: &Context) -> bool {
         ctx.has_pools() && self.catalog.recorded_prices.is_empty()
     }
 
-    /// Records prices that changed, if there may be pools.
+    /// Records the prices that have changed, if warm pools are configured.
     pub(super) fn record_prices(
         &mut self,
         ctx: &mut Context,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Whether the recorded price of a type is this one.
+    /// Whether the last recorded price of the machine type equals this one. The time
+    /// of the price is not compared.
     fn is_recorded(&self, price: &Price) -> bool {
         let recorded = self.catalog.recorded_prices.get(&price.machine_type);
         recorded.is_some_and(|recorded| {
@@ -52,8 +53,8 @@
         })
     }
 
-    /// The write of a price was answered. Without an answer it is written again after
-    /// the next read of the catalogue.
+    /// Handles the response to the write of a price. If the write failed, the price is
+    /// written again after the next read of the catalogue.
     pub(crate) fn on_price_recorded(&mut self, price: Price, status: u16) {
         if status == 200 {
             let machine_type = price.machine_type.clone();
--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -1,4 +1,5 @@
-//! Moves free machines between shards, to where tasks wait.
+//! Rebalancing of machines: moves empty and reclaimable machines from other shards
+//! to shards with pending tasks.
 
 use super::transactions::put_if_unchanged;
 use super::{capacity_of_type, Leader};
@@ -12,12 +13,12 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
-/// A demand that a holder has sent counts for this many rounds.
+/// A demand that a holder has sent is valid for this many scheduling rounds.
 const REPORTED_DEMAND_TTL_ROUNDS: f64 = 4.0;
 
-/// A demand that the holder of a shard has sent to the leader.
+/// The unmet demand of a shard, as its holder sent it to the leader.
 struct ShardDemandReport {
-    /// The epoch under which it held the shard.
+    /// The epoch of the shard under which the demand was sent.
     epoch: u64,
     received_at: Ms,
     record: DemandRecord,
@@ -26,18 +27,20 @@
 /// State of the rebalancing of machines between shards.
 #[derive(Default)]
 pub(super) struct RebalancingState {
-    /// Machines whose move was requested, with the version of the record at which
-    /// it was.
+    /// Machines whose move was requested, with the version of the machine record
+    /// that the request was based on.
     requested_machines: BTreeMap<MachineId, u64>,
-    /// The revision at which rebalancing was last considered.
+    /// Revision of the view at which rebalancing last ran.
     last_considered_revision: u64,
+    /// The latest demand that each holder has sent.
     reported_demands: BTreeMap<ShardId, ShardDemandReport>,
-    /// Whether a demand was received since rebalancing was last considered.
+    /// Whether a demand was received since rebalancing last ran.
     has_new_demands: bool,
 }
 
 impl RebalancingState {
-    /// Unmet demand of each shard: what its holder sent lately, or else has written.
+    /// Unmet demand of each shard: the demand that its current holder has sent, if
+    /// it is still valid, or else the shard's demand record.
     pub(super) fn demands(
         &self,
         ctx: &Context,
@@ -59,7 +62,7 @@
         demands
     }
 
-    /// Whether the view or a demand has changed since the last call.
+    /// Returns whether the view or a demand has changed since the last call.
     pub(super) fn observe_changes(&mut self, revision: u64) -> bool {
         let has_changed = revision > self.last_considered_revision || self.has_new_demands;
         if has_changed {
@@ -69,7 +72,8 @@
         has_changed
     }
 
-    /// Drops requests that the view shows to be carried out or refused.
+    /// Drops requests whose machine record has changed or was removed since: the
+    /// request was carried out or refused.
     fn drop_completed_requests(&mut self, view: &ClusterView) {
         self.requested_machines.retain(|id, requested_version| {
             let machine = view.machines.get(id);
@@ -77,7 +81,7 @@
         });
     }
 
-    /// Capacities of the machines that a shard is about to be given.
+    /// Capacities of the machines whose move to a shard is in progress.
     fn requested_capacities(&self, view: &ClusterView, shard_id: ShardId) -> Vec<Resources> {
         self.requested_machines
             .keys()
@@ -88,17 +92,19 @@
     }
 }
 
-/// Tasks for which machines may be moved.
+/// Tasks of one shape for which machines are moved to a shard.
 struct TransferRequest<'a> {
-    /// The shard that needs them.
+    /// The shard that needs the machines.
     shard_id: ShardId,
     shape: &'a ShapeRecord,
-    /// Whether it may take spare machines of other shards, beside surplus ones.
+    /// Whether machines that other shards hold in reserve may be taken, in addition
+    /// to surplus machines.
     may_take_reserved: bool,
 }
 
 impl Leader {
-    /// A holder has sent the unmet demand of its shard.
+    /// Handles the unmet demand that a holder has sent. A demand under an older
+    /// epoch than the last one is ignored.
     pub(crate) fn on_demand_received(
         &mut self,
         now: Ms,
@@ -120,8 +126,10 @@
         rebalancing.has_new_demands = true;
     }
 
-    /// Moves free machines to shards with waiting tasks: what waits takes any
-    /// that is free, and spare places take what no other shard needs.
+    /// Requests the move of machines to shards with unmet demand. Pending tasks
+    /// may take surplus machines and machines held in reserve; missing reserved
+    /// capacity takes only surplus machines. Shapes that may reclaim machines take
+    /// reclaimable ones if no empty machine is found.
     pub(super) fn rebalance_machines(
         &mut self,
         ctx: &mut Context,
@@ -137,8 +145,9 @@
         }
     }
 
-    /// Requests machines of other shards until all tasks of a shape have free.
-    /// `free_capacities` is what is left of the machines that were requested for the shard.
+    /// Requests machines of other shards until their capacity covers all tasks of
+    /// a shape, or no machine is left to request. `free_capacities` is the remaining
+    /// capacity of each machine that was already requested for the shard.
     fn request_machines(
         &mut self,
         ctx: &mut Context,
@@ -168,7 +177,8 @@
         }
     }
 
-    /// Requests the move of a machine to another shard from its holder.
+    /// Writes the shard that a machine is to move to into the machine's record. The
+    /// holder of the machine's present shard carries out the move.
     fn request_machine(
         &mut self,
         ctx: &mut Context,
@@ -188,7 +198,7 @@
         ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
-    /// A free machine of another shard that a shape may use.
+    /// An empty machine of another shard that suits the request.
     fn find_empty_machine<'a>(
         &self,
         view: &ClusterView,
@@ -196,7 +206,7 @@
         request: &TransferRequest,
     ) -> Option<&'a MachineId> {
         let candidates = demands.iter().flat_map(|(owner, demand)| {
-            // A shard that has waiting tasks itself gives no spare machines away.
+            // A shard with pending tasks of its own needs its reserve itself.
             let offers_reserved = request.may_take_reserved && demand.waiting.is_empty();
             let reserved_machines = demand
                 .spare_machines
@@ -208,8 +218,9 @@
         self.find_first_transferable(view, request, candidates)
     }
 
-    /// A machine of another shard that holds nothing but borrowed work, for a
-    /// shape that may have it given back.
+    /// A machine of another shard that holds only borrowed work or belongs to a
+    /// warm pool, for a shape that may reclaim machines. Machines within a pool's
+    /// minimum are for gangs only.
     fn find_reclaimable_machine<'a>(
         &self,
         view: &ClusterView,
@@ -228,7 +239,8 @@
         self.find_first_transferable(view, request, candidates)
     }
 
-    /// The first of some machines, each named with its shard, that may be moved.
+    /// The first candidate that may be moved. Each candidate is a machine with the
+    /// shard that it belongs to.
     fn find_first_transferable<'a>(
         &self,
         view: &ClusterView,
@@ -242,7 +254,8 @@
             .map(|(_, id)| id)
     }
 
-    /// Whether a machine of a shard suits a shape and may be requested.
+    /// Whether the move of a machine may be requested for a shape: the machine still
+    /// belongs to the shard, is not being moved or decommissioned, and suits the shape.
     fn is_transferable(
         &self,
         view: &ClusterView,
@@ -261,8 +274,9 @@
     }
 }
 
-/// What a shard's demand requests, in order: first for waiting tasks, then for
-/// spare places. Borrowed work takes only what no shard needs.
+/// The requests that follow from a shard's demand: first those of pending tasks,
+/// then those of missing reserved capacity. Borrowed work takes only surplus
+/// machines.
 fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<TransferRequest<'_>> {
     let waiting = demand.waiting.iter().map(|shape| TransferRequest {
         shard_id,
@@ -278,7 +292,7 @@
     waiting.chain(reserve_requests).collect()
 }
 
-/// Whether a shape's constraints allow a machine.
+/// Whether the constraints of a shape on spot, types and zones allow a machine.
 fn is_allowed(shape: &ShapeRecord, record: &MachineRecord) -> bool {
     let (types, zones) = (shape.types.as_ref(), shape.zones.as_ref());
     (shape.spot || !record.spot)
@@ -292,7 +306,8 @@
     capacity.is_some_and(|capacity| shape.resources().fits_in(&capacity))
 }
 
-/// Reserves free for up to `max_tasks` tasks, and returns for how many.
+/// Subtracts up to `max_tasks` tasks from the free capacity of a machine. Returns
+/// how many of them fit; 0 for tasks without resources.
 fn reserve(free: &mut Resources, task: &Resources, max_tasks: u32) -> u32 {
     let mut placed = 0;
     while placed < max_tasks && task.fits_in(free) && !task.is_zero() {
--- a/crates/core/src/leader/scale_in.rs
+++ b/crates/core/src/leader/scale_in.rs
@@ -1,6 +1,6 @@
 //! Scale-in: decommissioned machines are deleted, and their records are removed
-//! once the cloud has confirmed the deletion. The removed record proves to the
-//! holder that nothing runs there any more.
+//! once the cloud has confirmed the deletion. The removal of the record is the
+//! holder's proof that no task runs on the machine any more.
 
 use super::transactions::{leader_precondition, put_if_unchanged};
 use super::Leader;
@@ -16,13 +16,13 @@
 use forkshift_wire::MachineId;
 
 impl Leader {
-    /// Writes that a machine is decommissioned.
+    /// Writes a decommission reason into a machine's record, unless it has one.
     pub(super) fn decommission(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         id: &MachineId,
-        why: &str,
+        reason: &str,
     ) {
         let Some(machine) = view.machines.get(id) else {
             return;
@@ -30,14 +30,14 @@
         if machine.record.decommission_reason.is_some() {
             return;
         }
-        log::info!("machine {id}: decommissioned, {why}");
+        log::info!("machine {id}: decommissioned, {reason}");
         let mut record = machine.record.clone();
-        record.decommission_reason = Some(why.to_owned());
+        record.decommission_reason = Some(reason.to_owned());
         let transaction = put_if_unchanged(view, machine_key(id), machine.version, &record);
         ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
-    /// Deletes machines whose records say that they are decommissioned.
+    /// Requests the deletion of machines whose records have a decommission reason.
     pub(super) fn delete_decommissioned(&mut self, ctx: &mut Context, view: &ClusterView) {
         let decommissioned: Vec<MachineId> = view
             .decommissioned
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends one request for the deletion of some machines.
+    /// Requests the deletion of machines in one call to the cloud.
     pub(super) fn send_delete(&mut self, ctx: &mut Context, machines: Vec<MachineId>) {
         self.inventory
             .being_deleted
@@ -62,7 +62,8 @@
         ctx.delete_machines(machines, pending);
     }
 
-    /// The cloud has answered a deletion: the records of the machines are removed.
+    /// Handles the cloud's response to a deletion. If the cloud has confirmed it, the
+    /// records of the machines are removed.
     pub(crate) fn on_machines_deleted(
         &mut self,
         ctx: &mut Context,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Removes the records of deleted machines, in one transaction.
+    /// Removes the records of one batch of deleted machines, in one transaction.
     fn remove_records(
         &mut self,
         ctx: &mut Context,
@@ -96,7 +97,7 @@
         log::info!("leader: machines deleted, {}", batch.len());
         let transaction = removal_transaction(view, &batch);
         let machines: Vec<MachineId> = batch.into_iter().map(|machine| machine.id).collect();
-        // Until the view shows the removal, they must not be deleted again.
+        // Until the view shows the removal, the machines must not be deleted again.
         self.inventory
             .being_deleted
             .extend(machines.iter().cloned());
@@ -107,8 +108,8 @@
         );
     }
 
-    /// The removal of records was answered. After a failure the machines are
-    /// deleted again.
+    /// Handles the response to a removal of records. After a failure the deletion of
+    /// the machines is repeated.
     pub(crate) fn on_records_removed(&mut self, machines: &[MachineId], status: u16) {
         if status != 200 {
             for id in machines {
@@ -118,12 +119,13 @@
     }
 }
 
-/// A machine that no longer exists, and whose record is to be removed.
+/// A machine that no longer exists and whose record is to be removed.
 struct DeletedMachine {
     id: MachineId,
-    /// Version of its record.
+    /// Version of the machine's record.
     version: u64,
-    /// The end of a pool's charge for it, if its holder has not recorded one.
+    /// The last usage interval charged to the machine's pool; none if the machine
+    /// belongs to no pool or the holder has already recorded the end.
     usage_row: Option<UsageInterval>,
 }
 
@@ -137,13 +139,14 @@
         }
     }
 
-    /// Changes that its removal takes.
+    /// Number of writes that the removal takes.
     fn write_count(&self) -> usize {
         1 + usize::from(self.usage_row.is_some())
     }
 }
 
-/// Removes the records of some machines, and ends the charges of pools for them.
+/// The transaction that removes the records of a batch of machines, and records the
+/// end of the pools' charges for them.
 fn removal_transaction(view: &ClusterView, batch: &[DeletedMachine]) -> Transaction {
     let mut transaction = Transaction {
         preconditions: vec![leader_precondition(view)],
@@ -163,7 +166,7 @@
     transaction
 }
 
-/// Batches of machines whose removal takes up to `max_writes` changes each.
+/// Groups machines into batches whose removal takes up to `max_writes` writes each.
 fn batches(deleted: Vec<DeletedMachine>, max_writes: usize) -> Vec<Vec<DeletedMachine>> {
     let mut batches: Vec<Vec<DeletedMachine>> = Vec::new();
     let mut remaining = 0;
--- a/crates/core/src/leader/scale_out.rs
+++ b/crates/core/src/leader/scale_out.rs
@@ -1,12 +1,14 @@
 //! Scale-out: provisioning of machines for the unmet demand of shards.
 //!
-//! An intent is written before its request is sent to the cloud, and the
-//! machines that the cloud names are recorded in parts, each on condition of
-//! the intent's version. So a new leader can repeat any request, and goes on
-//! recording where the last one stopped.
+//! An intent is written to the store before its request is sent to the cloud.
+//! The machines in the cloud's response are recorded in batches, each with the
+//! version of the intent as a precondition. Provisioning requests are idempotent,
+//! so a new leader can repeat any request, and continues to record the machines
+//! where its predecessor stopped.
 //!
-//! [`planning`] chooses what to provision, [`capacity`] keeps track of what can be
-//! had, [`intents`] writes and sends requests, [`results`] records the answers.
+//! [`planning`] chooses the machines to provision, [`capacity`] tracks which kinds of
+//! machines the cloud lacks, [`intents`] writes intents and sends requests, and
+//! [`results`] records the provisioned machines.
 
 mod capacity;
 mod intents;
@@ -21,7 +23,7 @@
 use results::ProvisioningResult;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A kind of machine that the cloud provides.
+/// A kind of machine that can be requested from the cloud.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineKind {
     machine_type: String,
@@ -52,23 +54,27 @@
 /// State of the provisioning of machines.
 #[derive(Default)]
 pub(super) struct ProvisioningState {
-    /// Names of requests that were sent to the cloud or are being recorded.
+    /// Names of requests that were sent to the cloud, until the view shows that their
+    /// intents were removed.
     requests_in_flight: BTreeSet<String>,
-    /// Answers of the cloud that are being recorded, by request.
+    /// Responses of the cloud whose machines are being recorded, by request name.
     results: BTreeMap<String, ProvisioningResult>,
-    /// Revisions that a shard's demand must be based on to be considered again:
-    /// those of the last intents for it.
+    /// Lowest revision that a shard's demand must be based on: that of the last
+    /// intent for the shard. An older demand doesn't take the intent into account,
+    /// so the same machines would be provisioned twice.
     min_demand_revisions: BTreeMap<ShardId, u64>,
-    /// Intents that are being written, with the shards that they are for.
+    /// Intents whose write is in flight, by request name, each with the shards that
+    /// it provisions for.
     intents_being_written: BTreeMap<String, Vec<ShardId>>,
-    /// How many intents this incarnation has written; part of their names.
+    /// Number of intents that this incarnation has written; part of request names.
     intents_written: u64,
     capacity: CapacityTracker,
 }
 
 impl ProvisioningState {
-    /// The state after an election. A controller that leads for a second time must
-    /// not use a request's name again: the cloud would repeat its old answer.
+    /// The state after an election. The number of intents is kept, as a controller
+    /// that leads for a second time must not reuse a request name: the cloud would
+    /// repeat its response to the earlier request.
     pub(super) fn for_next_term(&self) -> Self {
         Self {
             intents_written: self.intents_written,
@@ -76,22 +82,24 @@
         }
     }
 
-    /// Forgets requests whose intents were removed.
+    /// Drops requests whose intents were removed.
     pub(super) fn drop_completed_requests(&mut self, view: &ClusterView) {
         self.requests_in_flight
             .retain(|request| view.provisioning_intents.contains_key(request));
     }
 
-    /// Whether an intent is being written.
+    /// Whether the write of an intent is in flight.
     pub(super) fn is_writing_intents(&self) -> bool {
         !self.intents_being_written.is_empty()
     }
 }
 
 impl Leader {
-    /// Turns the unmet demand of shards into provisioning intents. The cloud takes few
-    /// calls a second: no intent is made while others wait to be carried out, so
-    /// that what comes up meanwhile is put together in larger ones.
+    /// Writes provisioning intents for the unmet demand of shards.
+    ///
+    /// The number of open intents is limited to the number of calls per second that
+    /// the cloud accepts. Demand that arises at the limit is combined into larger
+    /// intents later.
     pub(super) fn scale_out(
         &mut self,
         ctx: &mut Context,
@@ -109,7 +117,7 @@
     }
 }
 
-/// Names of all zones, in the order of their numbers in offers.
+/// Names of all zones. Offers refer to a zone by its index in this list.
 fn zone_names(view: &ClusterView) -> Vec<String> {
     view.zones().into_iter().map(str::to_owned).collect()
 }
--- a/crates/core/src/leader/scale_out/capacity.rs
+++ b/crates/core/src/leader/scale_out/capacity.rs
@@ -1,5 +1,6 @@
-//! Which kinds of machines can be had: those that the cloud lacked lately are not
-//! requested for a while, and zones where machines boot slowly come last.
+//! Availability of the kinds of machines. A kind that the cloud lacked is not
+//! requested again until its backoff ends, and zones in which machines are overdue
+//! are chosen last.
 
 use super::MachineKind;
 use crate::context::Context;
@@ -10,43 +11,46 @@
 use crate::Ms;
 use std::collections::BTreeMap;
 
-/// Where a machine was overdue, others are requested only if nothing as good
-/// is to be had elsewhere, for this many boots.
+/// For this many boot times after a machine was overdue, its kind counts as slow and
+/// is requested only if no other zone offers an equivalent kind.
 const SLOW_ZONE_PENALTY_BOOTS: f64 = 6.0;
-/// What a slow zone counts for: more machines than a shard ever holds.
+/// Number of machines added to a slow zone's count when zones are compared: more
+/// than a shard ever holds.
 const SLOW_ZONE_PENALTY_MACHINES: u32 = 1 << 20;
-/// A boot takes as long as this many of the shortest pauses after a lack of capacity.
+/// The first pause after a lack of capacity is the type's boot time divided by this.
 const MIN_PAUSES_PER_BOOT: f64 = 5.0;
-/// The shortest pause where a type boots at once, in milliseconds.
+/// Lower bound of a pause, in milliseconds, for types with a boot time near 0.
 const MIN_PAUSE_MS: Ms = 1;
 
-/// The pause after a lack of capacity.
+/// Backoff after a lack of capacity.
 #[derive(Clone, Copy, Default)]
 struct Backoff {
     until: Ms,
-    /// How long it is; the next one is twice as long.
+    /// Length of the current pause, in milliseconds; the next one is twice as long.
     pause: Ms,
 }
 
-/// What is known of the cloud's capacity, by kind of machine.
+/// Tracks shortages and slow boots of the cloud, by kind of machine.
 #[derive(Default)]
 pub(super) struct CapacityTracker {
-    /// Kinds that the cloud lacked.
+    /// Kinds that the cloud lacked, with their backoff.
     out_of_capacity: BTreeMap<MachineKind, Backoff>,
-    /// Kinds of which a machine was overdue, and until when they come last. The zone
-    /// with the fewest machines is preferred among equals, so one in which no machine
-    /// ever came up would be chosen again and again while others had room.
+    /// Kinds of which a machine was overdue, and until when they are chosen last.
+    /// Among equivalent offers the zone with the fewest machines is preferred, so
+    /// without this penalty a zone in which no machine ever comes up would be chosen
+    /// repeatedly while other zones had capacity.
     slow_until: BTreeMap<MachineKind, Ms>,
 }
 
 impl CapacityTracker {
-    /// Whether a kind is not to be requested now.
+    /// Whether a kind must not be requested now, as the cloud lacked it recently.
     pub(super) fn is_out_of_capacity(&self, now: Ms, kind: &MachineKind) -> bool {
         let backoff = self.out_of_capacity.get(kind);
         backoff.is_some_and(|backoff| now < backoff.until)
     }
 
-    /// Machines that are added to those held of a kind when zones are compared.
+    /// Number of machines to add to the count of a zone when zones are compared; 0
+    /// unless the kind is slow.
     pub(super) fn penalty_machines(&self, now: Ms, kind: &MachineKind) -> u32 {
         let slow_until = self.slow_until.get(kind);
         if slow_until.is_some_and(|until| now < *until) {
@@ -56,13 +60,13 @@
         }
     }
 
-    /// The cloud has provided all machines of a request.
+    /// Ends the backoff of a kind after the cloud has provided all machines of a request.
     pub(super) fn on_fully_provisioned(&mut self, kind: &MachineKind) {
         self.out_of_capacity.remove(kind);
     }
 
-    /// The cloud has provided fewer machines than requested. The pause doubles while
-    /// there are too few, up to one boot.
+    /// Pauses requests for a kind after the cloud has provided fewer machines than
+    /// requested. The pause doubles with each shortage, up to the boot time `boot_s`.
     pub(super) fn on_shortage(&mut self, now: Ms, kind: MachineKind, boot_s: f64) {
         let last = self.out_of_capacity.get(&kind).copied().unwrap_or_default();
         let min_pause = crate::ms(boot_s / MIN_PAUSES_PER_BOOT).max(MIN_PAUSE_MS);
@@ -72,7 +76,7 @@
         self.out_of_capacity.insert(kind, Backoff { until, pause });
     }
 
-    /// Notes the kinds of which machines are overdue.
+    /// Marks the kinds of overdue machines as slow.
     pub(super) fn track_overdue(
         &mut self,
         ctx: &Context,
--- a/crates/core/src/leader/scale_out/intents.rs
+++ b/crates/core/src/leader/scale_out/intents.rs
@@ -1,4 +1,5 @@
-//! Intents: each is written before its request is sent to the cloud.
+//! Provisioning intents: each is written to the store before its request is sent
+//! to the cloud, so that a new leader finds every request that may have been sent.
 
 use super::planning::OfferedKind;
 use super::zone_names;
@@ -12,7 +13,7 @@
 use forkshift_wire::cloud::{ProvisionRequest, MAX_PROVISION_COUNT};
 
 impl Leader {
-    /// Writes one intent. The name of its request is never used again.
+    /// Writes one intent. Its request name is unique across incarnations and terms.
     pub(super) fn write_intent(
         &mut self,
         ctx: &mut Context,
@@ -44,8 +45,9 @@
         );
     }
 
-    /// The write of an intent was answered. From now on a demand counts if it is
-    /// based on a view that shows this intent.
+    /// Handles the response to the write of an intent. From now on, a demand of the
+    /// intent's shards is considered only if it is based on a view that shows the
+    /// intent.
     pub(crate) fn on_intent_written(&mut self, request: &str, body: &[u8]) {
         let provisioning = &mut self.provisioning;
         let shards = provisioning.intents_being_written.remove(request);
@@ -59,8 +61,9 @@
         }
     }
 
-    /// Sends the requests of intents, those of an earlier leader too: a request that
-    /// had an answer before gets the same one again and provisions nothing.
+    /// Sends the requests of all intents that are not in flight, including those of
+    /// earlier leaders. Requests are idempotent: the cloud repeats its response to a
+    /// request name that it has already served, and provisions nothing.
     pub(in crate::leader) fn send_intents(&mut self, ctx: &mut Context, view: &ClusterView) {
         for (request, intent) in &view.provisioning_intents {
             let is_in_flight = self.provisioning.requests_in_flight.contains(request);
@@ -73,7 +76,8 @@
     }
 }
 
-/// Requests the machines of an intent from the cloud.
+/// Requests the machines of an intent from the cloud. `request` is the idempotency
+/// key.
 fn send_request(ctx: &mut Context, request: &str, intent: &ProvisioningIntent) {
     let body = ProvisionRequest {
         request_name: request.to_owned(),
@@ -92,7 +96,8 @@
     );
 }
 
-/// Cuts parts down to `max_machines` in all, evenly.
+/// Reduces the number of machines to `max_machines` in total, by repeatedly taking
+/// one machine from the shard with the most.
 fn limit_parts(mut parts: Vec<(ShardId, u32)>, max_machines: u32) -> Vec<(ShardId, u32)> {
     while parts.iter().map(|(_, count)| count).sum::<u32>() > max_machines {
         if let Some((_, count)) = parts.iter_mut().max_by_key(|(_, count)| *count) {
--- a/crates/core/src/leader/scale_out/planning.rs
+++ b/crates/core/src/leader/scale_out/planning.rs
@@ -1,5 +1,5 @@
-//! What is provisioned: the unmet demand of shards, matched with what the cloud
-//! offers.
+//! Planning of scale-out: matches the unmet demand of shards with the kinds of
+//! machines that the cloud offers.
 
 use super::{zone_names, MachineKind};
 use crate::context::Context;
@@ -10,11 +10,13 @@
 use forkshift_wire::cloud::{MachineType, MAX_PROVISION_COUNT};
 use std::collections::{BTreeMap, HashMap};
 
-/// Zones of a machine type that are considered where tasks may run in any: enough
-/// for what must be spread, with few calls to the cloud.
+/// Number of zones considered per machine type, spot and on-demand each, if no
+/// shape is restricted to zones. Two zones suffice for tasks that must be spread,
+/// and fewer zones mean fewer calls to the cloud.
 const MAX_ZONES_PER_TYPE: u32 = 2;
 
-/// A kind of machine, with type and zone by their numbers in offers.
+/// A kind of machine that is offered. `machine_type` is an index into the machine
+/// types of the view, and `zone` an index into [`zone_names`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct OfferedKind {
     pub(super) machine_type: u16,
@@ -22,10 +24,10 @@
     pub(super) spot: bool,
 }
 
-/// Kinds of machines to provision, each with the shards and how many each needs.
+/// Kinds of machines to provision, each with the number of machines per shard.
 pub(super) type ProvisioningPlan = BTreeMap<OfferedKind, Vec<(ShardId, u32)>>;
 
-/// Machines of a type that a shard holds in a zone.
+/// A machine type in a zone, of which a shard holds machines.
 #[derive(PartialEq, Eq, Hash)]
 struct HeldKind<'a> {
     shard_id: ShardId,
@@ -33,11 +35,11 @@
     zone: &'a str,
 }
 
-/// Numbers of machines that shards hold.
+/// Number of machines that each shard holds, by type and zone.
 type HeldMachines<'a> = HashMap<HeldKind<'a>, u32>;
 
 impl Leader {
-    /// What is to be provisioned, with the shards that it is for.
+    /// Plans the machines to provision for all shards whose demand is current.
     pub(super) fn plan_provisioning(
         &mut self,
         ctx: &Context,
@@ -74,15 +76,16 @@
         planned
     }
 
-    /// Whether a shard lacks machines and its demand takes all intents into account
-    /// that were made for it.
+    /// Whether a shard lacks machines and its demand takes into account all intents
+    /// that were written for the shard.
     fn is_demand_current(&self, shard_id: ShardId, demand: &DemandRecord) -> bool {
         let min_revision = self.provisioning.min_demand_revisions.get(&shard_id);
         let min_revision = min_revision.copied().unwrap_or(0);
         !demand.shapes.is_empty() && demand.revision >= min_revision
     }
 
-    /// What may be had for a shard, as far as is known.
+    /// The kinds of machines to choose from for a shard: all kinds in the catalogue,
+    /// except those that the cloud recently lacked.
     fn offers(
         &self,
         ctx: &Context,
@@ -127,7 +130,7 @@
     }
 }
 
-/// Prices of a machine type, each with whether it is that of a spot machine.
+/// The prices per hour of a machine type; true marks the price of a spot machine.
 fn prices(machine_type: &MachineType) -> impl Iterator<Item = (bool, f64)> {
     let spot_price = machine_type.spot_price_per_hour.map(|price| (true, price));
     std::iter::once((false, machine_type.price_per_hour)).chain(spot_price)
@@ -141,7 +144,8 @@
     }
 }
 
-/// The shapes of a demand, with types and zones by their numbers in offers.
+/// Converts the shapes of a demand: the names of types and zones are replaced by
+/// their indexes. Unknown names are dropped.
 fn shapes_to_provision(view: &ClusterView, shapes: &[ShapeRecord]) -> Vec<TaskShape> {
     let zones = zone_names(view);
     let type_number = |name: &String| {
@@ -169,7 +173,7 @@
     shapes.iter().map(to_task_shape).collect()
 }
 
-/// Counts the machines that shards hold.
+/// Counts the machines of each shard by type and zone.
 fn held_machines(view: &ClusterView) -> HeldMachines<'_> {
     let mut held = HeldMachines::new();
     for record in view.machines.values().map(|machine| &machine.record) {
@@ -183,8 +187,8 @@
     held
 }
 
-/// Keeps of each type, spot and not, only the zones where the fewest machines are
-/// held.
+/// Retains, for each machine type, spot and on-demand each, the offers of the
+/// [`MAX_ZONES_PER_TYPE`] zones with the fewest machines.
 fn limit_zones(mut offers: Vec<MachineOffer>) -> Vec<MachineOffer> {
     offers.sort_by_key(|offer| (offer.machine_type, offer.is_spot, offer.machines_in_zone));
     let mut zone_counts: BTreeMap<(u16, bool), u32> = BTreeMap::new();
--- a/crates/core/src/leader/scale_out/results.rs
+++ b/crates/core/src/leader/scale_out/results.rs
@@ -1,5 +1,5 @@
-//! Results: machines that the cloud has provided are recorded, in parts if they are
-//! too many for one transaction.
+//! Results of provisioning requests: the provisioned machines are recorded, in
+//! several batches if there are too many for one transaction.
 
 use super::MachineKind;
 use crate::context::{revision_of, Context};
@@ -14,27 +14,28 @@
 use forkshift_wire::MachineId;
 use serde_json::to_value;
 
-/// The cloud's answer to a request, while it is recorded.
+/// The cloud's response to a provisioning request, while its machines are recorded.
 pub(super) struct ProvisioningResult {
-    /// The intent, with the machines that are recorded so far.
+    /// The intent, with the number of machines that are recorded so far.
     intent: ProvisioningIntent,
     /// Version of the intent's record.
     version: u64,
     /// All machines that the cloud has provided.
     machines: Vec<MachineId>,
-    /// How many machines have their records once the write that is under way
-    /// is carried out. The limits may change before its answer comes.
+    /// Number of machines that are recorded once the write in flight succeeds. This
+    /// can't be recomputed when its response arrives, as the store's limit on writes
+    /// per transaction may have changed.
     recorded_after_write: u32,
 }
 
 impl ProvisioningResult {
-    /// Whether all machines have their records.
+    /// Whether all machines are recorded.
     fn is_recorded(&self) -> bool {
         self.intent.placed as usize >= self.machines.len()
     }
 
-    /// Records the machines up to `end`, and how many those are. The last part
-    /// removes the intent.
+    /// The transaction that records the machines up to index `end`, and updates the
+    /// count in the intent. The last batch removes the intent.
     fn transaction(&self, view: &ClusterView, request: &str, end: usize) -> Transaction {
         let intent_key = provisioning_intent_key(request);
         let mut transaction = Transaction {
@@ -72,7 +73,7 @@
 }
 
 impl Leader {
-    /// The cloud has answered a provisioning request.
+    /// Handles the cloud's response to a provisioning request.
     pub(crate) fn on_provisioned(
         &mut self,
         ctx: &mut Context,
@@ -102,7 +103,8 @@
         self.record_result(ctx, view, request);
     }
 
-    /// Notes how many machines the cloud has provided of those that an intent requests.
+    /// Updates the capacity tracker: the cloud has provided `provisioned` of the
+    /// machines that an intent requests.
     fn track_capacity(
         &mut self,
         ctx: &Context,
@@ -127,12 +129,12 @@
         }
     }
 
-    /// Writes the next part of a result.
+    /// Writes the next batch of a result.
     fn record_result(&mut self, ctx: &mut Context, view: &ClusterView, request: &str) {
         let Some(result) = self.provisioning.results.get_mut(request) else {
             return;
         };
-        // One change is for the intent.
+        // One write of the transaction is that of the intent.
         let limit = result.intent.placed as usize + ctx.limits.txn_ops - 1;
         let end = result.machines.len().min(limit);
         result.recorded_after_write = end as u32;
@@ -145,7 +147,7 @@
         );
     }
 
-    /// The write of a part of a result was answered.
+    /// Handles the response to the write of a batch.
     pub(crate) fn on_result_recorded(
         &mut self,
         ctx: &mut Context,
@@ -162,18 +164,18 @@
                 result.version = revision_of(body);
                 result.intent.placed = result.recorded_after_write;
                 if result.is_recorded() {
-                    // The request stays in flight: its name must not be used again
-                    // while the view still shows the intent.
+                    // The request stays in `requests_in_flight`, or it would be sent
+                    // again while the view still shows the intent.
                     self.provisioning.results.remove(request);
                 } else {
                     self.record_result(ctx, view, request);
                 }
             }
-            // Writing again on the same conditions is safe: if an earlier
-            // copy was carried out, this one fails.
+            // Retrying with the same preconditions is safe: if the earlier attempt
+            // was committed, this one fails.
             0 | 429 | 503 if Self::is_leader(ctx, view) => self.record_result(ctx, view, request),
-            // The record has changed: the request is repeated, the cloud gives the
-            // same answer, and the view shows which machines are recorded.
+            // The intent has changed. Its request is sent again: the cloud repeats
+            // its response, and the view then shows which machines are recorded.
             _ => {
                 self.provisioning.results.remove(request);
                 self.provisioning.requests_in_flight.remove(request);
@@ -182,7 +184,7 @@
     }
 }
 
-/// The machines that an answer names; none if the request was refused.
+/// The machines in a response; empty if the request was refused.
 fn provisioned_machines(status: u16, body: &[u8]) -> Vec<MachineId> {
     if status != 200 {
         return Vec::new();
--- a/crates/core/src/leader/scale_out/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -14,7 +14,7 @@
     matches!(pending, PendingCall::ProvisionedRecordsWrite { .. })
 }
 
-/// Machines whose records a transaction puts.
+/// Names of the machines whose records the transactions among `effects` put.
 fn recorded_machines(effects: &[Effect]) -> Vec<String> {
     let mut put = Vec::new();
     for effect in effects {
@@ -33,13 +33,14 @@
     put
 }
 
-/// The limits fall between the write of a part of a result and its answer: each
-/// machine gets its record all the same, once.
+/// The store's limit on writes per transaction decreases between the write of a batch
+/// and its response. If the next batch were computed from the new limit alone, machines
+/// would be recorded twice or not at all.
 #[test]
 fn each_machine_is_recorded_once_when_limits_fall_between_batches() {
     for provisioned in [5, 11, 12, 30] {
         let mut f = Fixture::new();
-        // It is elected.
+        // The controller is elected.
         f.step(0);
         let machine_type = "big".to_owned();
         let zone = "hall-a".to_owned();
--- a/crates/core/src/leader/transactions.rs
+++ b/crates/core/src/leader/transactions.rs
@@ -1,4 +1,6 @@
-//! Transactions of the leader: each is conditional on its own record.
+//! Building blocks of the leader's transactions. The version of the leader record is a
+//! precondition of each of them, as a fencing token: the writes of a deposed leader
+//! fail.
 
 use crate::records::LEADER;
 use crate::store::view::ClusterView;
@@ -6,7 +8,8 @@
 use serde::Serialize;
 use serde_json::to_value;
 
-/// The condition that this controller still leads.
+/// The precondition that the leader record is unchanged, so that this controller is
+/// still the leader.
 pub(super) fn leader_precondition(view: &ClusterView) -> Precondition {
     Precondition {
         key: LEADER.to_owned(),
@@ -14,13 +17,14 @@
     }
 }
 
-/// The conditions that this controller still leads and that a key has a version;
-/// version 0: that the key does not exist.
+/// The preconditions that this controller is still the leader and that a key has
+/// this version. Version 0 means that the key doesn't exist.
 pub(super) fn preconditions(view: &ClusterView, key: String, version: u64) -> Vec<Precondition> {
     vec![leader_precondition(view), Precondition { key, version }]
 }
 
-/// Writes a record under a key, if the key still has a version.
+/// A transaction that writes a record under a key if the key still has this version
+/// and this controller is still the leader.
 pub(super) fn put_if_unchanged(
     view: &ClusterView,
     key: String,
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,9 +1,9 @@
-//! The key-value store from its client's side: the queue of calls, this controller's part of
-//! the request budget, and the local copy of the records that all controllers have in common.
+//! The client side of the key-value store: the queue of calls, this controller's share of
+//! the request budget, and the local copy of the records that all controllers share.
 //!
-//! Owns the order and the rate of calls to the store, and [`view::ClusterView`]. Must not
-//! interpret the answers to calls; those go by [`crate::pending_call::PendingCall`] to
-//! whoever made the call.
+//! This module decides the order and the rate of calls to the store, and maintains
+//! [`view::ClusterView`]. It must not interpret responses beyond their status:
+//! [`crate::pending_call::PendingCall`] routes each response to the caller.
 
 pub(crate) mod budget;
 pub(crate) mod queue;
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -1,11 +1,12 @@
-//! This controller's part of the key-value store's request budget.
+//! This controller's share of the key-value store's request budget.
 //!
-//! The store limits the requests and writes of all controllers together. A fixed part is
-//! divided evenly and always available. The rest, the pool, follows demand: every controller
-//! reports its demand to the leader, which grants rates from the pool for a short time. A
-//! controller without a valid grant uses an even part of the pool, which the leader reserves
-//! for it, so the sum of all rates stays below the limit. Without the pool the leader and the
-//! holders of busy shards would be short of requests while others leave theirs unused.
+//! The store limits the requests and writes of all controllers together. Each controller has
+//! a guaranteed rate: an equal share of a fixed fraction of the limit. The rest, the shared
+//! rate, is allocated by demand: every controller reports its demand to the leader, which
+//! grants rates for a short time. A controller without a valid grant uses an equal share of
+//! the shared rate. The leader reserves this share for it, so the sum of all rates stays below
+//! the limit. With equal shares alone, the leader and the holders of busy shards would be
+//! short of requests while other controllers leave theirs unused.
 
 use crate::config::{Config, StateLimits};
 use crate::records::LeaderRecord;
@@ -18,25 +19,26 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Part of the limit on requests that is used; the rest allows for differences between
-/// clocks and for calls that arrive late.
+/// Fraction of the store's limit on requests that the controllers use. The rest allows for
+/// differences between clocks and for calls that arrive late.
 const REQUEST_LIMIT_FRACTION: f64 = 0.9;
-/// Part of the limit on writes that is used.
+/// Fraction of the store's limit on writes that the controllers use.
 const WRITE_LIMIT_FRACTION: f64 = 0.95;
-/// Part of the usable limits that is divided evenly.
+/// Fraction of the usable limits that is guaranteed to the controllers in equal shares.
 const GUARANTEED_FRACTION: f64 = 0.4;
-/// Part of the last demand that the next one is at least: what was needed a moment ago may
-/// be needed again.
+/// Lower bound of a controller's demand, as a fraction of its previous demand: a burst of calls
+/// may repeat after a short time.
 const DEMAND_DECAY: f64 = 0.7;
-/// Nothing is sent in advance of the budget for this long after a pause of the process: in
-/// that time all controllers use up the tokens that they have accumulated.
+/// Overdrafts are not allowed for this long after a pause of the process, in milliseconds: in
+/// this time all controllers use up the tokens that they have accumulated.
 const OVERDRAFT_PAUSE_MS: Ms = 5_000;
-/// Heartbeat intervals for which a grant or a reported demand is valid.
+/// Number of heartbeat intervals for which a grant or a reported demand is valid.
 const VALIDITY_HEARTBEATS: Ms = 4;
-/// Least total excess demand that is divided by, in calls a second.
+/// Lower bound of the total excess demand as a divisor, in calls per second; avoids a division
+/// by 0.
 const MIN_TOTAL_EXCESS: f64 = 1e-9;
 
-/// What the budget is computed from, as of one step.
+/// The inputs of the budget, as of one step of the controller.
 #[derive(Clone, Debug)]
 pub(crate) struct BudgetInputs {
     pub(crate) config: Rc<Config>,
@@ -45,7 +47,7 @@
     /// The store's limits for all controllers together.
     pub(crate) limits: StateLimits,
     pub(crate) now: Ms,
-    /// When the process last resumed after a pause; 0 if never.
+    /// When the process last resumed after a pause; 0 if it was never paused.
     pub(crate) resumed_at: Ms,
     pub(crate) heartbeat_interval_ms: Ms,
 }
@@ -55,7 +57,7 @@
         self.config.nodes.len().max(1) as f64
     }
 
-    /// The most that all controllers use together.
+    /// The rate that all controllers together may use.
     fn total_rate(&self) -> StoreRate {
         StoreRate {
             requests: self.limits.rps * REQUEST_LIMIT_FRACTION,
@@ -63,17 +65,17 @@
         }
     }
 
-    /// The part of the total that follows demand.
+    /// The part of the total rate that is allocated by demand.
     fn shared_rate(&self) -> StoreRate {
         self.total_rate().scaled(1.0 - GUARANTEED_FRACTION)
     }
 
-    /// One controller's even part of the pool.
+    /// The equal share of one controller in the shared rate.
     fn equal_share(&self) -> StoreRate {
         self.shared_rate().scaled(1.0 / self.node_count())
     }
 
-    /// One controller's fixed part.
+    /// The rate that is guaranteed to each controller.
     fn guaranteed_rate(&self) -> StoreRate {
         self.total_rate()
             .scaled(GUARANTEED_FRACTION / self.node_count())
@@ -84,7 +86,7 @@
         self.heartbeat_interval_ms * VALIDITY_HEARTBEATS
     }
 
-    /// A grant that starts now.
+    /// A grant that is valid from now on.
     fn new_grant(&self, leader: LeaderRecord, rate: StoreRate) -> Grant {
         Grant {
             leader,
@@ -101,7 +103,7 @@
     pub(crate) body: Body,
 }
 
-/// A rate from the pool that a leader has granted to this controller.
+/// A part of the shared rate that a leader has granted to this controller.
 #[derive(Clone, Debug)]
 struct Grant {
     leader: LeaderRecord,
@@ -115,7 +117,8 @@
     received_at: Ms,
     incarnation: u64,
     rate: StoreRate,
-    /// The controller has a valid grant, so it uses no even part of the pool.
+    /// Whether the controller has a valid grant. If not, it uses its equal share of the shared
+    /// rate.
     has_valid_grant: bool,
 }
 
@@ -123,14 +126,15 @@
 #[derive(Default)]
 pub(crate) struct Budget {
     grant: Option<Grant>,
-    /// Reported demands; empty unless this controller leads.
+    /// The demands that controllers have reported; used only while this controller leads.
     demands: BTreeMap<NodeName, ReportedDemand>,
     own_demand: StoreRate,
+    /// When the demand is next reported or, on the leader, rates are next granted.
     next_report_at: Ms,
 }
 
 impl Budget {
-    /// The rate that this controller may use.
+    /// The rate at which this controller may call the store.
     pub(crate) fn rate(&self, inputs: &BudgetInputs, view: &ClusterView) -> StoreRate {
         let fixed = inputs.guaranteed_rate();
         match self.valid_grant(inputs, view) {
@@ -139,16 +143,17 @@
         }
     }
 
-    /// Whether users' writes may be sent in advance of the budget. Only under a grant does
-    /// the leader know the demand of all controllers. Soon after a pause of the process the
-    /// others may have been paused, too, and all resume at once.
+    /// Whether users' writes may overdraw the rate limit. This requires a valid grant: only
+    /// under grants does the leader know the demand of all controllers. Overdrafts are not
+    /// allowed soon after a pause of the process either: the other controllers may have been
+    /// paused, too, and all of them resume at once.
     pub(crate) fn allows_overdraft(&self, inputs: &BudgetInputs, view: &ClusterView) -> bool {
         let is_settled =
             inputs.resumed_at == 0 || inputs.now >= inputs.resumed_at + OVERDRAFT_PAUSE_MS;
         is_settled && self.valid_grant(inputs, view).is_some()
     }
 
-    /// The grant, as long as the controller that gave it leads.
+    /// The grant, if it has not expired and the controller that issued it is still the leader.
     fn valid_grant(&self, inputs: &BudgetInputs, view: &ClusterView) -> Option<&Grant> {
         self.grant
             .as_ref()
@@ -156,8 +161,8 @@
             .filter(|grant| view.is_led_by(&grant.leader.node, grant.leader.incarnation))
     }
 
-    /// Once in a heartbeat interval, reports this controller's demand to the leader or, on
-    /// the leader, grants rates. Returns the messages to be sent.
+    /// Once per heartbeat interval, reports this controller's demand to the leader or, on the
+    /// leader, grants rates to all controllers. Returns the messages to send.
     pub(crate) fn tick(
         &mut self,
         inputs: &BudgetInputs,
@@ -180,7 +185,7 @@
         vec![self.demand_report(leader, inputs, view)]
     }
 
-    /// The report of this controller's demand to the leader.
+    /// The message that reports this controller's demand to the leader.
     fn demand_report(
         &self,
         leader: &LeaderRecord,
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Grants rates to all controllers whose demands are known, this one included.
+    /// Grants rates to all controllers with a valid reported demand, including this one.
     fn grant_rates(&mut self, inputs: &BudgetInputs, view: &ClusterView) -> Vec<PeerMessage> {
         self.update_demands(inputs, view);
         let allocation = Allocation::new(&self.demands, inputs, view);
@@ -222,8 +227,8 @@
         messages
     }
 
-    /// Adds the leader's own demand, and drops those that are old or of controllers that
-    /// have exited.
+    /// Adds the leader's own demand, and drops demands that have expired or whose controller is
+    /// no longer registered under the same incarnation.
     fn update_demands(&mut self, inputs: &BudgetInputs, view: &ClusterView) {
         let own = ReportedDemand {
             received_at: inputs.now,
@@ -256,9 +261,9 @@
         self.demands.insert(from, demand);
     }
 
-    /// Handles a grant of the leader. Shortly after a pause of the process grants are
-    /// ignored: nobody knows how long they waited in the socket, and the rate may have been
-    /// granted to others since.
+    /// Handles a grant from the leader. A grant received shortly after a pause of the process
+    /// is ignored: it may have waited in the socket for an unknown time, and the rate may have
+    /// been granted to other controllers since.
     pub(crate) fn on_grant(
         &mut self,
         inputs: impl Into<BudgetInputs>,
@@ -278,13 +283,13 @@
     }
 }
 
-/// How the leader divides the pool between the controllers with grants.
+/// The leader's allocation of the shared rate to the controllers with valid grants.
 struct Allocation {
     equal_share: StoreRate,
     guaranteed_rate: StoreRate,
-    /// The pool without the even parts of controllers that have no grant.
+    /// The shared rate minus the equal shares of controllers without a valid grant.
     grantable: StoreRate,
-    /// Demand beyond the fixed parts, of all controllers with grants.
+    /// Total demand beyond the guaranteed rates, of all controllers with valid grants.
     total_excess: StoreRate,
     grantee_count: usize,
 }
@@ -314,8 +319,8 @@
         }
     }
 
-    /// The rate that is granted for a demand. A controller that does not keep to a grant yet
-    /// gets the even part that is reserved for it.
+    /// The rate to grant for a demand. A controller that has no valid grant yet receives the
+    /// equal share that is reserved for it.
     fn rate_for(&self, demand: &ReportedDemand) -> StoreRate {
         if !demand.has_valid_grant {
             return self.equal_share;
@@ -329,7 +334,8 @@
     }
 
     /// One controller's part of `grantable`: its excess demand, reduced in proportion if the
-    /// total exceeds what is there, and an even part of what nobody demands.
+    /// total excess demand exceeds `grantable`, plus an equal share of the rate that no
+    /// controller demands.
     fn allocate(&self, grantable: f64, excess: f64, total_excess: f64) -> f64 {
         let unused = (grantable - total_excess).max(0.0) / self.grantee_count.max(1) as f64;
         unused + excess * (grantable / total_excess.max(MIN_TOTAL_EXCESS)).min(1.0)
--- a/crates/core/src/store/budget/tests.rs
+++ b/crates/core/src/store/budget/tests.rs
@@ -41,14 +41,15 @@
     view
 }
 
-/// Whichever controllers have demand, and whichever have grants: the sum of all rates stays
-/// within the limit, and demand is served before the rest is divided.
+/// Controllers with and without grants use rates at the same time. The sum of all rates must
+/// stay within the store's limit whichever controllers have demand and grants, and demand is
+/// served before the unused rate is shared equally.
 #[test]
 fn sum_of_all_rates_stays_within_the_limit() {
     let names = ["n0", "n1", "n2", "n3"];
     let view = view(&names);
-    // Writes a second that n1 to n3 demand, and whether they receive and keep to
-    // grants.
+    // Writes per second that n1 to n3 demand, and whether each of them has a valid grant and
+    // receives the next one.
     let cases = [
         ("quiet", [0.0, 0.0, 0.0], [true, true, true]),
         ("one is busy", [500.0, 0.0, 0.0], [true, true, true]),
@@ -94,7 +95,8 @@
     }
 }
 
-/// A grant expires, and ends with the leader that gave it.
+/// A grant must not be used after its expiry, or under another leader than its issuer: the new
+/// leader may grant the same rate to others.
 #[test]
 fn a_grant_is_invalid_under_another_leader_and_after_its_expiry() {
     let names = ["n0", "n1"];
@@ -118,9 +120,9 @@
     assert!(own.rate(&BudgetInputs::from(&member), &view).writes < 1_000.0);
 }
 
-/// The rate of a grant that waited in the socket during a pause of the process may have been
-/// granted to others since. Until the next grant the even part is used, which the leader
-/// reserves for controllers without one.
+/// A grant may wait in the socket while the process is paused, and its rate may be granted to
+/// other controllers meanwhile. Until the next grant, the controller uses its equal share, which
+/// the leader reserves for controllers without a grant.
 #[test]
 fn grant_received_during_a_process_pause_is_ignored() {
     let names = ["n0", "n1"];
@@ -129,8 +131,8 @@
         requests: 1e6,
         writes: 1e6,
     };
-    // Length of the pause, time after it at which the grant is read, and whether the
-    // grant counts.
+    // Length of the pause, time from its end to the receipt of the grant, and whether the
+    // grant is used.
     let cases = [(0, 0, true), (20_000, 0, false), (20_000, 2_000, true)];
     for (pause_ms, after_ms, counts) in cases {
         let mut ctx = ctx("n1", &names);
--- a/crates/core/src/store/queue.rs
+++ b/crates/core/src/store/queue.rs
@@ -1,7 +1,7 @@
 //! The queue of calls to the key-value store, with its rate limit and backoff.
 //!
-//! Calls leave in the order of their urgency, then of their arrival. Writes of one urgency
-//! are never reordered.
+//! Calls are sent in the order of their urgency, then of their arrival. Writes of the same
+//! urgency are never reordered.
 
 use crate::pending_call::PendingCall;
 pub(crate) use crate::store::rate::{StoreRate, TokenBucket};
@@ -10,35 +10,36 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest pause between two attempts at a store that refuses calls.
+/// Upper bound of the backoff while the store refuses calls, in milliseconds.
 const MAX_BACKOFF_MS: Ms = 1_000;
-/// First pause between two attempts at a store that refuses calls.
+/// First backoff after the store has refused a call, in milliseconds.
 const MIN_BACKOFF_MS: Ms = 50;
-/// Shortest time between two recoveries that are noted.
+/// Shortest interval between two recoveries that are reported, in milliseconds.
 const MIN_RECOVERY_INTERVAL_MS: Ms = 1_000;
-/// Writes in a transaction that accepts a job.
+/// Number of writes in the transaction that accepts a submitted job.
 const WRITES_PER_SUBMISSION: f64 = 2.0;
 
-/// How urgent a call is; the order is that of the queue.
+/// Urgency class of a call. Calls of an earlier class are sent first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) enum Urgency {
-    /// Leases, leadership and shard assignments: never held back.
+    /// Leases, leadership and shard assignments. Rate limit and backoff don't hold these
+    /// calls back.
     Membership,
-    /// The leader's provisioning.
+    /// Provisioning of machines by the leader.
     Leadership,
-    /// A user waits for the answer. While the store is down such calls fail at once: the
-    /// user is told when to retry rather than kept waiting.
+    /// Calls for a user's request in progress. While the store refuses calls, these fail at
+    /// once, so that the user receives an error and retries instead of waiting.
     User,
     /// Starts and outcomes of tasks.
     Tasks,
-    /// Calls that nothing waits for.
+    /// Calls whose response neither a user nor a task waits for.
     Background,
 }
 
 impl Urgency {
-    /// Writes that a call of this urgency leaves for submissions. Where a controller has few
-    /// writes a second, submissions would otherwise queue behind writes that nobody waits
-    /// for.
+    /// Number of write tokens that a call of this urgency leaves for submissions. Without this
+    /// reserve, submissions would queue behind writes that no user waits for where a controller
+    /// has few writes per second.
     fn reserved_writes(self) -> f64 {
         match self {
             Self::Membership | Self::Leadership | Self::User => 0.0,
@@ -53,59 +54,65 @@
     pub(crate) method: &'static str,
     pub(crate) path: String,
     pub(crate) body: Option<Vec<u8>>,
-    /// Puts and removals in it.
+    /// Number of puts and removals in the call; 0 for a read.
     pub(crate) writes: usize,
+    /// Time to wait for the response once the call is sent, in milliseconds.
     pub(crate) timeout_ms: Ms,
-    /// A call that has not been sent by then fails with 503.
+    /// A call that has not been sent by this time fails with status 503.
     pub(crate) expires_at: Ms,
+    /// Routes the response to the caller.
     pub(crate) pending: PendingCall,
 }
 
 /// Calls that leave the queue.
 #[derive(Debug, Default)]
 pub(crate) struct DueCalls {
-    /// To be sent now.
+    /// Calls to send now.
     pub(crate) to_send: Vec<StoreCall>,
-    /// To fail without having been sent.
+    /// Calls that fail without having been sent.
     pub(crate) rejected: Vec<StoreCall>,
 }
 
-/// A call's place in the queue: its urgency, then its serial number.
+/// The position of a call in the queue: its urgency, then its sequence number.
 type QueuePosition = (Urgency, u64);
 
 /// The queue in front of the key-value store.
 pub(crate) struct StoreQueue {
-    /// Calls without writes and calls with writes, each in order: while no write may be
-    /// sent, only the former are looked at.
+    /// Queued calls without writes. Reads and writes are kept apart so that writes are not
+    /// iterated over while the rate limit allows no write.
     read_calls: BTreeMap<QueuePosition, StoreCall>,
+    /// Queued calls with writes.
     write_calls: BTreeMap<QueuePosition, StoreCall>,
-    /// When each call expires.
+    /// Expiry times of the queued calls.
     expiries: BTreeSet<(Ms, QueuePosition)>,
-    /// Writes in the queued calls.
+    /// Total number of writes in the queued calls.
     queued_writes: usize,
     next_sequence: u64,
     request_tokens: TokenBucket,
     write_tokens: TokenBucket,
-    /// Only calls of `Urgency::Membership` are sent before this.
+    /// Until this time, only calls of `Urgency::Membership` are sent.
     paused_until: Ms,
+    /// Upper bound of the next pause, in milliseconds; the pause is drawn from its upper half.
     backoff: Ms,
-    /// Since when the store has answered with 503; none if it served the last call.
+    /// When the store first answered with 503 since it last served a call; none while it
+    /// serves calls.
     refusing_since: Option<Ms>,
-    /// Whether users' writes may be sent in advance of the rate limit.
+    /// Whether calls of `Urgency::User` may overdraw the write tokens.
     is_overdraft_allowed: bool,
-    /// A call has had no answer, or a 503, since the last other answer.
+    /// Whether the last response was a timeout or a 503.
     has_unserved_calls: bool,
-    /// When the store answered again after a disturbance, if that is not noted yet.
+    /// When the store answered again after timeouts or 503 responses; none once reported.
     recovered_at: Option<Ms>,
-    /// When a recovery was noted last.
+    /// When a recovery was last reported.
     recovery_reported_at: Ms,
-    /// Calls sent since the demand was last computed.
+    /// Requests and writes sent since the demand was last measured.
     sent: StoreRate,
+    /// When the demand was last measured.
     measured_since: Ms,
 }
 
 impl StoreQueue {
-    /// An empty queue with a rate limit in requests and writes a second.
+    /// An empty queue with a rate limit in requests and writes per second.
     pub(crate) fn new(rps: f64, write_rps: f64) -> Self {
         Self {
             read_calls: BTreeMap::new(),
@@ -127,19 +134,20 @@
         }
     }
 
-    /// Sets the rate limit.
+    /// Sets the rate limit, in requests and writes per second.
     pub(crate) fn set_rates(&mut self, rate: &StoreRate) {
         self.request_tokens.set_rate(rate.requests);
         self.write_tokens.set_rate(rate.writes);
     }
 
-    /// Sets whether users' writes may be sent in advance of the rate limit. That is allowed
-    /// only while other controllers are known to leave some of the budget unused.
+    /// Sets whether calls of `Urgency::User` may overdraw the write tokens. Overdrafts are
+    /// safe only while other controllers are known to leave some of the budget unused.
     pub(crate) fn set_overdraft_allowed(&mut self, allowed: bool) {
         self.is_overdraft_allowed = allowed;
     }
 
-    /// The demand a second: the rate since the last call of this, and the queued calls.
+    /// Returns the demand per second: the rate of calls sent since the last measurement, plus
+    /// the queued calls. Starts a new measurement.
     pub(crate) fn measure_demand(&mut self, now: Ms) -> StoreRate {
         let seconds = now.saturating_sub(self.measured_since).max(1) as f64 / 1000.0;
         let sent = std::mem::take(&mut self.sent).scaled(1.0 / seconds);
@@ -151,7 +159,7 @@
         sent.plus(&queued)
     }
 
-    /// Queues a call.
+    /// Appends a call to its urgency class.
     pub(crate) fn push(&mut self, urgency: Urgency, call: StoreCall) {
         self.next_sequence += 1;
         let position = (urgency, self.next_sequence);
@@ -174,8 +182,8 @@
         Some(call)
     }
 
-    /// The first call at or behind a position; calls with writes count only if `includes_writes`
-    /// is set.
+    /// The position of the first call at or after `from`. Calls with writes are considered only
+    /// if `includes_writes` is set.
     fn first_at_or_after(
         &self,
         from: QueuePosition,
@@ -189,24 +197,24 @@
         }
     }
 
-    /// Whether the store refuses calls of this controller.
+    /// Whether the store refuses calls of this controller with 503.
     pub(crate) fn is_refusing_calls(&self) -> bool {
         self.refusing_since.is_some()
     }
 
-    /// Since when the store has refused calls without serving any.
+    /// Since when the store has refused calls without serving any; none if it serves calls.
     pub(crate) fn refusing_since(&self) -> Option<Ms> {
         self.refusing_since
     }
 
-    /// The process was paused until now.
+    /// Limits the tokens to a part of a burst after the process was paused until `now`.
     pub(crate) fn limit_burst_after_pause(&mut self, now: Ms) {
         self.request_tokens.limit_burst_after_pause(now);
         self.write_tokens.limit_burst_after_pause(now);
     }
 
-    /// Whether the store answers again after a disturbance. Returns true once for each
-    /// recovery, and at most once in `MIN_RECOVERY_INTERVAL_MS`.
+    /// Whether the store answers again after timeouts or 503 responses. Returns true once for
+    /// each recovery, and at most once per `MIN_RECOVERY_INTERVAL_MS`.
     pub(crate) fn take_recovered(&mut self, now: Ms) -> bool {
         if self.recovered_at.is_none() || now < self.recovery_reported_at + MIN_RECOVERY_INTERVAL_MS
         {
@@ -217,18 +225,19 @@
         true
     }
 
-    /// Most writes that a transaction of `Urgency::Tasks` or less should have: more would
-    /// use up the reserve for submissions.
+    /// Largest number of writes that a transaction of `Urgency::Tasks` or a lower class should
+    /// have. A larger transaction would use up the reserve for submissions.
     pub(crate) fn max_writes_per_batch(&self) -> usize {
         (self.write_tokens.burst() - WRITES_PER_SUBMISSION).max(WRITES_PER_SUBMISSION) as usize
     }
 
-    /// How many calls are queued.
+    /// Number of queued calls.
     pub(crate) fn len(&self) -> usize {
         self.read_calls.len() + self.write_calls.len()
     }
 
-    /// Updates the backoff and the state of the store from the status of an answer.
+    /// Updates the backoff and the availability of the store from the status of a response; 0
+    /// means that no response arrived.
     pub(crate) fn on_response(&mut self, status: u16, now: Ms, rng: &mut StdRng) {
         if matches!(status, 0 | 503) {
             self.has_unserved_calls = true;
@@ -255,16 +264,16 @@
         }
     }
 
-    /// Removes and returns the calls that may be sent now, and those that fail unsent:
-    /// expired ones, and users' calls while the store is down. Writes that exceed the rate
-    /// limit are not iterated over, as the queue is long when many machines start or end at
-    /// once.
+    /// Removes and returns the calls to send now, and the calls that fail unsent: expired
+    /// calls, and users' calls while the store refuses calls. Writes beyond the rate limit are
+    /// not iterated over, as the queue is long when many machines start or end at once.
     pub(crate) fn take_due(&mut self, now: Ms) -> DueCalls {
         self.request_tokens.refill(now);
         self.write_tokens.refill(now);
         let mut due = DueCalls {
             to_send: Vec::new(),
-            // Expired calls go first: after a pause, earlier decisions are outdated.
+            // Expired calls are removed first: after a pause of the process, the decisions
+            // behind them are outdated.
             rejected: self.take_expired(now),
         };
         let mut may_write = true;
@@ -282,7 +291,7 @@
         due
     }
 
-    /// Decides about a call, and takes its tokens if it is sent.
+    /// Decides whether a call is sent now, and takes its tokens if so.
     fn admit(&mut self, position: &QueuePosition, now: Ms) -> Admission {
         let urgency = position.0;
         if self.is_refusing_calls() && urgency == Urgency::User {
@@ -290,7 +299,7 @@
         }
         let is_forced = urgency == Urgency::Membership;
         if !is_forced && now < self.paused_until {
-            // Users' calls behind this one are still to be rejected.
+            // Users' calls further back in the queue must still be rejected.
             let may_reject_more = self.is_refusing_calls() && urgency <= Urgency::User;
             return if may_reject_more {
                 Admission::Skip
@@ -303,14 +312,15 @@
             return Admission::SkipWrites;
         }
         if !self.request_tokens.take(1.0, is_forced) {
-            // The writes are not sent after all.
+            // Returns the write tokens, as the call is not sent.
             self.write_tokens.take(-writes, true);
             return Admission::Stop;
         }
         Admission::Send
     }
 
-    /// Takes the tokens of `n` writes if the urgency allows it.
+    /// Takes the tokens for `n` writes, according to the reserve and the overdraft of the
+    /// urgency class. Returns whether they were taken.
     fn take_write_tokens(&mut self, n: f64, urgency: Urgency) -> bool {
         if self.is_overdraft_allowed
             && urgency == Urgency::User
@@ -325,7 +335,7 @@
             .take_above_reserve(n, urgency.reserved_writes())
     }
 
-    /// Removes a call that is sent now, and counts it.
+    /// Removes a call to be sent, and counts it as sent.
     fn dequeue(&mut self, position: &QueuePosition) -> Option<StoreCall> {
         let call = self.remove(position)?;
         let sent = StoreRate {
@@ -349,17 +359,18 @@
     }
 }
 
-/// What happens to a queued call now.
+/// The decision about a queued call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Admission {
+    /// The call is sent.
     Send,
-    /// It fails unsent.
+    /// The call fails unsent.
     Reject,
-    /// It stays queued.
+    /// The call stays queued.
     Skip,
-    /// It stays queued, and so do all writes behind it, as their order is kept.
+    /// The call stays queued, and so do all writes after it, as writes are not reordered.
     SkipWrites,
-    /// It stays queued, and so does everything behind it.
+    /// The call stays queued, and so do all calls after it.
     Stop,
 }
 
--- a/crates/core/src/store/queue/tests.rs
+++ b/crates/core/src/store/queue/tests.rs
@@ -14,14 +14,14 @@
     }
 }
 
-/// Calls that were queued before the process was paused are not sent once it resumes,
-/// though the rate limit allows them by then.
+/// Calls queued before a pause of the process must not be sent after it: the decisions behind
+/// them are outdated, though the rate limit allows the calls by then.
 #[test]
 fn expired_calls_are_rejected_after_a_process_pause() {
     for urgency in [Urgency::Membership, Urgency::User, Urgency::Tasks] {
         for (pause_ms, is_sent) in [(1_000, true), (30_000, false)] {
             let mut store = StoreQueue::new(10.0, 10.0);
-            // The rate limit is used up, so the other calls stay queued.
+            // The first calls use up the rate limit, so the other calls stay queued.
             for _ in 0..30 {
                 store.push(urgency, call(2_000, 1));
             }
@@ -39,8 +39,8 @@
     }
 }
 
-/// With few writes a second, other calls leave a reserve for submissions, and no more is
-/// sent than the rate and one second's burst allow.
+/// With few writes per second, submissions must not queue behind writes of lower urgency:
+/// these leave a reserve. The writes sent stay within the rate and one second's burst.
 #[test]
 fn user_calls_overtake_queued_calls_of_lower_urgency() {
     for (urgency, goes) in [(Urgency::User, true), (Urgency::Tasks, false)] {
@@ -62,11 +62,11 @@
     }
 }
 
-/// Where writes in advance are allowed, users' calls may use up to one second's worth of
-/// them; calls of lower urgency never do.
+/// Where overdrafts are allowed, users' calls may overdraw up to one second's worth of writes;
+/// calls of lower urgency must not.
 #[test]
 fn user_calls_overdraw_at_most_one_second_of_writes_where_allowed() {
-    // Calls sent at once and after three more seconds, at four writes a second.
+    // Calls sent at once, and in total after three more seconds, at four writes per second.
     for (in_advance, urgency, first, in_all) in [
         (true, Urgency::User, 4, 10),
         (false, Urgency::User, 2, 8),
@@ -86,7 +86,8 @@
     }
 }
 
-/// After a pause of the process half a burst is available.
+/// After a pause of the process, half a burst is available: controllers that were paused
+/// together would otherwise exceed the store's limit when all of them resume.
 #[test]
 fn token_bucket_holds_half_a_burst_after_a_process_pause() {
     for (is_paused, sent) in [(false, 10), (true, 5)] {
@@ -101,8 +102,8 @@
     }
 }
 
-/// After calls without an answer, or with a 503, the next answer is reported as a recovery
-/// once, and no other one within a second.
+/// After timeouts or 503 responses, the next response is reported as a recovery once, and no
+/// other recovery within a second.
 #[test]
 fn recovery_is_reported_once() {
     let mut rng = rand::SeedableRng::seed_from_u64(1);
--- a/crates/core/src/store/rate.rs
+++ b/crates/core/src/store/rate.rs
@@ -2,11 +2,12 @@
 
 use crate::Ms;
 
-/// Part of a burst that is left after the process was paused. All controllers may have been
-/// paused together, and each of them first sends what must not be held back.
+/// Fraction of a burst that is available after the process was paused. All controllers may
+/// have been paused together, and each of them first sends calls that the rate limit doesn't
+/// hold back, such as lease renewals.
 const BURST_FRACTION_AFTER_PAUSE: f64 = 0.5;
 
-/// Requests and writes a second.
+/// A rate of calls to the store, in requests and writes per second.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
 pub(crate) struct StoreRate {
     pub(crate) requests: f64,
@@ -14,7 +15,7 @@
 }
 
 impl StoreRate {
-    /// The rate from the unit of messages, calls in 1000 s.
+    /// Converts from the unit of peer messages, calls per 1000 s.
     pub(crate) fn from_milli(requests: u32, writes: u32) -> Self {
         Self {
             requests: f64::from(requests) / 1000.0,
@@ -22,13 +23,13 @@
         }
     }
 
-    /// Requests and writes in the unit of messages, calls in 1000 s.
+    /// Requests and writes in the unit of peer messages, calls per 1000 s.
     pub(crate) fn as_milli(&self) -> (u32, u32) {
         let milli = |rate: f64| (rate * 1000.0) as u32;
         (milli(self.requests), milli(self.writes))
     }
 
-    /// Applies `f` to the requests and to the writes of both rates.
+    /// Combines the requests of both rates, and the writes of both rates, with `f`.
     fn zip_with(&self, other: &Self, f: fn(f64, f64) -> f64) -> Self {
         Self {
             requests: f(self.requests, other.requests),
@@ -41,12 +42,12 @@
         self.zip_with(other, |a, b| a + b)
     }
 
-    /// The larger number of requests and the larger number of writes.
+    /// The maximum of the requests, and the maximum of the writes.
     pub(crate) fn max(&self, other: &Self) -> Self {
         self.zip_with(other, f64::max)
     }
 
-    /// The difference of both rates, at least 0.
+    /// The difference of both rates, each component at least 0.
     pub(crate) fn saturating_sub(&self, other: &Self) -> Self {
         self.zip_with(other, |a, b| (a - b).max(0.0))
     }
@@ -60,11 +61,13 @@
     }
 }
 
-/// A token bucket that holds one second's worth of its rate, and may owe as much.
+/// A token bucket that holds one second's worth of its rate. Forced calls and overdrafts may
+/// take more tokens than there are, which leaves a bounded debt: a negative balance.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
+    /// Available tokens; negative while the bucket is in debt.
     tokens: f64,
     refilled_at: Ms,
 }
@@ -84,21 +87,22 @@
         self.rate = rate;
     }
 
-    /// Adds the tokens since the last refill.
+    /// Adds the tokens that have accrued since the last refill.
     pub(crate) fn refill(&mut self, now: Ms) {
         let gained = now.saturating_sub(self.refilled_at) as f64 / 1000.0 * self.rate;
         self.tokens = (self.tokens + gained).min(self.burst());
         self.refilled_at = now;
     }
 
-    /// The most tokens that the bucket holds, and that it may owe.
+    /// The capacity of the bucket, and the limit on its debt: one second's worth of tokens,
+    /// at least 1.
     pub(super) fn burst(&self) -> f64 {
         self.rate.max(1.0)
     }
 
-    /// Takes `n` tokens if they are there, or in any case if `force` is set. The debt is
-    /// bounded, so that forced calls in an incident do not block all others for long. More
-    /// than one second's worth is granted when the bucket is full.
+    /// Takes `n` tokens if they are available, or in any case if `force` is set. Returns
+    /// whether they were taken. The debt is bounded, so that forced calls during an incident
+    /// don't block other calls for long. If `n` exceeds the capacity, a full bucket suffices.
     pub(crate) fn take(&mut self, n: f64, force: bool) -> bool {
         if force || self.tokens >= n.min(self.burst()) {
             self.tokens = (self.tokens - n).max(-n.max(self.burst()));
@@ -107,23 +111,23 @@
         false
     }
 
-    /// Takes `n` tokens if `reserve` are left then, or if the bucket is full.
+    /// Takes `n` tokens if at least `reserve` tokens remain, or if the bucket is full.
     pub(super) fn take_above_reserve(&mut self, n: f64, reserve: f64) -> bool {
         let is_low = self.tokens < (n + reserve).min(self.burst());
         !is_low && self.take(n, true)
     }
 
-    /// Takes `n` tokens of those that come within the next second at the latest.
+    /// Takes `n` tokens if the resulting debt is at most one second's worth of tokens.
     pub(super) fn take_with_overdraft(&mut self, n: f64) -> bool {
         self.tokens - n >= -self.burst() && self.take(n, true)
     }
 
-    /// Removes all tokens; a debt stays.
+    /// Removes the available tokens; a debt remains.
     pub(crate) fn discard_tokens(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
 
-    /// The process was paused until now: what accumulated meanwhile counts only in part.
+    /// Limits the tokens to a part of a burst after the process was paused until `now`.
     pub(super) fn limit_burst_after_pause(&mut self, now: Ms) {
         self.refill(now);
         self.tokens = self.tokens.min(self.burst() * BURST_FRACTION_AFTER_PAUSE);
--- a/crates/core/src/store/rate/tests.rs
+++ b/crates/core/src/store/rate/tests.rs
@@ -2,16 +2,17 @@
 
 use super::*;
 
-/// A bucket of ten tokens a second that was full at 0 ms.
+/// A bucket with a rate of ten tokens per second that is full at 0 ms.
 fn bucket() -> TokenBucket {
     TokenBucket::new(10.0)
 }
 
-/// Forced calls may take more than there is, but the debt stays within the larger of one
-/// second's worth and the call itself.
+/// Forced calls may exceed the available tokens, but the debt is at most the larger of one
+/// second's worth of tokens and the size of the call. An unbounded debt would block all other
+/// calls for long.
 #[test]
 fn debt_of_forced_calls_is_bounded() {
-    // Sizes of the forced calls, and when a token is available again, in milliseconds.
+    // Sizes of the forced calls, and the time at which a token is available again, in ms.
     let cases: [(&[f64], Ms); 4] = [
         (&[10.0], 100),
         (&[10.0, 5.0], 600),
@@ -34,10 +35,11 @@
     }
 }
 
-/// Calls above a reserve leave it in the bucket, but a full bucket serves calls of any size.
+/// Calls above a reserve leave the reserve in the bucket, but a full bucket serves calls of any
+/// size: a call larger than the bucket could otherwise never be sent.
 #[test]
 fn the_reserve_is_left_unless_the_bucket_is_full() {
-    // Tokens taken before, size of the call, the reserve, and whether it is served.
+    // Tokens taken before, size of the call, the reserve, and whether the call is served.
     let cases = [
         (0.0, 8.0, 2.0, true),
         (1.0, 8.0, 2.0, false),
@@ -54,7 +56,7 @@
     }
 }
 
-/// The unit of messages holds a thousandth of a call a second.
+/// The unit of peer messages has a resolution of a thousandth of a call per second.
 #[test]
 fn rates_survive_conversion_to_message_units() {
     let rate = StoreRate {
--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -1,7 +1,8 @@
-//! The local copy of the records that all controllers have in common.
+//! The local copy of the records that all controllers share.
 //!
-//! It is replaced by a listing and updated by watches, and so lags behind the store. A
-//! decision on it is written with the versions that it was based on as preconditions.
+//! A listing replaces the copy and watches update it, so the copy lags behind the store. A
+//! transaction based on the copy has the versions of the records that it depends on as
+//! preconditions.
 
 use crate::membership::format::FormatVersion;
 use crate::records::{
@@ -15,45 +16,52 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A record and its version, the revision at which it was written.
+/// A record and its version: the revision at which the record was written.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<T> {
     pub(crate) record: T,
     pub(crate) version: u64,
 }
 
-/// All records below `c/`, as of one revision.
+/// All records under the prefix `c/`, as of one revision.
 #[derive(Default)]
 pub(crate) struct ClusterView {
     /// The revision up to which changes are applied.
     pub(crate) revision: u64,
-    /// Nothing is missing since the last listing.
+    /// Whether no change was missed since the last listing. While this is false, the view must
+    /// be replaced by a new listing.
     pub(crate) is_complete: bool,
     pub(crate) nodes: BTreeMap<NodeName, Versioned<NodeRecord>>,
     pub(crate) leader: Option<Versioned<LeaderRecord>>,
+    /// The epoch counter: the highest epoch given to any shard.
     pub(crate) epoch: Option<Versioned<u64>>,
+    /// The finalized format; none until a format has been finalized.
     pub(crate) finalized_format: Option<Versioned<FormatVersion>>,
     pub(crate) shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
     pub(crate) machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
+    /// Provisioning intents by request name.
     pub(crate) provisioning_intents: BTreeMap<String, Versioned<ProvisioningIntent>>,
     pub(crate) machine_types: BTreeMap<String, Versioned<MachineType>>,
     pub(crate) demands: BTreeMap<ShardId, Versioned<DemandRecord>>,
+    /// Cancellation requests: the versions of their keys, by job.
     pub(crate) cancellations: BTreeMap<JobId, u64>,
-    /// Machines whose records name a reason for decommissioning.
+    /// Machines whose records have a decommission reason; an index of `machines`.
     pub(crate) decommissioned: BTreeSet<MachineId>,
     changed: ChangedMachines,
 }
 
-/// Machines whose records have changed since the last request for them.
+/// Machines whose records have changed since the last call of
+/// [`ClusterView::take_changed_machines`].
 #[derive(Default)]
 pub(crate) struct ChangedMachines {
-    /// Any machine's record or type may have changed.
+    /// Whether the record or the type of any machine may have changed.
     pub(crate) all: bool,
+    /// The machines whose records have changed; complete only if `all` is false.
     pub(crate) machines: BTreeSet<MachineId>,
 }
 
 impl ChangedMachines {
-    /// All machines may have changed.
+    /// States that any machine may have changed.
     pub(crate) fn all_machines() -> Self {
         Self {
             all: true,
@@ -62,7 +70,7 @@
     }
 }
 
-/// Decodes a record. One that cannot be decoded is logged and treated as missing.
+/// Decodes a record. A record that can't be decoded is logged and treated as missing.
 fn decode<T: DeserializeOwned>(key: &str, value: Value, version: u64) -> Option<Versioned<T>> {
     match serde_json::from_value(value) {
         Ok(record) => Some(Versioned { record, version }),
@@ -73,7 +81,8 @@
     }
 }
 
-/// Decodes a record into a map; one that cannot be decoded is removed from it.
+/// Decodes a record and inserts it into a map. If the record can't be decoded, its earlier
+/// version is removed from the map.
 fn insert_decoded<K: Ord, T: DeserializeOwned>(
     map: &mut BTreeMap<K, Versioned<T>>,
     name: K,
@@ -87,7 +96,7 @@
     };
 }
 
-/// What a key of the form `c/<kind>/<name>` names.
+/// A parsed key of the form `c/<kind>/<name>`.
 enum RecordKey {
     Node(NodeName),
     Machine(MachineId),
@@ -99,7 +108,7 @@
 }
 
 impl RecordKey {
-    /// Parses a key; none for keys of other forms and kinds.
+    /// Parses a key; none for keys of other forms or kinds.
     fn parse(key: &str) -> Option<Self> {
         let (kind, name) = key.strip_prefix(CLUSTER)?.split_once('/')?;
         let shard = || name.parse().ok().map(ShardId);
@@ -117,13 +126,13 @@
 }
 
 impl ClusterView {
-    /// Whether all controllers have recorded that they receive hardly any heartbeats of
-    /// workers.
+    /// Whether every registered controller has recorded that it receives hardly any worker
+    /// heartbeats.
     pub(crate) fn are_all_nodes_isolated(&self) -> bool {
         self.nodes.values().all(|n| n.record.receives_no_heartbeats)
     }
 
-    /// Replaces all records by those of a full listing.
+    /// Replaces all records by those of a complete listing.
     pub(crate) fn replace_all(&mut self, items: Vec<Item>, revision: u64) {
         *self = Self {
             revision,
@@ -136,7 +145,7 @@
         }
     }
 
-    /// Applies the changes of a watch, but those that are older than the view.
+    /// Applies the changes of a watch, except changes that are older than the view.
     pub(crate) fn apply_changes(&mut self, events: Vec<Change>, revision: u64) {
         for event in events {
             match event {
@@ -156,7 +165,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Applies the put of one record; a record that cannot be decoded counts as removed.
+    /// Applies the put of one record. A record that can't be decoded counts as removed.
     fn put(&mut self, key: &str, value: Value, version: u64) {
         match key {
             EPOCH => self.epoch = decode(key, value, version),
@@ -181,7 +190,8 @@
                 insert_decoded(&mut self.provisioning_intents, name, key, value, version);
             }
             RecordKey::MachineType(name) => {
-                // The capacity of every machine follows from its type.
+                // The capacity of a machine depends on its type, so any machine may be
+                // affected.
                 self.changed.all = true;
                 insert_decoded(&mut self.machine_types, name, key, value, version);
             }
@@ -219,7 +229,7 @@
         }
     }
 
-    /// Notes the change of a machine's record, and whether it is to be decommissioned.
+    /// Updates the set of changed machines and the index of decommissioned machines.
     fn track_machine_change(&mut self, id: MachineId) {
         let record = self.machines.get(&id);
         if record.is_some_and(|m| m.record.decommission_reason.is_some()) {
@@ -230,25 +240,26 @@
         self.changed.machines.insert(id);
     }
 
-    /// The machines that have changed since the last call of this.
+    /// Returns the machines that have changed since the last call.
     pub(crate) fn take_changed_machines(&mut self) -> ChangedMachines {
         std::mem::take(&mut self.changed)
     }
 
-    /// The finalized format, which all controllers know.
+    /// The finalized format, which all controllers support; the first format if none has been
+    /// finalized.
     pub(crate) fn format(&self) -> FormatVersion {
         let finalized = self.finalized_format.as_ref();
         finalized.map_or(FormatVersion::FIRST, |f| f.record)
     }
 
-    /// Whether an incarnation of a controller is the recorded leader.
+    /// Whether the leader record names this incarnation of a controller.
     pub(crate) fn is_led_by(&self, node: &NodeName, incarnation: u64) -> bool {
         self.leader
             .as_ref()
             .is_some_and(|l| l.record.node == *node && l.record.incarnation == incarnation)
     }
 
-    /// The epochs of all shards; none while the view is not complete.
+    /// The epochs of all shards; none while the view is incomplete.
     pub(crate) fn shard_epochs(&self) -> Option<Vec<(u32, u64)>> {
         let epochs = || {
             let shards = self.shards.iter();
@@ -257,28 +268,29 @@
         self.is_complete.then(epochs)
     }
 
-    /// The version of the epoch counter, and its value.
+    /// The version and the value of the epoch counter; both 0 if the counter doesn't exist.
     pub(crate) fn epoch_counter(&self) -> (u64, u64) {
         self.epoch
             .as_ref()
             .map_or((0, 0), |e| (e.version, e.record))
     }
 
-    /// Whether the view shows an incarnation of a controller as registered.
+    /// Whether this incarnation of a controller is registered.
     pub(crate) fn is_registered(&self, node: &NodeName, incarnation: u64) -> bool {
         self.nodes
             .get(node)
             .is_some_and(|n| n.record.incarnation == incarnation)
     }
 
-    /// The controller that holds a shard, if it is registered.
+    /// The controller that holds a shard; none if the shard has no record or its holder's
+    /// incarnation is not registered.
     pub(crate) fn holder(&self, shard_id: ShardId) -> Option<&NodeName> {
         let shard = &self.shards.get(&shard_id)?.record;
         self.is_registered(&shard.holder, shard.holder_incarnation)
             .then_some(&shard.holder)
     }
 
-    /// All zones that offer machines of some type.
+    /// All zones in which at least one machine type is offered.
     pub(crate) fn zones(&self) -> BTreeSet<&str> {
         let types = self.machine_types.values();
         types
