--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,9 +1,12 @@
 //! The leader role: assigns shards to controllers, moves machines between shards,
 //! and provisions and deletes machines. Only the leader calls the cloud.
 //!
-//! [`Leader::tick`] runs the tasks of the modules below. Every transaction of the
-//! leader has the version of the leader record as a precondition, which fences
-//! off a deposed leader: its writes fail.
+//! [`Leader::tick`] runs the tasks of the modules below. Transactions that this role
+//! builds itself have the version of the leader record as a precondition, which
+//! fences off a deposed leader: its writes fail. Two shared functions use other
+//! preconditions: assignments of shards depend on the epoch counter and on the
+//! records of the shards and controllers, and the removal of a stale cancellation on
+//! the version of its key.
 
 mod assignment;
 mod cancellations;
@@ -167,7 +170,7 @@
     /// Records when each incarnation of a controller was first seen as registered.
     fn track_nodes(&mut self, ctx: &Context, view: &ClusterView) {
         self.nodes
-            .retain(|name, presence| view.is_registered(name, presence.incarnation));
+            .retain(|name, node| view.is_registered(name, node.incarnation));
         for (name, node) in &view.nodes {
             self.nodes.entry(name.clone()).or_insert(RegisteredNode {
                 incarnation: node.record.incarnation,
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -64,10 +64,11 @@
 
     /// Retains the unassigned shards that can be assigned now.
     ///
-    /// If no shard has a holder, the whole cluster is starting: for half a lease,
-    /// a shard is assigned only if its preferred controller is registered, or the
-    /// first controller to register would receive all shards. If any controller
-    /// still holds a shard, the other shards are assigned without this delay.
+    /// If no shard has a holder, all controllers are starting. For half a controller
+    /// lease after the election, a shard is then assigned only if its preferred
+    /// controller is registered; without this delay the first controller to register
+    /// would receive all shards. If any controller still holds a shard, the other
+    /// shards are assigned without the delay.
     fn retain_assignable(&self, ctx: &Context, view: &ClusterView, unassigned: &mut Vec<ShardId>) {
         let is_cluster_start = unassigned.len() == ctx.config.shard_count() as usize;
         let registration_ends_at = self.elected_at + ctx.config.node_lease_ms() / 2;
@@ -119,8 +120,8 @@
     /// of other controllers.
     fn is_stable(&self, ctx: &Context, node: &NodeName) -> bool {
         let min_age = ctx.config.node_lease_ms() * MIN_UPTIME_LEASES;
-        let presence = self.nodes.get(node);
-        presence.is_some_and(|presence| ctx.now >= presence.registered_at + min_age)
+        let registered = self.nodes.get(node);
+        registered.is_some_and(|node| ctx.now >= node.registered_at + min_age)
     }
 
     /// Handles the response to an assignment or a handover request, whatever its
--- a/crates/core/src/leader/catalog.rs
+++ b/crates/core/src/leader/catalog.rs
@@ -15,11 +15,11 @@
 
 /// Interval until the catalogue is read again if the read fails, in milliseconds.
 const RETRY_INTERVAL_MS: Ms = 5_000;
-/// Interval between two reads of the catalogue, in milliseconds. Prices change all the
-/// time but need not be followed closely.
+/// Interval between two reads of the catalogue, in milliseconds. Prices change often but
+/// need not be followed closely.
 const REFRESH_INTERVAL_MS: Ms = 60_000;
-/// Interval between two reads while the view lacks the record of a machine type, in
-/// milliseconds. No job can be accepted until all types are recorded, so a failed
+/// Interval between two reads while the view lacks the record of a machine type, or
+/// while no price is recorded for warm pools, in milliseconds. No job can be accepted until all types are recorded, so a failed
 /// write of a type must be repeated soon.
 const UNRECORDED_TYPE_REFRESH_INTERVAL_MS: Ms = 1_000;
 
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -196,7 +196,7 @@
         }
         let settling_ms = ctx.config.list_lag_ms as f64 * SETTLING_LAGS as f64;
         let inventory = &self.inventory;
-        let unknown: Vec<MachineId> = listed
+        let unrecorded: Vec<MachineId> = listed
             .iter()
             .filter(|machine| machine.age_s * 1000.0 > settling_ms)
             .map(|machine| &machine.id)
@@ -206,9 +206,12 @@
             .take(MAX_DELETION_COUNT)
             .cloned()
             .collect();
-        if !unknown.is_empty() && self.cloud.try_acquire(ctx.now) {
-            log::info!("leader: unknown machines deleted, {}", unknown.len());
-            self.send_delete(ctx, unknown);
+        if !unrecorded.is_empty() && self.cloud.try_acquire(ctx.now) {
+            log::info!(
+                "leader: deletion of machines without a record requested, machines={}",
+                unrecorded.len()
+            );
+            self.send_delete(ctx, unrecorded);
         }
     }
 }
--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -32,7 +32,7 @@
     requested_machines: BTreeMap<MachineId, u64>,
     /// Revision of the view at which rebalancing last ran.
     last_considered_revision: u64,
-    /// The latest demand that each holder has sent.
+    /// The latest demand that was received for each shard.
     reported_demands: BTreeMap<ShardId, ShardDemandReport>,
     /// Whether a demand was received since rebalancing last ran.
     has_new_demands: bool,
@@ -300,7 +300,8 @@
         && zones.is_none_or(|zones| zones.contains(&record.zone))
 }
 
-/// Whether a task of a shape fits_empty_machine an empty machine.
+/// Whether a task of this shape fits an empty machine of the type. False if the type
+/// has no record.
 fn fits_empty_machine(view: &ClusterView, shape: &ShapeRecord, record: &MachineRecord) -> bool {
     let capacity = capacity_of_type(view, &record.machine_type);
     capacity.is_some_and(|capacity| shape.resources().fits_in(&capacity))
--- a/crates/core/src/leader/scale_out/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -34,8 +34,8 @@
 }
 
 /// The store's limit on writes per transaction decreases between the write of a batch
-/// and its response. If the next batch were computed from the new limit alone, machines
-/// would be recorded twice or not at all.
+/// and its response. If the number of recorded machines were recomputed from the new limit
+/// when the response arrives, machines would be recorded twice or not at all.
 #[test]
 fn each_machine_is_recorded_once_when_limits_fall_between_batches() {
     for provisioned in [5, 11, 12, 30] {
--- a/crates/core/src/leader/transactions.rs
+++ b/crates/core/src/leader/transactions.rs
@@ -1,6 +1,6 @@
-//! Building blocks of the leader's transactions. The version of the leader record is a
-//! precondition of each of them, as a fencing token: the writes of a deposed leader
-//! fail.
+//! Building blocks of the leader's transactions. Each of them has the version of the
+//! leader record as a precondition. The version acts as a fencing token: the writes
+//! of a deposed leader fail.
 
 use crate::records::LEADER;
 use crate::store::view::ClusterView;
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -136,10 +136,10 @@
 impl Budget {
     /// The rate at which this controller may call the store.
     pub(crate) fn rate(&self, inputs: &BudgetInputs, view: &ClusterView) -> StoreRate {
-        let fixed = inputs.guaranteed_rate();
+        let guaranteed = inputs.guaranteed_rate();
         match self.valid_grant(inputs, view) {
-            Some(grant) => fixed.plus(&grant.rate),
-            None => fixed.plus(&inputs.equal_share()),
+            Some(grant) => guaranteed.plus(&grant.rate),
+            None => guaranteed.plus(&inputs.equal_share()),
         }
     }
 
--- a/crates/core/src/store/queue.rs
+++ b/crates/core/src/store/queue.rs
@@ -100,7 +100,7 @@
     /// Whether calls of `Urgency::User` may overdraw the write tokens.
     is_overdraft_allowed: bool,
     /// Whether the last response was a timeout or a 503.
-    has_unserved_calls: bool,
+    was_last_call_unserved: bool,
     /// When the store answered again after timeouts or 503 responses; none once reported.
     recovered_at: Option<Ms>,
     /// When a recovery was last reported.
@@ -126,7 +126,7 @@
             backoff: MIN_BACKOFF_MS,
             refusing_since: None,
             is_overdraft_allowed: false,
-            has_unserved_calls: false,
+            was_last_call_unserved: false,
             recovered_at: None,
             recovery_reported_at: 0,
             sent: StoreRate::default(),
@@ -190,8 +190,8 @@
         includes_writes: bool,
     ) -> Option<QueuePosition> {
         let read = self.read_calls.range(from..).next().map(|(p, _)| *p);
-        let change = self.write_calls.range(from..).next().map(|(p, _)| *p);
-        match (read, change.filter(|_| includes_writes)) {
+        let write = self.write_calls.range(from..).next().map(|(p, _)| *p);
+        match (read, write.filter(|_| includes_writes)) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
@@ -240,8 +240,8 @@
     /// means that no response arrived.
     pub(crate) fn on_response(&mut self, status: u16, now: Ms, rng: &mut StdRng) {
         if matches!(status, 0 | 503) {
-            self.has_unserved_calls = true;
-        } else if std::mem::take(&mut self.has_unserved_calls) {
+            self.was_last_call_unserved = true;
+        } else if std::mem::take(&mut self.was_last_call_unserved) {
             self.recovered_at = Some(now);
         }
         match status {
--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -42,15 +42,17 @@
     /// Provisioning intents by request name.
     pub(crate) provisioning_intents: BTreeMap<String, Versioned<ProvisioningIntent>>,
     pub(crate) machine_types: BTreeMap<String, Versioned<MachineType>>,
+    /// The last demand record that the holder of each shard has written.
     pub(crate) demands: BTreeMap<ShardId, Versioned<DemandRecord>>,
     /// Cancellation requests: the versions of their keys, by job.
     pub(crate) cancellations: BTreeMap<JobId, u64>,
     /// Machines whose records have a decommission reason; an index of `machines`.
     pub(crate) decommissioned: BTreeSet<MachineId>,
+    /// Machines whose changes have not been taken yet.
     changed: ChangedMachines,
 }
 
-/// Machines whose records have changed since the last call of
+/// Machines whose records have changed since the previous call of
 /// [`ClusterView::take_changed_machines`].
 #[derive(Default)]
 pub(crate) struct ChangedMachines {
@@ -61,7 +63,7 @@
 }
 
 impl ChangedMachines {
-    /// States that any machine may have changed.
+    /// The value that stands for a change of any machine.
     pub(crate) fn all_machines() -> Self {
         Self {
             all: true,
