--- a/crates/core/src/leader/prices.rs
+++ b/crates/core/src/leader/prices.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// Writes the row of a price into the price history.
 fn write_price(ctx: &mut Context, view: &ClusterView, price: Price) {
     let mut transaction = Transaction {
         preconditions: vec![leader_precondition(view)],
--- a/crates/core/src/store/budget/tests.rs
+++ b/crates/core/src/store/budget/tests.rs
@@ -137,13 +137,13 @@
     for (pause_ms, after_ms, counts) in cases {
         let mut ctx = ctx("n1", &names);
         let mut budget = Budget::default();
-        let even = budget.rate(&BudgetInputs::from(&ctx), &view);
+        let equal_share_rate = budget.rate(&BudgetInputs::from(&ctx), &view);
         ctx.note_process_pause(ctx.now + pause_ms);
         ctx.now += pause_ms + after_ms;
         budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
         let rate = budget.rate(&BudgetInputs::from(&ctx), &view);
         assert_eq!(
-            rate != even,
+            rate != equal_share_rate,
             counts,
             "{pause_ms} ms, {after_ms} ms after it"
         );
--- a/crates/core/src/store/queue/tests.rs
+++ b/crates/core/src/store/queue/tests.rs
@@ -67,17 +67,17 @@
 #[test]
 fn user_calls_overdraw_at_most_one_second_of_writes_where_allowed() {
     // Calls sent at once, and in total after three more seconds, at four writes per second.
-    for (in_advance, urgency, first, in_all) in [
+    for (allows_overdraft, urgency, first, in_all) in [
         (true, Urgency::User, 4, 10),
         (false, Urgency::User, 2, 8),
         (true, Urgency::Tasks, 1, 7),
     ] {
         let mut store = StoreQueue::new(100.0, 4.0);
-        store.set_overdraft_allowed(in_advance);
+        store.set_overdraft_allowed(allows_overdraft);
         for _ in 0..20 {
             store.push(urgency, call(10_000, 2));
         }
-        let name = format!("{in_advance}, {urgency:?}");
+        let name = format!("{allows_overdraft}, {urgency:?}");
         assert_eq!(store.take_due(0).to_send.len(), first, "{name}");
         let later: usize = (1..3_001)
             .map(|now| store.take_due(now).to_send.len())
