--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -1,4 +1,5 @@
-//! Moves free machines between shards, to where tasks wait.
+//! Rebalancing of machines: moves empty and reclaimable machines from other shards
+//! to shards with pending tasks.
 
 use super::transactions::put_if_unchanged;
 use super::{capacity_of_type, Leader};
@@ -12,12 +13,12 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
-/// A demand that a holder has sent counts for this many rounds.
-const REPORTED_DEMAND_ROUNDS: f64 = 4.0;
+/// A demand that a holder has sent is valid for this many scheduling rounds.
+const REPORTED_DEMAND_TTL_ROUNDS: f64 = 4.0;
 
-/// A demand that the holder of a shard has sent to the leader.
-struct ReportedDemand {
-    /// The epoch under which it held the shard.
+/// The unmet demand of a shard, as its holder sent it to the leader.
+struct ShardDemandReport {
+    /// The epoch of the shard under which the demand was sent.
     epoch: u64,
     received_at: Ms,
     record: DemandRecord,
@@ -26,24 +27,26 @@
 /// State of the rebalancing of machines between shards.
 #[derive(Default)]
 pub(super) struct RebalancingState {
-    /// Machines whose move was requested, with the version of the record at which
-    /// it was.
-    machines_requested: BTreeMap<MachineId, u64>,
-    /// The revision at which rebalancing was last considered.
-    considered_revision: u64,
-    reported_demands: BTreeMap<ShardId, ReportedDemand>,
-    /// Whether a demand was received since rebalancing was last considered.
+    /// Machines whose move was requested, with the version of the machine record
+    /// that the request was based on.
+    requested_machines: BTreeMap<MachineId, u64>,
+    /// Revision of the view at which rebalancing last ran.
+    last_considered_revision: u64,
+    /// The latest demand that was received for each shard.
+    reported_demands: BTreeMap<ShardId, ShardDemandReport>,
+    /// Whether a demand was received since rebalancing last ran.
     has_new_demands: bool,
 }
 
 impl RebalancingState {
-    /// Unmet demand of each shard: what its holder sent lately, or else has written.
+    /// Unmet demand of each shard: the demand that its current holder has sent, if
+    /// it is still valid, or else the shard's demand record.
     pub(super) fn demands(
         &self,
         ctx: &Context,
         view: &ClusterView,
     ) -> BTreeMap<ShardId, DemandRecord> {
-        let ttl = crate::ms(ctx.config.operator.round_interval_s * REPORTED_DEMAND_ROUNDS);
+        let ttl = crate::ms(ctx.config.operator.round_interval_s * REPORTED_DEMAND_TTL_ROUNDS);
         let written = view
             .demands
             .iter()
@@ -59,27 +62,28 @@
         demands
     }
 
-    /// Whether the view or a demand has changed since the last call.
-    pub(super) fn take_changed(&mut self, revision: u64) -> bool {
-        let has_changed = revision > self.considered_revision || self.has_new_demands;
+    /// Returns whether the view or a demand has changed since the last call.
+    pub(super) fn observe_changes(&mut self, revision: u64) -> bool {
+        let has_changed = revision > self.last_considered_revision || self.has_new_demands;
         if has_changed {
-            self.considered_revision = revision;
+            self.last_considered_revision = revision;
             self.has_new_demands = false;
         }
         has_changed
     }
 
-    /// Drops requests that the view shows to be carried out or refused.
+    /// Drops requests whose machine record has changed or was removed since: the
+    /// request was carried out or refused.
     fn drop_completed_requests(&mut self, view: &ClusterView) {
-        self.machines_requested.retain(|id, requested_version| {
+        self.requested_machines.retain(|id, requested_version| {
             let machine = view.machines.get(id);
             machine.is_some_and(|machine| machine.version <= *requested_version)
         });
     }
 
-    /// Capacities of the machines that a shard is about to be given.
+    /// Capacities of the machines whose move to a shard is in progress.
     fn requested_capacities(&self, view: &ClusterView, shard_id: ShardId) -> Vec<Resources> {
-        self.machines_requested
+        self.requested_machines
             .keys()
             .filter_map(|id| view.machines.get(id))
             .filter(|machine| machine.record.reassign_to == Some(shard_id))
@@ -88,17 +92,19 @@
     }
 }
 
-/// Tasks for which machines may be moved.
-struct Request<'a> {
-    /// The shard that needs them.
+/// Tasks of one shape for which machines are moved to a shard.
+struct TransferRequest<'a> {
+    /// The shard that needs the machines.
     shard_id: ShardId,
     shape: &'a ShapeRecord,
-    /// Whether it may take spare machines of other shards, beside surplus ones.
-    may_take_spares: bool,
+    /// Whether machines that other shards hold in reserve may be taken, in addition
+    /// to surplus machines.
+    may_take_reserved: bool,
 }
 
 impl Leader {
-    /// A holder has sent the unmet demand of its shard.
+    /// Handles the unmet demand that a holder has sent. A demand under an older
+    /// epoch than the last one is ignored.
     pub(crate) fn on_demand_received(
         &mut self,
         now: Ms,
@@ -111,7 +117,7 @@
         if known.is_some_and(|known| epoch < known.epoch) {
             return;
         }
-        let reported = ReportedDemand {
+        let reported = ShardDemandReport {
             epoch,
             received_at: now,
             record,
@@ -120,9 +126,11 @@
         rebalancing.has_new_demands = true;
     }
 
-    /// Moves free machines to shards with waiting tasks: what waits takes any
-    /// that is free, and spare places take what no other shard needs.
-    pub(super) fn rebalance(
+    /// Requests the move of machines to shards with unmet demand. Pending tasks
+    /// may take surplus machines and machines held in reserve; missing reserved
+    /// capacity takes only surplus machines. Shapes that may reclaim machines take
+    /// reclaimable ones if no empty machine is found.
+    pub(super) fn rebalance_machines(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -130,45 +138,47 @@
     ) {
         self.rebalancing.drop_completed_requests(view);
         for (shard_id, demand) in demands {
-            let mut rooms = self.rebalancing.requested_capacities(view, *shard_id);
+            let mut free_capacities = self.rebalancing.requested_capacities(view, *shard_id);
             for request in requests_of(*shard_id, demand) {
-                self.request_machines(ctx, view, demands, &request, &mut rooms);
+                self.request_machines(ctx, view, demands, &request, &mut free_capacities);
             }
         }
     }
 
-    /// Requests machines of other shards until all tasks of a shape have room.
-    /// `rooms` is what is left of the machines that were requested for the shard.
+    /// Requests machines of other shards until their capacity covers all tasks of
+    /// a shape, or no machine is left to request. `free_capacities` is the remaining
+    /// capacity of each machine that was already requested for the shard.
     fn request_machines(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
         demands: &BTreeMap<ShardId, DemandRecord>,
-        request: &Request,
-        rooms: &mut Vec<Resources>,
+        request: &TransferRequest,
+        free_capacities: &mut Vec<Resources>,
     ) {
         let task = request.shape.resources();
         let mut remaining = request.shape.count;
-        for room in rooms.iter_mut() {
-            remaining -= reserve(room, &task, remaining);
+        for free in free_capacities.iter_mut() {
+            remaining -= reserve(free, &task, remaining);
         }
         while remaining > 0 {
             let found = self
-                .find_transferable(view, demands, request)
-                .or_else(|| self.find_reclaimable(view, demands, request));
+                .find_empty_machine(view, demands, request)
+                .or_else(|| self.find_reclaimable_machine(view, demands, request));
             let Some((id, machine)) = found.and_then(|id| Some((id, view.machines.get(id)?)))
             else {
                 return;
             };
             let capacity = capacity_of_type(view, &machine.record.machine_type);
-            let mut room = capacity.unwrap_or_default();
-            remaining -= reserve(&mut room, &task, remaining);
-            rooms.push(room);
+            let mut free = capacity.unwrap_or_default();
+            remaining -= reserve(&mut free, &task, remaining);
+            free_capacities.push(free);
             self.request_machine(ctx, view, id, machine, request.shard_id);
         }
     }
 
-    /// Requests the move of a machine to another shard from its holder.
+    /// Writes the shard that a machine is to move to into the machine's record. The
+    /// holder of the machine's present shard carries out the move.
     fn request_machine(
         &mut self,
         ctx: &mut Context,
@@ -183,64 +193,70 @@
         record.reassign_to = Some(to);
         let transaction = put_if_unchanged(view, machine_key(id), machine.version, &record);
         self.rebalancing
-            .machines_requested
+            .requested_machines
             .insert(id.clone(), machine.version);
         ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
     }
 
-    /// A free machine of another shard that a shape may use.
-    fn find_transferable<'a>(
+    /// An empty machine of another shard that suits the request.
+    fn find_empty_machine<'a>(
         &self,
         view: &ClusterView,
         demands: &'a BTreeMap<ShardId, DemandRecord>,
-        request: &Request,
+        request: &TransferRequest,
     ) -> Option<&'a MachineId> {
         let candidates = demands.iter().flat_map(|(owner, demand)| {
-            // A shard that has waiting tasks itself gives no spare machines away.
-            let gives_spares = request.may_take_spares && demand.waiting.is_empty();
-            let spares = demand.spare_machines.iter().filter(move |_| gives_spares);
-            let machines = demand.surplus_machines.iter().chain(spares);
+            // A shard with pending tasks of its own needs its reserve itself.
+            let offers_reserved = request.may_take_reserved && demand.waiting.is_empty();
+            let reserved_machines = demand
+                .spare_machines
+                .iter()
+                .filter(move |_| offers_reserved);
+            let machines = demand.surplus_machines.iter().chain(reserved_machines);
             machines.map(move |id| (*owner, id))
         });
-        self.find_movable(view, request, candidates)
+        self.find_first_transferable(view, request, candidates)
     }
 
-    /// A machine of another shard that holds nothing but borrowed work, for a
-    /// shape that may have it given back.
-    fn find_reclaimable<'a>(
+    /// A machine of another shard that holds only borrowed work or belongs to a
+    /// warm pool, for a shape that may reclaim machines. Machines within a pool's
+    /// minimum are for gangs only.
+    fn find_reclaimable_machine<'a>(
         &self,
         view: &ClusterView,
         demands: &'a BTreeMap<ShardId, DemandRecord>,
-        request: &Request,
+        request: &TransferRequest,
     ) -> Option<&'a MachineId> {
         if !request.shape.may_reclaim {
             return None;
         }
         let is_gang = request.shape.is_gang;
         let candidates = demands.iter().flat_map(|(owner, demand)| {
-            let pooled = demand.pool_machines.iter().filter(move |_| is_gang);
-            let machines = demand.reclaimable_machines.iter().chain(pooled);
+            let pool_machines = demand.pool_machines.iter().filter(move |_| is_gang);
+            let machines = demand.reclaimable_machines.iter().chain(pool_machines);
             machines.map(move |id| (*owner, id))
         });
-        self.find_movable(view, request, candidates)
+        self.find_first_transferable(view, request, candidates)
     }
 
-    /// The first of some machines, each named with its shard, that may be moved.
-    fn find_movable<'a>(
+    /// The first candidate that may be moved. Each candidate is a machine with the
+    /// shard that it belongs to.
+    fn find_first_transferable<'a>(
         &self,
         view: &ClusterView,
-        request: &Request,
+        request: &TransferRequest,
         mut candidates: impl Iterator<Item = (ShardId, &'a MachineId)>,
     ) -> Option<&'a MachineId> {
         candidates
             .find(|(owner, id)| {
-                *owner != request.shard_id && self.may_move(view, *owner, id, request.shape)
+                *owner != request.shard_id && self.is_transferable(view, *owner, id, request.shape)
             })
             .map(|(_, id)| id)
     }
 
-    /// Whether a machine of a shard suits a shape and may be requested.
-    fn may_move(
+    /// Whether the move of a machine may be requested for a shape: the machine still
+    /// belongs to the shard, is not being moved or decommissioned, and suits the shape.
+    fn is_transferable(
         &self,
         view: &ClusterView,
         from: ShardId,
@@ -253,48 +269,51 @@
         let is_available = record.shard == from
             && record.reassign_to.is_none()
             && record.decommission_reason.is_none()
-            && !self.rebalancing.machines_requested.contains_key(id);
-        is_available && allows(shape, record) && fits(view, shape, record)
+            && !self.rebalancing.requested_machines.contains_key(id);
+        is_available && is_allowed(shape, record) && fits_empty_machine(view, shape, record)
     }
 }
 
-/// What a shard's demand requests, in order: first for waiting tasks, then for
-/// spare places. Borrowed work takes only what no shard needs.
-fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<Request<'_>> {
-    let waiting = demand.waiting.iter().map(|shape| Request {
+/// The requests that follow from a shard's demand: first those of pending tasks,
+/// then those of missing reserved capacity. Borrowed work takes only surplus
+/// machines.
+fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<TransferRequest<'_>> {
+    let waiting = demand.waiting.iter().map(|shape| TransferRequest {
         shard_id,
         shape,
-        may_take_spares: !shape.is_borrowing,
+        may_take_reserved: !shape.is_borrowing,
     });
-    let spare_shapes = demand.shapes.iter().filter(|shape| shape.is_spare);
-    let spare_places = spare_shapes.map(|shape| Request {
+    let reserve_shapes = demand.shapes.iter().filter(|shape| shape.is_spare);
+    let reserve_requests = reserve_shapes.map(|shape| TransferRequest {
         shard_id,
         shape,
-        may_take_spares: false,
+        may_take_reserved: false,
     });
-    waiting.chain(spare_places).collect()
+    waiting.chain(reserve_requests).collect()
 }
 
-/// Whether a shape's constraints allow a machine.
-fn allows(shape: &ShapeRecord, record: &MachineRecord) -> bool {
+/// Whether the constraints of a shape on spot, types and zones allow a machine.
+fn is_allowed(shape: &ShapeRecord, record: &MachineRecord) -> bool {
     let (types, zones) = (shape.types.as_ref(), shape.zones.as_ref());
     (shape.spot || !record.spot)
         && types.is_none_or(|types| types.contains(&record.machine_type))
         && zones.is_none_or(|zones| zones.contains(&record.zone))
 }
 
-/// Whether a task of a shape fits an empty machine.
-fn fits(view: &ClusterView, shape: &ShapeRecord, record: &MachineRecord) -> bool {
+/// Whether a task of this shape fits an empty machine of the type. False if the type
+/// has no record.
+fn fits_empty_machine(view: &ClusterView, shape: &ShapeRecord, record: &MachineRecord) -> bool {
     let capacity = capacity_of_type(view, &record.machine_type);
     capacity.is_some_and(|capacity| shape.resources().fits_in(&capacity))
 }
 
-/// Reserves room for up to `max_tasks` tasks, and returns for how many.
-fn reserve(room: &mut Resources, task: &Resources, max_tasks: u32) -> u32 {
-    let mut reserved = 0;
-    while reserved < max_tasks && task.fits_in(room) && !task.is_zero() {
-        *room -= *task;
-        reserved += 1;
+/// Subtracts up to `max_tasks` tasks from the free capacity of a machine. Returns
+/// how many of them fit; 0 for tasks without resources.
+fn reserve(free: &mut Resources, task: &Resources, max_tasks: u32) -> u32 {
+    let mut placed = 0;
+    while placed < max_tasks && task.fits_in(free) && !task.is_zero() {
+        *free -= *task;
+        placed += 1;
     }
-    reserved
+    placed
 }
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -1,11 +1,12 @@
-//! This controller's part of the key-value store's request budget.
+//! This controller's share of the key-value store's request budget.
 //!
-//! The store limits the requests and writes of all controllers together. A fixed part is
-//! divided evenly and always available. The rest, the pool, follows demand: every controller
-//! reports its demand to the leader, which grants rates from the pool for a short time. A
-//! controller without a valid grant uses an even part of the pool, which the leader reserves
-//! for it, so the sum of all rates stays below the limit. Without the pool the leader and the
-//! holders of busy shards would be short of requests while others leave theirs unused.
+//! The store limits the requests and writes of all controllers together. Each controller has
+//! a guaranteed rate: an equal share of a fixed fraction of the limit. The rest, the shared
+//! rate, is allocated by demand: every controller reports its demand to the leader, which
+//! grants rates for a short time. A controller without a valid grant uses an equal share of
+//! the shared rate. The leader reserves this share for it, so the sum of all rates stays below
+//! the limit. With equal shares alone, the leader and the holders of busy shards would be
+//! short of requests while other controllers leave theirs unused.
 
 use crate::config::{Config, StateLimits};
 use crate::records::LeaderRecord;
@@ -18,73 +19,75 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Part of the limit on requests that is used; the rest allows for differences between
-/// clocks and for calls that arrive late.
-const REQUESTS_PART: f64 = 0.9;
-/// Part of the limit on writes that is used.
-const WRITES_PART: f64 = 0.95;
-/// Part of the usable limits that is divided evenly.
-const FIXED_PART: f64 = 0.4;
-/// Part of the last demand that the next one is at least: what was needed a moment ago may
-/// be needed again.
+/// Fraction of the store's limit on requests that the controllers use. The rest allows for
+/// differences between clocks and for calls that arrive late.
+const REQUEST_LIMIT_FRACTION: f64 = 0.9;
+/// Fraction of the store's limit on writes that the controllers use.
+const WRITE_LIMIT_FRACTION: f64 = 0.95;
+/// Fraction of the usable limits that is guaranteed to the controllers in equal shares.
+const GUARANTEED_FRACTION: f64 = 0.4;
+/// Lower bound of a controller's demand, as a fraction of its previous demand: a burst of calls
+/// may repeat after a short time.
 const DEMAND_DECAY: f64 = 0.7;
-/// Nothing is sent in advance of the budget for this long after a pause of the process: in
-/// that time all controllers use up the tokens that they have accumulated.
-const ADVANCE_PAUSE: Ms = 5_000;
-/// Heartbeat intervals for which a grant or a reported demand is valid.
-const VALID_INTERVALS: Ms = 4;
-/// Least total excess demand that is divided by, in calls a second.
-const MIN_EXCESS: f64 = 1e-9;
+/// Overdrafts are not allowed for this long after a pause of the process, in milliseconds: in
+/// this time all controllers use up the tokens that they have accumulated.
+const OVERDRAFT_PAUSE_MS: Ms = 5_000;
+/// Number of heartbeat intervals for which a grant or a reported demand is valid.
+const VALIDITY_HEARTBEATS: Ms = 4;
+/// Lower bound of the total excess demand as a divisor, in calls per second; avoids a division
+/// by 0.
+const MIN_TOTAL_EXCESS: f64 = 1e-9;
 
-/// What the budget is computed from, as of one step.
+/// The inputs of the budget, as of one step of the controller.
 #[derive(Clone, Debug)]
-pub(crate) struct BudgetTerms {
+pub(crate) struct BudgetInputs {
     pub(crate) config: Rc<Config>,
     /// This controller's incarnation.
     pub(crate) incarnation: u64,
     /// The store's limits for all controllers together.
     pub(crate) limits: StateLimits,
     pub(crate) now: Ms,
-    /// When the process last resumed after a pause; 0 if never.
+    /// When the process last resumed after a pause; 0 if it was never paused.
     pub(crate) resumed_at: Ms,
     pub(crate) heartbeat_interval_ms: Ms,
 }
 
-impl BudgetTerms {
+impl BudgetInputs {
     fn node_count(&self) -> f64 {
         self.config.nodes.len().max(1) as f64
     }
 
-    /// The most that all controllers use together.
-    fn total(&self) -> StoreRate {
+    /// The rate that all controllers together may use.
+    fn total_rate(&self) -> StoreRate {
         StoreRate {
-            requests: self.limits.rps * REQUESTS_PART,
-            writes: self.limits.write_rps * WRITES_PART,
+            requests: self.limits.rps * REQUEST_LIMIT_FRACTION,
+            writes: self.limits.write_rps * WRITE_LIMIT_FRACTION,
         }
     }
 
-    /// The part of the total that follows demand.
-    fn pool(&self) -> StoreRate {
-        self.total().scaled(1.0 - FIXED_PART)
+    /// The part of the total rate that is allocated by demand.
+    fn shared_rate(&self) -> StoreRate {
+        self.total_rate().scaled(1.0 - GUARANTEED_FRACTION)
     }
 
-    /// One controller's even part of the pool.
-    fn even_part_of_pool(&self) -> StoreRate {
-        self.pool().scaled(1.0 / self.node_count())
+    /// The equal share of one controller in the shared rate.
+    fn equal_share(&self) -> StoreRate {
+        self.shared_rate().scaled(1.0 / self.node_count())
     }
 
-    /// One controller's fixed part.
-    fn fixed_part(&self) -> StoreRate {
-        self.total().scaled(FIXED_PART / self.node_count())
+    /// The rate that is guaranteed to each controller.
+    fn guaranteed_rate(&self) -> StoreRate {
+        self.total_rate()
+            .scaled(GUARANTEED_FRACTION / self.node_count())
     }
 
     /// For how long grants and reported demands are valid, in milliseconds.
     fn validity_ms(&self) -> Ms {
-        self.heartbeat_interval_ms * VALID_INTERVALS
+        self.heartbeat_interval_ms * VALIDITY_HEARTBEATS
     }
 
-    /// A grant that starts now.
-    fn grant(&self, leader: LeaderRecord, rate: StoreRate) -> Grant {
+    /// A grant that is valid from now on.
+    fn new_grant(&self, leader: LeaderRecord, rate: StoreRate) -> Grant {
         Grant {
             leader,
             valid_until: self.now + self.validity_ms(),
@@ -100,7 +103,7 @@
     pub(crate) body: Body,
 }
 
-/// A rate from the pool that a leader has granted to this controller.
+/// A part of the shared rate that a leader has granted to this controller.
 #[derive(Clone, Debug)]
 struct Grant {
     leader: LeaderRecord,
@@ -110,79 +113,83 @@
 
 /// The demand that a controller has reported to the leader.
 #[derive(Clone, Debug)]
-struct NodeDemand {
+struct ReportedDemand {
     received_at: Ms,
     incarnation: u64,
     rate: StoreRate,
-    /// The controller has a valid grant, so it uses no even part of the pool.
-    keeps_to_grant: bool,
+    /// Whether the controller has a valid grant. If not, it uses its equal share of the shared
+    /// rate.
+    has_valid_grant: bool,
 }
 
 /// This controller's grant and demand and, on the leader, the demands of all controllers.
 #[derive(Default)]
 pub(crate) struct Budget {
     grant: Option<Grant>,
-    /// Reported demands; empty unless this controller leads.
-    demands: BTreeMap<NodeName, NodeDemand>,
+    /// The demands that controllers have reported; used only while this controller leads.
+    demands: BTreeMap<NodeName, ReportedDemand>,
     own_demand: StoreRate,
+    /// When the demand is next reported or, on the leader, rates are next granted.
     next_report_at: Ms,
 }
 
 impl Budget {
-    /// The rate that this controller may use.
-    pub(crate) fn rate(&self, terms: &BudgetTerms, view: &ClusterView) -> StoreRate {
-        let fixed = terms.fixed_part();
-        match self.valid_grant(terms, view) {
-            Some(grant) => fixed.plus(&grant.rate),
-            None => fixed.plus(&terms.even_part_of_pool()),
+    /// The rate at which this controller may call the store.
+    pub(crate) fn rate(&self, inputs: &BudgetInputs, view: &ClusterView) -> StoreRate {
+        let guaranteed = inputs.guaranteed_rate();
+        match self.valid_grant(inputs, view) {
+            Some(grant) => guaranteed.plus(&grant.rate),
+            None => guaranteed.plus(&inputs.equal_share()),
         }
     }
 
-    /// Whether users' writes may be sent in advance of the budget. Only under a grant does
-    /// the leader know the demand of all controllers. Soon after a pause of the process the
-    /// others may have been paused, too, and all resume at once.
-    pub(crate) fn allows_advance(&self, terms: &BudgetTerms, view: &ClusterView) -> bool {
-        let is_settled = terms.resumed_at == 0 || terms.now >= terms.resumed_at + ADVANCE_PAUSE;
-        is_settled && self.valid_grant(terms, view).is_some()
+    /// Whether users' writes may overdraw the rate limit. This requires a valid grant: only
+    /// under grants does the leader know the demand of all controllers. Overdrafts are not
+    /// allowed soon after a pause of the process either: the other controllers may have been
+    /// paused, too, and all of them resume at once.
+    pub(crate) fn allows_overdraft(&self, inputs: &BudgetInputs, view: &ClusterView) -> bool {
+        let is_settled =
+            inputs.resumed_at == 0 || inputs.now >= inputs.resumed_at + OVERDRAFT_PAUSE_MS;
+        is_settled && self.valid_grant(inputs, view).is_some()
     }
 
-    /// The grant, as long as the controller that gave it leads.
-    fn valid_grant(&self, terms: &BudgetTerms, view: &ClusterView) -> Option<&Grant> {
+    /// The grant, if it has not expired and the controller that issued it is still the leader.
+    fn valid_grant(&self, inputs: &BudgetInputs, view: &ClusterView) -> Option<&Grant> {
         self.grant
             .as_ref()
-            .filter(|grant| terms.now < grant.valid_until)
+            .filter(|grant| inputs.now < grant.valid_until)
             .filter(|grant| view.is_led_by(&grant.leader.node, grant.leader.incarnation))
     }
 
-    /// Once in a heartbeat interval, reports this controller's demand to the leader or, on
-    /// the leader, grants rates. Returns the messages to be sent.
+    /// Once per heartbeat interval, reports this controller's demand to the leader or, on the
+    /// leader, grants rates to all controllers. Returns the messages to send.
     pub(crate) fn tick(
         &mut self,
-        terms: &BudgetTerms,
+        inputs: &BudgetInputs,
         store: &mut StoreQueue,
         view: &ClusterView,
     ) -> Vec<PeerMessage> {
-        if terms.now < self.next_report_at {
+        if inputs.now < self.next_report_at {
             return Vec::new();
         }
-        self.next_report_at = terms.now + terms.heartbeat_interval_ms;
-        let demand = store.take_demand(terms.now);
+        self.next_report_at = inputs.now + inputs.heartbeat_interval_ms;
+        let demand = store.measure_demand(inputs.now);
         self.own_demand = demand.max(&self.own_demand.scaled(DEMAND_DECAY));
         let Some(leader) = view.leader.as_ref().map(|l| &l.record) else {
             return Vec::new();
         };
-        if view.is_led_by(&terms.config.node, terms.incarnation) {
-            return self.grant_rates(terms, view);
+        if view.is_led_by(&inputs.config.node, inputs.incarnation) {
+            return self.grant_rates(inputs, view);
         }
         self.demands.clear();
-        vec![self.demand_report(leader, terms, view)]
+        vec![self.demand_report(leader, inputs, view)]
     }
 
-    /// The report of this controller's demand to the leader.
+    /// The message that reports this controller's demand to the leader.
     fn demand_report(
         &self,
         leader: &LeaderRecord,
-        terms: &BudgetTerms,
+        inputs: &BudgetInputs,
         view: &ClusterView,
     ) -> PeerMessage {
         let (requests, writes) = self.own_demand.as_milli();
@@ -191,24 +198,24 @@
             body: Body::BudgetRequest {
                 writes,
                 requests,
-                granted: self.valid_grant(terms, view).is_some(),
+                granted: self.valid_grant(inputs, view).is_some(),
             },
         }
     }
 
-    /// Grants rates to all controllers whose demands are known, this one included.
-    fn grant_rates(&mut self, terms: &BudgetTerms, view: &ClusterView) -> Vec<PeerMessage> {
-        self.update_demands(terms, view);
-        let allocation = Allocation::new(&self.demands, terms, view);
+    /// Grants rates to all controllers with a valid reported demand, including this one.
+    fn grant_rates(&mut self, inputs: &BudgetInputs, view: &ClusterView) -> Vec<PeerMessage> {
+        self.update_demands(inputs, view);
+        let allocation = Allocation::new(&self.demands, inputs, view);
         let mut messages = Vec::new();
         for (node, demand) in &self.demands {
             let rate = allocation.rate_for(demand);
-            if *node == terms.config.node {
+            if *node == inputs.config.node {
                 let leader = LeaderRecord {
                     node: node.clone(),
-                    incarnation: terms.incarnation,
+                    incarnation: inputs.incarnation,
                 };
-                self.grant = Some(terms.grant(leader, rate));
+                self.grant = Some(inputs.new_grant(leader, rate));
                 continue;
             }
             let (requests, writes) = rate.as_milli();
@@ -220,19 +227,19 @@
         messages
     }
 
-    /// Adds the leader's own demand, and drops those that are old or of controllers that
-    /// have exited.
-    fn update_demands(&mut self, terms: &BudgetTerms, view: &ClusterView) {
-        let own = NodeDemand {
-            received_at: terms.now,
-            incarnation: terms.incarnation,
+    /// Adds the leader's own demand, and drops demands that have expired or whose controller is
+    /// no longer registered under the same incarnation.
+    fn update_demands(&mut self, inputs: &BudgetInputs, view: &ClusterView) {
+        let own = ReportedDemand {
+            received_at: inputs.now,
+            incarnation: inputs.incarnation,
             rate: self.own_demand,
-            keeps_to_grant: true,
+            has_valid_grant: true,
         };
-        self.demands.insert(terms.config.node.clone(), own);
+        self.demands.insert(inputs.config.node.clone(), own);
         self.demands.retain(|node, demand| {
-            terms.now < demand.received_at + terms.validity_ms()
-                && view.is_alive(node, demand.incarnation)
+            inputs.now < demand.received_at + inputs.validity_ms()
+                && view.is_registered(node, demand.incarnation)
         });
     }
 
@@ -245,90 +252,93 @@
         rate: StoreRate,
         granted: bool,
     ) {
-        let demand = NodeDemand {
+        let demand = ReportedDemand {
             received_at: now,
             incarnation,
             rate,
-            keeps_to_grant: granted,
+            has_valid_grant: granted,
         };
         self.demands.insert(from, demand);
     }
 
-    /// Handles a grant of the leader. Shortly after a pause of the process grants are
-    /// ignored: nobody knows how long they waited in the socket, and the rate may have been
-    /// granted to others since.
+    /// Handles a grant from the leader. A grant received shortly after a pause of the process
+    /// is ignored: it may have waited in the socket for an unknown time, and the rate may have
+    /// been granted to other controllers since.
     pub(crate) fn on_grant(
         &mut self,
-        terms: impl Into<BudgetTerms>,
+        inputs: impl Into<BudgetInputs>,
         leader: NodeName,
         incarnation: u64,
         rate: StoreRate,
     ) {
-        let terms = terms.into();
-        if terms.now < terms.resumed_at + terms.heartbeat_interval_ms {
+        let inputs = inputs.into();
+        if inputs.now < inputs.resumed_at + inputs.heartbeat_interval_ms {
             return;
         }
         let leader = LeaderRecord {
             node: leader,
             incarnation,
         };
-        self.grant = Some(terms.grant(leader, rate));
+        self.grant = Some(inputs.new_grant(leader, rate));
     }
 }
 
-/// How the leader divides the pool between the controllers with grants.
+/// The leader's allocation of the shared rate to the controllers with valid grants.
 struct Allocation {
-    even_part: StoreRate,
-    fixed_part: StoreRate,
-    /// The pool without the even parts of controllers that have no grant.
+    equal_share: StoreRate,
+    guaranteed_rate: StoreRate,
+    /// The shared rate minus the equal shares of controllers without a valid grant.
     grantable: StoreRate,
-    /// Demand beyond the fixed parts, of all controllers with grants.
+    /// Total demand beyond the guaranteed rates, of all controllers with valid grants.
     total_excess: StoreRate,
     grantee_count: usize,
 }
 
 impl Allocation {
     fn new(
-        demands: &BTreeMap<NodeName, NodeDemand>,
-        terms: &BudgetTerms,
+        demands: &BTreeMap<NodeName, ReportedDemand>,
+        inputs: &BudgetInputs,
         view: &ClusterView,
     ) -> Self {
-        let even_part = terms.even_part_of_pool();
-        let fixed_part = terms.fixed_part();
-        let grantees = || demands.values().filter(|demand| demand.keeps_to_grant);
+        let equal_share = inputs.equal_share();
+        let guaranteed_rate = inputs.guaranteed_rate();
+        let grantees = || demands.values().filter(|demand| demand.has_valid_grant);
         let grantee_count = grantees().count();
-        let reserved_parts = view.nodes.len().saturating_sub(grantee_count) as f64;
+        let reserved_shares = view.nodes.len().saturating_sub(grantee_count) as f64;
         let total_excess = grantees()
-            .map(|demand| demand.rate.saturating_sub(&fixed_part))
+            .map(|demand| demand.rate.saturating_sub(&guaranteed_rate))
             .fold(StoreRate::default(), |sum, excess| sum.plus(&excess));
         Self {
-            even_part,
-            fixed_part,
-            grantable: terms.pool().plus(&even_part.scaled(-reserved_parts)),
+            equal_share,
+            guaranteed_rate,
+            grantable: inputs
+                .shared_rate()
+                .plus(&equal_share.scaled(-reserved_shares)),
             total_excess,
             grantee_count,
         }
     }
 
-    /// The rate that is granted for a demand. A controller that does not keep to a grant yet
-    /// gets the even part that is reserved for it.
-    fn rate_for(&self, demand: &NodeDemand) -> StoreRate {
-        if !demand.keeps_to_grant {
-            return self.even_part;
+    /// The rate to grant for a demand. A controller that has no valid grant yet receives the
+    /// equal share that is reserved for it.
+    fn rate_for(&self, demand: &ReportedDemand) -> StoreRate {
+        if !demand.has_valid_grant {
+            return self.equal_share;
         }
-        let excess = demand.rate.saturating_sub(&self.fixed_part);
+        let excess = demand.rate.saturating_sub(&self.guaranteed_rate);
         let (grantable, total) = (&self.grantable, &self.total_excess);
         StoreRate {
-            requests: self.divide(grantable.requests, excess.requests, total.requests),
-            writes: self.divide(grantable.writes, excess.writes, total.writes),
+            requests: self.allocate(grantable.requests, excess.requests, total.requests),
+            writes: self.allocate(grantable.writes, excess.writes, total.writes),
         }
     }
 
     /// One controller's part of `grantable`: its excess demand, reduced in proportion if the
-    /// total exceeds what is there, and an even part of what nobody demands.
-    fn divide(&self, grantable: f64, excess: f64, total_excess: f64) -> f64 {
+    /// total excess demand exceeds `grantable`, plus an equal share of the rate that no
+    /// controller demands.
+    fn allocate(&self, grantable: f64, excess: f64, total_excess: f64) -> f64 {
         let unused = (grantable - total_excess).max(0.0) / self.grantee_count.max(1) as f64;
-        unused + excess * (grantable / total_excess.max(MIN_EXCESS)).min(1.0)
+        unused + excess * (grantable / total_excess.max(MIN_TOTAL_EXCESS)).min(1.0)
     }
 }
 
--- a/crates/core/src/store/queue/tests.rs
+++ b/crates/core/src/store/queue/tests.rs
@@ -2,26 +2,26 @@
 
 use super::*;
 
-fn call(expires: Ms, writes: usize) -> StoreCall {
+fn call(expires_at: Ms, writes: usize) -> StoreCall {
     StoreCall {
         method: "POST",
         path: "/txn".to_owned(),
         body: None,
         writes,
-        timeout: 2_000,
-        expires,
+        timeout_ms: 2_000,
+        expires_at,
         pending: PendingCall::Housekeeping,
     }
 }
 
-/// Calls that were queued before the process was paused are not sent once it resumes,
-/// though the rate limit allows them by then.
+/// Calls queued before a pause of the process must not be sent after it: the decisions behind
+/// them are outdated, though the rate limit allows the calls by then.
 #[test]
-fn expired_calls_are_rejected_after_a_pause() {
+fn expired_calls_are_rejected_after_a_process_pause() {
     for urgency in [Urgency::Membership, Urgency::User, Urgency::Tasks] {
         for (pause_ms, is_sent) in [(1_000, true), (30_000, false)] {
             let mut store = StoreQueue::new(10.0, 10.0);
-            // The rate limit is used up, so the other calls stay queued.
+            // The first calls use up the rate limit, so the other calls stay queued.
             for _ in 0..30 {
                 store.push(urgency, call(2_000, 1));
             }
@@ -39,10 +39,10 @@
     }
 }
 
-/// With few writes a second, other calls leave a reserve for submissions, and no more is
-/// sent than the rate and one second's burst allow.
+/// With few writes per second, submissions must not queue behind writes of lower urgency:
+/// these leave a reserve. The writes sent stay within the rate and one second's burst.
 #[test]
-fn users_calls_pass_calls_of_lower_urgency() {
+fn user_calls_overtake_queued_calls_of_lower_urgency() {
     for (urgency, goes) in [(Urgency::User, true), (Urgency::Tasks, false)] {
         let mut store = StoreQueue::new(100.0, 4.0);
         for _ in 0..10 {
@@ -62,22 +62,22 @@
     }
 }
 
-/// Where writes in advance are allowed, users' calls may use up to one second's worth of
-/// them; calls of lower urgency never do.
+/// Where overdrafts are allowed, users' calls may overdraw up to one second's worth of writes;
+/// calls of lower urgency must not.
 #[test]
-fn users_calls_are_sent_in_advance_up_to_one_second_where_allowed() {
-    // Calls sent at once and after three more seconds, at four writes a second.
-    for (in_advance, urgency, first, in_all) in [
+fn user_calls_overdraw_at_most_one_second_of_writes_where_allowed() {
+    // Calls sent at once, and in total after three more seconds, at four writes per second.
+    for (allows_overdraft, urgency, first, in_all) in [
         (true, Urgency::User, 4, 10),
         (false, Urgency::User, 2, 8),
         (true, Urgency::Tasks, 1, 7),
     ] {
         let mut store = StoreQueue::new(100.0, 4.0);
-        store.allow_advance(in_advance);
+        store.set_overdraft_allowed(allows_overdraft);
         for _ in 0..20 {
             store.push(urgency, call(10_000, 2));
         }
-        let name = format!("{in_advance}, {urgency:?}");
+        let name = format!("{allows_overdraft}, {urgency:?}");
         assert_eq!(store.take_due(0).to_send.len(), first, "{name}");
         let later: usize = (1..3_001)
             .map(|now| store.take_due(now).to_send.len())
@@ -86,25 +86,26 @@
     }
 }
 
-/// After a pause of the process half a burst is available.
+/// After a pause of the process, half a burst is available: controllers that were paused
+/// together would otherwise exceed the store's limit when all of them resume.
 #[test]
-fn a_pause_does_not_fill_the_token_bucket() {
+fn token_bucket_holds_half_a_burst_after_a_process_pause() {
     for (is_paused, sent) in [(false, 10), (true, 5)] {
         let mut store = StoreQueue::new(10.0, 100.0);
         for _ in 0..20 {
             store.push(Urgency::User, call(90_000, 1));
         }
         if is_paused {
-            store.note_pause(60_000);
+            store.limit_burst_after_pause(60_000);
         }
         assert_eq!(store.take_due(60_000).to_send.len(), sent);
     }
 }
 
-/// After calls without an answer, or with a 503, the next answer is reported as a recovery
-/// once, and no other one within a second.
+/// After timeouts or 503 responses, the next response is reported as a recovery once, and no
+/// other recovery within a second.
 #[test]
-fn a_recovery_is_noted_once() {
+fn recovery_is_reported_once() {
     let mut rng = rand::SeedableRng::seed_from_u64(1);
     let cases: [(&str, &[u16], bool); 5] = [
         ("answers", &[200, 409, 200], false),
