--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -45,7 +45,7 @@
             return None;
         }
         // A cancellation that is not known here may have been confirmed.
-        if !self.is_known_unfinished(job) {
+        if !self.are_dependencies_known_unfinished(job) {
             return Some(Reply::unavailable("not known at the moment"));
         }
         Some(Reply::json(200, &job.status()))
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -9,7 +9,7 @@
     capacity_of, job_key, unfinished_key, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
 };
 use crate::shard::layout::can_be_recorded;
-use crate::shard::new_layout;
+use crate::shard::new_job_layout;
 use crate::store::queue::Urgency;
 use forkshift_sched::{Quota, Resources};
 use forkshift_wire::cloud::MachineType;
@@ -137,7 +137,7 @@
                 cancelled: false,
                 cancelled_at_ms: 0,
                 submitted_at_ms: self.ctx.wall_clock_ms,
-                tasks_per_block: new_layout(&self.ctx, spec).to_record(),
+                tasks_per_block: new_job_layout(&self.ctx, spec).to_record(),
                 block: TaskBlockRecord::default(),
             };
             let key = unfinished_key(*shard, &spec.id, 0);
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -83,7 +83,7 @@
     let mut f = Fixture::new();
     let id = f.job("j-1", JobKind::Service, 1);
     let old = record(&mut f, &id, JobStage::Queued);
-    f.shard().forget_job(&id, 9);
+    f.shard().remove_job(&id, 9);
     assert_eq!(f.request(1, "GET", "/submissions/j-1"), None);
     f.node.final_stages.insert(id.clone(), JobStage::Cancelled);
     let effects = f.answer(is_lookup, 200, &old);
--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -4,7 +4,7 @@
 //! follows from the memory, the sockets or the message size that there is, or from
 //! the machines that a shard has. `docs/CAPACITY.md` lists what lies beyond each.
 
-use crate::shard::layout::TASK_BYTES;
+use crate::shard::layout::MAX_TASK_RECORD_BYTES;
 use forkshift_wire::peer::MAX_MESSAGE_BYTES;
 use forkshift_wire::settings::Settings;
 
@@ -106,7 +106,7 @@
 /// that the key-value store accepts.
 fn tasks_recorded_in(seconds: f64, settings: &Settings) -> usize {
     let state = &settings.cluster.state;
-    let tasks_per_change = state.max_value_kib * BYTES_PER_KB / TASK_BYTES as f64;
+    let tasks_per_change = state.max_value_kib * BYTES_PER_KB / MAX_TASK_RECORD_BYTES as f64;
     let changes = state.writes_per_s / (settings.peers.len() + 1) as f64 * seconds;
     (tasks_per_change * changes) as usize
 }
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -109,7 +109,7 @@
         let binding = Binding {
             machine,
             attempt: 1,
-            version: 0,
+            recorded_in_version: 0,
             start,
             stage: None,
             stop: None,
@@ -183,7 +183,7 @@
         let shard = self.shard();
         shard.unbind(id, index);
         let job = shard.jobs.get_mut(id).expect("the job is known");
-        job.done.insert(index);
+        job.completed.insert(index);
     }
 
     /// Recovers the shard again, from these records.
@@ -355,7 +355,7 @@
 
 /// Indices of a job's tasks that are to be stopped.
 pub(crate) fn stopping_tasks(f: &mut Fixture, id: &JobId) -> Vec<u32> {
-    let bound = f.shard().jobs[id].bound.iter();
+    let bound = f.shard().jobs[id].bindings.iter();
     bound
         .filter(|(_, b)| b.stop.is_some())
         .map(|(index, _)| *index)
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -7,7 +7,7 @@
     shard_key, type_key, unfinished_key, unfinished_prefix, ShardId, CLUSTER, EPOCH,
     FINALIZED_FORMAT, LEADER,
 };
-use crate::shard::layout::Layout;
+use crate::shard::layout::BlockLayout;
 use crate::store::view::ClusterView;
 use forkshift_pools::account::{
     current_request_key, ACCOUNT_PREFIX, CURRENT_REQUEST_PREFIX, PRICE_PREFIX,
@@ -33,8 +33,8 @@
     let job = JobId::parse("j-412").expect("an id");
     let shard = ShardId(2);
     let pool = PoolName::parse("exam-help").expect("a name");
-    let unnamed = Layout::recorded(None, &LIMITS);
-    let named = Layout::recorded(Some(40), &LIMITS);
+    let unnamed = BlockLayout::from_head(None, &LIMITS);
+    let named = BlockLayout::from_head(Some(40), &LIMITS);
     let cases = [
         key("cluster", CLUSTER),
         key("epoch", EPOCH),
@@ -57,7 +57,7 @@
         key("named_layout_block", named.key(shard, &job, 3)),
         key(
             "unnamed_layout_tasks_a_block",
-            unnamed.tasks_of(0).1.to_string(),
+            unnamed.task_range(0).1.to_string(),
         ),
         key("pools", ACCOUNT_PREFIX),
         key("pool_heads", CURRENT_REQUEST_PREFIX),
--- a/crates/core/src/leader/assignment.rs
+++ b/crates/core/src/leader/assignment.rs
@@ -6,7 +6,7 @@
 use crate::context::Context;
 use crate::pending_call::PendingCall;
 use crate::records::{shard_key, ShardId};
-use crate::shard::hand_over;
+use crate::shard::hand_over_shards;
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
 use crate::Ms;
@@ -55,7 +55,7 @@
         } else if self.assignment.being_written.is_empty() {
             let shards = assignments.iter().map(|(shard_id, _)| *shard_id);
             self.assignment.being_written.extend(shards);
-            hand_over(ctx, view, &assignments);
+            hand_over_shards(ctx, view, &assignments);
         }
     }
 
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -201,7 +201,7 @@
         let has_view_changed = self.processed_revision != self.view.revision;
         self.processed_revision = self.view.revision;
         self.follow_budget();
-        self.follow_dependencies();
+        self.update_dependencies();
         self.tick_shards(&machines, has_view_changed);
         for (shard, epoch, record) in std::mem::take(&mut self.ctx.unmet_demand) {
             self.leader
--- a/crates/core/src/node/peer_heartbeats.rs
+++ b/crates/core/src/node/peer_heartbeats.rs
@@ -149,7 +149,7 @@
 /// here.
 fn unsettled_machines(shard: &Shard) -> BTreeSet<&MachineId> {
     let cancelled = shard.jobs.values().filter(|job| job.is_cancelled);
-    let holding = cancelled.flat_map(|job| job.bound.values().map(|binding| &binding.machine));
+    let holding = cancelled.flat_map(|job| job.bindings.values().map(|binding| &binding.machine));
     let machines = shard.machines.values();
     let with_orphans = machines.filter(|machine| !machine.orphans.is_empty());
     holding
--- a/crates/core/src/node/shard_ownership.rs
+++ b/crates/core/src/node/shard_ownership.rs
@@ -4,7 +4,7 @@
 use super::Node;
 use crate::context::{revision_of, Context};
 use crate::records::{ShardId, ShardRecord};
-use crate::shard::{hand_over, Shard};
+use crate::shard::{hand_over_shards, Shard};
 use crate::store::view::{ClusterView, Versioned};
 use crate::Ms;
 use forkshift_wire::NodeName;
@@ -73,7 +73,7 @@
         if let Some(shard) = self.shards.remove(&id) {
             shard.release(&mut self.ctx);
         }
-        hand_over(&mut self.ctx, &self.view, &[(id, to)]);
+        hand_over_shards(&mut self.ctx, &self.view, &[(id, to)]);
     }
 
     /// Whether a handover of a shard is in flight, or the view does not show its outcome yet.
--- a/crates/core/src/node/status_log.rs
+++ b/crates/core/src/node/status_log.rs
@@ -23,7 +23,7 @@
 }
 
 fn log_shard(shard: &Shard, queued_calls: usize) {
-    let tasks_placed: usize = shard.jobs.values().map(|job| job.bound.len()).sum();
+    let tasks_placed: usize = shard.jobs.values().map(|job| job.bindings.len()).sum();
     let machines = shard.machines.values();
     let machines_up = machines.filter(|m| m.last_heartbeat_at.is_some()).count();
     log::info!(
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -173,7 +173,7 @@
         quotas: &[Quota],
     ) -> bool {
         let patience = crate::ms(ctx.config.operator.round_interval_s * RECLAIM_ROUNDS);
-        let has_waited = |job: &Job| job.age(ctx.now) > patience;
+        let has_waited = |job: &Job| job.age_ms(ctx.now) > patience;
         !pending.waiting.is_empty()
             && quotas[pending.team].is_within_guarantee(&pending.minimum_resources())
             && self.jobs.get(id).is_some_and(has_waited)
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -28,8 +28,8 @@
 pub(crate) mod scheduling;
 
 pub(crate) use arrivals::ArrivalStats;
-pub(crate) use bindings::new_layout;
-pub(crate) use handover::hand_over;
+pub(crate) use bindings::new_job_layout;
+pub(crate) use handover::hand_over_shards;
 
 use crate::config::Config;
 use crate::context::Context;
--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -6,7 +6,7 @@
 use super::{RecoveryState, Shard};
 use crate::context::Context;
 use crate::shard::job::{Binding, Job, StartState, Stop};
-use crate::shard::layout::Layout;
+use crate::shard::layout::BlockLayout;
 use crate::Ms;
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, TaskRef};
@@ -19,7 +19,7 @@
         &mut self,
         ctx: &mut Context,
         spec: JobSpec,
-        layout: Option<Layout>,
+        layout: Option<BlockLayout>,
         submitted_at_wall_ms: Ms,
         head_version: u64,
     ) {
@@ -31,7 +31,7 @@
         if self.arrivals_counted_since.is_some() {
             self.count_arrival(&spec, ctx.now);
         }
-        let layout = layout.unwrap_or_else(|| new_layout(ctx, &spec));
+        let layout = layout.unwrap_or_else(|| new_job_layout(ctx, &spec));
         let mut job = Job::new(spec, image, head_version, layout, ctx.now);
         job.submitted_at_wall_ms = submitted_at_wall_ms;
         job.submission_age.when_learned_ms = ctx.wall_clock_ms.saturating_sub(submitted_at_wall_ms);
@@ -61,13 +61,13 @@
     }
 
     /// Drops a finished job whose head was removed at a revision.
-    pub(crate) fn forget_job(&mut self, id: &JobId, revision: u64) {
+    pub(crate) fn remove_job(&mut self, id: &JobId, revision: u64) {
         self.jobs.remove(id);
         self.unwritten_jobs.remove(id);
         self.cancelled_jobs.remove(id);
         self.progress_writes.jobs.remove(id);
         self.incomplete_gangs.remove(id);
-        self.jobs_watch.note_removed(id, revision);
+        self.jobs_watch.record_removal(id, revision);
     }
 
     /// Binds a task to a machine: it takes resources there and of its team's
@@ -77,7 +77,7 @@
             return;
         };
         if let Some(machine) = self.machines.get_mut(&binding.machine) {
-            machine.used += job.task;
+            machine.used += job.task_resources;
             machine.tasks.insert(TaskRef {
                 job: id.clone(),
                 index,
@@ -85,27 +85,27 @@
             machine.use_image(job.image, job.spec.image_gb);
         }
         if let Some(team) = self.teams.get(&job.spec.team) {
-            self.quotas[*team].used += job.task;
+            self.quotas[*team].used += job.task_resources;
         }
-        job.bound.insert(index, binding);
+        job.bindings.insert(index, binding);
     }
 
     /// Unbinds a task, which has exited or was never started, and schedules the
     /// write of the change.
     pub(crate) fn unbind(&mut self, id: &JobId, index: u32) -> Option<Binding> {
         let job = self.jobs.get_mut(id)?;
-        let binding = job.bound.remove(&index)?;
+        let binding = job.bindings.remove(&index)?;
         let block = job.block_of(index);
         job.mark_block_changed(block);
         if let Some(machine) = self.machines.get_mut(&binding.machine) {
-            machine.used -= job.task;
+            machine.used -= job.task_resources;
             machine.tasks.remove(&TaskRef {
                 job: id.clone(),
                 index,
             });
         }
         if let Some(team) = self.teams.get(&job.spec.team) {
-            self.quotas[*team].used -= job.task;
+            self.quotas[*team].used -= job.task_resources;
         }
         if job.is_gang() {
             self.incomplete_gangs.insert(id.clone());
@@ -116,7 +116,7 @@
 
     /// Stops the remaining tasks of a gang's attempt: the next attempt begins
     /// when all of them have exited.
-    pub(crate) fn on_gang_incomplete(&mut self, id: &JobId) {
+    pub(crate) fn stop_incomplete_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -124,7 +124,7 @@
             return;
         }
         self.stop_remaining_tasks(id);
-        self.unbind_unsent(id);
+        self.unbind_unsent_stopped_tasks(id);
     }
 
     /// Stops every task of a job that is not being stopped yet.
@@ -132,18 +132,18 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        for binding in job.bound.values_mut() {
-            binding.stop.get_or_insert(Stop::after(0.0));
+        for binding in job.bindings.values_mut() {
+            binding.stop.get_or_insert(Stop::with_grace_s(0.0));
             self.recheck.mark_due(&binding.machine);
         }
     }
 
     /// Unbinds the tasks of a job that are to be stopped and whose start was
     /// never sent: no evidence of their exit is needed.
-    pub(crate) fn unbind_unsent(&mut self, id: &JobId) {
+    pub(crate) fn unbind_unsent_stopped_tasks(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let unsent: Vec<u32> = job
-            .bound
+            .bindings
             .iter()
             .filter(|(_, b)| b.start == StartState::NotSent && b.stop.is_some())
             .map(|(index, _)| *index)
@@ -154,13 +154,13 @@
     }
 
     /// Unbinds those of the tasks whose start was never sent.
-    pub(crate) fn unbind_unsent_tasks(&mut self, tasks: Vec<TaskRef>) {
+    pub(crate) fn stop_unsent_tasks(&mut self, tasks: Vec<TaskRef>) {
         for task in tasks {
             let job = self.jobs.get_mut(&task.job);
-            let binding = job.and_then(|j| j.bound.get_mut(&task.index));
+            let binding = job.and_then(|j| j.bindings.get_mut(&task.index));
             if let Some(binding) = binding.filter(|b| b.start == StartState::NotSent) {
-                binding.stop = Some(Stop::after(0.0));
-                self.unbind_unsent(&task.job);
+                binding.stop = Some(Stop::with_grace_s(0.0));
+                self.unbind_unsent_stopped_tasks(&task.job);
             }
         }
     }
@@ -170,8 +170,8 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let stop = Stop::after(job.spec.checkpoint_save_time_s);
-        if let Some(binding) = job.bound.get_mut(&task.index) {
+        let stop = Stop::with_grace_s(job.spec.checkpoint_save_time_s);
+        if let Some(binding) = job.bindings.get_mut(&task.index) {
             binding.stop = Some(stop);
             self.recheck.mark_due(&binding.machine);
         }
@@ -179,10 +179,10 @@
 }
 
 /// The layout of a new job. The first release knows one layout only.
-pub(crate) fn new_layout(ctx: &Context, spec: &JobSpec) -> Layout {
-    let unnamed = Layout::unnamed(&ctx.config.state_limits);
+pub(crate) fn new_job_layout(ctx: &Context, spec: &JobSpec) -> BlockLayout {
+    let unnamed = BlockLayout::implicit(&ctx.config.state_limits);
     if ctx.format.is_first() {
         return unnamed;
     }
-    unnamed.within(&ctx.limits, spec)
+    unnamed.fit_to_limits(&ctx.limits, spec)
 }
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -51,10 +51,10 @@
     /// Whether a task's start is recorded, was never sent and is still wanted.
     fn is_start_due(&self, index: u32) -> bool {
         !self.is_cancelled
-            && self.bound.get(&index).is_some_and(|binding| {
+            && self.bindings.get(&index).is_some_and(|binding| {
                 binding.start == StartState::NotSent
                     && binding.stop.is_none()
-                    && self.is_durable(index, binding.version)
+                    && self.is_durable(index, binding.recorded_in_version)
             })
     }
 }
@@ -118,7 +118,7 @@
                 break;
             }
             let job = self.jobs.get_mut(&task.job);
-            let Some(binding) = job.and_then(|job| job.bound.get_mut(&task.index)) else {
+            let Some(binding) = job.and_then(|job| job.bindings.get_mut(&task.index)) else {
                 continue;
             };
             if binding.start == StartState::NotSent {
@@ -164,7 +164,7 @@
         };
         let index = exited.task.index;
         let is_bound = job
-            .bound
+            .bindings
             .get(&index)
             .is_some_and(|b| b.machine == machine.id && b.attempt == exited.attempt);
         let version = machine.exit_versions.get(exited);
@@ -189,7 +189,7 @@
             let Some(job) = job.filter(|job| job.is_start_due(task.index)) else {
                 continue;
             };
-            if let Some(binding) = job.bound.get_mut(&task.index) {
+            if let Some(binding) = job.bindings.get_mut(&task.index) {
                 commands.push(command(Verb::Start, task, binding.attempt, None));
                 binding.start = StartState::SentByThisHolder {
                     token: machine.token,
@@ -241,7 +241,7 @@
     fn mark_starts_unsent(&mut self, id: &MachineId, token: u64, commands: &[Command]) {
         for command in commands.iter().filter(|c| c.verb == Verb::Start) {
             let job = self.jobs.get_mut(&command.task.job);
-            let binding = job.and_then(|job| job.bound.get_mut(&command.task.index));
+            let binding = job.and_then(|job| job.bindings.get_mut(&command.task.index));
             let Some(binding) = binding else { continue };
             let is_of_call = matches!(binding.start, StartState::SentByThisHolder { token: t, .. } if t == token);
             if is_of_call && binding.machine == *id && binding.attempt == command.attempt {
@@ -250,7 +250,7 @@
                 // more. Kept bound, it once was so for ever: no stop is sent for
                 // a task that was never started.
                 if binding.stop.is_some() {
-                    self.unbind_unsent(&command.task.job);
+                    self.unbind_unsent_stopped_tasks(&command.task.job);
                 }
             }
         }
@@ -268,13 +268,13 @@
         job.cancelled_at_wall_ms = ctx.wall_clock_ms;
         job.cancellation_age.learned_at = ctx.now;
         job.mark_block_changed(0);
-        for binding in job.bound.values_mut() {
-            binding.stop = Some(Stop::after(0.0));
+        for binding in job.bindings.values_mut() {
+            binding.stop = Some(Stop::with_grace_s(0.0));
             self.recheck.mark_due(&binding.machine);
         }
         self.unwritten_jobs.mark_due(id);
         self.cancelled_jobs.mark_due(id);
-        self.unbind_unsent(id);
+        self.unbind_unsent_stopped_tasks(id);
     }
 
     /// The token and the commands for the answer to a worker's heartbeat.
--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -75,7 +75,7 @@
         let token = f.token();
         let heartbeat = f.heartbeat_message(2, token, &[]);
         f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
-        let bound = f.shard().jobs[&id].bound.len();
+        let bound = f.shard().jobs[&id].bindings.len();
         assert_eq!(bound, if stopped { 0 } else { 2 }, "stopped: {stopped}");
     }
 }
--- a/crates/core/src/shard/debug_log.rs
+++ b/crates/core/src/shard/debug_log.rs
@@ -5,7 +5,7 @@
 use crate::shard::machine::Machine;
 
 /// At most so many waiting tasks of a job are counted.
-const MAX_COUNTED_TASKS: usize = 1_000;
+const MAX_COUNTED_PENDING_TASKS: usize = 1_000;
 
 impl Shard {
     /// Logs, at debug level, jobs with waiting tasks, tasks that are not running, and
@@ -24,8 +24,8 @@
     }
 
     fn log_job(&self, job: &Job) {
-        let waiting = job.waiting(MAX_COUNTED_TASKS).len();
-        if waiting == 0 && !job.is_over() {
+        let waiting = job.pending_tasks(MAX_COUNTED_PENDING_TASKS).len();
+        if waiting == 0 && !job.is_finished() {
             return;
         }
         let team = self.teams.get(&job.spec.team);
@@ -33,11 +33,11 @@
             "job {}: team {}, {waiting} waiting, {} dependencies, {} done, cancelled {}, over {}, not before {}, quota used {:?}",
             job.spec.id,
             job.spec.team,
-            job.unresolved.len(),
-            job.done.len(),
+            job.unresolved_dependencies.len(),
+            job.completed.len(),
             job.is_cancelled,
-            job.is_over(),
-            job.not_before,
+            job.is_finished(),
+            job.placement_backoff_until,
             team.map(|team| self.quotas[*team].used)
         );
     }
@@ -45,7 +45,7 @@
 
 /// Logs the bound tasks of a job that are not running, or are being stopped.
 fn log_tasks(job: &Job) {
-    for (index, binding) in &job.bound {
+    for (index, binding) in &job.bindings {
         if binding.running_since.is_some() && binding.stop.is_none() {
             continue;
         }
@@ -56,7 +56,7 @@
             binding.machine,
             binding.start,
             binding.stop,
-            job.is_durable(*index, binding.version)
+            job.is_durable(*index, binding.recorded_in_version)
         );
     }
 }
--- a/crates/core/src/shard/demand/spare_places.rs
+++ b/crates/core/src/shard/demand/spare_places.rs
@@ -116,7 +116,7 @@
             let (job, binding) = self.binding(task)?;
             let end = binding.running_since? + crate::ms(job.spec.estimated_run_time_s);
             let ends_soon = job.spec.kind != JobKind::Service && end < soon;
-            (ends_soon && !self.is_reclaimable(ctx, job, binding)).then_some(job.task)
+            (ends_soon && !self.is_reclaimable(ctx, job, binding)).then_some(job.task_resources)
         };
         let tasks = machine.tasks.iter();
         tasks
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -30,16 +30,16 @@
 
 /// A record of a dependency is read again after this part of the time in which
 /// a cancelled job must be over.
-const READ_PART: f64 = 0.1;
+const READ_INTERVAL_FRACTION: f64 = 0.1;
 /// The part of the key-value store's request rate that goes into such reads.
-const READ_RATE_PART: f64 = 0.05;
+const READ_RATE_FRACTION: f64 = 0.05;
 /// Least rate of reads that is assumed, per second.
-const MIN_READ_RATE: f64 = 1e-3;
+const MIN_READS_PER_S: f64 = 1e-3;
 /// Pause after a read that failed, in milliseconds.
 const RETRY_PAUSE_MS: Ms = 500;
 /// What was read of a dependency counts for this part of the time in which a
 /// cancelled job must be over; after it the stage of a dependent is uncertain.
-const CERTAIN_PART: f64 = 0.5;
+const MAX_EVIDENCE_AGE_FRACTION: f64 = 0.5;
 
 /// Priorities by the numbers that stand for them in messages.
 const PRIORITIES: [Priority; 4] = [
@@ -54,10 +54,10 @@
     /// The jobs that wait for it.
     dependents: BTreeSet<JobId>,
     /// A read of its record is under way.
-    is_reading: bool,
+    has_read_in_flight: bool,
     /// The latest time at which it is known to have been unfinished, in
     /// milliseconds of the steady clock.
-    unfinished_at: Ms,
+    last_known_unfinished_at: Ms,
     /// Its shard, if its record was read.
     shard: Option<ShardId>,
 }
@@ -66,44 +66,44 @@
 #[derive(Default)]
 pub(crate) struct DependencyTracker {
     /// Unfinished dependencies.
-    waiting: BTreeMap<JobId, Dependency>,
+    unfinished: BTreeMap<JobId, Dependency>,
     /// When the record of which dependency is to be read.
-    reads: TimerQueue<JobId>,
+    read_timers: TimerQueue<JobId>,
 }
 
 impl DependencyTracker {
     /// Adds a job that waits for a dependency.
     fn add(&mut self, dependency: &JobId, dependent: &JobId, now: Ms) {
-        let entry = self.waiting.entry(dependency.clone());
+        let entry = self.unfinished.entry(dependency.clone());
         let entry = entry.or_insert_with(|| Dependency {
             dependents: BTreeSet::new(),
-            is_reading: false,
-            unfinished_at: now,
+            has_read_in_flight: false,
+            last_known_unfinished_at: now,
             shard: None,
         });
         entry.dependents.insert(dependent.clone());
-        self.reads.mark_due(dependency);
+        self.read_timers.mark_due(dependency);
     }
 
     /// Removes a finished dependency, and returns the jobs that waited for it.
     fn remove(&mut self, dependency: &JobId) -> BTreeSet<JobId> {
-        self.reads.remove(dependency);
-        let entry = self.waiting.remove(dependency);
+        self.read_timers.remove(dependency);
+        let entry = self.unfinished.remove(dependency);
         entry.map(|d| d.dependents).unwrap_or_default()
     }
 
     /// The jobs that wait for a dependency.
     fn dependents_of(&self, dependency: &JobId) -> impl Iterator<Item = &JobId> {
-        let entry = self.waiting.get(dependency);
+        let entry = self.unfinished.get(dependency);
         entry.into_iter().flat_map(|d| &d.dependents)
     }
 
     /// Pause between two reads of a record, so that all controllers together
     /// keep within their part of the requests.
-    fn pause(&self, ctx: &Context) -> Ms {
-        let min_pause_ms = ctx.config.cancellation_timeout_ms as f64 * READ_PART;
-        let rate = ctx.limits.rps * READ_RATE_PART / ctx.config.nodes.len().max(1) as f64;
-        let read_all_ms = self.waiting.len() as f64 * 1000.0 / rate.max(MIN_READ_RATE);
+    fn read_interval_ms(&self, ctx: &Context) -> Ms {
+        let min_pause_ms = ctx.config.cancellation_timeout_ms as f64 * READ_INTERVAL_FRACTION;
+        let rate = ctx.limits.rps * READ_RATE_FRACTION / ctx.config.nodes.len().max(1) as f64;
+        let read_all_ms = self.unfinished.len() as f64 * 1000.0 / rate.max(MIN_READS_PER_S);
         min_pause_ms.max(read_all_ms) as Ms
     }
 }
@@ -111,13 +111,13 @@
 impl Job {
     /// Whether it waits for other jobs.
     pub(crate) fn is_blocked(&self) -> bool {
-        !self.unresolved.is_empty()
+        !self.unresolved_dependencies.is_empty()
     }
 
     /// Notes that a dependency is done. Returns whether it was the last one: the
     /// job's age counts from then on.
-    fn resolve(&mut self, dependency: &JobId, now: Ms) -> bool {
-        if !self.unresolved.remove(dependency) || self.is_blocked() {
+    fn resolve_dependency(&mut self, dependency: &JobId, now: Ms) -> bool {
+        if !self.unresolved_dependencies.remove(dependency) || self.is_blocked() {
             return false;
         }
         self.submission_age = EventAge {
@@ -135,7 +135,7 @@
 
 impl Node {
     /// Registers new blocked jobs, and acts on dependencies that have finished.
-    pub(crate) fn follow_dependencies(&mut self) {
+    pub(crate) fn update_dependencies(&mut self) {
         self.register_blocked_jobs();
         let mut finished = self.final_stages.take_unannounced();
         while !finished.is_empty() {
@@ -163,14 +163,14 @@
                 continue;
             };
             let priority = job.priority();
-            let unresolved: Vec<JobId> = job.unresolved.iter().cloned().collect();
+            let unresolved: Vec<JobId> = job.unresolved_dependencies.iter().cloned().collect();
             for dependency in &unresolved {
                 match self.final_stages.get(dependency) {
-                    Some(stage) => self.resolve(&id, dependency, stage),
+                    Some(stage) => self.on_dependency_ended(&id, dependency, stage),
                     None => self.dependencies.add(dependency, &id, self.ctx.now),
                 }
             }
-            self.raise_priority(unresolved, priority);
+            self.raise_inherited_priority(unresolved, priority);
         }
     }
 
@@ -180,7 +180,7 @@
             self.announce_job_ended(end);
         }
         for dependent in self.dependencies.remove(&end.id) {
-            self.resolve(&dependent, &end.id, end.stage);
+            self.on_dependency_ended(&dependent, &end.id, end.stage);
         }
     }
 
@@ -188,7 +188,7 @@
     /// is done, the dependent has one less to wait for. If it is cancelled, that
     /// is recorded, so the dependent and all its own dependents are cancelled:
     /// those held here at once.
-    fn resolve(&mut self, dependent: &JobId, dependency: &JobId, stage: JobStage) {
+    fn on_dependency_ended(&mut self, dependent: &JobId, dependency: &JobId, stage: JobStage) {
         if stage == JobStage::Cancelled {
             self.cancel_dependents(dependent, dependency);
             return;
@@ -198,7 +198,7 @@
             return;
         };
         let job = shard.jobs.get_mut(dependent);
-        if job.is_some_and(|job| job.resolve(dependency, now)) {
+        if job.is_some_and(|job| job.resolve_dependency(dependency, now)) {
             log::debug!("job {dependent}: unblocked, {dependency} is done");
             shard.schedule_round_soon(&self.ctx);
         }
@@ -251,31 +251,31 @@
 
     /// Reads the records of dependencies that are due.
     fn read_dependencies(&mut self) {
-        let pause = self.dependencies.pause(&self.ctx);
-        for id in self.dependencies.reads.take_due(self.ctx.now) {
+        let pause = self.dependencies.read_interval_ms(&self.ctx);
+        for id in self.dependencies.read_timers.take_due(self.ctx.now) {
             self.ctx.work_units += 1;
             let shards = &self.shards;
             let waits = |dependent: &JobId| {
                 let job = shards.values().find_map(|s| s.jobs.get(dependent));
-                job.is_some_and(|j| j.unresolved.contains(&id) && !j.is_cancelled)
+                job.is_some_and(|j| j.unresolved_dependencies.contains(&id) && !j.is_cancelled)
             };
-            let Some(dependency) = self.dependencies.waiting.get_mut(&id) else {
+            let Some(dependency) = self.dependencies.unfinished.get_mut(&id) else {
                 continue;
             };
             // Their shard may have another holder now.
             dependency.dependents.retain(waits);
             if dependency.dependents.is_empty() {
-                self.dependencies.waiting.remove(&id);
+                self.dependencies.unfinished.remove(&id);
                 continue;
             }
             self.dependencies
-                .reads
+                .read_timers
                 .set_deadline(&id, self.ctx.now + pause);
             // The end of a job that is held here is known at once.
-            if dependency.is_reading || holder_of(shards, &id).is_some() {
+            if dependency.has_read_in_flight || holder_of(shards, &id).is_some() {
                 continue;
             }
-            dependency.is_reading = true;
+            dependency.has_read_in_flight = true;
             let path = format!("/kv/{}", job_key(&id));
             let pending = PendingCall::DependencyRead {
                 id: id.clone(),
@@ -287,14 +287,14 @@
 
     /// Handles the read of a dependency's record.
     pub(crate) fn on_dependency_read(&mut self, id: &JobId, sent: Ms, status: u16, body: &[u8]) {
-        let Some(dependency) = self.dependencies.waiting.get_mut(id) else {
+        let Some(dependency) = self.dependencies.unfinished.get_mut(id) else {
             return;
         };
-        dependency.is_reading = false;
+        dependency.has_read_in_flight = false;
         let record = read_job(body).filter(|_| status == 200);
         let Some(record) = record else {
             self.dependencies
-                .reads
+                .read_timers
                 .set_deadline(id, self.ctx.now + RETRY_PAUSE_MS);
             return;
         };
@@ -302,30 +302,31 @@
             self.final_stages.insert(id.clone(), record.stage);
             return;
         }
-        dependency.unfinished_at = dependency.unfinished_at.max(sent);
+        dependency.last_known_unfinished_at = dependency.last_known_unfinished_at.max(sent);
         dependency.shard = Some(record.shard);
         self.send_inherited_priority(id, record.shard);
     }
 
     /// Whether every dependency of a blocked job was recently known to be
     /// unfinished.
-    pub(crate) fn is_known_unfinished(&self, job: &Job) -> bool {
-        let max_age_ms = (self.ctx.config.cancellation_timeout_ms as f64 * CERTAIN_PART) as Ms;
+    pub(crate) fn are_dependencies_known_unfinished(&self, job: &Job) -> bool {
+        let max_age_ms =
+            (self.ctx.config.cancellation_timeout_ms as f64 * MAX_EVIDENCE_AGE_FRACTION) as Ms;
         let is_certain = |id: &JobId| {
-            let dependency = self.dependencies.waiting.get(id);
-            let since = dependency.map(|d| d.unfinished_at);
+            let dependency = self.dependencies.unfinished.get(id);
+            let since = dependency.map(|d| d.last_known_unfinished_at);
             holder_of(&self.shards, id).is_some()
                 || since.is_none_or(|t| self.ctx.now < t + max_age_ms)
         };
-        job.unresolved.iter().all(is_certain)
+        job.unresolved_dependencies.iter().all(is_certain)
     }
 
     /// Raises the inherited priority of jobs, and of all their dependencies, to
     /// that of a dependent.
-    fn raise_priority(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
+    fn raise_inherited_priority(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
         while let Some(id) = jobs.pop() {
             let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
-                let shard = self.dependencies.waiting.get(&id).and_then(|d| d.shard);
+                let shard = self.dependencies.unfinished.get(&id).and_then(|d| d.shard);
                 if let Some(shard) = shard {
                     self.send_inherited_priority(&id, shard);
                 }
@@ -338,7 +339,7 @@
                 continue;
             }
             job.inherited_priority = priority;
-            jobs.extend(job.unresolved.iter().cloned());
+            jobs.extend(job.unresolved_dependencies.iter().cloned());
             shard.schedule_round_soon(&self.ctx);
         }
     }
@@ -365,7 +366,7 @@
             return;
         };
         if holder_of(&self.shards, &id).is_some() {
-            self.raise_priority(vec![id], *priority);
+            self.raise_inherited_priority(vec![id], *priority);
         }
     }
 }
--- a/crates/core/src/shard/dependencies/tests.rs
+++ b/crates/core/src/shard/dependencies/tests.rs
@@ -61,7 +61,10 @@
             add(&mut f, 1, &[2], Priority::Normal);
             f.step(2_000);
             let job = &f.shard().jobs[&id(1)];
-            assert!(job.is_blocked() && job.bound.is_empty(), "{name}: blocked");
+            assert!(
+                job.is_blocked() && job.bindings.is_empty(),
+                "{name}: blocked"
+            );
             match source {
                 Source::OwnWrite => f.node.final_stages.insert_written(id(2), stage),
                 Source::Message => {
@@ -89,7 +92,7 @@
             f.step(1_000);
             let job = &f.shard().jobs[&id(1)];
             assert_eq!(job.is_cancelled, stage == JobStage::Cancelled, "{name}");
-            assert_eq!(job.bound.len(), usize::from(!job.is_cancelled), "{name}");
+            assert_eq!(job.bindings.len(), usize::from(!job.is_cancelled), "{name}");
         }
     }
 }
@@ -108,7 +111,7 @@
     let now = f.node.ctx.now;
     let job = &f.shard().jobs[&id(1)];
     assert!(!job.is_blocked());
-    assert_eq!(job.age(now), 0);
+    assert_eq!(job.age_ms(now), 0);
 }
 
 /// All of a chain that is held here is cancelled at once, however long it is;
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -211,8 +211,8 @@
             .spot_price_per_hour
             .filter(|_| job.spec.allow_spot)
             .unwrap_or(t.price_per_hour);
-        let fits = job.task.fits_in(&total);
-        fits.then(|| job.task.dominant_share(&total) * price)
+        let fits = job.task_resources.fits_in(&total);
+        fits.then(|| job.task_resources.dominant_share(&total) * price)
     });
     prices.fold(f64::INFINITY, f64::min).min(MAX_PRICE_PER_HOUR)
 }
--- a/crates/core/src/shard/drain/moves.rs
+++ b/crates/core/src/shard/drain/moves.rs
@@ -93,7 +93,7 @@
         );
         Some(Booking {
             host: placements.first()?.machine,
-            resources: job.task,
+            resources: job.task_resources,
         })
     }
 
@@ -154,8 +154,8 @@
 
 /// Whether a task is a running replica of a service that has all of its replicas.
 fn may_move(job: &Job, index: u32) -> bool {
-    let binding = job.bound.get(&index);
+    let binding = job.bindings.get(&index);
     let is_running = binding.is_some_and(|b| b.stage == Some(TaskStage::Running));
-    let is_complete = job.bound.len() as u32 == job.spec.tasks;
+    let is_complete = job.bindings.len() as u32 == job.spec.tasks;
     job.spec.kind == JobKind::Service && is_running && is_complete
 }
--- a/crates/core/src/shard/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -15,12 +15,16 @@
 /// The transaction is carried out only if the records of the old and the new
 /// holders are as the view shows them: an old holder is removed, was restarted,
 /// or offers the shard.
-pub(crate) fn hand_over(ctx: &mut Context, view: &ClusterView, given: &[(ShardId, NodeName)]) {
+pub(crate) fn hand_over_shards(
+    ctx: &mut Context,
+    view: &ClusterView,
+    assignments: &[(ShardId, NodeName)],
+) {
     let (epoch_version, mut epoch) = view.epoch();
     let mut preconditions = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
     let mut writes = Vec::new();
     let mut shards = Vec::new();
-    for (shard_id, new_holder) in given {
+    for (shard_id, new_holder) in assignments {
         let Some(node) = view.nodes.get(new_holder) else {
             continue;
         };
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -106,7 +106,7 @@
         listed: &ListedTasks,
     ) {
         let job = self.jobs.get(&task.job);
-        let Some(binding) = job.and_then(|job| job.bound.get(&task.index)) else {
+        let Some(binding) = job.and_then(|job| job.bindings.get(&task.index)) else {
             return;
         };
         match listed.get(&(task, binding.attempt)) {
@@ -129,7 +129,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(binding) = job.bound.get_mut(&task.index) else {
+        let Some(binding) = job.bindings.get_mut(&task.index) else {
             return;
         };
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
@@ -159,7 +159,7 @@
     /// the heartbeat proves that it cannot be, or come, on the machine.
     fn on_task_not_listed(&mut self, ctx: &Context, heartbeat: &WorkerHeartbeat, task: &TaskRef) {
         let job = self.jobs.get(&task.job);
-        let Some(binding) = job.and_then(|job| job.bound.get(&task.index)) else {
+        let Some(binding) = job.and_then(|job| job.bindings.get(&task.index)) else {
             return;
         };
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
@@ -189,16 +189,16 @@
     fn apply_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let job = self.jobs.get(&task.job);
-        let binding = job.and_then(|job| job.bound.get(&task.index));
+        let binding = job.and_then(|job| job.bindings.get(&task.index));
         if binding.is_some_and(|b| b.attempt == report.attempt && b.machine == *id) {
             return;
         }
-        let resources = job.map_or(Resources::default(), |job| job.task);
+        let resources = job.map_or(Resources::default(), |job| job.task_resources);
         let is_adoptable = job.is_some_and(|job| {
             binding.is_none()
-                && !job.done.contains(task.index)
+                && !job.completed.contains(task.index)
                 && task.index < job.spec.tasks
-                && !job.is_over()
+                && !job.is_finished()
         });
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -233,13 +233,13 @@
         let binding = Binding {
             machine: id.clone(),
             attempt: report.attempt,
-            version: job.mark_block_changed(block),
+            recorded_in_version: job.mark_block_changed(block),
             start: StartState::SentByThisHolder {
                 token: machine.token,
                 incarnation: machine.incarnation,
             },
             stage: Some(report.stage),
-            stop: Some(Stop::after(0.0)),
+            stop: Some(Stop::with_grace_s(0.0)),
             bound_at: ctx.now,
             running_since: None,
         };
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -34,10 +34,10 @@
             return;
         };
         if cause == ExitCause::Done {
-            job.done.insert(task.index);
+            job.completed.insert(task.index);
             job.last_completion_at = Some(ctx.now);
         }
-        let version = job.version;
+        let version = job.memory_version;
         if let Some(machine) = self.machines.get_mut(machine_id) {
             let attempt = TaskAttempt {
                 task: task.clone(),
@@ -83,7 +83,8 @@
             }
             ExitCause::OtherAttemptPresent | ExitCause::UnknownTask => {
                 if let Some(job) = self.jobs.get_mut(job_id) {
-                    job.not_before = job.not_before.max(ctx.now + REFUSED_PAUSE_MS);
+                    job.placement_backoff_until =
+                        job.placement_backoff_until.max(ctx.now + REFUSED_PAUSE_MS);
                 }
             }
             ExitCause::Stopped | ExitCause::GangMemberLost | ExitCause::GangTimeout => {}
@@ -104,7 +105,9 @@
         let ran_ms = binding.running_since.map_or(0, |since| ctx.now - since);
         job.failures
             .add(machine_id, binding.bound_at, ran_ms, ctx.now);
-        job.not_before = job.not_before.max(ctx.now + job.failures.pause());
+        job.placement_backoff_until = job
+            .placement_backoff_until
+            .max(ctx.now + job.failures.pause());
         // It fails on every machine, so it counts against none of them.
         if job.failures.is_blamed() {
             for blamed in job.failures.machines() {
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -62,7 +62,7 @@
             .expect("the key exists")
             .has_call_in_flight = true;
         f.heartbeat(incarnation, used.saturating_add_signed(token), &[]);
-        let has_no_bindings = f.shard().jobs[&id].bound.is_empty();
+        let has_no_bindings = f.shard().jobs[&id].bindings.is_empty();
         assert_eq!(has_no_bindings, is_unbound, "{name}");
         let free = f.shard().quotas[0].used.is_zero();
         assert_eq!(free, is_unbound, "{name}: its place in the quota");
@@ -122,7 +122,7 @@
             .is_cancelled = cancelled;
         let token = f.token();
         f.heartbeat(1, token, &[(&id, 0, TaskStage::Running)]);
-        let bound = f.shard().jobs[&id].bound.len();
+        let bound = f.shard().jobs[&id].bindings.len();
         assert_eq!(bound, usize::from(!cancelled), "cancelled: {cancelled}");
         let machine = f.machine.clone();
         let orphans = f.shard().machines[&machine].orphans.len();
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -3,16 +3,16 @@
 mod binding;
 mod blocks;
 mod layout_change;
-mod waiting;
+mod wait_time;
 
 pub(crate) use binding::{Binding, StartState, Stop};
 pub(crate) use blocks::Block;
 pub(crate) use layout_change::StoredBlock;
-pub(crate) use waiting::EventAge;
+pub(crate) use wait_time::EventAge;
 
 use crate::io::RequestId;
 use crate::shard::failure_attribution::{well_after, JobFailures};
-use crate::shard::layout::Layout;
+use crate::shard::layout::BlockLayout;
 use crate::shard::ranges::Ranges;
 use crate::Ms;
 use forkshift_sched::Resources;
@@ -30,23 +30,23 @@
     /// The submission.
     pub(crate) spec: Rc<JobSpec>,
     /// Resources that one task takes.
-    pub(crate) task: Resources,
+    pub(crate) task_resources: Resources,
     /// Number of its image.
     pub(crate) image: u32,
     /// How its tasks are spread over blocks.
-    layout: Layout,
+    layout: BlockLayout,
     /// The stored head does not name the layout yet.
     pub(crate) is_changing_layout: bool,
     /// Stored blocks of the earlier layout.
-    pub(crate) old_blocks: Vec<StoredBlock>,
+    pub(crate) obsolete_blocks: Vec<StoredBlock>,
     /// Counts the changes of the job in this holder's memory.
-    pub(crate) version: u64,
+    pub(crate) memory_version: u64,
     /// Write state of its blocks; block 0 is part of the head.
     pub(crate) blocks: BTreeMap<u32, Block>,
     /// Completed tasks.
-    pub(crate) done: Ranges,
+    pub(crate) completed: Ranges,
     /// Tasks that may be on a machine, by index.
-    pub(crate) bound: BTreeMap<u32, Binding>,
+    pub(crate) bindings: BTreeMap<u32, Binding>,
     /// Whether the job was cancelled.
     pub(crate) is_cancelled: bool,
     /// Wall-clock time of the first request to cancel it, which the next holder
@@ -59,11 +59,11 @@
     /// Requests that wait until the cancellation is written.
     pub(crate) cancel_waiters: Vec<RequestId>,
     /// A write or a read of its records is under way.
-    pub(crate) has_write_in_flight: bool,
+    pub(crate) has_record_call_in_flight: bool,
     /// Its records are not written before this.
-    pub(crate) retry_at: Ms,
+    pub(crate) write_retry_at: Ms,
     /// Dependencies that are not known to be done.
-    pub(crate) unresolved: BTreeSet<JobId>,
+    pub(crate) unresolved_dependencies: BTreeSet<JobId>,
     /// The highest priority of the jobs that depend on it.
     pub(crate) inherited_priority: Priority,
     /// Wall-clock time of its submission.
@@ -76,7 +76,7 @@
     /// Since when, having waited long, it has lacked nothing but machines.
     pub(crate) lacking_machines_since: Option<Ms>,
     /// No task is placed before this.
-    pub(crate) not_before: Ms,
+    pub(crate) placement_backoff_until: Ms,
     /// Its failures since a task last ran well.
     pub(crate) failures: JobFailures,
 }
@@ -88,7 +88,7 @@
         spec: JobSpec,
         image: u32,
         head_version: u64,
-        layout: Layout,
+        layout: BlockLayout,
         now: Ms,
     ) -> Self {
         let head = Block {
@@ -96,15 +96,15 @@
             ..Block::default()
         };
         Self {
-            task: Resources::new(spec.cpus, spec.gpus, spec.memory_gb),
+            task_resources: Resources::new(spec.cpus, spec.gpus, spec.memory_gb),
             image,
             layout,
             is_changing_layout: false,
-            old_blocks: Vec::new(),
-            version: 0,
+            obsolete_blocks: Vec::new(),
+            memory_version: 0,
             blocks: BTreeMap::from([(0, head)]),
-            done: Ranges::default(),
-            bound: BTreeMap::new(),
+            completed: Ranges::default(),
+            bindings: BTreeMap::new(),
             is_cancelled: false,
             cancelled_at_wall_ms: 0,
             cancellation_age: EventAge {
@@ -113,9 +113,9 @@
             },
             is_cancellation_durable: false,
             cancel_waiters: Vec::new(),
-            has_write_in_flight: false,
-            retry_at: 0,
-            unresolved: spec.dependencies.iter().cloned().collect(),
+            has_record_call_in_flight: false,
+            write_retry_at: 0,
+            unresolved_dependencies: spec.dependencies.iter().cloned().collect(),
             inherited_priority: Priority::Low,
             submitted_at_wall_ms: 0,
             submission_age: EventAge {
@@ -124,7 +124,7 @@
             },
             last_completion_at: None,
             lacking_machines_since: None,
-            not_before: 0,
+            placement_backoff_until: 0,
             failures: JobFailures::default(),
             spec: Rc::new(spec),
         }
@@ -137,12 +137,12 @@
 
     /// Whether all tasks are done.
     pub(crate) fn is_complete(&self) -> bool {
-        self.done.len() == self.spec.tasks
+        self.completed.len() == self.spec.tasks
     }
 
     /// Whether only the last write of the job is outstanding.
-    pub(crate) fn is_over(&self) -> bool {
-        self.bound.is_empty() && (self.is_cancelled || self.is_complete())
+    pub(crate) fn is_finished(&self) -> bool {
+        self.bindings.is_empty() && (self.is_cancelled || self.is_complete())
     }
 
     /// Whether its stage is known for certain. While its last write or its
@@ -163,30 +163,30 @@
     }
 
     /// Whether a task is bound that has not run for long enough to run well.
-    pub(crate) fn is_trying(&self, now: Ms, heartbeat_interval_ms: Ms) -> bool {
+    pub(crate) fn has_unproven_task(&self, now: Ms, heartbeat_interval_ms: Ms) -> bool {
         let min_run = well_after(self.failures.longest_run, heartbeat_interval_ms);
         let runs_well = |binding: &Binding| {
             let since = binding.running_since;
             since.is_some_and(|since| now >= since + min_run)
         };
-        self.bound.values().any(|binding| !runs_well(binding))
+        self.bindings.values().any(|binding| !runs_well(binding))
     }
 
     /// Up to `max_tasks` tasks that wait for a machine.
-    pub(crate) fn waiting(&self, max_tasks: usize) -> Vec<u32> {
+    pub(crate) fn pending_tasks(&self, max_tasks: usize) -> Vec<u32> {
         if self.is_cancelled {
             return Vec::new();
         }
-        let missing = self.done.missing(self.spec.tasks);
+        let missing = self.completed.missing(self.spec.tasks);
         missing
-            .filter(|index| !self.bound.contains_key(index))
+            .filter(|index| !self.bindings.contains_key(index))
             .take(max_tasks)
             .collect()
     }
 
     /// The status that users see.
     pub(crate) fn status(&self) -> JobStatus {
-        let stages = self.bound.values().map(|binding| binding.stage);
+        let stages = self.bindings.values().map(|binding| binding.stage);
         let running = stages
             .filter(|stage| *stage == Some(TaskStage::Running))
             .count() as u32;
@@ -199,7 +199,7 @@
             } else {
                 JobStage::Queued
             },
-            done: Some(self.done.len()),
+            done: Some(self.completed.len()),
             running: Some(running),
         }
     }
--- a/crates/core/src/shard/job/binding.rs
+++ b/crates/core/src/shard/job/binding.rs
@@ -29,7 +29,7 @@
 
 impl Stop {
     /// A stop whose command was not sent yet.
-    pub(crate) fn after(grace_s: f64) -> Self {
+    pub(crate) fn with_grace_s(grace_s: f64) -> Self {
         Self {
             grace_s,
             last_sent_at: None,
@@ -53,7 +53,7 @@
     /// Number of the attempt at the task.
     pub(crate) attempt: u64,
     /// The job's version that recorded the binding; 0: an earlier holder did.
-    pub(crate) version: u64,
+    pub(crate) recorded_in_version: u64,
     /// Whether the start was sent.
     pub(crate) start: StartState,
     /// The stage in the worker's newest heartbeat, if that listed the task.
@@ -72,7 +72,7 @@
         Self {
             machine,
             attempt,
-            version: 0,
+            recorded_in_version: 0,
             start: StartState::Unknown,
             stage: None,
             stop: None,
--- a/crates/core/src/shard/job/blocks.rs
+++ b/crates/core/src/shard/job/blocks.rs
@@ -3,7 +3,7 @@
 
 use super::{Binding, Job};
 use crate::records::{JobHeadRecord, ShardId, TaskBlockRecord};
-use crate::shard::layout::Layout;
+use crate::shard::layout::BlockLayout;
 use crate::Ms;
 
 /// Write state of a block: the tasks that share one record.
@@ -14,12 +14,12 @@
     /// Version of the stored record; 0: there is none.
     pub(crate) record_version: u64,
     /// The job's version that last changed it.
-    pub(crate) version: u64,
+    pub(crate) changed_version: u64,
     /// The newest version of the job that is known to be written.
-    pub(crate) committed: u64,
+    pub(crate) committed_version: u64,
     /// The newest version that is written under the layout to which the job is
     /// being moved: it counts once the head names that layout.
-    pub(crate) staged: u64,
+    pub(crate) staged_version: u64,
     /// Highest attempt number that was given to a task of the block.
     pub(crate) next_attempt: u64,
 }
@@ -27,14 +27,14 @@
 impl Block {
     /// Whether something has changed that is not known to be written.
     pub(crate) fn is_dirty(&self) -> bool {
-        self.version > self.committed.max(self.staged)
+        self.changed_version > self.committed_version.max(self.staged_version)
     }
 }
 
 impl Job {
     /// Restores a block that an earlier holder wrote. Returns the tasks that it
     /// binds, by index, for the shard to bind.
-    pub(crate) fn restore(
+    pub(crate) fn restore_block(
         &mut self,
         block: u32,
         record: TaskBlockRecord,
@@ -46,10 +46,10 @@
         entry.next_attempt = record.next_attempt;
         // The job has begun, so all its dependencies are done.
         if record.next_attempt > 0 {
-            self.unresolved.clear();
+            self.unresolved_dependencies.clear();
         }
         for (from, to) in record.done {
-            self.done.insert_range(from, to.min(self.spec.tasks));
+            self.completed.insert_range(from, to.min(self.spec.tasks));
             self.last_completion_at = Some(now);
         }
         record
@@ -60,7 +60,7 @@
     }
 
     /// How its tasks are spread over blocks.
-    pub(crate) fn layout(&self) -> Layout {
+    pub(crate) fn layout(&self) -> BlockLayout {
         self.layout
     }
 
@@ -76,15 +76,15 @@
 
     /// Marks a block as changed, and returns the new version of the job.
     pub(crate) fn mark_block_changed(&mut self, block: u32) -> u64 {
-        self.version += 1;
-        self.blocks.entry(block).or_default().version = self.version;
-        self.version
+        self.memory_version += 1;
+        self.blocks.entry(block).or_default().changed_version = self.memory_version;
+        self.memory_version
     }
 
     /// Whether what a version of the job says of a task is written.
     pub(crate) fn is_durable(&self, index: u32, version: u64) -> bool {
         let block = self.blocks.get(&self.block_of(index));
-        version == 0 || block.is_some_and(|block| block.committed >= version)
+        version == 0 || block.is_some_and(|block| block.committed_version >= version)
     }
 
     /// A number for the next attempt at a task, that was never used before.
@@ -112,14 +112,14 @@
 
     /// A block as it is to be written.
     pub(crate) fn block_record(&self, block: u32) -> TaskBlockRecord {
-        let (from, to) = self.layout.tasks_of(block);
-        let bound = self.bound.range(from..to);
+        let (from, to) = self.layout.task_range(block);
+        let bound = self.bindings.range(from..to);
         TaskBlockRecord {
             next_attempt: self
                 .blocks
                 .get(&block)
                 .map_or(0, |state| state.next_attempt),
-            done: self.done.within(from, to),
+            done: self.completed.within(from, to),
             bound: bound
                 .map(|(index, binding)| (*index, binding.attempt, binding.machine.clone()))
                 .collect(),
--- a/crates/core/src/shard/job/tests.rs
+++ b/crates/core/src/shard/job/tests.rs
@@ -9,8 +9,8 @@
 const SINCE: Ms = 50_000;
 const BOOT_MS: Ms = 10_000;
 
-fn layout() -> Layout {
-    Layout::unnamed(&StateLimits {
+fn layout() -> BlockLayout {
+    BlockLayout::implicit(&StateLimits {
         rps: 80.0,
         write_rps: 30.0,
         txn_ops: 12,
@@ -51,7 +51,7 @@
         (
             "restored with a completed task",
             |j, record| {
-                j.restore(0, record, 2, SINCE);
+                j.restore_block(0, record, 2, SINCE);
             },
             30_000,
         ),
@@ -59,8 +59,8 @@
     for (name, change, expected) in cases {
         let mut job = job("j-1");
         change(&mut job, done(0, 1));
-        assert_eq!(job.waiting_for(SINCE + 30_000), expected, "{name}");
-        assert_eq!(job.age(SINCE + 30_000), 35_000, "{name}: its age stays");
+        assert_eq!(job.wait_ms(SINCE + 30_000), expected, "{name}");
+        assert_eq!(job.age_ms(SINCE + 30_000), 35_000, "{name}: its age stays");
     }
 }
 
@@ -77,6 +77,6 @@
     for (name, since, kept) in cases {
         let mut job = job("j-1");
         job.lacking_machines_since = since;
-        assert_eq!(job.may_keep_quota(SINCE, BOOT_MS), kept, "{name}");
+        assert_eq!(job.can_reserve_quota(SINCE, BOOT_MS), kept, "{name}");
     }
 }
--- a/crates/core/src/shard/job/waiting.rs
+++ b/crates/core/src/shard/job/wait_time.rs
@@ -5,7 +5,7 @@
 
 /// Boot times for which a team's quota is kept for a job that waits for
 /// machines.
-const KEEP_QUOTA_BOOTS: f64 = 2.0;
+const QUOTA_RESERVATION_BOOTS: f64 = 2.0;
 
 /// The age of an event that may have happened under an earlier holder.
 ///
@@ -28,31 +28,31 @@
 impl Job {
     /// Milliseconds since the job was submitted or, if it had dependencies,
     /// since the last of them was done.
-    pub(crate) fn age(&self, now: Ms) -> Ms {
+    pub(crate) fn age_ms(&self, now: Ms) -> Ms {
         self.submission_age.at(now)
     }
 
     /// Milliseconds since a task of the job last completed, or else since it was
     /// submitted. A large array between two of its tasks, counted by its whole
     /// age, once went before jobs that had not begun at all.
-    pub(crate) fn waiting_for(&self, now: Ms) -> Ms {
+    pub(crate) fn wait_ms(&self, now: Ms) -> Ms {
         match self.last_completion_at {
             Some(at) => now.saturating_sub(at),
-            None => self.age(now),
+            None => self.age_ms(now),
         }
     }
 
     /// Whether its team's quota is kept for the job while it lacks nothing but
     /// machines: for as long as provisioned ones should take to boot, and only
     /// once. Where none can be provisioned, its team must not be blocked.
-    pub(crate) fn may_keep_quota(&self, now: Ms, boot_ms: Ms) -> bool {
-        let keep_ms = (boot_ms as f64 * KEEP_QUOTA_BOOTS) as Ms;
+    pub(crate) fn can_reserve_quota(&self, now: Ms, boot_ms: Ms) -> bool {
+        let keep_ms = (boot_ms as f64 * QUOTA_RESERVATION_BOOTS) as Ms;
         self.lacking_machines_since
             .is_none_or(|since| now < since + keep_ms)
     }
 
     /// Milliseconds since its cancellation was first requested.
-    pub(crate) fn cancel_age(&self, now: Ms) -> Ms {
+    pub(crate) fn cancellation_age_ms(&self, now: Ms) -> Ms {
         self.cancellation_age.at(now)
     }
 }
--- a/crates/core/src/shard/job_writes.rs
+++ b/crates/core/src/shard/job_writes.rs
@@ -49,9 +49,9 @@
 
 impl Shard {
     /// Writes what has changed. Jobs of which nothing but progress has changed
-    /// are written only if `writes_progress`, so at most once a round.
-    pub(crate) fn write_jobs(&mut self, ctx: &mut Context, writes_progress: bool) {
-        if writes_progress {
+    /// are written only if `include_progress`, so at most once a round.
+    pub(crate) fn write_jobs(&mut self, ctx: &mut Context, include_progress: bool) {
+        if include_progress {
             for id in std::mem::take(&mut self.progress_writes.jobs) {
                 self.unwritten_jobs.mark_due(&id);
             }
@@ -59,28 +59,33 @@
         let mut changes: Vec<JobChange> = Vec::new();
         for id in self.unwritten_jobs.take_due(ctx.now) {
             ctx.work_units += 1;
-            changes.extend(self.due_change(ctx, id, writes_progress));
+            changes.extend(self.due_change(ctx, id, include_progress));
         }
         changes.sort_by_key(|change| change.urgency);
         self.send_changes(ctx, changes);
     }
 
     /// What is to be written of a job now.
-    fn due_change(&mut self, ctx: &Context, id: JobId, writes_progress: bool) -> Option<JobChange> {
+    fn due_change(
+        &mut self,
+        ctx: &Context,
+        id: JobId,
+        include_progress: bool,
+    ) -> Option<JobChange> {
         let job = self.jobs.get(&id)?;
         // A job that is being written becomes due again when that has ended.
-        if job.has_write_in_flight {
+        if job.has_record_call_in_flight {
             return None;
         }
-        if ctx.now < job.retry_at {
-            self.unwritten_jobs.set_deadline(&id, job.retry_at);
+        if ctx.now < job.write_retry_at {
+            self.unwritten_jobs.set_deadline(&id, job.write_retry_at);
             return None;
         }
-        if job.is_dirty() && !job.is_over() && !job.is_changing_layout {
-            self.keep_within_limits(ctx, &id);
+        if job.is_dirty() && !job.is_finished() && !job.is_changing_layout {
+            self.change_layout_if_too_large(ctx, &id);
         }
         let job = self.jobs.get(&id)?;
-        let change = JobChange::of(self.id, job, ctx, writes_progress);
+        let change = JobChange::for_job(self.id, job, ctx, include_progress);
         if change.is_none() && job.is_dirty() {
             self.progress_writes.jobs.insert(id);
         }
@@ -107,14 +112,14 @@
 
     /// Moves a job to a smaller layout if its records would be too large. The
     /// first release knows one layout only, so nothing is moved while it runs.
-    fn keep_within_limits(&mut self, ctx: &Context, id: &JobId) {
+    fn change_layout_if_too_large(&mut self, ctx: &Context, id: &JobId) {
         if ctx.format.is_first() {
             return;
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let layout = job.layout().within(&ctx.limits, &job.spec);
+        let layout = job.layout().fit_to_limits(&ctx.limits, &job.spec);
         if layout != job.layout() {
             job.change_layout(layout, self.id);
         }
@@ -134,7 +139,7 @@
             transaction.preconditions.extend(change.preconditions);
             transaction.writes.extend(change.writes);
             if let Some(job) = self.jobs.get_mut(&change.write.id) {
-                job.has_write_in_flight = true;
+                job.has_record_call_in_flight = true;
             }
             jobs.push(change.write);
         }
--- a/crates/core/src/shard/job_writes/change.rs
+++ b/crates/core/src/shard/job_writes/change.rs
@@ -12,7 +12,7 @@
 const JOB_RECORD_BYTES: usize = 700;
 /// Writes that a transaction must have room for beyond those of blocks: one for
 /// the block itself, and one for the job's lasting record.
-const SPARE_OPERATIONS: usize = 2;
+const RESERVED_OPERATIONS: usize = 2;
 
 /// One job's part of a transaction.
 pub(super) struct JobChange {
@@ -28,18 +28,18 @@
 impl JobChange {
     /// The part of a job in the next transaction, if anything of it is to be
     /// written now.
-    pub(super) fn of(
+    pub(super) fn for_job(
         shard: ShardId,
         job: &Job,
         ctx: &Context,
-        writes_progress: bool,
+        include_progress: bool,
     ) -> Option<Self> {
-        let is_final = job.is_over();
+        let is_final = job.is_finished();
         let needs_cancellation = job.is_cancelled && !job.is_cancellation_durable;
         let mut change = Self {
             write: JobWrite {
                 id: job.spec.id.clone(),
-                version: job.version,
+                version: job.memory_version,
                 blocks: Vec::new(),
                 is_final,
                 records_cancellation: false,
@@ -47,7 +47,7 @@
             preconditions: Vec::new(),
             writes: Vec::new(),
             bytes: 0,
-            urgency: urgency(job, writes_progress)?,
+            urgency: urgency(job, include_progress)?,
         };
         if is_final {
             change.remove_head(shard, job);
@@ -97,7 +97,7 @@
             if !(block.is_dirty() || (needs_cancellation && *number == 0)) {
                 continue;
             }
-            if self.writes.len() + SPARE_OPERATIONS > max_operations {
+            if self.writes.len() + RESERVED_OPERATIONS > max_operations {
                 break;
             }
             self.put_block(shard, job, *number, block.record_version);
@@ -135,14 +135,14 @@
 }
 
 /// How urgent the next write of a job is; none if it can wait.
-fn urgency(job: &Job, writes_progress: bool) -> Option<Urgency> {
+fn urgency(job: &Job, include_progress: bool) -> Option<Urgency> {
     let needs_cancellation = job.is_cancelled && !job.is_cancellation_durable;
-    if job.is_over() || needs_cancellation {
+    if job.is_finished() || needs_cancellation {
         return Some(Urgency::User);
     }
-    let mut bindings = job.bound.values();
+    let mut bindings = job.bindings.values();
     if bindings.any(|b| b.start == StartState::NotSent && b.stop.is_none()) {
         return Some(Urgency::Tasks);
     }
-    writes_progress.then_some(Urgency::Background)
+    include_progress.then_some(Urgency::Background)
 }
--- a/crates/core/src/shard/job_writes/responses.rs
+++ b/crates/core/src/shard/job_writes/responses.rs
@@ -26,7 +26,7 @@
     /// is due again.
     fn end_write(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(id)?;
-        job.has_write_in_flight = false;
+        job.has_record_call_in_flight = false;
         self.unwritten_jobs.mark_due(id);
         Some(job)
     }
@@ -49,7 +49,7 @@
                 self.on_job_written(ctx, finals, &write, reply.revision);
                 continue;
             }
-            job.retry_at = ctx.now + retry_pause(ctx, status);
+            job.write_retry_at = ctx.now + retry_pause(ctx, status);
             if status == 503 {
                 // The write is tried again all the same; users who wait for it
                 // are answered at once to retry.
@@ -76,7 +76,7 @@
         for block in &write.blocks {
             let key = job.block_key(shard, *block);
             if failed.contains(&key) {
-                job.has_write_in_flight = true;
+                job.has_record_call_in_flight = true;
                 let pending = PendingCall::JobBlockRead {
                     shard,
                     epoch,
@@ -113,7 +113,7 @@
             (404, _) if block == 0 => {
                 // The job is finished, by the last write of this holder or by
                 // that of the next one, which may have another outcome.
-                job.has_write_in_flight = true;
+                job.has_record_call_in_flight = true;
                 let (shard, epoch, id) = (self.id, self.epoch, id.clone());
                 let path = format!("/kv/{}", job_key(&id));
                 let pending = PendingCall::JobFinalRead { shard, epoch, id };
@@ -124,7 +124,7 @@
                     block.record_version = 0;
                 }
             }
-            _ => job.retry_at = ctx.now + RETRY_PAUSE_MS,
+            _ => job.write_retry_at = ctx.now + RETRY_PAUSE_MS,
         }
     }
 
@@ -140,7 +140,7 @@
         let Some(job) = self.end_write(id) else {
             return;
         };
-        job.retry_at = ctx.now + RETRY_PAUSE_MS;
+        job.write_retry_at = ctx.now + RETRY_PAUSE_MS;
         let item: Option<Item> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let Some(item) = item else { return };
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
@@ -157,9 +157,9 @@
         let block_versions = job.blocks.values().map(|block| block.record_version);
         let revision = block_versions.fold(item.version, u64::max);
         self.stop_remaining_tasks(id);
-        self.unbind_unsent(id);
-        if self.jobs.get(id).is_some_and(|j| j.bound.is_empty()) {
-            self.forget_job(id, revision);
+        self.unbind_unsent_stopped_tasks(id);
+        if self.jobs.get(id).is_some_and(|j| j.bindings.is_empty()) {
+            self.remove_job(id, revision);
         }
     }
 
@@ -185,7 +185,7 @@
             job.is_cancellation_durable = true;
         }
         // Tasks whose binding is recorded may be started now.
-        let bindings = job.bound.values();
+        let bindings = job.bindings.values();
         for binding in bindings.filter(|b| b.start == StartState::NotSent) {
             self.recheck.mark_due(&binding.machine);
         }
@@ -214,7 +214,7 @@
         for block in job.stored_blocks(self.id) {
             remove_key(ctx, block.key, block.version);
         }
-        self.forget_job(id, revision);
+        self.remove_job(id, revision);
     }
 }
 
@@ -228,9 +228,9 @@
             };
             block.record_version = revision;
             if is_staged {
-                block.staged = block.staged.max(write.version);
+                block.staged_version = block.staged_version.max(write.version);
             } else {
-                block.committed = block.committed.max(write.version);
+                block.committed_version = block.committed_version.max(write.version);
             }
         }
     }
@@ -244,7 +244,7 @@
                 key: self.block_key(shard, *number),
                 version: block.record_version,
             })
-            .chain(self.old_blocks.iter().cloned())
+            .chain(self.obsolete_blocks.iter().cloned())
             .collect()
     }
 }
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -7,7 +7,7 @@
     job_key, shard_key, unfinished_key, JobHeadRecord, JobRecord, TaskBlockRecord,
 };
 use crate::shard::job::{Binding, StartState};
-use crate::shard::layout::Layout;
+use crate::shard::layout::BlockLayout;
 use forkshift_wire::state::{Change, Changes, Item, Precondition, Write};
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::MachineId;
@@ -96,7 +96,7 @@
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, sent);
-        let binding: &Binding = &f.shard().jobs[&id].bound[&0];
+        let binding: &Binding = &f.shard().jobs[&id].bindings[&0];
         assert_eq!(binding.start, sent);
         let record = JobRecord {
             spec: (*f.shard().jobs[&id].spec).clone(),
@@ -171,8 +171,8 @@
 
 fn tasks_of(f: &mut Fixture, id: &JobId) -> Tasks {
     let job = &f.shard().jobs[id];
-    let bound = job.bound.iter().map(|(i, b)| (*i, b.attempt)).collect();
-    (job.done.within(0, job.spec.tasks), bound)
+    let bound = job.bindings.iter().map(|(i, b)| (*i, b.attempt)).collect();
+    (job.completed.within(0, job.spec.tasks), bound)
 }
 
 /// Answers every transaction that is sent until none is left; after each, the
@@ -235,9 +235,9 @@
 /// done, one in three is on the machine.
 fn old_records(f: &mut Fixture, id: &JobId, tasks: u32) -> Records {
     let spec = spec(id, &team_of(f), JobKind::Array, tasks);
-    let layout = Layout::unnamed(&f.node.ctx.config.state_limits);
+    let layout = BlockLayout::implicit(&f.node.ctx.config.state_limits);
     let block = |b: u32| {
-        let (from, to) = layout.tasks_of(b);
+        let (from, to) = layout.task_range(b);
         let all = || from..to.min(tasks);
         let done = all().filter(|i| i % 3 == 0).map(|i| (i, i + 1));
         let bound = all().filter(|i| i % 3 == 1);
--- a/crates/core/src/shard/jobs_watch.rs
+++ b/crates/core/src/shard/jobs_watch.rs
@@ -17,10 +17,10 @@
 
 /// The part of the key-value store's request rate that goes into watches on
 /// the jobs of shards.
-const WATCH_RATE_PART: f64 = 0.1;
+const WATCH_RATE_FRACTION: f64 = 0.1;
 /// Least pause between two watches of a shard, in milliseconds: the shard's own
 /// writes come back through it, and the pause lets them come together.
-const MIN_WATCH_GAP_MS: Ms = 200;
+const MIN_WATCH_INTERVAL_MS: Ms = 200;
 /// Time for which the store holds a watch without changes, in milliseconds.
 const WATCH_HOLD_MS: u64 = 10_000;
 /// Pause before the jobs are listed again after a failure, in milliseconds.
@@ -64,7 +64,7 @@
     }
 
     /// Notes that a finished job was removed at a revision.
-    pub(super) fn note_removed(&mut self, id: &JobId, revision: u64) {
+    pub(super) fn record_removal(&mut self, id: &JobId, revision: u64) {
         self.removed_jobs.insert(id.clone(), revision);
     }
 
@@ -137,7 +137,7 @@
         }
         watch.is_open = true;
         watch.serial += 1;
-        watch.next_open_at = ctx.now + ctx.watch_pause(WATCH_RATE_PART);
+        watch.next_open_at = ctx.now + ctx.watch_pause(WATCH_RATE_FRACTION);
         let pending = PendingCall::ShardWatch {
             shard: self.id,
             epoch: self.epoch,
@@ -162,7 +162,7 @@
     ) {
         let watch = &mut self.jobs_watch;
         watch.is_open &= serial != watch.serial;
-        watch.next_open_at = watch.next_open_at.max(ctx.now + MIN_WATCH_GAP_MS);
+        watch.next_open_at = watch.next_open_at.max(ctx.now + MIN_WATCH_INTERVAL_MS);
         if is_watch_lost(status) {
             self.must_reload = true;
         }
--- a/crates/core/src/shard/machine_costs.rs
+++ b/crates/core/src/shard/machine_costs.rs
@@ -80,7 +80,7 @@
     fn running_on(&self, machine: &Machine) -> Resources {
         let resources = |task: &TaskRef| {
             let (job, binding) = self.binding(task)?;
-            binding.running_since.map(|_| job.task)
+            binding.running_since.map(|_| job.task_resources)
         };
         let running = machine.tasks.iter().filter_map(resources);
         running.fold(Resources::default(), |sum, r| sum + r)
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -290,7 +290,7 @@
             return;
         };
         let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
-        self.unbind_unsent_tasks(tasks);
+        self.stop_unsent_tasks(tasks);
         let recorded = view.machines.get(id);
         if recorded.is_some_and(|m| m.record.decommission_reason.is_none()) {
             // The leader may remove the record at once, and knows less of when the
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -128,7 +128,7 @@
     fn has_preempting_priority(&self, ctx: &Context, id: &JobId, urgent_wait_ms: Ms) -> bool {
         self.jobs.get(id).is_some_and(|job| match job.priority() {
             Priority::Production => true,
-            Priority::High => job.age(ctx.now) >= urgent_wait_ms,
+            Priority::High => job.age_ms(ctx.now) >= urgent_wait_ms,
             _ => false,
         })
     }
@@ -188,7 +188,7 @@
         let mut victims: BTreeMap<&MachineId, Vec<Victim>> = BTreeMap::new();
         let is_preemptible = |j: &&Job| j.priority() <= Priority::Normal && !j.is_gang();
         for job in self.jobs.values().filter(is_preemptible) {
-            for (index, binding) in &job.bound {
+            for (index, binding) in &job.bindings {
                 if binding.start == StartState::NotSent || binding.stop.is_some() {
                     continue;
                 }
@@ -199,7 +199,7 @@
                 let on_machine = victims.entry(&binding.machine).or_default();
                 on_machine.push(Victim {
                     task,
-                    resources: job.task,
+                    resources: job.task_resources,
                     lost_ms: ctx.now - binding.running_since.unwrap_or(ctx.now),
                 });
             }
--- a/crates/core/src/shard/preemption/tests.rs
+++ b/crates/core/src/shard/preemption/tests.rs
@@ -41,7 +41,7 @@
     }
     let now = fixture.node.ctx.now;
     let running = fixture.shard().jobs.get_mut(&job).expect("the job");
-    for (index, binding) in &mut running.bound {
+    for (index, binding) in &mut running.bindings {
         binding.stage = Some(TaskStage::Running);
         binding.running_since = Some(now - 10_000 + u64::from(*index));
     }
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -117,11 +117,11 @@
                 continue;
             };
             if binding.stop.is_some() {
-                free += job.task;
+                free += job.task_resources;
             } else if self.is_reclaimable(ctx, job, binding) {
                 victims.push(Victim {
                     task: task.clone(),
-                    resources: job.task,
+                    resources: job.task_resources,
                     lost_ms: lost_run_time(ctx, job, binding),
                 });
             }
@@ -139,7 +139,7 @@
     /// A bound task's job and binding.
     pub(super) fn binding(&self, task: &TaskRef) -> Option<(&Job, &Binding)> {
         let job = self.jobs.get(&task.job)?;
-        Some((job, job.bound.get(&task.index)?))
+        Some((job, job.bindings.get(&task.index)?))
     }
 
     /// What could be reclaimed on a machine, or is being stopped there already.
@@ -152,7 +152,7 @@
             if let Some((job, binding)) = self.binding(task) {
                 let is_stopping = binding.stop.is_some();
                 if is_stopping || self.is_reclaimable(ctx, job, binding) {
-                    sum += job.task;
+                    sum += job.task_resources;
                 }
             }
         }
--- a/crates/core/src/shard/reclaim/borrowers.rs
+++ b/crates/core/src/shard/reclaim/borrowers.rs
@@ -123,8 +123,8 @@
     let by_deadline = spec.deadline_s.map(|s| s * PATIENT_DEADLINE_PART);
     let ends = by_objective.into_iter().chain(by_deadline);
     let patience_s = ends.fold(f64::INFINITY, f64::min);
-    let age_s = job.age(ctx.now) as f64 / 1000.0;
-    let has_begun = !job.bound.is_empty() || job.done.len() > 0;
+    let age_s = job.age_ms(ctx.now) as f64 / 1000.0;
+    let has_begun = !job.bindings.is_empty() || job.completed.len() > 0;
     let start_patience_s = boot_ms as f64 / 1000.0 * PATIENT_START_BOOTS;
     age_s < patience_s && (has_begun || age_s < start_patience_s)
 }
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -63,7 +63,7 @@
         .jobs
         .get_mut(&borrower)
         .expect("the borrower's job");
-    for (index, binding) in &mut job.bound {
+    for (index, binding) in &mut job.bindings {
         binding.stage = Some(TaskStage::Running);
         binding.running_since = Some(now - 10_000 + Ms::from(*index));
     }
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -44,11 +44,11 @@
     fn stop_broken_gangs(&mut self) {
         for id in std::mem::take(&mut self.incomplete_gangs) {
             let is_broken = self.jobs.get(&id).is_some_and(|job| {
-                let bound = job.bound.len() as u32;
-                bound > 0 && bound + job.done.len() < job.spec.tasks
+                let bound = job.bindings.len() as u32;
+                bound > 0 && bound + job.completed.len() < job.spec.tasks
             });
             if is_broken {
-                self.on_gang_incomplete(&id);
+                self.stop_incomplete_gang(&id);
             }
         }
     }
@@ -59,7 +59,7 @@
         let writing = self
             .jobs
             .values()
-            .any(|j| j.has_write_in_flight || !j.cancel_waiters.is_empty());
+            .any(|j| j.has_record_call_in_flight || !j.cancel_waiters.is_empty());
         !calling && !writing
     }
 
@@ -104,7 +104,7 @@
         };
         if let Some(machine) = self.machines.get(id).filter(is_out_of_reach) {
             let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
-            self.unbind_unsent_tasks(tasks);
+            self.stop_unsent_tasks(tasks);
         }
     }
 
@@ -113,7 +113,7 @@
     fn is_busy(&self, view: &ClusterView, machine: &Machine) -> bool {
         let is_pending = |task: &TaskRef| {
             let job = self.jobs.get(&task.job);
-            let binding = job.and_then(|job| job.bound.get(&task.index));
+            let binding = job.and_then(|job| job.bindings.get(&task.index));
             binding.is_some_and(|b| b.stop.is_some() || b.start == StartState::NotSent)
         };
         is_record_outdated(view, machine)
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -57,9 +57,9 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let age = job.cancel_age(ctx.now);
+            let age = job.cancellation_age_ms(ctx.now);
             let deadlines = Deadlines::of(ctx, job);
-            let bindings = job.bound.values();
+            let bindings = job.bindings.values();
             let holding: BTreeSet<MachineId> = bindings.map(|b| b.machine.clone()).collect();
             if age >= deadlines.decommission {
                 for machine in &holding {
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -51,19 +51,19 @@
     );
     // Without an answer nothing is unbound, and the request is repeated.
     f.answer(is_deletion, 0, &json!({}));
-    assert_eq!(f.shard().jobs[&id].bound.len(), 1);
+    assert_eq!(f.shard().jobs[&id].bindings.len(), 1);
     let report_ms = f.node.ctx.config.heartbeat_interval_ms;
     let again = (0..4).any(|_| deletes_machines(&f.step(report_ms)));
     assert!(again, "it is tried again");
     f.answer(is_deletion, 200, &json!({}));
     for job in [&id, &other] {
-        let bound = f.shard().jobs.get(job).map_or(0, |j| j.bound.len());
+        let bound = f.shard().jobs.get(job).map_or(0, |j| j.bindings.len());
         assert_eq!(bound, 0, "{job} is unbound with the machine");
     }
     // An older heartbeat does not bind it again, nor is the machine used again.
     f.heartbeat(1, token, &[(&other, 0, TaskStage::Running)]);
     f.step(2_000);
-    let bound = f.shard().jobs.get(&other).map_or(0, |j| j.bound.len());
+    let bound = f.shard().jobs.get(&other).map_or(0, |j| j.bindings.len());
     assert_eq!(bound, 0);
 }
 
@@ -86,7 +86,7 @@
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::Unknown);
         let mut head: JobHeadRecord = f.shard().jobs[&id].head_record();
-        f.shard().forget_job(&id, 0);
+        f.shard().remove_job(&id, 0);
         head.cancelled = true;
         head.cancelled_at_ms = WALL - ago;
         let item = Item {
--- a/crates/core/src/shard/recovery.rs
+++ b/crates/core/src/shard/recovery.rs
@@ -8,7 +8,7 @@
 use crate::context::Context;
 use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::shard::job::EventAge;
-use crate::shard::layout::Layout;
+use crate::shard::layout::BlockLayout;
 use crate::store::view::{ChangedMachines, ClusterView};
 use forkshift_wire::JobId;
 use serde_json::{from_value, Value};
@@ -82,7 +82,7 @@
             }
         };
         let id = head.spec.id.clone();
-        let layout = Layout::recorded(head.tasks_per_block, &ctx.config.state_limits);
+        let layout = BlockLayout::from_head(head.tasks_per_block, &ctx.config.state_limits);
         self.add_job(ctx, head.spec, Some(layout), head.submitted_at_ms, version);
         self.restore_block(ctx, &id, 0, head.block, version);
         if head.cancelled {
@@ -111,7 +111,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        for (index, binding) in job.restore(block, record, version, ctx.now) {
+        for (index, binding) in job.restore_block(block, record, version, ctx.now) {
             if self.machines.contains_key(&binding.machine) {
                 self.bind(id, index, binding);
             } else if let Some(job) = self.jobs.get_mut(id) {
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -114,7 +114,7 @@
     Binding {
         machine: machine.clone(),
         attempt,
-        version,
+        recorded_in_version: version,
         start: StartState::NotSent,
         stage: None,
         stop: None,
--- a/crates/core/src/shard/scheduling/pending_tasks.rs
+++ b/crates/core/src/shard/scheduling/pending_tasks.rs
@@ -105,7 +105,7 @@
         for job in self.jobs.values() {
             let team = self.teams.get(&job.spec.team);
             if let (JobKind::Service, Some(team)) = (job.spec.kind, team) {
-                held[*team] += job.task.scaled_by(job.bound.len() as i64);
+                held[*team] += job.task_resources.scaled_by(job.bindings.len() as i64);
             }
         }
         held
@@ -118,19 +118,20 @@
         job: &Job,
         round: &RoundContext,
     ) -> Option<PendingTasks> {
-        if ctx.now < job.not_before || job.is_blocked() {
+        if ctx.now < job.placement_backoff_until || job.is_blocked() {
             return None;
         }
         let waiting = waiting_tasks(ctx, job)?;
         let team = *self.teams.get(&job.spec.team)?;
         let mut pending = pending_tasks_of(ctx, job, team, &round.zones);
         let is_probed = job.failures.is_limited_to_one_task();
-        if is_probed && job.is_trying(ctx.now, ctx.config.heartbeat_interval_ms) {
+        if is_probed && job.has_unproven_task(ctx.now, ctx.config.heartbeat_interval_ms) {
             return None;
         }
-        let is_deferred = is_probed && ctx.now < job.not_before + FAILING_JOB_DEFERRAL_MS;
+        let is_deferred =
+            is_probed && ctx.now < job.placement_backoff_until + FAILING_JOB_DEFERRAL_MS;
         let is_aged = !is_deferred && is_aged(job, ctx.now, round.boot_ms);
-        let need = job.task.scaled_by(waiting.len() as i64);
+        let need = job.task_resources.scaled_by(waiting.len() as i64);
         let is_guaranteed = self.quotas[team].is_within_guarantee(&need);
         pending.reservation = match is_aged {
             true => self.reservation_of(ctx, job, team, waiting.len(), round),
@@ -146,7 +147,7 @@
         };
         pending.capacity_class = self.standing_of(ctx, job, round.boot_ms);
         if is_aged {
-            pending.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
+            pending.waited_s = job.wait_ms(ctx.now) as f64 / 1000.0;
         }
         pending.waiting = waiting;
         pending.excluded_machines = excluded_hosts(ctx, job, round);
@@ -165,9 +166,9 @@
         // Reserved quota must become free some day, and what services hold does not:
         // otherwise a whole team would wait for one job in vain.
         let at_once = if job.is_gang() { waiting as i64 } else { 1 };
-        let need = round.held_by_services[team] + job.task.scaled_by(at_once);
+        let need = round.held_by_services[team] + job.task_resources.scaled_by(at_once);
         match self.quotas[team].could_ever_allow(&need, 1) {
-            true if job.may_keep_quota(ctx.now, round.boot_ms) => Reservation::CapacityAndQuota,
+            true if job.can_reserve_quota(ctx.now, round.boot_ms) => Reservation::CapacityAndQuota,
             true => Reservation::Capacity,
             false => Reservation::None,
         }
@@ -178,7 +179,7 @@
 /// any now.
 fn waiting_tasks(ctx: &Context, job: &Job) -> Option<Vec<u32>> {
     // Most jobs wait for nothing.
-    if job.bound.len() + job.done.len() as usize >= job.spec.tasks as usize {
+    if job.bindings.len() + job.completed.len() as usize >= job.spec.tasks as usize {
         return None;
     }
     let is_gang = job.is_gang();
@@ -186,14 +187,14 @@
         true => usize::MAX,
         false => ctx.config.bounds.tasks_per_round,
     };
-    let mut waiting = job.waiting(max_tasks);
+    let mut waiting = job.pending_tasks(max_tasks);
     // A job that failed repeatedly starts one task at a time: all at once could take a
     // fleet's room, and the machines that are provisioned for it.
     if job.failures.is_limited_to_one_task() && !is_gang {
         waiting.truncate(1);
     }
     // The tasks of a gang's last attempt must have exited first.
-    let has_old_attempt = is_gang && !job.bound.is_empty();
+    let has_old_attempt = is_gang && !job.bindings.is_empty();
     (!waiting.is_empty() && !has_old_attempt).then_some(waiting)
 }
 
@@ -206,7 +207,7 @@
         return Reclaim::Nothing;
     }
     let is_late =
-        job.age(ctx.now) > crate::ms(ctx.config.operator.round_interval_s * RECLAIM_ROUNDS);
+        job.age_ms(ctx.now) > crate::ms(ctx.config.operator.round_interval_s * RECLAIM_ROUNDS);
     match is_late {
         true => Reclaim::TasksAndMachines,
         false => Reclaim::Tasks,
@@ -234,7 +235,7 @@
 ) -> PendingTasks {
     let spec = &job.spec;
     PendingTasks {
-        task_resources: job.task,
+        task_resources: job.task_resources,
         priority_band: 0,
         waited_s: 0.0,
         reservation: Reservation::None,
@@ -262,7 +263,7 @@
 /// How many of a job's tasks are bound in each zone.
 fn bound_per_zone(job: &Job, zones: &BTreeMap<MachineId, u16>) -> BTreeMap<u16, u32> {
     let mut counts = BTreeMap::new();
-    for binding in job.bound.values() {
+    for binding in job.bindings.values() {
         if let Some(zone) = zones.get(&binding.machine) {
             *counts.entry(*zone).or_default() += 1;
         }
@@ -278,9 +279,9 @@
 /// Whether a job has waited for so long that it goes before all others.
 fn is_aged(job: &Job, now: Ms, boot_ms: Ms) -> bool {
     job.spec.kind != JobKind::Service
-        && job.bound.is_empty()
+        && job.bindings.is_empty()
         && boot_ms > 0
-        && job.waiting_for(now) as f64 > AGED_BOOTS * boot_ms as f64
+        && job.wait_ms(now) as f64 > AGED_BOOTS * boot_ms as f64
 }
 
 /// The band of a job in a round: its priority, raised by a guarantee and by a long wait.
--- a/crates/core/src/shard/scheduling/quarantine.rs
+++ b/crates/core/src/shard/scheduling/quarantine.rs
@@ -58,7 +58,8 @@
 
     fn has_recently_failed(&self, ctx: &Context, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|job| {
-            job.failures.is_limited_to_one_task() && ctx.now < job.not_before + FAILING_JOB_WAIT_MS
+            job.failures.is_limited_to_one_task()
+                && ctx.now < job.placement_backoff_until + FAILING_JOB_WAIT_MS
         })
     }
 
