--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -174,7 +174,7 @@
     ) -> bool {
         let patience =
             crate::ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
-        let has_waited = |job: &Job| job.age(ctx.now) > patience;
+        let has_waited = |job: &Job| job.age_ms(ctx.now) > patience;
         !pending.waiting.is_empty()
             && quotas[pending.team].is_within_guarantee(&pending.minimum_resources())
             && self.jobs.get(id).is_some_and(has_waited)
--- a/crates/core/src/shard/drain/moves.rs
+++ b/crates/core/src/shard/drain/moves.rs
@@ -94,7 +94,7 @@
         );
         Some(TentativePlacement {
             host: placements.first()?.machine,
-            resources: job.task,
+            resources: job.task_resources,
         })
     }
 
@@ -161,8 +161,8 @@
 
 /// Whether a task is a running replica of a service of which all replicas are bound.
 fn is_movable_replica(job: &Job, index: u32) -> bool {
-    let binding = job.bound.get(&index);
+    let binding = job.bindings.get(&index);
     let is_running = binding.is_some_and(|b| b.stage == Some(TaskStage::Running));
-    let is_complete = job.bound.len() as u32 == job.spec.tasks;
+    let is_complete = job.bindings.len() as u32 == job.spec.tasks;
     job.spec.kind == JobKind::Service && is_running && is_complete
 }
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -1,18 +1,18 @@
-//! An unfinished job in its holder's memory.
+//! State of an unfinished job in the memory of the controller that holds its shard.
 
 mod binding;
 mod blocks;
 mod layout_change;
-mod waiting;
+mod wait_time;
 
 pub(crate) use binding::{Binding, StartState, Stop};
 pub(crate) use blocks::Block;
 pub(crate) use layout_change::StoredBlock;
-pub(crate) use waiting::EventAge;
+pub(crate) use wait_time::EventAge;
 
 use crate::io::RequestId;
 use crate::shard::failure_attribution::{well_after, JobFailures};
-use crate::shard::layout::Layout;
+use crate::shard::layout::BlockLayout;
 use crate::shard::ranges::RangeSet;
 use crate::Ms;
 use forkshift_sched::Resources;
@@ -27,68 +27,74 @@
 /// Times are in milliseconds of the steady clock unless a field's name says
 /// otherwise.
 pub(crate) struct Job {
-    /// The submission.
+    /// The job as the user submitted it.
     pub(crate) spec: Rc<JobSpec>,
-    /// Resources that one task takes.
-    pub(crate) task: Resources,
-    /// Number of its image.
+    /// Resource request of one task.
+    pub(crate) task_resources: Resources,
+    /// Number of the container image, as [`crate::names::ImageNames`] assigns it.
     pub(crate) image: u32,
-    /// How its tasks are spread over blocks.
-    layout: Layout,
-    /// The stored head does not name the layout yet.
+    /// Assignment of task indices to stored blocks.
+    layout: BlockLayout,
+    /// The job is being moved to `layout`, which the stored head does not name yet.
     pub(crate) is_changing_layout: bool,
-    /// Stored blocks of the earlier layout.
-    pub(crate) old_blocks: Vec<StoredBlock>,
-    /// Counts the changes of the job in this holder's memory.
-    pub(crate) version: u64,
-    /// Write state of its blocks; block 0 is part of the head.
+    /// Stored blocks of the previous layout, removed once the head names `layout`.
+    pub(crate) obsolete_blocks: Vec<StoredBlock>,
+    /// Number of changes to the job's state in this controller's memory. Unlike
+    /// `record_version`, it isn't stored, and restarts at 0 under a new holder.
+    pub(crate) memory_version: u64,
+    /// Write state of each block. Block 0 is part of the head record.
     pub(crate) blocks: BTreeMap<u32, Block>,
-    /// Completed tasks.
-    pub(crate) done: RangeSet,
-    /// Tasks that may be on a machine, by index.
-    pub(crate) bound: BTreeMap<u32, Binding>,
-    /// Whether the job was cancelled.
+    /// Indices of the completed tasks.
+    pub(crate) completed: RangeSet,
+    /// Tasks that may be on a machine, by task index.
+    pub(crate) bindings: BTreeMap<u32, Binding>,
+    /// Whether cancellation was requested; it may not be durable yet.
     pub(crate) is_cancelled: bool,
-    /// Wall-clock time of the first request to cancel it, which the next holder
-    /// needs: no user was answered before.
+    /// Wall-clock time of the first cancellation request, in milliseconds. It is
+    /// stored for the next holder: no user was told before this time that the job
+    /// is cancelled.
     pub(crate) cancelled_at_wall_ms: Ms,
-    /// Age of that request.
+    /// Age of the first cancellation request.
     pub(crate) cancellation_age: EventAge,
-    /// The cancellation is written.
+    /// The key-value store has recorded the cancellation.
     pub(crate) is_cancellation_durable: bool,
-    /// Requests that wait until the cancellation is written.
+    /// User requests that are answered once the cancellation is durable.
     pub(crate) cancel_waiters: Vec<RequestId>,
-    /// A write or a read of its records is under way.
-    pub(crate) has_write_in_flight: bool,
-    /// Its records are not written before this.
-    pub(crate) retry_at: Ms,
-    /// Dependencies that are not known to be done.
-    pub(crate) unresolved: BTreeSet<JobId>,
-    /// The highest priority of the jobs that depend on it.
+    /// A write or a read of the job's records is in flight. No other write is
+    /// sent meanwhile.
+    pub(crate) has_record_call_in_flight: bool,
+    /// End of the pause after a failed write: the job's records are not written
+    /// before.
+    pub(crate) write_retry_at: Ms,
+    /// Dependencies that are not known to be done; the job is blocked by them.
+    pub(crate) unresolved_dependencies: BTreeSet<JobId>,
+    /// The highest priority of the jobs that depend on this job.
     pub(crate) inherited_priority: Priority,
-    /// Wall-clock time of its submission.
+    /// Wall-clock time of the submission, in milliseconds.
     pub(crate) submitted_at_wall_ms: Ms,
-    /// Age of its submission, or of its last dependency's completion.
+    /// Age of the submission or, if the job had dependencies, of the completion of
+    /// the last one.
     pub(crate) submission_age: EventAge,
-    /// When a task last completed; if an earlier holder saw that, when the job
-    /// was restored.
+    /// When a task last completed. If an earlier holder recorded the completion,
+    /// the time at which this controller restored the job.
     pub(crate) last_completion_at: Option<Ms>,
-    /// Since when, having waited long, it has lacked nothing but machines.
+    /// When the job, after a long wait, was first found unschedulable for lack of
+    /// machines alone. Never reset, so quota is reserved for the job only once.
     pub(crate) lacking_machines_since: Option<Ms>,
-    /// No task is placed before this.
-    pub(crate) not_before: Ms,
-    /// Its failures since a task last ran well.
+    /// End of the backoff after a failure: no task is placed on a machine before.
+    pub(crate) placement_backoff_until: Ms,
+    /// Failures since a task of the job last ran long enough to count as healthy.
     pub(crate) failures: JobFailures,
 }
 
 impl Job {
-    /// A job of which nothing is recorded but its submission, in a head of this
-    /// version.
+    /// A job with a stored head but no recorded tasks. `head_version` is the
+    /// version of the head record in the key-value store.
     pub(crate) fn new(
         spec: JobSpec,
         image: u32,
         head_version: u64,
-        layout: Layout,
+        layout: BlockLayout,
         now: Ms,
     ) -> Self {
         let head = Block {
@@ -96,64 +102,66 @@
             ..Block::default()
         };
         Self {
-            task: Resources::new(spec.cpus, spec.gpus, spec.memory_gb),
+            task_resources: Resources::new(spec.cpus, spec.gpus, spec.memory_gb),
             image,
             layout,
             is_changing_layout: false,
-            old_blocks: Vec::new(),
-            version: 0,
+            obsolete_blocks: Vec::new(),
+            memory_version: 0,
             blocks: BTreeMap::from([(0, head)]),
-            done: RangeSet::default(),
-            bound: BTreeMap::new(),
+            completed: RangeSet::default(),
+            bindings: BTreeMap::new(),
             is_cancelled: false,
             cancelled_at_wall_ms: 0,
             cancellation_age: EventAge {
-                when_learned_ms: 0,
+                age_when_learned_ms: 0,
                 learned_at: 0,
             },
             is_cancellation_durable: false,
             cancel_waiters: Vec::new(),
-            has_write_in_flight: false,
-            retry_at: 0,
-            unresolved: spec.dependencies.iter().cloned().collect(),
+            has_record_call_in_flight: false,
+            write_retry_at: 0,
+            unresolved_dependencies: spec.dependencies.iter().cloned().collect(),
             inherited_priority: Priority::Low,
             submitted_at_wall_ms: 0,
             submission_age: EventAge {
-                when_learned_ms: 0,
+                age_when_learned_ms: 0,
                 learned_at: now,
             },
             last_completion_at: None,
             lacking_machines_since: None,
-            not_before: 0,
+            placement_backoff_until: 0,
             failures: JobFailures::default(),
             spec: Rc::new(spec),
         }
     }
 
-    /// Whether the job's tasks all run at the same time or not at all.
+    /// Whether all tasks of the job must run at the same time.
     pub(crate) fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// Whether all tasks are done.
+    /// Whether all tasks have completed.
     pub(crate) fn is_complete(&self) -> bool {
-        self.done.len() == self.spec.tasks
+        self.completed.len() == self.spec.tasks
     }
 
-    /// Whether only the last write of the job is outstanding.
-    pub(crate) fn is_over(&self) -> bool {
-        self.bound.is_empty() && (self.is_cancelled || self.is_complete())
+    /// Whether the job was cancelled or has completed, and has no bound task left:
+    /// only its final write is outstanding.
+    pub(crate) fn is_finished(&self) -> bool {
+        self.bindings.is_empty() && (self.is_cancelled || self.is_complete())
     }
 
-    /// Whether its stage is known for certain. While its last write or its
-    /// cancellation is under way the stored record may be newer: another
-    /// controller may have read it, and answered a user, before the store's
-    /// answer arrives here.
+    /// Whether the stage in memory is at least as new as the stored one. While the
+    /// final write or the cancellation is in flight, the key-value store may have
+    /// executed it already, and another controller may have read the new stage and
+    /// reported it to a user.
     pub(crate) fn is_status_certain(&self) -> bool {
         !self.is_complete() && (!self.is_cancelled || self.is_cancellation_durable)
     }
 
-    /// The stage in which the job ends.
+    /// The stage in which the job ends: `Cancelled` once cancellation was requested,
+    /// otherwise `Done`.
     pub(crate) fn final_stage(&self) -> JobStage {
         if self.is_cancelled {
             JobStage::Cancelled
@@ -162,31 +170,33 @@
         }
     }
 
-    /// Whether a task is bound that has not run for long enough to run well.
-    pub(crate) fn is_trying(&self, now: Ms, heartbeat_interval_ms: Ms) -> bool {
+    /// Whether a bound task has not yet run long enough to count as healthy.
+    /// Another task of a repeatedly failing job is placed only after that.
+    pub(crate) fn has_unproven_task(&self, now: Ms, heartbeat_interval_ms: Ms) -> bool {
         let min_run = well_after(self.failures.longest_run, heartbeat_interval_ms);
-        let runs_well = |binding: &Binding| {
+        let is_proven = |binding: &Binding| {
             let since = binding.running_since;
             since.is_some_and(|since| now >= since + min_run)
         };
-        self.bound.values().any(|binding| !runs_well(binding))
+        self.bindings.values().any(|binding| !is_proven(binding))
     }
 
-    /// Up to `max_tasks` tasks that wait for a machine.
-    pub(crate) fn waiting(&self, max_tasks: usize) -> Vec<u32> {
+    /// Indices of up to `max_tasks` pending tasks: neither completed nor bound to a
+    /// machine. A cancelled job has none.
+    pub(crate) fn pending_tasks(&self, max_tasks: usize) -> Vec<u32> {
         if self.is_cancelled {
             return Vec::new();
         }
-        let missing = self.done.missing_below(self.spec.tasks);
+        let missing = self.completed.missing_below(self.spec.tasks);
         missing
-            .filter(|index| !self.bound.contains_key(index))
+            .filter(|index| !self.bindings.contains_key(index))
             .take(max_tasks)
             .collect()
     }
 
-    /// The status that users see.
+    /// The status that users see. A cancellation shows once it is durable.
     pub(crate) fn status(&self) -> JobStatus {
-        let stages = self.bound.values().map(|binding| binding.stage);
+        let stages = self.bindings.values().map(|binding| binding.stage);
         let running = stages
             .filter(|stage| *stage == Some(TaskStage::Running))
             .count() as u32;
@@ -199,7 +209,7 @@
             } else {
                 JobStage::Queued
             },
-            done: Some(self.done.len()),
+            done: Some(self.completed.len()),
             running: Some(running),
         }
     }
--- a/crates/core/src/shard/job/tests.rs
+++ b/crates/core/src/shard/job/tests.rs
@@ -9,8 +9,8 @@
 const SINCE: Ms = 50_000;
 const BOOT_MS: Ms = 10_000;
 
-fn layout() -> Layout {
-    Layout::unnamed(&StateLimits {
+fn layout() -> BlockLayout {
+    BlockLayout::implicit(&StateLimits {
         rps: 80.0,
         write_rps: 30.0,
         txn_ops: 12,
@@ -22,20 +22,21 @@
     let spec = spec(&JobId::new(id), "team", JobKind::Array, 3);
     Job {
         submission_age: EventAge {
-            when_learned_ms: 5_000,
+            age_when_learned_ms: 5_000,
             learned_at: SINCE,
         },
         ..Job::new(spec, 0, 1, layout(), SINCE)
     }
 }
 
-/// A name, what happens to the job, and how long it has waited.
+/// Name of the case, change to the job, and the expected wait time.
 type Case = (&'static str, fn(&mut Job, TaskBlockRecord), Ms);
 
-/// A large array between two of its tasks was counted by its whole age and
-/// went before jobs that had not begun at all.
+/// Guards against starvation: when the wait time of a large array counted from its
+/// submission although its tasks kept completing, the array took precedence over
+/// jobs that had not started at all.
 #[test]
-fn a_job_that_is_being_served_has_not_waited_since_its_submission() {
+fn wait_time_restarts_when_a_task_completes() {
     let done = |from: u32, to: u32| TaskBlockRecord {
         next_attempt: 1,
         done: vec![(from, to)],
@@ -51,7 +52,7 @@
         (
             "restored with a completed task",
             |j, record| {
-                j.restore(0, record, 2, SINCE);
+                j.restore_block(0, record, 2, SINCE);
             },
             30_000,
         ),
@@ -59,15 +60,15 @@
     for (name, change, expected) in cases {
         let mut job = job("j-1");
         change(&mut job, done(0, 1));
-        assert_eq!(job.waiting_for(SINCE + 30_000), expected, "{name}");
-        assert_eq!(job.age(SINCE + 30_000), 35_000, "{name}: its age stays");
+        assert_eq!(job.wait_ms(SINCE + 30_000), expected, "{name}");
+        assert_eq!(job.age_ms(SINCE + 30_000), 35_000, "{name}: its age stays");
     }
 }
 
-/// Where there are no machines to be had, a team must not stand idle for the
-/// one job that needs them.
+/// Guards against a blocked team: if no machine can be provisioned for a job, the
+/// quota reserved for it must be released to the team's other jobs.
 #[test]
-fn quota_is_kept_for_a_job_only_while_machines_may_come() {
+fn quota_reservation_ends_if_no_machine_boots_in_time() {
     let cases = [
         ("never lacked machines", None, true),
         ("has just begun to", Some(SINCE), true),
@@ -77,6 +78,6 @@
     for (name, since, kept) in cases {
         let mut job = job("j-1");
         job.lacking_machines_since = since;
-        assert_eq!(job.may_keep_quota(SINCE, BOOT_MS), kept, "{name}");
+        assert_eq!(job.can_reserve_quota(SINCE, BOOT_MS), kept, "{name}");
     }
 }
--- a/crates/core/src/shard/layout.rs
+++ b/crates/core/src/shard/layout.rs
@@ -1,96 +1,107 @@
-//! How the tasks of a job are spread over blocks, each a record of its own.
+//! Assignment of a job's tasks to blocks, each stored in a record of its own.
 //!
-//! A record must stay within the largest value that the state service takes,
-//! and block 0 shares its record with the job's submission. The first release
-//! computes the size of a block from the settings. When the limit falls, jobs
-//! that it recorded are moved to a layout that their heads name: its blocks
-//! have keys of their own, so that no task is ever in two blocks that count.
+//! A record must stay within the value size limit of the key-value store, and
+//! block 0 shares its record, the head, with the job's submission.
+//!
+//! In the implicit layout, which the first release uses for all jobs, the number
+//! of tasks per block follows from the settings. An explicit layout is recorded in
+//! the job's head. When the store's limit falls, a job whose records would exceed
+//! it is moved to an explicit layout at its next change. The keys of the new blocks
+//! contain the number of tasks per block. So no two layouts share a key, except that
+//! of the head, and only the blocks of the layout that the head names are valid.
 
 use crate::config::StateLimits;
 use crate::records::{unfinished_key, ShardId};
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::JobId;
 
-/// Most bytes that one task takes in a record.
-pub(crate) const TASK_BYTES: usize = 40;
-/// Bytes of a head beside the submission and the tasks.
-const HEAD_BYTES: usize = 200;
+/// Upper bound on the size of one task in a record, in bytes.
+pub(crate) const MAX_TASK_RECORD_BYTES: usize = 40;
+/// Upper bound on the size of a head without its submission and tasks, in bytes.
+const HEAD_OVERHEAD_BYTES: usize = 200;
 
-/// How the tasks of a job are spread over blocks.
+/// Assignment of a job's task indices to blocks of equal size.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct Layout {
-    /// Tasks per block.
-    size: u32,
-    /// Whether the head and the keys of the blocks name the layout.
-    is_named: bool,
+pub(crate) struct BlockLayout {
+    /// At least 1.
+    tasks_per_block: u32,
+    /// Whether the head and the keys of the blocks contain `tasks_per_block`.
+    is_explicit: bool,
 }
 
-impl Layout {
-    /// The layout of a record that names none.
-    pub(crate) fn unnamed(settings: &StateLimits) -> Self {
+impl BlockLayout {
+    /// The layout of a job whose head names none. Tasks take at most half of the
+    /// value size limit in the settings; all releases must compute the same size.
+    pub(crate) fn implicit(settings: &StateLimits) -> Self {
         Self {
-            size: (settings.value_bytes / 2 / TASK_BYTES).max(1) as u32,
-            is_named: false,
+            tasks_per_block: (settings.value_bytes / 2 / MAX_TASK_RECORD_BYTES).max(1) as u32,
+            is_explicit: false,
         }
     }
 
-    /// The layout that a head names, if it names one.
-    pub(crate) fn recorded(size: Option<u32>, settings: &StateLimits) -> Self {
-        match size {
-            Some(size) => Self {
-                size: size.max(1),
-                is_named: true,
+    /// The layout of a stored job: explicit if its head names a number of tasks per
+    /// block, else implicit.
+    pub(crate) fn from_head(tasks_per_block: Option<u32>, settings: &StateLimits) -> Self {
+        match tasks_per_block {
+            Some(tasks_per_block) => Self {
+                tasks_per_block: tasks_per_block.max(1),
+                is_explicit: true,
             },
-            None => Self::unnamed(settings),
+            None => Self::implicit(settings),
         }
     }
 
-    /// The layout for a job whose records must fit within limits, given the
-    /// one that it has: the same, if all fits.
-    pub(crate) fn within(self, limits: &StateLimits, spec: &JobSpec) -> Self {
-        let beside_spec = limits.value_bytes.saturating_sub(head_bytes(spec));
-        let bytes = beside_spec.min(limits.value_bytes / 2);
-        let size = (bytes / TASK_BYTES).max(1) as u32;
-        if self.size.min(spec.tasks) <= size {
+    /// A layout with which all records of a job fit the store's limits: this one
+    /// if the records fit already, else an explicit one with smaller blocks.
+    pub(crate) fn fit_to_limits(self, limits: &StateLimits, spec: &JobSpec) -> Self {
+        let bytes_beside_spec = limits.value_bytes.saturating_sub(head_bytes(spec));
+        let bytes = bytes_beside_spec.min(limits.value_bytes / 2);
+        let tasks_per_block = (bytes / MAX_TASK_RECORD_BYTES).max(1) as u32;
+        if self.tasks_per_block.min(spec.tasks) <= tasks_per_block {
             return self;
         }
         Self {
-            size,
-            is_named: true,
+            tasks_per_block,
+            is_explicit: true,
         }
     }
 
-    /// Tasks per block, as the head records them; none for an unnamed layout.
+    /// Tasks per block, as the head records them; none for the implicit layout.
     pub(crate) fn to_record(self) -> Option<u32> {
-        self.is_named.then_some(self.size)
+        self.is_explicit.then_some(self.tasks_per_block)
     }
 
-    /// The block in which a task is recorded.
+    /// Number of the block that records a task.
     pub(crate) fn block_of(self, index: u32) -> u32 {
-        index / self.size
+        index / self.tasks_per_block
     }
 
-    /// The tasks of a block, as first index and exclusive end.
-    pub(crate) fn tasks_of(self, block: u32) -> (u32, u32) {
-        let from = block.saturating_mul(self.size);
-        (from, from.saturating_add(self.size))
+    /// Task indices of a block, as first index and exclusive end. The end may lie
+    /// beyond the job's last task.
+    pub(crate) fn task_range(self, block: u32) -> (u32, u32) {
+        let from = block.saturating_mul(self.tasks_per_block);
+        (from, from.saturating_add(self.tasks_per_block))
     }
 
-    /// Key of a block; block 0 is in the job's head.
+    /// Key of a block's record. Block 0 has the key of the job's head.
     pub(crate) fn key(self, shard: ShardId, id: &JobId, block: u32) -> String {
-        if block > 0 && self.is_named {
-            format!("{}/{}-{block}", unfinished_key(shard, id, 0), self.size)
+        if block > 0 && self.is_explicit {
+            format!(
+                "{}/{}-{block}",
+                unfinished_key(shard, id, 0),
+                self.tasks_per_block
+            )
         } else {
             unfinished_key(shard, id, block)
         }
     }
 
-    /// The block that a key of this layout names by its last part. Keys of
-    /// other layouts are left over from before the job was moved, or from a
-    /// move that was not completed.
+    /// Number of the block whose key ends in `name`, or none if the key does not
+    /// belong to this layout. Such a key is left over from the layout before a
+    /// change, or from a change that was not committed.
     pub(crate) fn parse_block(self, name: &str) -> Option<u32> {
-        let number = if self.is_named {
-            name.strip_prefix(&format!("{}-", self.size))?
+        let number = if self.is_explicit {
+            name.strip_prefix(&format!("{}-", self.tasks_per_block))?
         } else {
             name
         };
@@ -98,14 +109,15 @@
     }
 }
 
-/// Bytes of a head without any tasks.
+/// Estimated size of a head without tasks, in bytes.
 fn head_bytes(spec: &JobSpec) -> usize {
-    serde_json::to_vec(spec).map_or(0, |json| json.len()) + HEAD_BYTES
+    serde_json::to_vec(spec).map_or(0, |json| json.len()) + HEAD_OVERHEAD_BYTES
 }
 
-/// Whether a job can be recorded at all within the limits.
+/// Whether the head of a job fits the store's value size limit with at least one
+/// task. Otherwise no layout can record the job.
 pub(crate) fn can_be_recorded(spec: &JobSpec, limits: &StateLimits) -> bool {
-    head_bytes(spec) + TASK_BYTES <= limits.value_bytes
+    head_bytes(spec) + MAX_TASK_RECORD_BYTES <= limits.value_bytes
 }
 
 #[cfg(test)]
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -146,7 +146,7 @@
     ) -> bool {
         self.jobs.get(id).is_some_and(|job| match job.priority() {
             Priority::Production => true,
-            Priority::High => job.age(ctx.now) >= high_priority_wait_ms,
+            Priority::High => job.age_ms(ctx.now) >= high_priority_wait_ms,
             _ => false,
         })
     }
@@ -206,7 +206,7 @@
         let mut victims: BTreeMap<&MachineId, Vec<Victim>> = BTreeMap::new();
         let is_preemptible = |j: &&Job| j.priority() <= Priority::Normal && !j.is_gang();
         for job in self.jobs.values().filter(is_preemptible) {
-            for (index, binding) in &job.bound {
+            for (index, binding) in &job.bindings {
                 if binding.start == StartState::NotSent || binding.stop.is_some() {
                     continue;
                 }
@@ -217,7 +217,7 @@
                 let on_machine = victims.entry(&binding.machine).or_default();
                 on_machine.push(Victim {
                     task,
-                    resources: job.task,
+                    resources: job.task_resources,
                     lost_ms: ctx.now - binding.running_since.unwrap_or(ctx.now),
                 });
             }
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -117,11 +117,11 @@
                 continue;
             };
             if binding.stop.is_some() {
-                free += job.task;
+                free += job.task_resources;
             } else if self.is_reclaimable(ctx, job, binding) {
                 victims.push(Victim {
                     task: task.clone(),
-                    resources: job.task,
+                    resources: job.task_resources,
                     lost_ms: lost_run_time_ms(ctx, job, binding),
                 });
             }
@@ -139,7 +139,7 @@
     /// The job and the binding of a bound task; `None` if the task is not bound.
     pub(super) fn binding(&self, task: &TaskRef) -> Option<(&Job, &Binding)> {
         let job = self.jobs.get(&task.job)?;
-        Some((job, job.bound.get(&task.index)?))
+        Some((job, job.bindings.get(&task.index)?))
     }
 
     /// Resources of the tasks on a machine that could be reclaimed or are being stopped
@@ -153,7 +153,7 @@
             if let Some((job, binding)) = self.binding(task) {
                 let is_stopping = binding.stop.is_some();
                 if is_stopping || self.is_reclaimable(ctx, job, binding) {
-                    sum += job.task;
+                    sum += job.task_resources;
                 }
             }
         }
--- a/crates/core/src/shard/reclaim/borrowers.rs
+++ b/crates/core/src/shard/reclaim/borrowers.rs
@@ -129,8 +129,8 @@
     let deadline_limit_s = spec.deadline_s.map(|s| s * IDLE_ONLY_DEADLINE_FRACTION);
     let limits_s = objective_limit_s.into_iter().chain(deadline_limit_s);
     let idle_only_until_age_s = limits_s.fold(f64::INFINITY, f64::min);
-    let age_s = job.age(ctx.now) as f64 / 1000.0;
-    let has_started = !job.bound.is_empty() || job.done.len() > 0;
+    let age_s = job.age_ms(ctx.now) as f64 / 1000.0;
+    let has_started = !job.bindings.is_empty() || job.completed.len() > 0;
     let idle_only_start_s = boot_ms as f64 / 1000.0 * IDLE_ONLY_START_BOOTS;
     age_s < idle_only_until_age_s && (has_started || age_s < idle_only_start_s)
 }
--- a/crates/core/src/shard/scheduling/pending_tasks.rs
+++ b/crates/core/src/shard/scheduling/pending_tasks.rs
@@ -108,7 +108,7 @@
         for job in self.jobs.values() {
             let team = self.teams.get(&job.spec.team);
             if let (JobKind::Service, Some(team)) = (job.spec.kind, team) {
-                used[*team] += job.task.scaled_by(job.bound.len() as i64);
+                used[*team] += job.task_resources.scaled_by(job.bindings.len() as i64);
             }
         }
         used
@@ -122,20 +122,22 @@
         job: &Job,
         round: &RoundContext,
     ) -> Option<PendingTasks> {
-        if ctx.now < job.not_before || job.is_blocked() {
+        if ctx.now < job.placement_backoff_until || job.is_blocked() {
             return None;
         }
         let waiting = waiting_tasks(ctx, job)?;
         let team = *self.teams.get(&job.spec.team)?;
         let mut pending = pending_tasks_of(ctx, job, team, &round.zones);
         let is_limited_to_one_task = job.failures.is_limited_to_one_task();
-        if is_limited_to_one_task && job.is_trying(ctx.now, ctx.config.heartbeat_interval_ms) {
+        if is_limited_to_one_task
+            && job.has_unproven_task(ctx.now, ctx.config.heartbeat_interval_ms)
+        {
             return None;
         }
-        let is_deferred =
-            is_limited_to_one_task && ctx.now < job.not_before + FAILING_JOB_DEFERRAL_MS;
+        let is_deferred = is_limited_to_one_task
+            && ctx.now < job.placement_backoff_until + FAILING_JOB_DEFERRAL_MS;
         let is_aged = !is_deferred && is_aged(job, ctx.now, round.boot_ms);
-        let needed = job.task.scaled_by(waiting.len() as i64);
+        let needed = job.task_resources.scaled_by(waiting.len() as i64);
         let is_guaranteed = self.quotas[team].is_within_guarantee(&needed);
         pending.reservation = match is_aged {
             true => self.reservation_of(ctx, job, team, waiting.len(), round),
@@ -151,7 +153,7 @@
         };
         pending.capacity_class = self.capacity_class_of(ctx, job, round.boot_ms);
         if is_aged {
-            pending.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
+            pending.waited_s = job.wait_ms(ctx.now) as f64 / 1000.0;
         }
         pending.waiting = waiting;
         pending.excluded_machines = excluded_hosts(ctx, job, round);
@@ -171,9 +173,10 @@
         // does by itself, so a reservation that needs it would block the whole team for a
         // job that can never start.
         let simultaneous_tasks = if job.is_gang() { waiting as i64 } else { 1 };
-        let needed = round.quota_used_by_services[team] + job.task.scaled_by(simultaneous_tasks);
+        let needed =
+            round.quota_used_by_services[team] + job.task_resources.scaled_by(simultaneous_tasks);
         match self.quotas[team].could_ever_allow(&needed, 1) {
-            true if job.may_keep_quota(ctx.now, round.boot_ms) => Reservation::CapacityAndQuota,
+            true if job.can_reserve_quota(ctx.now, round.boot_ms) => Reservation::CapacityAndQuota,
             true => Reservation::Capacity,
             false => Reservation::None,
         }
@@ -184,7 +187,7 @@
 /// now.
 fn waiting_tasks(ctx: &Context, job: &Job) -> Option<Vec<u32>> {
     // Fast path: all tasks of most jobs are bound or done.
-    if job.bound.len() + job.done.len() as usize >= job.spec.tasks as usize {
+    if job.bindings.len() + job.completed.len() as usize >= job.spec.tasks as usize {
         return None;
     }
     let is_gang = job.is_gang();
@@ -192,14 +195,14 @@
         true => usize::MAX,
         false => ctx.config.bounds.tasks_per_round,
     };
-    let mut waiting = job.waiting(max_tasks);
+    let mut waiting = job.pending_tasks(max_tasks);
     // A job that failed repeatedly starts one task at a time. All tasks at once could
     // occupy the capacity of the fleet, and the machines that are provisioned for them.
     if job.failures.is_limited_to_one_task() && !is_gang {
         waiting.truncate(1);
     }
     // A gang starts a new attempt only after all tasks of the last attempt have exited.
-    let has_bound_attempt = is_gang && !job.bound.is_empty();
+    let has_bound_attempt = is_gang && !job.bindings.is_empty();
     (!waiting.is_empty() && !has_bound_attempt).then_some(waiting)
 }
 
@@ -211,7 +214,7 @@
     if !(from_borrowers || from_pools) {
         return Reclaim::Nothing;
     }
-    let may_reclaim_machines = job.age(ctx.now)
+    let may_reclaim_machines = job.age_ms(ctx.now)
         > crate::ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
     match may_reclaim_machines {
         true => Reclaim::TasksAndMachines,
@@ -244,7 +247,7 @@
 ) -> PendingTasks {
     let spec = &job.spec;
     PendingTasks {
-        task_resources: job.task,
+        task_resources: job.task_resources,
         priority_band: 0,
         waited_s: 0.0,
         reservation: Reservation::None,
@@ -272,7 +275,7 @@
 /// Number of the job's bound tasks in each zone.
 fn bound_per_zone(job: &Job, zones: &BTreeMap<MachineId, u16>) -> BTreeMap<u16, u32> {
     let mut counts = BTreeMap::new();
-    for binding in job.bound.values() {
+    for binding in job.bindings.values() {
         if let Some(zone) = zones.get(&binding.machine) {
             *counts.entry(*zone).or_default() += 1;
         }
@@ -290,9 +293,9 @@
 /// bound task never do, and no job does in a shard without machines.
 fn is_aged(job: &Job, now: Ms, boot_ms: Ms) -> bool {
     job.spec.kind != JobKind::Service
-        && job.bound.is_empty()
+        && job.bindings.is_empty()
         && boot_ms > 0
-        && job.waiting_for(now) as f64 > AGED_AFTER_BOOTS * boot_ms as f64
+        && job.wait_ms(now) as f64 > AGED_AFTER_BOOTS * boot_ms as f64
 }
 
 /// The priority band of a job in a round: the job's priority, raised if the job is within
