--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -103,7 +103,7 @@
         }
         // A late copy shows nothing of the route by which heartbeats come now.
         if shard.on_worker_heartbeat(ctx, heartbeat) {
-            shard.note_route(ctx, id, route);
+            shard.record_heartbeat_route(ctx, id, route);
         }
         match shard.heartbeat_reply(ctx, id) {
             Some((token, commands)) => accept(token, commands),
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -227,7 +227,7 @@
                 continue;
             }
             if has_view_changed {
-                shard.apply_machine_records(&mut self.ctx, &self.view, machines);
+                shard.sync_machine_records(&mut self.ctx, &self.view, machines);
             }
             // A cancellation may be visible before the job that it is for.
             let must_check = std::mem::take(&mut shard.must_check_cancellations);
@@ -289,7 +289,7 @@
         for shard in self.shards.values() {
             used.extend(shard.jobs.values().map(|job| job.image));
             let machines = shard.machines.values();
-            used.extend(machines.flat_map(|m| m.images.iter().map(|(image, _)| *image)));
+            used.extend(machines.flat_map(|m| m.cached_images.iter().map(|(image, _)| *image)));
         }
         self.ctx.images.retain_used(&used);
     }
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -164,7 +164,7 @@
     }
     let quiet_ms =
         (configured_silence_ms(&ctx.config) / 2).max(ctx.config.max_heartbeat_interval_ms());
-    let is_silent = ctx.now > machine.last_sign_of_life(ctx.resumed_at) + quiet_ms;
+    let is_silent = ctx.now > machine.silent_since(ctx.resumed_at) + quiet_ms;
     // A machine of a shard that has just been recovered has not reported here yet. Counted
     // as heard, such machines would hide that a zone is partitioned.
     if machine.last_heartbeat_at.is_none() && !is_silent {
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -115,7 +115,7 @@
                 epoch,
                 machines,
             } => self.with_shard(shard, epoch, |shard, ctx| {
-                shard.on_own_machines_deleted(ctx, &machines, status);
+                shard.on_holder_deletion_response(ctx, &machines, status);
             }),
             PendingCall::Housekeeping => {}
 
@@ -154,7 +154,7 @@
                 token,
                 commands,
             } => self.with_shard(shard, epoch, |shard, ctx| {
-                shard.on_commands(ctx, &machine, token, &commands, status, body);
+                shard.on_command_call_end(ctx, &machine, token, &commands, status, body);
             }),
             PendingCall::ProbeWorker { holder } => self.on_worker_probed(&holder, status, body),
         }
--- a/crates/core/src/node/shard_ownership.rs
+++ b/crates/core/src/node/shard_ownership.rs
@@ -120,7 +120,7 @@
     }
     let requested = record.handover_to.as_ref();
     let other = requested.filter(|node| **node != ctx.config.node)?;
-    let is_possible = view.nodes.contains_key(other) && shard.is_quiet();
+    let is_possible = view.nodes.contains_key(other) && shard.has_no_calls_in_flight();
     is_possible.then(|| other.clone())
 }
 
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -81,7 +81,8 @@
         // Images that the worker does not hold are removed; the order of use is kept.
         if self.tasks.is_empty() {
             let numbers: BTreeSet<u32> = held.iter().map(|i| ctx.images.number(i)).collect();
-            self.images.retain(|(image, _)| numbers.contains(image));
+            self.cached_images
+                .retain(|(image, _)| numbers.contains(image));
         }
         self.pool.held_images = Some(held);
     }
--- a/crates/core/src/pools/prefetch.rs
+++ b/crates/core/src/pools/prefetch.rs
@@ -71,6 +71,6 @@
 
 /// How long a machine may take to fetch a pool's image.
 fn fetch_timeout(machine: &Machine, ctx: &Context, pool: &Pool) -> Ms {
-    let fetch_s = pool.image_gb / machine.fetch_rate.max(MIN_FETCH_RATE);
+    let fetch_s = pool.image_gb / machine.image_fetch_gb_per_s.max(MIN_FETCH_RATE);
     crate::ms(fetch_s * STALLED_FETCH_FACTOR) + ctx.config.lease_ms
 }
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -205,7 +205,7 @@
         let machines = machines.filter_map(|id| self.machines.get(id));
         let allowed: Vec<&Machine> = machines.filter(may_join).collect();
         let candidate = |machine: &&Machine| PoolCandidate {
-            has_image: machine.images.iter().any(|(held, _)| *held == image),
+            has_image: machine.cached_images.iter().any(|(held, _)| *held == image),
             is_up: machine.last_heartbeat_at.is_some(),
             price_per_hour: price_per_hour(machine),
         };
@@ -263,7 +263,7 @@
 
 /// A machine's price an hour.
 pub(super) fn price_per_hour(machine: &Machine) -> f64 {
-    machine.price * SECONDS_PER_HOUR
+    machine.price_per_second * SECONDS_PER_HOUR
 }
 
 /// How long a machine takes to be ready, of the slowest type that a pool may use.
--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -82,7 +82,7 @@
                 job: id.clone(),
                 index,
             });
-            machine.use_image(job.image, job.spec.image_gb);
+            machine.mark_image_used(job.image, job.spec.image_gb);
         }
         if let Some(team) = self.teams.get(&job.spec.team) {
             self.quotas[*team].used += job.task;
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -176,7 +176,7 @@
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
-        let takes_starts = machine.link.can_start_tasks() && machine.is_confirmed();
+        let takes_starts = machine.link.can_start_tasks() && machine.has_acknowledged_token();
         if machine.decommission_reason.is_some() || !takes_starts {
             return Vec::new();
         }
@@ -201,7 +201,7 @@
     }
 
     /// Handles the end of a call to a worker, with or without an answer.
-    pub(crate) fn on_commands(
+    pub(crate) fn on_command_call_end(
         &mut self,
         ctx: &mut Context,
         id: &MachineId,
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -200,8 +200,9 @@
             let Some(machine) = self.machines.get_mut(id) else {
                 continue;
             };
-            let is_idle =
-                machine.tasks.is_empty() && host.free == machine.total && !machine.is_pool_member();
+            let is_idle = machine.tasks.is_empty()
+                && host.free == machine.capacity
+                && !machine.is_pool_member();
             if machine.update_idle_since(is_idle, ctx.now) {
                 self.recheck.mark_due(id);
             }
--- a/crates/core/src/shard/demand/expected_machines.rs
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -120,7 +120,7 @@
     let elapsed = now.saturating_sub(machine.known_since);
     let boot_remaining_ms = machine.boot_ms.saturating_sub(elapsed);
     MachineSnapshot {
-        free: machine.total,
+        free: machine.capacity,
         startup_delay_s: boot_remaining_ms as f64 / 1000.0,
         ..host_of(machine)
     }
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -110,7 +110,7 @@
                 });
                 sum += *value;
             }
-            ratios.push(sum / machine.price.max(MIN_PRICE));
+            ratios.push(sum / machine.price_per_second.max(MIN_PRICE));
         }
         ratios
     }
@@ -170,7 +170,7 @@
                 && value_ratio <= MAX_DRAINED_VALUE_RATIO
                 && ctx.now > machine.known_since + min_age
                 && ctx.now >= machine.drain_retry_at;
-            may_drain.then_some((machine.price * (1.0 - value_ratio), host))
+            may_drain.then_some((machine.price_per_second * (1.0 - value_ratio), host))
         };
         let mut wasteful: Vec<(f64, usize)> =
             usable.iter().enumerate().filter_map(waste_of).collect();
--- a/crates/core/src/shard/drain/moves.rs
+++ b/crates/core/src/shard/drain/moves.rs
@@ -106,7 +106,7 @@
         hosts: &mut [MachineSnapshot],
         context: &MoveContext,
     ) -> bool {
-        let price = self.machines[id].price;
+        let price = self.machines[id].price_per_second;
         let tasks: Vec<TaskRef> = self.machines[id].tasks.iter().cloned().collect();
         let is_stopping =
             |task: &TaskRef| self.binding(task).is_some_and(|(_, b)| b.stop.is_some());
--- a/crates/core/src/shard/failure_attribution.rs
+++ b/crates/core/src/shard/failure_attribution.rs
@@ -37,7 +37,7 @@
 const QUARANTINE_HEARTBEATS: Ms = 4;
 
 /// How long a task must run to run well, in milliseconds.
-pub(crate) fn well_after(longest_failed_run: Ms, heartbeat_interval_ms: Ms) -> Ms {
+pub(crate) fn min_healthy_run_ms(longest_failed_run: Ms, heartbeat_interval_ms: Ms) -> Ms {
     longest_failed_run * 2 + heartbeat_interval_ms * WELL_HEARTBEATS
 }
 
@@ -54,7 +54,7 @@
     /// When the last counted failure happened.
     last_counted_at: Ms,
     /// The longest run that ended in a failure.
-    pub(crate) longest_run: Ms,
+    pub(crate) longest_failed_run_ms: Ms,
     /// Machines on which it is not placed, and since when.
     excluded_machines: BTreeMap<MachineId, Ms>,
 }
@@ -67,7 +67,7 @@
             self.failures_in_row += 1;
             self.last_counted_at = now;
         }
-        self.longest_run = self.longest_run.max(ran_ms);
+        self.longest_failed_run_ms = self.longest_failed_run_ms.max(ran_ms);
         for known in [&mut self.machines, &mut self.excluded_machines] {
             known.insert(machine.clone(), now);
             if known.len() > MAX_REMEMBERED_MACHINES {
@@ -154,13 +154,13 @@
     /// When a task of a job that is not suspect last began to run.
     last_start_at: Ms,
     /// The longest run that ended in a failure.
-    pub(crate) longest_run: Ms,
+    pub(crate) longest_failed_run_ms: Ms,
 }
 
 impl MachineFailures {
     /// Adds the failure of a job's task that ran for `ran_ms`.
     pub(crate) fn add(&mut self, job: &JobId, ran_ms: Ms, now: Ms) {
-        self.longest_run = self.longest_run.max(ran_ms);
+        self.longest_failed_run_ms = self.longest_failed_run_ms.max(ran_ms);
         let failure = self.jobs.entry(job.clone()).or_insert(MachineFailure {
             at: now,
             runs_elsewhere: false,
--- a/crates/core/src/shard/failure_attribution/tests.rs
+++ b/crates/core/src/shard/failure_attribution/tests.rs
@@ -193,6 +193,6 @@
 #[test]
 fn a_run_must_be_longer_than_those_that_failed() {
     for (failed_run, least) in [(0, 4_000), (3_000, 10_000), (60_000, 124_000)] {
-        assert_eq!(well_after(failed_run, HEARTBEAT_INTERVAL_MS), least);
+        assert_eq!(min_healthy_run_ms(failed_run, HEARTBEAT_INTERVAL_MS), least);
     }
 }
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -2,7 +2,7 @@
 //! the machine or the job.
 
 use crate::context::Context;
-use crate::shard::failure_attribution::well_after;
+use crate::shard::failure_attribution::min_healthy_run_ms;
 use crate::shard::job::Binding;
 use crate::shard::machine::TaskAttempt;
 use crate::shard::Shard;
@@ -77,7 +77,7 @@
             ExitCause::InsufficientResources => {
                 // The accounts of the shard and the worker differ for a while.
                 if let Some(machine) = self.machines.get_mut(machine_id) {
-                    machine.full_until =
+                    machine.placement_blocked_until =
                         ctx.now + ctx.config.heartbeat_interval_ms * NO_ROOM_HEARTBEATS;
                 }
             }
@@ -133,8 +133,11 @@
         if !job.failures.is_suspect() && machine.failures.is_empty() {
             return;
         }
-        let longest_run = job.failures.longest_run.max(machine.failures.longest_run);
-        if ctx.now >= began + well_after(longest_run, ctx.config.heartbeat_interval_ms) {
+        let longest_run = job
+            .failures
+            .longest_failed_run_ms
+            .max(machine.failures.longest_failed_run_ms);
+        if ctx.now >= began + min_healthy_run_ms(longest_run, ctx.config.heartbeat_interval_ms) {
             self.on_task_ran_well(machine_id, job_id, began);
         }
     }
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -11,7 +11,7 @@
 pub(crate) use waiting::EventAge;
 
 use crate::io::RequestId;
-use crate::shard::failure_attribution::{well_after, JobFailures};
+use crate::shard::failure_attribution::{min_healthy_run_ms, JobFailures};
 use crate::shard::layout::Layout;
 use crate::shard::ranges::Ranges;
 use crate::Ms;
@@ -164,7 +164,8 @@
 
     /// Whether a task is bound that has not run for long enough to run well.
     pub(crate) fn is_trying(&self, now: Ms, heartbeat_interval_ms: Ms) -> bool {
-        let min_run = well_after(self.failures.longest_run, heartbeat_interval_ms);
+        let min_run =
+            min_healthy_run_ms(self.failures.longest_failed_run_ms, heartbeat_interval_ms);
         let runs_well = |binding: &Binding| {
             let since = binding.running_since;
             since.is_some_and(|since| now >= since + min_run)
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -66,11 +66,11 @@
     /// Whether it is a spot instance, which the cloud may reclaim.
     pub(crate) is_spot: bool,
     /// Its capacity.
-    pub(crate) total: Resources,
+    pub(crate) capacity: Resources,
     /// Its price per second.
-    pub(crate) price: f64,
+    pub(crate) price_per_second: f64,
     /// Rate at which it fetches images, in GB per second.
-    pub(crate) fetch_rate: f64,
+    pub(crate) image_fetch_gb_per_s: f64,
     /// Size of its image cache, in GB.
     pub(crate) cache_gb: f64,
     /// Time that it takes to boot, in milliseconds.
@@ -126,12 +126,12 @@
     /// The job's version that records the outcome of an exited attempt.
     pub(crate) exit_versions: BTreeMap<TaskAttempt, u64>,
     /// Numbers and sizes in GB of its images, the most recently used last.
-    pub(crate) images: Vec<(u32, f64)>,
+    pub(crate) cached_images: Vec<(u32, f64)>,
     /// Failures on it since a task last ran well.
     pub(crate) failures: MachineFailures,
     /// Nothing is placed on it before this, as its worker has refused a task
     /// for lack of room.
-    pub(crate) full_until: Ms,
+    pub(crate) placement_blocked_until: Ms,
     /// Version of its record at which it was offered to another shard. Nothing
     /// is placed on it until the record has changed and is still in this shard.
     pub(crate) transfer_version: Option<u64>,
@@ -159,9 +159,9 @@
             machine_type: ctx.places.number(&record.machine_type),
             zone: ctx.places.number(&record.zone),
             is_spot: record.spot,
-            total: capacity_of(machine_type),
-            price: price_per_second(record, machine_type),
-            fetch_rate: machine_type.fetch_gb_per_s,
+            capacity: capacity_of(machine_type),
+            price_per_second: price_per_second(record, machine_type),
+            image_fetch_gb_per_s: machine_type.fetch_gb_per_s,
             cache_gb: machine_type.cache_gb,
             boot_ms: crate::ms(machine_type.boot_s),
             addr: record.addr.clone(),
@@ -187,9 +187,9 @@
             orphans: Vec::new(),
             exited: Vec::new(),
             exit_versions: BTreeMap::new(),
-            images: recorded_images(ctx, record),
+            cached_images: recorded_images(ctx, record),
             failures: MachineFailures::default(),
-            full_until: 0,
+            placement_blocked_until: 0,
             transfer_version: None,
             is_vacating: false,
             deletion: HolderDeletion::default(),
@@ -201,16 +201,16 @@
     }
 
     /// Resources that are free, once everything that may be on it is counted.
-    pub(crate) fn free(&self) -> Resources {
+    pub(crate) fn free_capacity(&self) -> Resources {
         let orphans = self.orphans.iter();
-        orphans.fold(self.total - self.used, |free, orphan| {
+        orphans.fold(self.capacity - self.used, |free, orphan| {
             free - orphan.resources
         })
     }
 
     /// Whether a heartbeat has echoed this holder's token, and so listed all that
     /// earlier holders may have started here.
-    pub(crate) fn is_confirmed(&self) -> bool {
+    pub(crate) fn has_acknowledged_token(&self) -> bool {
         self.last_heartbeat_at.is_some() && self.acknowledged_token >= self.token
     }
 
@@ -238,7 +238,7 @@
 
     /// When it was last heard; at the earliest when this holder learned of it,
     /// or resumed after a pause.
-    pub(crate) fn last_sign_of_life(&self, resumed_at: Ms) -> Ms {
+    pub(crate) fn silent_since(&self, resumed_at: Ms) -> Ms {
         self.last_heartbeat_at
             .unwrap_or(0)
             .max(self.known_since)
@@ -254,12 +254,12 @@
 
     /// Notes that an image is used; the least recently used ones leave the cache
     /// when it is full.
-    pub(crate) fn use_image(&mut self, image: u32, size_gb: f64) {
-        self.images.retain(|(cached, _)| *cached != image);
-        self.images.push((image, size_gb));
-        let mut total_gb: f64 = self.images.iter().map(|(_, size_gb)| size_gb).sum();
-        while total_gb > self.cache_gb && self.images.len() > 1 {
-            total_gb -= self.images.remove(0).1;
+    pub(crate) fn mark_image_used(&mut self, image: u32, size_gb: f64) {
+        self.cached_images.retain(|(cached, _)| *cached != image);
+        self.cached_images.push((image, size_gb));
+        let mut total_gb: f64 = self.cached_images.iter().map(|(_, size_gb)| size_gb).sum();
+        while total_gb > self.cache_gb && self.cached_images.len() > 1 {
+            total_gb -= self.cached_images.remove(0).1;
         }
     }
 }
--- a/crates/core/src/shard/machine_costs.rs
+++ b/crates/core/src/shard/machine_costs.rs
@@ -59,7 +59,7 @@
     }
 
     fn add_machine_cost(&self, costs: &mut MachineCosts, machine: &Machine) {
-        let price = machine.price * SECONDS_PER_HOUR;
+        let price = machine.price_per_second * SECONDS_PER_HOUR;
         costs.total += price;
         if machine.is_spot {
             costs.spot += price;
@@ -69,8 +69,8 @@
         } else if machine.tasks.is_empty() {
             costs.empty += price;
         } else {
-            let running = self.running_on(machine).dominant_share(&machine.total);
-            let bound = machine.used.dominant_share(&machine.total);
+            let running = self.running_on(machine).dominant_share(&machine.capacity);
+            let bound = machine.used.dominant_share(&machine.capacity);
             costs.running += price * running;
             costs.starting += price * (bound - running).max(0.0);
         }
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -42,13 +42,13 @@
             && !self.has_unanswered_call
             && self.decommission_reason.is_none()
             && (self.pool.membership.is_none() || is_offered)
-            && self.is_confirmed()
+            && self.has_acknowledged_token()
     }
 }
 
 impl Shard {
     /// Follows the view: new machines, changed records, removed machines.
-    pub(crate) fn apply_machine_records(
+    pub(crate) fn sync_machine_records(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -105,7 +105,7 @@
     }
 
     /// Notes by which route a machine's heartbeat has come.
-    pub(crate) fn note_route(&mut self, ctx: &Context, id: &MachineId, route: Route) {
+    pub(crate) fn record_heartbeat_route(&mut self, ctx: &Context, id: &MachineId, route: Route) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -182,7 +182,7 @@
 
     /// Names and sizes of the images that are on a machine.
     fn image_names(&self, ctx: &Context, id: &MachineId) -> Vec<(String, f64)> {
-        let images = self.machines.get(id).map(|m| m.images.as_slice());
+        let images = self.machines.get(id).map(|m| m.cached_images.as_slice());
         let images = images.unwrap_or_default().iter();
         let mut names: Vec<(String, f64)> = images
             .filter_map(|(image, size_gb)| Some((ctx.images.name(*image)?.to_owned(), *size_gb)))
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -51,7 +51,7 @@
     fn new(machine: &'a Machine, mut victims: Vec<Victim>) -> Self {
         victims.retain(|v| machine.tasks.contains(&v.task));
         victims.sort_by_key(|v| v.lost_ms);
-        let free = machine.free();
+        let free = machine.free_capacity();
         let max_free = victims.iter().fold(free, |sum, v| sum + v.resources);
         Self {
             machine,
@@ -66,7 +66,7 @@
     fn plan_for(&self, pending: &PendingTasks) -> Option<PreemptionPlan<'_>> {
         let machine = self.machine;
         let may_fit = pending.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
-            && pending.task_resources.fits_in(&machine.total)
+            && pending.task_resources.fits_in(&machine.capacity)
             && pending.task_resources.fits_in(&self.max_free);
         if !may_fit || pending.task_resources.fits_in(&self.free) {
             return None;
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -110,7 +110,7 @@
     }
 
     fn reclaim_candidate(&self, ctx: &Context, machine: &Machine) -> ReclaimCandidate {
-        let mut free = machine.free();
+        let mut free = machine.free_capacity();
         let mut victims = Vec::new();
         for task in &machine.tasks {
             let Some((job, binding)) = self.binding(task) else {
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether no call is under way for which a new holder would have to wait.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn has_no_calls_in_flight(&self) -> bool {
         let calling = self.machines.values().any(|m| m.has_call_in_flight);
         let writing = self
             .jobs
@@ -186,7 +186,7 @@
 
 /// The deadlines of a machine. The first one that has passed gives the reason.
 fn removal_deadlines(ctx: &Context, machine: &Machine) -> [RemovalDeadline; 4] {
-    let last = machine.last_sign_of_life(ctx.resumed_at);
+    let last = machine.silent_since(ctx.resumed_at);
     let idle_ms = (machine.boot_ms as f64 * ctx.config.operator.idle_boots) as Ms;
     // A task is only ever placed on a machine that was heard, by an earlier
     // holder perhaps, which had no time to write the address.
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -114,7 +114,7 @@
     }
 
     /// Handles the cloud's answer to a deletion by this holder.
-    pub(crate) fn on_own_machines_deleted(
+    pub(crate) fn on_holder_deletion_response(
         &mut self,
         ctx: &Context,
         machines: &[MachineId],
--- a/crates/core/src/shard/recovery.rs
+++ b/crates/core/src/shard/recovery.rs
@@ -23,7 +23,7 @@
         }
         self.recovery_state = RecoveryState::Active;
         self.active_since = ctx.now;
-        self.apply_machine_records(ctx, view, &ChangedMachines::everything());
+        self.sync_machine_records(ctx, view, &ChangedMachines::everything());
         self.restore_jobs(ctx);
         for (id, job) in &self.jobs {
             self.unwritten_jobs.mark_due(id);
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -131,24 +131,28 @@
         && machine.transfer_version.is_none()
         && !machine.is_vacating
         && machine.reclaimed_at.is_none()
-        && machine.is_confirmed()
+        && machine.has_acknowledged_token()
         && !machine.has_unanswered_call
         && machine.link.can_start_tasks()
         && !machine.has_missed_heartbeats(ctx)
-        && ctx.now >= machine.full_until
+        && ctx.now >= machine.placement_blocked_until
 }
 
 /// A machine as a round sees it, with what is free now.
 pub(crate) fn host_of(machine: &Machine) -> MachineSnapshot {
     MachineSnapshot {
-        free: machine.free(),
-        total: machine.total,
+        free: machine.free_capacity(),
+        total: machine.capacity,
         machine_type: machine.machine_type,
         zone: machine.zone,
         is_spot: machine.is_spot,
-        price_per_s: machine.price,
-        fetch_gb_per_s: machine.fetch_rate,
-        images: machine.images.iter().map(|(image, _)| *image).collect(),
+        price_per_s: machine.price_per_second,
+        fetch_gb_per_s: machine.image_fetch_gb_per_s,
+        images: machine
+            .cached_images
+            .iter()
+            .map(|(image, _)| *image)
+            .collect(),
         is_held: false,
         startup_delay_s: 0.0,
         reserved_for: None,
--- a/crates/core/src/shard/scheduling/quarantine.rs
+++ b/crates/core/src/shard/scheduling/quarantine.rs
@@ -67,7 +67,7 @@
         let fits = |machine: &Machine| {
             machine.decommission_reason.is_none()
                 && pending.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
-                && pending.task_resources.fits_in(&machine.total)
+                && pending.task_resources.fits_in(&machine.capacity)
         };
         self.machines.values().any(fits)
     }
