--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -115,7 +115,7 @@
         }
         let node = &mut fixture.node;
         let shard = node.shards.get_mut(&fixture.shard).expect("it is ours");
-        shard.transfer_machine(&mut node.ctx, &node.view, &id);
+        shard.transfer_machine_if_requested(&mut node.ctx, &node.view, &id);
         node.ctx.send_due_store_calls();
         let (record, row) = machine_change(&std::mem::take(&mut fixture.node.ctx.effects), &id);
         let record = record.expect("it is written");
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -14,14 +14,14 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
 /// Most commands in one call, which keeps its line well below 64 KiB.
-const MAX_COMMANDS: usize = 200;
+const MAX_COMMANDS_PER_CALL: usize = 200;
 /// A stop without effect is repeated after this many heartbeat intervals.
-const REPEAT_HEARTBEATS: u64 = 2;
+const STOP_RESEND_HEARTBEATS: u64 = 2;
 
 impl Machine {
     /// Whether its worker can be called now, and commands or the token may be
     /// due.
-    fn may_be_called(&self, ctx: &Context) -> bool {
+    fn can_be_called(&self, ctx: &Context) -> bool {
         let may_have_commands = self.must_send_token
             || !self.tasks.is_empty()
             || !self.exited.is_empty()
@@ -62,13 +62,13 @@
 impl Shard {
     /// Sends the due commands to a machine that has no call under way.
     pub(crate) fn send_due_commands(&mut self, ctx: &mut Context, id: &MachineId) {
-        // A machine that finds all calls in use is tried again soon (`is_busy`).
+        // A machine that finds all calls in use is tried again soon (`needs_polling`).
         let has_free_call = ctx.worker_calls_in_flight < ctx.config.bounds.worker_calls;
         let machine = self.machines.get(id);
-        if !has_free_call || !machine.is_some_and(|machine| machine.may_be_called(ctx)) {
+        if !has_free_call || !machine.is_some_and(|machine| machine.can_be_called(ctx)) {
             return;
         }
-        let mut commands = self.safe_commands(ctx, id);
+        let mut commands = self.idempotent_commands(ctx, id);
         // Without a valid lease another holder may have confirmed a cancellation.
         if ctx.links.allows(Decision::StartTasks) {
             commands.extend(self.due_starts(id));
@@ -107,14 +107,14 @@
 
     /// Commands that are safe however often and late they arrive: `forget` for
     /// attempts whose outcome is durable, and stops.
-    pub(crate) fn safe_commands(&mut self, ctx: &Context, id: &MachineId) -> Vec<Command> {
+    pub(crate) fn idempotent_commands(&mut self, ctx: &Context, id: &MachineId) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
         let mut commands = self.forget_commands(machine);
-        let repeat_ms = ctx.config.heartbeat_interval_ms * REPEAT_HEARTBEATS;
+        let repeat_ms = ctx.config.heartbeat_interval_ms * STOP_RESEND_HEARTBEATS;
         for task in &machine.tasks {
-            if commands.len() >= MAX_COMMANDS {
+            if commands.len() >= MAX_COMMANDS_PER_CALL {
                 break;
             }
             let job = self.jobs.get_mut(&task.job);
@@ -133,7 +133,7 @@
                 commands.push(command(Verb::Stop, task, attempt, Some(stop.grace_s)));
             }
         }
-        let free = MAX_COMMANDS - commands.len();
+        let free = MAX_COMMANDS_PER_CALL - commands.len();
         let orphans = machine.orphans.iter().take(free);
         commands.extend(orphans.map(|orphan| {
             let TaskAttempt { task, attempt } = &orphan.attempt;
@@ -152,7 +152,7 @@
         let exited = machine.exited.iter();
         exited
             .filter(|exited| self.is_forgettable(machine, exited))
-            .take(MAX_COMMANDS)
+            .take(MAX_COMMANDS_PER_CALL)
             .map(|exited| command(Verb::Forget, &exited.task, exited.attempt, None))
             .collect()
     }
@@ -182,7 +182,7 @@
         }
         let mut commands = Vec::new();
         for task in &machine.tasks {
-            if commands.len() >= MAX_COMMANDS {
+            if commands.len() >= MAX_COMMANDS_PER_CALL {
                 break;
             }
             let job = self.jobs.get_mut(&task.job);
@@ -284,7 +284,7 @@
         id: &MachineId,
     ) -> Option<(u64, Vec<Command>)> {
         let token = self.machines.get(id)?.token;
-        Some((token, self.safe_commands(ctx, id)))
+        Some((token, self.idempotent_commands(ctx, id)))
     }
 
     /// Number of the shard.
--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -110,7 +110,7 @@
         (m.has_call_in_flight, m.has_unanswered_call) = (calling, unanswered);
         let Fixture { node, shard, .. } = &mut f;
         let shard = node.shards.get_mut(shard).expect("the shard is held");
-        let commands = shard.safe_commands(&node.ctx, &machine);
+        let commands = shard.idempotent_commands(&node.ctx, &machine);
         let n = commands.iter().filter(|o| o.verb == Verb::Forget).count();
         assert_eq!(n, forgets, "calling: {calling}, unanswered: {unanswered}");
     }
@@ -119,7 +119,7 @@
 /// The commands of one call, and of the next one once it was answered.
 #[test]
 fn commands_beyond_one_call_go_out_with_the_next() {
-    let most = MAX_COMMANDS as u32;
+    let most = MAX_COMMANDS_PER_CALL as u32;
     for (tasks, first, second) in [(most, most, 0), (most + 1, most, 1)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, tasks);
--- a/crates/core/src/shard/failure_attribution.rs
+++ b/crates/core/src/shard/failure_attribution.rs
@@ -12,33 +12,33 @@
 
 /// Pause before a job that failed repeatedly is tried again, in milliseconds; it
 /// doubles with each failure.
-const MIN_RETRY_PAUSE_MS: Ms = 2_000;
+const MIN_RETRY_BACKOFF_MS: Ms = 2_000;
 /// The longest such pause, in milliseconds.
-const MAX_RETRY_PAUSE_MS: Ms = 60_000;
+const MAX_RETRY_BACKOFF_MS: Ms = 60_000;
 /// Most times that a pause is doubled.
 const MAX_DOUBLINGS: usize = 8;
 /// A job that failed on so many machines is itself the cause.
-const BLAME_MACHINES: usize = 3;
+const JOB_AT_FAULT_MACHINES: usize = 3;
 /// A job that failed so many times in a row is itself the cause.
-const BLAME_FAILURES: u32 = 4;
+const JOB_AT_FAULT_FAILURES: u32 = 4;
 /// A job that failed on so many machines is tried with one task at a time.
-const LIMIT_MACHINES: usize = 2;
+const ONE_TASK_LIMIT_MACHINES: usize = 2;
 /// A job that failed so many times in a row is tried with one task at a time.
-const LIMIT_FAILURES: u32 = 2;
+const ONE_TASK_LIMIT_FAILURES: u32 = 2;
 /// Most machines that a job remembers to have failed on.
-const MAX_REMEMBERED_MACHINES: usize = 8;
+const MAX_TRACKED_MACHINES: usize = 8;
 /// Jobs that failed on a machine and run well elsewhere, before the machine is
 /// decommissioned.
-const FAULTY_AFTER_JOBS: usize = 2;
+const FAULTY_MACHINE_JOBS: usize = 2;
 /// Heartbeat intervals for which a task must run to run well, beyond twice the
 /// longest run that ended in a failure.
-const WELL_HEARTBEATS: Ms = 4;
+const HEALTHY_RUN_HEARTBEATS: Ms = 4;
 /// Heartbeat intervals after which a quarantined machine is first tried again.
-const QUARANTINE_HEARTBEATS: Ms = 4;
+const QUARANTINE_RETRY_HEARTBEATS: Ms = 4;
 
 /// How long a task must run to run well, in milliseconds.
 pub(crate) fn min_healthy_run_ms(longest_failed_run: Ms, heartbeat_interval_ms: Ms) -> Ms {
-    longest_failed_run * 2 + heartbeat_interval_ms * WELL_HEARTBEATS
+    longest_failed_run * 2 + heartbeat_interval_ms * HEALTHY_RUN_HEARTBEATS
 }
 
 /// A job's failures since a task of it last ran well.
@@ -70,7 +70,7 @@
         self.longest_failed_run_ms = self.longest_failed_run_ms.max(ran_ms);
         for known in [&mut self.machines, &mut self.excluded_machines] {
             known.insert(machine.clone(), now);
-            if known.len() > MAX_REMEMBERED_MACHINES {
+            if known.len() > MAX_TRACKED_MACHINES {
                 let oldest = known.iter().min_by_key(|(_, at)| **at);
                 let oldest = oldest.map(|(id, _)| id.clone());
                 oldest.and_then(|id| known.remove(&id));
@@ -79,7 +79,7 @@
     }
 
     /// Notes that a task that began to run at `began` has run well.
-    pub(crate) fn ran_well(&mut self, began: Ms) {
+    pub(crate) fn record_healthy_run(&mut self, began: Ms) {
         if began >= self.last_counted_at {
             self.reset();
         }
@@ -99,22 +99,24 @@
 
     /// Whether it is to be tried with one task at a time.
     pub(crate) fn is_limited_to_one_task(&self) -> bool {
-        self.failures_in_row >= LIMIT_FAILURES || self.machines.len() >= LIMIT_MACHINES
+        self.failures_in_row >= ONE_TASK_LIMIT_FAILURES
+            || self.machines.len() >= ONE_TASK_LIMIT_MACHINES
     }
 
     /// Whether the job, and no machine, is the cause.
-    pub(crate) fn is_blamed(&self) -> bool {
-        self.failures_in_row >= BLAME_FAILURES || self.machines.len() >= BLAME_MACHINES
+    pub(crate) fn is_job_at_fault(&self) -> bool {
+        self.failures_in_row >= JOB_AT_FAULT_FAILURES
+            || self.machines.len() >= JOB_AT_FAULT_MACHINES
     }
 
     /// The pause before the job is tried again, in milliseconds.
-    pub(crate) fn pause(&self) -> Ms {
+    pub(crate) fn retry_backoff_ms(&self) -> Ms {
         if !self.is_limited_to_one_task() {
             return 0;
         }
-        let extra_failures = self.failures_in_row.saturating_sub(LIMIT_FAILURES) as usize;
+        let extra_failures = self.failures_in_row.saturating_sub(ONE_TASK_LIMIT_FAILURES) as usize;
         let doublings = extra_failures.min(MAX_DOUBLINGS);
-        (MIN_RETRY_PAUSE_MS << doublings).min(MAX_RETRY_PAUSE_MS)
+        (MIN_RETRY_BACKOFF_MS << doublings).min(MAX_RETRY_BACKOFF_MS)
     }
 
     /// Machines that it failed on since it last ran well.
@@ -141,7 +143,7 @@
     /// When the job last failed there.
     at: Ms,
     /// Whether the job has run well elsewhere since.
-    runs_elsewhere: bool,
+    is_job_healthy_elsewhere: bool,
 }
 
 /// A machine's failures since a task last ran well on it.
@@ -163,7 +165,7 @@
         self.longest_failed_run_ms = self.longest_failed_run_ms.max(ran_ms);
         let failure = self.jobs.entry(job.clone()).or_insert(MachineFailure {
             at: now,
-            runs_elsewhere: false,
+            is_job_healthy_elsewhere: false,
         });
         failure.at = now;
     }
@@ -174,20 +176,20 @@
     }
 
     /// Notes that a job runs well elsewhere.
-    pub(crate) fn note_runs_elsewhere(&mut self, job: &JobId) {
+    pub(crate) fn mark_job_healthy_elsewhere(&mut self, job: &JobId) {
         if let Some(failure) = self.jobs.get_mut(job) {
-            failure.runs_elsewhere = true;
+            failure.is_job_healthy_elsewhere = true;
         }
     }
 
     /// Notes that a task of a job that is not suspect begins to run. That does
     /// not prove the machine healthy: the task may still fail.
-    pub(crate) fn note_start(&mut self, now: Ms) {
+    pub(crate) fn record_task_start(&mut self, now: Ms) {
         self.last_start_at = now;
     }
 
     /// Notes that a task that began to run at `began` has run well.
-    pub(crate) fn ran_well(&mut self, began: Ms) {
+    pub(crate) fn record_healthy_run(&mut self, began: Ms) {
         self.jobs.retain(|_, failure| failure.at > began);
     }
 
@@ -198,8 +200,8 @@
 
     /// Whether the machine is faulty.
     pub(crate) fn is_faulty(&self) -> bool {
-        let run_elsewhere = self.jobs.values().filter(|f| f.runs_elsewhere);
-        run_elsewhere.count() >= FAULTY_AFTER_JOBS
+        let run_elsewhere = self.jobs.values().filter(|f| f.is_job_healthy_elsewhere);
+        run_elsewhere.count() >= FAULTY_MACHINE_JOBS
     }
 
     /// When a job last failed on the machine.
@@ -210,7 +212,7 @@
     /// Whether it may be faulty: it is then tried with one task at a time, of a
     /// job that did not fail elsewhere.
     pub(crate) fn is_quarantined(&self) -> bool {
-        self.jobs.len() >= FAULTY_AFTER_JOBS && self.last_start_at <= self.last_failure_at()
+        self.jobs.len() >= FAULTY_MACHINE_JOBS && self.last_start_at <= self.last_failure_at()
     }
 
     /// Whether a job failed on the machine in the last `while_ms`.
@@ -221,9 +223,9 @@
     /// Whether a quarantined machine is to be tried again. The pause grows with
     /// the number of jobs that have failed on it, up to a boot time.
     pub(crate) fn is_retry_due(&self, now: Ms, heartbeat_interval_ms: Ms, boot_ms: Ms) -> bool {
-        let extra_jobs = self.jobs.len().saturating_sub(FAULTY_AFTER_JOBS);
+        let extra_jobs = self.jobs.len().saturating_sub(FAULTY_MACHINE_JOBS);
         let doublings = extra_jobs.min(MAX_DOUBLINGS);
-        let pause_ms = (heartbeat_interval_ms * QUARANTINE_HEARTBEATS) << doublings;
+        let pause_ms = (heartbeat_interval_ms * QUARANTINE_RETRY_HEARTBEATS) << doublings;
         !self.has_failed_within(now, pause_ms.min(boot_ms))
     }
 }
--- a/crates/core/src/shard/failure_attribution/tests.rs
+++ b/crates/core/src/shard/failure_attribution/tests.rs
@@ -64,7 +64,7 @@
             (1, 16, 17),
         ],
         (true, true),
-        MAX_RETRY_PAUSE_MS,
+        MAX_RETRY_BACKOFF_MS,
     ),
 ];
 
@@ -77,8 +77,8 @@
         }
         assert_eq!(failures.is_suspect(), !failed.is_empty(), "{name}");
         assert_eq!(failures.is_limited_to_one_task(), limited, "{name}");
-        assert_eq!(failures.is_blamed(), blamed, "{name}");
-        assert_eq!(failures.pause(), pause, "{name}");
+        assert_eq!(failures.is_job_at_fault(), blamed, "{name}");
+        assert_eq!(failures.retry_backoff_ms(), pause, "{name}");
     }
 }
 
@@ -90,7 +90,7 @@
         let mut failures = JobFailures::default();
         failures.add(&machine(1), 0, 0, 10);
         failures.add(&machine(1), 15, 0, 20);
-        failures.ran_well(began);
+        failures.record_healthy_run(began);
         assert_eq!(failures.is_suspect(), suspect, "began at {began}");
         assert_eq!(
             failures.excluded_machines(25, BOOT_MS).count(),
@@ -108,13 +108,11 @@
     for n in 0..1_000 {
         failures.add(&machine(n), n as Ms * 10, 0, n as Ms * 10 + 5);
     }
-    let newest: Vec<MachineId> = (1_000 - MAX_REMEMBERED_MACHINES..1_000)
-        .map(machine)
-        .collect();
+    let newest: Vec<MachineId> = (1_000 - MAX_TRACKED_MACHINES..1_000).map(machine).collect();
     assert_eq!(failures.machines(), newest);
     assert_eq!(
         failures.excluded_machines(9_995, BOOT_MS).count(),
-        MAX_REMEMBERED_MACHINES
+        MAX_TRACKED_MACHINES
     );
 }
 
@@ -139,7 +137,7 @@
             failures.add(&job(n), 0, 100 + n as Ms);
         }
         for n in well {
-            failures.note_runs_elsewhere(&job(*n));
+            failures.mark_job_healthy_elsewhere(&job(*n));
         }
         let now = BOOT_MS;
         assert_eq!(failures.is_faulty(), faulty, "{name}");
@@ -167,25 +165,25 @@
     let mut failures = MachineFailures::default();
     failures.add(&job(1), 0, 100);
     failures.add(&job(2), 0, 100);
-    let first = 100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_HEARTBEATS;
+    let first = 100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_RETRY_HEARTBEATS;
     assert!(!failures.is_retry_due(first - 1, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     assert!(failures.is_retry_due(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     failures.add(&job(3), 0, 100);
     assert!(!failures.is_retry_due(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     assert!(failures.is_retry_due(
-        100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_HEARTBEATS * 2,
+        100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_RETRY_HEARTBEATS * 2,
         HEARTBEAT_INTERVAL_MS,
         BOOT_MS
     ));
 
-    failures.note_start(150);
+    failures.record_task_start(150);
     assert!(!failures.is_quarantined());
     for n in 1..=3 {
-        failures.note_runs_elsewhere(&job(n));
+        failures.mark_job_healthy_elsewhere(&job(n));
     }
-    failures.ran_well(90);
+    failures.record_healthy_run(90);
     assert!(failures.is_faulty(), "that run began before they failed");
-    failures.ran_well(150);
+    failures.record_healthy_run(150);
     assert!(failures.is_empty());
 }
 
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -10,7 +10,7 @@
 
 use crate::context::Context;
 use crate::shard::job::{Binding, StartState, Stop};
-use crate::shard::machine::{Machine, Orphan, TaskAttempt};
+use crate::shard::machine::{Machine, OrphanTask, TaskAttempt};
 use crate::shard::Shard;
 use forkshift_sched::Resources;
 use forkshift_wire::workers::{TaskStage, TaskStatus, WorkerHeartbeat};
@@ -23,13 +23,13 @@
 impl Machine {
     /// Whether a heartbeat is newer than all that were handled. Whatever comes
     /// after the confirmed deletion of a machine is old.
-    fn is_newer(&self, heartbeat: &WorkerHeartbeat) -> bool {
+    fn is_new_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let newest = (self.incarnation, self.heartbeat_sequence);
         !self.deletion.is_confirmed && (heartbeat.incarnation, heartbeat.sequence) > newest
     }
 
     /// Takes over what a newer heartbeat says of the machine itself.
-    fn apply_heartbeat(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
+    fn update_from_heartbeat(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
         self.incarnation = heartbeat.incarnation;
         self.heartbeat_sequence = heartbeat.sequence;
         self.acknowledged_token = heartbeat.token;
@@ -44,9 +44,9 @@
         }
         if self.acknowledged_token >= self.token {
             self.has_unanswered_call = false;
-            self.unacknowledged_since = None;
+            self.token_unacknowledged_since = None;
         } else {
-            self.unacknowledged_since.get_or_insert(ctx.now);
+            self.token_unacknowledged_since.get_or_insert(ctx.now);
         }
         self.exited.clear();
         self.orphans.clear();
@@ -65,7 +65,7 @@
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return false;
         };
-        if !machine.is_newer(heartbeat) {
+        if !machine.is_new_heartbeat(heartbeat) {
             return false;
         }
         if machine.last_heartbeat_at.is_none() {
@@ -73,8 +73,8 @@
             log::info!("machine {}: first heartbeat after {age_ms} ms", machine.id);
             self.next_round_at = self.next_round_at.min(ctx.now);
         }
-        machine.apply_heartbeat(ctx, heartbeat);
-        self.apply_listed_tasks(ctx, heartbeat);
+        machine.update_from_heartbeat(ctx, heartbeat);
+        self.reconcile_listed_tasks(ctx, heartbeat);
         ctx.work_units += 1 + heartbeat.tasks.len() as u64;
         self.recheck.mark_due(&heartbeat.machine);
         true
@@ -82,7 +82,7 @@
 
     /// Compares the tasks that a heartbeat lists with those that are bound to
     /// its machine.
-    fn apply_listed_tasks(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
+    fn reconcile_listed_tasks(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
         let reports = heartbeat.tasks.iter();
         let listed: ListedTasks = reports
             .map(|report| ((&report.task, report.attempt), report))
@@ -90,15 +90,15 @@
         let machine = self.machines.get(&heartbeat.machine);
         let bound = machine.map(|machine| machine.tasks.clone());
         for task in bound.unwrap_or_default() {
-            self.apply_bound_task(ctx, heartbeat, &task, &listed);
+            self.reconcile_bound_task(ctx, heartbeat, &task, &listed);
         }
         for report in &heartbeat.tasks {
-            self.apply_unbound_task(ctx, &heartbeat.machine, report);
+            self.reconcile_unbound_task(ctx, &heartbeat.machine, report);
         }
     }
 
     /// Applies what a heartbeat says of a task that is bound to its machine.
-    fn apply_bound_task(
+    fn reconcile_bound_task(
         &mut self,
         ctx: &mut Context,
         heartbeat: &WorkerHeartbeat,
@@ -139,7 +139,7 @@
         if is_running && binding.running_since.is_none() {
             binding.running_since = Some(ctx.now);
             if !job.failures.is_suspect() {
-                machine.failures.note_start(ctx.now);
+                machine.failures.record_task_start(ctx.now);
             }
         }
         binding.stage = Some(report.stage);
@@ -151,7 +151,7 @@
             };
         }
         if let Some(began) = binding.running_since.filter(|_| is_running) {
-            self.on_task_running(ctx, &heartbeat.machine, &task.job, began);
+            self.clear_failures_if_healthy(ctx, &heartbeat.machine, &task.job, began);
         }
     }
 
@@ -186,7 +186,7 @@
 
     /// Handles a task that a machine lists and that is not bound to it in this
     /// attempt.
-    fn apply_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
+    fn reconcile_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let job = self.jobs.get(&task.job);
         let binding = job.and_then(|job| job.bound.get(&task.index));
@@ -215,15 +215,15 @@
         }
         log::info!("task {task}: unexpected on {id}, to be stopped");
         if is_adoptable {
-            self.adopt(ctx, id, report);
+            self.bind_unexpected_task(ctx, id, report);
         } else {
-            machine.orphans.push(Orphan { attempt, resources });
+            machine.orphans.push(OrphanTask { attempt, resources });
         }
     }
 
     /// Binds an unexpected task, to be stopped: it must have exited before it is
     /// started elsewhere.
-    fn adopt(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
+    fn bind_unexpected_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let (Some(machine), Some(job)) = (self.machines.get(id), self.jobs.get_mut(&task.job))
         else {
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -12,10 +12,10 @@
 
 /// Pause before a start that its worker refused is tried again, in
 /// milliseconds.
-const REFUSED_PAUSE_MS: Ms = 2_000;
+const REFUSED_START_BACKOFF_MS: Ms = 2_000;
 /// Heartbeat intervals for which nothing is placed on a machine whose worker
 /// had no room for a task.
-const NO_ROOM_HEARTBEATS: Ms = 2;
+const PLACEMENT_BLOCK_HEARTBEATS: Ms = 2;
 
 impl Shard {
     /// Handles the exit of a bound task.
@@ -68,7 +68,7 @@
         match cause {
             ExitCause::Done => {
                 let began = binding.running_since.unwrap_or(binding.bound_at);
-                self.on_task_ran_well(machine_id, job_id, began);
+                self.on_healthy_run(machine_id, job_id, began);
                 if let Some(job) = self.jobs.get_mut(job_id) {
                     job.failures.reset();
                 }
@@ -78,12 +78,12 @@
                 // The accounts of the shard and the worker differ for a while.
                 if let Some(machine) = self.machines.get_mut(machine_id) {
                     machine.placement_blocked_until =
-                        ctx.now + ctx.config.heartbeat_interval_ms * NO_ROOM_HEARTBEATS;
+                        ctx.now + ctx.config.heartbeat_interval_ms * PLACEMENT_BLOCK_HEARTBEATS;
                 }
             }
             ExitCause::OtherAttemptPresent | ExitCause::UnknownTask => {
                 if let Some(job) = self.jobs.get_mut(job_id) {
-                    job.not_before = job.not_before.max(ctx.now + REFUSED_PAUSE_MS);
+                    job.not_before = job.not_before.max(ctx.now + REFUSED_START_BACKOFF_MS);
                 }
             }
             ExitCause::Stopped | ExitCause::GangMemberLost | ExitCause::GangTimeout => {}
@@ -104,9 +104,11 @@
         let ran_ms = binding.running_since.map_or(0, |since| ctx.now - since);
         job.failures
             .add(machine_id, binding.bound_at, ran_ms, ctx.now);
-        job.not_before = job.not_before.max(ctx.now + job.failures.pause());
+        job.not_before = job
+            .not_before
+            .max(ctx.now + job.failures.retry_backoff_ms());
         // It fails on every machine, so it counts against none of them.
-        if job.failures.is_blamed() {
+        if job.failures.is_job_at_fault() {
             for blamed in job.failures.machines() {
                 if let Some(machine) = self.machines.get_mut(&blamed) {
                     machine.failures.remove(job_id);
@@ -119,7 +121,7 @@
 
     /// Clears the failures of a task's job and machine if it has been running for
     /// long enough.
-    pub(super) fn on_task_running(
+    pub(super) fn clear_failures_if_healthy(
         &mut self,
         ctx: &Context,
         machine_id: &MachineId,
@@ -138,25 +140,25 @@
             .longest_failed_run_ms
             .max(machine.failures.longest_failed_run_ms);
         if ctx.now >= began + min_healthy_run_ms(longest_run, ctx.config.heartbeat_interval_ms) {
-            self.on_task_ran_well(machine_id, job_id, began);
+            self.on_healthy_run(machine_id, job_id, began);
         }
     }
 
     /// Notes that a task has run well: failures of its job count against the
     /// machines on which they happened.
-    fn on_task_ran_well(&mut self, machine_id: &MachineId, job_id: &JobId, began: Ms) {
+    fn on_healthy_run(&mut self, machine_id: &MachineId, job_id: &JobId, began: Ms) {
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.failures.ran_well(began);
+            machine.failures.record_healthy_run(began);
         }
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         for failed_on in job.failures.machines() {
             if let Some(machine) = self.machines.get_mut(&failed_on) {
-                machine.failures.note_runs_elsewhere(job_id);
+                machine.failures.mark_job_healthy_elsewhere(job_id);
                 self.recheck.mark_due(&failed_on);
             }
         }
-        job.failures.ran_well(began);
+        job.failures.record_healthy_run(began);
     }
 }
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -28,7 +28,7 @@
 
 /// A task that is on a machine and must not be.
 #[derive(Clone, Debug)]
-pub(crate) struct Orphan {
+pub(crate) struct OrphanTask {
     /// The attempt that runs.
     pub(crate) attempt: TaskAttempt,
     /// Resources that it takes, as far as its job is known.
@@ -96,7 +96,7 @@
     /// The fencing token that this holder uses.
     pub(crate) token: u64,
     /// Since when the echoed token has been behind `token`.
-    pub(crate) unacknowledged_since: Option<Ms>,
+    pub(crate) token_unacknowledged_since: Option<Ms>,
     /// When the newest heartbeat came, if any has reached this holder.
     pub(crate) last_heartbeat_at: Option<Ms>,
     /// State of the link to it.
@@ -120,7 +120,7 @@
     /// Resources that those tasks take.
     pub(crate) used: Resources,
     /// Tasks that are on it and must not be.
-    pub(crate) orphans: Vec<Orphan>,
+    pub(crate) orphans: Vec<OrphanTask>,
     /// Exited attempts that its worker still lists.
     pub(crate) exited: Vec<TaskAttempt>,
     /// The job's version that records the outcome of an exited attempt.
@@ -173,7 +173,7 @@
             heartbeat_sequence: 0,
             acknowledged_token: 0,
             token: recorded.first_token,
-            unacknowledged_since: None,
+            token_unacknowledged_since: None,
             last_heartbeat_at: None,
             link: MachineLink::default(),
             known_since: ctx.now,
@@ -249,7 +249,7 @@
     pub(crate) fn raise_token(&mut self, now: Ms) {
         self.token += 1;
         self.must_send_token = true;
-        self.unacknowledged_since.get_or_insert(now);
+        self.token_unacknowledged_since.get_or_insert(now);
     }
 
     /// Notes that an image is used; the least recently used ones leave the cache
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -18,7 +18,7 @@
 
 impl Machine {
     /// Follows a changed record.
-    fn follow_record(&mut self, versioned: &Versioned<MachineRecord>) {
+    fn update_from_record(&mut self, versioned: &Versioned<MachineRecord>) {
         if self.version == versioned.version {
             return;
         }
@@ -58,17 +58,17 @@
             let known = self.machines.keys().chain(view.machines.keys());
             let all: BTreeSet<MachineId> = known.cloned().collect();
             for id in &all {
-                self.apply_machine_record(ctx, view, id);
+                self.sync_machine_record(ctx, view, id);
             }
         } else {
             for id in &changed.machines {
-                self.apply_machine_record(ctx, view, id);
+                self.sync_machine_record(ctx, view, id);
             }
         }
     }
 
     /// Follows one machine's record.
-    fn apply_machine_record(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
+    fn sync_machine_record(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         ctx.work_units += 1;
         let versioned = view.machines.get(id);
         let Some(versioned) = versioned.filter(|m| m.record.shard == self.id) else {
@@ -77,7 +77,7 @@
         };
         self.recheck.mark_due(id);
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.follow_record(versioned);
+            machine.update_from_record(versioned);
             return;
         }
         let Some(machine_type) = view.machine_types.get(&versioned.record.machine_type) else {
@@ -99,7 +99,7 @@
         if !self.machines.contains_key(id) {
             return;
         }
-        self.unbind_all(ctx, id);
+        self.unbind_all_tasks(ctx, id);
         self.machines.remove(id);
         self.recheck.remove(id);
     }
@@ -122,7 +122,7 @@
     }
 
     /// Unbinds all tasks of a machine on which nothing runs any more.
-    pub(crate) fn unbind_all(&mut self, ctx: &Context, id: &MachineId) {
+    pub(crate) fn unbind_all_tasks(&mut self, ctx: &Context, id: &MachineId) {
         let tasks = self.machines.get(id).map(|m| m.tasks.clone());
         for task in tasks.into_iter().flatten() {
             self.unbind(&task.job, task.index);
@@ -134,7 +134,7 @@
     /// free. From the moment the write is sent nothing is placed on it until the
     /// record has changed: a write without an answer may be carried out late,
     /// and the other shard then owns whatever is on the machine.
-    pub(crate) fn transfer_machine(
+    pub(crate) fn transfer_machine_if_requested(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -16,15 +16,15 @@
 const CHECKS_PER_HEARTBEAT: Ms = 8;
 /// Heartbeat intervals after which a machine that the cloud has reclaimed is
 /// decommissioned.
-const RECLAIM_HEARTBEATS: Ms = 2;
+const RECLAIM_GRACE_HEARTBEATS: Ms = 2;
 /// A machine to which no answer gets through is decommissioned after so many
 /// times the time after which one without heartbeats is.
-const UNACKNOWLEDGED_TIMEOUTS: Ms = 2;
+const UNACKNOWLEDGED_TOKEN_TIMEOUTS: Ms = 2;
 
 impl Shard {
     /// Does what is due for gangs, cancellations, scheduling, machines and records.
     pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &ClusterView) {
-        self.stop_broken_gangs();
+        self.stop_incomplete_gangs();
         self.enforce_cancellations(ctx);
         self.run_scheduling_round(ctx, view);
         self.sync_pool_records(ctx);
@@ -41,7 +41,7 @@
 
     /// Stops gangs that have lost a task, also under an earlier holder: the next
     /// attempt begins when the remaining tasks have exited.
-    fn stop_broken_gangs(&mut self) {
+    fn stop_incomplete_gangs(&mut self) {
         for id in std::mem::take(&mut self.incomplete_gangs) {
             let is_broken = self.jobs.get(&id).is_some_and(|job| {
                 let bound = job.bound.len() as u32;
@@ -71,20 +71,20 @@
             return;
         };
         ctx.work_units += 1;
-        let deadline = removal_deadline(ctx, machine).unwrap_or_else(|reason| {
+        let deadline = decommission_deadline(ctx, machine).unwrap_or_else(|reason| {
             self.decommission(id, reason);
             Ms::MAX
         });
         self.record_decommission(ctx, view, id);
-        self.reclaim_unsent_tasks(ctx, id);
-        self.note_address(ctx, view, id);
+        self.unbind_unsent_tasks_if_unreachable(ctx, id);
+        self.record_worker_address(ctx, view, id);
         self.reconcile_membership(ctx, view, id);
-        self.transfer_machine(ctx, view, id);
+        self.transfer_machine_if_requested(ctx, view, id);
         self.send_due_commands(ctx, id);
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let next_check = if self.is_busy(view, machine) {
+        let next_check = if self.needs_polling(view, machine) {
             let soon = ctx.now + (ctx.config.heartbeat_interval_ms / CHECKS_PER_HEARTBEAT).max(1);
             soon.max(machine.retry_at)
         } else {
@@ -97,7 +97,7 @@
     /// Unbinds tasks whose start was never sent from a machine whose heartbeats
     /// are missing, or that no call reaches: no evidence of their exit is needed,
     /// and the machine may stay out of reach for long.
-    fn reclaim_unsent_tasks(&mut self, ctx: &Context, id: &MachineId) {
+    fn unbind_unsent_tasks_if_unreachable(&mut self, ctx: &Context, id: &MachineId) {
         let is_out_of_reach = |m: &&Machine| {
             let is_silent = m.last_heartbeat_at.is_some() && !m.has_recent_heartbeat(ctx);
             is_silent || !m.link.can_start_tasks()
@@ -110,7 +110,7 @@
 
     /// Whether something about a machine is under way of whose end no message
     /// may come.
-    fn is_busy(&self, view: &ClusterView, machine: &Machine) -> bool {
+    fn needs_polling(&self, view: &ClusterView, machine: &Machine) -> bool {
         let is_pending = |task: &TaskRef| {
             let job = self.jobs.get(&task.job);
             let binding = job.and_then(|job| job.bound.get(&task.index));
@@ -125,7 +125,7 @@
     }
 
     /// Records the address of a machine's worker, once known.
-    fn note_address(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
+    fn record_worker_address(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -159,7 +159,7 @@
 
 /// Until when a machine is kept if nothing happens to it, or the reason why it
 /// is decommissioned now.
-fn removal_deadline(ctx: &Context, machine: &Machine) -> Result<Ms, &'static str> {
+fn decommission_deadline(ctx: &Context, machine: &Machine) -> Result<Ms, &'static str> {
     if machine.decommission_reason.is_some() {
         return Ok(Ms::MAX);
     }
@@ -167,7 +167,7 @@
         return Err("it fails what it starts");
     }
     let mut next = Ms::MAX;
-    for deadline in removal_deadlines(ctx, machine) {
+    for deadline in decommission_deadlines(ctx, machine) {
         match deadline.at {
             Some(at) if ctx.now > at => return Err(deadline.reason),
             Some(at) => next = next.min(at + 1),
@@ -178,40 +178,40 @@
 }
 
 /// A time after which a machine is decommissioned, and the recorded reason.
-struct RemovalDeadline {
+struct DecommissionDeadline {
     /// The time in milliseconds of the steady clock; none: it does not apply.
     at: Option<Ms>,
     reason: &'static str,
 }
 
 /// The deadlines of a machine. The first one that has passed gives the reason.
-fn removal_deadlines(ctx: &Context, machine: &Machine) -> [RemovalDeadline; 4] {
+fn decommission_deadlines(ctx: &Context, machine: &Machine) -> [DecommissionDeadline; 4] {
     let last = machine.silent_since(ctx.resumed_at);
     let idle_ms = (machine.boot_ms as f64 * ctx.config.operator.idle_boots) as Ms;
     // A task is only ever placed on a machine that was heard, by an earlier
     // holder perhaps, which had no time to write the address.
     let was_heard =
         machine.addr.is_some() || machine.last_heartbeat_at.is_some() || !machine.tasks.is_empty();
-    let reclaim_grace_ms = ctx.config.heartbeat_interval_ms * RECLAIM_HEARTBEATS;
-    let unacknowledged_ms = ctx.max_silence_ms() * UNACKNOWLEDGED_TIMEOUTS;
+    let reclaim_grace_ms = ctx.config.heartbeat_interval_ms * RECLAIM_GRACE_HEARTBEATS;
+    let unacknowledged_ms = ctx.max_silence_ms() * UNACKNOWLEDGED_TOKEN_TIMEOUTS;
     [
-        RemovalDeadline {
+        DecommissionDeadline {
             at: was_heard.then_some(last + ctx.removal_timeout_ms(machine)),
             reason: "it is silent",
         },
-        RemovalDeadline {
+        DecommissionDeadline {
             at: machine
                 .reclaimed_at
                 .map(|at| at.max(last) + reclaim_grace_ms),
             reason: "it was taken",
         },
-        RemovalDeadline {
+        DecommissionDeadline {
             at: machine
-                .unacknowledged_since
+                .token_unacknowledged_since
                 .map(|since| since + unacknowledged_ms),
             reason: "our answers do not reach it",
         },
-        RemovalDeadline {
+        DecommissionDeadline {
             at: machine
                 .idle_since
                 .map(|since| (since + idle_ms).saturating_sub(1)),
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -17,32 +17,32 @@
 
 /// A machine that may hold a task of a cancelled job is decommissioned after
 /// this part of the time in which the task must have exited.
-const DECOMMISSION_PART: f64 = 0.35;
+const DECOMMISSION_FRACTION: f64 = 0.35;
 /// By this part of it the machine is decommissioned even if its holder has just
 /// learned of the cancellation.
-const LATEST_DECOMMISSION_PART: f64 = 0.5;
+const LATEST_DECOMMISSION_FRACTION: f64 = 0.5;
 /// After this part of it the holder has the machine deleted itself.
-const DELETE_PART: f64 = 0.6;
+const DELETE_FRACTION: f64 = 0.6;
 /// Heartbeat intervals that a new holder gives a machine to show that a task has
 /// stopped.
-const STOP_HEARTBEATS: u64 = 2;
+const STOP_GRACE_HEARTBEATS: u64 = 2;
 
 /// Ages of a cancellation, in milliseconds, at which measures are due.
-struct Deadlines {
+struct CancellationDeadlines {
     decommission: Ms,
     delete: Ms,
 }
 
-impl Deadlines {
+impl CancellationDeadlines {
     fn of(ctx: &Context, job: &Job) -> Self {
         let part = |part: f64| (ctx.config.cancellation_timeout_ms as f64 * part) as Ms;
         // A new holder tries to stop the tasks first, if there is time.
-        let stop_ms = ctx.config.heartbeat_interval_ms * STOP_HEARTBEATS;
+        let stop_ms = ctx.config.heartbeat_interval_ms * STOP_GRACE_HEARTBEATS;
         let tried = job.cancellation_age.when_learned_ms + stop_ms;
-        let tried = tried.min(part(LATEST_DECOMMISSION_PART));
+        let tried = tried.min(part(LATEST_DECOMMISSION_FRACTION));
         Self {
-            decommission: part(DECOMMISSION_PART).max(tried),
-            delete: part(DELETE_PART),
+            decommission: part(DECOMMISSION_FRACTION).max(tried),
+            delete: part(DELETE_FRACTION),
         }
     }
 }
@@ -58,7 +58,7 @@
                 continue;
             };
             let age = job.cancel_age(ctx.now);
-            let deadlines = Deadlines::of(ctx, job);
+            let deadlines = CancellationDeadlines::of(ctx, job);
             let bindings = job.bound.values();
             let holding: BTreeSet<MachineId> = bindings.map(|b| b.machine.clone()).collect();
             if age >= deadlines.decommission {
@@ -75,7 +75,7 @@
             }
             self.cancelled_jobs.set_deadline(&id, next_check);
         }
-        self.delete_overdue(ctx, overdue);
+        self.delete_overdue_machines(ctx, overdue);
     }
 
     /// Has machines deleted without a record that says so. That is always safe,
@@ -84,7 +84,7 @@
     /// machines that send no heartbeats, and starts nothing on them. Their tasks
     /// stay bound until the cloud has confirmed the deletion, or the record is
     /// removed.
-    fn delete_overdue(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
+    fn delete_overdue_machines(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
         let mut due = Vec::new();
         for id in overdue {
             let Some(machine) = self.machines.get_mut(&id) else {
@@ -125,7 +125,7 @@
                 machine.deletion.is_confirmed = true;
                 machine.orphans.clear();
                 machine.exited.clear();
-                self.unbind_all(ctx, id);
+                self.unbind_all_tasks(ctx, id);
             }
         }
     }
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -121,7 +121,8 @@
         (m.addr, m.last_heartbeat_at) = (None, None);
         f.node.ctx.now += f.node.ctx.config.lease_ms;
         f.node.ctx.has_valid_lease = true;
-        let deadline = removal_deadline(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
+        let deadline =
+            decommission_deadline(&f.node.ctx, &f.node.shards[&f.shard].machines[&machine]);
         assert_eq!(deadline.is_err(), tasks, "with tasks: {tasks}");
     }
 }
