--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -1,7 +1,8 @@
-//! Commands to workers.
+//! Commands from the holder of a shard to workers.
 //!
-//! Starts are sent straight to the worker, whose answer confirms them. They are
-//! never part of an answer to a heartbeat, whose loss would go unnoticed.
+//! Start commands are sent only in calls to the worker, whose responses confirm them. They
+//! are never part of a response to a heartbeat, because the holder would not learn that the
+//! response was lost. Idempotent commands may also be sent in those responses.
 
 use crate::context::Context;
 use crate::pending_call::PendingCall;
@@ -13,14 +14,15 @@
 use forkshift_wire::workers::{Command, CommandRequest, Verb, WorkerHeartbeat};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
-/// Most commands in one call, which keeps its line well below 64 KiB.
+/// Upper bound of the commands in one call. It keeps the request, a single line, well below
+/// 64 KiB.
 const MAX_COMMANDS_PER_CALL: usize = 200;
-/// A stop without effect is repeated after this many heartbeat intervals.
+/// Heartbeat intervals after which a stop command is resent if its task has not exited.
 const STOP_RESEND_HEARTBEATS: u64 = 2;
 
 impl Machine {
-    /// Whether its worker can be called now, and commands or the token may be
-    /// due.
+    /// Whether the worker can be called now and a call might be needed: for commands or to
+    /// send the token.
     fn can_be_called(&self, ctx: &Context) -> bool {
         let may_have_commands = self.must_send_token
             || !self.tasks.is_empty()
@@ -32,23 +34,23 @@
         may_have_commands && is_callable
     }
 
-    /// Notes that a call had no answer.
+    /// Schedules the next call after one that ended without a response.
     fn on_call_unanswered(&mut self, ctx: &Context, had_commands: bool) {
         self.retry_at = ctx.now + ctx.config.heartbeat_interval_ms / 2;
         if had_commands {
-            // They may be carried out late, unless a newer token arrives first.
+            // The worker may still execute the commands, until it sees a newer token.
             self.has_unanswered_call = true;
             self.raise_token(ctx.now);
         } else {
-            // Machines without heartbeats are called again by the failure
-            // detector, at its own pace.
+            // If heartbeats are missing, the failure detector schedules the next calls at its
+            // own interval.
             self.must_send_token = !self.has_missed_heartbeats(ctx);
         }
     }
 }
 
 impl Job {
-    /// Whether a task's start is recorded, was never sent and is still wanted.
+    /// Whether a task's start is durable, was never sent and is still wanted.
     fn is_start_due(&self, index: u32) -> bool {
         !self.is_cancelled
             && self.bound.get(&index).is_some_and(|binding| {
@@ -60,16 +62,18 @@
 }
 
 impl Shard {
-    /// Sends the due commands to a machine that has no call under way.
+    /// Calls a machine's worker with the commands that are due. At most one call per machine
+    /// is in flight.
     pub(crate) fn send_due_commands(&mut self, ctx: &mut Context, id: &MachineId) {
-        // A machine that finds all calls in use is tried again soon (`needs_polling`).
+        // A machine that finds no free call is checked again soon, see `needs_polling`.
         let has_free_call = ctx.worker_calls_in_flight < ctx.config.bounds.worker_calls;
         let machine = self.machines.get(id);
         if !has_free_call || !machine.is_some_and(|machine| machine.can_be_called(ctx)) {
             return;
         }
         let mut commands = self.idempotent_commands(ctx, id);
-        // Without a valid lease another holder may have confirmed a cancellation.
+        // Without a valid lease, the shard may have a new holder that has already confirmed a
+        // cancellation of the job to a user.
         if ctx.links.allows(Decision::StartTasks) {
             commands.extend(self.due_starts(id));
         }
@@ -83,8 +87,9 @@
         let Some(addr) = machine.addr.clone() else {
             return;
         };
-        // A new holder does not know the incarnation yet. Most workers are in
-        // their first; the others answer 409 with a heartbeat that shows it.
+        // A new holder does not know the incarnation of the worker before the first
+        // heartbeat. Most workers are in incarnation 1; the others respond with status 409
+        // and a heartbeat that contains their incarnation.
         let incarnation = machine.incarnation.max(1);
         let request = CommandRequest {
             token: machine.token,
@@ -105,7 +110,7 @@
         ctx.send_commands(&addr, body, ctx.config.worker_call_timeout_ms(), pending);
     }
 
-    /// Commands that are safe however often and late they arrive: `forget` for
+    /// Commands that are idempotent and harmless when they arrive late: `forget` for exited
     /// attempts whose outcome is durable, and stops.
     pub(crate) fn idempotent_commands(&mut self, ctx: &Context, id: &MachineId) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else {
@@ -142,10 +147,10 @@
         commands
     }
 
-    /// `forget` for exited attempts whose outcome is durable.
+    /// `forget` commands for exited attempts whose outcome is durable.
     fn forget_commands(&self, machine: &Machine) -> Vec<Command> {
-        // Once a worker has forgotten an attempt, a start that is still in
-        // flight would run it anew.
+        // If a start is still in flight when the worker forgets the attempt, the worker would
+        // run the attempt a second time.
         if machine.has_unanswered_call || machine.has_call_in_flight {
             return Vec::new();
         }
@@ -157,7 +162,8 @@
             .collect()
     }
 
-    /// Whether an exited attempt is not bound any more, and its outcome durable.
+    /// Whether a worker may forget an exited attempt: the attempt is no longer bound, and its
+    /// outcome is durable.
     fn is_forgettable(&self, machine: &Machine, exited: &TaskAttempt) -> bool {
         let Some(job) = self.jobs.get(&exited.task.job) else {
             return true;
@@ -171,7 +177,7 @@
         !is_bound && version.is_none_or(|version| job.is_durable(index, *version))
     }
 
-    /// Starts that are recorded and were never sent.
+    /// Start commands that are durable and were never sent. They are marked as sent.
     fn due_starts(&mut self, id: &MachineId) -> Vec<Command> {
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
@@ -200,7 +206,9 @@
         commands
     }
 
-    /// Handles the end of a call to a worker, with or without an answer.
+    /// Processes the end of a call to a worker. A response is a heartbeat, with status 200 if
+    /// the commands were executed and 409 if the call was refused; any other status means
+    /// that there was no response.
     pub(crate) fn on_command_call_end(
         &mut self,
         ctx: &mut Context,
@@ -225,11 +233,12 @@
             return;
         };
         if status == 409 {
-            // Nothing was carried out, and this was the only copy.
+            // The worker has executed no command of a refused call, and no other copy of the
+            // call exists, so its starts can be sent again.
             machine.must_send_token = heartbeat.token < machine.token;
             if heartbeat.token > machine.token {
-                // A newer holder has the machine, as the view will show; calls
-                // without a pause would only load both ends.
+                // The machine has a newer holder, as the view will show. Without a backoff
+                // both ends would be loaded by calls that are refused again.
                 machine.retry_at = ctx.now + ctx.config.heartbeat_interval_ms;
             }
             self.mark_starts_unsent(id, token, commands);
@@ -237,7 +246,7 @@
         self.on_worker_heartbeat(ctx, &heartbeat);
     }
 
-    /// Takes back that starts were sent, in a call that was refused.
+    /// Marks the starts of a refused call as not sent.
     fn mark_starts_unsent(&mut self, id: &MachineId, token: u64, commands: &[Command]) {
         for command in commands.iter().filter(|c| c.verb == Verb::Start) {
             let job = self.jobs.get_mut(&command.task.job);
@@ -246,9 +255,9 @@
             let is_of_call = matches!(binding.start, StartState::SentByThisHolder { token: t, .. } if t == token);
             if is_of_call && binding.machine == *id && binding.attempt == command.attempt {
                 binding.start = StartState::NotSent;
-                // A task that is to be stopped needs no evidence of its exit any
-                // more. Kept bound, it once was so for ever: no stop is sent for
-                // a task that was never started.
+                // A task that is being stopped and was never started can be unbound at once,
+                // without evidence of its exit. It must be, because no stop is sent for a
+                // task that was never started, so that its binding would never end.
                 if binding.stop.is_some() {
                     self.unbind_unsent(&command.task.job);
                 }
@@ -256,7 +265,8 @@
         }
     }
 
-    /// Cancels a job. Its user is answered when the cancellation is written.
+    /// Cancels a job and stops its tasks. The users that requested it get a response once the
+    /// cancellation is durable.
     pub(crate) fn cancel(&mut self, ctx: &Context, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -277,7 +287,8 @@
         self.unbind_unsent(id);
     }
 
-    /// The token and the commands for the answer to a worker's heartbeat.
+    /// Fencing token and idempotent commands for the response to a worker's heartbeat; none
+    /// if the machine is not in this shard.
     pub(crate) fn heartbeat_reply(
         &mut self,
         ctx: &Context,
@@ -287,13 +298,13 @@
         Some((token, self.idempotent_commands(ctx, id)))
     }
 
-    /// Number of the shard.
+    /// Number that identifies the shard.
     pub(crate) fn id(&self) -> ShardId {
         self.id
     }
 }
 
-/// A command for an attempt at a task.
+/// Builds a command. `grace_s` is the time that a stopped task has for saving a checkpoint.
 fn command(verb: Verb, task: &TaskRef, attempt: u64, grace_s: Option<f64>) -> Command {
     Command {
         verb,
--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `commands`.
+//! Tests of [`commands`](super).
 
 use super::*;
 use crate::fixture::Fixture;
@@ -7,7 +7,7 @@
 use forkshift_wire::workers::TaskStage;
 use serde_json::to_value;
 
-/// Verbs of the commands that go straight to workers.
+/// Verbs of the commands in calls to workers.
 fn sent(effects: &[Effect]) -> Vec<Verb> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { path, body, .. } if path == "/commands" => body.as_deref(),
@@ -23,8 +23,9 @@
     matches!(pending, PendingCall::Commands { .. })
 }
 
-/// A holder that had lost its lease without knowing once sent a start that it
-/// had recorded before, after its successor had confirmed the cancellation.
+/// A holder that does not know that its lease has expired must not send a start, even one
+/// that it recorded before: the next holder may already have confirmed the cancellation of
+/// the job.
 #[test]
 fn starts_are_sent_only_under_a_valid_lease() {
     for (has_valid_lease, verbs) in [(true, vec![Verb::Start]), (false, vec![])] {
@@ -42,7 +43,7 @@
     }
 }
 
-/// Stops need no valid lease.
+/// Stops are idempotent and only end tasks, so that they need no valid lease.
 #[test]
 fn stops_are_sent_without_a_valid_lease_too() {
     for has_valid_lease in [true, false] {
@@ -59,8 +60,8 @@
     }
 }
 
-/// A start that was refused while its task was being stopped once held its
-/// place for ever: nothing is sent for what was never sent.
+/// A start that was refused while its task was being stopped kept the task bound forever, as
+/// no stop is sent for a task that was never started.
 #[test]
 fn a_refused_start_of_a_stopped_task_is_unbound() {
     for stopped in [true, false] {
@@ -80,8 +81,8 @@
     }
 }
 
-/// A holder that does not know of its successor once called a machine as fast
-/// as that refused it.
+/// A holder that did not know of its successor called a machine again as soon as the worker
+/// refused a call for its old token. A newer token must cause a backoff.
 #[test]
 fn a_machine_with_a_newer_token_is_left_alone() {
     for (newer, calls) in [(0, true), (1 << 30, false)] {
@@ -96,8 +97,9 @@
     }
 }
 
-/// Once a worker has forgotten an attempt, a start that is still on its way
-/// would run it anew: while a call may be carried out late, nothing is forgotten.
+/// If a worker forgets an attempt while a start for it is in flight, it runs the attempt
+/// again when the start arrives. Nothing is forgotten while a call is in flight or
+/// unanswered.
 #[test]
 fn nothing_is_forgotten_while_a_start_may_be_on_its_way() {
     for (calling, unanswered, forgets) in [(false, false, 1), (true, false, 0), (false, true, 0)] {
@@ -116,7 +118,8 @@
     }
 }
 
-/// The commands of one call, and of the next one once it was answered.
+/// Commands beyond the bound of one call are sent in the next call, after the response to the
+/// first.
 #[test]
 fn commands_beyond_one_call_go_out_with_the_next() {
     let most = MAX_COMMANDS_PER_CALL as u32;
@@ -136,8 +139,8 @@
     }
 }
 
-/// With as many calls to workers under way as there may be, a start waits for one of them
-/// to end.
+/// When the bound of concurrent calls to workers is reached, a start is delayed until a call
+/// has ended.
 #[test]
 fn a_call_beyond_the_bound_waits() {
     for (beside, starts) in [(1, 1), (0, 0)] {
--- a/crates/core/src/shard/failure_attribution.rs
+++ b/crates/core/src/shard/failure_attribution.rs
@@ -1,227 +1,249 @@
-//! Attribution of failed tasks to their machines or to their jobs.
+//! Attribution of task failures to the machine or to the job.
 //!
-//! Mostly the machine is faulty; a job that was submitted with a mistake fails
-//! on every machine. What distinguishes them is whether the job runs elsewhere:
-//! a machine is decommissioned when jobs failed on it that run well on others.
-//! Until that is known it is in quarantine, and a job that fails repeatedly is
-//! tried with one task at a time and with growing pauses.
+//! A failed task has two likely causes: its machine is faulty, or its job was submitted with
+//! an error and fails on every machine. The two are told apart by whether tasks of the same
+//! job run on other machines. A machine is decommissioned once enough jobs that failed on it
+//! run without failure elsewhere.
+//!
+//! Until the cause is tracked, the machine is in quarantine, and a job that fails repeatedly
+//! runs one task at a time with an exponential backoff between attempts.
+//!
+//! A *healthy run* is a task that completes, or that runs for longer than
+//! [`min_healthy_run_ms`].
 
 use crate::Ms;
 use forkshift_wire::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// Pause before a job that failed repeatedly is tried again, in milliseconds; it
-/// doubles with each failure.
+/// Initial backoff, in milliseconds, before a job that failed repeatedly is retried. The
+/// backoff doubles with each further failure.
 const MIN_RETRY_BACKOFF_MS: Ms = 2_000;
-/// The longest such pause, in milliseconds.
+/// Upper bound of the retry backoff, in milliseconds.
 const MAX_RETRY_BACKOFF_MS: Ms = 60_000;
-/// Most times that a pause is doubled.
+/// Upper bound of the number of doublings of a backoff, so that the shift does not overflow.
 const MAX_DOUBLINGS: usize = 8;
-/// A job that failed on so many machines is itself the cause.
+/// A job that failed on this many machines is itself at fault.
 const JOB_AT_FAULT_MACHINES: usize = 3;
-/// A job that failed so many times in a row is itself the cause.
+/// A job with this many consecutive failures is itself at fault.
 const JOB_AT_FAULT_FAILURES: u32 = 4;
-/// A job that failed on so many machines is tried with one task at a time.
+/// A job that failed on this many machines runs one task at a time.
 const ONE_TASK_LIMIT_MACHINES: usize = 2;
-/// A job that failed so many times in a row is tried with one task at a time.
+/// A job with this many consecutive failures runs one task at a time.
 const ONE_TASK_LIMIT_FAILURES: u32 = 2;
-/// Most machines that a job remembers to have failed on.
+/// Upper bound of the machines tracked for each job, so that the memory of a job that fails
+/// everywhere stays bounded. The entry with the oldest failure is dropped first.
 const MAX_TRACKED_MACHINES: usize = 8;
-/// Jobs that failed on a machine and run well elsewhere, before the machine is
-/// decommissioned.
+/// Number of jobs that must fail on a machine before it is quarantined. The machine is
+/// decommissioned once this many of the jobs that failed on it have healthy runs on other
+/// machines.
 const FAULTY_MACHINE_JOBS: usize = 2;
-/// Heartbeat intervals for which a task must run to run well, beyond twice the
-/// longest run that ended in a failure.
+/// Heartbeat intervals, in addition to twice the longest failed run, for which a task must
+/// run to count as a healthy run.
 const HEALTHY_RUN_HEARTBEATS: Ms = 4;
-/// Heartbeat intervals after which a quarantined machine is first tried again.
+/// Heartbeat intervals after the last failure before a quarantined machine is first retried.
 const QUARANTINE_RETRY_HEARTBEATS: Ms = 4;
 
-/// How long a task must run to run well, in milliseconds.
-pub(crate) fn min_healthy_run_ms(longest_failed_run: Ms, heartbeat_interval_ms: Ms) -> Ms {
-    longest_failed_run * 2 + heartbeat_interval_ms * HEALTHY_RUN_HEARTBEATS
+/// Duration in milliseconds after which a running task counts as a healthy run. It exceeds
+/// `longest_failed_run_ms` because a run as long as the failed ones does not show that the task
+/// will not fail.
+pub(crate) fn min_healthy_run_ms(longest_failed_run_ms: Ms, heartbeat_interval_ms: Ms) -> Ms {
+    longest_failed_run_ms * 2 + heartbeat_interval_ms * HEALTHY_RUN_HEARTBEATS
 }
 
-/// A job's failures since a task of it last ran well.
+/// Failures of a job since its last healthy run.
 ///
 /// Times are in milliseconds of the steady clock.
 #[derive(Default)]
 pub(crate) struct JobFailures {
-    /// Machines that it failed on, and when it last did.
+    /// Machines on which the job failed, with the time of the last failure on each.
     machines: BTreeMap<MachineId, Ms>,
-    /// Failures in a row; those of tasks that were placed before the first of
-    /// them was known count once.
-    failures_in_row: u32,
-    /// When the last counted failure happened.
+    /// Number of consecutive failures. Tasks that were already placed when the previous
+    /// failure was counted are not counted, so that one batch of placements counts as one
+    /// failure.
+    consecutive_failures: u32,
+    /// Time of the last failure that was counted in `consecutive_failures`.
     last_counted_at: Ms,
-    /// The longest run that ended in a failure.
+    /// Duration of the longest run that ended in a failure, in milliseconds.
     pub(crate) longest_failed_run_ms: Ms,
-    /// Machines on which it is not placed, and since when.
+    /// Machines that are excluded from placement of the job, with the time of the last
+    /// failure on each. Unlike `machines`, they are not cleared by a healthy run.
     excluded_machines: BTreeMap<MachineId, Ms>,
 }
 
 impl JobFailures {
-    /// Adds the failure of a task that was placed at `placed_at` and ran for
-    /// `ran_ms`.
+    /// Records the failure of a task that was placed at `placed_at` and ran for `ran_ms`
+    /// milliseconds.
     pub(crate) fn add(&mut self, machine: &MachineId, placed_at: Ms, ran_ms: Ms, now: Ms) {
-        if self.failures_in_row == 0 || placed_at >= self.last_counted_at {
-            self.failures_in_row += 1;
+        if self.consecutive_failures == 0 || placed_at >= self.last_counted_at {
+            self.consecutive_failures += 1;
             self.last_counted_at = now;
         }
         self.longest_failed_run_ms = self.longest_failed_run_ms.max(ran_ms);
-        for known in [&mut self.machines, &mut self.excluded_machines] {
-            known.insert(machine.clone(), now);
-            if known.len() > MAX_TRACKED_MACHINES {
-                let oldest = known.iter().min_by_key(|(_, at)| **at);
+        for tracked in [&mut self.machines, &mut self.excluded_machines] {
+            tracked.insert(machine.clone(), now);
+            if tracked.len() > MAX_TRACKED_MACHINES {
+                let oldest = tracked.iter().min_by_key(|(_, at)| **at);
                 let oldest = oldest.map(|(id, _)| id.clone());
-                oldest.and_then(|id| known.remove(&id));
+                oldest.and_then(|id| tracked.remove(&id));
             }
         }
     }
 
-    /// Notes that a task that began to run at `began` has run well.
-    pub(crate) fn record_healthy_run(&mut self, began: Ms) {
-        if began >= self.last_counted_at {
+    /// Clears the failures if the task of a healthy run started after the last counted
+    /// failure. An older task does not show that tasks started later will not fail.
+    pub(crate) fn record_healthy_run(&mut self, started_at: Ms) {
+        if started_at >= self.last_counted_at {
             self.reset();
         }
     }
 
-    /// Notes that a task has completed. Machines on which the job failed stay
-    /// excluded for a while.
+    /// Clears the failures, as a task of the job has completed. The machines on which the job
+    /// failed stay excluded until their exclusion expires.
     pub(crate) fn reset(&mut self) {
         self.machines.clear();
-        self.failures_in_row = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// Whether it has failed since it last ran well.
+    /// Whether the job has failed since its last healthy run.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.failures_in_row > 0
+        self.consecutive_failures > 0
     }
 
-    /// Whether it is to be tried with one task at a time.
+    /// Whether the job may run only one task at a time.
     pub(crate) fn is_limited_to_one_task(&self) -> bool {
-        self.failures_in_row >= ONE_TASK_LIMIT_FAILURES
+        self.consecutive_failures >= ONE_TASK_LIMIT_FAILURES
             || self.machines.len() >= ONE_TASK_LIMIT_MACHINES
     }
 
-    /// Whether the job, and no machine, is the cause.
+    /// Whether the failures are attributed to the job and not to its machines.
     pub(crate) fn is_job_at_fault(&self) -> bool {
-        self.failures_in_row >= JOB_AT_FAULT_FAILURES
+        self.consecutive_failures >= JOB_AT_FAULT_FAILURES
             || self.machines.len() >= JOB_AT_FAULT_MACHINES
     }
 
-    /// The pause before the job is tried again, in milliseconds.
+    /// Backoff in milliseconds before the job is retried; 0 while the job is not limited to
+    /// one task.
     pub(crate) fn retry_backoff_ms(&self) -> Ms {
         if !self.is_limited_to_one_task() {
             return 0;
         }
-        let extra_failures = self.failures_in_row.saturating_sub(ONE_TASK_LIMIT_FAILURES) as usize;
+        let extra_failures = self
+            .consecutive_failures
+            .saturating_sub(ONE_TASK_LIMIT_FAILURES) as usize;
         let doublings = extra_failures.min(MAX_DOUBLINGS);
         (MIN_RETRY_BACKOFF_MS << doublings).min(MAX_RETRY_BACKOFF_MS)
     }
 
-    /// Machines that it failed on since it last ran well.
+    /// Machines on which the job has failed since its last healthy run.
     pub(crate) fn machines(&self) -> Vec<MachineId> {
         self.machines.keys().cloned().collect()
     }
 
-    /// Machines on which the job is not placed. They are excluded for `while_ms`
-    /// only: no other machine may become free, and these may be healthy.
+    /// Machines on which the job must not be placed: those on which it failed in the last
+    /// `window_ms` milliseconds. The exclusion expires because these machines may be healthy
+    /// and no other machine may become free.
     pub(crate) fn excluded_machines(
         &self,
         now: Ms,
-        while_ms: Ms,
+        window_ms: Ms,
     ) -> impl Iterator<Item = &MachineId> {
-        let recent = self.excluded_machines.iter();
-        recent
-            .filter(move |(_, at)| now < **at + while_ms)
+        let tracked = self.excluded_machines.iter();
+        tracked
+            .filter(move |(_, at)| now < **at + window_ms)
             .map(|(id, _)| id)
     }
 }
 
-/// A job's failure on a machine.
+/// Failure of a job on a machine.
 struct MachineFailure {
-    /// When the job last failed there.
-    at: Ms,
-    /// Whether the job has run well elsewhere since.
+    /// Time of the job's last failure on the machine.
+    last_failed_at: Ms,
+    /// Whether the job has since had a healthy run on another machine.
     is_job_healthy_elsewhere: bool,
 }
 
-/// A machine's failures since a task last ran well on it.
+/// Failures on a machine since the last healthy run of a task on it.
 ///
 /// Times are in milliseconds of the steady clock.
 #[derive(Default)]
 pub(crate) struct MachineFailures {
-    /// The last failure of each job.
+    /// Last failure of each job.
     jobs: BTreeMap<JobId, MachineFailure>,
-    /// When a task of a job that is not suspect last began to run.
-    last_start_at: Ms,
-    /// The longest run that ended in a failure.
+    /// Time at which a task of a job that is not suspect last started to run on the machine.
+    last_task_start_at: Ms,
+    /// Duration of the longest run that ended in a failure, in milliseconds.
     pub(crate) longest_failed_run_ms: Ms,
 }
 
 impl MachineFailures {
-    /// Adds the failure of a job's task that ran for `ran_ms`.
+    /// Records the failure of a task of `job` that ran for `ran_ms` milliseconds.
     pub(crate) fn add(&mut self, job: &JobId, ran_ms: Ms, now: Ms) {
         self.longest_failed_run_ms = self.longest_failed_run_ms.max(ran_ms);
         let failure = self.jobs.entry(job.clone()).or_insert(MachineFailure {
-            at: now,
+            last_failed_at: now,
             is_job_healthy_elsewhere: false,
         });
-        failure.at = now;
+        failure.last_failed_at = now;
     }
 
-    /// Drops the failure of a job that is itself the cause.
+    /// Removes the failure of a job that is itself at fault.
     pub(crate) fn remove(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
 
-    /// Notes that a job runs well elsewhere.
+    /// Records that a job that failed on this machine has had a healthy run.
     pub(crate) fn mark_job_healthy_elsewhere(&mut self, job: &JobId) {
         if let Some(failure) = self.jobs.get_mut(job) {
             failure.is_job_healthy_elsewhere = true;
         }
     }
 
-    /// Notes that a task of a job that is not suspect begins to run. That does
-    /// not prove the machine healthy: the task may still fail.
+    /// Records that a task of a job that is not suspect has started to run. The start ends
+    /// the quarantine but does not clear the failures, as the task may still fail.
     pub(crate) fn record_task_start(&mut self, now: Ms) {
-        self.last_start_at = now;
+        self.last_task_start_at = now;
     }
 
-    /// Notes that a task that began to run at `began` has run well.
-    pub(crate) fn record_healthy_run(&mut self, began: Ms) {
-        self.jobs.retain(|_, failure| failure.at > began);
+    /// Clears the failures that happened no later than `started_at`, the start of a healthy run on the
+    /// machine.
+    pub(crate) fn record_healthy_run(&mut self, started_at: Ms) {
+        self.jobs
+            .retain(|_, failure| failure.last_failed_at > started_at);
     }
 
-    /// Whether no job has failed on the machine.
+    /// Whether no failure is recorded for the machine.
     pub(crate) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Whether the machine is faulty.
+    /// Whether the failures are attributed to the machine, which must be decommissioned.
     pub(crate) fn is_faulty(&self) -> bool {
-        let run_elsewhere = self.jobs.values().filter(|f| f.is_job_healthy_elsewhere);
-        run_elsewhere.count() >= FAULTY_MACHINE_JOBS
+        let healthy_elsewhere = self.jobs.values().filter(|f| f.is_job_healthy_elsewhere);
+        healthy_elsewhere.count() >= FAULTY_MACHINE_JOBS
     }
 
-    /// When a job last failed on the machine.
+    /// Time of the last failure on the machine; 0 if there is none.
     fn last_failure_at(&self) -> Ms {
-        self.jobs.values().map(|f| f.at).max().unwrap_or(0)
+        self.jobs
+            .values()
+            .map(|f| f.last_failed_at)
+            .max()
+            .unwrap_or(0)
     }
 
-    /// Whether it may be faulty: it is then tried with one task at a time, of a
+    /// Whether the machine may be faulty. A quarantined machine runs one task at a time, of a
     /// job that did not fail elsewhere.
     pub(crate) fn is_quarantined(&self) -> bool {
-        self.jobs.len() >= FAULTY_MACHINE_JOBS && self.last_start_at <= self.last_failure_at()
+        self.jobs.len() >= FAULTY_MACHINE_JOBS && self.last_task_start_at <= self.last_failure_at()
     }
 
-    /// Whether a job failed on the machine in the last `while_ms`.
-    pub(crate) fn has_failed_within(&self, now: Ms, while_ms: Ms) -> bool {
-        now < self.last_failure_at() + while_ms
+    /// Whether a job failed on the machine in the last `window_ms` milliseconds.
+    pub(crate) fn has_failed_within(&self, now: Ms, window_ms: Ms) -> bool {
+        now < self.last_failure_at() + window_ms
     }
 
-    /// Whether a quarantined machine is to be tried again. The pause grows with
-    /// the number of jobs that have failed on it, up to a boot time.
+    /// Whether a quarantined machine is due for a retry. The backoff doubles with each
+    /// further job that has failed on the machine, up to the machine's boot time.
     pub(crate) fn is_retry_due(&self, now: Ms, heartbeat_interval_ms: Ms, boot_ms: Ms) -> bool {
         let extra_jobs = self.jobs.len().saturating_sub(FAULTY_MACHINE_JOBS);
         let doublings = extra_jobs.min(MAX_DOUBLINGS);
--- a/crates/core/src/shard/failure_attribution/tests.rs
+++ b/crates/core/src/shard/failure_attribution/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `failure_attribution`.
+//! Tests of [`failure_attribution`](super).
 
 use super::*;
 
@@ -13,27 +13,27 @@
     JobId::new(&format!("j-{n}"))
 }
 
-/// Failures as machine, when the task was placed, and when it failed; whether
-/// the job is then limited to one task, whether it is blamed, and its pause.
+/// Name of the case; failures as (machine, placed at, failed at); whether the job is then
+/// limited to one task and whether it is at fault; its retry backoff in milliseconds.
 type Case = (&'static str, &'static [(usize, Ms, Ms)], (bool, bool), Ms);
 
 const JOB_FAILURE_CASES: [Case; 8] = [
     ("none", &[], (false, false), 0),
     ("one", &[(1, 0, 10)], (false, false), 0),
     (
-        "many tasks of one wave, on one machine",
+        "many tasks placed before the first failure, on one machine",
         &[(1, 0, 10), (1, 0, 11), (1, 5, 12), (1, 9, 13), (1, 9, 14)],
         (false, false),
         0,
     ),
     (
-        "one wave on two machines",
+        "tasks placed before the first failure, on two machines",
         &[(1, 0, 10), (2, 0, 11)],
         (true, false),
         2_000,
     ),
     (
-        "one wave on three machines",
+        "tasks placed before the first failure, on three machines",
         &[(1, 0, 10), (2, 0, 11), (3, 0, 12)],
         (true, true),
         2_000,
@@ -69,29 +69,29 @@
 ];
 
 #[test]
-fn a_job_is_slowed_down_by_its_failures() {
-    for (name, failed, (limited, blamed), pause) in JOB_FAILURE_CASES {
+fn repeated_failures_limit_and_back_off_a_job_until_it_is_at_fault() {
+    for (name, failed, (limited, at_fault), backoff_ms) in JOB_FAILURE_CASES {
         let mut failures = JobFailures::default();
         for (on, placed, now) in failed {
             failures.add(&machine(*on), *placed, 0, *now);
         }
         assert_eq!(failures.is_suspect(), !failed.is_empty(), "{name}");
         assert_eq!(failures.is_limited_to_one_task(), limited, "{name}");
-        assert_eq!(failures.is_job_at_fault(), blamed, "{name}");
-        assert_eq!(failures.retry_backoff_ms(), pause, "{name}");
+        assert_eq!(failures.is_job_at_fault(), at_fault, "{name}");
+        assert_eq!(failures.retry_backoff_ms(), backoff_ms, "{name}");
     }
 }
 
-/// Only a task that began after the last failure ends the suspicion: others of
-/// the job may fail for as long as that one runs.
+/// A task that started before the last counted failure shows nothing about tasks started
+/// later, so that its healthy run must not clear the job's failures.
 #[test]
-fn a_run_after_the_failure_clears_the_job() {
-    for (began, suspect) in [(5, true), (30, false)] {
+fn only_a_run_started_after_the_last_failure_clears_the_job() {
+    for (started_at, suspect) in [(5, true), (30, false)] {
         let mut failures = JobFailures::default();
         failures.add(&machine(1), 0, 0, 10);
         failures.add(&machine(1), 15, 0, 20);
-        failures.record_healthy_run(began);
-        assert_eq!(failures.is_suspect(), suspect, "began at {began}");
+        failures.record_healthy_run(started_at);
+        assert_eq!(failures.is_suspect(), suspect, "started at {started_at}");
         assert_eq!(
             failures.excluded_machines(25, BOOT_MS).count(),
             1,
@@ -101,9 +101,10 @@
     }
 }
 
-/// A job that fails everywhere until it is cancelled takes no memory for that.
+/// A job that fails on every machine until it is cancelled must not accumulate an entry per
+/// machine.
 #[test]
-fn few_machines_are_remembered() {
+fn tracked_machines_of_a_job_are_bounded() {
     let mut failures = JobFailures::default();
     for n in 0..1_000 {
         failures.add(&machine(n), n as Ms * 10, 0, n as Ms * 10 + 5);
@@ -116,11 +117,12 @@
     );
 }
 
-/// A machine is faulty for jobs that run elsewhere, and for no others.
+/// A job that fails on every machine it tries must not get a machine decommissioned; only
+/// jobs with a healthy run on another machine count.
 #[test]
-fn only_jobs_that_run_elsewhere_count_against_a_machine() {
-    // Jobs that failed there; those that run well elsewhere; whether the machine
-    // is faulty, and whether it is quarantined.
+fn a_machine_is_faulty_only_for_jobs_healthy_elsewhere() {
+    // Number of jobs that failed on the machine; those of them with a healthy run elsewhere;
+    // whether the machine is faulty; whether it is quarantined.
     type Case = (usize, &'static [usize], bool, bool);
     let cases: [Case; 6] = [
         (0, &[], false, false),
@@ -130,13 +132,13 @@
         (2, &[1, 2], true, true),
         (9, &[], false, true),
     ];
-    for (failed, well, faulty, quarantined) in cases {
-        let name = format!("{failed} failed, {well:?} run well");
+    for (failed, healthy, faulty, quarantined) in cases {
+        let name = format!("{failed} failed, {healthy:?} healthy elsewhere");
         let mut failures = MachineFailures::default();
         for n in 1..=failed {
             failures.add(&job(n), 0, 100 + n as Ms);
         }
-        for n in well {
+        for n in healthy {
             failures.mark_job_healthy_elsewhere(&job(*n));
         }
         let now = BOOT_MS;
@@ -158,18 +160,18 @@
     }
 }
 
-/// The more jobs fail on a quarantined machine, the more seldom it is tried; a
-/// start ends the quarantine, only a run clears the failures.
+/// A started task ends the quarantine, but only a healthy run that started_at after the failures
+/// may clear them. The retry backoff doubles with each further job that failed.
 #[test]
-fn a_quarantined_machine_is_tried_and_cleared() {
+fn a_task_start_ends_quarantine_and_a_healthy_run_clears_failures() {
     let mut failures = MachineFailures::default();
     failures.add(&job(1), 0, 100);
     failures.add(&job(2), 0, 100);
-    let first = 100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_RETRY_HEARTBEATS;
-    assert!(!failures.is_retry_due(first - 1, HEARTBEAT_INTERVAL_MS, BOOT_MS));
-    assert!(failures.is_retry_due(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
+    let first_retry_at = 100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_RETRY_HEARTBEATS;
+    assert!(!failures.is_retry_due(first_retry_at - 1, HEARTBEAT_INTERVAL_MS, BOOT_MS));
+    assert!(failures.is_retry_due(first_retry_at, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     failures.add(&job(3), 0, 100);
-    assert!(!failures.is_retry_due(first, HEARTBEAT_INTERVAL_MS, BOOT_MS));
+    assert!(!failures.is_retry_due(first_retry_at, HEARTBEAT_INTERVAL_MS, BOOT_MS));
     assert!(failures.is_retry_due(
         100 + HEARTBEAT_INTERVAL_MS * QUARANTINE_RETRY_HEARTBEATS * 2,
         HEARTBEAT_INTERVAL_MS,
@@ -182,15 +184,19 @@
         failures.mark_job_healthy_elsewhere(&job(n));
     }
     failures.record_healthy_run(90);
-    assert!(failures.is_faulty(), "that run began before they failed");
+    assert!(failures.is_faulty(), "the run started before the failures");
     failures.record_healthy_run(150);
     assert!(failures.is_empty());
 }
 
-/// A job that runs for a while before it fails proves nothing by such a run.
+/// The duration of a healthy run must exceed that of failed runs: a job that fails after a
+/// minute on every machine would otherwise count as healthy before each failure.
 #[test]
-fn a_run_must_be_longer_than_those_that_failed() {
-    for (failed_run, least) in [(0, 4_000), (3_000, 10_000), (60_000, 124_000)] {
-        assert_eq!(min_healthy_run_ms(failed_run, HEARTBEAT_INTERVAL_MS), least);
+fn a_healthy_run_must_exceed_twice_the_longest_failed_run() {
+    for (failed_run_ms, min_run_ms) in [(0, 4_000), (3_000, 10_000), (60_000, 124_000)] {
+        assert_eq!(
+            min_healthy_run_ms(failed_run_ms, HEARTBEAT_INTERVAL_MS),
+            min_run_ms
+        );
     }
 }
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -1,10 +1,13 @@
-//! What a worker's heartbeat proves.
+//! Processing of workers' heartbeats, and what each proves about the tasks on a machine.
 //!
-//! A task that may have been started has ended only if a heartbeat lists it as
-//! exited; if a heartbeat is from a later incarnation of the worker; if it echoes
-//! a token minted after the start was last sent, and does not list the task; or
-//! if the cloud has confirmed the machine's deletion. A missing heartbeat proves
-//! nothing.
+//! A task that may have been started has ended only if one of these holds:
+//!
+//! - a heartbeat lists it as exited;
+//! - a heartbeat comes from a later incarnation of the worker than the one its start was sent to;
+//! - a heartbeat does not list it and echoes a fencing token issued after its start was last sent;
+//! - the cloud has confirmed the deletion of the machine.
+//!
+//! A missing heartbeat proves nothing.
 
 mod task_outcomes;
 
@@ -17,18 +20,18 @@
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeMap;
 
-/// Tasks that a heartbeat lists, by task and attempt.
+/// Task reports of a heartbeat, by task and attempt number.
 type ListedTasks<'a> = BTreeMap<(&'a TaskRef, u64), &'a TaskStatus>;
 
 impl Machine {
-    /// Whether a heartbeat is newer than all that were handled. Whatever comes
-    /// after the confirmed deletion of a machine is old.
+    /// Whether a heartbeat is newer than all processed ones. After a confirmed deletion of
+    /// the machine every heartbeat is outdated.
     fn is_new_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let newest = (self.incarnation, self.heartbeat_sequence);
         !self.deletion.is_confirmed && (heartbeat.incarnation, heartbeat.sequence) > newest
     }
 
-    /// Takes over what a newer heartbeat says of the machine itself.
+    /// Updates the machine from the parts of a new heartbeat that do not concern single tasks.
     fn update_from_heartbeat(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
         self.incarnation = heartbeat.incarnation;
         self.heartbeat_sequence = heartbeat.sequence;
@@ -55,8 +58,8 @@
 }
 
 impl Shard {
-    /// Handles a heartbeat. Returns false if it is an old copy, or its machine
-    /// is not in this shard.
+    /// Processes a heartbeat. Returns false if the heartbeat is outdated or its machine is
+    /// not in this shard.
     pub(crate) fn on_worker_heartbeat(
         &mut self,
         ctx: &mut Context,
@@ -80,8 +83,7 @@
         true
     }
 
-    /// Compares the tasks that a heartbeat lists with those that are bound to
-    /// its machine.
+    /// Reconciles the tasks that a heartbeat lists with those that are bound to its machine.
     fn reconcile_listed_tasks(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
         let reports = heartbeat.tasks.iter();
         let listed: ListedTasks = reports
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Applies what a heartbeat says of a task that is bound to its machine.
+    /// Reconciles one task that is bound to the machine of a heartbeat.
     fn reconcile_bound_task(
         &mut self,
         ctx: &mut Context,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Handles a bound task that is on its machine.
+    /// Updates the binding of a task that its machine lists and that has not exited.
     fn on_task_listed(
         &mut self,
         ctx: &Context,
@@ -144,19 +146,20 @@
         }
         binding.stage = Some(report.stage);
         if binding.start == StartState::NotSent {
-            // An earlier copy of the start has arrived.
+            // A delayed copy of an earlier call with this start has reached the worker.
             binding.start = StartState::SentByThisHolder {
                 token: machine.token,
                 incarnation: heartbeat.incarnation,
             };
         }
-        if let Some(began) = binding.running_since.filter(|_| is_running) {
-            self.clear_failures_if_healthy(ctx, &heartbeat.machine, &task.job, began);
+        if let Some(started_at) = binding.running_since.filter(|_| is_running) {
+            self.clear_failures_if_healthy(ctx, &heartbeat.machine, &task.job, started_at);
         }
     }
 
-    /// Handles a bound task that a heartbeat does not list: it is unbound if
-    /// the heartbeat proves that it cannot be, or come, on the machine.
+    /// Processes a bound task that a heartbeat does not list. The task is unbound if the
+    /// heartbeat proves that it is not on the machine and that no start in flight can put it
+    /// there.
     fn on_task_not_listed(&mut self, ctx: &Context, heartbeat: &WorkerHeartbeat, task: &TaskRef) {
         let job = self.jobs.get(&task.job);
         let Some(binding) = job.and_then(|job| job.bound.get(&task.index)) else {
@@ -170,7 +173,7 @@
             StartState::SentByThisHolder { token, incarnation } => {
                 heartbeat.incarnation > incarnation || heartbeat.token > token
             }
-            // Every token of this holder is newer than those of earlier holders.
+            // The tokens of this holder are higher than those of all earlier holders.
             StartState::Unknown => heartbeat.token >= machine.token,
         };
         if has_ended {
@@ -178,14 +181,15 @@
             self.unbind(&task.job, task.index);
             self.schedule_round_soon(ctx);
         } else if !machine.has_call_in_flight && heartbeat.token >= machine.token {
-            // The start was sent, or should have been, and the task is not
-            // there: the echo of a newer token proves that it cannot come later.
+            // The start was sent in a call that has ended, yet the task is not on the
+            // machine. Once a heartbeat echoes the raised token, no start under the old token
+            // can be executed any more.
             machine.raise_token(ctx.now);
         }
     }
 
-    /// Handles a task that a machine lists and that is not bound to it in this
-    /// attempt.
+    /// Processes a task attempt that a machine lists and that is not bound to it. An exited
+    /// attempt is kept until the worker may forget it. A running one is stopped.
     fn reconcile_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let job = self.jobs.get(&task.job);
@@ -221,8 +225,8 @@
         }
     }
 
-    /// Binds an unexpected task, to be stopped: it must have exited before it is
-    /// started elsewhere.
+    /// Binds an unexpected task to the machine and stops it. Its binding prevents a start on
+    /// another machine before the attempt has exited.
     fn bind_unexpected_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let (Some(machine), Some(job)) = (self.machines.get(id), self.jobs.get_mut(&task.job))
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -1,5 +1,5 @@
-//! Outcomes of tasks: exits and long runs, and whether a failure counts against
-//! the machine or the job.
+//! Outcomes of tasks: how exits and long runs change the failure records of jobs and
+//! machines.
 
 use crate::context::Context;
 use crate::shard::failure_attribution::min_healthy_run_ms;
@@ -10,15 +10,16 @@
 use forkshift_wire::workers::{ExitCause, TaskStatus};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
-/// Pause before a start that its worker refused is tried again, in
-/// milliseconds.
+/// Backoff in milliseconds after a worker refused a start because it still has another
+/// attempt of the task, or does not know the task.
 const REFUSED_START_BACKOFF_MS: Ms = 2_000;
-/// Heartbeat intervals for which nothing is placed on a machine whose worker
-/// had no room for a task.
+/// Heartbeat intervals for which no task is placed on a machine whose worker refused a task
+/// for insufficient resources.
 const PLACEMENT_BLOCK_HEARTBEATS: Ms = 2;
 
 impl Shard {
-    /// Handles the exit of a bound task.
+    /// Processes the exit of a bound task: unbinds it, records its completion, and attributes
+    /// a failure.
     pub(super) fn on_task_exited(
         &mut self,
         ctx: &mut Context,
@@ -56,7 +57,7 @@
         self.schedule_round_soon(ctx);
     }
 
-    /// Draws the conclusions from the cause of an exit.
+    /// Updates the failure records and backoffs according to the cause of an exit.
     fn on_exit_cause(
         &mut self,
         ctx: &Context,
@@ -67,15 +68,16 @@
     ) {
         match cause {
             ExitCause::Done => {
-                let began = binding.running_since.unwrap_or(binding.bound_at);
-                self.on_healthy_run(machine_id, job_id, began);
+                let started_at = binding.running_since.unwrap_or(binding.bound_at);
+                self.on_healthy_run(machine_id, job_id, started_at);
                 if let Some(job) = self.jobs.get_mut(job_id) {
                     job.failures.reset();
                 }
             }
             ExitCause::Error => self.on_task_failed(ctx, machine_id, job_id, binding),
             ExitCause::InsufficientResources => {
-                // The accounts of the shard and the worker differ for a while.
+                // The resource accounts of the shard and of the worker may differ for a short
+                // time.
                 if let Some(machine) = self.machines.get_mut(machine_id) {
                     machine.placement_blocked_until =
                         ctx.now + ctx.config.heartbeat_interval_ms * PLACEMENT_BLOCK_HEARTBEATS;
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Attributes a task's failure to its machine or to its job.
+    /// Records a task's failure, for its job and for its machine or, if the job is at fault,
+    /// for the job alone.
     fn on_task_failed(
         &mut self,
         ctx: &Context,
@@ -107,7 +110,7 @@
         job.not_before = job
             .not_before
             .max(ctx.now + job.failures.retry_backoff_ms());
-        // It fails on every machine, so it counts against none of them.
+        // The job fails on every machine, so its failures are removed from all of them.
         if job.failures.is_job_at_fault() {
             for blamed in job.failures.machines() {
                 if let Some(machine) = self.machines.get_mut(&blamed) {
@@ -119,14 +122,14 @@
         }
     }
 
-    /// Clears the failures of a task's job and machine if it has been running for
-    /// long enough.
+    /// Clears the failures of a running task's job and machine if the task has run long
+    /// enough to count as a healthy run.
     pub(super) fn clear_failures_if_healthy(
         &mut self,
         ctx: &Context,
         machine_id: &MachineId,
         job_id: &JobId,
-        began: Ms,
+        started_at: Ms,
     ) {
         let (Some(job), Some(machine)) = (self.jobs.get(job_id), self.machines.get(machine_id))
         else {
@@ -139,16 +142,17 @@
             .failures
             .longest_failed_run_ms
             .max(machine.failures.longest_failed_run_ms);
-        if ctx.now >= began + min_healthy_run_ms(longest_run, ctx.config.heartbeat_interval_ms) {
-            self.on_healthy_run(machine_id, job_id, began);
+        if ctx.now >= started_at + min_healthy_run_ms(longest_run, ctx.config.heartbeat_interval_ms)
+        {
+            self.on_healthy_run(machine_id, job_id, started_at);
         }
     }
 
-    /// Notes that a task has run well: failures of its job count against the
-    /// machines on which they happened.
-    fn on_healthy_run(&mut self, machine_id: &MachineId, job_id: &JobId, began: Ms) {
+    /// Processes a healthy run of a task. Earlier failures of its job now count against the
+    /// machines on which they happened, because the job runs without failure.
+    fn on_healthy_run(&mut self, machine_id: &MachineId, job_id: &JobId, started_at: Ms) {
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.failures.record_healthy_run(began);
+            machine.failures.record_healthy_run(started_at);
         }
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -159,6 +163,6 @@
                 self.recheck.mark_due(&failed_on);
             }
         }
-        job.failures.record_healthy_run(began);
+        job.failures.record_healthy_run(started_at);
     }
 }
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `heartbeats`.
+//! Tests of [`heartbeats`](super).
 
 use super::*;
 use crate::fixture::Fixture;
 use crate::records::MachineRecord;
 use forkshift_wire::users::JobKind;
 
-/// Makes the state of a start from the token that the holder uses now.
+/// Returns the state of a start, given the holder's current fencing token.
 type StartUnder = fn(u64) -> StartState;
 
 fn by_earlier_holder(_: u64) -> StartState {
@@ -27,9 +27,9 @@
     under_token(token - 1)
 }
 
-/// Who sent the start and what the heartbeat echoes; the state of the start; the
-/// heartbeat's incarnation, and its token relative to the one that is used now;
-/// whether the task is unbound.
+/// Name of the case, as who sent the start and what the heartbeat echoes; state of the start;
+/// incarnation in the heartbeat; its token relative to the current one; whether the task is
+/// unbound.
 type UnlistedCase = (&'static str, StartUnder, u64, i64, bool);
 
 #[rustfmt::skip]
@@ -45,9 +45,9 @@
     ("never sent", never_sent, 2, 0, false),
 ];
 
-/// What a heartbeat proves of a task that it does not list. Old heartbeats
-/// reach a new holder, too, before anything newer has: only a token minted after
-/// the start proves that the task cannot come any more.
+/// Outdated heartbeats may reach a new holder before any current one. If a heartbeat does not
+/// list a task, only a token issued after the start, or a later incarnation, proves that the
+/// start cannot be executed any more.
 #[test]
 fn a_task_is_unbound_only_by_a_newer_token_or_incarnation() {
     for (name, sent, incarnation, token, is_unbound) in UNLISTED_CASES {
@@ -69,7 +69,8 @@
     }
 }
 
-/// Copies of old messages are dropped, of earlier incarnations too.
+/// Delayed copies of heartbeats, also from earlier incarnations of the worker, must not
+/// overwrite newer state.
 #[test]
 fn old_copies_of_heartbeats_are_dropped() {
     for (incarnation, later, taken) in [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)] {
@@ -86,8 +87,8 @@
     }
 }
 
-/// The tokens of a new holder are above those of earlier holders of the shard,
-/// and of the shards that the machine belonged to before.
+/// The fencing tokens of a new holder must be higher than those of all earlier holders of the
+/// shard, and of the shards to which the machine belonged before.
 #[test]
 fn a_new_holders_tokens_are_above_all_earlier_ones() {
     let mut f = Fixture::new();
@@ -108,8 +109,8 @@
     }
 }
 
-/// An unexpected task of a job whose last write is under way is stopped, not
-/// bound: its machine would keep it when the job is forgotten.
+/// An unexpected task of a finished job whose last write is in flight is stopped but not
+/// bound: the binding would stay on its machine after the job is forgotten.
 #[test]
 fn an_unexpected_task_of_a_finished_job_is_not_bound() {
     for cancelled in [false, true] {
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of a shard, in its holder's memory.
+//! In-memory state of a machine, kept by the holder of its shard.
 
 use crate::context::Context;
 use crate::pools::MachinePool;
@@ -12,40 +12,41 @@
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Heartbeats that a machine may miss and still count as recently heard.
+/// Heartbeat intervals without a heartbeat after which a machine no longer counts as recently
+/// heard.
 const MAX_MISSED_HEARTBEATS: Ms = 3;
-/// Seconds of the hours in which prices are given.
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// An attempt at a task.
+/// One attempt at running a task. A task that is started again gets a higher attempt number.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct TaskAttempt {
-    /// The task.
     pub(crate) task: TaskRef,
-    /// Number of the attempt.
+    /// Number of the attempt, unique for the task.
     pub(crate) attempt: u64,
 }
 
-/// A task that is on a machine and must not be.
+/// An attempt that its worker reports and that must not run there, as it is not bound to the
+/// machine. It is stopped.
 #[derive(Clone, Debug)]
 pub(crate) struct OrphanTask {
-    /// The attempt that runs.
     pub(crate) attempt: TaskAttempt,
-    /// Resources that it takes, as far as its job is known.
+    /// Resources of the task; zero if its job is not known to the holder.
     pub(crate) resources: Resources,
 }
 
-/// Deletion of a machine by its shard's holder, without a record that says so.
+/// Deletion that the holder requests from the cloud by itself, without waiting until the
+/// machine's record shows the decommissioning and the leader acts on it.
 #[derive(Debug, Default)]
 pub(crate) struct HolderDeletion {
-    /// The cloud has confirmed it: nothing is on the machine, and nothing will
-    /// be. Its record may say so only later.
+    /// The cloud has confirmed the deletion: nothing runs on the machine, and nothing will.
+    /// The machine's record may show the decommissioning later.
     pub(crate) is_confirmed: bool,
-    /// The earliest time of the next request to delete it.
+    /// Earliest time of the next deletion request (steady clock, milliseconds).
     pub(crate) next_request_at: Ms,
 }
 
-/// What is recorded of a machine, and the token that its new holder uses first.
+/// Input of [`Machine::new`]: a machine's record, its type, and the first fencing token that
+/// the new holder uses for it.
 pub(crate) struct RecordedMachine<'a> {
     pub(crate) id: &'a MachineId,
     pub(crate) record: &'a Versioned<MachineRecord>,
@@ -53,105 +54,117 @@
     pub(crate) first_token: u64,
 }
 
-/// A machine of a shard.
+/// A machine of a shard that this controller holds.
+///
+/// The fields combine the machine's stored record, the content of its worker's newest
+/// heartbeat, and state that only this holder has and the next holder rebuilds.
 ///
 /// Times are in milliseconds of the steady clock.
 pub(crate) struct Machine {
-    /// Its identifier.
     pub(crate) id: MachineId,
-    /// Number of its type.
+    /// Index of its machine type in [`Context::places`].
     pub(crate) machine_type: u16,
-    /// Number of its zone.
+    /// Index of its zone in [`Context::places`].
     pub(crate) zone: u16,
     /// Whether it is a spot instance, which the cloud may reclaim.
     pub(crate) is_spot: bool,
-    /// Its capacity.
+    /// Total resources of the machine, whether in use or not.
     pub(crate) capacity: Resources,
-    /// Its price per second.
+    /// Price per second at which the cloud charges the machine.
     pub(crate) price_per_second: f64,
-    /// Rate at which it fetches images, in GB per second.
+    /// Rate at which the machine fetches images, in GB per second.
     pub(crate) image_fetch_gb_per_s: f64,
     /// Size of its image cache, in GB.
     pub(crate) cache_gb: f64,
-    /// Time that it takes to boot, in milliseconds.
+    /// Time from its creation until its worker can send heartbeats, in milliseconds, as the
+    /// machine type states it.
     pub(crate) boot_ms: Ms,
-    /// Address of its worker, once known.
+    /// Address of its worker; none until the record or a heartbeat has given it.
     pub(crate) addr: Option<String>,
-    /// Why it is decommissioned, if it is; the record follows.
+    /// Reason for its decommissioning; none if it is in service. The holder sets it before
+    /// the record shows it.
     pub(crate) decommission_reason: Option<String>,
-    /// Version of its record.
+    /// Version of its record that this state follows.
     pub(crate) version: u64,
-    /// A write of its record is under way.
+    /// Whether a write of its record is in flight.
     pub(crate) is_writing_record: bool,
-    /// Its record is written again only once the view has reached this
-    /// revision, that of the store's last answer.
+    /// Store revision of the last response to a write of its record. The record is not
+    /// written again until the view has reached this revision.
     pub(crate) record_required_revision: u64,
 
-    /// Incarnation of the worker in its newest heartbeat.
+    /// Incarnation of the worker in its newest heartbeat; 0 before the first one.
     pub(crate) incarnation: u64,
-    /// Sequence number of the newest heartbeat.
+    /// Sequence number of the newest heartbeat within that incarnation.
     pub(crate) heartbeat_sequence: u64,
-    /// The fencing token that the newest heartbeat echoed.
+    /// Highest fencing token that the worker has seen, as echoed by the newest heartbeat.
     pub(crate) acknowledged_token: u64,
-    /// The fencing token that this holder uses.
+    /// Fencing token that this holder sends with commands.
     pub(crate) token: u64,
-    /// Since when the echoed token has been behind `token`.
+    /// Time since which the echoed token has been lower than `token`; none while they agree.
     pub(crate) token_unacknowledged_since: Option<Ms>,
-    /// When the newest heartbeat came, if any has reached this holder.
+    /// Time of the newest heartbeat; none until one has reached this holder.
     pub(crate) last_heartbeat_at: Option<Ms>,
-    /// State of the link to it.
+    /// State of the link between this controller and the machine's worker.
     pub(crate) link: MachineLink,
-    /// When this holder learned of the machine.
+    /// Time at which this holder learned of the machine.
     pub(crate) known_since: Ms,
-    /// When the cloud reclaims it, if it has given notice.
+    /// Time at which the cloud reclaims the spot instance; none without a reclaim notice.
     pub(crate) reclaimed_at: Option<Ms>,
 
-    /// A call to its worker is under way.
+    /// Whether a call to its worker is in flight. At most one is.
     pub(crate) has_call_in_flight: bool,
-    /// Its worker is not called before this.
+    /// Backoff: the worker is not called before this time.
     pub(crate) retry_at: Ms,
-    /// A call with commands had no answer and may be carried out late.
+    /// Whether a call with commands ended without a response, so that the worker may still
+    /// execute the commands. Cleared when a heartbeat echoes `token`.
     pub(crate) has_unanswered_call: bool,
-    /// The token must be sent, even without commands.
+    /// Whether the worker must be called to send it the token, even if no command is due.
     pub(crate) must_send_token: bool,
 
-    /// Tasks that may be on it.
+    /// Tasks bound to the machine, which may be running there.
     pub(crate) tasks: BTreeSet<TaskRef>,
-    /// Resources that those tasks take.
+    /// Sum of the resources of `tasks`.
     pub(crate) used: Resources,
-    /// Tasks that are on it and must not be.
+    /// Attempts in the newest heartbeat that must be stopped because they are not bound to
+    /// the machine. Their resources are not free.
     pub(crate) orphans: Vec<OrphanTask>,
-    /// Exited attempts that its worker still lists.
+    /// Exited attempts that the newest heartbeat lists, until the worker is told to forget
+    /// them.
     pub(crate) exited: Vec<TaskAttempt>,
-    /// The job's version that records the outcome of an exited attempt.
+    /// For each exited attempt, the version of its job that contains the outcome. The worker
+    /// may forget the attempt once this version is durable.
     pub(crate) exit_versions: BTreeMap<TaskAttempt, u64>,
-    /// Numbers and sizes in GB of its images, the most recently used last.
+    /// Index in [`Context::images`] and size in GB of each image in the cache, the most
+    /// recently used last.
     pub(crate) cached_images: Vec<(u32, f64)>,
-    /// Failures on it since a task last ran well.
+    /// Failures on the machine since the last healthy run of a task on it.
     pub(crate) failures: MachineFailures,
-    /// Nothing is placed on it before this, as its worker has refused a task
-    /// for lack of room.
+    /// No task is placed before this time, because the worker has refused one for
+    /// insufficient resources.
     pub(crate) placement_blocked_until: Ms,
-    /// Version of its record at which it was offered to another shard. Nothing
-    /// is placed on it until the record has changed and is still in this shard.
+    /// Version of its record for which a transfer to another shard was written; none if no
+    /// transfer is in flight. No task is placed on the machine until its record has changed
+    /// and still names this shard.
     pub(crate) transfer_version: Option<u64>,
-    /// Its borrowed work is being stopped, as another shard has requested it:
-    /// nothing is placed on it.
+    /// Whether borrowed tasks are being stopped so that another shard can reclaim the
+    /// machine. No task is placed on it meanwhile.
     pub(crate) is_vacating: bool,
-    /// Its deletion by this holder.
+    /// Deletion requested by this holder itself.
     pub(crate) deletion: HolderDeletion,
-    /// Before this it is not checked again whether its tasks fit elsewhere.
+    /// Time before which the drain does not check again whether its tasks fit on other
+    /// machines.
     pub(crate) drain_retry_at: Ms,
-    /// It is being drained, to be released.
+    /// Whether the machine is being drained, to be released once it is empty.
     pub(crate) is_draining: bool,
-    /// Since when nothing has needed it.
+    /// Time since which no task or reserve has needed the machine; none while it is needed.
     pub(crate) idle_since: Option<Ms>,
-    /// Its part in warm pools.
+    /// Membership in a warm pool.
     pub(crate) pool: MachinePool,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but its record.
+    /// Creates the state of a machine from its record, before any heartbeat has reached this
+    /// holder.
     pub(crate) fn new(ctx: &mut Context, recorded: &RecordedMachine) -> Self {
         let (record, machine_type) = (&recorded.record.record, recorded.machine_type);
         Self {
@@ -200,7 +213,7 @@
         }
     }
 
-    /// Resources that are free, once everything that may be on it is counted.
+    /// Free capacity, after subtracting bound tasks and orphans.
     pub(crate) fn free_capacity(&self) -> Resources {
         let orphans = self.orphans.iter();
         orphans.fold(self.capacity - self.used, |free, orphan| {
@@ -208,36 +221,36 @@
         })
     }
 
-    /// Whether a heartbeat has echoed this holder's token, and so listed all that
-    /// earlier holders may have started here.
+    /// Whether a heartbeat has echoed this holder's current fencing token. Such a heartbeat
+    /// lists every task that earlier holders may have started on the machine.
     pub(crate) fn has_acknowledged_token(&self) -> bool {
         self.last_heartbeat_at.is_some() && self.acknowledged_token >= self.token
     }
 
-    /// Whether a heartbeat came recently.
+    /// Whether the newest heartbeat is less than `MAX_MISSED_HEARTBEATS` intervals old.
     pub(crate) fn has_recent_heartbeat(&self, ctx: &Context) -> bool {
         let timeout = ctx.config.heartbeat_interval_ms * MAX_MISSED_HEARTBEATS;
         let last = self.last_heartbeat_at;
         last.is_some_and(|last| ctx.now < last + timeout)
     }
 
-    /// Whether heartbeats that its worker should have sent directly are missing.
+    /// Whether direct heartbeats from its worker are overdue. Heartbeats relayed by other
+    /// controllers do not count.
     pub(crate) fn has_missed_heartbeats(&self, ctx: &Context) -> bool {
         let since = self.known_since.max(ctx.resumed_at);
         let timing = ctx.config.link_timing();
         self.link.has_missed_heartbeats(ctx.now, since, &timing)
     }
 
-    /// Updates since when nothing has needed it. Returns whether it has just
-    /// become idle.
+    /// Updates [`Self::idle_since`]. Returns whether the machine has just become idle.
     pub(crate) fn update_idle_since(&mut self, is_idle: bool, now: Ms) -> bool {
         let becomes_idle = is_idle && self.idle_since.is_none();
         self.idle_since = is_idle.then(|| self.idle_since.unwrap_or(now));
         becomes_idle
     }
 
-    /// When it was last heard; at the earliest when this holder learned of it,
-    /// or resumed after a pause.
+    /// Start of the current silence of the machine: the time of its last heartbeat, but no
+    /// earlier than the time at which this holder learned of it or resumed after a pause.
     pub(crate) fn silent_since(&self, resumed_at: Ms) -> Ms {
         self.last_heartbeat_at
             .unwrap_or(0)
@@ -245,15 +258,17 @@
             .max(resumed_at)
     }
 
-    /// Raises the token, which fences off every command that is still in flight.
+    /// Raises the fencing token. Once the worker has seen the new token it refuses all
+    /// commands that are still in flight.
     pub(crate) fn raise_token(&mut self, now: Ms) {
         self.token += 1;
         self.must_send_token = true;
         self.token_unacknowledged_since.get_or_insert(now);
     }
 
-    /// Notes that an image is used; the least recently used ones leave the cache
-    /// when it is full.
+    /// Marks an image as the most recently used one. The least recently used images are
+    /// evicted while the cache exceeds its size; the last image is kept even if it exceeds
+    /// the size by itself.
     pub(crate) fn mark_image_used(&mut self, image: u32, size_gb: f64) {
         self.cached_images.retain(|(cached, _)| *cached != image);
         self.cached_images.push((image, size_gb));
@@ -264,8 +279,8 @@
     }
 }
 
-/// Price of a machine per second: the spot price for spot instances of types
-/// that have one.
+/// Price of a machine per second. A spot instance has the spot price, or the regular price if
+/// its type has no spot price.
 fn price_per_second(record: &MachineRecord, machine_type: &MachineType) -> f64 {
     let hourly = if record.spot {
         machine_type
@@ -277,7 +292,7 @@
     hourly / SECONDS_PER_HOUR
 }
 
-/// Numbers and sizes of the images that a machine's record lists.
+/// Images that a machine's record lists, as index and size in GB.
 fn recorded_images(ctx: &mut Context, record: &MachineRecord) -> Vec<(u32, f64)> {
     let images = record.images.iter();
     images
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -1,5 +1,6 @@
-//! The machines of a shard: they follow the records that the view shows, are
-//! decommissioned, and are transferred to another shard.
+//! Synchronization of a shard's machines with their records: the holder follows the records
+//! in its view of the store, and writes a record when it decommissions a machine or transfers
+//! the machine to another shard.
 
 use super::Shard;
 use crate::context::Context;
@@ -17,7 +18,8 @@
 use std::collections::BTreeSet;
 
 impl Machine {
-    /// Follows a changed record.
+    /// Updates the machine from its record, unless this version of the record has been
+    /// processed already.
     fn update_from_record(&mut self, versioned: &Versioned<MachineRecord>) {
         if self.version == versioned.version {
             return;
@@ -32,8 +34,9 @@
         self.pool.apply_record(record);
     }
 
-    /// Whether nothing is or may come on it, so that another shard can use it.
-    /// A machine of a warm pool must be offered too.
+    /// Whether the machine can be transferred to another shard: no task, exited attempt or
+    /// orphan is on it, and no command in flight can put one there. A machine of a warm pool
+    /// must also have been offered to the leader (`is_offered`).
     fn is_transferable(&self, is_offered: bool) -> bool {
         self.tasks.is_empty()
             && self.exited.is_empty()
@@ -47,7 +50,8 @@
 }
 
 impl Shard {
-    /// Follows the view: new machines, changed records, removed machines.
+    /// Brings the shard's machines in line with the records in the view: adds machines,
+    /// updates changed ones and removes those without a record in this shard.
     pub(crate) fn sync_machine_records(
         &mut self,
         ctx: &mut Context,
@@ -67,7 +71,8 @@
         }
     }
 
-    /// Follows one machine's record.
+    /// Brings one machine in line with its record. A machine whose type is not in the view
+    /// yet is not added.
     fn sync_machine_record(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         ctx.work_units += 1;
         let versioned = view.machines.get(id);
@@ -93,8 +98,9 @@
         self.machines.insert(id.clone(), machine);
     }
 
-    /// Drops a machine whose record is removed: the cloud has confirmed its
-    /// deletion, so nothing that was on it runs any more.
+    /// Removes a machine that has no record in this shard any more. The record of a deleted
+    /// machine is removed only after the cloud has confirmed the deletion, and a machine is
+    /// transferred only while it is empty, so that no task of this shard runs on it.
     fn remove_machine(&mut self, ctx: &Context, id: &MachineId) {
         if !self.machines.contains_key(id) {
             return;
@@ -104,7 +110,7 @@
         self.recheck.remove(id);
     }
 
-    /// Notes by which route a machine's heartbeat has come.
+    /// Records the route, direct or relayed, by which a machine's heartbeat has arrived.
     pub(crate) fn record_heartbeat_route(&mut self, ctx: &Context, id: &MachineId, route: Route) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -116,12 +122,14 @@
             log::info!("machine {id}: heartbeat route changed, {route:?}");
         }
         if machine.link.is_failback_probe_due(ctx.now) {
-            // Any answered call will do.
+            // Any call with a response starts the failback; a call that only sends the token
+            // suffices.
             machine.must_send_token = true;
         }
     }
 
-    /// Unbinds all tasks of a machine on which nothing runs any more.
+    /// Unbinds all tasks of a machine on which nothing runs any more, and schedules a round
+    /// to place them again.
     pub(crate) fn unbind_all_tasks(&mut self, ctx: &Context, id: &MachineId) {
         let tasks = self.machines.get(id).map(|m| m.tasks.clone());
         for task in tasks.into_iter().flatten() {
@@ -130,10 +138,15 @@
         self.schedule_round_soon(ctx);
     }
 
-    /// Transfers a machine that the leader requests to another shard, if it is
-    /// free. From the moment the write is sent nothing is placed on it until the
-    /// record has changed: a write without an answer may be carried out late,
-    /// and the other shard then owns whatever is on the machine.
+    /// Writes the transfer of a machine to another shard if the leader has requested it and
+    /// the machine is transferable.
+    ///
+    /// No task is placed on the machine from the time the write is sent until its record has
+    /// changed. A write without a response may still be executed later, and the other shard
+    /// then owns whatever is on the machine.
+    ///
+    /// A machine that is in use is vacated first. If that is not possible, the request is
+    /// removed from the record.
     pub(crate) fn transfer_machine_if_requested(
         &mut self,
         ctx: &mut Context,
@@ -174,20 +187,20 @@
         }
     }
 
-    /// Whether the demand that was last sent to the leader offers a machine.
+    /// Whether the demand record last sent to the leader offers the machine for reclaim.
     fn is_offered(&self, id: &MachineId) -> bool {
         let demand = &self.last_demand_sent;
         demand.reclaimable_machines.contains(id) || demand.pool_machines.contains(id)
     }
 
-    /// Names and sizes of the images that are on a machine.
+    /// Names and sizes in GB of the images on a machine, for the next holder.
     fn image_names(&self, ctx: &Context, id: &MachineId) -> Vec<(String, f64)> {
         let images = self.machines.get(id).map(|m| m.cached_images.as_slice());
         let images = images.unwrap_or_default().iter();
         let mut names: Vec<(String, f64)> = images
             .filter_map(|(image, size_gb)| Some((ctx.images.name(*image)?.to_owned(), *size_gb)))
             .collect();
-        // The list only saves fetches, so it may be cut short.
+        // A shorter list is safe, as it only costs the next holder image fetches.
         let max_bytes = ctx.limits.value_bytes / 2;
         let encoded_bytes =
             |names: &Vec<(String, f64)>| serde_json::to_vec(names).map_or(0, |json| json.len());
@@ -197,7 +210,9 @@
         names
     }
 
-    /// Writes a machine's record, if it and the shard's record are unchanged.
+    /// Writes a changed record of a machine, on condition that the machine's record and the
+    /// shard's record still have the versions in the view. Nothing is written while another
+    /// write of the record is in flight, or while the view is behind the last write.
     pub(crate) fn update_machine_record(
         &mut self,
         ctx: &mut Context,
@@ -211,8 +226,9 @@
         });
     }
 
-    /// Writes a machine's record as [`Self::update_machine_record`] does, with
-    /// the row of a pool's ledger that the change closes.
+    /// Writes a changed record as [`Self::update_machine_record`] does. If the change ends a
+    /// pool membership, `change` returns the row of the pool's account, which is written in
+    /// the same transaction.
     pub(crate) fn update_machine_record_with(
         &mut self,
         ctx: &mut Context,
@@ -230,7 +246,8 @@
         machine.is_writing_record = true;
         let mut record = versioned.record.clone();
         let row = change(&mut record);
-        // Other changes are needed by the next holder only.
+        // The leader and other shards wait for these two changes; other changes matter only
+        // to the next holder of the shard.
         let frees_machine = record.shard != versioned.record.shard
             || record.decommission_reason != versioned.record.decommission_reason;
         let urgency = if frees_machine {
@@ -259,8 +276,8 @@
         );
     }
 
-    /// Decommissions a machine: nothing more is placed on it, and the leader
-    /// deletes it once the record says so.
+    /// Decommissions a machine for a reason that is stored in its record. No task is placed
+    /// on it any more, and the leader deletes it once the record shows the reason.
     pub(crate) fn decommission(&mut self, id: &MachineId, reason: &str) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -275,8 +292,8 @@
         }
     }
 
-    /// Records the decommissioning of a machine, until the record says so, and
-    /// unbinds tasks whose start was never sent to it.
+    /// For a decommissioned machine, writes the reason to its record until the view shows it,
+    /// and unbinds tasks whose start was never sent.
     pub(crate) fn record_decommission(
         &mut self,
         ctx: &mut Context,
@@ -293,8 +310,8 @@
         self.unbind_unsent_tasks(tasks);
         let recorded = view.machines.get(id);
         if recorded.is_some_and(|m| m.record.decommission_reason.is_none()) {
-            // The leader may remove the record at once, and knows less of when the
-            // membership ended.
+            // The membership is closed in the same write, because the leader may remove the
+            // record at once and does not know as exactly when the membership ended.
             let (at_ms, ended) = self.end_of_membership(ctx, id);
             self.update_machine_record_with(ctx, view, id, |record| {
                 record.decommission_reason = Some(reason);
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of a shard: brings what machines do in line with what is
-//! recorded of jobs, after every batch of messages.
+//! Reconciliation of a shard, run after every batch of messages: it brings the state of
+//! machines in line with the recorded state of jobs and machines.
 
 mod cancellations;
 
@@ -11,18 +11,18 @@
 use crate::Ms;
 use forkshift_wire::{MachineId, TaskRef};
 
-/// Checks per heartbeat interval of a machine about which something is under
-/// way.
+/// Checks per heartbeat interval of a machine with an operation in progress.
 const CHECKS_PER_HEARTBEAT: Ms = 8;
-/// Heartbeat intervals after which a machine that the cloud has reclaimed is
-/// decommissioned.
+/// Heartbeat intervals after the announced reclaim time, or after a later heartbeat, until a
+/// reclaimed spot instance is decommissioned.
 const RECLAIM_GRACE_HEARTBEATS: Ms = 2;
-/// A machine to which no answer gets through is decommissioned after so many
-/// times the time after which one without heartbeats is.
+/// A machine that does not acknowledge the fencing token is decommissioned after this
+/// multiple of the longest silence that is tolerated for a single machine.
 const UNACKNOWLEDGED_TOKEN_TIMEOUTS: Ms = 2;
 
 impl Shard {
-    /// Does what is due for gangs, cancellations, scheduling, machines and records.
+    /// Performs the due steps for gangs, cancellations, scheduling, warm pools, machines and
+    /// job records.
     pub(crate) fn reconcile(&mut self, ctx: &mut Context, view: &ClusterView) {
         self.stop_incomplete_gangs();
         self.enforce_cancellations(ctx);
@@ -39,8 +39,8 @@
         self.write_jobs(ctx, writes_progress);
     }
 
-    /// Stops gangs that have lost a task, also under an earlier holder: the next
-    /// attempt begins when the remaining tasks have exited.
+    /// Stops the remaining tasks of gangs that have lost a task, under this or an earlier
+    /// holder. The next attempt of a gang starts once all its tasks have exited.
     fn stop_incomplete_gangs(&mut self) {
         for id in std::mem::take(&mut self.incomplete_gangs) {
             let is_broken = self.jobs.get(&id).is_some_and(|job| {
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Whether no call is under way for which a new holder would have to wait.
+    /// Whether no call to a worker, write of a job or response to a cancellation is
+    /// outstanding. A new holder would have to wait for these.
     pub(crate) fn has_no_calls_in_flight(&self) -> bool {
         let calling = self.machines.values().any(|m| m.has_call_in_flight);
         let writing = self
@@ -63,9 +64,9 @@
         !calling && !writing
     }
 
-    /// Does what is due for a machine: decommissions it, writes its record, sends
-    /// it commands. It is checked again when something happens to it or one of
-    /// its deadlines comes.
+    /// Performs the due steps for a machine: decommissions it, writes its record, transfers
+    /// it and sends commands. The machine is checked again when one of its deadlines passes
+    /// or a change marks it as due.
     fn reconcile_machine(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -94,9 +95,9 @@
             .set_deadline(id, next_check.min(deadline).max(ctx.now + 1));
     }
 
-    /// Unbinds tasks whose start was never sent from a machine whose heartbeats
-    /// are missing, or that no call reaches: no evidence of their exit is needed,
-    /// and the machine may stay out of reach for long.
+    /// Unbinds tasks whose start was never sent from a machine that misses heartbeats or
+    /// cannot be called. Such tasks need no evidence of their exit, and the machine may stay
+    /// unreachable for a long time.
     fn unbind_unsent_tasks_if_unreachable(&mut self, ctx: &Context, id: &MachineId) {
         let is_out_of_reach = |m: &&Machine| {
             let is_silent = m.last_heartbeat_at.is_some() && !m.has_recent_heartbeat(ctx);
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Whether something about a machine is under way of whose end no message
-    /// may come.
+    /// Whether an operation on the machine is in progress whose end may not be signalled by
+    /// any message, so that the machine must be checked at short intervals.
     fn needs_polling(&self, view: &ClusterView, machine: &Machine) -> bool {
         let is_pending = |task: &TaskRef| {
             let job = self.jobs.get(&task.job);
@@ -124,7 +125,7 @@
             || machine.tasks.iter().any(is_pending)
     }
 
-    /// Records the address of a machine's worker, once known.
+    /// Writes the address of a machine's worker to the record once a heartbeat has given it.
     fn record_worker_address(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -143,8 +144,8 @@
     }
 }
 
-/// Whether a machine's record is to be changed: its decommissioning or address
-/// is not recorded, or its transfer is requested.
+/// Whether a write of the machine's record is due: its decommissioning or address is not
+/// recorded, or its transfer is requested.
 fn is_record_outdated(view: &ClusterView, machine: &Machine) -> bool {
     let Some(versioned) = view.machines.get(&machine.id) else {
         return false;
@@ -157,8 +158,8 @@
     is_outdated || record.reassign_to.is_some()
 }
 
-/// Until when a machine is kept if nothing happens to it, or the reason why it
-/// is decommissioned now.
+/// Time until which the machine is kept if nothing changes, in milliseconds of the steady
+/// clock, or as an error the stored reason for decommissioning it now.
 fn decommission_deadline(ctx: &Context, machine: &Machine) -> Result<Ms, &'static str> {
     if machine.decommission_reason.is_some() {
         return Ok(Ms::MAX);
@@ -177,19 +178,23 @@
     Ok(next)
 }
 
-/// A time after which a machine is decommissioned, and the recorded reason.
+/// A condition with a deadline after which a machine is decommissioned, and the reason that
+/// is then stored in its record.
 struct DecommissionDeadline {
-    /// The time in milliseconds of the steady clock; none: it does not apply.
+    /// Deadline in milliseconds of the steady clock; none if the condition does not apply.
     at: Option<Ms>,
     reason: &'static str,
 }
 
-/// The deadlines of a machine. The first one that has passed gives the reason.
+/// All deadlines of a machine, in order of precedence: if several have passed, the first
+/// gives the reason.
 fn decommission_deadlines(ctx: &Context, machine: &Machine) -> [DecommissionDeadline; 4] {
     let last = machine.silent_since(ctx.resumed_at);
     let idle_ms = (machine.boot_ms as f64 * ctx.config.operator.idle_boots) as Ms;
-    // A task is only ever placed on a machine that was heard, by an earlier
-    // holder perhaps, which had no time to write the address.
+    // A machine that never sent a heartbeat may still be booting, so that its silence has no
+    // deadline. Tasks are placed only on machines that have sent a heartbeat: if there are
+    // tasks but no address, an earlier holder received the heartbeat and did not get to
+    // record the address.
     let was_heard =
         machine.addr.is_some() || machine.last_heartbeat_at.is_some() || !machine.tasks.is_empty();
     let reclaim_grace_ms = ctx.config.heartbeat_interval_ms * RECLAIM_GRACE_HEARTBEATS;
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -1,10 +1,11 @@
-//! Enforcement of cancellations: the tasks of a cancelled job must have exited
-//! within the time that the settings give.
+//! Enforcement of cancellations: all tasks of a cancelled job must have exited within the
+//! cancellation timeout of the settings.
 //!
-//! The time counts from the first request, also when that came to an earlier
-//! holder. First the tasks are stopped; machines that may still hold one are
-//! then decommissioned. If the record of a machine cannot be written, or the
-//! leader does not act on it, the holder has the machine deleted itself.
+//! The timeout runs from the first request, even if an earlier holder of the shard received
+//! it. The steps escalate: the tasks are stopped; machines that may still run one of them are
+//! decommissioned; finally the holder requests the deletion of these machines from the cloud
+//! itself. The last step covers a machine whose record cannot be written, or on whose record
+//! the leader does not act.
 
 use crate::context::Context;
 use crate::pending_call::PendingCall;
@@ -15,19 +16,20 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A machine that may hold a task of a cancelled job is decommissioned after
-/// this part of the time in which the task must have exited.
+/// Fraction of the cancellation timeout after which machines that may run a task of the
+/// cancelled job are decommissioned.
 const DECOMMISSION_FRACTION: f64 = 0.35;
-/// By this part of it the machine is decommissioned even if its holder has just
-/// learned of the cancellation.
+/// Fraction of the cancellation timeout after which these machines are decommissioned even if
+/// the holder has just learned of the cancellation.
 const LATEST_DECOMMISSION_FRACTION: f64 = 0.5;
-/// After this part of it the holder has the machine deleted itself.
+/// Fraction of the cancellation timeout after which the holder requests the deletion of these
+/// machines itself.
 const DELETE_FRACTION: f64 = 0.6;
-/// Heartbeat intervals that a new holder gives a machine to show that a task has
+/// Heartbeat intervals that a new holder gives a machine to report that a task has been
 /// stopped.
 const STOP_GRACE_HEARTBEATS: u64 = 2;
 
-/// Ages of a cancellation, in milliseconds, at which measures are due.
+/// Ages of a cancellation, in milliseconds, at which the next steps are due.
 struct CancellationDeadlines {
     decommission: Ms,
     delete: Ms,
@@ -36,7 +38,7 @@
 impl CancellationDeadlines {
     fn of(ctx: &Context, job: &Job) -> Self {
         let part = |part: f64| (ctx.config.cancellation_timeout_ms as f64 * part) as Ms;
-        // A new holder tries to stop the tasks first, if there is time.
+        // A new holder first tries to stop the tasks, if the timeout leaves enough time.
         let stop_ms = ctx.config.heartbeat_interval_ms * STOP_GRACE_HEARTBEATS;
         let tried = job.cancellation_age.when_learned_ms + stop_ms;
         let tried = tried.min(part(LATEST_DECOMMISSION_FRACTION));
@@ -48,8 +50,8 @@
 }
 
 impl Shard {
-    /// Stops the tasks of cancelled jobs, and decommissions or deletes machines
-    /// that may still hold one when a deadline has passed.
+    /// Stops the tasks of cancelled jobs, and decommissions or deletes machines that may
+    /// still run one of them when a deadline has passed.
     pub(super) fn enforce_cancellations(&mut self, ctx: &mut Context) {
         let mut overdue = BTreeSet::new();
         for id in self.cancelled_jobs.take_due(ctx.now) {
@@ -78,12 +80,13 @@
         self.delete_overdue_machines(ctx, overdue);
     }
 
-    /// Has machines deleted without a record that says so. That is always safe,
-    /// as it only ends things. None of them is used again: this holder keeps
-    /// them decommissioned until their records say so, and the next one finds
-    /// machines that send no heartbeats, and starts nothing on them. Their tasks
-    /// stay bound until the cloud has confirmed the deletion, or the record is
-    /// removed.
+    /// Requests the deletion of machines whose records do not show their decommissioning. The
+    /// deletion is always safe, because it only ends tasks.
+    ///
+    /// No deleted machine is used again: this holder keeps it decommissioned until the record
+    /// shows the reason, and the next holder starts no task on a machine without heartbeats.
+    /// The tasks of a deleted machine stay bound until the cloud has confirmed the deletion
+    /// or the record is removed.
     fn delete_overdue_machines(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
         let mut due = Vec::new();
         for id in overdue {
@@ -113,7 +116,8 @@
         ctx.delete_machines(due, pending);
     }
 
-    /// Handles the cloud's answer to a deletion by this holder.
+    /// Processes the cloud's response to a deletion that the holder requested. Any status but
+    /// 200 confirms nothing, and the request is repeated.
     pub(crate) fn on_holder_deletion_response(
         &mut self,
         ctx: &Context,
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `reconciliation`.
+//! Tests of [`reconciliation`](super).
 
 use super::*;
 use crate::fixture::{Fixture, WALL};
@@ -19,8 +19,8 @@
     effects.iter().any(path)
 }
 
-/// While no write lands, a machine that may hold a cancelled task was never
-/// deleted: the deletion waited for its record.
+/// A machine that may run a cancelled task must be deleted in time even while no write to the
+/// store succeeds. The deletion used to wait for the machine's record.
 #[test]
 fn a_machine_with_a_cancelled_task_is_deleted_without_a_write() {
     let mut f = Fixture::new();
@@ -49,7 +49,7 @@
         (0.4..0.7).contains(&part),
         "after {deleted_at} of {cancel} ms"
     );
-    // Without an answer nothing is unbound, and the request is repeated.
+    // Without a response nothing is unbound, and the request is repeated.
     f.answer(is_deletion, 0, &json!({}));
     assert_eq!(f.shard().jobs[&id].bound.len(), 1);
     let report_ms = f.node.ctx.config.heartbeat_interval_ms;
@@ -60,19 +60,20 @@
         let bound = f.shard().jobs.get(job).map_or(0, |j| j.bound.len());
         assert_eq!(bound, 0, "{job} is unbound with the machine");
     }
-    // An older heartbeat does not bind it again, nor is the machine used again.
+    // An outdated heartbeat must not bind the task again, and the machine must not be used
+    // again.
     f.heartbeat(1, token, &[(&other, 0, TaskStage::Running)]);
     f.step(2_000);
     let bound = f.shard().jobs.get(&other).map_or(0, |j| j.bound.len());
     assert_eq!(bound, 0);
 }
 
-/// The deadline once began anew with every holder. It counts from the first
-/// request; there is time to try a stop only if some is left.
+/// The cancellation timeout runs from the first request and must not restart with a new
+/// holder. The new holder gives the tasks time to stop only if some of the timeout is left.
 #[test]
 fn the_deadline_of_a_cancellation_outlives_its_holder() {
-    // How long ago it was requested, as parts of the time; when the machine is
-    // decommissioned at the latest.
+    // Age of the request when the new holder takes the shard, and latest age for the
+    // decommissioning, as fractions of the timeout.
     for (age, by) in [
         (0.0, 0.4),
         (0.2, 0.4),
@@ -106,8 +107,8 @@
     }
 }
 
-/// A machine that got work from an earlier holder, who had no time to write its
-/// address, was once never taken for silent.
+/// A machine with tasks but no recorded address must be decommissioned when it is silent. An
+/// earlier holder placed the tasks and did not get to write the address.
 #[test]
 fn a_machine_with_tasks_and_no_address_can_be_silent() {
     for tasks in [true, false] {
