--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -117,7 +117,7 @@
             return Vec::new();
         };
         let mut commands = self.forget_commands(machine);
-        let repeat_ms = ctx.config.heartbeat_interval_ms * STOP_RESEND_HEARTBEATS;
+        let resend_ms = ctx.config.heartbeat_interval_ms * STOP_RESEND_HEARTBEATS;
         for task in &machine.tasks {
             if commands.len() >= MAX_COMMANDS_PER_CALL {
                 break;
@@ -133,13 +133,13 @@
             let Some(stop) = &mut binding.stop else {
                 continue;
             };
-            if stop.is_due(ctx.now, repeat_ms) {
+            if stop.is_due(ctx.now, resend_ms) {
                 stop.last_sent_at = Some(ctx.now);
                 commands.push(command(Verb::Stop, task, attempt, Some(stop.grace_s)));
             }
         }
-        let free = MAX_COMMANDS_PER_CALL - commands.len();
-        let orphans = machine.orphans.iter().take(free);
+        let remaining = MAX_COMMANDS_PER_CALL - commands.len();
+        let orphans = machine.orphans.iter().take(remaining);
         commands.extend(orphans.map(|orphan| {
             let TaskAttempt { task, attempt } = &orphan.attempt;
             command(Verb::Stop, task, *attempt, Some(0.0))
@@ -182,8 +182,8 @@
         let Some(machine) = self.machines.get(id) else {
             return Vec::new();
         };
-        let takes_starts = machine.link.can_start_tasks() && machine.has_acknowledged_token();
-        if machine.decommission_reason.is_some() || !takes_starts {
+        let can_start_tasks = machine.link.can_start_tasks() && machine.has_acknowledged_token();
+        if machine.decommission_reason.is_some() || !can_start_tasks {
             return Vec::new();
         }
         let mut commands = Vec::new();
@@ -252,8 +252,9 @@
             let job = self.jobs.get_mut(&command.task.job);
             let binding = job.and_then(|job| job.bound.get_mut(&command.task.index));
             let Some(binding) = binding else { continue };
-            let is_of_call = matches!(binding.start, StartState::SentByThisHolder { token: t, .. } if t == token);
-            if is_of_call && binding.machine == *id && binding.attempt == command.attempt {
+            let was_sent_by_this_call = matches!(binding.start, StartState::SentByThisHolder { token: t, .. } if t == token);
+            if was_sent_by_this_call && binding.machine == *id && binding.attempt == command.attempt
+            {
                 binding.start = StartState::NotSent;
                 // A task that is being stopped and was never started can be unbound at once,
                 // without evidence of its exit. It must be, because no stop is sent for a
--- a/crates/core/src/shard/commands/tests.rs
+++ b/crates/core/src/shard/commands/tests.rs
@@ -8,7 +8,7 @@
 use serde_json::to_value;
 
 /// Verbs of the commands in calls to workers.
-fn sent(effects: &[Effect]) -> Vec<Verb> {
+fn sent_verbs(effects: &[Effect]) -> Vec<Verb> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { path, body, .. } if path == "/commands" => body.as_deref(),
         _ => None,
@@ -19,7 +19,7 @@
         .collect()
 }
 
-fn is_call(pending: &PendingCall) -> bool {
+fn is_command_call(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::Commands { .. })
 }
 
@@ -36,7 +36,7 @@
             f.lose_lease();
         }
         assert_eq!(
-            sent(&f.step(1)),
+            sent_verbs(&f.step(1)),
             verbs,
             "has_valid_lease: {has_valid_lease}"
         );
@@ -45,7 +45,7 @@
 
 /// Stops are idempotent and only end tasks, so that they need no valid lease.
 #[test]
-fn stops_are_sent_without_a_valid_lease_too() {
+fn stops_are_sent_without_a_valid_lease() {
     for has_valid_lease in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
@@ -55,8 +55,8 @@
             f.lose_lease();
         }
         f.request(1, "POST", "/submissions/j-1/abort");
-        let calling = f.shard().machines.values().any(|m| m.has_call_in_flight);
-        assert!(calling, "has_valid_lease: {has_valid_lease}");
+        let has_call_in_flight = f.shard().machines.values().any(|m| m.has_call_in_flight);
+        assert!(has_call_in_flight, "has_valid_lease: {has_valid_lease}");
     }
 }
 
@@ -69,13 +69,17 @@
         let id = f.job("j-1", JobKind::Gang, 2);
         f.bind(&id, 0, StartState::NotSent);
         f.bind(&id, 1, StartState::NotSent);
-        assert_eq!(sent(&f.step(1)), [Verb::Start, Verb::Start]);
+        assert_eq!(sent_verbs(&f.step(1)), [Verb::Start, Verb::Start]);
         if stopped {
             f.shard().stop_remaining_tasks(&id);
         }
         let token = f.token();
         let heartbeat = f.heartbeat_message(2, token, &[]);
-        f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
+        f.answer(
+            is_command_call,
+            409,
+            &to_value(heartbeat).expect("a heartbeat"),
+        );
         let bound = f.shard().jobs[&id].bound.len();
         assert_eq!(bound, if stopped { 0 } else { 2 }, "stopped: {stopped}");
     }
@@ -84,16 +88,24 @@
 /// A holder that did not know of its successor called a machine again as soon as the worker
 /// refused a call for its old token. A newer token must cause a backoff.
 #[test]
-fn a_machine_with_a_newer_token_is_left_alone() {
-    for (newer, calls) in [(0, true), (1 << 30, false)] {
+fn a_refusal_with_a_newer_token_backs_off_the_next_call() {
+    for (token_lead, is_called_again) in [(0, true), (1 << 30, false)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::NotSent);
         f.step(1);
-        let token = f.token() + newer;
+        let token = f.token() + token_lead;
         let heartbeat = f.heartbeat_message(2, token, &[]);
-        let effects = f.answer(is_call, 409, &to_value(heartbeat).expect("a heartbeat"));
-        assert_eq!(!sent(&effects).is_empty(), calls, "newer by {newer}");
+        let effects = f.answer(
+            is_command_call,
+            409,
+            &to_value(heartbeat).expect("a heartbeat"),
+        );
+        assert_eq!(
+            !sent_verbs(&effects).is_empty(),
+            is_called_again,
+            "newer by {token_lead}"
+        );
     }
 }
 
@@ -101,60 +113,76 @@
 /// again when the start arrives. Nothing is forgotten while a call is in flight or
 /// unanswered.
 #[test]
-fn nothing_is_forgotten_while_a_start_may_be_on_its_way() {
-    for (calling, unanswered, forgets) in [(false, false, 1), (true, false, 0), (false, true, 0)] {
+fn no_attempt_is_forgotten_while_a_call_may_be_executed() {
+    for (has_call_in_flight, has_unanswered_call, forgets) in
+        [(false, false, 1), (true, false, 0), (false, true, 0)]
+    {
         let mut f = Fixture::new();
         let id = JobId::parse("j-9").expect("an id");
         let token = f.token();
         f.heartbeat(1, token, &[(&id, 0, TaskStage::Exited)]);
         let machine = f.machine.clone();
-        let m = f.shard().machines.get_mut(&machine).expect("it is there");
-        (m.has_call_in_flight, m.has_unanswered_call) = (calling, unanswered);
+        let m = f
+            .shard()
+            .machines
+            .get_mut(&machine)
+            .expect("the machine is in the shard");
+        (m.has_call_in_flight, m.has_unanswered_call) = (has_call_in_flight, has_unanswered_call);
         let Fixture { node, shard, .. } = &mut f;
         let shard = node.shards.get_mut(shard).expect("the shard is held");
         let commands = shard.idempotent_commands(&node.ctx, &machine);
         let n = commands.iter().filter(|o| o.verb == Verb::Forget).count();
-        assert_eq!(n, forgets, "calling: {calling}, unanswered: {unanswered}");
+        assert_eq!(
+            n, forgets,
+            "in flight: {has_call_in_flight}, unanswered: {has_unanswered_call}"
+        );
     }
 }
 
 /// Commands beyond the bound of one call are sent in the next call, after the response to the
 /// first.
 #[test]
-fn commands_beyond_one_call_go_out_with_the_next() {
-    let most = MAX_COMMANDS_PER_CALL as u32;
-    for (tasks, first, second) in [(most, most, 0), (most + 1, most, 1)] {
+fn commands_beyond_one_call_are_sent_in_the_next() {
+    let max_commands = MAX_COMMANDS_PER_CALL as u32;
+    for (tasks, first, second) in [
+        (max_commands, max_commands, 0),
+        (max_commands + 1, max_commands, 1),
+    ] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, tasks);
         for index in 0..tasks {
             f.bind(&id, index, StartState::NotSent);
         }
-        assert_eq!(sent(&f.step(1)).len() as u32, first, "{tasks} tasks");
+        assert_eq!(sent_verbs(&f.step(1)).len() as u32, first, "{tasks} tasks");
         let token = f.token();
         let started: Vec<_> = (0..first).map(|i| (&id, i, TaskStage::Running)).collect();
         let heartbeat = to_value(f.heartbeat_message(1, token, &started)).expect("a heartbeat");
-        let mut effects = f.answer(is_call, 200, &heartbeat);
+        let mut effects = f.answer(is_command_call, 200, &heartbeat);
         effects.extend(f.step(1));
-        assert_eq!(sent(&effects).len() as u32, second, "{tasks} tasks");
+        assert_eq!(sent_verbs(&effects).len() as u32, second, "{tasks} tasks");
     }
 }
 
 /// When the bound of concurrent calls to workers is reached, a start is delayed until a call
 /// has ended.
 #[test]
-fn a_call_beyond_the_bound_waits() {
-    for (beside, starts) in [(1, 1), (0, 0)] {
+fn a_call_beyond_the_concurrency_bound_is_delayed() {
+    for (free_calls, starts) in [(1, 1), (0, 0)] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::NotSent);
-        f.node.ctx.worker_calls_in_flight = f.node.ctx.config.bounds.worker_calls - beside;
-        assert_eq!(sent(&f.step(1)).len(), starts, "{beside} free");
+        f.node.ctx.worker_calls_in_flight = f.node.ctx.config.bounds.worker_calls - free_calls;
+        assert_eq!(
+            sent_verbs(&f.step(1)).len(),
+            starts,
+            "{free_calls} free calls"
+        );
         f.node.ctx.worker_calls_in_flight = 0;
-        let report_ms = f.node.ctx.config.heartbeat_interval_ms;
+        let heartbeat_interval_ms = f.node.ctx.config.heartbeat_interval_ms;
         assert_eq!(
-            sent(&f.step(report_ms)).len(),
+            sent_verbs(&f.step(heartbeat_interval_ms)).len(),
             1 - starts,
-            "{beside} free, later"
+            "{free_calls} free calls, one heartbeat interval later"
         );
     }
 }
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -198,7 +198,7 @@
             return;
         }
         let resources = job.map_or(Resources::default(), |job| job.task);
-        let is_adoptable = job.is_some_and(|job| {
+        let can_be_bound = job.is_some_and(|job| {
             binding.is_none()
                 && !job.done.contains(task.index)
                 && task.index < job.spec.tasks
@@ -218,7 +218,7 @@
             return;
         }
         log::info!("task {task}: unexpected on {id}, to be stopped");
-        if is_adoptable {
+        if can_be_bound {
             self.bind_unexpected_task(ctx, id, report);
         } else {
             machine.orphans.push(OrphanTask { attempt, resources });
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -112,8 +112,8 @@
             .max(ctx.now + job.failures.retry_backoff_ms());
         // The job fails on every machine, so its failures are removed from all of them.
         if job.failures.is_job_at_fault() {
-            for blamed in job.failures.machines() {
-                if let Some(machine) = self.machines.get_mut(&blamed) {
+            for failed_on in job.failures.machines() {
+                if let Some(machine) = self.machines.get_mut(&failed_on) {
                     machine.failures.remove(job_id);
                 }
             }
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -6,7 +6,7 @@
 use forkshift_wire::users::JobKind;
 
 /// Returns the state of a start, given the holder's current fencing token.
-type StartUnder = fn(u64) -> StartState;
+type StartStateForToken = fn(u64) -> StartState;
 
 fn by_earlier_holder(_: u64) -> StartState {
     StartState::Unknown
@@ -30,7 +30,7 @@
 /// Name of the case, as who sent the start and what the heartbeat echoes; state of the start;
 /// incarnation in the heartbeat; its token relative to the current one; whether the task is
 /// unbound.
-type UnlistedCase = (&'static str, StartUnder, u64, i64, bool);
+type UnlistedCase = (&'static str, StartStateForToken, u64, i64, bool);
 
 #[rustfmt::skip]
 const UNLISTED_CASES: [UnlistedCase; 9] = [
@@ -50,47 +50,56 @@
 /// start cannot be executed any more.
 #[test]
 fn a_task_is_unbound_only_by_a_newer_token_or_incarnation() {
-    for (name, sent, incarnation, token, is_unbound) in UNLISTED_CASES {
+    for (name, start_state, incarnation, token_offset, is_unbound) in UNLISTED_CASES {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        let used = f.token();
-        f.bind(&id, 0, sent(used));
+        let current_token = f.token();
+        f.bind(&id, 0, start_state(current_token));
         let machine = f.machine.clone();
         f.shard()
             .machines
             .get_mut(&machine)
             .expect("the key exists")
             .has_call_in_flight = true;
-        f.heartbeat(incarnation, used.saturating_add_signed(token), &[]);
+        f.heartbeat(
+            incarnation,
+            current_token.saturating_add_signed(token_offset),
+            &[],
+        );
         let has_no_bindings = f.shard().jobs[&id].bound.is_empty();
         assert_eq!(has_no_bindings, is_unbound, "{name}");
-        let free = f.shard().quotas[0].used.is_zero();
-        assert_eq!(free, is_unbound, "{name}: its place in the quota");
+        let is_quota_free = f.shard().quotas[0].used.is_zero();
+        assert_eq!(is_quota_free, is_unbound, "{name}: resources in the quota");
     }
 }
 
 /// Delayed copies of heartbeats, also from earlier incarnations of the worker, must not
 /// overwrite newer state.
 #[test]
-fn old_copies_of_heartbeats_are_dropped() {
-    for (incarnation, later, taken) in [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)] {
+fn outdated_heartbeats_are_dropped() {
+    for (incarnation, sequence_steps, expected) in
+        [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)]
+    {
         let mut f = Fixture::new();
         let token = f.token();
         f.heartbeat(1, token, &[]);
         let mut copy = f.heartbeat_message(incarnation, token, &[]);
         f.heartbeat(1, token, &[]);
-        copy.sequence += later * 2;
+        copy.sequence += sequence_steps * 2;
         let Fixture { node, shard, .. } = &mut f;
         let shard = node.shards.get_mut(shard).expect("the shard is held");
-        let is_taken = shard.on_worker_heartbeat(&mut node.ctx, &copy);
-        assert_eq!(is_taken, taken, "incarnation {incarnation}, {later} later");
+        let is_processed = shard.on_worker_heartbeat(&mut node.ctx, &copy);
+        assert_eq!(
+            is_processed, expected,
+            "incarnation {incarnation}, {sequence_steps} sequence steps"
+        );
     }
 }
 
 /// The fencing tokens of a new holder must be higher than those of all earlier holders of the
 /// shard, and of the shards to which the machine belonged before.
 #[test]
-fn a_new_holders_tokens_are_above_all_earlier_ones() {
+fn the_tokens_of_a_new_holder_are_higher_than_all_earlier_ones() {
     let mut f = Fixture::new();
     let machine = f.machine.clone();
     let record: MachineRecord = f.node.view.machines[&machine].record.clone();
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -245,7 +245,7 @@
         }
         machine.is_writing_record = true;
         let mut record = versioned.record.clone();
-        let row = change(&mut record);
+        let account_row = change(&mut record);
         // The leader and other shards wait for these two changes; other changes matter only
         // to the next holder of the shard.
         let frees_machine = record.shard != versioned.record.shard
@@ -266,7 +266,7 @@
             ],
             writes: vec![Write::put(key, to_value(record).unwrap_or_default())],
         };
-        if let Some(row) = row {
+        if let Some(row) = account_row {
             add_account_row(&mut transaction, row.key(), &row);
         }
         ctx.transact(
@@ -312,10 +312,10 @@
         if recorded.is_some_and(|m| m.record.decommission_reason.is_none()) {
             // The membership is closed in the same write, because the leader may remove the
             // record at once and does not know as exactly when the membership ended.
-            let (at_ms, ended) = self.end_of_membership(ctx, id);
+            let (at_ms, end_reason) = self.end_of_membership(ctx, id);
             self.update_machine_record_with(ctx, view, id, |record| {
                 record.decommission_reason = Some(reason);
-                record.close_membership(id, at_ms, Err(ended))
+                record.close_membership(id, at_ms, Err(end_reason))
             });
         }
     }
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -11,10 +11,10 @@
 use crate::Ms;
 use forkshift_wire::{MachineId, TaskRef};
 
-/// Checks per heartbeat interval of a machine with an operation in progress.
+/// Number of checks per heartbeat interval for a machine with an operation in progress.
 const CHECKS_PER_HEARTBEAT: Ms = 8;
-/// Heartbeat intervals after the announced reclaim time, or after a later heartbeat, until a
-/// reclaimed spot instance is decommissioned.
+/// Heartbeat intervals until a reclaimed spot instance is decommissioned, counted from the
+/// announced reclaim time or from the last heartbeat if that is later.
 const RECLAIM_GRACE_HEARTBEATS: Ms = 2;
 /// A machine that does not acknowledge the fencing token is decommissioned after this
 /// multiple of the longest silence that is tolerated for a single machine.
@@ -43,11 +43,11 @@
     /// holder. The next attempt of a gang starts once all its tasks have exited.
     fn stop_incomplete_gangs(&mut self) {
         for id in std::mem::take(&mut self.incomplete_gangs) {
-            let is_broken = self.jobs.get(&id).is_some_and(|job| {
+            let has_lost_task = self.jobs.get(&id).is_some_and(|job| {
                 let bound = job.bound.len() as u32;
                 bound > 0 && bound + job.done.len() < job.spec.tasks
             });
-            if is_broken {
+            if has_lost_task {
                 self.on_gang_incomplete(&id);
             }
         }
@@ -56,12 +56,12 @@
     /// Whether no call to a worker, write of a job or response to a cancellation is
     /// outstanding. A new holder would have to wait for these.
     pub(crate) fn has_no_calls_in_flight(&self) -> bool {
-        let calling = self.machines.values().any(|m| m.has_call_in_flight);
-        let writing = self
+        let has_worker_call = self.machines.values().any(|m| m.has_call_in_flight);
+        let has_job_write = self
             .jobs
             .values()
             .any(|j| j.has_write_in_flight || !j.cancel_waiters.is_empty());
-        !calling && !writing
+        !has_worker_call && !has_job_write
     }
 
     /// Performs the due steps for a machine: decommissions it, writes its record, transfers
@@ -86,8 +86,9 @@
             return;
         };
         let next_check = if self.needs_polling(view, machine) {
-            let soon = ctx.now + (ctx.config.heartbeat_interval_ms / CHECKS_PER_HEARTBEAT).max(1);
-            soon.max(machine.retry_at)
+            let poll_at =
+                ctx.now + (ctx.config.heartbeat_interval_ms / CHECKS_PER_HEARTBEAT).max(1);
+            poll_at.max(machine.retry_at)
         } else {
             ctx.now + ctx.config.lease_ms
         };
@@ -99,11 +100,11 @@
     /// cannot be called. Such tasks need no evidence of their exit, and the machine may stay
     /// unreachable for a long time.
     fn unbind_unsent_tasks_if_unreachable(&mut self, ctx: &Context, id: &MachineId) {
-        let is_out_of_reach = |m: &&Machine| {
+        let is_unreachable = |m: &&Machine| {
             let is_silent = m.last_heartbeat_at.is_some() && !m.has_recent_heartbeat(ctx);
             is_silent || !m.link.can_start_tasks()
         };
-        if let Some(machine) = self.machines.get(id).filter(is_out_of_reach) {
+        if let Some(machine) = self.machines.get(id).filter(is_unreachable) {
             let tasks: Vec<TaskRef> = machine.tasks.iter().cloned().collect();
             self.unbind_unsent_tasks(tasks);
         }
@@ -134,8 +135,8 @@
             .machines
             .get(id)
             .is_none_or(|versioned| versioned.record.addr.is_some());
-        let is_heard = machine.last_heartbeat_at.is_some();
-        if is_recorded || !is_heard || machine.decommission_reason.is_some() {
+        let has_sent_heartbeat = machine.last_heartbeat_at.is_some();
+        if is_recorded || !has_sent_heartbeat || machine.decommission_reason.is_some() {
             return;
         }
         if let Some(addr) = machine.addr.clone() {
@@ -167,47 +168,47 @@
     if machine.failures.is_faulty() {
         return Err("it fails what it starts");
     }
-    let mut next = Ms::MAX;
+    let mut earliest = Ms::MAX;
     for deadline in decommission_deadlines(ctx, machine) {
         match deadline.at {
             Some(at) if ctx.now > at => return Err(deadline.reason),
-            Some(at) => next = next.min(at + 1),
+            Some(at) => earliest = earliest.min(at + 1),
             None => {}
         }
     }
-    Ok(next)
+    Ok(earliest)
 }
 
-/// A condition with a deadline after which a machine is decommissioned, and the reason that
-/// is then stored in its record.
+/// A condition under which a machine is decommissioned once a deadline has passed.
 struct DecommissionDeadline {
     /// Deadline in milliseconds of the steady clock; none if the condition does not apply.
     at: Option<Ms>,
+    /// Text that is stored in the machine's record as its decommission reason.
     reason: &'static str,
 }
 
 /// All deadlines of a machine, in order of precedence: if several have passed, the first
 /// gives the reason.
 fn decommission_deadlines(ctx: &Context, machine: &Machine) -> [DecommissionDeadline; 4] {
-    let last = machine.silent_since(ctx.resumed_at);
+    let silent_since = machine.silent_since(ctx.resumed_at);
     let idle_ms = (machine.boot_ms as f64 * ctx.config.operator.idle_boots) as Ms;
     // A machine that never sent a heartbeat may still be booting, so that its silence has no
     // deadline. Tasks are placed only on machines that have sent a heartbeat: if there are
     // tasks but no address, an earlier holder received the heartbeat and did not get to
     // record the address.
-    let was_heard =
+    let has_sent_heartbeat =
         machine.addr.is_some() || machine.last_heartbeat_at.is_some() || !machine.tasks.is_empty();
     let reclaim_grace_ms = ctx.config.heartbeat_interval_ms * RECLAIM_GRACE_HEARTBEATS;
     let unacknowledged_ms = ctx.max_silence_ms() * UNACKNOWLEDGED_TOKEN_TIMEOUTS;
     [
         DecommissionDeadline {
-            at: was_heard.then_some(last + ctx.removal_timeout_ms(machine)),
+            at: has_sent_heartbeat.then_some(silent_since + ctx.removal_timeout_ms(machine)),
             reason: "it is silent",
         },
         DecommissionDeadline {
             at: machine
                 .reclaimed_at
-                .map(|at| at.max(last) + reclaim_grace_ms),
+                .map(|at| at.max(silent_since) + reclaim_grace_ms),
             reason: "it was taken",
         },
         DecommissionDeadline {
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -31,20 +31,23 @@
 
 /// Ages of a cancellation, in milliseconds, at which the next steps are due.
 struct CancellationDeadlines {
+    /// Age at which machines that may run a task of the job are decommissioned.
     decommission: Ms,
+    /// Age at which the holder requests the deletion of these machines itself.
     delete: Ms,
 }
 
 impl CancellationDeadlines {
-    fn of(ctx: &Context, job: &Job) -> Self {
-        let part = |part: f64| (ctx.config.cancellation_timeout_ms as f64 * part) as Ms;
+    fn new(ctx: &Context, job: &Job) -> Self {
+        let fraction_ms =
+            |fraction: f64| (ctx.config.cancellation_timeout_ms as f64 * fraction) as Ms;
         // A new holder first tries to stop the tasks, if the timeout leaves enough time.
         let stop_ms = ctx.config.heartbeat_interval_ms * STOP_GRACE_HEARTBEATS;
-        let tried = job.cancellation_age.when_learned_ms + stop_ms;
-        let tried = tried.min(part(LATEST_DECOMMISSION_FRACTION));
+        let after_stop_attempt = job.cancellation_age.when_learned_ms + stop_ms;
+        let after_stop_attempt = after_stop_attempt.min(fraction_ms(LATEST_DECOMMISSION_FRACTION));
         Self {
-            decommission: part(DECOMMISSION_FRACTION).max(tried),
-            delete: part(DELETE_FRACTION),
+            decommission: fraction_ms(DECOMMISSION_FRACTION).max(after_stop_attempt),
+            delete: fraction_ms(DELETE_FRACTION),
         }
     }
 }
@@ -60,16 +63,16 @@
                 continue;
             };
             let age = job.cancel_age(ctx.now);
-            let deadlines = CancellationDeadlines::of(ctx, job);
+            let deadlines = CancellationDeadlines::new(ctx, job);
             let bindings = job.bound.values();
-            let holding: BTreeSet<MachineId> = bindings.map(|b| b.machine.clone()).collect();
+            let machines: BTreeSet<MachineId> = bindings.map(|b| b.machine.clone()).collect();
             if age >= deadlines.decommission {
-                for machine in &holding {
+                for machine in &machines {
                     self.decommission(machine, "it may hold a cancelled task");
                 }
             }
             if age >= deadlines.delete {
-                overdue.extend(holding);
+                overdue.extend(machines);
             }
             let mut next_check = ctx.now + ctx.config.heartbeat_interval_ms;
             if age < deadlines.decommission {
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_machine_with_a_cancelled_task_is_deleted_without_a_write() {
     let mut f = Fixture::new();
-    let cancel = f.node.ctx.config.cancellation_timeout_ms;
+    let timeout_ms = f.node.ctx.config.cancellation_timeout_ms;
     let id = f.job("j-1", JobKind::Service, 1);
     let other = f.job("j-2", JobKind::Service, 1);
     let (token, incarnation) = (f.token(), 1);
@@ -36,25 +36,25 @@
     );
     f.request(1, "POST", "/submissions/j-1/abort");
     f.lose_lease();
-    let begun = f.node.ctx.now;
+    let started_at = f.node.ctx.now;
     let mut deleted_at = None;
-    while f.node.ctx.now < begun + cancel && deleted_at.is_none() {
+    while f.node.ctx.now < started_at + timeout_ms && deleted_at.is_none() {
         if deletes_machines(&f.step(500)) {
-            deleted_at = Some(f.node.ctx.now - begun);
+            deleted_at = Some(f.node.ctx.now - started_at);
         }
     }
-    let deleted_at = deleted_at.expect("it is deleted in time");
-    let part = deleted_at as f64 / cancel as f64;
+    let deleted_at = deleted_at.expect("the machine is deleted in time");
+    let fraction = deleted_at as f64 / timeout_ms as f64;
     assert!(
-        (0.4..0.7).contains(&part),
-        "after {deleted_at} of {cancel} ms"
+        (0.4..0.7).contains(&fraction),
+        "after {deleted_at} of {timeout_ms} ms"
     );
     // Without a response nothing is unbound, and the request is repeated.
     f.answer(is_deletion, 0, &json!({}));
     assert_eq!(f.shard().jobs[&id].bound.len(), 1);
-    let report_ms = f.node.ctx.config.heartbeat_interval_ms;
-    let again = (0..4).any(|_| deletes_machines(&f.step(report_ms)));
-    assert!(again, "it is tried again");
+    let heartbeat_interval_ms = f.node.ctx.config.heartbeat_interval_ms;
+    let again = (0..4).any(|_| deletes_machines(&f.step(heartbeat_interval_ms)));
+    assert!(again, "the deletion is requested again");
     f.answer(is_deletion, 200, &json!({}));
     for job in [&id, &other] {
         let bound = f.shard().jobs.get(job).map_or(0, |j| j.bound.len());
@@ -71,10 +71,10 @@
 /// The cancellation timeout runs from the first request and must not restart with a new
 /// holder. The new holder gives the tasks time to stop only if some of the timeout is left.
 #[test]
-fn the_deadline_of_a_cancellation_outlives_its_holder() {
+fn the_cancellation_timeout_runs_from_the_first_request() {
     // Age of the request when the new holder takes the shard, and latest age for the
     // decommissioning, as fractions of the timeout.
-    for (age, by) in [
+    for (age_fraction, latest_fraction) in [
         (0.0, 0.4),
         (0.2, 0.4),
         (0.34, 0.5),
@@ -82,35 +82,38 @@
         (0.9, 0.95),
     ] {
         let mut f = Fixture::new();
-        let cancel = f.node.ctx.config.cancellation_timeout_ms;
-        let ago = (cancel as f64 * age) as Ms;
+        let timeout_ms = f.node.ctx.config.cancellation_timeout_ms;
+        let age_ms = (timeout_ms as f64 * age_fraction) as Ms;
         let id = f.job("j-1", JobKind::Service, 1);
         f.bind(&id, 0, StartState::Unknown);
         let mut head: JobHeadRecord = f.shard().jobs[&id].head_record();
         f.shard().forget_job(&id, 0);
         head.cancelled = true;
-        head.cancelled_at_ms = WALL - ago;
+        head.cancelled_at_ms = WALL - age_ms;
         let item = Item {
             key: unfinished_key(f.shard, &id, 0),
             value: to_value(head).expect("a record"),
             version: 8,
         };
         f.recover_shard(vec![item]);
-        let begun = f.node.ctx.now;
+        let started_at = f.node.ctx.now;
         let machine = f.machine.clone();
-        let end = begun + (cancel as f64 * (by - age)) as Ms;
+        let end = started_at + (timeout_ms as f64 * (latest_fraction - age_fraction)) as Ms;
         while f.node.ctx.now < end && f.shard().machines[&machine].decommission_reason.is_none() {
             f.step(100);
         }
         let reason = f.shard().machines[&machine].decommission_reason.clone();
-        assert!(reason.is_some(), "requested {ago} of {cancel} ms ago");
+        assert!(
+            reason.is_some(),
+            "requested {age_ms} of {timeout_ms} ms ago"
+        );
     }
 }
 
 /// A machine with tasks but no recorded address must be decommissioned when it is silent. An
 /// earlier holder placed the tasks and did not get to write the address.
 #[test]
-fn a_machine_with_tasks_and_no_address_can_be_silent() {
+fn a_silent_machine_with_tasks_but_no_address_is_decommissioned() {
     for tasks in [true, false] {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
@@ -118,7 +121,11 @@
             f.bind(&id, 0, StartState::Unknown);
         }
         let machine = f.machine.clone();
-        let m = f.shard().machines.get_mut(&machine).expect("it is there");
+        let m = f
+            .shard()
+            .machines
+            .get_mut(&machine)
+            .expect("the machine is in the shard");
         (m.addr, m.last_heartbeat_at) = (None, None);
         f.node.ctx.now += f.node.ctx.config.lease_ms;
         f.node.ctx.has_valid_lease = true;
