--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -105,7 +105,7 @@
         if shard.on_worker_heartbeat(ctx, heartbeat) {
             shard.record_heartbeat_route(ctx, id, route);
         }
-        match shard.heartbeat_reply(ctx, id) {
+        match shard.heartbeat_response(ctx, id) {
             Some((token, commands)) => accept(token, commands),
             None => redirect_to_next(),
         }
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -254,7 +254,7 @@
         && machine.orphans.is_empty()
         && machine.decommission_reason.is_none()
         && machine.transfer_version.is_none()
-        && machine.reclaimed_at.is_none()
+        && machine.spot_reclaim_at.is_none()
         && !machine.is_vacating
         && !machine.is_draining
         && machine.pool.membership.is_none()
--- a/crates/core/src/shard/commands.rs
+++ b/crates/core/src/shard/commands.rs
@@ -26,17 +26,17 @@
     fn can_be_called(&self, ctx: &Context) -> bool {
         let may_have_commands = self.must_send_token
             || !self.tasks.is_empty()
-            || !self.exited.is_empty()
+            || !self.exited_attempts.is_empty()
             || !self.orphans.is_empty()
             || self.pool.membership.is_some();
         let is_callable =
-            !self.has_call_in_flight && self.addr.is_some() && ctx.now >= self.retry_at;
+            !self.has_call_in_flight && self.addr.is_some() && ctx.now >= self.call_retry_at;
         may_have_commands && is_callable
     }
 
     /// Schedules the next call after one that ended without a response.
     fn on_call_unanswered(&mut self, ctx: &Context, had_commands: bool) {
-        self.retry_at = ctx.now + ctx.config.heartbeat_interval_ms / 2;
+        self.call_retry_at = ctx.now + ctx.config.heartbeat_interval_ms / 2;
         if had_commands {
             // The worker may still execute the commands, until it sees a newer token.
             self.has_unanswered_call = true;
@@ -154,7 +154,7 @@
         if machine.has_unanswered_call || machine.has_call_in_flight {
             return Vec::new();
         }
-        let exited = machine.exited.iter();
+        let exited = machine.exited_attempts.iter();
         exited
             .filter(|exited| self.is_forgettable(machine, exited))
             .take(MAX_COMMANDS_PER_CALL)
@@ -173,7 +173,7 @@
             .bound
             .get(&index)
             .is_some_and(|b| b.machine == machine.id && b.attempt == exited.attempt);
-        let version = machine.exit_versions.get(exited);
+        let version = machine.exit_job_versions.get(exited);
         !is_bound && version.is_none_or(|version| job.is_durable(index, *version))
     }
 
@@ -239,7 +239,7 @@
             if heartbeat.token > machine.token {
                 // The machine has a newer holder, as the view will show. Without a backoff
                 // both ends would be loaded by calls that are refused again.
-                machine.retry_at = ctx.now + ctx.config.heartbeat_interval_ms;
+                machine.call_retry_at = ctx.now + ctx.config.heartbeat_interval_ms;
             }
             self.mark_starts_unsent(id, token, commands);
         }
@@ -290,7 +290,7 @@
 
     /// Fencing token and idempotent commands for the response to a worker's heartbeat; none
     /// if the machine is not in this shard.
-    pub(crate) fn heartbeat_reply(
+    pub(crate) fn heartbeat_response(
         &mut self,
         ctx: &Context,
         id: &MachineId,
--- a/crates/core/src/shard/debug_log.rs
+++ b/crates/core/src/shard/debug_log.rs
@@ -74,7 +74,7 @@
         machine.token,
         machine.has_call_in_flight,
         machine.has_unanswered_call,
-        machine.exited.len(),
+        machine.exited_attempts.len(),
         machine.decommission_reason.is_some()
     );
 }
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -173,7 +173,7 @@
         let is_empty = |machine: &&Machine| {
             machine.tasks.is_empty()
                 && !machine.has_call_in_flight
-                && machine.exited.is_empty()
+                && machine.exited_attempts.is_empty()
                 && !machine.is_pool_member()
         };
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -38,12 +38,12 @@
         self.acknowledged_token = heartbeat.token;
         self.last_heartbeat_at = Some(ctx.now);
         self.addr.get_or_insert_with(|| heartbeat.addr.clone());
-        if let (Some(notice_s), None) = (heartbeat.reclaim_notice_s, self.reclaimed_at) {
+        if let (Some(notice_s), None) = (heartbeat.reclaim_notice_s, self.spot_reclaim_at) {
             log::info!(
                 "machine {}: reclaimed by the cloud in {notice_s} s",
                 self.id
             );
-            self.reclaimed_at = Some(ctx.now + crate::ms(notice_s));
+            self.spot_reclaim_at = Some(ctx.now + crate::ms(notice_s));
         }
         if self.acknowledged_token >= self.token {
             self.has_unanswered_call = false;
@@ -51,7 +51,7 @@
         } else {
             self.token_unacknowledged_since.get_or_insert(ctx.now);
         }
-        self.exited.clear();
+        self.exited_attempts.clear();
         self.orphans.clear();
         self.update_held_images(ctx, heartbeat.images.as_ref());
     }
@@ -212,8 +212,8 @@
             attempt: report.attempt,
         };
         if report.stage == TaskStage::Exited {
-            if !machine.exited.contains(&attempt) {
-                machine.exited.push(attempt);
+            if !machine.exited_attempts.contains(&attempt) {
+                machine.exited_attempts.push(attempt);
             }
             return;
         }
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -44,8 +44,8 @@
                 task: task.clone(),
                 attempt: report.attempt,
             };
-            machine.exit_versions.insert(attempt.clone(), version);
-            machine.exited.push(attempt);
+            machine.exit_job_versions.insert(attempt.clone(), version);
+            machine.exited_attempts.push(attempt);
         }
         if cause != ExitCause::Done {
             log::debug!(
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -85,7 +85,7 @@
     /// the record shows it.
     pub(crate) decommission_reason: Option<String>,
     /// Version of its record that this state follows.
-    pub(crate) version: u64,
+    pub(crate) record_version: u64,
     /// Whether a write of its record is in flight.
     pub(crate) is_writing_record: bool,
     /// Store revision of the last response to a write of its record. The record is not
@@ -109,12 +109,12 @@
     /// Time at which this holder learned of the machine.
     pub(crate) known_since: Ms,
     /// Time at which the cloud reclaims the spot instance; none without a reclaim notice.
-    pub(crate) reclaimed_at: Option<Ms>,
+    pub(crate) spot_reclaim_at: Option<Ms>,
 
     /// Whether a call to its worker is in flight. At most one is.
     pub(crate) has_call_in_flight: bool,
     /// Backoff: the worker is not called before this time.
-    pub(crate) retry_at: Ms,
+    pub(crate) call_retry_at: Ms,
     /// Whether a call with commands ended without a response, so that the worker may still
     /// execute the commands. Cleared when a heartbeat echoes `token`.
     pub(crate) has_unanswered_call: bool,
@@ -130,10 +130,10 @@
     pub(crate) orphans: Vec<OrphanTask>,
     /// Exited attempts that the newest heartbeat lists, until the worker is told to forget
     /// them.
-    pub(crate) exited: Vec<TaskAttempt>,
+    pub(crate) exited_attempts: Vec<TaskAttempt>,
     /// For each exited attempt, the version of its job that contains the outcome. The worker
     /// may forget the attempt once this version is durable.
-    pub(crate) exit_versions: BTreeMap<TaskAttempt, u64>,
+    pub(crate) exit_job_versions: BTreeMap<TaskAttempt, u64>,
     /// Index in [`Context::images`] and size in GB of each image in the cache, the most
     /// recently used last.
     pub(crate) cached_images: Vec<(u32, f64)>,
@@ -179,7 +179,7 @@
             boot_ms: crate::ms(machine_type.boot_s),
             addr: record.addr.clone(),
             decommission_reason: record.decommission_reason.clone(),
-            version: recorded.record.version,
+            record_version: recorded.record.version,
             is_writing_record: false,
             record_required_revision: 0,
             incarnation: 0,
@@ -190,16 +190,16 @@
             last_heartbeat_at: None,
             link: MachineLink::default(),
             known_since: ctx.now,
-            reclaimed_at: None,
+            spot_reclaim_at: None,
             has_call_in_flight: false,
-            retry_at: 0,
+            call_retry_at: 0,
             has_unanswered_call: false,
             must_send_token: record.addr.is_some(),
             tasks: BTreeSet::new(),
             used: Resources::default(),
             orphans: Vec::new(),
-            exited: Vec::new(),
-            exit_versions: BTreeMap::new(),
+            exited_attempts: Vec::new(),
+            exit_job_versions: BTreeMap::new(),
             cached_images: recorded_images(ctx, record),
             failures: MachineFailures::default(),
             placement_blocked_until: 0,
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -21,11 +21,11 @@
     /// Updates the machine from its record, unless this version of the record has been
     /// processed already.
     fn update_from_record(&mut self, versioned: &Versioned<MachineRecord>) {
-        if self.version == versioned.version {
+        if self.record_version == versioned.version {
             return;
         }
         let record = &versioned.record;
-        self.version = versioned.version;
+        self.record_version = versioned.version;
         self.transfer_version = None;
         if record.decommission_reason.is_some() {
             self.decommission_reason = record.decommission_reason.clone();
@@ -39,7 +39,7 @@
     /// must also have been offered to the leader (`is_offered`).
     fn is_transferable(&self, is_offered: bool) -> bool {
         self.tasks.is_empty()
-            && self.exited.is_empty()
+            && self.exited_attempts.is_empty()
             && self.orphans.is_empty()
             && !self.has_call_in_flight
             && !self.has_unanswered_call
@@ -171,7 +171,7 @@
             return;
         }
         if machine.is_transferable(is_offered) || machine.transfer_version.is_some() {
-            machine.transfer_version = Some(machine.version);
+            machine.transfer_version = Some(machine.record_version);
             let token_floor = machine.token;
             let images = self.image_names(ctx, id);
             let at_ms = ctx.wall_clock_ms;
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -88,7 +88,7 @@
         let next_check = if self.needs_polling(view, machine) {
             let poll_at =
                 ctx.now + (ctx.config.heartbeat_interval_ms / CHECKS_PER_HEARTBEAT).max(1);
-            poll_at.max(machine.retry_at)
+            poll_at.max(machine.call_retry_at)
         } else {
             ctx.now + ctx.config.lease_ms
         };
@@ -121,7 +121,7 @@
         is_record_outdated(view, machine)
             || machine.pool.is_pending()
             || machine.must_send_token
-            || !machine.exited.is_empty()
+            || !machine.exited_attempts.is_empty()
             || !machine.orphans.is_empty()
             || machine.tasks.iter().any(is_pending)
     }
@@ -207,7 +207,7 @@
         },
         DecommissionDeadline {
             at: machine
-                .reclaimed_at
+                .spot_reclaim_at
                 .map(|at| at.max(silent_since) + reclaim_grace_ms),
             reason: "it was taken",
         },
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -131,7 +131,7 @@
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.deletion.is_confirmed = true;
                 machine.orphans.clear();
-                machine.exited.clear();
+                machine.exited_attempts.clear();
                 self.unbind_all_tasks(ctx, id);
             }
         }
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -130,7 +130,7 @@
         && !machine.is_draining
         && machine.transfer_version.is_none()
         && !machine.is_vacating
-        && machine.reclaimed_at.is_none()
+        && machine.spot_reclaim_at.is_none()
         && machine.has_acknowledged_token()
         && !machine.has_unanswered_call
         && machine.link.can_start_tasks()
