--- a/crates/core/src/shard/failure_attribution.rs
+++ b/crates/core/src/shard/failure_attribution.rs
@@ -5,7 +5,7 @@
 //! job run on other machines. A machine is decommissioned once enough jobs that failed on it
 //! run without failure elsewhere.
 //!
-//! Until the cause is tracked, the machine is in quarantine, and a job that fails repeatedly
+//! Until the cause is known, the machine is in quarantine, and a job that fails repeatedly
 //! runs one task at a time with an exponential backoff between attempts.
 //!
 //! A *healthy run* is a task that completes, or that runs for longer than
@@ -44,8 +44,8 @@
 const QUARANTINE_RETRY_HEARTBEATS: Ms = 4;
 
 /// Duration in milliseconds after which a running task counts as a healthy run. It exceeds
-/// `longest_failed_run_ms` because a run as long as the failed ones does not show that the task
-/// will not fail.
+/// `longest_failed_run_ms` because a run as long as the failed ones does not show that the
+/// task will not fail.
 pub(crate) fn min_healthy_run_ms(longest_failed_run_ms: Ms, heartbeat_interval_ms: Ms) -> Ms {
     longest_failed_run_ms * 2 + heartbeat_interval_ms * HEALTHY_RUN_HEARTBEATS
 }
@@ -204,8 +204,8 @@
         self.last_task_start_at = now;
     }
 
-    /// Clears the failures that happened no later than `started_at`, the start of a healthy run on the
-    /// machine.
+    /// Clears the failures that happened no later than `started_at`, the start of a healthy
+    /// run on the machine.
     pub(crate) fn record_healthy_run(&mut self, started_at: Ms) {
         self.jobs
             .retain(|_, failure| failure.last_failed_at > started_at);
--- a/crates/core/src/shard/failure_attribution/tests.rs
+++ b/crates/core/src/shard/failure_attribution/tests.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// A started task ends the quarantine, but only a healthy run that started_at after the failures
+/// A started task ends the quarantine, but only a healthy run that started after the failures
 /// may clear them. The retry backoff doubles with each further job that failed.
 #[test]
 fn a_task_start_ends_quarantine_and_a_healthy_run_clears_failures() {
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -76,8 +76,7 @@
     pub(crate) image_fetch_gb_per_s: f64,
     /// Size of its image cache, in GB.
     pub(crate) cache_gb: f64,
-    /// Time from its creation until its worker can send heartbeats, in milliseconds, as the
-    /// machine type states it.
+    /// Boot time in milliseconds, as given by the machine type.
     pub(crate) boot_ms: Ms,
     /// Address of its worker; none until the record or a heartbeat has given it.
     pub(crate) addr: Option<String>,
@@ -128,8 +127,8 @@
     /// Attempts in the newest heartbeat that must be stopped because they are not bound to
     /// the machine. Their resources are not free.
     pub(crate) orphans: Vec<OrphanTask>,
-    /// Exited attempts that the newest heartbeat lists, until the worker is told to forget
-    /// them.
+    /// Exited attempts that the newest heartbeat lists. The worker lists an attempt until a
+    /// `forget` command names it.
     pub(crate) exited_attempts: Vec<TaskAttempt>,
     /// For each exited attempt, the version of its job that contains the outcome. The worker
     /// may forget the attempt once this version is durable.
