--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -184,7 +184,7 @@
         let is_empty = |machine: &&Machine| {
             machine.tasks.is_empty()
                 && !machine.has_call_in_flight
-                && machine.exited.is_empty()
+                && machine.exited_attempts.is_empty()
                 && !machine.is_pool_member()
         };
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
@@ -216,8 +216,9 @@
             let Some(machine) = self.machines.get_mut(id) else {
                 continue;
             };
-            let is_idle =
-                machine.tasks.is_empty() && host.free == machine.total && !machine.is_pool_member();
+            let is_idle = machine.tasks.is_empty()
+                && host.free == machine.capacity
+                && !machine.is_pool_member();
             if machine.update_idle_since(is_idle, ctx.now) {
                 self.machines_to_reconcile.mark_due(id);
             }
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -1,62 +1,65 @@
-//! What a worker's heartbeat proves.
+//! Processing of workers' heartbeats, and what each proves about the tasks on a machine.
 //!
-//! A task that may have been started has ended only if a heartbeat lists it as
-//! exited; if a heartbeat is from a later incarnation of the worker; if it echoes
-//! a token minted after the start was last sent, and does not list the task; or
-//! if the cloud has confirmed the machine's deletion. A missing heartbeat proves
-//! nothing.
+//! A task that may have been started has ended only if one of these holds:
+//!
+//! - a heartbeat lists it as exited;
+//! - a heartbeat comes from a later incarnation of the worker than the one its start was sent to;
+//! - a heartbeat does not list it and echoes a fencing token issued after its start was last sent;
+//! - the cloud has confirmed the deletion of the machine.
+//!
+//! A missing heartbeat proves nothing.
 
 mod task_outcomes;
 
 use crate::context::Context;
 use crate::shard::job::{Binding, StartState, Stop};
-use crate::shard::machine::{Machine, Orphan, TaskAttempt};
+use crate::shard::machine::{Machine, OrphanTask, TaskAttempt};
 use crate::shard::Shard;
 use forkshift_sched::Resources;
 use forkshift_wire::workers::{TaskStage, TaskStatus, WorkerHeartbeat};
 use forkshift_wire::{MachineId, TaskRef};
 use std::collections::BTreeMap;
 
-/// Tasks that a heartbeat lists, by task and attempt.
+/// Task reports of a heartbeat, by task and attempt number.
 type ListedTasks<'a> = BTreeMap<(&'a TaskRef, u64), &'a TaskStatus>;
 
 impl Machine {
-    /// Whether a heartbeat is newer than all that were handled. Whatever comes
-    /// after the confirmed deletion of a machine is old.
-    fn is_newer(&self, heartbeat: &WorkerHeartbeat) -> bool {
+    /// Whether a heartbeat is newer than all processed ones. After a confirmed deletion of
+    /// the machine every heartbeat is outdated.
+    fn is_new_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let newest = (self.incarnation, self.heartbeat_sequence);
         !self.deletion.is_confirmed && (heartbeat.incarnation, heartbeat.sequence) > newest
     }
 
-    /// Takes over what a newer heartbeat says of the machine itself.
-    fn apply_heartbeat(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
+    /// Updates the machine from the parts of a new heartbeat that do not concern single tasks.
+    fn update_from_heartbeat(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
         self.incarnation = heartbeat.incarnation;
         self.heartbeat_sequence = heartbeat.sequence;
         self.acknowledged_token = heartbeat.token;
         self.last_heartbeat_at = Some(ctx.now);
         self.addr.get_or_insert_with(|| heartbeat.addr.clone());
-        if let (Some(notice_s), None) = (heartbeat.reclaim_notice_s, self.reclaimed_at) {
+        if let (Some(notice_s), None) = (heartbeat.reclaim_notice_s, self.spot_reclaim_at) {
             log::info!(
                 "machine {}: reclaimed by the cloud in {notice_s} s",
                 self.id
             );
-            self.reclaimed_at = Some(ctx.now + crate::ms(notice_s));
+            self.spot_reclaim_at = Some(ctx.now + crate::ms(notice_s));
         }
         if self.acknowledged_token >= self.token {
             self.has_unanswered_call = false;
-            self.unacknowledged_since = None;
+            self.token_unacknowledged_since = None;
         } else {
-            self.unacknowledged_since.get_or_insert(ctx.now);
+            self.token_unacknowledged_since.get_or_insert(ctx.now);
         }
-        self.exited.clear();
+        self.exited_attempts.clear();
         self.orphans.clear();
         self.update_held_images(ctx, heartbeat.images.as_ref());
     }
 }
 
 impl Shard {
-    /// Handles a heartbeat. Returns false if it is an old copy, or its machine
-    /// is not in this shard.
+    /// Processes a heartbeat. Returns false if the heartbeat is outdated or its machine is
+    /// not in this shard.
     pub(crate) fn on_worker_heartbeat(
         &mut self,
         ctx: &mut Context,
@@ -65,7 +68,7 @@
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return false;
         };
-        if !machine.is_newer(heartbeat) {
+        if !machine.is_new_heartbeat(heartbeat) {
             return false;
         }
         if machine.last_heartbeat_at.is_none() {
@@ -73,16 +76,15 @@
             log::info!("machine {}: first heartbeat after {age_ms} ms", machine.id);
             self.next_round_at = self.next_round_at.min(ctx.now);
         }
-        machine.apply_heartbeat(ctx, heartbeat);
-        self.apply_listed_tasks(ctx, heartbeat);
+        machine.update_from_heartbeat(ctx, heartbeat);
+        self.reconcile_listed_tasks(ctx, heartbeat);
         ctx.work_units += 1 + heartbeat.tasks.len() as u64;
         self.machines_to_reconcile.mark_due(&heartbeat.machine);
         true
     }
 
-    /// Compares the tasks that a heartbeat lists with those that are bound to
-    /// its machine.
-    fn apply_listed_tasks(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
+    /// Reconciles the tasks that a heartbeat lists with those that are bound to its machine.
+    fn reconcile_listed_tasks(&mut self, ctx: &mut Context, heartbeat: &WorkerHeartbeat) {
         let reports = heartbeat.tasks.iter();
         let listed: ListedTasks = reports
             .map(|report| ((&report.task, report.attempt), report))
@@ -90,15 +92,15 @@
         let machine = self.machines.get(&heartbeat.machine);
         let bound = machine.map(|machine| machine.tasks.clone());
         for task in bound.unwrap_or_default() {
-            self.apply_bound_task(ctx, heartbeat, &task, &listed);
+            self.reconcile_bound_task(ctx, heartbeat, &task, &listed);
         }
         for report in &heartbeat.tasks {
-            self.apply_unbound_task(ctx, &heartbeat.machine, report);
+            self.reconcile_unbound_task(ctx, &heartbeat.machine, report);
         }
     }
 
-    /// Applies what a heartbeat says of a task that is bound to its machine.
-    fn apply_bound_task(
+    /// Reconciles one task that is bound to the machine of a heartbeat.
+    fn reconcile_bound_task(
         &mut self,
         ctx: &mut Context,
         heartbeat: &WorkerHeartbeat,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Handles a bound task that is on its machine.
+    /// Updates the binding of a task that its machine lists and that has not exited.
     fn on_task_listed(
         &mut self,
         ctx: &Context,
@@ -139,24 +141,25 @@
         if is_running && binding.running_since.is_none() {
             binding.running_since = Some(ctx.now);
             if !job.failures.is_suspect() {
-                machine.failures.note_start(ctx.now);
+                machine.failures.record_task_start(ctx.now);
             }
         }
         binding.stage = Some(report.stage);
         if binding.start == StartState::NotSent {
-            // An earlier copy of the start has arrived.
+            // A delayed copy of an earlier call with this start has reached the worker.
             binding.start = StartState::SentByThisHolder {
                 token: machine.token,
                 incarnation: heartbeat.incarnation,
             };
         }
-        if let Some(began) = binding.running_since.filter(|_| is_running) {
-            self.on_task_running(ctx, &heartbeat.machine, &task.job, began);
+        if let Some(started_at) = binding.running_since.filter(|_| is_running) {
+            self.clear_failures_if_healthy(ctx, &heartbeat.machine, &task.job, started_at);
         }
     }
 
-    /// Handles a bound task that a heartbeat does not list: it is unbound if
-    /// the heartbeat proves that it cannot be, or come, on the machine.
+    /// Processes a bound task that a heartbeat does not list. The task is unbound if the
+    /// heartbeat proves that it is not on the machine and that no start in flight can put it
+    /// there.
     fn on_task_not_listed(&mut self, ctx: &Context, heartbeat: &WorkerHeartbeat, task: &TaskRef) {
         let job = self.jobs.get(&task.job);
         let Some(binding) = job.and_then(|job| job.bindings.get(&task.index)) else {
@@ -170,7 +173,7 @@
             StartState::SentByThisHolder { token, incarnation } => {
                 heartbeat.incarnation > incarnation || heartbeat.token > token
             }
-            // Every token of this holder is newer than those of earlier holders.
+            // The tokens of this holder are higher than those of all earlier holders.
             StartState::Unknown => heartbeat.token >= machine.token,
         };
         if has_ended {
@@ -178,15 +181,16 @@
             self.unbind(&task.job, task.index);
             self.schedule_round_soon(ctx);
         } else if !machine.has_call_in_flight && heartbeat.token >= machine.token {
-            // The start was sent, or should have been, and the task is not
-            // there: the echo of a newer token proves that it cannot come later.
+            // The start was sent in a call that has ended, yet the task is not on the
+            // machine. Once a heartbeat echoes the raised token, no start under the old token
+            // can be executed any more.
             machine.raise_token(ctx.now);
         }
     }
 
-    /// Handles a task that a machine lists and that is not bound to it in this
-    /// attempt.
-    fn apply_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
+    /// Processes a task attempt that a machine lists and that is not bound to it. An exited
+    /// attempt is kept until the worker may forget it. A running one is stopped.
+    fn reconcile_unbound_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let job = self.jobs.get(&task.job);
         let binding = job.and_then(|job| job.bindings.get(&task.index));
@@ -194,7 +198,7 @@
             return;
         }
         let resources = job.map_or(Resources::default(), |job| job.task_resources);
-        let is_adoptable = job.is_some_and(|job| {
+        let can_be_bound = job.is_some_and(|job| {
             binding.is_none()
                 && !job.completed.contains(task.index)
                 && task.index < job.spec.tasks
@@ -208,22 +212,22 @@
             attempt: report.attempt,
         };
         if report.stage == TaskStage::Exited {
-            if !machine.exited.contains(&attempt) {
-                machine.exited.push(attempt);
+            if !machine.exited_attempts.contains(&attempt) {
+                machine.exited_attempts.push(attempt);
             }
             return;
         }
         log::info!("task {task}: unexpected on {id}, to be stopped");
-        if is_adoptable {
-            self.adopt(ctx, id, report);
+        if can_be_bound {
+            self.bind_unexpected_task(ctx, id, report);
         } else {
-            machine.orphans.push(Orphan { attempt, resources });
+            machine.orphans.push(OrphanTask { attempt, resources });
         }
     }
 
-    /// Binds an unexpected task, to be stopped: it must have exited before it is
-    /// started elsewhere.
-    fn adopt(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
+    /// Binds an unexpected task to the machine and stops it. Its binding prevents a start on
+    /// another machine before the attempt has exited.
+    fn bind_unexpected_task(&mut self, ctx: &Context, id: &MachineId, report: &TaskStatus) {
         let task = &report.task;
         let (Some(machine), Some(job)) = (self.machines.get(id), self.jobs.get_mut(&task.job))
         else {
--- a/crates/core/src/shard/heartbeats/task_outcomes.rs
+++ b/crates/core/src/shard/heartbeats/task_outcomes.rs
@@ -1,8 +1,8 @@
-//! Outcomes of tasks: exits and long runs, and whether a failure counts against
-//! the machine or the job.
+//! Outcomes of tasks: how exits and long runs change the failure records of jobs and
+//! machines.
 
 use crate::context::Context;
-use crate::shard::failure_attribution::well_after;
+use crate::shard::failure_attribution::min_healthy_run_ms;
 use crate::shard::job::Binding;
 use crate::shard::machine::TaskAttempt;
 use crate::shard::Shard;
@@ -10,15 +10,16 @@
 use forkshift_wire::workers::{ExitCause, TaskStatus};
 use forkshift_wire::{JobId, MachineId, TaskRef};
 
-/// Pause before a start that its worker refused is tried again, in
-/// milliseconds.
-const REFUSED_PAUSE_MS: Ms = 2_000;
-/// Heartbeat intervals for which nothing is placed on a machine whose worker
-/// had no room for a task.
-const NO_ROOM_HEARTBEATS: Ms = 2;
+/// Backoff in milliseconds after a worker refused a start because it still has another
+/// attempt of the task, or does not know the task.
+const REFUSED_START_BACKOFF_MS: Ms = 2_000;
+/// Heartbeat intervals for which no task is placed on a machine whose worker refused a task
+/// for insufficient resources.
+const PLACEMENT_BLOCK_HEARTBEATS: Ms = 2;
 
 impl Shard {
-    /// Handles the exit of a bound task.
+    /// Processes the exit of a bound task: unbinds it, records its completion, and attributes
+    /// a failure.
     pub(super) fn on_task_exited(
         &mut self,
         ctx: &mut Context,
@@ -43,8 +44,8 @@
                 task: task.clone(),
                 attempt: report.attempt,
             };
-            machine.exit_versions.insert(attempt.clone(), version);
-            machine.exited.push(attempt);
+            machine.exit_job_versions.insert(attempt.clone(), version);
+            machine.exited_attempts.push(attempt);
         }
         if cause != ExitCause::Done {
             log::debug!(
@@ -56,7 +57,7 @@
         self.schedule_round_soon(ctx);
     }
 
-    /// Draws the conclusions from the cause of an exit.
+    /// Updates the failure records and backoffs according to the cause of an exit.
     fn on_exit_cause(
         &mut self,
         ctx: &Context,
@@ -67,31 +68,34 @@
     ) {
         match cause {
             ExitCause::Done => {
-                let began = binding.running_since.unwrap_or(binding.bound_at);
-                self.on_task_ran_well(machine_id, job_id, began);
+                let started_at = binding.running_since.unwrap_or(binding.bound_at);
+                self.on_healthy_run(machine_id, job_id, started_at);
                 if let Some(job) = self.jobs.get_mut(job_id) {
                     job.failures.reset();
                 }
             }
             ExitCause::Error => self.on_task_failed(ctx, machine_id, job_id, binding),
             ExitCause::InsufficientResources => {
-                // The accounts of the shard and the worker differ for a while.
+                // The resource accounts of the shard and of the worker may differ for a short
+                // time.
                 if let Some(machine) = self.machines.get_mut(machine_id) {
-                    machine.full_until =
-                        ctx.now + ctx.config.heartbeat_interval_ms * NO_ROOM_HEARTBEATS;
+                    machine.placement_blocked_until =
+                        ctx.now + ctx.config.heartbeat_interval_ms * PLACEMENT_BLOCK_HEARTBEATS;
                 }
             }
             ExitCause::OtherAttemptPresent | ExitCause::UnknownTask => {
                 if let Some(job) = self.jobs.get_mut(job_id) {
-                    job.placement_backoff_until =
-                        job.placement_backoff_until.max(ctx.now + REFUSED_PAUSE_MS);
+                    job.placement_backoff_until = job
+                        .placement_backoff_until
+                        .max(ctx.now + REFUSED_START_BACKOFF_MS);
                 }
             }
             ExitCause::Stopped | ExitCause::GangMemberLost | ExitCause::GangTimeout => {}
         }
     }
 
-    /// Attributes a task's failure to its machine or to its job.
+    /// Records a task's failure, for its job and for its machine or, if the job is at fault,
+    /// for the job alone.
     fn on_task_failed(
         &mut self,
         ctx: &Context,
@@ -107,11 +111,11 @@
             .add(machine_id, binding.bound_at, ran_ms, ctx.now);
         job.placement_backoff_until = job
             .placement_backoff_until
-            .max(ctx.now + job.failures.pause());
-        // It fails on every machine, so it counts against none of them.
-        if job.failures.is_blamed() {
-            for blamed in job.failures.machines() {
-                if let Some(machine) = self.machines.get_mut(&blamed) {
+            .max(ctx.now + job.failures.retry_backoff_ms());
+        // The job fails on every machine, so its failures are removed from all of them.
+        if job.failures.is_job_at_fault() {
+            for failed_on in job.failures.machines() {
+                if let Some(machine) = self.machines.get_mut(&failed_on) {
                     machine.failures.remove(job_id);
                 }
             }
@@ -120,14 +124,14 @@
         }
     }
 
-    /// Clears the failures of a task's job and machine if it has been running for
-    /// long enough.
-    pub(super) fn on_task_running(
+    /// Clears the failures of a running task's job and machine if the task has run long
+    /// enough to count as a healthy run.
+    pub(super) fn clear_failures_if_healthy(
         &mut self,
         ctx: &Context,
         machine_id: &MachineId,
         job_id: &JobId,
-        began: Ms,
+        started_at: Ms,
     ) {
         let (Some(job), Some(machine)) = (self.jobs.get(job_id), self.machines.get(machine_id))
         else {
@@ -136,27 +140,31 @@
         if !job.failures.is_suspect() && machine.failures.is_empty() {
             return;
         }
-        let longest_run = job.failures.longest_run.max(machine.failures.longest_run);
-        if ctx.now >= began + well_after(longest_run, ctx.config.heartbeat_interval_ms) {
-            self.on_task_ran_well(machine_id, job_id, began);
+        let longest_run = job
+            .failures
+            .longest_failed_run_ms
+            .max(machine.failures.longest_failed_run_ms);
+        if ctx.now >= started_at + min_healthy_run_ms(longest_run, ctx.config.heartbeat_interval_ms)
+        {
+            self.on_healthy_run(machine_id, job_id, started_at);
         }
     }
 
-    /// Notes that a task has run well: failures of its job count against the
-    /// machines on which they happened.
-    fn on_task_ran_well(&mut self, machine_id: &MachineId, job_id: &JobId, began: Ms) {
+    /// Processes a healthy run of a task. Earlier failures of its job now count against the
+    /// machines on which they happened, because the job runs without failure.
+    fn on_healthy_run(&mut self, machine_id: &MachineId, job_id: &JobId, started_at: Ms) {
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.failures.ran_well(began);
+            machine.failures.record_healthy_run(started_at);
         }
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         for failed_on in job.failures.machines() {
             if let Some(machine) = self.machines.get_mut(&failed_on) {
-                machine.failures.note_runs_elsewhere(job_id);
+                machine.failures.mark_job_healthy_elsewhere(job_id);
                 self.machines_to_reconcile.mark_due(&failed_on);
             }
         }
-        job.failures.ran_well(began);
+        job.failures.record_healthy_run(started_at);
     }
 }
--- a/crates/core/src/shard/heartbeats/tests.rs
+++ b/crates/core/src/shard/heartbeats/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of `heartbeats`.
+//! Tests of [`heartbeats`](super).
 
 use super::*;
 use crate::fixture::Fixture;
 use crate::records::MachineRecord;
 use forkshift_wire::users::JobKind;
 
-/// Makes the state of a start from the token that the holder uses now.
-type StartUnder = fn(u64) -> StartState;
+/// Returns the state of a start, given the holder's current fencing token.
+type StartStateForToken = fn(u64) -> StartState;
 
 fn by_earlier_holder(_: u64) -> StartState {
     StartState::Unknown
@@ -27,10 +27,10 @@
     under_token(token - 1)
 }
 
-/// Who sent the start and what the heartbeat echoes; the state of the start; the
-/// heartbeat's incarnation, and its token relative to the one that is used now;
-/// whether the task is unbound.
-type UnlistedCase = (&'static str, StartUnder, u64, i64, bool);
+/// Name of the case, as who sent the start and what the heartbeat echoes; state of the start;
+/// incarnation in the heartbeat; its token relative to the current one; whether the task is
+/// unbound.
+type UnlistedCase = (&'static str, StartStateForToken, u64, i64, bool);
 
 #[rustfmt::skip]
 const UNLISTED_CASES: [UnlistedCase; 9] = [
@@ -45,51 +45,61 @@
     ("never sent", never_sent, 2, 0, false),
 ];
 
-/// What a heartbeat proves of a task that it does not list. Old heartbeats
-/// reach a new holder, too, before anything newer has: only a token minted after
-/// the start proves that the task cannot come any more.
+/// Outdated heartbeats may reach a new holder before any current one. If a heartbeat does not
+/// list a task, only a token issued after the start, or a later incarnation, proves that the
+/// start cannot be executed any more.
 #[test]
 fn a_task_is_unbound_only_by_a_newer_token_or_incarnation() {
-    for (name, sent, incarnation, token, is_unbound) in UNLISTED_CASES {
+    for (name, start_state, incarnation, token_offset, is_unbound) in UNLISTED_CASES {
         let mut f = Fixture::new();
         let id = f.job("j-1", JobKind::Service, 1);
-        let used = f.token();
-        f.bind(&id, 0, sent(used));
+        let current_token = f.token();
+        f.bind(&id, 0, start_state(current_token));
         let machine = f.machine.clone();
         f.shard()
             .machines
             .get_mut(&machine)
             .expect("the key exists")
             .has_call_in_flight = true;
-        f.heartbeat(incarnation, used.saturating_add_signed(token), &[]);
+        f.heartbeat(
+            incarnation,
+            current_token.saturating_add_signed(token_offset),
+            &[],
+        );
         let has_no_bindings = f.shard().jobs[&id].bindings.is_empty();
         assert_eq!(has_no_bindings, is_unbound, "{name}");
-        let free = f.shard().quotas[0].used.is_zero();
-        assert_eq!(free, is_unbound, "{name}: its place in the quota");
+        let is_quota_free = f.shard().quotas[0].used.is_zero();
+        assert_eq!(is_quota_free, is_unbound, "{name}: resources in the quota");
     }
 }
 
-/// Copies of old messages are dropped, of earlier incarnations too.
+/// Delayed copies of heartbeats, also from earlier incarnations of the worker, must not
+/// overwrite newer state.
 #[test]
-fn old_copies_of_heartbeats_are_dropped() {
-    for (incarnation, later, taken) in [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)] {
+fn outdated_heartbeats_are_dropped() {
+    for (incarnation, sequence_steps, expected) in
+        [(1, 1, true), (1, 0, false), (0, 5, false), (2, 0, true)]
+    {
         let mut f = Fixture::new();
         let token = f.token();
         f.heartbeat(1, token, &[]);
         let mut copy = f.heartbeat_message(incarnation, token, &[]);
         f.heartbeat(1, token, &[]);
-        copy.sequence += later * 2;
+        copy.sequence += sequence_steps * 2;
         let Fixture { node, shard, .. } = &mut f;
         let shard = node.shards.get_mut(shard).expect("the shard is held");
-        let is_taken = shard.on_worker_heartbeat(&mut node.ctx, &copy);
-        assert_eq!(is_taken, taken, "incarnation {incarnation}, {later} later");
+        let is_processed = shard.on_worker_heartbeat(&mut node.ctx, &copy);
+        assert_eq!(
+            is_processed, expected,
+            "incarnation {incarnation}, {sequence_steps} sequence steps"
+        );
     }
 }
 
-/// The tokens of a new holder are above those of earlier holders of the shard,
-/// and of the shards that the machine belonged to before.
+/// The fencing tokens of a new holder must be higher than those of all earlier holders of the
+/// shard, and of the shards to which the machine belonged before.
 #[test]
-fn a_new_holders_tokens_are_above_all_earlier_ones() {
+fn the_tokens_of_a_new_holder_are_higher_than_all_earlier_ones() {
     let mut f = Fixture::new();
     let machine = f.machine.clone();
     let record: MachineRecord = f.node.view.machines[&machine].record.clone();
@@ -108,8 +118,8 @@
     }
 }
 
-/// An unexpected task of a job whose last write is under way is stopped, not
-/// bound: its machine would keep it when the job is forgotten.
+/// An unexpected task of a finished job whose last write is in flight is stopped but not
+/// bound: the binding would stay on its machine after the job is forgotten.
 #[test]
 fn an_unexpected_task_of_a_finished_job_is_not_bound() {
     for cancelled in [false, true] {
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -11,7 +11,7 @@
 pub(crate) use wait_time::EventAge;
 
 use crate::io::RequestId;
-use crate::shard::failure_attribution::{well_after, JobFailures};
+use crate::shard::failure_attribution::{min_healthy_run_ms, JobFailures};
 use crate::shard::layout::BlockLayout;
 use crate::shard::ranges::RangeSet;
 use crate::Ms;
@@ -173,7 +173,8 @@
     /// Whether a bound task has not yet run long enough to count as healthy.
     /// Another task of a repeatedly failing job is placed only after that.
     pub(crate) fn has_unproven_task(&self, now: Ms, heartbeat_interval_ms: Ms) -> bool {
-        let min_run = well_after(self.failures.longest_run, heartbeat_interval_ms);
+        let min_run =
+            min_healthy_run_ms(self.failures.longest_failed_run_ms, heartbeat_interval_ms);
         let is_proven = |binding: &Binding| {
             let since = binding.running_since;
             since.is_some_and(|since| now >= since + min_run)
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -1,10 +1,11 @@
-//! Enforcement of cancellations: the tasks of a cancelled job must have exited
-//! within the time that the settings give.
+//! Enforcement of cancellations: all tasks of a cancelled job must have exited within the
+//! cancellation timeout of the settings.
 //!
-//! The time counts from the first request, also when that came to an earlier
-//! holder. First the tasks are stopped; machines that may still hold one are
-//! then decommissioned. If the record of a machine cannot be written, or the
-//! leader does not act on it, the holder has the machine deleted itself.
+//! The timeout runs from the first request, even if an earlier holder of the shard received
+//! it. The steps escalate: the tasks are stopped; machines that may still run one of them are
+//! decommissioned; finally the holder requests the deletion of these machines from the cloud
+//! itself. The last step covers a machine whose record cannot be written, or on whose record
+//! the leader does not act.
 
 use crate::context::Context;
 use crate::pending_call::PendingCall;
@@ -15,41 +16,45 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A machine that may hold a task of a cancelled job is decommissioned after
-/// this part of the time in which the task must have exited.
-const DECOMMISSION_PART: f64 = 0.35;
-/// By this part of it the machine is decommissioned even if its holder has just
-/// learned of the cancellation.
-const LATEST_DECOMMISSION_PART: f64 = 0.5;
-/// After this part of it the holder has the machine deleted itself.
-const DELETE_PART: f64 = 0.6;
-/// Heartbeat intervals that a new holder gives a machine to show that a task has
+/// Fraction of the cancellation timeout after which machines that may run a task of the
+/// cancelled job are decommissioned.
+const DECOMMISSION_FRACTION: f64 = 0.35;
+/// Fraction of the cancellation timeout after which these machines are decommissioned even if
+/// the holder has just learned of the cancellation.
+const LATEST_DECOMMISSION_FRACTION: f64 = 0.5;
+/// Fraction of the cancellation timeout after which the holder requests the deletion of these
+/// machines itself.
+const DELETE_FRACTION: f64 = 0.6;
+/// Heartbeat intervals that a new holder gives a machine to report that a task has been
 /// stopped.
-const STOP_HEARTBEATS: u64 = 2;
+const STOP_GRACE_HEARTBEATS: u64 = 2;
 
-/// Ages of a cancellation, in milliseconds, at which measures are due.
-struct Deadlines {
+/// Ages of a cancellation, in milliseconds, at which the next steps are due.
+struct CancellationDeadlines {
+    /// Age at which machines that may run a task of the job are decommissioned.
     decommission: Ms,
+    /// Age at which the holder requests the deletion of these machines itself.
     delete: Ms,
 }
 
-impl Deadlines {
-    fn of(ctx: &Context, job: &Job) -> Self {
-        let part = |part: f64| (ctx.config.cancellation_timeout_ms as f64 * part) as Ms;
-        // A new holder tries to stop the tasks first, if there is time.
-        let stop_ms = ctx.config.heartbeat_interval_ms * STOP_HEARTBEATS;
-        let tried = job.cancellation_age.age_when_learned_ms + stop_ms;
-        let tried = tried.min(part(LATEST_DECOMMISSION_PART));
+impl CancellationDeadlines {
+    fn new(ctx: &Context, job: &Job) -> Self {
+        let fraction_ms =
+            |fraction: f64| (ctx.config.cancellation_timeout_ms as f64 * fraction) as Ms;
+        // A new holder first tries to stop the tasks, if the timeout leaves enough time.
+        let stop_ms = ctx.config.heartbeat_interval_ms * STOP_GRACE_HEARTBEATS;
+        let after_stop_attempt = job.cancellation_age.age_when_learned_ms + stop_ms;
+        let after_stop_attempt = after_stop_attempt.min(fraction_ms(LATEST_DECOMMISSION_FRACTION));
         Self {
-            decommission: part(DECOMMISSION_PART).max(tried),
-            delete: part(DELETE_PART),
+            decommission: fraction_ms(DECOMMISSION_FRACTION).max(after_stop_attempt),
+            delete: fraction_ms(DELETE_FRACTION),
         }
     }
 }
 
 impl Shard {
-    /// Stops the tasks of cancelled jobs, and decommissions or deletes machines
-    /// that may still hold one when a deadline has passed.
+    /// Stops the tasks of cancelled jobs, and decommissions or deletes machines that may
+    /// still run one of them when a deadline has passed.
     pub(super) fn enforce_cancellations(&mut self, ctx: &mut Context) {
         let mut overdue = BTreeSet::new();
         for id in self.cancelled_jobs.take_due(ctx.now) {
@@ -58,16 +63,16 @@
                 continue;
             };
             let age = job.cancellation_age_ms(ctx.now);
-            let deadlines = Deadlines::of(ctx, job);
+            let deadlines = CancellationDeadlines::new(ctx, job);
             let bindings = job.bindings.values();
-            let holding: BTreeSet<MachineId> = bindings.map(|b| b.machine.clone()).collect();
+            let machines: BTreeSet<MachineId> = bindings.map(|b| b.machine.clone()).collect();
             if age >= deadlines.decommission {
-                for machine in &holding {
+                for machine in &machines {
                     self.decommission(machine, "it may hold a cancelled task");
                 }
             }
             if age >= deadlines.delete {
-                overdue.extend(holding);
+                overdue.extend(machines);
             }
             let mut next_check = ctx.now + ctx.config.heartbeat_interval_ms;
             if age < deadlines.decommission {
@@ -75,16 +80,17 @@
             }
             self.cancelled_jobs.set_deadline(&id, next_check);
         }
-        self.delete_overdue(ctx, overdue);
+        self.delete_overdue_machines(ctx, overdue);
     }
 
-    /// Has machines deleted without a record that says so. That is always safe,
-    /// as it only ends things. None of them is used again: this holder keeps
-    /// them decommissioned until their records say so, and the next one finds
-    /// machines that send no heartbeats, and starts nothing on them. Their tasks
-    /// stay bound until the cloud has confirmed the deletion, or the record is
-    /// removed.
-    fn delete_overdue(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
+    /// Requests the deletion of machines whose records do not show their decommissioning. The
+    /// deletion is always safe, because it only ends tasks.
+    ///
+    /// No deleted machine is used again: this holder keeps it decommissioned until the record
+    /// shows the reason, and the next holder starts no task on a machine without heartbeats.
+    /// The tasks of a deleted machine stay bound until the cloud has confirmed the deletion
+    /// or the record is removed.
+    fn delete_overdue_machines(&mut self, ctx: &mut Context, overdue: BTreeSet<MachineId>) {
         let mut due = Vec::new();
         for id in overdue {
             let Some(machine) = self.machines.get_mut(&id) else {
@@ -113,8 +119,9 @@
         ctx.delete_machines(due, pending);
     }
 
-    /// Handles the cloud's answer to a deletion by this holder.
-    pub(crate) fn on_own_machines_deleted(
+    /// Processes the cloud's response to a deletion that the holder requested. Any status but
+    /// 200 confirms nothing, and the request is repeated.
+    pub(crate) fn on_holder_deletion_response(
         &mut self,
         ctx: &Context,
         machines: &[MachineId],
@@ -124,8 +131,8 @@
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.deletion.is_confirmed = true;
                 machine.orphans.clear();
-                machine.exited.clear();
-                self.unbind_all(ctx, id);
+                machine.exited_attempts.clear();
+                self.unbind_all_tasks(ctx, id);
             }
         }
     }
