--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -14,7 +14,7 @@
 
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::protocol::relay::Relaying;
+use crate::protocol::relay::RelayPermission;
 use crate::Ms;
 use forkshift_wire::users::{JobStage, JobStatus};
 use forkshift_wire::JobId;
@@ -60,7 +60,7 @@
         let reply = match (method, segments.as_slice()) {
             ("GET", ["up"]) => Some(self.readiness()),
             ("POST", ["v1", "report"]) => {
-                self.on_heartbeat_request(request, body, Relaying::Allowed)
+                self.on_heartbeat_request(request, body, RelayPermission::Allowed)
             }
             ("POST", ["submissions"]) => self.submit(request, body),
             ("GET", ["submissions", id]) => self.answer_status_query(request, id),
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -5,7 +5,7 @@
 use crate::api::{status_of_stage, ANSWER_MS};
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
-use crate::node::{holder_of_mut, Node};
+use crate::node::{active_shard_of_mut, Node};
 use crate::pending_call::{CancellationPoll, LookupPurpose, PendingCall};
 use crate::records::{cancellation_key, job_key, ShardId};
 use crate::store::queue::Urgency;
@@ -29,7 +29,7 @@
         }
         let has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         let Node { shards, ctx, .. } = self;
-        let Some(shard) = holder_of_mut(shards, &id) else {
+        let Some(shard) = active_shard_of_mut(shards, &id) else {
             return self.look_up(request, id, LookupPurpose::Cancellation);
         };
         shard.cancel(ctx, &id);
@@ -117,7 +117,9 @@
                 crate::shard::remove_key(&mut self.ctx, cancellation_key(id), *version);
             }
             _ if code == 503 => self.ctx.respond(*request, Reply::unavailable("not now")),
-            _ if self.ctx.now < *until => self.delayed_polls.push((self.ctx.now + POLL_MS, poll)),
+            _ if self.ctx.now < *until => self
+                .delayed_cancellation_polls
+                .push((self.ctx.now + POLL_MS, poll)),
             _ => self
                 .ctx
                 .respond(*request, Reply::unavailable("being cancelled")),
@@ -135,7 +137,10 @@
             let Some((_, request, id)) = self.cancel_deadlines.pop_front() else {
                 return;
             };
-            let Some(job) = self.shard_of(&id).and_then(|s| s.jobs.get_mut(&id)) else {
+            let Some(job) = self
+                .active_shard_of_mut(&id)
+                .and_then(|s| s.jobs.get_mut(&id))
+            else {
                 continue;
             };
             let waiting = job.cancel_waiters.len();
@@ -150,12 +155,12 @@
     /// Repeats the reads for cancellations that other holders are to carry out.
     pub(crate) fn repeat_cancellation_polls(&mut self) {
         let now = self.ctx.now;
-        let polls = std::mem::take(&mut self.delayed_polls);
+        let polls = std::mem::take(&mut self.delayed_cancellation_polls);
         for (at, poll) in polls {
             if now >= at {
                 self.poll_cancellation(poll);
             } else {
-                self.delayed_polls.push((at, poll));
+                self.delayed_cancellation_polls.push((at, poll));
             }
         }
     }
--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
-use crate::protocol::relay::Relaying;
+use crate::protocol::relay::RelayPermission;
 use crate::records::ShardId;
 use crate::shard::{epoch_of_token, RecoveryState};
 use forkshift_links::Route;
@@ -17,7 +17,7 @@
         &mut self,
         request: RequestId,
         body: Option<Vec<u8>>,
-        relaying: Relaying,
+        relaying: RelayPermission,
     ) -> Option<Reply> {
         let Some(body) = body else {
             return Some(Reply::error(413, "too large"));
@@ -33,8 +33,8 @@
             return Some(self.answer_heartbeat(&heartbeat, Route::Relayed));
         }
         let holder = match relaying {
-            Relaying::Allowed => self.relay_target(&heartbeat.machine),
-            Relaying::Tried => None,
+            RelayPermission::Allowed => self.relay_target(&heartbeat.machine),
+            RelayPermission::AlreadyTried => None,
         };
         if let Some(holder) = holder {
             self.relay_heartbeat(request, &holder, body);
@@ -116,7 +116,7 @@
     fn redirect_target(&mut self, shard_id: ShardId, machine: &MachineId) -> Option<String> {
         let shard = &self.view.shards.get(&shard_id)?.record;
         let (holder, incarnation) = (shard.holder.clone(), shard.holder_incarnation);
-        if holder == self.ctx.config.node || self.holder_without_link(machine).is_some() {
+        if holder == self.ctx.config.node || self.unreachable_holder(machine).is_some() {
             return None;
         }
         // Without a valid lease the view may be out of date. A worker that is redirected
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -2,7 +2,7 @@
 
 use crate::api::status_of_stage;
 use crate::io::{Reply, RequestId};
-use crate::node::{holder_of, Node};
+use crate::node::{active_shard_of, Node};
 use crate::pending_call::{LookupPurpose, PendingCall};
 use crate::records::{job_key, JobRecord};
 use crate::store::queue::Urgency;
@@ -36,7 +36,7 @@
     /// The status of a job that is held here, from memory; none, if its record may be
     /// newer.
     pub(crate) fn status_from_memory(&self, id: &JobId) -> Option<Reply> {
-        let shard = holder_of(&self.shards, id)?;
+        let shard = active_shard_of(&self.shards, id)?;
         // The view may show since this batch that the shard has a new holder.
         let current = self.view.shards.get(&shard.id);
         let is_current = current.is_some_and(|current| current.record.epoch == shard.epoch);
@@ -93,7 +93,9 @@
         let record = match status_code {
             200 => read_job(body),
             // It was accepted after the read.
-            404 if self.job_shards.get(&id).is_some() || self.shard_of(&id).is_some() => {
+            404 if self.job_shards.get(&id).is_some()
+                || self.active_shard_of_mut(&id).is_some() =>
+            {
                 if self.ctx.now < until {
                     return self.read_job(request, id, why, until);
                 }
@@ -152,7 +154,7 @@
         if dependencies.iter().any(is_cancelled) {
             return true;
         }
-        let shard = holder_of(&self.shards, &record.spec.id);
+        let shard = active_shard_of(&self.shards, &record.spec.id);
         let job = shard.and_then(|s| s.jobs.get(&record.spec.id));
         job.is_some_and(|job| job.is_cancelled)
     }
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::pending_call::{JobCreation, LookupPurpose, PendingCall};
 use crate::records::{
-    capacity_of, job_key, unfinished_key, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
+    capacity_of, job_key, unfinished_job_key, JobHeadRecord, JobRecord, ShardId, TaskBlockRecord,
 };
 use crate::shard::layout::can_be_recorded;
 use crate::shard::new_layout;
@@ -44,7 +44,7 @@
             if let Some(reply) = self.status_from_memory(&id) {
                 return Some(reply);
             }
-            if self.shard_of(&id).is_some() {
+            if self.active_shard_of_mut(&id).is_some() {
                 let unknown = LookupPurpose::Submission(Reply::unavailable("try again"));
                 return self.look_up(request, id, unknown);
             }
@@ -140,7 +140,7 @@
                 tasks_per_block: new_layout(&self.ctx, spec).to_record(),
                 block: TaskBlockRecord::default(),
             };
-            let key = unfinished_key(*shard, &spec.id, 0);
+            let key = unfinished_job_key(*shard, &spec.id, 0);
             let value = to_value(head).unwrap_or_default();
             transaction.writes.push(Write::put(key, value));
         }
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -55,7 +55,7 @@
     /// Limits of the key-value store that all calls keep to.
     pub(crate) limits: StateLimits,
     /// The store has refused a transaction as malformed or too large.
-    pub(crate) is_size_refused: bool,
+    pub(crate) has_rejected_transaction: bool,
     /// Names this start of the controller.
     pub(crate) incarnation: u64,
     /// Effects of the current step, in order.
@@ -115,7 +115,7 @@
             ),
             format: FormatVersion::FIRST,
             limits: config.state_limits,
-            is_size_refused: false,
+            has_rejected_transaction: false,
             config,
             incarnation,
             effects: Vec::new(),
--- a/crates/core/src/context/calls.rs
+++ b/crates/core/src/context/calls.rs
@@ -96,7 +96,7 @@
 
     /// The pause between two watches of a kind of which every controller has one, in
     /// milliseconds, so that all of them together use a part of the limit on requests.
-    pub(crate) fn watch_pause(&self, part: f64) -> Ms {
+    pub(crate) fn watch_interval_ms(&self, part: f64) -> Ms {
         let watch_rps = self.limits.rps * part;
         (self.config.nodes.len() as f64 * 1000.0 / watch_rps.max(MIN_WATCH_RPS)) as Ms
     }
--- a/crates/core/src/context/liveness.rs
+++ b/crates/core/src/context/liveness.rs
@@ -32,7 +32,7 @@
 
     /// Detects that the process was paused until `now`. Silence is counted from there on, as
     /// nothing was received meanwhile.
-    pub(crate) fn note_process_pause(&mut self, now: Ms) {
+    pub(crate) fn detect_process_pause(&mut self, now: Ms) {
         if now > self.now + self.config.heartbeat_interval_ms / 2 {
             self.resumed_at = now;
             self.store.note_pause(now);
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -6,8 +6,8 @@
 use crate::node::Node;
 use crate::pending_call::PendingCall;
 use crate::records::{
-    machine_key, node_key, shard_key, type_key, LeaderRecord, MachineRecord, NodeRecord, ShardId,
-    ShardRecord, LEADER,
+    machine_key, machine_type_key, node_key, shard_key, LeaderRecord, MachineRecord, NodeRecord,
+    ShardId, ShardRecord, LEADER_KEY,
 };
 use crate::shard::job::{Binding, StartState};
 use crate::shard::{RecoveryState, Shard};
@@ -280,9 +280,9 @@
     };
     vec![
         item(node_key(&config.node), &node, 1),
-        item(LEADER.to_owned(), &leader, 2),
+        item(LEADER_KEY.to_owned(), &leader, 2),
         item(shard_key(shard), &held, 3),
-        item(type_key("big"), &machine_type, 4),
+        item(machine_type_key("big"), &machine_type, 4),
         item(machine_key(machine), &machine_record, 5),
     ]
 }
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -258,11 +258,11 @@
     record_catalog(&mut f);
     transcript.add("catalog", &f.step(0));
     let intent = ProvisioningIntent {
-        parts: vec![(f.shard, 3)],
+        machines_per_shard: vec![(f.shard, 3)],
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
         spot: false,
-        placed: 0,
+        recorded_count: 0,
     };
     let versioned = Versioned {
         record: intent,
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -3,9 +3,9 @@
 use super::{compare, Case};
 use crate::config::StateLimits;
 use crate::records::{
-    cancellation_key, demand_key, job_key, machine_key, node_key, provisioning_intent_key,
-    shard_key, type_key, unfinished_key, unfinished_prefix, ShardId, CLUSTER, EPOCH,
-    FINALIZED_FORMAT, LEADER,
+    cancellation_key, demand_key, job_key, machine_key, machine_type_key, node_key,
+    provisioning_intent_key, shard_key, unfinished_job_key, unfinished_jobs_prefix, ShardId,
+    CLUSTER, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
 };
 use crate::shard::layout::Layout;
 use crate::store::view::ClusterView;
@@ -37,20 +37,20 @@
     let named = Layout::recorded(Some(40), &LIMITS);
     let cases = [
         key("cluster", CLUSTER),
-        key("epoch", EPOCH),
-        key("format", FINALIZED_FORMAT),
-        key("leader", LEADER),
+        key("epoch", EPOCH_KEY),
+        key("format", FINALIZED_FORMAT_KEY),
+        key("leader", LEADER_KEY),
         key("share", shard_key(shard)),
         key("node", node_key(&NodeName::new("berth-0"))),
         key("machine", machine_key(&MachineId::new("m-1"))),
         key("charter", provisioning_intent_key("r-1")),
-        key("rig", type_key("big")),
+        key("rig", machine_type_key("big")),
         key("demand", demand_key(shard)),
         key("abort", cancellation_key(&job)),
         key("job", job_key(&job)),
-        key("live", unfinished_prefix(shard)),
-        key("live_head", unfinished_key(shard, &job, 0)),
-        key("live_block", unfinished_key(shard, &job, 3)),
+        key("live", unfinished_jobs_prefix(shard)),
+        key("live_head", unfinished_job_key(shard, &job, 0)),
+        key("live_block", unfinished_job_key(shard, &job, 3)),
         key("unnamed_layout_head", unnamed.key(shard, &job, 0)),
         key("unnamed_layout_block", unnamed.key(shard, &job, 3)),
         key("named_layout_head", named.key(shard, &job, 0)),
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -112,12 +112,12 @@
         charged_until_ms: 0,
         ..machine()
     };
-    let intent = |placed| ProvisioningIntent {
-        parts: vec![(ShardId(2), 3), (ShardId(4), 1)],
+    let intent = |recorded_count| ProvisioningIntent {
+        machines_per_shard: vec![(ShardId(2), 3), (ShardId(4), 1)],
         machine_type: "big".to_owned(),
         zone: "hall-a".to_owned(),
         spot: true,
-        placed,
+        recorded_count,
     };
     let rig = MachineType {
         name: "big".to_owned(),
@@ -173,8 +173,8 @@
     };
     let demand = DemandRecord {
         revision: 17,
-        shapes: vec![shape(), least.clone()],
-        waiting: vec![least.clone()],
+        unmet_shapes: vec![shape(), least.clone()],
+        pending_shapes: vec![least.clone()],
         spare_machines: machines(&["m-1"]),
         surplus_machines: machines(&["m-2"]),
         reclaimable_machines: machines(&["m-3"]),
--- a/crates/core/src/leader/catalog.rs
+++ b/crates/core/src/leader/catalog.rs
@@ -4,7 +4,7 @@
 use super::Leader;
 use crate::context::Context;
 use crate::pending_call::PendingCall;
-use crate::records::type_key;
+use crate::records::machine_type_key;
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
 use crate::Ms;
@@ -86,7 +86,7 @@
         return;
     }
     let version = known.map_or(0, |known| known.version);
-    let key = type_key(&machine_type.name);
+    let key = machine_type_key(&machine_type.name);
     let transaction = put_if_unchanged(view, key, version, machine_type);
     ctx.transact(Urgency::Tasks, &transaction, PendingCall::Housekeeping);
 }
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -7,7 +7,7 @@
 use crate::context::Context;
 use crate::membership::format::FormatVersion;
 use crate::pending_call::PendingCall;
-use crate::records::{node_key, FINALIZED_FORMAT};
+use crate::records::{node_key, FINALIZED_FORMAT_KEY};
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
 use crate::Ms;
@@ -95,7 +95,7 @@
     format: FormatVersion,
 ) -> Transaction {
     let version = view.finalized_format.as_ref().map_or(0, |f| f.version);
-    let mut preconditions = preconditions(view, FINALIZED_FORMAT.to_owned(), version);
+    let mut preconditions = preconditions(view, FINALIZED_FORMAT_KEY.to_owned(), version);
     preconditions.extend(view.nodes.iter().map(|(name, node)| Precondition {
         key: node_key(name),
         version: node.version,
@@ -104,7 +104,7 @@
     let value = to_value(format).unwrap_or_default();
     Transaction {
         preconditions,
-        writes: vec![Write::put(FINALIZED_FORMAT.to_owned(), value)],
+        writes: vec![Write::put(FINALIZED_FORMAT_KEY.to_owned(), value)],
     }
 }
 
--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -197,7 +197,7 @@
     ) -> Option<&'a MachineId> {
         let candidates = demands.iter().flat_map(|(owner, demand)| {
             // A shard that has waiting tasks itself gives no spare machines away.
-            let gives_spares = request.may_take_spares && demand.waiting.is_empty();
+            let gives_spares = request.may_take_spares && demand.pending_shapes.is_empty();
             let spares = demand.spare_machines.iter().filter(move |_| gives_spares);
             let machines = demand.surplus_machines.iter().chain(spares);
             machines.map(move |id| (*owner, id))
@@ -261,12 +261,12 @@
 /// What a shard's demand requests, in order: first for waiting tasks, then for
 /// spare places. Borrowed work takes only what no shard needs.
 fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<Request<'_>> {
-    let waiting = demand.waiting.iter().map(|shape| Request {
+    let waiting = demand.pending_shapes.iter().map(|shape| Request {
         shard_id,
         shape,
         may_take_spares: !shape.is_borrowing,
     });
-    let spare_shapes = demand.shapes.iter().filter(|shape| shape.is_spare);
+    let spare_shapes = demand.unmet_shapes.iter().filter(|shape| shape.is_spare);
     let spare_places = spare_shapes.map(|shape| Request {
         shard_id,
         shape,
--- a/crates/core/src/leader/scale_out/intents.rs
+++ b/crates/core/src/leader/scale_out/intents.rs
@@ -22,17 +22,20 @@
     ) {
         let type_names: Vec<&String> = view.machine_types.keys().collect();
         let intent = ProvisioningIntent {
-            parts: limit_parts(parts, MAX_PROVISION_COUNT),
+            machines_per_shard: limit_parts(parts, MAX_PROVISION_COUNT),
             machine_type: type_names[kind.machine_type as usize].clone(),
             zone: zone_names(view)[kind.zone as usize].clone(),
             spot: kind.spot,
-            placed: 0,
+            recorded_count: 0,
         };
         let provisioning = &mut self.provisioning;
         provisioning.intents_written += 1;
         let count = provisioning.intents_written;
         let request = format!("r-{:x}-{count}", ctx.incarnation);
-        let shards = intent.parts.iter().map(|(shard_id, _)| *shard_id);
+        let shards = intent
+            .machines_per_shard
+            .iter()
+            .map(|(shard_id, _)| *shard_id);
         provisioning
             .intents_being_written
             .insert(request.clone(), shards.collect());
--- a/crates/core/src/leader/scale_out/planning.rs
+++ b/crates/core/src/leader/scale_out/planning.rs
@@ -56,7 +56,7 @@
             }
             let held = held.get_or_insert_with(|| held_machines(view));
             let offers = self.offers(ctx, view, *shard_id, held);
-            let shapes = shapes_to_provision(view, &demand.shapes);
+            let shapes = shapes_to_provision(view, &demand.unmet_shapes);
             let are_zones_free = shapes.iter().all(|shape| shape.allowed_zones.is_none());
             let offers = if are_zones_free {
                 limit_zones(offers)
@@ -79,7 +79,7 @@
     fn is_demand_current(&self, shard_id: ShardId, demand: &DemandRecord) -> bool {
         let min_revision = self.provisioning.min_demand_revisions.get(&shard_id);
         let min_revision = min_revision.copied().unwrap_or(0);
-        !demand.shapes.is_empty() && demand.revision >= min_revision
+        !demand.unmet_shapes.is_empty() && demand.revision >= min_revision
     }
 
     /// What may be had for a shard, as far as is known.
--- a/crates/core/src/leader/scale_out/results.rs
+++ b/crates/core/src/leader/scale_out/results.rs
@@ -30,7 +30,7 @@
 impl ProvisioningResult {
     /// Whether all machines have their records.
     fn is_recorded(&self) -> bool {
-        self.intent.placed as usize >= self.machines.len()
+        self.intent.recorded_count as usize >= self.machines.len()
     }
 
     /// Records the machines up to `end`, and how many those are. The last part
@@ -43,7 +43,7 @@
         };
         let shards = self.intent.shards_in_turn();
         let machines = self.machines.iter().zip(shards).take(end);
-        for (id, shard) in machines.skip(self.intent.placed as usize) {
+        for (id, shard) in machines.skip(self.intent.recorded_count as usize) {
             let machine = MachineRecord::new(
                 shard,
                 &self.intent.machine_type,
@@ -60,7 +60,7 @@
         }
         transaction.writes.push(if end < self.machines.len() {
             let intent = ProvisioningIntent {
-                placed: end as u32,
+                recorded_count: end as u32,
                 ..self.intent.clone()
             };
             Write::put(intent_key, to_value(intent).unwrap_or_default())
@@ -133,7 +133,7 @@
             return;
         };
         // One change is for the intent.
-        let limit = result.intent.placed as usize + ctx.limits.txn_ops - 1;
+        let limit = result.intent.recorded_count as usize + ctx.limits.txn_ops - 1;
         let end = result.machines.len().min(limit);
         result.placed_after_write = end as u32;
         let transaction = result.transaction(view, request, end);
@@ -160,7 +160,7 @@
         match status {
             200 => {
                 result.version = revision_of(body);
-                result.intent.placed = result.placed_after_write;
+                result.intent.recorded_count = result.placed_after_write;
                 if result.is_recorded() {
                     // The request stays in flight: its name must not be used again
                     // while the view still shows the intent.
--- a/crates/core/src/leader/scale_out/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -44,11 +44,11 @@
         let machine_type = "big".to_owned();
         let zone = "hall-a".to_owned();
         let intent = ProvisioningIntent {
-            parts: vec![(f.shard, provisioned)],
+            machines_per_shard: vec![(f.shard, provisioned)],
             machine_type,
             zone,
             spot: false,
-            placed: 0,
+            recorded_count: 0,
         };
         let versioned = Versioned {
             record: intent,
--- a/crates/core/src/leader/transactions.rs
+++ b/crates/core/src/leader/transactions.rs
@@ -1,6 +1,6 @@
 //! Transactions of the leader: each is conditional on its own record.
 
-use crate::records::LEADER;
+use crate::records::LEADER_KEY;
 use crate::store::view::ClusterView;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use serde::Serialize;
@@ -9,7 +9,7 @@
 /// The condition that this controller still leads.
 pub(super) fn leader_precondition(view: &ClusterView) -> Precondition {
     Precondition {
-        key: LEADER.to_owned(),
+        key: LEADER_KEY.to_owned(),
         version: view.leader.as_ref().map_or(0, |leader| leader.version),
     }
 }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -7,7 +7,7 @@
 
 use crate::context::{revision_of, Context};
 use crate::pending_call::PendingCall;
-use crate::records::{node_key, LeaderRecord, NodeRecord, LEADER};
+use crate::records::{node_key, LeaderRecord, NodeRecord, LEADER_KEY};
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
 use crate::Ms;
@@ -188,7 +188,7 @@
             incarnation: ctx.incarnation,
         };
         self.is_writing_leader_record = true;
-        let transaction = put_on_lease(LEADER.to_owned(), version, &record, lease);
+        let transaction = put_on_lease(LEADER_KEY.to_owned(), version, &record, lease);
         ctx.transact(
             Urgency::Membership,
             &transaction,
@@ -229,11 +229,11 @@
         self.is_writing_leader_record = true;
         let transaction = Transaction {
             preconditions: vec![Precondition {
-                key: LEADER.to_owned(),
+                key: LEADER_KEY.to_owned(),
                 version: leader.version,
             }],
             writes: vec![Write::Remove {
-                remove: LEADER.to_owned(),
+                remove: LEADER_KEY.to_owned(),
             }],
         };
         ctx.transact(
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -11,7 +11,7 @@
 mod status_log;
 mod view_sync;
 
-pub(crate) use shard_lookup::{holder_of, holder_of_mut};
+pub(crate) use shard_lookup::{active_shard_of, active_shard_of_mut};
 
 use crate::api::admission::Admission;
 use crate::config::Config;
@@ -51,7 +51,7 @@
     /// Submissions whose dependencies are being read.
     pub(crate) admissions: BTreeMap<RequestId, Admission>,
     /// Requests forwarded to other controllers, by their numbers.
-    pub(crate) forwards: BTreeMap<u64, PendingForward>,
+    pub(crate) pending_forwards: BTreeMap<u64, PendingForward>,
     /// The number of the last forwarded request; the first follows the incarnation.
     pub(crate) forwarded_count: u64,
     /// Number of the last list of machines whose heartbeats are not received.
@@ -68,7 +68,7 @@
     next_status_log_at: Ms,
     next_failure_detection_at: Ms,
     /// Polls of cancellations that are to be repeated, and when.
-    pub(crate) delayed_polls: Vec<(Ms, CancellationPoll)>,
+    pub(crate) delayed_cancellation_polls: Vec<(Ms, CancellationPoll)>,
     /// Until when users wait for cancellations in shards held here to be written.
     pub(crate) cancel_deadlines: VecDeque<(Ms, RequestId, JobId)>,
 }
@@ -91,7 +91,7 @@
             job_shards: RecentJobs::new(remembered_jobs),
             dependencies: DependencyTracker::default(),
             admissions: BTreeMap::new(),
-            forwards: BTreeMap::new(),
+            pending_forwards: BTreeMap::new(),
             forwarded_count: incarnation,
             relay_request_count: 0,
             has_relay_requests: false,
@@ -101,7 +101,7 @@
             processed_revision: 0,
             next_status_log_at: 0,
             next_failure_detection_at: 0,
-            delayed_polls: Vec::new(),
+            delayed_cancellation_polls: Vec::new(),
             cancel_deadlines: VecDeque::new(),
         }
     }
@@ -111,7 +111,7 @@
     /// be off and is used only for the ages of jobs.
     pub fn step(&mut self, now: Ms, wall: Ms, inputs: Vec<Input>) -> Vec<Effect> {
         let _span = tracing::debug_span!("step").entered();
-        self.ctx.note_process_pause(now);
+        self.ctx.detect_process_pause(now);
         self.ctx.now = self.ctx.now.max(now);
         self.ctx.wall_clock_ms = wall;
         // Inputs that waited in the sockets during a pause are handled with the lease as it
@@ -274,7 +274,7 @@
             log::info!("format {known}: finalized");
             self.ctx.format = known;
         }
-        if !self.ctx.format.is_first() || self.ctx.is_size_refused {
+        if !self.ctx.format.is_first() || self.ctx.has_rejected_transaction {
             self.ctx.limits = self.ctx.config.least_state_limits;
         }
     }
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -203,6 +203,6 @@
         }
         let reason = String::from_utf8_lossy(body);
         log::error!("store: transaction rejected, {reason}, {pending:?}");
-        self.ctx.is_size_refused = true;
+        self.ctx.has_rejected_transaction = true;
     }
 }
--- a/crates/core/src/node/shard_lookup.rs
+++ b/crates/core/src/node/shard_lookup.rs
@@ -8,13 +8,16 @@
 
 impl Node {
     /// The active shard that holds an unfinished job, if it is held here.
-    pub(crate) fn shard_of(&mut self, id: &JobId) -> Option<&mut Shard> {
-        holder_of_mut(&mut self.shards, id)
+    pub(crate) fn active_shard_of_mut(&mut self, id: &JobId) -> Option<&mut Shard> {
+        active_shard_of_mut(&mut self.shards, id)
     }
 }
 
 /// The active shard that holds an unfinished job.
-pub(crate) fn holder_of<'a>(shards: &'a BTreeMap<ShardId, Shard>, id: &JobId) -> Option<&'a Shard> {
+pub(crate) fn active_shard_of<'a>(
+    shards: &'a BTreeMap<ShardId, Shard>,
+    id: &JobId,
+) -> Option<&'a Shard> {
     let mut active = shards
         .values()
         .filter(|shard| shard.recovery_state == RecoveryState::Active);
@@ -22,7 +25,7 @@
 }
 
 /// The active shard that holds an unfinished job, to be changed.
-pub(crate) fn holder_of_mut<'a>(
+pub(crate) fn active_shard_of_mut<'a>(
     shards: &'a mut BTreeMap<ShardId, Shard>,
     id: &JobId,
 ) -> Option<&'a mut Shard> {
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -83,7 +83,7 @@
         }
         sync.is_watching = true;
         sync.watch_serial += 1;
-        sync.next_watch_at = self.ctx.now + self.ctx.watch_pause(WATCH_PART);
+        sync.next_watch_at = self.ctx.now + self.ctx.watch_interval_ms(WATCH_PART);
         let serial = sync.watch_serial;
         let revision = self.view.revision;
         let pending = PendingCall::ViewWatch { serial };
--- a/crates/core/src/protocol/forwarding.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -11,8 +11,8 @@
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
 use crate::overflow::Overflow;
-use crate::protocol::messages::Sender;
-use crate::protocol::relay::Relaying;
+use crate::protocol::messages::MessageSender;
+use crate::protocol::relay::RelayPermission;
 use crate::Ms;
 use forkshift_wire::peer::Body;
 use forkshift_wire::users::JobStatus;
@@ -144,13 +144,13 @@
             resend_at: forwarded.is_heartbeat().then_some(now + RESEND_MS),
             forwarded,
         };
-        self.forwards.insert(request_number, forward);
+        self.pending_forwards.insert(request_number, forward);
     }
 
     /// Sends requests again that may be repeated and have no answer yet.
     fn resend_forwards(&mut self) {
         let now = self.ctx.now;
-        for (request_number, forward) in &mut self.forwards {
+        for (request_number, forward) in &mut self.pending_forwards {
             if forward.resend_at.is_some_and(|time| now >= time) {
                 forward.resend_at = Some(now + RESEND_MS);
                 let message = forward.forwarded.to_message(*request_number);
@@ -213,7 +213,7 @@
     /// Another controller has forwarded a request.
     pub(crate) fn on_forwarded_request(
         &mut self,
-        sender: &Sender,
+        sender: &MessageSender,
         request_number: u64,
         method: &str,
         path: &str,
@@ -240,7 +240,7 @@
 
     /// Another controller has answered a request that was forwarded to it.
     pub(crate) fn on_forwarded_response(&mut self, request_number: u64, reply: Reply) {
-        let Some(forward) = self.forwards.remove(&request_number) else {
+        let Some(forward) = self.pending_forwards.remove(&request_number) else {
             return;
         };
         if forward.forwarded.is_heartbeat() {
@@ -279,13 +279,13 @@
     pub(crate) fn expire_forwards(&mut self) {
         let now = self.ctx.now;
         let expired: Vec<u64> = self
-            .forwards
+            .pending_forwards
             .iter()
             .filter(|(_, forward)| now >= forward.deadline)
             .map(|(request_number, _)| *request_number)
             .collect();
         for request_number in expired {
-            if let Some(forward) = self.forwards.remove(&request_number) {
+            if let Some(forward) = self.pending_forwards.remove(&request_number) {
                 self.handle_unanswered(forward);
             }
         }
@@ -302,7 +302,8 @@
             let ForwardedRequest { method, path, body } = forwarded;
             return self.handle_locally(request, &method, &path, body);
         }
-        let reply = self.on_heartbeat_request(request, forwarded.body, Relaying::Tried);
+        let reply =
+            self.on_heartbeat_request(request, forwarded.body, RelayPermission::AlreadyTried);
         if let Some(reply) = reply {
             self.ctx.respond(request, reply);
         }
--- a/crates/core/src/protocol/forwarding/tests.rs
+++ b/crates/core/src/protocol/forwarding/tests.rs
@@ -24,7 +24,7 @@
 }
 
 fn receive_request(node: &mut Node, request_number: u64) {
-    let sender = Sender {
+    let sender = MessageSender {
         node: NodeName::new("north"),
         incarnation: PEER_INCARNATION,
     };
@@ -64,7 +64,7 @@
         resend_at: None,
         deadline: f.node.ctx.now + QUERY_TIMEOUT_MS,
     };
-    f.node.forwards.insert(5, forward);
+    f.node.pending_forwards.insert(5, forward);
     f.node
         .on_forwarded_response(5, Reply::unavailable("too many requests"));
     let effects = f.step(0);
--- a/crates/core/src/protocol/messages.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -12,7 +12,7 @@
 use forkshift_wire::{JobId, NodeName};
 
 /// The sender of a message.
-pub(crate) struct Sender {
+pub(crate) struct MessageSender {
     pub(crate) node: NodeName,
     pub(crate) incarnation: u64,
 }
@@ -27,7 +27,7 @@
                 return;
             }
         };
-        let sender = Sender {
+        let sender = MessageSender {
             node: NodeName::new(&envelope.from),
             incarnation: envelope.incarnation,
         };
@@ -44,7 +44,7 @@
 
     /// Handles messages that count whether or not their sender is alive. Returns those
     /// that do not.
-    fn on_message_of_any_peer(&mut self, sender: &Sender, body: Body) -> Option<Body> {
+    fn on_message_of_any_peer(&mut self, sender: &MessageSender, body: Body) -> Option<Body> {
         match body {
             // A forwarded request is as good as a user's own request, and its
             // answer is known by its number: the sender's lease does not matter.
@@ -84,8 +84,8 @@
 
     /// Handles messages that count only while their sender is alive. `epoch` is that of
     /// the shard that a message is about.
-    fn on_message_of_live_peer(&mut self, sender: Sender, epoch: u64, body: Body) {
-        let Sender { node, incarnation } = sender;
+    fn on_message_of_live_peer(&mut self, sender: MessageSender, epoch: u64, body: Body) {
+        let MessageSender { node, incarnation } = sender;
         match body {
             Body::BudgetRequest {
                 writes,
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -33,11 +33,11 @@
 
 /// Whether a heartbeat may be relayed to the holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Relaying {
+pub(crate) enum RelayPermission {
     /// It may.
     Allowed,
     /// It was, and the holder has not answered.
-    Tried,
+    AlreadyTried,
 }
 
 /// Machines whose heartbeats are not received.
@@ -208,7 +208,7 @@
     /// The holder that a machine's heartbeat is relayed to, if it is. One that can't be
     /// reached either is skipped: it would have no answer in time.
     pub(crate) fn relay_target(&self, machine: &MachineId) -> Option<NodeName> {
-        let holder = self.holder_without_link(machine);
+        let holder = self.unreachable_holder(machine);
         holder.filter(|node| self.ctx.is_peer_answering(node))
     }
 
@@ -220,7 +220,7 @@
 
     /// The other controller that holds a machine, if it has requested the machine's
     /// heartbeats, or if the worker was redirected there and came back.
-    pub(crate) fn holder_without_link(&self, machine: &MachineId) -> Option<NodeName> {
+    pub(crate) fn unreachable_holder(&self, machine: &MachineId) -> Option<NodeName> {
         let shard = self.view.machines.get(machine)?.record.shard;
         let shard = &self.view.shards.get(&shard)?.record;
         let (holder, incarnation) = (&shard.holder, shard.holder_incarnation);
--- a/crates/core/src/records/demand.rs
+++ b/crates/core/src/records/demand.rs
@@ -12,11 +12,12 @@
     pub revision: u64,
     /// Tasks without a place even on machines that were requested, and
     /// missing spare places, the most urgent first.
-    pub shapes: Vec<ShapeRecord>,
+    #[serde(rename = "shapes")]
+    pub unmet_shapes: Vec<ShapeRecord>,
     /// Tasks that wait for a place now.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "now")]
-    pub waiting: Vec<ShapeRecord>,
+    pub pending_shapes: Vec<ShapeRecord>,
     /// Empty machines, kept as spare.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "free")]
@@ -60,14 +61,14 @@
             || halve(&mut self.reclaimable_machines)
             || halve(&mut self.surplus_machines)
             || halve(&mut self.spare_machines)
-            || halve(&mut self.waiting)
-            || halve(&mut self.shapes)
+            || halve(&mut self.pending_shapes)
+            || halve(&mut self.unmet_shapes)
     }
 
     /// Whether the demand is the same, at whichever revision.
     pub fn has_same_demand(&self, other: &Self) -> bool {
-        self.shapes == other.shapes
-            && self.waiting == other.waiting
+        self.unmet_shapes == other.unmet_shapes
+            && self.pending_shapes == other.pending_shapes
             && self.spare_machines == other.spare_machines
             && self.surplus_machines == other.surplus_machines
             && self.reclaimable_machines == other.reclaimable_machines
--- a/crates/core/src/records/keys.rs
+++ b/crates/core/src/records/keys.rs
@@ -6,11 +6,11 @@
 /// Prefix of the keys that every controller watches.
 pub const CLUSTER: &str = "c/";
 /// Key of the counter that epochs come from.
-pub const EPOCH: &str = "c/epoch";
+pub const EPOCH_KEY: &str = "c/epoch";
 /// Key of the format that all controllers know, once that is certain.
-pub const FINALIZED_FORMAT: &str = "c/format";
+pub const FINALIZED_FORMAT_KEY: &str = "c/format";
 /// Key of the leader's record.
-pub const LEADER: &str = "c/leader";
+pub const LEADER_KEY: &str = "c/leader";
 
 /// Key of a shard's record.
 pub fn shard_key(shard_id: ShardId) -> String {
@@ -33,7 +33,7 @@
 }
 
 /// Key of a machine type.
-pub fn type_key(name: &str) -> String {
+pub fn machine_type_key(name: &str) -> String {
     format!("c/rig/{name}")
 }
 
@@ -53,12 +53,12 @@
 }
 
 /// Prefix of a shard's unfinished jobs.
-pub fn unfinished_prefix(shard_id: ShardId) -> String {
+pub fn unfinished_jobs_prefix(shard_id: ShardId) -> String {
     format!("live/{shard_id}/")
 }
 
 /// Key of a block of an unfinished job; block 0 is part of its head.
-pub fn unfinished_key(shard_id: ShardId, id: &JobId, block: u32) -> String {
+pub fn unfinished_job_key(shard_id: ShardId, id: &JobId, block: u32) -> String {
     if block == 0 {
         format!("live/{shard_id}/{id}")
     } else {
--- a/crates/core/src/records/provisioning.rs
+++ b/crates/core/src/records/provisioning.rs
@@ -7,7 +7,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningIntent {
     /// Shards, and how many machines each of them needs.
-    pub parts: Vec<(ShardId, u32)>,
+    #[serde(rename = "parts")]
+    pub machines_per_shard: Vec<(ShardId, u32)>,
     /// Machine type.
     #[serde(rename = "type")]
     pub machine_type: String,
@@ -19,20 +20,28 @@
     /// changes, so the result of a large request is written in parts, each
     /// together with this count.
     #[serde(default, skip_serializing_if = "is_zero_count")]
-    pub placed: u32,
+    #[serde(rename = "placed")]
+    pub recorded_count: u32,
 }
 
 impl ProvisioningIntent {
     /// How many machines it requests.
     pub fn count(&self) -> u32 {
-        self.parts.iter().map(|(_, count)| count).sum()
+        self.machines_per_shard.iter().map(|(_, count)| count).sum()
     }
 
     /// The shards that get its machines, in turn, each as often as it needs one.
     pub fn shards_in_turn(&self) -> Vec<ShardId> {
-        let rounds = self.parts.iter().map(|(_, count)| *count).max();
+        let rounds = self
+            .machines_per_shard
+            .iter()
+            .map(|(_, count)| *count)
+            .max();
         let shards_of_round = |round: u32| {
-            let remaining = self.parts.iter().filter(move |(_, count)| round < *count);
+            let remaining = self
+                .machines_per_shard
+                .iter()
+                .filter(move |(_, count)| round < *count);
             remaining.map(|(shard_id, _)| *shard_id)
         };
         (0..rounds.unwrap_or(0)).flat_map(shards_of_round).collect()
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -28,8 +28,8 @@
 fn truncation_drops_the_least_important_list_first() {
     let full = DemandRecord {
         revision: 7,
-        shapes: (1..=24).map(shape).collect(),
-        waiting: (1..=24).map(shape).collect(),
+        unmet_shapes: (1..=24).map(shape).collect(),
+        pending_shapes: (1..=24).map(shape).collect(),
         spare_machines: machines(20),
         surplus_machines: machines(200),
         reclaimable_machines: machines(200),
@@ -53,17 +53,17 @@
             "{max_bytes}"
         );
         let lengths = [
-            truncated.shapes.len(),
-            truncated.waiting.len(),
+            truncated.unmet_shapes.len(),
+            truncated.pending_shapes.len(),
             truncated.spare_machines.len(),
             truncated.surplus_machines.len(),
             truncated.reclaimable_machines.len(),
         ];
         assert_eq!(lengths, expected, "{max_bytes}");
         assert!(truncated
-            .shapes
+            .unmet_shapes
             .iter()
-            .eq(full.shapes.iter().take(expected[0])));
+            .eq(full.unmet_shapes.iter().take(expected[0])));
     }
 }
 
@@ -73,7 +73,7 @@
 fn demand_with_four_thousand_machines_fits_a_message() {
     let max_bytes = forkshift_wire::peer::MAX_MESSAGE_BYTES / 4 * 3;
     let mut full = DemandRecord {
-        shapes: (1..=60).map(shape).collect(),
+        unmet_shapes: (1..=60).map(shape).collect(),
         surplus_machines: machines(4_000),
         ..DemandRecord::default()
     };
@@ -83,7 +83,7 @@
     assert!(full.clone().truncated_to(size).has_same_demand(&full));
     let truncated = full.clone().truncated_to(size - 1);
     let lengths = (
-        truncated.shapes.len(),
+        truncated.unmet_shapes.len(),
         truncated.surplus_machines.len(),
         truncated.reclaimable_machines.len(),
     );
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -84,8 +84,8 @@
         let empty = self.empty_machines(usable);
         let record = DemandRecord {
             revision: view.revision,
-            shapes,
-            waiting,
+            unmet_shapes: shapes,
+            pending_shapes: waiting,
             spare_machines: empty.spare,
             surplus_machines: empty.surplus,
             reclaimable_machines: self.reclaimable_machines(ctx, usable),
--- a/crates/core/src/shard/demand/expected_machines.rs
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -102,7 +102,7 @@
                 continue;
             };
             let shards = intent.shards_in_turn().into_iter();
-            let unplaced = shards.skip(intent.placed as usize);
+            let unplaced = shards.skip(intent.recorded_count as usize);
             for _ in unplaced.filter(|shard| *shard == self.id) {
                 hosts.push(provisioned_host(ctx, intent, &machine_type.record));
             }
--- a/crates/core/src/shard/demand/publication.rs
+++ b/crates/core/src/shard/demand/publication.rs
@@ -71,7 +71,7 @@
         let record = record.truncated_to(ctx.limits.value_bytes);
         let none = DemandRecord::default();
         let stored = view.demands.get(&self.id).map_or(&none, |d| &d.record);
-        let is_stale = !record.shapes.is_empty() && stored.revision < view.revision;
+        let is_stale = !record.unmet_shapes.is_empty() && stored.revision < view.revision;
         if record.has_same_demand(stored) && !is_stale {
             return;
         }
@@ -80,8 +80,8 @@
         log::debug!(
             "shard {}: unmet demand {:?}, waiting tasks {:?}",
             self.id,
-            record.shapes,
-            record.waiting
+            record.unmet_shapes,
+            record.pending_shapes
         );
         let value = to_value(record).unwrap_or_default();
         let transaction = Transaction {
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -14,7 +14,7 @@
 
 use crate::api::read_job;
 use crate::context::Context;
-use crate::node::{holder_of, holder_of_mut, Node};
+use crate::node::{active_shard_of, active_shard_of_mut, Node};
 use crate::pending_call::PendingCall;
 use crate::recent_jobs::FinalStage;
 use crate::records::{job_key, ShardId};
@@ -194,7 +194,7 @@
             return;
         }
         let now = self.ctx.now;
-        let Some(shard) = holder_of_mut(&mut self.shards, dependent) else {
+        let Some(shard) = active_shard_of_mut(&mut self.shards, dependent) else {
             return;
         };
         let job = shard.jobs.get_mut(dependent);
@@ -209,7 +209,7 @@
     fn cancel_dependents(&mut self, dependent: &JobId, dependency: &JobId) {
         let mut pending = vec![dependent.clone()];
         while let Some(id) = pending.pop() {
-            let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
+            let Some(shard) = active_shard_of_mut(&mut self.shards, &id) else {
                 continue;
             };
             if shard.jobs.get(&id).is_none_or(|job| job.is_cancelled) {
@@ -272,7 +272,7 @@
                 .reads
                 .set_deadline(&id, self.ctx.now + pause);
             // The end of a job that is held here is known at once.
-            if dependency.is_reading || holder_of(shards, &id).is_some() {
+            if dependency.is_reading || active_shard_of(shards, &id).is_some() {
                 continue;
             }
             dependency.is_reading = true;
@@ -314,7 +314,7 @@
         let is_certain = |id: &JobId| {
             let dependency = self.dependencies.waiting.get(id);
             let since = dependency.map(|d| d.unfinished_at);
-            holder_of(&self.shards, id).is_some()
+            active_shard_of(&self.shards, id).is_some()
                 || since.is_none_or(|t| self.ctx.now < t + max_age_ms)
         };
         job.unresolved.iter().all(is_certain)
@@ -324,7 +324,7 @@
     /// that of a dependent.
     fn raise_priority(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
         while let Some(id) = jobs.pop() {
-            let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
+            let Some(shard) = active_shard_of_mut(&mut self.shards, &id) else {
                 let shard = self.dependencies.waiting.get(&id).and_then(|d| d.shard);
                 if let Some(shard) = shard {
                     self.send_inherited_priority(&id, shard);
@@ -364,7 +364,7 @@
         else {
             return;
         };
-        if holder_of(&self.shards, &id).is_some() {
+        if active_shard_of(&self.shards, &id).is_some() {
             self.raise_priority(vec![id], *priority);
         }
     }
--- a/crates/core/src/shard/dependencies/tests.rs
+++ b/crates/core/src/shard/dependencies/tests.rs
@@ -173,7 +173,7 @@
         let job = f.shard().jobs.get_mut(&id(1)).expect("it is there");
         job.blocks.get_mut(&0).expect("a head").next_attempt = next;
         let head = job.head_record();
-        let key = crate::records::unfinished_key(f.shard, &id(1), 0);
+        let key = crate::records::unfinished_job_key(f.shard, &id(1), 0);
         let value = serde_json::to_value(head).expect("a record");
         let item = forkshift_wire::state::Item {
             key,
--- a/crates/core/src/shard/handover.rs
+++ b/crates/core/src/shard/handover.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::pending_call::PendingCall;
-use crate::records::{node_key, shard_key, ShardId, ShardRecord, EPOCH};
+use crate::records::{node_key, shard_key, ShardId, ShardRecord, EPOCH_KEY};
 use crate::store::queue::Urgency;
 use crate::store::view::ClusterView;
 use forkshift_wire::state::{Precondition, Transaction, Write};
@@ -17,7 +17,7 @@
 /// or offers the shard.
 pub(crate) fn hand_over(ctx: &mut Context, view: &ClusterView, given: &[(ShardId, NodeName)]) {
     let (epoch_version, mut epoch) = view.epoch();
-    let mut preconditions = BTreeMap::from([(EPOCH.to_owned(), epoch_version)]);
+    let mut preconditions = BTreeMap::from([(EPOCH_KEY.to_owned(), epoch_version)]);
     let mut writes = Vec::new();
     let mut shards = Vec::new();
     for (shard_id, new_holder) in given {
@@ -45,7 +45,7 @@
     if shards.is_empty() {
         return;
     }
-    writes.push(Write::put(EPOCH.to_owned(), epoch.into()));
+    writes.push(Write::put(EPOCH_KEY.to_owned(), epoch.into()));
     let preconditions = preconditions
         .into_iter()
         .map(|(key, version)| Precondition { key, version })
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixture::{spec, team_of, Fixture, WALL};
 use crate::io::{Effect, Input};
 use crate::records::{
-    job_key, shard_key, unfinished_key, JobHeadRecord, JobRecord, TaskBlockRecord,
+    job_key, shard_key, unfinished_job_key, JobHeadRecord, JobRecord, TaskBlockRecord,
 };
 use crate::shard::job::{Binding, StartState};
 use crate::shard::layout::Layout;
@@ -42,7 +42,7 @@
         .get_mut(&0)
         .expect("a head")
         .record_version = 9;
-    let failed = json!({"failed": [unfinished_key(f.shard, &id, 0)], "ledger_rev": 10});
+    let failed = json!({"failed": [unfinished_job_key(f.shard, &id, 0)], "ledger_rev": 10});
     f.answer(is_job_transaction, 409, &failed);
     f.answer(is_block_read, 404, &json!({"ledger_rev": 10}));
     let spec = f.shard().jobs[&id].spec.clone();
@@ -75,7 +75,7 @@
         let changes = Changes {
             revision: version,
             events: vec![Change::Put {
-                put: unfinished_key(f.shard, &id, 0),
+                put: unfinished_job_key(f.shard, &id, 0),
                 value: to_value(head).expect("a record"),
                 version,
             }],
@@ -269,12 +269,12 @@
         records.items.insert(key, item);
     };
     put(
-        unfinished_key(f.shard, id, 0),
+        unfinished_job_key(f.shard, id, 0),
         to_value(head).expect("a head"),
     );
     for b in 1..=layout.block_of(tasks - 1) {
         let value = to_value(block(b)).expect("a block");
-        put(unfinished_key(f.shard, id, b), value);
+        put(unfinished_job_key(f.shard, id, b), value);
     }
     records
 }
@@ -368,7 +368,7 @@
             let answer = Input::Response { call, status, body };
             let now = f.node.ctx.now;
             effects.extend(f.node.step(now, WALL, vec![answer]));
-            let head = &records.items[&unfinished_key(f.shard, &id, 0)];
+            let head = &records.items[&unfinished_job_key(f.shard, &id, 0)];
             let is_named = head.value.get("layout").is_some();
             let is_durable = f.shard().jobs[&id].is_durable(index, version);
             durable.push(is_durable);
--- a/crates/core/src/shard/jobs_watch.rs
+++ b/crates/core/src/shard/jobs_watch.rs
@@ -7,7 +7,7 @@
 use super::{RecoveryState, Shard};
 use crate::context::{is_watch_lost, Context};
 use crate::pending_call::PendingCall;
-use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
+use crate::records::{unfinished_jobs_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Change, Changes, Item, Page};
@@ -86,7 +86,7 @@
 impl Shard {
     /// Reads a page of the jobs' records, from behind a key; empty: the first.
     pub(super) fn list_jobs(&self, ctx: &mut Context, from: &str) {
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         let mut path = format!("/kv?starts={prefix}&most={MAX_PAGE_ITEMS}");
         if !from.is_empty() {
             path.push_str(&format!("&from={from}"));
@@ -137,13 +137,13 @@
         }
         watch.is_open = true;
         watch.serial += 1;
-        watch.next_open_at = ctx.now + ctx.watch_pause(WATCH_RATE_PART);
+        watch.next_open_at = ctx.now + ctx.watch_interval_ms(WATCH_RATE_PART);
         let pending = PendingCall::ShardWatch {
             shard: self.id,
             epoch: self.epoch,
             serial: watch.serial,
         };
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         ctx.watch_store(&prefix, watch.revision, WATCH_HOLD_MS, pending);
     }
 
@@ -183,7 +183,7 @@
 
     /// Adds a job whose creation the watch has shown.
     fn on_job_put(&mut self, ctx: &mut Context, key: &str, value: Value, version: u64) {
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         let Some(name) = key.strip_prefix(&prefix) else {
             return;
         };
--- a/crates/core/src/shard/layout.rs
+++ b/crates/core/src/shard/layout.rs
@@ -7,7 +7,7 @@
 //! have keys of their own, so that no task is ever in two blocks that count.
 
 use crate::config::StateLimits;
-use crate::records::{unfinished_key, ShardId};
+use crate::records::{unfinished_job_key, ShardId};
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::JobId;
 
@@ -79,9 +79,9 @@
     /// Key of a block; block 0 is in the job's head.
     pub(crate) fn key(self, shard: ShardId, id: &JobId, block: u32) -> String {
         if block > 0 && self.is_named {
-            format!("{}/{}-{block}", unfinished_key(shard, id, 0), self.size)
+            format!("{}/{}-{block}", unfinished_job_key(shard, id, 0), self.size)
         } else {
-            unfinished_key(shard, id, block)
+            unfinished_job_key(shard, id, block)
         }
     }
 
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixture::{Fixture, WALL};
 use crate::io::Effect;
 use crate::pending_call::PendingCall;
-use crate::records::{unfinished_key, JobHeadRecord};
+use crate::records::{unfinished_job_key, JobHeadRecord};
 use forkshift_wire::state::Item;
 use forkshift_wire::users::JobKind;
 use forkshift_wire::workers::TaskStage;
@@ -90,7 +90,7 @@
         head.cancelled = true;
         head.cancelled_at_ms = WALL - ago;
         let item = Item {
-            key: unfinished_key(f.shard, &id, 0),
+            key: unfinished_job_key(f.shard, &id, 0),
             value: to_value(head).expect("a record"),
             version: 8,
         };
--- a/crates/core/src/shard/recovery.rs
+++ b/crates/core/src/shard/recovery.rs
@@ -6,7 +6,7 @@
 
 use super::{remove_key, RecoveryState, Shard};
 use crate::context::Context;
-use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
+use crate::records::{unfinished_jobs_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::shard::job::EventAge;
 use crate::shard::layout::Layout;
 use crate::store::view::{ChangedMachines, ClusterView};
@@ -51,7 +51,7 @@
     /// Restores jobs from the records that were read: first the heads, then the
     /// blocks. Blocks without a head, or of another layout, are removed.
     fn restore_jobs(&mut self, ctx: &mut Context) {
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         let mut blocks = Vec::new();
         for item in self.jobs_watch.take_loaded_items() {
             let name = item.key.strip_prefix(&prefix).unwrap_or_default();
--- a/crates/core/src/store/budget/tests.rs
+++ b/crates/core/src/store/budget/tests.rs
@@ -136,7 +136,7 @@
         let mut ctx = ctx("n1", &names);
         let mut budget = Budget::default();
         let even = budget.rate(&BudgetTerms::from(&ctx), &view);
-        ctx.note_process_pause(ctx.now + pause_ms);
+        ctx.detect_process_pause(ctx.now + pause_ms);
         ctx.now += pause_ms + after_ms;
         budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
         let rate = budget.rate(&BudgetTerms::from(&ctx), &view);
--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -6,7 +6,7 @@
 use crate::membership::format::FormatVersion;
 use crate::records::{
     DemandRecord, LeaderRecord, MachineRecord, NodeRecord, ProvisioningIntent, ShardId,
-    ShardRecord, CLUSTER, EPOCH, FINALIZED_FORMAT, LEADER,
+    ShardRecord, CLUSTER, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
 };
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Change, Item};
@@ -159,9 +159,9 @@
     /// Applies the put of one record; a record that cannot be decoded counts as removed.
     fn put(&mut self, key: &str, value: Value, version: u64) {
         match key {
-            EPOCH => self.epoch = decode(key, value, version),
-            FINALIZED_FORMAT => self.finalized_format = decode(key, value, version),
-            LEADER => self.leader = decode(key, value, version),
+            EPOCH_KEY => self.epoch = decode(key, value, version),
+            FINALIZED_FORMAT_KEY => self.finalized_format = decode(key, value, version),
+            LEADER_KEY => self.leader = decode(key, value, version),
             _ => {
                 if let Some(record_key) = RecordKey::parse(key) {
                     self.put_record(record_key, key, value, version);
@@ -196,8 +196,8 @@
     /// Applies the removal of one record.
     fn remove(&mut self, key: &str) {
         match key {
-            EPOCH => self.epoch = None,
-            LEADER => self.leader = None,
+            EPOCH_KEY => self.epoch = None,
+            LEADER_KEY => self.leader = None,
             _ => {}
         }
         match RecordKey::parse(key) {
--- a/crates/testkit/src/simulation/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -74,7 +74,7 @@
 
     /// The format version that the controllers have finalized, by the record in the store.
     pub fn finalized_format(&self) -> Option<u64> {
-        self.store.value(records::FINALIZED_FORMAT)?.as_u64()
+        self.store.value(records::FINALIZED_FORMAT_KEY)?.as_u64()
     }
 
     /// Keys and values that were put since the recording began.
--- a/crates/testkit/src/simulation/selectors.rs
+++ b/crates/testkit/src/simulation/selectors.rs
@@ -31,7 +31,7 @@
 
     /// The leader by the store's record.
     pub fn leader(&self) -> Option<usize> {
-        controller_in(self.store.value(records::LEADER)?.get("node"))
+        controller_in(self.store.value(records::LEADER_KEY)?.get("node"))
     }
 
     fn shard_of(&self, id: &JobId) -> Option<ShardId> {
