--- a/crates/core/src/context/peer_requests.rs
+++ b/crates/core/src/context/peer_requests.rs
@@ -22,7 +22,7 @@
 
 impl Context {
     /// Registers a request that another controller has forwarded, and returns its name here.
-    pub(crate) fn add_peer_request(
+    pub(crate) fn register_peer_request(
         &mut self,
         from: NodeName,
         incarnation: u64,
--- a/crates/core/src/membership/failure_detector.rs
+++ b/crates/core/src/membership/failure_detector.rs
@@ -14,31 +14,31 @@
 use std::ops::Add;
 
 /// Fewer machines than this prove nothing about their zone or their holder.
-const MIN_MACHINES: u32 = 4;
+const MIN_SAMPLE_MACHINES: u32 = 4;
 /// Machines that are called to find out whether calls reach any.
-pub(crate) const MIN_CALLED_MACHINES: u32 = MIN_MACHINES * 2;
+pub(crate) const MIN_CALL_SAMPLE_MACHINES: u32 = MIN_SAMPLE_MACHINES * 2;
 /// Part of a zone's machines that must be silent for it to count as partitioned.
-const PARTITIONED_PART: f64 = 0.75;
+const PARTITIONED_ZONE_FRACTION: f64 = 0.75;
 /// Part of all machines that must be silent for their holder to count as isolated.
-const ISOLATED_PART: f64 = 0.9;
+const ISOLATED_FRACTION: f64 = 0.9;
 /// Part of a partitioned zone's workers that must be able to keep their leases for the zone
-/// to be waited for.
-const MIN_KEPT_ALIVE_PART: f64 = 0.6;
+/// to be timeout_ms for.
+const MIN_KEPT_LEASES_FRACTION: f64 = 0.6;
 /// Boot times until a replacement runs what a machine has run: it has to be provisioned and
 /// to pull the images.
-const REPLACEMENT_BOOTS: f64 = 1.3;
+const REPLACEMENT_BOOT_TIMES: f64 = 1.3;
 /// Boot times after which a silent machine is removed although no controller receives
 /// heartbeats from most of its machines: a replacement's would not be received either, and
 /// the cloud lists the machines that have failed.
-const ALL_ISOLATED_BOOTS: f64 = 6.0;
+const ALL_ISOLATED_BOOT_TIMES: f64 = 6.0;
 /// Time after which a worker gives up waiting for the answer to a heartbeat.
-const HEARTBEAT_TIMEOUT_MS: Ms = 4_000;
+const WORKER_HEARTBEAT_TIMEOUT_MS: Ms = 4_000;
 /// Pause of a worker before it tries the next controller.
 const NEXT_CONTROLLER_PAUSE_MS: Ms = 1_000;
 /// Time that a worker takes to follow a redirect to its holder.
-const REDIRECT_MS: Ms = 500;
+const REDIRECT_ALLOWANCE_MS: Ms = 500;
 /// Part of a worker's lease after which a silent machine is removed in any case.
-const MAX_SILENT_PART: f64 = 0.9;
+const MAX_SILENCE_LEASE_FRACTION: f64 = 0.9;
 
 /// Time that a single machine may be silent, as configured, in milliseconds.
 pub(crate) fn configured_silence_ms(config: &Config) -> Ms {
@@ -48,19 +48,19 @@
 /// Time from a worker's lost heartbeat until its next one can be received, in milliseconds.
 pub(crate) fn reconnect_ms(config: &Config) -> Ms {
     config.max_heartbeat_interval_ms()
-        + HEARTBEAT_TIMEOUT_MS
+        + WORKER_HEARTBEAT_TIMEOUT_MS
         + NEXT_CONTROLLER_PAUSE_MS
-        + REDIRECT_MS
+        + REDIRECT_ALLOWANCE_MS
         + HEARTBEAT_DELAY_ALLOWANCE_MS
 }
 
 /// Time that a single machine may be silent, in milliseconds. One lost heartbeat must not
-/// cost a healthy machine: its worker reconnects after it has waited for the answer, tried
+/// cost a healthy machine: its worker reconnects after it has timeout_ms for the answer, tried
 /// another controller and been redirected. With short leases that takes longer than the
 /// configured part of the lease, so a network outage of 1.5 s would cost machines with all
 /// their tasks.
 pub(crate) fn max_silence_ms(config: &Config) -> Ms {
-    let most = (config.lease_ms as f64 * MAX_SILENT_PART) as Ms;
+    let most = (config.lease_ms as f64 * MAX_SILENCE_LEASE_FRACTION) as Ms;
     configured_silence_ms(config).max(reconnect_ms(config).min(most))
 }
 
@@ -99,18 +99,18 @@
         self.is_isolated
     }
 
-    /// Updates the conclusions. `is_worth_waiting` tells whether enough workers of a zone can
+    /// Updates the conclusions. `can_keep_leases` tells whether enough workers of a zone can
     /// keep their leases while it is partitioned.
     pub(crate) fn update(
         &mut self,
         observations: &Observations<'_>,
-        is_worth_waiting: impl Fn(u16) -> bool,
+        can_keep_leases: impl Fn(u16) -> bool,
     ) {
         let now = observations.now;
         let recovered_at = now + observations.reconnect_ms;
         self.partitioned_zones.retain(|_, until| now < *until);
         for (zone, counts) in observations.zones {
-            if counts.is_partitioned() && is_worth_waiting(*zone) {
+            if counts.is_partitioned() && can_keep_leases(*zone) {
                 self.partitioned_zones.insert(*zone, recovered_at);
             }
         }
@@ -123,7 +123,7 @@
 
     /// Time that a machine may be silent before it is removed, in milliseconds.
     ///
-    /// Nobody knows how long a zone stays partitioned. Its machines are waited for as long
+    /// Nobody knows how long a zone stays partitioned. Its machines are timeout_ms for as long
     /// as replacements would take, so that in no case more than twice that time is lost.
     /// Where most workers cannot reach a controller inside the zone before their leases
     /// expire, their tasks are lost anyway, and are better restarted elsewhere at once.
@@ -136,14 +136,14 @@
     ) -> Ms {
         let is_partitioned = self.partitioned_zones.contains_key(&machine.zone);
         let boots = if self.are_all_isolated {
-            ALL_ISOLATED_BOOTS
+            ALL_ISOLATED_BOOT_TIMES
         } else if !may_remove_silent || now < self.recovering_until || is_partitioned {
-            REPLACEMENT_BOOTS
+            REPLACEMENT_BOOT_TIMES
         } else {
             0.0
         };
-        let waited = (machine.boot_ms as f64 * boots) as Ms;
-        waited.max(max_silence_ms(config))
+        let timeout_ms = (machine.boot_ms as f64 * boots) as Ms;
+        timeout_ms.max(max_silence_ms(config))
     }
 }
 
@@ -155,9 +155,9 @@
 }
 
 /// Whether enough workers of a partitioned zone can keep their leases for the zone to be
-/// waited for.
-pub(crate) fn is_zone_worth_waiting(config: &Config, zone: &str) -> bool {
-    config.zones_kept_in_partition(zone) >= MIN_KEPT_ALIVE_PART
+/// timeout_ms for.
+pub(crate) fn can_zone_keep_leases(config: &Config, zone: &str) -> bool {
+    config.zones_kept_in_partition(zone) >= MIN_KEPT_LEASES_FRACTION
 }
 
 /// Machines that should send heartbeats.
@@ -167,34 +167,34 @@
     /// Nothing is received from them, in whichever way.
     pub(crate) silent: u32,
     /// Their own heartbeats are not received.
-    pub(crate) unheard: u32,
+    pub(crate) without_heartbeats: u32,
     /// Their heartbeats are received, and they were called recently.
     pub(crate) called: u32,
     /// Their heartbeats are received, and they do not answer calls.
-    pub(crate) uncallable: u32,
+    pub(crate) unanswering: u32,
 }
 
 impl MachineCounts {
     /// Whether so many machines of a zone are silent that the zone is partitioned.
     fn is_partitioned(&self) -> bool {
-        is_most(self.silent, self.all, PARTITIONED_PART)
+        is_at_least_fraction(self.silent, self.all, PARTITIONED_ZONE_FRACTION)
     }
 
     /// Whether heartbeats are received from too few of all machines.
     pub(crate) fn lacks_heartbeats(&self) -> bool {
-        is_most(self.unheard, self.all, ISOLATED_PART)
+        is_at_least_fraction(self.without_heartbeats, self.all, ISOLATED_FRACTION)
     }
 
     /// Whether too few of the called machines answer. Those that were not called prove
     /// nothing about calls.
     pub(crate) fn lacks_answers(&self) -> bool {
-        is_most(self.uncallable, self.called, ISOLATED_PART)
+        is_at_least_fraction(self.unanswering, self.called, ISOLATED_FRACTION)
     }
 
     /// Whether more machines should be called: some do not answer, and too few were called
     /// to tell a failed machine from an isolated controller.
     pub(crate) fn needs_more_calls(&self) -> bool {
-        self.uncallable > 0 && self.called < MIN_CALLED_MACHINES.min(self.all)
+        self.unanswering > 0 && self.called < MIN_CALL_SAMPLE_MACHINES.min(self.all)
     }
 }
 
@@ -205,16 +205,16 @@
         Self {
             all: self.all + other.all,
             silent: self.silent + other.silent,
-            unheard: self.unheard + other.unheard,
+            without_heartbeats: self.without_heartbeats + other.without_heartbeats,
             called: self.called + other.called,
-            uncallable: self.uncallable + other.uncallable,
+            unanswering: self.unanswering + other.unanswering,
         }
     }
 }
 
 /// Whether `count` is at least a part of `all`, and `all` is large enough to prove anything.
-fn is_most(count: u32, all: u32, part: f64) -> bool {
-    all >= MIN_MACHINES && f64::from(count) >= part * f64::from(all)
+fn is_at_least_fraction(count: u32, all: u32, part: f64) -> bool {
+    all >= MIN_SAMPLE_MACHINES && f64::from(count) >= part * f64::from(all)
 }
 
 #[cfg(test)]
--- a/crates/core/src/membership/failure_detector/tests.rs
+++ b/crates/core/src/membership/failure_detector/tests.rs
@@ -28,7 +28,7 @@
         let zones = config.nodes.iter().enumerate();
         config.zones = zones.map(|(n, name)| (name.clone(), zone(n))).collect();
         (config.lease_ms, config.heartbeat_interval_ms) = (lease, heartbeat);
-        assert_eq!(is_zone_worth_waiting(&config, "in"), waits, "{name}");
+        assert_eq!(can_zone_keep_leases(&config, "in"), waits, "{name}");
     }
 }
 
--- a/crates/core/src/membership/peer_confirmations.rs
+++ b/crates/core/src/membership/peer_confirmations.rs
@@ -67,7 +67,7 @@
 
 impl PeerConfirmations {
     /// Extends the time for which this controller's lease is valid.
-    pub(crate) fn note_lease_valid_until(&mut self, until: Ms) {
+    pub(crate) fn extend_lease_validity(&mut self, until: Ms) {
         self.lease_valid_until = self.lease_valid_until.max(until);
     }
 
@@ -149,7 +149,7 @@
     /// has. A controller without link confirms nothing, nor does one that has restarted and
     /// not been served by the store since. One whose view is complete has read it after its
     /// start, so its confirmation covers its earlier incarnations.
-    pub(crate) fn unclaimed_until(
+    pub(crate) fn no_foreign_cancellation_before(
         &self,
         config: &Config,
         store_out_since: Option<Ms>,
@@ -157,7 +157,7 @@
         epoch: u64,
     ) -> Ms {
         let others = config.other_nodes();
-        let confirmed = others.map(|node| self.unclaimed_as_of(node, shard_id, epoch));
+        let confirmed = others.map(|node| self.no_higher_epoch_as_of(node, shard_id, epoch));
         let confirmed = confirmed.min().unwrap_or(Ms::MAX);
         self.lease_valid_until
             .max(confirmed)
@@ -166,7 +166,7 @@
 
     /// As of which moment a controller had seen no higher epoch of a shard; 0 if it has seen
     /// one or confirms nothing.
-    fn unclaimed_as_of(&self, node: &NodeName, shard_id: ShardId, epoch: u64) -> Ms {
+    fn no_higher_epoch_as_of(&self, node: &NodeName, shard_id: ShardId, epoch: u64) -> Ms {
         let seen = self.seen_epochs.get(node);
         let unclaimed = seen.filter(|seen| {
             let seen_epoch = seen.epochs.get(&shard_id).copied().unwrap_or(0);
@@ -202,7 +202,7 @@
 
     /// Before this moment no cancellation can have been confirmed of a task that may still
     /// be on a machine; none if nothing is confirmed about the machine.
-    pub(crate) fn settled_until(&self, shard_id: ShardId, machine: &MachineId) -> Option<Ms> {
+    pub(crate) fn settled_as_of(&self, shard_id: ShardId, machine: &MachineId) -> Option<Ms> {
         let settled = self.unsettled_machines.get(&shard_id)?;
         let is_settled = !settled.machines.contains(machine);
         is_settled.then_some(settled.as_of)
--- a/crates/core/src/membership/peers.rs
+++ b/crates/core/src/membership/peers.rs
@@ -24,8 +24,8 @@
 impl PeerTable {
     /// Notes a message of a peer. The time of the last heartbeat stays only within an
     /// incarnation, as each has a clock of its own.
-    pub(crate) fn note_message(&mut self, from: &NodeName, incarnation: u64, now: Ms) {
-        let known = self.incarnation(from, incarnation);
+    pub(crate) fn record_message(&mut self, from: &NodeName, incarnation: u64, now: Ms) {
+        let known = self.peer_of_incarnation(from, incarnation);
         let peer = Peer {
             incarnation,
             last_message_at: now,
@@ -35,7 +35,7 @@
     }
 
     /// Notes when the peer sent a heartbeat, by its own clock.
-    pub(crate) fn note_heartbeat(&mut self, from: &NodeName, incarnation: u64, sent_at: u64) {
+    pub(crate) fn record_heartbeat(&mut self, from: &NodeName, incarnation: u64, sent_at: u64) {
         let peer = self.peers.get_mut(from);
         if let Some(peer) = peer.filter(|peer| peer.incarnation == incarnation) {
             peer.last_heartbeat_sent_at = peer.last_heartbeat_sent_at.max(Some(sent_at));
@@ -53,7 +53,7 @@
 
     /// When the last message of an incarnation was received.
     pub(crate) fn last_message_at(&self, node: &NodeName, incarnation: u64) -> Option<Ms> {
-        let peer = self.incarnation(node, incarnation)?;
+        let peer = self.peer_of_incarnation(node, incarnation)?;
         Some(peer.last_message_at)
     }
 
@@ -63,7 +63,7 @@
         self.peers.clear();
     }
 
-    fn incarnation(&self, node: &NodeName, incarnation: u64) -> Option<&Peer> {
+    fn peer_of_incarnation(&self, node: &NodeName, incarnation: u64) -> Option<&Peer> {
         let peer = self.peers.get(node);
         peer.filter(|peer| peer.incarnation == incarnation)
     }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -53,16 +53,16 @@
     /// Requests forwarded to other controllers, by their numbers.
     pub(crate) pending_forwards: BTreeMap<u64, PendingForward>,
     /// The number of the last forwarded request; the first follows the incarnation.
-    pub(crate) forwarded_count: u64,
+    pub(crate) last_forward_number: u64,
     /// Number of the last list of machines whose heartbeats are not received.
-    pub(crate) relay_request_count: u64,
+    pub(crate) last_relay_list_number: u64,
     /// The last such list was not empty.
-    pub(crate) has_relay_requests: bool,
+    pub(crate) has_requested_relays: bool,
     /// Until then requests that the store refuses are not forwarded to other controllers.
     pub(crate) store_down_everywhere_until: Ms,
     view_sync: ViewSync,
     /// Shards that are being handed over.
-    handovers: BTreeMap<ShardId, shard_ownership::Handover>,
+    handovers: BTreeMap<ShardId, shard_ownership::PendingHandover>,
     /// The view's revision up to which the shards have applied changes.
     processed_revision: u64,
     next_status_log_at: Ms,
@@ -92,9 +92,9 @@
             dependencies: DependencyTracker::default(),
             admissions: BTreeMap::new(),
             pending_forwards: BTreeMap::new(),
-            forwarded_count: incarnation,
-            relay_request_count: 0,
-            has_relay_requests: false,
+            last_forward_number: incarnation,
+            last_relay_list_number: 0,
+            has_requested_relays: false,
             store_down_everywhere_until: 0,
             view_sync: ViewSync::default(),
             handovers: BTreeMap::new(),
@@ -154,7 +154,7 @@
             }
         }
         if status == 400 {
-            self.note_rejected_transaction(&pending, body);
+            self.on_rejected_transaction(&pending, body);
         }
         self.on_response(pending, status, body);
     }
@@ -190,24 +190,24 @@
     fn tick(&mut self) {
         self.membership.tick(&mut self.ctx, &self.view);
         self.reopen_watches();
-        self.follow_view();
-        self.follow_format();
-        self.forget_images();
+        self.sync_view();
+        self.adopt_finalized_format();
+        self.drop_unused_images();
         self.run_failure_detector();
-        self.follow_cloud_link();
+        self.update_cloud_link();
         let machines = self.view.take_changed();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
-        self.follow_shard_records();
+        self.reconcile_shard_ownership();
         let has_view_changed = self.processed_revision != self.view.revision;
         self.processed_revision = self.view.revision;
-        self.follow_budget();
+        self.update_store_budget();
         self.follow_dependencies();
         self.tick_shards(&machines, has_view_changed);
         for (shard, epoch, record) in std::mem::take(&mut self.ctx.unmet_demand) {
             self.leader
                 .on_demand_received(self.ctx.now, shard, epoch, record);
         }
-        self.expire_forwards();
+        self.expire_pending_forwards();
         self.repeat_cancellation_polls();
         self.expire_cancel_waits();
         self.log_status();
@@ -241,7 +241,7 @@
     }
 
     /// Sends what the budget requires, and sets the rate limit of calls to the store.
-    fn follow_budget(&mut self) {
+    fn update_store_budget(&mut self) {
         let terms = BudgetTerms::from(&self.ctx);
         let messages = self.budget.tick(&terms, &mut self.ctx.store, &self.view);
         for message in messages {
@@ -254,7 +254,7 @@
     }
 
     /// Resigns as the leader if no call reaches the cloud and others may do better.
-    fn follow_cloud_link(&mut self) {
+    fn update_cloud_link(&mut self) {
         let max_outage_ms = self.ctx.config.node_lease_ms();
         let is_lost = self.ctx.cloud_link.is_lost(self.ctx.now, max_outage_ms);
         self.set_link(Link::Cloud, !is_lost);
@@ -268,7 +268,7 @@
     /// Writes a new format once the view shows that it is finalized. From then on all calls
     /// keep to the limits that are announced as well, as nobody announces when those take
     /// effect.
-    fn follow_format(&mut self) {
+    fn adopt_finalized_format(&mut self) {
         let known = self.view.format().min(self.ctx.config.format);
         if known > self.ctx.format {
             log::info!("format {known}: finalized");
@@ -281,7 +281,7 @@
 
     /// Forgets the names of images that no job and no machine here uses: users name new
     /// ones for as long as the process lives.
-    fn forget_images(&mut self) {
+    fn drop_unused_images(&mut self) {
         if !self.ctx.images.is_over_limit() {
             return;
         }
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -4,8 +4,8 @@
 use super::Node;
 use crate::context::Context;
 use crate::membership::failure_detector::{
-    configured_silence_ms, is_zone_worth_waiting, reconnect_ms, MachineCounts, Observations,
-    MIN_CALLED_MACHINES,
+    can_zone_keep_leases, configured_silence_ms, reconnect_ms, MachineCounts, Observations,
+    MIN_CALL_SAMPLE_MACHINES,
 };
 use crate::shard::machine::Machine;
 use crate::shard::{RecoveryState, Shard};
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 /// How long an isolated controller is assigned nothing, in leases of a worker.
-const ISOLATED_LEASES: Ms = 2;
+const ISOLATION_RECORD_LEASES: Ms = 2;
 
 impl Node {
     /// Updates the validity of the lease; once in a heartbeat interval, sends heartbeats to
@@ -47,7 +47,7 @@
         if self.ctx.has_valid_lease {
             self.ctx
                 .peer_confirmations
-                .note_lease_valid_until(self.membership.lease_valid_until(&self.ctx));
+                .extend_lease_validity(self.membership.lease_valid_until(&self.ctx));
         }
     }
 
@@ -76,9 +76,9 @@
         if is_isolated && !ctx.failure_detector.is_isolated() {
             log::info!(
                 "failure detector: isolated, {} of {} machines silent, {} without answer to calls",
-                total.unheard,
+                total.without_heartbeats,
                 total.all,
-                total.uncallable
+                total.unanswering
             );
         }
         let observations = Observations {
@@ -91,10 +91,11 @@
         };
         let (config, places) = (&ctx.config, &ctx.places);
         ctx.failure_detector.update(&observations, |zone| {
-            is_zone_worth_waiting(config, places.name(zone).unwrap_or_default())
+            can_zone_keep_leases(config, places.name(zone).unwrap_or_default())
         });
         if is_isolated {
-            ctx.reports_no_heartbeats_until = ctx.now + ctx.config.lease_ms * ISOLATED_LEASES;
+            ctx.reports_no_heartbeats_until =
+                ctx.now + ctx.config.lease_ms * ISOLATION_RECORD_LEASES;
         }
     }
 
@@ -113,7 +114,7 @@
                     && !machine.has_call_in_flight
                     && !machine.link.has_recent_call(now, &timing)
             });
-            for machine in uncalled.take(MIN_CALLED_MACHINES as usize) {
+            for machine in uncalled.take(MIN_CALL_SAMPLE_MACHINES as usize) {
                 machine.must_send_token = true;
                 recheck.mark_due(&machine.id);
             }
@@ -162,9 +163,9 @@
     if machine.addr.is_none() && machine.last_heartbeat_at.is_none() {
         return None;
     }
-    let quiet_ms =
+    let silence_ms =
         (configured_silence_ms(&ctx.config) / 2).max(ctx.config.max_heartbeat_interval_ms());
-    let is_silent = ctx.now > machine.last_sign_of_life(ctx.resumed_at) + quiet_ms;
+    let is_silent = ctx.now > machine.last_sign_of_life(ctx.resumed_at) + silence_ms;
     // A machine of a shard that has just been recovered has not reported here yet. Counted
     // as heard, such machines would hide that a zone is partitioned.
     if machine.last_heartbeat_at.is_none() && !is_silent {
@@ -172,7 +173,7 @@
     }
     // A worker that has never reported here may take a lease to find this controller.
     let timing = Timing {
-        heartbeat_interval_ms: quiet_ms,
+        heartbeat_interval_ms: silence_ms,
         lease_ms: ctx.config.lease_ms * 2,
     };
     let since = machine.known_since.max(ctx.resumed_at);
@@ -183,14 +184,14 @@
         return Some(MachineCounts {
             all: 1,
             silent: u32::from(is_silent),
-            unheard: 1,
+            without_heartbeats: 1,
             ..MachineCounts::default()
         });
     }
     Some(MachineCounts {
         all: 1,
         called: u32::from(machine.link.has_recent_call(ctx.now, &timing)),
-        uncallable: u32::from(!machine.link.is_reachable()),
+        unanswering: u32::from(!machine.link.is_reachable()),
         ..MachineCounts::default()
     })
 }
--- a/crates/core/src/node/peer_heartbeats.rs
+++ b/crates/core/src/node/peer_heartbeats.rs
@@ -18,9 +18,9 @@
 
 impl Node {
     /// Notes that a message of a peer was received.
-    pub(crate) fn note_peer_alive(&mut self, from: &NodeName, incarnation: u64) {
+    pub(crate) fn record_peer_message(&mut self, from: &NodeName, incarnation: u64) {
         let now = self.ctx.now;
-        self.ctx.peers.note_message(from, incarnation, now);
+        self.ctx.peers.record_message(from, incarnation, now);
     }
 
     /// Sends a heartbeat to each peer, with what the peer may rely on.
@@ -52,7 +52,7 @@
         let shards = self.shards.values();
         let mut settled: Vec<SettledShard> = shards.filter_map(settled_statement).collect();
         let room = self.ctx.config.bounds.list_bytes;
-        if keep_shortest_within(&mut settled, room) > 0 {
+        if retain_shortest_within(&mut settled, room) > 0 {
             let now = self.ctx.now;
             self.ctx.overflows.record(now, Overflow::UnsettledMachines);
         }
@@ -69,7 +69,7 @@
     ) {
         self.ctx
             .peers
-            .note_heartbeat(from, incarnation, heartbeat.sent_at);
+            .record_heartbeat(from, incarnation, heartbeat.sent_at);
         self.mark_superseded_shards(from, &heartbeat);
         // An acknowledgement of an earlier incarnation is not of this clock.
         let acknowledged = heartbeat
@@ -99,7 +99,7 @@
     /// From then on another controller may be assigned the shard and confirm cancellations
     /// that are not known here.
     pub(crate) fn may_answer_without_lease(&self, shard: &Shard) -> bool {
-        let until = self.ctx.peer_confirmations.unclaimed_until(
+        let until = self.ctx.peer_confirmations.no_foreign_cancellation_before(
             &self.ctx.config,
             self.ctx.store.out_since(),
             shard.id,
@@ -111,9 +111,9 @@
     /// Whether a worker may be answered by a controller that does not know which of its tasks
     /// are cancelled: the last holder with a valid lease has confirmed that it had no task
     /// with an earlier cancellation.
-    fn is_settled(&self, shard_id: ShardId, machine: &MachineId) -> bool {
+    fn is_machine_settled(&self, shard_id: ShardId, machine: &MachineId) -> bool {
         let confirmations = &self.ctx.peer_confirmations;
-        let until = confirmations.settled_until(shard_id, machine);
+        let until = confirmations.settled_as_of(shard_id, machine);
         until.is_some_and(|until| self.ctx.now < until + self.ctx.config.grace_ms())
     }
 
@@ -124,7 +124,7 @@
     /// incarnation would have ended.
     pub(crate) fn may_answer_while_loading(&self, shard: &Shard, machine: &MachineId) -> bool {
         self.ctx.now < shard.active_since + self.ctx.config.recovery_grace_ms()
-            || self.is_settled(shard.id, machine)
+            || self.is_machine_settled(shard.id, machine)
     }
 
     /// Whether the lease of a worker in another holder's shard is kept alive: this controller
@@ -141,7 +141,7 @@
             && !self
                 .ctx
                 .is_peer_alive(&record.holder, record.holder_incarnation)
-            && self.is_settled(shard_id, machine)
+            && self.is_machine_settled(shard_id, machine)
     }
 }
 
@@ -172,7 +172,7 @@
 /// Keeps the statements that fit into `room` bytes, the shortest first, in the order of
 /// shards. A shard whose statement is left out confirms nothing about any of its machines.
 /// Returns how many were left out.
-fn keep_shortest_within(settled: &mut Vec<SettledShard>, mut room: usize) -> usize {
+fn retain_shortest_within(settled: &mut Vec<SettledShard>, mut room: usize) -> usize {
     let bytes = |statement: &SettledShard| -> usize {
         let names = statement.unsettled_machines.iter();
         names.map(|name| encoded_name_bytes(name)).sum()
--- a/crates/core/src/node/peer_heartbeats/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -42,11 +42,11 @@
     node.shards.insert(HELD_SHARD, shard);
     node.membership.on_lease_renewed(&node.ctx, RENEWED_AT, 200);
     let until = node.membership.lease_valid_until(&node.ctx);
-    node.ctx.peer_confirmations.note_lease_valid_until(until);
+    node.ctx.peer_confirmations.extend_lease_validity(until);
     node
 }
 
-/// What a peer confirms: as of which heartbeat of this controller, and which epoch of its
+/// What a peer confirmation_of: as of which heartbeat of this controller, and which epoch of its
 /// shard the peer has seen; none: it has read nothing since it started.
 #[derive(Clone, Copy)]
 struct Confirmation {
@@ -57,7 +57,7 @@
     refused_for: Option<Ms>,
 }
 
-fn confirms(from: &'static str, as_of: Ms, epoch: Option<u64>) -> Confirmation {
+fn confirmation_of(from: &'static str, as_of: Ms, epoch: Option<u64>) -> Confirmation {
     Confirmation {
         from,
         to_incarnation: 1,
@@ -67,7 +67,7 @@
     }
 }
 
-fn receive(node: &mut Node, confirmation: Confirmation, settled: Vec<SettledShard>) {
+fn receive_heartbeat(node: &mut Node, confirmation: Confirmation, settled: Vec<SettledShard>) {
     let from = NodeName::new(confirmation.from);
     let heartbeat = PeerHeartbeat {
         sent_at: 1,
@@ -79,7 +79,7 @@
         store_refused_for_ms: confirmation.refused_for,
         settled_shards: settled,
     };
-    node.note_peer_alive(&from, 7);
+    node.record_peer_message(&from, 7);
     node.on_heartbeat(&from, 7, heartbeat);
 }
 
@@ -88,7 +88,7 @@
 fn answers_without_lease(mut node: Node, now: Ms, confirmations: Vec<Confirmation>) -> bool {
     node.ctx.now = now;
     for confirmation in confirmations {
-        receive(&mut node, confirmation, vec![]);
+        receive_heartbeat(&mut node, confirmation, vec![]);
     }
     node.may_answer_without_lease(&node.shards[&HELD_SHARD])
 }
@@ -106,13 +106,18 @@
     let later = end + 10_000;
     let seen = Some(EPOCH);
     let taken = Some(EPOCH + 1);
-    let both = |a, b| vec![confirms("north", a, seen), confirms("south", b, seen)];
+    let both = |a, b| {
+        vec![
+            confirmation_of("north", a, seen),
+            confirmation_of("south", b, seen),
+        ]
+    };
     let cases: Vec<(&str, Vec<Confirmation>, Ms, bool)> = vec![
         ("no confirmations, in time", vec![], end - 1, true),
         ("no confirmations, too late", vec![], end, false),
         (
-            "one of two confirms",
-            vec![confirms("north", later, seen)],
+            "one of two confirmation_of",
+            vec![confirmation_of("north", later, seen)],
             end,
             false,
         ),
@@ -132,8 +137,8 @@
         (
             "one has restarted and read nothing",
             vec![
-                confirms("north", later, seen),
-                confirms("south", later, None),
+                confirmation_of("north", later, seen),
+                confirmation_of("south", later, None),
             ],
             end,
             false,
@@ -141,9 +146,9 @@
         (
             "one confirmed before it restarted",
             vec![
-                confirms("north", later, seen),
-                confirms("south", end, seen),
-                confirms("south", later, None),
+                confirmation_of("north", later, seen),
+                confirmation_of("south", end, seen),
+                confirmation_of("south", later, None),
             ],
             end + grace,
             false,
@@ -151,25 +156,25 @@
         (
             "one has seen a successor",
             vec![
-                confirms("north", later, seen),
-                confirms("south", later, taken),
+                confirmation_of("north", later, seen),
+                confirmation_of("south", later, taken),
             ],
             RENEWED_AT + own,
             false,
         ),
         (
             "a delayed heartbeat that has, as of long ago",
-            vec![confirms("north", RENEWED_AT, taken)],
+            vec![confirmation_of("north", RENEWED_AT, taken)],
             RENEWED_AT + own,
             false,
         ),
         (
-            "one confirms to an earlier incarnation",
+            "one confirmation_of to an earlier incarnation",
             vec![
-                confirms("north", later, seen),
+                confirmation_of("north", later, seen),
                 Confirmation {
                     to_incarnation: 99,
-                    ..confirms("south", later, seen)
+                    ..confirmation_of("south", later, seen)
                 },
             ],
             end,
@@ -178,8 +183,8 @@
         (
             "a delayed heartbeat proves nothing new",
             vec![
-                confirms("north", later, seen),
-                confirms("south", RENEWED_AT + own + 1, seen),
+                confirmation_of("north", later, seen),
+                confirmation_of("south", RENEWED_AT + own + 1, seen),
             ],
             end + grace,
             false,
@@ -205,9 +210,9 @@
     let seen = Some(EPOCH);
     let refused = |from, since: Ms| Confirmation {
         refused_for: Some(now - since),
-        ..confirms(from, now - 100, seen)
+        ..confirmation_of(from, now - 100, seen)
     };
-    let restarted = confirms("south", now - 100, None);
+    let restarted = confirmation_of("south", now - 100, None);
     // Since when the store refuses this controller, what is received, and whether
     // workers are answered.
     let cases: Vec<(&str, Option<Ms>, Vec<Confirmation>, bool)> = vec![
@@ -284,7 +289,7 @@
 /// A worker whose holder is unreachable is answered by others only while no task with a
 /// confirmed cancellation can be on it; so is one whose shard is being loaded.
 #[test]
-fn workers_of_others_are_kept_alive_only_while_settled() {
+fn other_holders_workers_are_kept_alive_only_while_no_cancelled_task_can_be_on_them() {
     let config = node().ctx.config.clone();
     let own = config.node_lease_ms();
     let grace = config.grace_ms();
@@ -348,11 +353,15 @@
                 settled(PEER_SHARD, unsettled),
                 settled(HELD_SHARD, unsettled),
             ];
-            receive(&mut node, confirms("north", as_of, Some(EPOCH)), settled);
+            receive_heartbeat(
+                &mut node,
+                confirmation_of("north", as_of, Some(EPOCH)),
+                settled,
+            );
         }
         node.ctx.now = now;
         if there {
-            node.note_peer_alive(&NodeName::new("north"), 7);
+            node.record_peer_message(&NodeName::new("north"), 7);
         } else {
             node.ctx.peers.clear();
         }
@@ -393,7 +402,7 @@
 /// fleet is cancelled, still makes its statement; else the next holder could not answer any
 /// of its workers while it loads the shard.
 #[test]
-fn statements_are_left_out_only_where_a_heartbeat_has_no_room() {
+fn longest_statements_are_dropped_when_a_heartbeat_is_too_large() {
     let name = "host-000000".len() + NAME_LENGTH_BYTES;
     let cases: [(usize, &[usize], &[u32]); 6] = [
         (100, &[100], &[0]),
@@ -406,7 +415,7 @@
     for (room, machines, kept) in cases {
         let shards = machines.iter().enumerate();
         let mut settled: Vec<SettledShard> = shards.map(|(k, n)| unsettled(k as u32, *n)).collect();
-        let left_out = keep_shortest_within(&mut settled, room * name);
+        let left_out = retain_shortest_within(&mut settled, room * name);
         let shards: Vec<u32> = settled.iter().map(|s| s.shard).collect();
         assert_eq!(shards, kept, "{machines:?} with room for {room}");
         assert_eq!(left_out, machines.len() - kept.len());
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -35,7 +35,7 @@
             PendingCall::ViewPoll => self.on_view_poll(status, body),
             PendingCall::ShardHandover(shards) => {
                 self.leader.on_shard_record_written(&shards);
-                self.on_handed_over(&shards, status, body);
+                self.on_handover_written(&shards, status, body);
             }
 
             PendingCall::JobCreation(creation) => self.on_job_created(*creation, status, body),
@@ -197,7 +197,7 @@
 
     /// Notes a transaction that the store has rejected as malformed: its limits may have
     /// become stricter.
-    pub(super) fn note_rejected_transaction(&mut self, pending: &PendingCall, body: &[u8]) {
+    pub(super) fn on_rejected_transaction(&mut self, pending: &PendingCall, body: &[u8]) {
         if pending.service() != Service::Store || is_no_such_lease(body) {
             return;
         }
--- a/crates/core/src/node/shard_ownership.rs
+++ b/crates/core/src/node/shard_ownership.rs
@@ -11,21 +11,21 @@
 use std::collections::BTreeMap;
 
 /// Time after which a handover without an answer is tried again, in milliseconds.
-const RETRY_MS: Ms = 1_000;
+const HANDOVER_RETRY_MS: Ms = 1_000;
 
 /// A handover that was requested.
-pub(super) struct Handover {
+pub(super) struct PendingHandover {
     /// It is not requested again before this.
     retry_at: Ms,
     /// Nor before the view has reached the revision of the answer.
-    answered_at: u64,
+    required_revision: u64,
 }
 
 impl Node {
     /// Acquires shards that are assigned to this incarnation, releases all others, and
     /// requests the handovers that follow.
-    pub(super) fn follow_shard_records(&mut self) {
-        let relief = self.handover_target();
+    pub(super) fn reconcile_shard_ownership(&mut self) {
+        let isolation_target = self.handover_target();
         let mut handovers: Vec<(ShardId, NodeName)> = Vec::new();
         let Node {
             ctx,
@@ -48,7 +48,7 @@
             let next_holder = match current {
                 Some(shard) => {
                     shard.version = versioned.version;
-                    next_holder(shard, record, relief.as_ref(), ctx, view)
+                    next_holder(shard, record, isolation_target.as_ref(), ctx, view)
                 }
                 None => acquire(*id, versioned, ctx, shards, used_epochs),
             };
@@ -65,9 +65,9 @@
         if self.is_handover_pending(id) {
             return;
         }
-        let handover = Handover {
-            retry_at: self.ctx.now + RETRY_MS,
-            answered_at: 0,
+        let handover = PendingHandover {
+            retry_at: self.ctx.now + HANDOVER_RETRY_MS,
+            required_revision: 0,
         };
         self.handovers.insert(id, handover);
         if let Some(shard) = self.shards.remove(&id) {
@@ -79,14 +79,14 @@
     /// Whether a handover of a shard is in flight, or the view does not show its outcome yet.
     fn is_handover_pending(&self, id: ShardId) -> bool {
         self.handovers.get(&id).is_some_and(|handover| {
-            self.ctx.now < handover.retry_at || self.view.revision < handover.answered_at
+            self.ctx.now < handover.retry_at || self.view.revision < handover.required_revision
         })
     }
 
     /// Handles the answer to a handover. Until the view has reached its revision the versions
     /// in the view are outdated: the same request would fail again and again, as fast as the
     /// store answers, and use up the request budget.
-    pub(super) fn on_handed_over(&mut self, shards: &[ShardId], status: u16, body: &[u8]) {
+    pub(super) fn on_handover_written(&mut self, shards: &[ShardId], status: u16, body: &[u8]) {
         if !matches!(status, 200 | 409) {
             return;
         }
@@ -94,7 +94,7 @@
         for id in shards {
             if let Some(handover) = self.handovers.get_mut(id) {
                 handover.retry_at = self.ctx.now;
-                handover.answered_at = revision_of(body);
+                handover.required_revision = revision_of(body);
             }
         }
     }
@@ -106,17 +106,17 @@
 }
 
 /// The controller that a shard held here should be handed over to. While this controller is
-/// isolated that is `relief`, and calls in flight are not waited for: they end late, and the
+/// isolated that is `isolation_target`, and calls in flight are not waited for: they end late, and the
 /// next holder's tokens fence them off.
 fn next_holder(
     shard: &Shard,
     record: &ShardRecord,
-    relief: Option<&NodeName>,
+    isolation_target: Option<&NodeName>,
     ctx: &Context,
     view: &ClusterView,
 ) -> Option<NodeName> {
-    if relief.is_some() {
-        return relief.cloned();
+    if isolation_target.is_some() {
+        return isolation_target.cloned();
     }
     let requested = record.handover_to.as_ref();
     let other = requested.filter(|node| **node != ctx.config.node)?;
--- a/crates/core/src/node/status_log.rs
+++ b/crates/core/src/node/status_log.rs
@@ -17,12 +17,12 @@
         let queued_calls = self.ctx.store.len();
         for shard in self.shards.values() {
             shard.log_details();
-            log_shard(shard, queued_calls);
+            log_shard_status(shard, queued_calls);
         }
     }
 }
 
-fn log_shard(shard: &Shard, queued_calls: usize) {
+fn log_shard_status(shard: &Shard, queued_calls: usize) {
     let tasks_placed: usize = shard.jobs.values().map(|job| job.bound.len()).sum();
     let machines = shard.machines.values();
     let machines_up = machines.filter(|m| m.last_heartbeat_at.is_some()).count();
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -10,11 +10,11 @@
 use forkshift_wire::state::{Changes, Item, Page};
 
 /// Time after which a watch on the cluster's records ends without changes, in milliseconds.
-const WATCH_MS: Ms = 10_000;
+const VIEW_WATCH_MS: Ms = 10_000;
 
 /// Part of the limit on requests to the store that is used for these watches. Without a pause
 /// one would be opened with every single change.
-const WATCH_PART: f64 = 0.2;
+const VIEW_WATCH_REQUEST_FRACTION: f64 = 0.2;
 
 /// Pauses before a failed listing, watch or poll is repeated, in milliseconds.
 const LIST_RETRY_MS: Ms = 200;
@@ -42,7 +42,7 @@
 
 impl Node {
     /// Starts the listing, poll or watch that is due.
-    pub(super) fn follow_view(&mut self) {
+    pub(super) fn sync_view(&mut self) {
         if !self.view.is_complete {
             self.list_if_due();
             return;
@@ -83,11 +83,12 @@
         }
         sync.is_watching = true;
         sync.watch_serial += 1;
-        sync.next_watch_at = self.ctx.now + self.ctx.watch_interval_ms(WATCH_PART);
+        sync.next_watch_at = self.ctx.now + self.ctx.watch_interval_ms(VIEW_WATCH_REQUEST_FRACTION);
         let serial = sync.watch_serial;
         let revision = self.view.revision;
         let pending = PendingCall::ViewWatch { serial };
-        self.ctx.watch_store(CLUSTER, revision, WATCH_MS, pending);
+        self.ctx
+            .watch_store(CLUSTER, revision, VIEW_WATCH_MS, pending);
     }
 
     /// Reads a page of the cluster's records from behind a key.
@@ -132,7 +133,7 @@
     pub(super) fn on_view_watch(&mut self, serial: u64, status: u16, body: &[u8]) {
         let is_current = serial == self.view_sync.watch_serial;
         self.view_sync.is_watching &= !is_current;
-        if !self.take_changes(status, body) && is_current {
+        if !self.merge_changes(status, body) && is_current {
             self.view_sync.next_watch_at = self.ctx.now + WATCH_RETRY_MS;
         }
     }
@@ -153,13 +154,13 @@
     /// Handles the answer to a poll.
     pub(super) fn on_view_poll(&mut self, status: u16, body: &[u8]) {
         self.view_sync.is_polling = false;
-        if !self.take_changes(status, body) {
+        if !self.merge_changes(status, body) {
             self.view_sync.next_poll_at = self.ctx.now + POLL_RETRY_MS;
         }
     }
 
     /// Applies the changes in the answer to a watch or poll. Returns false if it failed.
-    fn take_changes(&mut self, status: u16, body: &[u8]) -> bool {
+    fn merge_changes(&mut self, status: u16, body: &[u8]) -> bool {
         match serde_json::from_slice::<Changes>(body) {
             Ok(changes) if status == 200 => self.view.apply(changes.events, changes.revision),
             // The listing starts over.
--- a/crates/core/src/protocol/forwarding.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -19,14 +19,14 @@
 use forkshift_wire::{JobId, NodeName};
 
 /// Path of the heartbeats of workers.
-const HEARTBEAT_PATH: &str = "/v1/report";
+const WORKER_HEARTBEAT_PATH: &str = "/v1/report";
 /// Time that another controller has for a status query, in milliseconds; users wait 2 s.
 const QUERY_TIMEOUT_MS: Ms = 500;
 /// Time that another controller has for a request that writes, in milliseconds.
 const WRITE_TIMEOUT_MS: Ms = 1_500;
 /// Pause before a heartbeat is forwarded again, in milliseconds: a repeated heartbeat
 /// changes nothing.
-const RESEND_MS: Ms = 500;
+const HEARTBEAT_RESEND_MS: Ms = 500;
 /// Pause of forwarding after another controller was found to be refused by the store as
 /// well, in milliseconds.
 const STORE_DOWN_PAUSE_MS: Ms = 1_000;
@@ -53,13 +53,13 @@
     pub(crate) fn heartbeat(body: Vec<u8>) -> Self {
         Self {
             method: "POST".to_owned(),
-            path: HEARTBEAT_PATH.to_owned(),
+            path: WORKER_HEARTBEAT_PATH.to_owned(),
             body: Some(body),
         }
     }
 
     fn is_heartbeat(&self) -> bool {
-        self.path == HEARTBEAT_PATH
+        self.path == WORKER_HEARTBEAT_PATH
     }
 }
 
@@ -78,7 +78,7 @@
     /// A new job.
     Submission,
     /// A status query or a cancellation.
-    OfJob(JobId),
+    ForJob(JobId),
 }
 
 impl ForwardableRequest {
@@ -87,7 +87,7 @@
         match (method, segments.as_slice()) {
             ("POST", ["submissions"]) => Some(Self::Submission),
             ("GET", ["submissions", id]) | ("POST", ["submissions", id, "abort"]) => {
-                JobId::parse(id).map(Self::OfJob)
+                JobId::parse(id).map(Self::ForJob)
             }
             _ => None,
         }
@@ -132,8 +132,8 @@
         forwarded: ForwardedRequest,
         timeout: Ms,
     ) {
-        self.forwarded_count += 1;
-        let request_number = self.forwarded_count;
+        self.last_forward_number += 1;
+        let request_number = self.last_forward_number;
         let now = self.ctx.now;
         let message = forwarded.to_message(request_number);
         self.ctx.send_to_peer(target, 0, message);
@@ -141,7 +141,9 @@
             request,
             target: target.clone(),
             deadline: now + timeout,
-            resend_at: forwarded.is_heartbeat().then_some(now + RESEND_MS),
+            resend_at: forwarded
+                .is_heartbeat()
+                .then_some(now + HEARTBEAT_RESEND_MS),
             forwarded,
         };
         self.pending_forwards.insert(request_number, forward);
@@ -152,7 +154,7 @@
         let now = self.ctx.now;
         for (request_number, forward) in &mut self.pending_forwards {
             if forward.resend_at.is_some_and(|time| now >= time) {
-                forward.resend_at = Some(now + RESEND_MS);
+                forward.resend_at = Some(now + HEARTBEAT_RESEND_MS);
                 let message = forward.forwarded.to_message(*request_number);
                 self.ctx.send_to_peer(&forward.target, 0, message);
             }
@@ -162,7 +164,7 @@
     /// The controller that should answer a request instead of this one.
     fn forward_target(&self, method: &str, path: &str) -> Option<NodeName> {
         let request = ForwardableRequest::parse(method, path)?;
-        if let ForwardableRequest::OfJob(id) = &request {
+        if let ForwardableRequest::ForJob(id) = &request {
             if self.can_answer_from_memory(id) {
                 return None;
             }
@@ -206,7 +208,7 @@
         let names = self.view.nodes.keys();
         let peers: Vec<&NodeName> = names.filter(|name| *name != own_name).collect();
         let peer_count = peers.len().max(1) as u64;
-        let index = (self.forwarded_count % peer_count) as usize;
+        let index = (self.last_forward_number % peer_count) as usize;
         peers.get(index).copied()
     }
 
@@ -219,14 +221,14 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) {
-        if !path.starts_with("/submissions") && path != HEARTBEAT_PATH {
+        if !path.starts_with("/submissions") && path != WORKER_HEARTBEAT_PATH {
             return;
         }
         let is_full = self.ctx.peer_requests.len() >= self.ctx.config.bounds.forwarded_requests;
         let node = sender.node.clone();
         let request = self
             .ctx
-            .add_peer_request(node, sender.incarnation, request_number);
+            .register_peer_request(node, sender.incarnation, request_number);
         if is_full {
             // The sender handles the request itself, and need not wait to do so.
             let now = self.ctx.now;
@@ -251,15 +253,15 @@
                 // The store refuses the other controller, too.
                 self.store_down_everywhere_until = self.ctx.now + STORE_DOWN_PAUSE_MS;
             }
-            return self.handle_unanswered(forward);
+            return self.serve_unanswered(forward);
         }
-        let reply = self.newest_status(reply);
+        let reply = self.with_latest_stage(reply);
         self.ctx.respond(forward.request, reply);
     }
 
     /// Notes the final stage in an answer. If the answer was overtaken by a final stage
     /// that is known here, returns that instead.
-    fn newest_status(&mut self, reply: Reply) -> Reply {
+    fn with_latest_stage(&mut self, reply: Reply) -> Reply {
         let reported = serde_json::from_slice::<JobStatus>(&reply.body).ok();
         let Some(reported) = reported.filter(|_| reply.status == 200) else {
             return reply;
@@ -276,7 +278,7 @@
 
     /// Handles here the requests that had no answer in time, and forgets requests of
     /// other controllers that can have none.
-    pub(crate) fn expire_forwards(&mut self) {
+    pub(crate) fn expire_pending_forwards(&mut self) {
         let now = self.ctx.now;
         let expired: Vec<u64> = self
             .pending_forwards
@@ -286,7 +288,7 @@
             .collect();
         for request_number in expired {
             if let Some(forward) = self.pending_forwards.remove(&request_number) {
-                self.handle_unanswered(forward);
+                self.serve_unanswered(forward);
             }
         }
         self.resend_forwards();
@@ -294,7 +296,7 @@
     }
 
     /// Handles a request that another controller has not answered.
-    fn handle_unanswered(&mut self, forward: PendingForward) {
+    fn serve_unanswered(&mut self, forward: PendingForward) {
         let PendingForward {
             request, forwarded, ..
         } = forward;
--- a/crates/core/src/protocol/messages.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -34,7 +34,7 @@
         // An earlier incarnation of a peer may still have messages on the way.
         let is_alive = self.view.is_alive(&sender.node, sender.incarnation);
         if self.ctx.config.nodes.contains(&sender.node) {
-            self.note_peer_alive(&sender.node, sender.incarnation);
+            self.record_peer_message(&sender.node, sender.incarnation);
         }
         let unhandled = self.on_message_of_any_peer(&sender, envelope.body);
         if let Some(body) = unhandled.filter(|_| is_alive) {
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -29,7 +29,7 @@
 /// A list of machines to relay for is valid for this many intervals between two lists.
 const RELAY_REQUEST_INTERVALS: Ms = 5;
 /// Controllers that are requested to probe a machine: one may have lost the link, too.
-const MAX_PROBERS: usize = 2;
+const MAX_PROBING_CONTROLLERS: usize = 2;
 
 /// Whether a heartbeat may be relayed to the holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -44,9 +44,9 @@
 #[derive(Default)]
 struct UnreachableMachines {
     /// Their heartbeats are to be relayed by the controllers that receive them.
-    relayed: Vec<MachineId>,
+    to_relay: Vec<MachineId>,
     /// They are to be probed now.
-    probed: Vec<MachineId>,
+    to_probe: Vec<MachineId>,
 }
 
 impl Shard {
@@ -72,10 +72,10 @@
                 continue;
             }
             if link.needs_relay(now, since, timing) {
-                found.relayed.push(machine.id.clone());
+                found.to_relay.push(machine.id.clone());
             }
             if !link.is_recently_relayed(now, timing) && link.start_probe_if_due(now, timing) {
-                found.probed.push(machine.id.clone());
+                found.to_probe.push(machine.id.clone());
                 machine.must_send_token = true;
                 recheck.mark_due(&machine.id);
             }
@@ -96,19 +96,19 @@
         for shard in shards.filter(|shard| shard.recovery_state == RecoveryState::Active) {
             shard.find_unreachable_machines(now, resumed_at, &timing, &mut unreachable);
         }
-        self.send_probes(unreachable.probed);
-        self.send_relay_request(unreachable.relayed);
+        self.send_probes(unreachable.to_probe);
+        self.send_relay_request(unreachable.to_relay);
     }
 
     /// Sends the machines whose heartbeats are to be relayed to all other controllers.
     fn send_relay_request(&mut self, relayed: Vec<MachineId>) {
         // An empty list takes back the one before it.
-        if relayed.is_empty() && !std::mem::take(&mut self.has_relay_requests) {
+        if relayed.is_empty() && !std::mem::take(&mut self.has_requested_relays) {
             return;
         }
-        self.has_relay_requests = !relayed.is_empty();
-        self.relay_request_count += 1;
-        let list = self.relay_request_count;
+        self.has_requested_relays = !relayed.is_empty();
+        self.last_relay_list_number += 1;
+        let list = self.last_relay_list_number;
         let config = self.ctx.config.clone();
         for machines in split_into_messages(relayed, config.bounds.list_bytes) {
             for node in config.other_nodes() {
@@ -132,15 +132,15 @@
             return;
         }
         let config = self.ctx.config.clone();
-        let mut probers: Vec<&NodeName> = config
+        let mut probing_nodes: Vec<&NodeName> = config
             .other_nodes()
             .filter(|node| self.ctx.is_peer_answering(node))
             .collect();
-        let first = self.relay_request_count as usize % probers.len().max(1);
-        probers.rotate_left(first);
-        probers.truncate(MAX_PROBERS);
+        let first = self.last_relay_list_number as usize % probing_nodes.len().max(1);
+        probing_nodes.rotate_left(first);
+        probing_nodes.truncate(MAX_PROBING_CONTROLLERS);
         for machines in split_into_messages(machines, config.bounds.list_bytes) {
-            for node in &probers {
+            for node in &probing_nodes {
                 let machines = machines.clone();
                 self.ctx
                     .send_to_peer(node, 0, Body::ProbeRequest { machines });
--- a/crates/core/src/protocol/relay/tests.rs
+++ b/crates/core/src/protocol/relay/tests.rs
@@ -5,7 +5,7 @@
 /// However many machines there are, each message has room for its part, and an empty
 /// list is a message, too: it takes back the last one.
 #[test]
-fn list_of_machines_is_split_into_messages_that_have_room() {
+fn machine_list_is_split_into_messages_within_the_size_limit() {
     let names = |count: usize| (0..count).map(|i| MachineId::new(&format!("host-{i:06}")));
     // Each takes 15 bytes.
     for (machines, max_bytes, messages) in [(0, 100, 1), (6, 90, 1), (7, 90, 2), (4_000, 1_500, 40)]
