--- a/crates/core/src/membership/failure_detector.rs
+++ b/crates/core/src/membership/failure_detector.rs
@@ -1,51 +1,60 @@
-//! Failure detection: what it means that machines send no heartbeats.
+//! Failure detection: tells failed machines from a partitioned zone and from an isolated
+//! controller.
 //!
-//! A single silent machine has failed, as far as its holder can tell, and is replaced. Many
-//! silent ones at once have another cause. If nearly all machines are silent, the holder
-//! itself is isolated from its workers: it hands its shards over to a controller that may
-//! receive heartbeats, and does not have a whole fleet deleted. If most machines of one zone
-//! are silent, the zone is partitioned. What runs there goes on while controllers inside it
-//! answer (`Node::may_keep_worker_alive`), and is reachable again sooner than replacements
-//! would have booted.
+//! A machine is silent if its holder, the controller that holds its shard, receives no
+//! heartbeats from it. A single silent machine is treated as failed and is replaced. Many
+//! machines that become silent at the same time indicate a network fault instead:
+//!
+//! - If nearly all machines of a holder are silent, the holder is isolated from its workers.
+//!   It hands its shards over to a controller that may receive the heartbeats. Deleting the
+//!   machines would delete a whole healthy fleet.
+//! - If most machines of one zone are silent, the zone is partitioned. Controllers inside the
+//!   zone keep its workers' leases alive (`Node::may_keep_worker_alive`), so the tasks there
+//!   continue to run. The zone is usually reachable again before replacements would have
+//!   booted.
 
 use crate::config::{Config, HEARTBEAT_DELAY_ALLOWANCE_MS};
 use crate::Ms;
 use std::collections::BTreeMap;
 use std::ops::Add;
 
-/// Fewer machines than this prove nothing about their zone or their holder.
+/// The least number of machines from which a fault of their zone or holder is inferred.
 const MIN_SAMPLE_MACHINES: u32 = 4;
-/// Machines that are called to find out whether calls reach any.
+/// Machines with a recent call from which a fault of the holder's outgoing calls is inferred,
+/// if the holder has as many.
 pub(crate) const MIN_CALL_SAMPLE_MACHINES: u32 = MIN_SAMPLE_MACHINES * 2;
-/// Part of a zone's machines that must be silent for it to count as partitioned.
+/// Fraction of a zone's machines that must be silent for the zone to count as partitioned.
 const PARTITIONED_ZONE_FRACTION: f64 = 0.75;
-/// Part of all machines that must be silent for their holder to count as isolated.
+/// Fraction of a holder's machines that must be without heartbeats, or of its called
+/// machines that must not answer, for the holder to count as isolated.
 const ISOLATED_FRACTION: f64 = 0.9;
-/// Part of a partitioned zone's workers that must be able to keep their leases for the zone
-/// to be timeout_ms for.
+/// Fraction of a partitioned zone's workers that must be able to keep their leases for the
+/// removal of the zone's machines to be delayed.
 const MIN_KEPT_LEASES_FRACTION: f64 = 0.6;
-/// Boot times until a replacement runs what a machine has run: it has to be provisioned and
-/// to pull the images.
+/// Time until a replacement machine runs the tasks of a removed one, as a multiple of the
+/// boot time: the replacement is provisioned, boots and pulls the images.
 const REPLACEMENT_BOOT_TIMES: f64 = 1.3;
-/// Boot times after which a silent machine is removed although no controller receives
-/// heartbeats from most of its machines: a replacement's would not be received either, and
-/// the cloud lists the machines that have failed.
+/// Removal timeout of a silent machine while every live controller is isolated, as a multiple
+/// of the boot time. Replacements are of little use then, as their heartbeats would not be
+/// received either, and failed machines are found in the cloud's list of machines.
 const ALL_ISOLATED_BOOT_TIMES: f64 = 6.0;
-/// Time after which a worker gives up waiting for the answer to a heartbeat.
+/// Timeout of a worker's heartbeat request.
 const WORKER_HEARTBEAT_TIMEOUT_MS: Ms = 4_000;
-/// Pause of a worker before it tries the next controller.
+/// Pause of a worker before it sends its heartbeat to the next controller.
 const NEXT_CONTROLLER_PAUSE_MS: Ms = 1_000;
-/// Time that a worker takes to follow a redirect to its holder.
+/// Time allowed for a worker to follow a redirect to its holder.
 const REDIRECT_ALLOWANCE_MS: Ms = 500;
-/// Part of a worker's lease after which a silent machine is removed in any case.
+/// Upper bound on the silence granted for reconnecting, as a fraction of a worker's lease.
 const MAX_SILENCE_LEASE_FRACTION: f64 = 0.9;
 
-/// Time that a single machine may be silent, as configured, in milliseconds.
+/// The configured limit on the silence of a single machine, in milliseconds: a multiple of
+/// the worker lease that the operator sets.
 pub(crate) fn configured_silence_ms(config: &Config) -> Ms {
     (config.lease_ms as f64 * config.operator.max_silence_leases) as Ms
 }
 
-/// Time from a worker's lost heartbeat until its next one can be received, in milliseconds.
+/// Longest time from a worker's lost heartbeat until the holder receives the next one, in
+/// milliseconds.
 pub(crate) fn reconnect_ms(config: &Config) -> Ms {
     config.max_heartbeat_interval_ms()
         + WORKER_HEARTBEAT_TIMEOUT_MS
@@ -54,42 +63,47 @@
         + HEARTBEAT_DELAY_ALLOWANCE_MS
 }
 
-/// Time that a single machine may be silent, in milliseconds. One lost heartbeat must not
-/// cost a healthy machine: its worker reconnects after it has timeout_ms for the answer, tried
-/// another controller and been redirected. With short leases that takes longer than the
-/// configured part of the lease, so a network outage of 1.5 s would cost machines with all
-/// their tasks.
+/// The effective limit on the silence of a single machine, in milliseconds. A healthy machine
+/// must not be removed because of one lost heartbeat: its worker reconnects after it has
+/// waited for the answer, tried another controller and been redirected. With short leases the
+/// reconnect takes longer than the configured limit, and a network outage of 1.5 s would
+/// remove machines with all their tasks. The limit is therefore at least the reconnect time,
+/// bounded by [`MAX_SILENCE_LEASE_FRACTION`].
 pub(crate) fn max_silence_ms(config: &Config) -> Ms {
-    let most = (config.lease_ms as f64 * MAX_SILENCE_LEASE_FRACTION) as Ms;
-    configured_silence_ms(config).max(reconnect_ms(config).min(most))
+    let max_reconnect_ms = (config.lease_ms as f64 * MAX_SILENCE_LEASE_FRACTION) as Ms;
+    configured_silence_ms(config).max(reconnect_ms(config).min(max_reconnect_ms))
 }
 
-/// What the failure detector has concluded last.
+/// The conclusions of the last update.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
-    /// Zones that are partitioned and worth waiting for, and until when. An entry outlasts
-    /// the partition by the time in which workers reconnect: most are back at once, and the
-    /// others must not be removed meanwhile.
+    /// Partitioned zones whose workers can keep their leases, and until when the removal of
+    /// machines there is delayed. An entry outlasts the partition by the reconnect time:
+    /// most workers reconnect at once, and machines of slower ones must not be removed
+    /// meanwhile.
     partitioned_zones: BTreeMap<u16, Ms>,
-    /// Until when the same holds for all zones, as this controller was isolated.
+    /// Until when the removal of machines is delayed in all zones, because this controller
+    /// recently received too few heartbeats.
     recovering_until: Ms,
-    /// Hardly any machine's heartbeats are received, or hardly any answers calls.
+    /// This controller must not hold shards: it receives heartbeats from hardly any of its
+    /// machines, or hardly any of them answers its calls.
     is_isolated: bool,
-    /// The same holds for all other controllers that are alive.
+    /// Every live controller has recorded that it receives no heartbeats.
     are_all_isolated: bool,
 }
 
-/// What the failure detector concludes from.
+/// Inputs of an update of the failure detector.
 pub(crate) struct Observations<'a> {
     pub(crate) now: Ms,
-    /// Time in which workers reconnect after an outage, in milliseconds.
+    /// Time that workers need to reconnect after an outage, in milliseconds.
     pub(crate) reconnect_ms: Ms,
+    /// The machines of the active shards held here, by zone.
     pub(crate) zones: &'a BTreeMap<u16, MachineCounts>,
     /// This controller receives heartbeats from enough of its machines.
     pub(crate) receives_heartbeats: bool,
-    /// This controller should hold no shards.
+    /// This controller has a valid lease, but must not hold shards.
     pub(crate) is_isolated: bool,
-    /// All controllers that are alive have recorded that they are isolated.
+    /// Every live controller has recorded that it receives no heartbeats.
     pub(crate) are_all_isolated: bool,
 }
 
@@ -99,8 +113,8 @@
         self.is_isolated
     }
 
-    /// Updates the conclusions. `can_keep_leases` tells whether enough workers of a zone can
-    /// keep their leases while it is partitioned.
+    /// Updates the conclusions. `can_keep_leases` states for a zone's number whether enough
+    /// workers can keep their leases while the zone is partitioned.
     pub(crate) fn update(
         &mut self,
         observations: &Observations<'_>,
@@ -123,10 +137,10 @@
 
     /// Time that a machine may be silent before it is removed, in milliseconds.
     ///
-    /// Nobody knows how long a zone stays partitioned. Its machines are timeout_ms for as long
-    /// as replacements would take, so that in no case more than twice that time is lost.
-    /// Where most workers cannot reach a controller inside the zone before their leases
-    /// expire, their tasks are lost anyway, and are better restarted elsewhere at once.
+    /// The duration of a partition is unknown. The machines of a partitioned zone are kept
+    /// for as long as replacements would take, so at most twice that time is lost. If most
+    /// workers cannot reach a controller inside the zone before their leases expire, their
+    /// tasks are lost in any case, and a restart elsewhere is not delayed.
     pub(crate) fn removal_timeout_ms(
         &self,
         config: &Config,
@@ -135,42 +149,42 @@
         machine: MachineProfile,
     ) -> Ms {
         let is_partitioned = self.partitioned_zones.contains_key(&machine.zone);
-        let boots = if self.are_all_isolated {
+        let boot_times = if self.are_all_isolated {
             ALL_ISOLATED_BOOT_TIMES
         } else if !may_remove_silent || now < self.recovering_until || is_partitioned {
             REPLACEMENT_BOOT_TIMES
         } else {
             0.0
         };
-        let timeout_ms = (machine.boot_ms as f64 * boots) as Ms;
+        let timeout_ms = (machine.boot_ms as f64 * boot_times) as Ms;
         timeout_ms.max(max_silence_ms(config))
     }
 }
 
-/// What the removal timeout of a machine depends on.
+/// Properties of a machine that its removal timeout depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MachineProfile {
+    /// Number of the zone in `Context::places`.
     pub(crate) zone: u16,
     pub(crate) boot_ms: Ms,
 }
 
-/// Whether enough workers of a partitioned zone can keep their leases for the zone to be
-/// timeout_ms for.
+/// Whether enough workers of a zone can keep their leases during a partition of the zone.
 pub(crate) fn can_zone_keep_leases(config: &Config, zone: &str) -> bool {
     config.zones_kept_in_partition(zone) >= MIN_KEPT_LEASES_FRACTION
 }
 
-/// Machines that should send heartbeats.
+/// Counts of the machines of which heartbeats are due.
 #[derive(Clone, Copy, Default, Debug)]
 pub(crate) struct MachineCounts {
     pub(crate) all: u32,
-    /// Nothing is received from them, in whichever way.
+    /// No recent heartbeat was received, whether directly, relayed, or as a probe's answer.
     pub(crate) silent: u32,
-    /// Their own heartbeats are not received.
+    /// Heartbeats are not received directly. Includes the silent machines.
     pub(crate) without_heartbeats: u32,
-    /// Their heartbeats are received, and they were called recently.
+    /// Heartbeats are received, and the machine was called recently.
     pub(crate) called: u32,
-    /// Their heartbeats are received, and they do not answer calls.
+    /// Heartbeats are received, but the machine does not answer calls.
     pub(crate) unanswering: u32,
 }
 
@@ -180,19 +194,19 @@
         is_at_least_fraction(self.silent, self.all, PARTITIONED_ZONE_FRACTION)
     }
 
-    /// Whether heartbeats are received from too few of all machines.
+    /// Whether heartbeats are received from too few of the machines.
     pub(crate) fn lacks_heartbeats(&self) -> bool {
         is_at_least_fraction(self.without_heartbeats, self.all, ISOLATED_FRACTION)
     }
 
-    /// Whether too few of the called machines answer. Those that were not called prove
-    /// nothing about calls.
+    /// Whether too few of the called machines answer. Machines without a recent call are not
+    /// evidence.
     pub(crate) fn lacks_answers(&self) -> bool {
         is_at_least_fraction(self.unanswering, self.called, ISOLATED_FRACTION)
     }
 
     /// Whether more machines should be called: some do not answer, and too few were called
-    /// to tell a failed machine from an isolated controller.
+    /// to tell a failed machine from a controller whose calls fail.
     pub(crate) fn needs_more_calls(&self) -> bool {
         self.unanswering > 0 && self.called < MIN_CALL_SAMPLE_MACHINES.min(self.all)
     }
@@ -212,9 +226,9 @@
     }
 }
 
-/// Whether `count` is at least a part of `all`, and `all` is large enough to prove anything.
-fn is_at_least_fraction(count: u32, all: u32, part: f64) -> bool {
-    all >= MIN_SAMPLE_MACHINES && f64::from(count) >= part * f64::from(all)
+/// Whether `count` is at least a fraction of `all`, and `all` is a sufficient sample.
+fn is_at_least_fraction(count: u32, all: u32, fraction: f64) -> bool {
+    all >= MIN_SAMPLE_MACHINES && f64::from(count) >= fraction * f64::from(all)
 }
 
 #[cfg(test)]
--- a/crates/core/src/membership/failure_detector/tests.rs
+++ b/crates/core/src/membership/failure_detector/tests.rs
@@ -8,7 +8,9 @@
 
 const SETTINGS: &str = include_str!("../../../../../examples/settings.toml");
 
-/// Waiting for a zone in which leases expire anyway costs more than the partition.
+/// Guards against delaying removals in a partitioned zone where most workers' leases expire
+/// before they reach a controller inside the zone: their tasks would restart later than
+/// necessary.
 #[test]
 fn a_partitioned_zone_is_waited_for_where_leases_can_be_kept() {
     let mut config = Config::new(
@@ -32,8 +34,8 @@
     }
 }
 
-/// While the process is paused it receives nothing: no machine is decommissioned as it
-/// resumes, before the heartbeats that wait in the sockets are read.
+/// A paused process receives nothing. On resuming it must not decommission machines as silent
+/// before it has read the heartbeats that are queued in the sockets.
 #[test]
 fn a_pause_of_the_process_does_not_count_as_silence() {
     for (is_paused, is_decommissioned) in [(true, false), (false, true)] {
@@ -68,8 +70,9 @@
     }
 }
 
-/// Where no controller receives most heartbeats, those of a replacement would not be received
-/// either: silent machines are waited for much longer than where others receive theirs.
+/// If every controller is isolated, the heartbeats of replacements would not be received
+/// either. Silent machines are then kept much longer than while another controller receives
+/// heartbeats.
 #[test]
 fn silent_machines_are_kept_longer_where_all_controllers_are_isolated() {
     let mut f = crate::fixture::Fixture::new();
--- a/crates/core/src/membership/peer_confirmations.rs
+++ b/crates/core/src/membership/peer_confirmations.rs
@@ -1,18 +1,20 @@
-//! Confirmations of other controllers, and for how long workers may be answered on them
-//! without a valid lease.
+//! Confirmations from other controllers, and how long they allow this controller to answer
+//! workers without a valid lease.
 //!
-//! An answer to a worker's heartbeat keeps the worker's lease alive, and with it a task whose
-//! cancellation another controller may have confirmed. Within `cancel_ms` of that
-//! confirmation the task must have been stopped, whatever else fails. So the last answer
-//! without the command to stop it must come `cancel_ms` less a worker's lease after the
-//! confirmation at the latest (`Config::grace_ms`). All bounds here have this form: no
-//! cancellation can have been confirmed before some moment, and workers are answered until
-//! that moment plus the grace period. Only the moment moves.
+//! An answer to a worker's heartbeat renews the worker's lease, and so keeps alive a task
+//! whose cancellation another controller may have confirmed. The task must have been stopped
+//! within the configured cancellation timeout after the confirmation, whatever else fails.
+//! The last answer without the command to stop the task must therefore be sent no later than
+//! a grace period after the confirmation: the cancellation timeout less a margin for clock
+//! drift and less a worker's lease (`Config::grace_ms`). All bounds in this module have the same form: no cancellation can
+//! have been confirmed before a certain time, and workers are answered until that time plus
+//! the grace period.
 //!
-//! It moves on evidence alone. Heartbeats carry the time at which they were sent, and
-//! acknowledge the receiver's last one: a confirmation holds as of the moment at which the
-//! acknowledged heartbeat was *sent*, by the receiver's own clock. However late it arrives,
-//! it proves nothing about a later time, and no two clocks are compared.
+//! Only confirmations advance that time. A heartbeat between controllers carries its send
+//! time and acknowledges the last heartbeat of its receiver. A confirmation holds as of the
+//! time at which the acknowledged heartbeat was *sent*, by the clock of the controller that
+//! sent it and now evaluates the confirmation. A delayed confirmation therefore proves
+//! nothing about a later time, and times of different clocks are never compared.
 
 use crate::config::Config;
 use crate::records::ShardId;
@@ -21,14 +23,16 @@
 use forkshift_wire::{MachineId, NodeName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The epochs that a controller had seen, as of some moment or later.
+/// The epochs of shards that a controller had seen. `as_of` is a lower bound on the time of
+/// this state, by this controller's clock.
 #[derive(Debug)]
 struct SeenEpochs {
     as_of: Ms,
     epochs: BTreeMap<ShardId, u64>,
 }
 
-/// Whether the store refused a controller's calls, as of some moment or later.
+/// Whether the store refused a controller's calls. `as_of` is a lower bound on the time of
+/// this state, by this controller's clock.
 #[derive(Clone, Copy, Debug)]
 struct StoreRefusal {
     as_of: Ms,
@@ -48,20 +52,21 @@
 }
 
 /// Machines of a shard that may hold a task of a job whose cancellation was confirmed before
-/// some moment; no other machine of the shard does.
+/// `as_of`. No other machine of the shard holds such a task.
 #[derive(Debug)]
 struct UnsettledMachines {
     as_of: Ms,
     machines: BTreeSet<MachineId>,
 }
 
-/// What other controllers have confirmed, each as of some moment.
+/// The latest confirmations from other controllers, and the validity of this controller's
+/// lease.
 #[derive(Debug, Default)]
 pub(crate) struct PeerConfirmations {
     seen_epochs: BTreeMap<NodeName, SeenEpochs>,
     store_refusals: BTreeMap<NodeName, StoreRefusal>,
     unsettled_machines: BTreeMap<ShardId, UnsettledMachines>,
-    /// Until then this controller's own lease rules out that its shards were reassigned.
+    /// Until when this controller's own lease guarantees that its shards are not reassigned.
     lease_valid_until: Ms,
 }
 
@@ -71,8 +76,8 @@
         self.lease_valid_until = self.lease_valid_until.max(until);
     }
 
-    /// Records the confirmations in a heartbeat, which hold as of `as_of`. Older ones than
-    /// those already known are ignored.
+    /// Records the confirmations in a heartbeat, which hold as of `as_of`. Confirmations that
+    /// are older than the recorded ones are ignored.
     pub(crate) fn record(
         &mut self,
         from: &NodeName,
@@ -87,7 +92,8 @@
         }
     }
 
-    /// A heartbeat without epochs confirms nothing: its sender has no complete view.
+    /// Records the epochs that a controller has seen. A heartbeat without epochs confirms
+    /// nothing, as its sender has no complete view.
     fn record_seen_epochs(&mut self, from: &NodeName, as_of: Ms, heartbeat: &PeerHeartbeat) {
         let Some(epochs) = &heartbeat.epochs else {
             return;
@@ -113,7 +119,7 @@
         if known.is_some_and(|known| as_of <= known.as_of) {
             return;
         }
-        // The message was under way for some time, so the refusals began even earlier.
+        // The duration is as of the send time, so the refusals began no later than this.
         let refused_for_ms = heartbeat.store_refused_for_ms;
         let refusal = StoreRefusal {
             as_of,
@@ -134,21 +140,23 @@
         self.unsettled_machines.insert(shard_id, unsettled);
     }
 
-    /// As of which moment a peer was alive: when the last heartbeat that it acknowledged was
-    /// sent. A delayed acknowledgement proves nothing about the present.
+    /// The latest time at which a peer is known to have been alive: the send time of the last
+    /// heartbeat that it acknowledged, as a delayed acknowledgement proves nothing about the
+    /// present. None if it has acknowledged none.
     pub(crate) fn alive_as_of(&self, node: &NodeName) -> Option<Ms> {
         self.store_refusals.get(node).map(|refusal| refusal.as_of)
     }
 
-    /// Before this moment no other controller can have confirmed a cancellation in a shard
+    /// The time before which no other controller can have confirmed a cancellation in a shard
     /// that is held here under `epoch`. `store_out_since` is the time since which the store
-    /// has refused this controller.
+    /// has refused this controller's calls; none if the store serves them.
     ///
-    /// Only a holder under a higher epoch can confirm one, once it has seen that epoch in
-    /// its view. As long as every other controller confirms that it has seen none, nobody
-    /// has. A controller without link confirms nothing, nor does one that has restarted and
-    /// not been served by the store since. One whose view is complete has read it after its
-    /// start, so its confirmation covers its earlier incarnations.
+    /// Only a holder under a higher epoch can confirm a cancellation, once it has seen that
+    /// epoch in its view. While every other controller confirms that it has seen no higher
+    /// epoch, there is no such holder. A controller without a link to this one confirms
+    /// nothing, and neither does a controller that has restarted and has not been served by
+    /// the store since. A controller with a complete view has read the view after its start,
+    /// so its confirmation covers its earlier incarnations.
     pub(crate) fn no_foreign_cancellation_before(
         &self,
         config: &Config,
@@ -164,8 +172,8 @@
             .max(self.store_outage_confirmed_until(config, store_out_since))
     }
 
-    /// As of which moment a controller had seen no higher epoch of a shard; 0 if it has seen
-    /// one or confirms nothing.
+    /// The latest time at which a controller is known to have seen no higher epoch of a shard;
+    /// 0 if it has seen a higher epoch or confirms nothing.
     fn no_higher_epoch_as_of(&self, node: &NodeName, shard_id: ShardId, epoch: u64) -> Ms {
         let seen = self.seen_epochs.get(node);
         let unclaimed = seen.filter(|seen| {
@@ -175,12 +183,14 @@
         unclaimed.map_or(0, |seen| seen.as_of)
     }
 
-    /// Until then the store was down for all controllers, and has been since before this
-    /// controller's lease ended; 0 if that is not confirmed. In such an outage no lease
-    /// expires, so nobody can have been assigned the shards, whichever controllers have no
-    /// link. The store refuses at most one controller alone, so two that are refused at a
-    /// time would be sufficient evidence; a majority is required, and that no controller has
-    /// been served.
+    /// The latest time at which the store is confirmed to have been down for all controllers
+    /// without interruption since before this controller's lease expired; 0 if that is not
+    /// confirmed. During such an outage no lease expires, so no shard can have been
+    /// reassigned, even to a controller that sends no confirmation.
+    ///
+    /// The store refuses at most one controller individually, so two controllers that are
+    /// refused at the same time would be sufficient evidence. This check requires a majority,
+    /// and that the store is not known to have served any other controller since.
     fn store_outage_confirmed_until(&self, config: &Config, store_out_since: Option<Ms>) -> Ms {
         let lease_end = self.lease_valid_until;
         let is_refused_here = store_out_since.is_some_and(|since| since < lease_end);
@@ -192,7 +202,7 @@
         let refused = refusals.filter(|refusal| refusal.began_before(lease_end));
         let mut confirmed: Vec<Ms> = refused.map(|refusal| refusal.as_of).collect();
         confirmed.sort_unstable_by(|a, b| b.cmp(a));
-        // Together with this controller they are a majority.
+        // Together with this controller, this number of others is a majority.
         let others_required = config.nodes.len() / 2;
         let last = others_required.checked_sub(1);
         last.and_then(|index| confirmed.get(index))
@@ -200,7 +210,7 @@
             .unwrap_or(0)
     }
 
-    /// Before this moment no cancellation can have been confirmed of a task that may still
+    /// The time before which no cancellation can have been confirmed for a task that may still
     /// be on a machine; none if nothing is confirmed about the machine.
     pub(crate) fn settled_as_of(&self, shard_id: ShardId, machine: &MachineId) -> Option<Ms> {
         let settled = self.unsettled_machines.get(&shard_id)?;
--- a/crates/core/src/membership/peers.rs
+++ b/crates/core/src/membership/peers.rs
@@ -1,4 +1,5 @@
-//! The other controllers from which messages have been received.
+//! The other controllers from which messages have been received, with the times that
+//! liveness checks and heartbeat acknowledgements need.
 
 use crate::Ms;
 use forkshift_wire::peer::HeartbeatAck;
@@ -9,9 +10,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     incarnation: u64,
-    /// When its last message was received.
+    /// When its last message was received, by this controller's clock.
     last_message_at: Ms,
-    /// The time in its last heartbeat, by its own clock.
+    /// The latest send time in its heartbeats, by the peer's clock; none before the first.
     last_heartbeat_sent_at: Option<u64>,
 }
 
@@ -22,8 +23,8 @@
 }
 
 impl PeerTable {
-    /// Notes a message of a peer. The time of the last heartbeat stays only within an
-    /// incarnation, as each has a clock of its own.
+    /// Records the receipt of a message from a peer. The send time of the last heartbeat is
+    /// kept only within one incarnation, as each incarnation has its own clock.
     pub(crate) fn record_message(&mut self, from: &NodeName, incarnation: u64, now: Ms) {
         let known = self.peer_of_incarnation(from, incarnation);
         let peer = Peer {
@@ -34,7 +35,8 @@
         self.peers.insert(from.clone(), peer);
     }
 
-    /// Notes when the peer sent a heartbeat, by its own clock.
+    /// Records the send time of a peer's heartbeat, by the peer's clock. Heartbeats of other
+    /// incarnations than the recorded one are ignored.
     pub(crate) fn record_heartbeat(&mut self, from: &NodeName, incarnation: u64, sent_at: u64) {
         let peer = self.peers.get_mut(from);
         if let Some(peer) = peer.filter(|peer| peer.incarnation == incarnation) {
@@ -42,7 +44,8 @@
         }
     }
 
-    /// The acknowledgement of a peer's last heartbeat; none before the first one.
+    /// The acknowledgement of a peer's last heartbeat, to be sent in this controller's next
+    /// heartbeat; none before the first one.
     pub(crate) fn acknowledgement(&self, node: &NodeName) -> Option<HeartbeatAck> {
         let peer = self.peers.get(node)?;
         peer.last_heartbeat_sent_at.map(|sent_at| HeartbeatAck {
@@ -51,13 +54,14 @@
         })
     }
 
-    /// When the last message of an incarnation was received.
+    /// When the last message of an incarnation was received; none if the last message came
+    /// from another incarnation.
     pub(crate) fn last_message_at(&self, node: &NodeName, incarnation: u64) -> Option<Ms> {
         let peer = self.peer_of_incarnation(node, incarnation)?;
         Some(peer.last_message_at)
     }
 
-    /// Forgets all peers.
+    /// Removes all peers, as if no message had been received.
     #[cfg(test)]
     pub(crate) fn clear(&mut self) {
         self.peers.clear();
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,7 +1,9 @@
-//! The controller: the single owner of all state, which handles batches of inputs.
+//! The controller's main loop: applies batches of inputs to the state and returns effects.
 //!
-//! Owns the view, the shards held here, and the parts that decide. May call every part, and
-//! passes each the context. Must not do I/O or read clocks; effects go out by the context.
+//! [`Node`] is the single owner of all state: the cluster view, the shards held here, and the
+//! modules that make decisions. It may call every module, and passes the context to each. It
+//! must not do I/O or read clocks: its caller passes the times and carries out the effects,
+//! which modules add to the context.
 
 mod failure_detection;
 mod peer_heartbeats;
@@ -34,7 +36,7 @@
 use std::rc::Rc;
 use view_sync::ViewSync;
 
-/// A controller.
+/// The state of a controller, advanced by [`Node::step`].
 pub struct Node {
     pub(crate) ctx: Context,
     pub(crate) view: ClusterView,
@@ -42,40 +44,47 @@
     pub(crate) leader: Leader,
     pub(crate) budget: Budget,
     pub(crate) shards: BTreeMap<ShardId, Shard>,
-    /// The last epoch of each shard that was held here; it must not be used again.
+    /// The last epoch under which each shard was held here. An epoch must not be used twice,
+    /// as the fencing tokens derived from it would repeat.
     used_epochs: BTreeMap<ShardId, u64>,
+    /// Final stages of recently ended jobs.
     pub(crate) final_stages: FinalStages,
-    /// Shards of unfinished jobs that other controllers hold.
+    /// Shards of recently seen jobs that other controllers hold.
     pub(crate) job_shards: RecentJobs<ShardId>,
     pub(crate) dependencies: DependencyTracker,
-    /// Submissions whose dependencies are being read.
+    /// Submissions whose dependencies are being read from the store.
     pub(crate) admissions: BTreeMap<RequestId, Admission>,
-    /// Requests forwarded to other controllers, by their numbers.
+    /// Requests forwarded to other controllers that have no answer yet, by number.
     pub(crate) pending_forwards: BTreeMap<u64, PendingForward>,
-    /// The number of the last forwarded request; the first follows the incarnation.
+    /// The number of the last forwarded request. Numbering starts at the incarnation, so that
+    /// a delayed answer to an earlier incarnation does not match.
     pub(crate) last_forward_number: u64,
-    /// Number of the last list of machines whose heartbeats are not received.
+    /// The number of the last relay request, which lists the machines whose heartbeats other
+    /// controllers should relay.
     pub(crate) last_relay_list_number: u64,
-    /// The last such list was not empty.
+    /// The last relay request listed at least one machine.
     pub(crate) has_requested_relays: bool,
-    /// Until then requests that the store refuses are not forwarded to other controllers.
+    /// Until when requests are not forwarded because the store refuses this controller: it
+    /// refused another controller as well.
     pub(crate) store_down_everywhere_until: Ms,
     view_sync: ViewSync,
-    /// Shards that are being handed over.
+    /// The last handover request for each shard.
     handovers: BTreeMap<ShardId, shard_ownership::PendingHandover>,
-    /// The view's revision up to which the shards have applied changes.
+    /// The revision of the view whose changes the shards have applied.
     processed_revision: u64,
     next_status_log_at: Ms,
     next_failure_detection_at: Ms,
-    /// Polls of cancellations that are to be repeated, and when.
+    /// Polls of cancellations to be repeated, and when each is due.
     pub(crate) delayed_cancellation_polls: Vec<(Ms, CancellationPoll)>,
-    /// Until when users wait for cancellations in shards held here to be written.
+    /// Deadlines of the users' requests that wait until a cancellation in a shard held here is
+    /// written to the store.
     pub(crate) cancel_deadlines: VecDeque<(Ms, RequestId, JobId)>,
 }
 
 impl Node {
-    /// A controller that has just started. `incarnation` names this start, and must differ
-    /// from that of every other start. `seed` is that of all random draws.
+    /// A controller that has just started. `incarnation` identifies this start of the process
+    /// and must differ between any two starts. `seed` initializes the random number generator
+    /// of all random decisions.
     pub fn new(config: Config, incarnation: u64, seed: u64) -> Self {
         let config = Rc::new(config);
         let remembered_jobs = config.bounds.remembered_jobs;
@@ -106,16 +115,17 @@
         }
     }
 
-    /// Handles a batch of inputs, does what is due, and returns the effects to be carried
-    /// out. `now` is the steady clock; `wall` is the time of day in milliseconds, which may
-    /// be off and is used only for the ages of jobs.
+    /// Processes a batch of inputs, runs the tasks that are due, and returns the effects for
+    /// the caller to carry out. `now` is the monotonic clock; a value that goes back is
+    /// ignored. `wall` is the time of day in milliseconds since 1970. It may be wrong by the
+    /// configured clock error, and is used only for ages and recorded times.
     pub fn step(&mut self, now: Ms, wall: Ms, inputs: Vec<Input>) -> Vec<Effect> {
         let _span = tracing::debug_span!("step").entered();
         self.ctx.detect_process_pause(now);
         self.ctx.now = self.ctx.now.max(now);
         self.ctx.wall_clock_ms = wall;
-        // Inputs that waited in the sockets during a pause are handled with the lease as it
-        // is now, not as it was before.
+        // Inputs that were queued in the sockets during a pause of the process are processed
+        // under the lease's validity as of now, not as of before the pause.
         self.ctx.has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         for input in inputs {
             self.on_input(input);
@@ -142,7 +152,8 @@
         }
     }
 
-    /// Updates the state of the called service, then handles the answer to a call.
+    /// Records the outcome of a call for the state of the called service, then dispatches the
+    /// response. A status of 0 means that there was no response.
     fn on_call_ended(&mut self, pending: PendingCall, status: u16, body: &[u8]) {
         let now = self.ctx.now;
         match pending.service() {
@@ -159,8 +170,8 @@
         self.on_response(pending, status, body);
     }
 
-    /// Sends the calls to the store that are due. Calls that fail unsent are answered with
-    /// 503, which may queue more calls.
+    /// Sends the store calls that the rate limit allows. Calls that the queue rejected are
+    /// answered with 503 without having been sent; that answer may queue more calls.
     fn send_store_calls(&mut self) {
         let _pump = tracing::debug_span!("pump").entered();
         self.ctx.send_due_store_calls();
@@ -172,21 +183,23 @@
         }
     }
 
-    /// How many machines, jobs and tasks were visited outside of scheduling rounds, as a
-    /// measure of the work that messages and time cause.
+    /// The number of machines, jobs and tasks visited outside of scheduling rounds since the
+    /// start: a deterministic measure of the work that messages and timers cause.
     pub fn visits(&self) -> u64 {
         self.ctx.work_units
     }
 
-    /// Whether this controller can serve requests.
+    /// Whether this controller can serve requests: it has a complete view, is registered, and
+    /// knows the machine types.
     pub(crate) fn is_ready(&self) -> bool {
         self.view.is_complete
             && self.membership.is_registered()
             && !self.view.machine_types.is_empty()
     }
 
-    /// Does what is due. The order matters: the lease and the view come before the decisions
-    /// that rest on them, and shards before the leader's view of their demand.
+    /// Runs the periodic tasks. The order matters: the lease and the view are updated before
+    /// the decisions that depend on them, and shards compute their unmet demand before the
+    /// leader reads it.
     fn tick(&mut self) {
         self.membership.tick(&mut self.ctx, &self.view);
         self.reopen_watches();
@@ -213,7 +226,8 @@
         self.log_status();
     }
 
-    /// Lets each shard load its jobs, apply the changes of the view, and reconcile.
+    /// Advances each shard: it loads its jobs, applies the changes of the view, and reconciles
+    /// the desired with the reported state of its machines.
     fn tick_shards(&mut self, machines: &ChangedMachines, has_view_changed: bool) {
         for shard in self.shards.values_mut() {
             shard.relist_jobs(&mut self.ctx);
@@ -229,7 +243,7 @@
             if has_view_changed {
                 shard.apply_machine_records(&mut self.ctx, &self.view, machines);
             }
-            // A cancellation may be visible before the job that it is for.
+            // The view may show a cancellation before the shard has loaded its job.
             let must_check = std::mem::take(&mut shard.must_check_cancellations);
             if has_view_changed || must_check {
                 for id in self.view.cancellations.keys() {
@@ -240,7 +254,8 @@
         }
     }
 
-    /// Sends what the budget requires, and sets the rate limit of calls to the store.
+    /// Sends the messages of the request budget, and sets this controller's rate limit for
+    /// calls to the store.
     fn update_store_budget(&mut self) {
         let terms = BudgetTerms::from(&self.ctx);
         let messages = self.budget.tick(&terms, &mut self.ctx.store, &self.view);
@@ -253,7 +268,8 @@
         self.ctx.store.allow_advance(allowed);
     }
 
-    /// Resigns as the leader if no call reaches the cloud and others may do better.
+    /// Records whether calls reach the cloud. A leader without a link to the cloud resigns if
+    /// there are other controllers, as one of them may have a link.
     fn update_cloud_link(&mut self) {
         let max_outage_ms = self.ctx.config.node_lease_ms();
         let is_lost = self.ctx.cloud_link.is_lost(self.ctx.now, max_outage_ms);
@@ -265,9 +281,9 @@
         }
     }
 
-    /// Writes a new format once the view shows that it is finalized. From then on all calls
-    /// keep to the limits that are announced as well, as nobody announces when those take
-    /// effect.
+    /// Starts to write a newer format once the view shows that it is finalized. From then on,
+    /// or once the store has rejected a transaction, all calls also observe the announced
+    /// future limits of the store, as the time at which they take effect is not announced.
     fn adopt_finalized_format(&mut self) {
         let known = self.view.format().min(self.ctx.config.format);
         if known > self.ctx.format {
@@ -279,8 +295,8 @@
         }
     }
 
-    /// Forgets the names of images that no job and no machine here uses: users name new
-    /// ones for as long as the process lives.
+    /// Drops the names of images that no job and no machine here uses, if there are too many.
+    /// Users submit new image names without end, so the table would grow without bound.
     fn drop_unused_images(&mut self) {
         if !self.ctx.images.is_over_limit() {
             return;
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -1,5 +1,6 @@
-//! Runs the failure detector: counts machines without heartbeats, notes which links are up,
-//! and names the controller that should take this one's shards over.
+//! Runs the failure detector: counts machines without heartbeats by zone, records which links
+//! of this controller are up, and selects the controller that an isolated controller hands
+//! its shards over to.
 
 use super::Node;
 use crate::context::Context;
@@ -14,12 +15,13 @@
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
-/// How long an isolated controller is assigned nothing, in leases of a worker.
+/// How long the record of an isolated controller states that it receives no heartbeats, and
+/// so prevents assignments to it, in worker leases after it was last isolated.
 const ISOLATION_RECORD_LEASES: Ms = 2;
 
 impl Node {
-    /// Updates the validity of the lease; once in a heartbeat interval, sends heartbeats to
-    /// peers and runs the failure detector.
+    /// Updates the validity of the lease. Once in a heartbeat interval, also sends heartbeats
+    /// and relay requests to the other controllers and updates the failure detector.
     pub(crate) fn run_failure_detector(&mut self) {
         self.update_lease_validity();
         if self.ctx.now < self.next_failure_detection_at {
@@ -40,7 +42,8 @@
         self.update_failure_detector(&zones, &total);
     }
 
-    /// Recomputes whether the lease is valid, and notes it where decisions rest on it.
+    /// Recomputes whether the lease is valid, and publishes the result to the context, the link
+    /// states and the peer confirmations, on which decisions depend.
     fn update_lease_validity(&mut self) {
         self.ctx.has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         self.set_link(Link::Store, self.ctx.has_valid_lease);
@@ -64,8 +67,8 @@
         zones
     }
 
-    /// Updates the failure detector from the counts and the links. An isolated controller
-    /// records that it receives no heartbeats for a while.
+    /// Updates the failure detector from the counts and the links. While this controller is
+    /// isolated, and for a time after, its record states that it receives no heartbeats.
     fn update_failure_detector(
         &mut self,
         zones: &BTreeMap<u16, MachineCounts>,
@@ -99,8 +102,9 @@
         }
     }
 
-    /// Calls some machines that were not called recently. Where few are called, a failed
-    /// machine cannot be told from a controller whose calls fail.
+    /// Schedules calls to some machines in each shard that were not called recently. If only
+    /// few machines are called, a failed machine cannot be told from a controller whose calls
+    /// fail.
     fn call_uncalled_machines(&mut self) {
         let timing = self.ctx.config.link_timing();
         let now = self.ctx.now;
@@ -121,9 +125,9 @@
         }
     }
 
-    /// The controller that should hold the shards while this one is isolated and its record
-    /// says so: the one with the fewest shards of those that are alive and not known to be
-    /// isolated themselves.
+    /// The controller to hand all shards over to, if this controller is isolated and its record
+    /// states so: of the other live controllers whose records do not state the same, the one
+    /// with the fewest shards. None if there is no such controller.
     pub(super) fn handover_target(&self) -> Option<NodeName> {
         let own_name = &self.ctx.config.node;
         let own_record = self.view.nodes.get(own_name);
@@ -140,14 +144,14 @@
         least_loaded.map(|(name, _)| name.clone())
     }
 
-    /// How many shards a controller holds according to the view.
+    /// The number of shards that a controller holds according to the view.
     fn held_shard_count(&self, node: &NodeName) -> usize {
         let shards = self.view.shards.values();
         shards.filter(|s| s.record.holder == *node).count()
     }
 }
 
-/// Counts a shard's machines that should send heartbeats, by zone.
+/// Adds a shard's machines of which heartbeats are due to the counts by zone.
 fn count_machines(shard: &Shard, ctx: &Context, zones: &mut BTreeMap<u16, MachineCounts>) {
     let machines = shard.machines.values();
     for machine in machines.filter(|m| m.decommission_reason.is_none()) {
@@ -158,7 +162,7 @@
     }
 }
 
-/// The counts for a single machine; none if no heartbeat of it is due yet.
+/// The counts for a single machine; none if no heartbeat from it is due yet.
 fn count_machine(machine: &Machine, ctx: &Context) -> Option<MachineCounts> {
     if machine.addr.is_none() && machine.last_heartbeat_at.is_none() {
         return None;
@@ -166,20 +170,22 @@
     let silence_ms =
         (configured_silence_ms(&ctx.config) / 2).max(ctx.config.max_heartbeat_interval_ms());
     let is_silent = ctx.now > machine.last_sign_of_life(ctx.resumed_at) + silence_ms;
-    // A machine of a shard that has just been recovered has not reported here yet. Counted
-    // as heard, such machines would hide that a zone is partitioned.
+    // A machine of a shard that has just been recovered has not sent a heartbeat here yet. If
+    // it were counted as not silent, it would hide a partition of its zone.
     if machine.last_heartbeat_at.is_none() && !is_silent {
         return None;
     }
-    // A worker that has never reported here may take a lease to find this controller.
+    // A worker that has never sent a heartbeat here may need a lease's length to find this
+    // controller. `has_missed_heartbeats` grants half of `lease_ms`, so it is doubled here.
     let timing = Timing {
         heartbeat_interval_ms: silence_ms,
         lease_ms: ctx.config.lease_ms * 2,
     };
     let since = machine.known_since.max(ctx.resumed_at);
     let has_missed_heartbeats = machine.link.has_missed_heartbeats(ctx.now, since, &timing);
-    // Failed calls to a machine without heartbeats prove nothing more. Counted, the machines
-    // of a partitioned zone would have their holder hand its shards over.
+    // Failed calls to a machine without heartbeats are not further evidence. If they were
+    // counted, the machines of a partitioned zone would make their holder hand its shards
+    // over as isolated.
     if is_silent || has_missed_heartbeats {
         return Some(MachineCounts {
             all: 1,
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -1,4 +1,4 @@
-//! Dispatches the answers to calls to the part that made the call.
+//! Dispatches the responses to outgoing calls to the module that made the call.
 
 use super::Node;
 use crate::context::{revision_of, Context};
@@ -9,10 +9,11 @@
 use forkshift_wire::MachineId;
 
 impl Node {
-    /// Handles the answer to a call: an HTTP status, 0 without an answer, and the body.
+    /// Dispatches the response to a call: its HTTP status, which is 0 if there was none, and
+    /// its body.
     ///
-    /// The table is exhaustive, in the order of membership, view and shard assignments, jobs
-    /// and cancellations, shards held here, the leader, and workers.
+    /// The match is exhaustive and ordered by module: membership, view and shard assignments,
+    /// jobs and cancellations, shards held here, the leader, and workers.
     #[allow(clippy::too_many_lines, reason = "one exhaustive table of dispatch")]
     pub(super) fn on_response(&mut self, pending: PendingCall, status: u16, body: &[u8]) {
         match pending {
@@ -160,7 +161,8 @@
         }
     }
 
-    /// Calls `handle` if the shard is still held under the epoch.
+    /// Calls `handle` if the shard is still held under the epoch of the call; otherwise the
+    /// response is dropped.
     fn with_shard(
         &mut self,
         id: ShardId,
@@ -173,7 +175,8 @@
         }
     }
 
-    /// Handles the answer to the write of a shard's unmet demand.
+    /// Processes the answer to the write of a shard's demand record. The record is not written
+    /// again before the view has reached the answer's revision.
     fn on_demand_written(&mut self, id: ShardId, status: u16, body: &[u8]) {
         self.require_revision_on_conflict(status, body);
         if let Some(shard) = self.shards.get_mut(&id) {
@@ -182,7 +185,9 @@
         }
     }
 
-    /// Handles the answer to the write of a machine's record, for whichever shard has it.
+    /// Processes the answer to the write of a machine's record in every shard held here that
+    /// contains the machine. The record is not written again before the view has reached the
+    /// answer's revision.
     fn on_machine_record_written(&mut self, id: &MachineId, status: u16, body: &[u8]) {
         self.require_revision_on_conflict(status, body);
         let revision = revision_of(body);
@@ -195,8 +200,9 @@
         }
     }
 
-    /// Notes a transaction that the store has rejected as malformed: its limits may have
-    /// become stricter.
+    /// Reacts to a transaction that the store has rejected as malformed or too large: the
+    /// store's limits may have become stricter, so all later calls observe the announced
+    /// limits.
     pub(super) fn on_rejected_transaction(&mut self, pending: &PendingCall, body: &[u8]) {
         if pending.service() != Service::Store || is_no_such_lease(body) {
             return;
--- a/crates/core/src/node/shard_lookup.rs
+++ b/crates/core/src/node/shard_lookup.rs
@@ -1,4 +1,4 @@
-//! Finds the shard that holds a job.
+//! Lookup of the active shard that contains an unfinished job.
 
 use super::Node;
 use crate::records::ShardId;
@@ -7,13 +7,14 @@
 use std::collections::BTreeMap;
 
 impl Node {
-    /// The active shard that holds an unfinished job, if it is held here.
+    /// The active shard held here that contains an unfinished job, if there is one.
     pub(crate) fn active_shard_of_mut(&mut self, id: &JobId) -> Option<&mut Shard> {
         active_shard_of_mut(&mut self.shards, id)
     }
 }
 
-/// The active shard that holds an unfinished job.
+/// The active shard that contains an unfinished job. Shards that are still loading are
+/// skipped, as their set of jobs is incomplete.
 pub(crate) fn active_shard_of<'a>(
     shards: &'a BTreeMap<ShardId, Shard>,
     id: &JobId,
@@ -24,7 +25,7 @@
     active.find(|shard| shard.jobs.contains_key(id))
 }
 
-/// The active shard that holds an unfinished job, to be changed.
+/// Like [`active_shard_of`], with mutable access.
 pub(crate) fn active_shard_of_mut<'a>(
     shards: &'a mut BTreeMap<ShardId, Shard>,
     id: &JobId,
--- a/crates/core/src/node/shard_ownership.rs
+++ b/crates/core/src/node/shard_ownership.rs
@@ -1,5 +1,7 @@
-//! Follows the records of shards: acquires those that are assigned to this controller,
-//! releases others, and hands shards over.
+//! Shard ownership: acquires the shards that their records assign to this controller, releases
+//! the others, and requests handovers.
+//!
+//! A handover is a transaction that assigns a shard to another controller under a new epoch.
 
 use super::Node;
 use crate::context::{revision_of, Context};
@@ -10,20 +12,21 @@
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
-/// Time after which a handover without an answer is tried again, in milliseconds.
+/// Time after which a handover request without an answer is retried, in milliseconds.
 const HANDOVER_RETRY_MS: Ms = 1_000;
 
-/// A handover that was requested.
+/// A requested handover, and the conditions for requesting it again.
 pub(super) struct PendingHandover {
-    /// It is not requested again before this.
+    /// The earliest time of the next request.
     retry_at: Ms,
-    /// Nor before the view has reached the revision of the answer.
+    /// The revision that the view must have reached before the next request: that of the
+    /// last answer, 0 before an answer.
     required_revision: u64,
 }
 
 impl Node {
-    /// Acquires shards that are assigned to this incarnation, releases all others, and
-    /// requests the handovers that follow.
+    /// Acquires the shards that the view assigns to this incarnation, releases all others, and
+    /// requests the handovers that are due.
     pub(super) fn reconcile_shard_ownership(&mut self) {
         let isolation_target = self.handover_target();
         let mut handovers: Vec<(ShardId, NodeName)> = Vec::new();
@@ -59,8 +62,8 @@
         }
     }
 
-    /// Requests a handover, unless one is in flight. The shard is released at once, whatever
-    /// the answer.
+    /// Requests a handover, unless one is pending. The shard is released at once, whatever the
+    /// answer will be.
     fn request_handover(&mut self, id: ShardId, to: NodeName) {
         if self.is_handover_pending(id) {
             return;
@@ -83,9 +86,10 @@
         })
     }
 
-    /// Handles the answer to a handover. Until the view has reached its revision the versions
-    /// in the view are outdated: the same request would fail again and again, as fast as the
-    /// store answers, and use up the request budget.
+    /// Processes the answer to a handover request; statuses other than success and conflict
+    /// leave the retry timeout in place. Until the view has reached the answer's revision, the
+    /// record versions in the view are stale: the same request would conflict repeatedly, as
+    /// fast as the store answers, and exhaust the request budget.
     pub(super) fn on_handover_written(&mut self, shards: &[ShardId], status: u16, body: &[u8]) {
         if !matches!(status, 200 | 409) {
             return;
@@ -105,9 +109,10 @@
     record.holder == ctx.config.node && record.holder_incarnation == ctx.incarnation
 }
 
-/// The controller that a shard held here should be handed over to. While this controller is
-/// isolated that is `isolation_target`, and calls in flight are not waited for: they end late, and the
-/// next holder's tokens fence them off.
+/// The controller that a shard held here should be handed over to, if any. While this
+/// controller is isolated, that is `isolation_target`, and the handover does not wait for calls
+/// in flight: they may take long to end, and the next holder's fencing tokens make them
+/// ineffective.
 fn next_holder(
     shard: &Shard,
     record: &ShardRecord,
@@ -124,9 +129,11 @@
     is_possible.then(|| other.clone())
 }
 
-/// Acquires a shard under a new epoch, in place of its state under an earlier one. An epoch
-/// that was used here before has lost its state; its tokens must not be used again, so the
-/// shard is handed over to this controller under another one. Returns the next holder then.
+/// Acquires a shard under the epoch in its record, and drops its state under an earlier epoch.
+///
+/// If the epoch was used here before, the state that belongs to it is lost. Its fencing tokens
+/// must not be issued again, so the shard is not acquired, and this controller is returned as
+/// the target of a handover under a new epoch.
 fn acquire(
     id: ShardId,
     versioned: &Versioned<ShardRecord>,
--- a/crates/core/src/node/shard_ownership/tests.rs
+++ b/crates/core/src/node/shard_ownership/tests.rs
@@ -11,10 +11,10 @@
     effects.iter().filter(is_handover).count()
 }
 
-/// A controller that has handed a shard over sees it as its own until the watch shows the
-/// handover, and requests a new epoch for it. Unless it waits, that request fails as fast as
-/// the store answers (75 conflicts and 250 refusals were measured after one kill on
-/// loopback), and uses up the request budget of all controllers.
+/// After a handover the view still assigns the shard to the previous holder until the watch
+/// delivers the change. A repeated request conflicts as fast as the store answers and exhausts
+/// the request budget of all controllers: one killed controller caused 75 conflicts and 250
+/// refused requests on loopback.
 #[test]
 fn a_handover_is_not_repeated_until_the_view_shows_its_answer() {
     let mut f = Fixture::new();
--- a/crates/core/src/node/status_log.rs
+++ b/crates/core/src/node/status_log.rs
@@ -1,14 +1,14 @@
-//! A periodic log line on each shard that is held here.
+//! Periodic status log lines for each shard that is held here.
 
 use super::Node;
 use crate::shard::Shard;
 use crate::Ms;
 
-/// Time between two log lines on a shard, in milliseconds.
+/// Interval between two status log lines for a shard, in milliseconds.
 const STATUS_LOG_INTERVAL_MS: Ms = 10_000;
 
 impl Node {
-    /// Logs the state of each shard, when that is due.
+    /// Logs the status of each shard if the interval has passed.
     pub(super) fn log_status(&mut self) {
         if self.ctx.now < self.next_status_log_at {
             return;
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -1,4 +1,5 @@
-//! Keeps the cluster view up to date, by a listing and then watches.
+//! Keeps the cluster view in sync with the key-value store: an initial listing, then watches.
+//! Polls supplement the watch while a known revision has not reached the view.
 
 use super::Node;
 use crate::context::{is_watch_lost, revision_of};
@@ -9,39 +10,40 @@
 use crate::Ms;
 use forkshift_wire::state::{Changes, Item, Page};
 
-/// Time after which a watch on the cluster's records ends without changes, in milliseconds.
+/// Time after which the store ends a watch on the cluster's records that has no changes, in
+/// milliseconds.
 const VIEW_WATCH_MS: Ms = 10_000;
 
-/// Part of the limit on requests to the store that is used for these watches. Without a pause
-/// one would be opened with every single change.
+/// Fraction of the store's request limit that the view watches of all controllers may use.
+/// Without this limit, every single change would cause a new watch request.
 const VIEW_WATCH_REQUEST_FRACTION: f64 = 0.2;
 
-/// Pauses before a failed listing, watch or poll is repeated, in milliseconds.
+/// Delays before a failed listing, watch or poll is retried, in milliseconds.
 const LIST_RETRY_MS: Ms = 200;
 const WATCH_RETRY_MS: Ms = 250;
 const POLL_RETRY_MS: Ms = 100;
 
-/// How far the cluster view is in sync with the store, and the calls in flight for it.
+/// The state of the calls that keep the cluster view in sync.
 #[derive(Default)]
 pub(super) struct ViewSync {
-    /// Items of the pages that have been read of a listing.
+    /// Items of the listing's pages read so far.
     listed_items: Vec<Item>,
-    /// The store's revision at the first page.
+    /// The store's revision as of the listing's first page.
     listed_revision: u64,
     is_listing: bool,
     is_watching: bool,
-    /// Number of the last watch; the answers to earlier ones do not reopen it.
+    /// Number of the last watch. Answers to earlier watches do not reopen it.
     watch_serial: u64,
     /// When the next listing or watch may be opened.
     next_watch_at: Ms,
     is_polling: bool,
     next_poll_at: Ms,
-    /// The revision of the last conflict: the view must reach it before a retry.
+    /// The highest revision of a conflict: the view polls until it has reached this revision.
     required_revision: u64,
 }
 
 impl Node {
-    /// Starts the listing, poll or watch that is due.
+    /// Starts the listing, or the poll and watch, that are due.
     pub(super) fn sync_view(&mut self) {
         if !self.view.is_complete {
             self.list_if_due();
@@ -59,9 +61,9 @@
         }
     }
 
-    /// Polls for changes if something waits for a revision that the view has not reached.
-    /// Writes of records that the view does not contain raise the store's revision without
-    /// ending the watch.
+    /// Polls for changes if a shard, the registration or a retry after a conflict requires a
+    /// revision that the view has not reached. The watch alone is not sufficient: writes of
+    /// records outside of the view raise the store's revision without ending the watch.
     fn poll_if_due(&mut self) {
         let revision = self.view.revision;
         let is_awaited = |shard: &Shard| matches!(shard.recovery_state, RecoveryState::Waiting(r) if r > revision);
@@ -91,7 +93,8 @@
             .watch_store(CLUSTER, revision, VIEW_WATCH_MS, pending);
     }
 
-    /// Reads a page of the cluster's records from behind a key.
+    /// Requests a page of the cluster's records whose keys follow `from`; the first page if it
+    /// is empty.
     fn list_view(&mut self, from: &str) {
         let mut path = format!("/kv?starts={CLUSTER}&most=500");
         if !from.is_empty() {
@@ -101,7 +104,7 @@
             .read_store(Urgency::Membership, path, PendingCall::ViewList);
     }
 
-    /// Handles a page of the listing. The view is replaced once all pages have been read.
+    /// Processes a page of the listing. The view is replaced once all pages have been read.
     pub(super) fn on_view_list(&mut self, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok().filter(|_| status == 200);
         let sync = &mut self.view_sync;
@@ -111,7 +114,8 @@
             return;
         };
         if sync.listed_items.is_empty() {
-            // The watch continues from the first page, so it shows what changes meanwhile.
+            // The watch starts from the first page's revision, so it also delivers changes that
+            // are made while the other pages are read.
             sync.listed_revision = page.revision;
         }
         sync.listed_items.append(&mut page.items);
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Handles the answer to a watch. The changes of an earlier watch still count.
+    /// Processes the answer to a watch. Changes delivered by an earlier watch are merged too.
     pub(super) fn on_view_watch(&mut self, serial: u64, status: u16, body: &[u8]) {
         let is_current = serial == self.view_sync.watch_serial;
         self.view_sync.is_watching &= !is_current;
@@ -138,9 +142,9 @@
         }
     }
 
-    /// Reopens all watches once the store answers again after a disturbance. The answers to
-    /// open ones may be lost, and jobs that were accepted elsewhere meanwhile would wait
-    /// until those watches time out.
+    /// Reopens all watches once the store has recovered from an outage. The answers to open
+    /// watches may be lost, and jobs that another controller accepted meanwhile would not be
+    /// seen until those watches time out.
     pub(super) fn reopen_watches(&mut self) {
         if !self.ctx.store.take_recovered(self.ctx.now) {
             return;
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Handles the answer to a poll.
+    /// Processes the answer to a poll.
     pub(super) fn on_view_poll(&mut self, status: u16, body: &[u8]) {
         self.view_sync.is_polling = false;
         if !self.merge_changes(status, body) {
@@ -159,18 +163,20 @@
         }
     }
 
-    /// Applies the changes in the answer to a watch or poll. Returns false if it failed.
+    /// Merges the changes in the answer to a watch or poll into the view. Returns false if the
+    /// call failed and is to be retried.
     fn merge_changes(&mut self, status: u16, body: &[u8]) -> bool {
         match serde_json::from_slice::<Changes>(body) {
             Ok(changes) if status == 200 => self.view.apply(changes.events, changes.revision),
-            // The listing starts over.
+            // The view is listed anew.
             _ if is_watch_lost(status) => self.view.is_complete = false,
             _ => return false,
         }
         true
     }
 
-    /// After a conflict the view is behind the store, and must catch up before a retry.
+    /// Requires the view to reach the revision of a conflict (409): the conflict shows that the
+    /// view is behind the store.
     pub(super) fn require_revision_on_conflict(&mut self, status: u16, body: &[u8]) {
         if status == 409 {
             let required = &mut self.view_sync.required_revision;
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The protocol between controllers: messages, forwarded requests, relayed heartbeats.
 //!
-//! Messages only save time: what they say is in the key-value store as well, so a lost,
+//! Messages are an optimization: their contents are in the key-value store as well, so a lost,
 //! late or repeated message does no harm. The formats are in `forkshift_wire::peer`.
 
 pub(crate) mod forwarding;
--- a/crates/core/src/protocol/forwarding.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -1,11 +1,13 @@
 //! Forwarding of requests to the controller that should answer them.
 //!
 //! A status query or a cancellation is forwarded to the holder of the job's shard, which
-//! answers from memory under a valid lease; that saves a read of the key-value store, which
-//! has few to spare. While the store refuses this controller alone, all
-//! requests are forwarded to another one. The answer counts from the moment between
-//! request and answer at which the other controller gave it, as if the user had sent the
-//! request there. Without an answer in time the request is handled here.
+//! answers from memory under a valid lease. That saves a read of the key-value store, whose
+//! request rate is limited. While the store refuses this controller but may serve others,
+//! all requests are forwarded to another controller.
+//!
+//! Forwarding keeps the guarantees of a direct request: the answer reflects the state at a
+//! time between request and answer, as if the user had sent the request to the other
+//! controller. If there is no answer in time, the request is handled here.
 
 use crate::api::status_of_stage;
 use crate::io::{Reply, RequestId};
@@ -18,20 +20,21 @@
 use forkshift_wire::users::JobStatus;
 use forkshift_wire::{JobId, NodeName};
 
-/// Path of the heartbeats of workers.
+/// Path of the requests that carry workers' heartbeats.
 const WORKER_HEARTBEAT_PATH: &str = "/v1/report";
-/// Time that another controller has for a status query, in milliseconds; users wait 2 s.
+/// Timeout for another controller's answer to a status query, in milliseconds. Users wait
+/// 2 s, so time remains to handle the query here.
 const QUERY_TIMEOUT_MS: Ms = 500;
-/// Time that another controller has for a request that writes, in milliseconds.
+/// Timeout for another controller's answer to a request that writes, in milliseconds.
 const WRITE_TIMEOUT_MS: Ms = 1_500;
-/// Pause before a heartbeat is forwarded again, in milliseconds: a repeated heartbeat
-/// changes nothing.
+/// Interval at which an unanswered heartbeat is forwarded again, in milliseconds. Heartbeats
+/// are idempotent.
 const HEARTBEAT_RESEND_MS: Ms = 500;
-/// Pause of forwarding after another controller was found to be refused by the store as
-/// well, in milliseconds.
+/// How long requests are not forwarded after the store was found to refuse another controller
+/// as well, in milliseconds.
 const STORE_DOWN_PAUSE_MS: Ms = 1_000;
 
-/// A request as it is sent to another controller.
+/// The contents of a request that is sent to another controller.
 pub(crate) struct ForwardedRequest {
     method: String,
     path: String,
@@ -39,7 +42,7 @@
 }
 
 impl ForwardedRequest {
-    /// The message that forwards it under a number.
+    /// The message that forwards the request under the sender's number for it.
     fn to_message(&self, request_number: u64) -> Body {
         Body::ForwardedRequest {
             request_number,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// A heartbeat of a worker.
+    /// The request that carries a worker's heartbeat.
     pub(crate) fn heartbeat(body: Vec<u8>) -> Self {
         Self {
             method: "POST".to_owned(),
@@ -63,17 +66,18 @@
     }
 }
 
-/// A request that was forwarded and has no answer yet.
+/// A forwarded request that has no answer yet.
 pub(crate) struct PendingForward {
     request: RequestId,
     forwarded: ForwardedRequest,
     target: NodeName,
     deadline: Ms,
-    /// When it is sent again, if it may be: a message may be lost with its connection.
+    /// When the message is sent again, as it may be lost with its connection; none if the
+    /// request must not be repeated.
     resend_at: Option<Ms>,
 }
 
-/// A request that may be forwarded.
+/// A user's request of a kind that may be forwarded.
 enum ForwardableRequest {
     /// A new job.
     Submission,
@@ -95,8 +99,9 @@
 }
 
 impl Node {
-    /// Forwards a user's request, if another controller should answer it. Returns
-    /// the body as an error if not.
+    /// Forwards a user's request, if another controller should answer it. Otherwise returns
+    /// the body as the error, so that the request can be handled here. A request that was
+    /// forwarded to this controller is not forwarded again.
     pub(crate) fn try_forward(
         &mut self,
         request: RequestId,
@@ -124,7 +129,7 @@
         Ok(())
     }
 
-    /// Sends a request to another controller, which has `timeout` for its answer.
+    /// Sends a request to another controller, which must answer within `timeout` milliseconds.
     pub(crate) fn forward(
         &mut self,
         request: RequestId,
@@ -149,7 +154,7 @@
         self.pending_forwards.insert(request_number, forward);
     }
 
-    /// Sends requests again that may be repeated and have no answer yet.
+    /// Repeats the unanswered requests that may be repeated and are due.
     fn resend_forwards(&mut self) {
         let now = self.ctx.now;
         for (request_number, forward) in &mut self.pending_forwards {
@@ -161,7 +166,8 @@
         }
     }
 
-    /// The controller that should answer a request instead of this one.
+    /// The controller that should answer a request instead of this one; none if the request is
+    /// handled here.
     fn forward_target(&self, method: &str, path: &str) -> Option<NodeName> {
         let request = ForwardableRequest::parse(method, path)?;
         if let ForwardableRequest::ForJob(id) = &request {
@@ -175,20 +181,20 @@
         self.peer_with_store_access().cloned()
     }
 
-    /// Whether the status of a job is known here without a read of the store.
+    /// Whether the status of a job can be answered here without a read of the store.
     fn can_answer_from_memory(&self, id: &JobId) -> bool {
         let has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         self.final_stages.get(id).is_some() || (has_valid_lease && self.has_job(id))
     }
 
-    /// Whether a shard that is held here has an unfinished job.
+    /// Whether a shard held here contains the unfinished job.
     fn has_job(&self, id: &JobId) -> bool {
         self.shards
             .values()
             .any(|shard| shard.jobs.contains_key(id))
     }
 
-    /// The other controller that holds a job, if it is known.
+    /// The other controller that holds the job's shard, if the shard is known.
     fn remote_holder(&self, id: &JobId) -> Option<&NodeName> {
         if self.has_job(id) {
             return None;
@@ -198,8 +204,9 @@
         (*holder != self.ctx.config.node).then_some(holder)
     }
 
-    /// Another controller, if the store refuses this one and perhaps not all: each time
-    /// the next one.
+    /// Another controller that the store may serve, while it refuses this one; successive
+    /// requests rotate through the other controllers. None if the store serves this controller
+    /// or was recently found to refuse another one.
     fn peer_with_store_access(&self) -> Option<&NodeName> {
         if !self.ctx.store.is_out() || self.ctx.now < self.store_down_everywhere_until {
             return None;
@@ -212,7 +219,8 @@
         peers.get(index).copied()
     }
 
-    /// Another controller has forwarded a request.
+    /// Processes a request that another controller has forwarded. Requests other than users'
+    /// requests for jobs and heartbeats are dropped.
     pub(crate) fn on_forwarded_request(
         &mut self,
         sender: &MessageSender,
@@ -230,7 +238,7 @@
             .ctx
             .register_peer_request(node, sender.incarnation, request_number);
         if is_full {
-            // The sender handles the request itself, and need not wait to do so.
+            // A refusal makes the sender handle the request at once instead of after its timeout.
             let now = self.ctx.now;
             self.ctx.overflows.record(now, Overflow::ForwardedRequests);
             return self
@@ -240,7 +248,8 @@
         self.on_request(request, method, path, body);
     }
 
-    /// Another controller has answered a request that was forwarded to it.
+    /// Processes another controller's answer to a forwarded request. A 503 makes this
+    /// controller handle the request; an answer to an unknown number is dropped.
     pub(crate) fn on_forwarded_response(&mut self, request_number: u64, reply: Reply) {
         let Some(forward) = self.pending_forwards.remove(&request_number) else {
             return;
@@ -250,7 +259,7 @@
         }
         if reply.status == 503 {
             if self.ctx.store.is_out() {
-                // The store refuses the other controller, too.
+                // The store refuses the other controller as well.
                 self.store_down_everywhere_until = self.ctx.now + STORE_DOWN_PAUSE_MS;
             }
             return self.serve_unanswered(forward);
@@ -259,8 +268,8 @@
         self.ctx.respond(forward.request, reply);
     }
 
-    /// Notes the final stage in an answer. If the answer was overtaken by a final stage
-    /// that is known here, returns that instead.
+    /// Records the final stage in an answer. If the answer states an earlier stage than the
+    /// final one that is known here, returns an answer with the final stage instead.
     fn with_latest_stage(&mut self, reply: Reply) -> Reply {
         let reported = serde_json::from_slice::<JobStatus>(&reply.body).ok();
         let Some(reported) = reported.filter(|_| reply.status == 200) else {
@@ -276,8 +285,8 @@
         }
     }
 
-    /// Handles here the requests that had no answer in time, and forgets requests of
-    /// other controllers that can have none.
+    /// Handles the requests here that had no answer in time, repeats others that are due, and
+    /// drops expired requests from other controllers.
     pub(crate) fn expire_pending_forwards(&mut self) {
         let now = self.ctx.now;
         let expired: Vec<u64> = self
@@ -295,7 +304,7 @@
         self.ctx.expire_peer_requests();
     }
 
-    /// Handles a request that another controller has not answered.
+    /// Handles a request here that another controller has refused or not answered in time.
     fn serve_unanswered(&mut self, forward: PendingForward) {
         let PendingForward {
             request, forwarded, ..
--- a/crates/core/src/protocol/forwarding/tests.rs
+++ b/crates/core/src/protocol/forwarding/tests.rs
@@ -8,7 +8,7 @@
 
 const PEER_INCARNATION: u64 = 9;
 
-/// HTTP statuses of the answers to forwarded requests since the last call.
+/// Drains the effects and returns the HTTP statuses of the answers to forwarded requests.
 fn take_response_statuses(node: &mut Node) -> Vec<u16> {
     let effects = std::mem::take(&mut node.ctx.effects);
     let messages = effects.iter().filter_map(|e| match e {
@@ -32,7 +32,8 @@
     node.on_forwarded_request(&sender, request_number, "GET", &path, None);
 }
 
-/// A request beyond the bound is answered: its sender need not wait for the timeout.
+/// A request beyond the limit must be refused with an answer. If it were dropped, its sender
+/// would handle it only after the timeout.
 #[test]
 fn forwarded_request_beyond_the_bound_is_refused_at_once() {
     let mut f = Fixture::new();
@@ -49,7 +50,8 @@
     assert_eq!(take_response_statuses(&mut f.node), vec![503]);
 }
 
-/// A request that another controller refuses is handled here, without waiting.
+/// A request that another controller refuses must be handled here at once, without waiting for
+/// the timeout.
 #[test]
 fn refused_request_is_handled_by_the_controller_that_forwarded_it() {
     let mut f = Fixture::new();
--- a/crates/core/src/protocol/messages.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -1,7 +1,8 @@
-//! Messages between controllers.
+//! Messages between controllers: dispatch of received messages, and notifications of the
+//! holder of a shard.
 //!
-//! What they say can be read in the key-value store as well, so nothing rests
-//! on them: they save the time until a watch shows it.
+//! The contents of the messages can be read from the key-value store as well, so correctness
+//! does not depend on them. They save the time until a watch delivers the change.
 
 use crate::io::Reply;
 use crate::node::Node;
@@ -11,14 +12,15 @@
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::{JobId, NodeName};
 
-/// The sender of a message.
+/// The controller and its incarnation that sent a message.
 pub(crate) struct MessageSender {
     pub(crate) node: NodeName,
     pub(crate) incarnation: u64,
 }
 
 impl Node {
-    /// A message of another controller was received.
+    /// Decodes and processes a message from another controller. A malformed message is logged
+    /// and dropped.
     pub(crate) fn on_peer_message(&mut self, message: &[u8]) {
         let envelope = match Envelope::decode(message) {
             Ok(envelope) => envelope,
@@ -31,7 +33,7 @@
             node: NodeName::new(&envelope.from),
             incarnation: envelope.incarnation,
         };
-        // An earlier incarnation of a peer may still have messages on the way.
+        // Messages of an earlier incarnation of the sender may still be in transit.
         let is_alive = self.view.is_alive(&sender.node, sender.incarnation);
         if self.ctx.config.nodes.contains(&sender.node) {
             self.record_peer_message(&sender.node, sender.incarnation);
@@ -42,19 +44,19 @@
         }
     }
 
-    /// Handles messages that count whether or not their sender is alive. Returns those
-    /// that do not.
+    /// Processes messages that are valid whether or not their sender has a valid lease. Returns
+    /// the others unprocessed.
     fn on_message_of_any_peer(&mut self, sender: &MessageSender, body: Body) -> Option<Body> {
         match body {
-            // A forwarded request is as good as a user's own request, and its
-            // answer is known by its number: the sender's lease does not matter.
+            // A forwarded request is equivalent to a request from the user, and its answer is
+            // identified by its number, so the sender's lease is irrelevant.
             Body::ForwardedRequest {
                 request_number,
                 method,
                 path,
                 body,
             } => self.on_forwarded_request(sender, request_number, &method, &path, body),
-            // Meant for an earlier incarnation of this controller.
+            // The request was forwarded by an earlier incarnation of this controller.
             Body::ForwardedResponse { incarnation, .. } if incarnation != self.ctx.incarnation => {}
             Body::ForwardedResponse {
                 incarnation: _,
@@ -75,15 +77,15 @@
                     self.on_heartbeat(&sender.node, sender.incarnation, heartbeat);
                 }
             }
-            // What is recorded stays so, whichever incarnation sends it.
+            // A job that has ended never changes its stage, so any incarnation may report it.
             Body::JobEnded { id, cancelled } => self.on_job_ended_message(&id, cancelled),
             other => return Some(other),
         }
         None
     }
 
-    /// Handles messages that count only while their sender is alive. `epoch` is that of
-    /// the shard that a message is about.
+    /// Processes messages that are valid only while their sender is alive according to the
+    /// view. `epoch` is the epoch of the shard that a message concerns; 0 if it concerns none.
     fn on_message_of_live_peer(&mut self, sender: MessageSender, epoch: u64, body: Body) {
         let MessageSender { node, incarnation } = sender;
         match body {
@@ -112,17 +114,17 @@
             } => self.on_new_job_message(ShardId(shard), epoch, &spec, submitted_at_ms, revision),
             Body::CancelJob { id } => self.on_cancel_message(epoch, &id),
             Body::RelayRequest {
-                list_number: list,
+                list_number,
                 machines,
             } => {
-                self.on_relay_request(&node, incarnation, list, &machines);
+                self.on_relay_request(&node, incarnation, list_number, &machines);
             }
             Body::ProbeRequest { machines } => self.on_probe_request(&node, &machines),
             Body::ProbeResult { heartbeat } => self.on_probe_result(&heartbeat),
             Body::InheritPriority { id, priority } => {
                 self.on_inherited_priority_message(&id, priority);
             }
-            // Handled whether or not their sender is alive.
+            // Processed by `on_message_of_any_peer`.
             Body::ForwardedRequest { .. }
             | Body::ForwardedResponse { .. }
             | Body::Heartbeat(_)
@@ -130,7 +132,7 @@
         }
     }
 
-    /// A holder has sent the unmet demand of its shard to the leader.
+    /// Passes the unmet demand of a shard, sent by its holder, to the leader's state.
     fn on_demand_message(&mut self, shard_id: ShardId, epoch: u64, demand: &str) {
         match serde_json::from_str(demand) {
             Ok(record) => {
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Another controller has accepted a job of a shard that is held here.
+    /// Adds a job that another controller has accepted to the shard held here. The message is
+    /// ignored if the shard is not held under the epoch.
     fn on_new_job_message(
         &mut self,
         shard_id: ShardId,
@@ -157,8 +160,8 @@
         }
     }
 
-    /// A user has requested from another controller the cancellation of a job that is
-    /// held here, under an epoch.
+    /// Cancels a job of a shard that is held here under the epoch. A user has requested the
+    /// cancellation from another controller.
     fn on_cancel_message(&mut self, epoch: u64, id: &str) {
         let Some(id) = JobId::parse(id) else { return };
         let Node { shards, ctx, .. } = self;
@@ -167,7 +170,8 @@
         }
     }
 
-    /// Notifies the holder of a shard of a job that was accepted here.
+    /// Notifies the holder of a shard of a job that was accepted here. `revision` is the
+    /// store's revision of the job's record.
     pub(crate) fn send_new_job(&mut self, shard_id: ShardId, spec: &JobSpec, revision: u64) {
         let body = Body::NewJob {
             shard: shard_id.0,
@@ -184,7 +188,8 @@
         self.send_to_holder(shard_id, Body::CancelJob { id });
     }
 
-    /// Sends a message to the holder of a shard, if that is another controller.
+    /// Sends a message to the holder of a shard with the shard's epoch, if the view shows a
+    /// holder and that is another controller.
     pub(crate) fn send_to_holder(&mut self, shard_id: ShardId, body: Body) {
         let shard = self.view.shards.get(&shard_id);
         let epoch = shard.map_or(0, |shard| shard.record.epoch);
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -1,15 +1,18 @@
-//! Heartbeats of workers that reach another controller than the holder of their shard.
+//! Relay of worker heartbeats that reach a controller other than the holder of their shard,
+//! and indirect probes of workers.
 //!
-//! Such a worker is usually redirected to the holder. If the holder has announced that it
-//! receives no heartbeats of the machine, the link is lost: the heartbeat is relayed, and
-//! the holder's answer is returned to the worker. It renews the lease and carries commands
-//! like a direct one: token and commands are the holder's, under its valid lease,
-//! and the worker drops an answer that comes after its timeout.
+//! A worker that sends its heartbeat to another controller is usually redirected to the
+//! holder. If the holder has announced that it receives no heartbeats from the machine, the
+//! link between the two is lost. The heartbeat is then relayed to the holder, and the
+//! holder's answer is returned to the worker. The answer renews the worker's lease and carries
+//! commands like a direct one: the token and the commands come from the holder, which has a
+//! valid lease, and the worker drops an answer that arrives after its timeout.
 //!
-//! The holder also has a silent machine probed, by itself and by two others (as in SWIM's
-//! indirect probes): the worker's answer is as good as a heartbeat, except that it renews no
-//! lease. So a machine that some controller reaches is not decommissioned, and that its
-//! lease has expired is known from its incarnation.
+//! The holder also probes a silent machine itself and requests probes from two other
+//! controllers, as in SWIM's indirect probes. The worker's answer counts as a heartbeat,
+//! except that it renews no lease. A machine that any controller can reach is therefore not
+//! decommissioned. If the worker's lease has expired meanwhile, its changed incarnation shows
+//! that.
 
 use crate::bounds::encoded_name_bytes;
 use crate::context::Context;
@@ -24,33 +27,37 @@
 use forkshift_wire::workers::WorkerHeartbeat;
 use forkshift_wire::{MachineId, NodeName};
 
-/// Time that the holder has for an answer, in milliseconds; workers wait 4 s.
+/// Timeout for the holder's answer to a relayed heartbeat, in milliseconds. It is below the
+/// timeout of workers, which is 4 s.
 const RELAY_TIMEOUT_MS: Ms = 2_000;
-/// A list of machines to relay for is valid for this many intervals between two lists.
+/// Validity of a relay request, in heartbeat intervals, which are the time between two
+/// requests.
 const RELAY_REQUEST_INTERVALS: Ms = 5;
-/// Controllers that are requested to probe a machine: one may have lost the link, too.
+/// Controllers that are requested to probe a machine. A single one may have lost its link to
+/// the machine as well.
 const MAX_PROBING_CONTROLLERS: usize = 2;
 
-/// Whether a heartbeat may be relayed to the holder.
+/// Whether a worker's heartbeat may be relayed to the holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum RelayPermission {
-    /// It may.
+    /// The heartbeat has not been relayed yet.
     Allowed,
-    /// It was, and the holder has not answered.
+    /// The heartbeat was relayed, and the holder has not answered in time.
     AlreadyTried,
 }
 
-/// Machines whose heartbeats are not received.
+/// Machines whose heartbeats are overdue.
 #[derive(Default)]
 struct UnreachableMachines {
-    /// Their heartbeats are to be relayed by the controllers that receive them.
+    /// Machines whose heartbeats other controllers should relay.
     to_relay: Vec<MachineId>,
-    /// They are to be probed now.
+    /// Machines of which a probe is due now.
     to_probe: Vec<MachineId>,
 }
 
 impl Shard {
-    /// Adds machines of the shard whose heartbeats are missing.
+    /// Adds machines of the shard whose heartbeats are overdue, and schedules this
+    /// controller's own call to those of which a probe is due.
     fn find_unreachable_machines(
         &mut self,
         now: Ms,
@@ -84,8 +91,8 @@
 }
 
 impl Node {
-    /// Requests the heartbeats and probes of machines whose heartbeats are missing from the
-    /// other controllers.
+    /// Requests from the other controllers to relay the heartbeats of machines whose heartbeats
+    /// are overdue, and to probe these machines.
     pub(crate) fn request_relays(&mut self) {
         let timing = self.ctx.config.link_timing();
         let (now, resumed_at) = (self.ctx.now, self.ctx.resumed_at);
@@ -100,15 +107,16 @@
         self.send_relay_request(unreachable.to_relay);
     }
 
-    /// Sends the machines whose heartbeats are to be relayed to all other controllers.
+    /// Sends the list of machines whose heartbeats are to be relayed to all other controllers.
+    /// Nothing is sent if this list and the last one are empty.
     fn send_relay_request(&mut self, relayed: Vec<MachineId>) {
-        // An empty list takes back the one before it.
+        // An empty list revokes the previous one.
         if relayed.is_empty() && !std::mem::take(&mut self.has_requested_relays) {
             return;
         }
         self.has_requested_relays = !relayed.is_empty();
         self.last_relay_list_number += 1;
-        let list = self.last_relay_list_number;
+        let list_number = self.last_relay_list_number;
         let config = self.ctx.config.clone();
         for machines in split_into_messages(relayed, config.bounds.list_bytes) {
             for node in config.other_nodes() {
@@ -117,7 +125,7 @@
                     node,
                     0,
                     Body::RelayRequest {
-                        list_number: list,
+                        list_number,
                         machines,
                     },
                 );
@@ -125,8 +133,8 @@
         }
     }
 
-    /// Requests probes of machines from some of the other controllers, each time from
-    /// others.
+    /// Requests probes of machines from up to [`MAX_PROBING_CONTROLLERS`] controllers that
+    /// answer. The selection rotates with the number of the last relay request.
     fn send_probes(&mut self, machines: Vec<MachineId>) {
         if machines.is_empty() {
             return;
@@ -148,8 +156,9 @@
         }
     }
 
-    /// Another controller receives no heartbeats of these machines, and requests probes
-    /// of them.
+    /// Probes machines on request of another controller, which receives no heartbeats from
+    /// them. Machines without a known address, and those beyond the limit on worker calls in
+    /// flight, are skipped.
     pub(crate) fn on_probe_request(&mut self, from: &NodeName, machines: &[String]) {
         let timeout = self.ctx.config.worker_call_timeout_ms();
         let max_calls = self.ctx.config.bounds.worker_calls;
@@ -165,7 +174,8 @@
         }
     }
 
-    /// A probe of a worker for its holder has ended, with an answer or without.
+    /// Processes the end of a probe that `holder` requested. A worker's answer is sent to the
+    /// holder; without an answer nothing is sent.
     pub(crate) fn on_worker_probed(&mut self, holder: &NodeName, status: u16, body: &[u8]) {
         if status == 200 {
             let heartbeat = body.to_vec();
@@ -174,7 +184,8 @@
         }
     }
 
-    /// A worker of a shard that is held here has answered the probe of another controller.
+    /// Processes the answer of a worker to another controller's probe, as a heartbeat to the
+    /// active shards held here.
     pub(crate) fn on_probe_result(&mut self, heartbeat: &[u8]) {
         let heartbeat: WorkerHeartbeat = match serde_json::from_slice(heartbeat) {
             Ok(heartbeat) => heartbeat,
@@ -187,39 +198,42 @@
         }
     }
 
-    /// Another controller requests the heartbeats of these machines.
+    /// Records that another controller requests the heartbeats of these machines. Lists with
+    /// the same number are parts of one list.
     pub(crate) fn on_relay_request(
         &mut self,
         from: &NodeName,
         incarnation: u64,
-        list: u64,
+        list_number: u64,
         machines: &[String],
     ) {
         let until = self.ctx.now + self.ctx.heartbeat_interval_ms() * RELAY_REQUEST_INTERVALS;
         let view = &self.view;
         let machines = machines.iter().map(|id| MachineId::new(id));
-        // Only machines that are known here can send heartbeats to this controller.
+        // Heartbeats of machines that the view does not contain are not accepted here.
         let known = machines.filter(|id| view.machines.contains_key(id));
         self.ctx
             .relays
-            .on_relay_request(from, incarnation, list, known, until);
+            .on_relay_request(from, incarnation, list_number, known, until);
     }
 
-    /// The holder that a machine's heartbeat is relayed to, if it is. One that can't be
-    /// reached either is skipped: it would have no answer in time.
+    /// The holder that a machine's heartbeat should be relayed to. None if the heartbeat should
+    /// not be relayed, or if the holder does not acknowledge this controller's heartbeats: its
+    /// answer would not arrive in time.
     pub(crate) fn relay_target(&self, machine: &MachineId) -> Option<NodeName> {
         let holder = self.unreachable_holder(machine);
         holder.filter(|node| self.ctx.is_peer_answering(node))
     }
 
-    /// Relays a worker's heartbeat to the holder that it does not reach.
+    /// Relays a worker's heartbeat to the holder that the worker cannot reach.
     pub(crate) fn relay_heartbeat(&mut self, request: RequestId, holder: &NodeName, body: Vec<u8>) {
         let forwarded = ForwardedRequest::heartbeat(body);
         self.forward(request, holder, forwarded, RELAY_TIMEOUT_MS);
     }
 
-    /// The other controller that holds a machine, if it has requested the machine's
-    /// heartbeats, or if the worker was redirected there and came back.
+    /// The other controller that holds a machine, if the link between the two is lost: the
+    /// holder has requested the machine's heartbeats, or the worker was recently redirected to
+    /// the holder and has returned.
     pub(crate) fn unreachable_holder(&self, machine: &MachineId) -> Option<NodeName> {
         let shard = self.view.machines.get(machine)?.record.shard;
         let shard = &self.view.shards.get(&shard)?.record;
@@ -238,7 +252,7 @@
         is_link_lost.then(|| holder.clone())
     }
 
-    /// Notes the state of a link, and logs it if it has changed.
+    /// Records the state of a link. Logs a change, and which decisions are suspended by it.
     pub(crate) fn set_link(&mut self, link: Link, is_up: bool) {
         if !self.ctx.links.set(link, is_up) {
             return;
@@ -253,7 +267,8 @@
     }
 }
 
-/// Splits names into lists of up to `max_bytes` each, at least one.
+/// Splits machine names into lists of up to `max_bytes` each when encoded. Returns at least
+/// one list, which may be empty.
 fn split_into_messages(machines: Vec<MachineId>, max_bytes: usize) -> Vec<Vec<String>> {
     let mut messages = vec![Vec::new()];
     let mut used = 0;
