--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,9 +1,9 @@
-//! The context of every part of the controller: clock, settings, links, and the effects that
-//! are to be carried out.
+//! The context that is passed to every module of the controller: clock, settings, link states,
+//! and the effects to be carried out after the step.
 //!
-//! Parts of the controller change the world only by it: calls and answers are in
-//! [`calls`], requests forwarded by other controllers in [`peer_requests`], and the clock and
-//! the liveness of machines and peers in [`liveness`].
+//! Modules act on the outside only through the context. Outgoing calls are in [`calls`],
+//! requests forwarded by other controllers and answers to requests in [`peer_requests`], and
+//! the clock and the liveness of machines and peers in [`liveness`].
 
 mod calls;
 mod liveness;
@@ -30,73 +30,81 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// The revision of the store in the answer to a transaction; 0 without an answer.
+/// The store's revision in the answer to a transaction; 0 if there is no answer or it cannot be
+/// parsed.
 pub(crate) fn revision_of(body: &[u8]) -> u64 {
     let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
     reply.revision
 }
 
-/// Whether a watch must start over with a listing: it is too far behind, or more has changed
-/// than an answer may hold. The same watch would fail again and again.
+/// Whether the status of a watch means that the watcher must list the records anew: the
+/// watch's revision is too old (410), or the changes since then exceed the size of an answer
+/// (413). The same watch would always fail.
 pub(crate) fn is_watch_lost(status: u16) -> bool {
     matches!(status, 410 | 413)
 }
 
-/// Time, settings, links, and the effects of the current step.
+/// State that all modules share, and the effects of the current step.
 pub(crate) struct Context {
-    /// The steady clock, in milliseconds. It never goes back.
+    /// The monotonic clock, in milliseconds.
     pub(crate) now: Ms,
-    /// The time of day, which may differ between controllers.
+    /// The time of day in milliseconds since 1970. The clocks of controllers may differ by the
+    /// configured clock error.
     pub(crate) wall_clock_ms: Ms,
     pub(crate) config: Rc<Config>,
-    /// The newest format that may be written: the finalized one, once the view
-    /// has shown it.
+    /// The newest format that may be written: the finalized one once the view has shown it, the
+    /// first one before.
     pub(crate) format: FormatVersion,
-    /// Limits of the key-value store that all calls keep to.
+    /// Limits of the key-value store that all calls observe.
     pub(crate) limits: StateLimits,
-    /// The store has refused a transaction as malformed or too large.
+    /// The store has rejected a transaction as malformed or too large. Stays set until the
+    /// process ends.
     pub(crate) has_rejected_transaction: bool,
-    /// Names this start of the controller.
+    /// Identifies this start of the controller.
     pub(crate) incarnation: u64,
     /// Effects of the current step, in order.
     pub(crate) effects: Vec<Effect>,
-    /// Calls to the key-value store that are not sent yet.
+    /// The queue of calls to the key-value store that are not sent yet.
     pub(crate) store: StoreQueue,
     pub(crate) rng: StdRng,
-    /// Calls in flight, and what is to be done when each of them ends.
+    /// Calls in flight, with the data needed to process each response.
     pub(crate) pending_calls: HashMap<CallId, PendingCall>,
-    /// Calls to the store that failed without having been sent.
+    /// Calls to the store that the queue has rejected; they are answered as failed.
     pub(crate) unsent_calls: Vec<PendingCall>,
-    /// Unmet demand of the shards held here, while this controller leads.
+    /// Unmet demand of the shards held here, with their epochs, for this controller's own
+    /// leader state. Used only while this controller is the leader.
     pub(crate) unmet_demand: Vec<(ShardId, u64, DemandRecord)>,
-    /// Requests that other controllers have forwarded.
+    /// Requests that other controllers have forwarded and that have no answer yet.
     pub(crate) peer_requests: BTreeMap<RequestId, PeerRequest>,
-    /// Whether the lease is valid, as of this step.
+    /// Whether this controller's lease is valid, as of this step.
     pub(crate) has_valid_lease: bool,
     /// When the process last resumed after a pause; 0 if never.
     pub(crate) resumed_at: Ms,
     pub(crate) failure_detector: FailureDetector,
     /// Which links of this controller are up.
     pub(crate) links: LinkStates,
+    /// Outcomes of recent calls to the cloud, and abstention from elections.
     pub(crate) cloud_link: CloudLink,
-    /// Workers whose heartbeats other controllers do not receive.
+    /// Machines whose heartbeats other controllers have requested to be relayed.
     pub(crate) relays: RelayTable,
-    /// Workers that were redirected to other controllers recently.
+    /// Workers that were recently redirected to other controllers.
     pub(crate) redirects: RedirectHistory,
-    /// Until then the record of this controller says that it receives no heartbeats.
+    /// Until when this controller's record states that it receives no heartbeats.
     pub(crate) reports_no_heartbeats_until: Ms,
     /// The other controllers from which messages were received.
     pub(crate) peers: PeerTable,
     pub(crate) peer_confirmations: PeerConfirmations,
-    /// How many calls to workers are in flight.
+    /// Number of calls to workers in flight.
     pub(crate) worker_calls_in_flight: usize,
-    /// Machines, jobs and tasks visited so far, as a measure of work.
+    /// Number of machines, jobs and tasks visited outside of scheduling rounds, as a measure of
+    /// work.
     pub(crate) work_units: u64,
     next_call: CallId,
-    /// Numbers of machine types and zones.
+    /// The table that numbers the names of machine types and zones.
     pub(crate) places: PlaceNames,
-    /// Numbers of images.
+    /// The table that numbers the names of images.
     pub(crate) images: ImageNames,
+    /// Limits that were exceeded, for rate-limited log lines.
     pub(crate) overflows: OverflowLog,
 }
 
--- a/crates/core/src/context/calls.rs
+++ b/crates/core/src/context/calls.rs
@@ -1,7 +1,7 @@
 //! Outgoing calls to the key-value store, the cloud and workers, and messages to other
 //! controllers.
 //!
-//! Calls to the store go through its queue; all others are sent at once.
+//! Calls to the store pass through a rate-limited queue; all others are sent at once.
 
 use super::Context;
 use crate::io::{CallId, Effect, Target};
@@ -13,15 +13,17 @@
 use forkshift_wire::state::{Transaction, Write};
 use forkshift_wire::{MachineId, NodeName};
 
-/// Time that the store has for an answer, and that a call may be queued, in milliseconds.
+/// Timeout of a call to the store, and longest time that a call may be queued before it is
+/// rejected, each in milliseconds.
 const STORE_TIMEOUT_MS: Ms = 2_000;
-/// Time that the cloud has for an answer, in milliseconds.
+/// Timeout of a call to the cloud, in milliseconds.
 const CLOUD_TIMEOUT_MS: Ms = 5_000;
-/// Least number of watches a second that pauses are computed for.
+/// Lower bound on the rate of watches in requests per second, so that the interval stays finite.
 const MIN_WATCH_RPS: f64 = 0.1;
 
 impl Context {
-    /// Sends a message to another controller. It may be lost without notice.
+    /// Sends a message to another controller, without a delivery guarantee. `epoch` is that of
+    /// the shard that the message concerns; 0 if it concerns none.
     pub(crate) fn send_to_peer(&mut self, node: &NodeName, epoch: u64, body: Body) {
         let envelope = Envelope {
             version: body.version(),
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Makes a call at once.
+    /// Adds the effect of a call, bypassing the store's queue. `timeout` is in milliseconds.
     fn call(
         &mut self,
         target: Target,
@@ -63,7 +65,8 @@
         id
     }
 
-    /// Sends the queued calls to the store that its rate limit allows.
+    /// Sends the queued store calls that the rate limit allows, and collects those that the
+    /// queue has rejected.
     pub(crate) fn send_due_store_calls(&mut self) {
         let due = self.store.take_due(self.now);
         for call in due.to_send {
@@ -94,15 +97,15 @@
         self.store.push(urgency, call);
     }
 
-    /// The pause between two watches of a kind of which every controller has one, in
-    /// milliseconds, so that all of them together use a part of the limit on requests.
-    pub(crate) fn watch_interval_ms(&self, part: f64) -> Ms {
-        let watch_rps = self.limits.rps * part;
+    /// The interval between two watch requests of a controller, in milliseconds, such that the
+    /// watches of all controllers together use a fraction of the store's request limit.
+    pub(crate) fn watch_interval_ms(&self, request_fraction: f64) -> Ms {
+        let watch_rps = self.limits.rps * request_fraction;
         (self.config.nodes.len() as f64 * 1000.0 / watch_rps.max(MIN_WATCH_RPS)) as Ms
     }
 
-    /// Queues a watch for changes below a prefix after revision `from`, which ends after
-    /// `wait` milliseconds without one.
+    /// Queues a watch for changes to keys with a prefix after revision `from`. The store ends it
+    /// after `wait` milliseconds without a change; with 0 it answers at once.
     pub(crate) fn watch_store(&mut self, prefix: &str, from: u64, wait: Ms, pending: PendingCall) {
         let call = StoreCall {
             method: "GET",
@@ -116,7 +119,7 @@
         self.store.push(Urgency::Membership, call);
     }
 
-    /// Queues a call to the store that is neither a read nor a transaction.
+    /// Queues a call to the store that is neither a read nor a transaction, as for a lease.
     pub(crate) fn call_store(
         &mut self,
         method: &'static str,
@@ -136,7 +139,8 @@
         self.store.push(Urgency::Membership, call);
     }
 
-    /// Queues a transaction. One that exceeds the limits is logged and queued all the same.
+    /// Queues a transaction. A transaction that exceeds the store's limits is logged and queued
+    /// nevertheless, for the store to reject.
     pub(crate) fn transact(
         &mut self,
         urgency: Urgency,
@@ -159,7 +163,7 @@
         self.store.push(urgency, call);
     }
 
-    /// Logs what of a transaction exceeds the limits of the store.
+    /// Logs which limits of the store a transaction exceeds.
     fn log_oversized_changes(&self, transaction: &Transaction) {
         let (writes, limit) = (transaction.writes.len(), self.limits.txn_ops);
         if writes > limit {
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Makes a call to the cloud.
+    /// Makes a call to the cloud, which is not queued.
     pub(crate) fn call_cloud(
         &mut self,
         method: &'static str,
@@ -194,7 +198,7 @@
         self.call_cloud("POST", path, Some(body), pending);
     }
 
-    /// Requests a status heartbeat from a worker.
+    /// Requests a worker's status, which has the form of a heartbeat. Used for probes.
     pub(crate) fn request_worker_status(&mut self, addr: &str, timeout: Ms, pending: PendingCall) {
         self.worker_calls_in_flight += 1;
         let target = Target::Worker(addr.to_owned());
--- a/crates/core/src/context/peer_requests.rs
+++ b/crates/core/src/context/peer_requests.rs
@@ -1,4 +1,5 @@
-//! Requests that other controllers have forwarded, and the answers to requests.
+//! Requests that other controllers have forwarded to this one, and answers to requests of all
+//! kinds.
 
 use super::Context;
 use crate::io::{Effect, Reply, RequestId, PEER_REQUEST_BIT};
@@ -6,22 +7,23 @@
 use forkshift_wire::peer::Body;
 use forkshift_wire::NodeName;
 
-/// Time after which a forwarded request is dropped, as its answer would come too late.
+/// Time after which a forwarded request is dropped, as its sender no longer waits for an answer,
+/// in milliseconds.
 const PEER_REQUEST_TTL_MS: Ms = 5_000;
 
-/// A request that another controller has forwarded.
+/// The origin of a request that another controller has forwarded.
 pub(crate) struct PeerRequest {
     from: NodeName,
-    /// The incarnation that forwarded it. Another one may use the same number for another
-    /// request, and must not take the answer for its own.
+    /// The incarnation that forwarded the request. A later incarnation may use the same number
+    /// for another request, and must not accept this answer for that request.
     incarnation: u64,
-    /// The sender's number of the request.
+    /// The sender's number for the request.
     request_number: u64,
     expires_at: Ms,
 }
 
 impl Context {
-    /// Registers a request that another controller has forwarded, and returns its name here.
+    /// Registers a request that another controller has forwarded, and returns its local id.
     pub(crate) fn register_peer_request(
         &mut self,
         from: NodeName,
@@ -40,14 +42,14 @@
         request
     }
 
-    /// Drops the forwarded requests that have expired.
+    /// Drops the forwarded requests that have expired, without an answer.
     pub(crate) fn expire_peer_requests(&mut self) {
         let now = self.now;
         self.peer_requests
             .retain(|_, request| now < request.expires_at);
     }
 
-    /// Answers a request of a user, a worker or another controller.
+    /// Answers a request from a user, a worker or another controller.
     pub(crate) fn respond(&mut self, request: RequestId, reply: Reply) {
         if request.is_from_peer() {
             self.respond_to_peer(request, reply);
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Sends the answer to a forwarded request, unless that has expired.
+    /// Sends the answer to a forwarded request, unless the request has expired.
     fn respond_to_peer(&mut self, request: RequestId, reply: Reply) {
         let Some(peer_request) = self.peer_requests.remove(&request) else {
             return;
--- a/crates/core/src/node/peer_heartbeats/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -46,8 +46,9 @@
     node
 }
 
-/// What a peer confirmation_of: as of which heartbeat of this controller, and which epoch of its
-/// shard the peer has seen; none: it has read nothing since it started.
+/// The confirmation of a peer: `as_of` is the send time of the acknowledged heartbeat. `epoch` is
+/// the epoch of the held shard that the peer has seen; none if the peer has read nothing from
+/// the store since it started.
 #[derive(Clone, Copy)]
 struct Confirmation {
     from: &'static str,
@@ -83,8 +84,8 @@
     node.on_heartbeat(&from, 7, heartbeat);
 }
 
-/// Whether a controller without a valid lease answers workers of its shard at a time, after
-/// confirmations of peers.
+/// Whether a controller without a valid lease answers workers of its shard at the time `now`,
+/// after it has received confirmations from peers.
 fn answers_without_lease(mut node: Node, now: Ms, confirmations: Vec<Confirmation>) -> bool {
     node.ctx.now = now;
     for confirmation in confirmations {
@@ -93,9 +94,9 @@
     node.may_answer_without_lease(&node.shards[&HELD_SHARD])
 }
 
-/// Messages from one peer are not sufficient: a third controller may have confirmed a
-/// cancellation as the new holder just before an outage. Workers are answered only with
-/// confirmations of all peers.
+/// Guards against answering workers on the confirmation of a single peer. A third controller may
+/// have confirmed a cancellation as the new holder just before an outage, so the confirmations
+/// of all peers are required.
 #[test]
 fn workers_are_answered_without_a_valid_lease_only_on_confirmations() {
     let config = node().ctx.config.clone();
@@ -105,7 +106,7 @@
     let end = RENEWED_AT + own + grace;
     let later = end + 10_000;
     let seen = Some(EPOCH);
-    let taken = Some(EPOCH + 1);
+    let superseded = Some(EPOCH + 1);
     let both = |a, b| {
         vec![
             confirmation_of("north", a, seen),
@@ -157,14 +158,14 @@
             "one has seen a successor",
             vec![
                 confirmation_of("north", later, seen),
-                confirmation_of("south", later, taken),
+                confirmation_of("south", later, superseded),
             ],
             RENEWED_AT + own,
             false,
         ),
         (
-            "a delayed heartbeat that has, as of long ago",
-            vec![confirmation_of("north", RENEWED_AT, taken)],
+            "a delayed heartbeat shows a successor, as of long ago",
+            vec![confirmation_of("north", RENEWED_AT, superseded)],
             RENEWED_AT + own,
             false,
         ),
@@ -199,9 +200,9 @@
     }
 }
 
-/// Losing all leases in an outage whenever one controller has restarted would be costly.
-/// Controllers that the store has refused from before the lease expired until now prove that
-/// no shard can have been reassigned.
+/// Guards against the loss of all worker leases in an outage of the store during which one
+/// controller has restarted and confirms nothing. A majority of controllers that the store has
+/// refused since before the lease expired proves that no shard was reassigned.
 #[test]
 fn an_outage_confirmed_by_a_majority_keeps_workers_answered() {
     let config = node().ctx.config.clone();
@@ -213,11 +214,11 @@
         ..confirmation_of(from, now - 100, seen)
     };
     let restarted = confirmation_of("south", now - 100, None);
-    // Since when the store refuses this controller, what is received, and whether
-    // workers are answered.
+    // Name, time since which the store refuses this controller, received confirmations, and
+    // whether workers are answered.
     let cases: Vec<(&str, Option<Ms>, Vec<Confirmation>, bool)> = vec![
         (
-            "both since before",
+            "both are refused since before the lease expired",
             Some(RENEWED_AT),
             vec![refused("north", RENEWED_AT)],
             true,
@@ -229,20 +230,25 @@
             false,
         ),
         (
-            "the other later",
+            "the other is refused only after the lease expired",
             Some(RENEWED_AT),
             vec![refused("north", lease_end)],
             false,
         ),
         (
-            "served here",
+            "the store serves this controller",
             None,
             vec![refused("north", RENEWED_AT)],
             false,
         ),
-        ("nobody else", Some(RENEWED_AT), vec![], false),
         (
-            "the third was served",
+            "no other controller reports a refusal",
+            Some(RENEWED_AT),
+            vec![],
+            false,
+        ),
+        (
+            "the store has served the third",
             Some(RENEWED_AT),
             vec![refused("north", RENEWED_AT), restarted],
             false,
@@ -286,8 +292,9 @@
     }
 }
 
-/// A worker whose holder is unreachable is answered by others only while no task with a
-/// confirmed cancellation can be on it; so is one whose shard is being loaded.
+/// Guards against keeping a cancelled task alive beyond its deadline. A worker whose holder is
+/// unreachable, or whose shard is being loaded, may be answered only while no task with a
+/// confirmed cancellation can be on its machine.
 #[test]
 fn other_holders_workers_are_kept_alive_only_while_no_cancelled_task_can_be_on_them() {
     let config = node().ctx.config.clone();
@@ -299,56 +306,63 @@
     };
     let none: &[&str] = &[];
     let held: &[&str] = &["m-1"];
-    // As of when the holder stated what, whether it is alive, now.
+    // Name, time and unsettled machines of the holder's statement, whether the holder is alive,
+    // the current time, and whether the worker is kept alive.
     let cases = [
         (
-            "cut off",
+            "cut off from store and holder",
             Some((RENEWED_AT, none)),
             false,
             RENEWED_AT + own,
             true,
         ),
         (
-            "it holds a cancelled task",
+            "the machine holds a cancelled task",
             Some((RENEWED_AT, held)),
             false,
             RENEWED_AT + own,
             false,
         ),
-        ("nothing was stated", None, false, RENEWED_AT + own, false),
         (
-            "its holder is there",
+            "the holder made no statement",
+            None,
+            false,
+            RENEWED_AT + own,
+            false,
+        ),
+        (
+            "the holder is alive",
             Some((RENEWED_AT, none)),
             true,
             RENEWED_AT + own,
             false,
         ),
         (
-            "served here",
+            "the store serves this controller",
             Some((RENEWED_AT, none)),
             false,
             RENEWED_AT + own / 2,
             false,
         ),
         (
-            "nearly too long",
+            "at the last time within the grace period",
             Some((RENEWED_AT, none)),
             false,
             RENEWED_AT + grace - 1,
             true,
         ),
         (
-            "too long",
+            "at the end of the grace period",
             Some((RENEWED_AT, none)),
             false,
             RENEWED_AT + grace,
             false,
         ),
     ];
-    for (name, stated, there, now, keeps) in cases {
+    for (name, statement, is_holder_alive, now, keeps) in cases {
         let mut node = node();
         node.ctx.now = RENEWED_AT;
-        if let Some((as_of, unsettled)) = stated {
+        if let Some((as_of, unsettled)) = statement {
             let settled = vec![
                 settled(PEER_SHARD, unsettled),
                 settled(HELD_SHARD, unsettled),
@@ -360,7 +374,7 @@
             );
         }
         node.ctx.now = now;
-        if there {
+        if is_holder_alive {
             node.record_peer_message(&NodeName::new("north"), 7);
         } else {
             node.ctx.peers.clear();
@@ -371,11 +385,12 @@
             keeps,
             "{name}: another holder's shard"
         );
-        // While a shard is loaded the same holds, whichever peers are alive; besides,
-        // what an earlier holder confirmed is a lease old at the most.
-        let stated = stated.is_some_and(|(_, held)| held.is_empty());
-        let in_time =
-            (stated && now < RENEWED_AT + grace) || now < RENEWED_AT + config.recovery_grace_ms();
+        // For a shard that is being loaded, the statement counts in the same way, whether or
+        // not peers are alive. In addition, workers are answered during the recovery grace
+        // period, as the last answer of an earlier holder is at most a lease old.
+        let is_settled = statement.is_some_and(|(_, held)| held.is_empty());
+        let in_time = (is_settled && now < RENEWED_AT + grace)
+            || now < RENEWED_AT + config.recovery_grace_ms();
         let mut shard = node
             .shards
             .remove(&HELD_SHARD)
@@ -398,12 +413,12 @@
     }
 }
 
-/// A shard with many machines that may hold a cancelled task, as after an array on a large
-/// fleet is cancelled, still makes its statement; else the next holder could not answer any
-/// of its workers while it loads the shard.
+/// A shard with many unsettled machines, as after the cancellation of an array on a large fleet,
+/// must still make its statement if it fits into a heartbeat. Without the statement the next
+/// holder could not answer any of the shard's workers while it loads the shard.
 #[test]
 fn longest_statements_are_dropped_when_a_heartbeat_is_too_large() {
-    let name = "host-000000".len() + NAME_LENGTH_BYTES;
+    let name_bytes = "host-000000".len() + NAME_LENGTH_BYTES;
     let cases: [(usize, &[usize], &[u32]); 6] = [
         (100, &[100], &[0]),
         (100, &[101], &[]),
@@ -412,21 +427,23 @@
         (100, &[60, 41], &[1]),
         (100, &[101, 0, 30], &[1, 2]),
     ];
-    for (room, machines, kept) in cases {
+    for (max_names, machines, kept) in cases {
         let shards = machines.iter().enumerate();
         let mut settled: Vec<SettledShard> = shards.map(|(k, n)| unsettled(k as u32, *n)).collect();
-        let left_out = retain_shortest_within(&mut settled, room * name);
+        let left_out = retain_shortest_within(&mut settled, max_names * name_bytes);
         let shards: Vec<u32> = settled.iter().map(|s| s.shard).collect();
-        assert_eq!(shards, kept, "{machines:?} with room for {room}");
+        assert_eq!(shards, kept, "{machines:?} with space for {max_names}");
         assert_eq!(left_out, machines.len() - kept.len());
     }
 }
 
-/// The longest list of names still leaves room for the rest of a heartbeat.
+/// A heartbeat with the longest list of machines that the size limit permits must not exceed the
+/// maximum size of a message.
 #[test]
 fn a_heartbeat_with_the_longest_list_of_machines_can_be_encoded() {
-    let room = Settings::parse(SETTINGS).map(|s| crate::Bounds::new(&s, 1.0).list_bytes);
-    let machines = room.expect("the example is good") / ("host-000000".len() + NAME_LENGTH_BYTES);
+    let max_bytes = Settings::parse(SETTINGS).map(|s| crate::Bounds::new(&s, 1.0).list_bytes);
+    let machines =
+        max_bytes.expect("the example is good") / ("host-000000".len() + NAME_LENGTH_BYTES);
     assert!(machines >= 4_000, "{machines} machines");
     let body = Body::Heartbeat(PeerHeartbeat {
         sent_at: u64::MAX,
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -210,7 +210,7 @@
         let until = self.ctx.now + self.ctx.heartbeat_interval_ms() * RELAY_REQUEST_INTERVALS;
         let view = &self.view;
         let machines = machines.iter().map(|id| MachineId::new(id));
-        // Heartbeats of machines that the view does not contain are not accepted here.
+        // Only machines in this controller's view can send heartbeats to it.
         let known = machines.filter(|id| view.machines.contains_key(id));
         self.ctx
             .relays
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,8 +1,8 @@
-//! Records in the key-value store, and the keys that they are stored under.
+//! Records in the key-value store, and the keys under which they are stored.
 //!
-//! Everything that all controllers must know is below `c/`, so that one
-//! watch shows all of it, in order. Permanent records of jobs are below `job/`; the
-//! state of unfinished jobs is below `live/<shard>/`. The serde names are those of
+//! Records that every controller must know have keys with the prefix `c/`, so that a single
+//! watch delivers all changes to them in order. Permanent records of jobs are below `job/`,
+//! and the state of unfinished jobs below `live/<shard>/`. The serde names are those of
 //! earlier releases, whose records must stay readable.
 
 mod cluster;
--- a/crates/core/src/records/demand.rs
+++ b/crates/core/src/records/demand.rs
@@ -1,24 +1,25 @@
-//! Unmet demand of shards.
+//! Unmet demand of shards, which the leader provisions and reassigns machines for.
 
 use forkshift_sched::Resources;
 use forkshift_wire::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// The unmet demand of a shard.
+/// The unmet demand of a shard, and the machines that it could give to other shards.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandRecord {
-    /// Revision of the state that it is based on.
+    /// Revision of the cluster view on which the demand is based.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Tasks without a place even on machines that were requested, and
-    /// missing spare places, the most urgent first.
+    /// Tasks that are unschedulable even on machines that were requested and do not run yet,
+    /// and missing reserved capacity, the most urgent first.
     #[serde(rename = "shapes")]
     pub unmet_shapes: Vec<ShapeRecord>,
-    /// Tasks that wait for a place now.
+    /// Tasks that are pending now, whether or not requested machines will have capacity for
+    /// them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "now")]
     pub pending_shapes: Vec<ShapeRecord>,
-    /// Empty machines, kept as spare.
+    /// Empty machines that the shard keeps as reserved capacity.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "free")]
     pub spare_machines: Vec<MachineId>,
@@ -26,31 +27,32 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "surplus")]
     pub surplus_machines: Vec<MachineId>,
-    /// Machines that hold nothing but borrowed low-priority work, those that
-    /// lose the least of it first, and machines of warm pools beyond the pools' minimum.
+    /// Machines that run only borrowed low-priority work, those whose reclaim loses the least
+    /// of it first, and machines of warm pools in excess of the pools' minimum.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "borrowed")]
     pub reclaimable_machines: Vec<MachineId>,
-    /// Machines of warm pools that make up the pools' minimum: for gangs only. Since
-    /// format 3.
+    /// Machines of warm pools within the pools' minimum, which may be given away to gangs only.
+    /// Since format 3.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "pooled")]
     pub pool_machines: Vec<MachineId>,
 }
 
 impl DemandRecord {
-    /// Truncates it to a size in JSON, in bytes. The least important is dropped first:
-    /// machines that could be given away, the least useful list first, then what waits
-    /// now, then tasks without a place; of each the last, as the most urgent
-    /// come first. Messages to the leader hold all of it.
+    /// Truncates the record to a size of `max_bytes` in JSON, as far as its lists allow. The
+    /// least important entries are dropped first: machines that could be given away, in the
+    /// order of the lists' usefulness, then pending tasks, then unschedulable tasks. Within a
+    /// list the last entries are dropped, as the most urgent come first. Messages to the
+    /// leader have a larger limit than records.
     pub(crate) fn truncated_to(mut self, max_bytes: usize) -> Self {
         let size = |record: &Self| serde_json::to_vec(record).map_or(0, |json| json.len());
         while size(&self) > max_bytes && self.drop_least_important() {}
         self
     }
 
-    /// Drops half of the least important list that is not empty. Returns false if all
-    /// are empty.
+    /// Drops the second half of the least important list that is not empty. Returns false if
+    /// all lists are empty.
     fn drop_least_important(&mut self) -> bool {
         fn halve<T>(list: &mut Vec<T>) -> bool {
             let had_entries = !list.is_empty();
@@ -65,7 +67,7 @@
             || halve(&mut self.unmet_shapes)
     }
 
-    /// Whether the demand is the same, at whichever revision.
+    /// Whether the demand is the same, regardless of the revisions.
     pub fn has_same_demand(&self, other: &Self) -> bool {
         self.unmet_shapes == other.unmet_shapes
             && self.pending_shapes == other.pending_shapes
@@ -76,45 +78,46 @@
     }
 }
 
-/// Tasks of one shape.
+/// Tasks with the same resource requirements and constraints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShapeRecord {
-    /// CPUs, GPUs and GB of memory of each task, in thousandths.
+    /// CPUs, GPUs and GB of memory that each task requires, in thousandths.
     #[serde(rename = "res")]
     pub milli_resources: (i64, i64, i64),
-    /// How many tasks.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub count: u32,
-    /// Allowed machine types; none: all.
+    /// Allowed machine types; all if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// Allowed zones; none: all.
+    /// Allowed zones; all if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zones: Option<Vec<String>>,
-    /// Whether they may use spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
-    /// Whether these are spare places, for which no task waits yet.
+    /// Whether this is reserved capacity, for which no task is pending yet.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "spare")]
     pub is_spare: bool,
-    /// Whether machines with borrowed work may be reclaimed for them.
+    /// Whether machines that run borrowed work may be reclaimed for these tasks.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "reclaims")]
     pub may_reclaim: bool,
-    /// Borrowed work: it takes machines that no shard needs, and only spot machines
-    /// are provisioned for it.
+    /// Whether this is borrowed work, which runs on machines that no shard needs. Only spot
+    /// machines are provisioned for it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "borrows")]
     pub is_borrowing: bool,
-    /// Whether they are of a gang, which needs all of its places at once. Since format 3.
+    /// Whether the tasks form a gang, which starts only when all of its tasks can run at the
+    /// same time. Since format 3.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "gang")]
     pub is_gang: bool,
 }
 
 impl ShapeRecord {
-    /// The resources of each task.
+    /// The resources that each task requires.
     pub fn resources(&self) -> Resources {
         let (cpus, gpus, memory) = self.milli_resources;
         Resources {
--- a/crates/core/src/records/keys.rs
+++ b/crates/core/src/records/keys.rs
@@ -1,13 +1,14 @@
-//! Keys under which records are stored.
+//! Keys of the records in the key-value store.
 
 use super::ShardId;
 use forkshift_wire::{JobId, MachineId, NodeName};
 
-/// Prefix of the keys that every controller watches.
+/// Prefix of the keys of cluster records, which every controller watches.
 pub const CLUSTER: &str = "c/";
-/// Key of the counter that epochs come from.
+/// Key of the counter from which the epochs of shards are drawn.
 pub const EPOCH_KEY: &str = "c/epoch";
-/// Key of the format that all controllers know, once that is certain.
+/// Key of the finalized format version, which every configured controller supports. Absent
+/// until the first finalization.
 pub const FINALIZED_FORMAT_KEY: &str = "c/format";
 /// Key of the leader's record.
 pub const LEADER_KEY: &str = "c/leader";
@@ -27,12 +28,12 @@
     format!("c/machine/{id}")
 }
 
-/// Key of a provisioning intent, by the name of its request.
+/// Key of a provisioning intent. `request` is the name that identifies its request to the cloud.
 pub fn provisioning_intent_key(request: &str) -> String {
     format!("c/charter/{request}")
 }
 
-/// Key of a machine type.
+/// Key of a machine type's record.
 pub fn machine_type_key(name: &str) -> String {
     format!("c/rig/{name}")
 }
@@ -42,7 +43,7 @@
     format!("c/demand/{shard_id}")
 }
 
-/// Key of a cancellation that waits for its shard's holder.
+/// Key of a requested cancellation that the holder of the job's shard has not processed yet.
 pub fn cancellation_key(id: &JobId) -> String {
     format!("c/abort/{id}")
 }
@@ -52,12 +53,13 @@
     format!("job/{id}")
 }
 
-/// Prefix of a shard's unfinished jobs.
+/// Prefix of the keys of a shard's unfinished jobs.
 pub fn unfinished_jobs_prefix(shard_id: ShardId) -> String {
     format!("live/{shard_id}/")
 }
 
-/// Key of a block of an unfinished job; block 0 is part of its head.
+/// Key of a block of an unfinished job. Block 0 is stored in the job's head, which has the key
+/// without a block number.
 pub fn unfinished_job_key(shard_id: ShardId, id: &JobId, block: u32) -> String {
     if block == 0 {
         format!("live/{shard_id}/{id}")
--- a/crates/core/src/records/machines.rs
+++ b/crates/core/src/records/machines.rs
@@ -1,4 +1,4 @@
-//! Machines.
+//! Records of machines.
 
 use super::{is_zero_ms, ShardId};
 use forkshift_pools::account::BilledMachine;
@@ -8,52 +8,54 @@
 use forkshift_wire::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// The capacity of a machine of a type.
+/// The total capacity of a machine of a type.
 pub fn capacity_of(machine_type: &MachineType) -> Resources {
     Resources::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 }
 
-/// A machine that was provisioned.
+/// A provisioned machine, with the state that must survive a change of the machine's holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The shard that it works for.
+    /// The shard whose holder controls the machine.
     #[serde(rename = "share")]
     pub shard: ShardId,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "type")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may preempt.
+    /// Whether the machine is a spot machine, which the cloud may preempt.
     pub spot: bool,
-    /// Address of its worker, once a heartbeat was received.
+    /// Address of the machine's worker; absent until the first heartbeat is received.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub addr: Option<String>,
-    /// Why it is to be deleted and never used again, if it is.
+    /// Why the machine is to be deleted and must not be used again; absent otherwise.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "condemned")]
     pub decommission_reason: Option<String>,
-    /// The shard that it should be moved to once it is free.
+    /// The shard to which the machine is to be reassigned once it is free; absent if no
+    /// reassignment is requested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "want")]
     pub reassign_to: Option<ShardId>,
-    /// Fencing tokens of its present shard are above this.
+    /// Lower bound, exclusive, on the fencing tokens that the machine's present shard issues.
     #[serde(default)]
     #[serde(rename = "floor")]
     pub token_floor: u64,
-    /// Images that it held when it last changed shards, with their sizes in GB.
+    /// Images in the machine's cache when it last changed shards, with their sizes in GB.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<(String, f64)>,
-    /// Its membership in a warm pool. Since format 3.
+    /// The machine's membership in a warm pool; absent if it is in none. Since format 3.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pool: Option<Membership>,
-    /// Until when pools were charged for it, in milliseconds since 1970. Since format 3.
+    /// Until when pools were charged for the machine, in milliseconds since 1970; 0 if never.
+    /// Since format 3.
     #[serde(default, skip_serializing_if = "is_zero_ms")]
     pub charged_until_ms: u64,
 }
 
 impl MachineRecord {
-    /// The record of a machine that was just provisioned.
+    /// The record of a machine that was just provisioned, with no worker address yet.
     pub(crate) fn new(shard: ShardId, machine_type: &str, zone: &str, spot: bool) -> Self {
         Self {
             shard,
@@ -70,9 +72,10 @@
         }
     }
 
-    /// Closes the interval of its pool membership at `at_ms`, and goes on with the state
-    /// `next` or ends it. Returns the row of the pool's account that must be written in
-    /// the same transaction; none, if it is in no pool.
+    /// Closes the usage interval of the machine's pool membership at `at_ms`. The membership
+    /// continues in the state `next`, or ends for the given reason. Returns the row of the
+    /// pool's account that must be written in the same transaction; none if the machine is in
+    /// no pool.
     pub(crate) fn close_membership(
         &mut self,
         id: &MachineId,
--- a/crates/core/src/records/provisioning.rs
+++ b/crates/core/src/records/provisioning.rs
@@ -1,36 +1,38 @@
-//! Intents to provision machines.
+//! Records of intents to provision machines.
 
 use super::ShardId;
 use serde::{Deserialize, Serialize};
 
-/// An intent to provision machines, written before the request to the cloud.
+/// An intent to provision machines. It is written before the request to the cloud, so that a new
+/// leader can repeat the request and continue to record its result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningIntent {
-    /// Shards, and how many machines each of them needs.
+    /// The number of machines that each shard needs.
     #[serde(rename = "parts")]
     pub machines_per_shard: Vec<(ShardId, u32)>,
-    /// Machine type.
+    /// Name of the requested machine type.
     #[serde(rename = "type")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the requested zone.
     pub zone: String,
     /// Whether spot machines are requested.
     pub spot: bool,
-    /// Machines that have their records by now. A transaction takes few
-    /// changes, so the result of a large request is written in parts, each
-    /// together with this count.
+    /// Number of provisioned machines whose records are written. The store limits the writes
+    /// in a transaction, so the result of a large request is written in several transactions,
+    /// each of which updates this count.
     #[serde(default, skip_serializing_if = "is_zero_count")]
     #[serde(rename = "placed")]
     pub recorded_count: u32,
 }
 
 impl ProvisioningIntent {
-    /// How many machines it requests.
+    /// The total number of machines requested.
     pub fn count(&self) -> u32 {
         self.machines_per_shard.iter().map(|(_, count)| count).sum()
     }
 
-    /// The shards that get its machines, in turn, each as often as it needs one.
+    /// The shard of each requested machine, in round-robin order: every shard occurs as often
+    /// as it needs machines.
     pub fn shards_in_turn(&self) -> Vec<ShardId> {
         let rounds = self
             .machines_per_shard
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `records`.
+//! Tests of the truncation of demand records.
 
 use super::{DemandRecord, ShapeRecord};
 use forkshift_wire::MachineId;
@@ -22,8 +22,8 @@
     (0..count).map(id).collect()
 }
 
-/// A demand is truncated to the largest value: the least important lists first, and of
-/// each list the most urgent entries stay.
+/// A demand record that exceeds the store's value size must lose entries of the least important
+/// lists first, and must keep the most urgent entries of each list.
 #[test]
 fn truncation_drops_the_least_important_list_first() {
     let full = DemandRecord {
@@ -67,8 +67,8 @@
     }
 }
 
-/// The demand of a shard that holds four thousand machines, all of them empty, has room in
-/// a message with sixty shapes; with one byte less the least important list is halved.
+/// The demand of a shard with four thousand empty machines and sixty shapes must fit into a
+/// message without truncation. One byte below its size halves the least important list.
 #[test]
 fn demand_with_four_thousand_machines_fits_a_message() {
     let max_bytes = forkshift_wire::peer::MAX_MESSAGE_BYTES / 4 * 3;
