--- a/crates/core/src/membership/failure_detector.rs
+++ b/crates/core/src/membership/failure_detector.rs
@@ -47,8 +47,8 @@
 /// Upper bound on the silence granted for reconnecting, as a fraction of a worker's lease.
 const MAX_SILENCE_LEASE_FRACTION: f64 = 0.9;
 
-/// The configured limit on the silence of a single machine, in milliseconds: a multiple of
-/// the worker lease that the operator sets.
+/// The configured limit on the silence of a single machine, in milliseconds. The operator sets
+/// it as a multiple of the worker lease.
 pub(crate) fn configured_silence_ms(config: &Config) -> Ms {
     (config.lease_ms as f64 * config.operator.max_silence_leases) as Ms
 }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -161,7 +161,7 @@
         );
     }
 
-    /// Notes since when there has been no leader.
+    /// Records since when the view has shown no leader.
     fn track_leader(&mut self, now: Ms, view: &ClusterView) {
         self.leaderless_since = match &view.leader {
             None => Some(self.leaderless_since.unwrap_or(now)),
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Handles the answer to a request for a lease that was sent at `sent`. The new lease
+    /// Processes the answer to a request for a lease that was sent at `sent`. The new lease
     /// has no record on it yet.
     pub(crate) fn on_lease_granted(&mut self, ctx: &Context, sent: Ms, status: u16, body: &[u8]) {
         let ttl = ctx.config.node_lease_ms();
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Handles the answer to a renewal that was sent at `sent`. If the lease has expired,
+    /// Processes the answer to a renewal that was sent at `sent`. If the lease has expired,
     /// a new one is requested at once.
     pub(crate) fn on_lease_renewed(&mut self, ctx: &Context, sent: Ms, status: u16) {
         let ttl = ctx.config.node_lease_ms();
@@ -304,7 +304,7 @@
         self.renewal = Renewal::DueAt(due_at);
     }
 
-    /// Handles the answer to the write of this controller's record on `lease`.
+    /// Processes the answer to the write of this controller's record on `lease`.
     pub(crate) fn on_node_record_written(&mut self, lease: u64, status: u16, body: &[u8]) {
         self.is_writing_node_record = false;
         let revision = revision_of(body);
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Handles the answer to a write or removal of the leader's record.
+    /// Processes the answer to a write or removal of the leader's record.
     pub(crate) fn on_leader_record_written(&mut self, status: u16, body: &[u8]) {
         self.is_writing_leader_record = false;
         let revision = revision_of(body);
--- a/crates/core/src/membership/peer_confirmations.rs
+++ b/crates/core/src/membership/peer_confirmations.rs
@@ -6,15 +6,16 @@
 //! within the configured cancellation timeout after the confirmation, whatever else fails.
 //! The last answer without the command to stop the task must therefore be sent no later than
 //! a grace period after the confirmation: the cancellation timeout less a margin for clock
-//! drift and less a worker's lease (`Config::grace_ms`). All bounds in this module have the same form: no cancellation can
-//! have been confirmed before a certain time, and workers are answered until that time plus
-//! the grace period.
+//! drift and less a worker's lease (`Config::grace_ms`). All bounds in this module have the
+//! same form: no cancellation can have been confirmed before a certain time, and workers are
+//! answered until that time plus the grace period.
 //!
-//! Only confirmations advance that time. A heartbeat between controllers carries its send
-//! time and acknowledges the last heartbeat of its receiver. A confirmation holds as of the
-//! time at which the acknowledged heartbeat was *sent*, by the clock of the controller that
-//! sent it and now evaluates the confirmation. A delayed confirmation therefore proves
-//! nothing about a later time, and times of different clocks are never compared.
+//! Only evidence advances that time: this controller's own lease, and confirmations. A
+//! heartbeat between controllers carries its send time and acknowledges the last heartbeat of
+//! its receiver. A confirmation holds as of the time at which the acknowledged heartbeat was
+//! *sent*, by the clock of the controller that sent it and now evaluates the confirmation. A
+//! delayed confirmation therefore proves nothing about a later time, and times of different
+//! clocks are never compared.
 
 use crate::config::Config;
 use crate::records::ShardId;
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -78,7 +78,7 @@
         let is_isolated = ctx.has_valid_lease && !ctx.links.allows(Decision::HoldShards);
         if is_isolated && !ctx.failure_detector.is_isolated() {
             log::info!(
-                "failure detector: isolated, {} of {} machines silent, {} without answer to calls",
+                "failure detector: isolated, {} of {} machines without heartbeats, {} without answers to calls",
                 total.without_heartbeats,
                 total.all,
                 total.unanswering
--- a/crates/core/src/node/peer_heartbeats/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -296,7 +296,7 @@
 /// unreachable, or whose shard is being loaded, may be answered only while no task with a
 /// confirmed cancellation can be on its machine.
 #[test]
-fn other_holders_workers_are_kept_alive_only_while_no_cancelled_task_can_be_on_them() {
+fn workers_of_other_holders_are_kept_alive_only_without_cancelled_tasks() {
     let config = node().ctx.config.clone();
     let own = config.node_lease_ms();
     let grace = config.grace_ms();
@@ -385,9 +385,8 @@
             keeps,
             "{name}: another holder's shard"
         );
-        // For a shard that is being loaded, the statement counts in the same way, whether or
-        // not peers are alive. In addition, workers are answered during the recovery grace
-        // period, as the last answer of an earlier holder is at most a lease old.
+        // While a shard is loaded, the statement counts whether or not peers are alive, and
+        // workers are answered during the recovery grace period without a statement.
         let is_settled = statement.is_some_and(|(_, held)| held.is_empty());
         let in_time = (is_settled && now < RENEWED_AT + grace)
             || now < RENEWED_AT + config.recovery_grace_ms();
--- a/crates/core/src/node/shard_ownership.rs
+++ b/crates/core/src/node/shard_ownership.rs
@@ -41,7 +41,10 @@
             let record = &versioned.record;
             if !is_assigned_here(record, ctx) {
                 if let Some(shard) = shards.remove(id) {
-                    log::info!("shard {id}: now with {}", record.holder);
+                    log::info!(
+                        "shard {id}: released, as it is assigned to {}",
+                        record.holder
+                    );
                     shard.release(ctx);
                 }
                 continue;
