--- a/crates/core/src/node/peer_heartbeats/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -323,13 +323,7 @@
             RENEWED_AT + own,
             false,
         ),
-        (
-            "the holder made no statement",
-            None,
-            false,
-            RENEWED_AT + own,
-            false,
-        ),
+        ("no statement made", None, false, RENEWED_AT + own, false),
         (
             "the holder is alive",
             Some((RENEWED_AT, none)),
@@ -385,8 +379,9 @@
             keeps,
             "{name}: another holder's shard"
         );
-        // While a shard is loaded, the statement counts whether or not peers are alive, and
-        // workers are answered during the recovery grace period without a statement.
+        // While a shard is loaded, the statement counts whether or not peers are alive. Without
+        // a statement, workers are answered during the recovery grace period, as the last
+        // answer of an earlier holder is at most a lease old.
         let is_settled = statement.is_some_and(|(_, held)| held.is_empty());
         let in_time = (is_settled && now < RENEWED_AT + grace)
             || now < RENEWED_AT + config.recovery_grace_ms();
