--- a/crates/core/src/context/calls.rs
+++ b/crates/core/src/context/calls.rs
@@ -119,7 +119,8 @@
         self.store.push(Urgency::Membership, call);
     }
 
-    /// Queues a call to the store that is neither a read nor a transaction, as for a lease.
+    /// Queues a call to the store that is neither a read nor a transaction, such as a request
+    /// for a lease.
     pub(crate) fn call_store(
         &mut self,
         method: &'static str,
--- a/crates/core/src/protocol/messages.rs
+++ b/crates/core/src/protocol/messages.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Passes the unmet demand of a shard, sent by its holder, to the leader's state.
+    /// Passes the unmet demand of a shard, sent by its holder, to the state of the leader. A
+    /// malformed record is logged and dropped.
     fn on_demand_message(&mut self, shard_id: ShardId, epoch: u64, demand: &str) {
         match serde_json::from_str(demand) {
             Ok(record) => {
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -91,8 +91,8 @@
 }
 
 impl Node {
-    /// Requests from the other controllers to relay the heartbeats of machines whose heartbeats
-    /// are overdue, and to probe these machines.
+    /// Requests the other controllers to relay the heartbeats of machines whose heartbeats are
+    /// overdue, and to probe those machines whose probe is due.
     pub(crate) fn request_relays(&mut self) {
         let timing = self.ctx.config.link_timing();
         let (now, resumed_at) = (self.ctx.now, self.ctx.resumed_at);
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Requests probes of machines from up to [`MAX_PROBING_CONTROLLERS`] controllers that
-    /// answer. The selection rotates with the number of the last relay request.
+    /// Requests probes of machines from up to [`MAX_PROBING_CONTROLLERS`] controllers that have
+    /// recently acknowledged a heartbeat. The selection rotates with the number of the last relay request.
     fn send_probes(&mut self, machines: Vec<MachineId>) {
         if machines.is_empty() {
             return;
