--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -207,7 +207,7 @@
     ) -> Option<&'a MachineId> {
         let candidates = demands.iter().flat_map(|(owner, demand)| {
             // A shard with pending tasks of its own needs its reserve itself.
-            let offers_reserved = request.may_take_reserved && demand.waiting.is_empty();
+            let offers_reserved = request.may_take_reserved && demand.pending_shapes.is_empty();
             let reserved_machines = demand
                 .spare_machines
                 .iter()
@@ -278,18 +278,18 @@
 /// then those of missing reserved capacity. Borrowed work takes only surplus
 /// machines.
 fn requests_of(shard_id: ShardId, demand: &DemandRecord) -> Vec<TransferRequest<'_>> {
-    let waiting = demand.waiting.iter().map(|shape| TransferRequest {
+    let pending_requests = demand.pending_shapes.iter().map(|shape| TransferRequest {
         shard_id,
         shape,
         may_take_reserved: !shape.is_borrowing,
     });
-    let reserve_shapes = demand.shapes.iter().filter(|shape| shape.is_spare);
+    let reserve_shapes = demand.unmet_shapes.iter().filter(|shape| shape.is_spare);
     let reserve_requests = reserve_shapes.map(|shape| TransferRequest {
         shard_id,
         shape,
         may_take_reserved: false,
     });
-    waiting.chain(reserve_requests).collect()
+    pending_requests.chain(reserve_requests).collect()
 }
 
 /// Whether the constraints of a shape on spot, types and zones allow a machine.
--- a/crates/core/src/leader/scale_out/planning.rs
+++ b/crates/core/src/leader/scale_out/planning.rs
@@ -58,14 +58,16 @@
             }
             let held = held.get_or_insert_with(|| held_machines(view));
             let offers = self.offers(ctx, view, *shard_id, held);
-            let shapes = shapes_to_provision(view, &demand.shapes);
-            let allow_all_zones = shapes.iter().all(|shape| shape.allowed_zones.is_none());
+            let unmet_shapes = shapes_to_provision(view, &demand.unmet_shapes);
+            let allow_all_zones = unmet_shapes
+                .iter()
+                .all(|shape| shape.allowed_zones.is_none());
             let offers = if allow_all_zones {
                 limit_zones(offers)
             } else {
                 offers
             };
-            for part in plan_scale_out(&shapes, &offers, MAX_PROVISION_COUNT) {
+            for part in plan_scale_out(&unmet_shapes, &offers, MAX_PROVISION_COUNT) {
                 let kind = kind_of_offer(&offers[part.offer]);
                 planned
                     .entry(kind)
@@ -81,7 +83,7 @@
     fn is_demand_current(&self, shard_id: ShardId, demand: &DemandRecord) -> bool {
         let min_revision = self.provisioning.min_demand_revisions.get(&shard_id);
         let min_revision = min_revision.copied().unwrap_or(0);
-        !demand.shapes.is_empty() && demand.revision >= min_revision
+        !demand.unmet_shapes.is_empty() && demand.revision >= min_revision
     }
 
     /// The kinds of machines to choose from for a shard: all kinds in the catalogue,
--- a/crates/core/src/leader/scale_out/results.rs
+++ b/crates/core/src/leader/scale_out/results.rs
@@ -31,7 +31,7 @@
 impl ProvisioningResult {
     /// Whether all machines are recorded.
     fn is_recorded(&self) -> bool {
-        self.intent.placed as usize >= self.machines.len()
+        self.intent.recorded_count as usize >= self.machines.len()
     }
 
     /// The transaction that records the machines up to index `end`, and updates the
@@ -44,7 +44,7 @@
         };
         let shards = self.intent.shards_in_turn();
         let machines = self.machines.iter().zip(shards).take(end);
-        for (id, shard) in machines.skip(self.intent.placed as usize) {
+        for (id, shard) in machines.skip(self.intent.recorded_count as usize) {
             let machine = MachineRecord::new(
                 shard,
                 &self.intent.machine_type,
@@ -61,7 +61,7 @@
         }
         transaction.writes.push(if end < self.machines.len() {
             let intent = ProvisioningIntent {
-                placed: end as u32,
+                recorded_count: end as u32,
                 ..self.intent.clone()
             };
             Write::put(intent_key, to_value(intent).unwrap_or_default())
@@ -135,7 +135,7 @@
             return;
         };
         // One write of the transaction is that of the intent.
-        let limit = result.intent.placed as usize + ctx.limits.txn_ops - 1;
+        let limit = result.intent.recorded_count as usize + ctx.limits.txn_ops - 1;
         let end = result.machines.len().min(limit);
         result.recorded_after_write = end as u32;
         let transaction = result.transaction(view, request, end);
@@ -162,7 +162,7 @@
         match status {
             200 => {
                 result.version = revision_of(body);
-                result.intent.placed = result.recorded_after_write;
+                result.intent.recorded_count = result.recorded_after_write;
                 if result.is_recorded() {
                     // The request stays in `requests_in_flight`, or it would be sent
                     // again while the view still shows the intent.
--- a/crates/core/src/leader/scale_out/tests.rs
+++ b/crates/core/src/leader/scale_out/tests.rs
@@ -45,11 +45,11 @@
         let machine_type = "big".to_owned();
         let zone = "hall-a".to_owned();
         let intent = ProvisioningIntent {
-            parts: vec![(f.shard, provisioned)],
+            machines_per_shard: vec![(f.shard, provisioned)],
             machine_type,
             zone,
             spot: false,
-            placed: 0,
+            recorded_count: 0,
         };
         let versioned = Versioned {
             record: intent,
--- a/crates/core/src/leader/transactions.rs
+++ b/crates/core/src/leader/transactions.rs
@@ -2,7 +2,7 @@
 //! leader record as a precondition. The version acts as a fencing token: the writes
 //! of a deposed leader fail.
 
-use crate::records::LEADER;
+use crate::records::LEADER_KEY;
 use crate::store::view::ClusterView;
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use serde::Serialize;
@@ -12,7 +12,7 @@
 /// still the leader.
 pub(super) fn leader_precondition(view: &ClusterView) -> Precondition {
     Precondition {
-        key: LEADER.to_owned(),
+        key: LEADER_KEY.to_owned(),
         version: view.leader.as_ref().map_or(0, |leader| leader.version),
     }
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,7 +1,9 @@
-//! The controller: the single owner of all state, which handles batches of inputs.
+//! The controller's main loop: applies batches of inputs to the state and returns effects.
 //!
-//! Owns the view, the shards held here, and the parts that decide. May call every part, and
-//! passes each the context. Must not do I/O or read clocks; effects go out by the context.
+//! [`Node`] is the single owner of all state: the cluster view, the shards held here, and the
+//! modules that make decisions. It may call every module, and passes the context to each. It
+//! must not do I/O or read clocks: its caller passes the times and carries out the effects,
+//! which modules add to the context.
 
 mod failure_detection;
 mod peer_heartbeats;
@@ -11,7 +13,7 @@
 mod status_log;
 mod view_sync;
 
-pub(crate) use shard_lookup::{holder_of, holder_of_mut};
+pub(crate) use shard_lookup::{active_shard_of, active_shard_of_mut};
 
 use crate::api::admission::Admission;
 use crate::config::Config;
@@ -34,7 +36,7 @@
 use std::rc::Rc;
 use view_sync::ViewSync;
 
-/// A controller.
+/// The state of a controller, advanced by [`Node::step`].
 pub struct Node {
     pub(crate) ctx: Context,
     pub(crate) view: ClusterView,
@@ -42,40 +44,47 @@
     pub(crate) leader: Leader,
     pub(crate) budget: Budget,
     pub(crate) shards: BTreeMap<ShardId, Shard>,
-    /// The last epoch of each shard that was held here; it must not be used again.
+    /// The last epoch under which each shard was held here. An epoch must not be used twice,
+    /// as the fencing tokens derived from it would repeat.
     used_epochs: BTreeMap<ShardId, u64>,
+    /// Final stages of recently ended jobs.
     pub(crate) final_stages: FinalStages,
-    /// Shards of unfinished jobs that other controllers hold.
+    /// Shards of recently seen jobs that other controllers hold.
     pub(crate) job_shards: RecentJobs<ShardId>,
     pub(crate) dependencies: DependencyTracker,
-    /// Submissions whose dependencies are being read.
+    /// Submissions whose dependencies are being read from the store.
     pub(crate) admissions: BTreeMap<RequestId, Admission>,
-    /// Requests forwarded to other controllers, by their numbers.
-    pub(crate) forwards: BTreeMap<u64, PendingForward>,
-    /// The number of the last forwarded request; the first follows the incarnation.
-    pub(crate) forwarded_count: u64,
-    /// Number of the last list of machines whose heartbeats are not received.
-    pub(crate) relay_request_count: u64,
-    /// The last such list was not empty.
-    pub(crate) has_relay_requests: bool,
-    /// Until then requests that the store refuses are not forwarded to other controllers.
+    /// Requests forwarded to other controllers that have no answer yet, by number.
+    pub(crate) pending_forwards: BTreeMap<u64, PendingForward>,
+    /// The number of the last forwarded request. Numbering starts at the incarnation, so that
+    /// a delayed answer to an earlier incarnation does not match.
+    pub(crate) last_forward_number: u64,
+    /// The number of the last relay request, which lists the machines whose heartbeats other
+    /// controllers should relay.
+    pub(crate) last_relay_list_number: u64,
+    /// The last relay request listed at least one machine.
+    pub(crate) has_requested_relays: bool,
+    /// Until when requests are not forwarded because the store refuses this controller: it
+    /// refused another controller as well.
     pub(crate) store_down_everywhere_until: Ms,
     view_sync: ViewSync,
-    /// Shards that are being handed over.
-    handovers: BTreeMap<ShardId, shard_ownership::Handover>,
-    /// The view's revision up to which the shards have applied changes.
+    /// The last handover request for each shard.
+    handovers: BTreeMap<ShardId, shard_ownership::PendingHandover>,
+    /// The revision of the view whose changes the shards have applied.
     processed_revision: u64,
     next_status_log_at: Ms,
     next_failure_detection_at: Ms,
-    /// Polls of cancellations that are to be repeated, and when.
-    pub(crate) delayed_polls: Vec<(Ms, CancellationPoll)>,
-    /// Until when users wait for cancellations in shards held here to be written.
+    /// Polls of cancellations to be repeated, and when each is due.
+    pub(crate) delayed_cancellation_polls: Vec<(Ms, CancellationPoll)>,
+    /// Deadlines of the users' requests that wait until a cancellation in a shard held here is
+    /// written to the store.
     pub(crate) cancel_deadlines: VecDeque<(Ms, RequestId, JobId)>,
 }
 
 impl Node {
-    /// A controller that has just started. `incarnation` names this start, and must differ
-    /// from that of every other start. `seed` is that of all random draws.
+    /// A controller that has just started. `incarnation` identifies this start of the process
+    /// and must differ between any two starts. `seed` initializes the random number generator
+    /// of all random decisions.
     pub fn new(config: Config, incarnation: u64, seed: u64) -> Self {
         let config = Rc::new(config);
         let remembered_jobs = config.bounds.remembered_jobs;
@@ -91,31 +100,32 @@
             job_shards: RecentJobs::new(remembered_jobs),
             dependencies: DependencyTracker::default(),
             admissions: BTreeMap::new(),
-            forwards: BTreeMap::new(),
-            forwarded_count: incarnation,
-            relay_request_count: 0,
-            has_relay_requests: false,
+            pending_forwards: BTreeMap::new(),
+            last_forward_number: incarnation,
+            last_relay_list_number: 0,
+            has_requested_relays: false,
             store_down_everywhere_until: 0,
             view_sync: ViewSync::default(),
             handovers: BTreeMap::new(),
             processed_revision: 0,
             next_status_log_at: 0,
             next_failure_detection_at: 0,
-            delayed_polls: Vec::new(),
+            delayed_cancellation_polls: Vec::new(),
             cancel_deadlines: VecDeque::new(),
         }
     }
 
-    /// Handles a batch of inputs, does what is due, and returns the effects to be carried
-    /// out. `now` is the steady clock; `wall` is the time of day in milliseconds, which may
-    /// be off and is used only for the ages of jobs.
+    /// Processes a batch of inputs, runs the tasks that are due, and returns the effects for
+    /// the caller to carry out. `now` is the monotonic clock; a value that goes back is
+    /// ignored. `wall` is the time of day in milliseconds since 1970. It may be wrong by the
+    /// configured clock error, and is used only for ages and recorded times.
     pub fn step(&mut self, now: Ms, wall: Ms, inputs: Vec<Input>) -> Vec<Effect> {
         let _span = tracing::debug_span!("step").entered();
-        self.ctx.note_process_pause(now);
+        self.ctx.detect_process_pause(now);
         self.ctx.now = self.ctx.now.max(now);
         self.ctx.wall_clock_ms = wall;
-        // Inputs that waited in the sockets during a pause are handled with the lease as it
-        // is now, not as it was before.
+        // Inputs that were queued in the sockets during a pause of the process are processed
+        // under the lease's validity as of now, not as of before the pause.
         self.ctx.has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         for input in inputs {
             self.on_input(input);
@@ -142,7 +152,8 @@
         }
     }
 
-    /// Updates the state of the called service, then handles the answer to a call.
+    /// Records the outcome of a call for the state of the called service, then dispatches the
+    /// response. A status of 0 means that there was no response.
     fn on_call_ended(&mut self, pending: PendingCall, status: u16, body: &[u8]) {
         let now = self.ctx.now;
         match pending.service() {
@@ -154,13 +165,13 @@
             }
         }
         if status == 400 {
-            self.note_rejected_transaction(&pending, body);
+            self.on_rejected_transaction(&pending, body);
         }
         self.on_response(pending, status, body);
     }
 
-    /// Sends the calls to the store that are due. Calls that fail unsent are answered with
-    /// 503, which may queue more calls.
+    /// Sends the store calls that the rate limit allows. Calls that the queue rejected are
+    /// answered with 503 without having been sent; that answer may queue more calls.
     fn send_store_calls(&mut self) {
         let _pump = tracing::debug_span!("pump").entered();
         self.ctx.send_due_store_calls();
@@ -172,48 +183,51 @@
         }
     }
 
-    /// How many machines, jobs and tasks were visited outside of scheduling rounds, as a
-    /// measure of the work that messages and time cause.
+    /// The number of machines, jobs and tasks visited outside of scheduling rounds since the
+    /// start: a deterministic measure of the work that messages and timers cause.
     pub fn visits(&self) -> u64 {
         self.ctx.work_units
     }
 
-    /// Whether this controller can serve requests.
+    /// Whether this controller can serve requests: it has a complete view, is registered, and
+    /// knows the machine types.
     pub(crate) fn is_ready(&self) -> bool {
         self.view.is_complete
             && self.membership.is_registered()
             && !self.view.machine_types.is_empty()
     }
 
-    /// Does what is due. The order matters: the lease and the view come before the decisions
-    /// that rest on them, and shards before the leader's view of their demand.
+    /// Runs the periodic tasks. The order matters: the lease and the view are updated before
+    /// the decisions that depend on them, and shards compute their unmet demand before the
+    /// leader reads it.
     fn tick(&mut self) {
         self.membership.tick(&mut self.ctx, &self.view);
         self.reopen_watches();
-        self.follow_view();
-        self.follow_format();
-        self.forget_images();
+        self.sync_view();
+        self.adopt_finalized_format();
+        self.drop_unused_images();
         self.run_failure_detector();
-        self.follow_cloud_link();
+        self.update_cloud_link();
         let machines = self.view.take_changed_machines();
         self.leader.tick(&mut self.ctx, &self.view, &machines);
-        self.follow_shard_records();
+        self.reconcile_shard_ownership();
         let has_view_changed = self.processed_revision != self.view.revision;
         self.processed_revision = self.view.revision;
-        self.follow_budget();
+        self.update_store_budget();
         self.update_dependencies();
         self.tick_shards(&machines, has_view_changed);
         for (shard, epoch, record) in std::mem::take(&mut self.ctx.unmet_demand) {
             self.leader
                 .on_demand_received(self.ctx.now, shard, epoch, record);
         }
-        self.expire_forwards();
+        self.expire_pending_forwards();
         self.repeat_cancellation_polls();
         self.expire_cancel_waits();
         self.log_status();
     }
 
-    /// Lets each shard load its jobs, apply the changes of the view, and reconcile.
+    /// Advances each shard: it loads its jobs, applies the changes of the view, and reconciles
+    /// the desired with the reported state of its machines.
     fn tick_shards(&mut self, machines: &ChangedMachines, has_view_changed: bool) {
         for shard in self.shards.values_mut() {
             shard.relist_jobs(&mut self.ctx);
@@ -229,7 +243,7 @@
             if has_view_changed {
                 shard.sync_machine_records(&mut self.ctx, &self.view, machines);
             }
-            // A cancellation may be visible before the job that it is for.
+            // The view may show a cancellation before the shard has loaded its job.
             let must_check = std::mem::take(&mut shard.must_check_cancellations);
             if has_view_changed || must_check {
                 for id in self.view.cancellations.keys() {
@@ -240,21 +254,23 @@
         }
     }
 
-    /// Sends what the budget requires, and sets the rate limit of calls to the store.
-    fn follow_budget(&mut self) {
-        let terms = BudgetInputs::from(&self.ctx);
-        let messages = self.budget.tick(&terms, &mut self.ctx.store, &self.view);
+    /// Sends the messages of the request budget, and sets this controller's rate limit for
+    /// calls to the store.
+    fn update_store_budget(&mut self) {
+        let inputs = BudgetInputs::from(&self.ctx);
+        let messages = self.budget.tick(&inputs, &mut self.ctx.store, &self.view);
         for message in messages {
             self.ctx.send_to_peer(&message.to, 0, message.body);
         }
-        let rate = self.budget.rate(&terms, &self.view);
+        let rate = self.budget.rate(&inputs, &self.view);
         self.ctx.store.set_rates(&rate);
-        let allowed = self.budget.allows_overdraft(&terms, &self.view);
+        let allowed = self.budget.allows_overdraft(&inputs, &self.view);
         self.ctx.store.set_overdraft_allowed(allowed);
     }
 
-    /// Resigns as the leader if no call reaches the cloud and others may do better.
-    fn follow_cloud_link(&mut self) {
+    /// Records whether calls reach the cloud. A leader without a link to the cloud resigns if
+    /// there are other controllers, as one of them may have a link.
+    fn update_cloud_link(&mut self) {
         let max_outage_ms = self.ctx.config.node_lease_ms();
         let is_lost = self.ctx.cloud_link.is_lost(self.ctx.now, max_outage_ms);
         self.set_link(Link::Cloud, !is_lost);
@@ -265,23 +281,23 @@
         }
     }
 
-    /// Writes a new format once the view shows that it is finalized. From then on all calls
-    /// keep to the limits that are announced as well, as nobody announces when those take
-    /// effect.
-    fn follow_format(&mut self) {
+    /// Starts to write a newer format once the view shows that it is finalized. From then on,
+    /// or once the store has rejected a transaction, all calls also observe the announced
+    /// future limits of the store, as the time at which they take effect is not announced.
+    fn adopt_finalized_format(&mut self) {
         let known = self.view.format().min(self.ctx.config.format);
         if known > self.ctx.format {
             log::info!("format {known}: finalized");
             self.ctx.format = known;
         }
-        if !self.ctx.format.is_first() || self.ctx.is_size_refused {
+        if !self.ctx.format.is_first() || self.ctx.has_rejected_transaction {
             self.ctx.limits = self.ctx.config.least_state_limits;
         }
     }
 
-    /// Forgets the names of images that no job and no machine here uses: users name new
-    /// ones for as long as the process lives.
-    fn forget_images(&mut self) {
+    /// Drops the names of images that no job and no machine here uses, if there are too many.
+    /// Users submit new image names without end, so the table would grow without bound.
+    fn drop_unused_images(&mut self) {
         if !self.ctx.images.is_over_limit() {
             return;
         }
--- a/crates/core/src/node/shard_ownership.rs
+++ b/crates/core/src/node/shard_ownership.rs
@@ -1,5 +1,7 @@
-//! Follows the records of shards: acquires those that are assigned to this controller,
-//! releases others, and hands shards over.
+//! Shard ownership: acquires the shards that their records assign to this controller, releases
+//! the others, and requests handovers.
+//!
+//! A handover is a transaction that assigns a shard to another controller under a new epoch.
 
 use super::Node;
 use crate::context::{revision_of, Context};
@@ -10,22 +12,23 @@
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
-/// Time after which a handover without an answer is tried again, in milliseconds.
-const RETRY_MS: Ms = 1_000;
+/// Time after which a handover request without an answer is retried, in milliseconds.
+const HANDOVER_RETRY_MS: Ms = 1_000;
 
-/// A handover that was requested.
-pub(super) struct Handover {
-    /// It is not requested again before this.
+/// A requested handover, and the conditions for requesting it again.
+pub(super) struct PendingHandover {
+    /// The earliest time of the next request.
     retry_at: Ms,
-    /// Nor before the view has reached the revision of the answer.
-    answered_at: u64,
+    /// The revision that the view must have reached before the next request: that of the
+    /// last answer, 0 before an answer.
+    required_revision: u64,
 }
 
 impl Node {
-    /// Acquires shards that are assigned to this incarnation, releases all others, and
-    /// requests the handovers that follow.
-    pub(super) fn follow_shard_records(&mut self) {
-        let relief = self.handover_target();
+    /// Acquires the shards that the view assigns to this incarnation, releases all others, and
+    /// requests the handovers that are due.
+    pub(super) fn reconcile_shard_ownership(&mut self) {
+        let isolation_target = self.handover_target();
         let mut handovers: Vec<(ShardId, NodeName)> = Vec::new();
         let Node {
             ctx,
@@ -38,7 +41,10 @@
             let record = &versioned.record;
             if !is_assigned_here(record, ctx) {
                 if let Some(shard) = shards.remove(id) {
-                    log::info!("shard {id}: now with {}", record.holder);
+                    log::info!(
+                        "shard {id}: released, as it is assigned to {}",
+                        record.holder
+                    );
                     shard.release(ctx);
                 }
                 continue;
@@ -48,7 +54,7 @@
             let next_holder = match current {
                 Some(shard) => {
                     shard.version = versioned.version;
-                    next_holder(shard, record, relief.as_ref(), ctx, view)
+                    next_holder(shard, record, isolation_target.as_ref(), ctx, view)
                 }
                 None => acquire(*id, versioned, ctx, shards, used_epochs),
             };
@@ -59,15 +65,15 @@
         }
     }
 
-    /// Requests a handover, unless one is in flight. The shard is released at once, whatever
-    /// the answer.
+    /// Requests a handover, unless one is pending. The shard is released at once, whatever the
+    /// answer will be.
     fn request_handover(&mut self, id: ShardId, to: NodeName) {
         if self.is_handover_pending(id) {
             return;
         }
-        let handover = Handover {
-            retry_at: self.ctx.now + RETRY_MS,
-            answered_at: 0,
+        let handover = PendingHandover {
+            retry_at: self.ctx.now + HANDOVER_RETRY_MS,
+            required_revision: 0,
         };
         self.handovers.insert(id, handover);
         if let Some(shard) = self.shards.remove(&id) {
@@ -79,14 +85,15 @@
     /// Whether a handover of a shard is in flight, or the view does not show its outcome yet.
     fn is_handover_pending(&self, id: ShardId) -> bool {
         self.handovers.get(&id).is_some_and(|handover| {
-            self.ctx.now < handover.retry_at || self.view.revision < handover.answered_at
+            self.ctx.now < handover.retry_at || self.view.revision < handover.required_revision
         })
     }
 
-    /// Handles the answer to a handover. Until the view has reached its revision the versions
-    /// in the view are outdated: the same request would fail again and again, as fast as the
-    /// store answers, and use up the request budget.
-    pub(super) fn on_handed_over(&mut self, shards: &[ShardId], status: u16, body: &[u8]) {
+    /// Processes the answer to a handover request; statuses other than success and conflict
+    /// leave the retry timeout in place. Until the view has reached the answer's revision, the
+    /// record versions in the view are stale: the same request would conflict repeatedly, as
+    /// fast as the store answers, and exhaust the request budget.
+    pub(super) fn on_handover_written(&mut self, shards: &[ShardId], status: u16, body: &[u8]) {
         if !matches!(status, 200 | 409) {
             return;
         }
@@ -94,7 +101,7 @@
         for id in shards {
             if let Some(handover) = self.handovers.get_mut(id) {
                 handover.retry_at = self.ctx.now;
-                handover.answered_at = revision_of(body);
+                handover.required_revision = revision_of(body);
             }
         }
     }
@@ -105,18 +112,19 @@
     record.holder == ctx.config.node && record.holder_incarnation == ctx.incarnation
 }
 
-/// The controller that a shard held here should be handed over to. While this controller is
-/// isolated that is `relief`, and calls in flight are not waited for: they end late, and the
-/// next holder's tokens fence them off.
+/// The controller that a shard held here should be handed over to, if any. While this
+/// controller is isolated, that is `isolation_target`, and the handover does not wait for calls
+/// in flight: they may take long to end, and the next holder's fencing tokens make them
+/// ineffective.
 fn next_holder(
     shard: &Shard,
     record: &ShardRecord,
-    relief: Option<&NodeName>,
+    isolation_target: Option<&NodeName>,
     ctx: &Context,
     view: &ClusterView,
 ) -> Option<NodeName> {
-    if relief.is_some() {
-        return relief.cloned();
+    if isolation_target.is_some() {
+        return isolation_target.cloned();
     }
     let requested = record.handover_to.as_ref();
     let other = requested.filter(|node| **node != ctx.config.node)?;
@@ -124,9 +132,11 @@
     is_possible.then(|| other.clone())
 }
 
-/// Acquires a shard under a new epoch, in place of its state under an earlier one. An epoch
-/// that was used here before has lost its state; its tokens must not be used again, so the
-/// shard is handed over to this controller under another one. Returns the next holder then.
+/// Acquires a shard under the epoch in its record, and drops its state under an earlier epoch.
+///
+/// If the epoch was used here before, the state that belongs to it is lost. Its fencing tokens
+/// must not be issued again, so the shard is not acquired, and this controller is returned as
+/// the target of a handover under a new epoch.
 fn acquire(
     id: ShardId,
     versioned: &Versioned<ShardRecord>,
--- a/crates/core/src/node/status_log.rs
+++ b/crates/core/src/node/status_log.rs
@@ -1,14 +1,14 @@
-//! A periodic log line on each shard that is held here.
+//! Periodic status log lines for each shard that is held here.
 
 use super::Node;
 use crate::shard::Shard;
 use crate::Ms;
 
-/// Time between two log lines on a shard, in milliseconds.
+/// Interval between two status log lines for a shard, in milliseconds.
 const STATUS_LOG_INTERVAL_MS: Ms = 10_000;
 
 impl Node {
-    /// Logs the state of each shard, when that is due.
+    /// Logs the status of each shard if the interval has passed.
     pub(super) fn log_status(&mut self) {
         if self.ctx.now < self.next_status_log_at {
             return;
@@ -17,12 +17,12 @@
         let queued_calls = self.ctx.store.len();
         for shard in self.shards.values() {
             shard.log_details();
-            log_shard(shard, queued_calls);
+            log_shard_status(shard, queued_calls);
         }
     }
 }
 
-fn log_shard(shard: &Shard, queued_calls: usize) {
+fn log_shard_status(shard: &Shard, queued_calls: usize) {
     let tasks_placed: usize = shard.jobs.values().map(|job| job.bindings.len()).sum();
     let machines = shard.machines.values();
     let machines_up = machines.filter(|m| m.last_heartbeat_at.is_some()).count();
--- a/crates/core/src/protocol/forwarding.rs
+++ b/crates/core/src/protocol/forwarding.rs
@@ -1,37 +1,40 @@
 //! Forwarding of requests to the controller that should answer them.
 //!
 //! A status query or a cancellation is forwarded to the holder of the job's shard, which
-//! answers from memory under a valid lease; that saves a read of the key-value store, which
-//! has few to spare. While the store refuses this controller alone, all
-//! requests are forwarded to another one. The answer counts from the moment between
-//! request and answer at which the other controller gave it, as if the user had sent the
-//! request there. Without an answer in time the request is handled here.
+//! answers from memory under a valid lease. That saves a read of the key-value store, whose
+//! request rate is limited. While the store refuses this controller but may serve others,
+//! all requests are forwarded to another controller.
+//!
+//! Forwarding keeps the guarantees of a direct request: the answer reflects the state at a
+//! time between request and answer, as if the user had sent the request to the other
+//! controller. If there is no answer in time, the request is handled here.
 
 use crate::api::status_of_stage;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
 use crate::overflow::Overflow;
-use crate::protocol::messages::Sender;
-use crate::protocol::relay::Relaying;
+use crate::protocol::messages::MessageSender;
+use crate::protocol::relay::RelayPermission;
 use crate::Ms;
 use forkshift_wire::peer::Body;
 use forkshift_wire::users::JobStatus;
 use forkshift_wire::{JobId, NodeName};
 
-/// Path of the heartbeats of workers.
-const HEARTBEAT_PATH: &str = "/v1/report";
-/// Time that another controller has for a status query, in milliseconds; users wait 2 s.
+/// Path of the requests that carry workers' heartbeats.
+const WORKER_HEARTBEAT_PATH: &str = "/v1/report";
+/// Timeout for another controller's answer to a status query, in milliseconds. Users wait
+/// 2 s, so time remains to handle the query here.
 const QUERY_TIMEOUT_MS: Ms = 500;
-/// Time that another controller has for a request that writes, in milliseconds.
+/// Timeout for another controller's answer to a request that writes, in milliseconds.
 const WRITE_TIMEOUT_MS: Ms = 1_500;
-/// Pause before a heartbeat is forwarded again, in milliseconds: a repeated heartbeat
-/// changes nothing.
-const RESEND_MS: Ms = 500;
-/// Pause of forwarding after another controller was found to be refused by the store as
-/// well, in milliseconds.
+/// Interval at which an unanswered heartbeat is forwarded again, in milliseconds. Heartbeats
+/// are idempotent.
+const HEARTBEAT_RESEND_MS: Ms = 500;
+/// How long requests are not forwarded after the store was found to refuse another controller
+/// as well, in milliseconds.
 const STORE_DOWN_PAUSE_MS: Ms = 1_000;
 
-/// A request as it is sent to another controller.
+/// The contents of a request that is sent to another controller.
 pub(crate) struct ForwardedRequest {
     method: String,
     path: String,
@@ -39,7 +42,7 @@
 }
 
 impl ForwardedRequest {
-    /// The message that forwards it under a number.
+    /// The message that forwards the request under the sender's number for it.
     fn to_message(&self, request_number: u64) -> Body {
         Body::ForwardedRequest {
             request_number,
@@ -49,36 +52,37 @@
         }
     }
 
-    /// A heartbeat of a worker.
+    /// The request that carries a worker's heartbeat.
     pub(crate) fn heartbeat(body: Vec<u8>) -> Self {
         Self {
             method: "POST".to_owned(),
-            path: HEARTBEAT_PATH.to_owned(),
+            path: WORKER_HEARTBEAT_PATH.to_owned(),
             body: Some(body),
         }
     }
 
     fn is_heartbeat(&self) -> bool {
-        self.path == HEARTBEAT_PATH
+        self.path == WORKER_HEARTBEAT_PATH
     }
 }
 
-/// A request that was forwarded and has no answer yet.
+/// A forwarded request that has no answer yet.
 pub(crate) struct PendingForward {
     request: RequestId,
     forwarded: ForwardedRequest,
     target: NodeName,
     deadline: Ms,
-    /// When it is sent again, if it may be: a message may be lost with its connection.
+    /// When the message is sent again, as it may be lost with its connection; none if the
+    /// request must not be repeated.
     resend_at: Option<Ms>,
 }
 
-/// A request that may be forwarded.
+/// A user's request of a kind that may be forwarded.
 enum ForwardableRequest {
     /// A new job.
     Submission,
     /// A status query or a cancellation.
-    OfJob(JobId),
+    ForJob(JobId),
 }
 
 impl ForwardableRequest {
@@ -87,7 +91,7 @@
         match (method, segments.as_slice()) {
             ("POST", ["submissions"]) => Some(Self::Submission),
             ("GET", ["submissions", id]) | ("POST", ["submissions", id, "abort"]) => {
-                JobId::parse(id).map(Self::OfJob)
+                JobId::parse(id).map(Self::ForJob)
             }
             _ => None,
         }
@@ -95,8 +99,9 @@
 }
 
 impl Node {
-    /// Forwards a user's request, if another controller should answer it. Returns
-    /// the body as an error if not.
+    /// Forwards a user's request, if another controller should answer it. Otherwise returns
+    /// the body as the error, so that the request can be handled here. A request that was
+    /// forwarded to this controller is not forwarded again.
     pub(crate) fn try_forward(
         &mut self,
         request: RequestId,
@@ -124,7 +129,7 @@
         Ok(())
     }
 
-    /// Sends a request to another controller, which has `timeout` for its answer.
+    /// Sends a request to another controller, which must answer within `timeout` milliseconds.
     pub(crate) fn forward(
         &mut self,
         request: RequestId,
@@ -132,8 +137,8 @@
         forwarded: ForwardedRequest,
         timeout: Ms,
     ) {
-        self.forwarded_count += 1;
-        let request_number = self.forwarded_count;
+        self.last_forward_number += 1;
+        let request_number = self.last_forward_number;
         let now = self.ctx.now;
         let message = forwarded.to_message(request_number);
         self.ctx.send_to_peer(target, 0, message);
@@ -141,28 +146,31 @@
             request,
             target: target.clone(),
             deadline: now + timeout,
-            resend_at: forwarded.is_heartbeat().then_some(now + RESEND_MS),
+            resend_at: forwarded
+                .is_heartbeat()
+                .then_some(now + HEARTBEAT_RESEND_MS),
             forwarded,
         };
-        self.forwards.insert(request_number, forward);
+        self.pending_forwards.insert(request_number, forward);
     }
 
-    /// Sends requests again that may be repeated and have no answer yet.
+    /// Repeats the unanswered requests that may be repeated and are due.
     fn resend_forwards(&mut self) {
         let now = self.ctx.now;
-        for (request_number, forward) in &mut self.forwards {
+        for (request_number, forward) in &mut self.pending_forwards {
             if forward.resend_at.is_some_and(|time| now >= time) {
-                forward.resend_at = Some(now + RESEND_MS);
+                forward.resend_at = Some(now + HEARTBEAT_RESEND_MS);
                 let message = forward.forwarded.to_message(*request_number);
                 self.ctx.send_to_peer(&forward.target, 0, message);
             }
         }
     }
 
-    /// The controller that should answer a request instead of this one.
+    /// The controller that should answer a request instead of this one; none if the request is
+    /// handled here.
     fn forward_target(&self, method: &str, path: &str) -> Option<NodeName> {
         let request = ForwardableRequest::parse(method, path)?;
-        if let ForwardableRequest::OfJob(id) = &request {
+        if let ForwardableRequest::ForJob(id) = &request {
             if self.can_answer_from_memory(id) {
                 return None;
             }
@@ -173,20 +181,20 @@
         self.peer_with_store_access().cloned()
     }
 
-    /// Whether the status of a job is known here without a read of the store.
+    /// Whether the status of a job can be answered here without a read of the store.
     fn can_answer_from_memory(&self, id: &JobId) -> bool {
         let has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         self.final_stages.get(id).is_some() || (has_valid_lease && self.has_job(id))
     }
 
-    /// Whether a shard that is held here has an unfinished job.
+    /// Whether a shard held here contains the unfinished job.
     fn has_job(&self, id: &JobId) -> bool {
         self.shards
             .values()
             .any(|shard| shard.jobs.contains_key(id))
     }
 
-    /// The other controller that holds a job, if it is known.
+    /// The other controller that holds the job's shard, if the shard is known.
     fn remote_holder(&self, id: &JobId) -> Option<&NodeName> {
         if self.has_job(id) {
             return None;
@@ -196,8 +204,9 @@
         (*holder != self.ctx.config.node).then_some(holder)
     }
 
-    /// Another controller, if the store refuses this one and perhaps not all: each time
-    /// the next one.
+    /// Another controller that the store may serve, while it refuses this one; successive
+    /// requests rotate through the other controllers. None if the store serves this controller
+    /// or was recently found to refuse another one.
     fn peer_with_store_access(&self) -> Option<&NodeName> {
         if !self.ctx.store.is_refusing_calls() || self.ctx.now < self.store_down_everywhere_until {
             return None;
@@ -206,29 +215,30 @@
         let names = self.view.nodes.keys();
         let peers: Vec<&NodeName> = names.filter(|name| *name != own_name).collect();
         let peer_count = peers.len().max(1) as u64;
-        let index = (self.forwarded_count % peer_count) as usize;
+        let index = (self.last_forward_number % peer_count) as usize;
         peers.get(index).copied()
     }
 
-    /// Another controller has forwarded a request.
+    /// Processes a request that another controller has forwarded. Requests other than users'
+    /// requests for jobs and heartbeats are dropped.
     pub(crate) fn on_forwarded_request(
         &mut self,
-        sender: &Sender,
+        sender: &MessageSender,
         request_number: u64,
         method: &str,
         path: &str,
         body: Option<Vec<u8>>,
     ) {
-        if !path.starts_with("/submissions") && path != HEARTBEAT_PATH {
+        if !path.starts_with("/submissions") && path != WORKER_HEARTBEAT_PATH {
             return;
         }
         let is_full = self.ctx.peer_requests.len() >= self.ctx.config.bounds.forwarded_requests;
         let node = sender.node.clone();
         let request = self
             .ctx
-            .add_peer_request(node, sender.incarnation, request_number);
+            .register_peer_request(node, sender.incarnation, request_number);
         if is_full {
-            // The sender handles the request itself, and need not wait to do so.
+            // A refusal makes the sender handle the request at once instead of after its timeout.
             let now = self.ctx.now;
             self.ctx.overflows.record(now, Overflow::ForwardedRequests);
             return self
@@ -238,9 +248,10 @@
         self.on_request(request, method, path, body);
     }
 
-    /// Another controller has answered a request that was forwarded to it.
+    /// Processes another controller's answer to a forwarded request. A 503 makes this
+    /// controller handle the request; an answer to an unknown number is dropped.
     pub(crate) fn on_forwarded_response(&mut self, request_number: u64, reply: Reply) {
-        let Some(forward) = self.forwards.remove(&request_number) else {
+        let Some(forward) = self.pending_forwards.remove(&request_number) else {
             return;
         };
         if forward.forwarded.is_heartbeat() {
@@ -248,18 +259,18 @@
         }
         if reply.status == 503 {
             if self.ctx.store.is_refusing_calls() {
-                // The store refuses the other controller, too.
+                // The store refuses the other controller as well.
                 self.store_down_everywhere_until = self.ctx.now + STORE_DOWN_PAUSE_MS;
             }
-            return self.handle_unanswered(forward);
+            return self.serve_unanswered(forward);
         }
-        let reply = self.newest_status(reply);
+        let reply = self.with_latest_stage(reply);
         self.ctx.respond(forward.request, reply);
     }
 
-    /// Notes the final stage in an answer. If the answer was overtaken by a final stage
-    /// that is known here, returns that instead.
-    fn newest_status(&mut self, reply: Reply) -> Reply {
+    /// Records the final stage in an answer. If the answer states an earlier stage than the
+    /// final one that is known here, returns an answer with the final stage instead.
+    fn with_latest_stage(&mut self, reply: Reply) -> Reply {
         let reported = serde_json::from_slice::<JobStatus>(&reply.body).ok();
         let Some(reported) = reported.filter(|_| reply.status == 200) else {
             return reply;
@@ -274,27 +285,27 @@
         }
     }
 
-    /// Handles here the requests that had no answer in time, and forgets requests of
-    /// other controllers that can have none.
-    pub(crate) fn expire_forwards(&mut self) {
+    /// Handles the requests here that had no answer in time, repeats others that are due, and
+    /// drops expired requests from other controllers.
+    pub(crate) fn expire_pending_forwards(&mut self) {
         let now = self.ctx.now;
         let expired: Vec<u64> = self
-            .forwards
+            .pending_forwards
             .iter()
             .filter(|(_, forward)| now >= forward.deadline)
             .map(|(request_number, _)| *request_number)
             .collect();
         for request_number in expired {
-            if let Some(forward) = self.forwards.remove(&request_number) {
-                self.handle_unanswered(forward);
+            if let Some(forward) = self.pending_forwards.remove(&request_number) {
+                self.serve_unanswered(forward);
             }
         }
         self.resend_forwards();
         self.ctx.expire_peer_requests();
     }
 
-    /// Handles a request that another controller has not answered.
-    fn handle_unanswered(&mut self, forward: PendingForward) {
+    /// Handles a request here that another controller has refused or not answered in time.
+    fn serve_unanswered(&mut self, forward: PendingForward) {
         let PendingForward {
             request, forwarded, ..
         } = forward;
@@ -302,7 +313,8 @@
             let ForwardedRequest { method, path, body } = forwarded;
             return self.handle_locally(request, &method, &path, body);
         }
-        let reply = self.on_heartbeat_request(request, forwarded.body, Relaying::Tried);
+        let reply =
+            self.on_heartbeat_request(request, forwarded.body, RelayPermission::AlreadyTried);
         if let Some(reply) = reply {
             self.ctx.respond(request, reply);
         }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,8 +1,8 @@
-//! Records in the key-value store, and the keys that they are stored under.
+//! Records in the key-value store, and the keys under which they are stored.
 //!
-//! Everything that all controllers must know is below `c/`, so that one
-//! watch shows all of it, in order. Permanent records of jobs are below `job/`; the
-//! state of unfinished jobs is below `live/<shard>/`. The serde names are those of
+//! Records that every controller must know have keys with the prefix `c/`, so that a single
+//! watch delivers all changes to them in order. Permanent records of jobs are below `job/`,
+//! and the state of unfinished jobs below `live/<shard>/`. The serde names are those of
 //! earlier releases, whose records must stay readable.
 
 mod cluster;
@@ -16,9 +16,9 @@
 pub use demand::{DemandRecord, ShapeRecord};
 pub use jobs::{JobHeadRecord, JobRecord, TaskBlockRecord};
 pub use keys::{
-    cancellation_key, demand_key, job_key, machine_key, node_key, provisioning_intent_key,
-    shard_key, type_key, unfinished_key, unfinished_prefix, CLUSTER, EPOCH, FINALIZED_FORMAT,
-    LEADER,
+    cancellation_key, demand_key, job_key, machine_key, machine_type_key, node_key,
+    provisioning_intent_key, shard_key, unfinished_job_key, unfinished_jobs_prefix, CLUSTER,
+    EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
 };
 pub use machines::{capacity_of, MachineRecord};
 pub use provisioning::ProvisioningIntent;
--- a/crates/core/src/records/keys.rs
+++ b/crates/core/src/records/keys.rs
@@ -1,16 +1,17 @@
-//! Keys under which records are stored.
+//! Keys of the records in the key-value store.
 
 use super::ShardId;
 use forkshift_wire::{JobId, MachineId, NodeName};
 
-/// Prefix of the keys that every controller watches.
+/// Prefix of the keys of cluster records, which every controller watches.
 pub const CLUSTER: &str = "c/";
-/// Key of the counter that epochs come from.
-pub const EPOCH: &str = "c/epoch";
-/// Key of the format that all controllers know, once that is certain.
-pub const FINALIZED_FORMAT: &str = "c/format";
+/// Key of the counter from which the epochs of shards are drawn.
+pub const EPOCH_KEY: &str = "c/epoch";
+/// Key of the finalized format version, which every configured controller supports. Absent
+/// until the first finalization.
+pub const FINALIZED_FORMAT_KEY: &str = "c/format";
 /// Key of the leader's record.
-pub const LEADER: &str = "c/leader";
+pub const LEADER_KEY: &str = "c/leader";
 
 /// Key of a shard's record.
 pub fn shard_key(shard_id: ShardId) -> String {
@@ -27,13 +28,13 @@
     format!("c/machine/{id}")
 }
 
-/// Key of a provisioning intent, by the name of its request.
+/// Key of a provisioning intent. `request` is the name that identifies its request to the cloud.
 pub fn provisioning_intent_key(request: &str) -> String {
     format!("c/charter/{request}")
 }
 
-/// Key of a machine type.
-pub fn type_key(name: &str) -> String {
+/// Key of a machine type's record.
+pub fn machine_type_key(name: &str) -> String {
     format!("c/rig/{name}")
 }
 
@@ -42,7 +43,7 @@
     format!("c/demand/{shard_id}")
 }
 
-/// Key of a cancellation that waits for its shard's holder.
+/// Key of a requested cancellation that the holder of the job's shard has not processed yet.
 pub fn cancellation_key(id: &JobId) -> String {
     format!("c/abort/{id}")
 }
@@ -52,13 +53,14 @@
     format!("job/{id}")
 }
 
-/// Prefix of a shard's unfinished jobs.
-pub fn unfinished_prefix(shard_id: ShardId) -> String {
+/// Prefix of the keys of a shard's unfinished jobs.
+pub fn unfinished_jobs_prefix(shard_id: ShardId) -> String {
     format!("live/{shard_id}/")
 }
 
-/// Key of a block of an unfinished job; block 0 is part of its head.
-pub fn unfinished_key(shard_id: ShardId, id: &JobId, block: u32) -> String {
+/// Key of a block of an unfinished job. Block 0 is stored in the job's head, which has the key
+/// without a block number.
+pub fn unfinished_job_key(shard_id: ShardId, id: &JobId, block: u32) -> String {
     if block == 0 {
         format!("live/{shard_id}/{id}")
     } else {
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `records`.
+//! Tests of the truncation of demand records.
 
 use super::{DemandRecord, ShapeRecord};
 use forkshift_wire::MachineId;
@@ -22,14 +22,14 @@
     (0..count).map(id).collect()
 }
 
-/// A demand is truncated to the largest value: the least important lists first, and of
-/// each list the most urgent entries stay.
+/// A demand record that exceeds the store's value size must lose entries of the least important
+/// lists first, and must keep the most urgent entries of each list.
 #[test]
 fn truncation_drops_the_least_important_list_first() {
     let full = DemandRecord {
         revision: 7,
-        shapes: (1..=24).map(shape).collect(),
-        waiting: (1..=24).map(shape).collect(),
+        unmet_shapes: (1..=24).map(shape).collect(),
+        pending_shapes: (1..=24).map(shape).collect(),
         spare_machines: machines(20),
         surplus_machines: machines(200),
         reclaimable_machines: machines(200),
@@ -53,27 +53,27 @@
             "{max_bytes}"
         );
         let lengths = [
-            truncated.shapes.len(),
-            truncated.waiting.len(),
+            truncated.unmet_shapes.len(),
+            truncated.pending_shapes.len(),
             truncated.spare_machines.len(),
             truncated.surplus_machines.len(),
             truncated.reclaimable_machines.len(),
         ];
         assert_eq!(lengths, expected, "{max_bytes}");
         assert!(truncated
-            .shapes
+            .unmet_shapes
             .iter()
-            .eq(full.shapes.iter().take(expected[0])));
+            .eq(full.unmet_shapes.iter().take(expected[0])));
     }
 }
 
-/// The demand of a shard that holds four thousand machines, all of them empty, has room in
-/// a message with sixty shapes; with one byte less the least important list is halved.
+/// The demand of a shard with four thousand empty machines and sixty shapes must fit into a
+/// message without truncation. One byte below its size halves the least important list.
 #[test]
 fn demand_with_four_thousand_machines_fits_a_message() {
     let max_bytes = forkshift_wire::peer::MAX_MESSAGE_BYTES / 4 * 3;
     let mut full = DemandRecord {
-        shapes: (1..=60).map(shape).collect(),
+        unmet_shapes: (1..=60).map(shape).collect(),
         surplus_machines: machines(4_000),
         ..DemandRecord::default()
     };
@@ -83,7 +83,7 @@
     assert!(full.clone().truncated_to(size).has_same_demand(&full));
     let truncated = full.clone().truncated_to(size - 1);
     let lengths = (
-        truncated.shapes.len(),
+        truncated.unmet_shapes.len(),
         truncated.surplus_machines.len(),
         truncated.reclaimable_machines.len(),
     );
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -16,7 +16,7 @@
 
 use crate::api::read_job;
 use crate::context::Context;
-use crate::node::{holder_of, holder_of_mut, Node};
+use crate::node::{active_shard_of, active_shard_of_mut, Node};
 use crate::pending_call::PendingCall;
 use crate::recent_jobs::FinalStage;
 use crate::records::{job_key, ShardId};
@@ -200,7 +200,7 @@
             return;
         }
         let now = self.ctx.now;
-        let Some(shard) = holder_of_mut(&mut self.shards, dependent) else {
+        let Some(shard) = active_shard_of_mut(&mut self.shards, dependent) else {
             return;
         };
         let job = shard.jobs.get_mut(dependent);
@@ -215,7 +215,7 @@
     fn cancel_dependents(&mut self, dependent: &JobId, dependency: &JobId) {
         let mut pending = vec![dependent.clone()];
         while let Some(id) = pending.pop() {
-            let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
+            let Some(shard) = active_shard_of_mut(&mut self.shards, &id) else {
                 continue;
             };
             if shard.jobs.get(&id).is_none_or(|job| job.is_cancelled) {
@@ -280,7 +280,7 @@
                 .read_timers
                 .set_deadline(&id, self.ctx.now + interval_ms);
             // The final stage of a dependency held here becomes known without a read.
-            if dependency.has_read_in_flight || holder_of(shards, &id).is_some() {
+            if dependency.has_read_in_flight || active_shard_of(shards, &id).is_some() {
                 continue;
             }
             dependency.has_read_in_flight = true;
@@ -325,7 +325,7 @@
         let is_recently_unfinished = |id: &JobId| {
             let dependency = self.dependencies.unfinished.get(id);
             let since = dependency.map(|d| d.last_known_unfinished_at);
-            holder_of(&self.shards, id).is_some()
+            active_shard_of(&self.shards, id).is_some()
                 || since.is_none_or(|t| self.ctx.now < t + max_age_ms)
         };
         job.unresolved_dependencies
@@ -338,7 +338,7 @@
     /// shard's holder, once the shard is known.
     fn raise_inherited_priority(&mut self, mut jobs: Vec<JobId>, priority: Priority) {
         while let Some(id) = jobs.pop() {
-            let Some(shard) = holder_of_mut(&mut self.shards, &id) else {
+            let Some(shard) = active_shard_of_mut(&mut self.shards, &id) else {
                 let shard = self.dependencies.unfinished.get(&id).and_then(|d| d.shard);
                 if let Some(shard) = shard {
                     self.send_inherited_priority(&id, shard);
@@ -379,7 +379,7 @@
         else {
             return;
         };
-        if holder_of(&self.shards, &id).is_some() {
+        if active_shard_of(&self.shards, &id).is_some() {
             self.raise_inherited_priority(vec![id], *priority);
         }
     }
--- a/crates/core/src/shard/dependencies/tests.rs
+++ b/crates/core/src/shard/dependencies/tests.rs
@@ -179,7 +179,7 @@
         let job = f.shard().jobs.get_mut(&id(1)).expect("it is there");
         job.blocks.get_mut(&0).expect("a head").last_attempt = next;
         let head = job.head_record();
-        let key = crate::records::unfinished_key(f.shard, &id(1), 0);
+        let key = crate::records::unfinished_job_key(f.shard, &id(1), 0);
         let value = serde_json::to_value(head).expect("a record");
         let item = forkshift_wire::state::Item {
             key,
--- a/crates/core/src/shard/jobs_watch.rs
+++ b/crates/core/src/shard/jobs_watch.rs
@@ -7,7 +7,7 @@
 use super::{RecoveryState, Shard};
 use crate::context::{is_watch_lost, Context};
 use crate::pending_call::PendingCall;
-use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
+use crate::records::{unfinished_jobs_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::store::queue::Urgency;
 use crate::Ms;
 use forkshift_wire::state::{Change, Changes, Item, Page};
@@ -91,7 +91,7 @@
     /// Requests the page of the jobs' records that follows the key `from`, or the
     /// first page if `from` is empty.
     pub(super) fn list_jobs(&self, ctx: &mut Context, from: &str) {
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         let mut path = format!("/kv?starts={prefix}&most={MAX_PAGE_ITEMS}");
         if !from.is_empty() {
             path.push_str(&format!("&from={from}"));
@@ -143,13 +143,13 @@
         }
         watch.is_open = true;
         watch.serial += 1;
-        watch.next_open_at = ctx.now + ctx.watch_pause(WATCH_RATE_FRACTION);
+        watch.next_open_at = ctx.now + ctx.watch_interval_ms(WATCH_RATE_FRACTION);
         let pending = PendingCall::ShardWatch {
             shard: self.id,
             epoch: self.epoch,
             serial: watch.serial,
         };
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         ctx.watch_store(&prefix, watch.revision, WATCH_HOLD_MS, pending);
     }
 
@@ -192,7 +192,7 @@
     /// Handles a written record that the watch has shown: adds the job if the record
     /// is the head of a new one.
     fn on_job_put(&mut self, ctx: &mut Context, key: &str, value: Value, version: u64) {
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         let Some(name) = key.strip_prefix(&prefix) else {
             return;
         };
--- a/crates/core/src/shard/layout.rs
+++ b/crates/core/src/shard/layout.rs
@@ -11,7 +11,7 @@
 //! of the head, and only the blocks of the layout that the head names are valid.
 
 use crate::config::StateLimits;
-use crate::records::{unfinished_key, ShardId};
+use crate::records::{unfinished_job_key, ShardId};
 use forkshift_wire::users::JobSpec;
 use forkshift_wire::JobId;
 
@@ -88,11 +88,11 @@
         if block > 0 && self.is_explicit {
             format!(
                 "{}/{}-{block}",
-                unfinished_key(shard, id, 0),
+                unfinished_job_key(shard, id, 0),
                 self.tasks_per_block
             )
         } else {
-            unfinished_key(shard, id, block)
+            unfinished_job_key(shard, id, block)
         }
     }
 
--- a/crates/core/src/shard/recovery.rs
+++ b/crates/core/src/shard/recovery.rs
@@ -7,7 +7,7 @@
 
 use super::{remove_key, RecoveryState, Shard};
 use crate::context::Context;
-use crate::records::{unfinished_prefix, JobHeadRecord, TaskBlockRecord};
+use crate::records::{unfinished_jobs_prefix, JobHeadRecord, TaskBlockRecord};
 use crate::shard::job::EventAge;
 use crate::shard::layout::BlockLayout;
 use crate::store::view::{ChangedMachines, ClusterView};
@@ -59,7 +59,7 @@
     /// blocks. A block that has no head, is unreadable, or belongs to another layout
     /// is removed from the store.
     fn restore_jobs(&mut self, ctx: &mut Context) {
-        let prefix = unfinished_prefix(self.id);
+        let prefix = unfinished_jobs_prefix(self.id);
         let mut blocks = Vec::new();
         for item in self.jobs_watch.take_loaded_items() {
             let name = item.key.strip_prefix(&prefix).unwrap_or_default();
--- a/crates/core/src/store/budget/tests.rs
+++ b/crates/core/src/store/budget/tests.rs
@@ -138,7 +138,7 @@
         let mut ctx = ctx("n1", &names);
         let mut budget = Budget::default();
         let equal_share_rate = budget.rate(&BudgetInputs::from(&ctx), &view);
-        ctx.note_process_pause(ctx.now + pause_ms);
+        ctx.detect_process_pause(ctx.now + pause_ms);
         ctx.now += pause_ms + after_ms;
         budget.on_grant(&ctx, NodeName::new("n0"), 1, all);
         let rate = budget.rate(&BudgetInputs::from(&ctx), &view);
