--- a/crates/core/src/node/peer_heartbeats/tests.rs
+++ b/crates/core/src/node/peer_heartbeats/tests.rs
@@ -117,7 +117,7 @@
         ("no confirmations, in time", vec![], end - 1, true),
         ("no confirmations, too late", vec![], end, false),
         (
-            "one of two confirmation_of",
+            "one of two confirms",
             vec![confirmation_of("north", later, seen)],
             end,
             false,
@@ -170,7 +170,7 @@
             false,
         ),
         (
-            "one confirmation_of to an earlier incarnation",
+            "one confirms to an earlier incarnation",
             vec![
                 confirmation_of("north", later, seen),
                 Confirmation {
