--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -6,7 +6,7 @@
 use crate::protocol::relay::Relaying;
 use crate::records::ShardId;
 use crate::shard::{epoch_of_token, RecoveryState};
-use forkshift_links::Route;
+use forkshift_links::HeartbeatRoute;
 use forkshift_wire::workers::{Command, HeartbeatReply, Redirect, WorkerHeartbeat};
 use forkshift_wire::MachineId;
 
@@ -30,7 +30,7 @@
             }
         };
         if request.is_from_peer() {
-            return Some(self.answer_heartbeat(&heartbeat, Route::Relayed));
+            return Some(self.answer_heartbeat(&heartbeat, HeartbeatRoute::Relayed));
         }
         let holder = match relaying {
             Relaying::Allowed => self.relay_target(&heartbeat.machine),
@@ -40,10 +40,10 @@
             self.relay_heartbeat(request, &holder, body);
             return None;
         }
-        Some(self.answer_heartbeat(&heartbeat, Route::Direct))
+        Some(self.answer_heartbeat(&heartbeat, HeartbeatRoute::Direct))
     }
 
-    fn answer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, route: Route) -> Reply {
+    fn answer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, route: HeartbeatRoute) -> Reply {
         let Some(machine) = self.view.machines.get(&heartbeat.machine) else {
             return redirect_to_next();
         };
@@ -82,7 +82,7 @@
     fn answer_as_holder(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        route: Route,
+        route: HeartbeatRoute,
         shard_id: ShardId,
     ) -> Reply {
         let newest_epoch = self.view.epoch().1;
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -4,7 +4,7 @@
 use crate::membership::format::FormatVersion;
 use crate::records::ShardId;
 use crate::Ms;
-use forkshift_links::Timing;
+use forkshift_links::LinkTiming;
 use forkshift_pools::Pools;
 use forkshift_sched::{Resources, Weights};
 use forkshift_wire::settings::{NextStateLimits, Objective, Settings, Team as TeamSettings};
@@ -277,9 +277,9 @@
     }
 
     /// Timing of the links to workers.
-    pub fn link_timing(&self) -> Timing {
-        Timing {
-            heartbeat_interval_ms: self.max_heartbeat_interval_ms() + HEARTBEAT_DELAY_ALLOWANCE_MS,
+    pub fn link_timing(&self) -> LinkTiming {
+        LinkTiming {
+            heartbeat_timeout_ms: self.max_heartbeat_interval_ms() + HEARTBEAT_DELAY_ALLOWANCE_MS,
             lease_ms: self.lease_ms,
         }
     }
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -10,7 +10,7 @@
 use crate::shard::machine::Machine;
 use crate::shard::{RecoveryState, Shard};
 use crate::Ms;
-use forkshift_links::{Decision, Link, Timing};
+use forkshift_links::{Decision, Link, LinkTiming};
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
@@ -173,8 +173,8 @@
         return None;
     }
     // A worker that has never reported here may take a lease to find this controller.
-    let timing = Timing {
-        heartbeat_interval_ms: quiet_ms,
+    let timing = LinkTiming {
+        heartbeat_timeout_ms: quiet_ms,
         lease_ms: ctx.config.lease_ms * 2,
     };
     let since = machine.known_since.max(ctx.resumed_at);
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -14,7 +14,7 @@
 use crate::shard::scheduling::{is_usable, PendingJobs, MACHINE_RECLAIM_DELAY_ROUNDS};
 use crate::shard::Shard;
 use forkshift_pools::account::ColdStart;
-use forkshift_pools::choice::{retained_members, PoolMember};
+use forkshift_pools::scaling::{retained_members, PoolMember};
 use forkshift_pools::{Pool, PoolName};
 use forkshift_sched::{run_round, MachineSnapshot, PendingTasks, Placement, Quota};
 use forkshift_wire::{JobId, MachineId};
@@ -154,7 +154,7 @@
         let mut opened: Vec<PendingTasks> = reclaiming.iter().map(open).collect();
         let mut placements = run_round(&mut opened, hosts, quotas, &ctx.config.operator.weights);
         for (job, tasks) in reclaiming.iter().zip(opened) {
-            pending.tasks[*job].waiting = tasks.waiting;
+            pending.tasks[*job].unplaced_tasks = tasks.unplaced_tasks;
             pending.tasks[*job].tasks_by_zone = tasks.tasks_by_zone;
         }
         for placement in &mut placements {
@@ -175,7 +175,7 @@
         let patience =
             crate::ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
         let has_waited = |job: &Job| job.age(ctx.now) > patience;
-        !pending.waiting.is_empty()
+        !pending.unplaced_tasks.is_empty()
             && quotas[pending.team].is_within_guarantee(&pending.minimum_resources())
             && self.jobs.get(id).is_some_and(has_waited)
     }
@@ -197,7 +197,7 @@
         if !ctx.has_pools() {
             return;
         }
-        for (id, tasks) in pending.iter().filter(|(_, p)| !p.waiting.is_empty()) {
+        for (id, tasks) in pending.iter().filter(|(_, p)| !p.unplaced_tasks.is_empty()) {
             if let Some(miss) = self.pool_miss(ctx, id, tasks) {
                 self.pools.note_miss(id, miss);
             }
@@ -212,11 +212,11 @@
         let pool = pools.find(|pool| self.is_for_pool(id, Some(pool)))?;
         let job = self.jobs.get(id)?;
         let has_window = pool.calendar.size_at(ctx.wall_clock_ms).max_machines > 0;
-        let is_missing = pending.waiting.len() > self.unconfirmed_members(ctx, pool);
+        let is_missing = pending.unplaced_tasks.len() > self.unconfirmed_members(ctx, pool);
         (has_window && is_missing).then(|| ColdStart {
             pool: pool.name.clone(),
             job: id.to_string(),
-            tasks: pending.waiting.len() as u32,
+            tasks: pending.unplaced_tasks.len() as u32,
             at_ms: job.submitted_at_wall_ms,
         })
     }
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -16,7 +16,7 @@
 use crate::shard::Shard;
 use crate::store::view::ClusterView;
 use crate::Ms;
-use forkshift_pools::choice::{
+use forkshift_pools::scaling::{
     affordable_machines, candidates_to_add, members_to_remove, target_size, PoolCandidate,
 };
 use forkshift_pools::{Pool, PoolName};
@@ -230,7 +230,8 @@
         expected: &ExpectedMachines,
         hosts: &[MachineSnapshot],
     ) -> SurplusMachines {
-        let is_unused = |host: &MachineSnapshot| host.free == host.total && !host.is_held;
+        let is_unused =
+            |host: &MachineSnapshot| host.free == host.total && !host.is_held_for_aged_job;
         let may_join = |id: &&MachineId| {
             let machine = self.machines.get(*id);
             !is_requested(view, id) && machine.is_some_and(is_unneeded)
--- a/crates/core/src/protocol/relay.rs
+++ b/crates/core/src/protocol/relay.rs
@@ -19,7 +19,7 @@
 use crate::protocol::forwarding::ForwardedRequest;
 use crate::shard::{RecoveryState, Shard};
 use crate::Ms;
-use forkshift_links::{Decision, Link, Timing};
+use forkshift_links::{Decision, Link, LinkTiming};
 use forkshift_wire::peer::Body;
 use forkshift_wire::workers::WorkerHeartbeat;
 use forkshift_wire::{MachineId, NodeName};
@@ -55,7 +55,7 @@
         &mut self,
         now: Ms,
         resumed_at: Ms,
-        timing: &Timing,
+        timing: &LinkTiming,
         found: &mut UnreachableMachines,
     ) {
         let Self {
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -172,7 +172,7 @@
         hosts: &mut [MachineSnapshot],
     ) {
         for (id, host) in usable.iter().zip(hosts) {
-            host.is_held = false;
+            host.is_held_for_aged_job = false;
             if self.is_newly_quarantined(ctx, id) {
                 host.free = Resources::default();
             }
--- a/crates/core/src/shard/demand/expected_machines.rs
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -146,7 +146,7 @@
         price_per_s: machine_type.price_per_hour / SECONDS_PER_HOUR,
         fetch_gb_per_s: machine_type.fetch_gb_per_s,
         images: BTreeSet::new(),
-        is_held: false,
+        is_held_for_aged_job: false,
         startup_delay_s: machine_type.boot_s,
         reserved_for: None,
     }
--- a/crates/core/src/shard/demand/shapes.rs
+++ b/crates/core/src/shard/demand/shapes.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::records::ShapeRecord;
 use crate::store::view::ClusterView;
-use forkshift_sched::{PendingTasks, Quota, Shortfall};
+use forkshift_sched::{ExceededLimits, PendingTasks, Quota};
 use std::collections::BTreeMap;
 
 /// Names of machine types and zones, by the numbers that scheduling rounds use for them.
@@ -51,7 +51,7 @@
     let names = TypeAndZoneNames::new(ctx, view);
     let has_pools = ctx.has_pools();
     let mut shapes: Vec<ShapeRecord> = Vec::new();
-    let mut reserved: BTreeMap<usize, Shortfall> = BTreeMap::new();
+    let mut reserved: BTreeMap<usize, ExceededLimits> = BTreeMap::new();
     for tasks in pending {
         let quota = &mut quotas[tasks.team];
         // A task that a round does not place because of another job's quota reservation
@@ -60,12 +60,12 @@
         if reserved_before.is_some_and(|s| s.affects(&tasks.task_resources)) {
             continue;
         }
-        if tasks.reservation.reserves() && !tasks.waiting.is_empty() {
-            let shortfall = reserved.entry(tasks.team).or_default();
-            *shortfall = shortfall.union(&quota.shortfall(&tasks.task_resources));
+        if tasks.reservation.reserves() && !tasks.unplaced_tasks.is_empty() {
+            let exceeded = reserved.entry(tasks.team).or_default();
+            *exceeded = exceeded.union(&quota.exceeded_limits(&tasks.task_resources));
         }
         let count = charge_quota(tasks, quota);
-        if count == 0 || (tasks.is_gang && count < tasks.waiting.len()) {
+        if count == 0 || (tasks.is_gang && count < tasks.unplaced_tasks.len()) {
             continue;
         }
         add_shape(
@@ -93,7 +93,7 @@
 /// Charges a quota for as many pending tasks as it allows. Returns their number.
 fn charge_quota(pending: &PendingTasks, quota: &mut Quota) -> usize {
     let mut count = 0;
-    while count < pending.waiting.len() && quota.allows(&pending.task_resources) {
+    while count < pending.unplaced_tasks.len() && quota.allows(&pending.task_resources) {
         quota.used += pending.task_resources;
         count += 1;
     }
--- a/crates/core/src/shard/drain/moves.rs
+++ b/crates/core/src/shard/drain/moves.rs
@@ -74,7 +74,7 @@
             *count -= 1;
         }
         pending.is_gang = false;
-        pending.waiting = vec![task.index];
+        pending.unplaced_tasks = vec![task.index];
         if job.spec.kind == JobKind::Service {
             let max_fetch_s =
                 ctx.config.heartbeat_interval_ms as f64 / 1000.0 * MAX_FETCH_HEARTBEATS;
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -9,7 +9,7 @@
 use crate::shard::machine::{Machine, RecordedMachine};
 use crate::store::queue::Urgency;
 use crate::store::view::{ChangedMachines, ClusterView, Versioned};
-use forkshift_links::Route;
+use forkshift_links::HeartbeatRoute;
 use forkshift_pools::{EndReason, UsageInterval};
 use forkshift_wire::state::{Precondition, Transaction, Write};
 use forkshift_wire::{MachineId, TaskRef};
@@ -105,7 +105,7 @@
     }
 
     /// Notes by which route a machine's heartbeat has come.
-    pub(crate) fn note_route(&mut self, ctx: &Context, id: &MachineId, route: Route) {
+    pub(crate) fn note_route(&mut self, ctx: &Context, id: &MachineId, route: HeartbeatRoute) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
--- a/crates/core/src/shard/preemption.rs
+++ b/crates/core/src/shard/preemption.rs
@@ -114,7 +114,7 @@
         let high_priority_wait_ms =
             (self.max_boot_ms() as f64 * HIGH_PRIORITY_WAIT_BOOTS).ceil() as Ms;
         let may_preempt = |(id, tasks): &(&JobId, &PendingTasks)| {
-            !tasks.waiting.is_empty()
+            !tasks.unplaced_tasks.is_empty()
                 && !tasks.is_gang
                 && quotas[tasks.team].allows(&tasks.task_resources)
                 && self.has_preempting_priority(ctx, id, high_priority_wait_ms)
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -49,7 +49,7 @@
         usable: &[MachineId],
         quotas: &[Quota],
     ) {
-        let may_reclaim = |p: &&PendingTasks| p.reclaim.reclaims() && !p.waiting.is_empty();
+        let may_reclaim = |p: &&PendingTasks| p.reclaim.reclaims() && !p.unplaced_tasks.is_empty();
         let mut reclaiming: Vec<&PendingTasks> = pending.iter().filter(may_reclaim).collect();
         if reclaiming.is_empty() || !self.has_borrowers() {
             return;
@@ -58,7 +58,7 @@
         let mut candidates = self.reclaim_candidates(ctx, usable);
         let mut quotas = quotas.to_vec();
         for tasks in reclaiming {
-            let waiting = tasks.waiting.len();
+            let waiting = tasks.unplaced_tasks.len();
             if tasks.is_gang {
                 self.reclaim_for(tasks, waiting, &mut candidates, &mut quotas);
                 continue;
--- a/crates/core/src/shard/reclaim/borrowers.rs
+++ b/crates/core/src/shard/reclaim/borrowers.rs
@@ -52,7 +52,7 @@
     /// capacity only. `boot_ms` is the longest boot time of the shard's machines.
     pub(crate) fn capacity_class_of(&self, ctx: &Context, job: &Job, boot_ms: Ms) -> CapacityClass {
         match self.is_borrowed_work(ctx, job) {
-            true if uses_idle_capacity_only(ctx, job, boot_ms) => CapacityClass::PatientBorrower,
+            true if uses_idle_capacity_only(ctx, job, boot_ms) => CapacityClass::IdleOnlyBorrower,
             true => CapacityClass::Borrower,
             false => CapacityClass::Ordinary,
         }
--- a/crates/core/src/shard/reclaim/plan.rs
+++ b/crates/core/src/shard/reclaim/plan.rs
@@ -74,7 +74,7 @@
     count: usize,
     candidates: &[ReclaimCandidate],
 ) -> Option<ReclaimPlan> {
-    if !pending.one_zone || count == 1 {
+    if !pending.require_same_zone || count == 1 {
         return plan_in_zone(pending, count, candidates, None);
     }
     let zones: BTreeSet<u16> = candidates.iter().map(|c| c.zone).collect();
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -161,7 +161,7 @@
         price_per_s: machine.price,
         fetch_gb_per_s: machine.fetch_rate,
         images: machine.images.iter().map(|(image, _)| *image).collect(),
-        is_held: false,
+        is_held_for_aged_job: false,
         startup_delay_s: 0.0,
         reserved_for: None,
     }
--- a/crates/core/src/shard/scheduling/pending_tasks.rs
+++ b/crates/core/src/shard/scheduling/pending_tasks.rs
@@ -6,7 +6,7 @@
 use crate::shard::job::Job;
 use crate::shard::Shard;
 use crate::Ms;
-use forkshift_sched::{CapacityClass, PendingTasks, Reclaim, Reservation, Resources};
+use forkshift_sched::{AgedJobReservation, CapacityClass, PendingTasks, Reclaim, Resources};
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -139,7 +139,7 @@
         let is_guaranteed = self.quotas[team].is_within_guarantee(&needed);
         pending.reservation = match is_aged {
             true => self.reservation_of(ctx, job, team, waiting.len(), round),
-            false => Reservation::None,
+            false => AgedJobReservation::None,
         };
         pending.priority_band = match is_deferred {
             true => FAILING_JOB_BAND,
@@ -151,9 +151,9 @@
         };
         pending.capacity_class = self.capacity_class_of(ctx, job, round.boot_ms);
         if is_aged {
-            pending.waited_s = job.waiting_for(ctx.now) as f64 / 1000.0;
+            pending.aged_wait_s = job.waiting_for(ctx.now) as f64 / 1000.0;
         }
-        pending.waiting = waiting;
+        pending.unplaced_tasks = waiting;
         pending.excluded_machines = excluded_hosts(ctx, job, round);
         Some(pending)
     }
@@ -166,16 +166,18 @@
         team: usize,
         waiting: usize,
         round: &RoundContext,
-    ) -> Reservation {
+    ) -> AgedJobReservation {
         // Quota is reserved only if it can become free. The quota that services use never
         // does by itself, so a reservation that needs it would block the whole team for a
         // job that can never start.
         let simultaneous_tasks = if job.is_gang() { waiting as i64 } else { 1 };
         let needed = round.quota_used_by_services[team] + job.task.scaled_by(simultaneous_tasks);
         match self.quotas[team].could_ever_allow(&needed, 1) {
-            true if job.may_keep_quota(ctx.now, round.boot_ms) => Reservation::CapacityAndQuota,
-            true => Reservation::Capacity,
-            false => Reservation::None,
+            true if job.may_keep_quota(ctx.now, round.boot_ms) => {
+                AgedJobReservation::CapacityAndQuota
+            }
+            true => AgedJobReservation::Capacity,
+            false => AgedJobReservation::None,
         }
     }
 }
@@ -246,12 +248,12 @@
     PendingTasks {
         task_resources: job.task,
         priority_band: 0,
-        waited_s: 0.0,
-        reservation: Reservation::None,
+        aged_wait_s: 0.0,
+        reservation: AgedJobReservation::None,
         reclaim: Reclaim::Nothing,
         capacity_class: CapacityClass::Ordinary,
         lacks_machines: false,
-        waiting: Vec::new(),
+        unplaced_tasks: Vec::new(),
         total_tasks: spec.tasks,
         is_gang: job.is_gang(),
         estimated_run_s: spec.estimated_run_time_s,
@@ -260,8 +262,8 @@
         image_gb: spec.image_gb,
         allowed_types: type_numbers(ctx, spec.machine_types.as_deref()),
         required_zone: spec.zone.as_ref().map(|z| ctx.places.number(z)),
-        one_zone: spec.require_same_zone,
-        spread: spec.spread_over_zones,
+        require_same_zone: spec.require_same_zone,
+        spread_over_zones: spec.spread_over_zones,
         allows_spot: spec.allow_spot,
         tasks_by_zone: bound_per_zone(job, zones),
         excluded_machines: BTreeSet::new(),
--- a/crates/core/src/shard/scheduling/quarantine.rs
+++ b/crates/core/src/shard/scheduling/quarantine.rs
@@ -54,7 +54,7 @@
     pub(super) fn skip_recently_failing_jobs(&self, ctx: &Context, pending: &mut PendingJobs) {
         for (id, tasks) in pending.ids.iter().zip(&mut pending.tasks) {
             if self.has_recently_failed(ctx, id) && self.fits_some_machine(tasks) {
-                tasks.waiting.clear();
+                tasks.unplaced_tasks.clear();
             }
         }
     }
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use cloud_link::CloudLink;
 pub use decision::{Decision, Link, LinkStates};
-pub use machine_link::{MachineLink, Route, Timing};
+pub use machine_link::{HeartbeatRoute, LinkTiming, MachineLink};
 pub use redirect::RedirectHistory;
 pub use relay::RelayTable;
 
--- a/crates/links/src/machine_link.rs
+++ b/crates/links/src/machine_link.rs
@@ -11,7 +11,7 @@
 
 /// The route by which a heartbeat reached the holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Route {
+pub enum HeartbeatRoute {
     /// From the worker itself.
     Direct,
     /// Relayed by another controller, to which the worker sends its heartbeats.
@@ -20,18 +20,18 @@
 
 /// Intervals that the states of links depend on, from the settings.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Timing {
+pub struct LinkTiming {
     /// Heartbeat interval: the longest pause between two heartbeats, with the delay that is
     /// allowed for, in milliseconds.
-    pub heartbeat_interval_ms: Ms,
+    pub heartbeat_timeout_ms: Ms,
     /// Duration of a worker's lease, in milliseconds.
     pub lease_ms: Ms,
 }
 
-impl Timing {
+impl LinkTiming {
     /// Time that a worker has for its failback.
     fn failback_ms(&self) -> Ms {
-        self.heartbeat_interval_ms * FAILBACK_HEARTBEATS
+        self.heartbeat_timeout_ms * FAILBACK_HEARTBEATS
     }
 
     /// Backoff before the first failback.
@@ -73,14 +73,14 @@
 
 impl MachineLink {
     /// Notes that a heartbeat has arrived.
-    pub fn on_heartbeat(&mut self, now: Ms, route: Route, timing: &Timing) {
+    pub fn on_heartbeat(&mut self, now: Ms, route: HeartbeatRoute, timing: &LinkTiming) {
         match route {
-            Route::Direct => self.on_direct_heartbeat(now, timing),
-            Route::Relayed => self.on_relayed_heartbeat(now, timing),
+            HeartbeatRoute::Direct => self.on_direct_heartbeat(now, timing),
+            HeartbeatRoute::Relayed => self.on_relayed_heartbeat(now, timing),
         }
     }
 
-    fn on_direct_heartbeat(&mut self, now: Ms, timing: &Timing) {
+    fn on_direct_heartbeat(&mut self, now: Ms, timing: &LinkTiming) {
         self.last_direct_at = Some(now);
         self.failback_until = 0;
         let is_past = |relayed_at: &mut Ms| now > *relayed_at + timing.lease_ms;
@@ -90,7 +90,7 @@
         }
     }
 
-    fn on_relayed_heartbeat(&mut self, now: Ms, timing: &Timing) {
+    fn on_relayed_heartbeat(&mut self, now: Ms, timing: &LinkTiming) {
         if !self.is_relayed() {
             let doubled = self.backoff * 2;
             self.backoff = doubled.clamp(timing.first_backoff_ms(), timing.longest_backoff_ms());
@@ -101,7 +101,7 @@
 
     /// Notes that a call has ended, with a response or without one. A response starts a
     /// failback that is due.
-    pub fn on_call(&mut self, now: Ms, is_answered: bool, timing: &Timing) {
+    pub fn on_call(&mut self, now: Ms, is_answered: bool, timing: &LinkTiming) {
         self.last_call_at = Some(now);
         if !is_answered {
             self.unanswered_calls = self.unanswered_calls.saturating_add(1);
@@ -121,9 +121,9 @@
     }
 
     /// Whether the latest heartbeat was relayed, within the heartbeat interval.
-    pub fn is_recently_relayed(&self, now: Ms, timing: &Timing) -> bool {
+    pub fn is_recently_relayed(&self, now: Ms, timing: &LinkTiming) -> bool {
         let relayed_at = self.last_relayed_at.filter(|_| self.is_relayed());
-        relayed_at.is_some_and(|at| now < at + timing.heartbeat_interval_ms)
+        relayed_at.is_some_and(|at| now < at + timing.heartbeat_timeout_ms)
     }
 
     /// Whether calls reach the machine, as far as is known.
@@ -132,7 +132,7 @@
     }
 
     /// Whether a call has ended within a lease, so that [`Self::is_reachable`] is recent.
-    pub fn has_recent_call(&self, now: Ms, timing: &Timing) -> bool {
+    pub fn has_recent_call(&self, now: Ms, timing: &LinkTiming) -> bool {
         self.last_call_at
             .is_some_and(|at| now < at + timing.lease_ms)
     }
@@ -146,22 +146,22 @@
     /// Whether a direct heartbeat is overdue. `since` is when the controller began to
     /// receive heartbeats. A worker that has sent none yet may still be redirected to this
     /// controller: it has half of its lease.
-    pub fn has_missed_heartbeats(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
+    pub fn has_missed_heartbeats(&self, now: Ms, since: Ms, timing: &LinkTiming) -> bool {
         match self.last_direct_at {
-            Some(direct_at) => now > direct_at.max(since) + timing.heartbeat_interval_ms,
+            Some(direct_at) => now > direct_at.max(since) + timing.heartbeat_timeout_ms,
             None => now > since + timing.lease_ms / 2,
         }
     }
 
     /// Whether other controllers should relay the worker's heartbeats: direct ones are
     /// missed and no failback is in progress.
-    pub fn needs_relay(&self, now: Ms, since: Ms, timing: &Timing) -> bool {
+    pub fn needs_relay(&self, now: Ms, since: Ms, timing: &LinkTiming) -> bool {
         now >= self.failback_until && self.has_missed_heartbeats(now, since, timing)
     }
 
     /// Whether a probe of a machine without heartbeats is due: calls by this controller
     /// and by others. If so, the next one is due after a quarter of a lease.
-    pub fn start_probe_if_due(&mut self, now: Ms, timing: &Timing) -> bool {
+    pub fn start_probe_if_due(&mut self, now: Ms, timing: &LinkTiming) -> bool {
         if now < self.next_probe_at {
             return false;
         }
--- a/crates/links/tests/decisions.rs
+++ b/crates/links/tests/decisions.rs
@@ -1,13 +1,13 @@
 //! Which decisions each partition permits, and the states of links.
 
 use forkshift_links::{
-    CloudLink, Decision, Link, LinkStates, MachineLink, RelayTable, Route, Timing,
+    CloudLink, Decision, HeartbeatRoute, Link, LinkStates, LinkTiming, MachineLink, RelayTable,
 };
 use forkshift_wire::{MachineId, NodeName};
 use proptest::prelude::*;
 
-const TIMING: Timing = Timing {
-    heartbeat_interval_ms: 1_000,
+const TIMING: LinkTiming = LinkTiming {
+    heartbeat_timeout_ms: 1_000,
     lease_ms: 10_000,
 };
 
@@ -82,10 +82,10 @@
 #[test]
 fn failback_of_a_relayed_worker_backs_off() {
     let mut link = MachineLink::default();
-    link.on_heartbeat(0, Route::Direct, &TIMING);
+    link.on_heartbeat(0, HeartbeatRoute::Direct, &TIMING);
     assert!(link.can_start_tasks() && !link.needs_relay(1_000, 0, &TIMING));
     assert!(link.needs_relay(1_001, 0, &TIMING));
-    link.on_heartbeat(2_000, Route::Relayed, &TIMING);
+    link.on_heartbeat(2_000, HeartbeatRoute::Relayed, &TIMING);
     assert!(!link.can_start_tasks() && !link.is_failback_probe_due(6_999));
     let mut now = 7_000;
     let mut backoffs = Vec::new();
@@ -96,7 +96,7 @@
         let started_at = now;
         while !link.is_failback_probe_due(now) {
             now += 100;
-            link.on_heartbeat(now, Route::Relayed, &TIMING);
+            link.on_heartbeat(now, HeartbeatRoute::Relayed, &TIMING);
         }
         backoffs.push(now - started_at);
     }
@@ -104,7 +104,7 @@
         backoffs.is_sorted() && backoffs[0] < backoffs[2],
         "{backoffs:?}"
     );
-    link.on_heartbeat(now, Route::Direct, &TIMING);
+    link.on_heartbeat(now, HeartbeatRoute::Direct, &TIMING);
     assert!(link.can_start_tasks());
 }
 
--- a/crates/links/tests/worker_and_controllers.rs
+++ b/crates/links/tests/worker_and_controllers.rs
@@ -6,7 +6,7 @@
 //! another controller has lost the holder. The worker's lease must not expire then, and
 //! after all links are restored its heartbeats must be direct again.
 
-use forkshift_links::{MachineLink, Ms, RedirectHistory, RelayTable, Route, Timing};
+use forkshift_links::{HeartbeatRoute, LinkTiming, MachineLink, Ms, RedirectHistory, RelayTable};
 use forkshift_wire::{MachineId, NodeName};
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
@@ -22,8 +22,8 @@
 const RELAY_REQUEST_INTERVAL_MS: Ms = 500;
 const RELAY_REQUEST_TTL_MS: Ms = 2_500;
 const HOLDER_INCARNATION: u64 = 7;
-const TIMING: Timing = Timing {
-    heartbeat_interval_ms: 6_750,
+const TIMING: LinkTiming = LinkTiming {
+    heartbeat_timeout_ms: 6_750,
     lease_ms: LEASE_MS,
 };
 
@@ -192,7 +192,8 @@
         if !network.worker[node] {
             self.awaiting_response_since = Some(self.now);
         } else if node == HOLDER {
-            self.link.on_heartbeat(self.now, Route::Direct, &TIMING);
+            self.link
+                .on_heartbeat(self.now, HeartbeatRoute::Direct, &TIMING);
             self.on_response();
         } else {
             self.send_heartbeat_to_other(node, network);
@@ -210,7 +211,8 @@
             self.controller = HOLDER;
             self.next_heartbeat_at = self.now;
         } else if network.peers[node] {
-            self.link.on_heartbeat(self.now, Route::Relayed, &TIMING);
+            self.link
+                .on_heartbeat(self.now, HeartbeatRoute::Relayed, &TIMING);
             self.on_response();
         } else {
             self.controller = (node + 1) % CONTROLLERS;
--- a/crates/pools/src/account/membership.rs
+++ b/crates/pools/src/account/membership.rs
@@ -80,7 +80,7 @@
         &self,
         machine: &BilledMachine,
         at_ms: u64,
-        ended: Option<EndReason>,
+        end_reason: Option<EndReason>,
     ) -> UsageInterval {
         UsageInterval {
             pool: self.pool.clone(),
@@ -90,7 +90,7 @@
             state: self.state,
             from_ms: self.since_ms,
             to_ms: at_ms.max(self.since_ms),
-            end_reason: ended,
+            end_reason,
         }
     }
 }
--- a/crates/pools/src/audit.rs
+++ b/crates/pools/src/audit.rs
@@ -19,18 +19,18 @@
     MissingCharge(MachineId),
     /// An interval begins before the cloud's charge for the machine, or ends after it, by
     /// more than clocks may differ.
-    #[error("{0}: charged outside its life")]
+    #[error("{0}: charged outside its billing period")]
     ChargeOutsideBillingPeriod(MachineId),
 }
 
 /// All errors in the accounts of all pools together. Clocks may differ from the cloud's by
-/// `clock_off_ms`. The intervals include present memberships, as if they ended now; the
+/// `max_clock_skew_ms`. The intervals include present memberships, as if they ended now; the
 /// lives include those of present machines. A machine without a life was never
 /// provisioned.
 pub fn audit_errors(
     intervals: &[UsageInterval],
-    lives: &BTreeMap<MachineId, BillingPeriod>,
-    clock_off_ms: u64,
+    billing_periods: &BTreeMap<MachineId, BillingPeriod>,
+    max_clock_skew_ms: u64,
 ) -> Vec<AuditError> {
     let mut by_machine: BTreeMap<&MachineId, Vec<&UsageInterval>> = BTreeMap::new();
     for interval in intervals {
@@ -43,11 +43,11 @@
         let audit = MachineAudit {
             machine,
             intervals,
-            life: lives.get(machine).copied(),
-            clock_off_ms,
+            billing_period: billing_periods.get(machine).copied(),
+            max_clock_skew_ms,
         };
-        errors.extend(audit.outside_life());
-        errors.extend(audit.unrecorded_end());
+        errors.extend(audit.charge_outside_billing_period());
+        errors.extend(audit.missing_end());
         errors.extend(audit.gaps_and_overlaps());
     }
     errors
@@ -58,17 +58,17 @@
     machine: &'a MachineId,
     /// Its intervals, by their beginnings.
     intervals: Vec<&'a UsageInterval>,
-    life: Option<BillingPeriod>,
-    clock_off_ms: u64,
+    billing_period: Option<BillingPeriod>,
+    max_clock_skew_ms: u64,
 }
 
 impl MachineAudit<'_> {
     /// An error if some interval is not within the machine's life.
-    fn outside_life(&self) -> Option<AuditError> {
+    fn charge_outside_billing_period(&self) -> Option<AuditError> {
         let is_outside = |interval: &&UsageInterval| {
-            self.life.is_none_or(|(from, to)| {
-                interval.from_ms + self.clock_off_ms < from
-                    || interval.to_ms > to.saturating_add(self.clock_off_ms)
+            self.billing_period.is_none_or(|(from, to)| {
+                interval.from_ms + self.max_clock_skew_ms < from
+                    || interval.to_ms > to.saturating_add(self.max_clock_skew_ms)
             })
         };
         let any_outside = self.intervals.iter().any(is_outside);
@@ -77,13 +77,13 @@
 
     /// An error if the last interval does not end the membership, and the machine's life
     /// goes on after it.
-    fn unrecorded_end(&self) -> Option<AuditError> {
+    fn missing_end(&self) -> Option<AuditError> {
         let last = self
             .intervals
             .last()
             .filter(|last| last.end_reason.is_none())?;
-        let (_, life_end) = self.life?;
-        let ends_early = last.to_ms.saturating_add(self.clock_off_ms) < life_end;
+        let (_, period_end) = self.billing_period?;
+        let ends_early = last.to_ms.saturating_add(self.max_clock_skew_ms) < period_end;
         ends_early.then(|| AuditError::MissingCharge(self.machine.clone()))
     }
 
--- a/crates/pools/src/audit/tests.rs
+++ b/crates/pools/src/audit/tests.rs
@@ -4,7 +4,7 @@
 use crate::account::{EndReason, PoolState};
 use crate::declaration::PoolName;
 
-fn interval(from_ms: u64, to_ms: u64, ended: Option<EndReason>) -> UsageInterval {
+fn interval(from_ms: u64, to_ms: u64, end_reason: Option<EndReason>) -> UsageInterval {
     UsageInterval {
         pool: PoolName::parse("help").expect("a name"),
         machine: MachineId::new("m"),
@@ -13,7 +13,7 @@
         state: PoolState::Warm,
         from_ms,
         to_ms,
-        end_reason: ended,
+        end_reason,
     }
 }
 
@@ -21,7 +21,7 @@
 #[test]
 fn each_kind_of_error_in_an_account_is_found() {
     let id = MachineId::new("m");
-    let lives = BTreeMap::from([(id.clone(), (100, 900))]);
+    let billing_periods = BTreeMap::from([(id.clone(), (100, 900))]);
     let removed = Some(EndReason::ScaledIn);
     let (twice, gap, outside) = (
         AuditError::DoubleCharge(id.clone()),
@@ -62,9 +62,9 @@
             vec![twice],
         ),
     ];
-    for (n, (intervals, clock_off_ms, expected)) in cases.into_iter().enumerate() {
+    for (n, (intervals, max_clock_skew_ms, expected)) in cases.into_iter().enumerate() {
         assert_eq!(
-            audit_errors(&intervals, &lives, clock_off_ms),
+            audit_errors(&intervals, &billing_periods, max_clock_skew_ms),
             expected,
             "case {n}"
         );
--- a/crates/pools/src/calendar.rs
+++ b/crates/pools/src/calendar.rs
@@ -10,11 +10,11 @@
 use std::ops::Range;
 
 /// Minutes in an hour.
-pub(crate) const MINUTES_AN_HOUR: u16 = 60;
+pub(crate) const MINUTES_PER_HOUR: u16 = 60;
 /// Minutes in a day.
-pub const MINUTES_A_DAY: u16 = 24 * MINUTES_AN_HOUR;
+pub const MINUTES_PER_DAY: u16 = 24 * MINUTES_PER_HOUR;
 /// Milliseconds in a minute.
-const MS_A_MINUTE: u64 = 60_000;
+const MS_PER_MINUTE: u64 = 60_000;
 /// Date from which overlaps are searched for if no date bounds the windows: early in a leap
 /// year.
 const SEARCH_FROM: Date = jiff::civil::date(2024, 1, 1);
@@ -79,7 +79,7 @@
 
     /// Whether a local time is in it.
     pub fn contains(&self, local: DateTime) -> bool {
-        let minute = local.hour() as u16 * MINUTES_AN_HOUR + local.minute() as u16;
+        let minute = local.hour() as u16 * MINUTES_PER_HOUR + local.minute() as u16;
         if !self.is_overnight() {
             return (self.from..self.to).contains(&minute) && self.begins_on(local.date());
         }
@@ -92,13 +92,13 @@
     /// Its minutes, counted from the start of the date on which it begins.
     fn minutes(&self) -> Range<i32> {
         let days = i32::from(self.is_overnight());
-        i32::from(self.from)..i32::from(self.to) + days * i32::from(MINUTES_A_DAY)
+        i32::from(self.from)..i32::from(self.to) + days * i32::from(MINUTES_PER_DAY)
     }
 
     /// Whether this window, if it begins on a date, overlaps the other one, if that begins
     /// so many days later.
     fn overlaps_after(&self, days: i32, other: &Self) -> bool {
-        let offset = days * i32::from(MINUTES_A_DAY);
+        let offset = days * i32::from(MINUTES_PER_DAY);
         let (minutes, others) = (self.minutes(), other.minutes());
         minutes.start < others.end + offset && others.start + offset < minutes.end
     }
@@ -129,34 +129,34 @@
 /// The size of a pool by time.
 #[derive(Clone, Debug)]
 pub struct Calendar {
-    zone: TimeZone,
+    time_zone: TimeZone,
     windows: Vec<Window>,
     /// Size of the pool if there are no windows.
-    always: PoolSize,
+    size_without_windows: PoolSize,
 }
 
 impl Calendar {
     /// A calendar of windows in a time zone. Windows that overlap must have the same size.
     /// Without windows the size is always `always`.
-    pub fn new(zone: TimeZone, windows: Vec<Window>, always: PoolSize) -> Self {
+    pub fn new(time_zone: TimeZone, windows: Vec<Window>, size_without_windows: PoolSize) -> Self {
         Self {
-            zone,
+            time_zone,
             windows,
-            always,
+            size_without_windows,
         }
     }
 
     /// Size of the pool at a time, in milliseconds since 1970; zero outside all windows.
     pub fn size_at(&self, wall_ms: u64) -> PoolSize {
         if self.windows.is_empty() {
-            return self.always;
+            return self.size_without_windows;
         }
         let milliseconds = i64::try_from(wall_ms).ok();
         let timestamp = milliseconds.and_then(|ms| Timestamp::from_millisecond(ms).ok());
         let Some(timestamp) = timestamp else {
             return PoolSize::default();
         };
-        let local = self.zone.to_datetime(timestamp);
+        let local = self.time_zone.to_datetime(timestamp);
         let window = self.windows.iter().find(|window| window.contains(local));
         window.map_or(PoolSize::default(), |window| window.size)
     }
@@ -166,10 +166,10 @@
     /// and does not empty it in a shorter gap between two windows.
     pub fn size_within(&self, from_ms: u64, to_ms: u64) -> PoolSize {
         if self.windows.is_empty() {
-            return self.always;
+            return self.size_without_windows;
         }
-        let minutes = (from_ms / MS_A_MINUTE + 1)..=(to_ms / MS_A_MINUTE);
-        let starts = minutes.map(|minute| minute * MS_A_MINUTE);
+        let minutes = (from_ms / MS_PER_MINUTE + 1)..=(to_ms / MS_PER_MINUTE);
+        let starts = minutes.map(|minute| minute * MS_PER_MINUTE);
         let times = std::iter::once(from_ms).chain(starts);
         times.fold(PoolSize::default(), |size, at| size.max(self.size_at(at)))
     }
--- a/crates/pools/src/declaration/catalog.rs
+++ b/crates/pools/src/declaration/catalog.rs
@@ -50,7 +50,7 @@
             return Err(self.error("spot", FieldError::NoSpotOffer));
         }
         match self.max_cost_per_hour {
-            Some(most) if most < cheapest => {
+            Some(max_cost) if max_cost < cheapest => {
                 let problem = FieldError::BelowCheapestMachine { cheapest };
                 Err(self.error("cost_per_hour_most", problem))
             }
--- a/crates/pools/src/declaration/error.rs
+++ b/crates/pools/src/declaration/error.rs
@@ -55,10 +55,10 @@
     NotPositive,
     /// The most machines are zero.
     #[error("and `most`: `most` must be above 0")]
-    MostIsZero,
+    MaxIsZero,
     /// The least number of machines is above the most.
     #[error("must not be above `most`")]
-    AboveMost,
+    MinAboveMax,
     /// There are too many windows.
     #[error("must be at most {0}")]
     TooManyWindows(usize),
@@ -70,7 +70,7 @@
     BeginsAtEndOfDay,
     /// The window ends when it begins.
     #[error("is when the window begins")]
-    EndsWhereItBegins,
+    EndsWhenItBegins,
     /// The text is no time of day.
     #[error("is `{0}`, which is no time such as 08:30")]
     InvalidTime(String),
--- a/crates/pools/src/declaration/parse.rs
+++ b/crates/pools/src/declaration/parse.rs
@@ -30,7 +30,8 @@
         return Err(error("image_gb", FieldError::NotPositive));
     }
     check_zones(spec, zones)?;
-    let always = parse_size(spec.min_machines, spec.max_machines).map_err(|e| error("least", e))?;
+    let default_size =
+        parse_size(spec.min_machines, spec.max_machines).map_err(|e| error("least", e))?;
     if spec
         .max_cost_per_hour
         .is_some_and(|cost| !is_positive(cost))
@@ -46,7 +47,7 @@
         zones: spec.zones.clone(),
         spot: spec.spot,
         max_cost_per_hour: spec.max_cost_per_hour,
-        calendar: parse_calendar(spec, always)?,
+        calendar: parse_calendar(spec, default_size)?,
     })
 }
 
@@ -69,20 +70,20 @@
 }
 
 /// Parses the least number of machines and the most. Errors are about the least.
-pub(super) fn parse_size(least: u32, most: u32) -> Result<PoolSize, FieldError> {
-    match (least, most) {
-        (_, 0) => Err(FieldError::MostIsZero),
-        (least, most) if least > most => Err(FieldError::AboveMost),
-        (least, most) => Ok(PoolSize {
-            min_machines: least,
-            max_machines: most,
+pub(super) fn parse_size(min_machines: u32, max_machines: u32) -> Result<PoolSize, FieldError> {
+    match (min_machines, max_machines) {
+        (_, 0) => Err(FieldError::MaxIsZero),
+        (min, max) if min > max => Err(FieldError::MinAboveMax),
+        (min, max) => Ok(PoolSize {
+            min_machines: min,
+            max_machines: max,
         }),
     }
 }
 
 /// Parses the windows of a pool, which has the size `always` if there are none.
-fn parse_calendar(spec: &PoolSpec, always: PoolSize) -> Result<Calendar, PoolError> {
-    let zone = parse_time_zone(spec)
+fn parse_calendar(spec: &PoolSpec, default_size: PoolSize) -> Result<Calendar, PoolError> {
+    let time_zone = parse_time_zone(spec)
         .map_err(|problem| PoolError::new(&spec.name, "time_zone", problem))?;
     if spec.windows.len() > MAX_WINDOWS {
         let problem = FieldError::TooManyWindows(MAX_WINDOWS);
@@ -90,18 +91,19 @@
     }
     let mut windows: Vec<Window> = Vec::new();
     for (i, window_spec) in spec.windows.iter().enumerate() {
-        let window = parse_window(window_spec, always).map_err(|wrong| {
-            let field = format!("windows[{i}].{}", wrong.field);
-            PoolError::new(&spec.name, field, wrong.problem)
+        let window = parse_window(window_spec, default_size).map_err(|error| {
+            let field = format!("windows[{i}].{}", error.field);
+            PoolError::new(&spec.name, field, error.problem)
         })?;
-        let contradicts = |other: &Window| other.size != window.size && other.overlaps(&window);
-        if let Some(other) = windows.iter().position(contradicts) {
+        let is_contradictory =
+            |other: &Window| other.size != window.size && other.overlaps(&window);
+        if let Some(other) = windows.iter().position(is_contradictory) {
             let problem = FieldError::ContradictsWindow(other);
             return Err(PoolError::new(&spec.name, format!("windows[{i}]"), problem));
         }
         windows.push(window);
     }
-    Ok(Calendar::new(zone, windows, always))
+    Ok(Calendar::new(time_zone, windows, default_size))
 }
 
 fn parse_time_zone(spec: &PoolSpec) -> Result<TimeZone, FieldError> {
--- a/crates/pools/src/declaration/parse_window.rs
+++ b/crates/pools/src/declaration/parse_window.rs
@@ -3,7 +3,7 @@
 use super::error::FieldError;
 use super::parse::parse_size;
 use super::spec::WindowSpec;
-use crate::calendar::{PoolSize, Window, MINUTES_AN_HOUR, MINUTES_A_DAY};
+use crate::calendar::{PoolSize, Window, MINUTES_PER_DAY, MINUTES_PER_HOUR};
 use jiff::civil::Date;
 
 /// Days of the shortest month.
@@ -29,16 +29,16 @@
 /// Parses a window. What it leaves out of the size is that of the pool, `always`.
 pub(super) fn parse_window(
     spec: &WindowSpec,
-    always: PoolSize,
+    pool_size: PoolSize,
 ) -> Result<Window, WindowFieldError> {
     let in_field = WindowFieldError::in_field;
     let from = parse_time(&spec.from, 0).map_err(in_field("from"))?;
-    let to = parse_time(&spec.to, MINUTES_A_DAY).map_err(in_field("to"))?;
-    if from == MINUTES_A_DAY {
+    let to = parse_time(&spec.to, MINUTES_PER_DAY).map_err(in_field("to"))?;
+    if from == MINUTES_PER_DAY {
         return Err(in_field("from")(FieldError::BeginsAtEndOfDay));
     }
     if from == to {
-        return Err(in_field("to")(FieldError::EndsWhereItBegins));
+        return Err(in_field("to")(FieldError::EndsWhenItBegins));
     }
     let first_date = parse_date(&spec.first_date).map_err(in_field("first_date"))?;
     let last_date = parse_date(&spec.last_date).map_err(in_field("last_date"))?;
@@ -49,9 +49,9 @@
     let last_days_of_month =
         parse_last_days(spec.last_days_of_month).map_err(in_field("last_days_of_month"))?;
     let weekdays = parse_weekdays(&spec.weekdays).map_err(in_field("weekdays"))?;
-    let least = spec.min_machines.unwrap_or(always.min_machines);
-    let most = spec.max_machines.unwrap_or(always.max_machines);
-    let size = parse_size(least, most).map_err(in_field("least"))?;
+    let min_machines = spec.min_machines.unwrap_or(pool_size.min_machines);
+    let max_machines = spec.max_machines.unwrap_or(pool_size.max_machines);
+    let size = parse_size(min_machines, max_machines).map_err(in_field("least"))?;
     Ok(Window {
         weekdays,
         from,
@@ -76,8 +76,8 @@
     };
     let parts = two_digits(hour).zip(two_digits(minute));
     let (hour, minute) = parts.ok_or_else(invalid)?;
-    match hour * MINUTES_AN_HOUR + minute {
-        minutes if minute < MINUTES_AN_HOUR && minutes <= MINUTES_A_DAY => Ok(minutes),
+    match hour * MINUTES_PER_HOUR + minute {
+        minutes if minute < MINUTES_PER_HOUR && minutes <= MINUTES_PER_DAY => Ok(minutes),
         _ => Err(invalid()),
     }
 }
--- a/crates/pools/src/report.rs
+++ b/crates/pools/src/report.rs
@@ -1,5 +1,5 @@
 //! Usage reports: what pools were requested to keep, had and cost in a time span, summed up
-//! from their accounts.
+//! from their records.
 
 mod price_list;
 mod span;
@@ -8,7 +8,7 @@
 use crate::account::{ColdStart, EndReason, PoolRequest, PoolState, Price, UsageInterval};
 use crate::declaration::PoolName;
 use serde::Serialize;
-use span::{seconds, MS_A_SECOND};
+use span::{seconds, MS_PER_SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use unmet::unmet_s;
 
@@ -145,7 +145,7 @@
     fn add_request(&mut self, request: &PoolRequest, span: TimeSpan, now_ms: u64) {
         let requested = span.clip(request.from_ms, request.to_ms.unwrap_or(now_ms));
         let machine_ms = f64::from(request.machines) * requested.length_ms() as f64;
-        self.requested_s += machine_ms / MS_A_SECOND;
+        self.requested_s += machine_ms / MS_PER_SECOND;
     }
 }
 
@@ -169,11 +169,11 @@
 
 /// Reports the usage of all pools with any record in a span. Present requests are counted
 /// until `now_ms`.
-pub fn usage_report(accounts: &UsageRecords, span: TimeSpan, now_ms: u64) -> UsageReport {
-    let prices = PriceList::new(&accounts.prices);
-    let names = accounts.pools_in(span, now_ms).into_iter();
+pub fn usage_report(records: &UsageRecords, span: TimeSpan, now_ms: u64) -> UsageReport {
+    let prices = PriceList::new(&records.prices);
+    let names = records.pools_in(span, now_ms).into_iter();
     let mut pools: Vec<PoolReport> = names
-        .map(|name| report_pool(accounts, name, span, now_ms, &prices))
+        .map(|name| report_pool(records, name, span, now_ms, &prices))
         .collect();
     pools.sort_by(|a, b| (&a.team, &a.pool).cmp(&(&b.team, &b.pool)));
     let mut teams: BTreeMap<String, f64> = BTreeMap::new();
@@ -185,20 +185,20 @@
 
 /// Reports the usage of one pool.
 fn report_pool(
-    accounts: &UsageRecords,
+    records: &UsageRecords,
     pool: &PoolName,
     span: TimeSpan,
     now_ms: u64,
     prices: &PriceList,
 ) -> PoolReport {
-    let requests = accounts.requests.iter().filter(|r| r.pool == *pool);
+    let requests = records.requests.iter().filter(|r| r.pool == *pool);
     let requests: Vec<&PoolRequest> = requests.collect();
-    let intervals = accounts.intervals.iter().filter(|i| i.pool == *pool);
+    let intervals = records.intervals.iter().filter(|i| i.pool == *pool);
     let intervals: Vec<&UsageInterval> = intervals.collect();
-    let cold_starts = accounts.cold_starts.iter().filter(|c| c.pool == *pool);
+    let cold_starts = records.cold_starts.iter().filter(|c| c.pool == *pool);
     let latest = requests.iter().max_by_key(|request| request.from_ms);
     let team = latest.map(|request| &request.team);
-    let team = team.or(accounts.teams.get(pool)).cloned();
+    let team = team.or(records.teams.get(pool)).cloned();
     let mut usage = PoolReport::new(pool.clone(), team.unwrap_or_default());
     for interval in &intervals {
         usage.add_interval(interval, span, prices);
--- a/crates/pools/src/report/price_list.rs
+++ b/crates/pools/src/report/price_list.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Milliseconds in an hour.
-const MS_AN_HOUR: f64 = 3_600_000.0;
+const MS_PER_HOUR: f64 = 3_600_000.0;
 
 /// Prices by machine type, ordered by the time from which they are valid.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
             let part_ms = charged.clip(price.from_ms, valid_until).length_ms();
             if let Some(hourly) = hourly {
                 priced_ms += part_ms;
-                cost += hourly * part_ms as f64 / MS_AN_HOUR;
+                cost += hourly * part_ms as f64 / MS_PER_HOUR;
             }
         }
         (cost, charged.length_ms() - priced_ms)
--- a/crates/pools/src/report/span.rs
+++ b/crates/pools/src/report/span.rs
@@ -43,9 +43,9 @@
 }
 
 /// Milliseconds in a second.
-pub(super) const MS_A_SECOND: f64 = 1_000.0;
+pub(super) const MS_PER_SECOND: f64 = 1_000.0;
 
 /// Milliseconds as seconds.
 pub(super) fn seconds(ms: u64) -> f64 {
-    ms as f64 / MS_A_SECOND
+    ms as f64 / MS_PER_SECOND
 }
--- a/crates/pools/src/report/tests.rs
+++ b/crates/pools/src/report/tests.rs
@@ -15,7 +15,7 @@
     state: PoolState,
     from: u64,
     to: u64,
-    ended: Option<EndReason>,
+    end_reason: Option<EndReason>,
 ) -> UsageInterval {
     UsageInterval {
         pool: pool(),
@@ -25,7 +25,7 @@
         state,
         from_ms: from,
         to_ms: to,
-        end_reason: ended,
+        end_reason,
     }
 }
 
--- a/crates/pools/src/choice.rs
+++ b/crates/pools/src/scaling.rs
@@ -5,13 +5,15 @@
 use std::cmp::Ordering;
 
 /// Relative tolerance for sums of prices.
-const ROUNDING: f64 = 1.0 + 1e-9;
+const PRICE_TOLERANCE: f64 = 1.0 + 1e-9;
 
 /// Target number of machines of a pool, given the number that was allocated to jobs within
 /// the time that a new machine takes to be ready: as many may be needed again before a
 /// machine that is provisioned now can replace any.
-pub fn target_size(size: PoolSize, handed_out: u32) -> u32 {
-    handed_out.max(size.min_machines).min(size.max_machines)
+pub fn target_size(size: PoolSize, recently_allocated: u32) -> u32 {
+    recently_allocated
+        .max(size.min_machines)
+        .min(size.max_machines)
 }
 
 /// A machine of a pool.
@@ -34,9 +36,9 @@
 
 /// Indices of the members that are the pool's least size: the closest to being warm, then
 /// the cheapest. The others may be reclaimed.
-pub fn retained_members(members: &[PoolMember], least: u32) -> Vec<usize> {
+pub fn retained_members(members: &[PoolMember], min_machines: u32) -> Vec<usize> {
     let mut order = by_retention(members);
-    order.truncate(least as usize);
+    order.truncate(min_machines as usize);
     order
 }
 
@@ -45,13 +47,13 @@
 pub fn members_to_remove(
     members: &[PoolMember],
     max_members: u32,
-    cost_most: Option<f64>,
+    max_cost_per_hour: Option<f64>,
 ) -> Vec<usize> {
     let mut remaining = members.len();
     let mut cost: f64 = members.iter().map(|member| member.price_per_hour).sum();
     let mut removed = Vec::new();
     for index in by_retention(members).into_iter().rev() {
-        let is_over_cost = cost_most.is_some_and(|most| cost > most * ROUNDING);
+        let is_over_cost = max_cost_per_hour.is_some_and(|most| cost > most * PRICE_TOLERANCE);
         if remaining <= max_members as usize && !is_over_cost {
             break;
         }
@@ -88,25 +90,25 @@
     /// up, then the cheapest.
     fn preference_order(&self, other: &Self) -> Ordering {
         let by_image = other.has_image.cmp(&self.has_image);
-        let by_boot = other.is_up.cmp(&self.is_up);
+        let by_up = other.is_up.cmp(&self.is_up);
         let by_price = self.price_per_hour.total_cmp(&other.price_per_hour);
-        by_image.then(by_boot).then(by_price)
+        by_image.then(by_up).then(by_price)
     }
 }
 
 /// Indices of the candidates that join, in order of preference: at most `missing`, within
-/// `cost_left` per hour. A candidate that costs too much is skipped.
+/// `budget_per_hour` per hour. A candidate that costs too much is skipped.
 pub fn candidates_to_add(
     candidates: &[PoolCandidate],
     missing: u32,
-    cost_left: Option<f64>,
+    budget_per_hour: Option<f64>,
 ) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by(|&a, &b| {
         let by_preference = candidates[a].preference_order(&candidates[b]);
         by_preference.then(a.cmp(&b))
     });
-    let mut budget = cost_left.map(|cost| cost * ROUNDING);
+    let mut budget = budget_per_hour.map(|cost| cost * PRICE_TOLERANCE);
     let mut added = Vec::new();
     for index in order {
         if added.len() as u32 == missing {
@@ -123,12 +125,12 @@
 }
 
 /// Number of machines of a price, at most `missing`, that may be provisioned within
-/// `cost_left` per hour.
-pub fn affordable_machines(missing: u32, price: f64, cost_left: Option<f64>) -> u32 {
-    match cost_left {
+/// `budget_per_hour` per hour.
+pub fn affordable_machines(missing: u32, price: f64, budget_per_hour: Option<f64>) -> u32 {
+    match budget_per_hour {
         Some(cost) if price > 0.0 => {
             // The cast rounds down, and saturates.
-            let count = (cost * ROUNDING / price).max(0.0) as u32;
+            let count = (cost * PRICE_TOLERANCE / price).max(0.0) as u32;
             missing.min(count)
         }
         _ => missing,
--- a/crates/pools/src/choice/tests.rs
+++ b/crates/pools/src/scaling/tests.rs
@@ -17,8 +17,12 @@
         min_machines: 2,
         max_machines: 5,
     };
-    for (handed_out, expected) in [(0, 2), (2, 2), (3, 3), (5, 5), (9, 5)] {
-        assert_eq!(target_size(size, handed_out), expected, "{handed_out}");
+    for (recently_allocated, expected) in [(0, 2), (2, 2), (3, 3), (5, 5), (9, 5)] {
+        assert_eq!(
+            target_size(size, recently_allocated),
+            expected,
+            "{recently_allocated}"
+        );
     }
     assert_eq!(target_size(PoolSize::default(), 9), 0);
 }
--- a/crates/pools/tests/golden.rs
+++ b/crates/pools/tests/golden.rs
@@ -61,17 +61,17 @@
 /// stored.
 #[test]
 fn stored_rows_keep_their_keys_and_bytes() {
-    let mut seen = Vec::new();
+    let mut actual = Vec::new();
     for line in ACCOUNT.lines() {
         let row: Value = serde_json::from_str(line).expect("JSON");
         let (key, bytes) = stored(row["key"].as_str().expect("a key"), &row["data"]);
-        seen.push(format!(r#"{{"key":"{key}","data":{bytes}}}"#));
+        actual.push(format!(r#"{{"key":"{key}","data":{bytes}}}"#));
     }
     let expected = ACCOUNT.replace(
         r#""type":"g8","state""#,
         r#""type":"g8","spot":false,"state""#,
     );
-    assert_eq!(seen, expected.lines().collect::<Vec<_>>());
+    assert_eq!(actual, expected.lines().collect::<Vec<_>>());
 }
 
 #[test]
@@ -81,17 +81,17 @@
         to_ms: to * HOUR_MS,
     };
     let accounts = accounts();
-    let mut seen = String::new();
+    let mut actual = String::new();
     for span in [span(0, 10), span(2, 4), span(20, 21)] {
         let found = usage_report(&accounts, span, 8 * HOUR_MS);
-        seen += &serde_json::to_string(&found).expect("JSON");
-        seen += "\n";
+        actual += &serde_json::to_string(&found).expect("JSON");
+        actual += "\n";
     }
-    assert!(seen == include_str!("golden/report.jsonl"), "{seen}");
+    assert!(actual == include_str!("golden/report.jsonl"), "{actual}");
 }
 
 /// A declaration with every field.
-fn full() -> PoolSpec {
+fn full_spec() -> PoolSpec {
     let text = str::to_owned;
     PoolSpec {
         name: text("exam-help"),
@@ -142,7 +142,7 @@
     "2027-01-01T00:30:00Z",
 ];
 
-fn show(pool: &Pool) -> String {
+fn describe(pool: &Pool) -> String {
     let mut text = format!(
         "name {}\nteam {}\nimage {}\nimage_gb {}\n",
         pool.name, pool.team, pool.image, pool.image_gb
@@ -173,12 +173,12 @@
         max_cost_per_hour: None,
         time_zone: String::new(),
         windows: Vec::new(),
-        ..full()
+        ..full_spec()
     };
-    let pools = parse(&[full(), short]).expect("both are valid");
-    let seen: Vec<String> = pools.iter().map(show).collect();
-    let seen = seen.join("\n");
-    assert!(seen == include_str!("golden/declaration.txt"), "{seen}");
+    let pools = parse(&[full_spec(), short]).expect("both are valid");
+    let actual: Vec<String> = pools.iter().map(describe).collect();
+    let actual = actual.join("\n");
+    assert!(actual == include_str!("golden/declaration.txt"), "{actual}");
 }
 
 /// A change that makes a declaration invalid.
@@ -212,12 +212,15 @@
             }
         },
     ];
-    let mut seen = String::new();
+    let mut actual = String::new();
     for change in changes {
-        let mut spec = full();
+        let mut spec = full_spec();
         change(&mut spec);
         let error = parse(&[spec]).expect_err("it is invalid");
-        seen += &format!("{}: {}\n", error.pool, error.field);
+        actual += &format!("{}: {}\n", error.pool, error.field);
     }
-    assert!(seen == include_str!("golden/wrong_fields.txt"), "{seen}");
+    assert!(
+        actual == include_str!("golden/wrong_fields.txt"),
+        "{actual}"
+    );
 }
--- a/crates/pools/tests/model.rs
+++ b/crates/pools/tests/model.rs
@@ -4,17 +4,17 @@
 
 use forkshift_pools::account::{BilledMachine, Price};
 use forkshift_pools::audit::{audit_errors, BillingPeriod};
-use forkshift_pools::choice::{
+use forkshift_pools::report::{PriceList, TimeSpan};
+use forkshift_pools::scaling::{
     affordable_machines, candidates_to_add, members_to_remove, PoolCandidate, PoolMember,
 };
-use forkshift_pools::report::{PriceList, TimeSpan};
 use forkshift_pools::{EndReason, Membership, PoolName, PoolState, UsageInterval};
 use forkshift_wire::MachineId;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-const MS_AN_HOUR: f64 = 3_600_000.0;
+const MS_PER_HOUR: f64 = 3_600_000.0;
 
 /// A machine of the model, and its life according to the cloud.
 #[derive(Clone, Debug)]
@@ -41,9 +41,9 @@
     /// Reclaims a machine from its pool.
     Reclaim(usize),
     /// Lets a machine fail.
-    End(usize),
+    Fail(usize),
     /// Sets how far the holder's clock is behind, in milliseconds.
-    ClockBack(u64),
+    SetClockBehind(u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -53,8 +53,8 @@
         4 => (0..24_usize).prop_map(Step::Advance),
         1 => (0..3_usize, 1..4_usize).prop_map(|(p, n)| Step::Burst(p, n)),
         1 => (0..24_usize).prop_map(Step::Reclaim),
-        1 => (0..24_usize).prop_map(Step::End),
-        1 => (1..2_000_u64).prop_map(Step::ClockBack),
+        1 => (0..24_usize).prop_map(Step::Fail),
+        1 => (1..2_000_u64).prop_map(Step::SetClockBehind),
     ];
     proptest::collection::vec(step, 1..80)
 }
@@ -63,7 +63,7 @@
 struct Model {
     now: u64,
     /// How far the holder's clock is behind, in milliseconds.
-    behind: u64,
+    clock_behind_ms: u64,
     machines: Vec<Machine>,
     pools: [(u32, Option<f64>); 3],
     rows: Vec<UsageInterval>,
@@ -73,7 +73,7 @@
     PoolName::parse(&format!("pool-{index}")).expect("a name")
 }
 
-fn facts(index: usize) -> BilledMachine {
+fn billed_machine(index: usize) -> BilledMachine {
     BilledMachine {
         id: MachineId::new(&format!("host-{index:06}")),
         machine_type: format!("type-{index}"),
@@ -82,16 +82,16 @@
 }
 
 impl Model {
-    fn wall_ms(&self) -> u64 {
-        self.now - self.behind.min(self.now)
+    fn wall_clock_ms(&self) -> u64 {
+        self.now - self.clock_behind_ms.min(self.now)
     }
 
     fn change(&mut self, index: usize, next: Option<PoolState>, ended: Option<EndReason>) {
-        let wall_ms = self.wall_ms();
+        let wall_clock_ms = self.wall_clock_ms();
         let Some(old) = self.machines[index].membership.take() else {
             return;
         };
-        let row = old.close(&facts(index), wall_ms, ended);
+        let row = old.close(&billed_machine(index), wall_clock_ms, ended);
         self.machines[index].charged_until_ms = row.to_ms;
         self.machines[index].membership = next.map(|state| Membership {
             state,
@@ -111,7 +111,7 @@
 
     /// Reconciles a pool with its target: machines leave, join and are provisioned.
     fn reconcile(&mut self, pool_index: usize) {
-        let (target, cost_most) = self.pools[pool_index];
+        let (target, max_cost_per_hour) = self.pools[pool_index];
         let ids = self.members(pool_index);
         let state = |i: &usize| self.machines[*i].membership.as_ref().map(|m| m.state);
         let members: Vec<PoolMember> = ids
@@ -123,13 +123,13 @@
                 })
             })
             .collect();
-        for index in members_to_remove(&members, target, cost_most) {
+        for index in members_to_remove(&members, target, max_cost_per_hour) {
             self.change(ids[index], None, Some(EndReason::ScaledIn));
         }
         let ids = self.members(pool_index);
         let cost: f64 = ids.iter().map(|i| self.machines[*i].price).sum();
         let missing = target.saturating_sub(ids.len() as u32);
-        let left = cost_most.map(|most| most - cost);
+        let left = max_cost_per_hour.map(|most| most - cost);
         let free: Vec<usize> = (0..self.machines.len())
             .filter(|i| {
                 let m = &self.machines[*i];
@@ -145,26 +145,26 @@
             })
             .collect();
         let joins = candidates_to_add(&candidates, missing, left);
-        let mut cost_left = left;
+        let mut budget = left;
         for index in &joins {
             let machine = free[*index];
-            cost_left = cost_left.map(|left| left - self.machines[machine].price);
-            let at = self.wall_ms().max(self.machines[machine].from_ms);
+            budget = budget.map(|left| left - self.machines[machine].price);
+            let at = self.wall_clock_ms().max(self.machines[machine].from_ms);
             let charged_until = self.machines[machine].charged_until_ms;
             let joined = Membership::begin(pool(pool_index), PoolState::Up, at, charged_until);
             self.machines[machine].membership = Some(joined);
         }
         let price = 3.0 + pool_index as f64;
-        let provisioned = affordable_machines(missing - joins.len() as u32, price, cost_left);
+        let provisioned = affordable_machines(missing - joins.len() as u32, price, budget);
         for _ in 0..provisioned {
             self.machines.push(Machine {
                 price,
-                from_ms: self.wall_ms(),
+                from_ms: self.wall_clock_ms(),
                 ended_ms: None,
                 membership: Some(Membership::begin(
                     pool(pool_index),
                     PoolState::Booting,
-                    self.wall_ms(),
+                    self.wall_clock_ms(),
                     0,
                 )),
                 charged_until_ms: 0,
@@ -177,7 +177,7 @@
         let alive = |m: &Model, i: usize| m.machines.get(i).is_some_and(|m| m.ended_ms.is_none());
         match step {
             Step::Wait(ms) => self.now += ms,
-            Step::ClockBack(ms) => self.behind = *ms,
+            Step::SetClockBehind(ms) => self.clock_behind_ms = *ms,
             Step::Declare(pool_index, target, cost) => self.pools[*pool_index] = (*target, *cost),
             Step::Advance(i) if alive(self, *i) => {
                 let state = self.machines[*i].membership.as_ref().map(|m| m.state);
@@ -199,12 +199,12 @@
                 self.change(*i, None, Some(EndReason::Reclaimed));
                 self.machines[*i].is_busy = true;
             }
-            Step::End(i) if alive(self, *i) => {
+            Step::Fail(i) if alive(self, *i) => {
                 self.change(*i, None, Some(EndReason::Failed));
                 let from = self.machines[*i].from_ms;
                 self.machines[*i].ended_ms = Some(self.now.max(from));
             }
-            Step::Advance(_) | Step::Reclaim(_) | Step::End(_) => {}
+            Step::Advance(_) | Step::Reclaim(_) | Step::Fail(_) => {}
         }
         for pool_index in 0..self.pools.len() {
             self.reconcile(pool_index);
@@ -212,10 +212,12 @@
     }
 }
 
-fn lives(model: &Model) -> BTreeMap<MachineId, BillingPeriod> {
+fn billing_periods(model: &Model) -> BTreeMap<MachineId, BillingPeriod> {
     let machines = model.machines.iter().enumerate();
     let life = |m: &Machine| (m.from_ms, m.ended_ms.unwrap_or(model.now));
-    machines.map(|(i, m)| (facts(i).id, life(m))).collect()
+    machines
+        .map(|(i, m)| (billed_machine(i).id, life(m)))
+        .collect()
 }
 
 fn config() -> ProptestConfig {
@@ -236,22 +238,22 @@
         for step in &steps {
             model.apply(step);
             for pool_index in 0..model.pools.len() {
-                let (target, cost_most) = model.pools[pool_index];
+                let (target, max_cost_per_hour) = model.pools[pool_index];
                 let members = model.members(pool_index);
                 let cost: f64 = members.iter().map(|i| model.machines[*i].price).sum();
                 prop_assert!(members.len() <= target as usize);
-                prop_assert!(cost_most.is_none_or(|most| cost <= most * 1.000_001));
+                prop_assert!(max_cost_per_hour.is_none_or(|most| cost <= most * 1.000_001));
             }
         }
-        model.behind = 0;
+        model.clock_behind_ms = 0;
         for i in 0..model.machines.len() {
             model.change(i, None, Some(EndReason::PoolRemoved));
         }
-        prop_assert_eq!(audit_errors(&model.rows, &lives(&model), 0), vec![]);
+        prop_assert_eq!(audit_errors(&model.rows, &billing_periods(&model), 0), vec![]);
 
         // The price list's costs equal the charges of each machine.
         let prices: Vec<Price> = (0..model.machines.len()).map(|i| Price {
-            machine_type: facts(i).machine_type,
+            machine_type: billed_machine(i).machine_type,
             from_ms: 0,
             hourly: model.machines[i].price,
             spot_hourly: None,
@@ -259,10 +261,10 @@
         let list = PriceList::new(&prices);
         let all = TimeSpan { from_ms: 0, to_ms: u64::MAX };
         for (i, machine) in model.machines.iter().enumerate() {
-            let rows: Vec<&UsageInterval> = model.rows.iter().filter(|r| r.machine == facts(i).id).collect();
+            let rows: Vec<&UsageInterval> = model.rows.iter().filter(|r| r.machine == billed_machine(i).id).collect();
             let charged: f64 = rows.iter().map(|r| list.cost(r, all).0).sum();
             let ms: u64 = rows.iter().map(|r| r.to_ms - r.from_ms).sum();
-            let expected = machine.price * ms as f64 / MS_AN_HOUR;
+            let expected = machine.price * ms as f64 / MS_PER_HOUR;
             prop_assert!((charged - expected).abs() <= 1e-9 * expected.max(1.0));
         }
     }
--- a/crates/sched/src/entitlement.rs
+++ b/crates/sched/src/entitlement.rs
@@ -3,7 +3,7 @@
 
 /// What is reserved for a job that has waited long, against the jobs behind it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Reservation {
+pub enum AgedJobReservation {
     /// Nothing.
     #[default]
     None,
@@ -15,7 +15,7 @@
     CapacityAndQuota,
 }
 
-impl Reservation {
+impl AgedJobReservation {
     /// Whether anything is reserved.
     pub fn reserves(self) -> bool {
         self != Self::None
@@ -57,7 +57,7 @@
     Borrower,
     /// Best effort on idle capacity alone: nothing is preempted for it and no on-demand
     /// machine is provisioned for it.
-    PatientBorrower,
+    IdleOnlyBorrower,
 }
 
 impl CapacityClass {
@@ -68,6 +68,6 @@
 
     /// Whether the job uses idle capacity alone.
     pub fn uses_idle_capacity_only(self) -> bool {
-        self == Self::PatientBorrower
+        self == Self::IdleOnlyBorrower
     }
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -24,11 +24,11 @@
 mod round;
 mod score;
 
-pub use entitlement::{CapacityClass, Reclaim, Reservation};
+pub use entitlement::{AgedJobReservation, CapacityClass, Reclaim};
 pub use machine::MachineSnapshot;
 pub use pending::PendingTasks;
 pub use provision::{plan_scale_out, MachineOffer, PlannedMachines, TaskShape};
-pub use quota::{Quota, Shortfall};
+pub use quota::{ExceededLimits, Quota};
 pub use requirement::PlacementRequirement;
 pub use resources::Resources;
 pub use round::{run_round, Placement};
--- a/crates/sched/src/machine.rs
+++ b/crates/sched/src/machine.rs
@@ -24,7 +24,7 @@
     /// Images that are cached or being fetched, as numbers given by the caller.
     pub images: BTreeSet<u32>,
     /// Whether it is reserved for a task that has waited long, and takes no others.
-    pub is_held: bool,
+    pub is_held_for_aged_job: bool,
     /// Seconds until a task could start at all (of a machine that still boots).
     pub startup_delay_s: f64,
     /// Reservation whose jobs alone may use it, as a number given by the caller; `None`
--- a/crates/sched/src/machine_table.rs
+++ b/crates/sched/src/machine_table.rs
@@ -225,7 +225,7 @@
 
     /// Keeps a machine from taking any more tasks in this round.
     pub(crate) fn hold(&mut self, machine: usize) {
-        self.machines[machine].is_held = true;
+        self.machines[machine].is_held_for_aged_job = true;
         self.classify(machine);
     }
 
@@ -235,7 +235,7 @@
             self.classes[class].remove(machine);
             self.images.on_class_left(machine, class);
         }
-        if self.machines[machine].is_held {
+        if self.machines[machine].is_held_for_aged_job {
             return;
         }
         let class = self.class_for(ClassKey::new(&self.machines[machine]));
--- a/crates/sched/src/machine_table/tests.rs
+++ b/crates/sched/src/machine_table/tests.rs
@@ -2,7 +2,7 @@
 
 mod reference;
 
-use crate::entitlement::Reservation;
+use crate::entitlement::AgedJobReservation;
 use crate::machine::MachineSnapshot;
 use crate::pending::PendingTasks;
 use crate::quota::Quota;
@@ -47,7 +47,7 @@
                 price_per_s: if spot { 1.0 } else { 3.0 } * size as f64,
                 fetch_gb_per_s: f64::from(machine_type),
                 images,
-                is_held: held,
+                is_held_for_aged_job: held,
                 startup_delay_s: delay,
                 reserved_for,
             }
@@ -69,7 +69,7 @@
 impl JobVariant {
     fn apply(self, templates: &[PendingTasks]) -> PendingTasks {
         PendingTasks {
-            waiting: (0..self.tasks).collect(),
+            unplaced_tasks: (0..self.tasks).collect(),
             total_tasks: self.tasks,
             is_gang: self.gang,
             priority_band: self.band,
@@ -117,19 +117,19 @@
         any::<bool>(),
     );
     let reservation = prop_oneof![
-        Just(Reservation::None),
-        Just(Reservation::Capacity),
-        Just(Reservation::CapacityAndQuota),
+        Just(AgedJobReservation::None),
+        Just(AgedJobReservation::Capacity),
+        Just(AgedJobReservation::CapacityAndQuota),
     ];
     let reservations = btree_set(0..2_u32, 0..2);
     let rest = (0..3_u32, 0..TEAMS, reservation, 0..3_u32, reservations);
     (shape, place, rest).prop_map(|(shape, place, rest)| {
         let (cpus, gpus, tasks, gang, band) = shape;
-        let (types, zone, one_zone, spread, spot) = place;
+        let (types, zone, require_same_zone, spread, spot) = place;
         let (image, team, reservation, estimate, reservations) = rest;
         PendingTasks {
             task_resources: Resources::new(cpus as f64, gpus as f64 * 0.5, 2.0),
-            waiting: (0..tasks).collect(),
+            unplaced_tasks: (0..tasks).collect(),
             total_tasks: tasks,
             is_gang: gang,
             priority_band: band,
@@ -140,8 +140,8 @@
             image_gb: f64::from(image) * 4.0,
             allowed_types: types,
             required_zone: zone,
-            one_zone,
-            spread: spread && !one_zone,
+            require_same_zone,
+            spread_over_zones: spread && !require_same_zone,
             allows_spot: spot,
             open_reservations: reservations,
             ..PendingTasks::default()
@@ -202,7 +202,7 @@
         };
         let job = |zone: Option<u16>, tasks: u32| PendingTasks {
             task_resources: Resources::new(5.0, 0.0, 2.0),
-            waiting: (0..tasks).collect(),
+            unplaced_tasks: (0..tasks).collect(),
             total_tasks: tasks,
             estimated_run_s: 1.0,
             required_zone: zone,
--- a/crates/sched/src/machine_table/tests/reference.rs
+++ b/crates/sched/src/machine_table/tests/reference.rs
@@ -1,9 +1,9 @@
 //! The reference for rounds: it scores every machine for every task, without classes.
 
-use crate::entitlement::Reservation;
+use crate::entitlement::AgedJobReservation;
 use crate::machine::MachineSnapshot;
 use crate::pending::PendingTasks;
-use crate::quota::{Quota, Shortfall};
+use crate::quota::{ExceededLimits, Quota};
 use crate::resources::Resources;
 use crate::round::Placement;
 use crate::score::{choose, Candidate, Weights};
@@ -19,11 +19,11 @@
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| jobs[a].round_order(&jobs[b]));
     let mut placed = Vec::new();
-    let mut shortfalls: BTreeMap<usize, Shortfall> = BTreeMap::new();
+    let mut exceeded_limits: BTreeMap<usize, ExceededLimits> = BTreeMap::new();
     let mut quota_holds: Vec<(usize, Resources)> = Vec::new();
     for job_index in order {
         let job = &mut jobs[job_index];
-        if shortfalls
+        if exceeded_limits
             .get(&job.team)
             .is_some_and(|s| s.affects(&job.task_resources))
         {
@@ -33,17 +33,17 @@
             placed.extend(place_gang(job_index, job, machines, quotas, weights));
         }
         while !job.is_gang && place_next(job_index, job, machines, quotas, weights, &mut placed) {}
-        if job.reservation.reserves() && !job.waiting.is_empty() {
+        if job.reservation.reserves() && !job.unplaced_tasks.is_empty() {
             let team = &mut quotas[job.team];
             let amount = job.minimum_resources();
             if !team.allows(&amount) {
-                let shortfall = shortfalls.entry(job.team).or_default();
-                *shortfall = shortfall.union(&team.shortfall(&amount));
+                let exceeded = exceeded_limits.entry(job.team).or_default();
+                *exceeded = exceeded.union(&team.exceeded_limits(&amount));
                 continue;
             }
             job.lacks_machines = true;
             hold_machine(job, machines);
-            if job.reservation == Reservation::CapacityAndQuota {
+            if job.reservation == AgedJobReservation::CapacityAndQuota {
                 team.used += amount;
                 quota_holds.push((job.team, amount));
             }
@@ -71,7 +71,7 @@
         .filter(|(index, machine)| fits(machine) && !job.excluded_machines.contains(index))
         .max_by(|(_, a), (_, b)| free(a).total_cmp(&free(b)));
     if let Some((_, machine)) = best {
-        machine.is_held = true;
+        machine.is_held_for_aged_job = true;
     }
 }
 
@@ -84,13 +84,13 @@
     weights: &Weights,
     placed: &mut Vec<Placement>,
 ) -> bool {
-    let Some(&task) = job.waiting.first() else {
+    let Some(&task) = job.unplaced_tasks.first() else {
         return false;
     };
     let Some(machine) = place_one(job, machines, quotas, weights, None) else {
         return false;
     };
-    job.waiting.remove(0);
+    job.unplaced_tasks.remove(0);
     placed.push(Placement {
         job: job_index,
         task,
@@ -113,7 +113,7 @@
     let mut indices = Vec::new();
     let mut candidates = Vec::new();
     for (index, machine) in machines.iter().enumerate() {
-        let fits = !machine.is_held
+        let fits = !machine.is_held_for_aged_job
             && job.task_resources.fits_in(&machine.free)
             && zone.is_none_or(|z| z == machine.zone)
             && job.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
@@ -155,7 +155,7 @@
     quotas: &mut [Quota],
     weights: &Weights,
 ) -> Vec<Placement> {
-    let zones: Vec<Option<u16>> = if job.one_zone {
+    let zones: Vec<Option<u16>> = if job.require_same_zone {
         let all: BTreeSet<u16> = machines.iter().map(|machine| machine.zone).collect();
         all.into_iter().map(Some).collect()
     } else {
@@ -165,7 +165,7 @@
         let before = (job.tasks_by_zone.clone(), quotas[job.team].used);
         let mut booked: Vec<(usize, bool)> = Vec::new();
         let mut placed = Vec::new();
-        for task in job.waiting.clone() {
+        for task in job.unplaced_tasks.clone() {
             let had_image: Vec<bool> = machines
                 .iter()
                 .map(|machine| machine.images.contains(&job.image))
@@ -180,8 +180,8 @@
                 machine,
             });
         }
-        if placed.len() == job.waiting.len() {
-            job.waiting.clear();
+        if placed.len() == job.unplaced_tasks.len() {
+            job.unplaced_tasks.clear();
             return placed;
         }
         for (machine, had_image) in booked.into_iter().rev() {
--- a/crates/sched/src/pending.rs
+++ b/crates/sched/src/pending.rs
@@ -1,6 +1,6 @@
 //! The waiting tasks of a job, with the constraints on their placement.
 
-use crate::entitlement::{CapacityClass, Reclaim, Reservation};
+use crate::entitlement::{AgedJobReservation, CapacityClass, Reclaim};
 use crate::resources::Resources;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
     /// Resources of each task.
     pub task_resources: Resources,
     /// Numbers of the waiting tasks, at most as many as the round may place.
-    pub waiting: Vec<u32>,
+    pub unplaced_tasks: Vec<u32>,
     /// Number of all tasks of the job.
     pub total_tasks: u32,
     /// Gang scheduling: all of `waiting` are placed, or none.
@@ -21,9 +21,9 @@
     pub priority_band: i32,
     /// Seconds since the submission of a job that has waited long; 0 for all
     /// others, among which the longest estimate goes first.
-    pub waited_s: f64,
+    pub aged_wait_s: f64,
     /// What is reserved for it against the jobs behind it.
-    pub reservation: Reservation,
+    pub reservation: AgedJobReservation,
     /// What borrowed capacity may be reclaimed for it.
     pub reclaim: Reclaim,
     /// Whether it runs on idle capacity.
@@ -43,9 +43,9 @@
     /// The only allowed zone; `None` allows any.
     pub required_zone: Option<u16>,
     /// Whether all tasks must be in one zone.
-    pub one_zone: bool,
+    pub require_same_zone: bool,
     /// Whether at most half of the tasks, rounded up, may be in one zone.
-    pub spread: bool,
+    pub spread_over_zones: bool,
     /// Whether spot instances are allowed.
     pub allows_spot: bool,
     /// Number of the job's placed tasks by zone.
@@ -62,7 +62,7 @@
     /// that had come to wait long, too.
     pub fn precedence_order(&self, other: &Self) -> Ordering {
         let band = other.priority_band.cmp(&self.priority_band);
-        band.then(other.waited_s.total_cmp(&self.waited_s))
+        band.then(other.aged_wait_s.total_cmp(&self.aged_wait_s))
     }
 
     /// Orders by a round's sequence: by precedence, then the longest estimate first.
@@ -74,7 +74,11 @@
     /// Resources that must be free at the same time for any of its tasks to be placed:
     /// those of all waiting tasks of a gang, of one task otherwise.
     pub fn minimum_resources(&self) -> Resources {
-        let tasks = if self.is_gang { self.waiting.len() } else { 1 };
+        let tasks = if self.is_gang {
+            self.unplaced_tasks.len()
+        } else {
+            1
+        };
         self.task_resources.scaled_by(tasks as i64)
     }
 
@@ -83,11 +87,11 @@
         if self.required_zone.is_some_and(|required| required != zone) {
             return false;
         }
-        if self.one_zone && self.has_task_outside(zone) {
+        if self.require_same_zone && self.has_task_outside(zone) {
             return false;
         }
         let placed = self.tasks_by_zone.get(&zone).copied().unwrap_or(0);
-        !self.spread || placed < self.total_tasks.div_ceil(2)
+        !self.spread_over_zones || placed < self.total_tasks.div_ceil(2)
     }
 
     fn has_task_outside(&self, zone: u16) -> bool {
--- a/crates/sched/src/quota.rs
+++ b/crates/sched/src/quota.rs
@@ -45,9 +45,9 @@
     }
 
     /// The resources whose limit these resources in addition would exceed.
-    pub fn shortfall(&self, additional: &Resources) -> Shortfall {
+    pub fn exceeded_limits(&self, additional: &Resources) -> ExceededLimits {
         let sum = self.used + *additional;
-        Shortfall {
+        ExceededLimits {
             cpus: !is_within_bound(sum.milli_cpus, self.limit.milli_cpus),
             gpus: !is_within_bound(sum.milli_gpus, self.limit.milli_gpus),
         }
@@ -56,12 +56,12 @@
 
 /// The resources that a team's quota lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shortfall {
+pub struct ExceededLimits {
     cpus: bool,
     gpus: bool,
 }
 
-impl Shortfall {
+impl ExceededLimits {
     /// Whether a task would use any of the lacking resources.
     pub fn affects(&self, task: &Resources) -> bool {
         (self.cpus && task.milli_cpus > 0) || (self.gpus && task.milli_gpus > 0)
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -4,10 +4,10 @@
 use crate::machine::MachineSnapshot;
 use crate::machine_table::MachineTable;
 use crate::pending::PendingTasks;
-use crate::quota::{Quota, Shortfall};
+use crate::quota::{ExceededLimits, Quota};
 use crate::resources::Resources;
 use crate::score::Weights;
-use crate::Reservation;
+use crate::AgedJobReservation;
 use std::collections::BTreeMap;
 
 /// A placement that a round has chosen for a task.
@@ -30,7 +30,7 @@
     quotas: &mut [Quota],
     weights: &Weights,
 ) -> Vec<Placement> {
-    if jobs.iter().all(|job| job.waiting.is_empty()) {
+    if jobs.iter().all(|job| job.unplaced_tasks.is_empty()) {
         return Vec::new();
     }
     let mut order: Vec<usize> = (0..jobs.len()).collect();
@@ -62,7 +62,7 @@
     weights: &'a Weights,
     placements: Vec<Placement>,
     /// Resources that a team's quota lacks for a job with a reservation, by team.
-    shortfalls: BTreeMap<usize, Shortfall>,
+    exceeded_limits: BTreeMap<usize, ExceededLimits>,
     quota_holds: Vec<QuotaHold>,
 }
 
@@ -77,7 +77,7 @@
             quotas,
             weights,
             placements: Vec::new(),
-            shortfalls: BTreeMap::new(),
+            exceeded_limits: BTreeMap::new(),
             quota_holds: Vec::new(),
         }
     }
@@ -92,7 +92,7 @@
         } else {
             self.place_each(job_index, job);
         }
-        if job.reservation.reserves() && !job.waiting.is_empty() {
+        if job.reservation.reserves() && !job.unplaced_tasks.is_empty() {
             self.reserve(job);
         }
     }
@@ -100,8 +100,8 @@
     /// Whether the job would use quota that is reserved for an earlier one. Only the scarce
     /// resources count: a team at its limit of GPUs once kept jobs without any from running.
     fn is_quota_reserved(&self, job: &PendingTasks) -> bool {
-        let shortfall = self.shortfalls.get(&job.team);
-        shortfall.is_some_and(|shortfall| shortfall.affects(&job.task_resources))
+        let exceeded = self.exceeded_limits.get(&job.team);
+        exceeded.is_some_and(|exceeded| exceeded.affects(&job.task_resources))
     }
 
     /// Reserves quota or, if the quota suffices, a machine for a job that is still waiting.
@@ -109,12 +109,12 @@
         let quota = &mut self.quotas[job.team];
         let amount = job.minimum_resources();
         if !quota.allows(&amount) {
-            let shortfall = self.shortfalls.entry(job.team).or_default();
-            *shortfall = shortfall.union(&quota.shortfall(&amount));
+            let exceeded = self.exceeded_limits.entry(job.team).or_default();
+            *exceeded = exceeded.union(&quota.exceeded_limits(&amount));
             return;
         }
         job.lacks_machines = true;
-        if job.reservation == Reservation::CapacityAndQuota {
+        if job.reservation == AgedJobReservation::CapacityAndQuota {
             quota.used += amount;
             let team = job.team;
             self.quota_holds.push(QuotaHold { team, amount });
@@ -147,18 +147,18 @@
     /// Places the tasks of a job one by one, until one finds no room.
     fn place_each(&mut self, job_index: usize, job: &mut PendingTasks) {
         let mut count = 0;
-        while count < job.waiting.len() {
+        while count < job.unplaced_tasks.len() {
             let Some(booking) = self.book_task(job, None) else {
                 break;
             };
             self.placements.push(Placement {
                 job: job_index,
-                task: job.waiting[count],
+                task: job.unplaced_tasks[count],
                 machine: booking.machine,
             });
             count += 1;
         }
-        job.waiting.drain(..count);
+        job.unplaced_tasks.drain(..count);
     }
 
     /// Chooses a machine for one task, in `zone` if it is given, and books it.
@@ -177,7 +177,7 @@
     /// Places all waiting tasks of a gang, or none. A gang that must be in one zone tries
     /// the zones in ascending order.
     fn place_gang(&mut self, job_index: usize, job: &mut PendingTasks) {
-        let zones: Vec<Option<u16>> = if job.one_zone {
+        let zones: Vec<Option<u16>> = if job.require_same_zone {
             self.table.zones().iter().copied().map(Some).collect()
         } else {
             vec![None]
@@ -186,7 +186,7 @@
             let Some(bookings) = self.book_gang(job, zone) else {
                 continue;
             };
-            let tasks = std::mem::take(&mut job.waiting);
+            let tasks = std::mem::take(&mut job.unplaced_tasks);
             let booked_tasks = tasks.into_iter().zip(bookings);
             let placements = booked_tasks.map(|(task, booking)| Placement {
                 job: job_index,
@@ -203,13 +203,13 @@
         let zones_before = job.tasks_by_zone.clone();
         let used_before = self.quotas[job.team].used;
         let mut bookings = Vec::new();
-        while bookings.len() < job.waiting.len() {
+        while bookings.len() < job.unplaced_tasks.len() {
             let Some(booking) = self.book_task(job, zone) else {
                 break;
             };
             bookings.push(booking);
         }
-        if bookings.len() == job.waiting.len() {
+        if bookings.len() == job.unplaced_tasks.len() {
             return Some(bookings);
         }
         for booking in bookings.into_iter().rev() {
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -19,7 +19,7 @@
 fn pending(tasks: u32, gpus: f64) -> PendingTasks {
     PendingTasks {
         task_resources: Resources::new(1.0, gpus, 1.0),
-        waiting: (0..tasks).collect(),
+        unplaced_tasks: (0..tasks).collect(),
         total_tasks: tasks,
         estimated_run_s: 10.0,
         image_gb: 1.0,
@@ -49,7 +49,11 @@
     let placed = run(&mut jobs, &mut machines, 100.0);
     let order: Vec<usize> = placed.iter().map(|p| p.job).collect();
     assert_eq!(order, [2, 1]);
-    assert_eq!(jobs[0].waiting, [0], "a task without room keeps waiting");
+    assert_eq!(
+        jobs[0].unplaced_tasks,
+        [0],
+        "a task without room keeps waiting"
+    );
 }
 
 /// Regression: one of the largest jobs of a class started after 289 s, since longer jobs of
@@ -71,9 +75,9 @@
     ];
     for (name, first, second, expected) in cases {
         let mut jobs = [pending(1, 8.0), pending(1, 8.0)];
-        for (job, (band, waited_s, estimate)) in jobs.iter_mut().zip([first, second]) {
+        for (job, (band, aged_wait_s, estimate)) in jobs.iter_mut().zip([first, second]) {
             job.priority_band = band;
-            job.waited_s = waited_s;
+            job.aged_wait_s = aged_wait_s;
             job.estimated_run_s = estimate;
         }
         let placed = run(&mut jobs, &mut [machine(8.0, 0)], 100.0);
@@ -95,20 +99,20 @@
     type Case = (&'static str, fn(&mut PendingTasks), usize);
     let cases: [Case; 6] = [
         ("anywhere", |_| (), 4),
-        ("one zone", |job| job.one_zone = true, 2),
+        ("one zone", |job| job.require_same_zone = true, 2),
         (
             "one zone, with a task in another zone",
             |job| {
-                job.one_zone = true;
+                job.require_same_zone = true;
                 job.tasks_by_zone.insert(7, 1);
             },
             0,
         ),
-        ("spread", |job| job.spread = true, 4),
+        ("spread", |job| job.spread_over_zones = true, 4),
         (
             "spread, half of the tasks placed in one zone",
             |job| {
-                job.spread = true;
+                job.spread_over_zones = true;
                 job.tasks_by_zone.insert(0, 2);
             },
             2,
@@ -130,7 +134,7 @@
 #[test]
 fn spread_job_of_one_task_is_placed() {
     let mut jobs = [pending(1, 4.0)];
-    jobs[0].spread = true;
+    jobs[0].spread_over_zones = true;
     assert_eq!(run(&mut jobs, &mut [machine(8.0, 0)], 100.0).len(), 1);
 }
 
@@ -148,9 +152,9 @@
         let mut jobs = [pending(1, 8.0), pending(2, 2.0)];
         jobs[0].priority_band = 1;
         jobs[0].reservation = if aged {
-            Reservation::Capacity
+            AgedJobReservation::Capacity
         } else {
-            Reservation::None
+            AgedJobReservation::None
         };
         let mut machines = [machine(8.0, 0)];
         machines[0].free.milli_gpus = (free * 1000.0) as i64;
@@ -176,9 +180,9 @@
         jobs[0].is_gang = true;
         jobs[0].priority_band = 8;
         jobs[0].reservation = if reserves_quota {
-            Reservation::CapacityAndQuota
+            AgedJobReservation::CapacityAndQuota
         } else {
-            Reservation::Capacity
+            AgedJobReservation::Capacity
         };
         jobs[0].allowed_types = Some(vec![0]);
         let mut other = machine(4.0, 0);
@@ -205,16 +209,16 @@
         (2, true, 100.0, 2),
         (4, false, 15.0, 0),
     ];
-    for (tasks, one_zone, limit, expected) in cases {
+    for (tasks, require_same_zone, limit, expected) in cases {
         let mut jobs = [pending(tasks, 4.0)];
         jobs[0].is_gang = true;
-        jobs[0].one_zone = one_zone;
+        jobs[0].require_same_zone = require_same_zone;
         let mut machines = [machine(8.0, 0), machine(8.0, 1)];
         let placed = run(&mut jobs, &mut machines, limit);
         assert_eq!(
             placed.len(),
             expected,
-            "{tasks} tasks, one zone: {one_zone}"
+            "{tasks} tasks, one zone: {require_same_zone}"
         );
         let free: i64 = machines.iter().map(|machine| machine.free.milli_gpus).sum();
         assert_eq!(free, 16_000 - 4_000 * expected as i64);
@@ -246,7 +250,7 @@
     for (name, gpus, expected) in cases {
         let mut jobs = [pending(1, 8.0), pending(1, gpus)];
         jobs[0].priority_band = 1;
-        jobs[0].reservation = Reservation::Capacity;
+        jobs[0].reservation = AgedJobReservation::Capacity;
         jobs[1].task_resources.milli_cpus = 1_000;
         let mut machines = [machine(8.0, 0)];
         machines[0].total.milli_cpus = 8_000;
@@ -265,7 +269,7 @@
     for (is_excluded, expected) in [(false, 0), (true, 1)] {
         let mut jobs = [pending(1, 8.0), pending(1, 2.0)];
         jobs[0].priority_band = 1;
-        jobs[0].reservation = Reservation::Capacity;
+        jobs[0].reservation = AgedJobReservation::Capacity;
         let mut machines = [machine(8.0, 0)];
         machines[0].free.milli_gpus -= 1_000;
         if is_excluded {
