--- a/crates/sched/src/entitlement.rs
+++ b/crates/sched/src/entitlement.rs
@@ -1,17 +1,20 @@
-//! A waiting job's entitlement to capacity: what it may reserve, what it may reclaim
-//! from borrowers, and whether it uses only idle capacity itself.
+//! The entitlement of a pending job to capacity: what is reserved for it, what may be
+//! reclaimed for it, and whether it is best-effort work that runs on borrowed capacity.
 
-/// What is reserved for a job that has waited long, against the jobs behind it.
+/// What a round reserves for an aged job against the jobs that are placed after it. A job is
+/// aged if it has been pending for a long time; the caller decides when. Without
+/// reservations, small tasks of later jobs could use all capacity as it becomes free, and
+/// a large task would starve.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum AgedJobReservation {
-    /// Nothing.
+    /// Nothing, as for every job that is not aged.
     #[default]
     None,
-    /// What the job lacks: its team's quota or, if the quota suffices, a machine that
-    /// could run one of its tasks.
+    /// The resources that the job lacks: quota of its team if the limit is exceeded,
+    /// otherwise a machine that could run one of its tasks.
     Capacity,
-    /// As [`Self::Capacity`], and the quota stays reserved also while no machine has room,
-    /// because machines for the job may be booting.
+    /// Like [`Self::Capacity`]. In addition, quota for the job stays reserved while it lacks
+    /// machines, because machines for it may be booting.
     CapacityAndQuota,
 }
 
@@ -22,21 +25,22 @@
     }
 }
 
-/// What borrowed capacity may be reclaimed for a job that is within its team's
-/// guarantee, or urgent.
+/// Which capacity may be reclaimed for a job from borrowers and warm pools. The job is
+/// within its team's guarantee, or has a high priority.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Reclaim {
-    /// Nothing.
+    /// None.
     #[default]
     Nothing,
-    /// The capacity of borrowing tasks on machines of the job's own shard.
+    /// Resources of borrowed tasks on machines of the job's own shard.
     Tasks,
-    /// As [`Self::Tasks`], and, since the job has waited, whole machines of other shards.
+    /// Like [`Self::Tasks`], and also whole machines of other shards. This is allowed only
+    /// after the job has been pending for some time.
     TasksAndMachines,
 }
 
 impl Reclaim {
-    /// Whether anything may be reclaimed.
+    /// Whether any capacity may be reclaimed.
     pub fn reclaims(self) -> bool {
         self != Self::Nothing
     }
@@ -47,15 +51,17 @@
     }
 }
 
-/// Whether a job has an ordinary entitlement to capacity or runs on idle capacity.
+/// Whether a job is ordinary work or best-effort work, which runs on capacity that its team
+/// borrows.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum CapacityClass {
-    /// Ordinary work of any team.
+    /// Any job that is not best-effort work.
     #[default]
     Ordinary,
-    /// Best effort: low-priority work of a team without a guarantee.
+    /// Best effort: low-priority work of a team without a guarantee. Machines may be
+    /// provisioned for it.
     Borrower,
-    /// Best effort on idle capacity alone: nothing is preempted for it and no on-demand
+    /// Best effort on idle capacity only: nothing is preempted for the job, and no on-demand
     /// machine is provisioned for it.
     IdleOnlyBorrower,
 }
@@ -66,7 +72,7 @@
         self != Self::Ordinary
     }
 
-    /// Whether the job uses idle capacity alone.
+    /// Whether the job uses idle capacity only.
     pub fn uses_idle_capacity_only(self) -> bool {
         self == Self::IdleOnlyBorrower
     }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,17 +1,21 @@
-//! The scheduling decisions of forkshift, without state or I/O.
+//! The scheduling decisions of forkshift as pure functions, without state or I/O.
 //!
-//! The ordinary path follows RouteBalance ("RouteBalance: Fused Model Routing
-//! and Load Balancing for Heterogeneous LLM Serving"): waiting tasks are taken
-//! longest first, each goes to the machine with the highest weighted sum of
-//! fit minus cost minus latency, and every choice is booked locally before
-//! the next one is made.
+//! Placement is greedy and follows RouteBalance ("RouteBalance: Fused Model Routing
+//! and Load Balancing for Heterogeneous LLM Serving"). Within a priority band, pending
+//! tasks are placed in descending order of their estimated run time. Each task is placed
+//! on the machine with the highest score: weighted fit, minus weighted cost, minus weighted
+//! latency. The resources of a placed task are subtracted from the local copy of the
+//! machine before the next task is placed.
 //!
-//! - [`run_round`] places the waiting tasks of all jobs on machines, by a score with
+//! - [`run_round`] places the pending tasks of all jobs on machines, by a score with
 //!   [`Weights`].
-//! - [`Reservation`], [`Reclaim`] and [`CapacityClass`] say what capacity a waiting job may
-//!   reserve or reclaim from others.
-//! - [`Quota`] counts what a team uses against its guarantee and its limit.
-//! - [`plan_scale_out`] chooses the machines to provision for tasks that fit on none.
+//! - [`AgedJobReservation`], [`Reclaim`] and [`CapacityClass`] define which capacity a
+//!   pending job may reserve, reclaim from other work, or use.
+//! - [`Quota`] compares the resources that a team uses with its guarantee and its limit.
+//! - [`plan_scale_out`] chooses the machines to provision for tasks that fit on no existing
+//!   machine.
+//!
+//! Machine types, zones, images and reservations are numbers that the caller assigns.
 
 mod entitlement;
 mod machine;
--- a/crates/sched/src/machine.rs
+++ b/crates/sched/src/machine.rs
@@ -1,15 +1,15 @@
-//! The view that a scheduling round has of a machine.
+//! The snapshot of a machine that a scheduling round works on.
 
 use crate::resources::Resources;
 use std::collections::BTreeSet;
 
-/// A machine as a round sees it: a local copy whose free resources shrink with each
-/// placement.
+/// The state of a machine as a local copy of the round, which subtracts the resources of
+/// each placed task from `free`.
 #[derive(Clone, Debug, Default)]
 pub struct MachineSnapshot {
-    /// Free resources.
+    /// Resources that no task uses.
     pub free: Resources,
-    /// Installed resources.
+    /// Installed resources, used or not.
     pub total: Resources,
     /// Machine type, as a number given by the caller.
     pub machine_type: u16,
@@ -17,17 +17,21 @@
     pub zone: u16,
     /// Whether it is a spot instance, which the cloud may preempt.
     pub is_spot: bool,
-    /// Price per second.
+    /// Price per second, in the currency of the catalogue.
     pub price_per_s: f64,
-    /// Rate at which images are fetched, in GB/s; 0 if fetches cost no time.
+    /// Rate at which images are fetched, in GB/s; 0 if a fetch counts as instantaneous.
     pub fetch_gb_per_s: f64,
-    /// Images that are cached or being fetched, as numbers given by the caller.
+    /// Images that are cached or being fetched, as numbers given by the caller. The round
+    /// adds the image of each placed task.
     pub images: BTreeSet<u32>,
-    /// Whether it is reserved for a task that has waited long, and takes no others.
+    /// Set by the round: the machine is held for an aged job (see
+    /// [`AgedJobReservation`](crate::AgedJobReservation)), and the round places no further
+    /// task on it.
     pub is_held_for_aged_job: bool,
-    /// Seconds until a task could start at all (of a machine that still boots).
+    /// Seconds until the machine can start a task; 0 unless it is booting.
     pub startup_delay_s: f64,
-    /// Reservation whose jobs alone may use it, as a number given by the caller; `None`
-    /// if any job may.
+    /// Number of the machine's reservation, given by the caller, for example of a warm pool.
+    /// Only jobs with this number in `open_reservations` may use the machine. `None` if any
+    /// job may use it.
     pub reserved_for: Option<u32>,
 }
--- a/crates/sched/src/machine_table/image_index.rs
+++ b/crates/sched/src/machine_table/image_index.rs
@@ -1,17 +1,17 @@
-//! Which machines have which images, counted by class of machines.
+//! Index of the machines that have an image, with their number in each class.
 
 use crate::machine::MachineSnapshot;
 use rustc_hash::FxHashMap;
 
-/// The machines that have an image, for each image that was looked up so far.
+/// The machines that have an image, for each image that was looked up in this round.
 #[derive(Default)]
 pub(super) struct ImageIndex {
     by_image: FxHashMap<u32, ImageMachines>,
 }
 
 impl ImageIndex {
-    /// The machines that have an image. The first look-up of an image indexes it.
-    pub(super) fn of(
+    /// The machines that have an image. The entry is built at the first look-up of the image.
+    pub(super) fn machines_with(
         &mut self,
         image: u32,
         machines: &[MachineSnapshot],
@@ -21,30 +21,37 @@
         self.by_image.entry(image).or_insert_with(index)
     }
 
-    /// Notes that an image has been put on a machine of a class, or removed from it.
-    pub(super) fn set(&mut self, image: u32, machine: usize, class: Option<usize>, is_there: bool) {
+    /// Updates the index after an image was added to a machine, or removed from it. `class`
+    /// is the machine's class, `None` if it has none.
+    pub(super) fn set_cached(
+        &mut self,
+        image: u32,
+        machine: usize,
+        class: Option<usize>,
+        is_cached: bool,
+    ) {
         let Some(indexed) = self.by_image.get_mut(&image) else {
             return;
         };
-        if indexed.has_image[machine] == is_there {
+        if indexed.has_image[machine] == is_cached {
             return;
         }
-        indexed.has_image[machine] = is_there;
+        indexed.has_image[machine] = is_cached;
         match class {
-            Some(class) if is_there => indexed.add_to_class(class),
+            Some(class) if is_cached => indexed.add_to_class(class),
             Some(class) => indexed.count_by_class[class] -= 1,
             None => {}
         }
     }
 
-    /// Notes that a machine with its images has left a class.
+    /// Subtracts a machine that has left a class from the counts of its images.
     pub(super) fn on_class_left(&mut self, machine: usize, class: usize) {
         for indexed in self.images_on(machine) {
             indexed.count_by_class[class] -= 1;
         }
     }
 
-    /// Notes that a machine with its images has joined a class.
+    /// Adds a machine that has joined a class to the counts of its images.
     pub(super) fn on_class_joined(&mut self, machine: usize, class: usize) {
         for indexed in self.images_on(machine) {
             indexed.add_to_class(class);
@@ -61,7 +68,8 @@
 pub(super) struct ImageMachines {
     /// Whether each machine has the image, by the machine's index.
     has_image: Vec<bool>,
-    /// Number of such machines by class; classes beyond the end have none.
+    /// Number of machines with the image in each class, by the class's index. A class beyond
+    /// the end of the list has none.
     count_by_class: Vec<usize>,
 }
 
--- a/crates/sched/src/machine_table/tests.rs
+++ b/crates/sched/src/machine_table/tests.rs
@@ -1,4 +1,5 @@
-//! Grouping machines into classes changes no placement.
+//! Compares rounds that group machines into classes with the reference, which scores every
+//! machine: the placements must be equal.
 
 mod reference;
 
@@ -22,7 +23,7 @@
 };
 const TEAMS: usize = 2;
 
-/// Machines of a few types; many are equal, some are partly filled.
+/// Machines of a few types. Many are in the same class, and some are partly used.
 fn machines() -> impl Strategy<Value = Vec<MachineSnapshot>> {
     let machine = (
         0..3_u16,
@@ -56,7 +57,7 @@
     vec(machine, 0..24)
 }
 
-/// What distinguishes a job from others of the same template.
+/// The attributes of a job that are not taken from its template.
 #[derive(Clone, Debug)]
 struct JobVariant {
     template: prop::sample::Index,
@@ -98,7 +99,7 @@
     vec(variant, 0..16)
 }
 
-/// Jobs of a few templates: many have the same requirement, as gangs and not.
+/// Jobs of a few templates, so that gangs and other jobs often have equal requirements.
 fn jobs() -> impl Strategy<Value = Vec<PendingTasks>> {
     (vec(job_templates(), 1..4), job_variants()).prop_map(|(templates, variants)| {
         let variants = variants.into_iter();
@@ -106,10 +107,10 @@
     })
 }
 
-/// A job with any resources and constraints.
+/// A job with random resources and constraints.
 fn job_templates() -> impl Strategy<Value = PendingTasks> {
-    let shape = (0..4_i64, 0..3_i64, 1..5_u32, any::<bool>(), 0..4_i32);
-    let place = (
+    let size = (0..4_i64, 0..3_i64, 1..5_u32, any::<bool>(), 0..4_i32);
+    let constraints = (
         proptest::option::of(vec(0..3_u16, 1..3)),
         proptest::option::of(0..3_u16),
         any::<bool>(),
@@ -123,9 +124,9 @@
     ];
     let reservations = btree_set(0..2_u32, 0..2);
     let rest = (0..3_u32, 0..TEAMS, reservation, 0..3_u32, reservations);
-    (shape, place, rest).prop_map(|(shape, place, rest)| {
-        let (cpus, gpus, tasks, gang, band) = shape;
-        let (types, zone, require_same_zone, spread, spot) = place;
+    (size, constraints, rest).prop_map(|(size, constraints, rest)| {
+        let (cpus, gpus, tasks, gang, band) = size;
+        let (types, zone, require_same_zone, spread, spot) = constraints;
         let (image, team, reservation, estimate, reservations) = rest;
         PendingTasks {
             task_resources: Resources::new(cpus as f64, gpus as f64 * 0.5, 2.0),
@@ -170,8 +171,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Every task is placed as by a scan of every machine, and machines, jobs and quotas
-    /// are the same afterwards.
+    /// The placements are equal to those of a scan of every machine, and the state of
+    /// machines, jobs and quotas is equal afterwards.
     #[test]
     fn round_places_like_a_scan_of_every_machine(machines in machines(), jobs in jobs()) {
         let (mut grouped, mut scanned) = (machines.clone(), machines);
@@ -186,8 +187,9 @@
     }
 }
 
-/// Unmet requirements are remembered with a bit for each zone. With one zone more than
-/// there are bits none are remembered, and the placements stay the same.
+/// Guards against a wrong or overflowing zone mask. Unsatisfiable requirements are recorded
+/// with one bit for each zone; if there are more zones than bits, none are recorded. The
+/// placements must be equal in both cases.
 #[test]
 fn more_zones_than_mask_bits_change_no_placement() {
     for zones in [MAX_ZONES as u16, MAX_ZONES as u16 + 1] {
@@ -208,8 +210,8 @@
             required_zone: zone,
             ..PendingTasks::default()
         };
-        // Two tasks for the last zone, which has room for one, and more for any zone than
-        // there is room for.
+        // Each zone has capacity for one task. Two tasks require the last zone, and the
+        // tasks for any zone are more than fit.
         let jobs = vec![job(Some(zones - 1), 2), job(None, u32::from(zones) + 3)];
         let machines: Vec<MachineSnapshot> = (0..zones).map(machine).collect();
         let (mut grouped, mut scanned) = (machines.clone(), machines);
--- a/crates/sched/src/machine_table/tests/reference.rs
+++ b/crates/sched/src/machine_table/tests/reference.rs
@@ -1,4 +1,4 @@
-//! The reference for rounds: it scores every machine for every task, without classes.
+//! Reference implementation of rounds: scores every machine for every task, without classes.
 
 use crate::entitlement::AgedJobReservation;
 use crate::machine::MachineSnapshot;
@@ -9,7 +9,7 @@
 use crate::score::{choose, Candidate, Weights};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Places the tasks for which there are quota and room, like the round under test.
+/// Places pending tasks by the same rules as the round under test.
 pub(super) fn run_round(
     jobs: &mut [PendingTasks],
     machines: &mut [MachineSnapshot],
@@ -20,7 +20,7 @@
     order.sort_by(|&a, &b| jobs[a].round_order(&jobs[b]));
     let mut placed = Vec::new();
     let mut exceeded_limits: BTreeMap<usize, ExceededLimits> = BTreeMap::new();
-    let mut quota_holds: Vec<(usize, Resources)> = Vec::new();
+    let mut reserved_quotas: Vec<(usize, Resources)> = Vec::new();
     for job_index in order {
         let job = &mut jobs[job_index];
         if exceeded_limits
@@ -45,17 +45,18 @@
             hold_machine(job, machines);
             if job.reservation == AgedJobReservation::CapacityAndQuota {
                 team.used += amount;
-                quota_holds.push((job.team, amount));
+                reserved_quotas.push((job.team, amount));
             }
         }
     }
-    for (team, amount) in quota_holds {
+    for (team, amount) in reserved_quotas {
         quotas[team].used -= amount;
     }
     placed
 }
 
-/// Reserves the machine with the largest share of free resources that could run a task.
+/// Holds the machine with the largest share of free resources, among those that could run a
+/// task of the job.
 fn hold_machine(job: &PendingTasks, machines: &mut [MachineSnapshot]) {
     let fits = |machine: &MachineSnapshot| {
         job.task_resources.fits_in(&machine.total)
@@ -75,7 +76,7 @@
     }
 }
 
-/// Places the next task of a job. Returns false if there is none or it has no room.
+/// Places the next task of a job. Returns false if there is none, or if it cannot be placed.
 fn place_next(
     job_index: usize,
     job: &mut PendingTasks,
@@ -99,7 +100,7 @@
     true
 }
 
-/// Chooses a machine for one task and books it.
+/// Chooses a machine for one task and allocates its resources.
 fn place_one(
     job: &mut PendingTasks,
     machines: &mut [MachineSnapshot],
@@ -147,7 +148,7 @@
     Some(chosen)
 }
 
-/// Places all waiting tasks of a gang, or none.
+/// Places all unplaced tasks of a gang, or none.
 fn place_gang(
     job_index: usize,
     job: &mut PendingTasks,
@@ -163,7 +164,7 @@
     };
     for zone in zones {
         let before = (job.tasks_by_zone.clone(), quotas[job.team].used);
-        let mut booked: Vec<(usize, bool)> = Vec::new();
+        let mut allocated: Vec<(usize, bool)> = Vec::new();
         let mut placed = Vec::new();
         for task in job.unplaced_tasks.clone() {
             let had_image: Vec<bool> = machines
@@ -173,7 +174,7 @@
             let Some(machine) = place_one(job, machines, quotas, weights, zone) else {
                 break;
             };
-            booked.push((machine, had_image[machine]));
+            allocated.push((machine, had_image[machine]));
             placed.push(Placement {
                 job: job_index,
                 task,
@@ -184,7 +185,7 @@
             job.unplaced_tasks.clear();
             return placed;
         }
-        for (machine, had_image) in booked.into_iter().rev() {
+        for (machine, had_image) in allocated.into_iter().rev() {
             machines[machine].free += job.task_resources;
             if !had_image {
                 machines[machine].images.remove(&job.image);
--- a/crates/sched/src/pending.rs
+++ b/crates/sched/src/pending.rs
@@ -1,38 +1,40 @@
-//! The waiting tasks of a job, with the constraints on their placement.
+//! The pending tasks of a job, with the constraints on their placement.
 
 use crate::entitlement::{AgedJobReservation, CapacityClass, Reclaim};
 use crate::resources::Resources;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The tasks of one job that wait to be placed.
+/// The pending tasks of one job, as input of a scheduling round.
 #[derive(Clone, Debug, Default)]
 pub struct PendingTasks {
     /// Resources of each task.
     pub task_resources: Resources,
-    /// Numbers of the waiting tasks, at most as many as the round may place.
+    /// Indices, within the job, of the tasks without a machine. The caller limits their
+    /// number to the tasks that one round may place. The round removes the tasks that it
+    /// places.
     pub unplaced_tasks: Vec<u32>,
-    /// Number of all tasks of the job.
+    /// Number of all tasks of the job, in any state.
     pub total_tasks: u32,
-    /// Gang scheduling: all of `waiting` are placed, or none.
+    /// Gang scheduling: the round places all of `unplaced_tasks`, or none.
     pub is_gang: bool,
-    /// Priority band; the larger goes first. Within a band the longest wait goes first,
-    /// then the longest estimate.
+    /// Jobs of a higher band are placed before those of a lower band. See
+    /// [`Self::precedence_order`] for the order within a band.
     pub priority_band: i32,
-    /// Seconds since the submission of a job that has waited long; 0 for all
-    /// others, among which the longest estimate goes first.
+    /// Seconds for which an aged job has been pending; 0 if the job is not aged.
     pub aged_wait_s: f64,
-    /// What is reserved for it against the jobs behind it.
+    /// What is reserved for the job against the jobs that are placed after it.
     pub reservation: AgedJobReservation,
-    /// What borrowed capacity may be reclaimed for it.
+    /// Which capacity may be reclaimed for the job.
     pub reclaim: Reclaim,
-    /// Whether it runs on idle capacity.
+    /// Whether the job is ordinary or best-effort work.
     pub capacity_class: CapacityClass,
-    /// Set by a round: the job has a reservation, and lacks nothing but machines.
+    /// Set by the round if the job has a reservation and unplaced tasks, and its quota
+    /// suffices for them: it lacks only machines.
     pub lacks_machines: bool,
-    /// Predicted run time in seconds.
+    /// Estimated run time of one task, in seconds.
     pub estimated_run_s: f64,
-    /// Index of the team's quota.
+    /// Index of the team in the list of quotas.
     pub team: usize,
     /// Image, as a number given by the caller.
     pub image: u32,
@@ -40,39 +42,42 @@
     pub image_gb: f64,
     /// Allowed machine types; `None` allows any.
     pub allowed_types: Option<Vec<u16>>,
-    /// The only allowed zone; `None` allows any.
+    /// The only allowed zone; `None` allows any zone.
     pub required_zone: Option<u16>,
-    /// Whether all tasks must be in one zone.
+    /// Whether all tasks of the job must be in the same zone.
     pub require_same_zone: bool,
-    /// Whether at most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the job's tasks, rounded up, may be in any one zone.
     pub spread_over_zones: bool,
     /// Whether spot instances are allowed.
     pub allows_spot: bool,
-    /// Number of the job's placed tasks by zone.
+    /// Number of the job's placed tasks by zone. The round adds the tasks that it places.
     pub tasks_by_zone: BTreeMap<u16, u32>,
-    /// Indices of the machines that are excluded for this job.
+    /// Indices of the machines on which this job must not be placed, for example because its
+    /// tasks failed there.
     pub excluded_machines: BTreeSet<usize>,
-    /// Reservations of machines that this job may use.
+    /// Numbers of the reservations whose machines the job may use, in addition to machines
+    /// without a reservation.
     pub open_reservations: BTreeSet<u32>,
 }
 
 impl PendingTasks {
-    /// Orders by precedence: the higher band, and within it the longest wait. By estimate
-    /// alone, a short job that had waited for minutes was overtaken by every longer one
-    /// that had come to wait long, too.
+    /// Orders jobs by descending priority band, then by descending wait of aged jobs. If
+    /// aged jobs were ordered by estimated run time, each longer job that becomes aged
+    /// would overtake a short job that has been pending for minutes.
     pub fn precedence_order(&self, other: &Self) -> Ordering {
         let band = other.priority_band.cmp(&self.priority_band);
         band.then(other.aged_wait_s.total_cmp(&self.aged_wait_s))
     }
 
-    /// Orders by a round's sequence: by precedence, then the longest estimate first.
+    /// Orders jobs as a round places them: by precedence, then by descending estimated run
+    /// time.
     pub(crate) fn round_order(&self, other: &Self) -> Ordering {
         let precedence = self.precedence_order(other);
         precedence.then(other.estimated_run_s.total_cmp(&self.estimated_run_s))
     }
 
-    /// Resources that must be free at the same time for any of its tasks to be placed:
-    /// those of all waiting tasks of a gang, of one task otherwise.
+    /// Resources that must be free at the same time to place any task of the job: those of
+    /// all unplaced tasks of a gang, and of one task of another job.
     pub fn minimum_resources(&self) -> Resources {
         let tasks = if self.is_gang {
             self.unplaced_tasks.len()
@@ -82,7 +87,8 @@
         self.task_resources.scaled_by(tasks as i64)
     }
 
-    /// Whether a task may be placed in a zone, given the job's placed tasks.
+    /// Whether the zone constraints allow another task in a zone, given the placed tasks of
+    /// the job.
     pub fn allows_zone(&self, zone: u16) -> bool {
         if self.required_zone.is_some_and(|required| required != zone) {
             return false;
@@ -100,13 +106,14 @@
             .any(|(other, count)| *other != zone && *count > 0)
     }
 
-    /// Whether it may use a machine that is reserved like this; any job may use a machine
-    /// without a reservation.
+    /// Whether the job may use a machine with this reservation; `None` is a machine without
+    /// a reservation, which any job may use.
     pub fn may_use_reserved(&self, reserved_for: Option<u32>) -> bool {
         reserved_for.is_none_or(|number| self.open_reservations.contains(&number))
     }
 
-    /// Whether a task may run on a machine of this type, zone and kind.
+    /// Whether a task may run on a machine of this type and zone that is a spot instance
+    /// (`spot`) or an on-demand machine.
     pub fn allows_machine(&self, machine_type: u16, zone: u16, spot: bool) -> bool {
         let allows_type = |types: &Vec<u16>| types.contains(&machine_type);
         (self.allows_spot || !spot)
--- a/crates/sched/src/provision.rs
+++ b/crates/sched/src/provision.rs
@@ -1,20 +1,26 @@
-//! Which machines to provision for tasks that fit on none of the existing ones.
+//! The scale-out plan: which machines to provision for tasks that fit on no existing
+//! machine.
+//!
+//! The plan is greedy. Each step adds one machine for the first shape that still has
+//! unplanned tasks. Of the offers that can run this shape, the one with the highest value of
+//! tasks per price is chosen, with all remaining tasks that fit on the machine counted.
 
 use crate::resources::Resources;
 
-/// Lowest price per hour that a value is divided by, so that machines may be free.
-const MIN_PRICE: f64 = 1e-9;
-/// Largest value of one task, for tasks that no offer can run.
+/// Lowest price per hour that a value is divided by: offers may be free of charge.
+const MIN_PRICE_PER_HOUR: f64 = 1e-9;
+/// Largest value of one task. It stands in for the infinite value of a task that no offer can
+/// run, because infinity multiplied by a count of zero is not a number.
 const MAX_TASK_VALUE: f64 = 1e9;
-/// Relative difference of two values per price below which they count as equal.
+/// Largest relative difference between two values per price that count as equal.
 const TIE_TOLERANCE: f64 = 0.001;
 
-/// Tasks of the same shape that have no room.
+/// Tasks with equal resources and constraints that fit on no existing machine.
 #[derive(Clone, Debug)]
 pub struct TaskShape {
     /// Resources of each task.
     pub task_resources: Resources,
-    /// Number of tasks.
+    /// Number of tasks of the shape.
     pub count: u32,
     /// Allowed machine types; `None` allows any.
     pub allowed_types: Option<Vec<u16>>,
@@ -22,28 +28,29 @@
     pub allowed_zones: Option<Vec<u16>>,
     /// Whether spot instances are allowed.
     pub allows_spot: bool,
-    /// Whether no on-demand machine is provisioned for these tasks.
+    /// Whether only spot instances may be provisioned for these tasks.
     pub requires_spot: bool,
 }
 
 impl TaskShape {
-    /// Whether a task could run on such a machine.
+    /// Whether a task could run on an empty machine of the offer.
     fn allows(&self, offer: &MachineOffer) -> bool {
-        self.allows_kind(offer.is_spot)
+        self.allows_purchase_option(offer.is_spot)
             && is_allowed(self.allowed_types.as_deref(), offer.machine_type)
             && is_allowed(self.allowed_zones.as_deref(), offer.zone)
             && self.task_resources.fits_in(&offer.total)
     }
 
-    fn allows_kind(&self, spot: bool) -> bool {
-        if spot {
+    fn allows_purchase_option(&self, is_spot: bool) -> bool {
+        if is_spot {
             self.allows_spot
         } else {
             !self.requires_spot
         }
     }
 
-    /// Value of one task: the lowest cost of the part of a machine that it uses.
+    /// Value of one task, as a price per hour: its dominant share of a machine multiplied by
+    /// the machine's price, for the offer where this is lowest.
     fn task_value(&self, offers: &[MachineOffer]) -> f64 {
         let allowed = offers.iter().filter(|offer| self.allows(offer));
         allowed
@@ -57,7 +64,7 @@
     allowed.is_none_or(|allowed| allowed.contains(&number))
 }
 
-/// A kind of machine that the cloud offers in a zone.
+/// A machine type that the cloud offers in a zone, as spot or on-demand.
 #[derive(Clone, Debug)]
 pub struct MachineOffer {
     /// Machine type, as a number given by the caller.
@@ -68,25 +75,25 @@
     pub is_spot: bool,
     /// Installed resources.
     pub total: Resources,
-    /// Price per hour.
+    /// Price per hour, in the currency of the catalogue.
     pub price_per_hour: f64,
-    /// Number of the shard's machines in the zone; of equal offers, the one with fewer is
-    /// preferred.
+    /// Number of machines of this type that the shard has in the zone. Of offers with equal
+    /// value per price, the one with the lowest number is chosen, which spreads machines
+    /// over zones. The caller may add a penalty to it.
     pub machines_in_zone: u32,
 }
 
-/// A number of machines to provision of one offer.
+/// The number of machines to provision of one offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedMachines {
-    /// Index of the offer.
+    /// Index of the offer in the list of offers.
     pub offer: usize,
-    /// Number of machines.
+    /// Number of machines, at least 1.
     pub count: u32,
 }
 
-/// Chooses machines for unplaced tasks, at most `max_machines`. Each machine is chosen for
-/// the first shape that still has tasks, by the value of all tasks that it could run per
-/// price.
+/// Chooses at most `max_machines` machines for the tasks of `shapes`, which are in
+/// descending order of urgency. Shapes that no offer can run get no machine.
 pub fn plan_scale_out(
     shapes: &[TaskShape],
     offers: &[MachineOffer],
@@ -104,30 +111,30 @@
 /// The state of a plan while machines are added to it.
 struct Planner<'a> {
     offers: &'a [MachineOffer],
-    /// The shapes, with the tasks that the plan has no machine for yet.
+    /// The shapes, with the number of tasks for which no machine is planned yet.
     remaining: Vec<TaskShape>,
     /// Value of one task of each shape.
     task_values: Vec<f64>,
-    /// Number of the shard's machines in each offer's zone, with the planned ones of the
-    /// offer.
-    machines_held: Vec<u32>,
+    /// For each offer: `machines_in_zone` plus the planned machines of the offer.
+    machine_counts: Vec<u32>,
     planned: Vec<PlannedMachines>,
 }
 
-/// What one machine of an offer would add to a plan.
+/// The value of one more machine of an offer.
 struct OfferValue {
     offer: usize,
     value_per_price: f64,
-    machines_held: u32,
+    machine_count: u32,
 }
 
 impl OfferValue {
-    /// Whether it is preferred to an earlier one.
+    /// Whether this offer is preferred to `other`, which comes earlier in the list of offers
+    /// and is kept if they are equal.
     fn is_better_than(&self, other: &Self) -> bool {
         let (value, other_value) = (self.value_per_price, other.value_per_price);
         value > other_value * (1.0 + TIE_TOLERANCE)
             || (value > other_value * (1.0 - TIE_TOLERANCE)
-                && self.machines_held < other.machines_held)
+                && self.machine_count < other.machine_count)
     }
 }
 
@@ -137,12 +144,13 @@
             offers,
             remaining: shapes.to_vec(),
             task_values: shapes.iter().map(|s| s.task_value(offers)).collect(),
-            machines_held: offers.iter().map(|offer| offer.machines_in_zone).collect(),
+            machine_counts: offers.iter().map(|offer| offer.machines_in_zone).collect(),
             planned: Vec::new(),
         }
     }
 
-    /// Adds the best machine. Returns false if no offer can run any remaining task.
+    /// Adds the machine with the highest value per price. Returns false if no offer can run
+    /// any remaining task.
     fn add_machine(&mut self) -> bool {
         let Some(first) = self.first_shape() else {
             return false;
@@ -150,25 +158,26 @@
         let Some(best) = self.best_offer(first) else {
             return false;
         };
-        let placed = fill(&self.remaining, first, &self.offers[best]);
+        let placed = pack_tasks(&self.remaining, first, &self.offers[best]);
         for (shape, count) in self.remaining.iter_mut().zip(placed) {
             shape.count -= count;
         }
-        self.machines_held[best] += 1;
+        self.machine_counts[best] += 1;
         self.add_planned(best);
         true
     }
 
-    /// The first shape with remaining tasks that some offer can run.
+    /// Index of the first shape with remaining tasks that some offer can run.
     fn first_shape(&self) -> Option<usize> {
-        let is_open = |shape: &TaskShape| {
+        let is_unplanned = |shape: &TaskShape| {
             let mut offers = self.offers.iter();
             shape.count > 0 && offers.any(|offer| shape.allows(offer))
         };
-        self.remaining.iter().position(is_open)
+        self.remaining.iter().position(is_unplanned)
     }
 
-    /// The offer with the highest value per price for a machine that runs `first`.
+    /// Index of the offer with the highest value per price, among those that can run the
+    /// shape `first`.
     fn best_offer(&self, first: usize) -> Option<usize> {
         let mut best: Option<OfferValue> = None;
         for (index, offer) in self.offers.iter().enumerate() {
@@ -184,26 +193,31 @@
     }
 
     fn value_of(&self, offer: usize, first: usize) -> OfferValue {
-        let placed = fill(&self.remaining, first, &self.offers[offer]);
+        let placed = pack_tasks(&self.remaining, first, &self.offers[offer]);
         let counts = placed.iter().zip(&self.task_values);
         let value: f64 = counts.map(|(count, value)| f64::from(*count) * value).sum();
         OfferValue {
             offer,
-            value_per_price: value / self.offers[offer].price_per_hour.max(MIN_PRICE),
-            machines_held: self.machines_held[offer],
+            value_per_price: value / self.offers[offer].price_per_hour.max(MIN_PRICE_PER_HOUR),
+            machine_count: self.machine_counts[offer],
         }
     }
 
     fn add_planned(&mut self, offer: usize) {
-        match self.planned.iter_mut().find(|r| r.offer == offer) {
+        match self
+            .planned
+            .iter_mut()
+            .find(|machines| machines.offer == offer)
+        {
             Some(machines) => machines.count += 1,
             None => self.planned.push(PlannedMachines { offer, count: 1 }),
         }
     }
 }
 
-/// Number of tasks of each shape that a new machine runs, `first` before the others.
-fn fill(shapes: &[TaskShape], first: usize, offer: &MachineOffer) -> Vec<u32> {
+/// Packs remaining tasks on an empty machine of an offer, first those of the shape `first`,
+/// then the others in their order. Returns the number of tasks of each shape.
+fn pack_tasks(shapes: &[TaskShape], first: usize, offer: &MachineOffer) -> Vec<u32> {
     let mut free = offer.total;
     let mut placed = vec![0; shapes.len()];
     let others = (0..shapes.len()).filter(|index| *index != first);
--- a/crates/sched/src/provision/tests.rs
+++ b/crates/sched/src/provision/tests.rs
@@ -31,11 +31,11 @@
     }
 }
 
-/// A name, the shapes, and the machines planned: offers with counts.
+/// Name, shapes, and the planned machines as pairs of an offer's index and a count.
 type Case = (&'static str, Vec<TaskShape>, Vec<(usize, u32)>);
 
 #[test]
-fn offers_are_chosen_by_the_value_of_their_tasks_per_price() {
+fn offer_with_the_highest_value_of_tasks_per_price_is_chosen() {
     let offers = [
         offer(0, 0, 8.0, 0.0, 0.5, false),
         offer(1, 0, 96.0, 8.0, 28.0, false),
@@ -53,13 +53,17 @@
             vec![(0, 2)],
         ),
         (
-            "GPUs need the large one",
+            "GPU tasks get the machine type with GPUs",
             vec![shape(4.0, 1.0, 3)],
             vec![(1, 1)],
         ),
-        ("spot only where it is allowed", vec![spot], vec![(2, 1)]),
         (
-            "small tasks fill up a machine for large ones",
+            "tasks that allow spot get the cheaper spot machine",
+            vec![spot],
+            vec![(2, 1)],
+        ),
+        (
+            "small tasks use the rest of a machine for large ones",
             vec![shape(48.0, 4.0, 1), shape(4.0, 0.0, 2)],
             vec![(1, 1)],
         ),
@@ -79,7 +83,7 @@
 }
 
 #[test]
-fn equal_offers_are_spread_over_zones_up_to_the_bound() {
+fn equal_offers_are_spread_over_zones_up_to_max_machines() {
     let offers = [
         offer(0, 0, 8.0, 0.0, 0.5, false),
         offer(0, 1, 8.0, 0.0, 0.5, false),
--- a/crates/sched/src/quota/tests.rs
+++ b/crates/sched/src/quota/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn limit_and_guarantee_count_cpus_and_gpus_and_zero_is_unlimited() {
+fn limit_and_guarantee_bound_cpus_and_gpus_unless_the_bound_is_zero() {
     let quota = |used: f64| Quota {
         guarantee: Resources::new(0.0, 4.0, 0.0),
         limit: Resources::new(0.0, 8.0, 0.0),
--- a/crates/sched/src/requirement.rs
+++ b/crates/sched/src/requirement.rs
@@ -1,27 +1,31 @@
-//! What tasks require of any machine, in a form that can be compared and hashed.
+//! The placement requirement of tasks, in a form that can be compared and hashed.
 
 use crate::pending::PendingTasks;
 use crate::resources::Resources;
 use std::collections::BTreeSet;
 
-/// Most zones whose bits fit into a mask; with more, there is no [`PlacementRequirement`].
+/// Largest number of zones that the zone mask has bits for. In a fleet with more zones there
+/// is no [`PlacementRequirement`], and callers evaluate each job separately.
 pub(crate) const MAX_ZONES: usize = u64::BITS as usize;
 
-/// What tasks require of any machine, given the zones that they may still use. Jobs with
-/// equal requirements fit on the same machines.
+/// Everything in a job that decides on which machines its tasks fit, given the zones that
+/// its placed tasks leave to it. Jobs with equal requirements fit on the same machines,
+/// apart from machines that are excluded for one job. Callers use it as the key of a set of
+/// requirements that no machine satisfies.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct PlacementRequirement {
     task: Resources,
     types: Option<Vec<u16>>,
-    /// One bit for each allowed zone.
+    /// Bit `n` is set if the zone at index `n` of the fleet's zones is allowed.
     zone_mask: u64,
     spot: bool,
     reservations: BTreeSet<u32>,
 }
 
 impl PlacementRequirement {
-    /// The requirement of a job's tasks in a fleet with these zones; `None` if there are
-    /// more zones than bits in the mask.
+    /// The requirement of a job's tasks in a fleet with these zones. Requirements can be
+    /// compared only if they were computed with the same `zones`. `None` if there are more
+    /// zones than bits in the mask.
     pub fn new(job: &PendingTasks, zones: &[u16]) -> Option<Self> {
         if zones.len() > MAX_ZONES {
             return None;
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -2,10 +2,10 @@
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
-/// Thousandths in one unit: in a CPU, a GPU or a GB.
+/// Thousandths in one unit. The units are a CPU, a GPU and a GB.
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// An amount of each resource, in thousandths.
+/// An amount of each resource, in thousandths. A difference of amounts may be negative.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, Debug)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -17,7 +17,7 @@
 }
 
 impl Resources {
-    /// From decimal numbers of CPUs, GPUs and GB, rounded to thousandths.
+    /// Converts decimal numbers of CPUs, GPUs and GB, rounded to thousandths.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let thousandths = |amount: f64| (amount * THOUSANDTHS).round() as i64;
         Self {
@@ -27,24 +27,24 @@
         }
     }
 
-    /// Whether no resource exceeds that of `available`.
+    /// Whether the amount of each resource is at most the amount in `available`.
     pub fn fits_in(&self, available: &Self) -> bool {
         self.milli_cpus <= available.milli_cpus
             && self.milli_gpus <= available.milli_gpus
             && self.memory_mb <= available.memory_mb
     }
 
-    /// The smaller amount of each resource.
+    /// The smaller of the two amounts, separately for each resource.
     pub fn component_min(&self, other: &Self) -> Self {
         self.combine(other, i64::min)
     }
 
-    /// The difference of each resource, but at least zero.
+    /// The difference of each resource; zero where `other` has more.
     pub fn saturating_sub(&self, other: &Self) -> Self {
-        self.combine(other, |amount, less| (amount - less).max(0))
+        self.combine(other, |amount, subtrahend| (amount - subtrahend).max(0))
     }
 
-    /// `factor` times each resource.
+    /// The amount of each resource, multiplied by `factor`.
     pub fn scaled_by(&self, factor: i64) -> Self {
         Self {
             milli_cpus: self.milli_cpus * factor,
@@ -58,8 +58,9 @@
         *self == Self::default()
     }
 
-    /// Dominant share: the largest ratio of a resource to that of `total`. It is infinite
-    /// if `total` has none of a resource that this has.
+    /// Dominant share, as in dominant resource fairness: the largest ratio of an amount to
+    /// the amount of the same resource in `total`. It is infinite if a resource that is
+    /// used here is zero in `total`.
     pub fn dominant_share(&self, total: &Self) -> f64 {
         let share = |part: i64, whole: i64| match (part, whole) {
             (0, _) => 0.0,
@@ -71,7 +72,6 @@
             .max(share(self.memory_mb, total.memory_mb))
     }
 
-    /// Applies an operation to each resource.
     fn combine(&self, other: &Self, operation: impl Fn(i64, i64) -> i64) -> Self {
         Self {
             milli_cpus: operation(self.milli_cpus, other.milli_cpus),
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A machine with 64 CPUs and so many GPUs, all free.
+/// An empty machine with 64 CPUs and the given number of GPUs.
 fn machine(gpus: f64, zone: u16) -> MachineSnapshot {
     let total = Resources::new(64.0, gpus, 256.0);
     MachineSnapshot {
@@ -15,7 +15,7 @@
     }
 }
 
-/// A job with so many waiting tasks, each of so many GPUs.
+/// A job with the given number of pending tasks, each of which needs `gpus` GPUs.
 fn pending(tasks: u32, gpus: f64) -> PendingTasks {
     PendingTasks {
         task_resources: Resources::new(1.0, gpus, 1.0),
@@ -28,6 +28,7 @@
     }
 }
 
+/// The quota of one team with a limit of the given number of GPUs.
 fn quota(gpus: f64) -> Vec<Quota> {
     vec![Quota {
         limit: Resources::new(1000.0, gpus, 0.0),
@@ -35,12 +36,13 @@
     }]
 }
 
+/// Runs a round for one team with a limit of the given number of GPUs.
 fn run(jobs: &mut [PendingTasks], machines: &mut [MachineSnapshot], gpus: f64) -> Vec<Placement> {
     run_round(jobs, machines, &mut quota(gpus), &Weights::default())
 }
 
 #[test]
-fn longest_estimate_goes_first_within_a_band() {
+fn longest_estimated_run_is_placed_first_within_a_band() {
     let mut jobs = [pending(1, 8.0), pending(1, 8.0), pending(1, 8.0)];
     jobs[1].estimated_run_s = 20.0;
     jobs[2].priority_band = 1;
@@ -52,26 +54,37 @@
     assert_eq!(
         jobs[0].unplaced_tasks,
         [0],
-        "a task without room keeps waiting"
+        "a task that fits on no machine stays unplaced"
     );
 }
 
-/// Regression: one of the largest jobs of a class started after 289 s, since longer jobs of
-/// its team that were submitted later went first each time capacity came free.
+/// Guards against starvation of aged jobs. Jobs of the same team with a longer estimated run
+/// time, submitted later, were placed first each time capacity became free; a large job
+/// started only after 289 s.
 #[test]
-fn longest_wait_goes_first_among_aged_jobs() {
+fn longest_wait_is_placed_first_among_aged_jobs() {
     // Band, wait and estimate of two jobs, and which is placed.
     let cases = [
-        ("both fresh: the longest", (0, 0.0, 5.0), (0, 0.0, 20.0), 1),
-        ("both aged: the oldest", (8, 90.0, 5.0), (8, 70.0, 20.0), 0),
         (
-            "aged equally: the longest",
+            "neither aged: the longest estimate",
+            (0, 0.0, 5.0),
+            (0, 0.0, 20.0),
+            1,
+        ),
+        (
+            "both aged: the longest wait",
+            (8, 90.0, 5.0),
+            (8, 70.0, 20.0),
+            0,
+        ),
+        (
+            "both aged, equal waits: the longest estimate",
             (8, 70.0, 5.0),
             (8, 70.0, 20.0),
             1,
         ),
-        ("one aged: that one", (8, 70.0, 5.0), (0, 0.0, 20.0), 0),
-        ("bands go before waits", (8, 90.0, 5.0), (9, 70.0, 20.0), 1),
+        ("one aged: the aged one", (8, 70.0, 5.0), (0, 0.0, 20.0), 0),
+        ("bands precede waits", (8, 90.0, 5.0), (9, 70.0, 20.0), 1),
     ];
     for (name, first, second, expected) in cases {
         let mut jobs = [pending(1, 8.0), pending(1, 8.0)];
@@ -87,7 +100,7 @@
 }
 
 #[test]
-fn each_placement_is_booked_before_the_next_choice() {
+fn resources_of_a_placed_task_are_not_free_for_the_next_one() {
     let mut jobs = [pending(5, 4.0)];
     let mut machines = [machine(8.0, 0), machine(8.0, 0)];
     assert_eq!(run(&mut jobs, &mut machines, 100.0).len(), 4);
@@ -138,15 +151,16 @@
     assert_eq!(run(&mut jobs, &mut [machine(8.0, 0)], 100.0).len(), 1);
 }
 
-/// Regression: small tasks used up each bit of a team's limit that came free, and a large
-/// one of the same team waited for nine minutes.
+/// Guards against starvation of large tasks. Small tasks of the same team used the quota, or
+/// the machine, as soon as a part of it became free; a large task was pending for nine
+/// minutes.
 #[test]
 fn aged_job_reserves_quota_or_a_machine() {
     let cases = [
-        ("quota, fresh", false, 11.0, 8.0, 1),
-        ("quota, aged", true, 11.0, 8.0, 0),
-        ("room, fresh", false, 100.0, 6.0, 2),
-        ("room, aged", true, 100.0, 6.0, 0),
+        ("lacks quota, not aged", false, 11.0, 8.0, 1),
+        ("lacks quota, aged", true, 11.0, 8.0, 0),
+        ("lacks a machine, not aged", false, 100.0, 6.0, 2),
+        ("lacks a machine, aged", true, 100.0, 6.0, 0),
     ];
     for (name, aged, limit, free, expected) in cases {
         let mut jobs = [pending(1, 8.0), pending(2, 2.0)];
@@ -165,15 +179,16 @@
     }
 }
 
-/// Regression: a gang that needed all of its team's limit and two machines starved, since
-/// a later task used some of the quota each time while the second machine was booting.
+/// Guards against starvation of a gang that needs its team's whole limit and two machines.
+/// While the second machine was booting, a later task used a part of the quota each time.
 #[test]
-fn quota_stays_reserved_while_no_machine_has_room() {
-    // Whether the quota is reserved, the team's limit, and how many others are placed.
+fn quota_stays_reserved_while_the_job_fits_on_no_machine() {
+    // Name, whether the quota is reserved, the team's limit in GPUs, and how many tasks of
+    // the other job are placed.
     let cases = [
-        ("not reserved: a later task uses it", false, 12.0, 1),
+        ("not reserved: a later task uses the quota", false, 12.0, 1),
         ("reserved", true, 12.0, 0),
-        ("quota beyond the reservation is free", true, 16.0, 1),
+        ("quota beyond the reservation is available", true, 16.0, 1),
     ];
     for (name, reserves_quota, limit, expected) in cases {
         let mut jobs = [pending(3, 4.0), pending(1, 4.0)];
@@ -195,7 +210,7 @@
         let used = 4_000 * expected as i64;
         assert_eq!(
             quotas[0].used.milli_gpus, used,
-            "{name}: only what is placed is used"
+            "{name}: only placed tasks use quota"
         );
     }
 }
@@ -242,8 +257,8 @@
     assert!(run(&mut jobs, &mut [machine(8.0, 0)], 100.0).is_empty());
 }
 
-/// Regression: while a team at its limit of GPUs had a job that waited long for some, its
-/// jobs without GPUs did not run.
+/// Guards against blocking a whole team. While an aged job of a team at its GPU limit waited
+/// for GPUs, the team's jobs without GPUs were not placed.
 #[test]
 fn reserved_quota_blocks_only_tasks_that_use_it() {
     let cases = [("uses GPUs", 2.0, 0), ("uses none", 0.0, 1)];
@@ -262,8 +277,8 @@
     }
 }
 
-/// Regression: a gang that had failed on the only machine, and was excluded from it for a
-/// while, had it held free all that time.
+/// Guards against idle machines. A gang that had failed on the only machine was excluded from
+/// it for some time, and the machine was held for the gang all that time.
 #[test]
 fn excluded_machine_is_not_held_for_the_job() {
     for (is_excluded, expected) in [(false, 0), (true, 1)] {
--- a/crates/sched/src/score.rs
+++ b/crates/sched/src/score.rs
@@ -1,16 +1,16 @@
-//! The score of a machine for a task: bin-packing fit, less cost, less latency, each with
-//! its weight.
+//! The score of a machine for a task: weighted bin-packing fit, minus weighted cost, minus
+//! weighted latency.
 
 use crate::resources::Resources;
 
-/// Weights of the score's terms; they sum to 1.
+/// Weights of the score's terms, from 0 to 1. Operators set them so that they sum to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Weight of the fit.
+    /// Weight of the fit; a higher weight packs tasks onto machines with little free capacity.
     pub fit: f64,
-    /// Weight of the cost.
+    /// Weight of the cost of the task's run.
     pub cost: f64,
-    /// Weight of the latency.
+    /// Weight of the time until the task can start.
     pub latency: f64,
 }
 
@@ -24,20 +24,21 @@
     }
 }
 
-/// What the score depends on, of a machine that has room for the task.
+/// The inputs of the score, for a machine on which the task fits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    /// Free resources of the machine.
+    /// Free resources of the machine, before the task is placed.
     pub(crate) free: Resources,
-    /// Price of the task's estimated run on it.
+    /// Price of the machine for the estimated run time of the task.
     pub(crate) cost: f64,
-    /// Seconds until the task could start: until the machine is up and has the image.
+    /// Seconds until the task can start: the remaining boot time of the machine plus the time
+    /// to fetch the image.
     pub(crate) latency: f64,
 }
 
-/// Bin-packing score: the mean over the resources of the part of what is free that the
-/// task would use, from 0 to 1 for a task that fits. A resource of which nothing is free
-/// is left out of the mean.
+/// Bin-packing fit: the mean, over CPUs, GPUs and memory, of the fraction of the free amount
+/// that the task would use. It is from 0 to 1 for a task that fits. Resources with no free
+/// amount do not count.
 fn fit(task: &Resources, free: &Resources) -> f64 {
     let used_and_free = [
         (task.milli_cpus, free.milli_cpus),
@@ -58,8 +59,9 @@
     }
 }
 
-/// The index of the candidate with the highest score; of equals, the lowest index. Cost
-/// and latency are divided by their maxima over the candidates.
+/// Index of the candidate with the highest score; the lowest index among equal scores. `None`
+/// if there are no candidates. Cost and latency are divided by their maxima over the
+/// candidates, so that each term is from 0 to 1 before it is weighted.
 pub(crate) fn choose(
     task: &Resources,
     candidates: impl Iterator<Item = (usize, Candidate)> + Clone,
@@ -86,7 +88,7 @@
     best.map(|(index, _)| index)
 }
 
-/// `value` as a part of `max`; a maximum of zero removes the term from the score.
+/// `value` divided by `max`; 0 if `max` is 0, so that the term does not affect the score.
 fn normalized(value: f64, max: f64) -> f64 {
     if max > 0.0 {
         value / max
--- a/crates/sched/src/score/tests.rs
+++ b/crates/sched/src/score/tests.rs
@@ -27,17 +27,17 @@
             Some(0),
         ),
         (
-            "cheaper wins at equal fit",
+            "equal fit: the cheapest",
             vec![candidate(8.0, 3.0, 0.0), candidate(8.0, 1.0, 0.0)],
             Some(1),
         ),
         (
-            "a cached image wins at equal cost",
+            "equal cost: the one with the image in its cache",
             vec![candidate(8.0, 1.0, 7.0), candidate(8.0, 1.0, 0.0)],
             Some(1),
         ),
         (
-            "fit enters raw: 1 against 1/2 outweighs a third of the cost",
+            "fit is not normalized: 1 against 1/2 outweighs a third of the cost",
             vec![candidate(8.0, 2.0, 0.0), candidate(4.0, 3.0, 0.0)],
             Some(1),
         ),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn fit_is_the_mean_over_resources_that_are_free() {
+fn fit_is_the_mean_over_resources_with_a_free_amount() {
     let cases = [
         ((4.0, 0.0, 4.0), (8.0, 0.0, 16.0), 0.375),
         ((4.0, 1.0, 4.0), (8.0, 2.0, 8.0), 0.5),
