--- a/crates/links/src/cloud_link.rs
+++ b/crates/links/src/cloud_link.rs
@@ -1,29 +1,33 @@
-//! The leader's link to the cloud.
+//! The link of a controller to the cloud.
 
 use crate::Ms;
 
-/// Consecutive calls without a response after which the link may be lost.
-const MIN_LOST_CALLS: u32 = 3;
+/// Smallest number of consecutive calls without a response after which the link can count as
+/// lost.
+const MIN_UNANSWERED_CALLS: u32 = 3;
 
-/// Known state of a controller's link to the cloud, and the time from which it may be
-/// elected leader again.
+/// State of a controller's link to the cloud, and its backoff from leader elections.
 ///
-/// Only calls without any response count: a refusal shows that the link is up, and an
-/// outage of the cloud is the same for every leader.
+/// A leader whose link is lost resigns, and abstains from elections for some time. Only
+/// calls without any response are evidence of a lost link. An error response shows that
+/// the link is up; an outage of the cloud itself affects every leader equally.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct CloudLink {
-    /// Consecutive calls without a response.
+    /// Number of consecutive calls without a response.
     unanswered_calls: u32,
-    /// End of the first of them.
+    /// Time at which the first of these calls ended.
     unanswered_since: Ms,
-    /// Until then the controller does not stand for election unless no other one does.
+    /// End of the abstention. Until then, the controller is a candidate only if no other
+    /// controller is.
     abstains_until: Ms,
-    /// Duration of the latest abstention; 0 if there was none since the last response.
-    abstention: Ms,
+    /// Duration of the latest abstention; 0 if the controller has not resigned since the
+    /// last response.
+    abstention_ms: Ms,
 }
 
 impl CloudLink {
-    /// Notes that a call has ended, with a response or without one.
+    /// Records the end of a call to the cloud. `is_answered` is true for any response, also
+    /// an error. A response resets the state.
     pub fn on_call(&mut self, now: Ms, is_answered: bool) {
         if is_answered {
             *self = Self::default();
@@ -35,31 +39,31 @@
         self.unanswered_calls = self.unanswered_calls.saturating_add(1);
     }
 
-    /// Whether calls have had no response for `patience`. After a resignation without any
-    /// response since, they must have had none for as long as the controller abstained:
-    /// otherwise leadership keeps moving at the same rate where no controller reaches the
-    /// cloud.
-    pub fn is_lost(&self, now: Ms, patience: Ms) -> bool {
-        let lost_after = self.unanswered_since + patience.max(self.abstention);
-        self.unanswered_calls >= MIN_LOST_CALLS && now >= lost_after
+    /// Whether at least `MIN_UNANSWERED_CALLS` calls in a row, over at least `timeout_ms`,
+    /// had no response. If the controller has resigned and received no response since, the
+    /// calls must have been unanswered for the duration of its last abstention. Otherwise,
+    /// leadership would keep moving at the same rate if no controller reaches the cloud.
+    pub fn is_lost(&self, now: Ms, timeout_ms: Ms) -> bool {
+        let lost_after = self.unanswered_since + timeout_ms.max(self.abstention_ms);
+        self.unanswered_calls >= MIN_UNANSWERED_CALLS && now >= lost_after
     }
 
-    /// Notes that the controller has resigned as leader. Each resignation doubles the
-    /// abstention, from `first_abstention` to `longest_abstention`, so that leadership does
-    /// not move for ever where no controller reaches the cloud.
-    pub fn on_resigned(&mut self, now: Ms, first_abstention: Ms, longest_abstention: Ms) {
-        let doubled = self.abstention * 2;
-        self.abstention = doubled.clamp(first_abstention, longest_abstention);
-        self.abstains_until = now + self.abstention;
+    /// Starts an abstention after the controller has resigned as the leader. The duration
+    /// doubles with each resignation, from `min_abstention_ms` to `max_abstention_ms`, so
+    /// that leadership moves ever less often if no controller reaches the cloud.
+    pub fn on_resigned(&mut self, now: Ms, min_abstention_ms: Ms, max_abstention_ms: Ms) {
+        let doubled = self.abstention_ms * 2;
+        self.abstention_ms = doubled.clamp(min_abstention_ms, max_abstention_ms);
+        self.abstains_until = now + self.abstention_ms;
     }
 
-    /// Notes that the controller was elected: earlier calls are no evidence of the link's
-    /// present state.
+    /// Discards the count of unanswered calls after the controller was elected: calls of an
+    /// earlier term are no evidence of the present state of the link.
     pub fn on_elected(&mut self) {
         self.unanswered_calls = 0;
     }
 
-    /// Whether the controller leaves the election to others.
+    /// Whether the controller abstains from leader elections.
     pub fn abstains_from_election(&self, now: Ms) -> bool {
         now < self.abstains_until
     }
--- a/crates/links/src/decision.rs
+++ b/crates/links/src/decision.rs
@@ -5,18 +5,20 @@
 /// A link of a controller.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Link {
-    /// To the key-value store; up while the controller's own lease is surely valid.
+    /// The link to the key-value store. It is up while the controller's own lease is
+    /// certainly valid.
     Store,
-    /// Heartbeats of workers that arrive directly, not relayed by another controller.
+    /// Heartbeats from workers to this controller, without those that another controller
+    /// relays.
     Heartbeats,
-    /// Calls to workers.
+    /// Calls from this controller to workers.
     WorkerCalls,
-    /// To the cloud.
+    /// The link to the API of the cloud.
     Cloud,
 }
 
 impl Link {
-    /// All links.
+    /// All links, in the order of their indices in [`LinkStates`].
     pub const ALL: [Self; 4] = [
         Self::Store,
         Self::Heartbeats,
@@ -48,19 +50,19 @@
 
 /// A decision that a controller may make only while certain links are up.
 ///
-/// Answering a worker's heartbeat is not among them: it keeps running tasks alive, and is
-/// bounded by what other controllers have confirmed rather than by links.
+/// The response to a worker's heartbeat is not such a decision. It renews the lease that
+/// keeps tasks running, and is limited by the confirmations of other controllers instead.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Decision {
-    /// To start tasks: the start must be recorded under a valid lease.
+    /// To start tasks. A start must be recorded in the store under a valid lease.
     StartTasks,
-    /// To decommission a machine for missed heartbeats: they are no evidence against it
-    /// while most machines miss theirs.
+    /// To decommission machines whose heartbeats are missing. If the heartbeats of most
+    /// machines are missing, the cause is probably the controller's link.
     DecommissionUnresponsiveMachines,
     /// To keep holding shards that another controller could hold.
     HoldShards,
-    /// To remain leader although another controller could lead: the leader alone scales
-    /// the fleet out and in.
+    /// To remain the leader although another controller could lead. Only the leader scales
+    /// the fleet out and in, for which it calls the cloud.
     RemainLeader,
 }
 
@@ -73,7 +75,7 @@
         Self::RemainLeader,
     ];
 
-    /// The links that must be up for it.
+    /// The links that must be up for the decision.
     pub fn required_links(self) -> &'static [Link] {
         match self {
             Self::StartTasks => &[Link::Store],
@@ -84,14 +86,15 @@
     }
 }
 
-/// Known states of a controller's links.
+/// The state of each link of a controller, as far as the controller can observe it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LinkStates {
     is_up: [bool; Link::ALL.len()],
 }
 
 impl Default for LinkStates {
-    /// A controller that starts has no valid lease, and no evidence of a partition.
+    /// The state at startup: the link to the store is down, because the controller has no
+    /// lease yet; all other links are up, because there is no evidence of a partition.
     fn default() -> Self {
         let mut links = Self {
             is_up: [true; Link::ALL.len()],
@@ -102,12 +105,12 @@
 }
 
 impl LinkStates {
-    /// Sets the state of a link. Returns whether it has changed.
+    /// Sets the state of a link. Returns whether the state has changed.
     pub fn set(&mut self, link: Link, is_up: bool) -> bool {
         std::mem::replace(&mut self.is_up[link.index()], is_up) != is_up
     }
 
-    /// Whether a link is up.
+    /// Whether a link is up, as last set.
     pub fn is_up(&self, link: Link) -> bool {
         self.is_up[link.index()]
     }
@@ -117,7 +120,8 @@
         self.missing_link(decision).is_none()
     }
 
-    /// The first link that a decision requires and that is down.
+    /// The first link that the decision requires and that is down; `None` if the decision is
+    /// allowed.
     pub fn missing_link(&self, decision: Decision) -> Option<Link> {
         let mut required = decision.required_links().iter().copied();
         required.find(|link| !self.is_up(*link))
--- a/crates/links/src/redirect.rs
+++ b/crates/links/src/redirect.rs
@@ -1,10 +1,10 @@
-//! Workers that were redirected to the holder of their shard.
+//! The history of workers that were redirected to the holder of their shard.
 
 use crate::Ms;
 use forkshift_wire::{MachineId, NodeName};
 use std::collections::BTreeMap;
 
-/// A redirect of a worker to an incarnation of a holder.
+/// A redirect of a worker to a holder. An incarnation is one run of a controller's process.
 #[derive(Debug)]
 struct Redirect {
     holder: NodeName,
@@ -12,19 +12,22 @@
     redirected_at: Ms,
 }
 
-/// The latest redirect of each worker. A worker that comes back within its lease could not
-/// reach the holder, or lost it soon, whether or not other controllers reach it. A second
-/// redirect would bring it back here again, until its lease expires. In between it may have
-/// tried other controllers, and lost 5 s with each that did not respond.
+/// The latest redirect of each worker by this controller.
+///
+/// A worker that returns within its lease either did not reach the holder or lost the link
+/// to it soon, even if other controllers reach the holder. Another redirect would bring the
+/// worker back again, until its lease expires. The whole lease counts, because the worker
+/// may have tried other controllers in between, at a cost of 5 s for each that did not
+/// respond.
 #[derive(Debug)]
 pub struct RedirectHistory {
     by_machine: BTreeMap<MachineId, Redirect>,
-    /// Duration of a worker's lease.
+    /// Duration of a worker's lease, after which a redirect is forgotten.
     lease_ms: Ms,
 }
 
 impl RedirectHistory {
-    /// No redirects yet, of workers with such a lease in milliseconds.
+    /// An empty history, for workers whose lease lasts `lease_ms`.
     pub fn new(lease_ms: Ms) -> Self {
         Self {
             by_machine: BTreeMap::new(),
@@ -32,7 +35,8 @@
         }
     }
 
-    /// Notes that a worker is redirected to an incarnation of a holder.
+    /// Records that a worker is redirected to an incarnation of a holder. Replaces an earlier
+    /// redirect of the worker.
     pub fn on_redirected(
         &mut self,
         machine: MachineId,
@@ -48,8 +52,8 @@
         self.by_machine.insert(machine, redirect);
     }
 
-    /// Whether a worker that sends a heartbeat now was redirected to that incarnation of a
-    /// holder within its lease.
+    /// Whether the worker was redirected to this incarnation of the holder within the
+    /// duration of its lease before `now`.
     pub fn was_recently_redirected(
         &self,
         machine: &MachineId,
@@ -64,7 +68,7 @@
         })
     }
 
-    /// Removes redirects that are older than a lease.
+    /// Removes redirects that are older than the duration of a lease.
     pub fn remove_expired(&mut self, now: Ms) {
         let lease_ms = self.lease_ms;
         self.by_machine
--- a/crates/links/tests/decisions.rs
+++ b/crates/links/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Which decisions each partition permits, and the states of links.
+//! Decisions that are permitted during partitions, and the state of links after heartbeats
+//! and calls.
 
 use forkshift_links::{
     CloudLink, Decision, HeartbeatRoute, Link, LinkStates, LinkTiming, MachineLink, RelayTable,
@@ -19,7 +20,7 @@
     links
 }
 
-/// The expected table of decisions, so that a change to it is deliberate.
+/// Guards against accidental changes: a change to the required links must be made here too.
 #[test]
 fn each_lost_link_forbids_the_decisions_that_require_it() {
     use Decision::{DecommissionUnresponsiveMachines, HoldShards, RemainLeader, StartTasks};
@@ -51,7 +52,8 @@
 }
 
 proptest! {
-    /// The loss of a link never permits another decision.
+    /// Guards against inverted rules: the loss of a link must not permit a decision that was
+    /// forbidden before.
     #[test]
     fn lost_link_permits_no_further_decision(up in any::<[bool; 4]>(), lost in 0_usize..4) {
         let mut links = LinkStates::default();
@@ -66,21 +68,23 @@
     }
 }
 
-/// One call without a response does not count as a partition; one response ends it.
+/// Guards against false alarms: a single call without a response is no evidence of a
+/// partition, and a single response ends one.
 #[test]
-fn machine_is_not_callable_after_two_calls_without_response() {
+fn machine_is_unreachable_after_two_calls_without_response() {
     let mut link = MachineLink::default();
-    for (is_answered, is_callable) in [(false, true), (false, false), (false, false), (true, true)]
+    for (is_answered, is_reachable) in [(false, true), (false, false), (false, false), (true, true)]
     {
         link.on_call(1, is_answered, &TIMING);
-        assert_eq!(link.is_reachable(), is_callable);
+        assert_eq!(link.is_reachable(), is_reachable);
     }
 }
 
-/// While heartbeats are relayed no task is started, and a failback is tried only after a
-/// call has shown that the machine is reached; each failed failback doubles the backoff.
+/// Guards against a worker that loses its lease to repeated failbacks. A failback is
+/// attempted only after a call has reached the machine, and each failed one doubles the
+/// backoff. While heartbeats are relayed, no task is started.
 #[test]
-fn failback_of_a_relayed_worker_backs_off() {
+fn failed_failbacks_of_a_relayed_worker_back_off() {
     let mut link = MachineLink::default();
     link.on_heartbeat(0, HeartbeatRoute::Direct, &TIMING);
     assert!(link.can_start_tasks() && !link.needs_relay(1_000, 0, &TIMING));
@@ -108,8 +112,9 @@
     assert!(link.can_start_tasks());
 }
 
-/// Only calls without any response count, and a leader that resigned abstains longer each
-/// time.
+/// Guards against leadership that keeps moving while no controller reaches the cloud. The
+/// link is lost only after several calls without any response, and a leader that resigns
+/// abstains for longer each time.
 #[test]
 fn cloud_link_is_lost_after_calls_without_response() {
     let mut link = CloudLink::default();
@@ -140,9 +145,10 @@
     );
 }
 
-/// Lists that arrive late, of an earlier incarnation or of another holder, are ignored.
+/// Guards against outdated relay requests: an older list, another incarnation, another holder
+/// or an expired request must not cause a relay.
 #[test]
-fn only_the_newest_list_of_the_holder_is_relayed() {
+fn outdated_relay_requests_are_ignored() {
     let (holder, other) = (NodeName::new("a"), NodeName::new("b"));
     let machine = |n: u32| MachineId::new(&format!("host-{n}"));
     let mut table = RelayTable::default();
--- a/crates/links/tests/worker_and_controllers.rs
+++ b/crates/links/tests/worker_and_controllers.rs
@@ -1,10 +1,11 @@
-//! A worker, the holder of its shard and three more controllers, with links that are lost
-//! and restored in any order, against the protocol's rules for workers.
+//! Model test of a worker, the holder of its shard and three other controllers, while links
+//! are lost and restored in random order. The worker follows the rules of the protocol.
 //!
-//! The reference state is the state of the links. Only partitions that can be survived are
-//! generated: the worker loses at most two controllers at a time, or the holder while
-//! another controller has lost the holder. The worker's lease must not expire then, and
-//! after all links are restored its heartbeats must be direct again.
+//! Guards against a lease that expires although the worker could reach the holder, directly
+//! or by a relay, and against a worker that stays relayed after a partition. The reference
+//! state is the state of the links. Generated partitions leave at least two of the three
+//! other controllers with links to both the worker and the holder; the link between the
+//! worker and the holder may be lost at any time.
 
 use forkshift_links::{HeartbeatRoute, LinkTiming, MachineLink, Ms, RedirectHistory, RelayTable};
 use forkshift_wire::{MachineId, NodeName};
@@ -16,8 +17,8 @@
 const STEP_MS: Ms = 250;
 const HEARTBEAT_INTERVAL_MS: Ms = 5_000;
 const TIMEOUT_MS: Ms = 4_000;
-/// Pause of a worker before it tries the next controller.
-const RETRY_PAUSE_MS: Ms = 1_000;
+/// Delay before a worker tries the next controller.
+const RETRY_DELAY_MS: Ms = 1_000;
 const LEASE_MS: Ms = 24_000;
 const RELAY_REQUEST_INTERVAL_MS: Ms = 500;
 const RELAY_REQUEST_TTL_MS: Ms = 2_500;
@@ -37,8 +38,9 @@
 }
 
 impl Network {
-    /// Whether the worker's lease can be renewed with these links.
-    fn is_survivable(&self) -> bool {
+    /// Whether the worker's lease can be renewed: at most one of the other controllers lacks
+    /// a link to the worker or to the holder.
+    fn can_renew_lease(&self) -> bool {
         let others = HOLDER + 1..CONTROLLERS;
         let unusable = others.filter(|node| !self.worker[*node] || !self.peers[*node]);
         unusable.count() <= 1
@@ -51,7 +53,7 @@
     SetWorkerLink(usize, bool),
     /// Sets the link between the holder and another controller.
     SetPeerLink(usize, bool),
-    /// Lets time pass.
+    /// Advances the time by this duration.
     Wait(Ms),
 }
 
@@ -72,7 +74,7 @@
         prop_oneof![
             2 => (node, any::<bool>()).prop_map(|(node, is_up)| Transition::SetWorkerLink(node, is_up)),
             1 => (1..CONTROLLERS, any::<bool>()).prop_map(|(node, is_up)| Transition::SetPeerLink(node, is_up)),
-            // Long enough for the lease to be renewed in full after a partition.
+            // Long enough for the worker to renew its lease in full after a partition.
             3 => (LEASE_MS..LEASE_MS * 4).prop_map(Transition::Wait),
         ]
         .boxed()
@@ -88,11 +90,11 @@
     }
 
     fn preconditions(state: &Self, transition: &Transition) -> bool {
-        Self::apply(state.clone(), transition).is_survivable()
+        Self::apply(state.clone(), transition).can_renew_lease()
     }
 }
 
-/// A worker that follows the protocol, and the state of the controllers.
+/// The state of the worker and of all controllers.
 struct Deployment {
     now: Ms,
     machine: MachineId,
@@ -100,9 +102,9 @@
     controller: usize,
     /// Time of the worker's next heartbeat.
     next_heartbeat_at: Ms,
-    /// Time of a heartbeat that has no response yet.
+    /// Time at which the heartbeat without a response was sent; `None` if there is none.
     awaiting_response_since: Option<Ms>,
-    /// Time of the last heartbeat with a response.
+    /// Time of the last answered heartbeat.
     lease_renewed_at: Ms,
     /// The holder's link to the machine.
     link: MachineLink,
@@ -145,7 +147,7 @@
             if self.now >= since + TIMEOUT_MS {
                 self.awaiting_response_since = None;
                 self.controller = (self.controller + 1) % CONTROLLERS;
-                self.next_heartbeat_at = self.now + RETRY_PAUSE_MS;
+                self.next_heartbeat_at = self.now + RETRY_DELAY_MS;
             }
         } else if self.now >= self.next_heartbeat_at {
             self.send_heartbeat(network);
@@ -158,8 +160,8 @@
         );
     }
 
-    /// The holder calls the worker when a failback is due, and requests relays if direct
-    /// heartbeats are missed.
+    /// The holder calls the worker if a failback is due, and requests relays if direct
+    /// heartbeats are missing.
     fn step_holder(&mut self, network: &Network) {
         let is_call_due =
             self.link.is_failback_probe_due(self.now) && self.now >= self.next_call_at;
@@ -196,11 +198,11 @@
                 .on_heartbeat(self.now, HeartbeatRoute::Direct, &TIMING);
             self.on_response();
         } else {
-            self.send_heartbeat_to_other(node, network);
+            self.send_heartbeat_to_other_controller(node, network);
         }
     }
 
-    fn send_heartbeat_to_other(&mut self, node: usize, network: &Network) {
+    fn send_heartbeat_to_other_controller(&mut self, node: usize, network: &Network) {
         let (machine, holder) = (self.machine.clone(), Self::holder());
         let (incarnation, now) = (HOLDER_INCARNATION, self.now);
         let is_relayed = self.relays[node].is_requested_by(&machine, &holder, incarnation, now);
@@ -216,7 +218,7 @@
             self.on_response();
         } else {
             self.controller = (node + 1) % CONTROLLERS;
-            self.next_heartbeat_at = self.now + RETRY_PAUSE_MS;
+            self.next_heartbeat_at = self.now + RETRY_DELAY_MS;
         }
     }
 
@@ -237,7 +239,7 @@
     }
 
     fn apply(mut state: Deployment, network: &Network, transition: Transition) -> Deployment {
-        // A link may change at any moment between two heartbeats.
+        // After a link has changed, a whole lease passes, so that expiry would be seen.
         let duration_ms = match transition {
             Transition::Wait(duration_ms) => duration_ms,
             Transition::SetWorkerLink(..) | Transition::SetPeerLink(..) => LEASE_MS,
@@ -253,7 +255,7 @@
             worker: [true; CONTROLLERS],
             peers: [true; CONTROLLERS],
         };
-        // The longest backoff between two failbacks, twice, and a failback.
+        // 20 leases: twice the longest backoff between failbacks (8 leases), and a failback.
         for _ in 0..LEASE_MS * 20 / STEP_MS {
             state.step(&restored);
         }
