--- a/crates/pools/src/account.rs
+++ b/crates/pools/src/account.rs
@@ -1,11 +1,11 @@
-//! Accounts of pools: the times for which a pool is charged for a machine, the requested
-//! numbers of machines, cold starts and prices, as they are stored.
+//! Accounts of pools, as stored records: the intervals for which a pool is charged for a
+//! machine, the requested numbers of machines, cold starts, and prices.
 //!
-//! A machine's membership holds its present state and the time since when it has been in
-//! it. Whenever that changes, the time up to then becomes a [`UsageInterval`] that is never
-//! changed again, and the membership goes on from the same moment. Both are written in one
-//! compare-and-swap on the machine's record, so no second is charged twice or not at all,
-//! whichever controller writes.
+//! The [`Membership`] of a machine holds the machine's present state and its beginning.
+//! When the state changes, the past time becomes a [`UsageInterval`], which is immutable,
+//! and the membership continues with the new state from the end of that interval. Both are
+//! written by one compare-and-swap transaction on the machine's record. Therefore, no time
+//! is charged twice and none is left out, whichever controller writes.
 
 mod interval;
 mod membership;
--- a/crates/pools/src/account/membership.rs
+++ b/crates/pools/src/account/membership.rs
@@ -8,21 +8,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PoolState {
-    /// Its worker has sent no heartbeat yet.
+    /// The machine's worker has not sent a heartbeat yet.
     Booting,
-    /// It is up; its worker does not report its images.
+    /// The machine is up, and its worker does not report which images are in its cache.
     Up,
-    /// It is fetching the image.
+    /// The machine is fetching the image.
     Fetching,
-    /// Its worker has reported the image.
+    /// The machine's worker has reported that the image is in its cache.
     Warm,
 }
 
 impl PoolState {
-    /// All states, in order.
+    /// All states, by ascending progress.
     pub const ALL: [Self; 4] = [Self::Booting, Self::Up, Self::Fetching, Self::Warm];
 
-    /// Whether the machine is as ready as its worker can report.
+    /// Whether the machine counts as ready for tasks: it is warm, or its worker cannot report
+    /// that it is.
     pub fn is_ready(self) -> bool {
         matches!(self, Self::Up | Self::Warm)
     }
@@ -31,41 +32,42 @@
 /// Why a machine left its pool. The serde names are those of stored records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndReason {
-    /// It was allocated to a task of the pool's team and image.
+    /// The machine was allocated to a task with the team and the image of the pool.
     #[serde(rename = "handed_out")]
     Allocated,
-    /// It was reclaimed for a task that was entitled to capacity and fitted on no other.
+    /// The machine was reclaimed for a task that was entitled to capacity and fitted on no
+    /// other machine.
     #[serde(rename = "reclaimed")]
     Reclaimed,
-    /// The pool was scaled in.
+    /// The pool had more machines than its target, or exceeded its cost limit.
     #[serde(rename = "surplus")]
     ScaledIn,
     /// The pool is no longer declared.
     #[serde(rename = "withdrawn")]
     PoolRemoved,
-    /// It did not get the image in time.
+    /// The machine did not fetch the image within the time limit.
     #[serde(rename = "stalled")]
     FetchTimedOut,
-    /// It failed, was preempted by the cloud, or never came up.
+    /// The machine failed, was preempted by the cloud, or did not boot.
     #[serde(rename = "lost")]
     Failed,
 }
 
-/// A machine's membership in a pool, as stored in the machine's record.
+/// The present membership of a machine in a pool, as stored in the machine's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// The pool.
     pub pool: PoolName,
-    /// State of the machine.
+    /// Present state of the machine.
     pub state: PoolState,
-    /// Time since when it has been in this state, in milliseconds since 1970.
+    /// Time at which the machine entered this state, in milliseconds since 1970.
     pub since_ms: u64,
 }
 
 impl Membership {
-    /// The membership of a machine that joins a pool at `at_ms`. Clocks of controllers
-    /// differ, so a machine that was in a pool before is charged only from
-    /// `charged_until_ms` on, the end of its last interval.
+    /// The membership of a machine that joins a pool at `at_ms`. `charged_until_ms` is the end
+    /// of the machine's last interval in any pool, 0 if there is none. Controllers have
+    /// different clocks, so `at_ms` may be earlier; the time in between is not charged twice.
     pub fn begin(pool: PoolName, state: PoolState, at_ms: u64, charged_until_ms: u64) -> Self {
         Self {
             pool,
@@ -74,8 +76,9 @@
         }
     }
 
-    /// The interval up to `at_ms`, for a machine that changes its state or leaves the pool.
-    /// Clocks of controllers differ: an interval never ends before it begins.
+    /// The interval that ends at `at_ms`, when the machine changes its state or leaves the
+    /// pool. `end_reason` is `None` if it stays in the pool. Controllers have different
+    /// clocks; if `at_ms` is before the beginning, the interval is empty.
     pub fn close(
         &self,
         machine: &BilledMachine,
--- a/crates/pools/src/account/row.rs
+++ b/crates/pools/src/account/row.rs
@@ -1,29 +1,31 @@
-//! Keys of stored records, and the rows that are read from them.
+//! Keys of stored records, and parsing of the rows of accounts.
 
 use super::interval::UsageInterval;
 use super::records::{ColdStart, PoolRequest};
 use crate::declaration::PoolName;
 
-/// Prefix of the rows of all accounts.
+/// Prefix of the keys of account rows, of all pools.
 pub const ACCOUNT_PREFIX: &str = "pool/";
-/// Prefix of the present requests of all pools.
+/// Prefix of the keys of present requests, of all pools.
 pub const CURRENT_REQUEST_PREFIX: &str = "pool-asked/";
-/// Prefix of prices.
+/// Prefix of the keys of prices.
 pub const PRICE_PREFIX: &str = "price/";
-/// Digits of a time in a key, so that keys are ordered by time.
+/// Number of digits of a time in a key. Times are padded with zeros, so that the
+/// lexicographic order of keys is the order of times.
 const TIME_DIGITS: usize = 14;
 
-/// Key of the present request of a pool.
+/// Key of a pool's present request, which is replaced when the target size changes.
 pub fn current_request_key(pool: &PoolName) -> String {
     format!("{CURRENT_REQUEST_PREFIX}{pool}")
 }
 
-/// Key of a row of a pool's account.
+/// Key of a row of a pool's account. `kind` begins with the kind of the row; see
+/// [`AccountRow::parse`].
 pub(super) fn row_key(pool: &PoolName, at_ms: u64, kind: &str) -> String {
     format!("{ACCOUNT_PREFIX}{pool}/{at_ms:0TIME_DIGITS$}-{kind}")
 }
 
-/// Key of the prices of a machine type from a time on.
+/// Key of the prices of a machine type that are valid from `from_ms`.
 pub(super) fn price_key(machine_type: &str, from_ms: u64) -> String {
     format!("{PRICE_PREFIX}{machine_type}/{from_ms:0TIME_DIGITS$}")
 }
@@ -31,17 +33,18 @@
 /// A row of a pool's account.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AccountRow {
-    /// An interval of a machine.
+    /// An interval for which the pool is charged for a machine.
     Interval(UsageInterval),
-    /// A past request, or the present one.
+    /// A past or the present request for machines.
     Request(PoolRequest),
     /// A cold start.
     ColdStart(ColdStart),
 }
 
 impl AccountRow {
-    /// Parses a record below [`ACCOUNT_PREFIX`] or [`CURRENT_REQUEST_PREFIX`]; `None` if the kind of its key is
-    /// unknown or its value is invalid.
+    /// Parses a record whose key begins with [`ACCOUNT_PREFIX`] or
+    /// [`CURRENT_REQUEST_PREFIX`]. `None` if the key has another prefix or an unknown kind, or
+    /// if the value is invalid.
     pub fn parse(key: &str, value: &str) -> Option<Self> {
         if key.starts_with(CURRENT_REQUEST_PREFIX) {
             return parse_json(value).map(Self::Request);
--- a/crates/pools/src/account/tests.rs
+++ b/crates/pools/src/account/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn interval_and_request_end_where_the_next_begins_and_never_before_their_beginning() {
+fn interval_and_request_never_end_before_they_begin_and_the_next_one_follows_at_once() {
     for (at, to) in [(5_000, 5_000), (1_000, 1_000), (400, 1_000)] {
         let interval = membership().close(&machine(), at, None);
         assert_eq!((interval.from_ms, interval.to_ms), (1_000, to));
@@ -46,7 +46,8 @@
     }
 }
 
-/// Keys are ordered by time, and every row is parsed from its key and value.
+/// Guards against rows that are stored but not parsed again, and against keys that are not
+/// ordered by time.
 #[test]
 fn rows_are_parsed_from_their_stored_form() {
     let interval = membership().close(&machine(), 5_000, Some(EndReason::Allocated));
--- a/crates/pools/src/audit.rs
+++ b/crates/pools/src/audit.rs
@@ -1,11 +1,11 @@
-//! Checks that accounts are consistent, and agree with the charges of the cloud.
+//! Checks that the accounts of pools are consistent, and agree with the billing of the cloud.
 
 use crate::account::UsageInterval;
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
-/// Beginning and end of the time for which the cloud charged for a machine, in
-/// milliseconds since 1970.
+/// Beginning and end of the time for which the cloud bills a machine, in milliseconds since
+/// 1970.
 pub type BillingPeriod = (u64, u64);
 
 /// An error in an account.
@@ -14,19 +14,21 @@
     /// Two intervals of a machine overlap.
     #[error("{0}: charged twice")]
     DoubleCharge(MachineId),
-    /// Some time of a membership belongs to no interval.
+    /// A part of a membership is in no interval.
     #[error("{0}: not charged")]
     MissingCharge(MachineId),
-    /// An interval begins before the cloud's charge for the machine, or ends after it, by
-    /// more than clocks may differ.
+    /// An interval begins before the cloud's billing period of the machine, or ends after it,
+    /// by more than the maximum clock skew.
     #[error("{0}: charged outside its billing period")]
     ChargeOutsideBillingPeriod(MachineId),
 }
 
-/// All errors in the accounts of all pools together. Clocks may differ from the cloud's by
-/// `max_clock_skew_ms`. The intervals include present memberships, as if they ended now; the
-/// lives include those of present machines. A machine without a life was never
-/// provisioned.
+/// Finds all errors in the accounts of all pools.
+///
+/// `intervals` are those of all pools, with present memberships included as if they ended
+/// now. `billing_periods` include those of machines that still run; a machine without a
+/// billing period was never provisioned. Clocks of controllers differ from the clock of the
+/// cloud by at most `max_clock_skew_ms`.
 pub fn audit_errors(
     intervals: &[UsageInterval],
     billing_periods: &BTreeMap<MachineId, BillingPeriod>,
@@ -56,14 +58,14 @@
 /// The account of one machine.
 struct MachineAudit<'a> {
     machine: &'a MachineId,
-    /// Its intervals, by their beginnings.
+    /// Intervals of the machine in all pools, by ascending beginning.
     intervals: Vec<&'a UsageInterval>,
     billing_period: Option<BillingPeriod>,
     max_clock_skew_ms: u64,
 }
 
 impl MachineAudit<'_> {
-    /// An error if some interval is not within the machine's life.
+    /// The error if an interval is not within the machine's billing period.
     fn charge_outside_billing_period(&self) -> Option<AuditError> {
         let is_outside = |interval: &&UsageInterval| {
             self.billing_period.is_none_or(|(from, to)| {
@@ -75,8 +77,8 @@
         any_outside.then(|| AuditError::ChargeOutsideBillingPeriod(self.machine.clone()))
     }
 
-    /// An error if the last interval does not end the membership, and the machine's life
-    /// goes on after it.
+    /// The error if the last interval does not end the membership, although the machine's
+    /// billing period continues after it.
     fn missing_end(&self) -> Option<AuditError> {
         let last = self
             .intervals
@@ -87,7 +89,8 @@
         ends_early.then(|| AuditError::MissingCharge(self.machine.clone()))
     }
 
-    /// Errors between each interval and the next one.
+    /// The errors of gaps and overlaps between successive intervals. A gap is an error only if
+    /// the first interval did not end the membership.
     fn gaps_and_overlaps(&self) -> impl Iterator<Item = AuditError> + '_ {
         self.intervals.windows(2).filter_map(|pair| {
             let (first, second) = (pair[0], pair[1]);
--- a/crates/pools/src/audit/tests.rs
+++ b/crates/pools/src/audit/tests.rs
@@ -17,13 +17,14 @@
     }
 }
 
-/// Consistent accounts, and each kind of error in one.
+/// Guards against an audit that misses an error or reports consistent accounts: each kind of
+/// error occurs, with and without clock skew.
 #[test]
 fn each_kind_of_error_in_an_account_is_found() {
     let id = MachineId::new("m");
     let billing_periods = BTreeMap::from([(id.clone(), (100, 900))]);
     let removed = Some(EndReason::ScaledIn);
-    let (twice, gap, outside) = (
+    let (double_charge, missing_charge, outside) = (
         AuditError::DoubleCharge(id.clone()),
         AuditError::MissingCharge(id.clone()),
         AuditError::ChargeOutsideBillingPeriod(id),
@@ -41,16 +42,16 @@
         (
             vec![interval(100, 200, None), interval(199, 300, removed)],
             0,
-            vec![twice.clone()],
+            vec![double_charge.clone()],
         ),
         (
             vec![interval(100, 200, None), interval(201, 300, removed)],
             0,
-            vec![gap.clone()],
+            vec![missing_charge.clone()],
         ),
         (vec![interval(100, 900, None)], 0, vec![]),
         (vec![interval(100, 899, None)], 1, vec![]),
-        (vec![interval(100, 899, None)], 0, vec![gap]),
+        (vec![interval(100, 899, None)], 0, vec![missing_charge]),
         (vec![interval(99, 200, removed)], 0, vec![outside.clone()]),
         (vec![interval(99, 200, removed)], 1, vec![]),
         (vec![interval(800, 901, removed)], 0, vec![outside.clone()]),
@@ -59,7 +60,7 @@
         (
             vec![interval(100, 300, removed), interval(100, 300, removed)],
             0,
-            vec![twice],
+            vec![double_charge],
         ),
     ];
     for (n, (intervals, max_clock_skew_ms, expected)) in cases.into_iter().enumerate() {
--- a/crates/pools/src/calendar/tests.rs
+++ b/crates/pools/src/calendar/tests.rs
@@ -15,8 +15,8 @@
 fn window(from: u16, to: u16) -> Window {
     Window {
         weekdays: [true; 7],
-        from,
-        to,
+        from_minute: from,
+        to_minute: to,
         first_date: None,
         last_date: None,
         last_days_of_month: None,
@@ -58,19 +58,19 @@
         ..hours(0, 24)
     };
     let cases = [
-        // 2026-12-02 is a Wednesday; Lagos is an hour ahead of UTC all year.
+        // 2026-12-02 is a Wednesday. Lagos is one hour ahead of UTC all year.
         ("Africa/Lagos", &office, "2026-12-02T07:59:59Z", false),
         ("Africa/Lagos", &office, "2026-12-02T08:00:00Z", true),
         ("Africa/Lagos", &office, "2026-12-02T15:59:59Z", true),
         ("Africa/Lagos", &office, "2026-12-02T16:00:00Z", false),
         ("Africa/Lagos", &office, "2026-12-05T12:00:00Z", false),
-        // The weekday of a window over midnight is that on which it begins.
+        // A window over midnight belongs to the weekday on which it begins.
         ("UTC", &night, "2026-12-04T23:00:00Z", true),
         ("UTC", &night, "2026-12-05T05:59:00Z", true),
         ("UTC", &night, "2026-12-05T06:00:00Z", false),
         ("UTC", &night, "2026-12-05T23:00:00Z", false),
         ("UTC", &night, "2026-12-07T03:00:00Z", false),
-        // The last days of months of several lengths, also in a leap year.
+        // Last days of months of different lengths, also in a leap year.
         ("UTC", &month_end, "2026-02-25T23:59:00Z", false),
         ("UTC", &month_end, "2026-02-26T00:00:00Z", true),
         ("UTC", &month_end, "2026-02-28T23:59:00Z", true),
@@ -82,7 +82,7 @@
         ("UTC", &season, "2026-05-30T00:00:00Z", true),
         ("UTC", &season, "2026-06-01T23:59:00Z", true),
         ("UTC", &season, "2026-06-02T00:00:00Z", false),
-        // London: 01:00 to 02:00 is skipped on 29 March and repeated on 25 October.
+        // In London, 01:00 to 02:00 is skipped on 29 March and repeated on 25 October.
         ("Europe/London", &hours(1, 2), "2026-03-28T01:30:00Z", true),
         ("Europe/London", &hours(1, 2), "2026-03-29T00:59:00Z", false),
         ("Europe/London", &hours(1, 2), "2026-03-29T01:00:00Z", false),
@@ -90,7 +90,7 @@
         ("Europe/London", &hours(1, 2), "2026-10-25T00:00:00Z", true),
         ("Europe/London", &hours(1, 2), "2026-10-25T01:30:00Z", true),
         ("Europe/London", &hours(1, 2), "2026-10-25T02:00:00Z", false),
-        // A window that begins in the skipped hour begins at its end.
+        // A window that begins in the skipped hour begins at the end of that hour.
         (
             "Europe/London",
             &window(90, 180),
@@ -126,10 +126,10 @@
     }
 }
 
-/// A pool is full before its window begins, and a short gap between two windows does not
-/// release machines.
+/// Guards against a pool that is not ready when its window begins, and against machines that
+/// are released in a short gap between two windows.
 #[test]
-fn size_within_a_span_covers_coming_windows_and_short_gaps() {
+fn size_within_a_span_is_the_largest_of_its_windows() {
     let larger = Window {
         size: PoolSize {
             min_machines: 4,
--- a/crates/pools/src/declaration.rs
+++ b/crates/pools/src/declaration.rs
@@ -1,5 +1,5 @@
-//! Declarations of pools: what operators write ([`PoolSpec`]), and the pools that are
-//! parsed and checked from it ([`Pools`]).
+//! Declarations of pools, as operators write them ([`PoolSpec`]) and after they were parsed
+//! and validated ([`Pools`]).
 
 mod catalog;
 mod error;
--- a/crates/pools/src/declaration/catalog.rs
+++ b/crates/pools/src/declaration/catalog.rs
@@ -1,16 +1,16 @@
-//! The check of a pool against the catalogue of machine types.
+//! Validation of a pool against the cloud's catalogue of machine types.
 
 use super::error::{FieldError, PoolError};
 use super::pool::Pool;
 use forkshift_wire::cloud::MachineType;
 
 impl Pool {
-    /// Checks that the pool can have machines of these types.
+    /// Checks that the catalogue offers at least one machine that the pool may use.
     ///
     /// # Errors
     ///
-    /// The first field that names an unknown machine type or zone, or that no machine can
-    /// satisfy.
+    /// The first field that names an unknown machine type or zone, or that no machine type
+    /// of the catalogue satisfies.
     pub fn check_catalog(&self, catalog: &[MachineType]) -> Result<(), PoolError> {
         self.check_names(catalog)?;
         let allowed = catalog.iter().filter(|t| self.allows_type(t));
@@ -25,7 +25,7 @@
         self.check_price(&allowed)
     }
 
-    /// Checks that its machine types and zones exist.
+    /// Checks that the machine types and zones of the pool are in the catalogue.
     fn check_names(&self, catalog: &[MachineType]) -> Result<(), PoolError> {
         for (i, name) in self.types.iter().enumerate() {
             if !catalog.iter().any(|t| t.name == *name) {
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Checks that one machine is offered within the cost limit.
+    /// Checks that the price of the cheapest allowed machine is within the pool's cost limit.
     fn check_price(&self, allowed: &[&MachineType]) -> Result<(), PoolError> {
         let prices = allowed.iter().filter_map(|t| self.price_of(t));
         let cheapest = prices.fold(f64::INFINITY, f64::min);
--- a/crates/pools/src/declaration/error.rs
+++ b/crates/pools/src/declaration/error.rs
@@ -1,14 +1,15 @@
-//! Errors of declarations.
+//! Errors in declarations of pools.
 
-/// A declaration of a pool that was refused.
+/// The error of a declaration that was refused. Operators read it in the output of
+/// `check` and in logs.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("pool `{pool}`: `{field}` {problem}")]
 pub struct PoolError {
-    /// Name of the pool as declared.
+    /// Name of the pool as declared, also if it is not a valid name.
     pub pool: String,
-    /// The field, as in `windows[0].from`.
+    /// Path of the field, for example `windows[0].from`.
     pub field: String,
-    /// What is wrong with the field.
+    /// Why the field is refused.
     pub problem: FieldError,
 }
 
@@ -23,29 +24,30 @@
     }
 }
 
-/// What is wrong with a field of a declaration. The text follows the field's name.
+/// Why a field of a declaration is refused. The text of the error continues a sentence that
+/// begins with the name of the field.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FieldError {
-    /// The name has a wrong length or other characters.
+    /// The name has an invalid length, or contains a character that is not allowed.
     #[error("must be 1 to 40 of a-z, 0-9 and -")]
     InvalidName,
     /// Another pool has the same name.
     #[error("is used twice")]
     DuplicateName,
-    /// The settings have no such team.
-    #[error("is `{0}`, which is no team")]
+    /// The settings do not contain the team.
+    #[error("is `{0}`, which is not a team of the settings")]
     UnknownTeam(String),
-    /// There is no such zone.
-    #[error("is `{0}`, which is no zone")]
+    /// The zone is neither in the settings nor, if these list no zones, in the catalogue.
+    #[error("is `{0}`, which is not a known zone")]
     UnknownZone(String),
-    /// There is no such machine type.
-    #[error("is `{0}`, which is no machine type")]
+    /// The catalogue does not contain the machine type.
+    #[error("is `{0}`, which is not a known machine type")]
     UnknownMachineType(String),
-    /// There is no such time zone.
-    #[error("is `{0}`, which is no time zone")]
+    /// The time zone is not an IANA name.
+    #[error("is `{0}`, which is not a known time zone")]
     UnknownTimeZone(String),
-    /// Windows need a time zone.
-    #[error("must be given with windows")]
+    /// The pool has windows but no time zone.
+    #[error("must be given if there are windows")]
     MissingTimeZone,
     /// The field is empty.
     #[error("must not be empty")]
@@ -53,53 +55,53 @@
     /// The number is zero, negative or not finite.
     #[error("must be above 0")]
     NotPositive,
-    /// The most machines are zero.
+    /// The maximum number of machines, `most`, is zero.
     #[error("and `most`: `most` must be above 0")]
     MaxIsZero,
-    /// The least number of machines is above the most.
+    /// The minimum number of machines, `least`, is above the maximum, `most`.
     #[error("must not be above `most`")]
     MinAboveMax,
-    /// There are too many windows.
+    /// The pool has more windows than the given limit.
     #[error("must be at most {0}")]
     TooManyWindows(usize),
-    /// The window overlaps another one, by index, that has another size.
-    #[error("contradicts windows[{0}]: they overlap, with other sizes")]
+    /// The window overlaps an earlier window with a different size, which is given by index.
+    #[error("contradicts windows[{0}]: the windows overlap, but their sizes differ")]
     ContradictsWindow(usize),
-    /// The window begins at the end of the day.
+    /// The window begins at 24:00.
     #[error("must be before 24:00")]
     BeginsAtEndOfDay,
-    /// The window ends when it begins.
-    #[error("is when the window begins")]
+    /// The window ends at the time at which it begins, so that its length is ambiguous.
+    #[error("must not be the time at which the window begins")]
     EndsWhenItBegins,
-    /// The text is no time of day.
-    #[error("is `{0}`, which is no time such as 08:30")]
+    /// The text is not a time of day in the form `hh:mm`.
+    #[error("is `{0}`, which is not a time of day such as 08:30")]
     InvalidTime(String),
-    /// The text is no date.
-    #[error("is `{0}`, which is no date such as 2026-12-31")]
+    /// The text is not a date in the form `yyyy-mm-dd`.
+    #[error("is `{0}`, which is not a date such as 2026-12-31")]
     InvalidDate(String),
-    /// The last date is before the first.
+    /// The last date is before the first date.
     #[error("is before `first_date`")]
     BeforeFirstDate,
-    /// The text is no day of the week.
-    #[error("has `{0}`, which is none of mon to sun")]
+    /// The text is not an abbreviated day of the week.
+    #[error("contains `{0}`, which is not one of mon, tue, wed, thu, fri, sat and sun")]
     InvalidWeekday(String),
-    /// The number of days is out of range.
+    /// The number of days is zero, or above the given limit.
     #[error("must be from 1 to {0}")]
     InvalidLastDays(u32),
     /// No allowed machine type is offered in an allowed zone.
-    #[error("are in none of its zones")]
+    #[error("are offered in none of the pool's zones")]
     NotInZones,
-    /// No allowed machine can cache the image.
+    /// The image is larger than the cache of each allowed machine type.
     #[error("is more than the largest cache, {cache_gb} GB")]
     ImageTooLarge {
         /// Largest cache of the allowed machine types, in GB.
         cache_gb: f64,
     },
-    /// No allowed machine type is offered as a spot machine.
-    #[error("asks for machines that are not to be had as spot")]
+    /// No allowed machine type is offered as a spot instance.
+    #[error("requires spot machines, but no allowed machine type is offered as spot")]
     NoSpotOffer,
-    /// The cost limit does not allow a single machine.
-    #[error("is less than one machine costs, {cheapest}")]
+    /// The cost limit of the pool is below the price of a single machine.
+    #[error("is less than the price of the cheapest allowed machine, {cheapest}")]
     BelowCheapestMachine {
         /// Lowest price per hour of an allowed machine.
         cheapest: f64,
--- a/crates/pools/src/declaration/name.rs
+++ b/crates/pools/src/declaration/name.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Longest name of a pool, in bytes: it is part of keys at the key-value store.
+/// Longest name of a pool, in bytes. The limit bounds the keys in the key-value store that
+/// contain the name.
 const MAX_NAME_BYTES: usize = 40;
 
 /// Name of a pool: 1 to 40 lower-case letters, digits and hyphens.
@@ -12,7 +13,7 @@
 pub struct PoolName(String);
 
 impl PoolName {
-    /// The name if it is valid, `None` otherwise.
+    /// Validates a name; `None` if it is invalid.
     pub fn parse(name: &str) -> Option<Self> {
         let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
         let is_valid = (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(is_allowed);
--- a/crates/pools/src/declaration/parse.rs
+++ b/crates/pools/src/declaration/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of a pool's declaration.
+//! Parsing and validation of a pool's declaration.
 
 use super::error::{FieldError, PoolError};
 use super::name::PoolName;
@@ -8,10 +8,11 @@
 use crate::calendar::{Calendar, PoolSize, Window};
 use jiff::tz::TimeZone;
 
-/// Most windows of a pool; each pair of them is compared day by day.
+/// Maximum number of windows of a pool. Each pair of windows is searched for overlaps day by
+/// day, so that the time to parse a declaration grows with the square of the number.
 const MAX_WINDOWS: usize = 32;
 
-/// Parses a declaration, field by field.
+/// Parses a declaration. The error is about the first invalid field.
 pub(super) fn parse_pool(
     spec: &PoolSpec,
     teams: &[&str],
@@ -55,7 +56,8 @@
     number.is_finite() && number > 0.0
 }
 
-/// Checks that the zones are among those of the settings, if these name any.
+/// Checks that the settings contain the pool's zones. If the settings list no zones, any zone
+/// is accepted here and checked against the catalogue later.
 fn check_zones(spec: &PoolSpec, zones: &[String]) -> Result<(), PoolError> {
     if zones.is_empty() {
         return Ok(());
@@ -69,7 +71,8 @@
     Ok(())
 }
 
-/// Parses the least number of machines and the most. Errors are about the least.
+/// Parses the bounds on the number of machines. The caller reports errors for the field
+/// `least`, which holds the minimum.
 pub(super) fn parse_size(min_machines: u32, max_machines: u32) -> Result<PoolSize, FieldError> {
     match (min_machines, max_machines) {
         (_, 0) => Err(FieldError::MaxIsZero),
@@ -81,7 +84,8 @@
     }
 }
 
-/// Parses the windows of a pool, which has the size `always` if there are none.
+/// Parses the windows of a pool. `default_size` is the size of a pool without windows, and
+/// supplies the bounds that a window leaves out.
 fn parse_calendar(spec: &PoolSpec, default_size: PoolSize) -> Result<Calendar, PoolError> {
     let time_zone = parse_time_zone(spec)
         .map_err(|problem| PoolError::new(&spec.name, "time_zone", problem))?;
--- a/crates/pools/src/declaration/parse_window.rs
+++ b/crates/pools/src/declaration/parse_window.rs
@@ -6,27 +6,28 @@
 use crate::calendar::{PoolSize, Window, MINUTES_PER_DAY, MINUTES_PER_HOUR};
 use jiff::civil::Date;
 
-/// Days of the shortest month.
+/// Largest value of `last_days_of_month`: the number of days of the shortest month.
 const MAX_LAST_DAYS: u32 = 28;
-/// Days of the week as they are written, Monday first.
+/// Days of the week as they are written in declarations, Monday first.
 const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 /// An error in a field of a window.
 pub(super) struct WindowFieldError {
-    /// The field, as it is named in a declaration.
+    /// Name of the field in a declaration.
     pub(super) field: &'static str,
-    /// What is wrong with it.
+    /// Why the field is refused.
     pub(super) problem: FieldError,
 }
 
 impl WindowFieldError {
-    /// Adds the field to an error.
+    /// A function that adds the name of the field to an error, for use with `map_err`.
     fn in_field(field: &'static str) -> impl Fn(FieldError) -> Self {
         move |problem| Self { field, problem }
     }
 }
 
-/// Parses a window. What it leaves out of the size is that of the pool, `always`.
+/// Parses a window. Bounds on the number of machines that the window leaves out are those of
+/// the pool, `pool_size`.
 pub(super) fn parse_window(
     spec: &WindowSpec,
     pool_size: PoolSize,
@@ -54,8 +55,8 @@
     let size = parse_size(min_machines, max_machines).map_err(in_field("least"))?;
     Ok(Window {
         weekdays,
-        from,
-        to,
+        from_minute: from,
+        to_minute: to,
         first_date,
         last_date,
         last_days_of_month,
@@ -63,7 +64,8 @@
     })
 }
 
-/// Parses a time such as `08:30` to minutes of the day; `default` if the text is empty.
+/// Parses a time such as `08:30` to the minute of the day, from 0 to 1,440 (`24:00`). Returns
+/// `default` if the text is empty.
 fn parse_time(text: &str, default: u16) -> Result<u16, FieldError> {
     if text.is_empty() {
         return Ok(default);
@@ -82,7 +84,7 @@
     }
 }
 
-/// Parses a date such as `2026-12-31`; `None` if the text is empty.
+/// Parses a date such as `2026-12-31`. Returns `None` if the text is empty.
 fn parse_date(text: &str) -> Result<Option<Date>, FieldError> {
     if text.is_empty() {
         return Ok(None);
@@ -96,12 +98,12 @@
         Some(days) if !(1..=MAX_LAST_DAYS).contains(&days) => {
             Err(FieldError::InvalidLastDays(MAX_LAST_DAYS))
         }
-        // The range has been checked, so that the number fits.
+        // The number was checked above to be at most 28, so that the cast is exact.
         days => Ok(days.map(|days| days as u8)),
     }
 }
 
-/// Parses days of the week; all of them if there are no names.
+/// Parses days of the week to one flag per day, Monday first. Without names, all are set.
 fn parse_weekdays(names: &[String]) -> Result<[bool; 7], FieldError> {
     if names.is_empty() {
         return Ok([true; 7]);
--- a/crates/pools/src/declaration/pool.rs
+++ b/crates/pools/src/declaration/pool.rs
@@ -1,4 +1,4 @@
-//! Pools whose declarations have been checked.
+//! Pools whose declarations have been validated.
 
 use super::error::{FieldError, PoolError};
 use super::name::PoolName;
@@ -8,42 +8,45 @@
 use forkshift_wire::cloud::MachineType;
 use std::collections::BTreeSet;
 
-/// A pool whose declaration has been checked.
+/// A pool whose declaration has been validated.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool, unique in the deployment.
     pub name: PoolName,
-    /// Team that is charged.
+    /// Team that is charged for the machines, and for whose tasks they are kept ready.
     pub team: String,
-    /// Image that its machines hold.
+    /// Image that the machines of the pool have in their caches.
     pub image: String,
     /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Machine types that it may use; empty allows any.
+    /// Machine types that the pool may use; empty allows any.
     pub types: Vec<String>,
-    /// Zones that it may use; empty allows any.
+    /// Zones that the pool may use; empty allows any.
     pub zones: Vec<String>,
-    /// Whether it uses spot machines, and no others.
+    /// Whether the pool uses only spot machines; otherwise it uses only on-demand machines.
     pub spot: bool,
-    /// Most that all its machines may cost per hour.
+    /// Maximum cost per hour of all machines of the pool together; `None` is no limit.
     pub max_cost_per_hour: Option<f64>,
-    /// Number of machines that it keeps at any time.
+    /// Bounds on the number of machines of the pool by time.
     pub calendar: Calendar,
 }
 
 impl Pool {
-    /// Whether it may use a machine of this type, zone and kind.
+    /// Whether the pool may use a machine of this type and zone that is a spot instance
+    /// (`spot`) or an on-demand machine.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.spot == spot && is_allowed(&self.types, machine_type) && is_allowed(&self.zones, zone)
     }
 
-    /// Whether it may use machines of a type in some zone.
+    /// Whether the pool may use machines of a type in at least one zone where it is offered.
     pub(super) fn allows_type(&self, machine_type: &MachineType) -> bool {
         let mut zones = machine_type.zones.iter();
         zones.any(|zone| self.allows(&machine_type.name, zone, self.spot))
     }
 
-    /// Price per hour of a machine type; `None` if the pool may not use it.
+    /// Price per hour of a machine type, spot or on-demand as the pool uses it. `None` if the
+    /// pool may not use the type, if the image does not fit in its cache, or if it is not
+    /// offered as a spot instance and the pool requires that.
     pub fn price_of(&self, machine_type: &MachineType) -> Option<f64> {
         let price = match self.spot {
             true => machine_type.spot_price_per_hour,
@@ -58,17 +61,17 @@
     allowed.is_empty() || allowed.iter().any(|allowed| allowed == name)
 }
 
-/// All pools of a deployment. Their names are unique.
+/// All pools of a deployment, with unique names.
 #[derive(Clone, Debug, Default)]
 pub struct Pools(Vec<Pool>);
 
 impl Pools {
-    /// Checks declarations against the teams and zones of the settings. Zones are not
-    /// checked if the settings name none.
+    /// Parses and validates declarations with the teams and zones of the settings. If
+    /// `zones` is empty, the zones of pools are not validated.
     ///
     /// # Errors
     ///
-    /// The first field that is wrong, with its pool.
+    /// The first invalid field of the first invalid declaration.
     pub fn parse(specs: &[PoolSpec], teams: &[&str], zones: &[String]) -> Result<Self, PoolError> {
         let mut names = BTreeSet::new();
         let mut pools = Vec::new();
@@ -96,7 +99,7 @@
         self.0.iter()
     }
 
-    /// The pool of a name.
+    /// The pool with a name; `None` if there is no such pool.
     pub fn get(&self, name: &PoolName) -> Option<&Pool> {
         self.0.iter().find(|pool| pool.name == *name)
     }
--- a/crates/pools/src/declaration/tests.rs
+++ b/crates/pools/src/declaration/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of declarations.
+//! Tests of parsing and validation of declarations.
 
 use super::*;
 use forkshift_wire::cloud::MachineType;
@@ -34,13 +34,13 @@
     window
 }
 
-/// An invalid declaration: the change that makes it so, the field, and a part of the
-/// error's text.
+/// An invalid declaration: the change that makes a valid one invalid, the field that the
+/// error names, and a part of the error's text.
 type Case = (fn(&mut PoolSpec), &'static str, &'static str);
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn invalid_declaration_is_refused_with_its_field() {
+fn invalid_declaration_is_refused_with_the_field_in_the_error() {
     let cases: [Case; 26] = [
         (|p| p.name = "Exam Help".to_owned(), "name", "a-z"),
         (|p| p.name = "x".repeat(41), "name", "1 to 40"),
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn declaration_that_no_machine_type_satisfies_is_refused_with_its_field() {
+fn declaration_that_no_machine_type_satisfies_is_refused_with_the_field_in_the_error() {
     let cases: [Case; 7] = [
         (|_| (), "", ""),
         (|p| p.types = vec!["huge".to_owned()], "types[0]", "`huge`"),
@@ -230,7 +230,7 @@
                 p.spot = true;
             },
             "spot",
-            "not to be had",
+            "no allowed machine type is offered as spot",
         ),
     ];
     for (n, (change, field, text)) in cases.into_iter().enumerate() {
--- a/crates/pools/src/lib.rs
+++ b/crates/pools/src/lib.rs
@@ -1,10 +1,17 @@
-//! Warm pools: machines that hold an image ahead of a burst.
+//! Warm pools: machines that have a model image in their cache before a burst of tasks needs
+//! it.
 //!
-//! This package decides and does no I/O: which pools there are ([`Pools`]), how many
-//! machines each keeps at any time ([`calendar`]), which machines join and leave
-//! ([`scaling`]), for which times a pool is charged ([`account`], checked by [`audit`]), and
-//! the usage and cost of a time span ([`report`]). The controller's core carries the
-//! decisions out; `docs/design-warm-pools.md` gives the reasons for the design.
+//! The package makes decisions and does no I/O:
+//!
+//! - [`Pools`] are the pools that operators have declared.
+//! - [`calendar`] defines how many machines a pool keeps at any time.
+//! - [`scaling`] chooses which machines join and leave a pool.
+//! - [`account`] records the time for which a pool is charged for a machine, and [`audit`]
+//!   checks these records.
+//! - [`report`] sums up usage and cost of a time span.
+//!
+//! The controller's core carries out the decisions. `docs/design-warm-pools.md` gives the
+//! reasons for the design.
 
 pub mod account;
 pub mod audit;
--- a/crates/pools/src/report.rs
+++ b/crates/pools/src/report.rs
@@ -1,5 +1,5 @@
-//! Usage reports: what pools were requested to keep, had and cost in a time span, summed up
-//! from their records.
+//! Usage reports: the requested machines, the actual machines and their cost for each pool in
+//! a time span, summed up from the accounts.
 
 mod price_list;
 mod span;
@@ -15,19 +15,19 @@
 pub use price_list::PriceList;
 pub use span::TimeSpan;
 
-/// The accounts of pools.
+/// The stored records of all pools, as input of a report.
 #[derive(Clone, Debug, Default)]
 pub struct UsageRecords {
-    /// Intervals for which machines are charged; present memberships are included as if
-    /// they ended now.
+    /// Intervals for which pools are charged for machines. Present memberships are included
+    /// as if they ended now.
     pub intervals: Vec<UsageInterval>,
-    /// Requested numbers of machines. The present requests have no end.
+    /// Requested numbers of machines. Present requests have no end.
     pub requests: Vec<PoolRequest>,
-    /// Cold starts.
+    /// Cold starts, in any order.
     pub cold_starts: Vec<ColdStart>,
     /// Prices, in any order.
     pub prices: Vec<Price>,
-    /// The team of each pool that is declared.
+    /// Team of each declared pool. It is used for pools without any request.
     pub teams: BTreeMap<PoolName, String>,
 }
 
@@ -47,16 +47,16 @@
     }
 }
 
-/// Totals by state of machines: seconds or costs.
+/// Totals by state of machines, either in machine-seconds or as costs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct StateTotals {
-    /// Of machines that booted.
+    /// Total of machines that were booting.
     pub booting: f64,
-    /// Of machines that were up, whose workers don't report their images.
+    /// Total of machines that were up and whose workers do not report their images.
     pub up: f64,
-    /// Of machines that fetched the image.
+    /// Total of machines that were fetching the image.
     pub fetching: f64,
-    /// Of machines that held the image.
+    /// Total of machines that had the image in their caches.
     pub warm: f64,
 }
 
@@ -76,26 +76,27 @@
     }
 }
 
-/// Usage of a pool in a span. The serde names are those of the report as JSON.
+/// Usage of a pool in a span. The serde names are the keys of the report as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PoolReport {
     /// The pool.
     pub pool: PoolName,
-    /// Team that is charged; empty if it is not known.
+    /// Team that is charged; empty if the pool has no request and is not declared.
     pub team: String,
-    /// Requested machine-seconds.
+    /// Requested machine-seconds: target numbers of machines, summed up over the span.
     #[serde(rename = "asked_s")]
     pub requested_s: f64,
     /// Machine-seconds by state.
     pub machine_s: StateTotals,
-    /// Machine-seconds for which fewer machines were ready than requested.
+    /// Machine-seconds that were requested and not ready.
     #[serde(rename = "short_s")]
     pub unmet_s: f64,
-    /// Cost by state.
+    /// Cost by state, without machine-seconds that have no recorded price.
     pub cost: StateTotals,
-    /// Machine-seconds without a recorded price, which the cost does not include.
+    /// Machine-seconds that have no recorded price.
     pub unpriced_s: f64,
-    /// Number of machines that were allocated to tasks of the pool's team and image.
+    /// Number of machines that were allocated to tasks with the team and the image of the
+    /// pool.
     #[serde(rename = "handed_out")]
     pub allocated: u32,
     /// Number of cold starts.
@@ -103,7 +104,8 @@
     pub cold_starts: u32,
     /// Number of machines that were reclaimed for other tasks.
     pub reclaimed: u32,
-    /// Number of machines that failed, were preempted by the cloud, or did not get the image.
+    /// Number of machines that failed, were preempted by the cloud, or did not fetch the image
+    /// in time.
     pub lost: u32,
 }
 
@@ -152,23 +154,23 @@
 /// Usage of several pools in a span.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// The span.
+    /// The time span of the report.
     pub span: TimeSpan,
-    /// The pools, ordered by team and name.
+    /// Pools with a record in the span, ordered by team and name.
     pub pools: Vec<PoolReport>,
-    /// Cost by team.
+    /// Cost of all pools of each team.
     pub teams: BTreeMap<String, f64>,
 }
 
 impl UsageReport {
-    /// Whether nothing is recorded in the span.
+    /// Whether no pool has a record in the span.
     pub fn is_empty(&self) -> bool {
         self.pools.is_empty()
     }
 }
 
-/// Reports the usage of all pools with any record in a span. Present requests are counted
-/// until `now_ms`.
+/// Reports the usage of all pools that have a record in a span. Present requests, which have
+/// no end, count until `now_ms`, in milliseconds since 1970.
 pub fn usage_report(records: &UsageRecords, span: TimeSpan, now_ms: u64) -> UsageReport {
     let prices = PriceList::new(&records.prices);
     let names = records.pools_in(span, now_ms).into_iter();
@@ -183,7 +185,8 @@
     UsageReport { span, pools, teams }
 }
 
-/// Reports the usage of one pool.
+/// Reports the usage of one pool. Its team is that of the latest request; if there is none,
+/// the team of the declaration.
 fn report_pool(
     records: &UsageRecords,
     pool: &PoolName,
--- a/crates/pools/src/report/price_list.rs
+++ b/crates/pools/src/report/price_list.rs
@@ -4,15 +4,15 @@
 use crate::account::{Price, UsageInterval};
 use std::collections::BTreeMap;
 
-/// Milliseconds in an hour.
 const MS_PER_HOUR: f64 = 3_600_000.0;
 
-/// Prices by machine type, ordered by the time from which they are valid.
+/// Prices by machine type, ordered by the time from which they are valid. A price is valid
+/// until the next one of the same type.
 #[derive(Debug, Default)]
 pub struct PriceList<'a>(BTreeMap<&'a str, Vec<&'a Price>>);
 
 impl<'a> PriceList<'a> {
-    /// A list of prices, given in any order.
+    /// A list of the given prices, which may be in any order.
     pub fn new(prices: &'a [Price]) -> Self {
         let mut list: BTreeMap<&str, Vec<&Price>> = BTreeMap::new();
         for price in prices {
@@ -24,8 +24,8 @@
         Self(list)
     }
 
-    /// The cost of an interval within a span, and the number of milliseconds of it for which
-    /// no price is recorded.
+    /// Cost of the part of an interval that is within a span, and the number of milliseconds
+    /// of this part for which no price is recorded.
     pub fn cost(&self, interval: &UsageInterval, span: TimeSpan) -> (f64, u64) {
         let charged = span.clip(interval.from_ms, interval.to_ms);
         let prices = self.0.get(interval.machine_type.as_str());
@@ -38,10 +38,10 @@
                 true => price.spot_hourly,
                 false => Some(price.hourly),
             };
-            let part_ms = charged.clip(price.from_ms, valid_until).length_ms();
+            let valid_ms = charged.clip(price.from_ms, valid_until).length_ms();
             if let Some(hourly) = hourly {
-                priced_ms += part_ms;
-                cost += hourly * part_ms as f64 / MS_PER_HOUR;
+                priced_ms += valid_ms;
+                cost += hourly * valid_ms as f64 / MS_PER_HOUR;
             }
         }
         (cost, charged.length_ms() - priced_ms)
--- a/crates/pools/src/report/tests.rs
+++ b/crates/pools/src/report/tests.rs
@@ -107,9 +107,10 @@
         warm: 4.0 * 3_600.0,
     };
     assert_eq!(found.machine_s, hours);
-    // Unmet: 2 for two hours, 1 in the third and fifth, none in the fourth, 1 afterwards.
+    // Unmet machines: 2 in the first two hours, 1 in the third and fifth hour, none in the
+    // fourth hour, and 1 in each of the last four hours.
     assert_eq!(found.unmet_s, (2.0 * 2.0 + 1.0 + 1.0 + 4.0) * 3_600.0);
-    // An hour at 10 while booting, one at 20; an hour warm at 10, three at 20.
+    // Booting: one hour at a price of 10 and one at 20. Warm: one hour at 10 and three at 20.
     assert_eq!(found.cost.booting, 30.0);
     assert_eq!(found.cost.fetching, 10.0);
     assert_eq!(found.cost.warm, 10.0 + 40.0 + 20.0);
--- a/crates/pools/src/report/unmet.rs
+++ b/crates/pools/src/report/unmet.rs
@@ -1,10 +1,10 @@
-//! The unmet part of requests for machines.
+//! The unmet part of the requests for machines of a pool.
 
 use super::span::{seconds, TimeSpan};
 use crate::account::{PoolRequest, UsageInterval};
 use std::collections::BTreeMap;
 
-/// Numbers of machines, or changes of them.
+/// Numbers of requested and of ready machines, or changes of these numbers.
 #[derive(Clone, Copy, Debug, Default)]
 struct MachineCounts {
     requested: i64,
@@ -32,13 +32,13 @@
 struct Timeline(BTreeMap<u64, MachineCounts>);
 
 impl Timeline {
-    /// Adds machines for the duration of a span.
+    /// Adds numbers of machines for the duration of a span.
     fn add(&mut self, span: TimeSpan, counts: MachineCounts) {
         self.0.entry(span.from_ms).or_default().add(counts);
         self.0.entry(span.to_ms).or_default().subtract(counts);
     }
 
-    /// Machine-milliseconds for which fewer machines were ready than requested.
+    /// Machine-milliseconds that were requested and not ready.
     fn unmet_ms(&self) -> u64 {
         let mut unmet_ms = 0;
         let mut counts = MachineCounts::default();
@@ -52,7 +52,8 @@
     }
 }
 
-/// Machine-seconds within a span for which fewer machines were ready than requested.
+/// Machine-seconds within a span that were requested and not ready. Ready machines beyond the
+/// requested number do not compensate for missing machines at another time.
 pub(super) fn unmet_s(
     requests: &[&PoolRequest],
     intervals: &[&UsageInterval],
--- a/crates/pools/src/scaling.rs
+++ b/crates/pools/src/scaling.rs
@@ -1,49 +1,52 @@
-//! The target size of a pool, and the machines that join and leave it.
+//! Scaling of a pool: its target size, and the machines that join and leave it.
 
 use crate::account::PoolState;
 use crate::calendar::PoolSize;
 use std::cmp::Ordering;
 
-/// Relative tolerance for sums of prices.
+/// Factor on cost limits that tolerates rounding errors in sums of prices.
 const PRICE_TOLERANCE: f64 = 1.0 + 1e-9;
 
-/// Target number of machines of a pool, given the number that was allocated to jobs within
-/// the time that a new machine takes to be ready: as many may be needed again before a
-/// machine that is provisioned now can replace any.
+/// Target number of machines of a pool, within the bounds of `size`. `recently_allocated` is
+/// the number of the pool's machines that were allocated to jobs within the time that a new
+/// machine takes to become ready. The same number may be needed again before machines that
+/// are provisioned now are ready.
 pub fn target_size(size: PoolSize, recently_allocated: u32) -> u32 {
     recently_allocated
         .max(size.min_machines)
         .min(size.max_machines)
 }
 
-/// A machine of a pool.
+/// A machine of a pool, as input of the choice of members that leave.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolMember {
-    /// Its state.
+    /// State of the machine in the pool.
     pub state: PoolState,
     /// Price per hour.
     pub price_per_hour: f64,
 }
 
 impl PoolMember {
-    /// Orders the members that a pool keeps first: the closest to being warm, then the
-    /// cheapest.
+    /// Orders members by descending progress towards the state `Warm`, then by ascending
+    /// price. Members that come first are retained longest.
     fn retention_order(&self, other: &Self) -> Ordering {
         let by_state = other.state.cmp(&self.state);
         by_state.then(self.price_per_hour.total_cmp(&other.price_per_hour))
     }
 }
 
-/// Indices of the members that are the pool's least size: the closest to being warm, then
-/// the cheapest. The others may be reclaimed.
+/// Indices of the members that make up the pool's minimum size: those closest to the state
+/// `Warm`, then the cheapest. The other members may be reclaimed for tasks that do not
+/// belong to the pool.
 pub fn retained_members(members: &[PoolMember], min_machines: u32) -> Vec<usize> {
-    let mut order = by_retention(members);
+    let mut order = sorted_by_retention(members);
     order.truncate(min_machines as usize);
     order
 }
 
-/// Indices of the members that leave a pool of more than `max_members`, or beyond its cost
-/// limit per hour: the farthest from being warm first, then the most expensive.
+/// Indices of the members that leave the pool, until it has at most `max_members` members
+/// and costs at most `max_cost_per_hour`. Members farthest from the state `Warm` leave
+/// first, then the most expensive. `None` is no cost limit.
 pub fn members_to_remove(
     members: &[PoolMember],
     max_members: u32,
@@ -52,7 +55,7 @@
     let mut remaining = members.len();
     let mut cost: f64 = members.iter().map(|member| member.price_per_hour).sum();
     let mut removed = Vec::new();
-    for index in by_retention(members).into_iter().rev() {
+    for index in sorted_by_retention(members).into_iter().rev() {
         let is_over_cost = max_cost_per_hour.is_some_and(|most| cost > most * PRICE_TOLERANCE);
         if remaining <= max_members as usize && !is_over_cost {
             break;
@@ -64,8 +67,8 @@
     removed
 }
 
-/// Indices of all members, those that are kept first in front.
-fn by_retention(members: &[PoolMember]) -> Vec<usize> {
+/// Indices of all members, those that are retained longest first.
+fn sorted_by_retention(members: &[PoolMember]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..members.len()).collect();
     order.sort_by(|&a, &b| {
         let by_retention = members[a].retention_order(&members[b]);
@@ -74,20 +77,20 @@
     order
 }
 
-/// An idle machine that a pool may use.
+/// An idle machine that may join a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolCandidate {
-    /// Whether its cache still holds the image, as far as is known.
+    /// Whether the image is in the machine's cache, according to its last report.
     pub has_image: bool,
-    /// Whether it is up.
+    /// Whether the machine is up; false while it boots.
     pub is_up: bool,
     /// Price per hour.
     pub price_per_hour: f64,
 }
 
 impl PoolCandidate {
-    /// Orders the candidates that join first: those with the image, then those that are
-    /// up, then the cheapest.
+    /// Orders candidates by preference: machines with the image first, then machines that
+    /// are up, then by ascending price.
     fn preference_order(&self, other: &Self) -> Ordering {
         let by_image = other.has_image.cmp(&self.has_image);
         let by_up = other.is_up.cmp(&self.is_up);
@@ -96,8 +99,9 @@
     }
 }
 
-/// Indices of the candidates that join, in order of preference: at most `missing`, within
-/// `budget_per_hour` per hour. A candidate that costs too much is skipped.
+/// Indices of the candidates that join the pool, in order of preference. There are at most
+/// `missing`, and the sum of their prices is at most `budget_per_hour`. A candidate that
+/// exceeds the rest of the budget is skipped. `None` is no cost limit.
 pub fn candidates_to_add(
     candidates: &[PoolCandidate],
     missing: u32,
@@ -124,12 +128,12 @@
     added
 }
 
-/// Number of machines of a price, at most `missing`, that may be provisioned within
-/// `budget_per_hour` per hour.
+/// Number of machines at the given price per hour that may be provisioned: at most `missing`,
+/// and as many as `budget_per_hour` allows. `None` is no cost limit.
 pub fn affordable_machines(missing: u32, price: f64, budget_per_hour: Option<f64>) -> u32 {
     match budget_per_hour {
         Some(cost) if price > 0.0 => {
-            // The cast rounds down, and saturates.
+            // The cast rounds down, and saturates at the largest number.
             let count = (cost * PRICE_TOLERANCE / price).max(0.0) as u32;
             missing.min(count)
         }
--- a/crates/pools/src/scaling/tests.rs
+++ b/crates/pools/src/scaling/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of machines.
+//! Tests of the target size, and of the choice of machines that join and leave.
 
 use super::*;
 use PoolState::{Booting, Fetching, Up, Warm};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn target_is_the_allocated_number_within_the_bounds() {
+fn target_is_the_recently_allocated_number_within_the_bounds() {
     let size = PoolSize {
         min_machines: 2,
         max_machines: 5,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn members_farthest_from_warm_leave_first_then_the_most_expensive() {
+fn members_farthest_from_warm_leave_first_and_then_the_most_expensive() {
     let list = members(&[
         (Warm, 1.0),
         (Booting, 1.0),
--- a/crates/pools/tests/golden.rs
+++ b/crates/pools/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden bytes of warm pools: stored account rows with their keys, the report as JSON,
-//! and parsed declarations. The expected forms are in `golden/`.
+//! Guards against incompatible changes of the outer forms of warm pools: stored account rows
+//! with their keys, the report as JSON, and parsed declarations. The expected bytes are in
+//! `golden/`.
 
 use forkshift_pools::account::{AccountRow, Price, PRICE_PREFIX};
 use forkshift_pools::report::{usage_report, TimeSpan, UsageRecords};
@@ -10,7 +11,7 @@
 const ACCOUNT: &str = include_str!("golden/account.jsonl");
 const HOUR_MS: u64 = 3_600_000;
 
-/// The rows of the fixture: each key with its stored value.
+/// The rows of the fixture `golden/account.jsonl`, each as a key and its value.
 fn rows() -> impl Iterator<Item = (String, Value)> {
     ACCOUNT.lines().map(|line| {
         let row: Value = serde_json::from_str(line).expect("JSON");
@@ -43,7 +44,7 @@
     accounts
 }
 
-/// A row's key and its bytes as they would be stored now.
+/// The key and the bytes with which a row is stored after it was read.
 fn stored(key: &str, data: &Value) -> (String, String) {
     let text = data.to_string();
     if key.starts_with(PRICE_PREFIX) {
@@ -57,8 +58,8 @@
     }
 }
 
-/// Rows are stored as they were read. One line of the fixture lacks `spot`, which is then
-/// stored.
+/// Rows that are read and stored again keep their bytes. One line of the fixture has no field
+/// `spot`; the field is added when the row is stored.
 #[test]
 fn stored_rows_keep_their_keys_and_bytes() {
     let mut actual = Vec::new();
@@ -90,7 +91,7 @@
     assert!(actual == include_str!("golden/report.jsonl"), "{actual}");
 }
 
-/// A declaration with every field.
+/// A valid declaration with a value in every field.
 fn full_spec() -> PoolSpec {
     let text = str::to_owned;
     PoolSpec {
@@ -181,10 +182,11 @@
     assert!(actual == include_str!("golden/declaration.txt"), "{actual}");
 }
 
-/// A change that makes a declaration invalid.
+/// A change that makes a valid declaration invalid.
 type Change = fn(&mut PoolSpec);
 
-/// The fields that errors name, in the order of the fixture's lines.
+/// The changes are in the order of the lines of `golden/wrong_fields.txt`, which holds the
+/// field that each error names.
 #[test]
 fn invalid_declaration_names_the_golden_field() {
     let changes: [Change; 18] = [
--- a/crates/pools/tests/model.rs
+++ b/crates/pools/tests/model.rs
@@ -1,6 +1,9 @@
-//! Pools over random sequences of declarations, bursts, reclaims and failures: always, no
-//! machine is in two pools, none is charged outside its life or twice, the report's costs sum
-//! to the charges, and the limits hold. The audit's own tests show that it finds errors.
+//! Model test of pools with random sequences of declarations, bursts, reclaims and failures.
+//!
+//! Guards against a machine that is in two pools, or that is charged twice or outside its
+//! billing period, against costs of the report that differ from the charges, and against
+//! pools that exceed their target or their cost limit. The tests of the audit show that it
+//! finds errors.
 
 use forkshift_pools::account::{BilledMachine, Price};
 use forkshift_pools::audit::{audit_errors, BillingPeriod};
@@ -16,7 +19,7 @@
 
 const MS_PER_HOUR: f64 = 3_600_000.0;
 
-/// A machine of the model, and its life according to the cloud.
+/// A machine of the model, with its billing period by the cloud.
 #[derive(Clone, Debug)]
 struct Machine {
     price: f64,
@@ -30,19 +33,19 @@
 /// A step of the model.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Lets time pass, in milliseconds.
+    /// Advances the time by a number of milliseconds.
     Wait(u64),
-    /// Sets the target and the cost limit of a pool.
+    /// Sets the target size and the cost limit per hour of a pool.
     Declare(usize, u32, Option<f64>),
-    /// Moves a machine to its next state.
+    /// Moves a machine to its next state in the pool.
     Advance(usize),
-    /// Allocates machines of a pool to jobs.
+    /// Allocates a number of machines of a pool to jobs.
     Burst(usize, usize),
-    /// Reclaims a machine from its pool.
+    /// Reclaims a machine from its pool for other tasks.
     Reclaim(usize),
-    /// Lets a machine fail.
+    /// A machine fails, and its billing period ends.
     Fail(usize),
-    /// Sets how far the holder's clock is behind, in milliseconds.
+    /// Sets by how many milliseconds the holder's clock is behind the cloud's.
     SetClockBehind(u64),
 }
 
@@ -62,11 +65,12 @@
 #[derive(Default)]
 struct Model {
     now: u64,
-    /// How far the holder's clock is behind, in milliseconds.
+    /// Difference by which the holder's clock is behind the cloud's.
     clock_behind_ms: u64,
     machines: Vec<Machine>,
+    /// Target size and cost limit per hour of each pool.
     pools: [(u32, Option<f64>); 3],
-    rows: Vec<UsageInterval>,
+    intervals: Vec<UsageInterval>,
 }
 
 fn pool(index: usize) -> PoolName {
@@ -86,19 +90,24 @@
         self.now - self.clock_behind_ms.min(self.now)
     }
 
-    fn change(&mut self, index: usize, next: Option<PoolState>, ended: Option<EndReason>) {
+    fn change_membership(
+        &mut self,
+        index: usize,
+        next: Option<PoolState>,
+        ended: Option<EndReason>,
+    ) {
         let wall_clock_ms = self.wall_clock_ms();
         let Some(old) = self.machines[index].membership.take() else {
             return;
         };
-        let row = old.close(&billed_machine(index), wall_clock_ms, ended);
-        self.machines[index].charged_until_ms = row.to_ms;
+        let interval = old.close(&billed_machine(index), wall_clock_ms, ended);
+        self.machines[index].charged_until_ms = interval.to_ms;
         self.machines[index].membership = next.map(|state| Membership {
             state,
-            since_ms: row.to_ms,
+            since_ms: interval.to_ms,
             ..old
         });
-        self.rows.push(row);
+        self.intervals.push(interval);
     }
 
     fn members(&self, pool_index: usize) -> Vec<usize> {
@@ -124,12 +133,12 @@
             })
             .collect();
         for index in members_to_remove(&members, target, max_cost_per_hour) {
-            self.change(ids[index], None, Some(EndReason::ScaledIn));
+            self.change_membership(ids[index], None, Some(EndReason::ScaledIn));
         }
         let ids = self.members(pool_index);
         let cost: f64 = ids.iter().map(|i| self.machines[*i].price).sum();
         let missing = target.saturating_sub(ids.len() as u32);
-        let left = max_cost_per_hour.map(|most| most - cost);
+        let budget = max_cost_per_hour.map(|most| most - cost);
         let free: Vec<usize> = (0..self.machines.len())
             .filter(|i| {
                 let m = &self.machines[*i];
@@ -144,18 +153,19 @@
                 price_per_hour: self.machines[*i].price,
             })
             .collect();
-        let joins = candidates_to_add(&candidates, missing, left);
-        let mut budget = left;
+        let joins = candidates_to_add(&candidates, missing, budget);
+        let mut remaining_budget = budget;
         for index in &joins {
             let machine = free[*index];
-            budget = budget.map(|left| left - self.machines[machine].price);
+            remaining_budget = remaining_budget.map(|budget| budget - self.machines[machine].price);
             let at = self.wall_clock_ms().max(self.machines[machine].from_ms);
             let charged_until = self.machines[machine].charged_until_ms;
             let joined = Membership::begin(pool(pool_index), PoolState::Up, at, charged_until);
             self.machines[machine].membership = Some(joined);
         }
         let price = 3.0 + pool_index as f64;
-        let provisioned = affordable_machines(missing - joins.len() as u32, price, budget);
+        let provisioned =
+            affordable_machines(missing - joins.len() as u32, price, remaining_budget);
         for _ in 0..provisioned {
             self.machines.push(Machine {
                 price,
@@ -174,12 +184,13 @@
     }
 
     fn apply(&mut self, step: &Step) {
-        let alive = |m: &Model, i: usize| m.machines.get(i).is_some_and(|m| m.ended_ms.is_none());
+        let is_running =
+            |m: &Model, i: usize| m.machines.get(i).is_some_and(|m| m.ended_ms.is_none());
         match step {
             Step::Wait(ms) => self.now += ms,
             Step::SetClockBehind(ms) => self.clock_behind_ms = *ms,
             Step::Declare(pool_index, target, cost) => self.pools[*pool_index] = (*target, *cost),
-            Step::Advance(i) if alive(self, *i) => {
+            Step::Advance(i) if is_running(self, *i) => {
                 let state = self.machines[*i].membership.as_ref().map(|m| m.state);
                 let next = match state {
                     Some(PoolState::Booting) => Some(PoolState::Fetching),
@@ -187,20 +198,20 @@
                     Some(PoolState::Warm) => Some(PoolState::Fetching),
                     other => other,
                 };
-                self.change(*i, next, None);
+                self.change_membership(*i, next, None);
             }
             Step::Burst(pool_index, count) => {
                 for i in self.members(*pool_index).into_iter().take(*count) {
-                    self.change(i, None, Some(EndReason::Allocated));
+                    self.change_membership(i, None, Some(EndReason::Allocated));
                     self.machines[i].is_busy = true;
                 }
             }
-            Step::Reclaim(i) if alive(self, *i) => {
-                self.change(*i, None, Some(EndReason::Reclaimed));
+            Step::Reclaim(i) if is_running(self, *i) => {
+                self.change_membership(*i, None, Some(EndReason::Reclaimed));
                 self.machines[*i].is_busy = true;
             }
-            Step::Fail(i) if alive(self, *i) => {
-                self.change(*i, None, Some(EndReason::Failed));
+            Step::Fail(i) if is_running(self, *i) => {
+                self.change_membership(*i, None, Some(EndReason::Failed));
                 let from = self.machines[*i].from_ms;
                 self.machines[*i].ended_ms = Some(self.now.max(from));
             }
@@ -214,9 +225,9 @@
 
 fn billing_periods(model: &Model) -> BTreeMap<MachineId, BillingPeriod> {
     let machines = model.machines.iter().enumerate();
-    let life = |m: &Machine| (m.from_ms, m.ended_ms.unwrap_or(model.now));
+    let billing_period = |m: &Machine| (m.from_ms, m.ended_ms.unwrap_or(model.now));
     machines
-        .map(|(i, m)| (billed_machine(i).id, life(m)))
+        .map(|(i, m)| (billed_machine(i).id, billing_period(m)))
         .collect()
 }
 
@@ -247,9 +258,9 @@
         }
         model.clock_behind_ms = 0;
         for i in 0..model.machines.len() {
-            model.change(i, None, Some(EndReason::PoolRemoved));
+            model.change_membership(i, None, Some(EndReason::PoolRemoved));
         }
-        prop_assert_eq!(audit_errors(&model.rows, &billing_periods(&model), 0), vec![]);
+        prop_assert_eq!(audit_errors(&model.intervals, &billing_periods(&model), 0), vec![]);
 
         // The price list's costs equal the charges of each machine.
         let prices: Vec<Price> = (0..model.machines.len()).map(|i| Price {
@@ -261,9 +272,9 @@
         let list = PriceList::new(&prices);
         let all = TimeSpan { from_ms: 0, to_ms: u64::MAX };
         for (i, machine) in model.machines.iter().enumerate() {
-            let rows: Vec<&UsageInterval> = model.rows.iter().filter(|r| r.machine == billed_machine(i).id).collect();
-            let charged: f64 = rows.iter().map(|r| list.cost(r, all).0).sum();
-            let ms: u64 = rows.iter().map(|r| r.to_ms - r.from_ms).sum();
+            let intervals: Vec<&UsageInterval> = model.intervals.iter().filter(|r| r.machine == billed_machine(i).id).collect();
+            let charged: f64 = intervals.iter().map(|r| list.cost(r, all).0).sum();
+            let ms: u64 = intervals.iter().map(|r| r.to_ms - r.from_ms).sum();
             let expected = machine.price * ms as f64 / MS_PER_HOUR;
             prop_assert!((charged - expected).abs() <= 1e-9 * expected.max(1.0));
         }
