--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -9,8 +9,8 @@
 //! does not reach the holder of its machine, another controller relays its heartbeats.
 //!
 //! - [`MachineLink`] and [`CloudLink`] derive the state of a link from heartbeats and calls.
-//! - [`Decision`] defines which links must be up for a decision, and [`LinkStates`] evaluates
-//!   it.
+//! - [`Decision`] defines which links must be up for a decision, and [`LinkStates`] holds
+//!   which links are up.
 //! - [`RelayTable`] records which workers' heartbeats a controller relays to which holder.
 //! - [`RedirectHistory`] records which workers a controller has redirected to their holder.
 //!
--- a/crates/sched/src/machine.rs
+++ b/crates/sched/src/machine.rs
@@ -7,7 +7,7 @@
 /// each placed task from `free`.
 #[derive(Clone, Debug, Default)]
 pub struct MachineSnapshot {
-    /// Resources that no task uses.
+    /// Resources that the round may allocate to tasks.
     pub free: Resources,
     /// Installed resources, used or not.
     pub total: Resources,
@@ -15,7 +15,7 @@
     pub machine_type: u16,
     /// Zone, as a number given by the caller.
     pub zone: u16,
-    /// Whether it is a spot instance, which the cloud may preempt.
+    /// Whether the machine is a spot instance, which the cloud may preempt.
     pub is_spot: bool,
     /// Price per second, in the currency of the catalogue.
     pub price_per_s: f64,
--- a/crates/sched/src/provision.rs
+++ b/crates/sched/src/provision.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Value of one task, as a price per hour: its dominant share of a machine multiplied by
-    /// the machine's price, for the offer where this is lowest.
+    /// Value of one task, as a price per hour: the lowest product, over the allowed offers, of
+    /// the task's dominant share of a machine and the machine's price.
     fn task_value(&self, offers: &[MachineOffer]) -> f64 {
         let allowed = offers.iter().filter(|offer| self.allows(offer));
         allowed
@@ -71,7 +71,7 @@
     pub machine_type: u16,
     /// Zone, as a number given by the caller.
     pub zone: u16,
-    /// Whether it is a spot instance, which the cloud may preempt.
+    /// Whether the offer is for spot instances, which the cloud may preempt.
     pub is_spot: bool,
     /// Installed resources.
     pub total: Resources,
@@ -79,7 +79,8 @@
     pub price_per_hour: f64,
     /// Number of machines of this type that the shard has in the zone. Of offers with equal
     /// value per price, the one with the lowest number is chosen, which spreads machines
-    /// over zones. The caller may add a penalty to it.
+    /// over zones. The caller may add a penalty, for example for a zone that is slow to
+    /// provide machines.
     pub machines_in_zone: u32,
 }
 
--- a/crates/sched/src/requirement.rs
+++ b/crates/sched/src/requirement.rs
@@ -8,18 +8,18 @@
 /// is no [`PlacementRequirement`], and callers evaluate each job separately.
 pub(crate) const MAX_ZONES: usize = u64::BITS as usize;
 
-/// Everything in a job that decides on which machines its tasks fit, given the zones that
-/// its placed tasks leave to it. Jobs with equal requirements fit on the same machines,
-/// apart from machines that are excluded for one job. Callers use it as the key of a set of
-/// requirements that no machine satisfies.
+/// The attributes of a job that decide on which machines its tasks fit. The zones are those
+/// that the job's zone constraints still allow, given its placed tasks. Jobs with equal
+/// requirements fit on the same machines, apart from machines that are excluded for one of
+/// the jobs. Callers use requirements as keys of a set of those that no machine satisfies.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct PlacementRequirement {
-    task: Resources,
-    types: Option<Vec<u16>>,
+    task_resources: Resources,
+    allowed_types: Option<Vec<u16>>,
     /// Bit `n` is set if the zone at index `n` of the fleet's zones is allowed.
     zone_mask: u64,
-    spot: bool,
-    reservations: BTreeSet<u32>,
+    allows_spot: bool,
+    open_reservations: BTreeSet<u32>,
 }
 
 impl PlacementRequirement {
@@ -33,11 +33,11 @@
         let zones = zones.iter().enumerate();
         let allowed = zones.filter(|(_, zone)| job.allows_zone(**zone));
         Some(Self {
-            task: job.task_resources,
-            types: job.allowed_types.clone(),
+            task_resources: job.task_resources,
+            allowed_types: job.allowed_types.clone(),
             zone_mask: allowed.fold(0, |mask, (bit, _)| mask | 1 << bit),
-            spot: job.allows_spot,
-            reservations: job.open_reservations.clone(),
+            allows_spot: job.allows_spot,
+            open_reservations: job.open_reservations.clone(),
         })
     }
 }
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Places the tasks of a job. If some cannot be placed, reserves what the job lacks if it
-    /// has a reservation.
+    /// Places the tasks of a job. If some cannot be placed and the job has a reservation,
+    /// reserves the quota or the machine that it lacks.
     fn place_job(&mut self, job_index: usize, job: &mut PendingTasks) {
         if self.is_blocked_by_exceeded_limit(job) {
             return;
@@ -127,9 +127,9 @@
         self.hold_machine(job);
     }
 
-    /// Holds a machine for an aged job, so that the round places no more tasks on it. Of the
-    /// machines that could run a task of the job if they were empty, the one with the lowest
-    /// dominant share in use is held.
+    /// Holds a machine for an aged job, so that the round places no more tasks on the
+    /// machine. Of the machines that could run a task of the job if they were empty, the one
+    /// with the lowest dominant share in use is held.
     fn hold_machine(&mut self, job: &PendingTasks) {
         let could_run = |machine: &MachineSnapshot| {
             job.task_resources.fits_in(&machine.total)
