--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -11,7 +11,7 @@
 use crate::shard::machine::Machine;
 use crate::shard::{RecoveryState, Shard};
 use crate::Ms;
-use forkshift_links::{Decision, Link, Timing};
+use forkshift_links::{Decision, Link, LinkTiming};
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
@@ -179,8 +179,8 @@
     }
     // A worker that has never sent a heartbeat here may need a lease's length to find this
     // controller. `has_missed_heartbeats` grants half of `lease_ms`, so it is doubled here.
-    let timing = Timing {
-        heartbeat_interval_ms: silence_ms,
+    let timing = LinkTiming {
+        heartbeat_timeout_ms: silence_ms,
         lease_ms: ctx.config.lease_ms * 2,
     };
     let since = machine.known_since.max(ctx.resumed_at);
