--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -168,7 +168,7 @@
     fn merge_changes(&mut self, status: u16, body: &[u8]) -> bool {
         match serde_json::from_slice::<Changes>(body) {
             Ok(changes) if status == 200 => {
-                self.view.apply_changes(changes.events, changes.revision)
+                self.view.apply_changes(changes.events, changes.revision);
             }
             // The view is listed anew.
             _ if is_watch_lost(status) => self.view.is_complete = false,
