--- a/crates/core/src/context/calls.rs
+++ b/crates/core/src/context/calls.rs
@@ -166,12 +166,12 @@
             log::error!("transaction: too many writes, {writes} of {limit}");
         }
         for write in &transaction.writes {
-            let Write::Put { put, value, .. } = write else {
+            let Write::Put { key, value, .. } = write else {
                 continue;
             };
             let (bytes, limit) = (value.to_string().len(), self.limits.value_bytes);
             if bytes > limit {
-                log::error!("record {put}: too large, {bytes} of {limit} bytes");
+                log::error!("record {key}: too large, {bytes} of {limit} bytes");
             }
         }
     }
--- a/crates/core/src/leader/scale_in.rs
+++ b/crates/core/src/leader/scale_in.rs
@@ -158,7 +158,7 @@
             key: key.clone(),
             version: machine.version,
         });
-        transaction.writes.push(Write::Remove { remove: key });
+        transaction.writes.push(Write::Remove { key });
         if let Some(row) = &machine.usage_row {
             add_account_row(&mut transaction, row.key(), row);
         }
--- a/crates/core/src/leader/scale_out/results.rs
+++ b/crates/core/src/leader/scale_out/results.rs
@@ -66,7 +66,7 @@
             };
             Write::put(intent_key, to_value(intent).unwrap_or_default())
         } else {
-            Write::Remove { remove: intent_key }
+            Write::Remove { key: intent_key }
         });
         transaction
     }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -233,7 +233,7 @@
                 version: leader.version,
             }],
             writes: vec![Write::Remove {
-                remove: LEADER.to_owned(),
+                key: LEADER.to_owned(),
             }],
         };
         ctx.transact(
@@ -363,7 +363,7 @@
             version,
         }],
         writes: vec![Write::Put {
-            put: key,
+            key,
             value,
             lease: Some(lease),
         }],
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -44,8 +44,8 @@
 ) -> (Option<MachineRecord>, Option<UsageInterval>) {
     let key = machine_key(id);
     let touches = |w: &Write| match w {
-        Write::Put { put, .. } => *put == key,
-        Write::Remove { remove } => *remove == key,
+        Write::Put { key: written, .. } => *written == key,
+        Write::Remove { key: written } => *written == key,
     };
     let all = sent_transactions(effects);
     let transaction = all
@@ -55,15 +55,23 @@
     let mut found = (None, None);
     for write in &transaction.writes {
         match write {
-            Write::Put { put, value, .. } if *put == key => {
+            Write::Put {
+                key: written,
+                value,
+                ..
+            } if *written == key => {
                 found.0 = from_value(value.clone()).ok();
             }
-            Write::Put { put, value, .. } if put.starts_with("pool/") => {
+            Write::Put {
+                key: written,
+                value,
+                ..
+            } if written.starts_with("pool/") => {
                 let is_new = transaction
                     .preconditions
                     .iter()
-                    .any(|p| p.key == *put && p.version == 0);
-                assert!(is_new, "{put} may exist already");
+                    .any(|p| p.key == *written && p.version == 0);
+                assert!(is_new, "{written} may exist already");
                 found.1 = from_value(value.clone()).ok();
             }
             _ => {}
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -272,7 +272,7 @@
             key: key.clone(),
             version,
         }],
-        writes: vec![Write::Remove { remove: key }],
+        writes: vec![Write::Remove { key }],
     };
     ctx.transact(Urgency::Background, &transaction, PendingCall::Housekeeping);
 }
--- a/crates/core/src/shard/job_writes/change.rs
+++ b/crates/core/src/shard/job_writes/change.rs
@@ -72,7 +72,7 @@
             key: key.clone(),
             version: job.blocks[&0].record_version,
         });
-        self.writes.push(Write::Remove { remove: key });
+        self.writes.push(Write::Remove { key });
         self.write.blocks.push(0);
     }
 
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -75,7 +75,7 @@
         let changes = Changes {
             revision: version,
             events: vec![Change::Put {
-                put: unfinished_key(f.shard, &id, 0),
+                key: unfinished_key(f.shard, &id, 0),
                 value: to_value(head).expect("a record"),
                 version,
             }],
@@ -142,16 +142,15 @@
         self.revision += 1;
         for write in &transaction.writes {
             match write {
-                Write::Put { put, value, .. } => {
-                    let (key, value, version) = (put.clone(), value.clone(), self.revision);
+                Write::Put { key, value, .. } => {
                     let item = Item {
-                        key,
-                        value,
-                        version,
+                        key: key.clone(),
+                        value: value.clone(),
+                        version: self.revision,
                     };
-                    self.items.insert(put.clone(), item);
+                    self.items.insert(key.clone(), item);
                 }
-                Write::Remove { remove } => drop(self.items.remove(remove)),
+                Write::Remove { key } => drop(self.items.remove(key)),
             }
         }
         (200, json!({"ledger_rev": self.revision}))
@@ -225,8 +224,8 @@
         "conditions"
     );
     for write in &transaction.writes {
-        if let Write::Put { put, value, .. } = write {
-            assert!(value.to_string().len() <= limits.value_bytes, "{put}");
+        if let Write::Put { key, value, .. } = write {
+            assert!(value.to_string().len() <= limits.value_bytes, "{key}");
         }
     }
 }
--- a/crates/core/src/shard/jobs_watch.rs
+++ b/crates/core/src/shard/jobs_watch.rs
@@ -170,12 +170,12 @@
         let Some(changes) = changes else { return };
         for event in changes.events {
             if let Change::Put {
-                put,
+                key,
                 value,
                 version,
             } = event
             {
-                self.on_job_put(ctx, &put, value, version);
+                self.on_job_put(ctx, &key, value, version);
             }
         }
         self.jobs_watch.advance_to(changes.revision);
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -342,7 +342,7 @@
     let mut record = fixture.node.view.machines[&id].record.clone();
     record.reassign_to = Some(to);
     let put = Change::Put {
-        put: machine_key(&id),
+        key: machine_key(&id),
         value: to_value(record).expect("a record"),
         version: 6,
     };
--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -152,14 +152,14 @@
         for event in events {
             match event {
                 Change::Put {
-                    put,
+                    key,
                     value,
                     version,
                 } if version > self.revision => {
-                    self.put(&put, value, version);
+                    self.put(&key, value, version);
                 }
-                Change::Remove { remove, version } if version > self.revision => {
-                    self.remove(&remove);
+                Change::Remove { key, version } if version > self.revision => {
+                    self.remove(&key);
                 }
                 _ => {}
             }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -68,7 +68,7 @@
 /// Those of the system if an address can't be listened on.
 pub(crate) fn run(settings: &Settings, config: Config, spans: Option<SpanTimes>) -> io::Result<()> {
     let bounds = config.bounds;
-    let listener = forkshift_net::bind(settings.listen, bounds.connections)?;
+    let listener = forkshift_net::bind_listener(settings.listen, bounds.connections)?;
     let peer_listener = TcpListener::bind(settings.peer_listen)?;
     let server_limits = ServerLimits {
         max_connections: bounds.connections,
@@ -119,7 +119,7 @@
         let _ = inputs.try_send(Input::Peer(message));
     };
     let max_connections = peers * CONNECTIONS_PER_PEER;
-    let listening = forkshift_net::listen(
+    let listening = forkshift_net::receive_peer_messages(
         ex.clone(),
         listener,
         max_connections,
@@ -140,7 +140,7 @@
         let requests = requests.clone();
         async move { requests.handle(request).await }
     };
-    let serving = forkshift_net::serve(ex.clone(), listener, limits, handler);
+    let serving = forkshift_net::serve_http(ex.clone(), listener, limits, handler);
     ex.spawn(serving).detach();
 }
 
--- a/crates/daemon/src/run/controller.rs
+++ b/crates/daemon/src/run/controller.rs
@@ -74,7 +74,7 @@
             }
             if last_sweep.elapsed() > SWEEP_INTERVAL {
                 last_sweep = Instant::now();
-                self.endpoints.client.sweep();
+                self.endpoints.client.close_expired_connections();
             }
             // Other tasks get their turn even if inputs never cease.
             future::yield_now().await;
--- a/crates/emulator/src/model_servers.rs
+++ b/crates/emulator/src/model_servers.rs
@@ -133,7 +133,7 @@
 
 fn serve(executor: &Executor, replica: &Replica) -> std::io::Result<Server> {
     let address = addresses::model_server(&replica.machine, replica.task.index);
-    let listener = forkshift_net::bind(address, MAX_CONNECTIONS)?;
+    let listener = forkshift_net::bind_listener(address, MAX_CONNECTIONS)?;
     let limits = ServerLimits {
         max_connections: MAX_CONNECTIONS,
         max_keep_alive_connections: MAX_CONNECTIONS,
@@ -156,7 +156,7 @@
             }
         }
     };
-    let server = forkshift_net::serve(executor.clone(), listener, limits, handler);
+    let server = forkshift_net::serve_http(executor.clone(), listener, limits, handler);
     Ok(Server {
         address,
         is_ready,
--- a/crates/emulator/src/socket_bridge/services.rs
+++ b/crates/emulator/src/socket_bridge/services.rs
@@ -38,7 +38,7 @@
         service: Service,
         max_connections: usize,
     ) -> io::Result<Task<()>> {
-        let listener = forkshift_net::bind(address, max_connections)
+        let listener = forkshift_net::bind_listener(address, max_connections)
             .map_err(|error| io::Error::new(error.kind(), format!("{address}: {error}")))?;
         let limits = ServerLimits {
             max_connections,
@@ -52,7 +52,7 @@
             let (bridge, service) = (bridge.clone(), service.clone());
             async move { bridge.handle(service, request).await }
         };
-        let server = forkshift_net::serve(self.executor.clone(), listener, limits, handler);
+        let server = forkshift_net::serve_http(self.executor.clone(), listener, limits, handler);
         Ok(self.executor.spawn(server))
     }
 
--- a/crates/net/src/bind.rs
+++ b/crates/net/src/bind.rs
@@ -11,7 +11,7 @@
 /// # Errors
 ///
 /// Those of the system: the address is in use, or not of this machine.
-pub fn bind(addr: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
+pub fn bind_listener(addr: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -127,7 +127,7 @@
             attempted.unwrap_or_else(|error| failed_outcome(&call, &error))
         };
         let timeout = async {
-            deadline::after(call.timeout).await;
+            deadline::deadline_after(call.timeout).await;
             log::debug!("{} {} {}: timed out", call.addr, call.method, call.path);
             Outcome::without_body(NO_RESPONSE)
         };
@@ -141,7 +141,7 @@
     }
 
     /// Closes connections that have been idle for longer than the client keeps them.
-    pub fn sweep(&self) {
+    pub fn close_expired_connections(&self) {
         let keep = self.limits.idle_timeout;
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|idle| idle.idle_since.elapsed() < keep);
--- a/crates/net/src/deadline.rs
+++ b/crates/net/src/deadline.rs
@@ -26,7 +26,7 @@
 static DEADLINES: LazyLock<Arc<Deadlines>> = LazyLock::new(Arc::default);
 
 /// Completes after `duration`. Dropping it before that is cheap.
-pub fn after(duration: Duration) -> Deadline {
+pub fn deadline_after(duration: Duration) -> Deadline {
     let number = DEADLINES.lock().next_deadline_number();
     Deadline {
         key: (Instant::now() + duration, number),
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -6,7 +6,7 @@
 //! All tasks of a process run on one thread, on one [`Executor`]; shared state is in `Rc`,
 //! `Cell` and `RefCell`, and no borrow is held across an `await`. Nothing here may block:
 //! sockets are non-blocking, and `async-io`'s own thread polls the reactor. Only
-//! [`after`] keeps state behind a mutex, because the reactor's thread wakes it.
+//! [`deadline_after`] keeps state behind a mutex, because the reactor's thread wakes it.
 //!
 //! # Bounds
 //!
@@ -17,7 +17,7 @@
 //!
 //! # End
 //!
-//! [`serve`] and [`listen`] have no end of their own; they run until the process exits.
+//! [`serve_http`] and [`receive_peer_messages`] have no end of their own; they run until the process exits.
 
 mod accept;
 mod bind;
@@ -27,11 +27,11 @@
 mod server;
 mod stream;
 
-pub use bind::bind;
+pub use bind::bind_listener;
 pub use client::{Call, Client, ClientLimits, Outcome, STATUS_RESPONSE_TOO_LONG};
-pub use deadline::{after, Deadline};
-pub use peers::{listen, PeerLink};
-pub use server::{serve, Request, Response, ServerLimits};
+pub use deadline::{deadline_after, Deadline};
+pub use peers::{receive_peer_messages, PeerLink};
+pub use server::{serve_http, Request, Response, ServerLimits};
 pub use stream::Traffic;
 
 use async_executor::LocalExecutor;
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -1,7 +1,7 @@
 //! Links between controllers: one connection for each direction, each message behind its
 //! length as four bytes, big-endian.
 //!
-//! A [`PeerLink`] has a task that connects and sends; messages wait in its queue. [`listen`]
+//! A [`PeerLink`] has a task that connects and sends; messages wait in its queue. [`receive_peer_messages`]
 //! has a task for each incoming connection. A message may be lost with its connection and
 //! is not sent again.
 
@@ -115,7 +115,7 @@
         queue.remove(message.len());
         let sending = send_message(addr, connection.take(), &message);
         let timeout = async {
-            deadline::after(SEND_TIMEOUT).await;
+            deadline::deadline_after(SEND_TIMEOUT).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         match future::or(sending, timeout).await {
@@ -147,7 +147,7 @@
 
 /// Receives messages from all peers until the process exits, on up to `max_connections`
 /// connections at a time. A message of more than `max_message_bytes` ends its connection.
-pub async fn listen<F>(
+pub async fn receive_peer_messages<F>(
     ex: Executor,
     listener: TcpListener,
     max_connections: usize,
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -125,8 +125,12 @@
 
 /// Serves requests until the process exits. `handler` is called for each request, and
 /// may be called again before its earlier futures have completed.
-pub async fn serve<F, Fut>(ex: Executor, listener: TcpListener, limits: ServerLimits, handler: F)
-where
+pub async fn serve_http<F, Fut>(
+    ex: Executor,
+    listener: TcpListener,
+    limits: ServerLimits,
+    handler: F,
+) where
     F: Fn(Request) -> Fut + Clone + 'static,
     Fut: Future<Output = Response> + 'static,
 {
@@ -207,7 +211,7 @@
 {
     let stream = &connection.stream;
     let head_timeout = async {
-        deadline::after(limits.idle_timeout * 2).await;
+        deadline::deadline_after(limits.idle_timeout * 2).await;
         Ok(None)
     };
     let decoding = async_h1::server::decode(stream.clone());
@@ -284,7 +288,7 @@
         limited.read_to_end(&mut body).await
     };
     let timeout = async {
-        deadline::after(limits.body_timeout).await;
+        deadline::deadline_after(limits.body_timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     let read = future::or(reading, timeout).await;
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -77,7 +77,7 @@
             if remaining.is_zero() {
                 return;
             }
-            deadline::after(remaining).await;
+            deadline::deadline_after(remaining).await;
         }
     }
 
--- a/crates/net/tests/deadline.rs
+++ b/crates/net/tests/deadline.rs
@@ -1,7 +1,7 @@
 //! Deadlines on the real clock. The tests assert the order, and that none expires early,
 //! not how late one may expire.
 
-use forkshift_net::after;
+use forkshift_net::deadline_after;
 use futures_lite::{future, FutureExt};
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 async fn record(order: &RefCell<Vec<u64>>, ms: u64) {
     let started = Instant::now();
     let duration = Duration::from_millis(ms);
-    after(duration).await;
+    deadline_after(duration).await;
     assert!(started.elapsed() >= duration, "{ms} ms expired early");
     order.borrow_mut().push(ms);
 }
@@ -31,7 +31,7 @@
 #[test]
 fn deadline_after_a_cancelled_one_expires() {
     let order = RefCell::new(Vec::new());
-    let cancelled = after(Duration::from_millis(30)).or(async {});
+    let cancelled = deadline_after(Duration::from_millis(30)).or(async {});
     let all = future::zip(cancelled, record(&order, 90));
     async_io::block_on(all);
     assert_eq!(*order.borrow(), [90]);
@@ -40,7 +40,7 @@
 /// A deadline may be polled by one task first and then by another.
 #[test]
 fn last_task_to_poll_a_deadline_is_woken() {
-    let mut deadline = after(Duration::from_millis(30));
+    let mut deadline = deadline_after(Duration::from_millis(30));
     let polled = async_io::block_on(future::poll_once(&mut deadline));
     assert!(polled.is_none());
     async_io::block_on(deadline);
--- a/crates/net/tests/peers.rs
+++ b/crates/net/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use forkshift_net::{listen, Executor, PeerLink};
+use forkshift_net::{receive_peer_messages, Executor, PeerLink};
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -42,8 +42,14 @@
         assert_eq!(message.len(), MESSAGE_BYTES);
         *count.borrow_mut() += 1;
     };
-    ex.spawn(listen(ex.clone(), listener, cases.len(), 1_000, on_message))
-        .detach();
+    ex.spawn(receive_peer_messages(
+        ex.clone(),
+        listener,
+        cases.len(),
+        1_000,
+        on_message,
+    ))
+    .detach();
     let mut expected = 0;
     for (room, messages, queued) in cases {
         let link = PeerLink::new(&ex, addr, room * MESSAGE_BYTES);
--- a/crates/net/tests/server.rs
+++ b/crates/net/tests/server.rs
@@ -2,7 +2,7 @@
 //! not when.
 
 use async_executor::LocalExecutor;
-use forkshift_net::{serve, Executor, Response, ServerLimits};
+use forkshift_net::{serve_http, Executor, Response, ServerLimits};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -38,7 +38,7 @@
             retry_after_s: None,
         }
     };
-    ex.spawn(serve(ex.clone(), listener, limits, handler))
+    ex.spawn(serve_http(ex.clone(), listener, limits, handler))
         .detach();
     let (result_sender, result) = async_channel::bounded(1);
     std::thread::spawn(move || result_sender.send_blocking(client(addr)));
--- a/crates/testkit/src/simulation/network_faults.rs
+++ b/crates/testkit/src/simulation/network_faults.rs
@@ -211,6 +211,6 @@
 /// Whether a transaction puts a key with a prefix.
 fn puts_key_with_prefix(body: &[u8], prefix: &str) -> bool {
     let transaction = serde_json::from_slice::<Transaction>(body);
-    let puts = |write: &Write| matches!(write, Write::Put { put, .. } if put.starts_with(prefix));
+    let puts = |write: &Write| matches!(write, Write::Put { key, .. } if key.starts_with(prefix));
     transaction.is_ok_and(|transaction| transaction.writes.iter().any(puts))
 }
--- a/crates/testkit/src/store/limits.rs
+++ b/crates/testkit/src/store/limits.rs
@@ -76,8 +76,8 @@
             return Err(SizeError::TooManyPreconditions(preconditions.len()));
         }
         let too_large = writes.iter().find_map(|write| match write {
-            Write::Put { put, value, .. } if value.to_string().len() > self.value_bytes => {
-                Some(put.clone())
+            Write::Put { key, value, .. } if value.to_string().len() > self.value_bytes => {
+                Some(key.clone())
             }
             _ => None,
         });
--- a/crates/testkit/src/store/transactions.rs
+++ b/crates/testkit/src/store/transactions.rs
@@ -48,8 +48,8 @@
         }
         for write in transaction.writes {
             match write {
-                Write::Put { put, value, lease } => self.put(put, value, lease),
-                Write::Remove { remove } => self.remove(remove),
+                Write::Put { key, value, lease } => self.put(key, value, lease),
+                Write::Remove { key } => self.remove(key),
             }
         }
         while self.change_log.len() > MAX_LOG_ENTRIES {
@@ -105,11 +105,11 @@
     /// Notes the machines whose records say that they are decommissioned.
     fn record_decommissioned(&mut self, transaction: &Transaction) {
         for write in &transaction.writes {
-            let Write::Put { put, value, .. } = write else {
+            let Write::Put { key, value, .. } = write else {
                 continue;
             };
             let reason = value.get("condemned").and_then(Value::as_str);
-            if let (Some(id), Some(reason)) = (put.strip_prefix(MACHINES), reason) {
+            if let (Some(id), Some(reason)) = (key.strip_prefix(MACHINES), reason) {
                 let first = self.decommissioned.entry(MachineId::new(id));
                 first.or_insert_with(|| reason.to_owned());
             }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -51,7 +51,8 @@
     /// Sets a value.
     Put {
         /// The key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// The value.
         #[serde(rename = "data")]
         value: Value,
@@ -62,7 +63,8 @@
     /// Removes a key.
     Remove {
         /// The key.
-        remove: String,
+        #[serde(rename = "remove")]
+        key: String,
     },
 }
 
@@ -70,7 +72,7 @@
     /// A write of a value that is bound to no lease.
     pub fn put(key: String, value: Value) -> Self {
         Self::Put {
-            put: key,
+            key,
             value,
             lease: None,
         }
@@ -79,8 +81,7 @@
     /// The key that is changed.
     pub fn key(&self) -> &str {
         match self {
-            Self::Put { put, .. } => put,
-            Self::Remove { remove } => remove,
+            Self::Put { key, .. } | Self::Remove { key } => key,
         }
     }
 }
@@ -141,7 +142,8 @@
     /// A value was set.
     Put {
         /// The key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// The value.
         #[serde(rename = "data")]
         value: Value,
@@ -152,7 +154,8 @@
     /// A key was removed.
     Remove {
         /// The key.
-        remove: String,
+        #[serde(rename = "remove")]
+        key: String,
         /// Revision of the change.
         #[serde(rename = "stamp")]
         version: u64,
--- a/crates/wire/tests/golden/state.rs
+++ b/crates/wire/tests/golden/state.rs
@@ -12,13 +12,13 @@
         }],
         writes: vec![
             Write::Put {
-                put: "c/leader".to_owned(),
+                key: "c/leader".to_owned(),
                 value: json!({"x": 1}),
                 lease: Some(7),
             },
             Write::put("c/epoch".to_owned(), json!(4)),
             Write::Remove {
-                remove: "job/j-1".to_owned(),
+                key: "job/j-1".to_owned(),
             },
         ],
     }
@@ -44,12 +44,12 @@
         revision: 20,
         events: vec![
             Change::Put {
-                put: "c/epoch".to_owned(),
+                key: "c/epoch".to_owned(),
                 value: json!(5),
                 version: 20,
             },
             Change::Remove {
-                remove: "c/leader".to_owned(),
+                key: "c/leader".to_owned(),
                 version: 19,
             },
         ],
