--- a/crates/net/src/bind.rs
+++ b/crates/net/src/bind.rs
@@ -1,18 +1,20 @@
-//! Listening sockets.
+//! Creation of listening sockets.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Listens on an address with a backlog of up to `backlog` connections (no more than the
-/// kernel's `net.core.somaxconn`). The kernel of a client that finds the backlog full
-/// repeats the attempt after a second.
+/// Creates a socket that listens on `addr`. Up to `backlog` connections wait to be accepted,
+/// but no more than the kernel's `net.core.somaxconn`. If the backlog is full, the kernel of
+/// a connecting client retries after a second.
 ///
 /// # Errors
 ///
-/// Those of the system: the address is in use, or not of this machine.
+/// The error of the operating system, for example if the address is in use or does not
+/// belong to this machine.
 pub fn bind_listener(addr: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
+    // A restarted process can bind the address while old connections are in `TIME_WAIT`.
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
     socket.listen(i32::try_from(backlog).unwrap_or(i32::MAX))?;
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,9 +1,9 @@
-//! The HTTP client for the state service, the cloud and workers.
+//! The HTTP client for calls to the key-value store, the cloud and workers.
 //!
-//! Connections are pooled and reused. A call is attempted once: only the caller knows
-//! whether a retry is safe.
+//! Connections are pooled and reused. The client sends each request once and never retries
+//! it: only the caller knows whether a retry is safe.
 
-use crate::deadline;
+use crate::deadline::deadline_after;
 use crate::stream::{Stream, Traffic};
 use async_h1::client::Encoder;
 use futures_lite::{future, AsyncReadExt};
@@ -15,32 +15,32 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// One HTTP request to a service or a worker.
+/// An HTTP request to the key-value store, the cloud or a worker.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Address of the server.
     pub addr: SocketAddr,
-    /// `GET`, `POST` or `DELETE`.
+    /// `GET` or `DELETE`; any other value is sent as `POST`.
     pub method: &'static str,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: String,
-    /// Body, in JSON.
+    /// Request body, in JSON; none: the request has no body.
     pub body: Option<Vec<u8>>,
-    /// Time after which a response is no longer accepted.
+    /// Time from the start of the call after which a response is no longer accepted.
     pub timeout: Duration,
 }
 
 /// Result of a call.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// HTTP status; 0 if there was no response.
+    /// HTTP status of the response. 0: there was no response within the timeout.
+    /// [`STATUS_RESPONSE_TOO_LONG`]: the response was discarded.
     pub status: u16,
-    /// Body of the response.
+    /// Body of the response; empty if there was no response or it was discarded.
     pub body: Vec<u8>,
 }
 
 impl Outcome {
-    /// A result without a body.
     fn without_body(status: u16) -> Self {
         Self {
             status,
@@ -51,17 +51,18 @@
 
 /// Status of an outcome without a response.
 const NO_RESPONSE: u16 = 0;
-/// Status of an outcome whose response was longer than the client allows.
+/// Status of an outcome whose response was longer than
+/// [`ClientLimits::max_response_bytes`]. The client sets this status itself.
 pub const STATUS_RESPONSE_TOO_LONG: u16 = 413;
 
-/// Limits of a client.
+/// Limits of a client on connections and responses.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Maximum number of idle connections to one server.
     pub max_idle_per_host: usize,
-    /// Maximum number of idle connections in all.
+    /// Maximum number of idle connections to all servers together.
     pub max_idle: usize,
-    /// Time for which an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
     /// Maximum size of a response body, in bytes.
     pub max_response_bytes: u64,
@@ -70,7 +71,7 @@
 /// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
-    /// The server can't be connected to.
+    /// No connection could be established.
     #[error("connection failed: {0}")]
     Connect(#[source] io::Error),
     /// The timeout passed while the connection was being established.
@@ -95,21 +96,22 @@
 
 /// An HTTP client with a pool of idle connections.
 ///
-/// It belongs to one thread; calls on it may overlap.
+/// A client belongs to one thread. Several calls may be in flight at the same time.
 pub struct Client {
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     limits: ClientLimits,
+    /// Traffic of completed calls since the last [`Client::take_traffic`].
     traffic: Cell<Traffic>,
 }
 
-/// A connection that is kept for reuse.
+/// An open connection without a call, kept for reuse.
 struct IdleConnection {
     stream: Stream,
     idle_since: Instant,
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(limits: ClientLimits) -> Self {
         Self {
             idle: RefCell::default(),
@@ -118,8 +120,8 @@
         }
     }
 
-    /// Makes a call, once. It completes within the timeout of the call; if dropped before
-    /// that, it closes its connection.
+    /// Sends a request once and waits for the response, no longer than the timeout of the
+    /// call. If the returned future is dropped earlier, the connection is closed.
     pub async fn call(&self, call: Call) -> Outcome {
         let started = Instant::now();
         let response = async {
@@ -127,32 +129,33 @@
             attempted.unwrap_or_else(|error| failed_outcome(&call, &error))
         };
         let timeout = async {
-            deadline::deadline_after(call.timeout).await;
+            deadline_after(call.timeout).await;
             log::debug!("{} {} {}: timed out", call.addr, call.method, call.path);
             Outcome::without_body(NO_RESPONSE)
         };
         future::or(response, timeout).await
     }
 
-    /// Returns the bytes that completed calls have moved, with their heads, since this was
-    /// last called.
+    /// Returns the traffic of the calls that have completed since the last call of this
+    /// method, including HTTP heads, and resets the counters.
     pub fn take_traffic(&self) -> Traffic {
         self.traffic.take()
     }
 
-    /// Closes connections that have been idle for longer than the client keeps them.
+    /// Closes connections that have been idle for [`ClientLimits::idle_timeout`]. The owner
+    /// of the client calls this method periodically.
     pub fn close_expired_connections(&self) {
-        let keep = self.limits.idle_timeout;
+        let idle_timeout = self.limits.idle_timeout;
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| idle.idle_since.elapsed() < keep);
+            connections.retain(|idle| idle.idle_since.elapsed() < idle_timeout);
             !connections.is_empty()
         });
     }
 
     async fn attempt(&self, call: &Call, started: Instant) -> Result<Outcome, CallError> {
         let connection = CloseOnDrop::new(self.connect(call.addr).await?);
-        // The process may have been paused while it connected. The request is stale then,
-        // and the timer that ends the call may not have fired yet.
+        // If the process was paused while the connection was being established, the request
+        // is stale, but the timer that ends the call may not have fired yet.
         if started.elapsed() >= call.timeout {
             return Err(CallError::Expired);
         }
@@ -164,22 +167,24 @@
         if body.len() as u64 > self.limits.max_response_bytes {
             return Err(CallError::TooLong(self.limits.max_response_bytes));
         }
-        if !is_last(&response) {
-            self.put_back(call.addr, connection.keep_open());
+        if !closes_connection(&response) {
+            self.return_to_pool(call.addr, connection.disarm());
         }
         let status = response.status().into();
         Ok(Outcome { status, body })
     }
 
-    /// An idle connection to a server, or a new one.
+    /// Returns an idle connection to a server, or establishes a new one.
     async fn connect(&self, addr: SocketAddr) -> Result<Stream, CallError> {
-        match self.take_idle(addr) {
+        match self.reuse_idle(addr) {
             Some(stream) => Ok(stream),
             None => Stream::connect(addr).await.map_err(CallError::Connect),
         }
     }
 
-    fn take_idle(&self, addr: SocketAddr) -> Option<Stream> {
+    /// Takes the connection to a server that was pooled last and can serve another request.
+    /// Connections that can't, and were pooled later, are dropped.
+    fn reuse_idle(&self, addr: SocketAddr) -> Option<Stream> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&addr)?;
         while let Some(connection) = connections.pop() {
@@ -191,9 +196,11 @@
         None
     }
 
-    fn put_back(&self, addr: SocketAddr, stream: Stream) {
+    /// Keeps a connection for reuse, or drops it if the pool has reached a limit.
+    fn return_to_pool(&self, addr: SocketAddr, stream: Stream) {
         let mut idle = self.idle.borrow_mut();
-        // There may be thousands of workers, most of which are not called again soon.
+        // The limit on the total matters for workers: there may be thousands of them, and
+        // most are not called again soon.
         let total: usize = idle.values().map(Vec::len).sum();
         let connections = idle.entry(addr).or_default();
         if connections.len() < self.limits.max_idle_per_host && total < self.limits.max_idle {
@@ -202,7 +209,8 @@
         }
     }
 
-    /// Reads a body up to one byte beyond the limit, so that a longer one is detected.
+    /// Reads a body up to one byte beyond the limit, so that the caller detects a body that
+    /// is too long.
     async fn read_body(&self, response: &mut http_types::Response) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         let mut limited = response.take(self.limits.max_response_bytes + 1);
@@ -210,19 +218,19 @@
         Ok(body)
     }
 
-    fn add_traffic(&self, moved: Traffic) {
+    fn add_traffic(&self, traffic: Traffic) {
         let total = self.traffic.get();
         self.traffic.set(Traffic {
-            sent: total.sent + moved.sent,
-            received: total.received + moved.received,
+            sent: total.sent + traffic.sent,
+            received: total.received + traffic.received,
         });
     }
 }
 
-/// Logs why a call failed, and returns the outcome that stands for it.
+/// Logs why a call failed, and returns the outcome that reports the failure.
 fn failed_outcome(call: &Call, error: &CallError) -> Outcome {
     match error {
-        // A retry would fail as well: the caller must request less.
+        // A retry would fail as well: the caller has to request a smaller response.
         CallError::TooLong(_) => {
             log::error!("{} {}: {error}", call.addr, call.path);
             Outcome::without_body(STATUS_RESPONSE_TOO_LONG)
@@ -250,13 +258,14 @@
 }
 
 /// Whether the server closes the connection after this response.
-fn is_last(response: &http_types::Response) -> bool {
+fn closes_connection(response: &http_types::Response) -> bool {
     let connection = response.header(CONNECTION);
     connection.is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"))
 }
 
-/// Closes the connection of a call that ends early: the late response would be taken for
-/// that of the next call.
+/// Closes the connection of a call when it is dropped, unless it was disarmed. A call that
+/// ends early must not return its connection to the pool: the late response would be read as
+/// the response to the next request.
 struct CloseOnDrop {
     stream: Stream,
     is_armed: bool,
@@ -270,7 +279,8 @@
         }
     }
 
-    fn keep_open(mut self) -> Stream {
+    /// Returns the connection without closing it.
+    fn disarm(mut self) -> Stream {
         self.is_armed = false;
         self.stream.clone()
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,23 +1,25 @@
-//! HTTP/1.1 server and client of forkshift, and the links between controllers, on
-//! `async-h1` and `async-io`.
+//! HTTP/1.1 server, HTTP/1.1 client, and TCP links between controllers, based on `async-h1`
+//! and `async-io`.
 //!
 //! # Concurrency
 //!
 //! All tasks of a process run on one thread, on one [`Executor`]; shared state is in `Rc`,
 //! `Cell` and `RefCell`, and no borrow is held across an `await`. Nothing here may block:
-//! sockets are non-blocking, and `async-io`'s own thread polls the reactor. Only
-//! [`deadline_after`] keeps state behind a mutex, because the reactor's thread wakes it.
+//! sockets are non-blocking, and `async-io`'s own thread polls the reactor. Only the state
+//! of [`deadline_after`] is behind a mutex, because the timer wakes it on the reactor's
+//! thread.
 //!
 //! # Bounds
 //!
-//! Everything that a remote end can make grow is bounded, by limits that the caller
-//! passes: connections, sizes of bodies and messages, bytes in queues, and the time of each
-//! step. A connection beyond a limit is closed or waits in the backlog; a message beyond a
-//! limit is dropped and counted in the log.
+//! Everything that a remote end can make grow has a limit: connections, sizes of bodies and
+//! messages, bytes in queues, and the duration of each read and write. The caller passes the
+//! limits on counts and sizes. A connection beyond a limit is closed or waits in the backlog
+//! of the listening socket. A message beyond the limit of a send queue is dropped, and the
+//! log reports how many were dropped.
 //!
-//! # End
+//! # Shutdown
 //!
-//! [`serve_http`] and [`receive_peer_messages`] have no end of their own; they run until the process exits.
+//! There is none: [`serve_http`] and [`receive_peer_messages`] run until the process exits.
 
 mod accept;
 mod bind;
@@ -37,5 +39,5 @@
 use async_executor::LocalExecutor;
 use std::rc::Rc;
 
-/// The single-threaded executor that all tasks of a process run on.
+/// The single-threaded executor on which all tasks of a process run.
 pub type Executor = Rc<LocalExecutor<'static>>;
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -1,12 +1,13 @@
-//! Links between controllers: one connection for each direction, each message behind its
-//! length as four bytes, big-endian.
+//! Links between controllers: one TCP connection for each direction. Each message is preceded
+//! by its length in bytes, as a big-endian 32-bit integer.
 //!
-//! A [`PeerLink`] has a task that connects and sends; messages wait in its queue. [`receive_peer_messages`]
-//! has a task for each incoming connection. A message may be lost with its connection and
-//! is not sent again.
+//! Each [`PeerLink`] has a send queue, and a task that connects to the peer and sends the
+//! queued messages. [`receive_peer_messages`] has a task for each incoming connection. A
+//! message that is lost with its connection is not sent again: messages only reduce latency,
+//! and the receiver reads their contents from the key-value store or requests them again.
 
 use crate::accept::Acceptor;
-use crate::deadline;
+use crate::deadline::deadline_after;
 use crate::stream::Stream;
 use crate::Executor;
 use async_channel::{Receiver, Sender};
@@ -18,36 +19,37 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Timeout for connecting and sending one message.
+/// Timeout for sending one message, including the time for connecting.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay after a failure before the next message is sent.
-const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay between a failure to send a message and the attempt to send the next one.
+const RECONNECT_DELAY: Duration = Duration::from_secs(1);
 /// Time after which an incoming connection without any traffic is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Minimum time between two log lines about dropped messages.
+/// Minimum time between two log lines of a link about dropped messages.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Sending end of the link to one peer.
+/// The sending end of the link to one peer.
 ///
-/// Messages that the peer does not accept as fast as they are sent are queued up to a
-/// number of bytes. Beyond that they are dropped, and counted in the log. The task of the
-/// link ends when this is dropped and the queue is empty.
+/// Messages that the peer does not receive as fast as the controller sends them are queued,
+/// up to a number of bytes. Further messages are dropped, and the log reports how many. When
+/// the `PeerLink` is dropped, its task sends the queued messages and ends.
 pub struct PeerLink {
     addr: SocketAddr,
     messages: Sender<Vec<u8>>,
-    queue: Rc<QueueState>,
+    queue_size: Rc<QueueSize>,
 }
 
-/// Accounting of the messages that wait for a peer.
-struct QueueState {
+/// Size of the send queue of a link, and the number of messages that exceeded it.
+struct QueueSize {
+    /// Size of all queued messages.
     bytes: Cell<usize>,
     max_bytes: usize,
-    /// Messages dropped since the last log line.
+    /// Number of messages dropped since the last log line about them.
     dropped: Cell<u64>,
     last_logged_at: RefCell<Option<Instant>>,
 }
 
-impl QueueState {
+impl QueueSize {
     fn new(max_bytes: usize) -> Self {
         Self {
             bytes: Cell::new(0),
@@ -57,7 +59,7 @@
         }
     }
 
-    fn has_room(&self, bytes: usize) -> bool {
+    fn has_capacity_for(&self, bytes: usize) -> bool {
         self.bytes.get() + bytes <= self.max_bytes
     }
 
@@ -69,8 +71,8 @@
         self.bytes.set(self.bytes.get() - bytes);
     }
 
-    /// Counts a dropped message, and logs the count periodically.
-    fn on_dropped(&self, addr: SocketAddr) {
+    /// Counts a dropped message. Logs the count, at most once per [`DROP_LOG_INTERVAL`].
+    fn count_dropped(&self, addr: SocketAddr) {
         self.dropped.set(self.dropped.get() + 1);
         let mut last_logged_at = self.last_logged_at.borrow_mut();
         if last_logged_at.is_none_or(|at| at.elapsed() >= DROP_LOG_INTERVAL) {
@@ -82,54 +84,57 @@
 }
 
 impl PeerLink {
-    /// A link that connects when the first message is sent, and queues up to `max_bytes`.
+    /// Creates a link that connects when the first message is sent. The queue holds messages
+    /// of up to `max_bytes` in total.
     pub fn new(ex: &Executor, addr: SocketAddr, max_bytes: usize) -> Self {
         let (messages, receiver) = async_channel::unbounded();
-        let queue = Rc::new(QueueState::new(max_bytes));
-        ex.spawn(send_messages(addr, receiver, queue.clone()))
+        let queue_size = Rc::new(QueueSize::new(max_bytes));
+        ex.spawn(send_messages(addr, receiver, queue_size.clone()))
             .detach();
         Self {
             addr,
             messages,
-            queue,
+            queue_size,
         }
     }
 
-    /// Queues a message, or drops it if the queue is full. Returns whether it was queued.
+    /// Queues a message, or drops it if the queue is full. Returns whether the message was
+    /// queued.
     pub fn send(&self, message: Vec<u8>) -> bool {
         let bytes = message.len();
-        let is_queued = self.queue.has_room(bytes) && self.messages.try_send(message).is_ok();
+        let is_queued =
+            self.queue_size.has_capacity_for(bytes) && self.messages.try_send(message).is_ok();
         if is_queued {
-            self.queue.add(bytes);
+            self.queue_size.add(bytes);
         } else {
-            self.queue.on_dropped(self.addr);
+            self.queue_size.count_dropped(self.addr);
         }
         is_queued
     }
 }
 
-/// Sends queued messages, until the link is dropped.
-async fn send_messages(addr: SocketAddr, messages: Receiver<Vec<u8>>, queue: Rc<QueueState>) {
+/// Sends queued messages until the link is dropped and the queue is empty.
+async fn send_messages(addr: SocketAddr, messages: Receiver<Vec<u8>>, queue_size: Rc<QueueSize>) {
     let mut connection: Option<Stream> = None;
     while let Ok(message) = messages.recv().await {
-        queue.remove(message.len());
+        queue_size.remove(message.len());
         let sending = send_message(addr, connection.take(), &message);
         let timeout = async {
-            deadline::deadline_after(SEND_TIMEOUT).await;
+            deadline_after(SEND_TIMEOUT).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         match future::or(sending, timeout).await {
             Ok(stream) => connection = Some(stream),
             Err(e) => {
-                log::debug!("peer {addr}: {e}");
-                Timer::after(RETRY_DELAY).await;
+                log::debug!("peer {addr}: message lost, reconnecting in {RECONNECT_DELAY:?}: {e}");
+                Timer::after(RECONNECT_DELAY).await;
             }
         }
     }
 }
 
-/// Sends a message on a connection, or on a new one if that has been closed; returns the
-/// connection.
+/// Sends a message on `connection`, or on a new connection if there is none or it can't be
+/// reused. Returns the connection that was used.
 async fn send_message(
     addr: SocketAddr,
     connection: Option<Stream>,
@@ -145,8 +150,9 @@
     Ok(stream)
 }
 
-/// Receives messages from all peers until the process exits, on up to `max_connections`
-/// connections at a time. A message of more than `max_message_bytes` ends its connection.
+/// Receives messages from all peers until the process exits, and passes each to
+/// `on_message`. A connection beyond `max_connections` is closed at once; a message of more
+/// than `max_message_bytes` closes its connection.
 pub async fn receive_peer_messages<F>(
     ex: Executor,
     listener: TcpListener,
@@ -159,14 +165,16 @@
     let acceptor = match Acceptor::new(listener, "peer listener") {
         Ok(acceptor) => acceptor,
         Err(e) => {
-            log::error!("peer listener: cannot listen, {e}");
+            log::error!(
+                "peer listener: cannot listen, messages of peers will not be received: {e}"
+            );
             return;
         }
     };
     let on_message = Rc::new(on_message);
     loop {
         let stream = acceptor.accept().await;
-        // One reference belongs to this loop, and one to each connection.
+        // The loop holds one reference, and each open connection holds another.
         if Rc::strong_count(&on_message) > max_connections {
             stream.close();
             continue;
@@ -174,11 +182,11 @@
         let on_message = on_message.clone();
         ex.spawn(async move {
             let receiving = receive_messages(stream.clone(), max_message_bytes, &*on_message);
-            let idle = async {
+            let idle_timeout = async {
                 stream.wait_idle(IDLE_TIMEOUT).await;
                 Ok(())
             };
-            if let Err(e) = future::or(receiving, idle).await {
+            if let Err(e) = future::or(receiving, idle_timeout).await {
                 log::debug!("peer listener: connection lost, {e}");
             }
             stream.close();
@@ -187,7 +195,7 @@
     }
 }
 
-/// Receives the messages of one connection.
+/// Receives messages on one connection, until it is closed or a message is too long.
 async fn receive_messages<F: Fn(Vec<u8>)>(
     mut stream: Stream,
     max_message_bytes: usize,
@@ -198,7 +206,10 @@
         stream.read_exact(&mut length).await?;
         let length = u32::from_be_bytes(length) as usize;
         if length > max_message_bytes {
-            log::error!("peer listener: message too long, {length} bytes");
+            log::error!(
+                "peer listener: message too long, {length} bytes of {max_message_bytes} allowed; \
+                 closing the connection"
+            );
             return Ok(());
         }
         let mut message = vec![0; length];
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,10 +1,10 @@
 //! The HTTP server for users, workers and health probes.
 //!
-//! Each connection has a task of its own, which handles one request at a time. The table
-//! of open connections belongs to the accept loop and is shared with these tasks.
+//! Each connection has a task of its own, which serves one request at a time. The accept
+//! loop and the tasks of the connections share the table of open connections.
 
 use crate::accept::Acceptor;
-use crate::deadline;
+use crate::deadline::deadline_after;
 use crate::stream::Stream;
 use crate::Executor;
 use async_h1::server::Encoder;
@@ -19,56 +19,60 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A request that has been read completely.
+/// An HTTP request that was received completely.
 #[derive(Debug)]
 pub struct Request {
-    /// `GET`, `POST`, …
+    /// HTTP method in upper case, as in `GET`.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: String,
-    /// The body; none if it was longer than the server allows.
+    /// The body, empty if the request has none. `None`: the body was longer than
+    /// [`ServerLimits::max_body_bytes`].
     pub body: Option<Vec<u8>>,
 }
 
-/// A response.
+/// The response to an HTTP request.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// HTTP status.
+    /// HTTP status; 500 is sent for a number that is not a status.
     pub status: u16,
     /// Body, in JSON.
     pub body: Vec<u8>,
-    /// Value of the `retry-after` header, in seconds.
+    /// Value of the `retry-after` header, in seconds; none: the header is left out.
     pub retry_after_s: Option<u32>,
 }
 
-/// Limits of a server.
+/// Limits of a server on connections and requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Maximum number of open connections; more wait in the backlog.
+    /// Maximum number of open connections. Further connections wait in the backlog of the
+    /// listening socket.
     pub max_connections: usize,
-    /// Number of open connections beyond which each is closed after its response: there
-    /// may be more workers than sockets, and each of them sends heartbeats.
+    /// Number of open connections above which a connection is closed after its next
+    /// response. There may be more workers than sockets, and every worker needs a connection
+    /// for its heartbeats.
     pub max_keep_alive_connections: usize,
     /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
     /// Time after which a connection without any traffic is closed.
     pub idle_timeout: Duration,
-    /// Timeout for the body of a request.
+    /// Timeout for receiving the body of a request.
     pub body_timeout: Duration,
 }
 
-/// Idle time after which a connection may be closed in favour of a new one.
-const MIN_EVICTION_IDLE: Duration = Duration::from_secs(1);
-/// Delay between two checks for a free place in the table.
-const FULL_TABLE_DELAY: Duration = Duration::from_millis(5);
+/// Idle time after which a connection may be closed to accept a new one.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(1);
+/// While the maximum number of connections is open: interval between two checks whether one
+/// has been closed.
+const FULL_TABLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a connection ends early.
+/// Why a connection is closed before its client closes it.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
     /// Sending or receiving failed.
     #[error("connection lost: {0}")]
     Io(#[from] io::Error),
-    /// The bytes are not an HTTP request.
+    /// The client sent something other than an HTTP request.
     #[error("malformed request: {0}")]
     Malformed(http_types::Error),
     /// The body did not arrive completely, or not in time.
@@ -76,15 +80,15 @@
     IncompleteBody(#[source] io::Error),
 }
 
-/// An open connection. Clones share the state.
+/// An open connection. Clones refer to the same connection.
 #[derive(Clone)]
 struct Connection {
     stream: Stream,
-    /// Whether a request is waiting for its response.
-    is_busy: Rc<Cell<bool>>,
+    /// Whether a request has been received and its response is not ready yet.
+    is_handling_request: Rc<Cell<bool>>,
 }
 
-/// The open connections.
+/// The open connections of a server, by numbers that are assigned in order.
 #[derive(Default)]
 struct ConnectionTable {
     open: RefCell<BTreeMap<u64, Connection>>,
@@ -96,7 +100,7 @@
         self.open.borrow().len()
     }
 
-    /// Adds a connection, and returns its key.
+    /// Adds a connection and returns its number.
     fn insert(&self, connection: Connection) -> u64 {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
@@ -108,23 +112,24 @@
         self.open.borrow_mut().remove(&id);
     }
 
-    /// Closes the connection that has been idle longest, unless that was only shortly.
-    fn evict_idle(&self) {
+    /// Closes the connection that has been idle longest, if it has been idle for at least
+    /// [`MIN_IDLE_BEFORE_EVICTION`]. Connections with a request in flight are not closed.
+    fn close_longest_idle(&self) {
         let open = self.open.borrow();
         let longest_idle = open
             .values()
-            .filter(|connection| !connection.is_busy.get())
+            .filter(|connection| !connection.is_handling_request.get())
             .map(|connection| (connection.stream.idle_for(), &connection.stream))
             .max_by_key(|(idle_time, _)| *idle_time);
         match longest_idle {
-            Some((idle_time, stream)) if idle_time >= MIN_EVICTION_IDLE => stream.close(),
+            Some((idle_time, stream)) if idle_time >= MIN_IDLE_BEFORE_EVICTION => stream.close(),
             _ => {}
         }
     }
 }
 
-/// Serves requests until the process exits. `handler` is called for each request, and
-/// may be called again before its earlier futures have completed.
+/// Serves HTTP requests until the process exits. `handler` is called once for each request;
+/// it may be called again before the futures of earlier calls have completed.
 pub async fn serve_http<F, Fut>(
     ex: Executor,
     listener: TcpListener,
@@ -137,22 +142,23 @@
     let acceptor = match Acceptor::new(listener, "server") {
         Ok(acceptor) => acceptor,
         Err(e) => {
-            log::error!("server: cannot listen, {e}");
+            log::error!("server: cannot listen, requests will not be served: {e}");
             return;
         }
     };
     let table: Rc<ConnectionTable> = Rc::default();
     loop {
-        // Idle clients must not lock others out. Connections beyond the limit wait in the
-        // backlog, where a load balancer sees that they are not accepted and fails over.
+        // Idle clients must not block new ones, so the longest idle connection is closed.
+        // Connections beyond the limit wait in the backlog, where a load balancer notices
+        // that they are not accepted, and fails over to another controller.
         if table.len() >= limits.max_connections {
-            table.evict_idle();
-            Timer::after(FULL_TABLE_DELAY).await;
+            table.close_longest_idle();
+            Timer::after(FULL_TABLE_POLL_INTERVAL).await;
             continue;
         }
         let connection = Connection {
             stream: acceptor.accept().await,
-            is_busy: Rc::default(),
+            is_handling_request: Rc::default(),
         };
         let id = table.insert(connection.clone());
         let (table, handler) = (table.clone(), handler.clone());
@@ -165,7 +171,8 @@
     }
 }
 
-/// Handles the requests of a connection, one after another, until it is closed or idle.
+/// Serves the requests of a connection one after another, until the connection is closed or
+/// has been idle for [`ServerLimits::idle_timeout`].
 async fn serve_connection<F, Fut>(
     connection: &Connection,
     limits: ServerLimits,
@@ -176,74 +183,81 @@
     Fut: Future<Output = Response> + 'static,
 {
     let serving = async {
-        while exchange(connection, limits, table, &handler).await? == Next::KeepAlive {}
+        while serve_request(connection, limits, table, &handler).await? == AfterResponse::KeepAlive
+        {
+        }
         Ok::<(), ConnectionError>(())
     };
-    let idle = async {
+    let idle_timeout = async {
         connection.stream.wait_idle(limits.idle_timeout).await;
         Ok(())
     };
-    if let Err(e) = future::or(serving, idle).await {
-        log::debug!("server: {e}");
+    if let Err(e) = future::or(serving, idle_timeout).await {
+        log::debug!("server: connection closed, {e}");
     }
 }
 
-/// What happens to a connection after a response.
+/// Whether a connection stays open after a response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Next {
+enum AfterResponse {
     KeepAlive,
     Close,
 }
 
-/// Reads a request and responds to it. The head must arrive within twice the idle time.
+/// Receives a request, calls the handler and sends the response.
+///
+/// The head of the request must arrive within twice [`ServerLimits::idle_timeout`]. This
+/// timeout ends a connection whose client sends the head so slowly, byte by byte, that the
+/// connection is never idle.
 ///
-/// `async_h1::accept` would do the same, but sets a timer of `async-io` for each request,
-/// which [`deadline`] avoids.
-async fn exchange<F, Fut>(
+/// `async_h1::accept` has the same purpose, but sets a timer of `async-io` for each request;
+/// the module `deadline` avoids that cost.
+async fn serve_request<F, Fut>(
     connection: &Connection,
     limits: ServerLimits,
     table: &ConnectionTable,
     handler: &F,
-) -> Result<Next, ConnectionError>
+) -> Result<AfterResponse, ConnectionError>
 where
     F: Fn(Request) -> Fut + 'static,
     Fut: Future<Output = Response> + 'static,
 {
     let stream = &connection.stream;
     let head_timeout = async {
-        deadline::deadline_after(limits.idle_timeout * 2).await;
+        deadline_after(limits.idle_timeout * 2).await;
         Ok(None)
     };
     let decoding = async_h1::server::decode(stream.clone());
     let decoded = future::or(decoding, head_timeout).await;
     let Some((request, mut unread)) = decoded.map_err(ConnectionError::Malformed)? else {
-        return Ok(Next::Close);
+        return Ok(AfterResponse::Close);
     };
     let method = request.method();
-    let closed_by_client = is_close(request.header(CONNECTION));
-    connection.is_busy.set(true);
-    let handled = handle(request, limits, handler).await;
-    connection.is_busy.set(false);
+    let client_closes = is_close(request.header(CONNECTION));
+    connection.is_handling_request.set(true);
+    let handled = respond_to(request, limits, handler).await;
+    connection.is_handling_request.set(false);
     let mut response = handled?;
     if table.len() > limits.max_keep_alive_connections {
         response.insert_header(CONNECTION, "close");
     }
-    let is_last = closed_by_client || is_close(response.header(CONNECTION));
+    let is_last_response = client_closes || is_close(response.header(CONNECTION));
     stream.send(Encoder::new(response, method)).await?;
-    // What is left of the body precedes the next request.
+    // The next request follows the rest of the body, so the rest is read and discarded.
     io::copy(&mut unread, &mut io::sink()).await?;
-    Ok(match is_last {
-        true => Next::Close,
-        false => Next::KeepAlive,
+    Ok(match is_last_response {
+        true => AfterResponse::Close,
+        false => AfterResponse::KeepAlive,
     })
 }
 
+/// Whether a `connection` header asks for the connection to be closed.
 fn is_close(connection: Option<&HeaderValues>) -> bool {
     connection.is_some_and(|values| values.as_str().eq_ignore_ascii_case("close"))
 }
 
-/// Reads the rest of a request, and has it handled.
-async fn handle<F, Fut>(
+/// Reads the body of a request, calls the handler, and returns its response.
+async fn respond_to<F, Fut>(
     mut request: http_types::Request,
     limits: ServerLimits,
     handler: &F,
@@ -262,13 +276,14 @@
     .await;
     let mut response = http_response(response);
     if is_body_too_long {
-        // Reading the rest of the body would cost more than a new connection.
+        // Reading and discarding the rest of the body would cost more than a new connection.
         response.insert_header(CONNECTION, "close");
     }
     Ok(response)
 }
 
-/// Reads the body of a request; none if it is longer than allowed.
+/// Reads the body of a request. `None`: the body is longer than
+/// [`ServerLimits::max_body_bytes`].
 async fn read_body(
     request: &mut http_types::Request,
     limits: ServerLimits,
@@ -288,7 +303,7 @@
         limited.read_to_end(&mut body).await
     };
     let timeout = async {
-        deadline::deadline_after(limits.body_timeout).await;
+        deadline_after(limits.body_timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     let read = future::or(reading, timeout).await;
--- a/crates/net/tests/bind.rs
+++ b/crates/net/tests/bind.rs
@@ -1,12 +1,13 @@
-//! Listening sockets on the loopback interface.
+//! Tests of listening sockets, on the loopback interface.
 
 use forkshift_net::bind_listener;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The standard library's backlog holds 128 connections: when a controller was paused for
-/// a moment, the rest of a large fleet had to wait for a second.
+/// The backlog of the standard library holds 128 connections. With it, the workers of a large
+/// fleet that connected while a controller was paused were delayed by a second, the kernel's
+/// retry interval.
 #[test]
 fn backlog_holds_the_requested_number_of_connections() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
--- a/crates/net/tests/client.rs
+++ b/crates/net/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client on the loopback interface.
+//! Tests of the HTTP client, on the loopback interface.
 
 use async_executor::LocalExecutor;
 use forkshift_net::{Call, Client, ClientLimits};
@@ -18,8 +18,8 @@
     })
 }
 
-/// A process that is paused while it connects, for longer than the timeout of the call,
-/// does not send the request when it resumes.
+/// Guards against stale requests: a process that is paused while it establishes a connection,
+/// for longer than the timeout of the call, must not send the request when it resumes.
 #[test]
 fn request_is_not_sent_after_its_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -32,7 +32,7 @@
     };
     let ex = LocalExecutor::new();
     let task = ex.spawn(async move { client().call(call).await });
-    // The connection is being established when the process is paused.
+    // One tick starts to establish the connection; the sleep stands for the pause.
     assert!(ex.try_tick());
     thread::sleep(TIMEOUT * 2);
     let outcome = async_io::block_on(ex.run(task));
--- a/crates/net/tests/peers.rs
+++ b/crates/net/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Links between controllers on the loopback interface.
+//! Tests of the links between controllers, on the loopback interface.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -10,14 +10,15 @@
 
 const MESSAGE_BYTES: usize = 100;
 
-/// Sends so many messages at once through a link, and returns how many were queued.
+/// Sends `messages` messages through a link without waiting, and returns how many were
+/// queued.
 fn send_all(link: &PeerLink, messages: usize) -> usize {
     let queued = (0..messages).map(|_| link.send(vec![7; MESSAGE_BYTES]));
     queued.filter(|is_queued| *is_queued).count()
 }
 
-/// Runs the links until so many messages have arrived in all.
-fn wait_for(ex: &Executor, received: &RefCell<usize>, expected: usize) {
+/// Runs the links until `expected` messages have arrived in total.
+fn wait_until_received(ex: &Executor, received: &RefCell<usize>, expected: usize) {
     let arrived = async {
         while *received.borrow() < expected {
             Timer::after(Duration::from_millis(1)).await;
@@ -26,10 +27,10 @@
     async_io::block_on(ex.run(arrived));
 }
 
-/// The queue is bounded in bytes; a message beyond that is dropped, and the link accepts
-/// messages again when the peer has received the queued ones. A former bound of 128
-/// messages lost most requests of a large fleet's users to a peer that was paused for a
-/// second.
+/// The queue is bounded in bytes: a message beyond the bound is dropped, and the link accepts
+/// messages again after the peer has received the queued ones. A bound of 128 messages was
+/// too low: a peer of a large fleet that was paused for a second lost most of the forwarded
+/// user requests.
 #[test]
 fn link_drops_messages_beyond_its_queue_and_recovers() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -51,21 +52,21 @@
     ))
     .detach();
     let mut expected = 0;
-    for (room, messages, queued) in cases {
-        let link = PeerLink::new(&ex, addr, room * MESSAGE_BYTES);
+    for (capacity, messages, queued) in cases {
+        let link = PeerLink::new(&ex, addr, capacity * MESSAGE_BYTES);
         assert_eq!(
             send_all(&link, messages),
             queued,
-            "{messages} with room for {room}"
+            "{messages} messages, capacity for {capacity}"
         );
         expected += queued;
-        wait_for(&ex, &received, expected);
+        wait_until_received(&ex, &received, expected);
         assert_eq!(
-            send_all(&link, room),
-            room,
+            send_all(&link, capacity),
+            capacity,
             "the queue should be empty again"
         );
-        expected += room;
-        wait_for(&ex, &received, expected);
+        expected += capacity;
+        wait_until_received(&ex, &received, expected);
     }
 }
--- a/crates/net/tests/server.rs
+++ b/crates/net/tests/server.rs
@@ -1,5 +1,5 @@
-//! The server on the loopback interface. The tests assert which clients get a response,
-//! not when.
+//! Tests of the HTTP server, on the loopback interface. The tests assert which clients get a
+//! response, not when.
 
 use async_executor::LocalExecutor;
 use forkshift_net::{serve_http, Executor, Response, ServerLimits};
@@ -24,6 +24,8 @@
     String::from_utf8_lossy(&head).to_lowercase()
 }
 
+/// Starts a server that responds to every request with `{}`, runs `client` on another thread,
+/// and returns the client's result.
 fn with_server<T: Send + 'static>(
     limits: ServerLimits,
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
@@ -45,18 +47,18 @@
     async_io::block_on(ex.run(async { result.recv().await.expect("the client ends") }))
 }
 
-fn limits(connections: usize, roomy: usize) -> ServerLimits {
+fn limits(max_connections: usize, max_keep_alive_connections: usize) -> ServerLimits {
     ServerLimits {
-        max_connections: connections,
-        max_keep_alive_connections: roomy,
+        max_connections,
+        max_keep_alive_connections,
         max_body_bytes: 1024,
         idle_timeout: Duration::from_secs(60),
         body_timeout: Duration::from_secs(60),
     }
 }
 
-/// There may be more workers than sockets: as the table fills up, connections are closed
-/// after their responses, so that all clients are served.
+/// There may be more workers than sockets. Above the keep-alive limit, connections are closed
+/// after their responses, so that every client is served.
 #[test]
 fn connections_beyond_the_keep_alive_limit_close_after_the_response() {
     let closed: Vec<bool> = with_server(limits(6, 2), |addr| {
@@ -70,14 +72,18 @@
         };
         (0..20).map(request).collect()
     });
-    assert!(!closed[0] && !closed[1], "there is room at first");
+    assert!(
+        !closed[0] && !closed[1],
+        "below the limit, connections should be kept open"
+    );
     assert!(
         closed[3..].iter().all(|is_closed| *is_closed),
-        "then no more"
+        "above the limit, connections should be closed"
     );
 }
 
-/// An idle connection in a full table is closed in favour of a new one.
+/// Guards against clients that open connections and send nothing: when the maximum number of
+/// connections is open, an idle one is closed so that a new client is served.
 #[test]
 fn idle_connections_do_not_lock_out_new_clients() {
     let responses: Vec<String> = with_server(limits(2, 10), |addr| {
