--- a/crates/daemon/build.rs
+++ b/crates/daemon/build.rs
@@ -1,4 +1,4 @@
-//! Generates the types of the operators' settings.
+//! Generates Rust types for the operators' settings from `proto/operator.proto`.
 
 fn main() {
     println!("cargo:rerun-if-changed=proto/operator.proto");
--- a/crates/daemon/src/check.rs
+++ b/crates/daemon/src/check.rs
@@ -1,30 +1,34 @@
-//! `forkshift check`: validates settings without starting a controller.
+//! `forkshift check`: validates settings files without starting a controller.
 
 use crate::load::{self, LoadError};
 use forkshift_core::{shortfalls, Operator, Shortfall};
 use std::path::Path;
 
-/// Why settings are not good.
+/// Why `check` fails.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CheckError {
-    /// A file can't be loaded.
+    /// A file can't be read or is refused.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// Limits are too small for the fleet that the operators expect.
-    #[error("{path}: limits are too small for the fleet{list}", list = lines(.shortfalls))]
+    /// Limits of the platform's settings are too small for the number of machines that the
+    /// operators' settings expect.
+    #[error(
+        "{path}: limits are too small for the fleet that the operators' settings expect:{list}",
+        list = shortfall_lines(.shortfalls)
+    )]
     TooSmall {
-        /// The platform's settings.
+        /// Path of the platform's settings.
         path: String,
-        /// The limits.
+        /// The limits that are too small; never empty.
         shortfalls: Vec<Shortfall>,
     },
 }
 
-/// Loads and validates settings, and says on standard output if they are good.
+/// Loads and validates settings, and prints one line to standard output if they are valid.
 ///
 /// # Errors
 ///
-/// [`CheckError`], for the first file that is refused, or for limits that are too small.
+/// [`CheckError`], for the first file that is refused, or for all limits that are too small.
 pub(crate) fn run(
     config: &Path,
     operator: Option<&Path>,
@@ -45,7 +49,7 @@
     Ok(())
 }
 
-/// Checks pools against the cloud's catalogue.
+/// Validates the declared pools against the cloud's catalog.
 fn check_catalog(path: &Path, operator: &Operator) -> Result<(), LoadError> {
     let catalog = load::catalog(path)?;
     for pool in operator.pools.iter() {
@@ -58,8 +62,8 @@
     Ok(())
 }
 
-/// One line for each shortfall.
-fn lines(shortfalls: &[Shortfall]) -> String {
+/// Formats the shortfalls as an indented list, each on a line of its own.
+fn shortfall_lines(shortfalls: &[Shortfall]) -> String {
     shortfalls
         .iter()
         .map(|shortfall| format!("\n  {shortfall}"))
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -1,4 +1,4 @@
-//! Loading the files that the command line names.
+//! Loading of the files that are given on the command line.
 
 use crate::operator::{self, OperatorError};
 use forkshift_core::Operator;
@@ -7,15 +7,15 @@
 use std::io;
 use std::path::Path;
 
-/// Why a file can't be used; each variant has the path of the file.
+/// Why a file can't be loaded. Each message starts with the path of the file.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LoadError {
     /// The file can't be read.
-    #[error("{path}: {source}")]
+    #[error("{path}: cannot be read: {source}")]
     Read {
         /// Path of the file.
         path: String,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The platform's settings are refused.
@@ -26,25 +26,25 @@
         /// Why they are refused.
         source: SettingsError,
     },
-    /// The operators' settings are refused, or don't match the catalogue.
+    /// The operators' settings are refused, or don't match the catalog.
     #[error("{path}: {source}")]
     Operator {
-        /// Path of the settings, or of the catalogue.
+        /// Path of the operators' settings, or of the catalog that they don't match.
         path: String,
         /// Why they are refused.
         source: OperatorError,
     },
-    /// The catalogue is not JSON of the expected form.
-    #[error("{path}: not a catalogue: {source}")]
+    /// The catalog is not JSON of the expected form.
+    #[error("{path}: not a catalog of the cloud (JSON, the response to `GET /catalog`): {source}")]
     Catalog {
         /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The position and kind of the mistake.
         source: serde_json::Error,
     },
 }
 
-/// Loads the platform's settings.
+/// Loads and validates the platform's settings.
 pub(crate) fn settings(path: &Path) -> Result<Settings, LoadError> {
     Settings::parse(&read(path)?).map_err(|source| LoadError::Settings {
         path: display(path),
@@ -52,7 +52,7 @@
     })
 }
 
-/// Loads the operators' settings; without a file, the defaults.
+/// Loads and validates the operators' settings. Without a path, returns the defaults.
 pub(crate) fn operator(path: Option<&Path>, settings: &Settings) -> Result<Operator, LoadError> {
     let Some(path) = path else {
         return Ok(Operator::default());
@@ -63,7 +63,7 @@
     })
 }
 
-/// Loads the cloud's catalogue.
+/// Loads the cloud's catalog.
 pub(crate) fn catalog(path: &Path) -> Result<Catalog, LoadError> {
     serde_json::from_str(&read(path)?).map_err(|source| LoadError::Catalog {
         path: display(path),
@@ -78,7 +78,7 @@
     })
 }
 
-/// A path as error messages show it.
+/// Formats a path for error messages.
 pub(crate) fn display(path: &Path) -> String {
     path.display().to_string()
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,12 +1,13 @@
-//! The forkshift controller: the command line.
+//! The program `forkshift`: the command line of the controller.
 //!
-//! | command | module | what it does |
+//! | command | module | purpose |
 //! | --- | --- | --- |
 //! | `serve` | [`run`] | runs a controller until the process is killed |
-//! | `check` | [`check`] | validates settings |
-//! | `pools` | [`pools`] | shows what warm pools have and cost |
+//! | `check` | [`check`] | validates settings files |
+//! | `pools` | [`pools`] | shows the machines and the cost of warm pools |
 //!
-//! Each command ends with exit code 0, or with 1 and one message on standard error.
+//! A command that succeeds ends with exit code 0. A command that fails writes one message to
+//! standard error and ends with exit code 1. Invalid arguments end with exit code 2.
 
 mod check;
 mod clock;
@@ -21,7 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A scheduler for fleets that serve language models.
+/// Command-line arguments. `about` is the description of the package.
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
@@ -31,32 +32,34 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a controller until it is killed.
+    /// Run a controller until the process is killed.
     Serve {
-        /// The platform's settings (TOML).
+        /// Settings file of the platform (TOML).
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// The operators' own settings (protobuf text format).
+        /// Settings file of the operators (protobuf text format). Without it, all fields have
+        /// their defaults.
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
-        /// Time the parts of each step, and log a summary every ten seconds.
+        /// Measure the parts of each step of the controller, and log a summary every 10
+        /// seconds.
         #[arg(long)]
         spans: bool,
     },
-    /// Read settings, say what is wrong with them, and exit.
+    /// Validate settings files without starting a controller.
     Check {
-        /// The platform's settings (TOML).
+        /// Settings file of the platform (TOML).
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// The operators' own settings (protobuf text format).
+        /// Settings file of the operators (protobuf text format).
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
-        /// The cloud's catalogue (JSON, as `GET /catalog` answers): pools are checked
-        /// against it.
+        /// Catalog of the cloud (JSON, the response to `GET /catalog`). The pools in the
+        /// operators' settings are validated against it.
         #[arg(long, value_name = "FILE")]
         catalog: Option<PathBuf>,
     },
-    /// Say what warm pools have and cost, as the state service has it.
+    /// Show the machines and the cost of warm pools, as recorded in the key-value store.
     Pools {
         #[command(subcommand)]
         command: pools::PoolsCommand,
@@ -66,18 +69,18 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// A file can't be loaded.
+    /// A file can't be read or is refused.
     #[error(transparent)]
     Load(#[from] load::LoadError),
-    /// Settings are not good.
+    /// `check` refuses the settings.
     #[error(transparent)]
     Check(#[from] check::CheckError),
-    /// Pools can't be shown.
+    /// `pools` can't show its result.
     #[error(transparent)]
     Pools(#[from] pools::PoolsError),
-    /// The controller can't start.
+    /// `serve` can't listen on an address.
     #[error(transparent)]
-    Run(#[from] std::io::Error),
+    Listen(#[from] run::ListenError),
 }
 
 fn main() -> ExitCode {
@@ -121,8 +124,8 @@
     Ok(())
 }
 
-/// Starts logging to standard error, for the modules of this project only. The level is in
-/// the environment variable `LOG_LEVEL`; the default is `info`.
+/// Starts logging to standard error, for the modules of this project only. The environment
+/// variable `LOG_LEVEL` sets the level; if it is absent or not a level, the level is `info`.
 fn start_log() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let level = level.parse().unwrap_or(log::LevelFilter::Info);
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,7 +1,7 @@
-//! The operators' own settings, in protobuf text format.
+//! Parsing and validation of the operators' settings, a file in protobuf text format.
 //!
-//! The message is defined in `proto/operator.proto`; fields that are left out keep their
-//! defaults, which are those of [`Operator`].
+//! `proto/operator.proto` defines the fields. A field that is left out has the default of
+//! [`Operator`].
 
 use forkshift_core::Operator;
 use forkshift_pools::{PoolError, PoolSpec, Pools, WindowSpec};
@@ -24,34 +24,38 @@
 
 use generated::operator::{Operator as Message, Pool as PoolMessage, Window as WindowMessage};
 
-/// Maximum of the periods, in seconds.
+/// Maximum of `round_s`, `round_gap_s` and `assign_s`, in seconds.
 const MAX_PERIOD_S: f64 = 10.0;
-/// The only allowed weight of the fit.
+/// The only value that `weights.fit` may have: operators can shift weight between cost and
+/// latency, but not to or from the fit.
 const FIT_WEIGHT: f64 = 1.0 / 3.0;
-/// Tolerance of weights, which are rounded decimals.
+/// Tolerance of the checks of weights, because a file has weights as rounded decimals, such
+/// as 0.3333 for one third.
 const WEIGHT_TOLERANCE: f64 = 1e-3;
 
 /// Why the operators' settings are refused.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum OperatorError {
-    /// The text is not the expected message.
+    /// The text is not an `Operator` message in protobuf text format.
     #[error("{0}")]
     Text(#[from] protobuf::text_format::ParseError),
-    /// The declaration of a pool is refused.
+    /// The declaration of a warm pool is refused.
     #[error("{0}")]
     Pool(#[from] PoolError),
     /// The value of a field is outside its range.
-    #[error("`{field}` must be {range}")]
+    #[error("`{field}` must be {allowed}; the given value is {value}")]
     Field {
-        /// Name of the field.
+        /// Path of the field in the file.
         field: &'static str,
-        /// The range.
-        range: &'static str,
+        /// The allowed values.
+        allowed: &'static str,
+        /// The given value.
+        value: String,
     },
 }
 
-/// Parses and validates the operators' settings. Pools are checked against the teams and
-/// zones of the platform's settings.
+/// Parses and validates the operators' settings. The teams and zones of the declared pools
+/// must be in the platform's settings.
 ///
 /// # Errors
 ///
@@ -124,21 +128,34 @@
     }
 }
 
-/// Whether a field is within its range.
+/// The result of validating one field.
 struct FieldCheck {
+    /// Path of the field in the file.
     field: &'static str,
     is_valid: bool,
-    /// The range, as the error message gives it.
-    range: &'static str,
+    /// The allowed values, for the error message.
+    allowed: &'static str,
+    /// The given value, for the error message.
+    value: String,
 }
 
-/// Checks all fields, in the order of [`weight_checks`] and [`field_checks`].
+/// Validates all fields, in the order of [`weight_checks`] and [`field_checks`]. Returns an
+/// error for the first field that is not valid.
 fn validate(operator: &Operator) -> Result<(), OperatorError> {
     let weight_checks = weight_checks(&operator.weights);
     let checks = weight_checks.into_iter().chain(field_checks(operator));
     let mut failed = checks.filter(|check| !check.is_valid);
     match failed.next() {
-        Some(FieldCheck { field, range, .. }) => Err(OperatorError::Field { field, range }),
+        Some(FieldCheck {
+            field,
+            allowed,
+            value,
+            ..
+        }) => Err(OperatorError::Field {
+            field,
+            allowed,
+            value,
+        }),
         None => Ok(()),
     }
 }
@@ -147,32 +164,41 @@
     let all = [weights.fit, weights.cost, weights.latency];
     let are_fractions = all.iter().all(|weight| (0.0..=1.0).contains(weight));
     let sum: f64 = all.iter().sum();
+    let Weights { fit, cost, latency } = weights;
     [
         FieldCheck {
             field: "weights",
             is_valid: are_fractions && (sum - 1.0).abs() < WEIGHT_TOLERANCE,
-            range: "parts from 0 to 1 that sum to 1",
+            allowed: "fractions from 0 to 1 that sum to 1",
+            value: format!("fit {fit}, cost {cost}, latency {latency}"),
         },
         FieldCheck {
             field: "weights.fit",
             is_valid: (weights.fit - FIT_WEIGHT).abs() < WEIGHT_TOLERANCE,
-            range: "one third",
+            allowed: "one third (0.3333)",
+            value: fit.to_string(),
         },
     ]
 }
 
 fn field_checks(operator: &Operator) -> [FieldCheck; 7] {
-    let check = |field, is_valid, range| FieldCheck {
+    let check = |field, is_valid, allowed, value: String| FieldCheck {
         field,
         is_valid,
-        range,
+        allowed,
+        value,
     };
     let period = |field, seconds: f64| {
         let is_valid = seconds > 0.0 && seconds <= MAX_PERIOD_S;
-        check(field, is_valid, "above 0 and at most 10")
+        check(
+            field,
+            is_valid,
+            "above 0 and at most 10",
+            seconds.to_string(),
+        )
     };
-    let factor = |field, value: f64, allowed: RangeInclusive<f64>, range| {
-        check(field, allowed.contains(&value), range)
+    let factor = |field, value: f64, range: RangeInclusive<f64>, allowed| {
+        check(field, range.contains(&value), allowed, value.to_string())
     };
     [
         period("round_s", operator.round_interval_s),
@@ -191,7 +217,12 @@
             0.1..=10.0,
             "from 0.1 to 10",
         ),
-        check("machines", operator.expected_machines != Some(0), "above 0"),
+        check(
+            "machines",
+            operator.expected_machines != Some(0),
+            "above 0",
+            operator.expected_machines.unwrap_or_default().to_string(),
+        ),
     ]
 }
 
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -54,7 +54,8 @@
     );
 }
 
-/// A valid declaration of a pool, with additional or overriding fields.
+/// The text of a valid declaration of a pool. `fields` are added, and override earlier values
+/// of the same fields.
 fn pool(fields: &str) -> String {
     format!("pools {{ name: 'help' team: 'readers' image: 'img-07' image_gb: 34 least: 2 most: 6 {fields} }}")
 }
@@ -85,7 +86,7 @@
     }
 }
 
-/// The file that enables pools has one, as the operators' page describes.
+/// The file that enables warm pools declares one pool, and the default file declares none.
 #[test]
 fn deployment_files_are_valid_with_and_without_pools() {
     let text = include_str!("../../../../deploy/warm-pools.textproto");
@@ -94,7 +95,7 @@
     assert!(parse(disabled).expect("a valid file").pools.is_empty());
 }
 
-/// Parsed settings as text, each value after its name in the file.
+/// Formats parsed settings as text, each value after the name of its field in the file.
 fn to_text(operator: &Operator) -> String {
     let mut text = format!(
         "weights.fit {:.4}\nweights.cost {:.4}\nweights.latency {:.4}\n",
@@ -117,7 +118,8 @@
         text += &format!("  types {:?} zones {:?}", pool.types, pool.zones);
         text += &format!(" spot {}", pool.spot);
         text += &format!(" cost_per_hour_most {:?}\n", pool.max_cost_per_hour);
-        // The last minute of the first window, the next minute, in the second window, in none.
+        // Minutes since 1970: the last minute of the first window, the minute after it, a
+        // minute in the second window, and a minute in no window.
         for minutes in [29_939_999, 29_940_000, 29_979_210, 29_962_680] {
             let size = pool.calendar.size_at(minutes * 60_000);
             text += &format!(
@@ -129,7 +131,8 @@
     text
 }
 
-/// The files are parsed to the values in `golden/values.txt`.
+/// Guards against a change of the meaning of operators' files: each file must be parsed to the
+/// values in `golden/values.txt`.
 #[test]
 fn golden_files_keep_their_values() {
     let files = [
--- a/crates/daemon/src/pools.rs
+++ b/crates/daemon/src/pools.rs
@@ -1,6 +1,7 @@
-//! `forkshift pools`: what warm pools have and cost, read from the state service.
+//! `forkshift pools`: shows the machines and the cost of warm pools, as recorded in the
+//! key-value store.
 //!
-//! The commands read records and change nothing. They run on the main thread and block it.
+//! The commands only read records. They run on the main thread and block it.
 
 mod accounts;
 mod records;
@@ -15,42 +16,45 @@
 use records::{RecordReader, RecordsError};
 use std::path::PathBuf;
 
-/// What is to be said of pools.
+/// The subcommands of `forkshift pools`.
 #[derive(Subcommand)]
 pub(crate) enum PoolsCommand {
-    /// What each pool is asked for and has now.
-    Status(Source),
-    /// What pools were asked for, had and cost in a span of time, by team and pool.
+    /// Show the requested and the present number of machines of each pool.
+    Status(PoolsOptions),
+    /// Show the requested machines, the machines and the cost of pools in a time span, by team
+    /// and pool.
     Report {
         #[command(flatten)]
-        source: Source,
-        /// Its beginning: a date (midnight UTC) or a time, as in `2026-12-01T08:00:00Z`.
+        options: PoolsOptions,
+        /// Start of the time span: a date (midnight UTC) or a time, as in
+        /// `2026-12-01T08:00:00Z`.
         #[arg(long, value_name = "TIME")]
         from: String,
-        /// Its end, likewise; it does not belong to the span.
+        /// End of the time span, in the same form as the start. The span ends just before it.
         #[arg(long, value_name = "TIME")]
         to: String,
     },
 }
 
-/// Where it is read, and how it is written.
+/// Options of all subcommands of `forkshift pools`.
 #[derive(Args)]
-pub(crate) struct Source {
-    /// The platform's settings (TOML), for the address of the state service.
+pub(crate) struct PoolsOptions {
+    /// Settings file of the platform (TOML), which has the address of the key-value store
+    /// (`external.state`).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// As JSON.
+    /// Print the result as JSON instead of a table.
     #[arg(long)]
     json: bool,
 }
 
-/// Why pools can't be shown.
+/// Why `pools` can't show its result.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PoolsError {
     /// The settings can't be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The options don't give a span of time.
+    /// `--from` and `--to` are not a time span.
     #[error(transparent)]
     Span(#[from] SpanError),
     /// The records can't be read.
@@ -64,42 +68,51 @@
     Json(#[from] serde_json::Error),
 }
 
-/// Why options don't give a span of time.
+/// Why `--from` and `--to` are not a time span.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SpanError {
-    /// The value of an option is neither a time nor a date.
-    #[error("`--{option}` is `{text}`, which is no time such as 2026-12-01T08:00:00Z")]
+    /// The value of an option is neither a time nor a date, or is before 1970.
+    #[error(
+        "`--{option}` is `{text}`; it must be a date such as 2026-12-01 or a time such as \
+         2026-12-01T08:00:00Z, not before 1970"
+    )]
     NotATime {
-        /// Name of the option.
+        /// Name of the option, without the hyphens.
         option: &'static str,
-        /// Its value.
+        /// Value of the option.
         text: String,
     },
-    /// The span is empty, or ends before it begins.
-    #[error("`--to` is not behind `--from`")]
-    EndNotAfterStart,
+    /// The span is empty, or ends before it starts.
+    #[error("`--to` is `{to}`, which is not after `--from` (`{from}`)")]
+    EndNotAfterStart {
+        /// Value of `--from`.
+        from: String,
+        /// Value of `--to`.
+        to: String,
+    },
 }
 
-/// Runs a command, and prints its result on standard output.
+/// Runs a subcommand, and prints its result to standard output.
 ///
 /// # Errors
 ///
-/// [`PoolsError`]. What can't be read is never shown as nothing.
+/// [`PoolsError`]. If any record can't be read, nothing is printed, so that missing records
+/// are not taken for a pool without usage.
 pub(crate) fn run(command: &PoolsCommand) -> Result<(), PoolsError> {
     let text = match command {
-        PoolsCommand::Status(source) => {
-            let status = status::read(&reader(source)?)?;
-            match source.json {
+        PoolsCommand::Status(options) => {
+            let status = status::read(&record_reader(options)?)?;
+            match options.json {
                 true => serde_json::to_string_pretty(&status)?,
                 false => render::status(&status)?,
             }
         }
-        PoolsCommand::Report { source, from, to } => {
+        PoolsCommand::Report { options, from, to } => {
             let span = parse_span(from, to)?;
             let now_ms = clock::unix_time_ms();
-            let accounts = accounts::read(&reader(source)?, now_ms)?;
+            let accounts = accounts::read(&record_reader(options)?, now_ms)?;
             let report = usage_report(&accounts, span, now_ms);
-            match source.json {
+            match options.json {
                 true => serde_json::to_string_pretty(&report)?,
                 false => render::report(&report)?,
             }
@@ -114,7 +127,10 @@
     let to_ms = parse_time("to", to)?;
     match from_ms < to_ms {
         true => Ok(TimeSpan { from_ms, to_ms }),
-        false => Err(SpanError::EndNotAfterStart),
+        false => Err(SpanError::EndNotAfterStart {
+            from: from.to_owned(),
+            to: to.to_owned(),
+        }),
     }
 }
 
@@ -125,7 +141,7 @@
     })
 }
 
-fn reader(source: &Source) -> Result<RecordReader, LoadError> {
-    let settings = load::settings(&source.config)?;
+fn record_reader(options: &PoolsOptions) -> Result<RecordReader, LoadError> {
+    let settings = load::settings(&options.config)?;
     Ok(RecordReader::new(settings.services.state))
 }
--- a/crates/daemon/src/pools/records.rs
+++ b/crates/daemon/src/pools/records.rs
@@ -1,4 +1,4 @@
-//! Reading records from the state service, page by page.
+//! Reads records from the key-value store, page by page.
 
 use forkshift_core::records::{MachineRecord, CLUSTER};
 use forkshift_net::{Call, Client, ClientLimits};
@@ -10,75 +10,81 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Timeout for one page.
+/// Timeout for the request of one page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of records on a page.
 const MAX_PAGE_ITEMS: usize = 500;
-/// Maximum size of a page, in bytes; generous for that many records.
+/// Maximum size of a page, in bytes: about 8 KiB for each of [`MAX_PAGE_ITEMS`] records.
 const MAX_PAGE_BYTES: u64 = 4 * 1024 * 1024;
-/// Attempts at a page while the service is busy.
+/// Maximum number of attempts to read a page while the store's rate limit is exceeded.
 const MAX_ATTEMPTS: u32 = 5;
-/// Delay between two attempts.
+/// Delay between two attempts to read a page.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Status of an answered request.
+/// HTTP status of a successful request.
 const OK: u16 = 200;
-/// Status of a request beyond the rate limit.
+/// HTTP status of a request beyond the rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Status of a call without a response.
+/// Status of an outcome without a response.
 const NO_RESPONSE: u16 = 0;
 
 /// Why records can't be read.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RecordsError {
-    /// A page can't be read from the service.
-    #[error("the state service at {addr} {problem}")]
-    Service {
-        /// Address of the service.
+    /// A page can't be read from the key-value store.
+    #[error("the key-value store at {addr} (`external.state`) {problem}")]
+    Store {
+        /// Address of the store.
         addr: SocketAddr,
-        /// What it does.
-        problem: ServiceProblem,
+        /// Why the page can't be read.
+        problem: StoreProblem,
     },
     /// A record is not JSON of the expected form.
-    #[error("record {key} is not understood: {source}")]
+    #[error("record {key} is malformed: {source}")]
     Malformed {
         /// Key of the record.
         key: String,
-        /// What is wrong with it.
+        /// The position and kind of the mistake.
         source: serde_json::Error,
     },
-    /// The key or value of a record is not that of a pool's account.
-    #[error("record {key} is not understood: it is no row of an account")]
+    /// A record under the prefix of usage records is not a usage interval, a request or a cold
+    /// start.
+    #[error(
+        "record {key} is malformed: it is not a usage interval, a request or a cold start of a pool"
+    )]
     UnknownRow {
         /// Key of the record.
         key: String,
     },
 }
 
-/// What a service does instead of answering.
+/// Why a page can't be read. The texts complete the sentence of [`RecordsError::Store`].
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum ServiceProblem {
-    /// There was no response in time.
-    #[error("does not answer")]
+pub(crate) enum StoreProblem {
+    /// The connection failed, or there was no response within [`PAGE_TIMEOUT`].
+    #[error("does not answer: the connection failed, or no response came within {PAGE_TIMEOUT:?}")]
     NoResponse,
-    /// It responded with an error status.
-    #[error("refuses with {0}")]
+    /// The store responded with an unexpected HTTP status.
+    #[error("refuses with {0} (HTTP status; {OK} is expected)")]
     Refused(u16),
-    /// It was busy at all attempts.
-    #[error("refuses with {TOO_MANY_REQUESTS}, {MAX_ATTEMPTS} times")]
-    Busy,
-    /// Its response is not a page.
-    #[error("is not understood: {0}")]
+    /// The rate limit was exceeded at all [`MAX_ATTEMPTS`] attempts.
+    #[error(
+        "refuses with {TOO_MANY_REQUESTS} (HTTP status, rate limit exceeded) at each of \
+         {MAX_ATTEMPTS} attempts"
+    )]
+    RateLimited,
+    /// The response is not a page of records.
+    #[error("sent a malformed page of records: {0}")]
     Malformed(#[source] serde_json::Error),
 }
 
-/// A client that reads records. Its methods block.
+/// A client of the key-value store that reads records. All methods block the thread.
 pub(super) struct RecordReader {
     addr: SocketAddr,
     client: Client,
 }
 
 impl RecordReader {
-    /// A reader of the state service at an address.
+    /// Creates a reader for the key-value store at an address.
     pub(super) fn new(addr: SocketAddr) -> Self {
         let client = Client::new(ClientLimits {
             max_idle_per_host: 1,
@@ -89,28 +95,29 @@
         Self { addr, client }
     }
 
-    /// The number of machines that each pool is asked for at present.
-    pub(super) fn requested_sizes(&self) -> Result<Vec<PoolRequest>, RecordsError> {
-        let items = self.with_prefix(CURRENT_REQUEST_PREFIX)?;
+    /// Reads the number of machines that each pool requests at present.
+    pub(super) fn read_current_requests(&self) -> Result<Vec<PoolRequest>, RecordsError> {
+        let items = self.read_prefix(CURRENT_REQUEST_PREFIX)?;
         items.iter().map(parse).collect()
     }
 
-    /// All machines, in the order of their identifiers.
-    pub(super) fn machines(&self) -> Result<Vec<(MachineId, MachineRecord)>, RecordsError> {
-        let machines: BTreeMap<String, MachineRecord> = self.of_kind("machine")?;
+    /// Reads the records of all machines, in the order of their identifiers.
+    pub(super) fn read_machines(&self) -> Result<Vec<(MachineId, MachineRecord)>, RecordsError> {
+        let machines: BTreeMap<String, MachineRecord> = self.read_cluster_records("machine")?;
         let machines = machines.into_iter();
         Ok(machines
             .map(|(name, record)| (MachineId::new(&name), record))
             .collect())
     }
 
-    /// All records of a kind of the cluster, by their names.
-    pub(super) fn of_kind<T: DeserializeOwned>(
+    /// Reads all records of the cluster whose keys start with the prefix of `kind`, by the rest
+    /// of their keys.
+    pub(super) fn read_cluster_records<T: DeserializeOwned>(
         &self,
         kind: &str,
     ) -> Result<BTreeMap<String, T>, RecordsError> {
         let prefix = format!("{CLUSTER}{kind}/");
-        let items = self.with_prefix(&prefix)?;
+        let items = self.read_prefix(&prefix)?;
         let parse_named = |item: &Item| {
             let name = item.key.strip_prefix(&prefix).unwrap_or_default();
             Ok((name.to_owned(), parse(item)?))
@@ -118,14 +125,14 @@
         items.iter().map(parse_named).collect()
     }
 
-    /// All records whose keys have a prefix, in the order of their keys.
-    pub(super) fn with_prefix(&self, prefix: &str) -> Result<Vec<Item>, RecordsError> {
+    /// Reads all records whose keys start with a prefix, in the order of their keys.
+    pub(super) fn read_prefix(&self, prefix: &str) -> Result<Vec<Item>, RecordsError> {
         let mut items: Vec<Item> = Vec::new();
         loop {
             let from = items.last().map(|last| format!("&from={}", last.key));
             let from = from.unwrap_or_default();
             let path = format!("/kv?starts={prefix}&most={MAX_PAGE_ITEMS}{from}");
-            let page = self.page(&path)?;
+            let page = self.read_page(&path)?;
             let is_last = !page.has_next || page.items.is_empty();
             items.extend(page.items);
             if is_last {
@@ -134,9 +141,10 @@
         }
     }
 
-    /// Reads a page; while the service is busy, it is requested again.
-    fn page(&self, path: &str) -> Result<Page, RecordsError> {
-        let failed = |problem| RecordsError::Service {
+    /// Reads a page. If the rate limit is exceeded, the request is repeated after
+    /// [`RETRY_DELAY`].
+    fn read_page(&self, path: &str) -> Result<Page, RecordsError> {
+        let failed = |problem| RecordsError::Store {
             addr: self.addr,
             problem,
         };
@@ -152,18 +160,18 @@
             match outcome.status {
                 OK => {
                     let page = serde_json::from_slice(&outcome.body);
-                    return page.map_err(|e| failed(ServiceProblem::Malformed(e)));
+                    return page.map_err(|e| failed(StoreProblem::Malformed(e)));
                 }
                 TOO_MANY_REQUESTS => std::thread::sleep(RETRY_DELAY),
-                NO_RESPONSE => return Err(failed(ServiceProblem::NoResponse)),
-                status => return Err(failed(ServiceProblem::Refused(status))),
+                NO_RESPONSE => return Err(failed(StoreProblem::NoResponse)),
+                status => return Err(failed(StoreProblem::Refused(status))),
             }
         }
-        Err(failed(ServiceProblem::Busy))
+        Err(failed(StoreProblem::RateLimited))
     }
 }
 
-/// Parses the value of a record.
+/// Parses the JSON value of a record.
 pub(super) fn parse<T: DeserializeOwned>(item: &Item) -> Result<T, RecordsError> {
     serde_json::from_value(item.value.clone()).map_err(|source| RecordsError::Malformed {
         key: item.key.clone(),
--- a/crates/daemon/src/pools/render.rs
+++ b/crates/daemon/src/pools/render.rs
@@ -1,14 +1,14 @@
-//! Pools as text tables, rendered from templates.
+//! Renders the status and the usage report of pools as text tables, from templates.
 //!
-//! The filters `left` and `right` pad to a column, `fixed` rounds to a number of digits, and
-//! `hours` converts from seconds.
+//! The filters of the templates: `left` and `right` pad a text to the width of a column, `fixed`
+//! rounds to a number of decimals, and `hours` converts seconds to hours with three decimals.
 
 use super::status::PoolStatus;
 use super::times;
 use forkshift_pools::report::UsageReport;
 use minijinja::{context, Environment, Error};
 
-/// Template of `pools status`.
+/// Template of the output of `pools status`.
 const STATUS: &str = "\
 {%- if pools %}{{ 'pool' | left(24) }}{{ 'team' | left(16) }}{{ 'asked' | right(7) }}\
 {{ 'booting' | right(9) }}{{ 'up' | right(5) }}{{ 'fetching' | right(10) }}{{ 'warm' | right(6) }}\
@@ -19,7 +19,7 @@
 {{ p.cost_per_hour | fixed(2) | right(10) }}
 {% endfor %}{% else %}no pool is recorded{% endif %}";
 
-/// Template of `pools report`.
+/// Template of the output of `pools report`.
 const REPORT: &str = "\
 {{ from }} to {{ to }}
 {% if pools %}
@@ -47,19 +47,19 @@
 
 /// Renders the status of all pools.
 pub(super) fn status(pools: &[PoolStatus]) -> Result<String, Error> {
-    environment().render_str(STATUS, context! { pools })
+    template_environment().render_str(STATUS, context! { pools })
 }
 
-/// Renders a report.
+/// Renders a usage report.
 pub(super) fn report(report: &UsageReport) -> Result<String, Error> {
     let from = times::format(report.span.from_ms);
     let to = times::format(report.span.to_ms);
     let (pools, teams) = (&report.pools, &report.teams);
-    environment().render_str(REPORT, context! { from, to, pools, teams })
+    template_environment().render_str(REPORT, context! { from, to, pools, teams })
 }
 
-/// An environment with the filters of the templates.
-fn environment() -> Environment<'static> {
+/// Creates a template environment with the filters `left`, `right`, `fixed` and `hours`.
+fn template_environment() -> Environment<'static> {
     let mut environment = Environment::new();
     environment.add_filter("left", |text: String, width: usize| {
         format!("{text:<width$}")
--- a/crates/daemon/src/pools/status.rs
+++ b/crates/daemon/src/pools/status.rs
@@ -1,4 +1,4 @@
-//! The present status of warm pools.
+//! The present status of warm pools, read from the key-value store.
 
 use super::records::{RecordReader, RecordsError};
 use forkshift_core::records::MachineRecord;
@@ -12,11 +12,11 @@
 pub(super) struct CountByState {
     /// Machines that are booting.
     pub booting: u32,
-    /// Machines that are up, and whose workers don't report their images.
+    /// Machines that are up, but whose workers don't report their images.
     pub up: u32,
-    /// Machines that are fetching the image.
+    /// Machines that are fetching the image of the pool.
     pub fetching: u32,
-    /// Machines that hold the image.
+    /// Machines that hold the image of the pool.
     pub warm: u32,
 }
 
@@ -37,14 +37,15 @@
 pub(super) struct PoolStatus {
     /// Name of the pool.
     pub pool: PoolName,
-    /// The team that is charged; empty if the pool is not declared any more.
+    /// The team that is charged; empty if the pool is no longer declared.
     pub team: String,
-    /// Number of machines that the pool is asked for.
+    /// Number of machines that the pool requests.
     #[serde(rename = "asked")]
     pub requested_machines: u32,
-    /// Number of machines that it has.
+    /// Machines of the pool.
     pub machines: CountByState,
-    /// Current price of its machines per hour.
+    /// Current price of all machines of the pool per hour. Machines without a known price
+    /// count as 0.
     pub cost_per_hour: f64,
 }
 
@@ -65,15 +66,17 @@
 ///
 /// # Errors
 ///
-/// If the service does not respond or refuses, or a record is malformed.
+/// [`RecordsError`], if the key-value store does not respond or refuses a request, or if a
+/// record is malformed.
 pub(super) fn read(reader: &RecordReader) -> Result<Vec<PoolStatus>, RecordsError> {
-    let types: BTreeMap<String, MachineType> = reader.of_kind("rig")?;
+    let types: BTreeMap<String, MachineType> = reader.read_cluster_records("rig")?;
     let mut pools: BTreeMap<PoolName, PoolStatus> = BTreeMap::new();
-    for size in reader.requested_sizes()? {
-        let status = PoolStatus::without_machines(size.pool.clone(), size.team, size.machines);
-        pools.insert(size.pool, status);
+    for request in reader.read_current_requests()? {
+        let status =
+            PoolStatus::without_machines(request.pool.clone(), request.team, request.machines);
+        pools.insert(request.pool, status);
     }
-    for (_, machine) in reader.machines()? {
+    for (_, machine) in reader.read_machines()? {
         let Some(membership) = &machine.pool else {
             continue;
         };
@@ -88,7 +91,8 @@
     Ok(pools.into_values().collect())
 }
 
-/// The price of a machine per hour, if its type is known.
+/// The current price of a machine per hour; none if its type is not known, or is a spot type
+/// without a price.
 fn current_price(machine: &MachineRecord, machine_type: Option<&MachineType>) -> Option<f64> {
     let machine_type = machine_type?;
     match machine.spot {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,27 +1,28 @@
-//! `forkshift serve`: connects a controller's state machine to sockets and clocks.
+//! `forkshift serve`: connects the state machine of a controller to sockets and clocks.
 //!
 //! # Concurrency
 //!
-//! Everything runs on the main thread, on one local executor. All state of the controller
-//! belongs to one task, the [`controller::Controller`]. Other tasks reach it only through
-//! a queue of [`Input`]s:
+//! All tasks run on the main thread, on one local executor. One task, the
+//! [`controller::Controller`], owns all state of the controller. Other tasks reach that state
+//! only through a queue of [`Input`]s:
 //!
 //! - the HTTP server queues requests and waits for their replies ([`requests`]);
 //! - the peer listener queues messages of other controllers;
 //! - each outgoing call is a task of its own, which queues the response.
 //!
-//! The controller takes all inputs that are queued as one batch, steps the state machine,
-//! and executes the effects that it returns. A step is synchronous and does no I/O; nothing
-//! else runs meanwhile, so its duration bounds the latency of every other task. The queue
-//! has no bound of its own: what feeds it is bounded by the limits on connections, and on
-//! calls under way in the core.
+//! The controller takes all queued inputs as one batch, steps the state machine, and executes
+//! the effects that the step returns. A step is synchronous and does no I/O. No other task
+//! runs during a step, so the duration of a step bounds the latency of every other task.
 //!
-//! The reactor's thread of `async-io` polls the sockets; no other thread is started here.
+//! The queue itself is unbounded. Its length is bounded by the limits on connections, and by
+//! the limits of the core on calls in flight.
 //!
-//! # End
+//! The reactor's thread of `async-io` polls the sockets. This module starts no other thread.
 //!
-//! There is no shutdown: the process is killed. What must survive is in the state service
-//! before it is acknowledged.
+//! # Shutdown
+//!
+//! There is none: the process is killed. Everything that must survive is written to the
+//! key-value store before it is acknowledged.
 
 mod controller;
 mod requests;
@@ -39,37 +40,65 @@
 use rand::Rng;
 use requests::PendingRequests;
 use std::io;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum size of a request body, in bytes.
+/// Maximum size of a request body, in bytes. A request of this size can be forwarded to
+/// another controller in one message of up to [`MAX_MESSAGE_BYTES`].
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Time after which a connection without any traffic is closed.
+/// Time after which the HTTP server closes a connection without any traffic.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Timeout for the body of a request.
+/// Timeout for receiving the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Maximum number of idle connections of the client to one server.
+/// Maximum number of idle connections of the HTTP client to one server.
 const MAX_IDLE_PER_HOST: usize = 8;
-/// Time for which the client keeps an idle connection.
+/// Time after which the HTTP client closes an idle connection.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Connections of each peer that are accepted. One is enough, but that of an earlier
-/// incarnation may take a while to close.
-const CONNECTIONS_PER_PEER: usize = 4;
-/// Exclusive upper bound of an incarnation.
+/// Maximum number of incoming connections for each peer. A peer uses one connection, but
+/// connections of its earlier incarnations may still be open after a restart.
+const MAX_CONNECTIONS_PER_PEER: usize = 4;
+/// Exclusive upper bound of an incarnation, a random number that identifies one run of a
+/// controller. JSON readers that use 64-bit floats represent numbers below 2^53 exactly.
 const INCARNATION_LIMIT: u64 = 1 << 52;
-/// Interval between two log lines with the times of spans.
+/// Interval between two log lines with the durations of spans.
 const SPANS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Runs a controller until the process ends.
+/// The controller can't listen on an address of the platform's settings.
+#[derive(Debug, thiserror::Error)]
+#[error("`{field}`: cannot listen on {addr}: {source}")]
+pub(crate) struct ListenError {
+    /// Name of the field in the settings.
+    field: &'static str,
+    /// Value of the field.
+    addr: SocketAddr,
+    /// The error of the operating system.
+    source: io::Error,
+}
+
+/// Runs a controller until the process ends. With `spans`, their durations are logged
+/// periodically.
 ///
 /// # Errors
 ///
-/// Those of the system if an address can't be listened on.
-pub(crate) fn run(settings: &Settings, config: Config, spans: Option<SpanTimes>) -> io::Result<()> {
+/// [`ListenError`], for the first address on which the controller can't listen.
+pub(crate) fn run(
+    settings: &Settings,
+    config: Config,
+    spans: Option<SpanTimes>,
+) -> Result<(), ListenError> {
     let bounds = config.bounds;
-    let listener = forkshift_net::bind_listener(settings.listen, bounds.connections)?;
-    let peer_listener = TcpListener::bind(settings.peer_listen)?;
+    let listen_error = |field, addr| {
+        move |source| ListenError {
+            field,
+            addr,
+            source,
+        }
+    };
+    let listener = forkshift_net::bind_listener(settings.listen, bounds.connections)
+        .map_err(listen_error("bind", settings.listen))?;
+    let peer_listener = TcpListener::bind(settings.peer_listen)
+        .map_err(listen_error("cluster_listen", settings.peer_listen))?;
     let server_limits = ServerLimits {
         max_connections: bounds.connections,
         max_keep_alive_connections: bounds.kept_connections,
@@ -97,7 +126,7 @@
     });
     let endpoints = Endpoints {
         client: Rc::new(Client::new(client_limits)),
-        state: settings.services.state,
+        store: settings.services.state,
         cloud: settings.services.cloud,
         links: links.collect(),
         requests,
@@ -106,19 +135,20 @@
     if let Some(spans) = spans {
         ex.spawn(log_spans(spans)).detach();
     }
-    // The reactor's own thread waits for events. `async_io::block_on` would wait for
-    // them here as well, and the two take turns at a switch of threads each.
+    // The reactor's own thread waits for events. `async_io::block_on` would wait for events
+    // on this thread as well; the two threads would alternate, at the cost of a thread switch
+    // each time.
     future::block_on(ex.run(controller.run(inputs)));
     Ok(())
 }
 
-/// Spawns the task that queues messages of other controllers.
+/// Spawns the task that receives messages of other controllers and queues them as inputs.
 fn spawn_peer_listener(ex: &Executor, listener: TcpListener, peers: usize, inputs: Sender<Input>) {
     let on_message = move |message| {
-        // The queue is closed only if the process is about to end.
+        // Sending fails only if the queue is closed, which happens when the process ends.
         let _ = inputs.try_send(Input::Peer(message));
     };
-    let max_connections = peers * CONNECTIONS_PER_PEER;
+    let max_connections = peers * MAX_CONNECTIONS_PER_PEER;
     let listening = forkshift_net::receive_peer_messages(
         ex.clone(),
         listener,
@@ -129,7 +159,7 @@
     ex.spawn(listening).detach();
 }
 
-/// Spawns the task that accepts HTTP requests.
+/// Spawns the task that serves HTTP requests.
 fn spawn_server(
     ex: &Executor,
     listener: TcpListener,
@@ -138,17 +168,17 @@
 ) {
     let handler = move |request| {
         let requests = requests.clone();
-        async move { requests.handle(request).await }
+        async move { requests.await_reply(request).await }
     };
     let serving = forkshift_net::serve_http(ex.clone(), listener, limits, handler);
     ex.spawn(serving).detach();
 }
 
-/// Logs the times of spans periodically.
+/// Logs the durations of spans every [`SPANS_LOG_INTERVAL`].
 async fn log_spans(spans: SpanTimes) {
     loop {
         Timer::after(SPANS_LOG_INTERVAL).await;
-        if let Some(line) = spans.take_line() {
+        if let Some(line) = spans.take_summary() {
             log::info!("spans: {line}");
         }
     }
--- a/crates/daemon/src/run/controller.rs
+++ b/crates/daemon/src/run/controller.rs
@@ -1,4 +1,4 @@
-//! The task that owns all state of a controller.
+//! The task that owns all state of a controller and executes the effects of its steps.
 
 use super::requests::PendingRequests;
 use crate::clock;
@@ -13,28 +13,30 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Maximum time between two steps: without inputs, timers are checked this often.
+/// Maximum time between two steps. The timers of the state machine are checked in each step,
+/// so this is also their resolution when no inputs arrive.
 const MAX_STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Minimum time between two sweeps of the client's idle connections.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
-/// Status of a call without a response.
+/// Minimum time between two checks of the HTTP client for connections that have been idle too
+/// long.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Status that the state machine receives for a call without a response.
 const NO_RESPONSE: u16 = 0;
 
-/// Where the effects of a step go.
+/// The destinations of the effects of a step.
 pub(super) struct Endpoints {
-    /// The client for all calls.
+    /// The HTTP client for all calls.
     pub client: Rc<Client>,
-    /// Address of the state service.
-    pub state: SocketAddr,
+    /// Address of the key-value store.
+    pub store: SocketAddr,
     /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// Links to the other controllers.
+    /// Links to the other controllers, by their names.
     pub links: HashMap<NodeName, PeerLink>,
-    /// Requests that wait for their replies.
+    /// HTTP requests that wait for their replies.
     pub requests: Rc<PendingRequests>,
 }
 
-/// Owner of the state machine; see [`super`] for the concurrency.
+/// Owner of the state machine. The documentation of [`super`] describes the concurrency.
 pub(super) struct Controller {
     node: Node,
     ex: Executor,
@@ -46,7 +48,8 @@
 }
 
 impl Controller {
-    /// A controller whose clock starts now.
+    /// Creates a controller whose monotonic clock starts now. Responses to calls are sent to
+    /// `inputs`.
     pub(super) fn new(
         node: Node,
         ex: Executor,
@@ -62,21 +65,21 @@
         }
     }
 
-    /// Steps the state machine for each batch of inputs, or at the latest after
-    /// [`MAX_STEP_INTERVAL`]; never returns.
+    /// Steps the state machine for each batch of inputs, and at least every
+    /// [`MAX_STEP_INTERVAL`]. Never returns.
     pub(super) async fn run(mut self, inputs: Receiver<Input>) {
-        let mut last_sweep = Instant::now();
+        let mut last_idle_check = Instant::now();
         loop {
             let batch = next_batch(&inputs).await;
             let now_ms = self.started_at.elapsed().as_millis() as u64;
             for effect in self.node.step(now_ms, clock::unix_time_ms(), batch) {
                 self.execute(effect);
             }
-            if last_sweep.elapsed() > SWEEP_INTERVAL {
-                last_sweep = Instant::now();
+            if last_idle_check.elapsed() > IDLE_CHECK_INTERVAL {
+                last_idle_check = Instant::now();
                 self.endpoints.client.close_expired_connections();
             }
-            // Other tasks get their turn even if inputs never cease.
+            // Lets other tasks run even if the queue is never empty.
             future::yield_now().await;
         }
     }
@@ -109,17 +112,18 @@
         }
     }
 
-    /// The address of a target; none if that of a worker is malformed.
+    /// The address of a call's target; none if a worker has reported a malformed address.
     fn address_of(&self, target: &Target) -> Option<SocketAddr> {
         match target {
-            Target::Store => Some(self.endpoints.state),
+            Target::Store => Some(self.endpoints.store),
             Target::Cloud => Some(self.endpoints.cloud),
             Target::Worker(addr) => addr.parse().ok(),
         }
     }
 
-    /// Spawns a task that makes a call and queues its response; without a call, it queues
-    /// that there was none.
+    /// Spawns a task that makes a call and queues the response as an input. Without a call,
+    /// because the target has no valid address, the task queues a response with the status
+    /// [`NO_RESPONSE`].
     fn spawn_call(&self, id: CallId, call: Option<Call>) {
         let (client, inputs) = (self.endpoints.client.clone(), self.inputs.clone());
         let calling = async move {
@@ -135,14 +139,15 @@
                 status,
                 body,
             };
-            // The queue is closed only if the process is about to end.
+            // Sending fails only if the queue is closed, which happens when the process ends.
             let _ = inputs.send(response).await;
         };
         self.ex.spawn(calling).detach();
     }
 }
 
-/// Waits for an input, up to [`MAX_STEP_INTERVAL`], and takes all that are queued then.
+/// Waits for an input, no longer than [`MAX_STEP_INTERVAL`], and returns it with all other
+/// inputs that are queued by then. The batch is empty if no input arrived.
 async fn next_batch(inputs: &Receiver<Input>) -> Vec<Input> {
     let first = async { inputs.recv().await.ok() };
     let timeout = async {
--- a/crates/daemon/src/run/requests.rs
+++ b/crates/daemon/src/run/requests.rs
@@ -6,33 +6,34 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
-/// Value of `retry-after`, in seconds, if the controller gives no reply.
+/// Value of the `retry-after` header, in seconds, of a response without the controller's
+/// reply.
 const RETRY_AFTER_S: u32 = 1;
 
-/// Hands requests to the controller, and its replies to the connections.
+/// The HTTP requests that were queued for the controller and have no reply yet.
 pub(super) struct PendingRequests {
     inputs: Sender<Input>,
-    /// Where the reply to each request goes.
-    replies: RefCell<HashMap<RequestId, Sender<Reply>>>,
+    /// For each request, the channel on which its connection waits for the reply.
+    reply_senders: RefCell<HashMap<RequestId, Sender<Reply>>>,
     next_id: Cell<u64>,
 }
 
 impl PendingRequests {
-    /// No requests yet; they will be queued as inputs.
+    /// Creates an empty set of requests. Each request will be queued in `inputs`.
     pub(super) fn new(inputs: Sender<Input>) -> Self {
         Self {
             inputs,
-            replies: RefCell::default(),
+            reply_senders: RefCell::default(),
             next_id: Cell::default(),
         }
     }
 
-    /// Queues a request and waits for the reply. If dropped before that, because the
-    /// connection is closed, the reply will be ignored.
-    pub(super) async fn handle(&self, request: Request) -> Response {
-        let id = self.new_id();
+    /// Queues a request as an input and waits for the controller's reply. If the connection
+    /// is closed, the returned future is dropped, and a later reply is ignored.
+    pub(super) async fn await_reply(&self, request: Request) -> Response {
+        let id = self.next_request_id();
         let (reply_sender, reply) = async_channel::bounded(1);
-        self.replies.borrow_mut().insert(id, reply_sender);
+        self.reply_senders.borrow_mut().insert(id, reply_sender);
         let _registration = Registration { requests: self, id };
         let input = Input::Request {
             request: id,
@@ -53,21 +54,23 @@
         }
     }
 
-    /// Passes the controller's reply on, unless the connection is closed.
+    /// Passes the controller's reply to the connection of the request, unless the connection
+    /// has been closed.
     pub(super) fn reply(&self, request: RequestId, reply: Reply) {
-        if let Some(sender) = self.replies.borrow_mut().remove(&request) {
-            // It fails only if the connection has been closed.
+        if let Some(sender) = self.reply_senders.borrow_mut().remove(&request) {
+            // Sending fails only if the connection has been closed.
             let _ = sender.try_send(reply);
         }
     }
 
-    fn new_id(&self) -> RequestId {
+    fn next_request_id(&self) -> RequestId {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         RequestId(id)
     }
 }
 
+/// The response if the controller does not reply, because the process ends.
 fn unavailable() -> Response {
     Response {
         status: 503,
@@ -76,7 +79,7 @@
     }
 }
 
-/// Removes a request when its handler ends or is dropped.
+/// Removes a request from [`PendingRequests`] when its future completes or is dropped.
 struct Registration<'a> {
     requests: &'a PendingRequests,
     id: RequestId,
@@ -84,6 +87,6 @@
 
 impl Drop for Registration<'_> {
     fn drop(&mut self) {
-        self.requests.replies.borrow_mut().remove(&self.id);
+        self.requests.reply_senders.borrow_mut().remove(&self.id);
     }
 }
--- a/crates/daemon/src/spans.rs
+++ b/crates/daemon/src/spans.rs
@@ -1,7 +1,8 @@
-//! Durations of the parts of a step, measured by their spans.
+//! Durations of the parts of a step.
 //!
-//! The core marks its parts with spans of `tracing` and has no clock. With `--spans` they are
-//! timed here, and summarised in the log periodically.
+//! The core has no clock; it only marks its parts with `tracing` spans. With `--spans`, the
+//! subscriber in this module measures the durations of the spans, and the log gets a summary
+//! periodically.
 
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
@@ -14,50 +15,56 @@
 
 /// Precision of the histograms, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Upper bound of the histograms, in microseconds; longer durations count as this.
+/// Upper bound of the histograms, in microseconds (10 minutes). Longer durations are recorded
+/// with this value.
 const MAX_DURATION_US: u64 = 600_000_000;
 
-/// A span that is open.
+/// A span that has been created and not closed yet.
 #[derive(Clone, Copy)]
 struct OpenSpan {
     name: &'static str,
+    /// Time at which the span was last entered; none before that.
     entered_at: Option<Instant>,
 }
 
-/// Spans that are open, by their ids, and durations of those that were exited, by name.
+/// Open spans, and the durations of exited spans.
 #[derive(Default)]
-struct State {
+struct SpanState {
+    /// Open spans by their identifiers.
     open: HashMap<u64, OpenSpan>,
+    /// Durations of exited spans in microseconds, by the names of the spans.
     durations_us: BTreeMap<&'static str, Histogram<u64>>,
 }
 
-/// A subscriber that measures spans by their names. Clones share the measurements.
+/// A `tracing` subscriber that measures the durations of spans and aggregates them by the
+/// names of the spans. Clones share the measurements.
 #[derive(Clone, Default)]
 pub(crate) struct SpanTimes {
     last_id: Arc<AtomicU64>,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<SpanState>>,
 }
 
 impl SpanTimes {
-    /// Measures all spans of this process from now on.
+    /// Starts to measure all spans of this process.
     pub(crate) fn install() -> Self {
         let times = Self::default();
         let subscriber = times.clone();
         if tracing::subscriber::set_global_default(subscriber).is_err() {
-            log::error!("spans: another subscriber is installed already");
+            log::error!("spans: not measured, another subscriber is installed already");
         }
         times
     }
 
     /// Returns one line with the count, sum, median and maximum of the durations of each
-    /// span since this was last called; none if no span was exited.
-    pub(crate) fn take_line(&self) -> Option<String> {
+    /// span since the last call of this method, and resets the durations. Returns none if no
+    /// span has been exited since.
+    pub(crate) fn take_summary(&self) -> Option<String> {
         let durations_us = std::mem::take(&mut self.lock().durations_us);
         let mut line = String::new();
         for (name, histogram) in &durations_us {
             let sum_us: f64 = histogram.mean() * histogram.len() as f64;
             let (median, max) = (histogram.value_at_quantile(0.5), histogram.max());
-            // Writing to a string can't fail.
+            // Writing to a string never fails.
             let _ = write!(
                 line,
                 "{}{name} {} in {:.1} ms (median {median} us, most {max} us)",
@@ -69,8 +76,9 @@
         (!line.is_empty()).then_some(line)
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
-        // No operation on the state can panic halfway, so a poisoned one is consistent.
+    fn lock(&self) -> MutexGuard<'_, SpanState> {
+        // No operation on the state can panic halfway, so the state behind a poisoned mutex
+        // is consistent.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/tests/command_line.rs
+++ b/crates/daemon/tests/command_line.rs
@@ -1,23 +1,23 @@
-//! The program's responses to settings and records, from the command line.
+//! Tests of the program's exit codes and messages, for settings and for stored records.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A settings file of the repository.
-fn example() -> PathBuf {
+/// Path of the example settings in the repository.
+fn example_settings() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/settings.toml")
 }
 
-/// Runs `forkshift check` on the example with operators' settings.
+/// Runs `forkshift check` on the example settings and the given operators' settings.
 fn check(name: &str, operator: &str) -> Output {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, operator).expect("a file for the settings");
     Command::new(env!("CARGO_BIN_EXE_forkshift"))
         .arg("check")
         .arg("--config")
-        .arg(example())
+        .arg(example_settings())
         .arg("--operator")
         .arg(path)
         .output()
@@ -64,8 +64,9 @@
     }
 }
 
-/// A fake state service that gives every request the same response.
-fn state_service(status: &'static str, body: &'static str) -> SocketAddr {
+/// Starts a fake key-value store that sends the same response to every request, and returns
+/// its address.
+fn fake_store(status: &'static str, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -83,10 +84,11 @@
     addr
 }
 
-/// Runs `forkshift pools` against a state service.
-fn pools(name: &str, state: SocketAddr, arguments: &[&str]) -> Output {
-    let text = std::fs::read_to_string(example()).expect("the example");
-    let text = text.replace("127.0.0.1:2379", &state.to_string());
+/// Runs `forkshift pools` against the key-value store at an address. `name` is the file name
+/// of the settings.
+fn pools(name: &str, store: SocketAddr, arguments: &[&str]) -> Output {
+    let text = std::fs::read_to_string(example_settings()).expect("the example");
+    let text = text.replace("127.0.0.1:2379", &store.to_string());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a file for the settings");
     Command::new(env!("CARGO_BIN_EXE_forkshift"))
@@ -99,11 +101,14 @@
 }
 
 const REPORT: [&str; 5] = ["report", "--from", "2026-12-01", "--to", "2026-12-02"];
-const EMPTY: &str = r#"{"items":[],"has_next":false,"ledger_rev":1}"#;
-const GARBLED: &str =
+/// A page without records.
+const EMPTY_PAGE: &str = r#"{"items":[],"has_next":false,"ledger_rev":1}"#;
+/// A page with a usage record that can't be parsed.
+const MALFORMED_RECORD_PAGE: &str =
     r#"{"items":[{"key":"pool/x/1-odd","data":{},"stamp":1}],"has_next":false,"ledger_rev":1}"#;
 
-/// A failure to read ends with exit code 1, and is never shown as an empty result.
+/// Guards against a failure to read that is shown as an empty result: it must end with exit
+/// code 1 and without standard output.
 #[test]
 fn pools_command_fails_if_records_cannot_be_read() {
     let closed = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -112,21 +117,21 @@
     let cases: [(&str, SocketAddr, &[&str], i32, &str); 7] = [
         (
             "empty",
-            state_service("200 OK", EMPTY),
+            fake_store("200 OK", EMPTY_PAGE),
             &REPORT,
             0,
             "nothing is recorded of pools",
         ),
         (
             "none",
-            state_service("200 OK", EMPTY),
+            fake_store("200 OK", EMPTY_PAGE),
             &["status"],
             0,
             "no pool is recorded",
         ),
         (
             "out",
-            state_service("503 Service Unavailable", "{}"),
+            fake_store("503 Service Unavailable", "{}"),
             &REPORT,
             1,
             "refuses with 503",
@@ -140,28 +145,28 @@
         ),
         (
             "odd",
-            state_service("200 OK", GARBLED),
+            fake_store("200 OK", MALFORMED_RECORD_PAGE),
             &REPORT,
             1,
-            "is not understood",
+            "record pool/x/1-odd is malformed",
         ),
         (
             "html",
-            state_service("200 OK", "<html>"),
+            fake_store("200 OK", "<html>"),
             &["status"],
             1,
-            "is not understood",
+            "sent a malformed page of records",
         ),
         (
             "span",
             unreachable,
             &["report", "--from", "2026-12-02", "--to", "2026-12-01"],
             1,
-            "`--to` is not behind `--from`",
+            "`--to` is `2026-12-01`, which is not after `--from` (`2026-12-02`)",
         ),
     ];
-    for (name, state, arguments, exit_code, message) in cases {
-        let output = pools(&format!("{name}.toml"), state, arguments);
+    for (name, store, arguments, exit_code, message) in cases {
+        let output = pools(&format!("{name}.toml"), store, arguments);
         let (out, errors) = (
             String::from_utf8_lossy(&output.stdout),
             String::from_utf8_lossy(&output.stderr),
--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden forms of the interface for operators: names on the command line, the files that
+//! Golden tests of the interface for operators: the names on the command line, the files that
 //! `check` accepts and refuses, and the output of `pools` for stored records. The expected
-//! forms are in `golden/`; the texts of errors and of help are not among them.
+//! results are in `golden/`. The texts of errors and of help are not part of them.
 
 #[path = "../../testkit/tests/golden/help.rs"]
 mod help;
@@ -23,7 +23,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Writes a file, and returns its path as an argument.
+/// Writes a file, and returns its path as a command-line argument.
 fn write_file(name: &str, content: &str) -> String {
     let folder: PathBuf = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden");
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -54,7 +54,8 @@
     assert!(actual == include_str!("golden/options.txt"), "{actual}");
 }
 
-/// Runs `check` for a line of the fixture.
+/// Runs `check` with the files and arguments of a case, a line of `check.jsonl`. `number` is
+/// the index of the line and makes the names of the files unique.
 fn check(number: usize, case: &Value) -> Output {
     let mut settings = SETTINGS.to_owned();
     if let Some([from, to]) = case["settings"].as_array().map(Vec::as_slice) {
@@ -76,7 +77,8 @@
     forkshift(&arguments)
 }
 
-/// Each line of `check.jsonl` has the files, the exit code, and what the error names.
+/// Each line of `check.jsonl` has the files, the expected exit code, and the names that the
+/// error message must contain.
 #[test]
 fn check_accepts_and_refuses_the_same_files() {
     for (number, line) in include_str!("golden/check.jsonl").lines().enumerate() {
@@ -94,7 +96,7 @@
     }
 }
 
-/// The page of records with the prefix that is requested.
+/// The page of all fixture records whose keys start with the requested prefix.
 fn page(request: &str) -> String {
     let prefix = request.split("starts=").nth(1).expect("a prefix");
     let prefix = prefix.split(['&', ' ']).next().expect("a prefix");
@@ -107,8 +109,9 @@
     format!(r#"{{"items":[{items}],"has_next":false,"ledger_rev":16}}"#)
 }
 
-/// A fake state service with the records of the fixture.
-fn state_service() -> SocketAddr {
+/// Starts a fake key-value store with the records of `records.jsonl`, and returns its
+/// address.
+fn fake_store() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -124,9 +127,9 @@
     addr
 }
 
-/// Runs `pools` against that state service, and returns its standard output.
+/// Runs `pools` against a fake key-value store, and returns its standard output.
 fn pools(command: &str) -> String {
-    let addr = state_service().to_string();
+    let addr = fake_store().to_string();
     let settings = SETTINGS.replace("127.0.0.1:2379", &addr);
     let name = format!("{}.toml", command.replace(' ', "_"));
     let config = write_file(&name, &settings);
