--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,7 +1,7 @@
-//! Messages of the cloud, which provisions machines.
+//! Messages between controllers and the cloud, which provisions machines.
 //!
-//! A provisioning request is idempotent: it has a unique name, and repeating it returns the
-//! machines of the first call.
+//! A provisioning request is idempotent: it has a unique name, and a repetition returns the
+//! machines of the first request.
 
 use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
@@ -9,12 +9,12 @@
 /// Response to `GET /catalog`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Catalog {
-    /// The machine types on offer.
+    /// The machine types that the cloud offers.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
 }
 
-/// A machine type.
+/// A machine type of the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
@@ -27,19 +27,19 @@
     /// Memory, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// Capacity of the image cache, in GB.
+    /// Capacity of a machine's image cache, in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate at which images are fetched, in GB per second.
+    /// Rate at which a machine fetches images, in GB per second.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine per hour.
     #[serde(rename = "hourly")]
     pub price_per_hour: f64,
-    /// Current price of a spot machine per hour; none: there are no spot machines.
+    /// Current price of a spot machine per hour; none: the type has no spot machines.
     #[serde(rename = "market_price", default)]
     pub spot_price_per_hour: Option<f64>,
-    /// Typical time from the request until the machine is up, in seconds.
+    /// Typical time from the provisioning request until the machine is up, in seconds.
     #[serde(default)]
     pub boot_s: f64,
     /// Zones in which the type is available.
@@ -50,27 +50,28 @@
 /// Body of `POST /machines`, a request to provision machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Unique name of the request, which makes repetitions idempotent.
+    /// Unique name of the request. A request with a name that the cloud has seen returns the
+    /// machines of the first request.
     #[serde(rename = "charter")]
     pub request_name: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are requested.
+    /// Whether spot machines are requested instead of on-demand machines.
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// Number of machines.
     pub count: u32,
 }
 
-/// Maximum number of machines in one provisioning request.
+/// Maximum number of machines that the cloud accepts in one provisioning request.
 pub const MAX_PROVISION_COUNT: u32 = 50;
-/// Maximum number of machines in one deletion request.
+/// Maximum number of machines that the cloud accepts in one deletion request.
 pub const MAX_DELETION_COUNT: usize = 100;
-/// Maximum number of machines on one page of the list.
+/// Maximum number of machines that the cloud returns on one page of the list.
 pub const MAX_LIST_PAGE_SIZE: u32 = 500;
 
 /// Response to `POST /machines`, and body of `POST /machines/delete`.
@@ -87,30 +88,30 @@
     /// The machines, in the order of their identifiers.
     #[serde(rename = "berths")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there is another page.
+    /// Whether further pages follow.
     #[serde(rename = "has_next", default)]
     pub has_next: bool,
 }
 
-/// A machine on the cloud's list.
+/// A machine in the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Identifier of the machine.
     #[serde(rename = "uid")]
     pub id: MachineId,
-    /// Socket address of its worker; empty while there is none.
+    /// Socket address of the machine's worker; empty until the machine has one.
     #[serde(default)]
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether this is a spot machine, which the cloud may reclaim.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// Lifecycle stage.
+    /// Lifecycle stage of the machine.
     #[serde(rename = "stage")]
     pub stage: MachineStage,
     /// Seconds since the provisioning request.
@@ -122,11 +123,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineStage {
-    /// Not up yet.
+    /// The machine is not up yet.
     Booting,
-    /// Up, or not yet known to be down.
+    /// The machine is up, or the cloud has not noticed yet that it is down.
     Running,
-    /// Stopped on its own.
+    /// The machine stopped without a deletion request.
     Failed,
     /// A stage that this version does not know.
     #[serde(other)]
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,5 +1,5 @@
-//! Identifiers. Each kind has a newtype of its own, so that one cannot be passed for
-//! another.
+//! Identifiers. Each kind of identifier is a type of its own, so that the compiler rejects an
+//! identifier of another kind.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::borrow::Cow;
@@ -7,7 +7,8 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Defines an identifier that is a shared, immutable string; cloning it copies no text.
+/// Defines an identifier type that holds a shared, immutable string. A clone shares the
+/// string.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -16,7 +17,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a text without checking it.
+            /// Creates an identifier from any text, without validation.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
@@ -36,7 +37,7 @@
 }
 
 text_id!(
-    /// Identifier of a job, chosen by its user: `j-` and digits.
+    /// Identifier of a job, chosen by its user: `j-` followed by digits.
     JobId
 );
 text_id!(
@@ -44,7 +45,7 @@
     MachineId
 );
 text_id!(
-    /// Name of a controller, as the settings give it.
+    /// Name of a controller, `host_name` in the settings.
     NodeName
 );
 
@@ -52,7 +53,8 @@
 const MAX_JOB_ID_BYTES: usize = 64;
 
 impl JobId {
-    /// Parses a job id; `None` unless it is `j-` and digits, at most 64 bytes in all.
+    /// Parses an identifier. Returns `None` unless the text is `j-` followed by digits, at
+    /// most 64 bytes in total.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("j-")?;
         let is_valid = !digits.is_empty()
@@ -62,7 +64,7 @@
     }
 }
 
-/// Reference to one task of a job, written as `j-000412/3`.
+/// Reference to one task of a job, written as the job and the index: `j-000412/3`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskRef {
     /// The job.
@@ -77,7 +79,8 @@
     }
 }
 
-/// A text is not a reference to a task; holds the text.
+/// The text, which this error contains, is not a reference to a task. The message is part of
+/// responses to users and workers.
 #[derive(Debug, thiserror::Error)]
 #[error("not a task: {0:?}")]
 pub struct TaskRefError(String);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,31 +1,30 @@
-//! Wire formats of forkshift, for the service itself and for its clients.
+//! Wire formats of forkshift, for the controllers and for their clients.
 //!
-//! Every interface that crosses a process boundary has its message types here, one module
-//! for each counterpart:
+//! This crate has the message types of every interface that crosses a process boundary, one
+//! module for each counterpart of a controller:
 //!
 //! | module | counterpart | encoding |
 //! | --- | --- | --- |
 //! | [`users`] | users who submit jobs | JSON over HTTP |
 //! | [`workers`] | the agent on each machine | JSON over HTTP |
-//! | [`cloud`] | the provider of machines | JSON over HTTP |
+//! | [`cloud`] | the cloud from which machines are rented | JSON over HTTP |
 //! | [`state`] | the consensus-backed key-value store | JSON over HTTP |
 //! | [`peer`] | other controllers | borsh over TCP |
 //! | [`settings`] | the platform's settings file | TOML |
 //!
 //! # Field names
 //!
-//! The protocol has field names of its own (`berth`, `baton`, `watch`, ...). This crate
-//! is the only place that knows them: each field has the standard term of the field as
-//! its Rust name, and `#[serde(rename = "...")]` gives the name on the wire. The doc
-//! comment of a field states its meaning and unit, so that no other crate needs the
-//! protocol's vocabulary.
+//! The protocol uses unusual field names (`berth` for a machine, `baton` for a fencing token,
+//! ...). Only this crate uses them: the Rust name of a field is the usual term, and
+//! `#[serde(rename = "...")]` gives the name on the wire. The doc comment of a field states
+//! its meaning and unit, so that no other crate needs the vocabulary of the protocol.
 //!
 //! # Compatibility
 //!
-//! The bytes are fixed by the files in `tests/golden`. Serde names, the order of fields and
-//! the order of borsh variants must not change; Rust names may. Unknown JSON and TOML
-//! fields are ignored, and optional fields have defaults, so that either side may be
-//! upgraded first.
+//! The files in `tests/golden` fix the encodings. Serde names, the order of fields and the
+//! order of borsh variants must not change; Rust names may change. Unknown JSON and TOML
+//! fields are ignored, and optional fields have defaults, so that either side of an interface
+//! may be upgraded first.
 
 pub mod cloud;
 pub mod ids;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,10 +1,10 @@
 //! Messages between controllers, encoded with borsh.
 //!
-//! Messages only reduce latency. What they state is also in the state service, or is
+//! Messages only reduce latency. Their contents are also in the key-value store, or are
 //! requested again, so a message may be lost, delayed or duplicated without harm.
 //!
-//! Borsh encodes fields and variants by position: neither may be reordered, and a new
-//! variant goes to the end, with a new version of the format.
+//! Borsh encodes fields and variants by position. Neither fields nor variants may be
+//! reordered. A new variant goes to the end and needs a new version of the format.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
@@ -12,8 +12,8 @@
 pub const FIRST_VERSION: u16 = 5;
 /// First version with the messages about dependencies between jobs.
 const DEPENDENCIES_VERSION: u16 = 6;
-/// Latest version of the format. A message is sent with the oldest version that has its
-/// body, so that controllers of earlier releases can decode it.
+/// Latest version of the format. A message is sent with the oldest version that supports its
+/// body, so that controllers of earlier releases can decode the message.
 pub const LATEST_VERSION: u16 = 7;
 /// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 96 * 1024;
@@ -21,54 +21,56 @@
 /// A message and its sender.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Envelope {
-    /// Version of the format.
+    /// Version of the format. It is the first field, so that every release can decode it.
     pub version: u16,
-    /// Name of the sender.
+    /// Name of the controller that sends the message.
     pub from: String,
-    /// Incarnation of the sender; messages of earlier incarnations are dropped.
+    /// Incarnation of the sender. The receiver drops messages of earlier incarnations.
     pub incarnation: u64,
     /// Epoch of the shard that the message concerns, as the sender knows it.
     pub epoch: u64,
-    /// The message.
+    /// Content of the message.
     pub body: Body,
 }
 
 /// Content of a message.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Body {
-    /// A job was accepted for a shard that the receiver holds.
+    /// The sender accepted a job for a shard that the receiver holds.
     NewJob {
         /// The shard.
         shard: u32,
-        /// The job as it was submitted, in JSON.
+        /// The submitted [`JobSpec`](crate::users::JobSpec), in JSON.
         spec: String,
         /// Wall-clock time of the submission, in milliseconds since 1970.
         submitted_at_ms: u64,
         /// Revision of the store at which the job was recorded.
         revision: u64,
     },
-    /// The rate at which the sender needs to use the state service; sent to the leader.
+    /// The rates at which the sender needs to use the key-value store; sent to the leader.
     BudgetRequest {
-        /// Changes in a thousand seconds.
+        /// Writes per 1000 seconds.
         writes: u32,
-        /// Requests in a thousand seconds.
+        /// Requests per 1000 seconds.
         requests: u32,
-        /// Whether the sender is bound by a grant of the receiver at present.
+        /// Whether a [`Body::BudgetGrant`] of the receiver is in force at the sender.
         granted: bool,
     },
-    /// The rate at which the receiver may use the state service beyond its fixed part, for
-    /// a short time.
+    /// The rates at which the receiver may use the key-value store for a short time, beyond
+    /// its fixed part of the store's limits.
     BudgetGrant {
-        /// Changes in a thousand seconds.
+        /// Writes per 1000 seconds.
         writes: u32,
-        /// Requests in a thousand seconds.
+        /// Requests per 1000 seconds.
         requests: u32,
     },
-    /// The unmet demand of a shard, to the leader; the envelope has the shard's epoch.
+    /// The unmet demand of a shard; sent to the leader. [`Envelope::epoch`] is the epoch of the
+    /// shard.
     UnmetDemand {
         /// The shard.
         shard: u32,
-        /// The demand record, in JSON; the sender also writes it to the store periodically.
+        /// The demand record, in JSON. The sender also writes the record to the key-value store
+        /// periodically.
         demand: String,
     },
     /// A user requests the cancellation of a job that the receiver holds.
@@ -76,22 +78,22 @@
         /// The job.
         id: String,
     },
-    /// A user's request, forwarded to the holder of the job.
+    /// A user's request, forwarded to the controller that holds the job.
     ForwardedRequest {
-        /// Number of the request, which the response repeats.
+        /// Number of the request, which is repeated in the response.
         request_number: u64,
         /// `GET` or `POST`.
         method: String,
         /// Path and query.
         path: String,
-        /// The body, if there is one.
+        /// Body of the request; none if the request has no body.
         body: Option<Vec<u8>>,
     },
-    /// Periodic sign of life of the sender.
+    /// Periodic heartbeat of the sender.
     Heartbeat(PeerHeartbeat),
     /// Response to a forwarded request.
     ForwardedResponse {
-        /// Incarnation of the receiver that forwarded the request.
+        /// Incarnation in which the receiver of this message forwarded the request.
         incarnation: u64,
         /// Number of the request.
         request_number: u64,
@@ -99,40 +101,42 @@
         status: u16,
         /// Body, in JSON.
         body: Vec<u8>,
-        /// Value of the `retry-after` header, in seconds.
+        /// Value of the `retry-after` header, in seconds; none: the response has no such
+        /// header.
         retry_after_s: Option<u32>,
     },
     /// The final stage of a job was recorded. Since version 6.
     JobEnded {
         /// The job.
         id: String,
-        /// Whether it was cancelled; otherwise it is done.
+        /// Whether the job was cancelled; otherwise it completed.
         cancelled: bool,
     },
-    /// A job that the receiver holds is a dependency of one that the sender holds.
-    /// Since version 6.
+    /// A job that the receiver holds is a dependency of jobs that the sender holds, and
+    /// inherits their priority. Since version 6.
     InheritPriority {
         /// The job.
         id: String,
-        /// The highest priority among its dependents; 0 is the lowest.
+        /// The highest priority among the dependent jobs; 0 is the lowest priority.
         priority: u8,
     },
-    /// The sender holds these machines but receives no heartbeats from their workers; the
-    /// receiver should relay those that it gets. Since version 7.
+    /// The sender holds these machines but receives no heartbeats from their workers. It asks
+    /// the receiver to relay heartbeats of these workers. Since version 7.
     RelayRequest {
-        /// Number of the list within the incarnation. Messages with the same number are
-        /// parts of one list; a list replaces those with lower numbers.
+        /// Number of the list of machines within the sender's incarnation. Messages with the
+        /// same number are parts of one list. A list replaces lists with lower numbers.
         list_number: u64,
         /// The machines.
         machines: Vec<String>,
     },
-    /// The sender holds these machines but cannot reach their workers; the receiver should
-    /// call the workers and relay their responses. Since version 7.
+    /// The sender holds these machines but cannot reach their workers. It asks the receiver to
+    /// call the workers and to relay their responses. Since version 7.
     ProbeRequest {
         /// The machines.
         machines: Vec<String>,
     },
-    /// Response of a worker to a probe. Since version 7.
+    /// Response of a worker to a call that the receiver asked for with
+    /// [`Body::ProbeRequest`]. Since version 7.
     ProbeResult {
         /// The worker's heartbeat, in JSON.
         heartbeat: Vec<u8>,
@@ -140,7 +144,7 @@
 }
 
 impl Body {
-    /// The oldest version of the format that has this body.
+    /// The oldest version of the format that supports this body.
     pub fn version(&self) -> u16 {
         match self {
             Self::JobEnded { .. } | Self::InheritPriority { .. } => DEPENDENCIES_VERSION,
@@ -152,39 +156,41 @@
     }
 }
 
-/// Sign of life of a controller, with statements that the receiver may rely on. The
-/// statements hold as of the time at which the acknowledged heartbeat was sent.
+/// Heartbeat of a controller, with statements about the sender's state. The receiver may rely
+/// on the statements as of the time at which it sent the acknowledged heartbeat.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
-    /// Monotonic clock of the sender, which the acknowledgement repeats.
+    /// Time on the sender's monotonic clock, in milliseconds. The acknowledgement repeats it.
     pub sent_at: u64,
-    /// The last heartbeat that the sender received from the receiver.
+    /// The last heartbeat that the sender received from the receiver of this message; none if
+    /// it has received none.
     pub acknowledged: Option<HeartbeatAck>,
-    /// The highest epoch that the sender has seen of each shard, as pairs of shard and
-    /// epoch; none until it has read them in this incarnation.
+    /// The highest epoch of each shard that the sender has seen, as pairs of shard and epoch;
+    /// none until the sender has read the epochs in this incarnation.
     pub epochs: Option<Vec<(u32, u64)>>,
-    /// How long the state service has been refusing the sender, in milliseconds; none: its
-    /// last request was served.
+    /// Time for which the key-value store has been refusing the sender's requests, in
+    /// milliseconds; none if the last request was served.
     pub store_refused_for_ms: Option<u64>,
-    /// Shards that the sender holds under a valid lease.
+    /// The shards that the sender holds under a valid lease.
     pub settled_shards: Vec<SettledShard>,
 }
 
-/// Identifies a heartbeat that was received.
+/// Identifies a heartbeat that the sender of the acknowledgement received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct HeartbeatAck {
-    /// Incarnation of the controller that sent it.
+    /// Incarnation of the controller that sent the heartbeat.
     pub incarnation: u64,
-    /// Its [`PeerHeartbeat::sent_at`].
+    /// [`PeerHeartbeat::sent_at`] of the heartbeat.
     pub sent_at: u64,
 }
 
-/// A shard, and where tasks of its cancelled jobs may still be running.
+/// A shard, and the machines on which tasks of its cancelled jobs may still be running.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct SettledShard {
     /// The shard.
     pub shard: u32,
-    /// Machines of the shard that may hold such a task; all others hold none.
+    /// Machines of the shard on which tasks of cancelled jobs may still be running. No other
+    /// machine of the shard has such a task.
     pub unsettled_machines: Vec<String>,
 }
 
@@ -192,12 +198,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// The message is longer than [`MAX_MESSAGE_BYTES`]; its length in bytes.
-    #[error("{0} bytes are too many")]
+    #[error("message of {0} bytes exceeds the maximum of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
     /// The version of the format is not supported.
-    #[error("version {0} is not spoken here")]
+    #[error(
+        "format version {0} is not supported; versions {FIRST_VERSION} to {LATEST_VERSION} are"
+    )]
     UnsupportedVersion(u16),
-    /// The bytes are not a message.
+    /// The bytes are not an encoded message.
     #[error("{0}")]
     Malformed(#[from] std::io::Error),
 }
@@ -207,7 +215,7 @@
     ///
     /// # Errors
     ///
-    /// [`MessageError::TooLong`].
+    /// [`MessageError::TooLong`], if the encoded message exceeds [`MAX_MESSAGE_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
         let bytes = borsh::to_vec(self)?;
         match bytes.len() {
@@ -220,12 +228,13 @@
     ///
     /// # Errors
     ///
-    /// [`MessageError`]; trailing bytes are refused, too.
+    /// [`MessageError`], if the bytes are not exactly one message of a supported version.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong(bytes.len()));
         }
-        // The version comes first, so that an unsupported one is distinguished from garbage.
+        // The version is decoded first, so that a message of an unsupported version is not
+        // reported as malformed.
         let version = u16::deserialize(&mut &bytes[..])?;
         if !(FIRST_VERSION..=LATEST_VERSION).contains(&version) {
             return Err(MessageError::UnsupportedVersion(version));
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -22,7 +22,7 @@
     unknown_body[tag_offset] = 9;
     let mut trailing_byte = encoded.clone();
     trailing_byte.push(0);
-    // The length of the sender's name exceeds the message.
+    // The encoded length of the sender's name is larger than the message.
     let mut excessive_length = encoded.clone();
     excessive_length[2..6].copy_from_slice(&u32::MAX.to_le_bytes());
     let cases = [
@@ -48,8 +48,8 @@
     assert!(Envelope { body, ..message }.encode().is_err());
 }
 
-/// A message is sent with the oldest version that has its body, so that controllers of
-/// the first release can decode all that they support.
+/// A message is sent with the oldest version that supports its body, so that controllers of
+/// the first release can decode every message whose body they support.
 #[test]
 fn message_has_the_oldest_version_that_supports_its_body() {
     let ended = Body::JobEnded {
--- a/crates/wire/src/settings/tests.rs
+++ b/crates/wire/src/settings/tests.rs
@@ -64,7 +64,7 @@
     assert!(Settings::parse(&text).is_ok());
 }
 
-/// Each announced limit is optional, and so is the whole table.
+/// The table `[cluster.state.next]` and each limit in it may be absent.
 #[test]
 fn announced_limits_are_optional() {
     let start = VALID.find("[cluster.state.next]").expect("the table");
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -1,39 +1,40 @@
-//! Ranges of the fields of the settings.
+//! Validation of the fields of the settings.
 
 use super::{Cluster, NextStateLimits, Peer, Settings, SettingsError, Team};
 use crate::ids::NodeName;
+use std::fmt::Debug;
 
-/// Minimum of `cluster.state.txn_ops`: a handover of a shard, and the end of a job,
-/// are transactions of this many changes.
+/// Minimum of `cluster.state.txn_ops`: the transactions that hand over a shard and that end a
+/// job have this many writes.
 const MIN_TRANSACTION_WRITES: usize = 4;
 /// Minimum of `cluster.limits.sockets`.
 const MIN_SOCKETS: usize = 32;
 
-/// What is wrong with the value of a field.
+/// Why the value of a field is refused. The message states which values are allowed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum FieldProblem {
-    /// Zero, negative, or no number.
-    #[error("must be above 0")]
+    /// The value is zero, negative, infinite or not a number.
+    #[error("must be a number above 0")]
     NotPositive,
-    /// Negative, or no number.
-    #[error("must not be negative")]
+    /// The value is negative, infinite or not a number.
+    #[error("must be a number that is not negative")]
     Negative,
-    /// An empty text.
+    /// The text is empty.
     #[error("must not be empty")]
     Empty,
-    /// Below a minimum, which is given.
+    /// The value is below the minimum, which this variant contains.
     #[error("must be at least {0}")]
     BelowMinimum(usize),
     /// A peer has the name of this controller.
-    #[error("is this controller's own name")]
+    #[error("must not be `host_name`, the name of this controller")]
     OwnName,
 }
 
-/// Checks all fields.
+/// Validates all fields.
 ///
 /// # Errors
 ///
-/// The first field that is refused.
+/// [`SettingsError::Field`], for the first field that is refused.
 pub(super) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     let cluster = &settings.cluster;
     let next_limits = cluster.state.next.clone().unwrap_or_default();
@@ -43,14 +44,19 @@
     validate_quotas(&cluster.teams)
 }
 
-fn field_error(field: impl Into<String>, problem: FieldProblem) -> SettingsError {
+fn field_error(
+    field: impl Into<String>,
+    problem: FieldProblem,
+    value: impl Debug,
+) -> SettingsError {
     SettingsError::Field {
         field: field.into(),
         problem,
+        value: format!("{value:?}"),
     }
 }
 
-/// Times, rates and sizes that must be above zero.
+/// Validates times, rates and sizes, which must be above 0. Announced limits may be absent.
 fn validate_positive(cluster: &Cluster, next: &NextStateLimits) -> Result<(), SettingsError> {
     let required = [
         (
@@ -87,17 +93,21 @@
         .filter_map(|(field, value)| Some((field, value?)));
     for (field, value) in required.into_iter().chain(announced) {
         if !(value.is_finite() && value > 0.0) {
-            return Err(field_error(field, FieldProblem::NotPositive));
+            return Err(field_error(field, FieldProblem::NotPositive, value));
         }
     }
     Ok(())
 }
 
-/// Counts that have a minimum.
+/// Validates counts that have a minimum.
 fn validate_minimums(cluster: &Cluster, next: &NextStateLimits) -> Result<(), SettingsError> {
     if cluster.node_count == 0 {
         let problem = FieldProblem::NotPositive;
-        return Err(field_error("cluster.initial_size", problem));
+        return Err(field_error(
+            "cluster.initial_size",
+            problem,
+            cluster.node_count,
+        ));
     }
     let minimums = [
         (
@@ -117,27 +127,33 @@
         ),
     ];
     for (field, value, minimum) in minimums {
-        if value.is_some_and(|value| value < minimum) {
-            return Err(field_error(field, FieldProblem::BelowMinimum(minimum)));
+        if let Some(value) = value.filter(|value| *value < minimum) {
+            let problem = FieldProblem::BelowMinimum(minimum);
+            return Err(field_error(field, problem, value));
         }
     }
     Ok(())
 }
 
-/// The name of this controller, which no peer may have.
+/// Validates the name of this controller: it must not be empty, and no peer may have it.
 fn validate_names(own_name: &NodeName, peers: &[Peer]) -> Result<(), SettingsError> {
     if own_name.as_str().is_empty() {
-        return Err(field_error("host_name", FieldProblem::Empty));
+        return Err(field_error(
+            "host_name",
+            FieldProblem::Empty,
+            own_name.as_str(),
+        ));
     }
     match peers.iter().position(|peer| peer.node == *own_name) {
         Some(index) => {
             let field = format!("peers[{index}].host_name");
-            Err(field_error(field, FieldProblem::OwnName))
+            Err(field_error(field, FieldProblem::OwnName, own_name.as_str()))
         }
         None => Ok(()),
     }
 }
 
+/// Validates the quotas of the teams, which must not be negative.
 fn validate_quotas(teams: &[Team]) -> Result<(), SettingsError> {
     for (index, team) in teams.iter().enumerate() {
         let amounts = [
@@ -149,7 +165,7 @@
         for (name, value) in amounts {
             if !(value.is_finite() && value >= 0.0) {
                 let field = format!("cluster.teams[{index}].{name}");
-                return Err(field_error(field, FieldProblem::Negative));
+                return Err(field_error(field, FieldProblem::Negative, value));
             }
         }
     }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,32 +1,33 @@
-//! Messages of the state service, a consensus-backed key-value store.
+//! Messages between controllers and the state service, a consensus-backed key-value store.
 //!
-//! The store has one revision, which grows with each change. A record's *version* is the
-//! revision of its last change. Writes are compare-and-swap transactions over several keys;
-//! a key may be bound to a lease, at whose expiry the store removes it.
+//! The store has one revision number, which grows with each transaction that writes. The
+//! *version* of a record is the revision of its last change. Writes are compare-and-swap
+//! transactions over several keys. A key may be bound to a lease; when the lease expires, the
+//! store removes the key.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A record.
+/// A record: a key, its value and its version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
-    /// Its key; empty in the response to a read of a single key.
+    /// The key; empty in the response to a read of a single key.
     #[serde(default)]
     pub key: String,
-    /// Its value.
+    /// The value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision at which the record was last changed.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// One page of the response to a listing.
+/// One page of the response to a request for all records with a key prefix.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
     /// Records in the order of their keys.
     pub items: Vec<Item>,
-    /// Whether there is another page.
+    /// Whether further pages follow.
     #[serde(rename = "has_next", default)]
     pub has_next: bool,
     /// Revision of the store.
@@ -34,12 +35,12 @@
     pub revision: u64,
 }
 
-/// Condition of a transaction on one key.
+/// A precondition of a transaction on the version of one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
     /// The key.
     pub key: String,
-    /// Version that the key must have; 0: the key must not exist.
+    /// Version that the record must have; 0: the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -56,7 +57,7 @@
         /// The value.
         #[serde(rename = "data")]
         value: Value,
-        /// Lease that the key is bound to.
+        /// Lease to which the key is bound; none: the key does not expire.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -69,7 +70,7 @@
 }
 
 impl Write {
-    /// A write of a value that is bound to no lease.
+    /// A write of a value, without a lease.
     pub fn put(key: String, value: Value) -> Self {
         Self::Put {
             key,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The key that is changed.
+    /// The key that this write changes.
     pub fn key(&self) -> &str {
         match self {
             Self::Put { key, .. } | Self::Remove { key } => key,
@@ -86,32 +87,33 @@
     }
 }
 
-/// Body of `POST /txn`, a compare-and-swap over several keys.
+/// Body of `POST /txn`, a compare-and-swap transaction over several keys.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Preconditions, all of which must hold.
+    /// Preconditions. If any does not hold, no write is executed.
     #[serde(rename = "if", default)]
     pub preconditions: Vec<Precondition>,
-    /// Changes, applied together or not at all.
+    /// Writes, executed atomically. Without writes, the transaction only checks its
+    /// preconditions.
     #[serde(rename = "writes", default, skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
 }
 
-/// Response to `POST /txn`, and to a read that finds nothing.
+/// Response to `POST /txn`, and to a read of a key that does not exist.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct TransactionReply {
     /// Revision of the store.
     #[serde(rename = "ledger_rev", default)]
     pub revision: u64,
-    /// Keys whose preconditions did not hold.
+    /// Keys whose preconditions did not hold; empty if the transaction succeeded.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// Body of `POST /grants`, the request of a lease.
+/// Body of `POST /grants`, the request for a new lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time to live of the lease without a renewal, in milliseconds.
+    /// Time after which the lease expires unless it is renewed, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -119,18 +121,18 @@
 /// Response to `POST /grants`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// Identifier of the lease.
+    /// Identifier of the new lease.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
 
-/// Response to `GET /changes`, the long poll of a watch.
+/// Response to `GET /changes`, a long poll that watches all keys with a prefix.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Changes {
     /// Revision of the store.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// All changes since the revision that was requested, in order.
+    /// All changes since the revision in the request, in the order of their revisions.
     #[serde(rename = "news", default)]
     pub events: Vec<Change>,
 }
@@ -139,7 +141,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// A value was set.
+    /// The value of a key was set.
     Put {
         /// The key.
         #[serde(rename = "put")]
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -13,22 +13,23 @@
 /// The name of this type is shown to users: a refusal may contain `expected struct JobSpec`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Identifier of the job, chosen by its user; it makes a repeated submission idempotent.
+    /// Identifier of the job, chosen by its user. A repeated submission with the same
+    /// identifier is idempotent.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// Class of the job, to which service-level objectives apply.
+    /// Class of the job. Service-level objectives are declared for classes.
     #[serde(rename = "roster")]
     pub class: String,
     /// Team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Array, gang or service.
+    /// Whether the job is an array, a gang or a service.
     #[serde(rename = "shape")]
     pub kind: JobKind,
     /// Scheduling priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`MAX_TASKS_PER_JOB`].
     #[serde(rename = "shifts")]
     pub tasks: u32,
     /// CPUs of each task.
@@ -39,7 +40,7 @@
     /// Memory of each task, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// Image that a machine must hold before a task runs.
+    /// Image that a machine must hold before it runs a task of the job.
     #[serde(rename = "kit")]
     pub image: String,
     /// Size of the image, in GB.
@@ -53,13 +54,13 @@
     /// Whether all tasks must be in one zone.
     #[serde(rename = "same_place")]
     pub require_same_zone: bool,
-    /// Whether at most half of the tasks, rounded up, may be in one zone.
+    /// Whether the tasks are spread: at most half of them, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub spread_over_zones: bool,
     /// Whether tasks may run on spot machines.
     #[serde(rename = "loaner")]
     pub allow_spot: bool,
-    /// The owner's estimate of the run time of a task, in seconds.
+    /// The user's estimate of the run time of a task, in seconds.
     #[serde(rename = "expect_s")]
     pub estimated_run_time_s: f64,
     /// Interval between the checkpoints of a running task, in seconds; 0: no checkpoints.
@@ -68,10 +69,11 @@
     /// Time that a task needs for saving a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_save_time_s: f64,
-    /// Time from the submission until the job should be complete, in seconds.
+    /// Time from the submission until the job should be complete, in seconds; none: the job has
+    /// no deadline.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts.
+    /// Jobs that must be done before any task of this job starts. Each job is listed once.
     #[serde(
         rename = "awaits",
         default,
@@ -81,22 +83,22 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// Deserializes a list for which `null` stands for the empty one.
+/// Deserializes a list; `null` is the empty list.
 fn null_as_empty<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
     let list: Option<Vec<JobId>> = Option::deserialize(deserializer)?;
     Ok(list.unwrap_or_default())
 }
 
-/// Kind of a job.
+/// How the tasks of a job are scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks.
+    /// The tasks are independent of each other.
     #[serde(rename = "batch")]
     Array,
-    /// Gang scheduling: all tasks run at the same time, or none does.
+    /// Gang scheduling: all tasks run at the same time, or none runs.
     #[serde(rename = "group")]
     Gang,
-    /// Tasks that run until the job is cancelled.
+    /// The tasks run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
@@ -104,27 +106,27 @@
 /// Scheduling priority; the variants are ordered from the lowest to the highest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs when nothing else waits.
+    /// Below [`Priority::Normal`]: for tasks that run when no others are pending.
     #[serde(rename = "idle")]
     Low,
-    /// The default.
+    /// The usual priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Before [`Priority::Normal`].
+    /// Above [`Priority::Normal`].
     #[serde(rename = "urgent")]
     High,
-    /// Before all others.
+    /// Above all other priorities.
     #[serde(rename = "production")]
     Production,
 }
 
-/// Why a submission is refused. The texts are part of the response to the user.
+/// Why a submission is refused. The messages are part of the response to the user.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmissionError {
     /// The body is not JSON of the expected form.
     #[error("not a submission: {0}")]
     Json(#[from] serde_json::Error),
-    /// The value of a field is outside its range.
+    /// The value of a field is outside of its range.
     #[error("`{field}` is out of its range")]
     OutOfRange {
         /// Name of the field on the wire.
@@ -133,8 +135,8 @@
 }
 
 impl JobSpec {
-    /// Parses a submission and validates every field. A dependency that is named several
-    /// times is kept once.
+    /// Parses a submission in JSON and validates all fields. Duplicate dependencies are
+    /// removed.
     ///
     /// # Errors
     ///
@@ -151,22 +153,22 @@
 /// Lifecycle stage of a job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum JobStage {
-    /// Accepted; no task is running.
+    /// The job was accepted, and no task is running.
     #[serde(rename = "pending")]
     Queued,
     /// At least one task is running.
     #[serde(rename = "running")]
     Running,
-    /// All tasks are done.
+    /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user.
+    /// The job was cancelled by its user.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
 impl JobStage {
-    /// Whether the job can't leave this stage any more.
+    /// Whether a job in this stage never changes its stage again.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled)
     }
@@ -178,12 +180,12 @@
     /// The job.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// Its lifecycle stage.
+    /// Lifecycle stage of the job.
     pub stage: JobStage,
-    /// Number of tasks that are done; absent if not known to the controller.
+    /// Number of tasks that have completed; none if the controller does not know it.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
-    /// Number of tasks that are running; absent likewise.
+    /// Number of tasks that are running; none if the controller does not know it.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
@@ -191,7 +193,7 @@
 /// Body of a response with an error status.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// Human-readable reason.
+    /// Human-readable reason for the error.
     pub error: String,
 }
 
--- a/crates/wire/src/users/tests.rs
+++ b/crates/wire/src/users/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use serde_json::json;
 
-fn sample() -> serde_json::Value {
+/// A valid submission with an unknown field.
+fn valid_submission() -> serde_json::Value {
     json!({"uid":"j-000412","roster":"train","crew":"vision","shape":"group","rank":"urgent","shifts":16,
         "cpus":8.0,"accelerators":1.0,"mem_gb":64.0,"kit":"img-07","image_gb":6.2,
         "rigs":["g8"],"yard":null,"same_place":true,"scatter":false,"loaner":true,
@@ -12,7 +13,7 @@
 
 #[test]
 fn submission_with_an_invalid_field_is_refused() {
-    assert!(JobSpec::parse(sample().to_string().as_bytes()).is_ok());
+    assert!(JobSpec::parse(valid_submission().to_string().as_bytes()).is_ok());
     let cases = [
         ("uid", json!("x-1")),
         ("uid", json!(7)),
@@ -34,13 +35,13 @@
         ("awaits", json!([null])),
     ];
     for (field, value) in cases {
-        let mut body = sample();
+        let mut body = valid_submission();
         body[field] = value.clone();
         let read = JobSpec::parse(body.to_string().as_bytes());
         assert!(read.is_err(), "{field} = {value}");
     }
     for field in ["uid", "roster", "crew", "cpus", "loaner", "expect_s"] {
-        let mut body = sample();
+        let mut body = valid_submission();
         body.as_object_mut().unwrap().remove(field);
         assert!(
             JobSpec::parse(body.to_string().as_bytes()).is_err(),
@@ -48,7 +49,7 @@
         );
     }
     for field in ["rigs", "yard", "due_s"] {
-        let mut body = sample();
+        let mut body = valid_submission();
         body.as_object_mut().unwrap().remove(field);
         assert!(
             JobSpec::parse(body.to_string().as_bytes()).is_ok(),
@@ -60,7 +61,8 @@
     }
 }
 
-/// `null` and `[]` are both the empty list, which is not encoded; duplicates are removed.
+/// `null` and `[]` are decoded to the empty list, which is not encoded. Duplicates are
+/// removed.
 #[test]
 fn dependencies_are_deduplicated_and_an_empty_list_is_omitted() {
     let cases = [
@@ -69,7 +71,7 @@
         (json!(["j-2", "j-1", "j-2"]), vec!["j-2", "j-1"]),
     ];
     for (value, expected) in cases {
-        let mut body = sample();
+        let mut body = valid_submission();
         body["awaits"] = value.clone();
         let spec = JobSpec::parse(body.to_string().as_bytes()).expect("a submission");
         let ids: Vec<&str> = spec.dependencies.iter().map(JobId::as_str).collect();
@@ -77,7 +79,6 @@
         let written = serde_json::to_value(&spec).expect("a submission");
         assert_eq!(written.get("awaits").is_some(), !expected.is_empty());
     }
-    assert!(
-        JobSpec::parse(sample().to_string().as_bytes()).is_ok_and(|s| s.dependencies.is_empty())
-    );
+    assert!(JobSpec::parse(valid_submission().to_string().as_bytes())
+        .is_ok_and(|s| s.dependencies.is_empty()));
 }
--- a/crates/wire/src/users/validation.rs
+++ b/crates/wire/src/users/validation.rs
@@ -1,27 +1,28 @@
-//! Ranges of the fields of a submission.
+//! Validation of the fields of a submission.
 
 use super::{JobSpec, SubmissionError};
 use crate::ids::JobId;
 
 /// Maximum number of tasks of a job.
 pub const MAX_TASKS_PER_JOB: u32 = 100_000;
-/// Upper bound, exclusive, of resources, sizes and times.
+/// Exclusive upper bound of resources, sizes and times, in the unit of the field.
 const AMOUNT_LIMIT: f64 = 1e9;
-/// Maximum length of a name, in bytes.
+/// Maximum length of the name of a class, a team, an image or a machine type, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// Whether a field is within its range.
+/// The result of validating one field.
 struct FieldCheck {
     /// Name of the field on the wire.
     field: &'static str,
     is_valid: bool,
 }
 
-/// Checks all fields.
+/// Validates all fields.
 ///
 /// # Errors
 ///
-/// The first field that is out of its range, in the order of [`field_checks`].
+/// [`SubmissionError::OutOfRange`], for the first field that is out of its range, in the order
+/// of [`field_checks`].
 pub(super) fn validate(spec: &JobSpec) -> Result<(), SubmissionError> {
     let checks = field_checks(spec);
     match checks.into_iter().find(|check| !check.is_valid) {
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -2,10 +2,11 @@
 //! commands and their replies.
 //!
 //! A worker sends a [`WorkerHeartbeat`] periodically and as the response to a
-//! [`CommandRequest`]. A controller that may not command the worker answers with a
-//! [`Redirect`]. Two numbers protect against stale messages: the *fencing token*, which
-//! grows whenever another controller takes over the machine, and the worker's
-//! *incarnation*, which grows whenever the worker has lost its lease and its tasks.
+//! [`CommandRequest`]. A controller responds to a heartbeat with a [`HeartbeatReply`], or with
+//! a [`Redirect`] if another controller holds the machine. Two numbers protect against stale
+//! messages. The *fencing token* grows whenever another controller becomes the holder of the
+//! machine. The worker's *incarnation* grows whenever the worker has lost its lease, which
+//! ends its tasks.
 
 use crate::ids::{MachineId, TaskRef};
 use serde::{Deserialize, Serialize};
@@ -16,9 +17,9 @@
     /// The machine that the worker runs on.
     #[serde(rename = "berth")]
     pub machine: MachineId,
-    /// Socket address at which the worker accepts commands.
+    /// Socket address at which the worker accepts command requests.
     pub addr: String,
-    /// Machine type, as named by the catalog.
+    /// Name of the machine type in the cloud's catalog.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone of the machine.
@@ -27,19 +28,20 @@
     /// Whether this is a spot machine, which the cloud may reclaim.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// Incarnation of the worker; a new one begins when its lease expires.
+    /// Incarnation of the worker. A new one begins when the worker's lease expires.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Sequence number of the message within the incarnation.
+    /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest fencing token that the worker has seen; 0: none.
+    /// Highest fencing token that the worker has received; 0: none yet.
     #[serde(rename = "baton", default)]
     pub token: u64,
-    /// Seconds until the cloud reclaims the machine, once it has given notice.
+    /// Seconds until the cloud reclaims the spot machine; none: the cloud has given no notice.
     #[serde(rename = "recall_s", default)]
     pub reclaim_notice_s: Option<f64>,
-    /// All tasks on the machine, including exited ones that are not forgotten yet.
+    /// All tasks on the machine, including exited tasks for which the worker has not received
+    /// [`Verb::Forget`].
     #[serde(rename = "shifts", default)]
     pub tasks: Vec<TaskStatus>,
     /// Images on the machine. Present only if the worker supports
@@ -48,13 +50,13 @@
     pub images: Option<HeldImages>,
 }
 
-/// Images on a machine. This is an extension of the protocol: a worker that sends it can
-/// also fetch images before a task needs them.
+/// Images on a machine. This message is an extension of the protocol: a worker that sends it
+/// can also fetch images before a task needs them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldImages {
-    /// Images that are complete.
+    /// Images that the machine holds completely.
     pub held: Vec<String>,
-    /// Images that are being fetched.
+    /// Images that the machine is fetching.
     #[serde(default)]
     pub fetching: Vec<String>,
 }
@@ -65,13 +67,13 @@
     /// The task.
     #[serde(rename = "shift")]
     pub task: TaskRef,
-    /// Number of the attempt that is on this machine.
+    /// Number of the task's attempt that is on this machine.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Lifecycle stage.
+    /// Lifecycle stage of the attempt.
     #[serde(rename = "stage")]
     pub stage: TaskStage,
-    /// Why the task exited; absent unless it has.
+    /// Why the task exited; none unless the stage is [`TaskStage::Exited`].
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
     /// Whether a checkpoint was saved before the task exited.
@@ -82,19 +84,19 @@
 /// Lifecycle stage of a task on a machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum TaskStage {
-    /// Waiting for its image.
+    /// The machine is fetching the task's image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Waiting for the other tasks of its gang to start.
+    /// The task has its image and waits for the other tasks of its gang to start.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Running.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// Stopping: saves a checkpoint.
+    /// The task is being stopped and saves a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Exited.
+    /// The task exited, or its start was refused.
     #[serde(rename = "exited")]
     Exited,
 }
@@ -102,28 +104,28 @@
 /// Why a task exited, or why its start was refused.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum ExitCause {
-    /// Completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by a command.
+    /// The task was stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang exited.
+    /// Another task of the gang exited.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// Its gang was not complete in time.
+    /// The gang was not complete before its start timeout.
     #[serde(rename = "alone")]
     GangTimeout,
-    /// Failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: the machine lacks free resources.
+    /// The start was refused: the machine lacks free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Refused: the machine has another attempt of the task.
+    /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
-    /// Refused: no such job or task.
+    /// The start was refused: the job or the task does not exist.
     #[serde(rename = "no_such")]
     UnknownTask,
 }
@@ -131,15 +133,16 @@
 /// A command to a worker, about one task.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Command {
-    /// The action.
+    /// What the worker has to do.
     pub verb: Verb,
-    /// The task that it applies to.
+    /// The task to which the command applies.
     #[serde(rename = "shift")]
     pub task: TaskRef,
-    /// The attempt that it applies to.
+    /// The attempt to which the command applies.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Seconds that a stopped task has for saving a checkpoint.
+    /// Time that a task has for saving a checkpoint when it is stopped, in seconds. Set only
+    /// for [`Verb::Stop`].
     #[serde(rename = "leave_s", skip_serializing_if = "Option::is_none", default)]
     pub grace_s: Option<f64>,
 }
@@ -150,7 +153,7 @@
     /// Fetch the image and run the task.
     #[serde(rename = "start")]
     Start,
-    /// Save a checkpoint and exit.
+    /// Stop the task: it saves a checkpoint and exits.
     #[serde(rename = "kill")]
     Stop,
     /// Leave the exited task out of further heartbeats.
@@ -161,22 +164,24 @@
 /// Body of `POST /commands`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// Fencing token; the worker refuses one that is lower than the highest it has seen.
+    /// Fencing token of the sender. The worker refuses a token that is lower than the highest
+    /// it has received.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Incarnation of the worker that the commands are meant for.
+    /// Incarnation of the worker for which the commands are valid.
     #[serde(rename = "watch")]
     pub incarnation: u64,
     /// The commands, in the order of their execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
-    /// Images to fetch, and to keep like those of a task that has just exited. Sent only
-    /// to workers that send [`WorkerHeartbeat::images`]. Idempotent, and harmless when late.
+    /// Images that the worker fetches and then keeps in its cache, like the image of a task
+    /// that has just exited. Sent only to workers that send [`WorkerHeartbeat::images`]. The
+    /// request is idempotent, and a late one has no harmful effect.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub prefetch: Vec<Prefetch>,
 }
 
-/// An image to fetch before a task needs it.
+/// An image that a worker fetches before a task needs it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Prefetch {
     /// The image.
@@ -186,10 +191,12 @@
     pub image_gb: f64,
 }
 
-/// Response to a heartbeat that was accepted; it extends the worker's lease.
+/// Response to a heartbeat from the controller that holds the machine. It renews the worker's
+/// lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Fencing token; the worker refuses one that is lower than the highest it has seen.
+    /// Fencing token of the controller. The worker refuses a token that is lower than the
+    /// highest it has received.
     #[serde(rename = "baton")]
     pub token: u64,
     /// The commands, in the order of their execution.
@@ -197,10 +204,10 @@
     pub commands: Vec<Command>,
 }
 
-/// Response to a heartbeat that belongs to another controller.
+/// Response to a heartbeat from a controller that does not hold the machine.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Address of that controller; absent if it is not known.
+    /// Address of the controller that holds the machine; none if that controller is unknown.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
     pub holder_addr: Option<String>,
 }
--- a/crates/wire/tests/golden/cloud.rs
+++ b/crates/wire/tests/golden/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud.
+//! Golden encodings of the messages of the cloud.
 
 use crate::case::{compare, reencode, round_trip, texts};
 use forkshift_wire::cloud::*;
--- a/crates/wire/tests/golden/main.rs
+++ b/crates/wire/tests/golden/main.rs
@@ -1,6 +1,6 @@
-//! Golden bytes of all that this crate encodes: they must never change.
+//! Golden tests: the encodings of all messages and of the settings must never change.
 //!
-//! Each fixture file has a line `name<TAB>bytes` for each case. A value is encoded, decoded
+//! Each fixture file has one line `name<TAB>bytes` for each case. A value is encoded, decoded
 //! and encoded again, and both encodings are compared with the fixture.
 
 mod case;
--- a/crates/wire/tests/golden/peers.rs
+++ b/crates/wire/tests/golden/peers.rs
@@ -1,9 +1,9 @@
-//! Messages between controllers.
+//! Golden encodings of the messages between controllers.
 
 use crate::case::{compare, texts, Case};
 use forkshift_wire::peer::*;
 
-/// A message with the version that its body is sent with.
+/// A message in the version of the format in which its body is sent.
 fn message(name: &'static str, body: Body) -> Case {
     let envelope = Envelope {
         version: body.version(),
@@ -15,6 +15,7 @@
     encoded(name, &envelope)
 }
 
+/// Encodes a message in hexadecimal, and asserts that it is decoded to the same message.
 fn encoded(name: &'static str, envelope: &Envelope) -> Case {
     let bytes = envelope.encode().expect("a message");
     let decoded = Envelope::decode(&bytes).expect("a message");
--- a/crates/wire/tests/golden/settings.rs
+++ b/crates/wire/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file.
+//! Golden encodings of the settings file.
 
 use crate::case::texts;
 use forkshift_wire::settings::*;
@@ -76,10 +76,10 @@
         cluster: cluster(),
     };
     let file = include_str!("settings_full.toml");
-    let read = Settings::parse(file).expect("good settings");
+    let read = Settings::parse(file).expect("valid settings");
     assert_eq!(toml::to_string(&full).expect("TOML"), file);
     assert_eq!(toml::to_string(&read).expect("TOML"), file);
     let minimal = Settings::parse(include_str!("settings_least.toml"));
-    let minimal = toml::to_string(&minimal.expect("good settings")).expect("TOML");
+    let minimal = toml::to_string(&minimal.expect("valid settings")).expect("TOML");
     assert_eq!(minimal, include_str!("settings_least_filled_in.toml"));
 }
--- a/crates/wire/tests/golden/state.rs
+++ b/crates/wire/tests/golden/state.rs
@@ -1,4 +1,4 @@
-//! Messages of the state service.
+//! Golden encodings of the messages of the key-value store.
 
 use crate::case::{compare, reencode, round_trip, texts};
 use forkshift_wire::state::*;
--- a/crates/wire/tests/golden/users.rs
+++ b/crates/wire/tests/golden/users.rs
@@ -1,4 +1,4 @@
-//! Messages of users.
+//! Golden encodings of the messages of users, and golden texts of refusals.
 
 use crate::case::{compare, round_trip, texts, Case};
 use forkshift_wire::users::*;
@@ -87,7 +87,8 @@
         "bookmark_s": 0, "stow_s": 0})
 }
 
-/// The parsed submission, or the text of the error, which is part of the response to users.
+/// Parses a submission. The result is its encoding, or the text of the error, which is part of
+/// the response to the user.
 fn parsed(name: &'static str, body: &str) -> Case {
     match JobSpec::parse(body.as_bytes()) {
         Ok(spec) => (name, serde_json::to_string(&spec).expect("JSON")),
--- a/crates/wire/tests/golden/workers.rs
+++ b/crates/wire/tests/golden/workers.rs
@@ -1,4 +1,4 @@
-//! Messages of workers.
+//! Golden encodings of the messages of workers.
 
 use crate::case::{compare, reencode, round_trip, texts, Case};
 use forkshift_wire::workers::*;
