--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -143,12 +143,17 @@
 }
 
 /// Spawns the task that receives messages of other controllers and queues them as inputs.
-fn spawn_peer_listener(ex: &Executor, listener: TcpListener, peers: usize, inputs: Sender<Input>) {
+fn spawn_peer_listener(
+    ex: &Executor,
+    listener: TcpListener,
+    peer_count: usize,
+    inputs: Sender<Input>,
+) {
     let on_message = move |message| {
         // Sending fails only if the queue is closed, which happens when the process ends.
         let _ = inputs.try_send(Input::Peer(message));
     };
-    let max_connections = peers * MAX_CONNECTIONS_PER_PEER;
+    let max_connections = peer_count * MAX_CONNECTIONS_PER_PEER;
     let listening = forkshift_net::receive_peer_messages(
         ex.clone(),
         listener,
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -32,7 +32,7 @@
 
 /// Result of a call.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct CallOutcome {
     /// HTTP status of the response. 0: there was no response within the timeout.
     /// [`STATUS_RESPONSE_TOO_LONG`]: the response was discarded.
     pub status: u16,
@@ -40,7 +40,7 @@
     pub body: Vec<u8>,
 }
 
-impl Outcome {
+impl CallOutcome {
     fn without_body(status: u16) -> Self {
         Self {
             status,
@@ -122,7 +122,7 @@
 
     /// Sends a request once and waits for the response, no longer than the timeout of the
     /// call. If the returned future is dropped earlier, the connection is closed.
-    pub async fn call(&self, call: Call) -> Outcome {
+    pub async fn call(&self, call: Call) -> CallOutcome {
         let started = Instant::now();
         let response = async {
             let attempted = self.attempt(&call, started).await;
@@ -131,7 +131,7 @@
         let timeout = async {
             deadline_after(call.timeout).await;
             log::debug!("{} {} {}: timed out", call.addr, call.method, call.path);
-            Outcome::without_body(NO_RESPONSE)
+            CallOutcome::without_body(NO_RESPONSE)
         };
         future::or(response, timeout).await
     }
@@ -152,7 +152,7 @@
         });
     }
 
-    async fn attempt(&self, call: &Call, started: Instant) -> Result<Outcome, CallError> {
+    async fn attempt(&self, call: &Call, started: Instant) -> Result<CallOutcome, CallError> {
         let connection = CloseOnDrop::new(self.connect(call.addr).await?);
         // If the process was paused while the connection was being established, the request
         // is stale, but the timer that ends the call may not have fired yet.
@@ -171,7 +171,7 @@
             self.return_to_pool(call.addr, connection.disarm());
         }
         let status = response.status().into();
-        Ok(Outcome { status, body })
+        Ok(CallOutcome { status, body })
     }
 
     /// Returns an idle connection to a server, or establishes a new one.
@@ -228,16 +228,16 @@
 }
 
 /// Logs why a call failed, and returns the outcome that reports the failure.
-fn failed_outcome(call: &Call, error: &CallError) -> Outcome {
+fn failed_outcome(call: &Call, error: &CallError) -> CallOutcome {
     match error {
         // A retry would fail as well: the caller has to request a smaller response.
         CallError::TooLong(_) => {
             log::error!("{} {}: {error}", call.addr, call.path);
-            Outcome::without_body(STATUS_RESPONSE_TOO_LONG)
+            CallOutcome::without_body(STATUS_RESPONSE_TOO_LONG)
         }
         _ => {
             log::debug!("{} {} {}: {error}", call.addr, call.method, call.path);
-            Outcome::without_body(NO_RESPONSE)
+            CallOutcome::without_body(NO_RESPONSE)
         }
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -30,7 +30,7 @@
 mod stream;
 
 pub use bind::bind_listener;
-pub use client::{Call, Client, ClientLimits, Outcome, STATUS_RESPONSE_TOO_LONG};
+pub use client::{Call, CallOutcome, Client, ClientLimits, STATUS_RESPONSE_TOO_LONG};
 pub use deadline::{deadline_after, Deadline};
 pub use peers::{receive_peer_messages, PeerLink};
 pub use server::{serve_http, Request, Response, ServerLimits};
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -113,7 +113,7 @@
     }
 
     /// Closes the connection that has been idle longest, if it has been idle for at least
-    /// [`MIN_IDLE_BEFORE_EVICTION`]. Connections with a request in flight are not closed.
+    /// [`MIN_IDLE_BEFORE_EVICTION`]. A connection whose request is being handled is not closed.
     fn close_longest_idle(&self) {
         let open = self.open.borrow();
         let longest_idle = open
