--- a/crates/emulator/src/emulation/faults.rs
+++ b/crates/emulator/src/emulation/faults.rs
@@ -28,7 +28,9 @@
                 self.crash_workers(now_s, MachineSelector::Random(count), &description);
             }
             Some(CrashTarget::Zone(zone)) => {
-                let machines = self.bridge.with_world(|world| world.machines_in(&zone));
+                let machines = self
+                    .bridge
+                    .with_world(|world| world.machines_in_zone(&zone));
                 let description = format!("all {} workers of zone {zone}", machines.len());
                 self.crash_workers(now_s, MachineSelector::Named(machines), &description);
             }
--- a/crates/emulator/src/emulation/simulation.rs
+++ b/crates/emulator/src/emulation/simulation.rs
@@ -3,7 +3,7 @@
 use crate::addresses;
 use crate::load::milliseconds;
 use crate::site::{CapacitySpec, MachineTypeSpec, Site, TeamSpec};
-use forkshift_testkit::{BootModel, Deployment, Fleet, JobPlan, Simulation, Size};
+use forkshift_testkit::{BootModel, DeploymentConfig, Fleet, JobPlan, ServicesConfig, Simulation};
 use forkshift_wire::cloud::MachineType;
 
 /// Interval at which users poll the status of their jobs, in milliseconds.
@@ -11,7 +11,7 @@
 
 /// The simulated world of a site with the planned jobs; it has no controllers.
 pub(super) fn world(site: &Site, plans: Vec<JobPlan>) -> Simulation {
-    let deployment = Deployment {
+    let deployment = ServicesConfig {
         fleet: fleet(site),
         team_limits: site.teams.iter().flat_map(team_limits).collect(),
         max_value_bytes: (site.state.value_kb * 1024.0) as usize,
@@ -20,9 +20,9 @@
     Simulation::remote(site.seed, plans, Vec::new(), size(site), deployment)
 }
 
-fn size(site: &Site) -> Size {
+fn size(site: &Site) -> DeploymentConfig {
     let timeouts = &site.workers;
-    Size {
+    DeploymentConfig {
         controllers: site.controllers.count,
         store_rps: site.state.rps,
         store_write_rps: site.state.write_rps,
@@ -33,7 +33,7 @@
         cancel_ms: milliseconds(timeouts.cancel_s),
         poll_ms: STATUS_POLL_MS,
         announces_images: timeouts.tells_images,
-        ..Size::default()
+        ..DeploymentConfig::default()
     }
 }
 
--- a/crates/emulator/src/pools.rs
+++ b/crates/emulator/src/pools.rs
@@ -163,7 +163,7 @@
 pub(crate) fn pool_summary(world: &Simulation, site: &Site, start_time_ms: u64) -> PoolSummary {
     let now_ms = start_time_ms + world.now();
     let accounts = world.pool_accounts(now_ms);
-    let lives = world.pool_lives(start_time_ms);
+    let lives = world.billing_periods_from(start_time_ms);
     let whole_run = TimeSpan {
         from_ms: 0,
         to_ms: now_ms + 1,
--- a/crates/emulator/src/socket_bridge/requests.rs
+++ b/crates/emulator/src/socket_bridge/requests.rs
@@ -39,7 +39,9 @@
             metrics.record_heartbeat(outcome.status, sent_at.elapsed().as_millis() as u64);
             metrics.record_worker_traffic(client.take_traffic());
         }
-        self.with_world(|world| world.deliver(request.requester, outcome.status, outcome.body));
+        self.with_world(|world| {
+            world.deliver_reply(request.requester, outcome.status, outcome.body);
+        });
         self.dispatch();
     }
 }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -49,7 +49,7 @@
 
 /// The machines that one request has provisioned.
 #[derive(Clone, Debug)]
-pub struct Provisioned {
+pub struct ProvisionedMachines {
     /// When.
     pub at: Ms,
     /// Type of the machines.
@@ -77,7 +77,7 @@
     /// Until when some new machines come up late or never, and which.
     pub(crate) slow_boots: Option<(Ms, SlowBoots)>,
     /// Requests that provisioned machines.
-    pub(crate) provisioning_log: Vec<Provisioned>,
+    pub(crate) provisioning_log: Vec<ProvisionedMachines>,
     /// Machines that are not up yet, by when they will be.
     booting: BTreeSet<(Ms, MachineId)>,
     /// Boots of all machines, in the order of provisioning.
@@ -209,7 +209,7 @@
         let ids: Vec<MachineId> = (0..count)
             .map(|_| self.add_instance(now, &request, rng))
             .collect();
-        self.provisioning_log.push(Provisioned {
+        self.provisioning_log.push(ProvisionedMachines {
             at: now,
             machine_type: request.machine_type,
             zone: request.zone,
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -3,8 +3,8 @@
 //! The order of draws may not change: a seed stands for the same day in every build.
 
 use crate::{
-    random_early_faults, random_faults, random_pairs, random_upgrade, Fault, JobPlan, Ms,
-    NextLimits, Simulation, Size,
+    random_early_faults, random_faults, random_pairs, random_upgrade, DeploymentConfig, Fault,
+    JobPlan, Ms, NextLimits, Simulation,
 };
 use forkshift_wire::users::JobKind;
 use forkshift_wire::JobId;
@@ -72,13 +72,13 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let plans = random_plans(&mut rng, schedule);
         let faults = random_day_faults(&mut rng, faults, schedule);
-        let size = random_size(&mut rng, schedule);
+        let config = random_config(&mut rng, schedule);
         let end = match schedule.has_pairs() {
             true => LONG_DAY_END,
             false => DAY_END,
         };
         Self {
-            simulation: Simulation::with_size(seed, plans, faults.clone(), size),
+            simulation: Simulation::with_config(seed, plans, faults.clone(), config),
             faults,
             end,
         }
@@ -103,7 +103,7 @@
         .map(|number| {
             let at = rng.random_range(FIRST_JOB_AT..LAST_JOB_AT);
             match schedule.has_pairs() {
-                true => JobPlan::long(rng, number, at),
+                true => JobPlan::random_long(rng, number, at),
                 false => JobPlan::random(rng, number, at),
             }
         })
@@ -119,7 +119,7 @@
     let first = JOBS + PIPELINES * MAX_PIPELINE_JOBS;
     for index in 0..LARGE_ARRAYS {
         let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
-        plans.push(JobPlan::large_array(rng, first + index, at));
+        plans.push(JobPlan::random_large_array(rng, first + index, at));
     }
 }
 
@@ -131,7 +131,7 @@
     for index in 0..PIPELINES {
         let at = rng.random_range(FIRST_JOB_AT..LAST_PIPELINE_AT);
         let first = JOBS + index * MAX_PIPELINE_JOBS;
-        plans.extend(JobPlan::pipeline(rng, first, at, &others));
+        plans.extend(JobPlan::random_pipeline(rng, first, at, &others));
     }
 }
 
@@ -145,21 +145,22 @@
         FaultSchedule::Pairs => random_pairs(rng, from, to, pairs, JOBS),
         FaultSchedule::Upgrade => {
             let upgrade_at = rng.random_range(from..to / 2);
-            let mut faults = random_upgrade(rng, upgrade_at, Size::default().controllers);
+            let mut faults =
+                random_upgrade(rng, upgrade_at, DeploymentConfig::default().controllers);
             faults.extend(random_pairs(rng, from, LAST_LATE_FAULT_AT, pairs, JOBS));
             faults
         }
     }
 }
 
-fn random_size(rng: &mut StdRng, schedule: FaultSchedule) -> Size {
+fn random_config(rng: &mut StdRng, schedule: FaultSchedule) -> DeploymentConfig {
     match schedule {
-        FaultSchedule::Single | FaultSchedule::Early => Size::default(),
-        FaultSchedule::Pairs => Size::random(rng),
-        FaultSchedule::Upgrade => Size {
+        FaultSchedule::Single | FaultSchedule::Early => DeploymentConfig::default(),
+        FaultSchedule::Pairs => DeploymentConfig::random(rng),
+        FaultSchedule::Upgrade => DeploymentConfig {
             next_limits: Some(NEXT_LIMITS),
-            begins_old: true,
-            ..Size::random(rng)
+            starts_with_old_release: true,
+            ..DeploymentConfig::random(rng)
         },
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -15,7 +15,7 @@
 mod worker;
 
 pub use checker::{Checker, FirstStart, Quiescence, Rule};
-pub use cloud::{Boot, Provisioned, SlowBoots};
+pub use cloud::{Boot, ProvisionedMachines, SlowBoots};
 pub use day::{Day, FaultSchedule};
 pub use fault_schedule::{random_early_faults, random_faults, random_pairs, random_upgrade};
 pub use faults::{
@@ -23,8 +23,8 @@
 };
 pub use fleet::{BootModel, CapacityKey, Fleet};
 pub use simulation::{
-    job_id, settings, CallResponse, ControllerRequest, Deployment, JobCounts, JobDefect, JobPlan,
-    MachineChange, NextLimits, Requester, Service, Simulation, Size,
+    job_id, settings, CallResponse, ControllerRequest, DeploymentConfig, JobCounts, JobDefect,
+    JobPlan, MachineChange, NextLimits, Requester, Service, ServicesConfig, Simulation,
 };
 
 /// Milliseconds of virtual time.
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -62,7 +62,7 @@
 /// Prints the jobs that are to be described.
 fn describe_jobs(args: &Args, simulation: &Simulation) {
     for id in &args.describe {
-        let text = simulation.describe(&JobId::new(id));
+        let text = simulation.describe_job(&JobId::new(id));
         println!("  at {}: {text}", simulation.now());
     }
 }
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -4,6 +4,7 @@
 //! its own state in a module of its own.
 
 mod build;
+mod config;
 mod controllers;
 mod digest;
 mod events;
@@ -17,18 +18,17 @@
 mod pools;
 mod remote;
 mod selectors;
-mod size;
 mod unusual_requests;
 mod users;
 mod waiting_jobs;
 mod workers;
 
-pub use build::Deployment;
+pub use build::ServicesConfig;
+pub use config::{settings, DeploymentConfig, NextLimits};
 pub use observe::JobCounts;
 pub(crate) use plan::random_job_id;
 pub use plan::{job_id, JobDefect, JobPlan};
 pub use remote::{CallResponse, ControllerRequest, MachineChange, Requester, Service};
-pub use size::{settings, NextLimits, Size};
 
 use crate::checker::{Checker, Quiescence};
 use crate::cloud::CloudModel;
@@ -61,7 +61,7 @@
 
 /// A simulated deployment: controllers, store, cloud, workers, users and faults.
 pub struct Simulation {
-    size: Size,
+    config: DeploymentConfig,
     now: Ms,
     previous_step_at: Ms,
     rng: StdRng,
@@ -156,7 +156,7 @@
         self.checker.set_quiescence(quiescence);
         let workers = self.workers.by_id.values();
         let expired = workers
-            .filter(|worker| worker.is_hung_without_lease(self.now, self.size.lease_ms))
+            .filter(|worker| worker.is_hung_without_lease(self.now, self.config.lease_ms))
             .map(|worker| worker.id.clone())
             .collect();
         self.checker.tick(self.now, &expired);
@@ -168,7 +168,7 @@
     }
 
     /// Records from now on all that controllers write to the store and send to each other.
-    pub fn record_formats(&mut self) {
+    pub fn record_puts_and_messages(&mut self) {
         self.store.recorded_puts = Some(Vec::new());
         self.traffic.recorded_messages = Some(Vec::new());
     }
--- a/crates/testkit/src/simulation/build.rs
+++ b/crates/testkit/src/simulation/build.rs
@@ -1,16 +1,16 @@
 //! Construction of simulations.
 
+use super::config::{MAX_TRANSACTION_WRITES, MAX_VALUE_KB};
 use super::controllers::Controller;
 use super::digest::Traffic;
 use super::events::EventQueue;
 use super::fault_injection::FaultTimeline;
 use super::network_faults::NetworkFaults;
 use super::remote::RemoteQueues;
-use super::size::{MAX_TRANSACTION_WRITES, MAX_VALUE_KB};
 use super::unusual_requests::{RequestFaults, UnusualRequests};
 use super::users::User;
 use super::workers::WorkerFleet;
-use super::{JobPlan, Simulation, Size};
+use super::{DeploymentConfig, JobPlan, Simulation};
 use crate::checker::Checker;
 use crate::cloud::CloudModel;
 use crate::faults::Fault;
@@ -35,7 +35,7 @@
 
 /// What a simulation whose controllers run as processes consists of, beside its size.
 #[derive(Clone, Debug)]
-pub struct Deployment {
+pub struct ServicesConfig {
     /// Machine types on offer and how they boot.
     pub fleet: Fleet,
     /// Limits on the CPUs and GPUs of each team; 0: no limit.
@@ -49,12 +49,17 @@
 impl Simulation {
     /// A simulation with three controllers that are about to start.
     pub fn new(seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>) -> Self {
-        Self::with_size(seed, plans, faults, Size::default())
+        Self::with_config(seed, plans, faults, DeploymentConfig::default())
     }
 
     /// A simulation of any size.
-    pub fn with_size(seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, size: Size) -> Self {
-        Self::with_pools(seed, plans, faults, size, Vec::new())
+    pub fn with_config(
+        seed: u64,
+        plans: Vec<JobPlan>,
+        faults: Vec<Fault>,
+        config: DeploymentConfig,
+    ) -> Self {
+        Self::with_pools(seed, plans, faults, config, Vec::new())
     }
 
     /// A simulation whose controllers declare warm pools, each its own.
@@ -62,10 +67,10 @@
         seed: u64,
         plans: Vec<JobPlan>,
         faults: Vec<Fault>,
-        size: Size,
+        config: DeploymentConfig,
         pools: Vec<Vec<PoolSpec>>,
     ) -> Self {
-        let team_limits = (0..size.teams).map(|team| (format!("team-{team}"), size.limit));
+        let team_limits = (0..config.teams).map(|team| (format!("team-{team}"), config.limit));
         let services = Services {
             fleet: Fleet::default(),
             team_limits: team_limits.collect(),
@@ -75,11 +80,11 @@
             },
             behavior: StoreBehavior::default(),
         };
-        let mut simulation = Self::without_controllers(seed, plans, faults, size, services);
+        let mut simulation = Self::without_controllers(seed, plans, faults, config, services);
         for (controller, pools) in simulation.controllers.iter_mut().zip(pools) {
             controller.pools = pools;
         }
-        for index in 0..size.controllers {
+        for index in 0..config.controllers {
             simulation.start_controller(index);
         }
         simulation
@@ -91,8 +96,8 @@
         seed: u64,
         plans: Vec<JobPlan>,
         faults: Vec<Fault>,
-        size: Size,
-        deployment: Deployment,
+        config: DeploymentConfig,
+        deployment: ServicesConfig,
     ) -> Self {
         let services = Services {
             fleet: deployment.fleet,
@@ -106,7 +111,7 @@
                 enforces_limits: true,
             },
         };
-        let mut simulation = Self::without_controllers(seed, plans, faults, size, services);
+        let mut simulation = Self::without_controllers(seed, plans, faults, config, services);
         simulation.remote = Some(RemoteQueues::default());
         simulation.checker.observe();
         simulation
@@ -116,12 +121,12 @@
         seed: u64,
         plans: Vec<JobPlan>,
         faults: Vec<Fault>,
-        size: Size,
+        config: DeploymentConfig,
         services: Services,
     ) -> Self {
         let store = StoreModel::new(
-            size.store_rps,
-            size.store_write_rps,
+            config.store_rps,
+            config.store_write_rps,
             services.size_limits,
             services.behavior,
         );
@@ -130,13 +135,13 @@
             previous_step_at: 0,
             rng: StdRng::seed_from_u64(seed),
             events: EventQueue::default(),
-            controllers: (0..size.controllers)
-                .map(|_| Controller::new(size.begins_old))
+            controllers: (0..config.controllers)
+                .map(|_| Controller::new(config.starts_with_old_release))
                 .collect(),
             controller_starts: 0,
             store,
-            cloud: CloudModel::new(size.capacity, services.fleet),
-            size,
+            cloud: CloudModel::new(config.capacity, services.fleet),
+            config,
             workers: WorkerFleet::default(),
             ground_truths: BTreeMap::new(),
             users: plans.into_iter().map(User::new).collect(),
@@ -146,7 +151,7 @@
             unusual_requests: UnusualRequests::default(),
             traffic: Traffic::default(),
             remote: None,
-            checker: Checker::new(services.team_limits, size.cancel_ms),
+            checker: Checker::new(services.team_limits, config.cancel_ms),
         }
     }
 }
--- a/crates/testkit/src/simulation/size.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -7,7 +7,7 @@
 
 /// Size and timing of a simulated deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct DeploymentConfig {
     /// Controllers.
     pub controllers: usize,
     /// Teams.
@@ -37,12 +37,12 @@
     /// Limits of the store that are announced for later.
     pub next_limits: Option<NextLimits>,
     /// Whether all controllers start as the old release.
-    pub begins_old: bool,
+    pub starts_with_old_release: bool,
     /// Whether workers announce their images and prefetch them.
     pub announces_images: bool,
 }
 
-impl Default for Size {
+impl Default for DeploymentConfig {
     fn default() -> Self {
         Self {
             controllers: 3,
@@ -59,13 +59,13 @@
             cancel_ms: 35_000,
             poll_ms: POLL_MS,
             next_limits: None,
-            begins_old: false,
+            starts_with_old_release: false,
             announces_images: false,
         }
     }
 }
 
-impl Size {
+impl DeploymentConfig {
     /// Teams whose limits are soon reached, and little time beyond a lease for
     /// a cancellation, or all as usual.
     pub fn random(rng: &mut StdRng) -> Self {
@@ -158,7 +158,7 @@
 const CONTROLLER_NAME_PREFIX: &str = "berth-";
 
 /// The settings file of the controller of an index.
-pub fn settings(node: usize, size: &Size) -> String {
+pub fn settings(node: usize, config: &DeploymentConfig) -> String {
     let name = controller_name(node);
     let zone = zone_of(node);
     let host = node + 1;
@@ -166,13 +166,13 @@
         "host_name = \"{name}\"\ndomain = \"{zone}\"\n\
          bind = \"10.0.0.{host}:8080\"\ncluster_listen = \"10.0.0.{host}:8081\"\n\
          {}\n[external]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n{}",
-        peer_settings(node, size),
-        cluster_settings(size),
+        peer_settings(node, config),
+        cluster_settings(config),
     )
 }
 
-fn peer_settings(node: usize, size: &Size) -> String {
-    let peers = (0..size.controllers).filter(|peer| *peer != node);
+fn peer_settings(node: usize, config: &DeploymentConfig) -> String {
+    let peers = (0..config.controllers).filter(|peer| *peer != node);
     let settings = peers.map(|peer| {
         let (name, zone, host) = (controller_name(peer), zone_of(peer), peer + 1);
         format!(
@@ -183,9 +183,9 @@
     settings.collect()
 }
 
-fn team_settings(size: &Size) -> String {
-    let ((cpus, gpus), (cpus_max, gpus_max)) = (size.guarantee, size.limit);
-    let settings = (0..size.teams).map(|team| {
+fn team_settings(config: &DeploymentConfig) -> String {
+    let ((cpus, gpus), (cpus_max, gpus_max)) = (config.guarantee, config.limit);
+    let settings = (0..config.teams).map(|team| {
         format!(
             "[[cluster.teams]]\nname = \"team-{team}\"\ngpus = {gpus:?}\n\
              gpus_max = {gpus_max:?}\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n"
@@ -194,8 +194,8 @@
     settings.collect()
 }
 
-fn next_limit_settings(size: &Size) -> String {
-    size.next_limits.map_or(String::new(), |next| {
+fn next_limit_settings(config: &DeploymentConfig) -> String {
+    config.next_limits.map_or(String::new(), |next| {
         let (write_rps, value_kb, txn_ops) = (next.write_rps, next.value_kb, next.txn_ops);
         format!(
             "[cluster.state.next]\nwrite_rps = {write_rps:?}\nvalue_kb = {value_kb}.0\n\
@@ -205,13 +205,13 @@
 }
 
 /// The settings that all controllers share.
-fn cluster_settings(size: &Size) -> String {
+fn cluster_settings(config: &DeploymentConfig) -> String {
     let seconds = |ms: Ms| ms as f64 / 1000.0;
-    let (nodes, teams) = (size.controllers, team_settings(size));
-    let (report_s, lease_s) = (seconds(size.heartbeat_ms), seconds(size.lease_ms));
-    let cancel_s = seconds(size.cancel_ms);
-    let (rps, write_rps, cloud_rps) = (size.store_rps, size.store_write_rps, size.cloud_rps);
-    let next = next_limit_settings(size);
+    let (nodes, teams) = (config.controllers, team_settings(config));
+    let (report_s, lease_s) = (seconds(config.heartbeat_ms), seconds(config.lease_ms));
+    let cancel_s = seconds(config.cancel_ms);
+    let (rps, write_rps, cloud_rps) = (config.store_rps, config.store_write_rps, config.cloud_rps);
+    let next = next_limit_settings(config);
     format!(
         "[cluster]\ninitial_size = {nodes}\nzones = [\"a\", \"b\", \"c\"]\n\
          time_bound_ms = 250.0\n{teams}\
--- a/crates/testkit/src/simulation/controllers.rs
+++ b/crates/testkit/src/simulation/controllers.rs
@@ -1,9 +1,9 @@
 //! Simulated controllers: start, step, and what they send.
 
+use super::config::settings;
 use super::events::Event;
 use super::network::{Destination, Message, Origin};
 use super::partitions::ControllerFaults;
-use super::size::settings;
 use super::{Simulation, WALL_CLOCK_OFFSET_MS};
 use crate::Ms;
 use forkshift_core::{
@@ -155,7 +155,7 @@
     }
 
     pub(super) fn start_controller(&mut self, index: usize) {
-        let settings = Settings::parse(&settings(index, &self.size))
+        let settings = Settings::parse(&settings(index, &self.config))
             .unwrap_or_else(|e| panic!("settings: {e}"));
         self.controller_starts += 1;
         let seed = self.rng.random();
--- a/crates/testkit/src/simulation/fault_injection.rs
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -88,7 +88,7 @@
             },
             kind => kind,
         };
-        let duration = kind.duration(self.size.lease_ms);
+        let duration = kind.duration(self.config.lease_ms);
         self.faults.record(self.now, kind.clone(), duration);
         self.apply_controller_fault(kind);
     }
@@ -298,7 +298,7 @@
     }
 
     fn crash_controllers(&mut self, first: usize, count: usize, restart_after: Ms) {
-        let nodes = self.size.controllers;
+        let nodes = self.config.controllers;
         for index in (0..count).map(|offset| (first + offset) % nodes) {
             self.controllers[index].node = None;
             self.schedule(self.now + restart_after, Event::ControllerRestart(index));
@@ -332,7 +332,7 @@
 
     /// The limits that were announced come into force.
     fn lower_limits(&mut self) {
-        if let Some(next) = self.size.next_limits {
+        if let Some(next) = self.config.next_limits {
             let sizes = SizeLimits {
                 value_bytes: next.value_kb * 1024,
                 txn_ops: next.txn_ops,
--- a/crates/testkit/src/simulation/gangs.rs
+++ b/crates/testkit/src/simulation/gangs.rs
@@ -31,7 +31,7 @@
     /// member.
     pub(super) fn tick_gangs(&mut self) {
         for worker in self.workers.by_id.values_mut() {
-            worker.time_out_gangs(self.now, &mut self.checker, self.size.gang_wait_ms);
+            worker.time_out_gangs(self.now, &mut self.checker, self.config.gang_wait_ms);
         }
         for (attempt, members) in self.gang_members() {
             match self.gang_transition(&attempt, &members) {
@@ -107,7 +107,7 @@
                 self.now,
                 &self.ground_truths,
                 &mut self.checker,
-                self.size.lease_ms,
+                self.config.lease_ms,
             );
             match cause {
                 ExitCause::Done => context.checker.on_task_completed(context.now, task),
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -1,8 +1,8 @@
 //! The network: delays of messages, losses, and delivery to each kind of receiver.
 
+use super::config::{controller_index, zone_of};
 use super::events::Event;
 use super::network_faults::LostWriteResponse;
-use super::size::{controller_index, zone_of};
 use super::Simulation;
 use crate::worker::WorkerContext;
 use crate::Ms;
@@ -227,7 +227,7 @@
             self.now,
             &self.ground_truths,
             &mut self.checker,
-            self.size.lease_ms,
+            self.config.lease_ms,
         );
         let (status, body) = match message.path.as_str() {
             "/status" => (200, worker.status(&mut context)),
--- a/crates/testkit/src/simulation/network_faults.rs
+++ b/crates/testkit/src/simulation/network_faults.rs
@@ -61,15 +61,15 @@
     /// Delayed commands and responses to commands.
     pub(super) delayed_commands: PartialFault,
     /// Copies of heartbeats for the next leader.
-    kept_heartbeats: Vec<Message>,
+    withheld_heartbeats: Vec<Message>,
     /// The terms of leader and holders when the first copy was kept.
     terms_when_kept: String,
 }
 
 impl Simulation {
     /// Copies of heartbeats that are kept for the next leader.
-    pub fn kept_heartbeats(&self) -> usize {
-        self.network_faults.kept_heartbeats.len()
+    pub fn withheld_heartbeats(&self) -> usize {
+        self.network_faults.withheld_heartbeats.len()
     }
 
     /// Draws whether something with a probability in percent happens.
@@ -139,7 +139,7 @@
         if until_failover {
             self.keep_heartbeat(message.detached());
         } else {
-            let late = self.rng.random_range(2_000..self.size.lease_ms * 4);
+            let late = self.rng.random_range(2_000..self.config.lease_ms * 4);
             self.schedule(self.now + late, Event::RequestArrival(message.detached()));
         }
     }
@@ -147,13 +147,13 @@
     fn keep_heartbeat(&mut self, copy: Message) {
         let per_machine = self.workers.by_id.len() * KEPT_COPIES_PER_MACHINE;
         let faults = &mut self.network_faults;
-        if faults.kept_heartbeats.len() >= MIN_KEPT_COPIES.max(per_machine) {
+        if faults.withheld_heartbeats.len() >= MIN_KEPT_COPIES.max(per_machine) {
             return;
         }
-        if faults.kept_heartbeats.is_empty() {
+        if faults.withheld_heartbeats.is_empty() {
             faults.terms_when_kept = self.store.leadership_terms();
         }
-        faults.kept_heartbeats.push(copy);
+        faults.withheld_heartbeats.push(copy);
     }
 
     /// Lets a second copy of a heartbeat arrive late now and then.
@@ -164,7 +164,7 @@
             return;
         }
         if let Origin::Worker { .. } = message.origin {
-            let late = self.now + self.rng.random_range(1_000..self.size.lease_ms * 4);
+            let late = self.now + self.rng.random_range(1_000..self.config.lease_ms * 4);
             self.schedule(late, Event::RequestArrival(message.detached()));
         }
     }
@@ -172,19 +172,19 @@
     /// Sends kept copies to every controller once a new leader or holder has begun: some
     /// at once, some after its first decisions.
     pub(super) fn release_kept_heartbeats(&mut self) {
-        if self.network_faults.kept_heartbeats.is_empty() || self.leader().is_none() {
+        if self.network_faults.withheld_heartbeats.is_empty() || self.leader().is_none() {
             return;
         }
         if self.store.leadership_terms() == self.network_faults.terms_when_kept {
             return;
         }
-        for copy in std::mem::take(&mut self.network_faults.kept_heartbeats) {
+        for copy in std::mem::take(&mut self.network_faults.withheld_heartbeats) {
             let late = match self.rng.random_range(0..3) {
                 0 => self.rng.random_range(1..100),
                 1 => self.rng.random_range(100..1_000),
                 _ => self.rng.random_range(1_000..5_000),
             };
-            for index in 0..self.size.controllers {
+            for index in 0..self.config.controllers {
                 let copy = Message {
                     destination: Destination::Controller(index),
                     ..copy.clone()
--- a/crates/testkit/src/simulation/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -2,7 +2,7 @@
 
 use super::users::{User, UserState};
 use super::{Simulation, WALL_CLOCK_OFFSET_MS};
-use crate::cloud::{Boot, Provisioned};
+use crate::cloud::{Boot, ProvisionedMachines};
 use crate::Ms;
 use forkshift_core::{records, Node};
 use forkshift_wire::users::{JobKind, JobSpec, JobStage};
@@ -63,13 +63,13 @@
     }
 
     /// Requests beyond the limits of the store, and requests in all.
-    pub fn over_limit(&self) -> (u64, u64) {
-        self.store.over_limit
+    pub fn rate_limit_counts(&self) -> (u64, u64) {
+        self.store.rate_limit_counts
     }
 
     /// Transactions that the store refused for their size.
-    pub fn too_large(&self) -> u64 {
-        self.store.too_large
+    pub fn oversized_transactions(&self) -> u64 {
+        self.store.oversized_transactions
     }
 
     /// The format version that the controllers have finalized, by the record in the store.
@@ -78,12 +78,12 @@
     }
 
     /// Keys and values that were put since the recording began.
-    pub fn kept_records(&self) -> &[(String, serde_json::Value)] {
+    pub fn recorded_puts(&self) -> &[(String, serde_json::Value)] {
         self.store.recorded_puts.as_deref().unwrap_or_default()
     }
 
     /// Messages between controllers since the recording began.
-    pub fn kept_messages(&self) -> &[Vec<u8>] {
+    pub fn recorded_messages(&self) -> &[Vec<u8>] {
         self.traffic
             .recorded_messages
             .as_deref()
@@ -159,7 +159,7 @@
     }
 
     /// Heartbeats of workers so far, and items that the controllers which are up visited.
-    pub fn work_counts(&self) -> (u64, u64) {
+    pub fn heartbeat_and_visit_counts(&self) -> (u64, u64) {
         let nodes = self.controllers.iter().filter_map(|h| h.node.as_ref());
         (self.workers.heartbeats_sent, nodes.map(Node::visits).sum())
     }
@@ -175,7 +175,7 @@
     }
 
     /// Requests so far that provisioned machines.
-    pub fn provisioning_log(&self) -> &[Provisioned] {
+    pub fn provisioning_log(&self) -> &[ProvisionedMachines] {
         &self.cloud.provisioning_log
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Machines that are billed and not up.
-    pub fn booting(&self) -> usize {
+    pub fn booting_machines(&self) -> usize {
         let all = self.cloud.machines.values();
         all.filter(|m| !m.failed && m.up_at > self.now).count()
     }
--- a/crates/testkit/src/simulation/partitions.rs
+++ b/crates/testkit/src/simulation/partitions.rs
@@ -1,7 +1,7 @@
 //! Network partitions: which two ends do not reach each other, and until when.
 
+use super::config::zone_of;
 use super::network::{Destination, Origin};
-use super::size::zone_of;
 use super::Simulation;
 use crate::faults::LinkDirection;
 use crate::Ms;
--- a/crates/testkit/src/simulation/plan.rs
+++ b/crates/testkit/src/simulation/plan.rs
@@ -137,7 +137,7 @@
 
     /// A job drawn at random that runs longer than most of [`JobPlan::random`], and is
     /// cancelled more often.
-    pub fn long(rng: &mut StdRng, n: u32, at: Ms) -> Self {
+    pub fn random_long(rng: &mut StdRng, n: u32, at: Ms) -> Self {
         let mut plan = Self::random(rng, n, at);
         plan.run_ms = rng.random_range(5_000..60_000);
         plan.spec.estimated_run_time_s = estimate_s(plan.spec.kind, plan.run_ms);
@@ -148,7 +148,7 @@
     }
 
     /// An array of many small tasks, which takes several records.
-    pub fn large_array(rng: &mut StdRng, n: u32, at: Ms) -> Self {
+    pub fn random_large_array(rng: &mut StdRng, n: u32, at: Ms) -> Self {
         let tasks = rng.random_range(60..300);
         let run_ms = rng.random_range(2_000..20_000);
         let mut plan = Self::plain(n, at, JobKind::Array, tasks, run_ms);
@@ -165,7 +165,7 @@
     /// A pipeline of two to six jobs drawn at random, numbered from `first` on. Each depends
     /// on one or two of the jobs before it, and the first ones perhaps on one of the day's
     /// other jobs, of any team. The last may come late, and any of them may be cancelled.
-    pub fn pipeline(rng: &mut StdRng, first: u32, at: Ms, others: &[JobId]) -> Vec<Self> {
+    pub fn random_pipeline(rng: &mut StdRng, first: u32, at: Ms, others: &[JobId]) -> Vec<Self> {
         let jobs = rng.random_range(2..=MAX_PIPELINE_JOBS);
         let mut plans: Vec<Self> = (0..jobs)
             .map(|index| Self::pipeline_job(rng, first, index, at, others))
--- a/crates/testkit/src/simulation/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -64,7 +64,7 @@
     }
 
     /// Billing periods of all machines, for a simulation that began at a time.
-    pub fn pool_lives(&self, began_ms: Ms) -> BTreeMap<MachineId, BillingPeriod> {
+    pub fn billing_periods_from(&self, began_ms: Ms) -> BTreeMap<MachineId, BillingPeriod> {
         let lives = self.billing_periods().iter();
         let life = |(from, to): &(Ms, Option<Ms>)| {
             let to = to.unwrap_or(self.now());
--- a/crates/testkit/src/simulation/remote.rs
+++ b/crates/testkit/src/simulation/remote.rs
@@ -120,7 +120,7 @@
     }
 
     /// Delivers the response of a controller; status 0 stands for none.
-    pub fn deliver(&mut self, asker: Requester, status: u16, body: Vec<u8>) {
+    pub fn deliver_reply(&mut self, asker: Requester, status: u16, body: Vec<u8>) {
         self.deliver_response(asker.0, status, body);
     }
 
@@ -153,7 +153,7 @@
     pub(super) fn pick_user_controller(&mut self) -> usize {
         let healthy = self.remote.as_ref().map_or(&[][..], |r| &r.healthy);
         match healthy.len() {
-            0 => self.rng.random_range(0..self.size.controllers),
+            0 => self.rng.random_range(0..self.config.controllers),
             n => healthy[self.rng.random_range(0..n)],
         }
     }
--- a/crates/testkit/src/simulation/selectors.rs
+++ b/crates/testkit/src/simulation/selectors.rs
@@ -1,6 +1,6 @@
 //! Selection of controllers and machines by what they are at the moment.
 
-use super::size::controller_index;
+use super::config::controller_index;
 use super::Simulation;
 use crate::faults::{ControllerSelector, MachineSelector};
 use crate::worker::Worker;
@@ -22,7 +22,7 @@
             ControllerSelector::Leader => self.leader(),
             ControllerSelector::NextAfter(selector) => {
                 let first = self.select_controller(selector)?;
-                let nodes = self.size.controllers;
+                let nodes = self.config.controllers;
                 let mut others = (1..nodes).map(|offset| (first + offset) % nodes);
                 others.find(|index| self.controllers[*index].is_up())
             }
@@ -48,7 +48,7 @@
     /// The records of all shards in the store.
     pub(super) fn shard_records(&self) -> impl Iterator<Item = &Value> {
         let shards =
-            (0..self.size.controllers as u32).map(|shard| records::shard_key(ShardId(shard)));
+            (0..self.config.controllers as u32).map(|shard| records::shard_key(ShardId(shard)));
         shards.filter_map(|key| self.store.value(&key))
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// The machines of a zone that are up.
-    pub fn machines_in(&self, zone: &str) -> Vec<MachineId> {
+    pub fn machines_in_zone(&self, zone: &str) -> Vec<MachineId> {
         let workers = self.workers.by_id.values();
         let in_zone = workers.filter(|worker| worker.zone == zone);
         in_zone.map(|worker| worker.id.clone()).collect()
--- a/crates/testkit/src/simulation/unusual_requests.rs
+++ b/crates/testkit/src/simulation/unusual_requests.rs
@@ -87,7 +87,7 @@
 
 impl Simulation {
     /// Unusual requests so far, and how many of them got a response in time.
-    pub fn unusual_request_counts(&self) -> (u64, u64) {
+    pub fn adversarial_request_counts(&self) -> (u64, u64) {
         let requests = &self.unusual_requests;
         (requests.sent, requests.answered_in_time)
     }
@@ -173,7 +173,7 @@
         if self.request_faults.status_bursts_until <= self.now {
             return;
         }
-        for controller in 0..self.size.controllers {
+        for controller in 0..self.config.controllers {
             for index in 0..STATUS_BURST_REQUESTS {
                 let time = self.now + after + self.rng.random_range(0..40);
                 let request = match index {
@@ -276,7 +276,7 @@
     }
 
     fn send_random_unusual_request(&mut self) {
-        let controller = self.rng.random_range(0..self.size.controllers);
+        let controller = self.rng.random_range(0..self.config.controllers);
         let kind = self.rng.random_range(0..6);
         let known = self.random_accepted_job(kind == 1);
         self.unusual_requests.last += 1;
--- a/crates/testkit/src/simulation/users.rs
+++ b/crates/testkit/src/simulation/users.rs
@@ -200,7 +200,7 @@
         if is_submission {
             self.checker.check_admission(now, &id, status);
         }
-        let (state, pause) = user.state_after(status, stage, self.size.poll_ms);
+        let (state, pause) = user.state_after(status, stage, self.config.poll_ms);
         user.state = state;
         user.next_request_at = now + pause;
         if is_success(status) && stage.is_some_and(JobStage::is_final) {
--- a/crates/testkit/src/simulation/waiting_jobs.rs
+++ b/crates/testkit/src/simulation/waiting_jobs.rs
@@ -77,7 +77,7 @@
     }
 
     /// A job as it was submitted and what its team uses, for the analysis of a day.
-    pub fn describe(&self, id: &JobId) -> String {
+    pub fn describe_job(&self, id: &JobId) -> String {
         let Some(spec) = self.ground_truths.get(id).map(|truth| &truth.spec) else {
             return format!("{id} is nobody's");
         };
--- a/crates/testkit/src/simulation/workers.rs
+++ b/crates/testkit/src/simulation/workers.rs
@@ -1,8 +1,8 @@
 //! The fleet of machines: they boot, send heartbeats and are removed.
 
+use super::config::controller_index;
 use super::network::{Destination, Message, Origin};
 use super::remote::MachineChange;
-use super::size::controller_index;
 use super::Simulation;
 use crate::worker::{Worker, WorkerContext};
 use crate::Ms;
@@ -74,9 +74,9 @@
             &instance.zone,
             instance.spot,
             self.now,
-            self.size.announces_images,
+            self.config.announces_images,
         );
-        worker.controller = self.rng.random_range(0..self.size.controllers);
+        worker.controller = self.rng.random_range(0..self.config.controllers);
         self.workers.by_id.insert(id.clone(), worker);
         if let Some(remote) = &mut self.remote {
             remote.machines.push(MachineChange::Up(id));
@@ -97,21 +97,21 @@
                 self.now,
                 &self.ground_truths,
                 &mut self.checker,
-                self.size.lease_ms,
+                self.config.lease_ms,
             ));
             if is_remote {
-                worker.schedule_changed_heartbeat(now, self.size.lease_ms, reported);
+                worker.schedule_changed_heartbeat(now, self.config.lease_ms, reported);
             }
             if worker.is_heartbeat_overdue(now, HEARTBEAT_TIMEOUT_MS) {
                 worker.pending_heartbeat = None;
-                worker.controller = (worker.controller + 1) % self.size.controllers;
+                worker.controller = (worker.controller + 1) % self.config.controllers;
                 worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
             }
             let min_gap = if is_remote { MIN_HEARTBEAT_GAP_MS } else { 0 };
             if !worker.is_heartbeat_due(now, min_gap) {
                 continue;
             }
-            let period = self.size.heartbeat_ms;
+            let period = self.config.heartbeat_ms;
             // Many processes on one computer would send all at once.
             let next = match is_remote {
                 true => self.rng.random_range(period * 3 / 4..=period * 5 / 4),
@@ -146,7 +146,7 @@
                     self.now,
                     &self.ground_truths,
                     &mut self.checker,
-                    self.size.lease_ms,
+                    self.config.lease_ms,
                 );
                 worker.on_heartbeat_reply(&mut context, reply.token, &reply.commands);
                 return;
@@ -157,13 +157,15 @@
         let target = redirect.holder_addr.as_deref().and_then(controller_index);
         match target {
             Some(index)
-                if status == 421 && index != worker.controller && index < self.size.controllers =>
+                if status == 421
+                    && index != worker.controller
+                    && index < self.config.controllers =>
             {
                 worker.controller = index;
                 worker.next_heartbeat_at = now + REDIRECT_DELAY_MS;
             }
             _ => {
-                worker.controller = (worker.controller + 1) % self.size.controllers;
+                worker.controller = (worker.controller + 1) % self.config.controllers;
                 worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
             }
         }
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -47,11 +47,11 @@
     pub(crate) decommissioned: BTreeMap<MachineId, String>,
     size_limits: SizeLimits,
     /// Transactions that were refused for their size.
-    pub(crate) too_large: u64,
+    pub(crate) oversized_transactions: u64,
     request_limiter: RateLimiter,
     write_limiter: RateLimiter,
     /// Requests beyond the limits, and requests in all.
-    pub(crate) over_limit: (u64, u64),
+    pub(crate) rate_limit_counts: (u64, u64),
     behavior: StoreBehavior,
 }
 
@@ -108,10 +108,10 @@
             recorded_puts: None,
             decommissioned: BTreeMap::new(),
             size_limits,
-            too_large: 0,
+            oversized_transactions: 0,
             request_limiter: RateLimiter::new(rps),
             write_limiter: RateLimiter::new(write_rps),
-            over_limit: (0, 0),
+            rate_limit_counts: (0, 0),
             behavior,
         }
     }
@@ -189,8 +189,8 @@
         };
         let is_within = self.request_limiter.try_take(now, 1.0)
             && self.write_limiter.try_take(now, writes as f64);
-        self.over_limit.0 += u64::from(!is_within);
-        self.over_limit.1 += 1;
+        self.rate_limit_counts.0 += u64::from(!is_within);
+        self.rate_limit_counts.1 += 1;
         is_within
     }
 
--- a/crates/testkit/src/store/limits.rs
+++ b/crates/testkit/src/store/limits.rs
@@ -75,12 +75,12 @@
         if preconditions.len() > self.txn_ops * MAX_PRECONDITIONS_PER_WRITE {
             return Err(SizeError::TooManyPreconditions(preconditions.len()));
         }
-        let too_large = writes.iter().find_map(|write| match write {
+        let oversized_key = writes.iter().find_map(|write| match write {
             Write::Put { put, value, .. } if value.to_string().len() > self.value_bytes => {
                 Some(put.clone())
             }
             _ => None,
         });
-        too_large.map_or(Ok(()), |key| Err(SizeError::ValueTooLarge { key }))
+        oversized_key.map_or(Ok(()), |key| Err(SizeError::ValueTooLarge { key }))
     }
 }
--- a/crates/testkit/src/store/transactions.rs
+++ b/crates/testkit/src/store/transactions.rs
@@ -19,7 +19,7 @@
         transaction: serde_json::Result<Transaction>,
     ) -> Response {
         if body.len() > MAX_TRANSACTION_BYTES {
-            self.too_large += 1;
+            self.oversized_transactions += 1;
             return (400, json!({"error": "too large"}));
         }
         match transaction {
@@ -30,7 +30,7 @@
 
     fn transact(&mut self, transaction: Transaction) -> Response {
         if let Err(e) = self.size_limits.check(&transaction) {
-            self.too_large += 1;
+            self.oversized_transactions += 1;
             log::info!("store: transaction refused: {e}");
             return (400, json!({"error": e.to_string()}));
         }
--- a/crates/testkit/tests/arranged.rs
+++ b/crates/testkit/tests/arranged.rs
@@ -3,7 +3,8 @@
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
+    ControllerSelector, DeploymentConfig, Fault, FaultKind, JobPlan, MachineFault, MachineSelector,
+    Simulation,
 };
 use forkshift_wire::users::JobKind;
 
@@ -18,7 +19,8 @@
 
 fn simulation(plans: Vec<JobPlan>, kind: FaultKind) -> Simulation {
     let fault = Fault { at: 50_000, kind };
-    let mut simulation = Simulation::with_size(31, plans, vec![fault], Size::default());
+    let mut simulation =
+        Simulation::with_config(31, plans, vec![fault], DeploymentConfig::default());
     simulation.run_until(50_000 - 10);
     assert_eq!(
         simulation.checker.running_tasks(&id(0)),
@@ -121,10 +123,10 @@
 /// The time for a cancellation is what the size says.
 #[test]
 fn cancelled_tasks_exit_within_a_shorter_configured_time() {
-    let size = Size {
+    let size = DeploymentConfig {
         cancel_ms: 15_000,
         lease_ms: 8_000,
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
     let kind = FaultKind::Machines(
         MachineSelector::RunningJob(id(0)),
@@ -135,7 +137,7 @@
     )));
     let plans = vec![job(0, Some(51_000), at)];
     let fault = Fault { at: 50_000, kind };
-    let mut simulation = Simulation::with_size(32, plans, vec![fault], size);
+    let mut simulation = Simulation::with_config(32, plans, vec![fault], size);
     simulation.run_until(100_000);
     assert!(simulation.cancelled_at(&id(0)).is_some());
     assert_eq!(simulation.checker.running_tasks(&id(0)), 0);
--- a/crates/testkit/tests/broken_jobs.rs
+++ b/crates/testkit/tests/broken_jobs.rs
@@ -4,8 +4,8 @@
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, JobDefect, JobPlan, MachineFault, MachineSelector, Ms,
-    Simulation, Size,
+    ControllerSelector, DeploymentConfig, Fault, FaultKind, JobDefect, JobPlan, MachineFault,
+    MachineSelector, Ms, Simulation,
 };
 use forkshift_wire::users::{JobKind, JobSpec};
 use forkshift_wire::{JobId, MachineId};
@@ -37,13 +37,13 @@
 }
 
 impl Fleet {
-    fn size(self) -> Size {
-        let usual = Size::default();
+    fn size(self) -> DeploymentConfig {
+        let usual = DeploymentConfig::default();
         let capacity = match self {
             Self::Few(n) => n,
             _ => usual.capacity,
         };
-        Size { capacity, ..usual }
+        DeploymentConfig { capacity, ..usual }
     }
 
     fn restrict(self, spec: &mut JobSpec) {
@@ -108,7 +108,7 @@
         .filter(|p| p.defect.is_none())
         .map(|p| (p.spec.id.clone(), p.submit_at))
         .collect();
-    let mut simulation = Simulation::with_size(7, plans, faults, fleet.size());
+    let mut simulation = Simulation::with_config(7, plans, faults, fleet.size());
     let mut given_up = BTreeMap::new();
     while simulation.now() < END {
         simulation.run_until(simulation.now() + 1_000);
@@ -313,7 +313,7 @@
             let kind = FaultKind::Machines(which.clone(), MachineFault::FailTasks(END));
             let fault = Fault { at: SICK_AT, kind };
             let mut before =
-                Simulation::with_size(7, plans.clone(), vec![fault.clone()], fleet.size());
+                Simulation::with_config(7, plans.clone(), vec![fault.clone()], fleet.size());
             before.run_until(SICK_AT - 10);
             let sick = before.select_machines(&which);
             assert_eq!(sick.len(), 1, "{name}");
--- a/crates/testkit/tests/chains.rs
+++ b/crates/testkit/tests/chains.rs
@@ -1,7 +1,7 @@
 //! Jobs that wait for others, beside work that fills the fleet.
 
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{JobPlan, Simulation, Size};
+use forkshift_testkit::{DeploymentConfig, JobPlan, Simulation};
 use forkshift_wire::users::{JobKind, JobStage, Priority};
 use forkshift_wire::JobId;
 
@@ -43,12 +43,12 @@
         })
         .collect();
     plans.extend(chain(BUSY_JOBS));
-    let size = Size {
+    let size = DeploymentConfig {
         capacity: 1,
         limit: (0.0, 0.0),
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
-    let mut simulation = Simulation::with_size(51, plans, vec![], size);
+    let mut simulation = Simulation::with_config(51, plans, vec![], size);
     simulation.run_until(400_000);
     assert_eq!(simulation.checker.violations, vec![]);
     let begun = |n| simulation.checker.began_at(&id(n)).expect("it has begun");
--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -7,7 +7,8 @@
 use common::{assert_ran_and_rules_kept, fault, random_plans_of_seed, Ms};
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
+    ControllerSelector, DeploymentConfig, Fault, FaultKind, JobPlan, MachineFault, MachineSelector,
+    Simulation,
 };
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
@@ -49,7 +50,7 @@
 
 /// Plays a day to its end. Nobody is left unserved, and no rule is broken.
 fn play(name: &str, seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, end: Ms) -> Simulation {
-    play_sized(name, seed, plans, faults, end, Size::default())
+    play_sized(name, seed, plans, faults, end, DeploymentConfig::default())
 }
 
 fn play_sized(
@@ -58,10 +59,10 @@
     plans: Vec<JobPlan>,
     mut faults: Vec<Fault>,
     end: Ms,
-    size: Size,
+    size: DeploymentConfig,
 ) -> Simulation {
     faults.sort_by_key(|f| f.at);
-    let mut simulation = Simulation::with_size(seed, plans, faults, size);
+    let mut simulation = Simulation::with_config(seed, plans, faults, size);
     simulation.run_until(end);
     simulation.checker.finish(simulation.now());
     assert_ran_and_rules_kept(name, &simulation);
@@ -173,10 +174,10 @@
         (352, MachineFault::InboundLoss(time)),
         (353, MachineFault::OutboundLoss(time)),
     ] {
-        let size = Size {
+        let size = DeploymentConfig {
             limit: (16.0, 12.0),
             guarantee: (8.0, 4.0),
-            ..Size::default()
+            ..DeploymentConfig::default()
         };
         let kinds = [JobKind::Array, JobKind::Gang, JobKind::Service];
         let mut plans: Vec<JobPlan> = (0..24)
@@ -362,10 +363,10 @@
         ),
     ];
     for (seed, (name, faults)) in (420..).zip(with) {
-        let size = Size {
+        let size = DeploymentConfig {
             capacity: 20,
             limit: (400.0, 0.0),
-            ..Size::default()
+            ..DeploymentConfig::default()
         };
         let quiet = faults.is_empty();
         let mut rng = StdRng::seed_from_u64(seed);
@@ -410,9 +411,9 @@
             plan.spec.team = format!("team-{}", n % 4);
             plan
         });
-        let size = Size {
+        let size = DeploymentConfig {
             limit: (96.0, 16.0),
-            ..Size::default()
+            ..DeploymentConfig::default()
         };
         let faults = vec![
             fault(20_000, FaultKind::StatusBursts(100_000)),
--- a/crates/testkit/tests/controller_cuts.rs
+++ b/crates/testkit/tests/controller_cuts.rs
@@ -7,7 +7,7 @@
 use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, FaultKind, JobPlan, MachineSelector, Simulation, Size,
+    ControllerSelector, DeploymentConfig, FaultKind, JobPlan, MachineSelector, Simulation,
 };
 use forkshift_wire::users::JobKind;
 use forkshift_wire::MachineId;
@@ -35,10 +35,10 @@
 }
 
 /// Room for all jobs at once.
-fn size() -> Size {
-    Size {
+fn size() -> DeploymentConfig {
+    DeploymentConfig {
         limit: (96.0, 96.0),
-        ..Size::default()
+        ..DeploymentConfig::default()
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 fn play(name: &str, seed: u64, who: &ControllerSelector, lost: Lost, time: Ms) -> Seen {
-    let mut simulation = Simulation::with_size(seed, plans(), Vec::new(), size());
+    let mut simulation = Simulation::with_config(seed, plans(), Vec::new(), size());
     simulation.run_until(TROUBLE);
     let node = simulation.select_controller(who).expect("there is one");
     let machines: Vec<MachineId> = (0..LONG)
--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -9,7 +9,9 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{ControllerSelector, Fault, FaultKind, JobPlan, Simulation, Size};
+use forkshift_testkit::{
+    ControllerSelector, DeploymentConfig, Fault, FaultKind, JobPlan, Simulation,
+};
 use forkshift_wire::users::JobKind;
 
 /// When the trouble begins: all jobs of the first seconds run by then.
@@ -113,7 +115,8 @@
         let at = TROUBLE - 2_000;
         let faults = vec![Fault { at: 0, kind: looks }, Fault { at, kind: slow }];
         let plans = through_the_trouble(stop);
-        let mut simulation = Simulation::with_size(seed, plans, faults, Size::default());
+        let mut simulation =
+            Simulation::with_config(seed, plans, faults, DeploymentConfig::default());
         stop_in_role(&mut simulation, role, stop);
         let ended = simulation.terminated_machines();
         simulation.run_until(TROUBLE + stop + 8_000);
@@ -128,7 +131,7 @@
         assert_eq!(simulation.checker.violations, vec![], "{name}");
         let after_cancel = &simulation.checker.starts_after_cancel;
         assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
-        let (over, all) = simulation.over_limit();
+        let (over, all) = simulation.rate_limit_counts();
         assert_eq!(over, 0, "{name}: of {all} requests, beyond the limits");
         assert_eq!(
             simulation.unfinished_jobs(),
@@ -167,12 +170,12 @@
 
 fn play_away(name: &str, seed: u64, away: Away) -> Seen {
     // The service takes little: a burst shows.
-    let size = Size {
+    let size = DeploymentConfig {
         store_rps: 80.0,
         store_write_rps: 30.0,
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
-    let mut simulation = Simulation::with_size(seed, while_away(), Vec::new(), size);
+    let mut simulation = Simulation::with_config(seed, while_away(), Vec::new(), size);
     simulation.run_until(TROUBLE);
     let running = |simulation: &Simulation| -> usize {
         let kept = [0, 2, 4, 6].map(id);
@@ -212,7 +215,7 @@
             "{name}: {n} is cancelled"
         );
     }
-    let (over, all) = simulation.over_limit();
+    let (over, all) = simulation.rate_limit_counts();
     assert_eq!(over, 0, "{name}: of {all} requests, beyond the limits");
     simulation.run_until(600_000);
     assert_eq!(
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -5,7 +5,7 @@
 
 use common::{assert_ran_and_rules_kept, random_plans, random_plans_of_seed};
 use forkshift_testkit::{
-    random_early_faults, random_faults, Fault, FaultKind, JobPlan, Simulation, Size,
+    random_early_faults, random_faults, DeploymentConfig, Fault, FaultKind, JobPlan, Simulation,
 };
 use forkshift_wire::users::JobKind;
 use rand::rngs::StdRng;
@@ -13,7 +13,7 @@
 
 /// Plays a day and checks that no rule was broken and nobody left unserved.
 fn play(name: &str, seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, end: u64) -> Simulation {
-    play_sized(name, seed, plans, faults, end, Size::default())
+    play_sized(name, seed, plans, faults, end, DeploymentConfig::default())
 }
 
 fn play_sized(
@@ -22,9 +22,9 @@
     plans: Vec<JobPlan>,
     faults: Vec<Fault>,
     end: u64,
-    size: Size,
+    size: DeploymentConfig,
 ) -> Simulation {
-    let mut simulation = Simulation::with_size(seed, plans, faults, size);
+    let mut simulation = Simulation::with_config(seed, plans, faults, size);
     simulation.run_until(end);
     assert_ran_and_rules_kept(name, &simulation);
     simulation
@@ -214,13 +214,13 @@
 /// requests: most controllers end at once, and again during the failover.
 #[test]
 fn rules_hold_when_a_large_deployment_loses_most_controllers_twice() {
-    let size = Size {
+    let size = DeploymentConfig {
         controllers: 7,
         teams: 16,
         capacity: 20,
         store_rps: 80.0,
         store_write_rps: 30.0,
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
     let mut rng = StdRng::seed_from_u64(700);
     let plans = random_plans(&mut rng, 90).into_iter().map(|mut plan| {
@@ -254,13 +254,13 @@
 /// and was repeated without end.
 #[test]
 fn a_large_fleet_is_up_within_a_few_boots() {
-    let size = Size {
+    let size = DeploymentConfig {
         controllers: 7,
         teams: 16,
         capacity: 200,
         store_rps: 80.0,
         store_write_rps: 30.0,
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
     let mut rng = StdRng::seed_from_u64(701);
     let plans = (0..60).map(|n| {
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -5,7 +5,8 @@
 
 use common::assert_rules_kept;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
+    ControllerSelector, DeploymentConfig, Fault, FaultKind, JobPlan, MachineFault, MachineSelector,
+    Simulation,
 };
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::JobId;
@@ -14,7 +15,7 @@
 
 /// Services that fill most of the fleet at the start, and arrays and gangs
 /// that come all the time.
-fn plans(seed: u64, size: &Size, services: u32, others: u32) -> Vec<JobPlan> {
+fn plans(seed: u64, size: &DeploymentConfig, services: u32, others: u32) -> Vec<JobPlan> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut plans = Vec::new();
     for n in 0..services + others {
@@ -49,14 +50,14 @@
 
 fn play(
     name: &str,
-    size: Size,
+    size: DeploymentConfig,
     (services, others): (u32, u32),
     machines: usize,
     faults: Vec<Fault>,
     end: u64,
 ) -> Simulation {
     let plans = plans(size.controllers as u64, &size, services, others);
-    let mut simulation = Simulation::with_size(size.controllers as u64, plans, faults, size);
+    let mut simulation = Simulation::with_config(size.controllers as u64, plans, faults, size);
     simulation.run_until(end);
     assert_rules_kept(name, &simulation);
     let peak = simulation.max_machines();
@@ -89,7 +90,7 @@
         },
         crash(108_000, 0, 5, 300),
     ];
-    let size = Size::five_by_1860();
+    let size = DeploymentConfig::five_by_1860();
     play("five", size, (900, 120), 1_500, faults, 160_000);
 }
 
@@ -100,7 +101,7 @@
         crash(100_000, 0, 7, 50),
         crash(101_000, 0, 7, 6_000),
     ];
-    let size = Size::seven_by_810();
+    let size = DeploymentConfig::seven_by_810();
     play("seven", size, (420, 80), 650, faults, 160_000);
 }
 
@@ -132,7 +133,7 @@
             kind: FaultKind::At(ControllerSelector::Leader, Box::new(refused)),
         },
     ];
-    let size = Size::five_by_4200();
+    let size = DeploymentConfig::five_by_4200();
     let simulation = play("4,000", size, (2_100, 250), 4_000, faults, 160_000);
     assert!(
         simulation.terminated_machines() > 1_200,
@@ -142,12 +143,12 @@
 }
 
 /// A fleet of replicas that has come to rest.
-fn at_rest(size: Size, services: u32, faults: Vec<Fault>) -> Simulation {
+fn at_rest(size: DeploymentConfig, services: u32, faults: Vec<Fault>) -> Simulation {
     let mut plans = plans(9, &size, services, 0);
     for plan in &mut plans {
         plan.cancel_at = None;
     }
-    let mut simulation = Simulation::with_size(9, plans, faults, size);
+    let mut simulation = Simulation::with_config(9, plans, faults, size);
     simulation.run_until(90_000);
     simulation
 }
@@ -157,10 +158,10 @@
 #[test]
 fn the_work_per_heartbeat_does_not_grow_with_the_fleet() {
     let per_report = |services| {
-        let mut simulation = at_rest(Size::five_by_1860(), services, Vec::new());
-        let (reports, visits) = simulation.work_counts();
+        let mut simulation = at_rest(DeploymentConfig::five_by_1860(), services, Vec::new());
+        let (reports, visits) = simulation.heartbeat_and_visit_counts();
         simulation.run_until(110_000);
-        let (more_reports, more_visits) = simulation.work_counts();
+        let (more_reports, more_visits) = simulation.heartbeat_and_visit_counts();
         let part = (more_visits - visits) as f64 / (more_reports - reports) as f64;
         (simulation.machines(), part)
     };
@@ -185,10 +186,10 @@
 /// and had them deleted; so it did with the machines of a zone that was cut off.
 #[test]
 fn many_silent_machines_are_not_deleted() {
-    let size = Size {
+    let size = DeploymentConfig {
         heartbeat_ms: 1_000,
         lease_ms: 10_000,
-        ..Size::five_by_1860()
+        ..DeploymentConfig::five_by_1860()
     };
     let (at, time, hold) = (90_000, 7_000, true);
     let cases = [
--- a/crates/testkit/tests/hollow_workers.rs
+++ b/crates/testkit/tests/hollow_workers.rs
@@ -5,8 +5,8 @@
 
 use common::Ms;
 use forkshift_testkit::{
-    BootModel, ControllerRequest, Deployment, Fleet, JobPlan, MachineChange, Requester, Rule,
-    Service, Simulation, Size,
+    BootModel, ControllerRequest, DeploymentConfig, Fleet, JobPlan, MachineChange, Requester, Rule,
+    Service, ServicesConfig, Simulation,
 };
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::workers::{TaskStage, WorkerHeartbeat};
@@ -34,10 +34,10 @@
 
 impl Scene {
     fn new() -> Self {
-        let size = Size {
+        let size = DeploymentConfig {
             heartbeat_ms: REPORT_MS,
             lease_ms: LEASE_MS,
-            ..Size::default()
+            ..DeploymentConfig::default()
         };
         let fleet = Fleet {
             boots: BootModel::Normal {
@@ -45,7 +45,7 @@
             },
             ..Fleet::default()
         };
-        let deployment = Deployment {
+        let deployment = ServicesConfig {
             fleet,
             team_limits: [("team-0".to_owned(), (0.0, 0.0))].into(),
             max_value_bytes: 8_192,
@@ -121,7 +121,7 @@
 
     fn answer(&mut self, sent: Sent, status: u16, body: &Value) {
         let body = body.to_string().into_bytes();
-        self.simulation.deliver(sent.asker, status, body);
+        self.simulation.deliver_reply(sent.asker, status, body);
     }
 }
 
@@ -282,14 +282,14 @@
                 .advance_to(scene.simulation.now() + step, step);
             for request in scene.simulation.take_requests() {
                 let body = json!({"baton": 1, "orders": []}).to_string().into_bytes();
-                scene.simulation.deliver(request.requester, 200, body);
+                scene.simulation.deliver_reply(request.requester, 200, body);
             }
             let broken = scene.simulation.checker.violations.first();
             broken_at = broken.map(|(rule, at, _)| (*rule, *at));
         }
         let (rule, at) = broken_at.expect("the task is still there");
         assert_eq!(rule, Rule::RanCancelled, "step {step}");
-        let late = at - now - Size::default().cancel_ms;
+        let late = at - now - DeploymentConfig::default().cancel_ms;
         assert!(late <= 500 + step, "step {step}: seen {late} ms late");
     }
 }
--- a/crates/testkit/tests/large_gang.rs
+++ b/crates/testkit/tests/large_gang.rs
@@ -5,7 +5,7 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{ControllerSelector, FaultKind, JobPlan, Simulation, Size};
+use forkshift_testkit::{ControllerSelector, DeploymentConfig, FaultKind, JobPlan, Simulation};
 use forkshift_wire::users::{JobKind, JobStage};
 
 const TASKS: u32 = 512;
@@ -18,12 +18,12 @@
     gang.spec.cpus = 1.0;
     gang.spec.gpus = 0.0;
     gang.spec.memory_gb = 1.0;
-    let size = Size {
+    let size = DeploymentConfig {
         capacity: 20,
         limit: (1_000.0, 100.0),
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
-    Simulation::with_size(seed, vec![gang], Vec::new(), size)
+    Simulation::with_config(seed, vec![gang], Vec::new(), size)
 }
 
 /// Plays until so many changes were written since the gang was accepted, or the end.
@@ -50,7 +50,7 @@
     assert_eq!(simulation.checker.violations, vec![], "{what}");
     assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new(), "{what}");
     assert_eq!(
-        simulation.too_large(),
+        simulation.oversized_transactions(),
         0,
         "{what}: a transaction was too large"
     );
@@ -60,9 +60,9 @@
 #[test]
 fn a_gang_of_512_is_recorded_within_the_limits() {
     let mut simulation = simulation(900);
-    simulation.record_formats();
+    simulation.record_puts_and_messages();
     finish(&mut simulation, "nothing goes wrong");
-    let mut records = simulation.kept_records().iter();
+    let mut records = simulation.recorded_puts().iter();
     assert!(
         records.any(|(key, _)| key.ends_with("/5")),
         "its last block"
--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -5,7 +5,8 @@
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector, Simulation, Size,
+    ControllerSelector, DeploymentConfig, Fault, FaultKind, JobPlan, MachineFault, MachineSelector,
+    Simulation,
 };
 use forkshift_wire::users::JobKind;
 
@@ -137,12 +138,12 @@
         .flat_map(|n| pair(REFUSED + n * gap, v))
         .collect();
     faults.sort_by_key(|f| f.at);
-    let size = Size {
+    let size = DeploymentConfig {
         controllers: NODES,
         cancel_ms: CANCEL,
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
-    let mut simulation = Simulation::with_size(seed, plans.collect(), faults, size);
+    let mut simulation = Simulation::with_config(seed, plans.collect(), faults, size);
     simulation.run_until(REFUSED - 10);
     assert_eq!(
         simulation.checker.running_tasks(&id(0)),
@@ -290,13 +291,13 @@
         // Before a holder takes the machines for silent, it ends.
         let crashes = (0..6).map(|n| crash(REFUSED + 5_500 + n * 6_000));
         let faults = [hang_ms].into_iter().chain(crashes).collect();
-        let size = Size {
+        let size = DeploymentConfig {
             controllers: NODES,
             cancel_ms: CANCEL,
-            ..Size::default()
+            ..DeploymentConfig::default()
         };
         let plans = vec![job(0, Some(REFUSED + 100))];
-        let mut simulation = Simulation::with_size(seed, plans, faults, size);
+        let mut simulation = Simulation::with_config(seed, plans, faults, size);
         simulation.run_until(REFUSED + 5_000);
         let confirmed = simulation.cancelled_at(&id(0)).expect("confirmed");
         assert_eq!(
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -5,8 +5,8 @@
 
 use common::{assert_ran_and_rules_kept, random_plans_of_seed};
 use forkshift_testkit::{
-    ControllerSelector, Day, Fault, FaultKind, FaultSchedule, JobPlan, MachineFault,
-    MachineSelector, Simulation, Size,
+    ControllerSelector, Day, DeploymentConfig, Fault, FaultKind, FaultSchedule, JobPlan,
+    MachineFault, MachineSelector, Simulation,
 };
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::JobId;
@@ -191,10 +191,10 @@
     ];
     let mut simulation = Simulation::new(42, vec![job(0, 2_000, 100_000)], faults);
     simulation.run_until(44_900);
-    let kept = simulation.kept_heartbeats();
+    let kept = simulation.withheld_heartbeats();
     assert!(kept > 5, "{kept} kept");
     simulation.run_until(60_000);
-    assert_eq!(simulation.kept_heartbeats(), 0);
+    assert_eq!(simulation.withheld_heartbeats(), 0);
     simulation.run_until(200_000);
     assert_ran_and_rules_kept("kept reports", &simulation);
 }
@@ -245,10 +245,14 @@
         let name = format!("{kind:?}");
         let fault = Fault { at: 1_000, kind };
         let plans = (0..6).map(|n| job(n, 15_000 + 1_000 * u64::from(n), 6_000));
-        let mut simulation =
-            Simulation::with_size(44, plans.collect(), vec![fault], Size::default());
+        let mut simulation = Simulation::with_config(
+            44,
+            plans.collect(),
+            vec![fault],
+            DeploymentConfig::default(),
+        );
         simulation.run_until(90_000);
-        let (asked, answered) = simulation.unusual_request_counts();
+        let (asked, answered) = simulation.adversarial_request_counts();
         assert!(asked > 60, "{name}: {asked} asked");
         assert!(answered * 10 > asked * 9, "{name}: {answered} of {asked}");
         assert_ran_and_rules_kept(&name, &simulation);
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -9,7 +9,8 @@
 use common::Ms;
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    ControllerSelector, FaultKind, JobPlan, LinkDirection, MachineSelector, Simulation, Size,
+    ControllerSelector, DeploymentConfig, FaultKind, JobPlan, LinkDirection, MachineSelector,
+    Simulation,
 };
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::{JobId, MachineId};
@@ -34,18 +35,18 @@
     Long,
 }
 
-fn size(pace: Pace) -> Size {
+fn size(pace: Pace) -> DeploymentConfig {
     let (report_ms, lease_ms, cancel_ms) = match pace {
         Pace::Short => (1_000, 10_000, 35_000),
         Pace::Long => (5_000, 24_000, 49_000),
     };
-    Size {
+    DeploymentConfig {
         controllers: 5,
         limit: (96.0, 96.0),
         heartbeat_ms: report_ms,
         lease_ms,
         cancel_ms,
-        ..Size::default()
+        ..DeploymentConfig::default()
     }
 }
 
@@ -161,7 +162,7 @@
 }
 
 fn play(name: &str, seed: u64, pace: Pace, cuts: &[(ControllerSelector, Lost, Ms)]) -> Cost {
-    let mut simulation = Simulation::with_size(seed, plans(), Vec::new(), size(pace));
+    let mut simulation = Simulation::with_config(seed, plans(), Vec::new(), size(pace));
     simulation.run_until(TROUBLE);
     let starts = |simulation: &Simulation, jobs: std::ops::Range<u32>| -> u64 {
         jobs.map(|n| simulation.checker.starts_of(&id(n))).sum()
@@ -274,7 +275,7 @@
     (large.spec.cpus, large.spec.gpus) = (1.0, 8.0);
     let large_id = large.spec.id.clone();
     let all = plans().into_iter().chain([large]).collect();
-    let mut simulation = Simulation::with_size(4_300, all, Vec::new(), size(Pace::Short));
+    let mut simulation = Simulation::with_config(4_300, all, Vec::new(), size(Pace::Short));
     simulation.run_until(TROUBLE);
     let first = simulation.leader().expect("somebody leads");
     lose(&mut simulation, first, Lost::Cloud, cut);
@@ -295,7 +296,7 @@
 #[test]
 fn an_unreachable_cloud_moves_leadership_ever_more_seldom() {
     let cut: Ms = 240_000;
-    let mut simulation = Simulation::with_size(4_301, plans(), Vec::new(), size(Pace::Short));
+    let mut simulation = Simulation::with_config(4_301, plans(), Vec::new(), size(Pace::Short));
     simulation.run_until(TROUBLE);
     for node in 0..size(Pace::Short).controllers {
         lose(&mut simulation, node, Lost::Cloud, cut);
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -5,7 +5,7 @@
 
 use common::Ms;
 use forkshift_testkit::job_id as id;
-use forkshift_testkit::{Boot, FaultKind, JobPlan, Simulation, Size, SlowBoots};
+use forkshift_testkit::{Boot, DeploymentConfig, FaultKind, JobPlan, Simulation, SlowBoots};
 use forkshift_wire::users::{JobKind, Priority};
 
 /// Seeds of the cases besides the first one, on which any draw of boots may come.
@@ -84,18 +84,18 @@
 
 fn play(name: &str, seed: u64, kind: Option<FaultKind>) -> Seen {
     let plans = (0..JOBS).map(|n| replica(n, FIRST + EVERY * u64::from(n)));
-    let size = Size {
+    let size = DeploymentConfig {
         limit: (96.0, 96.0),
-        ..Size::default()
+        ..DeploymentConfig::default()
     };
-    let mut simulation = Simulation::with_size(seed, plans.collect(), Vec::new(), size);
+    let mut simulation = Simulation::with_config(seed, plans.collect(), Vec::new(), size);
     if let Some(kind) = kind {
         simulation.inject_fault(kind);
     }
     let mut booting_s = 0;
     while simulation.now() < FIRST + EVERY * u64::from(JOBS) + 60_000 {
         simulation.run_until(simulation.now() + 1_000);
-        booting_s += simulation.booting();
+        booting_s += simulation.booting_machines();
     }
     assert_eq!(simulation.checker.violations, vec![], "{name}");
     let began = (0..JOBS).map(|n| {
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -7,7 +7,7 @@
 use common::{assert_ran_and_rules_kept, fault};
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
-    Day, Fault, FaultKind, FaultSchedule, JobPlan, NextLimits, Simulation, Size,
+    Day, DeploymentConfig, Fault, FaultKind, FaultSchedule, JobPlan, NextLimits, Simulation,
 };
 use forkshift_wire::users::{JobKind, JobStage};
 
@@ -17,11 +17,11 @@
     txn_ops: 4,
 };
 
-fn size() -> Size {
-    Size {
+fn size() -> DeploymentConfig {
+    DeploymentConfig {
         next_limits: Some(LIMITS),
-        begins_old: true,
-        ..Size::default()
+        starts_with_old_release: true,
+        ..DeploymentConfig::default()
     }
 }
 
@@ -100,7 +100,7 @@
             faults.push(crash(ends_at, order[2]));
             faults.push(fault(50_000, FaultKind::LowerLimits));
             faults.push(crash(70_000, order[1]));
-            let mut simulation = Simulation::with_size(41, plans(), faults, size());
+            let mut simulation = Simulation::with_config(41, plans(), faults, size());
             simulation.run_until(240_000);
             let name = format!("{order:?}, one ends at {ends_at}");
             assert_ran_and_rules_kept(&name, &simulation);
@@ -110,7 +110,7 @@
                 Some(JobStage::Done),
                 "{name}"
             );
-            assert_eq!(simulation.too_large(), 0, "{name}: too large");
+            assert_eq!(simulation.oversized_transactions(), 0, "{name}: too large");
         }
     }
 }
@@ -136,7 +136,7 @@
             vec![upgrade(20_000, 0), away(2), upgrade(24_000, 1)],
         ),
     ] {
-        let mut simulation = Simulation::with_size(42, plans(), faults, size());
+        let mut simulation = Simulation::with_config(42, plans(), faults, size());
         simulation.run_until(120_000);
         assert_eq!(simulation.finalized_format(), None, "{name}");
         assert!(simulation.checker.is_accepted(&id(3)), "{name}");
@@ -150,18 +150,18 @@
 #[test]
 fn the_first_release_reads_all_that_is_written_before_finalization() {
     let faults = vec![upgrade(20_000, 0), upgrade(24_000, 1)];
-    let mut simulation = Simulation::with_size(43, plans(), faults, size());
-    simulation.record_formats();
+    let mut simulation = Simulation::with_config(43, plans(), faults, size());
+    simulation.record_puts_and_messages();
     simulation.run_until(110_000);
     for kind in [
         "node/", "leader", "share/", "machine/", "charter/", "demand/",
     ] {
         let prefix = format!("c/{kind}");
-        let mut keys = simulation.kept_records().iter().map(|(key, _)| key);
+        let mut keys = simulation.recorded_puts().iter().map(|(key, _)| key);
         assert!(keys.any(|key| key.starts_with(&prefix)), "no {prefix}");
     }
-    assert!(!simulation.kept_messages().is_empty());
-    for (key, value) in simulation.kept_records() {
+    assert!(!simulation.recorded_messages().is_empty());
+    for (key, value) in simulation.recorded_puts() {
         let mut expected = value.clone();
         if let (true, Some(fields)) = (key.starts_with("c/node/"), expected.as_object_mut()) {
             fields.remove("format");
@@ -170,7 +170,7 @@
         let read = read.unwrap_or_else(|e| panic!("{key}: {e}, {value}"));
         assert_eq!(read, expected, "{key}");
     }
-    for message in simulation.kept_messages() {
+    for message in simulation.recorded_messages() {
         production::read_message(message).expect("the first release reads it");
     }
 }
@@ -239,7 +239,7 @@
             restart_after,
         },
     ));
-    let mut simulation = Simulation::with_size(44, plans(), faults, size());
+    let mut simulation = Simulation::with_config(44, plans(), faults, size());
     simulation.run_until(90_000);
     while simulation.now() < 200_000 {
         simulation.run_until(simulation.now() + 500);
@@ -260,7 +260,7 @@
         faults.push(fault(18_000, FaultKind::LateWrites(16_000)));
         faults.push(fault(from, FaultKind::StoreOutage(12_000)));
         faults.push(fault(70_000, FaultKind::LowerLimits));
-        let mut simulation = Simulation::with_size(45, plans(), faults, size());
+        let mut simulation = Simulation::with_config(45, plans(), faults, size());
         simulation.run_until(260_000);
         assert_ran_and_rules_kept(&format!("outage from {from}"), &simulation);
         assert_eq!(simulation.finalized_format(), Some(2), "outage from {from}");
@@ -289,7 +289,7 @@
             ));
         }
         let plans = vec![array(1, 3_000, 280, 6_000), array(2, 4_000, 120, 40_000)];
-        let mut simulation = Simulation::with_size(46, plans, faults, size());
+        let mut simulation = Simulation::with_config(46, plans, faults, size());
         simulation.run_until(300_000);
         assert_ran_and_rules_kept(&format!("pause {pause}"), &simulation);
     }
@@ -306,7 +306,7 @@
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[n - 1]));
     }
     plans.push(chained(length + 1, 95_000, &[1]));
-    let mut simulation = Simulation::with_size(47, plans, vec![], Size::default());
+    let mut simulation = Simulation::with_config(47, plans, vec![], DeploymentConfig::default());
     simulation.run_until(300_000);
     assert_ran_and_rules_kept("chain", &simulation);
     for n in 1..=length + 1 {
@@ -326,7 +326,7 @@
     for n in 2..=dependents {
         plans.push(chained(n, 6_000 + u64::from(n) * 150, &[1]));
     }
-    let mut simulation = Simulation::with_size(48, plans, vec![], Size::default());
+    let mut simulation = Simulation::with_config(48, plans, vec![], DeploymentConfig::default());
     simulation.run_until(240_000);
     assert_ran_and_rules_kept("dependents", &simulation);
     for n in 1..=dependents {
--- a/crates/testkit/tests/warm_pools.rs
+++ b/crates/testkit/tests/warm_pools.rs
@@ -10,8 +10,8 @@
 use forkshift_pools::report::UsageRecords;
 use forkshift_pools::{EndReason, Membership, PoolSpec, PoolState, UsageInterval, WindowSpec};
 use forkshift_testkit::{
-    job_id, ControllerSelector, Fault, FaultKind, JobPlan, MachineFault, MachineSelector,
-    Simulation, Size,
+    job_id, ControllerSelector, DeploymentConfig, Fault, FaultKind, JobPlan, MachineFault,
+    MachineSelector, Simulation,
 };
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::MachineId;
@@ -26,13 +26,13 @@
 /// failed is known by silence only.
 const CLOCK_OFF: Ms = 1_000;
 
-fn size() -> Size {
-    Size {
+fn size() -> DeploymentConfig {
+    DeploymentConfig {
         controllers: NODES,
         guarantee: (64.0, 32.0),
         limit: (256.0, 96.0),
         announces_images: true,
-        ..Size::default()
+        ..DeploymentConfig::default()
     }
 }
 
@@ -60,7 +60,12 @@
     plan
 }
 
-fn simulation(seed: u64, plans: Vec<JobPlan>, size: Size, pools: &[PoolSpec]) -> Simulation {
+fn simulation(
+    seed: u64,
+    plans: Vec<JobPlan>,
+    size: DeploymentConfig,
+    pools: &[PoolSpec],
+) -> Simulation {
     Simulation::with_pools(seed, plans, Vec::new(), size, vec![pools.to_vec(); NODES])
 }
 
@@ -81,7 +86,7 @@
 fn audit(simulation: &Simulation, name: &str) -> UsageRecords {
     assert_eq!(simulation.checker.violations, vec![], "{name}: rules");
     let accounts = simulation.pool_accounts(simulation.wall_clock());
-    let lives = simulation.pool_lives(simulation.wall_clock() - simulation.now());
+    let lives = simulation.billing_periods_from(simulation.wall_clock() - simulation.now());
     let found = audit_errors(&accounts.intervals, &lives, CLOCK_OFF);
     assert_eq!(found, vec![], "{name}: accounts");
     accounts
@@ -135,7 +140,7 @@
 /// warm, and still spares the boot.
 #[test]
 fn machines_of_workers_that_announce_nothing_are_up_and_never_warm() {
-    let size = Size {
+    let size = DeploymentConfig {
         announces_images: false,
         ..size()
     };
@@ -205,7 +210,7 @@
                 gang,
                 replicas(0, FULL + burst_at, 1, "weights"),
             ];
-            let size = Size {
+            let size = DeploymentConfig {
                 capacity: 1,
                 ..size()
             };
@@ -495,8 +500,8 @@
 /// have registered, so rolling back until then loses nothing.
 #[test]
 fn nothing_of_pools_is_written_beside_an_old_release() {
-    let size = Size {
-        begins_old: true,
+    let size = DeploymentConfig {
+        starts_with_old_release: true,
         ..size()
     };
     let pools = vec![vec![pool(2, 2)]; NODES];
