--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -11,7 +11,7 @@
 mod usage;
 
 pub use observations::FirstStart;
-pub(crate) use observations::Observations;
+pub(crate) use observations::StartMeasurements;
 use usage::Usage;
 
 use crate::Ms;
@@ -95,14 +95,14 @@
     /// Jobs about which a request is unanswered, and since when.
     unanswered: BTreeMap<JobId, Ms>,
     /// Jobs that wait although there is room, and since when.
-    waiting_with_room: BTreeMap<JobId, Ms>,
+    pending_despite_capacity: BTreeMap<JobId, Ms>,
     /// When users first sent a request about a job.
     first_requested_at: BTreeMap<JobId, Ms>,
     /// Longest time until a job was accepted.
     max_acceptance_ms: Ms,
-    begun_at: BTreeMap<JobId, Ms>,
+    began_at: BTreeMap<JobId, Ms>,
     /// Jobs that must not be accepted.
-    must_refuse: BTreeSet<JobId>,
+    expected_refusals: BTreeSet<JobId>,
     /// Jobs whose last task has completed, until they are taken.
     pub(crate) newly_completed: Vec<JobId>,
     cancelled_at: BTreeMap<JobId, Ms>,
@@ -114,7 +114,7 @@
     /// What each team's tasks on machines use.
     team_usage: BTreeMap<String, Usage>,
     /// Measurements, if they are made.
-    pub(crate) observations: Option<Observations>,
+    pub(crate) observations: Option<StartMeasurements>,
     /// Starts of tasks.
     pub starts: u64,
     starts_by_job: BTreeMap<JobId, u64>,
@@ -142,7 +142,7 @@
     }
 
     /// Limits on the CPUs and GPUs of a team; 0: no limit.
-    pub(crate) fn limit_of(&self, team: &str) -> (f64, f64) {
+    pub(crate) fn team_limits(&self, team: &str) -> (f64, f64) {
         self.limits.get(team).copied().unwrap_or_default()
     }
 
@@ -153,7 +153,7 @@
 
     /// Checks for conditions that may not last. `expired` are machines that hang and whose
     /// lease has expired.
-    pub fn tick(&mut self, now: Ms, expired: &BTreeSet<MachineId>) {
+    pub fn check_time_limits(&mut self, now: Ms, expired: &BTreeSet<MachineId>) {
         self.check_cancelled_tasks(now, expired);
         self.check_unanswered(now);
     }
--- a/crates/testkit/src/checker/observations.rs
+++ b/crates/testkit/src/checker/observations.rs
@@ -17,7 +17,7 @@
 
 /// Measurements that have not been taken yet.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Observations {
+pub(crate) struct StartMeasurements {
     /// First starts of tasks.
     pub starts: Vec<FirstStart>,
     /// Times from the first attempt to submit until the acceptance, in
@@ -45,7 +45,7 @@
     }
 
     /// Measures a start, unless the task had started before.
-    pub(super) fn observe_start(&mut self, now: Ms, task: &TaskRef, priority: Priority) {
+    pub(super) fn measure_start(&mut self, now: Ms, task: &TaskRef, priority: Priority) {
         let requested_at = self
             .first_requested_at
             .get(&task.job)
--- a/crates/testkit/src/checker/progress.rs
+++ b/crates/testkit/src/checker/progress.rs
@@ -7,27 +7,30 @@
 use std::collections::BTreeMap;
 
 /// After the last fault, a job for which there is room has to begin within this.
-const MAX_WAIT_MS: Ms = 90_000;
+const MAX_PENDING_WITH_CAPACITY_MS: Ms = 90_000;
 /// The largest jobs have to begin within this.
-const MAX_BEGIN_MS: Ms = 240_000;
+const MAX_LARGEST_JOB_DELAY_MS: Ms = 240_000;
 /// One in so many jobs of a class is one of its largest.
-const LARGEST_JOB_FRACTION: usize = 10;
+const JOBS_PER_LARGEST_JOB: usize = 10;
 
 impl Checker {
-    /// A job has no task on a machine. `has_room`: a machine that fits has room for it
+    /// A job has no task on a machine. `has_free_capacity`: a machine that fits has room for it
     /// while its team is under its limit.
-    pub fn on_job_waiting(&mut self, now: Ms, id: &JobId, has_room: bool) {
+    pub fn on_job_pending(&mut self, now: Ms, id: &JobId, has_free_capacity: bool) {
         let Quiescence::Since(quiet_since) = self.quiescence else {
-            self.waiting_with_room.clear();
+            self.pending_despite_capacity.clear();
             return;
         };
-        if !has_room {
-            self.waiting_with_room.remove(id);
+        if !has_free_capacity {
+            self.pending_despite_capacity.remove(id);
             return;
         }
-        let since = *self.waiting_with_room.entry(id.clone()).or_insert(now);
-        if now > since.max(quiet_since) + MAX_WAIT_MS {
-            self.waiting_with_room.remove(id);
+        let since = *self
+            .pending_despite_capacity
+            .entry(id.clone())
+            .or_insert(now);
+        if now > since.max(quiet_since) + MAX_PENDING_WITH_CAPACITY_MS {
+            self.pending_despite_capacity.remove(id);
             self.record_violation(Rule::LeftWaiting, now, format!("{id} since {since}"));
         }
     }
@@ -53,12 +56,12 @@
     fn late_begin(&self, now: Ms, spec: &JobSpec) -> Option<String> {
         let requested_at = *self.first_requested_at.get(&spec.id)?;
         let ready_at = self.ready_since(&spec.id, requested_at)?;
-        let begun_at = self.begun_at.get(&spec.id);
-        let until = begun_at.copied().unwrap_or(now);
-        let is_called_off = begun_at.is_none() && self.is_cancel_wanted(&spec.id);
-        let is_late = until > ready_at + MAX_BEGIN_MS && !is_called_off;
+        let began_at = self.began_at.get(&spec.id);
+        let until = began_at.copied().unwrap_or(now);
+        let is_cancelled = began_at.is_none() && self.is_cancel_wanted(&spec.id);
+        let is_late = until > ready_at + MAX_LARGEST_JOB_DELAY_MS && !is_cancelled;
         let (id, class) = (&spec.id, &spec.class);
-        is_late.then(|| format!("{id} of {class}: {begun_at:?} after {ready_at}"))
+        is_late.then(|| format!("{id} of {class}: {began_at:?} after {ready_at}"))
     }
 }
 
@@ -66,6 +69,6 @@
 fn largest_jobs(mut specs: Vec<&JobSpec>) -> Vec<&JobSpec> {
     let size = |spec: &JobSpec| f64::from(spec.tasks) * (spec.cpus + spec.gpus);
     specs.sort_by(|a, b| size(b).total_cmp(&size(a)));
-    specs.truncate(specs.len().div_ceil(LARGEST_JOB_FRACTION));
+    specs.truncate(specs.len().div_ceil(JOBS_PER_LARGEST_JOB));
     specs
 }
--- a/crates/testkit/src/checker/responses.rs
+++ b/crates/testkit/src/checker/responses.rs
@@ -101,7 +101,7 @@
 
     /// Handles a successful response. Returns whether it is the first for a job.
     fn on_success(&mut self, now: Ms, id: &JobId, status: u16) -> bool {
-        if self.must_refuse.contains(id) {
+        if self.expected_refusals.contains(id) {
             self.record_violation(Rule::Unfit, now, format!("{id}: {status}"));
             return false;
         }
@@ -167,7 +167,7 @@
 
     /// A job that can not run, or is malformed, is about to be submitted.
     pub fn expect_refusal(&mut self, id: &JobId) {
-        self.must_refuse.insert(id.clone());
+        self.expected_refusals.insert(id.clone());
     }
 
     /// Checks the response to such a job: the expected refusal, or a status which says that
--- a/crates/testkit/src/checker/tasks.rs
+++ b/crates/testkit/src/checker/tasks.rs
@@ -19,7 +19,7 @@
             return;
         };
         self.check_single_place(now, task, &place);
-        self.observe_start(now, task, spec.priority);
+        self.measure_start(now, task, spec.priority);
         self.check_dependencies(now, &task.job, &task.to_string());
         self.check_place(now, task, &spec, &place);
         self.check_not_cancelled(now, task);
@@ -30,7 +30,7 @@
         // An array begins with any task, the others with all.
         let is_array = spec.kind == JobKind::Array;
         if is_array || self.running_tasks(&task.job) as u32 == spec.tasks {
-            self.begun_at.entry(task.job.clone()).or_insert(now);
+            self.began_at.entry(task.job.clone()).or_insert(now);
         }
         self.check_quota(now, &spec.team);
     }
@@ -165,13 +165,13 @@
             let at = self.cancelled_at.get(id);
             at.is_some_and(|at| now > at + self.cancel_ms)
         };
-        let counts = |places: &[Place]| {
+        let is_counted = |places: &[Place]| {
             let mut machines = places.iter().map(|place| &place.machine);
             machines.any(|machine| !expired.contains(machine))
         };
         let jobs = self.placements.iter().filter(|(id, _)| is_late(id));
         jobs.flat_map(|(id, tasks)| {
-            let late = tasks.iter().filter(|(_, places)| counts(places));
+            let late = tasks.iter().filter(|(_, places)| is_counted(places));
             late.map(|(index, _)| TaskRef {
                 job: id.clone(),
                 index: *index,
@@ -188,7 +188,7 @@
 
     /// When a job began: an array with its first task, others with all.
     pub fn began_at(&self, id: &JobId) -> Option<Ms> {
-        self.begun_at.get(id).copied()
+        self.began_at.get(id).copied()
     }
 
     /// How often tasks of a job have started.
--- a/crates/testkit/src/checker/tests.rs
+++ b/crates/testkit/src/checker/tests.rs
@@ -104,7 +104,7 @@
             if !violates {
                 checker.on_task_ended(&task(0), &MachineId::new("m1"));
             }
-            checker.tick(5 + 101, &BTreeSet::new());
+            checker.check_time_limits(5 + 101, &BTreeSet::new());
         }),
         (Rule::Forgotten, |checker, id, violates| {
             checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
@@ -190,29 +190,29 @@
         (Rule::Unanswered, |checker, id, violates| {
             checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
             checker.on_request_sent(10, id);
-            checker.tick(90_000, &BTreeSet::new());
+            checker.check_time_limits(90_000, &BTreeSet::new());
             checker.set_quiescence(Quiescence::Since(100_000));
             checker.on_immediate_response(110_000, id, false, 503, None);
             let status = if violates { 504 } else { 200 };
             checker.on_immediate_response(174_000, id, false, status, Some(JobStage::Queued));
-            checker.tick(175_001, &BTreeSet::new());
+            checker.check_time_limits(175_001, &BTreeSet::new());
         }),
         (Rule::LeftWaiting, |checker, id, violates| {
-            checker.on_job_waiting(1, id, true);
+            checker.on_job_pending(1, id, true);
             checker.set_quiescence(Quiescence::Since(100_000));
-            checker.on_job_waiting(100_000, id, true);
-            checker.on_job_waiting(150_000, id, violates);
-            checker.on_job_waiting(190_001, id, true);
+            checker.on_job_pending(100_000, id, true);
+            checker.on_job_pending(150_000, id, violates);
+            checker.on_job_pending(190_001, id, true);
         }),
         (Rule::LeftWaiting, |checker, id, violates| {
             checker.set_quiescence(Quiescence::Since(0));
-            checker.on_job_waiting(1_000, id, true);
+            checker.on_job_pending(1_000, id, true);
             if !violates {
                 checker.set_quiescence(Quiescence::NotYet);
-                checker.on_job_waiting(50_000, id, true);
+                checker.on_job_pending(50_000, id, true);
                 checker.set_quiescence(Quiescence::Since(60_000));
             }
-            checker.on_job_waiting(91_001, id, true);
+            checker.on_job_pending(91_001, id, true);
         }),
         (Rule::LateBegin, |checker, id, violates| {
             checker.on_request_sent(1, id);
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -32,7 +32,7 @@
 }
 
 impl Instance {
-    fn is_like(&self, request: &ProvisionRequest) -> bool {
+    fn matches_request(&self, request: &ProvisionRequest) -> bool {
         self.machine_type == request.machine_type
             && self.zone == request.zone
             && self.spot == request.spot
@@ -200,7 +200,9 @@
             return (200, json!({"berths": known}));
         }
         let machines = self.machines.values();
-        let in_use = machines.filter(|machine| machine.is_like(&request)).count() as u32;
+        let in_use = machines
+            .filter(|machine| machine.matches_request(&request))
+            .count() as u32;
         let free = self.capacity_of(&request).saturating_sub(in_use);
         let count = request.count.min(free);
         if count == 0 {
@@ -266,7 +268,7 @@
         }
         let machines = self.machines.iter();
         let snapshot = machines
-            .map(|(id, machine)| (id.to_string(), self.listed(now, id, machine)))
+            .map(|(id, machine)| (id.to_string(), self.list_item(now, id, machine)))
             .collect();
         self.list_snapshots.push_back((now, snapshot));
         while self.list_snapshots.len() > MAX_SNAPSHOTS {
@@ -275,7 +277,7 @@
     }
 
     /// A machine as it appears in lists.
-    fn listed(&self, now: Ms, id: &MachineId, machine: &Instance) -> Value {
+    fn list_item(&self, now: Ms, id: &MachineId, machine: &Instance) -> Value {
         json!({
             "uid": id,
             "addr": (self.fleet.address)(id),
--- a/crates/testkit/src/cloud/boots.rs
+++ b/crates/testkit/src/cloud/boots.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 /// Boot time of a machine that never comes up.
-const NEVER_MS: Ms = Ms::MAX / 2;
+const NEVER_BOOTS_MS: Ms = Ms::MAX / 2;
 /// Least boot time that is drawn around.
 const MIN_BOOT_MS: f64 = 10.0;
 
@@ -41,7 +41,7 @@
 
     fn boot_ms(&self) -> Ms {
         self.boots
-            .map_or(NEVER_MS, |boots| BOOT_MS * Ms::from(boots))
+            .map_or(NEVER_BOOTS_MS, |boots| BOOT_MS * Ms::from(boots))
     }
 }
 
@@ -68,14 +68,14 @@
             |boot_ms: Ms, rng: &mut StdRng| rng.random_range(boot_ms * 6 / 10..boot_ms * 15 / 10);
         match self.fleet.boots {
             BootModel::Adverse => match rng.random_range(0..20) {
-                0 => NEVER_MS,
+                0 => NEVER_BOOTS_MS,
                 1 => 500,
                 2 => BOOT_MS * 4,
                 _ => around(BOOT_MS, rng),
             },
             BootModel::Normal {
                 failure_probability: fails,
-            } if rng.random_bool(fails) => NEVER_MS,
+            } if rng.random_bool(fails) => NEVER_BOOTS_MS,
             BootModel::Normal { .. } => {
                 let of_type = self.fleet.machine_type(machine_type);
                 let boot_s = of_type.map_or(0.0, |machine_type| machine_type.boot_s);
--- a/crates/testkit/src/fault_schedule/combinations.rs
+++ b/crates/testkit/src/fault_schedule/combinations.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 /// Index of a fault whose controller is selected as it begins.
-const SELECTED: usize = 0;
+const PLACEHOLDER_CONTROLLER: usize = 0;
 /// Downtime of a crashed controller after which others have taken over.
 const DOWNTIME_MS: Ms = 5_000;
 /// Downtime of a crashed controller that is soon back.
@@ -19,10 +19,10 @@
 const LEADER_CHANGE_INTERVAL_MS: Ms = 9_000;
 
 /// Faults with the times at which they begin.
-type Timed = Vec<(Ms, FaultKind)>;
+type TimedFaults = Vec<(Ms, FaultKind)>;
 
 /// The times, durations and targets of a combination, all drawn before its kind.
-struct Draws {
+struct CombinationDraws {
     at: Ms,
     soon: Ms,
     later: Ms,
@@ -30,17 +30,17 @@
     /// A duration like that of single faults.
     time: Ms,
     /// A duration longer than a cancellation may take.
-    long: Ms,
+    long_time: Ms,
     /// Users cancel running jobs.
     cancel: FaultKind,
     lost_writes: FaultKind,
-    hold: bool,
+    holds_messages: bool,
     /// When another controller has taken over from one that fails at `at`.
     failover: Ms,
     after_failover: Ms,
 }
 
-impl Draws {
+impl CombinationDraws {
     fn new(rng: &mut StdRng, at: Ms, jobs: u32) -> Self {
         let soon = at + rng.random_range(0..4_000);
         let later = soon + rng.random_range(0..4_000);
@@ -49,7 +49,7 @@
             false => ControllerSelector::HolderOfJob(random_job(rng, jobs)),
         };
         let time = rng.random_range(2_000..25_000);
-        let long = rng.random_range(36_000..70_000);
+        let long_time = rng.random_range(36_000..70_000);
         let cancel = FaultKind::CancelRunningJobs {
             count: rng.random_range(2..12),
             hang_ms: if rng.random() { time } else { 0 },
@@ -60,7 +60,7 @@
             executes_at_once: rng.random(),
             time: time + 10_000,
         };
-        let hold = rng.random();
+        let holds_messages = rng.random();
         let failover = at + rng.random_range(5_000..16_000);
         let after_failover = failover + rng.random_range(0..2_500);
         Self {
@@ -69,10 +69,10 @@
             later,
             controller,
             time,
-            long,
+            long_time,
             cancel,
             lost_writes,
-            hold,
+            holds_messages,
             failover,
             after_failover,
         }
@@ -83,7 +83,7 @@
     }
 
     fn long_outage(&self) -> FaultKind {
-        FaultKind::StoreOutage(self.long)
+        FaultKind::StoreOutage(self.long_time)
     }
 
     fn status_bursts(&self) -> FaultKind {
@@ -96,14 +96,14 @@
 
     fn lockout(&self) -> FaultKind {
         self.at_controller(FaultKind::StoreLockout {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             time: self.time,
         })
     }
 
     fn crash(&self, restart_after: Ms) -> FaultKind {
         self.at_controller(FaultKind::Crash {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             count: 1,
             restart_after,
         })
@@ -112,11 +112,11 @@
     /// The controller is partitioned from the store.
     fn store_partition(&self) -> FaultKind {
         self.at_controller(FaultKind::ServicePartition {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             store: true,
             workers: false,
             cloud: false,
-            time: self.long,
+            time: self.long_time,
             holds_messages: false,
         })
     }
@@ -124,10 +124,10 @@
     /// The controller is partitioned from its peers.
     fn peer_partition(&self) -> FaultKind {
         self.at_controller(FaultKind::PeerPartition {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             peers: None,
-            time: self.long,
-            holds_messages: self.hold,
+            time: self.long_time,
+            holds_messages: self.holds_messages,
         })
     }
 
@@ -138,7 +138,7 @@
 
     /// The controller is locked out of the store alone, then comes an outage that is longer
     /// than a cancellation may take.
-    fn lockout_then_outage(&self) -> Timed {
+    fn lockout_then_outage(&self) -> TimedFaults {
         vec![
             (self.at, self.lockout()),
             (self.soon, self.long_outage()),
@@ -146,7 +146,7 @@
         ]
     }
 
-    fn cancel_then_lockout_and_outage(&self) -> Timed {
+    fn cancel_then_lockout_and_outage(&self) -> TimedFaults {
         vec![
             (self.at, self.cancel()),
             (self.at, self.lockout()),
@@ -155,22 +155,25 @@
     }
 
     /// The controller is partitioned from the store and not from the workers.
-    fn store_partition_then_cancel(&self) -> Timed {
+    fn store_partition_then_cancel(&self) -> TimedFaults {
         vec![
             (self.at, self.store_partition()),
             (self.later, self.cancel()),
         ]
     }
 
-    fn inbound_loss_then_crash(&self) -> Timed {
+    fn inbound_loss_then_crash(&self) -> TimedFaults {
         vec![
-            (self.at, self.machines(MachineFault::InboundLoss(self.long))),
+            (
+                self.at,
+                self.machines(MachineFault::InboundLoss(self.long_time)),
+            ),
             (self.soon, self.crash(DOWNTIME_MS)),
             (self.later, self.cancel()),
         ]
     }
 
-    fn late_heartbeats_then_lockout(&self) -> Timed {
+    fn late_heartbeats_then_lockout(&self) -> TimedFaults {
         let late_heartbeats = FaultKind::LateHeartbeats {
             percent: 50,
             until_failover: true,
@@ -183,7 +186,7 @@
         ]
     }
 
-    fn fast_boots_with_lost_writes(&self) -> Timed {
+    fn fast_boots_with_lost_writes(&self) -> TimedFaults {
         vec![
             (self.at, FaultKind::FastBoots(self.time + 10_000)),
             (self.at, self.lost_writes.clone()),
@@ -191,7 +194,7 @@
         ]
     }
 
-    fn status_bursts_with_lost_writes(&self) -> Timed {
+    fn status_bursts_with_lost_writes(&self) -> TimedFaults {
         vec![
             (self.at, self.status_bursts()),
             (self.soon, self.lost_writes.clone()),
@@ -199,7 +202,7 @@
         ]
     }
 
-    fn status_bursts_with_crash(&self) -> Timed {
+    fn status_bursts_with_crash(&self) -> TimedFaults {
         vec![
             (self.at, self.status_bursts()),
             (self.soon, self.crash(SHORT_DOWNTIME_MS)),
@@ -208,16 +211,16 @@
     }
 
     /// All controllers are down for longer than a worker's lease.
-    fn cancel_then_crash_of_all(&self) -> Timed {
+    fn cancel_then_crash_of_all(&self) -> TimedFaults {
         let crash = FaultKind::Crash {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             count: 3,
             restart_after: LONG_DOWNTIME_MS,
         };
         vec![(self.at, self.cancel()), (self.soon, crash)]
     }
 
-    fn outbound_loss_then_outage(&self) -> Timed {
+    fn outbound_loss_then_outage(&self) -> TimedFaults {
         vec![
             (
                 self.at,
@@ -230,11 +233,11 @@
 
     /// Another controller has taken over, confirms cancellations and can't reach the
     /// workers; then nothing can be written.
-    fn failover_without_command_links(&self) -> Timed {
+    fn failover_without_command_links(&self) -> TimedFaults {
         let command_partition = |node| FaultKind::CommandPartition {
             node,
-            time: self.long,
-            holds_messages: self.hold,
+            time: self.long_time,
+            holds_messages: self.holds_messages,
         };
         vec![
             (self.at, self.lockout()),
@@ -246,7 +249,7 @@
         ]
     }
 
-    fn failover_then_outage(&self) -> Timed {
+    fn failover_then_outage(&self) -> TimedFaults {
         vec![
             (self.at, self.lockout()),
             (self.failover, self.cancel()),
@@ -255,7 +258,7 @@
     }
 
     /// The old leader or holder is partitioned from the store and its peers.
-    fn failover_from_isolated_controller(&self) -> Timed {
+    fn failover_from_isolated_controller(&self) -> TimedFaults {
         vec![
             (self.at, self.store_partition()),
             (self.at, self.peer_partition()),
@@ -265,10 +268,10 @@
     }
 
     /// The leader changes again and again.
-    fn leader_changes(&self, rng: &mut StdRng) -> Timed {
+    fn leader_changes(&self, rng: &mut StdRng) -> TimedFaults {
         let lockouts = (0..LEADER_CHANGES).map(|change| {
             let lockout = FaultKind::StoreLockout {
-                node: SELECTED,
+                node: PLACEHOLDER_CONTROLLER,
                 time: rng.random_range(1_000..12_000),
             };
             let at = self.at + change * LEADER_CHANGE_INTERVAL_MS;
@@ -280,7 +283,7 @@
 
 /// A combination of faults that begins at a time.
 pub(super) fn random_combination(rng: &mut StdRng, at: Ms, jobs: u32) -> Vec<Fault> {
-    let draws = Draws::new(rng, at, jobs);
+    let draws = CombinationDraws::new(rng, at, jobs);
     let faults = match rng.random_range(0..15) {
         0 | 1 => draws.lockout_then_outage(),
         2 => draws.cancel_then_lockout_and_outage(),
--- a/crates/testkit/src/fault_schedule/single.rs
+++ b/crates/testkit/src/fault_schedule/single.rs
@@ -19,9 +19,9 @@
     let time = rng.random_range(2_000..25_000);
     match rng.random_range(0..kinds) {
         0 | 1 => random_crash(rng, node, &DOWNTIMES_MS),
-        2 => random_cut(rng, node, [true, false, false], time),
-        3 => random_cut(rng, node, [false, true, false], time),
-        4 => random_cut(rng, node, [true, true, true], time),
+        2 => random_service_partition(rng, node, [true, false, false], time),
+        3 => random_service_partition(rng, node, [false, true, false], time),
+        4 => random_service_partition(rng, node, [true, true, true], time),
         5 => FaultKind::StoreRefusal { node, time },
         6 => FaultKind::StoreOutage(time),
         7 => FaultKind::CloudOutage(time),
@@ -50,11 +50,11 @@
 pub(super) fn random_fault(rng: &mut StdRng, jobs: u32) -> FaultKind {
     let time = rng.random_range(2_000..25_000);
     let percent = rng.random_range(5..60);
-    let hold = rng.random();
+    let holds_messages = rng.random();
     match rng.random_range(0..24) {
         0 | 1 => random_kind(rng, KINDS),
         kind @ (2..=4 | 7..=10) => {
-            let fault = random_controller_fault(rng, kind, time, hold);
+            let fault = random_controller_fault(rng, kind, time, holds_messages);
             fault.at(random_controller(rng, jobs))
         }
         // Also longer than a cancellation may take.
@@ -84,7 +84,12 @@
 }
 
 /// A fault of a controller that is selected later, by the number that was drawn for it.
-fn random_controller_fault(rng: &mut StdRng, kind: u32, time: Ms, hold: bool) -> FaultKind {
+fn random_controller_fault(
+    rng: &mut StdRng,
+    kind: u32,
+    time: Ms,
+    holds_messages: bool,
+) -> FaultKind {
     let node = 0;
     match kind {
         2 => random_crash(rng, node, &LONG_DOWNTIMES_MS),
@@ -95,18 +100,18 @@
             workers: false,
             cloud: rng.random(),
             time: rng.random_range(2_000..50_000),
-            holds_messages: hold,
+            holds_messages,
         },
         8 => FaultKind::PeerPartition {
             node,
             peers: rng.random::<bool>().then(|| vec![rng.random_range(0..3)]),
             time,
-            holds_messages: hold,
+            holds_messages,
         },
         9 => FaultKind::CommandPartition {
             node,
             time,
-            holds_messages: hold,
+            holds_messages,
         },
         _ => FaultKind::Pause { node, time },
     }
@@ -121,15 +126,15 @@
 }
 
 /// A partition of a controller from store, workers and cloud.
-fn random_cut(
+fn random_service_partition(
     rng: &mut StdRng,
     node: usize,
-    [state, workers, cloud]: [bool; 3],
+    [store, workers, cloud]: [bool; 3],
     time: Ms,
 ) -> FaultKind {
     FaultKind::ServicePartition {
         node,
-        store: state,
+        store,
         workers,
         cloud,
         time,
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -55,9 +55,9 @@
 }
 
 /// Time between two looks at a running day.
-const LOOK_INTERVAL_MS: Ms = 500;
+const VIOLATION_CHECK_INTERVAL_MS: Ms = 500;
 /// Most violations and unfinished jobs that are printed of a day.
-const MAX_PRINTED: usize = 5;
+const MAX_PRINTED_LINES: usize = 5;
 
 /// Prints the jobs that are to be described.
 fn describe_jobs(args: &Args, simulation: &Simulation) {
@@ -71,7 +71,7 @@
 fn run_until_violation(args: &Args, day: &mut Day) {
     let simulation = &mut day.simulation;
     while simulation.now() < day.end && simulation.checker.violations.is_empty() {
-        simulation.run_until(simulation.now() + LOOK_INTERVAL_MS);
+        simulation.run_until(simulation.now() + VIOLATION_CHECK_INTERVAL_MS);
         let is_due = |seconds: u64| simulation.now().is_multiple_of(seconds * 1_000);
         if args.every.is_some_and(is_due) {
             describe_jobs(args, simulation);
@@ -80,7 +80,7 @@
 }
 
 /// Plays the day of a seed and prints its result. Returns whether the day was good.
-fn play_day(args: &Args, seed: u64) -> bool {
+fn run_day(args: &Args, seed: u64) -> bool {
     let mut day = Day::new(seed, args.faults, args.draw.into());
     run_until_violation(args, &mut day);
     describe_jobs(args, &day.simulation);
@@ -98,20 +98,26 @@
         simulation.checker.starts_after_cancel.len(),
         simulation.digest()
     );
-    let is_good = simulation.checker.violations.is_empty() && unfinished.is_empty();
-    if !is_good {
-        print_bad_day(&day, &unfinished);
+    let has_passed = simulation.checker.violations.is_empty() && unfinished.is_empty();
+    if !has_passed {
+        print_failed_day(&day, &unfinished);
     }
-    is_good
+    has_passed
 }
 
-fn print_bad_day(day: &Day, unfinished: &[String]) {
+fn print_failed_day(day: &Day, unfinished: &[String]) {
     println!("  faults: {:?}", day.faults);
     println!("  as they came: {:?}", day.simulation.injected_faults());
-    for violation in day.simulation.checker.violations.iter().take(MAX_PRINTED) {
+    for violation in day
+        .simulation
+        .checker
+        .violations
+        .iter()
+        .take(MAX_PRINTED_LINES)
+    {
         println!("  {violation:?}");
     }
-    for line in unfinished.iter().take(MAX_PRINTED) {
+    for line in unfinished.iter().take(MAX_PRINTED_LINES) {
         println!("  {line}");
     }
 }
@@ -123,7 +129,7 @@
         .seed
         .unwrap_or_else(|| rand::rng().random_range(0..1 << 40));
     let seeds = first..first + args.days;
-    let bad_days = seeds.filter(|seed| !play_day(&args, *seed)).count();
-    println!("{bad_days} of {} days were bad", args.days);
-    ExitCode::from(u8::from(bad_days > 0))
+    let failed_days = seeds.filter(|seed| !run_day(&args, *seed)).count();
+    println!("{failed_days} of {} days were bad", args.days);
+    ExitCode::from(u8::from(failed_days > 0))
 }
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -3,6 +3,7 @@
 //! [`Simulation`] owns the clock, the random number generator and the parts; each part keeps
 //! its own state in a module of its own.
 
+mod adversarial_requests;
 mod build;
 mod config;
 mod controllers;
@@ -14,13 +15,12 @@
 mod network_faults;
 mod observe;
 mod partitions;
+mod pending_jobs;
 mod plan;
 mod pools;
 mod remote;
 mod selectors;
-mod unusual_requests;
 mod users;
-mod waiting_jobs;
 mod workers;
 
 pub use build::ServicesConfig;
@@ -36,6 +36,7 @@
 use crate::store::StoreModel;
 use crate::worker::GroundTruth;
 use crate::Ms;
+use adversarial_requests::{AdversarialRequests, UserRequestFaults};
 use controllers::Controller;
 use digest::Traffic;
 use events::EventQueue;
@@ -46,7 +47,6 @@
 use rand::rngs::StdRng;
 use remote::RemoteQueues;
 use std::collections::BTreeMap;
-use unusual_requests::{RequestFaults, UnusualRequests};
 use users::User;
 use workers::WorkerFleet;
 
@@ -55,7 +55,7 @@
 /// Interval between the checker's scans for conditions that may not last.
 const CHECK_INTERVAL_MS: Ms = 500;
 /// Interval between scans for jobs that wait although there is room for them.
-const WAITING_JOBS_INTERVAL_MS: Ms = 2_000;
+const PENDING_JOBS_CHECK_INTERVAL_MS: Ms = 2_000;
 /// Wall-clock time at the start of the simulation.
 const WALL_CLOCK_OFFSET_MS: Ms = 1_000_000;
 
@@ -76,8 +76,8 @@
     users: Vec<User>,
     faults: FaultTimeline,
     network_faults: NetworkFaults,
-    request_faults: RequestFaults,
-    unusual_requests: UnusualRequests,
+    user_request_faults: UserRequestFaults,
+    adversarial_requests: AdversarialRequests,
     traffic: Traffic,
     /// Queues to and from controllers that run as processes of their own.
     remote: Option<RemoteQueues>,
@@ -108,33 +108,33 @@
 
     /// The order of these parts decides the order of random draws.
     fn step(&mut self) {
-        self.release_kept_heartbeats();
+        self.release_withheld_heartbeats();
         self.inject_due_faults();
         while let Some(event) = self.events.pop_due(self.now) {
             self.handle_event(event);
         }
         self.end_outages();
-        self.answer_watches();
+        self.respond_to_watches();
         self.cloud.tick(self.now);
         self.sync_workers_with_cloud();
         self.workers.record_count();
         self.tick_workers();
         self.tick_gangs();
         self.tick_users();
-        self.tick_unusual_requests();
+        self.tick_adversarial_requests();
         for controller in 0..self.controllers.len() {
             self.step_controller(controller);
         }
         if self.crosses_multiple_of(CHECK_INTERVAL_MS) {
-            self.tick_checker();
+            self.run_periodic_checks();
         }
-        if self.crosses_multiple_of(WAITING_JOBS_INTERVAL_MS) {
-            self.check_waiting_jobs();
+        if self.crosses_multiple_of(PENDING_JOBS_CHECK_INTERVAL_MS) {
+            self.check_pending_jobs();
         }
     }
 
     /// Responds to the store's watches that have changes or expired.
-    fn answer_watches(&mut self) {
+    fn respond_to_watches(&mut self) {
         let (now, controllers) = (self.now, &self.controllers);
         let is_locked_out = |watcher: &Origin| match watcher {
             Origin::Controller { index, .. } => {
@@ -148,8 +148,8 @@
         }
     }
 
-    fn tick_checker(&mut self) {
-        let quiescence = match self.faults.quiet_since(self.now) {
+    fn run_periodic_checks(&mut self) {
+        let quiescence = match self.faults.faults_over_since(self.now) {
             Some(since) => Quiescence::Since(since),
             None => Quiescence::NotYet,
         };
@@ -159,7 +159,7 @@
             .filter(|worker| worker.is_hung_without_lease(self.now, self.config.lease_ms))
             .map(|worker| worker.id.clone())
             .collect();
-        self.checker.tick(self.now, &expired);
+        self.checker.check_time_limits(self.now, &expired);
     }
 
     /// Injects a fault now.
--- a/crates/testkit/src/simulation/unusual_requests.rs
+++ b/crates/testkit/src/simulation/adversarial_requests.rs
@@ -3,7 +3,7 @@
 
 use super::events::Event;
 use super::network::{Destination, Message, Origin};
-use super::network_faults::PartialFault;
+use super::network_faults::SampledFault;
 use super::users::UserState;
 use super::Simulation;
 use crate::faults::{MachineFault, MachineSelector};
@@ -17,7 +17,7 @@
 
 /// What is requested.
 #[derive(Clone, Debug)]
-pub(super) enum UnusualRequest {
+pub(super) enum AdversarialRequest {
     /// The state of a job.
     Status,
     /// Another submission of a job, maybe with a modified specification.
@@ -31,7 +31,7 @@
 /// A request without a response yet.
 struct PendingRequest {
     job: JobId,
-    request: UnusualRequest,
+    request: AdversarialRequest,
     /// The checker's ticket.
     ticket: u64,
     sent_at: Ms,
@@ -40,7 +40,7 @@
 impl PendingRequest {
     fn timeout_ms(&self) -> Ms {
         match self.request {
-            UnusualRequest::Status => STATUS_TIMEOUT_MS,
+            AdversarialRequest::Status => STATUS_TIMEOUT_MS,
             _ => WRITE_TIMEOUT_MS,
         }
     }
@@ -48,14 +48,14 @@
     fn is_submission(&self) -> bool {
         matches!(
             self.request,
-            UnusualRequest::Resubmission { .. } | UnusualRequest::InvalidJob { .. }
+            AdversarialRequest::Resubmission { .. } | AdversarialRequest::InvalidJob { .. }
         )
     }
 }
 
 /// Unusual requests so far.
 #[derive(Default)]
-pub(super) struct UnusualRequests {
+pub(super) struct AdversarialRequests {
     pending: BTreeMap<u64, PendingRequest>,
     /// Number of the last request.
     last: u64,
@@ -65,15 +65,15 @@
 
 /// Faults of users' requests that are active, each until a time.
 #[derive(Default)]
-pub(super) struct RequestFaults {
+pub(super) struct UserRequestFaults {
     /// Users cancel some jobs as the last task completes.
-    pub(super) cancel_completing_jobs: PartialFault,
-    pub(super) unusual_requests_until: Ms,
+    pub(super) cancel_completing_jobs: SampledFault,
+    pub(super) adversarial_requests_until: Ms,
     pub(super) status_bursts_until: Ms,
 }
 
 /// Interval between unusual requests while they last.
-const UNUSUAL_REQUEST_INTERVAL_MS: Ms = 200;
+const ADVERSARIAL_REQUEST_INTERVAL_MS: Ms = 200;
 /// How long a user waits for the response to a submission or a cancellation.
 const WRITE_TIMEOUT_MS: Ms = 5_000;
 /// How long a user waits for the response to a status request.
@@ -88,31 +88,31 @@
 impl Simulation {
     /// Unusual requests so far, and how many of them got a response in time.
     pub fn adversarial_request_counts(&self) -> (u64, u64) {
-        let requests = &self.unusual_requests;
+        let requests = &self.adversarial_requests;
         (requests.sent, requests.answered_in_time)
     }
 
     /// Sends an unusual request about a job to a controller.
-    pub(super) fn send_unusual_request(
+    pub(super) fn send_adversarial_request(
         &mut self,
         job: JobId,
         controller: usize,
-        request: UnusualRequest,
+        request: AdversarialRequest,
     ) {
         let (method, path, body) = match &request {
-            UnusualRequest::Status => ("GET", format!("/submissions/{job}"), Vec::new()),
-            UnusualRequest::Cancel => {
+            AdversarialRequest::Status => ("GET", format!("/submissions/{job}"), Vec::new()),
+            AdversarialRequest::Cancel => {
                 self.checker.on_cancel_requested(&job);
                 ("POST", format!("/submissions/{job}/abort"), Vec::new())
             }
-            UnusualRequest::Resubmission { is_modified } => {
-                let Some(truth) = self.ground_truths.get(&job) else {
+            AdversarialRequest::Resubmission { is_modified } => {
+                let Some(ground_truth) = self.ground_truths.get(&job) else {
                     return;
                 };
-                let body = resubmission(truth.spec.clone(), *is_modified);
+                let body = resubmission(ground_truth.spec.clone(), *is_modified);
                 ("POST", "/submissions".to_owned(), body)
             }
-            UnusualRequest::InvalidJob { body, .. } => {
+            AdversarialRequest::InvalidJob { body, .. } => {
                 ("POST", "/submissions".to_owned(), body.clone())
             }
         };
@@ -123,11 +123,11 @@
             ticket,
             sent_at: self.now,
         };
-        let requests = &mut self.unusual_requests;
+        let requests = &mut self.adversarial_requests;
         requests.last += 1;
         requests.sent += 1;
         requests.pending.insert(requests.last, pending);
-        let origin = Origin::UnusualRequest(requests.last);
+        let origin = Origin::AdversarialRequest(requests.last);
         self.send(Message {
             origin,
             destination: Destination::Controller(controller),
@@ -137,14 +137,14 @@
         });
     }
 
-    pub(super) fn on_unusual_response(&mut self, number: u64, status: u16, body: &[u8]) {
-        let Some(pending) = self.unusual_requests.pending.remove(&number) else {
+    pub(super) fn on_adversarial_response(&mut self, number: u64, status: u16, body: &[u8]) {
+        let Some(pending) = self.adversarial_requests.pending.remove(&number) else {
             return;
         };
         if status == 0 || self.now > pending.sent_at + pending.timeout_ms() {
             return;
         }
-        self.unusual_requests.answered_in_time += 1;
+        self.adversarial_requests.answered_in_time += 1;
         let response: Option<JobStatus> = serde_json::from_slice(body).ok();
         let stage = response.map(|response| response.stage);
         let is_news = self.checker.on_response(
@@ -155,7 +155,7 @@
             status,
             stage,
         );
-        if let UnusualRequest::InvalidJob {
+        if let AdversarialRequest::InvalidJob {
             status: expected, ..
         } = pending.request
         {
@@ -170,19 +170,19 @@
     /// Users request the state of a job at all controllers within milliseconds, and
     /// resubmit it, while the fault lasts.
     pub(super) fn schedule_status_burst(&mut self, job: &JobId, after: Ms) {
-        if self.request_faults.status_bursts_until <= self.now {
+        if self.user_request_faults.status_bursts_until <= self.now {
             return;
         }
         for controller in 0..self.config.controllers {
             for index in 0..STATUS_BURST_REQUESTS {
                 let time = self.now + after + self.rng.random_range(0..40);
                 let request = match index {
-                    0 => UnusualRequest::Resubmission {
+                    0 => AdversarialRequest::Resubmission {
                         is_modified: self.rng.random_range(0..4) == 0,
                     },
-                    _ => UnusualRequest::Status,
+                    _ => AdversarialRequest::Status,
                 };
-                let event = Event::UnusualRequest {
+                let event = Event::AdversarialRequest {
                     job: job.clone(),
                     controller,
                     request,
@@ -194,7 +194,7 @@
 
     /// The user of a job that was just accepted may cancel it at once.
     pub(super) fn maybe_cancel_accepted(&mut self, job: &JobId) {
-        let is_possible = self.request_faults.status_bursts_until > self.now;
+        let is_possible = self.user_request_faults.status_bursts_until > self.now;
         if is_possible && self.rng.random_range(0..4) == 0 {
             self.cancel_after(job, 0);
         }
@@ -205,7 +205,7 @@
         let user = self.users.iter_mut().find(|user| user.plan.spec.id == *job);
         if let Some(user) = user.filter(|user| user.state == UserState::Polling) {
             user.state = UserState::Cancelling;
-            user.is_waiting = false;
+            user.is_awaiting_response = false;
             user.next_request_at = time;
         }
     }
@@ -220,7 +220,7 @@
                 let mut machines = self.select_machines(&MachineSelector::RunningJob(job));
                 machines.truncate(MAX_HUNG_MACHINES - hung);
                 hung += machines.len();
-                self.inject_machine_fault(
+                self.inject_into_selected_machines(
                     &MachineSelector::Named(machines),
                     MachineFault::Hang(hang_ms),
                 );
@@ -251,22 +251,22 @@
         jobs.into_iter().map(|(_, id)| id).collect()
     }
 
-    pub(super) fn tick_unusual_requests(&mut self) {
+    pub(super) fn tick_adversarial_requests(&mut self) {
         for job in std::mem::take(&mut self.checker.newly_completed) {
             self.maybe_cancel_completed(&job);
             for after in STATUS_BURST_DELAYS_MS {
                 self.schedule_status_burst(&job, after);
             }
         }
-        let is_active = self.request_faults.unusual_requests_until > self.now;
-        if is_active && self.crosses_multiple_of(UNUSUAL_REQUEST_INTERVAL_MS) {
-            self.send_random_unusual_request();
+        let is_active = self.user_request_faults.adversarial_requests_until > self.now;
+        if is_active && self.crosses_multiple_of(ADVERSARIAL_REQUEST_INTERVAL_MS) {
+            self.send_random_adversarial_request();
         }
     }
 
     fn maybe_cancel_completed(&mut self, job: &JobId) {
-        let PartialFault { until, percent } = self.request_faults.cancel_completing_jobs;
-        if until > self.now && self.chance(percent) {
+        let SampledFault { until, percent } = self.user_request_faults.cancel_completing_jobs;
+        if until > self.now && self.draw_percent(percent) {
             let after = match self.rng.random_range(0..2) {
                 0 => 0,
                 _ => self.rng.random_range(0..400),
@@ -275,20 +275,20 @@
         }
     }
 
-    fn send_random_unusual_request(&mut self) {
+    fn send_random_adversarial_request(&mut self) {
         let controller = self.rng.random_range(0..self.config.controllers);
         let kind = self.rng.random_range(0..6);
         let known = self.random_accepted_job(kind == 1);
-        self.unusual_requests.last += 1;
-        let unknown = JobId::new(&format!("j-9{:07}", self.unusual_requests.last));
+        self.adversarial_requests.last += 1;
+        let unknown = JobId::new(&format!("j-9{:07}", self.adversarial_requests.last));
         let (job, request) = match (kind, known) {
             (0, Some(job)) => {
                 let is_modified = self.rng.random();
-                (job, UnusualRequest::Resubmission { is_modified })
+                (job, AdversarialRequest::Resubmission { is_modified })
             }
-            (1, Some(job)) => (job, UnusualRequest::Cancel),
-            (2, _) => (unknown, UnusualRequest::Status),
-            (3, _) => (unknown, UnusualRequest::Cancel),
+            (1, Some(job)) => (job, AdversarialRequest::Cancel),
+            (2, _) => (unknown, AdversarialRequest::Status),
+            (3, _) => (unknown, AdversarialRequest::Cancel),
             (_, Some(job)) => {
                 let spec = self.ground_truths[&job].spec.clone();
                 let invalid = random_invalid_job(&mut self.rng, spec, &unknown);
@@ -297,7 +297,7 @@
             }
             _ => return,
         };
-        self.send_unusual_request(job, controller, request);
+        self.send_adversarial_request(job, controller, request);
     }
 
     /// An accepted job drawn at random, or one that its user knows to be done.
@@ -328,7 +328,7 @@
 const REQUIRED_FIELDS: [&str; 7] = ["uid", "crew", "shape", "rank", "shifts", "cpus", "kit"];
 
 /// A job that no controller may accept, with the status of the refusal.
-fn random_invalid_job(rng: &mut StdRng, mut spec: JobSpec, id: &JobId) -> UnusualRequest {
+fn random_invalid_job(rng: &mut StdRng, mut spec: JobSpec, id: &JobId) -> AdversarialRequest {
     spec.id = id.clone();
     let mut body = serde_json::to_value(&spec).unwrap_or_default();
     let kind = rng.random_range(0..7);
@@ -355,7 +355,7 @@
         }
     };
     let body = body.to_string().into_bytes();
-    UnusualRequest::InvalidJob { body, status }
+    AdversarialRequest::InvalidJob { body, status }
 }
 
 /// Changes a submission to one that is well formed and can never run.
--- a/crates/testkit/src/simulation/build.rs
+++ b/crates/testkit/src/simulation/build.rs
@@ -1,13 +1,13 @@
 //! Construction of simulations.
 
-use super::config::{MAX_TRANSACTION_WRITES, MAX_VALUE_KB};
+use super::adversarial_requests::{AdversarialRequests, UserRequestFaults};
+use super::config::{INITIAL_MAX_TRANSACTION_WRITES, INITIAL_MAX_VALUE_KB};
 use super::controllers::Controller;
 use super::digest::Traffic;
 use super::events::EventQueue;
 use super::fault_injection::FaultTimeline;
 use super::network_faults::NetworkFaults;
 use super::remote::RemoteQueues;
-use super::unusual_requests::{RequestFaults, UnusualRequests};
 use super::users::User;
 use super::workers::WorkerFleet;
 use super::{DeploymentConfig, JobPlan, Simulation};
@@ -25,7 +25,7 @@
 const MAX_LIST_ITEMS: usize = 1_000;
 
 /// The external services of a simulation.
-struct Services {
+struct ExternalServices {
     fleet: Fleet,
     /// Limits on the CPUs and GPUs of each team.
     team_limits: BTreeMap<String, (f64, f64)>,
@@ -71,12 +71,12 @@
         pools: Vec<Vec<PoolSpec>>,
     ) -> Self {
         let team_limits = (0..config.teams).map(|team| (format!("team-{team}"), config.limit));
-        let services = Services {
+        let services = ExternalServices {
             fleet: Fleet::default(),
             team_limits: team_limits.collect(),
             size_limits: SizeLimits {
-                value_bytes: MAX_VALUE_KB * 1024,
-                txn_ops: MAX_TRANSACTION_WRITES,
+                value_bytes: INITIAL_MAX_VALUE_KB * 1024,
+                txn_ops: INITIAL_MAX_TRANSACTION_WRITES,
             },
             behavior: StoreBehavior::default(),
         };
@@ -99,7 +99,7 @@
         config: DeploymentConfig,
         deployment: ServicesConfig,
     ) -> Self {
-        let services = Services {
+        let services = ExternalServices {
             fleet: deployment.fleet,
             team_limits: deployment.team_limits,
             size_limits: SizeLimits {
@@ -122,7 +122,7 @@
         plans: Vec<JobPlan>,
         faults: Vec<Fault>,
         config: DeploymentConfig,
-        services: Services,
+        services: ExternalServices,
     ) -> Self {
         let store = StoreModel::new(
             config.store_rps,
@@ -147,8 +147,8 @@
             users: plans.into_iter().map(User::new).collect(),
             faults: FaultTimeline::new(faults),
             network_faults: NetworkFaults::default(),
-            request_faults: RequestFaults::default(),
-            unusual_requests: UnusualRequests::default(),
+            user_request_faults: UserRequestFaults::default(),
+            adversarial_requests: AdversarialRequests::default(),
             traffic: Traffic::default(),
             remote: None,
             checker: Checker::new(services.team_limits, config.cancel_ms),
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -151,9 +151,9 @@
 }
 
 /// Largest value that the store accepts at the beginning, in KiB.
-pub(super) const MAX_VALUE_KB: usize = 8;
+pub(super) const INITIAL_MAX_VALUE_KB: usize = 8;
 /// Most writes in a transaction at the beginning.
-pub(super) const MAX_TRANSACTION_WRITES: usize = 12;
+pub(super) const INITIAL_MAX_TRANSACTION_WRITES: usize = 12;
 /// Prefix of the controllers' names, before their indices.
 const CONTROLLER_NAME_PREFIX: &str = "berth-";
 
@@ -220,7 +220,7 @@
          [cluster.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\n\
          gang_wait_s = 20.0\ngang_peer_s = 3.0\ncancel_s = {cancel_s:?}\n\
          [cluster.state]\nrps = {rps:?}\nwrite_rps = {write_rps:?}\n\
-         value_kb = {MAX_VALUE_KB}.0\ntxn_ops = {MAX_TRANSACTION_WRITES}\n{next}\
+         value_kb = {INITIAL_MAX_VALUE_KB}.0\ntxn_ops = {INITIAL_MAX_TRANSACTION_WRITES}\n{next}\
          [cluster.cloud]\nrps = {cloud_rps:?}\nlist_lag_s = 4.0\n\
          [cluster.limits]\ncpu = 0.12\nmem_mb = 40.0\nsockets = 600\n"
     )
--- a/crates/testkit/src/simulation/events.rs
+++ b/crates/testkit/src/simulation/events.rs
@@ -1,7 +1,7 @@
 //! Events that are scheduled for a time, and how they take effect.
 
+use super::adversarial_requests::AdversarialRequest;
 use super::network::{Message, Origin};
-use super::unusual_requests::UnusualRequest;
 use super::Simulation;
 use crate::faults::FaultKind;
 use crate::Ms;
@@ -28,10 +28,10 @@
     /// A fault begins.
     FaultStart(FaultKind),
     /// A user sends an unusual request to a controller.
-    UnusualRequest {
+    AdversarialRequest {
         job: JobId,
         controller: usize,
-        request: UnusualRequest,
+        request: AdversarialRequest,
     },
 }
 
@@ -76,11 +76,11 @@
                 }
             }
             Event::FaultStart(kind) => self.inject(kind),
-            Event::UnusualRequest {
+            Event::AdversarialRequest {
                 job,
                 controller,
                 request,
-            } => self.send_unusual_request(job, controller, request),
+            } => self.send_adversarial_request(job, controller, request),
             Event::SpotReclaim(id) => {
                 self.remove_worker(&id);
                 self.cloud.end_billing(&id, self.now);
--- a/crates/testkit/src/simulation/fault_injection.rs
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -1,7 +1,7 @@
 //! Faults as they begin, and whom they affect.
 
 use super::events::Event;
-use super::network_faults::{LateHeartbeats, LostWriteResponses, PartialFault};
+use super::network_faults::{LateHeartbeats, LostWriteResponses, SampledFault};
 use super::partitions::{LinkPartition, Partition, PeerPartition, ZonePartition};
 use super::{Simulation, STEP_MS};
 use crate::faults::{Fault, FaultKind, LinkDirection, MachineFault, MachineSelector};
@@ -46,7 +46,7 @@
     }
 
     /// When the last fault was over, if none is active or still to come.
-    pub(super) fn quiet_since(&self, now: Ms) -> Option<Ms> {
+    pub(super) fn faults_over_since(&self, now: Ms) -> Option<Ms> {
         let is_quiet = self.upcoming.is_empty() && now >= self.active_until;
         is_quiet.then_some(self.active_until)
     }
@@ -90,11 +90,11 @@
         };
         let duration = kind.duration(self.config.lease_ms);
         self.faults.record(self.now, kind.clone(), duration);
-        self.apply_controller_fault(kind);
+        self.begin_controller_fault(kind);
     }
 
     /// Applies a fault of a controller itself, or passes it on.
-    fn apply_controller_fault(&mut self, kind: FaultKind) {
+    fn begin_controller_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::Crash {
@@ -122,26 +122,26 @@
             FaultKind::Pause { node, time } => {
                 self.controllers[node].faults.paused_until = now + time;
             }
-            other => self.apply_partition(other),
+            other => self.begin_partition(other),
         }
     }
 
     /// Applies a network partition, or passes the fault on.
-    fn apply_partition(&mut self, kind: FaultKind) {
+    fn begin_partition(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::ServicePartition {
                 node,
-                store: state,
+                store,
                 workers,
                 cloud,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
                 let faults = &mut self.controllers[node].faults;
-                faults.holds_messages = hold;
+                faults.holds_messages = holds_messages;
                 for (is_lost, until) in [
-                    (state, &mut faults.store_partition_until),
+                    (store, &mut faults.store_partition_until),
                     (workers, &mut faults.worker_partition_until),
                     (cloud, &mut faults.cloud_partition_until),
                 ] {
@@ -153,41 +153,47 @@
             FaultKind::ZonePartition {
                 zone,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
-                let partition = Partition::new(now + time, hold);
+                let partition = Partition::new(now + time, holds_messages);
                 self.network_faults.zone_partition = ZonePartition { zone, partition };
             }
             FaultKind::PeerPartition {
                 node,
                 peers,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
-                let partition = Partition::new(now + time, hold);
+                let partition = Partition::new(now + time, holds_messages);
                 self.controllers[node].faults.peer_partition =
                     PeerPartition::new(peers.as_deref(), partition);
             }
             FaultKind::CommandPartition {
                 node,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
-                self.controllers[node].faults.command_partition = Partition::new(now + time, hold);
+                self.controllers[node].faults.command_partition =
+                    Partition::new(now + time, holds_messages);
             }
             FaultKind::LinkPartition {
                 node,
                 machines,
-                direction: lost,
+                direction,
                 time,
-                holds_messages: hold,
-            } => self.partition_links(node, &machines, lost, Partition::new(now + time, hold)),
-            other => self.apply_service_fault(other),
+                holds_messages,
+            } => self.partition_links(
+                node,
+                &machines,
+                direction,
+                Partition::new(now + time, holds_messages),
+            ),
+            other => self.begin_service_fault(other),
         }
     }
 
     /// Applies a fault of store or cloud, or passes it on.
-    fn apply_service_fault(&mut self, kind: FaultKind) {
+    fn begin_service_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::LowerLimits => self.lower_limits(),
@@ -218,12 +224,12 @@
                 self.cloud.slow_boots = Some((now + time, which));
             }
             FaultKind::FastBoots(time) => self.cloud.fast_boots_until = now + time,
-            other => self.apply_message_or_request_fault(other),
+            other => self.begin_message_or_request_fault(other),
         }
     }
 
     /// Applies a fault of messages or of users' requests, or passes it on.
-    fn apply_message_or_request_fault(&mut self, kind: FaultKind) {
+    fn begin_message_or_request_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::LateHeartbeatCopies(time) => {
@@ -245,30 +251,30 @@
             }
             FaultKind::DelayedCommands { percent, time } => {
                 let until = now + time;
-                self.network_faults.delayed_commands = PartialFault { until, percent };
+                self.network_faults.delayed_commands = SampledFault { until, percent };
             }
             FaultKind::CancelRunningJobs { count, hang_ms } => {
                 self.cancel_running_jobs(count, hang_ms);
             }
             FaultKind::CancelCompletingJobs { percent, time } => {
                 let until = now + time;
-                self.request_faults.cancel_completing_jobs = PartialFault { until, percent };
+                self.user_request_faults.cancel_completing_jobs = SampledFault { until, percent };
             }
             FaultKind::UnusualRequests(time) => {
-                self.request_faults.unusual_requests_until = now + time;
+                self.user_request_faults.adversarial_requests_until = now + time;
             }
             FaultKind::StatusBursts(time) => {
-                self.request_faults.status_bursts_until = now + time;
+                self.user_request_faults.status_bursts_until = now + time;
             }
-            other => self.apply_machine_fault(other),
+            other => self.begin_machine_fault(other),
         }
     }
 
     /// Applies a fault of machines. Those of other kinds have been applied before.
-    fn apply_machine_fault(&mut self, kind: FaultKind) {
+    fn begin_machine_fault(&mut self, kind: FaultKind) {
         let until = |time: Ms| self.now + time;
         match kind {
-            FaultKind::Machines(which, fault) => self.inject_machine_fault(&which, fault),
+            FaultKind::Machines(which, fault) => self.inject_into_selected_machines(&which, fault),
             FaultKind::SpotReclaim { notice } => self.reclaim_spot_machines(notice),
             FaultKind::MachineCrash => {
                 if let Some(id) = self.random_machine() {
@@ -289,7 +295,7 @@
             }
             FaultKind::MachineFailsTasks(time) => {
                 let until = until(time);
-                self.with_random_worker(|worker| worker.failing_until = until);
+                self.with_random_worker(|worker| worker.tasks_fail_until = until);
             }
             // A selection within a selection is resolved in turn.
             FaultKind::At(_, kind) => self.inject(*kind),
@@ -366,7 +372,11 @@
         }
     }
 
-    pub(super) fn inject_machine_fault(&mut self, which: &MachineSelector, fault: MachineFault) {
+    pub(super) fn inject_into_selected_machines(
+        &mut self,
+        which: &MachineSelector,
+        fault: MachineFault,
+    ) {
         let mut ids = self.select_machines(which);
         if let MachineSelector::Random(count) = which {
             while ids.len() > *count {
@@ -375,11 +385,11 @@
             }
         }
         for id in ids {
-            self.apply_to_machine(&id, fault);
+            self.inject_into_machine(&id, fault);
         }
     }
 
-    fn apply_to_machine(&mut self, id: &MachineId, fault: MachineFault) {
+    fn inject_into_machine(&mut self, id: &MachineId, fault: MachineFault) {
         let now = self.now;
         let Some(worker) = self.workers.by_id.get_mut(id) else {
             return;
@@ -391,7 +401,7 @@
             MachineFault::InboundLoss(time) => worker.inbound_lost_until = now + time,
             MachineFault::OutboundLoss(time) => worker.outbound_lost_until = now + time,
             MachineFault::SlowLink(time) => worker.slow_link_until = now + time,
-            MachineFault::FailTasks(time) => worker.failing_until = now + time,
+            MachineFault::FailTasks(time) => worker.tasks_fail_until = now + time,
             MachineFault::EvictImages => worker.evict_images(now),
             MachineFault::StuckPrefetch(time) => worker.prefetch_stuck_until = now + time,
         }
--- a/crates/testkit/src/simulation/gangs.rs
+++ b/crates/testkit/src/simulation/gangs.rs
@@ -47,8 +47,9 @@
         let workers = self.workers.by_id.values();
         for worker in workers.filter(|worker| worker.has_gang_tasks) {
             for ((task, attempt), local) in &worker.tasks {
-                let is_here = matches!(local.stage, TaskStage::WaitingForGang | TaskStage::Running);
-                if !local.is_gang || !is_here {
+                let is_ready =
+                    matches!(local.stage, TaskStage::WaitingForGang | TaskStage::Running);
+                if !local.is_gang || !is_ready {
                     continue;
                 }
                 let members = attempts.entry((task.job.clone(), *attempt)).or_default();
@@ -63,21 +64,21 @@
     }
 
     fn gang_transition(&self, attempt: &Attempt, members: &[GangMember]) -> Transition {
-        let truth = &self.ground_truths[&attempt.0];
-        let is_whole = members.len() as u32 == truth.spec.tasks;
+        let ground_truth = &self.ground_truths[&attempt.0];
+        let is_complete = members.len() as u32 == ground_truth.spec.tasks;
         let mut stages = members.iter().map(|member| member.stage);
         let is_waiting = stages.any(|stage| stage == TaskStage::WaitingForGang);
         let began_at: Option<Ms> = self.workers.gang_starts.get(attempt).copied();
         match began_at {
-            None if is_whole && is_waiting => Transition::Run,
+            None if is_complete && is_waiting => Transition::Run,
             _ if self.has_gang_completed(&attempt.0) => Transition::Exit(ExitCause::Done),
-            Some(at) if is_whole && truth.has_failed_by(at, self.now) => {
+            Some(at) if is_complete && ground_truth.has_failed_by(at, self.now) => {
                 Transition::Exit(ExitCause::Error)
             }
-            Some(at) if is_whole && self.now >= at + truth.run_ms => {
+            Some(at) if is_complete && self.now >= at + ground_truth.run_ms => {
                 Transition::Exit(ExitCause::Done)
             }
-            Some(_) if !is_whole => Transition::Exit(ExitCause::GangMemberLost),
+            Some(_) if !is_complete => Transition::Exit(ExitCause::GangMemberLost),
             _ => Transition::None,
         }
     }
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -25,7 +25,7 @@
     /// A user, with the number of its request.
     User { user: usize, request: u64 },
     /// An unusual request.
-    UnusualRequest(u64),
+    AdversarialRequest(u64),
     /// A controller that is reached over real sockets, by the number of its call, and
     /// which one it is, if that is known.
     RemoteController {
@@ -265,7 +265,9 @@
                 self.on_heartbeat_response(&id, sequence, status, &body);
             }
             Origin::User { user, request } => self.on_user_response(user, request, status, &body),
-            Origin::UnusualRequest(request) => self.on_unusual_response(request, status, &body),
+            Origin::AdversarialRequest(request) => {
+                self.on_adversarial_response(request, status, &body);
+            }
         }
     }
 
--- a/crates/testkit/src/simulation/network_faults.rs
+++ b/crates/testkit/src/simulation/network_faults.rs
@@ -10,8 +10,8 @@
 
 /// Copies of heartbeats that are kept for the next leader: so many for each machine, or the
 /// minimum if that is more.
-const KEPT_COPIES_PER_MACHINE: usize = 2;
-const MIN_KEPT_COPIES: usize = 2_000;
+const WITHHELD_COPIES_PER_MACHINE: usize = 2;
+const MIN_WITHHELD_COPIES_LIMIT: usize = 2_000;
 
 /// What becomes of a transaction whose response is lost.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// Something that befalls a part of the messages or jobs until a time.
 #[derive(Default)]
-pub(super) struct PartialFault {
+pub(super) struct SampledFault {
     pub(super) until: Ms,
     pub(super) percent: u32,
 }
@@ -59,11 +59,11 @@
     pub(super) lost_write_responses: LostWriteResponses,
     pub(super) late_heartbeats: LateHeartbeats,
     /// Delayed commands and responses to commands.
-    pub(super) delayed_commands: PartialFault,
+    pub(super) delayed_commands: SampledFault,
     /// Copies of heartbeats for the next leader.
     withheld_heartbeats: Vec<Message>,
     /// The terms of leader and holders when the first copy was kept.
-    terms_when_kept: String,
+    terms_when_first_withheld: String,
 }
 
 impl Simulation {
@@ -73,7 +73,7 @@
     }
 
     /// Draws whether something with a probability in percent happens.
-    pub(super) fn chance(&mut self, percent: u32) -> bool {
+    pub(super) fn draw_percent(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
@@ -122,7 +122,7 @@
             false => LostWriteResponse::ExecutedLate,
         };
         let percent = fault.percent;
-        (is_affected && self.chance(percent)).then_some(outcome)
+        (is_affected && self.draw_percent(percent)).then_some(outcome)
     }
 
     /// Keeps a copy of a heartbeat, or lets it arrive late.
@@ -133,25 +133,25 @@
             until_failover,
         } = self.network_faults.late_heartbeats;
         let is_heartbeat = matches!(message.origin, Origin::Worker { .. });
-        if until <= self.now || !is_heartbeat || !self.chance(percent) {
+        if until <= self.now || !is_heartbeat || !self.draw_percent(percent) {
             return;
         }
         if until_failover {
-            self.keep_heartbeat(message.detached());
+            self.withhold_heartbeat(message.detached());
         } else {
             let late = self.rng.random_range(2_000..self.config.lease_ms * 4);
             self.schedule(self.now + late, Event::RequestArrival(message.detached()));
         }
     }
 
-    fn keep_heartbeat(&mut self, copy: Message) {
-        let per_machine = self.workers.by_id.len() * KEPT_COPIES_PER_MACHINE;
+    fn withhold_heartbeat(&mut self, copy: Message) {
+        let per_machine = self.workers.by_id.len() * WITHHELD_COPIES_PER_MACHINE;
         let faults = &mut self.network_faults;
-        if faults.withheld_heartbeats.len() >= MIN_KEPT_COPIES.max(per_machine) {
+        if faults.withheld_heartbeats.len() >= MIN_WITHHELD_COPIES_LIMIT.max(per_machine) {
             return;
         }
         if faults.withheld_heartbeats.is_empty() {
-            faults.terms_when_kept = self.store.leadership_terms();
+            faults.terms_when_first_withheld = self.store.leadership_terms();
         }
         faults.withheld_heartbeats.push(copy);
     }
@@ -171,11 +171,11 @@
 
     /// Sends kept copies to every controller once a new leader or holder has begun: some
     /// at once, some after its first decisions.
-    pub(super) fn release_kept_heartbeats(&mut self) {
+    pub(super) fn release_withheld_heartbeats(&mut self) {
         if self.network_faults.withheld_heartbeats.is_empty() || self.leader().is_none() {
             return;
         }
-        if self.store.leadership_terms() == self.network_faults.terms_when_kept {
+        if self.store.leadership_terms() == self.network_faults.terms_when_first_withheld {
             return;
         }
         for copy in std::mem::take(&mut self.network_faults.withheld_heartbeats) {
@@ -196,12 +196,12 @@
 
     /// The additional delay of a command to a worker, or of the response to one.
     pub(super) fn command_delay(&mut self, origin: &Origin, destination: &Destination) -> Ms {
-        let PartialFault { until, percent } = self.network_faults.delayed_commands;
+        let SampledFault { until, percent } = self.network_faults.delayed_commands;
         let is_command = matches!(
             (origin, destination),
             (Origin::Controller { .. }, Destination::Worker(_))
         );
-        if until > self.now && is_command && self.chance(percent) {
+        if until > self.now && is_command && self.draw_percent(percent) {
             return self.rng.random_range(1_000..12_000);
         }
         0
--- a/crates/testkit/src/simulation/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -160,7 +160,10 @@
 
     /// Heartbeats of workers so far, and items that the controllers which are up visited.
     pub fn heartbeat_and_visit_counts(&self) -> (u64, u64) {
-        let nodes = self.controllers.iter().filter_map(|h| h.node.as_ref());
+        let nodes = self
+            .controllers
+            .iter()
+            .filter_map(|controller| controller.node.as_ref());
         (self.workers.heartbeats_sent, nodes.map(Node::visits).sum())
     }
 
--- a/crates/testkit/src/simulation/partitions.rs
+++ b/crates/testkit/src/simulation/partitions.rs
@@ -142,7 +142,7 @@
             Origin::Controller { index, .. } => zone_of(*index) == zone,
             Origin::Worker { id, .. } => is_worker_inside(id),
             Origin::User { .. }
-            | Origin::UnusualRequest(_)
+            | Origin::AdversarialRequest(_)
             | Origin::RemoteController { .. }
             | Origin::Detached => false,
         };
@@ -200,7 +200,7 @@
                     .and_then(|index| self.link_partition(index, id, LinkDirection::Commands));
                 match link {
                     Some(partition) => partition.until,
-                    None => self.remote_worker_silent_until(id),
+                    None => self.remote_worker_unreachable_until(id),
                 }
             }
             _ => 0,
@@ -208,7 +208,7 @@
         Partition::new(until, false)
     }
 
-    fn remote_worker_silent_until(&self, id: &MachineId) -> Ms {
+    fn remote_worker_unreachable_until(&self, id: &MachineId) -> Ms {
         let worker = self.workers.by_id.get(id);
         let inbound = worker.map_or(0, |worker| {
             worker.inbound_lost_until.max(worker.inbound_blocked_until)
--- a/crates/testkit/src/simulation/waiting_jobs.rs
+++ b/crates/testkit/src/simulation/pending_jobs.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A machine that may take tasks, and its free resources.
-struct FreeMachine<'a> {
+struct MachineFreeCapacity<'a> {
     worker: &'a Worker,
     free: Resources,
 }
@@ -27,25 +27,26 @@
 impl Simulation {
     /// Tells the checker of each job whether it waits without a task on any machine
     /// although there is room for it.
-    pub(super) fn check_waiting_jobs(&mut self) {
+    pub(super) fn check_pending_jobs(&mut self) {
         let allocation = self.allocation();
-        let machines: OnceCell<Vec<FreeMachine>> = OnceCell::new();
+        let machines: OnceCell<Vec<MachineFreeCapacity>> = OnceCell::new();
         // In a large fleet thousands may wait with the same needs.
         let mut results: HashMap<String, bool> = HashMap::new();
         let mut found = Vec::new();
         for user in &self.users {
             let spec = &user.plan.spec;
-            let has_room = self.is_waiting_normally(user)
+            let has_free_capacity = self.should_start_when_capacity_is_free(user)
                 && !allocation.jobs.contains(&spec.id)
                 && self.is_under_limit(spec, &allocation)
                 && *results.entry(placement_key(spec)).or_insert_with(|| {
-                    let machines = machines.get_or_init(|| self.free_machines());
-                    has_room(machines, spec)
+                    let machines = machines.get_or_init(|| self.machines_with_free_capacity());
+                    has_free_capacity(machines, spec)
                 });
-            found.push((spec.id.clone(), has_room));
+            found.push((spec.id.clone(), has_free_capacity));
         }
-        for (id, has_room) in found {
-            self.checker.on_job_waiting(self.now, &id, has_room);
+        for (id, has_free_capacity) in found {
+            self.checker
+                .on_job_pending(self.now, &id, has_free_capacity);
         }
     }
 
@@ -65,7 +66,7 @@
     /// Whether a job should begin as soon as there is room: it is accepted, neither over
     /// nor cancelled, and depends on no incomplete job. Retries of a job with a defect are
     /// delayed on purpose.
-    fn is_waiting_normally(&self, user: &User) -> bool {
+    fn should_start_when_capacity_is_free(&self, user: &User) -> bool {
         let id = &user.plan.spec.id;
         let is_cancelled = user.plan.cancel_at.is_some_and(|at| at <= self.now);
         let is_over = self.checker.final_stage(id).is_some() || self.checker.is_job_completed(id);
@@ -78,7 +79,11 @@
 
     /// A job as it was submitted and what its team uses, for the analysis of a day.
     pub fn describe_job(&self, id: &JobId) -> String {
-        let Some(spec) = self.ground_truths.get(id).map(|truth| &truth.spec) else {
+        let Some(spec) = self
+            .ground_truths
+            .get(id)
+            .map(|ground_truth| &ground_truth.spec)
+        else {
             return format!("{id} is nobody's");
         };
         let mut team = Vec::new();
@@ -99,18 +104,18 @@
         let used = allocation.by_team.get(spec.team.as_str());
         let used = used.copied().unwrap_or_default();
         let tasks = f64::from(tasks_needed_at_once(spec));
-        let (max_cpus, max_gpus) = self.checker.limit_of(&spec.team);
+        let (max_cpus, max_gpus) = self.checker.team_limits(&spec.team);
         let is_under = |used: f64, max: f64| max == 0.0 || used <= max + 1e-6;
         is_under(used.cpus + tasks * spec.cpus, max_cpus)
             && is_under(used.gpus + tasks * spec.gpus, max_gpus)
     }
 
     /// Free resources of the machines that the cloud does not reclaim.
-    fn free_machines(&self) -> Vec<FreeMachine<'_>> {
+    fn machines_with_free_capacity(&self) -> Vec<MachineFreeCapacity<'_>> {
         let workers = self.workers.by_id.values();
         workers
             .filter(|worker| worker.reclaimed_at.is_none())
-            .map(|worker| FreeMachine {
+            .map(|worker| MachineFreeCapacity {
                 worker,
                 free: worker.free_resources(&self.ground_truths),
             })
@@ -152,7 +157,7 @@
 }
 
 /// Whether there is room for the tasks that a job needs at once.
-fn has_room(machines: &[FreeMachine], spec: &JobSpec) -> bool {
+fn has_free_capacity(machines: &[MachineFreeCapacity], spec: &JobSpec) -> bool {
     let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in machines.iter().filter(|m| is_allowed(m.worker, spec)) {
         let in_zone = tasks_by_zone.entry(&machine.worker.zone).or_default();
--- a/crates/testkit/src/simulation/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Prefix of the keys of machine records.
-const MACHINES: &str = "c/machine/";
+const MACHINE_KEY_PREFIX: &str = "c/machine/";
 
 impl Simulation {
     /// Members of warm pools now.
@@ -38,8 +38,8 @@
         for (key, value) in rows {
             match AccountRow::parse(&key, &value.to_string()) {
                 Some(AccountRow::Interval(interval)) => accounts.intervals.push(interval),
-                Some(AccountRow::Request(asked)) => accounts.requests.push(asked),
-                Some(AccountRow::ColdStart(miss)) => accounts.cold_starts.push(miss),
+                Some(AccountRow::Request(request)) => accounts.requests.push(request),
+                Some(AccountRow::ColdStart(cold_start)) => accounts.cold_starts.push(cold_start),
                 None => panic!("{key} can not be parsed: {value}"),
             }
         }
@@ -65,18 +65,20 @@
 
     /// Billing periods of all machines, for a simulation that began at a time.
     pub fn billing_periods_from(&self, began_ms: Ms) -> BTreeMap<MachineId, BillingPeriod> {
-        let lives = self.billing_periods().iter();
-        let life = |(from, to): &(Ms, Option<Ms>)| {
+        let periods = self.billing_periods().iter();
+        let period = |(from, to): &(Ms, Option<Ms>)| {
             let to = to.unwrap_or(self.now());
             (began_ms + from, began_ms + to)
         };
-        lives.map(|(id, times)| (id.clone(), life(times))).collect()
+        periods
+            .map(|(id, times)| (id.clone(), period(times)))
+            .collect()
     }
 
     fn machine_records(&self) -> Vec<(MachineId, MachineRecord)> {
-        let machines = self.store_entries(MACHINES).into_iter();
+        let machines = self.store_entries(MACHINE_KEY_PREFIX).into_iter();
         let record = |(key, value): (String, serde_json::Value)| {
-            let id = MachineId::new(key.strip_prefix(MACHINES)?);
+            let id = MachineId::new(key.strip_prefix(MACHINE_KEY_PREFIX)?);
             Some((id, serde_json::from_value(value).ok()?))
         };
         machines.filter_map(record).collect()
--- a/crates/testkit/src/simulation/remote.rs
+++ b/crates/testkit/src/simulation/remote.rs
@@ -85,10 +85,10 @@
 }
 
 impl Simulation {
-    /// Runs until a time, in steps of up to `longest`.
-    pub fn advance_to(&mut self, time: Ms, longest: Ms) {
+    /// Runs until a time, in steps of up to `max_step_ms`.
+    pub fn advance_to(&mut self, time: Ms, max_step_ms: Ms) {
         while self.now + STEP_MS <= time {
-            let next = (self.now + longest.max(STEP_MS)).min(time);
+            let next = (self.now + max_step_ms.max(STEP_MS)).min(time);
             self.step_to(next - next % STEP_MS);
         }
     }
@@ -120,8 +120,8 @@
     }
 
     /// Delivers the response of a controller; status 0 stands for none.
-    pub fn deliver_reply(&mut self, asker: Requester, status: u16, body: Vec<u8>) {
-        self.deliver_response(asker.0, status, body);
+    pub fn deliver_reply(&mut self, requester: Requester, status: u16, body: Vec<u8>) {
+        self.deliver_response(requester.0, status, body);
     }
 
     /// Takes the requests that are to be sent to controllers.
@@ -150,7 +150,7 @@
     }
 
     /// The controller to which the load balancer sends a user, drawn at random.
-    pub(super) fn pick_user_controller(&mut self) -> usize {
+    pub(super) fn random_user_controller(&mut self) -> usize {
         let healthy = self.remote.as_ref().map_or(&[][..], |r| &r.healthy);
         match healthy.len() {
             0 => self.rng.random_range(0..self.config.controllers),
--- a/crates/testkit/src/simulation/users.rs
+++ b/crates/testkit/src/simulation/users.rs
@@ -42,7 +42,7 @@
     /// The checker's ticket of the last request.
     ticket: u64,
     /// Whether the last request has no response yet.
-    pub(super) is_waiting: bool,
+    pub(super) is_awaiting_response: bool,
     sent_at: Ms,
 }
 
@@ -54,26 +54,28 @@
             state: UserState::Submitting,
             last_request: 0,
             ticket: 0,
-            is_waiting: false,
+            is_awaiting_response: false,
             sent_at: 0,
         }
     }
 
     /// Gives up a request that has no response in time.
     fn expire_request(&mut self, now: Ms) {
-        if self.is_waiting && now >= self.sent_at + REQUEST_TIMEOUT_MS {
-            self.is_waiting = false;
+        if self.is_awaiting_response && now >= self.sent_at + REQUEST_TIMEOUT_MS {
+            self.is_awaiting_response = false;
             self.next_request_at = now + TIMEOUT_RETRY_MS;
         }
     }
 
     fn is_request_due(&self, now: Ms) -> bool {
-        !self.is_waiting && self.state != UserState::Finished && now >= self.next_request_at
+        !self.is_awaiting_response
+            && self.state != UserState::Finished
+            && now >= self.next_request_at
     }
 
     fn begin_request(&mut self, now: Ms) {
         self.last_request += 1;
-        self.is_waiting = true;
+        self.is_awaiting_response = true;
         self.sent_at = now;
     }
 
@@ -147,7 +149,7 @@
             UserState::Submitting => {
                 self.checker.on_submitted(&plan.spec);
                 self.ground_truths
-                    .insert(id.clone(), GroundTruth::of(&plan));
+                    .insert(id.clone(), GroundTruth::from_plan(&plan));
                 let body = serde_json::to_vec(&plan.spec).unwrap_or_default();
                 ("POST", "/submissions".to_owned(), body)
             }
@@ -163,7 +165,7 @@
         let selected = plan
             .target_controller
             .and_then(|selector| self.select_controller(&selector));
-        let controller = selected.unwrap_or_else(|| self.pick_user_controller());
+        let controller = selected.unwrap_or_else(|| self.random_user_controller());
         self.send(Message {
             origin: Origin::User {
                 user: index,
@@ -185,10 +187,10 @@
     ) {
         let now = self.now;
         let user = &mut self.users[index];
-        if user.last_request != request || !user.is_waiting {
+        if user.last_request != request || !user.is_awaiting_response {
             return;
         }
-        user.is_waiting = false;
+        user.is_awaiting_response = false;
         let response: Option<JobStatus> = serde_json::from_slice(body).ok();
         let stage = response.map(|response| response.stage);
         let id = user.plan.spec.id.clone();
--- a/crates/testkit/src/simulation/workers.rs
+++ b/crates/testkit/src/simulation/workers.rs
@@ -100,7 +100,7 @@
                 self.config.lease_ms,
             ));
             if is_remote {
-                worker.schedule_changed_heartbeat(now, self.config.lease_ms, reported);
+                worker.schedule_heartbeat_after_change(now, self.config.lease_ms, reported);
             }
             if worker.is_heartbeat_overdue(now, HEARTBEAT_TIMEOUT_MS) {
                 worker.pending_heartbeat = None;
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -159,7 +159,7 @@
         let segments: Vec<&str> = bare.trim_start_matches('/').split('/').collect();
         let transaction: Option<serde_json::Result<Transaction>> =
             (segments == ["txn"]).then(|| serde_json::from_slice(body));
-        if !self.is_within_rates(now, transaction.as_ref()) && self.behavior.enforces_limits {
+        if !self.count_request(now, transaction.as_ref()) && self.behavior.enforces_limits {
             return Some((429, json!({"error": "too many requests"})));
         }
         let response = match (method, segments.as_slice()) {
@@ -178,7 +178,7 @@
     }
 
     /// Counts a request and whether it is within the limits.
-    fn is_within_rates(
+    fn count_request(
         &mut self,
         now: Ms,
         transaction: Option<&serde_json::Result<Transaction>>,
--- a/crates/testkit/src/store/transactions.rs
+++ b/crates/testkit/src/store/transactions.rs
@@ -9,7 +9,7 @@
 /// Largest transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 /// Prefix of the keys of machine records.
-const MACHINES: &str = "c/machine/";
+const MACHINE_KEY_PREFIX: &str = "c/machine/";
 
 impl<W> StoreModel<W> {
     /// Responds to a transaction.
@@ -23,12 +23,12 @@
             return (400, json!({"error": "too large"}));
         }
         match transaction {
-            Ok(transaction) => self.transact(transaction),
+            Ok(transaction) => self.execute_transaction(transaction),
             Err(e) => (400, json!({"error": e.to_string()})),
         }
     }
 
-    fn transact(&mut self, transaction: Transaction) -> Response {
+    fn execute_transaction(&mut self, transaction: Transaction) -> Response {
         if let Err(e) = self.size_limits.check(&transaction) {
             self.oversized_transactions += 1;
             log::info!("store: transaction refused: {e}");
@@ -109,7 +109,7 @@
                 continue;
             };
             let reason = value.get("condemned").and_then(Value::as_str);
-            if let (Some(id), Some(reason)) = (put.strip_prefix(MACHINES), reason) {
+            if let (Some(id), Some(reason)) = (put.strip_prefix(MACHINE_KEY_PREFIX), reason) {
                 let first = self.decommissioned.entry(MachineId::new(id));
                 first.or_insert_with(|| reason.to_owned());
             }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -33,7 +33,7 @@
 }
 
 impl GroundTruth {
-    pub(crate) fn of(plan: &JobPlan) -> Self {
+    pub(crate) fn from_plan(plan: &JobPlan) -> Self {
         Self {
             spec: plan.spec.clone(),
             run_ms: plan.run_ms,
@@ -118,7 +118,7 @@
     last_token_heartbeat_at: Option<Ms>,
     pub(crate) lease_renewed_at: Ms,
     /// Until then, tasks fail once they have their image.
-    pub(crate) failing_until: Ms,
+    pub(crate) tasks_fail_until: Ms,
     pub(crate) hung_until: Ms,
     /// Until then, responses to it are lost and commands to it are held back.
     pub(crate) inbound_blocked_until: Ms,
@@ -168,7 +168,7 @@
             last_heartbeat_at: None,
             last_token_heartbeat_at: None,
             lease_renewed_at: now,
-            failing_until: 0,
+            tasks_fail_until: 0,
             hung_until: 0,
             inbound_blocked_until: 0,
             inbound_lost_until: 0,
@@ -203,7 +203,7 @@
     pub(crate) fn tick(&mut self, context: &mut WorkerContext) {
         self.expire_lease(context);
         self.complete_prefetches(context.now);
-        self.end_due_stages(context);
+        self.advance_due_stages(context);
     }
 
     /// Responds to `GET /status`.
--- a/crates/testkit/src/worker/heartbeats.rs
+++ b/crates/testkit/src/worker/heartbeats.rs
@@ -101,7 +101,7 @@
 
     /// Makes a heartbeat due if the incarnation or the token has changed since the given
     /// ones. As the protocol requires, a token does so at most once in half a lease.
-    pub(crate) fn schedule_changed_heartbeat(
+    pub(crate) fn schedule_heartbeat_after_change(
         &mut self,
         now: Ms,
         lease_ms: Ms,
--- a/crates/testkit/src/worker/tasks.rs
+++ b/crates/testkit/src/worker/tasks.rs
@@ -109,13 +109,15 @@
             return;
         }
         let (task, now) = (&attempt.0, context.now);
-        let truth = context.ground_truths.get(&task.job);
-        let Some(truth) = truth.filter(|truth| task.index < truth.spec.tasks) else {
+        let ground_truth = context.ground_truths.get(&task.job);
+        let Some(ground_truth) =
+            ground_truth.filter(|ground_truth| task.index < ground_truth.spec.tasks)
+        else {
             self.reject_task(attempt, ExitCause::UnknownTask);
             return;
         };
-        let spec = &truth.spec;
-        if self.has_other_attempt(task) {
+        let spec = &ground_truth.spec;
+        if self.has_unfinished_attempt(task) {
             self.reject_task(attempt, ExitCause::OtherAttemptPresent);
             return;
         }
@@ -135,7 +137,7 @@
     }
 
     /// Whether an attempt of a task is here that has not exited.
-    fn has_other_attempt(&self, task: &TaskRef) -> bool {
+    fn has_unfinished_attempt(&self, task: &TaskRef) -> bool {
         let mut tasks = self.tasks.iter();
         tasks.any(|((other, _), local)| other == task && !local.has_exited())
     }
@@ -211,7 +213,7 @@
     }
 
     /// Ends the stages whose time is over.
-    pub(super) fn end_due_stages(&mut self, context: &mut WorkerContext) {
+    pub(super) fn advance_due_stages(&mut self, context: &mut WorkerContext) {
         if context.now < self.next_stage_end {
             return;
         }
@@ -221,14 +223,14 @@
             .map(|(attempt, _)| attempt.clone())
             .collect();
         for attempt in due {
-            self.end_stage(context, &attempt);
+            self.advance_stage(context, &attempt);
         }
         let present = self.tasks.values().filter(|local| !local.has_exited());
         let ends = present.map(|local| local.stage_ends_at);
         self.next_stage_end = ends.min().unwrap_or(Ms::MAX);
     }
 
-    fn end_stage(&mut self, context: &mut WorkerContext, attempt: &TaskAttempt) {
+    fn advance_stage(&mut self, context: &mut WorkerContext, attempt: &TaskAttempt) {
         let task = &attempt.0;
         match self.tasks[attempt].stage {
             TaskStage::Fetching => self.on_image_ready(context, attempt),
@@ -247,10 +249,10 @@
 
     fn on_image_ready(&mut self, context: &mut WorkerContext, attempt: &TaskAttempt) {
         let (now, task) = (context.now, &attempt.0);
-        let truth = &context.ground_truths[&task.job];
-        self.add_image(truth.spec.image.clone());
-        let is_defective = truth.defect == Some(JobDefect::FailsAtStart);
-        if is_defective || now < self.failing_until {
+        let ground_truth = &context.ground_truths[&task.job];
+        self.add_image(ground_truth.spec.image.clone());
+        let is_defective = ground_truth.defect == Some(JobDefect::FailsAtStart);
+        if is_defective || now < self.tasks_fail_until {
             context.checker.on_task_failed(now, task, &self.id);
             if is_defective {
                 self.schedule_heartbeat_within(now, CHANGE_HEARTBEAT_DELAY_MS);
@@ -262,9 +264,9 @@
         }
         context.checker.on_task_started(now, task, self.place());
         let is_completed = context.checker.is_task_completed(task);
-        let stage_ends_at = truth.run_ends_at(now, is_completed);
+        let stage_ends_at = ground_truth.run_ends_at(now, is_completed);
         if let Some(local) = self.tasks.get_mut(attempt) {
-            local.stage = match truth.spec.kind {
+            local.stage = match ground_truth.spec.kind {
                 JobKind::Gang => TaskStage::WaitingForGang,
                 JobKind::Array | JobKind::Service => TaskStage::Running,
             };
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -37,24 +37,24 @@
 const CANCELLED_AT: Ms = 1_000;
 
 /// A machine whose one task's job was confirmed as cancelled at `CANCELLED_AT`.
-struct Bench {
+struct HungWorkerFixture {
     ground_truths: BTreeMap<JobId, GroundTruth>,
     checker: Checker,
     worker: Worker,
 }
 
-impl Bench {
+impl HungWorkerFixture {
     fn new(cancel_ms: Ms) -> Self {
         let spec = spec();
-        let truth = GroundTruth {
+        let ground_truth = GroundTruth {
             defect: None,
             spec: spec.clone(),
             run_ms: 60_000,
         };
         let mut checker = Checker::new(BTreeMap::new(), cancel_ms);
         checker.on_submitted(&spec);
-        let mut bench = Self {
-            ground_truths: BTreeMap::from([(spec.id.clone(), truth)]),
+        let mut fixture = Self {
+            ground_truths: BTreeMap::from([(spec.id.clone(), ground_truth)]),
             checker,
             worker: Worker::new(
                 (MachineId::new("m"), "m".to_owned()),
@@ -65,14 +65,14 @@
                 false,
             ),
         };
-        assert_eq!(bench.command_start(0), 200);
-        bench.step(10);
-        assert_eq!(bench.checker.running_tasks(&spec.id), 1);
-        bench.checker.on_cancel_requested(&spec.id);
+        assert_eq!(fixture.command_start(0), 200);
+        fixture.step(10);
+        assert_eq!(fixture.checker.running_tasks(&spec.id), 1);
+        fixture.checker.on_cancel_requested(&spec.id);
         let stage = Some(JobStage::Cancelled);
-        let checker = &mut bench.checker;
+        let checker = &mut fixture.checker;
         checker.on_immediate_response(CANCELLED_AT, &spec.id, false, 200, stage);
-        bench
+        fixture
     }
 
     fn context(&mut self, now: Ms) -> (&mut Worker, WorkerContext<'_>) {
@@ -114,7 +114,7 @@
     fn check(&mut self, now: Ms) {
         let hung = self.worker.is_hung_without_lease(now, LEASE_MS);
         let expired = hung.then(|| self.worker.id.clone()).into_iter().collect();
-        self.checker.tick(now, &expired);
+        self.checker.check_time_limits(now, &expired);
     }
 
     fn violations(&self) -> Vec<Rule> {
@@ -153,19 +153,19 @@
         ),
     ];
     for (name, cancel_ms, hang, check_at, is_violated) in cases {
-        let mut bench = Bench::new(cancel_ms);
-        bench.worker.hung_until = CANCELLED_AT + hang;
+        let mut fixture = HungWorkerFixture::new(cancel_ms);
+        fixture.worker.hung_until = CANCELLED_AT + hang;
         // Nothing happens on it until it resumes.
-        if check_at >= bench.worker.hung_until {
-            bench.step(check_at);
+        if check_at >= fixture.worker.hung_until {
+            fixture.step(check_at);
         }
-        bench.check(check_at);
+        fixture.check(check_at);
         let expected = if is_violated {
             vec![Rule::RanCancelled]
         } else {
             vec![]
         };
-        assert_eq!(bench.violations(), expected, "{name}");
+        assert_eq!(fixture.violations(), expected, "{name}");
     }
 }
 
@@ -173,23 +173,23 @@
 /// rule.
 #[test]
 fn a_task_that_resumes_after_the_lease_expired_in_a_hang_violates_the_rule() {
-    let mut bench = Bench::new(12_000);
-    bench.worker.hung_until = 20_000;
-    bench.check(15_000);
-    assert_eq!(bench.violations(), []);
+    let mut fixture = HungWorkerFixture::new(12_000);
+    fixture.worker.hung_until = 20_000;
+    fixture.check(15_000);
+    assert_eq!(fixture.violations(), []);
     // It resumes without the step that would kill its tasks.
-    bench.check(20_000);
-    assert_eq!(bench.violations(), [Rule::RanCancelled]);
+    fixture.check(20_000);
+    assert_eq!(fixture.violations(), [Rule::RanCancelled]);
 }
 
 /// A command that was held up by a hang finds another incarnation once the lease expired.
 #[test]
 fn a_command_is_refused_after_the_lease_expired_in_a_hang() {
     for (resumes_at, status) in [(9_000, 200), (12_000, 409)] {
-        let mut bench = Bench::new(20_000);
-        bench.worker.hung_until = resumes_at;
-        assert_eq!(bench.command_start(resumes_at), status, "at {resumes_at}");
-        let running = bench.checker.running_tasks(&spec().id);
+        let mut fixture = HungWorkerFixture::new(20_000);
+        fixture.worker.hung_until = resumes_at;
+        assert_eq!(fixture.command_start(resumes_at), status, "at {resumes_at}");
+        let running = fixture.checker.running_tasks(&spec().id);
         assert_eq!(running, usize::from(status == 200), "at {resumes_at}");
     }
 }
