--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,7 +1,7 @@
-//! Checks the rules of the protocol against what truly happens.
+//! An independent checker of the protocol's rules.
 //!
-//! The checker sees starts and ends of tasks on machines, and requests and responses of
-//! users. It knows nothing of how the controllers work.
+//! The checker's ground truth is the starts and ends of tasks on machines and the requests and
+//! responses of users. It has no access to the state of the controllers.
 
 mod dependencies;
 mod observations;
@@ -19,116 +19,127 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that can be broken.
+/// A rule of the protocol. Reports print its name.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Rule {
-    /// A task starts while it is on another machine.
+    /// A task started while an attempt of it was still on a machine.
     RanTwice,
-    /// A team's tasks use more than its limit.
+    /// The tasks of a team used more CPUs or GPUs than its limit.
     Quota,
-    /// A task starts where its job does not allow it.
+    /// A task started on a machine whose type, zone or spot flag its job does not allow, or in a
+    /// zone that violates the job's zone constraints.
     WrongPlace,
-    /// A task of a cancelled job is on a machine too late.
+    /// A task of a job was on a machine longer after the confirmed cancellation than the
+    /// configured cancellation time.
     RanCancelled,
-    /// An accepted job is unknown later.
+    /// An accepted job was reported as unknown, or its resubmission was refused, later.
     Forgotten,
-    /// A job that nobody submitted is known.
+    /// A request about a job that nobody submitted succeeded.
     Invented,
-    /// A job is reported as done before it is.
+    /// A job was reported as done before all of its tasks had completed.
     NotDone,
-    /// A final state was reported and then another one.
+    /// A job was reported in another stage after a final one, or as cancelled although nobody
+    /// cancelled it.
     WentBack,
-    /// A job that can not run, or is malformed, was accepted.
+    /// A malformed job, or a job that can never be scheduled, was accepted.
     Unfit,
-    /// A job got another refusal than the protocol requires.
+    /// A submission was refused with another status than the protocol requires.
     WrongAnswer,
-    /// All faults are over, and no request about a job is answered.
+    /// All faults were over, and for 75 s no request about an accepted job was answered.
     Unanswered,
-    /// All faults are over, and a job waits although there is room for it.
+    /// All faults were over, and a job stayed pending for 90 s although a machine had free capacity
+    /// for it and its team was under its limit.
     LeftWaiting,
-    /// One of the largest jobs of its class begins too late.
+    /// One of the largest jobs of its class began more than 240 s after it was ready.
     LateBegin,
-    /// A task starts before all jobs that its job depends on are done.
+    /// A task started before all dependencies of its job had completed.
     TooEarly,
-    /// A job is reported as queued or running long after one that it depends on was
-    /// cancelled.
+    /// A job was reported as queued or running longer after the confirmed cancellation of one of
+    /// its dependencies than the configured cancellation time.
     Orphaned,
 }
 
-/// Whether all faults are over.
+/// Whether all faults are over. Rules about progress apply only then.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Quiescence {
-    /// Not yet.
+    /// A fault is active or still scheduled.
     #[default]
     NotYet,
-    /// They have been over since then.
+    /// All faults have been over since this time.
     Since(Ms),
 }
 
-/// A place where a task is.
+/// The machine that a task is on, with the properties that a job may constrain.
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// The machine.
+    /// Id of the machine.
     pub machine: MachineId,
-    /// Its type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the cloud may reclaim the machine.
     pub spot: bool,
 }
 
-/// Watches the starts and ends of tasks and the responses to users.
+/// Collects starts and ends of tasks and responses to users, and records violated rules.
 #[derive(Default)]
 pub struct Checker {
+    /// CPU and GPU limit of each team; 0: no limit.
     limits: BTreeMap<String, (f64, f64)>,
+    /// Time after a confirmed cancellation within which all tasks must have exited.
     cancel_ms: Ms,
+    /// Submitted jobs, whether accepted or not.
     jobs: BTreeMap<JobId, JobSpec>,
-    /// Accepted jobs, with the sequence number of the response.
+    /// Accepted jobs, with the sequence number of the first successful response.
     accepted: BTreeMap<JobId, u64>,
     cancel_requested: BTreeSet<JobId>,
-    /// Final stages that users know of, with the sequence number of the response.
+    /// Final stages reported to users, with the sequence number of the first such response.
     final_stages: BTreeMap<JobId, (JobStage, u64)>,
-    /// Sequence number of the last request or response.
+    /// Sequence number of the last request or response. Requests and responses share one sequence,
+    /// which orders them.
     last_sequence: u64,
     quiescence: Quiescence,
-    /// Jobs about which a request is unanswered, and since when.
+    /// Jobs with an unanswered request, and when the first unanswered request was sent.
     unanswered: BTreeMap<JobId, Ms>,
-    /// Jobs that wait although there is room, and since when.
+    /// Pending jobs for which there is free capacity, and since when.
     pending_despite_capacity: BTreeMap<JobId, Ms>,
-    /// When users first sent a request about a job.
+    /// When a user first sent a request about each job.
     first_requested_at: BTreeMap<JobId, Ms>,
-    /// Longest time until a job was accepted.
+    /// Longest time from the first request about a job until its acceptance.
     max_acceptance_ms: Ms,
     began_at: BTreeMap<JobId, Ms>,
-    /// Jobs that must not be accepted.
+    /// Jobs that controllers must refuse.
     expected_refusals: BTreeSet<JobId>,
-    /// Jobs whose last task has completed, until they are taken.
+    /// Jobs whose last task has completed since the simulation last took this list.
     pub(crate) newly_completed: Vec<JobId>,
+    /// When a response first confirmed the cancellation of each job.
     cancelled_at: BTreeMap<JobId, Ms>,
-    /// When the last job that a job depends on completed.
+    /// When the last dependency of each dependent job completed.
     ready_at: BTreeMap<JobId, Ms>,
     completed_tasks: BTreeMap<JobId, BTreeSet<u32>>,
-    /// Where the tasks of each job are that are on a machine.
+    /// Machines of the tasks that are on machines, by job and task index. A task has several only
+    /// if [`Rule::RanTwice`] was violated.
     placements: BTreeMap<JobId, BTreeMap<u32, Vec<Place>>>,
-    /// What each team's tasks on machines use.
+    /// CPUs and GPUs that each team's tasks on machines use.
     team_usage: BTreeMap<String, Usage>,
-    /// Measurements, if they are made.
+    /// Measurements of starts and acceptances; absent unless [`Checker::observe`] was called.
     pub(crate) observations: Option<StartMeasurements>,
-    /// Starts of tasks.
+    /// Number of task starts so far.
     pub starts: u64,
     starts_by_job: BTreeMap<JobId, u64>,
-    /// Starts of tasks whose job's cancellation had been confirmed: when, how
-    /// long after it, and which.
+    /// Starts of tasks after the confirmed cancellation of their job: time, time since the
+    /// confirmation, and task. They violate a rule only after the cancellation time.
     pub starts_after_cancel: Vec<(Ms, Ms, TaskRef)>,
-    /// Tasks that failed: when, which, and on which machine.
+    /// Failures of tasks: time, task and machine.
     pub failures: Vec<(Ms, TaskRef, MachineId)>,
-    /// Violated rules, with when and how.
+    /// Violations so far: rule, time and details.
     pub violations: Vec<(Rule, Ms, String)>,
 }
 
 impl Checker {
-    /// A checker for teams with limits on CPUs and GPUs; 0: no limit.
+    /// Creates a checker. `limits` are the CPU and GPU limits of the teams (0: no limit), and
+    /// `cancel_ms` is the time within which tasks of a cancelled job must have exited.
     pub fn new(limits: BTreeMap<String, (f64, f64)>, cancel_ms: Ms) -> Self {
         Self {
             limits,
@@ -141,18 +152,18 @@
         self.violations.push((rule, now, what));
     }
 
-    /// Limits on the CPUs and GPUs of a team; 0: no limit.
+    /// CPU and GPU limits of a team; 0: no limit.
     pub(crate) fn team_limits(&self, team: &str) -> (f64, f64) {
         self.limits.get(team).copied().unwrap_or_default()
     }
 
-    /// Sets whether all faults are over, and since when.
+    /// Sets whether all faults are over, which enables the rules about progress.
     pub fn set_quiescence(&mut self, quiescence: Quiescence) {
         self.quiescence = quiescence;
     }
 
-    /// Checks for conditions that may not last. `expired` are machines that hang and whose
-    /// lease has expired.
+    /// Checks the conditions with a time limit: tasks of cancelled jobs and unanswered requests.
+    /// `expired` are the machines that hang and whose lease has expired.
     pub fn check_time_limits(&mut self, now: Ms, expired: &BTreeSet<MachineId>) {
         self.check_cancelled_tasks(now, expired);
         self.check_unanswered(now);
--- a/crates/testkit/src/checker/dependencies.rs
+++ b/crates/testkit/src/checker/dependencies.rs
@@ -1,4 +1,4 @@
-//! The rules about jobs that depend on others.
+//! The rules about dependencies between jobs.
 
 use super::{Checker, Rule};
 use crate::Ms;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Checker {
-    /// Jobs that a job depends on, directly or through others.
+    /// Direct and indirect dependencies of a job.
     fn transitive_dependencies(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut dependencies = BTreeSet::new();
         let mut open = vec![id.clone()];
@@ -28,21 +28,23 @@
         self.jobs.get(id).is_some_and(|s| done == s.tasks)
     }
 
-    /// Whether a job depends on another that has not completed.
+    /// Whether a direct dependency of a job has not completed.
     pub(crate) fn is_blocked(&self, id: &JobId) -> bool {
         let spec = self.jobs.get(id);
         let mut dependencies = spec.into_iter().flat_map(|s| &s.dependencies);
         dependencies.any(|d| !self.is_job_completed(d))
     }
 
-    /// Checks that a task which starts belongs to a job whose dependencies have completed.
+    /// Checks that the dependencies of a job have completed as one of its tasks starts. `what`
+    /// names the task.
     pub(super) fn check_dependencies(&mut self, now: Ms, id: &JobId, what: &str) {
         if self.is_blocked(id) {
             self.record_violation(Rule::TooEarly, now, format!("{what} starts"));
         }
     }
 
-    /// A job has completed: those that waited for nothing else are ready now.
+    /// Records that the dependents of a completed job are ready, unless they have other incomplete
+    /// dependencies.
     pub(super) fn record_ready_dependents(&mut self, now: Ms, completed: &JobId) {
         let depends = |id: &&JobId| self.jobs[*id].dependencies.contains(completed);
         let ids: Vec<JobId> = self.jobs.keys().filter(depends).cloned().collect();
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Since when no dependency has kept a job from beginning; none: one still does.
+    /// When a job became ready: when it was submitted or its last dependency completed, whichever
+    /// is later. None while a dependency is incomplete.
     pub(super) fn ready_since(&self, id: &JobId, submitted: Ms) -> Option<Ms> {
         let spec = self.jobs.get(id)?;
         if spec.dependencies.is_empty() {
@@ -69,8 +72,8 @@
         )
     }
 
-    /// Whether the cancellation of a job was requested, or that of a job that it depends on
-    /// which is not known to be done.
+    /// Whether a job may be cancelled: its cancellation was requested, or the cancellation of a
+    /// direct or indirect dependency that was not reported as done.
     pub fn is_cancel_wanted(&self, id: &JobId) -> bool {
         let cancels_others = |id: &JobId| {
             self.cancel_requested.contains(id) && self.final_stage(id) != Some(JobStage::Done)
@@ -79,8 +82,8 @@
             || self.transitive_dependencies(id).iter().any(cancels_others)
     }
 
-    /// Checks that a job which is reported as queued or running does not depend on one that
-    /// was cancelled long ago.
+    /// Checks a job that is reported as queued or running: none of its dependencies may have been
+    /// cancelled longer ago than the cancellation time.
     pub(super) fn check_orphaned(&mut self, now: Ms, id: &JobId) {
         let dependencies = self.transitive_dependencies(id);
         let cancelled = dependencies
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Checks that a submission whose dependencies are all accepted is not refused for them.
+    /// Checks that a submission is not refused with 422 for dependencies that are all accepted.
     pub(crate) fn check_admission(&mut self, now: Ms, id: &JobId, status: u16) {
         let spec = self.jobs.get(id);
         let dependencies = spec.map(|s| s.dependencies.clone()).unwrap_or_default();
--- a/crates/testkit/src/checker/observations.rs
+++ b/crates/testkit/src/checker/observations.rs
@@ -1,4 +1,4 @@
-//! Measurements of starts and acceptances.
+//! Measurements of the time until jobs are accepted and tasks start.
 
 use super::Checker;
 use crate::Ms;
@@ -6,34 +6,34 @@
 use forkshift_wire::{JobId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first start of a task.
+/// Measurement of the first start of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FirstStart {
-    /// Priority of its job.
+    /// Priority of the task's job.
     pub priority: Priority,
-    /// Time since the first request about its job, in milliseconds.
+    /// Time from the first request about the task's job to the start, in milliseconds.
     pub after_ms: Ms,
 }
 
-/// Measurements that have not been taken yet.
+/// Measurements since they were last taken.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StartMeasurements {
-    /// First starts of tasks.
+    /// First starts of tasks since the last call of [`Checker::take_observations`].
     pub starts: Vec<FirstStart>,
-    /// Times from the first attempt to submit until the acceptance, in
-    /// milliseconds.
+    /// Times from the first request about a job to its acceptance, in milliseconds.
     pub acceptances: Vec<Ms>,
-    /// Tasks that have started.
+    /// All tasks that have ever started, so that restarts are not measured.
     started: BTreeMap<JobId, BTreeSet<u32>>,
 }
 
 impl Checker {
-    /// Measures starts and acceptances from now on.
+    /// Starts measuring the times until tasks start and jobs are accepted.
     pub fn observe(&mut self) {
         self.observations.get_or_insert_default();
     }
 
-    /// Takes the measurements since the last call: first starts, and times until acceptances.
+    /// Takes the measurements since the last call: first starts of tasks, and times until
+    /// acceptance in milliseconds. Both are empty unless [`Checker::observe`] was called.
     pub fn take_observations(&mut self) -> (Vec<FirstStart>, Vec<Ms>) {
         let Some(observations) = &mut self.observations else {
             return Default::default();
@@ -44,7 +44,7 @@
         )
     }
 
-    /// Measures a start, unless the task had started before.
+    /// Measures the first start of a task. Later starts are restarts and are left out.
     pub(super) fn measure_start(&mut self, now: Ms, task: &TaskRef, priority: Priority) {
         let requested_at = self
             .first_requested_at
--- a/crates/testkit/src/checker/progress.rs
+++ b/crates/testkit/src/checker/progress.rs
@@ -1,4 +1,4 @@
-//! The rules about waiting: jobs begin in time.
+//! The rules about progress: pending jobs begin in time.
 
 use super::{Checker, Quiescence, Rule};
 use crate::Ms;
@@ -6,16 +6,16 @@
 use forkshift_wire::JobId;
 use std::collections::BTreeMap;
 
-/// After the last fault, a job for which there is room has to begin within this.
+/// Maximum time that a job may stay pending after the last fault while there is free capacity.
 const MAX_PENDING_WITH_CAPACITY_MS: Ms = 90_000;
-/// The largest jobs have to begin within this.
+/// Maximum time from when one of the largest jobs is ready until it begins, faults included.
 const MAX_LARGEST_JOB_DELAY_MS: Ms = 240_000;
-/// One in so many jobs of a class is one of its largest.
+/// One in this many jobs of a class, rounded up, counts as one of the largest.
 const JOBS_PER_LARGEST_JOB: usize = 10;
 
 impl Checker {
-    /// A job has no task on a machine. `has_free_capacity`: a machine that fits has room for it
-    /// while its team is under its limit.
+    /// Records whether a job is pending although machines have free capacity for it and its team is
+    /// under its limit. The time starts anew whenever this is not so or a fault is active.
     pub fn on_job_pending(&mut self, now: Ms, id: &JobId, has_free_capacity: bool) {
         let Quiescence::Since(quiet_since) = self.quiescence else {
             self.pending_despite_capacity.clear();
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Checks at the end of a day that the largest jobs of each class have begun in time.
-    /// Those that were cancelled before are left out.
+    /// Checks at the end of a run that the largest jobs of each class have begun in time. Jobs that
+    /// were cancelled before they began are left out.
     pub fn finish(&mut self, now: Ms) {
         let mut classes: BTreeMap<&str, Vec<&JobSpec>> = BTreeMap::new();
         for spec in self.jobs.values() {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Describes a job that did not begin in time.
+    /// Describes a job that did not begin in time; none if it did, or was cancelled before.
     fn late_begin(&self, now: Ms, spec: &JobSpec) -> Option<String> {
         let requested_at = *self.first_requested_at.get(&spec.id)?;
         let ready_at = self.ready_since(&spec.id, requested_at)?;
@@ -65,7 +65,7 @@
     }
 }
 
-/// The largest jobs of one class by CPUs and GPUs.
+/// The largest jobs of one class by the sum of the CPUs and GPUs of all tasks.
 fn largest_jobs(mut specs: Vec<&JobSpec>) -> Vec<&JobSpec> {
     let size = |spec: &JobSpec| f64::from(spec.tasks) * (spec.cpus + spec.gpus);
     specs.sort_by(|a, b| size(b).total_cmp(&size(a)));
--- a/crates/testkit/src/checker/responses.rs
+++ b/crates/testkit/src/checker/responses.rs
@@ -6,7 +6,7 @@
 use forkshift_wire::JobId;
 use std::collections::BTreeSet;
 
-/// After the last fault, a request has to be answered within this.
+/// Maximum time after the last fault in which no request about a job is answered.
 const MAX_UNANSWERED_MS: Ms = 75_000;
 
 fn is_success(status: u16) -> bool {
@@ -14,18 +14,19 @@
 }
 
 impl Checker {
-    /// A user submits a job for the first time.
+    /// Records that a user submits a job.
     pub fn on_submitted(&mut self, spec: &JobSpec) {
         self.jobs.insert(spec.id.clone(), spec.clone());
     }
 
-    /// A user requests the cancellation of a job.
+    /// Records that a user requests the cancellation of a job.
     pub fn on_cancel_requested(&mut self, id: &JobId) {
         self.cancel_requested.insert(id.clone());
     }
 
-    /// A user sends a request about a job. The returned ticket belongs to the response: a
-    /// response may not be older than any that had arrived when its request was sent.
+    /// Records that a user sends a request about a job. Returns a ticket to be passed to
+    /// [`Checker::on_response`]: the response must not contradict any response that had arrived
+    /// when the request was sent.
     pub fn on_request_sent(&mut self, now: Ms, id: &JobId) -> u64 {
         self.last_sequence += 1;
         self.unanswered.entry(id.clone()).or_insert(now);
@@ -33,7 +34,7 @@
         self.last_sequence
     }
 
-    /// A user gets the response to a request that it has just sent.
+    /// Records a request and its response at the same time.
     pub fn on_immediate_response(
         &mut self,
         now: Ms,
@@ -46,8 +47,9 @@
         self.on_response(ticket, now, id, is_submission, status, stage);
     }
 
-    /// A user gets a response about a job. `stage` is the stage in a successful response.
-    /// Returns whether it is the first to say that the job is accepted or over.
+    /// Records and checks the response to a request about a job. `stage` is the stage in the body
+    /// of a successful response. Returns whether this response is the first to report that the job
+    /// is accepted or in a final stage.
     pub fn on_response(
         &mut self,
         ticket: u64,
@@ -78,7 +80,8 @@
         is_first_acceptance || is_first_end
     }
 
-    /// Checks that an accepted job is not refused or unknown later.
+    /// Checks that a job which was accepted before the request was sent is not reported as unknown
+    /// and its resubmission not refused.
     fn check_not_forgotten(
         &mut self,
         ticket: u64,
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Handles a successful response. Returns whether it is the first for a job.
+    /// Checks a successful response and records the acceptance. Returns whether it is the first
+    /// successful response for the job.
     fn on_success(&mut self, now: Ms, id: &JobId, status: u16) -> bool {
         if self.expected_refusals.contains(id) {
             self.record_violation(Rule::Unfit, now, format!("{id}: {status}"));
@@ -122,10 +126,11 @@
         true
     }
 
-    /// Checks a stage against what was said before and what truly happened.
+    /// Checks a reported stage against earlier responses and the completed tasks.
     fn check_stage(&mut self, ticket: u64, now: Ms, id: &JobId, stage: JobStage) {
         if let Some((final_stage, sequence)) = self.final_stages.get(id).copied() {
-            // Of two final stages one is wrong, in whatever order they arrive.
+            // Two different final stages are wrong in any order of arrival. A stage that is not
+            // final is allowed in a response to a request sent before the final stage was known.
             if stage != final_stage && (sequence < ticket || stage.is_final()) {
                 let what = format!("{id}: {final_stage:?}, then {stage:?}");
                 self.record_violation(Rule::WentBack, now, what);
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Records a final stage. Returns whether it is the first of a job.
+    /// Records a final stage. Returns whether it is the first final stage reported for the job.
     fn record_stage(&mut self, now: Ms, id: &JobId, stage: JobStage) -> bool {
         if stage == JobStage::Cancelled {
             self.cancelled_at.entry(id.clone()).or_insert(now);
@@ -165,13 +170,14 @@
         true
     }
 
-    /// A job that can not run, or is malformed, is about to be submitted.
+    /// Records that controllers must refuse a job, as it is malformed or can never be scheduled.
     pub fn expect_refusal(&mut self, id: &JobId) {
         self.expected_refusals.insert(id.clone());
     }
 
-    /// Checks the response to such a job: the expected refusal, or a status which says that
-    /// it can not be decided now.
+    /// Checks the response to the submission of a job that must be refused: the status is the
+    /// expected one, or it says that the controller cannot decide now (429, 503, 504). Successful
+    /// responses violate [`Rule::Unfit`] and are reported there.
     pub fn check_refusal(&mut self, now: Ms, id: &JobId, status: u16, expected: u16) {
         if !matches!(status, 200 | 201 | 429 | 503 | 504) && status != expected {
             let what = format!("{id}: {status} instead of {expected}");
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Checks that after the last fault all requests about accepted jobs are answered.
+    /// Checks that, after the last fault, requests about accepted jobs are answered in time.
     pub(super) fn check_unanswered(&mut self, now: Ms) {
         let Quiescence::Since(quiet_since) = self.quiescence else {
             return;
@@ -196,12 +202,12 @@
         }
     }
 
-    /// Whether a user knows that a job is cancelled.
+    /// Whether a response has confirmed that a job is cancelled.
     pub fn is_cancel_confirmed(&self, id: &JobId) -> bool {
         self.cancelled_at.contains_key(id)
     }
 
-    /// When a user first knew that a job is cancelled.
+    /// When a response first confirmed that a job is cancelled.
     pub fn cancelled_at(&self, id: &JobId) -> Option<Ms> {
         self.cancelled_at.get(id).copied()
     }
@@ -211,17 +217,17 @@
         self.cancel_requested.contains(id)
     }
 
-    /// Whether a user knows that a job is accepted.
+    /// Whether a response has confirmed that a job is accepted.
     pub fn is_accepted(&self, id: &JobId) -> bool {
         self.accepted.contains_key(id)
     }
 
-    /// The final stage that a user knows of.
+    /// The first final stage that a response reported for a job, if any.
     pub fn final_stage(&self, id: &JobId) -> Option<JobStage> {
         self.final_stages.get(id).map(|(stage, _)| *stage)
     }
 
-    /// The longest time from a user's first attempt until a job was accepted.
+    /// The longest time from the first request about a job until its acceptance.
     pub fn max_acceptance_ms(&self) -> Ms {
         self.max_acceptance_ms
     }
--- a/crates/testkit/src/checker/tasks.rs
+++ b/crates/testkit/src/checker/tasks.rs
@@ -1,5 +1,5 @@
-//! The rules about tasks on machines: one place at a time, in an allowed place, within the
-//! team's limits, and not of a job cancelled long ago.
+//! The rules about tasks on machines: a task is on one machine at a time, the job allows that
+//! machine, the team stays within its limits, and the job was not cancelled too long ago.
 
 use super::{Checker, Place, Rule};
 use crate::Ms;
@@ -7,11 +7,12 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tolerance for sums of fractions.
+/// Tolerance for rounding errors when fractional amounts are compared.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Checker {
-    /// A task has its image and is on its machine from now on.
+    /// Records that a task has its image and starts. It counts as on its machine until
+    /// [`Checker::on_task_ended`].
     pub fn on_task_started(&mut self, now: Ms, task: &TaskRef, place: Place) {
         self.starts += 1;
         *self.starts_by_job.entry(task.job.clone()).or_default() += 1;
@@ -27,7 +28,7 @@
         tasks.entry(task.index).or_default().push(place);
         let usage = self.team_usage.entry(spec.team.clone()).or_default();
         usage.add(&spec);
-        // An array begins with any task, the others with all.
+        // An array begins with its first task, a gang or service once all tasks run.
         let is_array = spec.kind == JobKind::Array;
         if is_array || self.running_tasks(&task.job) as u32 == spec.tasks {
             self.began_at.entry(task.job.clone()).or_insert(now);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// A task is no longer on its machine.
+    /// Records that a task is no longer on a machine.
     pub fn on_task_ended(&mut self, task: &TaskRef, machine: &MachineId) {
         let tasks = self.placements.get_mut(&task.job);
         let Some(places) = tasks.and_then(|tasks| tasks.get_mut(&task.index)) else {
@@ -100,7 +101,7 @@
         self.remove_empty_placement(task);
     }
 
-    /// A task has completed.
+    /// Records that a task has completed. Repeated completions are ignored.
     pub fn on_task_completed(&mut self, now: Ms, task: &TaskRef) {
         let completed = self.completed_tasks.entry(task.job.clone()).or_default();
         let tasks = self.jobs.get(&task.job).map_or(0, |spec| spec.tasks);
@@ -110,17 +111,17 @@
         }
     }
 
-    /// A task has failed on a machine.
+    /// Records that a task has failed on a machine.
     pub(crate) fn on_task_failed(&mut self, now: Ms, task: &TaskRef, machine: &MachineId) {
         self.failures.push((now, task.clone(), machine.clone()));
     }
 
-    /// Where a task is, if it is on any machine.
+    /// The machines that a task is on; none if it is on no machine.
     fn places_of(&self, task: &TaskRef) -> Option<&Vec<Place>> {
         self.placements.get(&task.job)?.get(&task.index)
     }
 
-    /// Some tasks of a job use nothing any more.
+    /// Subtracts the resources of a number of a job's tasks from the usage of its team.
     fn release_usage(&mut self, id: &JobId, tasks: usize) {
         let Some(spec) = self.jobs.get(id) else {
             return;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Drops the entries of a task that is on no machine.
+    /// Removes the empty entries of a task that is on no machine.
     fn remove_empty_placement(&mut self, task: &TaskRef) {
         let Some(tasks) = self.placements.get_mut(&task.job) else {
             return;
@@ -145,9 +146,10 @@
         }
     }
 
-    /// Checks that the tasks of cancelled jobs are off their machines in time. Tasks on
-    /// `expired` machines, which hang without a lease, do not count, as the worker's first
-    /// act will be to kill them. If they go on nevertheless, they count again.
+    /// Checks that the tasks of cancelled jobs have left their machines in time. Tasks on `expired`
+    /// machines, which hang and whose lease has expired, are left out: the worker has to kill them
+    /// before it does anything else when it resumes. If a task outlives the hang, it is checked
+    /// again. A reported task is removed, so that it is reported once.
     pub(super) fn check_cancelled_tasks(&mut self, now: Ms, expired: &BTreeSet<MachineId>) {
         for task in self.late_cancelled_tasks(now, expired) {
             let what = format!("{task} is still there");
@@ -186,22 +188,22 @@
         completed.is_some_and(|completed| completed.contains(&task.index))
     }
 
-    /// When a job began: an array with its first task, others with all.
+    /// When a job began: an array with its first task, a gang or service once all tasks ran.
     pub fn began_at(&self, id: &JobId) -> Option<Ms> {
         self.began_at.get(id).copied()
     }
 
-    /// How often tasks of a job have started.
+    /// Number of task starts of a job, restarts included.
     pub fn starts_of(&self, id: &JobId) -> u64 {
         self.starts_by_job.get(id).copied().unwrap_or(0)
     }
 
-    /// Tasks of a job that are on machines.
+    /// Number of a job's tasks that are on machines.
     pub fn running_tasks(&self, id: &JobId) -> usize {
         self.placements.get(id).map_or(0, BTreeMap::len)
     }
 
-    /// Tasks that are on machines.
+    /// Number of tasks that are on machines.
     pub fn tasks_on_machines(&self) -> usize {
         self.placements.values().map(BTreeMap::len).sum()
     }
--- a/crates/testkit/src/checker/tests.rs
+++ b/crates/testkit/src/checker/tests.rs
@@ -1,4 +1,5 @@
-//! Each rule is checked with a trace that violates it.
+//! Tests that each rule detects a trace which violates it and accepts a similar trace which does
+//! not.
 
 use super::*;
 use crate::simulation::JobPlan;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Submits a job that depends on another.
+/// Submits a job with one dependency and returns its id.
 fn dependent(checker: &mut Checker, id: &str, dependency: &JobId) -> JobId {
     let spec = JobSpec {
         dependencies: vec![dependency.clone()],
@@ -41,7 +42,8 @@
     spec.id
 }
 
-/// Each trace violates its rule, and the same trace without the mistake violates none.
+/// Guards against a checker that misses violations or reports false ones: each trace violates
+/// exactly its rule if `violates` is set, and no rule otherwise.
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
 fn every_rule_is_violated_by_its_trace_and_by_no_corrected_one() {
@@ -126,8 +128,8 @@
             }
             checker.on_immediate_response(1, id, false, 200, Some(JobStage::Cancelled));
         }),
-        // An older state may be the response to a request that was sent before a newer one
-        // was known, but not to a later request.
+        // A response may contain an older state if its request was sent before a newer state was
+        // reported, but not if the request was sent later.
         (Rule::Forgotten, |checker, id, violates| {
             let early = checker.on_request_sent(1, id);
             checker.on_immediate_response(1, id, true, 201, Some(JobStage::Queued));
@@ -156,7 +158,7 @@
             let ticket = if violates { late } else { early };
             checker.on_response(ticket, 1, id, true, 200, Some(JobStage::Queued));
         }),
-        // Two final stages never occur together.
+        // Two different final stages are a violation even if the requests overlap.
         (Rule::WentBack, |checker, id, violates| {
             checker.on_cancel_requested(id);
             (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
@@ -219,7 +221,7 @@
             checker.on_task_started(240_001 + u64::from(violates), &task(0), place("m1", "a"));
             checker.finish(500_000);
         }),
-        // A gang begins with its last task, and never without it.
+        // A gang begins when its last task starts.
         (Rule::LateBegin, |checker, id, violates| {
             let spec = checker.jobs.get_mut(id).unwrap();
             (spec.kind, spec.tasks) = (JobKind::Gang, 2);
@@ -243,7 +245,7 @@
                 place("m1", "a"),
             );
         }),
-        // Also through another job, and not before the time for it is over.
+        // The rule covers indirect dependencies, and applies only after the cancellation time.
         (Rule::Orphaned, |checker, id, violates| {
             let next = dependent(checker, "j-2", id);
             let last = dependent(checker, "j-3", &next);
@@ -253,7 +255,7 @@
             checker.on_immediate_response(at, &last, false, 200, Some(JobStage::Queued));
             checker.on_immediate_response(at, &last, false, 200, Some(JobStage::Cancelled));
         }),
-        // A cancellation whose response is `done` cancels nothing.
+        // A cancellation request that is answered with `done` does not cancel dependents.
         (Rule::WentBack, |checker, id, violates| {
             let next = dependent(checker, "j-2", id);
             (0..4).for_each(|i| checker.on_task_completed(1, &task(i)));
@@ -263,7 +265,7 @@
             }
             checker.on_immediate_response(6, &next, false, 200, Some(JobStage::Cancelled));
         }),
-        // Its time begins when the last job that it depends on is done.
+        // The time of a dependent job starts when its last dependency completes.
         (Rule::LateBegin, |checker, id, violates| {
             checker.jobs.get_mut(id).unwrap().class = "other".to_owned();
             checker.on_request_sent(1, id);
@@ -305,8 +307,8 @@
     }
 }
 
-/// Starts after a confirmed cancellation are counted, also within the time that the rule
-/// allows.
+/// Tests compare the number of starts after a confirmed cancellation, so starts within the allowed
+/// time must be counted although they violate no rule.
 #[test]
 fn starts_after_a_confirmed_cancellation_are_counted() {
     let mut checker = Checker::new(BTreeMap::new(), 100);
--- a/crates/testkit/src/checker/usage.rs
+++ b/crates/testkit/src/checker/usage.rs
@@ -1,12 +1,12 @@
-//! Exact sums of what a team's tasks use.
+//! Exact sums of the CPUs and GPUs that a team's tasks use.
 
 use forkshift_wire::users::JobSpec;
 
-/// CPUs and GPUs are counted in integer parts, so that adding and removing tasks leaves no
-/// rounding error.
+/// CPUs and GPUs are counted in integer millionths, so that adding and removing tasks accumulates
+/// no rounding error.
 const PARTS_PER_UNIT: f64 = 1_000_000.0;
 
-/// CPUs and GPUs that are in use.
+/// CPUs and GPUs in use, in millionths.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub(super) struct Usage {
     cpu_parts: i64,
@@ -14,13 +14,13 @@
 }
 
 impl Usage {
-    /// Adds a task of a job.
+    /// Adds the resources of one task of a job.
     pub(super) fn add(&mut self, spec: &JobSpec) {
         self.cpu_parts += parts(spec.cpus);
         self.gpu_parts += parts(spec.gpus);
     }
 
-    /// Removes a task of a job.
+    /// Subtracts the resources of one task of a job.
     pub(super) fn remove(&mut self, spec: &JobSpec) {
         self.cpu_parts -= parts(spec.cpus);
         self.gpu_parts -= parts(spec.gpus);
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -1,6 +1,8 @@
-//! Random days, for tests and for the soak program.
+//! Random days, for tests and for the soak program. A day is one simulated run with random jobs
+//! and faults that are determined by a seed.
 //!
-//! The order of draws may not change: a seed stands for the same day in every build.
+//! The order of random draws must not change, so that a seed produces the same day in every build
+//! and recorded failures stay reproducible.
 
 use crate::{
     random_early_faults, random_faults, random_pairs, random_upgrade, DeploymentConfig, Fault,
@@ -11,63 +13,66 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Jobs of a day.
+/// Independent jobs per day.
 const JOBS: u32 = 30;
-/// Jobs are submitted within these times.
+/// Range of times at which the independent jobs are submitted.
 const FIRST_JOB_AT: Ms = 2_000;
 const LAST_JOB_AT: Ms = 90_000;
-/// Faults begin within these times.
+/// Range of times at which faults begin.
 const FIRST_FAULT_AT: Ms = 15_000;
 const LAST_FAULT_AT: Ms = 110_000;
 
-/// Pipelines of a day with an upgrade.
+/// Pipelines of dependent jobs on a day with an upgrade.
 const PIPELINES: u32 = 8;
-/// Pipelines and large arrays are submitted until then.
+/// Latest submission of pipelines and large arrays, so that some are submitted after the upgrade.
 const LAST_PIPELINE_AT: Ms = 150_000;
-/// Arrays of a day with an upgrade that take more than one record.
+/// Arrays on a day with an upgrade that are too large for a single store record.
 const LARGE_ARRAYS: u32 = 3;
-/// Most jobs of a pipeline.
+/// Maximum number of jobs in a pipeline.
 pub(crate) const MAX_PIPELINE_JOBS: u32 = 6;
-/// Faults of a day with an upgrade begin until then.
+/// Latest start of a fault on a day with an upgrade, so that some faults follow the upgrade.
 const LAST_LATE_FAULT_AT: Ms = 180_000;
-/// Limits that come into force after an upgrade.
+/// Store limits that are announced at the start and take effect after an upgrade.
 const NEXT_LIMITS: NextLimits = NextLimits {
     write_rps: 56.0,
     value_kb: 2,
     txn_ops: 4,
 };
 
-/// How a day's faults are drawn.
+/// Which faults a day draws, and on which jobs and limits.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FaultSchedule {
-    /// Each by itself.
+    /// Independent single faults of all kinds.
     Single,
-    /// Each by itself, of the kinds that early seeds drew from.
+    /// Independent single faults of the kinds that early versions drew from, to reproduce their
+    /// seeds.
     Early,
-    /// In pairs and known combinations, of all kinds, on days that are longer and
-    /// have longer jobs, more cancellations and tighter limits.
+    /// Pairs of faults and known combinations, of all kinds, on longer days with longer jobs, more
+    /// cancellations and, on some days, lower team limits and a shorter cancellation time.
     Pairs,
-    /// As pairs, on days that begin with the old release, of an upgrade, lower
-    /// limits, and pipelines of jobs.
+    /// Like [`FaultSchedule::Pairs`], on days that begin with the old release and add an upgrade
+    /// of all controllers, lower store limits, large arrays and pipelines of jobs.
     Upgrade,
 }
 
-/// Ends of days with single faults, and of days with pairs.
+/// Length of a day with single faults. It leaves time after the last fault in which all jobs
+/// have to complete.
 const DAY_END: Ms = 260_000;
+/// Length of a day with pairs of faults, whose jobs run longer.
 const LONG_DAY_END: Ms = 600_000;
 
-/// A random day.
+/// A random day, ready to run.
 pub struct Day {
-    /// The simulation at the beginning of the day.
+    /// The simulation, at time 0 until it is run.
     pub simulation: Simulation,
-    /// All faults of the day.
+    /// The scheduled faults, for reports.
     pub faults: Vec<Fault>,
-    /// The end of the day.
+    /// Time at which the day ends.
     pub end: Ms,
 }
 
 impl Day {
-    /// The day of a seed, with so many faults, or half as many pairs.
+    /// The day of a seed, with `faults` faults, or half as many pairs if the schedule has pairs.
     pub fn new(seed: u64, faults: usize, schedule: FaultSchedule) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let plans = random_plans(&mut rng, schedule);
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Runs the day to its end, and the checks of the whole day.
+    /// Runs the day to its end, then the checks that need the whole day.
     pub fn play(&mut self) {
         self.simulation.run_until(self.end);
         self.simulation.finish();
@@ -92,7 +97,7 @@
 }
 
 impl FaultSchedule {
-    /// Whether faults come in pairs, on long days with long jobs.
+    /// Whether faults come in pairs, which also makes the day and its jobs longer.
     fn has_pairs(self) -> bool {
         matches!(self, Self::Pairs | Self::Upgrade)
     }
@@ -124,7 +129,7 @@
 }
 
 fn add_pipelines(rng: &mut StdRng, plans: &mut Vec<JobPlan>) {
-    // Services never end, so no job depends on one.
+    // A job that depends on a service would never start, as services never complete.
     let specs = plans.iter().map(|plan| &plan.spec);
     let others = specs.filter(|spec| spec.kind != JobKind::Service);
     let others: Vec<JobId> = others.map(|spec| spec.id.clone()).collect();
@@ -135,7 +140,7 @@
     }
 }
 
-/// Faults of a day; pairs are half as many.
+/// Draws the faults of a day: `count` single faults, or `count / 2` pairs, rounded up.
 fn random_day_faults(rng: &mut StdRng, count: usize, schedule: FaultSchedule) -> Vec<Fault> {
     let (from, to) = (FIRST_FAULT_AT, LAST_FAULT_AT);
     let pairs = count.div_ceil(2);
--- a/crates/testkit/src/fault_schedule.rs
+++ b/crates/testkit/src/fault_schedule.rs
@@ -1,6 +1,7 @@
-//! Fault schedules that are drawn from a seed.
+//! Random fault schedules.
 //!
-//! The order of draws may not change: a seed stands for the same day in every build.
+//! The order of random draws must not change, so that a seed produces the same faults in every
+//! build and recorded failures stay reproducible.
 
 mod combinations;
 mod single;
@@ -16,31 +17,32 @@
 use single::{random_fault, random_kind};
 use std::ops::Range;
 
-/// Kinds of faults that early seeds drew from. Seeds that once showed a failure stay
-/// reproducible with these.
+/// Number of fault kinds in early versions. Seeds that showed a failure with those versions stay
+/// reproducible by drawing from these kinds only.
 const EARLY_KINDS: u32 = 16;
-/// Kinds of faults that are drawn now.
+/// Number of fault kinds from which single faults are drawn.
 const KINDS: u32 = 19;
 
-/// Pause between the upgrades of two controllers.
+/// Time from the upgrade of one controller to the upgrade of the next.
 const UPGRADE_INTERVAL: Range<Ms> = 2_000..15_000;
-/// Time until an upgraded controller is back.
+/// Time from the exit of a controller to its start as the new release.
 const UPGRADE_DOWNTIME: Range<Ms> = 500..6_000;
-/// Least time from the last upgrade until the limits are lowered.
+/// Minimum time from the last upgrade until the announced limits take effect. The last upgraded
+/// controller starts less than 6 s after its exit.
 const MIN_LOWER_LIMITS_DELAY_MS: Ms = 8_000;
 
-/// A schedule of faults between two times, of the kinds that early seeds drew from.
+/// Draws `n` faults that begin between two times, of the kinds that early versions drew from.
 pub fn random_early_faults(rng: &mut StdRng, from: Ms, to: Ms, n: usize) -> Vec<Fault> {
     random_schedule(rng, from, to, n, EARLY_KINDS)
 }
 
-/// A schedule of faults of all kinds between two times.
+/// Draws `n` single faults of all kinds that begin between two times.
 pub fn random_faults(rng: &mut StdRng, from: Ms, to: Ms, n: usize) -> Vec<Fault> {
     random_schedule(rng, from, to, n, KINDS)
 }
 
-/// An upgrade of all controllers, one or two at a time and in any order, and lower limits
-/// some time later, perhaps before the last controller is back.
+/// Draws an upgrade of all `nodes` controllers in random order, mostly one after another and
+/// sometimes several at once, followed by lower store limits.
 pub fn random_upgrade(rng: &mut StdRng, from: Ms, nodes: usize) -> Vec<Fault> {
     let mut order: Vec<usize> = (0..nodes).collect();
     order.shuffle(rng);
@@ -73,9 +75,9 @@
     faults
 }
 
-/// A schedule of pairs of faults close together, of all kinds, also of controllers and
-/// machines selected by their role, and of known combinations. Their jobs are the first
-/// `jobs` of a day's.
+/// Draws pairs of faults close together, and known combinations of faults, that begin between two
+/// times. Faults may select controllers and machines by their role, for instance the holder of one
+/// of the day's first `jobs` jobs.
 pub fn random_pairs(rng: &mut StdRng, from: Ms, to: Ms, pairs: usize, jobs: u32) -> Vec<Fault> {
     let mut faults = Vec::new();
     for _ in 0..pairs {
@@ -84,7 +86,7 @@
             faults.extend(random_combination(rng, at, jobs));
             continue;
         }
-        // Together, just after one another, or a little apart.
+        // Almost at the same time, or up to 3 s apart, or up to 15 s apart.
         let gap = match rng.random_range(0..3) {
             0 => rng.random_range(0..200),
             1 => rng.random_range(200..3_000),
--- a/crates/testkit/src/fault_schedule/combinations.rs
+++ b/crates/testkit/src/fault_schedule/combinations.rs
@@ -1,4 +1,4 @@
-//! Combinations of faults that once violated a rule, or are close to such ones.
+//! Combinations of faults that violated a rule in the past, and variants of them.
 
 use super::random_job;
 use crate::faults::{ControllerSelector, Fault, FaultKind, MachineFault, MachineSelector};
@@ -6,37 +6,44 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Index of a fault whose controller is selected as it begins.
+/// Index in a fault whose controller is selected when it begins, and replaced then.
 const PLACEHOLDER_CONTROLLER: usize = 0;
-/// Downtime of a crashed controller after which others have taken over.
+/// Downtime of a crashed controller that is long enough for a failover to other controllers.
 const DOWNTIME_MS: Ms = 5_000;
-/// Downtime of a crashed controller that is soon back.
+/// Downtime of a crashed controller that restarts before a failover.
 const SHORT_DOWNTIME_MS: Ms = 900;
-/// Downtime of all controllers that is longer than a worker's lease.
+/// Downtime of all controllers that exceeds the lease of a worker, 10 s.
 const LONG_DOWNTIME_MS: Ms = 14_000;
-/// Changes of the leader, and the time between them.
+/// Number of times that the leader is locked out of the store, to force repeated elections.
 const LEADER_CHANGES: u64 = 8;
+/// Time between these lockouts.
 const LEADER_CHANGE_INTERVAL_MS: Ms = 9_000;
 
-/// Faults with the times at which they begin.
+/// Faults, each with the time at which it begins.
 type TimedFaults = Vec<(Ms, FaultKind)>;
 
-/// The times, durations and targets of a combination, all drawn before its kind.
+/// The times, durations and targets of a combination. All are drawn before the kind of the
+/// combination, whether or not it uses them, so that the number of draws is the same for each.
 struct CombinationDraws {
+    /// Start of the combination.
     at: Ms,
+    /// Up to 4 s after `at`.
     soon: Ms,
+    /// Up to 4 s after `soon`.
     later: Ms,
+    /// The leader, or the holder of a job's shard.
     controller: ControllerSelector,
-    /// A duration like that of single faults.
+    /// A duration in the range of single faults, 2 to 25 s.
     time: Ms,
-    /// A duration longer than a cancellation may take.
+    /// A duration that exceeds the default time for a cancellation, 35 s.
     long_time: Ms,
-    /// Users cancel running jobs.
+    /// Cancellation of running jobs, with or without a hang of their machines.
     cancel: FaultKind,
     lost_writes: FaultKind,
     holds_messages: bool,
-    /// When another controller has taken over from one that fails at `at`.
+    /// Time at which a failover from a controller that failed at `at` may have completed.
     failover: Ms,
+    /// Up to 2.5 s after `failover`.
     after_failover: Ms,
 }
 
@@ -109,7 +116,7 @@
         })
     }
 
-    /// The controller is partitioned from the store.
+    /// The selected controller does not reach the store.
     fn store_partition(&self) -> FaultKind {
         self.at_controller(FaultKind::ServicePartition {
             node: PLACEHOLDER_CONTROLLER,
@@ -121,7 +128,7 @@
         })
     }
 
-    /// The controller is partitioned from its peers.
+    /// The selected controller does not reach its peers.
     fn peer_partition(&self) -> FaultKind {
         self.at_controller(FaultKind::PeerPartition {
             node: PLACEHOLDER_CONTROLLER,
@@ -131,13 +138,13 @@
         })
     }
 
-    /// A fault of the machines of the controller's shards.
+    /// A fault of the machines of the selected controller's shards.
     fn machines(&self, fault: MachineFault) -> FaultKind {
         FaultKind::Machines(MachineSelector::HeldBy(self.controller.clone()), fault)
     }
 
-    /// The controller is locked out of the store alone, then comes an outage that is longer
-    /// than a cancellation may take.
+    /// The selected controller alone is locked out of the store, followed by an outage of the store
+    /// for all that exceeds the time for a cancellation.
     fn lockout_then_outage(&self) -> TimedFaults {
         vec![
             (self.at, self.lockout()),
@@ -154,7 +161,7 @@
         ]
     }
 
-    /// The controller is partitioned from the store and not from the workers.
+    /// The selected controller does not reach the store, but still reaches the workers.
     fn store_partition_then_cancel(&self) -> TimedFaults {
         vec![
             (self.at, self.store_partition()),
@@ -210,7 +217,7 @@
         ]
     }
 
-    /// All controllers are down for longer than a worker's lease.
+    /// All controllers of a default deployment are down for longer than the lease of a worker.
     fn cancel_then_crash_of_all(&self) -> TimedFaults {
         let crash = FaultKind::Crash {
             node: PLACEHOLDER_CONTROLLER,
@@ -231,8 +238,8 @@
         ]
     }
 
-    /// Another controller has taken over, confirms cancellations and can't reach the
-    /// workers; then nothing can be written.
+    /// After a failover the new holder confirms cancellations while no controller's commands reach
+    /// the workers; then an outage of the store prevents all writes.
     fn failover_without_command_links(&self) -> TimedFaults {
         let command_partition = |node| FaultKind::CommandPartition {
             node,
@@ -257,7 +264,8 @@
         ]
     }
 
-    /// The old leader or holder is partitioned from the store and its peers.
+    /// The previous leader or holder reaches neither the store nor its peers, so it does not learn of
+    /// the failover.
     fn failover_from_isolated_controller(&self) -> TimedFaults {
         vec![
             (self.at, self.store_partition()),
@@ -267,7 +275,7 @@
         ]
     }
 
-    /// The leader changes again and again.
+    /// The leader is locked out of the store repeatedly.
     fn leader_changes(&self, rng: &mut StdRng) -> TimedFaults {
         let lockouts = (0..LEADER_CHANGES).map(|change| {
             let lockout = FaultKind::StoreLockout {
@@ -281,7 +289,8 @@
     }
 }
 
-/// A combination of faults that begins at a time.
+/// Draws a combination of faults that begins at a time. It may refer to the first `jobs` jobs of
+/// the day.
 pub(super) fn random_combination(rng: &mut StdRng, at: Ms, jobs: u32) -> Vec<Fault> {
     let draws = CombinationDraws::new(rng, at, jobs);
     let faults = match rng.random_range(0..15) {
--- a/crates/testkit/src/fault_schedule/single.rs
+++ b/crates/testkit/src/fault_schedule/single.rs
@@ -1,4 +1,4 @@
-//! Single faults drawn at random.
+//! Random single faults.
 
 use super::{random_controller, random_job, KINDS};
 use crate::faults::{FaultKind, MachineFault, MachineSelector, ZONES};
@@ -6,14 +6,16 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Downtimes of crashed controllers on plain days.
+/// Downtimes of crashed controllers on days with single faults. The short ones end before a
+/// failover, the long ones after.
 const DOWNTIMES_MS: [Ms; 4] = [50, 300, 3_000, 6_000];
-/// Downtimes of crashed controllers on days with pairs of faults.
+/// Downtimes of crashed controllers on days with pairs of faults. The longest exceeds the default
+/// lease of a worker, 10 s.
 const LONG_DOWNTIMES_MS: [Ms; 4] = [50, 900, 5_000, 14_000];
-/// Notice of a reclaim of spot machines that is announced.
+/// Time from the notice to the reclaim of spot machines, for reclaims with a notice.
 const SPOT_NOTICE_MS: Ms = 4_000;
 
-/// A fault of one of the first `kinds` kinds.
+/// Draws a fault of one of the first `kinds` kinds.
 pub(super) fn random_kind(rng: &mut StdRng, kinds: u32) -> FaultKind {
     let node = rng.random_range(0..3);
     let time = rng.random_range(2_000..25_000);
@@ -46,7 +48,8 @@
     }
 }
 
-/// A fault of any kind, also of controllers and machines selected by their role.
+/// Draws a fault of any kind, including faults of controllers and machines that are selected by
+/// their role. It may refer to the first `jobs` jobs of the day.
 pub(super) fn random_fault(rng: &mut StdRng, jobs: u32) -> FaultKind {
     let time = rng.random_range(2_000..25_000);
     let percent = rng.random_range(5..60);
@@ -57,7 +60,7 @@
             let fault = random_controller_fault(rng, kind, time, holds_messages);
             fault.at(random_controller(rng, jobs))
         }
-        // Also longer than a cancellation may take.
+        // The range exceeds the default time for a cancellation, 35 s.
         5 | 6 => FaultKind::StoreOutage(rng.random_range(2_000..62_000)),
         11..=13 => random_machine_fault(rng, jobs),
         14 | 15 => FaultKind::LostWriteResponses {
@@ -83,7 +86,8 @@
     }
 }
 
-/// A fault of a controller that is selected later, by the number that was drawn for it.
+/// Draws a fault of a controller, whose index is filled in when the fault begins. `kind` is the
+/// number that [`random_fault`] drew.
 fn random_controller_fault(
     rng: &mut StdRng,
     kind: u32,
@@ -125,7 +129,7 @@
     }
 }
 
-/// A partition of a controller from store, workers and cloud.
+/// Draws a partition of a controller from the store, the workers and the cloud, as flagged.
 fn random_service_partition(
     rng: &mut StdRng,
     node: usize,
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,196 +1,201 @@
-//! Kinds of faults, and selectors of the controllers and machines that they affect.
+//! Kinds of faults, and selectors of the controllers and machines that they affect. The soak
+//! program prints the names of kinds and fields.
 
 use crate::cloud::SlowBoots;
 use crate::Ms;
 use forkshift_wire::{JobId, MachineId};
 
-/// All zones. Controllers are assigned to them in turn.
+/// All zones. Controllers are assigned to them round-robin, by index.
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A controller, selected by its role as the fault begins.
+/// Selects a controller by its role at the time at which a fault begins.
 #[derive(Clone, Debug)]
 pub enum ControllerSelector {
-    /// The one of an index.
+    /// The controller with this index.
     Index(usize),
-    /// The holder of a job's shard, by the store's records.
+    /// The controller that holds the shard of a job according to the store.
     HolderOfJob(JobId),
-    /// The leader, by the store's record.
+    /// The leader according to the store.
     Leader,
-    /// The next one after another that is up.
+    /// The next controller by index after the selected one that is up.
     NextAfter(Box<ControllerSelector>),
 }
 
-/// Machines, selected by their state as the fault begins.
+/// Selects machines that are up by their state at the time at which a fault begins.
 #[derive(Clone, Debug)]
 pub enum MachineSelector {
-    /// Those with a task of a job that has not exited.
+    /// Machines with a task of this job that has not exited.
     RunningJob(JobId),
-    /// Those of the shards that a controller holds.
+    /// Machines of the shards that a controller holds according to the store.
     HeldBy(ControllerSelector),
-    /// Those of a zone.
+    /// Machines of a zone.
     InZone(&'static str),
-    /// Those of these names.
+    /// Machines with these ids.
     Named(Vec<MachineId>),
-    /// A number of machines, drawn at random.
+    /// This number of machines, drawn at random.
     Random(usize),
-    /// All that are up.
+    /// All machines.
     All,
 }
 
-/// A direction of the link between a controller and machines.
+/// Direction of messages that are lost between a controller and machines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LinkDirection {
     /// Heartbeats from machines to the controller.
     Heartbeats,
     /// Calls from the controller to machines.
     Commands,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
-/// A fault of machines. Times are durations.
+/// A fault of a machine or its worker. Each time is a duration.
 #[derive(Clone, Copy, Debug)]
 pub enum MachineFault {
-    /// It stops with everything on it.
+    /// The machine fails permanently, and its tasks end.
     Crash,
-    /// It hangs, and resumes.
+    /// The worker does not run, and resumes afterwards with its state.
     Hang(Ms),
-    /// It is partitioned from everything; messages are delivered afterwards.
+    /// No message reaches or leaves the machine. Commands are delivered afterwards; heartbeats are
+    /// held or lost like those in other partitions of the controller.
     Partition(Ms),
-    /// Its heartbeats arrive; responses and commands to it are lost.
+    /// Responses and commands to the machine are lost, while its heartbeats arrive.
     InboundLoss(Ms),
-    /// Its heartbeats are lost; commands arrive and are answered.
+    /// The machine's heartbeats are lost, while commands arrive and are answered.
     OutboundLoss(Ms),
-    /// Messages from and to it take up to eight seconds longer.
+    /// Messages from and to the machine take 0.5 to 8 s longer.
     SlowLink(Ms),
-    /// Tasks that start on it fail.
+    /// Tasks that have their image ready on the machine during this time fail at once.
     FailTasks(Ms),
-    /// It loses all images.
+    /// The machine's image cache is emptied.
     EvictImages,
-    /// Its prefetches do not complete.
+    /// Prefetches on the machine do not complete during this time.
     StuckPrefetch(Ms),
 }
 
-/// A kind of fault. Times are durations unless they say otherwise.
+/// A kind of fault. Each time is a duration.
 #[derive(Clone, Debug)]
 pub enum FaultKind {
-    /// Controllers exit, and start again after a while.
+    /// Controllers exit and restart.
     Crash {
-        /// The first; the others are those after it.
+        /// Index of the first controller; the others follow it by index.
         node: usize,
-        /// Number of controllers.
+        /// Number of controllers that exit.
         count: usize,
-        /// Time until they start again.
+        /// Time until they restart.
         restart_after: Ms,
     },
-    /// A controller exits, and starts again as the new release.
+    /// A controller exits and restarts as the new release.
     Upgrade {
         /// Index of the controller.
         node: usize,
         /// Time until it starts again.
         restart_after: Ms,
     },
-    /// A controller exits, and starts again as the old release.
+    /// A controller exits and restarts as the old release.
     Downgrade {
         /// Index of the controller.
         node: usize,
         /// Time until it starts again.
         restart_after: Ms,
     },
-    /// The announced limits of the store come into force.
+    /// The store's announced limits take effect.
     LowerLimits,
-    /// A controller is partitioned from some services.
+    /// A controller's calls to some services do not arrive.
     ServicePartition {
         /// Index of the controller.
         node: usize,
-        /// From the store.
+        /// Whether the store is affected.
         store: bool,
-        /// From the workers.
+        /// Whether workers are affected, including their heartbeats to the controller.
         workers: bool,
-        /// From the cloud.
+        /// Whether the cloud is affected.
         cloud: bool,
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
         holds_messages: bool,
     },
-    /// A zone is partitioned from everything outside of it.
+    /// No message crosses the boundary of a zone. The store, the cloud and the users are outside of
+    /// all zones.
     ZonePartition {
-        /// The zone.
+        /// Name of the zone.
         zone: &'static str,
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
         holds_messages: bool,
     },
-    /// The store refuses the requests of a controller.
+    /// The store answers the requests of a controller with 503.
     StoreRefusal {
         /// Index of the controller.
         node: usize,
         /// Duration.
         time: Ms,
     },
-    /// The store is down.
+    /// The store refuses all requests with 503, except watches, which get no response. Leases are
+    /// renewed at both ends of the outage.
     StoreOutage(Ms),
-    /// Some responses of the store are slow.
+    /// One in four responses of the store takes 0.1 to 1.5 s longer.
     SlowStore(Ms),
-    /// Some transactions get no response and are executed late, after newer ones of the same
-    /// controller.
+    /// One in eight transactions gets no response and is executed 2 to 12 s later, after newer
+    /// transactions of the same controller.
     LateWrites(Ms),
-    /// The cloud is down.
+    /// The cloud refuses all requests with 503.
     CloudOutage(Ms),
-    /// A controller's timers fire late.
+    /// A controller steps at most every 1.5 s, so its timers fire late and its input waits.
     SlowTimers {
         /// Index of the controller.
         node: usize,
         /// Duration.
         time: Ms,
     },
-    /// A machine drawn at random stops with everything on it.
+    /// [`MachineFault::Crash`] of a machine drawn at random.
     MachineCrash,
-    /// A machine drawn at random hangs, and resumes.
+    /// [`MachineFault::Hang`] of a machine drawn at random.
     MachineHang(Ms),
-    /// A machine drawn at random is partitioned; messages are delivered afterwards.
+    /// [`MachineFault::Partition`] of a machine drawn at random.
     MachinePartition(Ms),
-    /// Responses to a machine drawn at random are lost, and commands to it delivered
+    /// Responses to a machine drawn at random are lost, and commands to it are delivered
     /// afterwards.
     MachineInboundBlocked(Ms),
-    /// Tasks that start on a machine drawn at random fail.
+    /// [`MachineFault::FailTasks`] of a machine drawn at random.
     MachineFailsTasks(Ms),
     /// The cloud reclaims all spot machines.
     SpotReclaim {
-        /// Time from the notice until the reclaim; 0: no notice.
+        /// Time from the notice to the reclaim; 0: no notice is given.
         notice: Ms,
     },
-    /// Copies of some heartbeats arrive late.
+    /// One in four heartbeats arrives a second time, 1 s to four leases later.
     LateHeartbeatCopies(Ms),
-    /// Some responses are lost.
+    /// One in twenty responses is lost.
     LostResponses(Ms),
-    /// A fault of a selected controller. It waits until there is one.
+    /// A fault of a controller that is selected when the fault begins. The fault is retried in every
+    /// step until the selector matches a controller.
     At(ControllerSelector, Box<FaultKind>),
-    /// A fault of selected machines.
+    /// A fault of the machines that are selected when the fault begins.
     Machines(MachineSelector, MachineFault),
-    /// The store refuses the requests of a controller, and its open watches get no response
-    /// meanwhile.
+    /// The store answers the requests of a controller with 503 and leaves its watches without a
+    /// response.
     StoreLockout {
         /// Index of the controller.
         node: usize,
         /// Duration.
         time: Ms,
     },
-    /// A controller and other controllers are partitioned from each other.
+    /// Messages between a controller and other controllers do not arrive.
     PeerPartition {
         /// Index of the controller.
         node: usize,
-        /// The others; all if left out.
+        /// Indices of the other controllers; all if absent.
         peers: Option<Vec<usize>>,
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
         holds_messages: bool,
     },
-    /// A controller's commands do not reach workers, whose heartbeats still arrive and are
-    /// answered.
+    /// A controller's commands do not reach workers, while their heartbeats to it still arrive and
+    /// are answered.
     CommandPartition {
         /// Index of the controller.
         node: usize,
@@ -199,93 +204,94 @@
         /// Whether commands are delivered afterwards; else they are lost.
         holds_messages: bool,
     },
-    /// A controller and some machines are partitioned from each other; each still reaches all
-    /// others.
+    /// Messages between a controller and some machines are lost. The controller still reaches all
+    /// other machines, and the machines all other controllers.
     LinkPartition {
         /// Index of the controller.
         node: usize,
-        /// The machines, selected as the fault begins.
+        /// The machines, selected when the fault begins.
         machines: MachineSelector,
-        /// Direction in which messages are lost.
+        /// Direction of the messages that are lost.
         direction: LinkDirection,
         /// Duration.
         time: Ms,
         /// Whether messages are delivered afterwards; else they are lost.
         holds_messages: bool,
     },
-    /// A controller is paused, and resumes.
+    /// A controller's process does not run, and resumes afterwards with its state.
     Pause {
         /// Index of the controller.
         node: usize,
         /// Duration.
         time: Ms,
     },
-    /// Some transactions get no response.
+    /// Some transactions of controllers get no response.
     LostWriteResponses {
-        /// Percentage of them.
+        /// Percentage of the matching transactions.
         percent: u32,
-        /// Only those that put a key with this prefix.
+        /// Only transactions that put a key with this prefix match; all if absent.
         key_prefix: Option<&'static str>,
-        /// Whether they are executed at once; else 2 to 12 s later.
+        /// Whether the transactions are executed on arrival; else 2 to 12 s later.
         executes_at_once: bool,
         /// Duration.
         time: Ms,
     },
-    /// Copies of some heartbeats arrive late, from 2 s to four leases.
+    /// Copies of some heartbeats arrive 2 s to four leases later, or after a failover.
     LateHeartbeats {
         /// Percentage of heartbeats.
         percent: u32,
-        /// Whether they are kept until a new leader or holder has begun, and then reach every
-        /// controller.
+        /// Whether the copies are withheld until a leader or a holder of a shard has changed, and
+        /// are then delivered to every controller.
         until_failover: bool,
         /// Duration.
         time: Ms,
     },
-    /// Some new machines come up late or never.
+    /// Some machines that are provisioned during this time boot late or never.
     SlowBoots {
-        /// Which machines, and how late.
+        /// The affected machines and their boot time.
         which: SlowBoots,
         /// Duration.
         time: Ms,
     },
-    /// New machines are up within two seconds.
+    /// Machines that are provisioned during this time boot in 0.2 to 2 s.
     FastBoots(Ms),
-    /// Some commands or their responses are delayed for seconds.
+    /// Some commands to workers, or the responses to them, are delayed by 1 to 12 s.
     DelayedCommands {
-        /// Percentage of them.
+        /// Percentage of the messages.
         percent: u32,
         /// Duration.
         time: Ms,
     },
-    /// Users cancel running jobs within a fifth of a second.
+    /// Users cancel the running jobs with the longest run times within 0.2 s.
     CancelRunningJobs {
-        /// Number of jobs.
+        /// Maximum number of jobs.
         count: usize,
-        /// Time for which up to eight of their machines hang.
+        /// Time for which up to eight machines of these jobs hang; 0: none hangs.
         hang_ms: Ms,
     },
-    /// Some jobs are cancelled as their last task completes.
+    /// Users cancel some jobs when their last task completes, so that cancellation and completion
+    /// race.
     CancelCompletingJobs {
-        /// Percentage of them.
+        /// Percentage of the completing jobs.
         percent: u32,
         /// Duration.
         time: Ms,
     },
-    /// Users repeat submissions, cancel completed jobs, and submit jobs that can not run or
-    /// are malformed.
+    /// Every 0.2 s a user resubmits a job, cancels a completed or unknown job, requests an unknown
+    /// job, or submits a job that is malformed or can never be scheduled.
     UnusualRequests(Ms),
-    /// Users request the state of a job at all controllers within milliseconds after it was
+    /// Users resubmit a job and request its state at all controllers within 40 ms, when it is
     /// accepted, completed or cancelled.
     StatusBursts(Ms),
 }
 
 impl FaultKind {
-    /// The fault at a controller that is selected as it begins.
+    /// This fault at a controller that is selected when the fault begins.
     pub fn at(self, who: ControllerSelector) -> Self {
         Self::At(who, Box::new(self))
     }
 
-    /// How long the fault and the messages that it delays last.
+    /// Time from the start of the fault until it and all delays of its messages are over.
     pub(crate) fn duration(&self, lease_ms: Ms) -> Ms {
         match self {
             Self::Crash { restart_after, .. }
@@ -337,7 +343,7 @@
         }
     }
 
-    /// The fault at the controller of an index, if it is a controller's fault.
+    /// This fault at the controller with index `n`; unchanged if it is no fault of one controller.
     pub(crate) fn with_controller(mut self, n: usize) -> Self {
         match &mut self {
             Self::Crash { node, .. }
@@ -357,11 +363,11 @@
     }
 }
 
-/// A fault that begins at a time.
+/// A scheduled fault.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// When it begins.
+    /// Time at which the fault begins.
     pub at: Ms,
-    /// Its kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,43 +1,46 @@
-//! Machine types on offer, their numbers and their boot times.
+//! The machine types that the simulated cloud offers, their capacity and their boot times.
 
 use crate::Ms;
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::MachineId;
 use std::collections::BTreeMap;
 
-/// Nominal boot time of every type of the default fleet.
+/// Nominal boot time of all machine types of the default fleet.
 pub(crate) const BOOT_MS: Ms = 10_000;
 
-/// How long machines take until they are up.
+/// Distribution of the boot times of new machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BootModel {
-    /// One in twenty never comes up, one comes up late, and one at once.
+    /// Of twenty machines, one never boots, one takes four times the nominal time, one takes 0.5 s,
+    /// and the others take 0.6 to 1.5 times the nominal time.
     Adverse,
-    /// Around the boot time of the type, except for machines that never come up.
+    /// 0.6 to 1.5 times the boot time of the type, except for machines that never boot.
     Normal {
-        /// Probability that a machine never comes up, from 0 to 1.
+        /// Probability that a machine never boots, from 0 to 1.
         failure_probability: f64,
     },
 }
 
-/// A machine type, a zone, and whether spot machines are meant.
+/// Key of a capacity: machine type, zone, and whether the capacity is of spot machines.
 pub type CapacityKey = (String, String, bool);
 
-/// The machines that the cloud offers, and the addresses of their workers.
+/// The machine types, capacities and boot times of the simulated cloud.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Types on offer, each with its zones.
+    /// Machine types in the catalog, each with the zones that offer it.
     pub types: Vec<MachineType>,
-    /// Number of machines of each kind. If there are none here, `PoolSize::capacity` applies.
+    /// Maximum number of machines per type, zone and spot flag. If the map is empty, the capacity
+    /// of [`crate::DeploymentConfig`] applies to all; otherwise a missing key means no machines.
     pub capacity: BTreeMap<CapacityKey, u32>,
-    /// How long they take to boot.
+    /// Distribution of boot times.
     pub boots: BootModel,
-    /// The address of a machine's worker.
+    /// Address at which controllers reach the worker of a machine.
     pub address: fn(&MachineId) -> String,
 }
 
 impl Default for Fleet {
-    /// Two types in three zones, whose workers are addressed by their names.
+    /// One type with GPUs and one without, in three zones; the address of a worker is the id of
+    /// its machine.
     fn default() -> Self {
         let machine_type = |name: &str, (cpus, gpus, memory_gb), (cache_gb, rate), price| {
             let (price, spot_price) = price;
@@ -67,7 +70,7 @@
 }
 
 impl Fleet {
-    /// The type of a name.
+    /// The machine type with a name; none if the fleet does not offer it.
     pub(crate) fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.types
             .iter()
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,10 @@
-//! Deterministic simulation of a deployment, to drive controllers in virtual time with
-//! faults injected.
+//! Deterministic simulation of a deployment: real controllers run in virtual time against
+//! simulated services while faults are injected.
 //!
-//! [`Simulation`] models workers, cloud, store, network and users; [`Checker`] checks what truly
-//! happens against the rules of the protocol and knows nothing of how the controllers work.
+//! [`Simulation`] models the workers, the cloud, the key-value store, the network and the users.
+//! [`Checker`] compares the events on the simulated machines and the responses to users with the
+//! rules of the protocol. It has no access to the state of the controllers, so an error in a
+//! controller cannot hide from it.
 
 mod checker;
 mod cloud;
@@ -27,5 +29,5 @@
     JobPlan, MachineChange, NextLimits, Requester, Service, ServicesConfig, Simulation,
 };
 
-/// Milliseconds of virtual time.
+/// Milliseconds of virtual time since the start of the simulation, or a duration in milliseconds.
 pub type Ms = u64;
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,4 +1,5 @@
-//! Plays random days with fresh seeds and prints which violated a rule.
+//! The soak program: runs random days and prints the days on which a rule was violated or a job
+//! was left unfinished. A day is one simulated run of a few minutes, determined by its seed.
 
 use clap::{Parser, ValueEnum};
 use forkshift_testkit::{Day, FaultSchedule, Ms, Simulation};
@@ -6,16 +7,16 @@
 use rand::Rng;
 use std::process::ExitCode;
 
-/// How a day's faults are drawn.
+/// Which faults a day draws.
 #[derive(Clone, Copy, ValueEnum)]
 enum DrawArg {
-    /// Each by itself.
+    /// Independent single faults of all kinds.
     Single,
-    /// Each by itself, of the kinds that there once were.
+    /// Independent single faults of the kinds that existed in early versions of this program.
     Once,
-    /// In pairs and known combinations, of all kinds.
+    /// Pairs of faults close together, and combinations that violated rules in the past.
     Pairs,
-    /// As pairs, with an upgrade, lower limits and pipelines.
+    /// Like `pairs`, with an upgrade of the controllers, lower store limits and job pipelines.
     Upgrade,
 }
 
@@ -30,36 +31,36 @@
     }
 }
 
-/// Plays random days against the controllers, in virtual time.
+/// Runs random simulated days against the controllers, in virtual time.
 #[derive(Parser)]
 struct Args {
-    /// Number of days.
+    /// Number of days to run, each with the next seed.
     #[arg(long, default_value_t = 20)]
     days: u64,
-    /// Seed of the first day; drawn if left out.
+    /// Seed of the first day; random if absent.
     #[arg(long)]
     seed: Option<u64>,
-    /// Faults a day.
+    /// Faults per day; schedules with pairs draw half as many pairs.
     #[arg(long, default_value_t = 8)]
     faults: usize,
-    /// How they are drawn.
+    /// Schedule from which the faults are drawn.
     #[arg(long, value_enum, default_value_t = DrawArg::Single)]
     draw: DrawArg,
-    /// Says of these jobs what they are, and what their teams use, when a rule
-    /// is first broken and at the end of a day.
+    /// Ids of jobs whose specification and whose team's tasks are printed when a rule is first
+    /// violated and at the end of each day.
     #[arg(long)]
     describe: Vec<String>,
-    /// Says it this often too, in seconds of the day.
+    /// Also prints the jobs of `--describe` at this interval, in seconds of virtual time.
     #[arg(long)]
     every: Option<u64>,
 }
 
-/// Time between two looks at a running day.
+/// Interval at which a running day is paused to look for violations.
 const VIOLATION_CHECK_INTERVAL_MS: Ms = 500;
-/// Most violations and unfinished jobs that are printed of a day.
+/// Maximum number of violations, and of unfinished jobs, printed for one day.
 const MAX_PRINTED_LINES: usize = 5;
 
-/// Prints the jobs that are to be described.
+/// Prints the jobs given with `--describe`.
 fn describe_jobs(args: &Args, simulation: &Simulation) {
     for id in &args.describe {
         let text = simulation.describe_job(&JobId::new(id));
@@ -67,7 +68,7 @@
     }
 }
 
-/// Runs a day until its end or until a rule is violated.
+/// Runs a day until its end or the first violation, so that jobs can be described at that time.
 fn run_until_violation(args: &Args, day: &mut Day) {
     let simulation = &mut day.simulation;
     while simulation.now() < day.end && simulation.checker.violations.is_empty() {
@@ -79,7 +80,8 @@
     }
 }
 
-/// Plays the day of a seed and prints its result. Returns whether the day was good.
+/// Runs the day of a seed to its end and prints the result. Returns whether no rule was violated
+/// and no job was left unfinished.
 fn run_day(args: &Args, seed: u64) -> bool {
     let mut day = Day::new(seed, args.faults, args.draw.into());
     run_until_violation(args, &mut day);
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -1,7 +1,8 @@
-//! Deterministic simulation of everything around the controllers, in virtual time.
+//! Deterministic simulation of the services, workers, users and network around the controllers,
+//! in virtual time.
 //!
-//! [`Simulation`] owns the clock, the random number generator and the parts; each part keeps
-//! its own state in a module of its own.
+//! [`Simulation`] owns the clock, the random number generator and the simulated components. Each
+//! component has a module with its state and the methods of [`Simulation`] that drive it.
 
 mod adversarial_requests;
 mod build;
@@ -50,13 +51,14 @@
 use users::User;
 use workers::WorkerFleet;
 
-/// Length of a simulation step in virtual time.
+/// Length of a simulation step.
 const STEP_MS: Ms = 10;
-/// Interval between the checker's scans for conditions that may not last.
+/// Interval between the checker's scans for conditions with a time limit: tasks of cancelled
+/// jobs, and unanswered requests.
 const CHECK_INTERVAL_MS: Ms = 500;
-/// Interval between scans for jobs that wait although there is room for them.
+/// Interval between scans for jobs that stay pending although free capacity exists.
 const PENDING_JOBS_CHECK_INTERVAL_MS: Ms = 2_000;
-/// Wall-clock time at the start of the simulation.
+/// Wall-clock time that controllers see at virtual time 0.
 const WALL_CLOCK_OFFSET_MS: Ms = 1_000_000;
 
 /// A simulated deployment: controllers, store, cloud, workers, users and faults.
@@ -67,7 +69,7 @@
     rng: StdRng,
     events: EventQueue,
     controllers: Vec<Controller>,
-    /// Controller starts so far, of all controllers.
+    /// Starts of all controllers so far. The count serves as the incarnation number of the next.
     controller_starts: u64,
     store: StoreModel<Origin>,
     cloud: CloudModel,
@@ -79,34 +81,36 @@
     user_request_faults: UserRequestFaults,
     adversarial_requests: AdversarialRequests,
     traffic: Traffic,
-    /// Queues to and from controllers that run as processes of their own.
+    /// Queues to and from controllers that run as separate processes; absent if the controllers
+    /// are simulated.
     remote: Option<RemoteQueues>,
-    /// Checks the protocol's rules against what truly happens.
+    /// Checks the events on the machines and the responses to users against the protocol's rules.
     pub checker: Checker,
 }
 
 impl Simulation {
-    /// Runs until a time.
+    /// Runs in steps of 10 ms until a time.
     pub fn run_until(&mut self, end: Ms) {
         while self.now < end {
             self.step_to(self.now + STEP_MS);
         }
     }
 
-    /// Makes one step, which ends at a time.
+    /// Makes one step that ends at `time`.
     fn step_to(&mut self, time: Ms) {
         self.previous_step_at = self.now;
         self.now = time;
         self.step();
     }
 
-    /// Whether the current step passed a multiple of a period. Steps in real time
-    /// rarely end exactly at one.
+    /// Whether the current step ended at or passed a multiple of a period. Steps in real time
+    /// rarely end exactly at a multiple.
     fn crosses_multiple_of(&self, period: Ms) -> bool {
         self.now / period > self.previous_step_at / period
     }
 
-    /// The order of these parts decides the order of random draws.
+    /// Runs all components once. Their order determines the order of random draws, so changing it
+    /// changes what every seed produces.
     fn step(&mut self) {
         self.release_withheld_heartbeats();
         self.inject_due_faults();
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Responds to the store's watches that have changes or expired.
+    /// Responds to the store's watches that have new changes or whose wait time is over.
     fn respond_to_watches(&mut self) {
         let (now, controllers) = (self.now, &self.controllers);
         let is_locked_out = |watcher: &Origin| match watcher {
@@ -162,18 +166,19 @@
         self.checker.check_time_limits(self.now, &expired);
     }
 
-    /// Injects a fault now.
+    /// Injects a fault at the current time, in addition to the scheduled faults.
     pub fn inject_fault(&mut self, kind: FaultKind) {
         self.inject(kind);
     }
 
-    /// Records from now on all that controllers write to the store and send to each other.
+    /// Starts recording all puts to the store and all messages between controllers, for tests of
+    /// the stored and transmitted formats.
     pub fn record_puts_and_messages(&mut self) {
         self.store.recorded_puts = Some(Vec::new());
         self.traffic.recorded_messages = Some(Vec::new());
     }
 
-    /// Runs the checks that need the whole simulation, at its end.
+    /// Runs the checks that need the whole run. Call it once, at the end.
     pub fn finish(&mut self) {
         self.checker.finish(self.now);
     }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,5 +1,5 @@
-//! A model of a worker: it holds a lease, sends heartbeats and runs tasks by its job's
-//! ground truth.
+//! A model of a worker agent: it holds a lease, sends heartbeats, executes commands and runs tasks
+//! as the ground truth of their jobs determines.
 
 mod heartbeats;
 mod images;
@@ -19,15 +19,16 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// A heartbeat follows within this after a change of tasks or images.
+/// Maximum delay of a heartbeat after a change of the tasks or images of a worker.
 const CHANGE_HEARTBEAT_DELAY_MS: Ms = 500;
-/// A heartbeat follows within this after the exit of a task.
+/// Maximum delay of a heartbeat after the exit of a task.
 const EXIT_HEARTBEAT_DELAY_MS: Ms = 100;
 
-/// What a job really does, whatever its specification says.
+/// The actual behavior of a job's tasks, which its specification may misstate.
 #[derive(Clone, Debug)]
 pub(crate) struct GroundTruth {
     pub(crate) spec: JobSpec,
+    /// Actual run time of each task.
     pub(crate) run_ms: Ms,
     pub(crate) defect: Option<JobDefect>,
 }
@@ -41,13 +42,14 @@
         }
     }
 
-    /// Whether a gang that began to run at a time has failed by now.
+    /// Whether a gang that began to run at `began_at` has failed by `now` due to a defect.
     pub(crate) fn has_failed_by(&self, began_at: Ms, now: Ms) -> bool {
         matches!(self.defect, Some(JobDefect::FailsAfter(time)) if now >= began_at + time)
     }
 
-    /// When a task that starts now ends by itself. Gangs end together and services not at
-    /// all, unless they fail; a task that has completed before ends at once.
+    /// When a task that starts now ends by itself; `Ms::MAX`: never, or when its whole gang ends.
+    /// Services end only if they have a defect. A task that completed in an earlier attempt ends
+    /// at once.
     fn run_ends_at(&self, now: Ms, is_completed: bool) -> Ms {
         match (self.spec.kind, self.defect) {
             (JobKind::Gang, _) => Ms::MAX,
@@ -59,7 +61,7 @@
     }
 }
 
-/// What a worker needs of the simulation around it.
+/// The parts of the simulation that a worker uses.
 pub(crate) struct WorkerContext<'a> {
     pub(crate) now: Ms,
     pub(crate) ground_truths: &'a BTreeMap<JobId, GroundTruth>,
@@ -83,7 +85,7 @@
     }
 }
 
-/// The worker of a machine.
+/// The worker agent of a machine, with its active faults.
 pub(crate) struct Worker {
     pub(crate) id: MachineId,
     address: String,
@@ -92,50 +94,53 @@
     pub(crate) spot: bool,
     capacity: Resources,
     fetch_gb_per_s: f64,
+    /// Increases whenever the lease expires. Commands for earlier incarnations are refused.
     pub(crate) incarnation: u64,
     /// Sequence number of the last heartbeat.
     last_sequence: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token received. Commands with a lower token are refused.
     pub(crate) token: u64,
     pub(crate) tasks: BTreeMap<TaskAttempt, LocalTask>,
-    /// No task's stage ends by itself before this.
+    /// Earliest time at which the stage of a task may end by itself.
     next_stage_end: Ms,
-    /// Whether a task of a gang has ever been started here.
+    /// Whether a task of a gang was ever started on this worker. It saves the search for gangs on
+    /// most workers.
     pub(crate) has_gang_tasks: bool,
     images: Vec<String>,
-    /// Whether it announces its images and prefetches.
+    /// Whether heartbeats list the images and the worker accepts prefetch commands.
     announces_images: bool,
-    /// Images that it prefetches, and when each is ready.
+    /// Images that are being prefetched, with the time at which each is ready.
     prefetching: BTreeMap<String, Ms>,
-    /// No prefetch completes before this.
+    /// Prefetches do not complete before this time.
     pub(crate) prefetch_stuck_until: Ms,
-    /// The controller that it sends heartbeats to.
+    /// Index of the controller to which the worker sends heartbeats.
     pub(crate) controller: usize,
     pub(crate) next_heartbeat_at: Ms,
     pub(crate) pending_heartbeat: Option<PendingHeartbeat>,
     last_heartbeat_at: Option<Ms>,
-    /// When a higher token last made a heartbeat due.
+    /// When a higher token last triggered an early heartbeat.
     last_token_heartbeat_at: Option<Ms>,
     pub(crate) lease_renewed_at: Ms,
-    /// Until then, tasks fail once they have their image.
+    /// Tasks fail when their image is ready, before this time.
     pub(crate) tasks_fail_until: Ms,
+    /// The worker does not run before this time.
     pub(crate) hung_until: Ms,
-    /// Until then, responses to it are lost and commands to it are held back.
+    /// Responses to the worker are lost and commands are held until this time.
     pub(crate) inbound_blocked_until: Ms,
-    /// Until then, responses and commands to it are lost.
+    /// Responses and commands to the worker are lost until this time.
     pub(crate) inbound_lost_until: Ms,
-    /// Until then, its heartbeats are lost.
+    /// Heartbeats of the worker are lost until this time.
     pub(crate) outbound_lost_until: Ms,
-    /// Until then, messages from and to it are slow.
+    /// Messages from and to the worker are delayed until this time.
     pub(crate) slow_link_until: Ms,
-    /// Until then, nothing reaches it or leaves it.
+    /// The machine is partitioned from all others until this time.
     pub(crate) partitioned_until: Ms,
-    /// When the cloud reclaims the machine, if that is announced.
+    /// When the cloud reclaims the machine; none if no reclaim was announced.
     pub(crate) reclaimed_at: Option<Ms>,
 }
 
 impl Worker {
-    /// The worker of a machine that has just booted, with its name and address.
+    /// The worker of a machine, given by id and address, that has just booted.
     pub(crate) fn new(
         (id, address): (MachineId, String),
         machine_type: &MachineType,
@@ -179,7 +184,7 @@
         }
     }
 
-    /// The worker and its active faults, for the analysis of a day.
+    /// Describes the worker and its active faults, for the analysis of a run.
     pub(crate) fn describe(&self, now: Ms) -> String {
         let inbound_until = self.inbound_blocked_until.max(self.inbound_lost_until);
         let faults = [
@@ -199,7 +204,7 @@
         )
     }
 
-    /// Lets time pass.
+    /// Expires the lease, completes prefetches and advances tasks as of now.
     pub(crate) fn tick(&mut self, context: &mut WorkerContext) {
         self.expire_lease(context);
         self.complete_prefetches(context.now);
@@ -212,8 +217,9 @@
         serde_json::to_vec(&self.heartbeat(context.now)).unwrap_or_default()
     }
 
-    /// Responds to `POST /commands`. Commands that were held up while the worker hung find
-    /// the next incarnation if the lease has expired meanwhile.
+    /// Responds to `POST /commands`: 409 if the token is lower than a known one or the incarnation
+    /// differs. Commands that were delayed while the worker hung are refused if the lease expired
+    /// meanwhile, as that begins a new incarnation.
     pub(crate) fn handle_commands(
         &mut self,
         context: &mut WorkerContext,
--- a/crates/testkit/src/worker/heartbeats.rs
+++ b/crates/testkit/src/worker/heartbeats.rs
@@ -1,10 +1,10 @@
-//! A worker's heartbeats and its lease.
+//! Heartbeats of a worker, and the lease that the responses renew.
 
 use super::{Worker, WorkerContext};
 use crate::Ms;
 use forkshift_wire::workers::{Command, HeldImages, TaskStatus, WorkerHeartbeat};
 
-/// A heartbeat without a response yet.
+/// A heartbeat that awaits its response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingHeartbeat {
     sequence: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Worker {
-    /// The next heartbeat: the state of the worker and all its tasks.
+    /// Builds the next heartbeat, which reports the state of the worker and all its tasks.
     pub(crate) fn heartbeat(&mut self, now: Ms) -> WorkerHeartbeat {
         self.last_sequence += 1;
         let notice_ms = self.reclaimed_at.map(|at| at.saturating_sub(now));
@@ -48,7 +48,7 @@
             .collect()
     }
 
-    /// Makes the next heartbeat, which then waits for a response.
+    /// Builds the next heartbeat and records that it awaits a response.
     pub(crate) fn begin_heartbeat(&mut self, now: Ms) -> WorkerHeartbeat {
         let heartbeat = self.heartbeat(now);
         self.pending_heartbeat = Some(PendingHeartbeat {
@@ -60,28 +60,29 @@
         heartbeat
     }
 
-    /// Whether the next heartbeat is due, with a least time since the last one.
+    /// Whether the next heartbeat is due. It is sent at least `min_gap` after the last one, and only
+    /// if no response is awaited.
     pub(crate) fn is_heartbeat_due(&self, now: Ms, min_gap: Ms) -> bool {
         let last = self.last_heartbeat_at;
         let is_too_soon = last.is_some_and(|at| now < at + min_gap);
         self.pending_heartbeat.is_none() && now >= self.next_heartbeat_at && !is_too_soon
     }
 
-    /// Whether a heartbeat has had no response within a timeout.
+    /// Whether the pending heartbeat has had no response within a timeout.
     pub(crate) fn is_heartbeat_overdue(&self, now: Ms, timeout: Ms) -> bool {
         let pending = self.pending_heartbeat;
         pending.is_some_and(|pending| now >= pending.sent_at + timeout)
     }
 
-    /// Whether the heartbeat of a sequence number waits for its response.
+    /// Whether the heartbeat with a sequence number awaits its response.
     pub(crate) fn is_heartbeat_pending(&self, sequence: u64) -> bool {
         let pending = self.pending_heartbeat;
         pending.is_some_and(|pending| pending.sequence == sequence)
     }
 
-    /// Handles a successful response to the pending heartbeat: it renews the lease as of the
-    /// time at which the heartbeat was sent. One of an earlier incarnation or with a lower
-    /// token is ignored.
+    /// Processes a successful response to the pending heartbeat: renews the lease as of the time at
+    /// which the heartbeat was sent, and executes the commands. Responses to an earlier incarnation
+    /// and responses with a lower token are ignored.
     pub(crate) fn on_heartbeat_reply(
         &mut self,
         context: &mut WorkerContext,
@@ -99,8 +100,8 @@
         self.execute_commands(context, commands);
     }
 
-    /// Makes a heartbeat due if the incarnation or the token has changed since the given
-    /// ones. As the protocol requires, a token does so at most once in half a lease.
+    /// Makes a heartbeat due now if the incarnation or the token is higher than the given ones. A
+    /// higher token does so at most once per half a lease, as the protocol requires.
     pub(crate) fn schedule_heartbeat_after_change(
         &mut self,
         now: Ms,
@@ -122,8 +123,8 @@
         now <= self.lease_renewed_at + lease_ms
     }
 
-    /// Whether the worker hangs and its lease has expired: it will kill all its tasks
-    /// before it does anything else.
+    /// Whether the worker hangs and its lease has expired. It kills all tasks before it does anything
+    /// else when it resumes.
     pub(crate) fn is_hung_without_lease(&self, now: Ms, lease_ms: Ms) -> bool {
         self.hung_until > now && !self.has_lease(now, lease_ms)
     }
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Makes a heartbeat due within a time.
+    /// Makes the next heartbeat due after `delay` at the latest.
     pub(super) fn schedule_heartbeat_within(&mut self, now: Ms, delay: Ms) {
         self.next_heartbeat_at = self.next_heartbeat_at.min(now + delay);
     }
--- a/crates/testkit/src/worker/images.rs
+++ b/crates/testkit/src/worker/images.rs
@@ -1,20 +1,20 @@
-//! Images that a worker holds, and those that it prefetches.
+//! The image cache of a worker, and prefetches into it.
 
 use super::{Worker, CHANGE_HEARTBEAT_DELAY_MS};
 use crate::Ms;
 use forkshift_wire::workers::Prefetch;
 
 impl Worker {
-    /// How long the fetch of an image takes.
+    /// Time that the fetch of an image takes.
     pub(super) fn fetch_ms(&self, image_gb: f64) -> Ms {
         (image_gb / self.fetch_gb_per_s * 1000.0) as Ms
     }
 
-    /// Begins to prefetch images.
+    /// Starts to prefetch images that are neither in the cache nor being prefetched.
     ///
     /// # Panics
     ///
-    /// If the worker does not announce its images: then no controller may ask for that.
+    /// If the worker does not announce its images, as controllers must not send it prefetches then.
     pub(super) fn prefetch(&mut self, now: Ms, wanted: &[Prefetch]) {
         assert!(
             wanted.is_empty() || self.announces_images,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Adds the images whose prefetch is complete.
+    /// Adds the images whose prefetch has completed to the cache.
     pub(super) fn complete_prefetches(&mut self, now: Ms) {
         if self.prefetching.is_empty() || now < self.prefetch_stuck_until {
             return;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Loses all images, as others needed the space.
+    /// Empties the image cache.
     pub(crate) fn evict_images(&mut self, now: Ms) {
         self.images.clear();
         self.schedule_heartbeat_within(now, CHANGE_HEARTBEAT_DELAY_MS);
--- a/crates/testkit/src/worker/resources.rs
+++ b/crates/testkit/src/worker/resources.rs
@@ -1,9 +1,9 @@
-//! Resources of machines and tasks.
+//! CPUs, GPUs and memory of machines and tasks.
 
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::users::JobSpec;
 
-/// Tolerance for sums of fractions.
+/// Tolerance for rounding errors in sums of fractional amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// An amount of CPUs, GPUs and memory.
@@ -15,7 +15,7 @@
 }
 
 impl Resources {
-    /// The capacity of a machine.
+    /// Capacity of a machine of a type.
     pub(super) fn of_machine(machine_type: &MachineType) -> Self {
         Self {
             cpus: machine_type.cpus,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// What one task of a job uses.
+    /// Resources that one task of a job uses.
     pub(crate) fn of_task(spec: &JobSpec) -> Self {
         Self {
             cpus: spec.cpus,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// How many of a job's tasks fit into these resources.
+    /// Number of a job's tasks that fit into these resources; `u32::MAX` if the tasks use none.
     pub(crate) fn tasks_that_fit(self, spec: &JobSpec) -> u32 {
         let pairs = [
             (self.cpus, spec.cpus),
--- a/crates/testkit/src/worker/tasks.rs
+++ b/crates/testkit/src/worker/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks on a worker: commands, stages and exits.
+//! Tasks on a worker: execution of commands, changes of stage, and exits.
 
 use super::{
     GroundTruth, Resources, Worker, WorkerContext, CHANGE_HEARTBEAT_DELAY_MS,
@@ -15,17 +15,17 @@
 /// A task and the number of its attempt.
 pub(crate) type TaskAttempt = (TaskRef, u64);
 
-/// A task on a machine, whether it has exited or not.
+/// A task attempt on a worker. Exited attempts stay until a `forget` command.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalTask {
     pub(crate) stage: TaskStage,
     pub(super) cause: Option<ExitCause>,
     pub(super) is_checkpoint_saved: bool,
-    /// Whether it belongs to a gang.
+    /// Whether the task belongs to a gang.
     pub(crate) is_gang: bool,
-    /// When its present stage ends by itself.
+    /// When the current stage ends by itself; `Ms::MAX`: never.
     pub(crate) stage_ends_at: Ms,
-    /// Since when it has its image.
+    /// When the image was or will be ready.
     image_ready_at: Ms,
 }
 
@@ -56,7 +56,7 @@
         self.stage == TaskStage::Exited
     }
 
-    /// Whether the checker counts it as being on its machine.
+    /// Whether the checker counts the task as on its machine.
     fn is_started(&self) -> bool {
         !matches!(self.stage, TaskStage::Fetching | TaskStage::Exited)
     }
@@ -68,13 +68,13 @@
 }
 
 impl Worker {
-    /// Whether a task of a job is here that has not exited.
+    /// Whether the worker has a task of a job that has not exited.
     pub(crate) fn has_task_of(&self, id: &JobId) -> bool {
         let mut tasks = self.tasks.iter();
         tasks.any(|((task, _), local)| task.job == *id && !local.has_exited())
     }
 
-    /// Resources that no task uses. Tasks that fetch their image count as users.
+    /// Capacity that no task uses. Tasks that are still fetching their image use theirs.
     pub(crate) fn free_resources(&self, ground_truths: &BTreeMap<JobId, GroundTruth>) -> Resources {
         let tasks = self.tasks.iter().filter(|(_, local)| !local.has_exited());
         let used = tasks.fold(Resources::default(), |used, ((task, _), _)| {
@@ -136,7 +136,7 @@
         self.tasks.insert(attempt, local);
     }
 
-    /// Whether an attempt of a task is here that has not exited.
+    /// Whether the worker has an attempt of a task that has not exited.
     fn has_unfinished_attempt(&self, task: &TaskRef) -> bool {
         let mut tasks = self.tasks.iter();
         tasks.any(|((other, _), local)| other == task && !local.has_exited())
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Lets a task exit.
+    /// Ends a task and schedules a heartbeat that reports the exit.
     pub(crate) fn exit_task(
         &mut self,
         context: &mut WorkerContext,
@@ -184,7 +184,7 @@
         self.schedule_heartbeat_within(context.now, EXIT_HEARTBEAT_DELAY_MS);
     }
 
-    /// Kills and forgets all tasks.
+    /// Kills all tasks and removes them, so that no heartbeat reports them.
     pub(crate) fn kill_all_tasks(&mut self, checker: &mut Checker) {
         for ((task, _), local) in std::mem::take(&mut self.tasks) {
             if local.is_started() {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Lets the tasks exit whose gang has been incomplete for too long.
+    /// Ends the tasks whose image has been ready for `timeout` while their gang was incomplete.
     pub(crate) fn time_out_gangs(&mut self, now: Ms, checker: &mut Checker, timeout: Ms) {
         if self.hung_until > now || !self.has_gang_tasks {
             return;
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Ends the stages whose time is over.
+    /// Advances the tasks whose current stage is over.
     pub(super) fn advance_due_stages(&mut self, context: &mut WorkerContext) {
         if context.now < self.next_stage_end {
             return;
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -1,4 +1,4 @@
-//! A machine that hangs and resumes.
+//! Tests of a machine that hangs and resumes, with the checker's rule for cancelled jobs.
 
 use super::*;
 use crate::checker::Rule;
@@ -36,7 +36,7 @@
 const LEASE_MS: Ms = 10_000;
 const CANCELLED_AT: Ms = 1_000;
 
-/// A machine whose one task's job was confirmed as cancelled at `CANCELLED_AT`.
+/// A worker with one running task, the job of which was confirmed as cancelled at `CANCELLED_AT`.
 struct HungWorkerFixture {
     ground_truths: BTreeMap<JobId, GroundTruth>,
     checker: Checker,
@@ -126,13 +126,13 @@
     }
 }
 
-/// A task of a cancelled job that runs, or may run, after its machine resumes violates the
-/// rule. Once the lease has expired it can not: it is killed before the machine does
-/// anything.
+/// Guards against a checker that excuses all tasks on hung machines: the task of a cancelled job
+/// violates the rule if it runs, or may still run, after the machine resumes. It cannot run once
+/// the lease has expired, as the worker kills it first.
 #[test]
 fn a_cancelled_task_on_a_hung_machine_violates_the_rule_unless_the_lease_has_expired() {
-    // Time for a cancellation, how long the machine hangs, when the checker runs, and
-    // whether it finds a violation.
+    // Case, allowed cancellation time, duration of the hang, time of the check, and whether the
+    // check finds a violation.
     let cases = [
         ("it resumes in time", 6_000, 4_000, 5_000, false),
         ("it resumes too late", 6_000, 8_000, 9_000, true),
@@ -155,7 +155,7 @@
     for (name, cancel_ms, hang, check_at, is_violated) in cases {
         let mut fixture = HungWorkerFixture::new(cancel_ms);
         fixture.worker.hung_until = CANCELLED_AT + hang;
-        // Nothing happens on it until it resumes.
+        // The worker does not run until it resumes.
         if check_at >= fixture.worker.hung_until {
             fixture.step(check_at);
         }
@@ -169,20 +169,21 @@
     }
 }
 
-/// A worker that resumes its tasks although its lease expired while it hung violates the
-/// rule.
+/// Guards against a checker that excuses a task for good: a worker that resumes its tasks although
+/// its lease expired during the hang violates the rule.
 #[test]
 fn a_task_that_resumes_after_the_lease_expired_in_a_hang_violates_the_rule() {
     let mut fixture = HungWorkerFixture::new(12_000);
     fixture.worker.hung_until = 20_000;
     fixture.check(15_000);
     assert_eq!(fixture.violations(), []);
-    // It resumes without the step that would kill its tasks.
+    // The hang is over, but the step that would kill the tasks has not run.
     fixture.check(20_000);
     assert_eq!(fixture.violations(), [Rule::RanCancelled]);
 }
 
-/// A command that was held up by a hang finds another incarnation once the lease expired.
+/// A start command that was delayed by a hang must not start a task after the lease has expired,
+/// as the worker has a new incarnation then.
 #[test]
 fn a_command_is_refused_after_the_lease_expired_in_a_hang() {
     for (resumes_at, status) in [(9_000, 200), (12_000, 409)] {
@@ -194,7 +195,7 @@
     }
 }
 
-/// A machine type of the default fleet.
+/// The machine type of the default fleet with a name.
 fn machine_type(name: &str) -> MachineType {
     let fleet = Fleet::default();
     fleet.machine_type(name).expect("a type").clone()
