--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A model of the cloud: it provisions, lists and deletes machines.
+//! A model of the cloud's API for machines: catalog, provisioning, listing and deletion.
 
 mod boots;
 
@@ -13,21 +13,24 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Typical lag of the list of machines.
+/// Typical lag of the list of machines. The actual lag is drawn from half to twice this time for
+/// each request.
 const LIST_LAG_MS: Ms = 4_000;
-/// Interval between the snapshots that lagging lists are taken from.
+/// Interval between the snapshots from which lists are served.
 const SNAPSHOT_INTERVAL_MS: Ms = 500;
-/// Snapshots that are kept.
+/// Maximum number of snapshots. They cover 20 s, more than the longest lag of 8 s.
 const MAX_SNAPSHOTS: usize = 40;
 
-/// A provisioned machine.
+/// A provisioned machine that was not deleted or reclaimed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Instance {
     pub(crate) machine_type: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
     provisioned_at: Ms,
+    /// When the machine is up. A time far in the future stands for never.
     pub(crate) up_at: Ms,
+    /// Whether the machine has crashed.
     pub(crate) failed: bool,
 }
 
@@ -47,46 +50,48 @@
     }
 }
 
-/// The machines that one request has provisioned.
+/// The machines that one request provisioned.
 #[derive(Clone, Debug)]
 pub struct ProvisionedMachines {
-    /// When.
+    /// When the request was executed.
     pub at: Ms,
     /// Type of the machines.
     pub machine_type: String,
     /// Zone of the machines.
     pub zone: String,
-    /// How many there are.
+    /// Number of machines, which may be lower than requested.
     pub count: u32,
 }
 
-/// The cloud.
+/// The cloud and its machines.
 pub(crate) struct CloudModel {
     pub(crate) machines: BTreeMap<MachineId, Instance>,
-    /// Results of idempotent requests.
+    /// Results of provisioning requests by name. A repeated request gets the same machines, as
+    /// requests are idempotent.
     provisioned_by_request: BTreeMap<String, Vec<MachineId>>,
     last_instance_number: u32,
     list_snapshots: VecDeque<(Ms, BTreeMap<String, Value>)>,
     pub(crate) is_down: bool,
-    /// Machine types on offer.
+    /// Machine types, capacities and boot times.
     pub(crate) fleet: Fleet,
-    /// Machines of each type and zone where the fleet has no number; spot: half of it.
+    /// Maximum number of on-demand machines per type and zone if the fleet names no capacities. For
+    /// spot machines it is half of this number.
     capacity: u32,
-    /// Until when machines are up within two seconds.
+    /// Machines that are provisioned before this time boot in 0.2 to 2 s.
     pub(crate) fast_boots_until: Ms,
-    /// Until when some new machines come up late or never, and which.
+    /// The end of the fault in which some new machines boot late or never, and which machines.
     pub(crate) slow_boots: Option<(Ms, SlowBoots)>,
-    /// Requests that provisioned machines.
+    /// Log of the requests that provisioned machines.
     pub(crate) provisioning_log: Vec<ProvisionedMachines>,
-    /// Machines that are not up yet, by when they will be.
+    /// Machines that are not up yet, ordered by the time at which they will be up.
     booting: BTreeSet<(Ms, MachineId)>,
     /// Boots of all machines, in the order of provisioning.
     pub(crate) boots: Vec<Boot>,
-    /// Machines that were deleted or reclaimed, until they are taken.
+    /// Machines that were deleted or reclaimed and whose workers are still to be removed.
     pub(crate) newly_terminated: Vec<MachineId>,
-    /// Number of all of them.
+    /// Number of machines that were ever deleted or reclaimed.
     pub(crate) terminated_count: usize,
-    /// When the billing of each machine began and ended.
+    /// Start and end of the billing of each machine; no end: it is still billed.
     pub(crate) billing_periods: BTreeMap<MachineId, (Ms, Option<Ms>)>,
     /// Time of the last request.
     now: Ms,
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Handles a request.
+    /// Responds to a request with a status and a JSON body.
     pub(crate) fn handle(
         &mut self,
         now: Ms,
@@ -152,7 +157,7 @@
         (200, json!({}))
     }
 
-    /// A page of the machines as they were a random lag ago.
+    /// Responds to a listing with a page of the machines as they were a random lag ago.
     fn list(&self, now: Ms, query: &str, rng: &mut StdRng) -> (u16, Value) {
         let lag = rng.random_range(LIST_LAG_MS / 2..LIST_LAG_MS * 2);
         let mut snapshots = self.list_snapshots.iter().rev();
@@ -168,7 +173,7 @@
         (200, json!({"berths": page, "has_next": has_next}))
     }
 
-    /// Takes the machines that have come up, by their names.
+    /// Takes the ids of the machines that have booted since the last call.
     pub(crate) fn take_booted(&mut self, now: Ms) -> BTreeSet<MachineId> {
         let mut booted = BTreeSet::new();
         while self.booting.first().is_some_and(|(at, _)| *at <= now) {
@@ -193,8 +198,8 @@
         }
     }
 
-    /// Provisions as many of the requested machines as there are. A repeated request gets
-    /// the machines of the first.
+    /// Provisions the requested machines, or as many as the capacity allows; 503 if it allows none.
+    /// A repeated request gets the machines of the first.
     fn provision(&mut self, now: Ms, request: ProvisionRequest, rng: &mut StdRng) -> (u16, Value) {
         if let Some(known) = self.provisioned_by_request.get(&request.request_name) {
             return (200, json!({"berths": known}));
@@ -245,7 +250,7 @@
         id
     }
 
-    /// How many machines of the requested kind there are in all.
+    /// Maximum number of machines of the requested type, zone and spot flag.
     fn capacity_of(&self, request: &ProvisionRequest) -> u32 {
         let key = (
             request.machine_type.clone(),
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Takes a snapshot for lists, which lag, if one is due.
+    /// Takes a snapshot of all machines for later listings, if one is due.
     pub(crate) fn tick(&mut self, now: Ms) {
         let last = self.list_snapshots.back();
         if last.is_some_and(|(at, _)| at + SNAPSHOT_INTERVAL_MS > now) {
@@ -276,7 +281,7 @@
         }
     }
 
-    /// A machine as it appears in lists.
+    /// A machine as an item of a listing.
     fn list_item(&self, now: Ms, id: &MachineId, machine: &Instance) -> Value {
         json!({
             "uid": id,
--- a/crates/testkit/src/cloud/boots.rs
+++ b/crates/testkit/src/cloud/boots.rs
@@ -1,4 +1,4 @@
-//! How long new machines take until they are up.
+//! Boot times of new machines.
 
 use super::CloudModel;
 use crate::fleet::{BootModel, BOOT_MS};
@@ -7,28 +7,30 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Boot time of a machine that never comes up.
+/// Boot time of a machine that never boots. It is half the maximum, so that adding it to a time
+/// does not overflow.
 const NEVER_BOOTS_MS: Ms = Ms::MAX / 2;
-/// Least boot time that is drawn around.
+/// Minimum nominal boot time, in milliseconds, so that the range of drawn times is not empty.
 const MIN_BOOT_MS: f64 = 10.0;
 
 /// The boot of one machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Boot {
-    /// When it was provisioned.
+    /// When the machine was provisioned.
     pub provisioned_at: Ms,
-    /// When it is up, unless it is deleted before. A time far off stands for never.
+    /// When the machine is up, unless it is deleted before. A time far in the future stands for
+    /// never.
     pub up_at: Ms,
 }
 
-/// New machines that come up late or never.
+/// Selects new machines that boot late or never.
 #[derive(Clone, Debug)]
 pub struct SlowBoots {
-    /// Of this type; of any if left out.
+    /// Machine type; any if absent.
     pub machine_type: Option<&'static str>,
-    /// In this zone; in any if left out.
+    /// Zone; any if absent.
     pub zone: Option<&'static str>,
-    /// Nominal boot times that they take; never up if left out.
+    /// Boot time as a multiple of the nominal boot time of 10 s; never up if absent.
     pub boots: Option<u32>,
 }
 
@@ -46,7 +48,7 @@
 }
 
 impl CloudModel {
-    /// Draws how long a new machine takes until it is up.
+    /// Draws the boot time of a new machine, subject to the active faults.
     pub(super) fn random_boot_ms(
         &self,
         now: Ms,
--- a/crates/testkit/src/fault_schedule/combinations.rs
+++ b/crates/testkit/src/fault_schedule/combinations.rs
@@ -10,7 +10,7 @@
 const PLACEHOLDER_CONTROLLER: usize = 0;
 /// Downtime of a crashed controller that is long enough for a failover to other controllers.
 const DOWNTIME_MS: Ms = 5_000;
-/// Downtime of a crashed controller that restarts before a failover.
+/// Downtime of a crashed controller that restarts quickly.
 const SHORT_DOWNTIME_MS: Ms = 900;
 /// Downtime of all controllers that exceeds the lease of a worker, 10 s.
 const LONG_DOWNTIME_MS: Ms = 14_000;
@@ -23,7 +23,7 @@
 type TimedFaults = Vec<(Ms, FaultKind)>;
 
 /// The times, durations and targets of a combination. All are drawn before the kind of the
-/// combination, whether or not it uses them, so that the number of draws is the same for each.
+/// combination, whether or not that kind uses them.
 struct CombinationDraws {
     /// Start of the combination.
     at: Ms,
--- a/crates/testkit/src/fault_schedule/single.rs
+++ b/crates/testkit/src/fault_schedule/single.rs
@@ -6,8 +6,7 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Downtimes of crashed controllers on days with single faults. The short ones end before a
-/// failover, the long ones after.
+/// Downtimes of crashed controllers on days with single faults.
 const DOWNTIMES_MS: [Ms; 4] = [50, 300, 3_000, 6_000];
 /// Downtimes of crashed controllers on days with pairs of faults. The longest exceeds the default
 /// lease of a worker, 10 s.
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -126,7 +126,8 @@
         /// Whether messages are delivered afterwards; else they are lost.
         holds_messages: bool,
     },
-    /// The store answers the requests of a controller with 503.
+    /// The store answers the requests of a controller with 503, and new watches not at all. Watches
+    /// that are already open still get responses.
     StoreRefusal {
         /// Index of the controller.
         node: usize,
@@ -175,8 +176,8 @@
     At(ControllerSelector, Box<FaultKind>),
     /// A fault of the machines that are selected when the fault begins.
     Machines(MachineSelector, MachineFault),
-    /// The store answers the requests of a controller with 503 and leaves its watches without a
-    /// response.
+    /// Like [`FaultKind::StoreRefusal`], but watches that are already open get no response either
+    /// until the end.
     StoreLockout {
         /// Index of the controller.
         node: usize,
@@ -204,14 +205,14 @@
         /// Whether commands are delivered afterwards; else they are lost.
         holds_messages: bool,
     },
-    /// Messages between a controller and some machines are lost. The controller still reaches all
+    /// Messages between a controller and some machines do not arrive. The controller still reaches all
     /// other machines, and the machines all other controllers.
     LinkPartition {
         /// Index of the controller.
         node: usize,
         /// The machines, selected when the fault begins.
         machines: MachineSelector,
-        /// Direction of the messages that are lost.
+        /// Direction of the affected messages.
         direction: LinkDirection,
         /// Duration.
         time: Ms,
@@ -281,7 +282,7 @@
     /// job, or submits a job that is malformed or can never be scheduled.
     UnusualRequests(Ms),
     /// Users resubmit a job and request its state at all controllers within 40 ms, when it is
-    /// accepted, completed or cancelled.
+    /// accepted or cancelled, and several times after it has completed.
     StatusBursts(Ms),
 }
 
--- a/crates/testkit/src/simulation/adversarial_requests.rs
+++ b/crates/testkit/src/simulation/adversarial_requests.rs
@@ -1,5 +1,5 @@
-//! Requests beside those that each user sends in turn: status bursts, resubmissions, hurried
-//! cancellations, and jobs that must be refused.
+//! Adversarial requests, which users send in addition to their regular ones and concurrently with
+//! them: status bursts, resubmissions, cancellations at critical times, and invalid jobs.
 
 use super::events::Event;
 use super::network::{Destination, Message, Origin};
@@ -15,24 +15,24 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// What is requested.
+/// Kind and content of an adversarial request.
 #[derive(Clone, Debug)]
 pub(super) enum AdversarialRequest {
-    /// The state of a job.
+    /// Request of the state of a job.
     Status,
-    /// Another submission of a job, maybe with a modified specification.
+    /// Repeated submission of a job. A modified specification must not replace the accepted one.
     Resubmission { is_modified: bool },
-    /// The cancellation of a job.
+    /// Cancellation of a job.
     Cancel,
-    /// The submission of a job that must be refused with this status.
+    /// Submission of a job that must be refused with this status.
     InvalidJob { body: Vec<u8>, status: u16 },
 }
 
-/// A request without a response yet.
+/// A request that awaits its response.
 struct PendingRequest {
     job: JobId,
     request: AdversarialRequest,
-    /// The checker's ticket.
+    /// Ticket of [`crate::Checker::on_request_sent`].
     ticket: u64,
     sent_at: Ms,
 }
@@ -53,9 +53,10 @@
     }
 }
 
-/// Unusual requests so far.
+/// State and counts of adversarial requests.
 #[derive(Default)]
 pub(super) struct AdversarialRequests {
+    /// Requests without a response, by number.
     pending: BTreeMap<u64, PendingRequest>,
     /// Number of the last request.
     last: u64,
@@ -63,36 +64,36 @@
     answered_in_time: u64,
 }
 
-/// Faults of users' requests that are active, each until a time.
+/// The faults that consist of users' requests. Each is active until its time.
 #[derive(Default)]
 pub(super) struct UserRequestFaults {
-    /// Users cancel some jobs as the last task completes.
+    /// Users cancel some jobs when the last task completes.
     pub(super) cancel_completing_jobs: SampledFault,
     pub(super) adversarial_requests_until: Ms,
     pub(super) status_bursts_until: Ms,
 }
 
-/// Interval between unusual requests while they last.
+/// Interval between random adversarial requests while the fault lasts.
 const ADVERSARIAL_REQUEST_INTERVAL_MS: Ms = 200;
-/// How long a user waits for the response to a submission or a cancellation.
+/// Timeout of submissions and cancellations. Later responses are ignored.
 const WRITE_TIMEOUT_MS: Ms = 5_000;
-/// How long a user waits for the response to a status request.
+/// Timeout of status requests. Later responses are ignored.
 const STATUS_TIMEOUT_MS: Ms = 2_000;
-/// Times after the completion of a job at which status bursts begin.
+/// Times after the completion of a job at which status bursts start.
 const STATUS_BURST_DELAYS_MS: [Ms; 6] = [0, 120, 500, 1_200, 2_900, 3_100];
-/// Requests of a status burst to each controller.
+/// Number of requests to each controller in a status burst; the first is a resubmission.
 const STATUS_BURST_REQUESTS: usize = 3;
-/// Most machines that hang as users cancel running jobs.
+/// Maximum number of machines that hang when users cancel running jobs.
 const MAX_HUNG_MACHINES: usize = 8;
 
 impl Simulation {
-    /// Unusual requests so far, and how many of them got a response in time.
+    /// Number of adversarial requests sent so far, and of those that got a response in time.
     pub fn adversarial_request_counts(&self) -> (u64, u64) {
         let requests = &self.adversarial_requests;
         (requests.sent, requests.answered_in_time)
     }
 
-    /// Sends an unusual request about a job to a controller.
+    /// Sends an adversarial request about a job to a controller.
     pub(super) fn send_adversarial_request(
         &mut self,
         job: JobId,
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Users request the state of a job at all controllers within milliseconds, and
-    /// resubmit it, while the fault lasts.
+    /// Schedules a status burst if the fault is active: users resubmit a job and request its state at
+    /// all controllers within 40 ms.
     pub(super) fn schedule_status_burst(&mut self, job: &JobId, after: Ms) {
         if self.user_request_faults.status_bursts_until <= self.now {
             return;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// The user of a job that was just accepted may cancel it at once.
+    /// Cancels one in four accepted jobs at once while status bursts are active.
     pub(super) fn maybe_cancel_accepted(&mut self, job: &JobId) {
         let is_possible = self.user_request_faults.status_bursts_until > self.now;
         if is_possible && self.rng.random_range(0..4) == 0 {
@@ -210,7 +211,8 @@
         }
     }
 
-    /// Users cancel running jobs, all at once, and machines of these jobs hang.
+    /// Makes users cancel up to `count` running jobs within 0.2 s, and lets some machines of these
+    /// jobs hang.
     pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_ms: Ms) {
         let mut hung = 0;
         for job in self.longest_running_jobs(count) {
@@ -228,7 +230,8 @@
         }
     }
 
-    /// Running jobs of which no user knows that they are over, the longest first.
+    /// Running jobs for which no final stage was reported, those with the longest run time first.
+    /// Services come before all others.
     fn longest_running_jobs(&self, count: usize) -> Vec<JobId> {
         let is_running = |id: &JobId| {
             self.checker.running_tasks(id) > 0 && self.checker.final_stage(id).is_none()
@@ -300,7 +303,8 @@
         self.send_adversarial_request(job, controller, request);
     }
 
-    /// An accepted job drawn at random, or one that its user knows to be done.
+    /// Draws an accepted job, which was reported as done if `must_be_done` is set; none if there is no
+    /// such job.
     fn random_accepted_job(&mut self, must_be_done: bool) -> Option<JobId> {
         let is_done = |id: &JobId| self.checker.final_stage(id) == Some(JobStage::Done);
         let users = self.users.iter();
@@ -322,12 +326,13 @@
     serde_json::to_vec(&spec).unwrap_or_default()
 }
 
-/// A team that no deployment has.
+/// Name of a team that exists in no deployment.
 const UNKNOWN_TEAM: &str = "nobodys";
-/// Fields of a submission that are left out or get a value of another type.
+/// Required fields of a submission. Malformed jobs lack one or have a value of a wrong type in it.
 const REQUIRED_FIELDS: [&str; 7] = ["uid", "crew", "shape", "rank", "shifts", "cpus", "kit"];
 
-/// A job that no controller may accept, with the status of the refusal.
+/// Draws a job that controllers must refuse: with 422 if it can never be scheduled, with 400 if it
+/// is malformed.
 fn random_invalid_job(rng: &mut StdRng, mut spec: JobSpec, id: &JobId) -> AdversarialRequest {
     spec.id = id.clone();
     let mut body = serde_json::to_value(&spec).unwrap_or_default();
@@ -358,14 +363,14 @@
     AdversarialRequest::InvalidJob { body, status }
 }
 
-/// Changes a submission to one that is well formed and can never run.
+/// Changes a submission so that it is well-formed but can never be scheduled.
 fn make_unschedulable(body: &mut Value, kind: u32) {
     match kind {
-        // No machine is so large.
+        // No machine type has this many CPUs.
         0 => body["cpus"] = json!(500.0),
         1 => body["rigs"] = json!(["none"]),
         2 => body["crew"] = json!(UNKNOWN_TEAM),
-        // More than the team's limit.
+        // The gang exceeds the limit of its team.
         _ => {
             body["shape"] = json!("group");
             body["shifts"] = json!(99);
--- a/crates/testkit/src/simulation/build.rs
+++ b/crates/testkit/src/simulation/build.rs
@@ -21,38 +21,39 @@
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// Largest page of the store's listings where controllers run as processes.
+/// Maximum page size of the store's listings if controllers run as separate processes.
 const MAX_LIST_ITEMS: usize = 1_000;
 
-/// The external services of a simulation.
+/// Configuration of the simulated services, for controllers of either kind.
 struct ExternalServices {
     fleet: Fleet,
-    /// Limits on the CPUs and GPUs of each team.
+    /// CPU and GPU limits of each team; 0: no limit.
     team_limits: BTreeMap<String, (f64, f64)>,
     size_limits: SizeLimits,
     behavior: StoreBehavior,
 }
 
-/// What a simulation whose controllers run as processes consists of, beside its size.
+/// Configuration of the services in a simulation whose controllers run as separate processes, in
+/// addition to [`DeploymentConfig`]. Simulated controllers use built-in defaults for these.
 #[derive(Clone, Debug)]
 pub struct ServicesConfig {
-    /// Machine types on offer and how they boot.
+    /// Machine types, capacities and boot times of the cloud.
     pub fleet: Fleet,
-    /// Limits on the CPUs and GPUs of each team; 0: no limit.
+    /// CPU and GPU limits of each team; 0: no limit.
     pub team_limits: BTreeMap<String, (f64, f64)>,
-    /// Largest value that the store accepts, in bytes.
+    /// Maximum size of a value in the store, in bytes.
     pub max_value_bytes: usize,
-    /// Most writes in one of the store's transactions.
+    /// Maximum number of writes in a transaction of the store.
     pub max_transaction_writes: usize,
 }
 
 impl Simulation {
-    /// A simulation with three controllers that are about to start.
+    /// A simulation with the default configuration: three controllers, which start at time 0.
     pub fn new(seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>) -> Self {
         Self::with_config(seed, plans, faults, DeploymentConfig::default())
     }
 
-    /// A simulation of any size.
+    /// A simulation with the given configuration.
     pub fn with_config(
         seed: u64,
         plans: Vec<JobPlan>,
@@ -62,7 +63,8 @@
         Self::with_pools(seed, plans, faults, config, Vec::new())
     }
 
-    /// A simulation whose controllers declare warm pools, each its own.
+    /// A simulation whose controllers declare warm pools: the controller with index `i` declares
+    /// `pools[i]`. Controllers without an entry declare none.
     pub fn with_pools(
         seed: u64,
         plans: Vec<JobPlan>,
@@ -90,8 +92,8 @@
         simulation
     }
 
-    /// A simulation whose controllers are processes of their own; see
-    /// [`Simulation::advance_to`]. The store refuses requests beyond its limits.
+    /// A simulation whose controllers run as separate processes, driven with
+    /// [`Simulation::advance_to`]. The store refuses requests beyond its rate limits.
     pub fn remote(
         seed: u64,
         plans: Vec<JobPlan>,
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -1,44 +1,46 @@
-//! Size of a simulated deployment, and the settings files of its controllers.
+//! Configuration of a simulated deployment, and the settings files of its controllers.
 
 use crate::faults::ZONES;
 use crate::Ms;
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Size and timing of a simulated deployment.
+/// Size, limits and timing of a simulated deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct DeploymentConfig {
-    /// Controllers.
+    /// Number of controllers, and of shards.
     pub controllers: usize,
-    /// Teams.
+    /// Number of teams.
     pub teams: usize,
-    /// Machines of each type, zone and kind.
+    /// Maximum number of on-demand machines per type and zone. For spot machines it is half of this
+    /// number.
     pub capacity: u32,
-    /// Requests a second that the store accepts.
+    /// Rate limit of the store, in requests per second.
     pub store_rps: f64,
-    /// Writes a second that the store accepts.
+    /// Rate limit of the store, in writes per second.
     pub store_write_rps: f64,
-    /// Requests a second that the cloud accepts.
+    /// Rate limit of the cloud in the controllers' settings, in requests per second. The simulated
+    /// cloud does not enforce it.
     pub cloud_rps: f64,
     /// CPUs and GPUs that each team is guaranteed.
     pub guarantee: (f64, f64),
-    /// CPUs and GPUs that each team may use.
+    /// Maximum number of CPUs and GPUs that each team may use.
     pub limit: (f64, f64),
     /// Interval between the heartbeats of a worker.
     pub heartbeat_ms: Ms,
     /// Duration of a worker's lease.
     pub lease_ms: Ms,
-    /// Time after which an incomplete gang exits.
+    /// Time after which a worker ends the tasks of an incomplete gang.
     pub gang_wait_ms: Ms,
     /// Time within which the tasks of a cancelled job must have exited.
     pub cancel_ms: Ms,
-    /// Interval between a user's polls of a job that is not over.
+    /// Interval between a user's polls of a job that is not in a final stage.
     pub poll_ms: Ms,
-    /// Limits of the store that are announced for later.
+    /// Announced limits of the store, which take effect with [`crate::FaultKind::LowerLimits`].
     pub next_limits: Option<NextLimits>,
     /// Whether all controllers start as the old release.
     pub starts_with_old_release: bool,
-    /// Whether workers announce their images and prefetch them.
+    /// Whether workers report their images and accept prefetch commands.
     pub announces_images: bool,
 }
 
@@ -66,8 +68,8 @@
 }
 
 impl DeploymentConfig {
-    /// Teams whose limits are soon reached, and little time beyond a lease for
-    /// a cancellation, or all as usual.
+    /// Draws between low and default team limits, and between a cancellation time of 20 s, only twice
+    /// the lease of a worker, and the default.
     pub fn random(rng: &mut StdRng) -> Self {
         let default = Self::default();
         Self {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Five controllers, and room for some 1,860 machines, spot ones apart.
+    /// Five controllers with a capacity for a fleet of some 1,860 machines, spot machines not counted.
     pub fn five_by_1860() -> Self {
         Self {
             controllers: 5,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Five controllers, and room for some 4,200 machines, spot ones apart.
+    /// Five controllers with a capacity for a fleet of some 4,200 machines, spot machines not counted.
     pub fn five_by_4200() -> Self {
         Self {
             capacity: 700,
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Seven controllers, sixteen teams, and room for some 810 machines, spot
-    /// ones apart.
+    /// Seven controllers and sixteen teams with a capacity for a fleet of some 810 machines, spot
+    /// machines not counted.
     pub fn seven_by_810() -> Self {
         Self {
             controllers: 7,
@@ -134,30 +136,30 @@
     }
 }
 
-/// Default time after which an incomplete gang exits.
+/// Default time after which a worker ends the tasks of an incomplete gang.
 const GANG_WAIT_MS: Ms = 20_000;
-/// Default interval between polls; real users poll less often.
+/// Default interval between a user's polls of a job. Real users poll less often.
 const POLL_MS: Ms = 1_500;
 
-/// Announced limits of the store.
+/// Limits of the store that are announced to controllers before they take effect.
 #[derive(Clone, Copy, Debug)]
 pub struct NextLimits {
-    /// Writes a second.
+    /// Rate limit in writes per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: usize,
-    /// Most writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
 }
 
-/// Largest value that the store accepts at the beginning, in KiB.
+/// Maximum size of a value in the store before the announced limits take effect, in KiB.
 pub(super) const INITIAL_MAX_VALUE_KB: usize = 8;
-/// Most writes in a transaction at the beginning.
+/// Maximum number of writes in a transaction before the announced limits take effect.
 pub(super) const INITIAL_MAX_TRANSACTION_WRITES: usize = 12;
-/// Prefix of the controllers' names, before their indices.
+/// Prefix of the names of controllers; the index follows.
 const CONTROLLER_NAME_PREFIX: &str = "berth-";
 
-/// The settings file of the controller of an index.
+/// The settings file, in TOML, of the controller with an index.
 pub fn settings(node: usize, config: &DeploymentConfig) -> String {
     let name = controller_name(node);
     let zone = zone_of(node);
@@ -204,7 +206,7 @@
     })
 }
 
-/// The settings that all controllers share.
+/// The part of the settings file that is the same for all controllers.
 fn cluster_settings(config: &DeploymentConfig) -> String {
     let seconds = |ms: Ms| ms as f64 / 1000.0;
     let (nodes, teams) = (config.controllers, team_settings(config));
@@ -226,17 +228,17 @@
     )
 }
 
-/// The name of the controller of an index.
+/// The name of the controller with an index.
 fn controller_name(index: usize) -> String {
     format!("{CONTROLLER_NAME_PREFIX}{index}")
 }
 
-/// The index of the controller of a name.
+/// The index of the controller with a name; none if it is no such name.
 pub(super) fn controller_index(name: &str) -> Option<usize> {
     name.strip_prefix(CONTROLLER_NAME_PREFIX)?.parse().ok()
 }
 
-/// The zone of a controller.
+/// The zone of the controller with an index.
 pub(super) fn zone_of(node: usize) -> &'static str {
     ZONES[node % ZONES.len()]
 }
--- a/crates/testkit/src/simulation/controllers.rs
+++ b/crates/testkit/src/simulation/controllers.rs
@@ -1,4 +1,4 @@
-//! Simulated controllers: start, step, and what they send.
+//! Simulated controllers: start, steps, and the messages that they send.
 
 use super::config::settings;
 use super::events::Event;
@@ -17,26 +17,28 @@
 use rand::Rng;
 use std::collections::{BTreeSet, HashMap};
 
-/// A controller without input is stepped this often.
+/// Interval between the steps of a controller without input.
 const IDLE_STEP_INTERVAL_MS: Ms = 50;
-/// Least time between the steps of a controller with slow timers.
+/// Minimum time between the steps of a controller with slow timers.
 const SLOW_STEP_INTERVAL_MS: Ms = 1_500;
 
-/// A controller, whether it is up or not.
+/// A controller, running or not.
 pub(super) struct Controller {
+    /// The controller's state machine; none while it is down.
     pub(super) node: Option<Node>,
-    /// Whether it starts as the old release.
+    /// Whether the controller starts as the old release, which writes the first format version.
     pub(super) is_old: bool,
-    /// Pools that it declares from its next start on.
+    /// Warm pools that the controller declares from its next start on.
     pub(super) pools: Vec<PoolSpec>,
     pub(super) incarnation: u64,
+    /// Input for the next step.
     pub(super) inbox: Vec<Input>,
     last_step_at: Ms,
-    /// Whether it has been paused since its last step.
+    /// Whether the controller was paused since its last step.
     was_paused: bool,
-    /// Calls without a response or timeout.
+    /// Calls of the controller that have neither a response nor a timeout yet.
     pub(super) open_calls: BTreeSet<u64>,
-    /// Senders of requests without a reply.
+    /// Senders of the requests that the controller has not replied to yet.
     open_requests: HashMap<RequestId, Origin>,
     next_request: u64,
     pub(super) faults: ControllerFaults,
@@ -63,7 +65,7 @@
         self.node.is_some()
     }
 
-    /// Begins a new incarnation. What it had received or sent before is lost.
+    /// Starts a new incarnation. Requests and calls of the previous one are lost.
     fn start(&mut self, settings: &Settings, incarnation: u64, seed: u64) {
         self.incarnation = incarnation;
         self.was_paused = false;
@@ -79,7 +81,7 @@
         let teams: Vec<&str> = teams.map(|team| team.name.as_str()).collect();
         let pools = Pools::parse(&self.pools, &teams, &[]);
         let operator = Operator {
-            pools: pools.unwrap_or_else(|e| panic!("pools: {e}")),
+            pools: pools.unwrap_or_else(|e| panic!("invalid pool declaration: {e}")),
             ..Operator::default()
         };
         let mut config = Config::new(settings, operator);
@@ -89,7 +91,7 @@
         config
     }
 
-    /// Queues a request for the next step.
+    /// Adds a request to the input of the next step.
     pub(super) fn receive(&mut self, message: Message) {
         let request = RequestId(self.next_request);
         self.next_request += 1;
@@ -102,7 +104,7 @@
         });
     }
 
-    /// The input of a step, if a step is due.
+    /// Takes the input of a step; none if no step is due.
     fn begin_step(&mut self, now: Ms, rng: &mut StdRng) -> Option<Vec<Input>> {
         if !self.is_up() {
             return None;
@@ -124,8 +126,8 @@
         })
     }
 
-    /// The input of the first step after a pause: all that has arrived, from many
-    /// connections in any order, or nothing yet, as timers may fire first.
+    /// Takes the input of the first step after a pause: either everything that has arrived, in
+    /// random order, as it comes from many connections, or nothing, as timers may fire first.
     fn resume(&mut self, rng: &mut StdRng) -> Vec<Input> {
         let mut input = std::mem::take(&mut self.inbox);
         input.shuffle(rng);
@@ -137,26 +139,26 @@
     }
 }
 
-/// What a controller sends in one step.
+/// Messages that a controller sends in one step.
 #[derive(Default)]
 struct Outbox {
-    /// Timeouts of its calls.
+    /// Timeouts of the calls.
     timeouts: Vec<(Ms, Origin)>,
     calls: Vec<Message>,
     replies: Vec<(Origin, Reply)>,
-    /// Messages to peers, by the peers' names.
+    /// Messages to peers, each with the name of the peer.
     peer_messages: Vec<(String, Vec<u8>)>,
 }
 
 impl Simulation {
-    /// Sets the pools that a controller declares from its next start on.
+    /// Sets the warm pools that a controller declares from its next start on.
     pub fn declare_pools(&mut self, node: usize, pools: Vec<PoolSpec>) {
         self.controllers[node].pools = pools;
     }
 
     pub(super) fn start_controller(&mut self, index: usize) {
         let settings = Settings::parse(&settings(index, &self.config))
-            .unwrap_or_else(|e| panic!("settings: {e}"));
+            .unwrap_or_else(|e| panic!("invalid settings: {e}"));
         self.controller_starts += 1;
         let seed = self.rng.random();
         self.controllers[index].start(&settings, self.controller_starts, seed);
@@ -171,7 +173,7 @@
         self.send_outbox(index, outbox);
     }
 
-    /// Runs a controller's step and collects what it sends.
+    /// Runs a step of a controller and collects the messages that it sends.
     fn run_step(&mut self, index: usize, input: Vec<Input>) -> Outbox {
         let now = self.now;
         let controller = &mut self.controllers[index];
@@ -219,7 +221,7 @@
         outbox
     }
 
-    /// Sends what a step produced. The order decides the order of random draws.
+    /// Sends the messages of a step. Their order determines the order of random draws.
     fn send_outbox(&mut self, index: usize, outbox: Outbox) {
         let now = self.now;
         for (to, message) in outbox.peer_messages {
--- a/crates/testkit/src/simulation/events.rs
+++ b/crates/testkit/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! Events that are scheduled for a time, and how they take effect.
+//! The queue of scheduled events, and their execution.
 
 use super::adversarial_requests::AdversarialRequest;
 use super::network::{Message, Origin};
@@ -9,25 +9,25 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// Something that happens at a scheduled time.
+/// An event that is executed at a scheduled time.
 pub(super) enum Event {
     /// A request reaches its destination.
     RequestArrival(Message),
-    /// A response reaches the sender of the request; status 0: none came in time.
+    /// A response reaches the sender of the request; status 0: the request timed out.
     ResponseArrival {
         to: Origin,
         status: u16,
         body: Vec<u8>,
     },
-    /// A message between controllers arrives.
+    /// A message from a peer reaches a controller. It is lost if the controller is down.
     PeerMessageArrival { to: usize, message: Vec<u8> },
-    /// A controller starts again unless it is up.
+    /// A controller restarts, unless another event has restarted it.
     ControllerRestart(usize),
     /// The cloud reclaims a spot machine.
     SpotReclaim(MachineId),
     /// A fault begins.
     FaultStart(FaultKind),
-    /// A user sends an unusual request to a controller.
+    /// A user sends an adversarial request to a controller.
     AdversarialRequest {
         job: JobId,
         controller: usize,
@@ -35,7 +35,7 @@
     },
 }
 
-/// Scheduled events by time; those of one time keep the order of their scheduling.
+/// Scheduled events, ordered by time and then by the order of scheduling.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<(Ms, u64), Event>,
@@ -48,7 +48,7 @@
         self.events.insert((time, self.last_sequence), event);
     }
 
-    /// Removes the first event that is due.
+    /// Removes the first event if it is due.
     pub(super) fn pop_due(&mut self, now: Ms) -> Option<Event> {
         let entry = self.events.first_entry()?;
         (entry.key().0 <= now).then(|| entry.remove())
@@ -56,7 +56,7 @@
 }
 
 impl Simulation {
-    /// Schedules an event, for the next millisecond at the earliest.
+    /// Schedules an event for a time, or for the next millisecond if that time is not in the future.
     pub(super) fn schedule(&mut self, time: Ms, event: Event) {
         self.events.push(time.max(self.now + 1), event);
     }
@@ -89,9 +89,8 @@
         }
     }
 
-    /// Delivers a response, or the timeout of a request. The timeout of a paused
-    /// controller's call waits until the controller resumes, as the response may arrive
-    /// before that.
+    /// Delivers a response or the timeout of a request. The timeout of a paused controller's call is
+    /// postponed until the controller resumes, as the response may still arrive during the pause.
     fn on_response(&mut self, to: Origin, status: u16, body: Vec<u8>) {
         match self.paused_until(&to) {
             Some(until) if status == 0 => {
--- a/crates/testkit/src/simulation/fault_injection.rs
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults as they begin, and whom they affect.
+//! Injection of faults into the simulated components.
 
 use super::events::Event;
 use super::network_faults::{LateHeartbeats, LostWriteResponses, SampledFault};
@@ -11,13 +11,13 @@
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// Faults that are still to come, and those that have begun.
+/// Scheduled faults, and faults that have begun.
 pub(super) struct FaultTimeline {
-    /// Ordered by time.
+    /// Faults that have not begun, ordered by time.
     upcoming: VecDeque<Fault>,
-    /// With when they began.
+    /// Faults that have begun, with the time at which they began.
     injected: Vec<(Ms, FaultKind)>,
-    /// When all faults that have begun are over.
+    /// Time at which all faults that have begun are over.
     active_until: Ms,
     cloud_down_until: Ms,
     store_down_until: Ms,
@@ -45,7 +45,7 @@
         self.injected.push((now, kind));
     }
 
-    /// When the last fault was over, if none is active or still to come.
+    /// When the last fault was over; none if a fault is active or still scheduled.
     pub(super) fn faults_over_since(&self, now: Ms) -> Option<Ms> {
         let is_quiet = self.upcoming.is_empty() && now >= self.active_until;
         is_quiet.then_some(self.active_until)
@@ -53,8 +53,8 @@
 }
 
 impl Simulation {
-    /// Faults that have begun, with when. Controllers that were selected by their role
-    /// appear with their indices.
+    /// Faults that have begun, with the time at which they began. Controllers that were selected by
+    /// their role appear with their indices.
     pub fn injected_faults(&self) -> &[(Ms, FaultKind)] {
         &self.faults.injected
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Ends the outages of cloud and store whose time is over.
+    /// Ends the outages of the cloud and the store whose duration is over.
     pub(super) fn end_outages(&mut self) {
         if self.cloud.is_down && self.now >= self.faults.cloud_down_until {
             self.cloud.is_down = false;
@@ -75,7 +75,9 @@
         }
     }
 
-    /// Lets a fault begin. A fault of a selected controller waits until there is one.
+    /// Begins a fault. If its selector matches no controller, the fault is retried in the next step.
+    /// The kinds of faults are handled by a chain of methods, each of which passes the kinds that
+    /// are not its own to the next.
     pub(super) fn inject(&mut self, kind: FaultKind) {
         let kind = match kind {
             FaultKind::At(selector, kind) => match self.select_controller(&selector) {
@@ -93,7 +95,7 @@
         self.begin_controller_fault(kind);
     }
 
-    /// Applies a fault of a controller itself, or passes it on.
+    /// Begins a fault of a controller itself, or passes the fault on.
     fn begin_controller_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Applies a network partition, or passes the fault on.
+    /// Begins a network partition, or passes the fault on.
     fn begin_partition(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Applies a fault of store or cloud, or passes it on.
+    /// Begins a fault of the store or the cloud, or passes the fault on.
     fn begin_service_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Applies a fault of messages or of users' requests, or passes it on.
+    /// Begins a fault of messages or of users' requests, or passes the fault on.
     fn begin_message_or_request_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Applies a fault of machines. Those of other kinds have been applied before.
+    /// Begins a fault of machines, the last kinds of the chain.
     fn begin_machine_fault(&mut self, kind: FaultKind) {
         let until = |time: Ms| self.now + time;
         match kind {
@@ -297,9 +299,9 @@
                 let until = until(time);
                 self.with_random_worker(|worker| worker.tasks_fail_until = until);
             }
-            // A selection within a selection is resolved in turn.
+            // The selector of a nested selection is resolved separately.
             FaultKind::At(_, kind) => self.inject(*kind),
-            other => unreachable!("{other:?} is applied before"),
+            other => unreachable!("{other:?} is handled earlier in the chain"),
         }
     }
 
@@ -311,7 +313,7 @@
         }
     }
 
-    /// A controller exits, and starts again as the old release or the new one.
+    /// Stops a controller and schedules its restart as the old or the new release.
     fn restart_with_release(&mut self, index: usize, is_old: bool, restart_after: Ms) {
         self.controllers[index].node = None;
         self.controllers[index].is_old = is_old;
@@ -336,7 +338,7 @@
         });
     }
 
-    /// The limits that were announced come into force.
+    /// Makes the announced limits of the store take effect, if the configuration has any.
     fn lower_limits(&mut self) {
         if let Some(next) = self.config.next_limits {
             let sizes = SizeLimits {
@@ -407,7 +409,8 @@
         }
     }
 
-    /// A machine stops with everything on it.
+    /// Stops a machine and all its tasks for good, and ends its billing. The cloud lists it as
+    /// failed.
     fn crash_machine(&mut self, id: &MachineId) {
         self.remove_worker(id);
         if let Some(instance) = self.cloud.machines.get_mut(id) {
--- a/crates/testkit/src/simulation/gangs.rs
+++ b/crates/testkit/src/simulation/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs across machines: their tasks start together and end together.
+//! Gangs, whose tasks start together and end together on several machines.
 
 use super::Simulation;
 use crate::worker::WorkerContext;
@@ -7,7 +7,7 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
 
-/// A task of a gang's attempt that has its image and has not exited.
+/// A task of an attempt of a gang that has its image and has not exited.
 struct GangMember {
     machine: MachineId,
     task: TaskRef,
@@ -17,7 +17,7 @@
 /// A job and the number of its attempt.
 type Attempt = (JobId, u64);
 
-/// What happens to an attempt of a gang now.
+/// The transition that an attempt of a gang makes now.
 enum Transition {
     None,
     /// All tasks begin to run.
@@ -27,8 +27,8 @@
 }
 
 impl Simulation {
-    /// Starts gangs that are complete, and ends those that are done, fail or have lost a
-    /// member.
+    /// Starts gangs that are complete, and ends gangs that are done, have failed, have lost a member
+    /// or were incomplete for too long.
     pub(super) fn tick_gangs(&mut self) {
         for worker in self.workers.by_id.values_mut() {
             worker.time_out_gangs(self.now, &mut self.checker, self.config.gang_wait_ms);
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network: delays of messages, losses, and delivery to each kind of receiver.
+//! The network: delays and losses of messages, and their delivery to each kind of receiver.
 
 use super::config::{controller_index, zone_of};
 use super::events::Event;
@@ -14,42 +14,42 @@
 /// The sender of a request, to which the response goes.
 #[derive(Clone, Debug)]
 pub(super) enum Origin {
-    /// A simulated controller, in one of its incarnations.
+    /// A call of a simulated controller. Its response is dropped if the controller has restarted.
     Controller {
         index: usize,
         incarnation: u64,
         call: u64,
     },
-    /// A worker, with the sequence number of its heartbeat.
+    /// A heartbeat of a worker, by its sequence number.
     Worker { id: MachineId, sequence: u64 },
-    /// A user, with the number of its request.
+    /// A request of a user, by its number.
     User { user: usize, request: u64 },
-    /// An unusual request.
+    /// An adversarial request, by its number.
     AdversarialRequest(u64),
-    /// A controller that is reached over real sockets, by the number of its call, and
-    /// which one it is, if that is known.
+    /// A call of a controller that runs as a separate process. The index of the controller is absent
+    /// if it is unknown.
     RemoteController {
         call: u64,
         controller: Option<usize>,
     },
-    /// A copy or a delayed write, for whose response nobody waits.
+    /// A copy of a request or a delayed write, whose response is discarded.
     Detached,
 }
 
 /// The receiver of a request.
 #[derive(Clone, Debug)]
 pub(super) enum Destination {
-    /// The key-value store.
+    /// Key-value store.
     Store,
-    /// The cloud.
+    /// Cloud API.
     Cloud,
-    /// The worker of a machine.
+    /// Worker of a machine.
     Worker(MachineId),
-    /// The controller of an index.
+    /// Controller with an index.
     Controller(usize),
 }
 
-/// A request.
+/// A request in transit.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub(super) origin: Origin,
@@ -60,7 +60,7 @@
 }
 
 impl Message {
-    /// A copy for whose response nobody waits.
+    /// A copy whose response is discarded.
     pub(super) fn detached(&self) -> Self {
         Self {
             origin: Origin::Detached,
@@ -70,7 +70,8 @@
 }
 
 impl Simulation {
-    /// The delay of a message on a healthy link.
+    /// Draws the delay of a message on a healthy link: 2 to 15 ms, and 100 to 400 ms for one in a
+    /// hundred.
     fn random_delay(&mut self) -> Ms {
         match self.rng.random_range(0..100) {
             0 => self.rng.random_range(100..400),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The additional delay of a message from or to a machine on a slow link.
+    /// Draws the additional delay of a message from or to a machine with a slow link; 0 for others.
     fn slow_link_delay(&mut self, origin: &Origin, destination: &Destination) -> Ms {
         let ((Origin::Worker { id, .. }, _) | (_, Destination::Worker(id))) = (origin, destination)
         else {
@@ -90,11 +91,11 @@
         }
     }
 
-    /// Sends a request.
+    /// Sends a request. A partition loses it, or delays it until up to 30 s after its end.
     pub(super) fn send(&mut self, message: Message) {
         let partition = self.partition(&message.origin, &message.destination);
         if self.remote.is_some() {
-            // Real sockets have delays of their own.
+            // Messages of separate processes are delayed by the real sockets.
             if partition.is_none() {
                 self.deliver_request(message);
             }
@@ -115,7 +116,7 @@
         self.schedule(time, Event::RequestArrival(message));
     }
 
-    /// Sends a response. Responses are never held back: they are lost or arrive.
+    /// Sends a response. Partitions lose responses, even those that hold requests.
     pub(super) fn respond(&mut self, from: &Destination, to: Origin, status: u16, body: Vec<u8>) {
         let is_partitioned = self.partition(&to, from).is_some();
         let is_lost = self.is_response_lost();
@@ -132,7 +133,7 @@
         self.schedule(time, Event::ResponseArrival { to, status, body });
     }
 
-    /// Whether the receiver of a response is a worker that receives nothing.
+    /// Whether the receiver of a response is a worker with a fault of its inbound link.
     fn is_inbound_blocked(&self, to: &Origin) -> bool {
         let Origin::Worker { id, .. } = to else {
             return false;
@@ -164,7 +165,7 @@
         }
         let lost_response = self.lost_write_response(&message);
         if self.is_refused_by_store(&message.origin) {
-            // Watches of a controller that is refused get no response.
+            // Watches of a refused controller get no response.
             if !message.path.starts_with("/changes") {
                 let body = serde_json::json!({"error": "refused"});
                 self.respond_json(message, 503, &body);
@@ -203,7 +204,7 @@
         let (status, value) =
             self.cloud
                 .handle(self.now, &message.path, &message.body, &mut self.rng);
-        // Deleted machines are removed by the time the cloud responds.
+        // The workers of deleted machines stop before the cloud responds.
         self.sync_workers_with_cloud();
         self.respond_json(message, status, &value);
     }
@@ -245,7 +246,8 @@
         }
     }
 
-    /// Delivers a response to the sender of the request.
+    /// Delivers a response to the sender of the request. Responses to calls that timed out or to an
+    /// earlier incarnation of a controller are dropped.
     pub(super) fn deliver_response(&mut self, to: Origin, status: u16, body: Vec<u8>) {
         match to {
             Origin::Detached => {}
@@ -271,7 +273,8 @@
         }
     }
 
-    /// Sends a message to a peer. It may arrive late or twice, or be lost.
+    /// Sends a message to a peer by name. One in twenty messages is lost, one in twenty arrives
+    /// twice, and one in twenty is delayed by up to 60 s.
     pub(super) fn send_to_peer(&mut self, from: usize, to: &str, message: Vec<u8>) {
         if let Some(recorded) = &mut self.traffic.recorded_messages {
             recorded.push(message.clone());
@@ -304,8 +307,8 @@
         }
     }
 
-    /// Whether messages between two controllers are late, as their zones are partitioned
-    /// or one of them doesn't reach the store.
+    /// Whether messages between two controllers are delayed: their zones are partitioned from each
+    /// other, or one of them does not reach the store.
     fn is_peer_link_slow(&self, from: usize, to: usize) -> bool {
         let zone_partition = &self.network_faults.zone_partition;
         let is_apart = zone_partition.partition.is_active(self.now)
--- a/crates/testkit/src/simulation/network_faults.rs
+++ b/crates/testkit/src/simulation/network_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of messages that last for a while: late, lost, copied and delayed ones.
+//! Faults that delay, lose or copy messages for some time.
 
 use super::events::Event;
 use super::network::{Destination, Message, Origin};
@@ -8,47 +8,48 @@
 use forkshift_wire::state::{Transaction, Write};
 use rand::Rng;
 
-/// Copies of heartbeats that are kept for the next leader: so many for each machine, or the
-/// minimum if that is more.
+/// Maximum number of heartbeat copies that are withheld until a failover, per machine. In small
+/// fleets [`MIN_WITHHELD_COPIES_LIMIT`] applies.
 const WITHHELD_COPIES_PER_MACHINE: usize = 2;
+/// Lower bound of the maximum number of withheld heartbeat copies.
 const MIN_WITHHELD_COPIES_LIMIT: usize = 2_000;
 
-/// What becomes of a transaction whose response is lost.
+/// When a transaction whose response is lost is executed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LostWriteResponse {
-    /// It is executed when it arrives.
+    /// The transaction is executed on arrival.
     ExecutedAtOnce,
-    /// It is executed seconds later.
+    /// The transaction is executed 2 to 12 s after its arrival.
     ExecutedLate,
 }
 
-/// Lost responses to transactions.
+/// The fault that loses responses to transactions.
 #[derive(Default)]
 pub(super) struct LostWriteResponses {
     pub(super) until: Ms,
     pub(super) percent: u32,
-    /// Only of transactions that put a key with this prefix.
+    /// Only transactions that put a key with this prefix are affected; all if absent.
     pub(super) key_prefix: Option<&'static str>,
     pub(super) executes_at_once: bool,
 }
 
-/// Late copies of heartbeats.
+/// The fault that delivers late copies of heartbeats.
 #[derive(Default)]
 pub(super) struct LateHeartbeats {
     pub(super) until: Ms,
     pub(super) percent: u32,
-    /// Whether they are kept until the next failover.
+    /// Whether the copies are withheld until the next failover.
     pub(super) until_failover: bool,
 }
 
-/// Something that befalls a part of the messages or jobs until a time.
+/// A fault that affects a percentage of the messages or jobs until a time.
 #[derive(Default)]
 pub(super) struct SampledFault {
     pub(super) until: Ms,
     pub(super) percent: u32,
 }
 
-/// The network's faults that are active, each until a time.
+/// The faults of the network. Each is active until its time.
 #[derive(Default)]
 pub(super) struct NetworkFaults {
     pub(super) zone_partition: ZonePartition,
@@ -58,31 +59,32 @@
     pub(super) late_writes_until: Ms,
     pub(super) lost_write_responses: LostWriteResponses,
     pub(super) late_heartbeats: LateHeartbeats,
-    /// Delayed commands and responses to commands.
+    /// Delays commands to workers and the responses to them.
     pub(super) delayed_commands: SampledFault,
-    /// Copies of heartbeats for the next leader.
+    /// Copies of heartbeats that are withheld until the next failover.
     withheld_heartbeats: Vec<Message>,
-    /// The terms of leader and holders when the first copy was kept.
+    /// [`crate::store::StoreModel::leadership_terms`] when the first copy was withheld. A failover
+    /// has occurred once they differ.
     terms_when_first_withheld: String,
 }
 
 impl Simulation {
-    /// Copies of heartbeats that are kept for the next leader.
+    /// Number of heartbeat copies that are withheld until the next failover.
     pub fn withheld_heartbeats(&self) -> usize {
         self.network_faults.withheld_heartbeats.len()
     }
 
-    /// Draws whether something with a probability in percent happens.
+    /// Draws true with a probability in percent.
     pub(super) fn draw_percent(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
-    /// Draws whether a response is lost.
+    /// Draws whether a response is lost, one in twenty while the fault lasts.
     pub(super) fn is_response_lost(&mut self) -> bool {
         self.now < self.network_faults.lost_responses_until && self.rng.random_range(0..20) == 0
     }
 
-    /// The additional delay of a response if the store is slow.
+    /// Draws the additional delay of a response of a slow store; 0 for other responses.
     pub(super) fn slow_store_delay(&mut self, from: &Destination) -> Ms {
         let is_store = matches!(from, Destination::Store);
         let is_slow = is_store && self.now < self.network_faults.slow_store_until;
@@ -92,7 +94,7 @@
         0
     }
 
-    /// Draws whether a transaction is executed late and gets no response.
+    /// Draws whether a request is a transaction that is executed late and gets no response.
     pub(super) fn is_write_late(&mut self, message: &Message) -> bool {
         let is_detached = matches!(message.origin, Origin::Detached);
         let is_transaction = message.path == "/txn" && !is_detached;
@@ -100,13 +102,14 @@
         is_possible && self.rng.random_range(0..8) == 0
     }
 
-    /// Lets a request arrive seconds later, without a response.
+    /// Delivers a request 2 to 12 s later and discards the response.
     pub(super) fn execute_late(&mut self, message: &Message) {
         let late = self.now + self.rng.random_range(2_000..12_000);
         self.schedule(late, Event::RequestArrival(message.detached()));
     }
 
-    /// Draws whether the response to a transaction is lost, and when it is executed.
+    /// Draws whether the response to a request is lost, and when the request is executed then.
+    /// Returns none if the request is unaffected.
     pub(super) fn lost_write_response(&mut self, message: &Message) -> Option<LostWriteResponse> {
         let fault = &self.network_faults.lost_write_responses;
         let is_transaction =
@@ -125,7 +128,7 @@
         (is_affected && self.draw_percent(percent)).then_some(outcome)
     }
 
-    /// Keeps a copy of a heartbeat, or lets it arrive late.
+    /// Makes a copy of some heartbeats, which is withheld until a failover or delivered late.
     pub(super) fn copy_heartbeat(&mut self, message: &Message) {
         let LateHeartbeats {
             until,
@@ -156,7 +159,7 @@
         faults.withheld_heartbeats.push(copy);
     }
 
-    /// Lets a second copy of a heartbeat arrive late now and then.
+    /// Delivers a copy of one in four heartbeats 1 s to four leases later, while the fault lasts.
     pub(super) fn send_late_copy(&mut self, message: &Message) {
         let is_possible = matches!(message.destination, Destination::Controller(_))
             && self.now < self.network_faults.late_copies_until;
@@ -169,8 +172,9 @@
         }
     }
 
-    /// Sends kept copies to every controller once a new leader or holder has begun: some
-    /// at once, some after its first decisions.
+    /// Delivers the withheld copies to every controller after a failover: a third within 0.1 s, a
+    /// third within 1 s and a third within 5 s, when the new leader or holder has made its first
+    /// decisions.
     pub(super) fn release_withheld_heartbeats(&mut self) {
         if self.network_faults.withheld_heartbeats.is_empty() || self.leader().is_none() {
             return;
@@ -194,7 +198,8 @@
         }
     }
 
-    /// The additional delay of a command to a worker, or of the response to one.
+    /// Draws the additional delay of a command to a worker or of the response to one; 0 for other
+    /// messages.
     pub(super) fn command_delay(&mut self, origin: &Origin, destination: &Destination) -> Ms {
         let SampledFault { until, percent } = self.network_faults.delayed_commands;
         let is_command = matches!(
--- a/crates/testkit/src/simulation/observe.rs
+++ b/crates/testkit/src/simulation/observe.rs
@@ -1,4 +1,4 @@
-//! Read access to a simulation for tests, tools and the emulator.
+//! Read access to a simulation, for tests, the soak program and the emulator.
 
 use super::users::{User, UserState};
 use super::{Simulation, WALL_CLOCK_OFFSET_MS};
@@ -10,34 +10,35 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Accepted jobs by the final state that their users know of, or else by whether a task of
-/// them is on a machine.
+/// Counts of accepted jobs by the final stage that was reported to users or, if none was, by
+/// whether a task is on a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JobCounts {
     /// All accepted jobs.
     pub accepted: u64,
-    /// Jobs whose users know that they are done.
+    /// Jobs that were reported as done.
     pub done: u64,
-    /// Jobs whose users know that they are cancelled.
+    /// Jobs that were reported as cancelled.
     pub cancelled: u64,
-    /// Others with a task on a machine.
+    /// Other jobs with a task on a machine.
     pub running: u64,
-    /// Others without one.
+    /// Other jobs without a task on a machine.
     pub waiting: u64,
 }
 
 impl Simulation {
-    /// The store's entries whose keys have a prefix.
+    /// Keys and values of the store's entries whose keys have a prefix, ordered by key.
     pub fn store_entries(&self, prefix: &str) -> Vec<(String, serde_json::Value)> {
         self.store.entries_with_prefix(prefix)
     }
 
-    /// When the billing of each machine began and ended; no end: it goes on.
+    /// Start and end of the billing of each machine, in virtual time; no end: it is still billed.
     pub fn billing_periods(&self) -> &BTreeMap<MachineId, (Ms, Option<Ms>)> {
         &self.cloud.billing_periods
     }
 
-    /// Tasks of some jobs that are on machines and have not exited, and whether each runs.
+    /// Tasks of some jobs that have not exited, each with its machine and whether it runs, as opposed
+    /// to fetching its image, waiting for its gang or saving a checkpoint.
     pub fn tasks_of(&self, jobs: &BTreeSet<JobId>) -> Vec<(TaskRef, MachineId, bool)> {
         let mut found = Vec::new();
         for worker in self.workers.by_id.values() {
@@ -52,37 +53,39 @@
         found
     }
 
-    /// Wall-clock time, as all controllers see it.
+    /// Current wall-clock time in milliseconds, as all controllers see it.
     pub fn wall_clock(&self) -> Ms {
         self.now + WALL_CLOCK_OFFSET_MS
     }
 
-    /// Virtual time.
+    /// Current virtual time.
     pub fn now(&self) -> Ms {
         self.now
     }
 
-    /// Requests beyond the limits of the store, and requests in all.
+    /// Number of requests beyond the store's rate limits, and of all requests to the store.
     pub fn rate_limit_counts(&self) -> (u64, u64) {
         self.store.rate_limit_counts
     }
 
-    /// Transactions that the store refused for their size.
+    /// Number of transactions that the store refused for their size.
     pub fn oversized_transactions(&self) -> u64 {
         self.store.oversized_transactions
     }
 
-    /// The format version that the controllers have finalized, by the record in the store.
+    /// The finalized format version according to the store; none before the first finalization.
     pub fn finalized_format(&self) -> Option<u64> {
         self.store.value(records::FINALIZED_FORMAT_KEY)?.as_u64()
     }
 
-    /// Keys and values that were put since the recording began.
+    /// Keys and values of all puts since [`Simulation::record_puts_and_messages`]; empty if it was
+    /// not called.
     pub fn recorded_puts(&self) -> &[(String, serde_json::Value)] {
         self.store.recorded_puts.as_deref().unwrap_or_default()
     }
 
-    /// Messages between controllers since the recording began.
+    /// Messages between controllers since [`Simulation::record_puts_and_messages`]; empty if it was
+    /// not called.
     pub fn recorded_messages(&self) -> &[Vec<u8>] {
         self.traffic
             .recorded_messages
@@ -90,12 +93,12 @@
             .unwrap_or_default()
     }
 
-    /// When a user first knew that a job is cancelled.
+    /// When a response first confirmed that a job is cancelled.
     pub fn cancelled_at(&self, id: &JobId) -> Option<Ms> {
         self.checker.cancelled_at(id)
     }
 
-    /// Counts of the accepted jobs.
+    /// Counts of the accepted jobs by stage.
     pub fn job_counts(&self) -> JobCounts {
         let mut counts = JobCounts::default();
         let ids = self.users.iter().map(|u| &u.plan.spec.id);
@@ -111,7 +114,7 @@
         counts
     }
 
-    /// Restarts of replicas of services.
+    /// Number of task starts of services beyond the first start of each replica.
     pub fn replicas_restarted(&self) -> u64 {
         let specs = self.users.iter().map(|u| &u.plan.spec);
         let services = specs.filter(|s| s.kind == JobKind::Service);
@@ -119,8 +122,9 @@
         again.sum()
     }
 
-    /// Accepted jobs that are neither done nor running, nor cancelled as their users want.
-    /// After a quiet end there must be none.
+    /// Descriptions of the jobs that are not as they must be at the end of a run without active
+    /// faults: not accepted or refused, requested to be cancelled but not confirmed, or, except for
+    /// services, not completed.
     pub fn unfinished_jobs(&self) -> Vec<String> {
         let users = self.users.iter();
         users
@@ -153,12 +157,13 @@
         })
     }
 
-    /// Machines that were deleted or reclaimed.
+    /// Number of machines that were deleted or reclaimed.
     pub fn terminated_machines(&self) -> usize {
         self.cloud.terminated_count
     }
 
-    /// Heartbeats of workers so far, and items that the controllers which are up visited.
+    /// Number of heartbeats sent by all workers, and number of items that the running controllers
+    /// have visited. Tests use the latter to bound the controllers' work.
     pub fn heartbeat_and_visit_counts(&self) -> (u64, u64) {
         let nodes = self
             .controllers
@@ -167,17 +172,17 @@
         (self.workers.heartbeats_sent, nodes.map(Node::visits).sum())
     }
 
-    /// Machines that were provisioned.
+    /// Number of machines that were ever provisioned.
     pub fn provisioned_machines(&self) -> usize {
         self.cloud.terminated_count + self.cloud.machines.len()
     }
 
-    /// Machines that were decommissioned by their records, with the reasons.
+    /// Machines whose record was ever marked as decommissioned, with the first reason.
     pub fn decommissioned(&self) -> &BTreeMap<MachineId, String> {
         &self.store.decommissioned
     }
 
-    /// Requests so far that provisioned machines.
+    /// The requests so far that provisioned machines.
     pub fn provisioning_log(&self) -> &[ProvisionedMachines] {
         &self.cloud.provisioning_log
     }
@@ -187,29 +192,29 @@
         &self.cloud.boots
     }
 
-    /// Machines that are billed and not up.
+    /// Number of machines that are billed and not up.
     pub fn booting_machines(&self) -> usize {
         let all = self.cloud.machines.values();
         all.filter(|m| !m.failed && m.up_at > self.now).count()
     }
 
-    /// Machines that are up.
+    /// Number of machines that are up.
     pub fn machines(&self) -> usize {
         self.workers.by_id.len()
     }
 
-    /// Most machines that were up at a time.
+    /// Maximum number of machines that were up at the same time.
     pub fn max_machines(&self) -> usize {
         self.workers.max_count
     }
 
-    /// A digest of everything that the controllers have sent, which is the
-    /// same for two runs in which they did the same at the same times.
+    /// A digest of all messages of the simulated controllers. It is equal for two runs in which the
+    /// controllers sent the same messages at the same times.
     pub fn digest(&self) -> u64 {
         self.traffic.digest.value()
     }
 
-    /// Puts and deletes that the store has executed.
+    /// Number of puts and removals that the store has executed.
     pub fn writes(&self) -> u64 {
         self.store.writes
     }
--- a/crates/testkit/src/simulation/partitions.rs
+++ b/crates/testkit/src/simulation/partitions.rs
@@ -1,4 +1,4 @@
-//! Network partitions: which two ends do not reach each other, and until when.
+//! Network partitions: which senders do not reach which receivers, and until when.
 
 use super::config::zone_of;
 use super::network::{Destination, Origin};
@@ -8,11 +8,11 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A loss of messages that ends at a time.
+/// A partition between two ends until a time. The default is over.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Partition {
     pub(super) until: Ms,
-    /// Whether messages are delivered after the end; else they are lost.
+    /// Whether requests are delivered after the end; else they are lost.
     pub(super) holds_messages: bool,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A zone that is partitioned from everything outside of it.
+/// The partition of a zone from everything outside of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ZonePartition {
     pub(super) zone: &'static str,
@@ -43,16 +43,16 @@
     }
 }
 
-/// Peers that a controller is partitioned from.
+/// The partition of a controller from some of its peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerPartition {
-    /// One bit for each index.
+    /// Bit set of the indices of the peers.
     peers: u64,
     partition: Partition,
 }
 
 impl PeerPartition {
-    /// A partition from some peers, or from all if they are left out.
+    /// A partition from some peers, or from all if `peers` is absent.
     pub(super) fn new(peers: Option<&[usize]>, partition: Partition) -> Self {
         let bits = |peers: &[usize]| peers.iter().fold(0, |bits, peer| bits | 1 << peer);
         Self {
@@ -81,15 +81,15 @@
     }
 }
 
-/// Faults of a controller, each until a time.
+/// The faults of a controller. Each is active until its time.
 #[derive(Default, Clone)]
 pub(super) struct ControllerFaults {
-    /// The store refuses its requests and leaves its watches without a response.
+    /// The store refuses the controller's requests and leaves its watches without a response.
     pub(super) store_lockout_until: Ms,
-    /// The store refuses its requests.
+    /// The store refuses the controller's requests.
     pub(super) store_refusal_until: Ms,
     pub(super) peer_partition: PeerPartition,
-    /// Its commands do not reach workers.
+    /// The controller's commands do not reach workers.
     pub(super) command_partition: Partition,
     pub(super) link_partitions: Vec<LinkPartition>,
     pub(super) paused_until: Ms,
@@ -97,19 +97,19 @@
     pub(super) store_partition_until: Ms,
     pub(super) worker_partition_until: Ms,
     pub(super) cloud_partition_until: Ms,
-    /// Whether the partitions from store, workers and cloud hold messages.
+    /// Whether the partitions from the store, the workers and the cloud hold requests.
     pub(super) holds_messages: bool,
 }
 
 impl ControllerFaults {
-    /// A partition that holds messages if this controller's partitions do.
+    /// A partition until a time that holds requests if this controller's partitions do.
     fn partition(&self, until: Ms) -> Partition {
         Partition::new(until, self.holds_messages)
     }
 }
 
 impl Simulation {
-    /// The partition between the two ends of a request, if there is one now.
+    /// The active partition between the two ends of a request, if any.
     pub(super) fn partition(
         &self,
         origin: &Origin,
@@ -154,7 +154,7 @@
         partition.is_active(self.now) && is_origin_inside != is_destination_inside
     }
 
-    /// The partition of a controller's call. It may be over already.
+    /// The partition of a controller's call, which may be over.
     fn controller_partition(&self, index: usize, destination: &Destination) -> Partition {
         let faults = &self.controllers[index].faults;
         match destination {
@@ -184,8 +184,8 @@
         Partition::new(until, true)
     }
 
-    /// The partition of a call of a controller that runs as a process. Its sockets lose
-    /// messages and hold none.
+    /// The partition of a call of a controller that runs as a separate process, which may be over.
+    /// These partitions lose all messages, as sockets hold none.
     fn remote_controller_partition(
         &self,
         controller: Option<usize>,
@@ -216,7 +216,7 @@
         self.unreachable_until(id).max(inbound)
     }
 
-    /// The partition of a worker's heartbeat. It may be over already.
+    /// The partition of a worker's heartbeat to a controller, which may be over.
     fn worker_partition(&self, id: &MachineId, index: usize) -> Partition {
         let worker = self.workers.by_id.get(id);
         let lost_until = worker.map_or(0, |worker| worker.outbound_lost_until);
@@ -231,13 +231,13 @@
         faults.partition(until.max(self.unreachable_until(id)))
     }
 
-    /// Until when a machine is partitioned or hung.
+    /// Time until which a machine is partitioned or hangs.
     fn unreachable_until(&self, id: &MachineId) -> Ms {
         let worker = self.workers.by_id.get(id);
         worker.map_or(0, |worker| worker.partitioned_until.max(worker.hung_until))
     }
 
-    /// The partition between a controller and a machine in a direction, if there is one now.
+    /// The active partition between a controller and a machine in a direction, if any.
     fn link_partition(
         &self,
         index: usize,
@@ -250,7 +250,7 @@
         Some(link.partition)
     }
 
-    /// The partition between two controllers, if there is one now.
+    /// The active partition between two controllers, if any.
     pub(super) fn peer_partition(&self, from: usize, to: usize) -> Option<Partition> {
         let mut ends = [(from, to), (to, from)].into_iter();
         ends.find_map(|(index, peer)| {
--- a/crates/testkit/src/simulation/pending_jobs.rs
+++ b/crates/testkit/src/simulation/pending_jobs.rs
@@ -1,4 +1,4 @@
-//! Search for jobs that wait although there is room for them.
+//! Detection of jobs that stay pending although machines have free capacity for them.
 
 use super::users::{User, UserState};
 use super::Simulation;
@@ -9,28 +9,29 @@
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A machine that may take tasks, and its free resources.
+/// A machine on which tasks may be placed, and its free capacity.
 struct MachineFreeCapacity<'a> {
     worker: &'a Worker,
     free: Resources,
 }
 
-/// Tasks on machines that have not exited.
+/// Summary of the tasks on machines that have not exited.
 #[derive(Default)]
 struct Allocation<'a> {
-    /// Jobs with at least one of them.
+    /// Jobs with at least one such task.
     jobs: BTreeSet<&'a JobId>,
-    /// What each team's tasks use.
+    /// Resources that each team's tasks use.
     by_team: BTreeMap<&'a str, Resources>,
 }
 
 impl Simulation {
-    /// Tells the checker of each job whether it waits without a task on any machine
-    /// although there is room for it.
+    /// Reports to the checker for each job whether it is pending without a task on any machine
+    /// although there is free capacity for it.
     pub(super) fn check_pending_jobs(&mut self) {
         let allocation = self.allocation();
         let machines: OnceCell<Vec<MachineFreeCapacity>> = OnceCell::new();
-        // In a large fleet thousands may wait with the same needs.
+        // Results are cached, as thousands of jobs with the same needs may be pending in a large
+        // deployment.
         let mut results: HashMap<String, bool> = HashMap::new();
         let mut found = Vec::new();
         for user in &self.users {
@@ -63,9 +64,9 @@
         allocation
     }
 
-    /// Whether a job should begin as soon as there is room: it is accepted, neither over
-    /// nor cancelled, and depends on no incomplete job. Retries of a job with a defect are
-    /// delayed on purpose.
+    /// Whether a job should begin as soon as there is free capacity: it is accepted, neither in a
+    /// final stage nor being cancelled, and has no incomplete dependency. Jobs with a defect are left
+    /// out, as their retries are delayed by a backoff.
     fn should_start_when_capacity_is_free(&self, user: &User) -> bool {
         let id = &user.plan.spec.id;
         let is_cancelled = user.plan.cancel_at.is_some_and(|at| at <= self.now);
@@ -77,14 +78,15 @@
             && !self.checker.is_blocked(id)
     }
 
-    /// A job as it was submitted and what its team uses, for the analysis of a day.
+    /// Describes a job's specification, its holder and the tasks of its team, for the analysis of a
+    /// run.
     pub fn describe_job(&self, id: &JobId) -> String {
         let Some(spec) = self
             .ground_truths
             .get(id)
             .map(|ground_truth| &ground_truth.spec)
         else {
-            return format!("{id} is nobody's");
+            return format!("{id} was never submitted");
         };
         let mut team = Vec::new();
         for worker in self.workers.by_id.values() {
@@ -99,7 +101,7 @@
         format!("{spec:?}, held by {holder:?}, cancelled at {cancelled:?}; its team has {team:?}")
     }
 
-    /// Whether a team stays within its limits as a job begins.
+    /// Whether a team stays within its limits if a job begins.
     fn is_under_limit(&self, spec: &JobSpec, allocation: &Allocation) -> bool {
         let used = allocation.by_team.get(spec.team.as_str());
         let used = used.copied().unwrap_or_default();
@@ -110,7 +112,7 @@
             && is_under(used.gpus + tasks * spec.gpus, max_gpus)
     }
 
-    /// Free resources of the machines that the cloud does not reclaim.
+    /// Free capacity of all machines, except those with an announced reclaim.
     fn machines_with_free_capacity(&self) -> Vec<MachineFreeCapacity<'_>> {
         let workers = self.workers.by_id.values();
         workers
@@ -132,7 +134,7 @@
     }
 }
 
-/// Tasks of a job that must find room at the same time.
+/// Number of a job's tasks that must be placed together for the job to begin.
 fn tasks_needed_at_once(spec: &JobSpec) -> u32 {
     match spec.kind {
         JobKind::Array => 1,
@@ -140,7 +142,7 @@
     }
 }
 
-/// Everything of a job that decides whether there is room for it.
+/// All properties of a job that determine whether machines have capacity for it, as a cache key.
 fn placement_key(spec: &JobSpec) -> String {
     let resources = (spec.cpus, spec.gpus, spec.memory_gb);
     let place = (
@@ -156,7 +158,8 @@
     )
 }
 
-/// Whether there is room for the tasks that a job needs at once.
+/// Whether machines have free capacity for the tasks that must be placed together, under the job's
+/// zone constraints.
 fn has_free_capacity(machines: &[MachineFreeCapacity], spec: &JobSpec) -> bool {
     let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in machines.iter().filter(|m| is_allowed(m.worker, spec)) {
@@ -177,7 +180,7 @@
     }
 }
 
-/// Whether a job allows a machine.
+/// Whether a job's constraints on type, zone and spot allow a machine.
 fn is_allowed(worker: &Worker, spec: &JobSpec) -> bool {
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.contains(&worker.machine_type))
--- a/crates/testkit/src/simulation/plan.rs
+++ b/crates/testkit/src/simulation/plan.rs
@@ -1,6 +1,7 @@
-//! Jobs that users will submit, written by hand or drawn at random.
+//! Plans of jobs that users submit, built by tests or drawn at random.
 //!
-//! The order of draws may not change: a seed stands for the same day in every build.
+//! The order of random draws must not change, so that a seed produces the same jobs in every build
+//! and recorded failures stay reproducible.
 
 use crate::day::MAX_PIPELINE_JOBS;
 use crate::faults::ControllerSelector;
@@ -11,44 +12,45 @@
 use rand::seq::IndexedRandom;
 use rand::Rng;
 
-/// Delay between the submissions of a pipeline's jobs.
+/// Time between the submissions of two consecutive jobs of a pipeline.
 const PIPELINE_JOB_INTERVAL_MS: Ms = 300;
-/// Deadline of a pipeline's last job, in seconds.
+/// Deadline of the last job of a pipeline, in seconds.
 const PIPELINE_DEADLINE_S: f64 = 120.0;
 
-/// The id of a numbered job that [`JobPlan::plain`] builds.
+/// The id of the job with a number that [`JobPlan::plain`] builds.
 pub fn job_id(n: u32) -> JobId {
     JobId::new(&format!("j-{n}"))
 }
 
-/// The id of a numbered job that is drawn at random.
+/// The id of the job with a number that is drawn at random.
 pub(crate) fn random_job_id(n: u32) -> JobId {
     JobId::new(&format!("j-{n:06}"))
 }
 
-/// A defect of a job, for which its tasks fail on every machine.
+/// A defect of a job, due to which its tasks fail on every machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum JobDefect {
-    /// They fail as soon as they have their image, and never run.
+    /// The tasks fail as soon as their image is ready, and never run.
     FailsAtStart,
-    /// They run for so long, and fail.
+    /// The tasks fail after running for this time.
     FailsAfter(Ms),
 }
 
-/// A job that a user will submit.
+/// A job that a user submits, with its ground truth and the user's later actions.
 #[derive(Clone, Debug)]
 pub struct JobPlan {
-    /// When the user submits it.
+    /// When the user first submits the job.
     pub submit_at: Ms,
     /// The submitted specification.
     pub spec: JobSpec,
-    /// How long each task really runs.
+    /// Actual run time of each task, whatever the specification estimates.
     pub run_ms: Ms,
-    /// When the user wants it cancelled.
+    /// When the user cancels the job; never if absent.
     pub cancel_at: Option<Ms>,
-    /// The controller that the user's requests go to; any if left out, or if there is none.
+    /// The controller to which the user's requests go. If absent or without a match, each request
+    /// goes to a random controller.
     pub target_controller: Option<ControllerSelector>,
-    /// Its defect. Jobs drawn at random have none.
+    /// Defect of the job, if any. Random jobs have none.
     pub defect: Option<JobDefect>,
 }
 
@@ -64,8 +66,8 @@
         }
     }
 
-    /// A plain job, of which a test changes what matters to it: it may run on any
-    /// ordinary machine, and its estimate is exact.
+    /// A job with default properties, of which a test overrides the relevant ones: it may run on any
+    /// on-demand machine with enough resources, and its estimated run time is exact.
     pub fn plain(n: u32, at: Ms, kind: JobKind, tasks: u32, run_ms: Ms) -> Self {
         let spec = JobSpec {
             id: job_id(n),
@@ -93,7 +95,7 @@
         Self::new(at, spec, run_ms, None)
     }
 
-    /// A job drawn at random.
+    /// Draws a job of any kind that runs for 2 to 15 s.
     pub fn random(rng: &mut StdRng, n: u32, at: Ms) -> Self {
         let kind = random_kind(rng);
         let is_service = kind == JobKind::Service;
@@ -135,7 +137,7 @@
         Self::new(at, spec, run_ms, cancel_at)
     }
 
-    /// A job drawn at random that runs longer than most of [`JobPlan::random`], and is
+    /// Draws a job that runs longer than most jobs of [`JobPlan::random`], 5 to 60 s, and is
     /// cancelled more often.
     pub fn random_long(rng: &mut StdRng, n: u32, at: Ms) -> Self {
         let mut plan = Self::random(rng, n, at);
@@ -147,7 +149,7 @@
         plan
     }
 
-    /// An array of many small tasks, which takes several records.
+    /// Draws an array of 60 to 300 small tasks, which is too large for a single store record.
     pub fn random_large_array(rng: &mut StdRng, n: u32, at: Ms) -> Self {
         let tasks = rng.random_range(60..300);
         let run_ms = rng.random_range(2_000..20_000);
@@ -162,9 +164,9 @@
         plan
     }
 
-    /// A pipeline of two to six jobs drawn at random, numbered from `first` on. Each depends
-    /// on one or two of the jobs before it, and the first ones perhaps on one of the day's
-    /// other jobs, of any team. The last may come late, and any of them may be cancelled.
+    /// Draws a pipeline of two to six jobs, numbered from `first` on. Each job depends on one or two
+    /// of the jobs before it, and the first two may depend on one of `others`, of any team. The last
+    /// job may be submitted late, and any job may be cancelled.
     pub fn random_pipeline(rng: &mut StdRng, first: u32, at: Ms, others: &[JobId]) -> Vec<Self> {
         let jobs = rng.random_range(2..=MAX_PIPELINE_JOBS);
         let mut plans: Vec<Self> = (0..jobs)
@@ -180,7 +182,7 @@
         plans
     }
 
-    /// The job of an index in a pipeline.
+    /// Draws the job with an index in a pipeline.
     fn pipeline_job(rng: &mut StdRng, first: u32, index: u32, at: Ms, others: &[JobId]) -> Self {
         let at = at + u64::from(index) * PIPELINE_JOB_INTERVAL_MS;
         let mut plan = Self::random(rng, first + index, at);
@@ -204,7 +206,8 @@
     }
 }
 
-/// An exact estimate of the run time; services have none.
+/// The exact run time in seconds as the estimate of a specification; 0 for services, which have
+/// none.
 fn estimate_s(kind: JobKind, run_ms: Ms) -> f64 {
     match kind {
         JobKind::Service => 0.0,
--- a/crates/testkit/src/simulation/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -1,4 +1,4 @@
-//! Warm pools by the store's records, and what the cloud billed.
+//! Warm pools according to the records in the store, and the billing periods of the cloud.
 
 use super::Simulation;
 use crate::Ms;
@@ -16,7 +16,7 @@
 const MACHINE_KEY_PREFIX: &str = "c/machine/";
 
 impl Simulation {
-    /// Members of warm pools now.
+    /// Machines that are members of a warm pool according to their records.
     pub fn pool_members(&self) -> Vec<(MachineId, Membership)> {
         let members = self.machine_records().into_iter();
         members
@@ -24,7 +24,8 @@
             .collect()
     }
 
-    /// The accounts of all pools. Open intervals are taken to end now.
+    /// The usage records of all pools, with current memberships closed at `now_ms`, in milliseconds
+    /// of the wall clock.
     ///
     /// # Panics
     ///
@@ -63,7 +64,8 @@
         accounts
     }
 
-    /// Billing periods of all machines, for a simulation that began at a time.
+    /// Billing periods of all machines in wall-clock time, for a simulation that began at `began_ms`.
+    /// Open periods end now.
     pub fn billing_periods_from(&self, began_ms: Ms) -> BTreeMap<MachineId, BillingPeriod> {
         let periods = self.billing_periods().iter();
         let period = |(from, to): &(Ms, Option<Ms>)| {
--- a/crates/testkit/src/simulation/remote.rs
+++ b/crates/testkit/src/simulation/remote.rs
@@ -1,8 +1,8 @@
-//! Simulations whose controllers are processes of their own.
+//! Simulations whose controllers run as separate processes.
 //!
-//! The simulation then plays users, workers, cloud and store only, in real time. Requests
-//! to controllers are queued for the caller, which sends them over sockets, and the caller
-//! passes in the controllers' calls.
+//! The simulation models only the users, the workers, the cloud and the store, in real time.
+//! Requests to controllers are queued for the caller, which sends them over sockets. The caller
+//! passes the controllers' calls to [`Simulation::call`].
 
 use super::network::{Destination, Message, Origin};
 use super::selectors::controller_in;
@@ -14,12 +14,12 @@
 use rand::Rng;
 use serde_json::Value;
 
-/// The sender of a request to a controller, which gets the response.
+/// The sender of a request to a controller, to which the reply goes.
 #[derive(Debug)]
 pub struct Requester(Origin);
 
 impl Requester {
-    /// The machine whose heartbeat this is, if it is one.
+    /// The machine that sent the request, if the request is a heartbeat.
     pub fn machine(&self) -> Option<&MachineId> {
         match &self.0 {
             Origin::Worker { id, .. } => Some(id),
@@ -28,64 +28,64 @@
     }
 }
 
-/// A request for a controller.
+/// A request to be sent to a controller.
 #[derive(Debug)]
 pub struct ControllerRequest {
-    /// The sender.
+    /// Sender, to be passed to [`Simulation::deliver_reply`] with the reply.
     pub requester: Requester,
     /// Index of the controller.
     pub controller: usize,
     /// HTTP method.
     pub method: String,
-    /// Path.
+    /// Path with query.
     pub path: String,
-    /// JSON.
+    /// JSON body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 /// A response to a controller's call.
 #[derive(Debug)]
 pub struct CallResponse {
-    /// The number that the call was passed in with.
+    /// Number that the caller passed to [`Simulation::call`].
     pub call: u64,
     /// HTTP status.
     pub status: u16,
-    /// JSON.
+    /// JSON body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 /// A service or worker that controllers call.
 #[derive(Clone, Debug)]
 pub enum Service {
-    /// The store, as the controller of that index reaches it.
+    /// Store, called by the controller with this index.
     Store(usize),
-    /// The cloud, likewise.
+    /// Cloud, called by the controller with this index.
     Cloud(usize),
-    /// A machine's worker.
+    /// Worker of a machine. The calling controller follows from the fencing token of its commands.
     Worker(MachineId),
 }
 
-/// A machine that was added or removed.
+/// A change of the set of machines that are up.
 #[derive(Debug)]
 pub enum MachineChange {
-    /// Its worker is up.
+    /// The machine has booted and its worker is up.
     Up(MachineId),
-    /// It was removed.
+    /// The machine was deleted or reclaimed, or has crashed.
     Removed(MachineId),
 }
 
-/// Queues between the simulation and controllers that run as processes.
+/// Queues between the simulation and controllers that run as separate processes.
 #[derive(Default)]
 pub(super) struct RemoteQueues {
     requests: Vec<ControllerRequest>,
     responses: Vec<CallResponse>,
     pub(super) machines: Vec<MachineChange>,
-    /// Controllers that are healthy for the load balancer.
+    /// Indices of the controllers to which the load balancer sends users.
     healthy: Vec<usize>,
 }
 
 impl Simulation {
-    /// Runs until a time, in steps of up to `max_step_ms`.
+    /// Runs until a time, rounded down to a multiple of 10 ms, in steps of up to `max_step_ms`.
     pub fn advance_to(&mut self, time: Ms, max_step_ms: Ms) {
         while self.now + STEP_MS <= time {
             let next = (self.now + max_step_ms.max(STEP_MS)).min(time);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Passes in a controller's call. The response, if there is one, bears its number.
+    /// Processes a controller's call. The response, if there is one, carries the number `call`.
     pub fn call(&mut self, call: u64, to: Service, method: &str, path: &str, body: Vec<u8>) {
         let (destination, controller) = match to {
             Service::Store(node) => (Destination::Store, Some(node)),
@@ -109,7 +109,8 @@
         });
     }
 
-    /// The controller that has sent commands: the holder with the epoch of their token.
+    /// The controller that sent commands: the holder of the shard whose epoch is that of the fencing
+    /// token. None if no shard has this epoch any more.
     fn controller_of_token(&self, body: &[u8]) -> Option<usize> {
         let request: CommandRequest = serde_json::from_slice(body).ok()?;
         let epoch = epoch_of_token(request.token);
@@ -119,37 +120,38 @@
         controller_in(record.get("holder"))
     }
 
-    /// Delivers the response of a controller; status 0 stands for none.
+    /// Delivers the reply of a controller to the sender of the request; status 0: there was none.
     pub fn deliver_reply(&mut self, requester: Requester, status: u16, body: Vec<u8>) {
         self.deliver_response(requester.0, status, body);
     }
 
-    /// Takes the requests that are to be sent to controllers.
+    /// Takes the requests to controllers since the last call.
     pub fn take_requests(&mut self) -> Vec<ControllerRequest> {
         let remote = self.remote.as_mut();
         remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.requests))
     }
 
-    /// Takes the responses to controllers' calls.
+    /// Takes the responses to controllers' calls since the last call.
     pub fn take_responses(&mut self) -> Vec<CallResponse> {
         let remote = self.remote.as_mut();
         remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.responses))
     }
 
-    /// Takes the machines that were added or removed.
+    /// Takes the machines that were added or removed since the last call.
     pub fn take_machine_changes(&mut self) -> Vec<MachineChange> {
         let remote = self.remote.as_mut();
         remote.map_or_else(Vec::new, |r| std::mem::take(&mut r.machines))
     }
 
-    /// Sets which controllers are healthy for the load balancer.
+    /// Sets the indices of the controllers to which the load balancer sends users. If there are none,
+    /// it chooses from all controllers.
     pub fn set_healthy(&mut self, healthy: Vec<usize>) {
         if let Some(remote) = &mut self.remote {
             remote.healthy = healthy;
         }
     }
 
-    /// The controller to which the load balancer sends a user, drawn at random.
+    /// Draws the controller to which the load balancer sends a user's request.
     pub(super) fn random_user_controller(&mut self) -> usize {
         let healthy = self.remote.as_ref().map_or(&[][..], |r| &r.healthy);
         match healthy.len() {
--- a/crates/testkit/src/simulation/selectors.rs
+++ b/crates/testkit/src/simulation/selectors.rs
@@ -1,4 +1,4 @@
-//! Selection of controllers and machines by what they are at the moment.
+//! Selection of controllers and machines by their current role or state.
 
 use super::config::controller_index;
 use super::Simulation;
@@ -8,13 +8,13 @@
 use forkshift_wire::{JobId, MachineId};
 use serde_json::Value;
 
-/// The controller that a field of a record names.
+/// The index of the controller that a field of a record names, if it names one.
 pub(super) fn controller_in(field: Option<&Value>) -> Option<usize> {
     controller_index(field?.as_str()?)
 }
 
 impl Simulation {
-    /// The selected controller, if there is one now.
+    /// Index of the selected controller; none if no controller matches now.
     pub fn select_controller(&self, selector: &ControllerSelector) -> Option<usize> {
         match selector {
             ControllerSelector::Index(index) => Some(*index),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The leader by the store's record.
+    /// Index of the leader according to the store, if there is one.
     pub fn leader(&self) -> Option<usize> {
         controller_in(self.store.value(records::LEADER_KEY)?.get("node"))
     }
@@ -39,32 +39,32 @@
         Some(ShardId(shard.as_u64()? as u32))
     }
 
-    /// The holder of a job's shard by the store's record.
+    /// Index of the controller that holds a job's shard according to the store, if any.
     pub fn holder_of(&self, id: &JobId) -> Option<usize> {
         let key = records::shard_key(self.shard_of(id)?);
         controller_in(self.store.value(&key)?.get("holder"))
     }
 
-    /// The records of all shards in the store.
+    /// The records of all shards in the store. There are as many shards as controllers.
     pub(super) fn shard_records(&self) -> impl Iterator<Item = &Value> {
         let shards =
             (0..self.config.controllers as u32).map(|shard| records::shard_key(ShardId(shard)));
         shards.filter_map(|key| self.store.value(&key))
     }
 
-    /// Whether a controller holds a shard by the store's records.
+    /// Whether a controller holds any shard according to the store.
     pub fn holds_shards(&self, node: usize) -> bool {
         let mut records = self.shard_records();
         records.any(|record| controller_in(record.get("holder")) == Some(node))
     }
 
-    /// The epoch of a job's shard by the store's record.
+    /// Epoch of a job's shard according to the store.
     pub fn epoch_of(&self, id: &JobId) -> Option<u64> {
         let key = records::shard_key(self.shard_of(id)?);
         self.store.value(&key)?.get("epoch")?.as_u64()
     }
 
-    /// The holder of a machine's shard by the store's records.
+    /// Index of the controller that holds a machine's shard according to the store, if any.
     fn holder_of_machine(&self, id: &MachineId) -> Option<usize> {
         let machine = self.store.value(&records::machine_key(id))?;
         let shard = ShardId(machine.get("share")?.as_u64()? as u32);
@@ -79,7 +79,8 @@
         in_zone.map(|worker| worker.id.clone()).collect()
     }
 
-    /// The selected machines that are up; all of them if some are to be drawn at random.
+    /// The selected machines that are up. For [`MachineSelector::Random`] these are all machines, from
+    /// which the caller draws.
     pub fn select_machines(&self, which: &MachineSelector) -> Vec<MachineId> {
         let workers = self.workers.by_id.values();
         let selected = workers.filter(|worker| self.is_selected(worker, which));
--- a/crates/testkit/src/simulation/users.rs
+++ b/crates/testkit/src/simulation/users.rs
@@ -1,4 +1,4 @@
-//! Users: each submits one job, polls it and perhaps cancels it.
+//! Users. Each submits one job, polls its state and, if planned, cancels it.
 
 use super::network::{Destination, Message, Origin};
 use super::{JobPlan, Simulation};
@@ -7,41 +7,41 @@
 use crate::Ms;
 use forkshift_wire::users::{JobStage, JobStatus};
 
-/// Interval at which a user checks whether the jobs that its job depends on are accepted.
+/// Interval at which a user checks whether the dependencies of its job are accepted.
 const DEPENDENCY_POLL_MS: Ms = 200;
-/// Pause before a failed request is repeated.
+/// Time until a failed request is repeated.
 const RETRY_MS: Ms = 1_500;
-/// A user waits this long for a response.
+/// Timeout of a request.
 const REQUEST_TIMEOUT_MS: Ms = 5_000;
-/// Pause after a request without a response.
+/// Time from the timeout of a request to the next one.
 const TIMEOUT_RETRY_MS: Ms = 1_000;
-/// Least pause between an accepted submission and the first poll.
+/// Minimum time from an accepted submission to the first poll.
 const MIN_FIRST_POLL_MS: Ms = 2_000;
-/// Pause after an accepted cancellation.
+/// Time from an accepted cancellation to the next poll.
 const CANCELLED_POLL_MS: Ms = 3_000;
-/// Interval at which a final state is polled, to check that it stays.
+/// Interval at which a job in a final stage is polled, to check that the stage does not change.
 const FINAL_POLL_MS: Ms = 20_000;
 
-/// What a user does next.
+/// The kind of a user's next request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum UserState {
     Submitting,
     Polling,
     Cancelling,
-    /// The job was refused.
+    /// No further request, as the job was refused.
     Finished,
 }
 
-/// The user of one job.
+/// A user and its job.
 pub(super) struct User {
     pub(super) plan: JobPlan,
     pub(super) state: UserState,
     pub(super) next_request_at: Ms,
-    /// Number of the last request.
+    /// Number of the last request. Responses to earlier requests are ignored.
     last_request: u64,
-    /// The checker's ticket of the last request.
+    /// Ticket of [`crate::Checker::on_request_sent`] for the last request.
     ticket: u64,
-    /// Whether the last request has no response yet.
+    /// Whether the last request has neither a response nor timed out.
     pub(super) is_awaiting_response: bool,
     sent_at: Ms,
 }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Gives up a request that has no response in time.
+    /// Abandons the last request if it has timed out.
     fn expire_request(&mut self, now: Ms) {
         if self.is_awaiting_response && now >= self.sent_at + REQUEST_TIMEOUT_MS {
             self.is_awaiting_response = false;
@@ -79,7 +79,7 @@
         self.sent_at = now;
     }
 
-    /// The state after a response, and the pause until the next request.
+    /// The state after a response, and the time until the next request.
     fn state_after(&self, status: u16, stage: Option<JobStage>, poll_ms: Ms) -> (UserState, Ms) {
         let is_success = is_success(status);
         let is_final = stage.is_some_and(JobStage::is_final);
@@ -101,14 +101,14 @@
 }
 
 impl Simulation {
-    /// Sends all users' requests to one controller from now on.
+    /// Routes all further requests of users to one controller.
     pub fn route_users_to(&mut self, node: usize) {
         for user in &mut self.users {
             user.plan.target_controller = Some(ControllerSelector::Index(node));
         }
     }
 
-    /// Lets all users send the requests that are due.
+    /// Sends the requests of users that are due.
     pub(super) fn tick_users(&mut self) {
         for index in 0..self.users.len() {
             if self.prepare_request(index) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Whether a user sends a request now.
+    /// Updates the state of a user. Returns whether it sends a request now.
     fn prepare_request(&mut self, index: usize) -> bool {
         let now = self.now;
         let user = &mut self.users[index];
@@ -125,7 +125,8 @@
         if !user.is_request_due(now) {
             return false;
         }
-        // Users submit a job once the jobs that it depends on are accepted.
+        // A submission with dependencies that are not accepted may be refused, so users submit a job
+        // once all its dependencies are accepted.
         let mut dependencies = user.plan.spec.dependencies.iter();
         let is_submitting = user.state == UserState::Submitting;
         if is_submitting && !dependencies.all(|id| self.checker.is_accepted(id)) {
--- a/crates/testkit/src/simulation/workers.rs
+++ b/crates/testkit/src/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! The fleet of machines: they boot, send heartbeats and are removed.
+//! The workers of all machines that are up: their start, heartbeats and removal.
 
 use super::config::controller_index;
 use super::network::{Destination, Message, Origin};
@@ -11,22 +11,22 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Least time between two heartbeats of a worker of the emulator.
+/// Minimum time between two heartbeats of a worker if controllers run as separate processes.
 const MIN_HEARTBEAT_GAP_MS: Ms = 500;
-/// A worker waits this long for the response to a heartbeat.
+/// Timeout of a heartbeat, after which the worker turns to the next controller.
 const HEARTBEAT_TIMEOUT_MS: Ms = 4_000;
-/// Time until the next heartbeat after one that failed.
+/// Time until the next heartbeat after a failed or timed-out one.
 const HEARTBEAT_RETRY_MS: Ms = 1_000;
-/// Time until the next heartbeat after a redirect.
+/// Time until the next heartbeat after a redirect to another controller.
 const REDIRECT_DELAY_MS: Ms = 100;
 
-/// The machines that are up.
+/// The workers of the machines that are up.
 #[derive(Default)]
 pub(super) struct WorkerFleet {
     pub(super) by_id: BTreeMap<MachineId, Worker>,
-    /// When each attempt of a gang began to run.
+    /// When each attempt of a gang started to run.
     pub(super) gang_starts: BTreeMap<(JobId, u64), Ms>,
-    /// Most machines that were up at a time.
+    /// Maximum number of machines that were up at the same time.
     pub(super) max_count: usize,
     pub(super) heartbeats_sent: u64,
 }
@@ -38,7 +38,7 @@
 }
 
 impl Simulation {
-    /// Removes a worker with all its tasks.
+    /// Removes a worker and ends all its tasks.
     pub(super) fn remove_worker(&mut self, id: &MachineId) {
         let Some(mut worker) = self.workers.by_id.remove(id) else {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Removes the workers of terminated machines and adds those of booted ones.
+    /// Removes the workers of terminated machines and adds workers for booted machines.
     pub(super) fn sync_workers_with_cloud(&mut self) {
         for id in std::mem::take(&mut self.cloud.newly_terminated) {
             self.remove_worker(&id);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Lets time pass for all workers, then sends the heartbeats that are due.
+    /// Advances all workers that do not hang, then sends the heartbeats that are due.
     pub(super) fn tick_workers(&mut self) {
         let now = self.now;
         let is_remote = self.remote.is_some();
@@ -112,7 +112,8 @@
                 continue;
             }
             let period = self.config.heartbeat_ms;
-            // Many processes on one computer would send all at once.
+            // Jitter of a quarter of the period spreads the heartbeats that the emulator sends from
+            // one computer.
             let next = match is_remote {
                 true => self.rng.random_range(period * 3 / 4..=period * 5 / 4),
                 false => period,
@@ -172,7 +173,7 @@
     }
 }
 
-/// Begins a worker's heartbeat; the following one is due after `next`.
+/// Builds a worker's heartbeat and schedules the next one after `next`.
 fn heartbeat_message(worker: &mut Worker, now: Ms, next: Ms) -> Message {
     let heartbeat = worker.begin_heartbeat(now);
     worker.next_heartbeat_at = now + next;
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -1,4 +1,5 @@
-//! A model of the consensus-backed key-value store: leases, transactions and watches.
+//! A model of the consensus-backed key-value store: leases, compare-and-swap transactions,
+//! listings and watches.
 
 mod changes;
 mod leases;
@@ -21,17 +22,18 @@
 /// An HTTP status and a JSON body.
 type Response = (u16, Value);
 
-/// Page size of a listing that is requested without one.
+/// Page size of a listing whose request names none.
 const DEFAULT_PAGE_ITEMS: usize = 1_000;
 
 struct Entry {
     value: Value,
-    /// Revision of the last put.
+    /// Revision of the last put, which preconditions of transactions refer to.
     version: u64,
+    /// The lease at whose end the entry is removed, if any.
     lease: Option<u64>,
 }
 
-/// The store. `W` identifies those who wait for the responses to watches.
+/// The store. `W` identifies the senders of watches, to which the responses go.
 pub(crate) struct StoreModel<W> {
     entries: BTreeMap<String, Entry>,
     revision: u64,
@@ -39,18 +41,18 @@
     change_log: VecDeque<Change>,
     watches: Vec<Watch<W>>,
     pub(crate) is_down: bool,
-    /// Puts and deletes so far.
+    /// Number of puts and removals executed so far.
     pub(crate) writes: u64,
-    /// Keys and values that were put, if they are recorded.
+    /// Keys and values of all puts since recording began; absent if puts are not recorded.
     pub(crate) recorded_puts: Option<Vec<(String, Value)>>,
-    /// Machines whose records said that they are decommissioned, with the first reason.
+    /// Machines whose record was ever marked as decommissioned, with the first reason.
     pub(crate) decommissioned: BTreeMap<MachineId, String>,
     size_limits: SizeLimits,
-    /// Transactions that were refused for their size.
+    /// Number of transactions refused for their size.
     pub(crate) oversized_transactions: u64,
     request_limiter: RateLimiter,
     write_limiter: RateLimiter,
-    /// Requests beyond the limits, and requests in all.
+    /// Number of requests beyond the rate limits, and of all requests.
     pub(crate) rate_limit_counts: (u64, u64),
     behavior: StoreBehavior,
 }
@@ -58,15 +60,16 @@
 /// How strictly the model follows the protocol.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StoreBehavior {
-    /// Largest page of a listing.
+    /// Maximum page size of a listing.
     pub(crate) max_page_items: usize,
-    /// Whether requests beyond the limits are refused with 429, rather than only counted.
+    /// Whether requests beyond the rate limits are refused with 429. Otherwise they are counted and
+    /// executed.
     pub(crate) enforces_limits: bool,
 }
 
 impl Default for StoreBehavior {
-    /// Small pages, so that paging is exercised; requests beyond the limits are counted
-    /// and executed.
+    /// Small pages, so that controllers have to page even in small deployments, and no refusal of
+    /// requests beyond the rate limits.
     fn default() -> Self {
         Self {
             max_page_items: 40,
@@ -75,7 +78,7 @@
     }
 }
 
-/// A parameter of a path's query.
+/// The value of a query parameter of a path.
 fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Keys with a prefix, and their values.
+    /// Entries whose keys have a prefix, in the order of keys.
     pub(crate) fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Value)> {
         let entries = self.entries.range(prefix.to_owned()..);
         let entries = entries.take_while(|(key, _)| key.starts_with(prefix));
@@ -125,24 +128,25 @@
             .collect()
     }
 
-    /// The present value of a key.
+    /// The current value of a key.
     pub(crate) fn value(&self, key: &str) -> Option<&Value> {
         self.entries.get(key).map(|entry| &entry.value)
     }
 
-    /// Lowers the limits.
+    /// Replaces the write rate limit and the size limits.
     pub(crate) fn set_limits(&mut self, write_rps: f64, size_limits: SizeLimits) {
         self.write_limiter = RateLimiter::new(write_rps);
         self.size_limits = size_limits;
     }
 
-    /// Begins or ends an outage. After it every lease has its full time.
+    /// Begins or ends an outage. Both renew all leases, so that no lease expires during an outage.
     pub(crate) fn set_down(&mut self, is_down: bool, now: Ms) {
         self.is_down = is_down;
         self.leases.renew_all(now);
     }
 
-    /// Handles a request; none: the response is still to come, or never comes.
+    /// Processes a request. Returns none if there is no response yet, or never will be: a watch
+    /// that waits for a change, or a watch during an outage.
     pub(crate) fn handle(
         &mut self,
         now: Ms,
@@ -177,7 +181,7 @@
         Some(response)
     }
 
-    /// Counts a request and whether it is within the limits.
+    /// Counts a request against the rate limits. Returns whether it is within them.
     fn count_request(
         &mut self,
         now: Ms,
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Lists a page of the entries whose keys have a prefix, after a key.
+    /// Lists a page of the entries whose keys have a prefix and follow a key.
     fn list(&self, path: &str) -> Response {
         let prefix = query_parameter(path, "starts").unwrap_or_default();
         let after = query_parameter(path, "from").unwrap_or_default();
@@ -233,8 +237,8 @@
         )
     }
 
-    /// The terms of the leader and all holders as one text, which changes with every
-    /// failover.
+    /// The incarnations and epochs of the leader and of all shard holders as one text, which changes
+    /// with every failover.
     pub(crate) fn leadership_terms(&self) -> String {
         let entries = self.entries.range("c/leader".to_owned()..);
         entries
@@ -247,8 +251,8 @@
             .collect()
     }
 
-    /// Removes the entries of expired leases, and returns the watches that have a response.
-    /// Those of watchers that are locked out go on waiting.
+    /// Removes the entries of expired leases, and returns the responses to watches that are ready.
+    /// Watches of locked-out senders stay open. Nothing happens during an outage.
     pub(crate) fn tick(&mut self, now: Ms, is_locked_out: impl Fn(&W) -> bool) -> Vec<(W, Value)> {
         if self.is_down {
             return Vec::new();
--- a/crates/testkit/src/store/changes.rs
+++ b/crates/testkit/src/store/changes.rs
@@ -1,13 +1,14 @@
-//! The log of changes, and watches that wait for them.
+//! The log of changes, and watches, which are long polls of that log.
 
 use super::{query_number, query_parameter, Response, StoreModel};
 use crate::Ms;
 use serde_json::{json, Value};
 
-/// Changes that are kept for watches.
+/// Maximum number of changes in the log. A watch from an earlier revision gets 410 and has to list
+/// the entries anew.
 pub(super) const MAX_LOG_ENTRIES: usize = 10_000;
 
-/// A put, or a removal if there is no value.
+/// A put or, if there is no value, a removal.
 pub(super) struct Change {
     pub(super) revision: u64,
     pub(super) key: String,
@@ -24,16 +25,18 @@
     }
 }
 
-/// A watch that waits for a change.
+/// A watch without a response yet.
 pub(super) struct Watch<W> {
     watcher: W,
     prefix: String,
+    /// Changes up to this revision are known to the watcher.
     after_revision: u64,
+    /// The watch gets a response without changes at this time.
     expires_at: Ms,
 }
 
 impl<W> StoreModel<W> {
-    /// Responds to `GET /changes`; none: the watch waits.
+    /// Responds to `GET /changes`. Returns none if there is no change yet, and the watch waits.
     pub(super) fn watch(&mut self, now: Ms, path: &str, watcher: W) -> Option<Response> {
         let prefix = query_parameter(path, "starts").unwrap_or_default();
         let after_revision = query_number(path, "from").unwrap_or(0);
@@ -53,15 +56,15 @@
         Some((200, self.changes_reply(prefix, after_revision)))
     }
 
-    /// Whether the log may lack changes after a revision.
+    /// Whether the log may no longer hold all changes after a revision.
     fn is_log_truncated_after(&self, revision: u64) -> bool {
         let first = self.change_log.front();
         first.is_some_and(|change| change.revision > revision + 1)
             && self.change_log.len() >= MAX_LOG_ENTRIES
     }
 
-    /// Removes the watches that have changes or expired, with their responses. Those of a
-    /// watcher that is locked out go on waiting.
+    /// Removes the watches that have changes or have expired, and returns their responses. Watches
+    /// of locked-out senders stay open.
     pub(super) fn take_ready_watches(
         &mut self,
         now: Ms,
@@ -81,7 +84,7 @@
         ready
     }
 
-    /// The kept changes after a revision to keys with a prefix, oldest first.
+    /// Changes in the log after a revision to keys with a prefix, oldest first.
     fn changes_after<'a>(
         &'a self,
         prefix: &'a str,
--- a/crates/testkit/src/store/leases.rs
+++ b/crates/testkit/src/store/leases.rs
@@ -1,11 +1,11 @@
-//! Leases that entries are bound to.
+//! Leases. An entry that is bound to a lease is removed when the lease expires.
 
 use super::{Response, StoreModel};
 use crate::Ms;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Duration of a lease that is requested without one.
+/// Duration of a lease whose request names none.
 const DEFAULT_LEASE_MS: Ms = 1_000;
 
 struct Lease {
@@ -13,7 +13,7 @@
     expires_at: Ms,
 }
 
-/// All leases that have not expired, by their ids.
+/// Leases that have not expired, by id.
 #[derive(Default)]
 pub(super) struct Leases {
     by_id: BTreeMap<u64, Lease>,
@@ -32,7 +32,7 @@
         self.last_id
     }
 
-    /// Renews a lease, if it has not expired.
+    /// Renews a lease for its full duration; none if it has expired or never existed.
     fn renew(&mut self, now: Ms, id: u64) -> Option<()> {
         let lease = self.by_id.get_mut(&id)?;
         lease.expires_at = now + lease.duration;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Removes the entries whose leases have expired.
+    /// Removes the entries whose leases have expired, at one revision per lease.
     pub(super) fn expire_leases(&mut self, now: Ms) {
         for lease in self.leases.take_expired(now) {
             let entries = self.entries.iter();
--- a/crates/testkit/src/store/limits.rs
+++ b/crates/testkit/src/store/limits.rs
@@ -1,13 +1,13 @@
-//! Limits of the store: request and write rates, and sizes of transactions.
+//! Limits of the store: rates of requests and writes, and sizes of transactions.
 
 use crate::Ms;
 use forkshift_wire::state::{Transaction, Write};
 use std::fmt;
 
-/// Preconditions that a transaction may have for each allowed write.
+/// Maximum number of preconditions of a transaction, per allowed write.
 const MAX_PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// A token bucket that holds one second's worth of its rate.
+/// A token bucket with a burst of one second's worth of its rate.
 pub(super) struct RateLimiter {
     per_second: f64,
     tokens: f64,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes tokens if there are enough.
+    /// Takes `count` tokens if there are enough. Returns whether there were.
     pub(super) fn try_take(&mut self, now: Ms, count: f64) -> bool {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
         self.tokens = (self.tokens + elapsed_s * self.per_second).min(self.per_second);
@@ -39,13 +39,13 @@
 /// Limits on the size of a transaction.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SizeLimits {
-    /// Largest value, in bytes.
+    /// Maximum size of a value, in bytes of JSON.
     pub(crate) value_bytes: usize,
-    /// Most writes.
+    /// Maximum number of writes.
     pub(crate) txn_ops: usize,
 }
 
-/// How a transaction exceeds the limits.
+/// The limit that a transaction exceeds.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum SizeError {
     TooManyWrites(usize),
--- a/crates/testkit/src/store/transactions.rs
+++ b/crates/testkit/src/store/transactions.rs
@@ -6,13 +6,13 @@
 use forkshift_wire::MachineId;
 use serde_json::{json, Value};
 
-/// Largest transaction, in bytes.
+/// Maximum size of the body of a transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 /// Prefix of the keys of machine records.
 const MACHINE_KEY_PREFIX: &str = "c/machine/";
 
 impl<W> StoreModel<W> {
-    /// Responds to a transaction.
+    /// Responds to `POST /txn`.
     pub(super) fn handle_transaction(
         &mut self,
         body: &[u8],
@@ -28,6 +28,8 @@
         }
     }
 
+    /// Executes all writes of a transaction at one revision, or none: 400 if it exceeds a limit or
+    /// names an expired lease, 409 with the failed keys if a precondition does not hold.
     fn execute_transaction(&mut self, transaction: Transaction) -> Response {
         if let Err(e) = self.size_limits.check(&transaction) {
             self.oversized_transactions += 1;
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Keys whose version is not the expected one. A missing key has version 0.
+    /// Keys whose version differs from the expected version. A missing key has version 0.
     fn failed_preconditions<'a>(&self, transaction: &'a Transaction) -> Vec<&'a str> {
         let version = |key: &str| self.entries.get(key).map_or(0, |entry| entry.version);
         let preconditions = transaction.preconditions.iter();
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Notes the machines whose records say that they are decommissioned.
+    /// Records the machines whose new records are marked as decommissioned, with the first reason.
     fn record_decommissioned(&mut self, transaction: &Transaction) {
         for write in &transaction.writes {
             let Write::Put { put, value, .. } = write else {
