--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    fn record_violation(&mut self, rule: Rule, now: Ms, what: String) {
-        self.violations.push((rule, now, what));
+    fn record_violation(&mut self, rule: Rule, now: Ms, details: String) {
+        self.violations.push((rule, now, details));
     }
 
     /// CPU and GPU limits of a team; 0: no limit.
--- a/crates/testkit/src/checker/dependencies.rs
+++ b/crates/testkit/src/checker/dependencies.rs
@@ -10,12 +10,12 @@
     /// Direct and indirect dependencies of a job.
     fn transitive_dependencies(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut dependencies = BTreeSet::new();
-        let mut open = vec![id.clone()];
-        while let Some(id) = open.pop() {
+        let mut to_visit = vec![id.clone()];
+        while let Some(id) = to_visit.pop() {
             let spec = self.jobs.get(&id);
             for dependency in spec.into_iter().flat_map(|s| &s.dependencies) {
                 if dependencies.insert(dependency.clone()) {
-                    open.push(dependency.clone());
+                    to_visit.push(dependency.clone());
                 }
             }
         }
@@ -35,11 +35,11 @@
         dependencies.any(|d| !self.is_job_completed(d))
     }
 
-    /// Checks that the dependencies of a job have completed as one of its tasks starts. `what`
+    /// Checks that the dependencies of a job have completed as one of its tasks starts. `task`
     /// names the task.
-    pub(super) fn check_dependencies(&mut self, now: Ms, id: &JobId, what: &str) {
+    pub(super) fn check_dependencies(&mut self, now: Ms, id: &JobId, task: &str) {
         if self.is_blocked(id) {
-            self.record_violation(Rule::TooEarly, now, format!("{what} starts"));
+            self.record_violation(Rule::TooEarly, now, format!("{task} starts"));
         }
     }
 
@@ -91,8 +91,8 @@
             .filter_map(|dependency| Some((dependency, self.cancelled_at(dependency)?)));
         let first = cancelled.min_by_key(|(_, at)| *at);
         if let Some((dependency, _)) = first.filter(|(_, at)| now > at + self.cancel_ms) {
-            let what = format!("{id}, which needs {dependency}");
-            self.record_violation(Rule::Orphaned, now, what);
+            let details = format!("{id}, which needs {dependency}");
+            self.record_violation(Rule::Orphaned, now, details);
         }
     }
 
@@ -102,8 +102,8 @@
         let dependencies = spec.map(|s| s.dependencies.clone()).unwrap_or_default();
         let are_accepted = dependencies.iter().all(|id| self.is_accepted(id));
         if status == 422 && !dependencies.is_empty() && are_accepted {
-            let what = format!("{id}: 422 of {dependencies:?}");
-            self.record_violation(Rule::WrongAnswer, now, what);
+            let details = format!("{id}: 422 of {dependencies:?}");
+            self.record_violation(Rule::WrongAnswer, now, details);
         }
     }
 }
--- a/crates/testkit/src/checker/progress.rs
+++ b/crates/testkit/src/checker/progress.rs
@@ -47,8 +47,8 @@
             let largest = largest_jobs(specs).into_iter();
             late.extend(largest.filter_map(|spec| self.late_begin(now, spec)));
         }
-        for what in late {
-            self.record_violation(Rule::LateBegin, now, what);
+        for details in late {
+            self.record_violation(Rule::LateBegin, now, details);
         }
     }
 
--- a/crates/testkit/src/checker/responses.rs
+++ b/crates/testkit/src/checker/responses.rs
@@ -132,16 +132,16 @@
             // Two different final stages are wrong in any order of arrival. A stage that is not
             // final is allowed in a response to a request sent before the final stage was known.
             if stage != final_stage && (sequence < ticket || stage.is_final()) {
-                let what = format!("{id}: {final_stage:?}, then {stage:?}");
-                self.record_violation(Rule::WentBack, now, what);
+                let details = format!("{id}: {final_stage:?}, then {stage:?}");
+                self.record_violation(Rule::WentBack, now, details);
             }
         }
         if !stage.is_final() {
             self.check_orphaned(now, id);
         }
         if stage == JobStage::Cancelled && !self.is_cancel_wanted(id) {
-            let what = format!("{id}: nobody cancelled it");
-            self.record_violation(Rule::WentBack, now, what);
+            let details = format!("{id}: nobody cancelled it");
+            self.record_violation(Rule::WentBack, now, details);
         }
         if stage == JobStage::Done {
             self.check_done(now, id);
@@ -152,8 +152,8 @@
         let completed = self.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
         let spec = self.jobs.get(id);
         if spec.is_some_and(|spec| completed < spec.tasks) {
-            let what = format!("{id}: {completed} tasks done");
-            self.record_violation(Rule::NotDone, now, what);
+            let details = format!("{id}: {completed} tasks done");
+            self.record_violation(Rule::NotDone, now, details);
         }
     }
 
@@ -180,8 +180,8 @@
     /// responses violate [`Rule::Unfit`] and are reported there.
     pub fn check_refusal(&mut self, now: Ms, id: &JobId, status: u16, expected: u16) {
         if !matches!(status, 200 | 201 | 429 | 503 | 504) && status != expected {
-            let what = format!("{id}: {status} instead of {expected}");
-            self.record_violation(Rule::WrongAnswer, now, what);
+            let details = format!("{id}: {status} instead of {expected}");
+            self.record_violation(Rule::WrongAnswer, now, details);
         }
     }
 
--- a/crates/testkit/src/checker/tasks.rs
+++ b/crates/testkit/src/checker/tasks.rs
@@ -38,8 +38,8 @@
 
     fn check_single_place(&mut self, now: Ms, task: &TaskRef, place: &Place) {
         if let Some(places) = self.places_of(task) {
-            let what = format!("{task} on {} and {places:?}", place.machine);
-            self.record_violation(Rule::RanTwice, now, what);
+            let details = format!("{task} on {} and {places:?}", place.machine);
+            self.record_violation(Rule::RanTwice, now, details);
         }
     }
 
@@ -82,8 +82,8 @@
         let (cpus, gpus) = (usage.cpus(), usage.gpus());
         let is_over = |used: f64, max: f64| max > 0.0 && used > max + ROUNDING_TOLERANCE;
         if is_over(cpus, max_cpus) || is_over(gpus, max_gpus) {
-            let what = format!("{team}: {cpus} CPUs, {gpus} GPUs");
-            self.record_violation(Rule::Quota, now, what);
+            let details = format!("{team}: {cpus} CPUs, {gpus} GPUs");
+            self.record_violation(Rule::Quota, now, details);
         }
     }
 
@@ -152,8 +152,8 @@
     /// again. A reported task is removed, so that it is reported once.
     pub(super) fn check_cancelled_tasks(&mut self, now: Ms, expired: &BTreeSet<MachineId>) {
         for task in self.late_cancelled_tasks(now, expired) {
-            let what = format!("{task} is still there");
-            self.record_violation(Rule::RanCancelled, now, what);
+            let details = format!("{task} is still there");
+            self.record_violation(Rule::RanCancelled, now, details);
             let tasks = self.placements.get_mut(&task.job);
             let places = tasks.and_then(|tasks| tasks.get_mut(&task.index));
             let removed = places.map_or(0, |places| std::mem::take(places).len());
--- a/crates/testkit/src/cloud/boots.rs
+++ b/crates/testkit/src/cloud/boots.rs
@@ -1,7 +1,7 @@
 //! Boot times of new machines.
 
 use super::CloudModel;
-use crate::fleet::{BootModel, BOOT_MS};
+use crate::fleet::{BootModel, NOMINAL_BOOT_MS};
 use crate::Ms;
 use forkshift_wire::cloud::ProvisionRequest;
 use rand::rngs::StdRng;
@@ -43,7 +43,7 @@
 
     fn boot_ms(&self) -> Ms {
         self.boots
-            .map_or(NEVER_BOOTS_MS, |boots| BOOT_MS * Ms::from(boots))
+            .map_or(NEVER_BOOTS_MS, |boots| NOMINAL_BOOT_MS * Ms::from(boots))
     }
 }
 
@@ -72,8 +72,8 @@
             BootModel::Adverse => match rng.random_range(0..20) {
                 0 => NEVER_BOOTS_MS,
                 1 => 500,
-                2 => BOOT_MS * 4,
-                _ => around(BOOT_MS, rng),
+                2 => NOMINAL_BOOT_MS * 4,
+                _ => around(NOMINAL_BOOT_MS, rng),
             },
             BootModel::Normal {
                 failure_probability: fails,
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -288,8 +288,8 @@
 
 impl FaultKind {
     /// This fault at a controller that is selected when the fault begins.
-    pub fn at(self, who: ControllerSelector) -> Self {
-        Self::At(who, Box::new(self))
+    pub fn at(self, selector: ControllerSelector) -> Self {
+        Self::At(selector, Box::new(self))
     }
 
     /// Time from the start of the fault until it and all delays of its messages are over.
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Nominal boot time of all machine types of the default fleet.
-pub(crate) const BOOT_MS: Ms = 10_000;
+pub(crate) const NOMINAL_BOOT_MS: Ms = 10_000;
 
 /// Distribution of the boot times of new machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -53,7 +53,7 @@
                 fetch_gb_per_s: rate,
                 price_per_hour: price,
                 spot_price_per_hour: Some(spot_price),
-                boot_s: BOOT_MS as f64 / 1000.0,
+                boot_s: NOMINAL_BOOT_MS as f64 / 1000.0,
                 zones: ["a", "b", "c"].map(str::to_owned).to_vec(),
             }
         };
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -39,7 +39,7 @@
 use crate::Ms;
 use adversarial_requests::{AdversarialRequests, UserRequestFaults};
 use controllers::Controller;
-use digest::Traffic;
+use digest::ControllerTraffic;
 use events::EventQueue;
 use fault_injection::FaultTimeline;
 use forkshift_wire::JobId;
@@ -80,7 +80,7 @@
     network_faults: NetworkFaults,
     user_request_faults: UserRequestFaults,
     adversarial_requests: AdversarialRequests,
-    traffic: Traffic,
+    traffic: ControllerTraffic,
     /// Queues to and from controllers that run as separate processes; absent if the controllers
     /// are simulated.
     remote: Option<RemoteQueues>,
@@ -115,7 +115,7 @@
         self.release_withheld_heartbeats();
         self.inject_due_faults();
         while let Some(event) = self.events.pop_due(self.now) {
-            self.handle_event(event);
+            self.execute_event(event);
         }
         self.end_outages();
         self.respond_to_watches();
--- a/crates/testkit/src/simulation/adversarial_requests.rs
+++ b/crates/testkit/src/simulation/adversarial_requests.rs
@@ -148,7 +148,7 @@
         self.adversarial_requests.answered_in_time += 1;
         let response: Option<JobStatus> = serde_json::from_slice(body).ok();
         let stage = response.map(|response| response.stage);
-        let is_news = self.checker.on_response(
+        let is_first_report = self.checker.on_response(
             pending.ticket,
             self.now,
             &pending.job,
@@ -163,7 +163,7 @@
             self.checker
                 .check_refusal(self.now, &pending.job, status, expected);
         }
-        if is_news {
+        if is_first_report {
             self.schedule_status_burst(&pending.job, 0);
         }
     }
@@ -197,11 +197,11 @@
     pub(super) fn maybe_cancel_accepted(&mut self, job: &JobId) {
         let is_possible = self.user_request_faults.status_bursts_until > self.now;
         if is_possible && self.rng.random_range(0..4) == 0 {
-            self.cancel_after(job, 0);
+            self.schedule_cancellation(job, 0);
         }
     }
 
-    fn cancel_after(&mut self, job: &JobId, after: Ms) {
+    fn schedule_cancellation(&mut self, job: &JobId, after: Ms) {
         let time = self.now + after;
         let user = self.users.iter_mut().find(|user| user.plan.spec.id == *job);
         if let Some(user) = user.filter(|user| user.state == UserState::Polling) {
@@ -217,7 +217,7 @@
         let mut hung = 0;
         for job in self.longest_running_jobs(count) {
             let after = self.rng.random_range(0..200);
-            self.cancel_after(&job, after);
+            self.schedule_cancellation(&job, after);
             if hang_ms > 0 {
                 let mut machines = self.select_machines(&MachineSelector::RunningJob(job));
                 machines.truncate(MAX_HUNG_MACHINES - hung);
@@ -274,7 +274,7 @@
                 0 => 0,
                 _ => self.rng.random_range(0..400),
             };
-            self.cancel_after(job, after);
+            self.schedule_cancellation(job, after);
         }
     }
 
--- a/crates/testkit/src/simulation/build.rs
+++ b/crates/testkit/src/simulation/build.rs
@@ -3,7 +3,7 @@
 use super::adversarial_requests::{AdversarialRequests, UserRequestFaults};
 use super::config::{INITIAL_MAX_TRANSACTION_WRITES, INITIAL_MAX_VALUE_KB};
 use super::controllers::Controller;
-use super::digest::Traffic;
+use super::digest::ControllerTraffic;
 use super::events::EventQueue;
 use super::fault_injection::FaultTimeline;
 use super::network_faults::NetworkFaults;
@@ -151,7 +151,7 @@
             network_faults: NetworkFaults::default(),
             user_request_faults: UserRequestFaults::default(),
             adversarial_requests: AdversarialRequests::default(),
-            traffic: Traffic::default(),
+            traffic: ControllerTraffic::default(),
             remote: None,
             checker: Checker::new(services.team_limits, config.cancel_ms),
         }
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -57,9 +57,9 @@
             limit: (96.0, 24.0),
             heartbeat_ms: 1_000,
             lease_ms: 10_000,
-            gang_wait_ms: GANG_WAIT_MS,
+            gang_wait_ms: DEFAULT_GANG_WAIT_MS,
             cancel_ms: 35_000,
-            poll_ms: POLL_MS,
+            poll_ms: DEFAULT_POLL_MS,
             next_limits: None,
             starts_with_old_release: false,
             announces_images: false,
@@ -137,9 +137,9 @@
 }
 
 /// Default time after which a worker ends the tasks of an incomplete gang.
-const GANG_WAIT_MS: Ms = 20_000;
+const DEFAULT_GANG_WAIT_MS: Ms = 20_000;
 /// Default interval between a user's polls of a job. Real users poll less often.
-const POLL_MS: Ms = 1_500;
+const DEFAULT_POLL_MS: Ms = 1_500;
 
 /// Limits of the store that are announced to controllers before they take effect.
 #[derive(Clone, Copy, Debug)]
--- a/crates/testkit/src/simulation/digest.rs
+++ b/crates/testkit/src/simulation/digest.rs
@@ -10,7 +10,7 @@
 
 /// Record of the messages that the controllers have sent so far.
 #[derive(Default)]
-pub(super) struct Traffic {
+pub(super) struct ControllerTraffic {
     pub(super) digest: TrafficDigest,
     /// Messages between controllers since recording began; absent if they are not recorded.
     pub(super) recorded_messages: Option<Vec<Vec<u8>>>,
--- a/crates/testkit/src/simulation/events.rs
+++ b/crates/testkit/src/simulation/events.rs
@@ -61,7 +61,7 @@
         self.events.push(time.max(self.now + 1), event);
     }
 
-    pub(super) fn handle_event(&mut self, event: Event) {
+    pub(super) fn execute_event(&mut self, event: Event) {
         match event {
             Event::RequestArrival(message) => self.deliver_request(message),
             Event::ResponseArrival { to, status, body } => self.on_response(to, status, body),
--- a/crates/testkit/src/simulation/fault_injection.rs
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -276,7 +276,9 @@
     fn begin_machine_fault(&mut self, kind: FaultKind) {
         let until = |time: Ms| self.now + time;
         match kind {
-            FaultKind::Machines(which, fault) => self.inject_into_selected_machines(&which, fault),
+            FaultKind::Machines(selector, fault) => {
+                self.inject_into_selected_machines(&selector, fault);
+            }
             FaultKind::SpotReclaim { notice } => self.reclaim_spot_machines(notice),
             FaultKind::MachineCrash => {
                 if let Some(id) = self.random_machine() {
@@ -376,11 +378,11 @@
 
     pub(super) fn inject_into_selected_machines(
         &mut self,
-        which: &MachineSelector,
+        selector: &MachineSelector,
         fault: MachineFault,
     ) {
-        let mut ids = self.select_machines(which);
-        if let MachineSelector::Random(count) = which {
+        let mut ids = self.select_machines(selector);
+        if let MachineSelector::Random(count) = selector {
             while ids.len() > *count {
                 let index = self.rng.random_range(0..ids.len());
                 ids.swap_remove(index);
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -232,7 +232,7 @@
         );
         let (status, body) = match message.path.as_str() {
             "/status" => (200, worker.status(&mut context)),
-            _ => worker.handle_commands(&mut context, &message.body),
+            _ => worker.respond_to_commands(&mut context, &message.body),
         };
         self.respond(&message.destination, message.origin, status, body);
     }
--- a/crates/testkit/src/simulation/selectors.rs
+++ b/crates/testkit/src/simulation/selectors.rs
@@ -81,14 +81,14 @@
 
     /// The selected machines that are up. For [`MachineSelector::Random`] these are all machines, from
     /// which the caller draws.
-    pub fn select_machines(&self, which: &MachineSelector) -> Vec<MachineId> {
+    pub fn select_machines(&self, selector: &MachineSelector) -> Vec<MachineId> {
         let workers = self.workers.by_id.values();
-        let selected = workers.filter(|worker| self.is_selected(worker, which));
+        let selected = workers.filter(|worker| self.is_selected(worker, selector));
         selected.map(|worker| worker.id.clone()).collect()
     }
 
-    fn is_selected(&self, worker: &Worker, which: &MachineSelector) -> bool {
-        match which {
+    fn is_selected(&self, worker: &Worker, selector: &MachineSelector) -> bool {
+        match selector {
             MachineSelector::RunningJob(id) => worker.has_task_of(id),
             MachineSelector::HeldBy(selector) => {
                 let controller = self.select_controller(selector);
--- a/crates/testkit/src/simulation/users.rs
+++ b/crates/testkit/src/simulation/users.rs
@@ -196,7 +196,7 @@
         let stage = response.map(|response| response.stage);
         let id = user.plan.spec.id.clone();
         let is_submission = user.state == UserState::Submitting;
-        let is_news = status > 0
+        let is_first_report = status > 0
             && self
                 .checker
                 .on_response(user.ticket, now, &id, is_submission, status, stage);
@@ -209,7 +209,7 @@
         if is_success(status) && stage.is_some_and(JobStage::is_final) {
             user.plan.cancel_at = None;
         }
-        if is_news {
+        if is_first_report {
             self.schedule_status_burst(&id, 0);
             if is_submission {
                 self.maybe_cancel_accepted(&id);
--- a/crates/testkit/src/simulation/workers.rs
+++ b/crates/testkit/src/simulation/workers.rs
@@ -114,11 +114,11 @@
             let period = self.config.heartbeat_ms;
             // Jitter of a quarter of the period spreads the heartbeats that the emulator sends from
             // one computer.
-            let next = match is_remote {
+            let next_in = match is_remote {
                 true => self.rng.random_range(period * 3 / 4..=period * 5 / 4),
                 false => period,
             };
-            heartbeats.push(heartbeat_message(worker, now, next));
+            heartbeats.push(heartbeat_message(worker, now, next_in));
         }
         for heartbeat in heartbeats {
             self.workers.heartbeats_sent += 1;
@@ -173,10 +173,10 @@
     }
 }
 
-/// Builds a worker's heartbeat and schedules the next one after `next`.
-fn heartbeat_message(worker: &mut Worker, now: Ms, next: Ms) -> Message {
+/// Builds a worker's heartbeat and schedules the next one after `next_in`.
+fn heartbeat_message(worker: &mut Worker, now: Ms, next_in: Ms) -> Message {
     let heartbeat = worker.begin_heartbeat(now);
-    worker.next_heartbeat_at = now + next;
+    worker.next_heartbeat_at = now + next_in;
     Message {
         origin: Origin::Worker {
             id: worker.id.clone(),
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -220,7 +220,7 @@
     /// Responds to `POST /commands`: 409 if the token is lower than a known one or the incarnation
     /// differs. Commands that were delayed while the worker hung are refused if the lease expired
     /// meanwhile, as that begins a new incarnation.
-    pub(crate) fn handle_commands(
+    pub(crate) fn respond_to_commands(
         &mut self,
         context: &mut WorkerContext,
         body: &[u8],
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -103,7 +103,7 @@
         };
         let body = serde_json::to_vec(&commands).unwrap();
         let (worker, mut context) = self.context(now);
-        worker.handle_commands(&mut context, &body).0
+        worker.respond_to_commands(&mut context, &body).0
     }
 
     fn step(&mut self, now: Ms) {
