--- a/crates/testkit/src/simulation/controllers.rs
+++ b/crates/testkit/src/simulation/controllers.rs
@@ -81,7 +81,7 @@
         let teams: Vec<&str> = teams.map(|team| team.name.as_str()).collect();
         let pools = Pools::parse(&self.pools, &teams, &[]);
         let operator = Operator {
-            pools: pools.unwrap_or_else(|e| panic!("invalid pool declaration: {e}")),
+            pools: pools.unwrap_or_else(|e| panic!("pools: {e}")),
             ..Operator::default()
         };
         let mut config = Config::new(settings, operator);
--- a/crates/testkit/src/store/transactions.rs
+++ b/crates/testkit/src/store/transactions.rs
@@ -12,7 +12,7 @@
 const MACHINE_KEY_PREFIX: &str = "c/machine/";
 
 impl<W> StoreModel<W> {
-    /// Responds to `POST /txn`.
+    /// Responds to a request to execute a transaction.
     pub(super) fn handle_transaction(
         &mut self,
         body: &[u8],
