--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -165,7 +165,7 @@
             .iter()
             .map(|(image, _)| *image)
             .collect(),
-        is_held: false,
+        is_held_for_aged_job: false,
         startup_delay_s: 0.0,
         reserved_for: None,
     }
--- a/crates/sched/src/machine_table/tests/reference.rs
+++ b/crates/sched/src/machine_table/tests/reference.rs
@@ -1,15 +1,15 @@
-//! The reference for rounds: it scores every machine for every task, without classes.
+//! Reference implementation of rounds: scores every machine for every task, without classes.
 
-use crate::entitlement::Reservation;
+use crate::entitlement::AgedJobReservation;
 use crate::machine::MachineSnapshot;
 use crate::pending::PendingTasks;
-use crate::quota::{Quota, Shortfall};
+use crate::quota::{ExceededLimits, Quota};
 use crate::resources::Resources;
 use crate::round::Placement;
 use crate::score::{choose, Candidate, Weights};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Places the tasks for which there are quota and room, like the round under test.
+/// Places pending tasks by the same rules as the round under test.
 pub(super) fn run_round(
     jobs: &mut [PendingTasks],
     machines: &mut [MachineSnapshot],
@@ -19,11 +19,11 @@
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| jobs[a].round_order(&jobs[b]));
     let mut placed = Vec::new();
-    let mut shortfalls: BTreeMap<usize, Shortfall> = BTreeMap::new();
-    let mut quota_holds: Vec<(usize, Resources)> = Vec::new();
+    let mut exceeded_limits: BTreeMap<usize, ExceededLimits> = BTreeMap::new();
+    let mut reserved_quotas: Vec<(usize, Resources)> = Vec::new();
     for job_index in order {
         let job = &mut jobs[job_index];
-        if shortfalls
+        if exceeded_limits
             .get(&job.team)
             .is_some_and(|s| s.affects(&job.task_resources))
         {
@@ -33,29 +33,30 @@
             placed.extend(place_gang(job_index, job, machines, quotas, weights));
         }
         while !job.is_gang && place_next(job_index, job, machines, quotas, weights, &mut placed) {}
-        if job.reservation.reserves() && !job.waiting.is_empty() {
+        if job.reservation.reserves() && !job.unplaced_tasks.is_empty() {
             let team = &mut quotas[job.team];
             let amount = job.minimum_resources();
             if !team.allows(&amount) {
-                let shortfall = shortfalls.entry(job.team).or_default();
-                *shortfall = shortfall.union(&team.shortfall(&amount));
+                let exceeded = exceeded_limits.entry(job.team).or_default();
+                *exceeded = exceeded.union(&team.exceeded_limits(&amount));
                 continue;
             }
             job.lacks_machines = true;
             hold_machine(job, machines);
-            if job.reservation == Reservation::CapacityAndQuota {
+            if job.reservation == AgedJobReservation::CapacityAndQuota {
                 team.used += amount;
-                quota_holds.push((job.team, amount));
+                reserved_quotas.push((job.team, amount));
             }
         }
     }
-    for (team, amount) in quota_holds {
+    for (team, amount) in reserved_quotas {
         quotas[team].used -= amount;
     }
     placed
 }
 
-/// Reserves the machine with the largest share of free resources that could run a task.
+/// Holds the machine with the largest share of free resources, among those that could run a
+/// task of the job.
 fn hold_machine(job: &PendingTasks, machines: &mut [MachineSnapshot]) {
     let fits = |machine: &MachineSnapshot| {
         job.task_resources.fits_in(&machine.total)
@@ -71,11 +72,11 @@
         .filter(|(index, machine)| fits(machine) && !job.excluded_machines.contains(index))
         .max_by(|(_, a), (_, b)| free(a).total_cmp(&free(b)));
     if let Some((_, machine)) = best {
-        machine.is_held = true;
+        machine.is_held_for_aged_job = true;
     }
 }
 
-/// Places the next task of a job. Returns false if there is none or it has no room.
+/// Places the next task of a job. Returns false if there is none, or if it cannot be placed.
 fn place_next(
     job_index: usize,
     job: &mut PendingTasks,
@@ -84,13 +85,13 @@
     weights: &Weights,
     placed: &mut Vec<Placement>,
 ) -> bool {
-    let Some(&task) = job.waiting.first() else {
+    let Some(&task) = job.unplaced_tasks.first() else {
         return false;
     };
     let Some(machine) = place_one(job, machines, quotas, weights, None) else {
         return false;
     };
-    job.waiting.remove(0);
+    job.unplaced_tasks.remove(0);
     placed.push(Placement {
         job: job_index,
         task,
@@ -99,7 +100,7 @@
     true
 }
 
-/// Chooses a machine for one task and books it.
+/// Chooses a machine for one task and allocates its resources.
 fn place_one(
     job: &mut PendingTasks,
     machines: &mut [MachineSnapshot],
@@ -113,7 +114,7 @@
     let mut indices = Vec::new();
     let mut candidates = Vec::new();
     for (index, machine) in machines.iter().enumerate() {
-        let fits = !machine.is_held
+        let fits = !machine.is_held_for_aged_job
             && job.task_resources.fits_in(&machine.free)
             && zone.is_none_or(|z| z == machine.zone)
             && job.allows_machine(machine.machine_type, machine.zone, machine.is_spot)
@@ -147,7 +148,7 @@
     Some(chosen)
 }
 
-/// Places all waiting tasks of a gang, or none.
+/// Places all unplaced tasks of a gang, or none.
 fn place_gang(
     job_index: usize,
     job: &mut PendingTasks,
@@ -155,7 +156,7 @@
     quotas: &mut [Quota],
     weights: &Weights,
 ) -> Vec<Placement> {
-    let zones: Vec<Option<u16>> = if job.one_zone {
+    let zones: Vec<Option<u16>> = if job.require_same_zone {
         let all: BTreeSet<u16> = machines.iter().map(|machine| machine.zone).collect();
         all.into_iter().map(Some).collect()
     } else {
@@ -163,9 +164,9 @@
     };
     for zone in zones {
         let before = (job.tasks_by_zone.clone(), quotas[job.team].used);
-        let mut booked: Vec<(usize, bool)> = Vec::new();
+        let mut allocated: Vec<(usize, bool)> = Vec::new();
         let mut placed = Vec::new();
-        for task in job.waiting.clone() {
+        for task in job.unplaced_tasks.clone() {
             let had_image: Vec<bool> = machines
                 .iter()
                 .map(|machine| machine.images.contains(&job.image))
@@ -173,18 +174,18 @@
             let Some(machine) = place_one(job, machines, quotas, weights, zone) else {
                 break;
             };
-            booked.push((machine, had_image[machine]));
+            allocated.push((machine, had_image[machine]));
             placed.push(Placement {
                 job: job_index,
                 task,
                 machine,
             });
         }
-        if placed.len() == job.waiting.len() {
-            job.waiting.clear();
+        if placed.len() == job.unplaced_tasks.len() {
+            job.unplaced_tasks.clear();
             return placed;
         }
-        for (machine, had_image) in booked.into_iter().rev() {
+        for (machine, had_image) in allocated.into_iter().rev() {
             machines[machine].free += job.task_resources;
             if !had_image {
                 machines[machine].images.remove(&job.image);
