--- a/crates/testkit/src/fault_schedule/combinations.rs
+++ b/crates/testkit/src/fault_schedule/combinations.rs
@@ -1,4 +1,4 @@
-//! Combinations of faults that once violated a rule, or are close to such ones.
+//! Combinations of faults that violated a rule in the past, and variants of them.
 
 use super::random_job;
 use crate::faults::{ControllerSelector, Fault, FaultKind, MachineFault, MachineSelector};
@@ -6,41 +6,48 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Index of a fault whose controller is selected as it begins.
-const SELECTED: usize = 0;
-/// Downtime of a crashed controller after which others have taken over.
+/// Index in a fault whose controller is selected when it begins, and replaced then.
+const PLACEHOLDER_CONTROLLER: usize = 0;
+/// Downtime of a crashed controller that is long enough for a failover to other controllers.
 const DOWNTIME_MS: Ms = 5_000;
-/// Downtime of a crashed controller that is soon back.
+/// Downtime of a crashed controller that restarts quickly.
 const SHORT_DOWNTIME_MS: Ms = 900;
-/// Downtime of all controllers that is longer than a worker's lease.
+/// Downtime of all controllers that exceeds the lease of a worker, 10 s.
 const LONG_DOWNTIME_MS: Ms = 14_000;
-/// Changes of the leader, and the time between them.
+/// Number of times that the leader is locked out of the store, to force repeated elections.
 const LEADER_CHANGES: u64 = 8;
+/// Time between these lockouts.
 const LEADER_CHANGE_INTERVAL_MS: Ms = 9_000;
 
-/// Faults with the times at which they begin.
-type Timed = Vec<(Ms, FaultKind)>;
+/// Faults, each with the time at which it begins.
+type TimedFaults = Vec<(Ms, FaultKind)>;
 
-/// The times, durations and targets of a combination, all drawn before its kind.
-struct Draws {
+/// The times, durations and targets of a combination. All are drawn before the kind of the
+/// combination, whether or not that kind uses them.
+struct CombinationDraws {
+    /// Start of the combination.
     at: Ms,
+    /// Up to 4 s after `at`.
     soon: Ms,
+    /// Up to 4 s after `soon`.
     later: Ms,
+    /// The leader, or the holder of a job's shard.
     controller: ControllerSelector,
-    /// A duration like that of single faults.
+    /// A duration in the range of single faults, 2 to 25 s.
     time: Ms,
-    /// A duration longer than a cancellation may take.
-    long: Ms,
-    /// Users cancel running jobs.
+    /// A duration that exceeds the default time for a cancellation, 35 s.
+    long_time: Ms,
+    /// Cancellation of running jobs, with or without a hang of their machines.
     cancel: FaultKind,
     lost_writes: FaultKind,
-    hold: bool,
-    /// When another controller has taken over from one that fails at `at`.
+    holds_messages: bool,
+    /// Time at which a failover from a controller that failed at `at` may have completed.
     failover: Ms,
+    /// Up to 2.5 s after `failover`.
     after_failover: Ms,
 }
 
-impl Draws {
+impl CombinationDraws {
     fn new(rng: &mut StdRng, at: Ms, jobs: u32) -> Self {
         let soon = at + rng.random_range(0..4_000);
         let later = soon + rng.random_range(0..4_000);
@@ -49,7 +56,7 @@
             false => ControllerSelector::HolderOfJob(random_job(rng, jobs)),
         };
         let time = rng.random_range(2_000..25_000);
-        let long = rng.random_range(36_000..70_000);
+        let long_time = rng.random_range(36_000..70_000);
         let cancel = FaultKind::CancelRunningJobs {
             count: rng.random_range(2..12),
             hang_ms: if rng.random() { time } else { 0 },
@@ -60,7 +67,7 @@
             executes_at_once: rng.random(),
             time: time + 10_000,
         };
-        let hold = rng.random();
+        let holds_messages = rng.random();
         let failover = at + rng.random_range(5_000..16_000);
         let after_failover = failover + rng.random_range(0..2_500);
         Self {
@@ -69,10 +76,10 @@
             later,
             controller,
             time,
-            long,
+            long_time,
             cancel,
             lost_writes,
-            hold,
+            holds_messages,
             failover,
             after_failover,
         }
@@ -83,7 +90,7 @@
     }
 
     fn long_outage(&self) -> FaultKind {
-        FaultKind::StoreOutage(self.long)
+        FaultKind::StoreOutage(self.long_time)
     }
 
     fn status_bursts(&self) -> FaultKind {
@@ -96,49 +103,49 @@
 
     fn lockout(&self) -> FaultKind {
         self.at_controller(FaultKind::StoreLockout {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             time: self.time,
         })
     }
 
     fn crash(&self, restart_after: Ms) -> FaultKind {
         self.at_controller(FaultKind::Crash {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             count: 1,
             restart_after,
         })
     }
 
-    /// The controller is partitioned from the store.
+    /// The selected controller does not reach the store.
     fn store_partition(&self) -> FaultKind {
         self.at_controller(FaultKind::ServicePartition {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             store: true,
             workers: false,
             cloud: false,
-            time: self.long,
+            time: self.long_time,
             holds_messages: false,
         })
     }
 
-    /// The controller is partitioned from its peers.
+    /// The selected controller does not reach its peers.
     fn peer_partition(&self) -> FaultKind {
         self.at_controller(FaultKind::PeerPartition {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             peers: None,
-            time: self.long,
-            holds_messages: self.hold,
+            time: self.long_time,
+            holds_messages: self.holds_messages,
         })
     }
 
-    /// A fault of the machines of the controller's shards.
+    /// A fault of the machines of the selected controller's shards.
     fn machines(&self, fault: MachineFault) -> FaultKind {
         FaultKind::Machines(MachineSelector::HeldBy(self.controller.clone()), fault)
     }
 
-    /// The controller is locked out of the store alone, then comes an outage that is longer
-    /// than a cancellation may take.
-    fn lockout_then_outage(&self) -> Timed {
+    /// The selected controller alone is locked out of the store, followed by an outage of the store
+    /// for all that exceeds the time for a cancellation.
+    fn lockout_then_outage(&self) -> TimedFaults {
         vec![
             (self.at, self.lockout()),
             (self.soon, self.long_outage()),
@@ -146,7 +153,7 @@
         ]
     }
 
-    fn cancel_then_lockout_and_outage(&self) -> Timed {
+    fn cancel_then_lockout_and_outage(&self) -> TimedFaults {
         vec![
             (self.at, self.cancel()),
             (self.at, self.lockout()),
@@ -154,23 +161,26 @@
         ]
     }
 
-    /// The controller is partitioned from the store and not from the workers.
-    fn store_partition_then_cancel(&self) -> Timed {
+    /// The selected controller does not reach the store, but still reaches the workers.
+    fn store_partition_then_cancel(&self) -> TimedFaults {
         vec![
             (self.at, self.store_partition()),
             (self.later, self.cancel()),
         ]
     }
 
-    fn inbound_loss_then_crash(&self) -> Timed {
+    fn inbound_loss_then_crash(&self) -> TimedFaults {
         vec![
-            (self.at, self.machines(MachineFault::InboundLoss(self.long))),
+            (
+                self.at,
+                self.machines(MachineFault::InboundLoss(self.long_time)),
+            ),
             (self.soon, self.crash(DOWNTIME_MS)),
             (self.later, self.cancel()),
         ]
     }
 
-    fn late_heartbeats_then_lockout(&self) -> Timed {
+    fn late_heartbeats_then_lockout(&self) -> TimedFaults {
         let late_heartbeats = FaultKind::LateHeartbeats {
             percent: 50,
             until_failover: true,
@@ -183,7 +193,7 @@
         ]
     }
 
-    fn fast_boots_with_lost_writes(&self) -> Timed {
+    fn fast_boots_with_lost_writes(&self) -> TimedFaults {
         vec![
             (self.at, FaultKind::FastBoots(self.time + 10_000)),
             (self.at, self.lost_writes.clone()),
@@ -191,7 +201,7 @@
         ]
     }
 
-    fn status_bursts_with_lost_writes(&self) -> Timed {
+    fn status_bursts_with_lost_writes(&self) -> TimedFaults {
         vec![
             (self.at, self.status_bursts()),
             (self.soon, self.lost_writes.clone()),
@@ -199,7 +209,7 @@
         ]
     }
 
-    fn status_bursts_with_crash(&self) -> Timed {
+    fn status_bursts_with_crash(&self) -> TimedFaults {
         vec![
             (self.at, self.status_bursts()),
             (self.soon, self.crash(SHORT_DOWNTIME_MS)),
@@ -207,17 +217,17 @@
         ]
     }
 
-    /// All controllers are down for longer than a worker's lease.
-    fn cancel_then_crash_of_all(&self) -> Timed {
+    /// All controllers of a default deployment are down for longer than the lease of a worker.
+    fn cancel_then_crash_of_all(&self) -> TimedFaults {
         let crash = FaultKind::Crash {
-            node: SELECTED,
+            node: PLACEHOLDER_CONTROLLER,
             count: 3,
             restart_after: LONG_DOWNTIME_MS,
         };
         vec![(self.at, self.cancel()), (self.soon, crash)]
     }
 
-    fn outbound_loss_then_outage(&self) -> Timed {
+    fn outbound_loss_then_outage(&self) -> TimedFaults {
         vec![
             (
                 self.at,
@@ -228,13 +238,13 @@
         ]
     }
 
-    /// Another controller has taken over, confirms cancellations and can't reach the
-    /// workers; then nothing can be written.
-    fn failover_without_command_links(&self) -> Timed {
+    /// After a failover the new holder confirms cancellations while no controller's commands reach
+    /// the workers; then an outage of the store prevents all writes.
+    fn failover_without_command_links(&self) -> TimedFaults {
         let command_partition = |node| FaultKind::CommandPartition {
             node,
-            time: self.long,
-            holds_messages: self.hold,
+            time: self.long_time,
+            holds_messages: self.holds_messages,
         };
         vec![
             (self.at, self.lockout()),
@@ -246,7 +256,7 @@
         ]
     }
 
-    fn failover_then_outage(&self) -> Timed {
+    fn failover_then_outage(&self) -> TimedFaults {
         vec![
             (self.at, self.lockout()),
             (self.failover, self.cancel()),
@@ -254,8 +264,9 @@
         ]
     }
 
-    /// The old leader or holder is partitioned from the store and its peers.
-    fn failover_from_isolated_controller(&self) -> Timed {
+    /// The previous leader or holder reaches neither the store nor its peers, so it does not learn of
+    /// the failover.
+    fn failover_from_isolated_controller(&self) -> TimedFaults {
         vec![
             (self.at, self.store_partition()),
             (self.at, self.peer_partition()),
@@ -264,11 +275,11 @@
         ]
     }
 
-    /// The leader changes again and again.
-    fn leader_changes(&self, rng: &mut StdRng) -> Timed {
+    /// The leader is locked out of the store repeatedly.
+    fn leader_changes(&self, rng: &mut StdRng) -> TimedFaults {
         let lockouts = (0..LEADER_CHANGES).map(|change| {
             let lockout = FaultKind::StoreLockout {
-                node: SELECTED,
+                node: PLACEHOLDER_CONTROLLER,
                 time: rng.random_range(1_000..12_000),
             };
             let at = self.at + change * LEADER_CHANGE_INTERVAL_MS;
@@ -278,9 +289,10 @@
     }
 }
 
-/// A combination of faults that begins at a time.
+/// Draws a combination of faults that begins at a time. It may refer to the first `jobs` jobs of
+/// the day.
 pub(super) fn random_combination(rng: &mut StdRng, at: Ms, jobs: u32) -> Vec<Fault> {
-    let draws = Draws::new(rng, at, jobs);
+    let draws = CombinationDraws::new(rng, at, jobs);
     let faults = match rng.random_range(0..15) {
         0 | 1 => draws.lockout_then_outage(),
         2 => draws.cancel_then_lockout_and_outage(),
--- a/crates/testkit/src/simulation/unusual_requests.rs
+++ b/crates/testkit/src/simulation/adversarial_requests.rs
@@ -1,9 +1,9 @@
-//! Requests beside those that each user sends in turn: status bursts, resubmissions, hurried
-//! cancellations, and jobs that must be refused.
+//! Adversarial requests, which users send in addition to their regular ones and concurrently with
+//! them: status bursts, resubmissions, cancellations at critical times, and invalid jobs.
 
 use super::events::Event;
 use super::network::{Destination, Message, Origin};
-use super::network_faults::PartialFault;
+use super::network_faults::SampledFault;
 use super::users::UserState;
 use super::Simulation;
 use crate::faults::{MachineFault, MachineSelector};
@@ -15,24 +15,24 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// What is requested.
+/// Kind and content of an adversarial request.
 #[derive(Clone, Debug)]
-pub(super) enum UnusualRequest {
-    /// The state of a job.
+pub(super) enum AdversarialRequest {
+    /// Request of the state of a job.
     Status,
-    /// Another submission of a job, maybe with a modified specification.
+    /// Repeated submission of a job. A modified specification must not replace the accepted one.
     Resubmission { is_modified: bool },
-    /// The cancellation of a job.
+    /// Cancellation of a job.
     Cancel,
-    /// The submission of a job that must be refused with this status.
+    /// Submission of a job that must be refused with this status.
     InvalidJob { body: Vec<u8>, status: u16 },
 }
 
-/// A request without a response yet.
+/// A request that awaits its response.
 struct PendingRequest {
     job: JobId,
-    request: UnusualRequest,
-    /// The checker's ticket.
+    request: AdversarialRequest,
+    /// Ticket of [`crate::Checker::on_request_sent`].
     ticket: u64,
     sent_at: Ms,
 }
@@ -40,7 +40,7 @@
 impl PendingRequest {
     fn timeout_ms(&self) -> Ms {
         match self.request {
-            UnusualRequest::Status => STATUS_TIMEOUT_MS,
+            AdversarialRequest::Status => STATUS_TIMEOUT_MS,
             _ => WRITE_TIMEOUT_MS,
         }
     }
@@ -48,14 +48,15 @@
     fn is_submission(&self) -> bool {
         matches!(
             self.request,
-            UnusualRequest::Resubmission { .. } | UnusualRequest::InvalidJob { .. }
+            AdversarialRequest::Resubmission { .. } | AdversarialRequest::InvalidJob { .. }
         )
     }
 }
 
-/// Unusual requests so far.
+/// State and counts of adversarial requests.
 #[derive(Default)]
-pub(super) struct UnusualRequests {
+pub(super) struct AdversarialRequests {
+    /// Requests without a response, by number.
     pending: BTreeMap<u64, PendingRequest>,
     /// Number of the last request.
     last: u64,
@@ -63,56 +64,56 @@
     answered_in_time: u64,
 }
 
-/// Faults of users' requests that are active, each until a time.
+/// The faults that consist of users' requests. Each is active until its time.
 #[derive(Default)]
-pub(super) struct RequestFaults {
-    /// Users cancel some jobs as the last task completes.
-    pub(super) cancel_completing_jobs: PartialFault,
-    pub(super) unusual_requests_until: Ms,
+pub(super) struct UserRequestFaults {
+    /// Users cancel some jobs when the last task completes.
+    pub(super) cancel_completing_jobs: SampledFault,
+    pub(super) adversarial_requests_until: Ms,
     pub(super) status_bursts_until: Ms,
 }
 
-/// Interval between unusual requests while they last.
-const UNUSUAL_REQUEST_INTERVAL_MS: Ms = 200;
-/// How long a user waits for the response to a submission or a cancellation.
+/// Interval between random adversarial requests while the fault lasts.
+const ADVERSARIAL_REQUEST_INTERVAL_MS: Ms = 200;
+/// Timeout of submissions and cancellations. Later responses are ignored.
 const WRITE_TIMEOUT_MS: Ms = 5_000;
-/// How long a user waits for the response to a status request.
+/// Timeout of status requests. Later responses are ignored.
 const STATUS_TIMEOUT_MS: Ms = 2_000;
-/// Times after the completion of a job at which status bursts begin.
+/// Times after the completion of a job at which status bursts start.
 const STATUS_BURST_DELAYS_MS: [Ms; 6] = [0, 120, 500, 1_200, 2_900, 3_100];
-/// Requests of a status burst to each controller.
+/// Number of requests to each controller in a status burst; the first is a resubmission.
 const STATUS_BURST_REQUESTS: usize = 3;
-/// Most machines that hang as users cancel running jobs.
+/// Maximum number of machines that hang when users cancel running jobs.
 const MAX_HUNG_MACHINES: usize = 8;
 
 impl Simulation {
-    /// Unusual requests so far, and how many of them got a response in time.
-    pub fn unusual_request_counts(&self) -> (u64, u64) {
-        let requests = &self.unusual_requests;
+    /// Number of adversarial requests sent so far, and of those that got a response in time.
+    pub fn adversarial_request_counts(&self) -> (u64, u64) {
+        let requests = &self.adversarial_requests;
         (requests.sent, requests.answered_in_time)
     }
 
-    /// Sends an unusual request about a job to a controller.
-    pub(super) fn send_unusual_request(
+    /// Sends an adversarial request about a job to a controller.
+    pub(super) fn send_adversarial_request(
         &mut self,
         job: JobId,
         controller: usize,
-        request: UnusualRequest,
+        request: AdversarialRequest,
     ) {
         let (method, path, body) = match &request {
-            UnusualRequest::Status => ("GET", format!("/submissions/{job}"), Vec::new()),
-            UnusualRequest::Cancel => {
+            AdversarialRequest::Status => ("GET", format!("/submissions/{job}"), Vec::new()),
+            AdversarialRequest::Cancel => {
                 self.checker.on_cancel_requested(&job);
                 ("POST", format!("/submissions/{job}/abort"), Vec::new())
             }
-            UnusualRequest::Resubmission { is_modified } => {
-                let Some(truth) = self.ground_truths.get(&job) else {
+            AdversarialRequest::Resubmission { is_modified } => {
+                let Some(ground_truth) = self.ground_truths.get(&job) else {
                     return;
                 };
-                let body = resubmission(truth.spec.clone(), *is_modified);
+                let body = resubmission(ground_truth.spec.clone(), *is_modified);
                 ("POST", "/submissions".to_owned(), body)
             }
-            UnusualRequest::InvalidJob { body, .. } => {
+            AdversarialRequest::InvalidJob { body, .. } => {
                 ("POST", "/submissions".to_owned(), body.clone())
             }
         };
@@ -123,11 +124,11 @@
             ticket,
             sent_at: self.now,
         };
-        let requests = &mut self.unusual_requests;
+        let requests = &mut self.adversarial_requests;
         requests.last += 1;
         requests.sent += 1;
         requests.pending.insert(requests.last, pending);
-        let origin = Origin::UnusualRequest(requests.last);
+        let origin = Origin::AdversarialRequest(requests.last);
         self.send(Message {
             origin,
             destination: Destination::Controller(controller),
@@ -137,17 +138,17 @@
         });
     }
 
-    pub(super) fn on_unusual_response(&mut self, number: u64, status: u16, body: &[u8]) {
-        let Some(pending) = self.unusual_requests.pending.remove(&number) else {
+    pub(super) fn on_adversarial_response(&mut self, number: u64, status: u16, body: &[u8]) {
+        let Some(pending) = self.adversarial_requests.pending.remove(&number) else {
             return;
         };
         if status == 0 || self.now > pending.sent_at + pending.timeout_ms() {
             return;
         }
-        self.unusual_requests.answered_in_time += 1;
+        self.adversarial_requests.answered_in_time += 1;
         let response: Option<JobStatus> = serde_json::from_slice(body).ok();
         let stage = response.map(|response| response.stage);
-        let is_news = self.checker.on_response(
+        let is_first_report = self.checker.on_response(
             pending.ticket,
             self.now,
             &pending.job,
@@ -155,34 +156,34 @@
             status,
             stage,
         );
-        if let UnusualRequest::InvalidJob {
+        if let AdversarialRequest::InvalidJob {
             status: expected, ..
         } = pending.request
         {
             self.checker
                 .check_refusal(self.now, &pending.job, status, expected);
         }
-        if is_news {
+        if is_first_report {
             self.schedule_status_burst(&pending.job, 0);
         }
     }
 
-    /// Users request the state of a job at all controllers within milliseconds, and
-    /// resubmit it, while the fault lasts.
+    /// Schedules a status burst if the fault is active: users resubmit a job and request its state at
+    /// all controllers within 40 ms.
     pub(super) fn schedule_status_burst(&mut self, job: &JobId, after: Ms) {
-        if self.request_faults.status_bursts_until <= self.now {
+        if self.user_request_faults.status_bursts_until <= self.now {
             return;
         }
-        for controller in 0..self.size.controllers {
+        for controller in 0..self.config.controllers {
             for index in 0..STATUS_BURST_REQUESTS {
                 let time = self.now + after + self.rng.random_range(0..40);
                 let request = match index {
-                    0 => UnusualRequest::Resubmission {
+                    0 => AdversarialRequest::Resubmission {
                         is_modified: self.rng.random_range(0..4) == 0,
                     },
-                    _ => UnusualRequest::Status,
+                    _ => AdversarialRequest::Status,
                 };
-                let event = Event::UnusualRequest {
+                let event = Event::AdversarialRequest {
                     job: job.clone(),
                     controller,
                     request,
@@ -192,35 +193,36 @@
         }
     }
 
-    /// The user of a job that was just accepted may cancel it at once.
+    /// Cancels one in four accepted jobs at once while status bursts are active.
     pub(super) fn maybe_cancel_accepted(&mut self, job: &JobId) {
-        let is_possible = self.request_faults.status_bursts_until > self.now;
+        let is_possible = self.user_request_faults.status_bursts_until > self.now;
         if is_possible && self.rng.random_range(0..4) == 0 {
-            self.cancel_after(job, 0);
+            self.schedule_cancellation(job, 0);
         }
     }
 
-    fn cancel_after(&mut self, job: &JobId, after: Ms) {
+    fn schedule_cancellation(&mut self, job: &JobId, after: Ms) {
         let time = self.now + after;
         let user = self.users.iter_mut().find(|user| user.plan.spec.id == *job);
         if let Some(user) = user.filter(|user| user.state == UserState::Polling) {
             user.state = UserState::Cancelling;
-            user.is_waiting = false;
+            user.is_awaiting_response = false;
             user.next_request_at = time;
         }
     }
 
-    /// Users cancel running jobs, all at once, and machines of these jobs hang.
+    /// Makes users cancel up to `count` running jobs within 0.2 s, and lets some machines of these
+    /// jobs hang.
     pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_ms: Ms) {
         let mut hung = 0;
         for job in self.longest_running_jobs(count) {
             let after = self.rng.random_range(0..200);
-            self.cancel_after(&job, after);
+            self.schedule_cancellation(&job, after);
             if hang_ms > 0 {
                 let mut machines = self.select_machines(&MachineSelector::RunningJob(job));
                 machines.truncate(MAX_HUNG_MACHINES - hung);
                 hung += machines.len();
-                self.inject_machine_fault(
+                self.inject_into_selected_machines(
                     &MachineSelector::Named(machines),
                     MachineFault::Hang(hang_ms),
                 );
@@ -228,7 +230,8 @@
         }
     }
 
-    /// Running jobs of which no user knows that they are over, the longest first.
+    /// Running jobs for which no final stage was reported, those with the longest run time first.
+    /// Services come before all others.
     fn longest_running_jobs(&self, count: usize) -> Vec<JobId> {
         let is_running = |id: &JobId| {
             self.checker.running_tasks(id) > 0 && self.checker.final_stage(id).is_none()
@@ -251,44 +254,44 @@
         jobs.into_iter().map(|(_, id)| id).collect()
     }
 
-    pub(super) fn tick_unusual_requests(&mut self) {
+    pub(super) fn tick_adversarial_requests(&mut self) {
         for job in std::mem::take(&mut self.checker.newly_completed) {
             self.maybe_cancel_completed(&job);
             for after in STATUS_BURST_DELAYS_MS {
                 self.schedule_status_burst(&job, after);
             }
         }
-        let is_active = self.request_faults.unusual_requests_until > self.now;
-        if is_active && self.crosses_multiple_of(UNUSUAL_REQUEST_INTERVAL_MS) {
-            self.send_random_unusual_request();
+        let is_active = self.user_request_faults.adversarial_requests_until > self.now;
+        if is_active && self.crosses_multiple_of(ADVERSARIAL_REQUEST_INTERVAL_MS) {
+            self.send_random_adversarial_request();
         }
     }
 
     fn maybe_cancel_completed(&mut self, job: &JobId) {
-        let PartialFault { until, percent } = self.request_faults.cancel_completing_jobs;
-        if until > self.now && self.chance(percent) {
+        let SampledFault { until, percent } = self.user_request_faults.cancel_completing_jobs;
+        if until > self.now && self.draw_percent(percent) {
             let after = match self.rng.random_range(0..2) {
                 0 => 0,
                 _ => self.rng.random_range(0..400),
             };
-            self.cancel_after(job, after);
+            self.schedule_cancellation(job, after);
         }
     }
 
-    fn send_random_unusual_request(&mut self) {
-        let controller = self.rng.random_range(0..self.size.controllers);
+    fn send_random_adversarial_request(&mut self) {
+        let controller = self.rng.random_range(0..self.config.controllers);
         let kind = self.rng.random_range(0..6);
         let known = self.random_accepted_job(kind == 1);
-        self.unusual_requests.last += 1;
-        let unknown = JobId::new(&format!("j-9{:07}", self.unusual_requests.last));
+        self.adversarial_requests.last += 1;
+        let unknown = JobId::new(&format!("j-9{:07}", self.adversarial_requests.last));
         let (job, request) = match (kind, known) {
             (0, Some(job)) => {
                 let is_modified = self.rng.random();
-                (job, UnusualRequest::Resubmission { is_modified })
+                (job, AdversarialRequest::Resubmission { is_modified })
             }
-            (1, Some(job)) => (job, UnusualRequest::Cancel),
-            (2, _) => (unknown, UnusualRequest::Status),
-            (3, _) => (unknown, UnusualRequest::Cancel),
+            (1, Some(job)) => (job, AdversarialRequest::Cancel),
+            (2, _) => (unknown, AdversarialRequest::Status),
+            (3, _) => (unknown, AdversarialRequest::Cancel),
             (_, Some(job)) => {
                 let spec = self.ground_truths[&job].spec.clone();
                 let invalid = random_invalid_job(&mut self.rng, spec, &unknown);
@@ -297,10 +300,11 @@
             }
             _ => return,
         };
-        self.send_unusual_request(job, controller, request);
+        self.send_adversarial_request(job, controller, request);
     }
 
-    /// An accepted job drawn at random, or one that its user knows to be done.
+    /// Draws an accepted job, which was reported as done if `must_be_done` is set; none if there is no
+    /// such job.
     fn random_accepted_job(&mut self, must_be_done: bool) -> Option<JobId> {
         let is_done = |id: &JobId| self.checker.final_stage(id) == Some(JobStage::Done);
         let users = self.users.iter();
@@ -322,13 +326,14 @@
     serde_json::to_vec(&spec).unwrap_or_default()
 }
 
-/// A team that no deployment has.
+/// Name of a team that exists in no deployment.
 const UNKNOWN_TEAM: &str = "nobodys";
-/// Fields of a submission that are left out or get a value of another type.
+/// Required fields of a submission. Malformed jobs lack one or have a value of a wrong type in it.
 const REQUIRED_FIELDS: [&str; 7] = ["uid", "crew", "shape", "rank", "shifts", "cpus", "kit"];
 
-/// A job that no controller may accept, with the status of the refusal.
-fn random_invalid_job(rng: &mut StdRng, mut spec: JobSpec, id: &JobId) -> UnusualRequest {
+/// Draws a job that controllers must refuse: with 422 if it can never be scheduled, with 400 if it
+/// is malformed.
+fn random_invalid_job(rng: &mut StdRng, mut spec: JobSpec, id: &JobId) -> AdversarialRequest {
     spec.id = id.clone();
     let mut body = serde_json::to_value(&spec).unwrap_or_default();
     let kind = rng.random_range(0..7);
@@ -355,17 +360,17 @@
         }
     };
     let body = body.to_string().into_bytes();
-    UnusualRequest::InvalidJob { body, status }
+    AdversarialRequest::InvalidJob { body, status }
 }
 
-/// Changes a submission to one that is well formed and can never run.
+/// Changes a submission so that it is well-formed but can never be scheduled.
 fn make_unschedulable(body: &mut Value, kind: u32) {
     match kind {
-        // No machine is so large.
+        // No machine type has this many CPUs.
         0 => body["cpus"] = json!(500.0),
         1 => body["rigs"] = json!(["none"]),
         2 => body["crew"] = json!(UNKNOWN_TEAM),
-        // More than the team's limit.
+        // The gang exceeds the limit of its team.
         _ => {
             body["shape"] = json!("group");
             body["shifts"] = json!(99);
--- a/crates/testkit/src/simulation/fault_injection.rs
+++ b/crates/testkit/src/simulation/fault_injection.rs
@@ -1,7 +1,7 @@
-//! Faults as they begin, and whom they affect.
+//! Injection of faults into the simulated components.
 
 use super::events::Event;
-use super::network_faults::{LateHeartbeats, LostWriteResponses, PartialFault};
+use super::network_faults::{LateHeartbeats, LostWriteResponses, SampledFault};
 use super::partitions::{LinkPartition, Partition, PeerPartition, ZonePartition};
 use super::{Simulation, STEP_MS};
 use crate::faults::{Fault, FaultKind, LinkDirection, MachineFault, MachineSelector};
@@ -11,13 +11,13 @@
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// Faults that are still to come, and those that have begun.
+/// Scheduled faults, and faults that have begun.
 pub(super) struct FaultTimeline {
-    /// Ordered by time.
+    /// Faults that have not begun, ordered by time.
     upcoming: VecDeque<Fault>,
-    /// With when they began.
+    /// Faults that have begun, with the time at which they began.
     injected: Vec<(Ms, FaultKind)>,
-    /// When all faults that have begun are over.
+    /// Time at which all faults that have begun are over.
     active_until: Ms,
     cloud_down_until: Ms,
     store_down_until: Ms,
@@ -45,16 +45,16 @@
         self.injected.push((now, kind));
     }
 
-    /// When the last fault was over, if none is active or still to come.
-    pub(super) fn quiet_since(&self, now: Ms) -> Option<Ms> {
+    /// When the last fault was over; none if a fault is active or still scheduled.
+    pub(super) fn faults_over_since(&self, now: Ms) -> Option<Ms> {
         let is_quiet = self.upcoming.is_empty() && now >= self.active_until;
         is_quiet.then_some(self.active_until)
     }
 }
 
 impl Simulation {
-    /// Faults that have begun, with when. Controllers that were selected by their role
-    /// appear with their indices.
+    /// Faults that have begun, with the time at which they began. Controllers that were selected by
+    /// their role appear with their indices.
     pub fn injected_faults(&self) -> &[(Ms, FaultKind)] {
         &self.faults.injected
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Ends the outages of cloud and store whose time is over.
+    /// Ends the outages of the cloud and the store whose duration is over.
     pub(super) fn end_outages(&mut self) {
         if self.cloud.is_down && self.now >= self.faults.cloud_down_until {
             self.cloud.is_down = false;
@@ -75,7 +75,9 @@
         }
     }
 
-    /// Lets a fault begin. A fault of a selected controller waits until there is one.
+    /// Begins a fault. If its selector matches no controller, the fault is retried in the next step.
+    /// The kinds of faults are handled by a chain of methods, each of which passes the kinds that
+    /// are not its own to the next.
     pub(super) fn inject(&mut self, kind: FaultKind) {
         let kind = match kind {
             FaultKind::At(selector, kind) => match self.select_controller(&selector) {
@@ -88,13 +90,13 @@
             },
             kind => kind,
         };
-        let duration = kind.duration(self.size.lease_ms);
+        let duration = kind.duration(self.config.lease_ms);
         self.faults.record(self.now, kind.clone(), duration);
-        self.apply_controller_fault(kind);
+        self.begin_controller_fault(kind);
     }
 
-    /// Applies a fault of a controller itself, or passes it on.
-    fn apply_controller_fault(&mut self, kind: FaultKind) {
+    /// Begins a fault of a controller itself, or passes the fault on.
+    fn begin_controller_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::Crash {
@@ -122,26 +124,26 @@
             FaultKind::Pause { node, time } => {
                 self.controllers[node].faults.paused_until = now + time;
             }
-            other => self.apply_partition(other),
+            other => self.begin_partition(other),
         }
     }
 
-    /// Applies a network partition, or passes the fault on.
-    fn apply_partition(&mut self, kind: FaultKind) {
+    /// Begins a network partition, or passes the fault on.
+    fn begin_partition(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::ServicePartition {
                 node,
-                store: state,
+                store,
                 workers,
                 cloud,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
                 let faults = &mut self.controllers[node].faults;
-                faults.holds_messages = hold;
+                faults.holds_messages = holds_messages;
                 for (is_lost, until) in [
-                    (state, &mut faults.store_partition_until),
+                    (store, &mut faults.store_partition_until),
                     (workers, &mut faults.worker_partition_until),
                     (cloud, &mut faults.cloud_partition_until),
                 ] {
@@ -153,41 +155,47 @@
             FaultKind::ZonePartition {
                 zone,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
-                let partition = Partition::new(now + time, hold);
+                let partition = Partition::new(now + time, holds_messages);
                 self.network_faults.zone_partition = ZonePartition { zone, partition };
             }
             FaultKind::PeerPartition {
                 node,
                 peers,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
-                let partition = Partition::new(now + time, hold);
+                let partition = Partition::new(now + time, holds_messages);
                 self.controllers[node].faults.peer_partition =
                     PeerPartition::new(peers.as_deref(), partition);
             }
             FaultKind::CommandPartition {
                 node,
                 time,
-                holds_messages: hold,
+                holds_messages,
             } => {
-                self.controllers[node].faults.command_partition = Partition::new(now + time, hold);
+                self.controllers[node].faults.command_partition =
+                    Partition::new(now + time, holds_messages);
             }
             FaultKind::LinkPartition {
                 node,
                 machines,
-                direction: lost,
+                direction,
                 time,
-                holds_messages: hold,
-            } => self.partition_links(node, &machines, lost, Partition::new(now + time, hold)),
-            other => self.apply_service_fault(other),
+                holds_messages,
+            } => self.partition_links(
+                node,
+                &machines,
+                direction,
+                Partition::new(now + time, holds_messages),
+            ),
+            other => self.begin_service_fault(other),
         }
     }
 
-    /// Applies a fault of store or cloud, or passes it on.
-    fn apply_service_fault(&mut self, kind: FaultKind) {
+    /// Begins a fault of the store or the cloud, or passes the fault on.
+    fn begin_service_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::LowerLimits => self.lower_limits(),
@@ -218,12 +226,12 @@
                 self.cloud.slow_boots = Some((now + time, which));
             }
             FaultKind::FastBoots(time) => self.cloud.fast_boots_until = now + time,
-            other => self.apply_message_or_request_fault(other),
+            other => self.begin_message_or_request_fault(other),
         }
     }
 
-    /// Applies a fault of messages or of users' requests, or passes it on.
-    fn apply_message_or_request_fault(&mut self, kind: FaultKind) {
+    /// Begins a fault of messages or of users' requests, or passes the fault on.
+    fn begin_message_or_request_fault(&mut self, kind: FaultKind) {
         let now = self.now;
         match kind {
             FaultKind::LateHeartbeatCopies(time) => {
@@ -245,30 +253,32 @@
             }
             FaultKind::DelayedCommands { percent, time } => {
                 let until = now + time;
-                self.network_faults.delayed_commands = PartialFault { until, percent };
+                self.network_faults.delayed_commands = SampledFault { until, percent };
             }
             FaultKind::CancelRunningJobs { count, hang_ms } => {
                 self.cancel_running_jobs(count, hang_ms);
             }
             FaultKind::CancelCompletingJobs { percent, time } => {
                 let until = now + time;
-                self.request_faults.cancel_completing_jobs = PartialFault { until, percent };
+                self.user_request_faults.cancel_completing_jobs = SampledFault { until, percent };
             }
             FaultKind::UnusualRequests(time) => {
-                self.request_faults.unusual_requests_until = now + time;
+                self.user_request_faults.adversarial_requests_until = now + time;
             }
             FaultKind::StatusBursts(time) => {
-                self.request_faults.status_bursts_until = now + time;
+                self.user_request_faults.status_bursts_until = now + time;
             }
-            other => self.apply_machine_fault(other),
+            other => self.begin_machine_fault(other),
         }
     }
 
-    /// Applies a fault of machines. Those of other kinds have been applied before.
-    fn apply_machine_fault(&mut self, kind: FaultKind) {
+    /// Begins a fault of machines, the last kinds of the chain.
+    fn begin_machine_fault(&mut self, kind: FaultKind) {
         let until = |time: Ms| self.now + time;
         match kind {
-            FaultKind::Machines(which, fault) => self.inject_machine_fault(&which, fault),
+            FaultKind::Machines(selector, fault) => {
+                self.inject_into_selected_machines(&selector, fault);
+            }
             FaultKind::SpotReclaim { notice } => self.reclaim_spot_machines(notice),
             FaultKind::MachineCrash => {
                 if let Some(id) = self.random_machine() {
@@ -289,23 +299,23 @@
             }
             FaultKind::MachineFailsTasks(time) => {
                 let until = until(time);
-                self.with_random_worker(|worker| worker.failing_until = until);
+                self.with_random_worker(|worker| worker.tasks_fail_until = until);
             }
-            // A selection within a selection is resolved in turn.
+            // The selector of a nested selection is resolved separately.
             FaultKind::At(_, kind) => self.inject(*kind),
-            other => unreachable!("{other:?} is applied before"),
+            other => unreachable!("{other:?} is handled earlier in the chain"),
         }
     }
 
     fn crash_controllers(&mut self, first: usize, count: usize, restart_after: Ms) {
-        let nodes = self.size.controllers;
+        let nodes = self.config.controllers;
         for index in (0..count).map(|offset| (first + offset) % nodes) {
             self.controllers[index].node = None;
             self.schedule(self.now + restart_after, Event::ControllerRestart(index));
         }
     }
 
-    /// A controller exits, and starts again as the old release or the new one.
+    /// Stops a controller and schedules its restart as the old or the new release.
     fn restart_with_release(&mut self, index: usize, is_old: bool, restart_after: Ms) {
         self.controllers[index].node = None;
         self.controllers[index].is_old = is_old;
@@ -330,9 +340,9 @@
         });
     }
 
-    /// The limits that were announced come into force.
+    /// Makes the announced limits of the store take effect, if the configuration has any.
     fn lower_limits(&mut self) {
-        if let Some(next) = self.size.next_limits {
+        if let Some(next) = self.config.next_limits {
             let sizes = SizeLimits {
                 value_bytes: next.value_kb * 1024,
                 txn_ops: next.txn_ops,
@@ -366,20 +376,24 @@
         }
     }
 
-    pub(super) fn inject_machine_fault(&mut self, which: &MachineSelector, fault: MachineFault) {
-        let mut ids = self.select_machines(which);
-        if let MachineSelector::Random(count) = which {
+    pub(super) fn inject_into_selected_machines(
+        &mut self,
+        selector: &MachineSelector,
+        fault: MachineFault,
+    ) {
+        let mut ids = self.select_machines(selector);
+        if let MachineSelector::Random(count) = selector {
             while ids.len() > *count {
                 let index = self.rng.random_range(0..ids.len());
                 ids.swap_remove(index);
             }
         }
         for id in ids {
-            self.apply_to_machine(&id, fault);
+            self.inject_into_machine(&id, fault);
         }
     }
 
-    fn apply_to_machine(&mut self, id: &MachineId, fault: MachineFault) {
+    fn inject_into_machine(&mut self, id: &MachineId, fault: MachineFault) {
         let now = self.now;
         let Some(worker) = self.workers.by_id.get_mut(id) else {
             return;
@@ -391,13 +405,14 @@
             MachineFault::InboundLoss(time) => worker.inbound_lost_until = now + time,
             MachineFault::OutboundLoss(time) => worker.outbound_lost_until = now + time,
             MachineFault::SlowLink(time) => worker.slow_link_until = now + time,
-            MachineFault::FailTasks(time) => worker.failing_until = now + time,
+            MachineFault::FailTasks(time) => worker.tasks_fail_until = now + time,
             MachineFault::EvictImages => worker.evict_images(now),
             MachineFault::StuckPrefetch(time) => worker.prefetch_stuck_until = now + time,
         }
     }
 
-    /// A machine stops with everything on it.
+    /// Stops a machine and all its tasks for good, and ends its billing. The cloud lists it as
+    /// failed.
     fn crash_machine(&mut self, id: &MachineId) {
         self.remove_worker(id);
         if let Some(instance) = self.cloud.machines.get_mut(id) {
--- a/crates/testkit/src/simulation/gangs.rs
+++ b/crates/testkit/src/simulation/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs across machines: their tasks start together and end together.
+//! Gangs, whose tasks start together and end together on several machines.
 
 use super::Simulation;
 use crate::worker::WorkerContext;
@@ -7,7 +7,7 @@
 use forkshift_wire::{JobId, MachineId, TaskRef};
 use std::collections::BTreeMap;
 
-/// A task of a gang's attempt that has its image and has not exited.
+/// A task of an attempt of a gang that has its image and has not exited.
 struct GangMember {
     machine: MachineId,
     task: TaskRef,
@@ -17,7 +17,7 @@
 /// A job and the number of its attempt.
 type Attempt = (JobId, u64);
 
-/// What happens to an attempt of a gang now.
+/// The transition that an attempt of a gang makes now.
 enum Transition {
     None,
     /// All tasks begin to run.
@@ -27,11 +27,11 @@
 }
 
 impl Simulation {
-    /// Starts gangs that are complete, and ends those that are done, fail or have lost a
-    /// member.
+    /// Starts gangs that are complete, and ends gangs that are done, have failed, have lost a member
+    /// or were incomplete for too long.
     pub(super) fn tick_gangs(&mut self) {
         for worker in self.workers.by_id.values_mut() {
-            worker.time_out_gangs(self.now, &mut self.checker, self.size.gang_wait_ms);
+            worker.time_out_gangs(self.now, &mut self.checker, self.config.gang_wait_ms);
         }
         for (attempt, members) in self.gang_members() {
             match self.gang_transition(&attempt, &members) {
@@ -47,8 +47,9 @@
         let workers = self.workers.by_id.values();
         for worker in workers.filter(|worker| worker.has_gang_tasks) {
             for ((task, attempt), local) in &worker.tasks {
-                let is_here = matches!(local.stage, TaskStage::WaitingForGang | TaskStage::Running);
-                if !local.is_gang || !is_here {
+                let is_ready =
+                    matches!(local.stage, TaskStage::WaitingForGang | TaskStage::Running);
+                if !local.is_gang || !is_ready {
                     continue;
                 }
                 let members = attempts.entry((task.job.clone(), *attempt)).or_default();
@@ -63,21 +64,21 @@
     }
 
     fn gang_transition(&self, attempt: &Attempt, members: &[GangMember]) -> Transition {
-        let truth = &self.ground_truths[&attempt.0];
-        let is_whole = members.len() as u32 == truth.spec.tasks;
+        let ground_truth = &self.ground_truths[&attempt.0];
+        let is_complete = members.len() as u32 == ground_truth.spec.tasks;
         let mut stages = members.iter().map(|member| member.stage);
         let is_waiting = stages.any(|stage| stage == TaskStage::WaitingForGang);
         let began_at: Option<Ms> = self.workers.gang_starts.get(attempt).copied();
         match began_at {
-            None if is_whole && is_waiting => Transition::Run,
+            None if is_complete && is_waiting => Transition::Run,
             _ if self.has_gang_completed(&attempt.0) => Transition::Exit(ExitCause::Done),
-            Some(at) if is_whole && truth.has_failed_by(at, self.now) => {
+            Some(at) if is_complete && ground_truth.has_failed_by(at, self.now) => {
                 Transition::Exit(ExitCause::Error)
             }
-            Some(at) if is_whole && self.now >= at + truth.run_ms => {
+            Some(at) if is_complete && self.now >= at + ground_truth.run_ms => {
                 Transition::Exit(ExitCause::Done)
             }
-            Some(_) if !is_whole => Transition::Exit(ExitCause::GangMemberLost),
+            Some(_) if !is_complete => Transition::Exit(ExitCause::GangMemberLost),
             _ => Transition::None,
         }
     }
@@ -107,7 +108,7 @@
                 self.now,
                 &self.ground_truths,
                 &mut self.checker,
-                self.size.lease_ms,
+                self.config.lease_ms,
             );
             match cause {
                 ExitCause::Done => context.checker.on_task_completed(context.now, task),
--- a/crates/testkit/src/simulation/waiting_jobs.rs
+++ b/crates/testkit/src/simulation/pending_jobs.rs
@@ -1,4 +1,4 @@
-//! Search for jobs that wait although there is room for them.
+//! Detection of jobs that stay pending although machines have free capacity for them.
 
 use super::users::{User, UserState};
 use super::Simulation;
@@ -9,43 +9,45 @@
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A machine that may take tasks, and its free resources.
-struct FreeMachine<'a> {
+/// A machine on which tasks may be placed, and its free capacity.
+struct MachineFreeCapacity<'a> {
     worker: &'a Worker,
     free: Resources,
 }
 
-/// Tasks on machines that have not exited.
+/// Summary of the tasks on machines that have not exited.
 #[derive(Default)]
 struct Allocation<'a> {
-    /// Jobs with at least one of them.
+    /// Jobs with at least one such task.
     jobs: BTreeSet<&'a JobId>,
-    /// What each team's tasks use.
+    /// Resources that each team's tasks use.
     by_team: BTreeMap<&'a str, Resources>,
 }
 
 impl Simulation {
-    /// Tells the checker of each job whether it waits without a task on any machine
-    /// although there is room for it.
-    pub(super) fn check_waiting_jobs(&mut self) {
+    /// Reports to the checker for each job whether it is pending without a task on any machine
+    /// although there is free capacity for it.
+    pub(super) fn check_pending_jobs(&mut self) {
         let allocation = self.allocation();
-        let machines: OnceCell<Vec<FreeMachine>> = OnceCell::new();
-        // In a large fleet thousands may wait with the same needs.
+        let machines: OnceCell<Vec<MachineFreeCapacity>> = OnceCell::new();
+        // Results are cached, as thousands of jobs with the same needs may be pending in a large
+        // deployment.
         let mut results: HashMap<String, bool> = HashMap::new();
         let mut found = Vec::new();
         for user in &self.users {
             let spec = &user.plan.spec;
-            let has_room = self.is_waiting_normally(user)
+            let has_free_capacity = self.should_start_when_capacity_is_free(user)
                 && !allocation.jobs.contains(&spec.id)
                 && self.is_under_limit(spec, &allocation)
                 && *results.entry(placement_key(spec)).or_insert_with(|| {
-                    let machines = machines.get_or_init(|| self.free_machines());
-                    has_room(machines, spec)
+                    let machines = machines.get_or_init(|| self.machines_with_free_capacity());
+                    has_free_capacity(machines, spec)
                 });
-            found.push((spec.id.clone(), has_room));
+            found.push((spec.id.clone(), has_free_capacity));
         }
-        for (id, has_room) in found {
-            self.checker.on_job_waiting(self.now, &id, has_room);
+        for (id, has_free_capacity) in found {
+            self.checker
+                .on_job_pending(self.now, &id, has_free_capacity);
         }
     }
 
@@ -62,10 +64,10 @@
         allocation
     }
 
-    /// Whether a job should begin as soon as there is room: it is accepted, neither over
-    /// nor cancelled, and depends on no incomplete job. Retries of a job with a defect are
-    /// delayed on purpose.
-    fn is_waiting_normally(&self, user: &User) -> bool {
+    /// Whether a job should begin as soon as there is free capacity: it is accepted, neither in a
+    /// final stage nor being cancelled, and has no incomplete dependency. Jobs with a defect are left
+    /// out, as their retries are delayed by a backoff.
+    fn should_start_when_capacity_is_free(&self, user: &User) -> bool {
         let id = &user.plan.spec.id;
         let is_cancelled = user.plan.cancel_at.is_some_and(|at| at <= self.now);
         let is_over = self.checker.final_stage(id).is_some() || self.checker.is_job_completed(id);
@@ -76,10 +78,15 @@
             && !self.checker.is_blocked(id)
     }
 
-    /// A job as it was submitted and what its team uses, for the analysis of a day.
-    pub fn describe(&self, id: &JobId) -> String {
-        let Some(spec) = self.ground_truths.get(id).map(|truth| &truth.spec) else {
-            return format!("{id} is nobody's");
+    /// Describes a job's specification, its holder and the tasks of its team, for the analysis of a
+    /// run.
+    pub fn describe_job(&self, id: &JobId) -> String {
+        let Some(spec) = self
+            .ground_truths
+            .get(id)
+            .map(|ground_truth| &ground_truth.spec)
+        else {
+            return format!("{id} was never submitted");
         };
         let mut team = Vec::new();
         for worker in self.workers.by_id.values() {
@@ -94,23 +101,23 @@
         format!("{spec:?}, held by {holder:?}, cancelled at {cancelled:?}; its team has {team:?}")
     }
 
-    /// Whether a team stays within its limits as a job begins.
+    /// Whether a team stays within its limits if a job begins.
     fn is_under_limit(&self, spec: &JobSpec, allocation: &Allocation) -> bool {
         let used = allocation.by_team.get(spec.team.as_str());
         let used = used.copied().unwrap_or_default();
         let tasks = f64::from(tasks_needed_at_once(spec));
-        let (max_cpus, max_gpus) = self.checker.limit_of(&spec.team);
+        let (max_cpus, max_gpus) = self.checker.team_limits(&spec.team);
         let is_under = |used: f64, max: f64| max == 0.0 || used <= max + 1e-6;
         is_under(used.cpus + tasks * spec.cpus, max_cpus)
             && is_under(used.gpus + tasks * spec.gpus, max_gpus)
     }
 
-    /// Free resources of the machines that the cloud does not reclaim.
-    fn free_machines(&self) -> Vec<FreeMachine<'_>> {
+    /// Free capacity of all machines, except those with an announced reclaim.
+    fn machines_with_free_capacity(&self) -> Vec<MachineFreeCapacity<'_>> {
         let workers = self.workers.by_id.values();
         workers
             .filter(|worker| worker.reclaimed_at.is_none())
-            .map(|worker| FreeMachine {
+            .map(|worker| MachineFreeCapacity {
                 worker,
                 free: worker.free_resources(&self.ground_truths),
             })
@@ -127,7 +134,7 @@
     }
 }
 
-/// Tasks of a job that must find room at the same time.
+/// Number of a job's tasks that must be placed together for the job to begin.
 fn tasks_needed_at_once(spec: &JobSpec) -> u32 {
     match spec.kind {
         JobKind::Array => 1,
@@ -135,7 +142,7 @@
     }
 }
 
-/// Everything of a job that decides whether there is room for it.
+/// All properties of a job that determine whether machines have capacity for it, as a cache key.
 fn placement_key(spec: &JobSpec) -> String {
     let resources = (spec.cpus, spec.gpus, spec.memory_gb);
     let place = (
@@ -151,8 +158,9 @@
     )
 }
 
-/// Whether there is room for the tasks that a job needs at once.
-fn has_room(machines: &[FreeMachine], spec: &JobSpec) -> bool {
+/// Whether machines have free capacity for the tasks that must be placed together, under the job's
+/// zone constraints.
+fn has_free_capacity(machines: &[MachineFreeCapacity], spec: &JobSpec) -> bool {
     let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in machines.iter().filter(|m| is_allowed(m.worker, spec)) {
         let in_zone = tasks_by_zone.entry(&machine.worker.zone).or_default();
@@ -172,7 +180,7 @@
     }
 }
 
-/// Whether a job allows a machine.
+/// Whether a job's constraints on type, zone and spot allow a machine.
 fn is_allowed(worker: &Worker, spec: &JobSpec) -> bool {
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.contains(&worker.machine_type))
--- a/crates/testkit/src/simulation/pools.rs
+++ b/crates/testkit/src/simulation/pools.rs
@@ -1,4 +1,4 @@
-//! Warm pools by the store's records, and what the cloud billed.
+//! Warm pools according to the records in the store, and the billing periods of the cloud.
 
 use super::Simulation;
 use crate::Ms;
@@ -13,10 +13,10 @@
 use std::collections::BTreeMap;
 
 /// Prefix of the keys of machine records.
-const MACHINES: &str = "c/machine/";
+const MACHINE_KEY_PREFIX: &str = "c/machine/";
 
 impl Simulation {
-    /// Members of warm pools now.
+    /// Machines that are members of a warm pool according to their records.
     pub fn pool_members(&self) -> Vec<(MachineId, Membership)> {
         let members = self.machine_records().into_iter();
         members
@@ -24,7 +24,8 @@
             .collect()
     }
 
-    /// The accounts of all pools. Open intervals are taken to end now.
+    /// The usage records of all pools, with current memberships closed at `now_ms`, in milliseconds
+    /// of the wall clock.
     ///
     /// # Panics
     ///
@@ -38,8 +39,8 @@
         for (key, value) in rows {
             match AccountRow::parse(&key, &value.to_string()) {
                 Some(AccountRow::Interval(interval)) => accounts.intervals.push(interval),
-                Some(AccountRow::Request(asked)) => accounts.requests.push(asked),
-                Some(AccountRow::ColdStart(miss)) => accounts.cold_starts.push(miss),
+                Some(AccountRow::Request(request)) => accounts.requests.push(request),
+                Some(AccountRow::ColdStart(cold_start)) => accounts.cold_starts.push(cold_start),
                 None => panic!("{key} can not be parsed: {value}"),
             }
         }
@@ -63,20 +64,23 @@
         accounts
     }
 
-    /// Billing periods of all machines, for a simulation that began at a time.
-    pub fn pool_lives(&self, began_ms: Ms) -> BTreeMap<MachineId, BillingPeriod> {
-        let lives = self.billing_periods().iter();
-        let life = |(from, to): &(Ms, Option<Ms>)| {
+    /// Billing periods of all machines in wall-clock time, for a simulation that began at `began_ms`.
+    /// Open periods end now.
+    pub fn billing_periods_from(&self, began_ms: Ms) -> BTreeMap<MachineId, BillingPeriod> {
+        let periods = self.billing_periods().iter();
+        let period = |(from, to): &(Ms, Option<Ms>)| {
             let to = to.unwrap_or(self.now());
             (began_ms + from, began_ms + to)
         };
-        lives.map(|(id, times)| (id.clone(), life(times))).collect()
+        periods
+            .map(|(id, times)| (id.clone(), period(times)))
+            .collect()
     }
 
     fn machine_records(&self) -> Vec<(MachineId, MachineRecord)> {
-        let machines = self.store_entries(MACHINES).into_iter();
+        let machines = self.store_entries(MACHINE_KEY_PREFIX).into_iter();
         let record = |(key, value): (String, serde_json::Value)| {
-            let id = MachineId::new(key.strip_prefix(MACHINES)?);
+            let id = MachineId::new(key.strip_prefix(MACHINE_KEY_PREFIX)?);
             Some((id, serde_json::from_value(value).ok()?))
         };
         machines.filter_map(record).collect()
--- a/crates/testkit/src/simulation/workers.rs
+++ b/crates/testkit/src/simulation/workers.rs
@@ -1,8 +1,8 @@
-//! The fleet of machines: they boot, send heartbeats and are removed.
+//! The workers of all machines that are up: their start, heartbeats and removal.
 
+use super::config::controller_index;
 use super::network::{Destination, Message, Origin};
 use super::remote::MachineChange;
-use super::size::controller_index;
 use super::Simulation;
 use crate::worker::{Worker, WorkerContext};
 use crate::Ms;
@@ -11,22 +11,22 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Least time between two heartbeats of a worker of the emulator.
+/// Minimum time between two heartbeats of a worker if controllers run as separate processes.
 const MIN_HEARTBEAT_GAP_MS: Ms = 500;
-/// A worker waits this long for the response to a heartbeat.
+/// Timeout of a heartbeat, after which the worker turns to the next controller.
 const HEARTBEAT_TIMEOUT_MS: Ms = 4_000;
-/// Time until the next heartbeat after one that failed.
+/// Time until the next heartbeat after a failed or timed-out one.
 const HEARTBEAT_RETRY_MS: Ms = 1_000;
-/// Time until the next heartbeat after a redirect.
+/// Time until the next heartbeat after a redirect to another controller.
 const REDIRECT_DELAY_MS: Ms = 100;
 
-/// The machines that are up.
+/// The workers of the machines that are up.
 #[derive(Default)]
 pub(super) struct WorkerFleet {
     pub(super) by_id: BTreeMap<MachineId, Worker>,
-    /// When each attempt of a gang began to run.
+    /// When each attempt of a gang started to run.
     pub(super) gang_starts: BTreeMap<(JobId, u64), Ms>,
-    /// Most machines that were up at a time.
+    /// Maximum number of machines that were up at the same time.
     pub(super) max_count: usize,
     pub(super) heartbeats_sent: u64,
 }
@@ -38,7 +38,7 @@
 }
 
 impl Simulation {
-    /// Removes a worker with all its tasks.
+    /// Removes a worker and ends all its tasks.
     pub(super) fn remove_worker(&mut self, id: &MachineId) {
         let Some(mut worker) = self.workers.by_id.remove(id) else {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Removes the workers of terminated machines and adds those of booted ones.
+    /// Removes the workers of terminated machines and adds workers for booted machines.
     pub(super) fn sync_workers_with_cloud(&mut self) {
         for id in std::mem::take(&mut self.cloud.newly_terminated) {
             self.remove_worker(&id);
@@ -74,16 +74,16 @@
             &instance.zone,
             instance.spot,
             self.now,
-            self.size.announces_images,
+            self.config.announces_images,
         );
-        worker.controller = self.rng.random_range(0..self.size.controllers);
+        worker.controller = self.rng.random_range(0..self.config.controllers);
         self.workers.by_id.insert(id.clone(), worker);
         if let Some(remote) = &mut self.remote {
             remote.machines.push(MachineChange::Up(id));
         }
     }
 
-    /// Lets time pass for all workers, then sends the heartbeats that are due.
+    /// Advances all workers that do not hang, then sends the heartbeats that are due.
     pub(super) fn tick_workers(&mut self) {
         let now = self.now;
         let is_remote = self.remote.is_some();
@@ -97,27 +97,28 @@
                 self.now,
                 &self.ground_truths,
                 &mut self.checker,
-                self.size.lease_ms,
+                self.config.lease_ms,
             ));
             if is_remote {
-                worker.schedule_changed_heartbeat(now, self.size.lease_ms, reported);
+                worker.schedule_heartbeat_after_change(now, self.config.lease_ms, reported);
             }
             if worker.is_heartbeat_overdue(now, HEARTBEAT_TIMEOUT_MS) {
                 worker.pending_heartbeat = None;
-                worker.controller = (worker.controller + 1) % self.size.controllers;
+                worker.controller = (worker.controller + 1) % self.config.controllers;
                 worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
             }
             let min_gap = if is_remote { MIN_HEARTBEAT_GAP_MS } else { 0 };
             if !worker.is_heartbeat_due(now, min_gap) {
                 continue;
             }
-            let period = self.size.heartbeat_ms;
-            // Many processes on one computer would send all at once.
-            let next = match is_remote {
+            let period = self.config.heartbeat_ms;
+            // Jitter of a quarter of the period spreads the heartbeats that the emulator sends from
+            // one computer.
+            let next_in = match is_remote {
                 true => self.rng.random_range(period * 3 / 4..=period * 5 / 4),
                 false => period,
             };
-            heartbeats.push(heartbeat_message(worker, now, next));
+            heartbeats.push(heartbeat_message(worker, now, next_in));
         }
         for heartbeat in heartbeats {
             self.workers.heartbeats_sent += 1;
@@ -146,7 +147,7 @@
                     self.now,
                     &self.ground_truths,
                     &mut self.checker,
-                    self.size.lease_ms,
+                    self.config.lease_ms,
                 );
                 worker.on_heartbeat_reply(&mut context, reply.token, &reply.commands);
                 return;
@@ -157,23 +158,25 @@
         let target = redirect.holder_addr.as_deref().and_then(controller_index);
         match target {
             Some(index)
-                if status == 421 && index != worker.controller && index < self.size.controllers =>
+                if status == 421
+                    && index != worker.controller
+                    && index < self.config.controllers =>
             {
                 worker.controller = index;
                 worker.next_heartbeat_at = now + REDIRECT_DELAY_MS;
             }
             _ => {
-                worker.controller = (worker.controller + 1) % self.size.controllers;
+                worker.controller = (worker.controller + 1) % self.config.controllers;
                 worker.next_heartbeat_at = now + HEARTBEAT_RETRY_MS;
             }
         }
     }
 }
 
-/// Begins a worker's heartbeat; the following one is due after `next`.
-fn heartbeat_message(worker: &mut Worker, now: Ms, next: Ms) -> Message {
+/// Builds a worker's heartbeat and schedules the next one after `next_in`.
+fn heartbeat_message(worker: &mut Worker, now: Ms, next_in: Ms) -> Message {
     let heartbeat = worker.begin_heartbeat(now);
-    worker.next_heartbeat_at = now + next;
+    worker.next_heartbeat_at = now + next_in;
     Message {
         origin: Origin::Worker {
             id: worker.id.clone(),
--- a/crates/testkit/src/worker/tasks.rs
+++ b/crates/testkit/src/worker/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks on a worker: commands, stages and exits.
+//! Tasks on a worker: execution of commands, changes of stage, and exits.
 
 use super::{
     GroundTruth, Resources, Worker, WorkerContext, CHANGE_HEARTBEAT_DELAY_MS,
@@ -15,17 +15,17 @@
 /// A task and the number of its attempt.
 pub(crate) type TaskAttempt = (TaskRef, u64);
 
-/// A task on a machine, whether it has exited or not.
+/// A task attempt on a worker. Exited attempts stay until a `forget` command.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalTask {
     pub(crate) stage: TaskStage,
     pub(super) cause: Option<ExitCause>,
     pub(super) is_checkpoint_saved: bool,
-    /// Whether it belongs to a gang.
+    /// Whether the task belongs to a gang.
     pub(crate) is_gang: bool,
-    /// When its present stage ends by itself.
+    /// When the current stage ends by itself; `Ms::MAX`: never.
     pub(crate) stage_ends_at: Ms,
-    /// Since when it has its image.
+    /// When the image was or will be ready.
     image_ready_at: Ms,
 }
 
@@ -56,7 +56,7 @@
         self.stage == TaskStage::Exited
     }
 
-    /// Whether the checker counts it as being on its machine.
+    /// Whether the checker counts the task as on its machine.
     fn is_started(&self) -> bool {
         !matches!(self.stage, TaskStage::Fetching | TaskStage::Exited)
     }
@@ -68,13 +68,13 @@
 }
 
 impl Worker {
-    /// Whether a task of a job is here that has not exited.
+    /// Whether the worker has a task of a job that has not exited.
     pub(crate) fn has_task_of(&self, id: &JobId) -> bool {
         let mut tasks = self.tasks.iter();
         tasks.any(|((task, _), local)| task.job == *id && !local.has_exited())
     }
 
-    /// Resources that no task uses. Tasks that fetch their image count as users.
+    /// Capacity that no task uses. Tasks that are still fetching their image use theirs.
     pub(crate) fn free_resources(&self, ground_truths: &BTreeMap<JobId, GroundTruth>) -> Resources {
         let tasks = self.tasks.iter().filter(|(_, local)| !local.has_exited());
         let used = tasks.fold(Resources::default(), |used, ((task, _), _)| {
@@ -109,13 +109,15 @@
             return;
         }
         let (task, now) = (&attempt.0, context.now);
-        let truth = context.ground_truths.get(&task.job);
-        let Some(truth) = truth.filter(|truth| task.index < truth.spec.tasks) else {
+        let ground_truth = context.ground_truths.get(&task.job);
+        let Some(ground_truth) =
+            ground_truth.filter(|ground_truth| task.index < ground_truth.spec.tasks)
+        else {
             self.reject_task(attempt, ExitCause::UnknownTask);
             return;
         };
-        let spec = &truth.spec;
-        if self.has_other_attempt(task) {
+        let spec = &ground_truth.spec;
+        if self.has_unfinished_attempt(task) {
             self.reject_task(attempt, ExitCause::OtherAttemptPresent);
             return;
         }
@@ -134,8 +136,8 @@
         self.tasks.insert(attempt, local);
     }
 
-    /// Whether an attempt of a task is here that has not exited.
-    fn has_other_attempt(&self, task: &TaskRef) -> bool {
+    /// Whether the worker has an attempt of a task that has not exited.
+    fn has_unfinished_attempt(&self, task: &TaskRef) -> bool {
         let mut tasks = self.tasks.iter();
         tasks.any(|((other, _), local)| other == task && !local.has_exited())
     }
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Lets a task exit.
+    /// Ends a task and schedules a heartbeat that reports the exit.
     pub(crate) fn exit_task(
         &mut self,
         context: &mut WorkerContext,
@@ -182,7 +184,7 @@
         self.schedule_heartbeat_within(context.now, EXIT_HEARTBEAT_DELAY_MS);
     }
 
-    /// Kills and forgets all tasks.
+    /// Kills all tasks and removes them, so that no heartbeat reports them.
     pub(crate) fn kill_all_tasks(&mut self, checker: &mut Checker) {
         for ((task, _), local) in std::mem::take(&mut self.tasks) {
             if local.is_started() {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Lets the tasks exit whose gang has been incomplete for too long.
+    /// Ends the tasks whose image has been ready for `timeout` while their gang was incomplete.
     pub(crate) fn time_out_gangs(&mut self, now: Ms, checker: &mut Checker, timeout: Ms) {
         if self.hung_until > now || !self.has_gang_tasks {
             return;
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Ends the stages whose time is over.
-    pub(super) fn end_due_stages(&mut self, context: &mut WorkerContext) {
+    /// Advances the tasks whose current stage is over.
+    pub(super) fn advance_due_stages(&mut self, context: &mut WorkerContext) {
         if context.now < self.next_stage_end {
             return;
         }
@@ -221,14 +223,14 @@
             .map(|(attempt, _)| attempt.clone())
             .collect();
         for attempt in due {
-            self.end_stage(context, &attempt);
+            self.advance_stage(context, &attempt);
         }
         let present = self.tasks.values().filter(|local| !local.has_exited());
         let ends = present.map(|local| local.stage_ends_at);
         self.next_stage_end = ends.min().unwrap_or(Ms::MAX);
     }
 
-    fn end_stage(&mut self, context: &mut WorkerContext, attempt: &TaskAttempt) {
+    fn advance_stage(&mut self, context: &mut WorkerContext, attempt: &TaskAttempt) {
         let task = &attempt.0;
         match self.tasks[attempt].stage {
             TaskStage::Fetching => self.on_image_ready(context, attempt),
@@ -247,10 +249,10 @@
 
     fn on_image_ready(&mut self, context: &mut WorkerContext, attempt: &TaskAttempt) {
         let (now, task) = (context.now, &attempt.0);
-        let truth = &context.ground_truths[&task.job];
-        self.add_image(truth.spec.image.clone());
-        let is_defective = truth.defect == Some(JobDefect::FailsAtStart);
-        if is_defective || now < self.failing_until {
+        let ground_truth = &context.ground_truths[&task.job];
+        self.add_image(ground_truth.spec.image.clone());
+        let is_defective = ground_truth.defect == Some(JobDefect::FailsAtStart);
+        if is_defective || now < self.tasks_fail_until {
             context.checker.on_task_failed(now, task, &self.id);
             if is_defective {
                 self.schedule_heartbeat_within(now, CHANGE_HEARTBEAT_DELAY_MS);
@@ -262,9 +264,9 @@
         }
         context.checker.on_task_started(now, task, self.place());
         let is_completed = context.checker.is_task_completed(task);
-        let stage_ends_at = truth.run_ends_at(now, is_completed);
+        let stage_ends_at = ground_truth.run_ends_at(now, is_completed);
         if let Some(local) = self.tasks.get_mut(attempt) {
-            local.stage = match truth.spec.kind {
+            local.stage = match ground_truth.spec.kind {
                 JobKind::Gang => TaskStage::WaitingForGang,
                 JobKind::Array | JobKind::Service => TaskStage::Running,
             };
