--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -10,7 +10,7 @@
 mod status_queries;
 mod submissions;
 
-pub(crate) use status_queries::{read_job, read_versioned_job};
+pub(crate) use status_queries::{parse_job_record, parse_versioned_job_record};
 
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
@@ -21,7 +21,7 @@
 
 /// Time within which a submission or a cancellation is answered, in milliseconds:
 /// users give up after 5 s.
-pub(crate) const ANSWER_MS: Ms = 4_000;
+pub(crate) const USER_ANSWER_TIMEOUT_MS: Ms = 4_000;
 
 /// The status of a job without counts of its tasks.
 pub(crate) fn status_of_stage(id: &JobId, stage: JobStage) -> JobStatus {
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -2,7 +2,7 @@
 //! decided by reading their permanent records, and the acceptance of the job is
 //! conditional on the versions that were read.
 
-use crate::api::read_versioned_job;
+use crate::api::parse_versioned_job_record;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
 use crate::pending_call::{JobCreation, LookupPurpose, PendingCall};
@@ -21,7 +21,7 @@
 
 impl Node {
     /// The refusal of a job whose dependencies need not be read, as they are not allowed.
-    pub(crate) fn refuse_dependencies(&self, spec: &JobSpec) -> Option<Reply> {
+    pub(crate) fn dependency_refusal(&self, spec: &JobSpec) -> Option<Reply> {
         if spec.dependencies.is_empty() {
             return None;
         }
@@ -33,7 +33,7 @@
             return Some(Reply::error(422, "a job can't await itself"));
         }
         // One condition is for the job's own record.
-        let max_dependencies = self.ctx.limits.conditions() - 1;
+        let max_dependencies = self.ctx.limits.max_preconditions() - 1;
         if spec.dependencies.len() > max_dependencies {
             let why = format!("`awaits` names more than {max_dependencies} jobs");
             return Some(Reply::error(422, &why));
@@ -87,7 +87,7 @@
             return;
         }
         let until = admission.creation.deadline;
-        match (status, read_versioned_job(body)) {
+        match (status, parse_versioned_job_record(body)) {
             (200, Some((record, _))) if record.spec.kind == JobKind::Service => {
                 self.refuse_admission(request, &format!("{id} is a service"));
             }
@@ -134,7 +134,7 @@
             return;
         };
         let refusal = LookupPurpose::Submission(Reply::error(422, why));
-        if let Some(reply) = self.look_up(request, admission.creation.spec.id, refusal) {
+        if let Some(reply) = self.look_up_job(request, admission.creation.spec.id, refusal) {
             self.ctx.respond(request, reply);
         }
     }
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -1,8 +1,8 @@
 //! Cancellations of jobs that are held here, and requests to other holders to cancel
 //! theirs.
 
-use crate::api::status_queries::read_job;
-use crate::api::{status_of_stage, ANSWER_MS};
+use crate::api::status_queries::parse_job_record;
+use crate::api::{status_of_stage, USER_ANSWER_TIMEOUT_MS};
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
 use crate::node::{active_shard_of_mut, Node};
@@ -16,7 +16,7 @@
 
 /// Pause between two reads that show whether a cancellation was carried out, in
 /// milliseconds.
-const POLL_MS: Ms = 250;
+const CANCELLATION_POLL_INTERVAL_MS: Ms = 250;
 
 impl Node {
     /// A user requests the cancellation of a job.
@@ -30,7 +30,7 @@
         let has_valid_lease = self.membership.has_valid_lease(&self.ctx, &self.view);
         let Node { shards, ctx, .. } = self;
         let Some(shard) = active_shard_of_mut(shards, &id) else {
-            return self.look_up(request, id, LookupPurpose::Cancellation);
+            return self.look_up_job(request, id, LookupPurpose::Cancellation);
         };
         shard.cancel(ctx, &id);
         let job = shard.jobs.get_mut(&id)?;
@@ -44,7 +44,7 @@
             return Some(Reply::unavailable("not now"));
         }
         job.cancel_waiters.push(request);
-        let until = ctx.now + ANSWER_MS;
+        let until = ctx.now + USER_ANSWER_TIMEOUT_MS;
         self.cancel_deadlines.push_back((until, request, id));
         None
     }
@@ -52,7 +52,7 @@
     /// Requests a cancellation from the holder of a job, by a message and by a key that
     /// the holder watches.
     pub(crate) fn forward_cancellation(&mut self, request: RequestId, id: JobId, shard: ShardId) {
-        let until = self.ctx.now + ANSWER_MS * 3 / 4;
+        let until = self.ctx.now + USER_ANSWER_TIMEOUT_MS * 3 / 4;
         self.send_cancel(&id, shard);
         let known = self.view.cancellations.get(&id).copied();
         let key = cancellation_key(&id);
@@ -106,7 +106,11 @@
             version,
             deadline: until,
         } = &poll;
-        let record = if code == 200 { read_job(body) } else { None };
+        let record = if code == 200 {
+            parse_job_record(body)
+        } else {
+            None
+        };
         match record {
             Some(record) if record.stage.is_final() => {
                 self.final_stages.insert(id.clone(), record.stage);
@@ -119,7 +123,7 @@
             _ if code == 503 => self.ctx.respond(*request, Reply::unavailable("not now")),
             _ if self.ctx.now < *until => self
                 .delayed_cancellation_polls
-                .push((self.ctx.now + POLL_MS, poll)),
+                .push((self.ctx.now + CANCELLATION_POLL_INTERVAL_MS, poll)),
             _ => self
                 .ctx
                 .respond(*request, Reply::unavailable("being cancelled")),
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -14,7 +14,7 @@
 
 /// A read of a job's record is repeated if its connection breaks within this, in
 /// milliseconds; users wait 2 s for an answer.
-const LOOKUP_MS: Ms = 1_000;
+const LOOKUP_RETRY_TIMEOUT_MS: Ms = 1_000;
 
 impl Node {
     /// A user requests the status of a job.
@@ -30,7 +30,7 @@
                 return Some(reply);
             }
         }
-        self.look_up(request, id, LookupPurpose::StatusQuery)
+        self.look_up_job(request, id, LookupPurpose::StatusQuery)
     }
 
     /// The status of a job that is held here, from memory; none, if its record may be
@@ -53,13 +53,13 @@
 
     /// Reads a job's record, for an answer that must not be older than what
     /// any controller has answered.
-    pub(crate) fn look_up(
+    pub(crate) fn look_up_job(
         &mut self,
         request: RequestId,
         id: JobId,
         why: LookupPurpose,
     ) -> Option<Reply> {
-        let until = self.ctx.now + LOOKUP_MS;
+        let until = self.ctx.now + LOOKUP_RETRY_TIMEOUT_MS;
         self.read_job(request, id, why, until);
         None
     }
@@ -91,7 +91,7 @@
             return self.ctx.respond(request, reply);
         }
         let record = match status_code {
-            200 => read_job(body),
+            200 => parse_job_record(body),
             // It was accepted after the read.
             404 if self.job_shards.get(&id).is_some()
                 || self.active_shard_of_mut(&id).is_some() =>
@@ -161,12 +161,12 @@
 }
 
 /// The record of a job in an answer of the key-value store.
-pub(crate) fn read_job(body: &[u8]) -> Option<JobRecord> {
-    read_versioned_job(body).map(|(record, _)| record)
+pub(crate) fn parse_job_record(body: &[u8]) -> Option<JobRecord> {
+    parse_versioned_job_record(body).map(|(record, _)| record)
 }
 
 /// The record of a job in an answer of the key-value store, with its version.
-pub(crate) fn read_versioned_job(body: &[u8]) -> Option<(JobRecord, u64)> {
+pub(crate) fn parse_versioned_job_record(body: &[u8]) -> Option<(JobRecord, u64)> {
     let item: Item = serde_json::from_slice(body).ok()?;
     let record = from_value(item.value).ok()?;
     Some((record, item.version))
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -1,6 +1,6 @@
 //! Submissions: the validation of a job, and the transaction that accepts it.
 
-use crate::api::{status_of_stage, ANSWER_MS};
+use crate::api::{status_of_stage, USER_ANSWER_TIMEOUT_MS};
 use crate::context::revision_of;
 use crate::io::{Reply, RequestId};
 use crate::node::Node;
@@ -30,8 +30,8 @@
                 // A repeated submission of a job that is known gets its status, even if
                 // it would not be accepted any more.
                 let refusal = Reply::error(400, &e.to_string());
-                return match id_of(&body) {
-                    Some(id) => self.look_up(request, id, LookupPurpose::Submission(refusal)),
+                return match job_id_of(&body) {
+                    Some(id) => self.look_up_job(request, id, LookupPurpose::Submission(refusal)),
                     None => Some(refusal),
                 };
             }
@@ -46,15 +46,15 @@
             }
             if self.active_shard_of_mut(&id).is_some() {
                 let unknown = LookupPurpose::Submission(Reply::unavailable("try again"));
-                return self.look_up(request, id, unknown);
+                return self.look_up_job(request, id, unknown);
             }
         }
-        if let Some(refusal) = self.refuse_dependencies(&spec) {
-            return self.look_up(request, id, LookupPurpose::Submission(refusal));
+        if let Some(refusal) = self.dependency_refusal(&spec) {
+            return self.look_up_job(request, id, LookupPurpose::Submission(refusal));
         }
         match self.validate(&spec) {
             Ok(shard) => {
-                let until = self.ctx.now + ANSWER_MS;
+                let until = self.ctx.now + USER_ANSWER_TIMEOUT_MS;
                 let creation = JobCreation {
                     request,
                     spec,
@@ -66,7 +66,7 @@
                 self.admit(creation);
                 None
             }
-            Err(refusal) => self.look_up(request, id, LookupPurpose::Submission(refusal)),
+            Err(refusal) => self.look_up_job(request, id, LookupPurpose::Submission(refusal)),
         }
     }
 
@@ -157,7 +157,7 @@
             409 => {
                 let otherwise = LookupPurpose::Submission(Reply::unavailable("try again"));
                 let JobCreation { request, spec, .. } = creation;
-                if let Some(reply) = self.look_up(request, spec.id, otherwise) {
+                if let Some(reply) = self.look_up_job(request, spec.id, otherwise) {
                     self.ctx.respond(request, reply);
                 }
             }
@@ -212,7 +212,7 @@
 }
 
 /// The id in a submission that is otherwise malformed.
-fn id_of(body: &[u8]) -> Option<JobId> {
+fn job_id_of(body: &[u8]) -> Option<JobId> {
     let value: serde_json::Value = serde_json::from_slice(body).ok()?;
     JobId::parse(value.get("uid")?.as_str()?)
 }
--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -15,36 +15,36 @@
 
 /// The part of the sockets that incoming connections may take; the rest is
 /// for outgoing calls.
-pub(crate) const INCOMING_CONNECTIONS_PART: f64 = 0.6;
+pub(crate) const INCOMING_CONNECTIONS_FRACTION: f64 = 0.6;
 /// The part of the sockets up to which incoming connections are kept open.
-const KEPT_INCOMING_PART: f64 = 0.3;
+const KEEP_ALIVE_CONNECTIONS_FRACTION: f64 = 0.3;
 /// The part of the sockets that idle outgoing connections may take.
-const IDLE_OUTGOING_PART: f64 = 0.1;
+const IDLE_CONNECTIONS_FRACTION: f64 = 0.1;
 /// The part of the sockets that calls to workers may take: after a failover the new
 /// holder sends its token to a whole fleet at once.
-const WORKER_CALLS_PART: f64 = 0.15;
+const WORKER_CALLS_FRACTION: f64 = 0.15;
 
 /// The part of the memory for what is remembered of jobs of other holders.
-const REMEMBERED_PART: f64 = 0.05;
+const CACHED_JOBS_MEMORY_FRACTION: f64 = 0.05;
 /// Memory for one remembered job, its final stage and its shard: an upper estimate.
-const REMEMBERED_JOB_BYTES: f64 = 512.0;
+const CACHED_JOB_BYTES: f64 = 512.0;
 /// The part of the memory for messages that wait for other controllers.
-const PEER_QUEUE_PART: f64 = 0.05;
+const PEER_QUEUE_MEMORY_FRACTION: f64 = 0.05;
 /// The part of the memory that one answer to a call may take.
-const ANSWER_PART: f64 = 0.1;
+const ANSWER_MEMORY_FRACTION: f64 = 0.1;
 /// The least bound on an answer, in bytes: twice the longest page of the key-value store.
 const MIN_ANSWER_BYTES: u64 = 1024 * 1024;
 /// The part of the memory for names of images.
-const IMAGE_NAMES_PART: f64 = 0.05;
+const IMAGE_NAMES_MEMORY_FRACTION: f64 = 0.05;
 /// Memory for the name of one image: an upper estimate.
 const IMAGE_NAME_BYTES: f64 = 256.0;
 /// Least number of tasks of a job that a round places, so that machines for an array are
 /// requested in few parts.
-const MIN_TASKS_A_ROUND: usize = 256;
+const MIN_TASKS_PER_ROUND: usize = 256;
 /// Bytes of the length that precedes a name in a message.
 pub(crate) const NAME_LENGTH_BYTES: usize = 4;
 /// The part of a message that lists in it may take.
-const LIST_PART: f64 = 0.75;
+const MESSAGE_LIST_FRACTION: f64 = 0.75;
 
 /// Bounds that follow from a controller's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,7 +52,7 @@
     /// Incoming connections at a time. More wait until one is closed.
     pub connections: usize,
     /// Incoming connections that are kept open after their answers.
-    pub kept_connections: usize,
+    pub keep_alive_connections: usize,
     /// Idle outgoing connections that are kept open.
     pub idle_connections: usize,
     /// Calls to workers under way. More wait for the next step.
@@ -62,7 +62,7 @@
     pub forwarded_requests: usize,
     /// Jobs of other holders that are remembered. Beyond that the oldest is forgotten; its
     /// record is read when it is needed.
-    pub remembered_jobs: usize,
+    pub cached_jobs: usize,
     /// Names of images that are known before those out of use are forgotten.
     pub image_names: usize,
     /// Bytes of messages that wait for one other controller. Messages beyond that are
@@ -86,18 +86,19 @@
         let memory = |part: f64| limits.memory_mb * BYTES_PER_MB * part;
         let peers = settings.peers.len().max(1) as f64;
         Self {
-            connections: sockets(INCOMING_CONNECTIONS_PART),
-            kept_connections: sockets(KEPT_INCOMING_PART),
-            idle_connections: sockets(IDLE_OUTGOING_PART),
-            worker_calls: sockets(WORKER_CALLS_PART),
-            forwarded_requests: sockets(INCOMING_CONNECTIONS_PART),
-            remembered_jobs: at_least_one(memory(REMEMBERED_PART) / REMEMBERED_JOB_BYTES),
-            image_names: at_least_one(memory(IMAGE_NAMES_PART) / IMAGE_NAME_BYTES),
+            connections: sockets(INCOMING_CONNECTIONS_FRACTION),
+            keep_alive_connections: sockets(KEEP_ALIVE_CONNECTIONS_FRACTION),
+            idle_connections: sockets(IDLE_CONNECTIONS_FRACTION),
+            worker_calls: sockets(WORKER_CALLS_FRACTION),
+            forwarded_requests: sockets(INCOMING_CONNECTIONS_FRACTION),
+            cached_jobs: at_least_one(memory(CACHED_JOBS_MEMORY_FRACTION) / CACHED_JOB_BYTES),
+            image_names: at_least_one(memory(IMAGE_NAMES_MEMORY_FRACTION) / IMAGE_NAME_BYTES),
             // Any single message has room.
-            peer_queue_bytes: ((memory(PEER_QUEUE_PART) / peers) as usize).max(MAX_MESSAGE_BYTES),
-            answer_bytes: (memory(ANSWER_PART) as u64).max(MIN_ANSWER_BYTES),
-            tasks_per_round: tasks_recorded_in(round_s, settings).max(MIN_TASKS_A_ROUND),
-            list_bytes: (MAX_MESSAGE_BYTES as f64 * LIST_PART) as usize,
+            peer_queue_bytes: ((memory(PEER_QUEUE_MEMORY_FRACTION) / peers) as usize)
+                .max(MAX_MESSAGE_BYTES),
+            answer_bytes: (memory(ANSWER_MEMORY_FRACTION) as u64).max(MIN_ANSWER_BYTES),
+            tasks_per_round: tasks_recorded_in(round_s, settings).max(MIN_TASKS_PER_ROUND),
+            list_bytes: (MAX_MESSAGE_BYTES as f64 * MESSAGE_LIST_FRACTION) as usize,
         }
     }
 }
@@ -124,7 +125,7 @@
 /// One in `divisor` of a shard's machines, at least `min`. For work that is done
 /// a few machines at a time: a larger shard does more of it at once, so that it takes
 /// no longer.
-pub(crate) fn part_of_machines(machines: usize, divisor: usize, min: usize) -> usize {
+pub(crate) fn fraction_of_machines(machines: usize, divisor: usize, min: usize) -> usize {
     (machines / divisor).max(min)
 }
 
--- a/crates/core/src/bounds/tests.rs
+++ b/crates/core/src/bounds/tests.rs
@@ -27,11 +27,15 @@
     let large = Bounds::new(&settings(200.0, 2_000, 4), 1.0);
     let cases = [
         (small.connections, large.connections, 600),
-        (small.kept_connections, large.kept_connections, 300),
+        (
+            small.keep_alive_connections,
+            large.keep_alive_connections,
+            300,
+        ),
         (small.idle_connections, large.idle_connections, 100),
         (small.worker_calls, large.worker_calls, 150),
         (small.forwarded_requests, large.forwarded_requests, 600),
-        (small.remembered_jobs, large.remembered_jobs, 10_240),
+        (small.cached_jobs, large.cached_jobs, 10_240),
         (small.image_names, large.image_names, 20_480),
         (small.peer_queue_bytes, large.peer_queue_bytes, 1_310_720),
         (
@@ -49,7 +53,7 @@
 #[test]
 fn smallest_controller_has_room_for_one_of_each() {
     let bounds = Bounds::new(&settings(0.001, 32, 64), 1.0);
-    assert!(bounds.remembered_jobs >= 1 && bounds.image_names >= 1);
+    assert!(bounds.cached_jobs >= 1 && bounds.image_names >= 1);
     assert!(bounds.worker_calls >= 1 && bounds.forwarded_requests >= 1);
     assert_eq!(
         bounds.peer_queue_bytes, MAX_MESSAGE_BYTES,
@@ -73,7 +77,7 @@
 }
 
 #[test]
-fn part_of_machines_is_never_less_than_the_minimum() {
+fn fraction_of_machines_is_at_least_the_minimum() {
     let cases = [
         (0, 3),
         (3, 3),
@@ -84,7 +88,11 @@
         (4_000, 62),
     ];
     for (machines, expected) in cases {
-        assert_eq!(part_of_machines(machines, 64, 3), expected, "{machines}");
+        assert_eq!(
+            fraction_of_machines(machines, 64, 3),
+            expected,
+            "{machines}"
+        );
     }
 }
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -24,7 +24,7 @@
     pub assignment_interval_s: f64,
     /// Spare places for classes with a short wait, as a multiple of the tasks that
     /// arrive while a machine boots.
-    pub spare_ratio: f64,
+    pub headroom_ratio: f64,
     /// An empty machine is released after this part of its boot time.
     pub idle_boots: f64,
     /// A silent machine is decommissioned after this part of a lease.
@@ -47,7 +47,7 @@
             round_interval_s: 1.0,
             min_round_interval_s: 0.1,
             assignment_interval_s: 0.5,
-            spare_ratio: 1.0,
+            headroom_ratio: 1.0,
             idle_boots: 0.2,
             max_silence_leases: 0.6,
             expected_machines: None,
@@ -82,7 +82,7 @@
 }
 
 /// Least sum of a resource that teams are guaranteed, as a divisor.
-const MIN_TOTAL: f64 = 1e-9;
+const MIN_GUARANTEE_TOTAL: f64 = 1e-9;
 /// Least weight of a team, so that guests are spread over the shards, too.
 const MIN_TEAM_WEIGHT: f64 = 1e-6;
 
@@ -100,7 +100,7 @@
 }
 
 /// Conditions that a transaction may have for each change.
-const CONDITIONS_PER_CHANGE: usize = 4;
+const PRECONDITIONS_PER_WRITE: usize = 4;
 
 impl StateLimits {
     fn new(settings: &forkshift_wire::settings::StateLimits) -> Self {
@@ -130,8 +130,8 @@
     }
 
     /// Most conditions in a transaction.
-    pub fn conditions(&self) -> usize {
-        self.txn_ops * CONDITIONS_PER_CHANGE
+    pub fn max_preconditions(&self) -> usize {
+        self.txn_ops * PRECONDITIONS_PER_WRITE
     }
 }
 
@@ -148,7 +148,7 @@
     pub teams: BTreeMap<String, Team>,
     /// Whether some teams are guests: they are guaranteed nothing, while others are
     /// guaranteed something.
-    pub has_borrowers: bool,
+    pub allows_borrowing: bool,
     /// Shortest `wait` objective of each class, in seconds.
     pub wait_objectives: BTreeMap<String, f64>,
     /// Shortest `finished` objective of each class, in seconds.
@@ -162,12 +162,12 @@
     /// Bound on the error of the time of day, in milliseconds.
     pub max_clock_error_ms: Ms,
     /// Time within which a gang must be complete, in milliseconds.
-    pub gang_wait_ms: Ms,
+    pub gang_start_timeout_ms: Ms,
     /// Limits of the key-value store as they are now.
     pub state_limits: StateLimits,
     /// The smaller of those and of the limits that are announced for after the
     /// upgrade.
-    pub least_state_limits: StateLimits,
+    pub min_state_limits: StateLimits,
     /// The newest format that this controller reads and writes.
     pub format: FormatVersion,
     /// Rate limit of the cloud, in requests a second.
@@ -181,7 +181,7 @@
 }
 
 /// The part of the time for a cancellation that is reserved for clock drift and late timers.
-const CLOCK_DRIFT_PART: f64 = 0.01;
+const CLOCK_DRIFT_FRACTION: f64 = 0.01;
 
 /// The longest pause between two heartbeats, as a multiple of the interval.
 const MAX_HEARTBEAT_JITTER: f64 = 1.25;
@@ -193,8 +193,8 @@
 const UNANSWERED_ATTEMPT_MS: f64 = 5_000.0;
 
 /// Bounds of the timeout of calls to workers, in milliseconds.
-const MIN_CALL_MS: Ms = 1_000;
-const MAX_CALL_MS: Ms = 4_000;
+const MIN_WORKER_CALL_TIMEOUT_MS: Ms = 1_000;
+const MAX_WORKER_CALL_TIMEOUT_MS: Ms = 4_000;
 /// Bounds of the duration of a controller's lease, in milliseconds.
 const MIN_NODE_LEASE_MS: Ms = 2_000;
 const MAX_NODE_LEASE_MS: Ms = 5_000;
@@ -214,16 +214,16 @@
             teams: assign_teams(&cluster.teams, shard_count),
             nodes,
             zones,
-            has_borrowers: has_guests(&cluster.teams),
+            allows_borrowing: allows_borrowing(&cluster.teams),
             wait_objectives: shortest_objectives(&cluster.objectives, "wait"),
             completion_objectives: shortest_objectives(&cluster.objectives, "finished"),
             lease_ms: ms(cluster.workers.lease_s),
             heartbeat_interval_ms: ms(cluster.workers.heartbeat_interval_s),
             cancellation_timeout_ms: ms(cluster.workers.cancellation_deadline_s),
             max_clock_error_ms: cluster.max_clock_error_ms.max(0.0) as Ms,
-            gang_wait_ms: ms(cluster.workers.gang_start_timeout_s),
+            gang_start_timeout_ms: ms(cluster.workers.gang_start_timeout_s),
             state_limits,
-            least_state_limits: state_limits.min_with(&next_limits),
+            min_state_limits: state_limits.min_with(&next_limits),
             format: FormatVersion::CURRENT,
             cloud_rps: cluster.cloud.requests_per_s,
             list_lag_ms: ms(cluster.cloud.list_lag_s),
@@ -256,19 +256,21 @@
     /// For how long a worker may be answered after a cancellation that is not known
     /// here, in milliseconds: its lease expires in time all the same.
     pub fn grace_ms(&self) -> Ms {
-        self.safe_cancel_ms().saturating_sub(self.lease_ms)
+        self.cancellation_budget_ms().saturating_sub(self.lease_ms)
     }
 
     /// For how long a worker may be answered by a new holder that does not know
     /// yet what was cancelled, in milliseconds: the cancellation may be a lease old.
     pub fn recovery_grace_ms(&self) -> Ms {
-        self.safe_cancel_ms().saturating_sub(self.lease_ms * 2)
+        self.cancellation_budget_ms()
+            .saturating_sub(self.lease_ms * 2)
     }
 
     /// Timeout of calls to workers, in milliseconds. A start whose call times out late
     /// delays its task for as long.
     pub fn worker_call_timeout_ms(&self) -> Ms {
-        (self.heartbeat_interval_ms * 2).clamp(MIN_CALL_MS, MAX_CALL_MS)
+        (self.heartbeat_interval_ms * 2)
+            .clamp(MIN_WORKER_CALL_TIMEOUT_MS, MAX_WORKER_CALL_TIMEOUT_MS)
     }
 
     /// The longest pause between two heartbeats, in milliseconds.
@@ -286,13 +288,13 @@
 
     /// The time that a cancellation has, less the allowance for clock drift and late
     /// timers, in milliseconds.
-    fn safe_cancel_ms(&self) -> Ms {
-        (self.cancellation_timeout_ms as f64 * (1.0 - CLOCK_DRIFT_PART)) as Ms
+    fn cancellation_budget_ms(&self) -> Ms {
+        (self.cancellation_timeout_ms as f64 * (1.0 - CLOCK_DRIFT_FRACTION)) as Ms
     }
 
     /// The part of a zone's workers that find a controller inside before their
     /// leases expire, if the zone is partitioned from all others.
-    pub fn zones_kept_in_partition(&self, zone: &str) -> f64 {
+    pub fn partition_survival_fraction(&self, zone: &str) -> f64 {
         let controllers_inside = self.zones.values().filter(|z| *z == zone).count() as f64;
         let other_controllers = self.nodes.len().saturating_sub(1).max(1) as f64;
         let time_ms = self.lease_ms.saturating_sub(self.heartbeat_interval_ms) as f64;
@@ -319,7 +321,7 @@
 }
 
 /// Whether some teams are guaranteed nothing, and others something.
-fn has_guests(teams: &[TeamSettings]) -> bool {
+fn allows_borrowing(teams: &[TeamSettings]) -> bool {
     let is_guest = |team: &TeamSettings| team.guaranteed_cpus <= 0.0 && team.guaranteed_gpus <= 0.0;
     teams.iter().any(is_guest) && !teams.iter().all(is_guest)
 }
@@ -341,7 +343,7 @@
 fn assign_teams(teams: &[TeamSettings], shard_count: usize) -> BTreeMap<String, Team> {
     let total = |resource: fn(&TeamSettings) -> f64| {
         let sum = teams.iter().map(resource).sum::<f64>();
-        sum.max(MIN_TOTAL)
+        sum.max(MIN_GUARANTEE_TOTAL)
     };
     let (cpus, gpus) = (
         total(|team| team.guaranteed_cpus),
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -15,7 +15,7 @@
 use crate::membership::format::FormatVersion;
 use crate::membership::peer_confirmations::PeerConfirmations;
 use crate::membership::peers::PeerTable;
-use crate::names::{ImageNames, PlaceNames};
+use crate::names::{ImageNames, TypeAndZoneNames};
 use crate::overflow::OverflowLog;
 use crate::pending_call::PendingCall;
 use crate::records::{DemandRecord, ShardId};
@@ -101,7 +101,7 @@
     pub(crate) work_units: u64,
     next_call: CallId,
     /// The table that numbers the names of machine types and zones.
-    pub(crate) places: PlaceNames,
+    pub(crate) types_and_zones: TypeAndZoneNames,
     /// The table that numbers the names of images.
     pub(crate) images: ImageNames,
     /// Limits that were exceeded, for rate-limited log lines.
@@ -145,7 +145,7 @@
             worker_calls_in_flight: 0,
             work_units: 0,
             next_call: 0,
-            places: PlaceNames::default(),
+            types_and_zones: TypeAndZoneNames::default(),
             images: ImageNames::new(image_names),
             overflows: OverflowLog::default(),
         }
--- a/crates/core/src/context/liveness.rs
+++ b/crates/core/src/context/liveness.rs
@@ -19,7 +19,8 @@
     /// The interval of heartbeats between controllers, failure detection and demand reports, in
     /// milliseconds. It equals the operator's assignment interval, with a lower bound.
     pub(crate) fn heartbeat_interval_ms(&self) -> Ms {
-        crate::ms(self.config.operator.assignment_interval_s).max(MIN_HEARTBEAT_INTERVAL_MS)
+        crate::seconds_to_ms(self.config.operator.assignment_interval_s)
+            .max(MIN_HEARTBEAT_INTERVAL_MS)
     }
 
     /// The greatest possible age of a time of day that another controller has read from its
@@ -52,7 +53,7 @@
 
     /// Time that a machine may be silent before it is removed, in milliseconds, given what the
     /// failure detector and the link states show.
-    pub(crate) fn removal_timeout_ms(&self, machine: &Machine) -> Ms {
+    pub(crate) fn decommission_timeout_ms(&self, machine: &Machine) -> Ms {
         let may_remove_silent = self
             .links
             .allows(Decision::DecommissionUnresponsiveMachines);
@@ -60,8 +61,12 @@
             zone: machine.zone,
             boot_ms: machine.boot_ms,
         };
-        self.failure_detector
-            .removal_timeout_ms(&self.config, self.now, may_remove_silent, profile)
+        self.failure_detector.decommission_timeout_ms(
+            &self.config,
+            self.now,
+            may_remove_silent,
+            profile,
+        )
     }
 
     /// Whether another controller has acknowledged a recent heartbeat of this one, so that
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -168,8 +168,8 @@
     /// All controllers know the newest format, and the announced limits come into force.
     pub(crate) fn finalize_format(&mut self) {
         let mut config = (*self.node.ctx.config).clone();
-        config.least_state_limits.value_bytes = 2_048;
-        config.least_state_limits.txn_ops = 4;
+        config.min_state_limits.value_bytes = 2_048;
+        config.min_state_limits.txn_ops = 4;
         self.node.ctx.config = Rc::new(config);
         self.node.view.finalized_format = Some(Versioned {
             record: FormatVersion::CURRENT,
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -5,7 +5,7 @@
 use crate::records::{
     cancellation_key, demand_key, job_key, machine_key, machine_type_key, node_key,
     provisioning_intent_key, shard_key, unfinished_job_key, unfinished_jobs_prefix, ShardId,
-    CLUSTER, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
+    CLUSTER_PREFIX, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
 };
 use crate::shard::layout::BlockLayout;
 use crate::store::view::ClusterView;
@@ -36,7 +36,7 @@
     let unnamed = BlockLayout::from_head(None, &LIMITS);
     let named = BlockLayout::from_head(Some(40), &LIMITS);
     let cases = [
-        key("cluster", CLUSTER),
+        key("cluster", CLUSTER_PREFIX),
         key("epoch", EPOCH_KEY),
         key("format", FINALIZED_FORMAT_KEY),
         key("leader", LEADER_KEY),
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -152,7 +152,7 @@
         types: Some(texts(&["big"])),
         zones: Some(texts(&["hall-a"])),
         spot: true,
-        is_spare: true,
+        is_headroom: true,
         may_reclaim: true,
         is_borrowing: true,
         is_gang: true,
@@ -165,7 +165,7 @@
         types: None,
         zones: None,
         spot: false,
-        is_spare: false,
+        is_headroom: false,
         may_reclaim: false,
         is_borrowing: false,
         is_gang: false,
@@ -175,7 +175,7 @@
         revision: 17,
         unmet_shapes: vec![shape(), least.clone()],
         pending_shapes: vec![least.clone()],
-        spare_machines: machines(&["m-1"]),
+        headroom_machines: machines(&["m-1"]),
         surplus_machines: machines(&["m-2"]),
         reclaimable_machines: machines(&["m-3"]),
         pool_machines: machines(&["m-4"]),
@@ -211,7 +211,7 @@
         stage,
     };
     let block = TaskBlockRecord {
-        next_attempt: 9,
+        last_attempt: 9,
         done: vec![(0, 2), (3, 4)],
         bound: vec![(2, 8, MachineId::new("m-1"))],
     };
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -145,7 +145,7 @@
     /// removal of stale cancellations.
     fn check_cluster(&mut self, ctx: &mut Context, view: &ClusterView) {
         self.assignment.next_check_at =
-            ctx.now + crate::ms(ctx.config.operator.assignment_interval_s);
+            ctx.now + crate::seconds_to_ms(ctx.config.operator.assignment_interval_s);
         self.finalize_format(ctx, view);
         self.log_unsupported_nodes(ctx, view);
         self.assign_shards(ctx, view);
@@ -155,7 +155,7 @@
     /// Moves machines between shards and provisions new ones, at most once per
     /// minimum round interval.
     fn plan_machines(&mut self, ctx: &mut Context, view: &ClusterView) {
-        let interval = crate::ms(ctx.config.operator.min_round_interval_s);
+        let interval = crate::seconds_to_ms(ctx.config.operator.min_round_interval_s);
         if ctx.now < self.last_planned_at + interval {
             return;
         }
--- a/crates/core/src/leader/finalization.rs
+++ b/crates/core/src/leader/finalization.rs
@@ -47,7 +47,7 @@
         if format <= view.format() {
             return;
         }
-        let check_interval = crate::ms(ctx.config.operator.assignment_interval_s);
+        let check_interval = crate::seconds_to_ms(ctx.config.operator.assignment_interval_s);
         self.finalization.next_attempt_at = ctx.now + check_interval * CHECKS_PER_ATTEMPT;
         let transaction = finalization_transaction(ctx, view, format);
         ctx.transact(Urgency::Membership, &transaction, PendingCall::Housekeeping);
@@ -59,7 +59,7 @@
         if unregistered.is_empty() || ctx.now < self.finalization.next_unregistered_log_at {
             return;
         }
-        let check_interval = crate::ms(ctx.config.operator.assignment_interval_s);
+        let check_interval = crate::seconds_to_ms(ctx.config.operator.assignment_interval_s);
         self.finalization.next_unregistered_log_at = ctx.now + check_interval * CHECKS_PER_LOG_LINE;
         let names = unregistered.join(", ");
         log::info!("leader: format {format} not finalized, not registered with it: {names}");
@@ -80,7 +80,7 @@
         }
         let names = view.nodes.keys();
         for name in names.filter(|name| !Self::may_hold_shards(view, name)) {
-            let check_interval = crate::ms(ctx.config.operator.assignment_interval_s);
+            let check_interval = crate::seconds_to_ms(ctx.config.operator.assignment_interval_s);
             self.finalization.next_unsupported_log_at =
                 ctx.now + check_interval * CHECKS_PER_LOG_LINE;
             let format = view.format();
@@ -106,7 +106,7 @@
         key: node_key(name),
         version: node.version,
     }));
-    preconditions.truncate(ctx.limits.conditions());
+    preconditions.truncate(ctx.limits.max_preconditions());
     let value = to_value(format).unwrap_or_default();
     Transaction {
         preconditions,
--- a/crates/core/src/leader/inventory.rs
+++ b/crates/core/src/leader/inventory.rs
@@ -159,7 +159,8 @@
         listed: Option<&ListedMachine>,
     ) -> Option<&'static str> {
         let known_for_ms = self.inventory.known_for_ms(ctx.now, id);
-        let max_boot_ms = crate::ms(boot_seconds(view, &record.machine_type) * MAX_BOOT_TIMES);
+        let max_boot_ms =
+            crate::seconds_to_ms(boot_seconds(view, &record.machine_type) * MAX_BOOT_TIMES);
         let is_overdue = record.addr.is_none() && known_for_ms > max_boot_ms;
         match listed {
             Some(machine) if machine.stage == MachineStage::Failed => Some("it failed"),
--- a/crates/core/src/leader/rebalancing.rs
+++ b/crates/core/src/leader/rebalancing.rs
@@ -46,7 +46,8 @@
         ctx: &Context,
         view: &ClusterView,
     ) -> BTreeMap<ShardId, DemandRecord> {
-        let ttl = crate::ms(ctx.config.operator.round_interval_s * REPORTED_DEMAND_TTL_ROUNDS);
+        let ttl =
+            crate::seconds_to_ms(ctx.config.operator.round_interval_s * REPORTED_DEMAND_TTL_ROUNDS);
         let written = view
             .demands
             .iter()
@@ -209,7 +210,7 @@
             // A shard with pending tasks of its own needs its reserve itself.
             let offers_reserved = request.may_take_reserved && demand.pending_shapes.is_empty();
             let reserved_machines = demand
-                .spare_machines
+                .headroom_machines
                 .iter()
                 .filter(move |_| offers_reserved);
             let machines = demand.surplus_machines.iter().chain(reserved_machines);
@@ -283,7 +284,7 @@
         shape,
         may_take_reserved: !shape.is_borrowing,
     });
-    let reserve_shapes = demand.unmet_shapes.iter().filter(|shape| shape.is_spare);
+    let reserve_shapes = demand.unmet_shapes.iter().filter(|shape| shape.is_headroom);
     let reserve_requests = reserve_shapes.map(|shape| TransferRequest {
         shard_id,
         shape,
--- a/crates/core/src/leader/scale_out/capacity.rs
+++ b/crates/core/src/leader/scale_out/capacity.rs
@@ -69,8 +69,8 @@
     /// requested. The pause doubles with each shortage, up to the boot time `boot_s`.
     pub(super) fn on_shortage(&mut self, now: Ms, kind: MachineKind, boot_s: f64) {
         let last = self.out_of_capacity.get(&kind).copied().unwrap_or_default();
-        let min_pause = crate::ms(boot_s / MIN_PAUSES_PER_BOOT).max(MIN_PAUSE_MS);
-        let max_pause = crate::ms(boot_s).max(min_pause);
+        let min_pause = crate::seconds_to_ms(boot_s / MIN_PAUSES_PER_BOOT).max(MIN_PAUSE_MS);
+        let max_pause = crate::seconds_to_ms(boot_s).max(min_pause);
         let pause = (last.pause * 2).clamp(min_pause, max_pause);
         let until = now + pause;
         self.out_of_capacity.insert(kind, Backoff { until, pause });
@@ -89,8 +89,8 @@
                 continue;
             }
             let boot_s = boot_seconds(view, &record.machine_type);
-            if inventory.known_for_ms(ctx.now, id) > crate::ms(boot_s * OVERDUE_BOOTS) {
-                let until = ctx.now + crate::ms(boot_s * SLOW_ZONE_PENALTY_BOOTS);
+            if inventory.known_for_ms(ctx.now, id) > crate::seconds_to_ms(boot_s * OVERDUE_BOOTS) {
+                let until = ctx.now + crate::seconds_to_ms(boot_s * SLOW_ZONE_PENALTY_BOOTS);
                 self.slow_until
                     .insert(MachineKind::of_machine(record), until);
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -55,6 +55,6 @@
 pub type Ms = u64;
 
 /// Seconds in milliseconds; 0 for negative ones.
-pub(crate) fn ms(seconds: f64) -> Ms {
+pub(crate) fn seconds_to_ms(seconds: f64) -> Ms {
     (seconds * 1000.0).max(0.0) as Ms
 }
--- a/crates/core/src/membership/failure_detector.rs
+++ b/crates/core/src/membership/failure_detector.rs
@@ -141,7 +141,7 @@
     /// for as long as replacements would take, so at most twice that time is lost. If most
     /// workers cannot reach a controller inside the zone before their leases expire, their
     /// tasks are lost in any case, and a restart elsewhere is not delayed.
-    pub(crate) fn removal_timeout_ms(
+    pub(crate) fn decommission_timeout_ms(
         &self,
         config: &Config,
         now: Ms,
@@ -164,14 +164,14 @@
 /// Properties of a machine that its removal timeout depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MachineProfile {
-    /// Number of the zone in `Context::places`.
+    /// Number of the zone in `Context::types_and_zones`.
     pub(crate) zone: u16,
     pub(crate) boot_ms: Ms,
 }
 
 /// Whether enough workers of a zone can keep their leases during a partition of the zone.
 pub(crate) fn can_zone_keep_leases(config: &Config, zone: &str) -> bool {
-    config.zones_kept_in_partition(zone) >= MIN_KEPT_LEASES_FRACTION
+    config.partition_survival_fraction(zone) >= MIN_KEPT_LEASES_FRACTION
 }
 
 /// Counts of the machines of which heartbeats are due.
--- a/crates/core/src/membership/failure_detector/tests.rs
+++ b/crates/core/src/membership/failure_detector/tests.rs
@@ -85,7 +85,7 @@
         };
         f.node.set_link(Link::Heartbeats, !is_isolated);
         let machine = &f.node.shards[&f.shard].machines[&id];
-        f.node.ctx.removal_timeout_ms(machine)
+        f.node.ctx.decommission_timeout_ms(machine)
     };
     let (connected, isolated, all_isolated) = (
         waited(false, false),
--- a/crates/core/src/membership/peer_confirmations.rs
+++ b/crates/core/src/membership/peer_confirmations.rs
@@ -149,8 +149,8 @@
     }
 
     /// The time before which no other controller can have confirmed a cancellation in a shard
-    /// that is held here under `epoch`. `store_out_since` is the time since which the store
-    /// has refused this controller's calls; none if the store serves them.
+    /// that is held here under `epoch`. `store_unavailable_since` is the time since which the
+    /// store has refused this controller's calls; none if the store serves them.
     ///
     /// Only a holder under a higher epoch can confirm a cancellation, once it has seen that
     /// epoch in its view. While every other controller confirms that it has seen no higher
@@ -161,7 +161,7 @@
     pub(crate) fn no_foreign_cancellation_before(
         &self,
         config: &Config,
-        store_out_since: Option<Ms>,
+        store_unavailable_since: Option<Ms>,
         shard_id: ShardId,
         epoch: u64,
     ) -> Ms {
@@ -170,7 +170,7 @@
         let confirmed = confirmed.min().unwrap_or(Ms::MAX);
         self.lease_valid_until
             .max(confirmed)
-            .max(self.store_outage_confirmed_until(config, store_out_since))
+            .max(self.store_outage_confirmed_until(config, store_unavailable_since))
     }
 
     /// The latest time at which a controller is known to have seen no higher epoch of a shard;
@@ -192,9 +192,13 @@
     /// The store refuses at most one controller individually, so two controllers that are
     /// refused at the same time would be sufficient evidence. This check requires a majority,
     /// and that the store is not known to have served any other controller since.
-    fn store_outage_confirmed_until(&self, config: &Config, store_out_since: Option<Ms>) -> Ms {
+    fn store_outage_confirmed_until(
+        &self,
+        config: &Config,
+        store_unavailable_since: Option<Ms>,
+    ) -> Ms {
         let lease_end = self.lease_valid_until;
-        let is_refused_here = store_out_since.is_some_and(|since| since < lease_end);
+        let is_refused_here = store_unavailable_since.is_some_and(|since| since < lease_end);
         let mut refusals = self.store_refusals.values();
         if !is_refused_here || refusals.any(|refusal| refusal.was_served_after(lease_end)) {
             return 0;
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -7,23 +7,23 @@
 
 /// Numbers of machine types and zones.
 #[derive(Default)]
-pub(crate) struct PlaceNames {
+pub(crate) struct TypeAndZoneNames {
     numbers: HashMap<String, u16>,
     names: Vec<String>,
 }
 
-impl PlaceNames {
+impl TypeAndZoneNames {
     /// The number of all names beyond the last number. No machine has it.
-    pub(crate) const NOWHERE: u16 = u16::MAX;
+    pub(crate) const OVERFLOW_NUMBER: u16 = u16::MAX;
 
     /// The number of a machine type or a zone.
-    pub(crate) fn number(&mut self, name: &str) -> u16 {
+    pub(crate) fn intern(&mut self, name: &str) -> u16 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
         let Some(number) = self.next_number() else {
             log::error!("names: too many machine types and zones, {name} ignored");
-            return Self::NOWHERE;
+            return Self::OVERFLOW_NUMBER;
         };
         self.numbers.insert(name.to_owned(), number);
         self.names.push(name.to_owned());
@@ -38,7 +38,7 @@
     /// The next free number, if there is one.
     fn next_number(&self) -> Option<u16> {
         let number = u16::try_from(self.names.len()).ok();
-        number.filter(|number| *number != Self::NOWHERE)
+        number.filter(|number| *number != Self::OVERFLOW_NUMBER)
     }
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// The number of an image.
-    pub(crate) fn number(&mut self, name: &str) -> u32 {
+    pub(crate) fn intern(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
--- a/crates/core/src/names/tests.rs
+++ b/crates/core/src/names/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of interned names.
 
-use super::{ImageNames, PlaceNames};
+use super::{ImageNames, TypeAndZoneNames};
 use std::collections::BTreeSet;
 
 /// Zones have 16 bits: if they were counted together with images, a new zone after 65,536
@@ -8,56 +8,62 @@
 #[test]
 fn numbers_of_places_do_not_depend_on_the_number_of_images() {
     let mut images = ImageNames::new(usize::MAX);
-    let mut places = PlaceNames::default();
-    let first = places.number("a");
+    let mut types_and_zones = TypeAndZoneNames::default();
+    let first = types_and_zones.intern("a");
     for n in 0..70_000 {
-        assert_eq!(images.number(&format!("img-{n}")), n);
+        assert_eq!(images.intern(&format!("img-{n}")), n);
     }
-    let second = places.number("b");
+    let second = types_and_zones.intern("b");
     assert_ne!(first, second);
-    assert_eq!(places.name(second), Some("b"));
-    assert_eq!(places.number("a"), first);
+    assert_eq!(types_and_zones.name(second), Some("b"));
+    assert_eq!(types_and_zones.intern("a"), first);
 }
 
 #[test]
 fn places_beyond_the_last_number_share_one_and_known_ones_keep_theirs() {
-    let mut places = PlaceNames::default();
-    let last = PlaceNames::NOWHERE - 1;
+    let mut types_and_zones = TypeAndZoneNames::default();
+    let last = TypeAndZoneNames::OVERFLOW_NUMBER - 1;
     for n in 0..=last {
-        assert_eq!(places.number(&format!("z-{n}")), n);
+        assert_eq!(types_and_zones.intern(&format!("z-{n}")), n);
     }
-    assert_eq!(places.number("one too many"), PlaceNames::NOWHERE);
-    assert_eq!(places.name(PlaceNames::NOWHERE), None);
-    assert_eq!(places.number(&format!("z-{last}")), last);
-    assert_eq!(places.number("z-0"), 0);
+    assert_eq!(
+        types_and_zones.intern("one too many"),
+        TypeAndZoneNames::OVERFLOW_NUMBER
+    );
+    assert_eq!(
+        types_and_zones.name(TypeAndZoneNames::OVERFLOW_NUMBER),
+        None
+    );
+    assert_eq!(types_and_zones.intern(&format!("z-{last}")), last);
+    assert_eq!(types_and_zones.intern("z-0"), 0);
 }
 
 #[test]
 fn images_out_of_use_are_forgotten_and_their_numbers_are_not_reused() {
     let mut images = ImageNames::new(3);
     for n in 0..3 {
-        images.number(&format!("img-{n}"));
+        images.intern(&format!("img-{n}"));
     }
     assert!(!images.is_over_limit());
-    images.number("img-3");
+    images.intern("img-3");
     assert!(images.is_over_limit());
     images.retain_used(&BTreeSet::from([1]));
     assert!(!images.is_over_limit());
     assert_eq!(images.name(1), Some("img-1"));
     assert_eq!(images.name(0), None);
-    assert_eq!(images.number("img-1"), 1);
-    assert_eq!(images.number("img-0"), 4);
+    assert_eq!(images.intern("img-1"), 1);
+    assert_eq!(images.intern("img-0"), 4);
 }
 
 #[test]
 fn limit_of_images_doubles_when_all_are_in_use() {
     let mut images = ImageNames::new(2);
-    let used: BTreeSet<u32> = (0..3).map(|n| images.number(&format!("img-{n}"))).collect();
+    let used: BTreeSet<u32> = (0..3).map(|n| images.intern(&format!("img-{n}"))).collect();
     images.retain_used(&used);
     for n in 3..6 {
-        images.number(&format!("img-{n}"));
+        images.intern(&format!("img-{n}"));
         assert!(!images.is_over_limit());
     }
-    images.number("img-6");
+    images.intern("img-6");
     assert!(images.is_over_limit());
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -87,7 +87,7 @@
     /// of all random decisions.
     pub fn new(config: Config, incarnation: u64, seed: u64) -> Self {
         let config = Rc::new(config);
-        let remembered_jobs = config.bounds.remembered_jobs;
+        let cached_jobs = config.bounds.cached_jobs;
         Self {
             leader: Leader::new(config.cloud_rps),
             ctx: Context::new(config, incarnation, seed),
@@ -96,8 +96,8 @@
             budget: Budget::default(),
             shards: BTreeMap::new(),
             used_epochs: BTreeMap::new(),
-            final_stages: FinalStages::new(remembered_jobs),
-            job_shards: RecentJobs::new(remembered_jobs),
+            final_stages: FinalStages::new(cached_jobs),
+            job_shards: RecentJobs::new(cached_jobs),
             dependencies: DependencyTracker::default(),
             admissions: BTreeMap::new(),
             pending_forwards: BTreeMap::new(),
@@ -291,7 +291,7 @@
             self.ctx.format = known;
         }
         if !self.ctx.format.is_first() || self.ctx.has_rejected_transaction {
-            self.ctx.limits = self.ctx.config.least_state_limits;
+            self.ctx.limits = self.ctx.config.min_state_limits;
         }
     }
 
--- a/crates/core/src/node/failure_detection.rs
+++ b/crates/core/src/node/failure_detection.rs
@@ -92,9 +92,9 @@
             is_isolated,
             are_all_isolated: is_isolated && self.view.are_all_nodes_isolated(),
         };
-        let (config, places) = (&ctx.config, &ctx.places);
+        let (config, types_and_zones) = (&ctx.config, &ctx.types_and_zones);
         ctx.failure_detector.update(&observations, |zone| {
-            can_zone_keep_leases(config, places.name(zone).unwrap_or_default())
+            can_zone_keep_leases(config, types_and_zones.name(zone).unwrap_or_default())
         });
         if is_isolated {
             ctx.reports_no_heartbeats_until =
--- a/crates/core/src/node/peer_heartbeats.rs
+++ b/crates/core/src/node/peer_heartbeats.rs
@@ -29,8 +29,8 @@
     pub(super) fn send_heartbeats(&mut self) {
         let config = self.ctx.config.clone();
         let epochs = self.view.shard_epochs();
-        let store_out_since = self.ctx.store.refusing_since();
-        let store_refused_for_ms = store_out_since.map(|t| self.ctx.now.saturating_sub(t));
+        let store_unavailable_since = self.ctx.store.refusing_since();
+        let store_refused_for_ms = store_unavailable_since.map(|t| self.ctx.now.saturating_sub(t));
         let settled_shards = self.settled_shards();
         for node in config.other_nodes() {
             let body = Body::Heartbeat(PeerHeartbeat {
--- a/crates/core/src/node/responses.rs
+++ b/crates/core/src/node/responses.rs
@@ -111,7 +111,7 @@
                 });
             }
             PendingCall::DemandWrite { shard } => self.on_demand_written(shard, status, body),
-            PendingCall::DeleteOwnMachines {
+            PendingCall::DeleteShardMachines {
                 shard,
                 epoch,
                 machines,
--- a/crates/core/src/node/view_sync.rs
+++ b/crates/core/src/node/view_sync.rs
@@ -4,7 +4,7 @@
 use super::Node;
 use crate::context::{is_watch_lost, revision_of};
 use crate::pending_call::PendingCall;
-use crate::records::CLUSTER;
+use crate::records::CLUSTER_PREFIX;
 use crate::shard::{RecoveryState, Shard};
 use crate::store::queue::Urgency;
 use crate::Ms;
@@ -74,7 +74,7 @@
         if is_behind && !sync.is_polling && self.ctx.now >= sync.next_poll_at {
             sync.is_polling = true;
             self.ctx
-                .watch_store(CLUSTER, revision, 0, PendingCall::ViewPoll);
+                .watch_store(CLUSTER_PREFIX, revision, 0, PendingCall::ViewPoll);
         }
     }
 
@@ -90,13 +90,13 @@
         let revision = self.view.revision;
         let pending = PendingCall::ViewWatch { serial };
         self.ctx
-            .watch_store(CLUSTER, revision, VIEW_WATCH_MS, pending);
+            .watch_store(CLUSTER_PREFIX, revision, VIEW_WATCH_MS, pending);
     }
 
     /// Requests a page of the cluster's records whose keys follow `from`; the first page if it
     /// is empty.
     fn list_view(&mut self, from: &str) {
-        let mut path = format!("/kv?starts={CLUSTER}&most=500");
+        let mut path = format!("/kv?starts={CLUSTER_PREFIX}&most=500");
         if !from.is_empty() {
             path.push_str(&format!("&from={from}"));
         }
@@ -168,7 +168,7 @@
     fn merge_changes(&mut self, status: u16, body: &[u8]) -> bool {
         match serde_json::from_slice::<Changes>(body) {
             Ok(changes) if status == 200 => {
-                self.view.apply_changes(changes.events, changes.revision)
+                self.view.apply_changes(changes.events, changes.revision);
             }
             // The view is listed anew.
             _ if is_watch_lost(status) => self.view.is_complete = false,
--- a/crates/core/src/pending_call.rs
+++ b/crates/core/src/pending_call.rs
@@ -137,7 +137,7 @@
     /// Deletes machines, for the leader.
     DeleteMachines { machines: Vec<MachineId> },
     /// Deletes machines, for the holder of their shard.
-    DeleteOwnMachines {
+    DeleteShardMachines {
         shard: ShardId,
         epoch: u64,
         machines: Vec<MachineId>,
@@ -154,7 +154,7 @@
             | Self::MachineList { .. }
             | Self::Provision { .. }
             | Self::DeleteMachines { .. }
-            | Self::DeleteOwnMachines { .. } => Service::Cloud,
+            | Self::DeleteShardMachines { .. } => Service::Cloud,
             Self::Commands { .. } | Self::ProbeWorker { .. } => Service::Worker,
             _ => Service::Store,
         }
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -64,25 +64,25 @@
     /// Rows to be written, by key.
     pending_rows: BTreeMap<String, PendingRow>,
     /// Jobs whose miss was counted.
-    counted_misses: BTreeSet<JobId>,
+    counted_cold_starts: BTreeSet<JobId>,
     /// When machines of each pool were handed out, the oldest first.
-    handed_out_at: BTreeMap<PoolName, VecDeque<Ms>>,
+    allocated_at: BTreeMap<PoolName, VecDeque<Ms>>,
     /// Pools that the catalogue rules out, and why.
     pub(super) catalog_errors: BTreeMap<PoolName, PoolError>,
 }
 
 impl ShardPools {
     /// Records that a machine was handed out.
-    pub(super) fn note_handed_out(&mut self, pool: &PoolName, now: Ms) {
-        self.handed_out_at
+    pub(super) fn record_allocation(&mut self, pool: &PoolName, now: Ms) {
+        self.allocated_at
             .entry(pool.clone())
             .or_default()
             .push_back(now);
     }
 
     /// How many machines a pool has handed out within the last `period`.
-    pub(super) fn handed_out_within(&mut self, pool: &PoolName, now: Ms, period: Ms) -> u32 {
-        let Some(times) = self.handed_out_at.get_mut(pool) else {
+    pub(super) fn allocations_within(&mut self, pool: &PoolName, now: Ms, period: Ms) -> u32 {
+        let Some(times) = self.allocated_at.get_mut(pool) else {
             return 0;
         };
         while times.front().is_some_and(|at| at + period < now) {
@@ -92,8 +92,8 @@
     }
 
     /// Records that a job found no machine of its pool, once for each job.
-    pub(super) fn note_miss(&mut self, id: &JobId, miss: ColdStart) {
-        if !self.counted_misses.insert(id.clone()) {
+    pub(super) fn add_cold_start(&mut self, id: &JobId, miss: ColdStart) {
+        if !self.counted_cold_starts.insert(id.clone()) {
             return;
         }
         log::info!(
@@ -106,8 +106,8 @@
     }
 
     /// Forgets the counted misses of jobs that are over.
-    pub(super) fn retain_misses(&mut self, is_unfinished: impl Fn(&JobId) -> bool) {
-        self.counted_misses.retain(is_unfinished);
+    pub(super) fn retain_cold_starts(&mut self, is_unfinished: impl Fn(&JobId) -> bool) {
+        self.counted_cold_starts.retain(is_unfinished);
     }
 }
 
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -30,7 +30,7 @@
     /// When the command to fetch that image was sent.
     pub(super) prefetch_sent_at: Option<Ms>,
     /// Whether its state is not the recorded one.
-    is_unrecorded: bool,
+    has_unrecorded_change: bool,
 }
 
 impl MachinePool {
@@ -43,7 +43,7 @@
     }
 
     /// Takes in a changed record.
-    pub(crate) fn apply_record(&mut self, record: &MachineRecord) {
+    pub(crate) fn update_from_record(&mut self, record: &MachineRecord) {
         let previous = std::mem::replace(&mut self.membership, record.pool.clone());
         if previous.map(|m| m.pool) != self.membership.as_ref().map(|m| m.pool.clone()) {
             self.joining = None;
@@ -56,13 +56,13 @@
     /// Whether a write or a fetch is outstanding, so that the machine is to be checked
     /// again soon.
     pub(crate) fn is_pending(&self) -> bool {
-        self.is_unrecorded || self.joining.is_some() || self.missing_since.is_some()
+        self.has_unrecorded_change || self.joining.is_some() || self.missing_since.is_some()
     }
 }
 
 impl Machine {
     /// Whether it is a pool's machine, and used by nobody.
-    pub(crate) fn is_pool_member(&self) -> bool {
+    pub(crate) fn is_unused_pool_member(&self) -> bool {
         self.pool.membership.is_some()
             && self.tasks.is_empty()
             && self.decommission_reason.is_none()
@@ -80,7 +80,7 @@
         }
         // Images that the worker does not hold are removed; the order of use is kept.
         if self.tasks.is_empty() {
-            let numbers: BTreeSet<u32> = held.iter().map(|i| ctx.images.number(i)).collect();
+            let numbers: BTreeSet<u32> = held.iter().map(|i| ctx.images.intern(i)).collect();
             self.cached_images
                 .retain(|(image, _)| numbers.contains(image));
         }
@@ -111,12 +111,12 @@
             && self.decommission_reason.is_none()
             && self.transfer_version.is_none()
             && self.orphans.is_empty()
-            && !is_requested(view, &self.id)
+            && !is_requested_by_other_shard(view, &self.id)
     }
 }
 
 /// Whether another shard has requested a machine.
-pub(super) fn is_requested(view: &ClusterView, id: &MachineId) -> bool {
+pub(super) fn is_requested_by_other_shard(view: &ClusterView, id: &MachineId) -> bool {
     let versioned = view.machines.get(id);
     versioned.is_some_and(|m| m.record.reassign_to.is_some())
 }
@@ -146,7 +146,7 @@
         self.track_fetch(ctx, id, &membership, next);
         let is_changed = next != Ok(membership.state);
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.pool.is_unrecorded = is_changed;
+            machine.pool.has_unrecorded_change = is_changed;
             if !is_changed || !machine.may_write_record(view) {
                 return;
             }
@@ -157,7 +157,7 @@
                 membership.pool
             );
             if reason == EndReason::Allocated {
-                self.pools.note_handed_out(&membership.pool, ctx.now);
+                self.pools.record_allocation(&membership.pool, ctx.now);
             }
         }
         self.update_machine_record_with(ctx, view, id, |record| {
@@ -213,7 +213,9 @@
             });
         }
         let pool = declared
-            .filter(|pool| self.teams.contains_key(&pool.team) && allows(ctx, pool, machine))
+            .filter(|pool| {
+                self.teams.contains_key(&pool.team) && pool_allows_machine(ctx, pool, machine)
+            })
             .ok_or(EndReason::PoolRemoved)?;
         match machine.pool.is_surplus {
             true => Err(EndReason::ScaledIn),
@@ -250,8 +252,11 @@
 }
 
 /// Whether a pool may have a machine, by its type, zone and kind.
-pub(super) fn allows(ctx: &Context, pool: &Pool, machine: &Machine) -> bool {
-    let machine_type = ctx.places.name(machine.machine_type).unwrap_or_default();
-    let zone = ctx.places.name(machine.zone).unwrap_or_default();
+pub(super) fn pool_allows_machine(ctx: &Context, pool: &Pool, machine: &Machine) -> bool {
+    let machine_type = ctx
+        .types_and_zones
+        .name(machine.machine_type)
+        .unwrap_or_default();
+    let zone = ctx.types_and_zones.name(machine.zone).unwrap_or_default();
     pool.allows(machine_type, zone, machine.is_spot)
 }
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -53,9 +53,9 @@
     }
 
     /// The unused machines of each pool.
-    pub(super) fn members(&self) -> BTreeMap<PoolName, Vec<MachineId>> {
+    pub(super) fn unused_pool_members(&self) -> BTreeMap<PoolName, Vec<MachineId>> {
         let mut members: BTreeMap<PoolName, Vec<MachineId>> = BTreeMap::new();
-        for machine in self.machines.values().filter(|m| m.is_pool_member()) {
+        for machine in self.machines.values().filter(|m| m.is_unused_pool_member()) {
             if let Some(membership) = &machine.pool.membership {
                 let of_pool = members.entry(membership.pool.clone()).or_default();
                 of_pool.push(machine.id.clone());
@@ -65,7 +65,7 @@
     }
 
     /// Machines of a pool, as input of the choices on its size.
-    pub(super) fn as_members(&self, pool: &Pool, ids: &[&MachineId]) -> Vec<PoolMember> {
+    pub(super) fn to_pool_members(&self, pool: &Pool, ids: &[&MachineId]) -> Vec<PoolMember> {
         let machines = ids.iter().filter_map(|id| self.machines.get(*id));
         let member = |machine: &Machine| PoolMember {
             state: machine.state_for(pool),
@@ -75,16 +75,16 @@
     }
 
     /// The reservations of all unused machines of pools.
-    fn member_reservations(&self, ctx: &Context) -> BTreeMap<MachineId, u32> {
+    fn pool_reservations(&self, ctx: &Context) -> BTreeMap<MachineId, u32> {
         let mut reservations = BTreeMap::new();
-        let members = self.members();
+        let members = self.unused_pool_members();
         for (pool_index, pool) in ctx.config.operator.pools.iter().enumerate() {
             let Some(ids) = members.get(&pool.name) else {
                 continue;
             };
             let minimum = pool.calendar.size_at(ctx.wall_clock_ms).min_machines;
             let id_refs: Vec<&MachineId> = ids.iter().collect();
-            let core = retained_members(&self.as_members(pool, &id_refs), minimum);
+            let core = retained_members(&self.to_pool_members(pool, &id_refs), minimum);
             for (member, id) in ids.iter().enumerate() {
                 let reservation = match core.contains(&member) {
                     true => minimum_reservation(pool_index),
@@ -97,13 +97,13 @@
     }
 
     /// Reserves the hosts that are pools' machines.
-    pub(crate) fn reserve_members(
+    pub(crate) fn reserve_pool_machines(
         &self,
         ctx: &Context,
         usable: &[MachineId],
         hosts: &mut [MachineSnapshot],
     ) {
-        let reservations = self.member_reservations(ctx);
+        let reservations = self.pool_reservations(ctx);
         if reservations.is_empty() {
             return;
         }
@@ -114,12 +114,12 @@
 
     /// Adds pools' machines to a demand record, as offered to other shards for tasks
     /// within their teams' guarantees.
-    pub(crate) fn with_offered_members(
+    pub(crate) fn with_offered_pool_machines(
         &self,
         ctx: &Context,
         mut demand: DemandRecord,
     ) -> DemandRecord {
-        for (id, reservation) in self.member_reservations(ctx) {
+        for (id, reservation) in self.pool_reservations(ctx) {
             let machine = self.machines.get(&id);
             if machine.is_none_or(|m| m.transfer_version.is_some() || !m.has_recent_heartbeat(ctx))
             {
@@ -134,7 +134,7 @@
     }
 
     /// Places tasks within their teams' guarantees that found no room on pools' machines.
-    pub(crate) fn reclaim_members(
+    pub(crate) fn place_on_pool_machines(
         &self,
         ctx: &Context,
         pending: &mut PendingJobs,
@@ -147,7 +147,7 @@
         }
         let jobs = pending.iter().enumerate();
         let reclaiming: Vec<usize> = jobs
-            .filter(|(_, (id, tasks))| self.may_reclaim_members(ctx, id, tasks, quotas))
+            .filter(|(_, (id, tasks))| self.may_use_pool_machines(ctx, id, tasks, quotas))
             .map(|(job, _)| job)
             .collect();
         let open = |job: &usize| with_pools_open(&pending.tasks[*job], &reserved);
@@ -165,15 +165,16 @@
 
     /// Whether a job's waiting tasks are within its team's guarantee, and have waited for
     /// long enough to know that there is no other room.
-    fn may_reclaim_members(
+    fn may_use_pool_machines(
         &self,
         ctx: &Context,
         id: &JobId,
         pending: &PendingTasks,
         quotas: &[Quota],
     ) -> bool {
-        let patience =
-            crate::ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
+        let patience = crate::seconds_to_ms(
+            ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS,
+        );
         let has_waited = |job: &Job| job.age_ms(ctx.now) > patience;
         !pending.waiting.is_empty()
             && quotas[pending.team].is_within_guarantee(&pending.minimum_resources())
@@ -186,28 +187,33 @@
         let is_unconfirmed = |machine: &&Machine| {
             let membership = machine.pool.membership.as_ref();
             let is_ready = membership.is_some_and(|m| m.pool == pool.name && m.state.is_ready());
-            is_ready && machine.is_pool_member() && !is_usable(machine, ctx)
+            is_ready && machine.is_unused_pool_member() && !is_usable(machine, ctx)
         };
         self.machines.values().filter(is_unconfirmed).count()
     }
 
     /// Records the jobs of each pool's team and image that found no machine of it, once
     /// each.
-    pub(crate) fn note_pool_misses(&mut self, ctx: &Context, pending: &PendingJobs) {
+    pub(crate) fn record_cold_starts(&mut self, ctx: &Context, pending: &PendingJobs) {
         if !ctx.has_pools() {
             return;
         }
         for (id, tasks) in pending.iter().filter(|(_, p)| !p.waiting.is_empty()) {
-            if let Some(miss) = self.pool_miss(ctx, id, tasks) {
-                self.pools.note_miss(id, miss);
+            if let Some(miss) = self.cold_start_of(ctx, id, tasks) {
+                self.pools.add_cold_start(id, miss);
             }
         }
         let jobs = &self.jobs;
-        self.pools.retain_misses(|id| jobs.contains_key(id));
+        self.pools.retain_cold_starts(|id| jobs.contains_key(id));
     }
 
     /// The miss of a job with waiting tasks, if a pool should have had machines for it.
-    fn pool_miss(&self, ctx: &Context, id: &JobId, pending: &PendingTasks) -> Option<ColdStart> {
+    fn cold_start_of(
+        &self,
+        ctx: &Context,
+        id: &JobId,
+        pending: &PendingTasks,
+    ) -> Option<ColdStart> {
         let mut pools = ctx.config.operator.pools.iter();
         let pool = pools.find(|pool| self.is_for_pool(id, Some(pool)))?;
         let job = self.jobs.get(id)?;
--- a/crates/core/src/pools/prefetch.rs
+++ b/crates/core/src/pools/prefetch.rs
@@ -14,7 +14,7 @@
 /// The lowest fetch rate, in GB a second, by which image sizes are divided.
 pub(super) const MIN_FETCH_RATE: f64 = 1e-9;
 /// Heartbeats after which the command to fetch an image is repeated.
-const REPEAT_HEARTBEATS: Ms = 2;
+const RESEND_AFTER_HEARTBEATS: Ms = 2;
 /// Why a machine is decommissioned that does not get its pool's image.
 pub(super) const STALLED_REASON: &str = "it does not fetch its pool's image";
 
@@ -52,10 +52,11 @@
         };
         let membership = machine.pool.membership.as_ref();
         let pool = membership.and_then(|m| ctx.config.operator.pools.get(&m.pool));
-        let Some(pool) = pool.filter(|_| machine.is_pool_member() && ctx.has_valid_lease) else {
+        let Some(pool) = pool.filter(|_| machine.is_unused_pool_member() && ctx.has_valid_lease)
+        else {
             return Vec::new();
         };
-        let repeat_after = ctx.config.heartbeat_interval_ms * REPEAT_HEARTBEATS;
+        let repeat_after = ctx.config.heartbeat_interval_ms * RESEND_AFTER_HEARTBEATS;
         let sent_at = machine.pool.prefetch_sent_at;
         let was_sent = sent_at.is_some_and(|at| ctx.now < at + repeat_after);
         if machine.state_for(pool) != PoolState::Fetching || was_sent {
@@ -72,5 +73,5 @@
 /// How long a machine may take to fetch a pool's image.
 fn fetch_timeout(machine: &Machine, ctx: &Context, pool: &Pool) -> Ms {
     let fetch_s = pool.image_gb / machine.image_fetch_gb_per_s.max(MIN_FETCH_RATE);
-    crate::ms(fetch_s * STALLED_FETCH_FACTOR) + ctx.config.lease_ms
+    crate::seconds_to_ms(fetch_s * STALLED_FETCH_FACTOR) + ctx.config.lease_ms
 }
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -5,7 +5,7 @@
 //! spare places: a pool takes only machines that nothing needs, and machines are
 //! provisioned for it only after all else.
 
-use super::membership::{allows, is_requested};
+use super::membership::{is_requested_by_other_shard, pool_allows_machine};
 use super::prefetch::MIN_FETCH_RATE;
 use crate::context::Context;
 use crate::membership::format::FormatVersion;
@@ -53,11 +53,14 @@
 impl SurplusMachines {
     /// Removes up to `max` machines that are being provisioned and that a pool may have.
     /// Returns how many.
-    fn take_provisioned(&mut self, ctx: &Context, pool: &Pool, max: u32) -> u32 {
+    fn claim_provisioned(&mut self, ctx: &Context, pool: &Pool, max: u32) -> u32 {
         let mut taken = 0;
         self.provisioned.retain(|machine| {
-            let machine_type = ctx.places.name(machine.machine_type).unwrap_or_default();
-            let zone = ctx.places.name(machine.zone).unwrap_or_default();
+            let machine_type = ctx
+                .types_and_zones
+                .name(machine.machine_type)
+                .unwrap_or_default();
+            let zone = ctx.types_and_zones.name(machine.zone).unwrap_or_default();
             let takes = taken < max && pool.allows(machine_type, zone, machine.spot);
             taken += u32::from(takes);
             !takes
@@ -69,7 +72,7 @@
 impl Shard {
     /// Lets machines join and leave the shard's pools, and returns what is to be
     /// provisioned for them. `hosts` shows what is free once everything is booked.
-    pub(crate) fn keep_pools(
+    pub(crate) fn resize_pools(
         &mut self,
         ctx: &mut Context,
         view: &ClusterView,
@@ -86,7 +89,7 @@
         if pools.is_empty() {
             return Vec::new();
         }
-        let members = self.members();
+        let members = self.unused_pool_members();
         let mut surplus = self.surplus_machines(view, expected, hosts);
         let types = view.machine_types.values();
         let catalog: Vec<MachineType> = types.map(|t| t.record.clone()).collect();
@@ -95,7 +98,7 @@
             let ids = members.get(&pool.name).map_or(&[][..], Vec::as_slice);
             let machines = self.target_size(ctx, pool, &catalog);
             self.record_request(ctx, pool, machines);
-            shapes.extend(self.keep_pool(ctx, pool, machines, ids, &mut surplus, &catalog));
+            shapes.extend(self.resize_pool(ctx, pool, machines, ids, &mut surplus, &catalog));
         }
         shapes
     }
@@ -106,11 +109,11 @@
         if !self.is_in_catalog(pool, catalog) {
             return 0;
         }
-        let lead = ready_ms(pool, catalog);
+        let lead = max_startup_ms(pool, catalog);
         let size = pool
             .calendar
             .size_within(ctx.wall_clock_ms, ctx.wall_clock_ms + lead);
-        let handed_out = self.pools.handed_out_within(&pool.name, ctx.now, lead);
+        let handed_out = self.pools.allocations_within(&pool.name, ctx.now, lead);
         target_size(size, handed_out)
     }
 
@@ -129,7 +132,7 @@
     }
 
     /// Chooses which machines join and leave one pool, and returns what is missing.
-    fn keep_pool(
+    fn resize_pool(
         &mut self,
         ctx: &mut Context,
         pool: &Pool,
@@ -140,7 +143,7 @@
     ) -> Option<ShapeRecord> {
         let (overdue, ids): (Vec<&MachineId>, Vec<&MachineId>) =
             ids.iter().partition(|id| self.is_overdue(ctx, id));
-        let members = self.as_members(pool, &ids);
+        let members = self.to_pool_members(pool, &ids);
         let leave = members_to_remove(&members, machines, pool.max_cost_per_hour);
         self.mark_surplus_members(&ids, &leave);
         let joining = self.joining_machines(&pool.name);
@@ -153,7 +156,7 @@
         let joined = self.choose_joining(ctx, pool, missing, budget, surplus);
         missing -= joined.len() as u32;
         budget = budget.map(|budget| budget - self.cost_per_hour(&joined));
-        missing -= surplus.take_provisioned(ctx, pool, missing);
+        missing -= surplus.claim_provisioned(ctx, pool, missing);
         missing_shape(pool, missing, budget, catalog)
     }
 
@@ -199,8 +202,9 @@
         budget: Option<f64>,
         surplus: &mut SurplusMachines,
     ) -> Vec<MachineId> {
-        let image = ctx.images.number(&pool.image);
-        let may_join = |m: &&Machine| allows(ctx, pool, m) && m.cache_gb >= pool.image_gb;
+        let image = ctx.images.intern(&pool.image);
+        let may_join =
+            |m: &&Machine| pool_allows_machine(ctx, pool, m) && m.cache_gb >= pool.image_gb;
         let machines = surplus.machines.iter();
         let machines = machines.filter_map(|id| self.machines.get(id));
         let allowed: Vec<&Machine> = machines.filter(may_join).collect();
@@ -233,7 +237,7 @@
         let is_unused = |host: &MachineSnapshot| host.free == host.total && !host.is_held;
         let may_join = |id: &&MachineId| {
             let machine = self.machines.get(*id);
-            !is_requested(view, id) && machine.is_some_and(is_unneeded)
+            !is_requested_by_other_shard(view, id) && machine.is_some_and(is_unneeded)
         };
         let unused = hosts.iter().enumerate().filter(|(_, h)| is_unused(h));
         let machines = unused.filter_map(|(host, _)| expected.pool_candidate(host));
@@ -267,10 +271,10 @@
 }
 
 /// How long a machine takes to be ready, of the slowest type that a pool may use.
-fn ready_ms(pool: &Pool, catalog: &[MachineType]) -> Ms {
+fn max_startup_ms(pool: &Pool, catalog: &[MachineType]) -> Ms {
     let allowed = catalog.iter().filter(|t| pool.price_of(t).is_some());
     let ready_s = allowed.map(|t| t.boot_s + pool.image_gb / t.fetch_gb_per_s.max(MIN_FETCH_RATE));
-    crate::ms(ready_s.fold(0.0, f64::max))
+    crate::seconds_to_ms(ready_s.fold(0.0, f64::max))
 }
 
 /// Machines that are to be provisioned for a pool: of any type that it may use and afford,
@@ -301,7 +305,7 @@
         zones: (!pool.zones.is_empty()).then(|| pool.zones.clone()),
         spot: pool.spot,
         // Machines that other shards don't need serve as well, unless only spot will do.
-        is_spare: !pool.spot,
+        is_headroom: !pool.spot,
         may_reclaim: false,
         is_borrowing: pool.spot,
         is_gang: false,
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -22,7 +22,7 @@
     });
     let record = versioned.record.clone();
     let machine = fixture.shard().machines.get_mut(&id).expect("it is ours");
-    machine.pool.apply_record(&record);
+    machine.pool.update_from_record(&record);
 }
 
 /// Transactions that were sent.
--- a/crates/core/src/recent_jobs.rs
+++ b/crates/core/src/recent_jobs.rs
@@ -52,7 +52,7 @@
     pub(crate) id: JobId,
     pub(crate) stage: JobStage,
     /// Whether this controller has recorded it, and notifies the others.
-    pub(crate) is_ours: bool,
+    pub(crate) is_recorded_here: bool,
 }
 
 /// Final stages of recent jobs.
@@ -73,17 +73,21 @@
 
     /// A final stage was read, or was received from another controller.
     pub(crate) fn insert(&mut self, id: JobId, stage: JobStage) {
-        self.note(id, stage, false);
+        self.insert_stage(id, stage, false);
     }
 
     /// A final stage was recorded by this controller.
     pub(crate) fn insert_written(&mut self, id: JobId, stage: JobStage) {
-        self.note(id, stage, true);
+        self.insert_stage(id, stage, true);
     }
 
-    fn note(&mut self, id: JobId, stage: JobStage, is_ours: bool) {
+    fn insert_stage(&mut self, id: JobId, stage: JobStage, is_recorded_here: bool) {
         if self.stages.insert(id.clone(), stage) {
-            self.unannounced.push(FinalStage { id, stage, is_ours });
+            self.unannounced.push(FinalStage {
+                id,
+                stage,
+                is_recorded_here,
+            });
         }
     }
 
--- a/crates/core/src/records/demand.rs
+++ b/crates/core/src/records/demand.rs
@@ -22,7 +22,7 @@
     /// Empty machines that the shard keeps as reserved capacity.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "free")]
-    pub spare_machines: Vec<MachineId>,
+    pub headroom_machines: Vec<MachineId>,
     /// Empty machines that the shard does not need.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "surplus")]
@@ -62,7 +62,7 @@
         halve(&mut self.pool_machines)
             || halve(&mut self.reclaimable_machines)
             || halve(&mut self.surplus_machines)
-            || halve(&mut self.spare_machines)
+            || halve(&mut self.headroom_machines)
             || halve(&mut self.pending_shapes)
             || halve(&mut self.unmet_shapes)
     }
@@ -71,7 +71,7 @@
     pub fn has_same_demand(&self, other: &Self) -> bool {
         self.unmet_shapes == other.unmet_shapes
             && self.pending_shapes == other.pending_shapes
-            && self.spare_machines == other.spare_machines
+            && self.headroom_machines == other.headroom_machines
             && self.surplus_machines == other.surplus_machines
             && self.reclaimable_machines == other.reclaimable_machines
             && self.pool_machines == other.pool_machines
@@ -99,7 +99,7 @@
     /// Whether this is reserved capacity, for which no task is pending yet.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "spare")]
-    pub is_spare: bool,
+    pub is_headroom: bool,
     /// Whether machines that run borrowed work may be reclaimed for these tasks.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "reclaims")]
--- a/crates/core/src/records/jobs.rs
+++ b/crates/core/src/records/jobs.rs
@@ -50,10 +50,11 @@
 /// store limits the size of a value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskBlockRecord {
-    /// Number of the next attempt to run a task of the block. No number is used twice.
+    /// Highest attempt number that was given to a task of the block; 0 if none was. The next
+    /// attempt gets a higher number, so that no number is used twice.
     #[serde(default)]
     #[serde(rename = "next")]
-    pub next_attempt: u64,
+    pub last_attempt: u64,
     /// Completed tasks, as half-open ranges of task indices.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
--- a/crates/core/src/records/keys.rs
+++ b/crates/core/src/records/keys.rs
@@ -4,7 +4,7 @@
 use forkshift_wire::{JobId, MachineId, NodeName};
 
 /// Prefix of the keys of cluster records, which every controller watches.
-pub const CLUSTER: &str = "c/";
+pub const CLUSTER_PREFIX: &str = "c/";
 /// Key of the counter from which the epochs of shards are drawn.
 pub const EPOCH_KEY: &str = "c/epoch";
 /// Key of the finalized format version, which every configured controller supports. Absent
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -10,7 +10,7 @@
         types: None,
         zones: None,
         spot: false,
-        is_spare: false,
+        is_headroom: false,
         may_reclaim: false,
         is_borrowing: false,
         is_gang: false,
@@ -30,7 +30,7 @@
         revision: 7,
         unmet_shapes: (1..=24).map(shape).collect(),
         pending_shapes: (1..=24).map(shape).collect(),
-        spare_machines: machines(20),
+        headroom_machines: machines(20),
         surplus_machines: machines(200),
         reclaimable_machines: machines(200),
         pool_machines: Vec::new(),
@@ -55,7 +55,7 @@
         let lengths = [
             truncated.unmet_shapes.len(),
             truncated.pending_shapes.len(),
-            truncated.spare_machines.len(),
+            truncated.headroom_machines.len(),
             truncated.surplus_machines.len(),
             truncated.reclaimable_machines.len(),
         ];
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -241,7 +241,7 @@
     /// Brings the next scheduling round forward, to the earliest time that the minimum
     /// interval between two rounds allows.
     pub(crate) fn schedule_round_soon(&mut self, ctx: &Context) {
-        let min_gap_ms = crate::ms(ctx.config.operator.min_round_interval_s);
+        let min_gap_ms = crate::seconds_to_ms(ctx.config.operator.min_round_interval_s);
         let earliest = ctx.now.max(self.last_round_at + min_gap_ms);
         self.next_round_at = self.next_round_at.min(earliest);
     }
--- a/crates/core/src/shard/arrivals.rs
+++ b/crates/core/src/shard/arrivals.rs
@@ -81,7 +81,7 @@
         types: spec.machine_types.clone(),
         zones: None,
         spot: spec.allow_spot,
-        is_spare: true,
+        is_headroom: true,
         may_reclaim: false,
         is_borrowing: false,
         is_gang: false,
--- a/crates/core/src/shard/bindings.rs
+++ b/crates/core/src/shard/bindings.rs
@@ -30,7 +30,7 @@
         if is_removed || self.jobs.contains_key(&spec.id) || !self.teams.contains_key(&spec.team) {
             return;
         }
-        let image = ctx.images.number(&spec.image);
+        let image = ctx.images.intern(&spec.image);
         if self.arrivals_counted_since.is_some() {
             self.count_arrival(&spec, ctx.now);
         }
--- a/crates/core/src/shard/demand.rs
+++ b/crates/core/src/shard/demand.rs
@@ -73,33 +73,33 @@
         let _span = tracing::debug_span!("unmet_demand").entered();
         pending.sort_by(PendingTasks::precedence_order);
         self.exclude_newly_quarantined(ctx, usable, &mut remaining.hosts);
-        let waiting = shapes_of(ctx, view, &pending, &mut remaining.quotas.clone());
+        let pending_shapes = shapes_of(ctx, view, &pending, &mut remaining.quotas.clone());
         let ExpectedPlacement {
-            mut shapes,
+            shapes: mut unmet_shapes,
             expected,
         } = self.place_on_expected_machines(ctx, view, usable, &mut remaining, pending);
         self.update_idle_times(ctx, usable, &remaining.hosts);
-        let pool_shapes = self.keep_pools(ctx, view, &expected, &remaining.hosts);
+        let pool_shapes = self.resize_pools(ctx, view, &expected, &remaining.hosts);
         // Unmet demand does not prevent draining if it is headroom or work that uses idle
         // capacity only. Headroom that fitted on an existing machine would have been
         // placed there.
-        if shapes.iter().all(|s| s.is_spare || s.is_borrowing) {
+        if unmet_shapes.iter().all(|s| s.is_headroom || s.is_borrowing) {
             remaining.hosts.truncate(usable.len());
             self.drain_underused_machines(ctx, view, usable, &mut remaining.hosts);
         }
         // The demand is in order of urgency: pools come after pending tasks and headroom.
-        shapes.extend(pool_shapes);
+        unmet_shapes.extend(pool_shapes);
         let empty = self.empty_machines(usable);
         let record = DemandRecord {
             revision: view.revision,
-            unmet_shapes: shapes,
-            pending_shapes: waiting,
-            spare_machines: empty.needed,
+            unmet_shapes,
+            pending_shapes,
+            headroom_machines: empty.needed,
             surplus_machines: empty.surplus,
             reclaimable_machines: self.reclaimable_machines(ctx, usable),
             pool_machines: Vec::new(),
         };
-        let record = self.with_offered_members(ctx, record);
+        let record = self.with_offered_pool_machines(ctx, record);
         self.publish_demand(ctx, view, record);
     }
 
@@ -185,7 +185,7 @@
             machine.tasks.is_empty()
                 && !machine.has_call_in_flight
                 && machine.exited_attempts.is_empty()
-                && !machine.is_pool_member()
+                && !machine.is_unused_pool_member()
         };
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
         let mut empty = EmptyMachines::default();
@@ -218,7 +218,7 @@
             };
             let is_idle = machine.tasks.is_empty()
                 && host.free == machine.capacity
-                && !machine.is_pool_member();
+                && !machine.is_unused_pool_member();
             if machine.update_idle_since(is_idle, ctx.now) {
                 self.machines_to_reconcile.mark_due(id);
             }
--- a/crates/core/src/shard/demand/expected_machines.rs
+++ b/crates/core/src/shard/demand/expected_machines.rs
@@ -140,8 +140,8 @@
     MachineSnapshot {
         free: capacity_of(machine_type),
         total: capacity_of(machine_type),
-        machine_type: ctx.places.number(&intent.machine_type),
-        zone: ctx.places.number(&intent.zone),
+        machine_type: ctx.types_and_zones.intern(&intent.machine_type),
+        zone: ctx.types_and_zones.intern(&intent.zone),
         is_spot: intent.spot,
         price_per_s: machine_type.price_per_hour / SECONDS_PER_HOUR,
         fetch_gb_per_s: machine_type.fetch_gb_per_s,
--- a/crates/core/src/shard/demand/headroom.rs
+++ b/crates/core/src/shard/demand/headroom.rs
@@ -57,7 +57,7 @@
         hosts: &mut [MachineSnapshot],
     ) -> Vec<ShapeRecord> {
         let boot_s = self.max_boot_ms() as f64 / 1000.0;
-        let factor = ctx.config.operator.spare_ratio;
+        let factor = ctx.config.operator.headroom_ratio;
         let mut missing = Vec::new();
         for class in self.headroom_classes(ctx, boot_s) {
             // Tasks that are expected to arrive during a boot, scaled by the ratio in the
@@ -121,7 +121,7 @@
         let horizon = ctx.now + (machine.boot_ms as f64 * RELEASE_HORIZON_BOOTS) as Ms;
         let released = |task: &TaskRef| {
             let (job, binding) = self.binding(task)?;
-            let end = binding.running_since? + crate::ms(job.spec.estimated_run_time_s);
+            let end = binding.running_since? + crate::seconds_to_ms(job.spec.estimated_run_time_s);
             let ends_soon = job.spec.kind != JobKind::Service && end < horizon;
             (ends_soon && !self.is_reclaimable(ctx, job, binding)).then_some(job.task_resources)
         };
--- a/crates/core/src/shard/demand/publication.rs
+++ b/crates/core/src/shard/demand/publication.rs
@@ -38,7 +38,8 @@
         let Some(leader) = view.leader.as_ref().map(|l| l.record.clone()) else {
             return;
         };
-        let resend_at = self.last_demand_sent_at + crate::ms(ctx.config.operator.round_interval_s);
+        let resend_at =
+            self.last_demand_sent_at + crate::seconds_to_ms(ctx.config.operator.round_interval_s);
         if record.has_same_demand(&self.last_demand_sent) && ctx.now < resend_at {
             return;
         }
@@ -64,7 +65,8 @@
     /// share [`DEMAND_WRITE_FRACTION`] of the store's write rate.
     fn write_demand(&mut self, ctx: &mut Context, view: &ClusterView, record: DemandRecord) {
         let shards = f64::from(ctx.config.shard_count());
-        let min_interval_ms = crate::ms(shards / (ctx.limits.write_rps * DEMAND_WRITE_FRACTION));
+        let min_interval_ms =
+            crate::seconds_to_ms(shards / (ctx.limits.write_rps * DEMAND_WRITE_FRACTION));
         let min_interval_ms = min_interval_ms.max(MIN_DEMAND_WRITE_INTERVAL_MS);
         let has_unobserved_write =
             self.is_writing_demand || view.revision < self.demand_required_revision;
--- a/crates/core/src/shard/demand/shapes.rs
+++ b/crates/core/src/shard/demand/shapes.rs
@@ -16,10 +16,10 @@
 impl TypeAndZoneNames {
     fn new(ctx: &mut Context, view: &ClusterView) -> Self {
         let types = view.machine_types.keys();
-        let types = types.map(|name| (ctx.places.number(name), name.clone()));
+        let types = types.map(|name| (ctx.types_and_zones.intern(name), name.clone()));
         let types = types.collect();
         let zones = view.zones().into_iter();
-        let zones = zones.map(|name| (ctx.places.number(name), name.to_owned()));
+        let zones = zones.map(|name| (ctx.types_and_zones.intern(name), name.to_owned()));
         Self {
             types,
             zones: zones.collect(),
@@ -80,7 +80,7 @@
                 types: names.types_of(tasks),
                 zones: names.zones_of(tasks),
                 spot: tasks.allows_spot,
-                is_spare: false,
+                is_headroom: false,
                 may_reclaim: tasks.reclaim.reclaims_machines(),
                 is_borrowing: tasks.capacity_class.uses_idle_capacity_only(),
                 is_gang: tasks.is_gang && has_pools,
--- a/crates/core/src/shard/dependencies.rs
+++ b/crates/core/src/shard/dependencies.rs
@@ -14,7 +14,7 @@
 //! the cancellation reaches all transitive dependents, whichever controllers hold
 //! them.
 
-use crate::api::read_job;
+use crate::api::parse_job_record;
 use crate::context::Context;
 use crate::node::{active_shard_of, active_shard_of_mut, Node};
 use crate::pending_call::PendingCall;
@@ -182,7 +182,7 @@
     /// Handles a final stage that has become known: announces it if this controller
     /// recorded it, and updates the dependents held here.
     fn on_job_ended(&mut self, end: &FinalStage) {
-        if end.is_ours {
+        if end.is_recorded_here {
             self.announce_job_ended(end);
         }
         for dependent in self.dependencies.remove(&end.id) {
@@ -260,7 +260,7 @@
     /// longer block any job held here.
     fn read_dependencies(&mut self) {
         let interval_ms = self.dependencies.read_interval_ms(&self.ctx);
-        for id in self.dependencies.read_timers.take_due(self.ctx.now) {
+        for id in self.dependencies.read_timers.pop_due(self.ctx.now) {
             self.ctx.work_units += 1;
             let shards = &self.shards;
             let is_blocked = |dependent: &JobId| {
@@ -300,7 +300,7 @@
             return;
         };
         dependency.has_read_in_flight = false;
-        let record = read_job(body).filter(|_| status == 200);
+        let record = parse_job_record(body).filter(|_| status == 200);
         let Some(record) = record else {
             self.dependencies
                 .read_timers
--- a/crates/core/src/shard/drain.rs
+++ b/crates/core/src/shard/drain.rs
@@ -7,7 +7,7 @@
 
 mod moves;
 
-use crate::bounds::part_of_machines;
+use crate::bounds::fraction_of_machines;
 use crate::context::Context;
 use crate::records::capacity_of;
 use crate::shard::job::Job;
@@ -89,7 +89,7 @@
 
     /// One in `divisor` of the shard's machines, at least `min`.
     fn machine_limit(&self, divisor: usize, min: usize) -> usize {
-        part_of_machines(self.machines.len(), divisor, min)
+        fraction_of_machines(self.machines.len(), divisor, min)
     }
 
     /// Cancels the draining of a machine whose capacity is needed again.
@@ -200,7 +200,7 @@
         context: &MoveContext,
     ) {
         let min_interval_ms =
-            crate::ms(ctx.config.operator.round_interval_s * MIN_MOVE_INTERVAL_ROUNDS);
+            crate::seconds_to_ms(ctx.config.operator.round_interval_s * MIN_MOVE_INTERVAL_ROUNDS);
         if ctx.now < self.last_replica_move_at + min_interval_ms {
             return;
         }
--- a/crates/core/src/shard/heartbeats.rs
+++ b/crates/core/src/shard/heartbeats.rs
@@ -43,7 +43,7 @@
                 "machine {}: reclaimed by the cloud in {notice_s} s",
                 self.id
             );
-            self.spot_reclaim_at = Some(ctx.now + crate::ms(notice_s));
+            self.spot_reclaim_at = Some(ctx.now + crate::seconds_to_ms(notice_s));
         }
         if self.acknowledged_token >= self.token {
             self.has_unanswered_call = false;
--- a/crates/core/src/shard/job/blocks.rs
+++ b/crates/core/src/shard/job/blocks.rs
@@ -47,9 +47,9 @@
     ) -> Vec<(u32, Binding)> {
         let entry = self.blocks.entry(block).or_default();
         entry.record_version = record_version;
-        entry.last_attempt = record.next_attempt;
+        entry.last_attempt = record.last_attempt;
         // A task was placed, which happens only after all dependencies are done.
-        if record.next_attempt > 0 {
+        if record.last_attempt > 0 {
             self.unresolved_dependencies.clear();
         }
         for (from, to) in record.done {
@@ -122,7 +122,7 @@
         let (from, to) = self.layout.task_range(block);
         let bound = self.bindings.range(from..to);
         TaskBlockRecord {
-            next_attempt: self
+            last_attempt: self
                 .blocks
                 .get(&block)
                 .map_or(0, |state| state.last_attempt),
--- a/crates/core/src/shard/job/tests.rs
+++ b/crates/core/src/shard/job/tests.rs
@@ -38,7 +38,7 @@
 #[test]
 fn wait_time_restarts_when_a_task_completes() {
     let done = |from: u32, to: u32| TaskBlockRecord {
-        next_attempt: 1,
+        last_attempt: 1,
         done: vec![(from, to)],
         bound: Vec::new(),
     };
--- a/crates/core/src/shard/job_writes.rs
+++ b/crates/core/src/shard/job_writes.rs
@@ -62,7 +62,7 @@
             }
         }
         let mut changes: Vec<JobChange> = Vec::new();
-        for id in self.unwritten_jobs.take_due(ctx.now) {
+        for id in self.unwritten_jobs.pop_due(ctx.now) {
             ctx.work_units += 1;
             changes.extend(self.due_change(ctx, id, include_progress));
         }
--- a/crates/core/src/shard/job_writes/responses.rs
+++ b/crates/core/src/shard/job_writes/responses.rs
@@ -259,7 +259,7 @@
 /// as malformed or too large (status 400), the write is built again within smaller
 /// limits; the pause is long if the smallest configured limits were in force already.
 fn retry_pause(ctx: &Context, status: u16) -> Ms {
-    let has_least_limits = ctx.limits == ctx.config.least_state_limits;
+    let has_least_limits = ctx.limits == ctx.config.min_state_limits;
     if status == 400 && has_least_limits {
         REFUSED_RETRY_PAUSE_MS
     } else {
--- a/crates/core/src/shard/job_writes/tests.rs
+++ b/crates/core/src/shard/job_writes/tests.rs
@@ -64,7 +64,7 @@
         block,
     };
     let placed = TaskBlockRecord {
-        next_attempt: 1,
+        last_attempt: 1,
         bound: vec![(0, 1, MachineId::new("m-1"))],
         ..TaskBlockRecord::default()
     };
@@ -223,7 +223,7 @@
     let limits = &f.node.ctx.limits;
     assert!(transaction.writes.len() <= limits.txn_ops, "changes");
     assert!(
-        transaction.preconditions.len() <= limits.conditions(),
+        transaction.preconditions.len() <= limits.max_preconditions(),
         "conditions"
     );
     for write in &transaction.writes {
@@ -244,7 +244,7 @@
         let done = all().filter(|i| i % 3 == 0).map(|i| (i, i + 1));
         let bound = all().filter(|i| i % 3 == 1);
         TaskBlockRecord {
-            next_attempt: 2,
+            last_attempt: 2,
             done: done.collect(),
             bound: bound.map(|i| (i, 2, MachineId::new("m-1"))).collect(),
         }
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -62,9 +62,9 @@
 /// Times are in milliseconds of the steady clock.
 pub(crate) struct Machine {
     pub(crate) id: MachineId,
-    /// Index of its machine type in [`Context::places`].
+    /// Index of its machine type in [`Context::types_and_zones`].
     pub(crate) machine_type: u16,
-    /// Index of its zone in [`Context::places`].
+    /// Index of its zone in [`Context::types_and_zones`].
     pub(crate) zone: u16,
     /// Whether it is a spot instance, which the cloud may reclaim.
     pub(crate) is_spot: bool,
@@ -168,14 +168,14 @@
         let (record, machine_type) = (&recorded.record.record, recorded.machine_type);
         Self {
             id: recorded.id.clone(),
-            machine_type: ctx.places.number(&record.machine_type),
-            zone: ctx.places.number(&record.zone),
+            machine_type: ctx.types_and_zones.intern(&record.machine_type),
+            zone: ctx.types_and_zones.intern(&record.zone),
             is_spot: record.spot,
             capacity: capacity_of(machine_type),
             price_per_second: price_per_second(record, machine_type),
             image_fetch_gb_per_s: machine_type.fetch_gb_per_s,
             cache_gb: machine_type.cache_gb,
-            boot_ms: crate::ms(machine_type.boot_s),
+            boot_ms: crate::seconds_to_ms(machine_type.boot_s),
             addr: record.addr.clone(),
             decommission_reason: record.decommission_reason.clone(),
             record_version: recorded.record.version,
@@ -295,6 +295,6 @@
 fn recorded_images(ctx: &mut Context, record: &MachineRecord) -> Vec<(u32, f64)> {
     let images = record.images.iter();
     images
-        .map(|(name, size_gb)| (ctx.images.number(name), *size_gb))
+        .map(|(name, size_gb)| (ctx.images.intern(name), *size_gb))
         .collect()
 }
--- a/crates/core/src/shard/machine_records.rs
+++ b/crates/core/src/shard/machine_records.rs
@@ -31,7 +31,7 @@
             self.decommission_reason = record.decommission_reason.clone();
         }
         self.addr = record.addr.clone().or(self.addr.take());
-        self.pool.apply_record(record);
+        self.pool.update_from_record(record);
     }
 
     /// Whether the machine can be transferred to another shard: no task, exited attempt or
--- a/crates/core/src/shard/reclaim.rs
+++ b/crates/core/src/shard/reclaim.rs
@@ -105,7 +105,7 @@
 
     fn reclaim_candidates(&self, ctx: &Context, usable: &[MachineId]) -> Vec<ReclaimCandidate> {
         let machines = usable.iter().filter_map(|id| self.machines.get(id));
-        let machines = machines.filter(|m| !m.is_pool_member());
+        let machines = machines.filter(|m| !m.is_unused_pool_member());
         machines.map(|m| self.reclaim_candidate(ctx, m)).collect()
     }
 
@@ -165,7 +165,7 @@
 /// or at most one checkpoint interval if it writes checkpoints.
 fn lost_run_time_ms(ctx: &Context, job: &Job, binding: &Binding) -> Ms {
     let run_time = ctx.now - binding.running_since.unwrap_or(ctx.now).min(ctx.now);
-    let checkpoint_interval = crate::ms(job.spec.checkpoint_interval_s);
+    let checkpoint_interval = crate::seconds_to_ms(job.spec.checkpoint_interval_s);
     if checkpoint_interval > 0 {
         run_time.min(checkpoint_interval)
     } else {
--- a/crates/core/src/shard/reclaim/borrowers.rs
+++ b/crates/core/src/shard/reclaim/borrowers.rs
@@ -1,6 +1,6 @@
 //! Determines which work is borrowed, and drains the machines that run nothing else.
 
-use crate::bounds::part_of_machines;
+use crate::bounds::fraction_of_machines;
 use crate::context::Context;
 use crate::shard::job::{Binding, Job, StartState};
 use crate::shard::machine::Machine;
@@ -38,7 +38,7 @@
     fn is_borrowed_work(&self, ctx: &Context, job: &Job) -> bool {
         let team = self.teams.get(&job.spec.team);
         let has_no_guarantee = team.is_some_and(|team| self.quotas[*team].has_no_guarantee());
-        ctx.config.has_borrowers && has_no_guarantee && job.priority() == Priority::Low
+        ctx.config.allows_borrowing && has_no_guarantee && job.priority() == Priority::Low
     }
 
     /// Whether a task is borrowed work that may be stopped. Tasks of gangs may not,
@@ -72,7 +72,7 @@
             return;
         }
         let boot_ms = self.max_boot_ms();
-        let max_drained = part_of_machines(
+        let max_drained = fraction_of_machines(
             self.machines.len(),
             DRAINED_MACHINES_DIVISOR,
             MIN_DRAINED_MACHINES,
--- a/crates/core/src/shard/reclaim/offers.rs
+++ b/crates/core/src/shard/reclaim/offers.rs
@@ -1,7 +1,7 @@
 //! Offers machines that run nothing but borrowed work to other shards, and vacates them
 //! if another shard requests them.
 
-use crate::bounds::part_of_machines;
+use crate::bounds::fraction_of_machines;
 use crate::context::Context;
 use crate::shard::machine::Machine;
 use crate::shard::reclaim::lost_run_time_ms;
@@ -32,7 +32,7 @@
             .filter_map(|m| Some((self.run_time_lost_by_vacating_ms(ctx, m)?, &m.id)))
             .collect();
         offered.sort();
-        let max_offered = part_of_machines(
+        let max_offered = fraction_of_machines(
             self.machines.len(),
             OFFERED_MACHINES_DIVISOR,
             MIN_OFFERED_MACHINES,
--- a/crates/core/src/shard/reclaim/tests.rs
+++ b/crates/core/src/shard/reclaim/tests.rs
@@ -43,7 +43,7 @@
 fn machine_full_of_borrowed_tasks(priority: Priority) -> (Fixture, JobId) {
     let mut fixture = Fixture::new();
     set_spot(&mut fixture, true);
-    Rc::make_mut(&mut fixture.node.ctx.config).has_borrowers = true;
+    Rc::make_mut(&mut fixture.node.ctx.config).allows_borrowing = true;
     let index = fixture.shard().quotas.len();
     fixture.shard().teams.insert(BORROWER.to_owned(), index);
     fixture.shard().quotas.push(Quota::default());
--- a/crates/core/src/shard/reconciliation.rs
+++ b/crates/core/src/shard/reconciliation.rs
@@ -28,13 +28,13 @@
         self.enforce_cancellations(ctx);
         self.run_scheduling_round(ctx, view);
         self.sync_pool_records(ctx);
-        for id in self.machines_to_reconcile.take_due(ctx.now) {
+        for id in self.machines_to_reconcile.pop_due(ctx.now) {
             self.reconcile_machine(ctx, view, &id);
         }
         let writes_progress = ctx.now >= self.progress_writes.next_at;
         if writes_progress {
             self.progress_writes.next_at =
-                ctx.now + crate::ms(ctx.config.operator.round_interval_s);
+                ctx.now + crate::seconds_to_ms(ctx.config.operator.round_interval_s);
         }
         self.write_jobs(ctx, writes_progress);
     }
@@ -202,7 +202,7 @@
     let unacknowledged_ms = ctx.max_silence_ms() * UNACKNOWLEDGED_TOKEN_TIMEOUTS;
     [
         DecommissionDeadline {
-            at: has_sent_heartbeat.then_some(silent_since + ctx.removal_timeout_ms(machine)),
+            at: has_sent_heartbeat.then_some(silent_since + ctx.decommission_timeout_ms(machine)),
             reason: "it is silent",
         },
         DecommissionDeadline {
--- a/crates/core/src/shard/reconciliation/cancellations.rs
+++ b/crates/core/src/shard/reconciliation/cancellations.rs
@@ -57,7 +57,7 @@
     /// still run one of them when a deadline has passed.
     pub(super) fn enforce_cancellations(&mut self, ctx: &mut Context) {
         let mut overdue = BTreeSet::new();
-        for id in self.cancelled_jobs.take_due(ctx.now) {
+        for id in self.cancelled_jobs.pop_due(ctx.now) {
             self.stop_remaining_tasks(&id);
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -111,7 +111,7 @@
             self.id,
             due.len()
         );
-        let pending = PendingCall::DeleteOwnMachines {
+        let pending = PendingCall::DeleteShardMachines {
             shard: self.id,
             epoch: self.epoch,
             machines: due.clone(),
--- a/crates/core/src/shard/reconciliation/tests.rs
+++ b/crates/core/src/shard/reconciliation/tests.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, to_value};
 
 fn is_deletion(pending: &PendingCall) -> bool {
-    matches!(pending, PendingCall::DeleteOwnMachines { .. })
+    matches!(pending, PendingCall::DeleteShardMachines { .. })
 }
 
 fn deletes_machines(effects: &[Effect]) -> bool {
--- a/crates/core/src/shard/scheduling.rs
+++ b/crates/core/src/shard/scheduling.rs
@@ -36,19 +36,19 @@
         }
         let _span = tracing::debug_span!("round").entered();
         self.last_round_at = ctx.now;
-        self.next_round_at = ctx.now + crate::ms(ctx.config.operator.round_interval_s);
+        self.next_round_at = ctx.now + crate::seconds_to_ms(ctx.config.operator.round_interval_s);
         let usable = self.usable_machines(ctx);
         let mut hosts: Vec<MachineSnapshot> = usable
             .iter()
             .map(|id| machine_snapshot(&self.machines[id]))
             .collect();
-        self.reserve_members(ctx, &usable, &mut hosts);
+        self.reserve_pool_machines(ctx, &usable, &mut hosts);
         let mut pending = self.pending_jobs(ctx, &usable);
         let mut quotas = self.quotas.clone();
         let weights = ctx.config.operator.weights;
         let mut placements = run_round(&mut pending.tasks, &mut hosts, &mut quotas, &weights);
-        self.note_pool_misses(ctx, &pending);
-        placements.extend(self.reclaim_members(ctx, &mut pending, &mut hosts, &mut quotas));
+        self.record_cold_starts(ctx, &pending);
+        placements.extend(self.place_on_pool_machines(ctx, &mut pending, &mut hosts, &mut quotas));
         self.record_machine_shortages(ctx.now, &pending);
         self.bind_placements(ctx.now, &placements, &pending.ids, &usable);
         self.skip_recently_failing_jobs(ctx, &mut pending);
--- a/crates/core/src/shard/scheduling/pending_tasks.rs
+++ b/crates/core/src/shard/scheduling/pending_tasks.rs
@@ -209,13 +209,13 @@
 /// Which capacity may be reclaimed for a job from borrowing teams and from warm pools.
 fn reclaim_of(ctx: &Context, job: &Job, is_guaranteed: bool) -> Reclaim {
     let is_entitled = is_guaranteed || job.priority() >= Priority::High;
-    let from_borrowers = ctx.config.has_borrowers && is_entitled;
+    let from_borrowers = ctx.config.allows_borrowing && is_entitled;
     let from_pools = ctx.has_pools() && is_guaranteed;
     if !(from_borrowers || from_pools) {
         return Reclaim::Nothing;
     }
     let may_reclaim_machines = job.age_ms(ctx.now)
-        > crate::ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
+        > crate::seconds_to_ms(ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS);
     match may_reclaim_machines {
         true => Reclaim::TasksAndMachines,
         false => Reclaim::Tasks,
@@ -262,7 +262,7 @@
         image: job.image,
         image_gb: spec.image_gb,
         allowed_types: type_numbers(ctx, spec.machine_types.as_deref()),
-        required_zone: spec.zone.as_ref().map(|z| ctx.places.number(z)),
+        required_zone: spec.zone.as_ref().map(|z| ctx.types_and_zones.intern(z)),
         one_zone: spec.require_same_zone,
         spread: spec.spread_over_zones,
         allows_spot: spec.allow_spot,
@@ -286,7 +286,11 @@
 /// Converts names of machine types to the numbers that rounds use; `None` allows any
 /// type.
 pub(crate) fn type_numbers(ctx: &mut Context, types: Option<&[String]>) -> Option<Vec<u16>> {
-    types.map(|t| t.iter().map(|name| ctx.places.number(name)).collect())
+    types.map(|t| {
+        t.iter()
+            .map(|name| ctx.types_and_zones.intern(name))
+            .collect()
+    })
 }
 
 /// Whether a job has waited long enough to go before all others. Services and jobs with a
--- a/crates/core/src/sizing.rs
+++ b/crates/core/src/sizing.rs
@@ -8,14 +8,14 @@
 use std::fmt;
 
 /// Memory of a controller without machines, in MB.
-const BASE_MB: f64 = 6.7;
+const BASE_MEMORY_MB: f64 = 6.7;
 /// Memory for one machine, its record and its tasks, in MB: 2.5 KB, and sixteen tasks of
 /// 0.8 KB, as at the measured peak.
-const MB_PER_MACHINE: f64 = 0.0153;
+const MEMORY_MB_PER_MACHINE: f64 = 0.0153;
 /// The part of the memory that remains beside bounded queues, names and answers.
-const STATE_MEMORY_PART: f64 = 0.75;
+const STATE_MEMORY_FRACTION: f64 = 0.75;
 /// Time for which a heartbeat takes a connection, including its opening, in seconds.
-const CONNECTION_S: f64 = 1.0;
+const HEARTBEAT_CONNECTION_S: f64 = 1.0;
 
 /// A limit that is too small for the fleet.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,8 +53,9 @@
     let cluster = &settings.cluster;
     let fleet = f64::from(machines);
     let heartbeats_per_second = fleet / cluster.workers.heartbeat_interval_s;
-    let sockets = heartbeats_per_second * CONNECTION_S / crate::bounds::INCOMING_CONNECTIONS_PART;
-    let memory_mb = (BASE_MB + fleet * MB_PER_MACHINE) / STATE_MEMORY_PART;
+    let sockets = heartbeats_per_second * HEARTBEAT_CONNECTION_S
+        / crate::bounds::INCOMING_CONNECTIONS_FRACTION;
+    let memory_mb = (BASE_MEMORY_MB + fleet * MEMORY_MB_PER_MACHINE) / STATE_MEMORY_FRACTION;
     let needs = [
         Shortfall {
             field: "cluster.limits.sockets",
--- a/crates/core/src/store/view.rs
+++ b/crates/core/src/store/view.rs
@@ -7,7 +7,7 @@
 use crate::membership::format::FormatVersion;
 use crate::records::{
     DemandRecord, LeaderRecord, MachineRecord, NodeRecord, ProvisioningIntent, ShardId,
-    ShardRecord, CLUSTER, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
+    ShardRecord, CLUSTER_PREFIX, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
 };
 use forkshift_wire::cloud::MachineType;
 use forkshift_wire::state::{Change, Item};
@@ -112,7 +112,7 @@
 impl RecordKey {
     /// Parses a key; none for keys of other forms or kinds.
     fn parse(key: &str) -> Option<Self> {
-        let (kind, name) = key.strip_prefix(CLUSTER)?.split_once('/')?;
+        let (kind, name) = key.strip_prefix(CLUSTER_PREFIX)?.split_once('/')?;
         let shard = || name.parse().ok().map(ShardId);
         match kind {
             "node" => Some(Self::Node(NodeName::new(name))),
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -7,12 +7,12 @@
 use crate::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys that are due: those that were touched, and others at their deadlines.
+/// Keys that are due: those that were marked due, and others at their deadlines.
 ///
 /// Invariant: `by_deadline` and `deadlines` hold the same pairs.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<K> {
-    touched: BTreeSet<K>,
+    due_now: BTreeSet<K>,
     by_deadline: BTreeSet<(Ms, K)>,
     deadlines: BTreeMap<K, Ms>,
 }
@@ -20,7 +20,7 @@
 impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
         Self {
-            touched: BTreeSet::new(),
+            due_now: BTreeSet::new(),
             by_deadline: BTreeSet::new(),
             deadlines: BTreeMap::new(),
         }
@@ -30,8 +30,8 @@
 impl<K: Ord + Clone> TimerQueue<K> {
     /// Makes a key due at once.
     pub(crate) fn mark_due(&mut self, key: &K) {
-        if !self.touched.contains(key) {
-            self.touched.insert(key.clone());
+        if !self.due_now.contains(key) {
+            self.due_now.insert(key.clone());
         }
     }
 
@@ -47,7 +47,7 @@
 
     /// Drops a key and its deadline.
     pub(crate) fn remove(&mut self, key: &K) {
-        self.touched.remove(key);
+        self.due_now.remove(key);
         if let Some(old) = self.deadlines.remove(key) {
             self.by_deadline.remove(&(old, key.clone()));
         }
@@ -55,17 +55,17 @@
 
     /// Takes all keys that are due. Their deadlines are dropped with them:
     /// a key that has to be checked again must be given a new one.
-    pub(crate) fn take_due(&mut self, now: Ms) -> Vec<K> {
+    pub(crate) fn pop_due(&mut self, now: Ms) -> Vec<K> {
         while let Some((at, _)) = self.by_deadline.first() {
             if *at > now {
                 break;
             }
             if let Some((_, key)) = self.by_deadline.pop_first() {
                 self.deadlines.remove(&key);
-                self.touched.insert(key);
+                self.due_now.insert(key);
             }
         }
-        std::mem::take(&mut self.touched).into_iter().collect()
+        std::mem::take(&mut self.due_now).into_iter().collect()
     }
 }
 
--- a/crates/core/src/timers/tests.rs
+++ b/crates/core/src/timers/tests.rs
@@ -18,10 +18,10 @@
         (100, &["c"]),
     ];
     for (now, expected) in cases {
-        assert_eq!(timers.take_due(now), expected, "at {now}");
+        assert_eq!(timers.pop_due(now), expected, "at {now}");
     }
     timers.set_deadline(&"e", 110);
     timers.mark_due(&"e");
     timers.remove(&"e");
-    assert!(timers.take_due(200).is_empty());
+    assert!(timers.pop_due(200).is_empty());
 }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -70,7 +70,7 @@
         (message.round_s, &mut operator.round_interval_s),
         (message.round_gap_s, &mut operator.min_round_interval_s),
         (message.assign_s, &mut operator.assignment_interval_s),
-        (message.spare, &mut operator.spare_ratio),
+        (message.spare, &mut operator.headroom_ratio),
         (message.idle_boots, &mut operator.idle_boots),
         (message.silent_leases, &mut operator.max_silence_leases),
     ];
@@ -178,7 +178,7 @@
         period("round_s", operator.round_interval_s),
         period("round_gap_s", operator.min_round_interval_s),
         period("assign_s", operator.assignment_interval_s),
-        factor("spare", operator.spare_ratio, 0.0..=10.0, "from 0 to 10"),
+        factor("spare", operator.headroom_ratio, 0.0..=10.0, "from 0 to 10"),
         factor(
             "idle_boots",
             operator.idle_boots,
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -49,8 +49,8 @@
     }
     assert_eq!(parse("round_s: 0.5").unwrap().round_interval_s, 0.5);
     assert_eq!(
-        parse("").unwrap().spare_ratio,
-        Operator::default().spare_ratio
+        parse("").unwrap().headroom_ratio,
+        Operator::default().headroom_ratio
     );
 }
 
@@ -106,7 +106,7 @@
     );
     text += &format!(
         "assign_s {}\nspare {}\n",
-        operator.assignment_interval_s, operator.spare_ratio
+        operator.assignment_interval_s, operator.headroom_ratio
     );
     text += &format!("idle_boots {}\n", operator.idle_boots);
     text += &format!("silent_leases {}\n", operator.max_silence_leases);
--- a/crates/daemon/src/pools/records.rs
+++ b/crates/daemon/src/pools/records.rs
@@ -1,6 +1,6 @@
 //! Reading records from the state service, page by page.
 
-use forkshift_core::records::{MachineRecord, CLUSTER};
+use forkshift_core::records::{MachineRecord, CLUSTER_PREFIX};
 use forkshift_net::{Call, Client, ClientLimits};
 use forkshift_pools::account::{PoolRequest, CURRENT_REQUEST_PREFIX};
 use forkshift_wire::state::{Item, Page};
@@ -109,7 +109,7 @@
         &self,
         kind: &str,
     ) -> Result<BTreeMap<String, T>, RecordsError> {
-        let prefix = format!("{CLUSTER}{kind}/");
+        let prefix = format!("{CLUSTER_PREFIX}{kind}/");
         let items = self.with_prefix(&prefix)?;
         let parse_named = |item: &Item| {
             let name = item.key.strip_prefix(&prefix).unwrap_or_default();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -72,7 +72,7 @@
     let peer_listener = TcpListener::bind(settings.peer_listen)?;
     let server_limits = ServerLimits {
         max_connections: bounds.connections,
-        max_keep_alive_connections: bounds.kept_connections,
+        max_keep_alive_connections: bounds.keep_alive_connections,
         max_body_bytes: MAX_BODY_BYTES,
         idle_timeout: IDLE_TIMEOUT,
         body_timeout: BODY_TIMEOUT,
