--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -1,89 +1,92 @@
-//! Bounds on what a controller holds and sends, as ratios to its settings.
+//! Bounds on the queues, caches, connections and messages of a controller.
 //!
-//! Every queue, list and message is bounded, and no bound is a number of its own: it
-//! follows from the memory, the sockets or the message size that there is, or from
-//! the machines that a shard has. `docs/CAPACITY.md` lists what lies beyond each.
+//! No bound is a fixed number. Each is derived from the configured memory and sockets, from
+//! the maximum message size, or from the number of machines in a shard. `docs/CAPACITY.md`
+//! lists the effect of exceeding each bound.
 
 use crate::shard::layout::MAX_TASK_RECORD_BYTES;
 use forkshift_wire::peer::MAX_MESSAGE_BYTES;
 use forkshift_wire::settings::Settings;
 
-/// Bytes of a KB in the settings.
+/// Bytes in a KiB, the unit of value sizes in the settings.
 pub(crate) const BYTES_PER_KB: f64 = 1024.0;
-/// Bytes of a MB in the settings.
+/// Bytes in a MB of memory, as the settings count it.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The part of the sockets that incoming connections may take; the rest is
-/// for outgoing calls.
+/// Fraction of the sockets that incoming connections may use. The rest is reserved for
+/// outgoing calls.
 pub(crate) const INCOMING_CONNECTIONS_FRACTION: f64 = 0.6;
-/// The part of the sockets up to which incoming connections are kept open.
+/// Fraction of the sockets that incoming connections may keep open between requests.
 const KEEP_ALIVE_CONNECTIONS_FRACTION: f64 = 0.3;
-/// The part of the sockets that idle outgoing connections may take.
+/// Fraction of the sockets that idle outgoing connections may use.
 const IDLE_CONNECTIONS_FRACTION: f64 = 0.1;
-/// The part of the sockets that calls to workers may take: after a failover the new
-/// holder sends its token to a whole fleet at once.
+/// Fraction of the sockets that calls to workers may use. The fraction matters after a
+/// failover, when the new holder of a shard sends its fencing token to all workers at once.
 const WORKER_CALLS_FRACTION: f64 = 0.15;
 
-/// The part of the memory for what is remembered of jobs of other holders.
+/// Fraction of the memory for cached stages and shards of jobs that this controller does not
+/// hold.
 const CACHED_JOBS_MEMORY_FRACTION: f64 = 0.05;
-/// Memory for one remembered job, its final stage and its shard: an upper estimate.
+/// Upper estimate of the memory for the cached stage and shard of one job, in bytes.
 const CACHED_JOB_BYTES: f64 = 512.0;
-/// The part of the memory for messages that wait for other controllers.
+/// Fraction of the memory for queued messages to all other controllers.
 const PEER_QUEUE_MEMORY_FRACTION: f64 = 0.05;
-/// The part of the memory that one answer to a call may take.
+/// Fraction of the memory that the response to one call may use.
 const ANSWER_MEMORY_FRACTION: f64 = 0.1;
-/// The least bound on an answer, in bytes: twice the longest page of the key-value store.
+/// Lower bound on the maximum size of a response, in bytes: twice the size of the largest page
+/// that the key-value store returns.
 const MIN_ANSWER_BYTES: u64 = 1024 * 1024;
-/// The part of the memory for names of images.
+/// Fraction of the memory for interned names of images.
 const IMAGE_NAMES_MEMORY_FRACTION: f64 = 0.05;
-/// Memory for the name of one image: an upper estimate.
+/// Upper estimate of the memory for one interned image name, in bytes.
 const IMAGE_NAME_BYTES: f64 = 256.0;
-/// Least number of tasks of a job that a round places, so that machines for an array are
-/// requested in few parts.
+/// Lower bound on the number of tasks of one job that a scheduling round considers. With
+/// fewer, the machines for a large array job would be requested in many small batches.
 const MIN_TASKS_PER_ROUND: usize = 256;
-/// Bytes of the length that precedes a name in a message.
+/// Size of the length prefix of a name in a message, in bytes.
 pub(crate) const NAME_LENGTH_BYTES: usize = 4;
-/// The part of a message that lists in it may take.
+/// Fraction of the maximum message size that the lists in a message may use.
 const MESSAGE_LIST_FRACTION: f64 = 0.75;
 
-/// Bounds that follow from a controller's settings.
+/// Bounds that are derived from a controller's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Incoming connections at a time. More wait until one is closed.
+    /// Maximum number of incoming connections. Further connections wait until one is closed.
     pub connections: usize,
-    /// Incoming connections that are kept open after their answers.
+    /// Maximum number of incoming connections that stay open after a response.
     pub keep_alive_connections: usize,
-    /// Idle outgoing connections that are kept open.
+    /// Maximum number of idle outgoing connections that stay open.
     pub idle_connections: usize,
-    /// Calls to workers under way. More wait for the next step.
+    /// Maximum number of calls to workers in flight. Further calls wait for the next step.
     pub worker_calls: usize,
-    /// Requests forwarded by other controllers that wait here. More are answered
-    /// with 503 at once, and handled by the controller that forwarded them.
+    /// Maximum number of unanswered requests that other controllers have forwarded. Further
+    /// ones are answered with 503 at once; the forwarding controller then processes them itself.
     pub forwarded_requests: usize,
-    /// Jobs of other holders that are remembered. Beyond that the oldest is forgotten; its
-    /// record is read when it is needed.
+    /// Maximum number of jobs in each cache of job stages and shards. The oldest entry is
+    /// evicted when the cache is full; the job's record is then read from the key-value store.
     pub cached_jobs: usize,
-    /// Names of images that are known before those out of use are forgotten.
+    /// Number of interned image names above which the unused ones are evicted.
     pub image_names: usize,
-    /// Bytes of messages that wait for one other controller. Messages beyond that are
-    /// dropped; the receiver reads their contents from the key-value store.
+    /// Maximum size of the message queue to one other controller, in bytes. Messages beyond it
+    /// are dropped; the receiver reads their contents from the key-value store.
     pub peer_queue_bytes: usize,
-    /// The largest answer to a call, in bytes. Longer changes are read again in pages.
+    /// Maximum size of the response to a call, in bytes. If the changes in the response to a
+    /// watch exceed it, the records are listed in pages instead.
     pub answer_bytes: u64,
-    /// Tasks of one job that a round considers: as many as can be recorded until the next
-    /// one. The others wait for that.
+    /// Maximum number of tasks of one job that a scheduling round considers: the number that
+    /// can be recorded before the next round. Further tasks stay pending until then.
     pub tasks_per_round: usize,
-    /// Bytes of a list in a message to another controller.
+    /// Maximum size of the lists in a message to another controller, in bytes.
     pub list_bytes: usize,
 }
 
 impl Bounds {
-    /// The bounds of a controller with these settings, whose rounds are `round_s` seconds
-    /// apart.
+    /// Derives the bounds from the settings. `round_s` is the interval between scheduling
+    /// rounds, in seconds.
     pub fn new(settings: &Settings, round_s: f64) -> Self {
         let limits = &settings.cluster.limits;
-        let sockets = |part: f64| (limits.sockets as f64 * part).max(1.0) as usize;
-        let memory = |part: f64| limits.memory_mb * BYTES_PER_MB * part;
+        let sockets = |fraction: f64| (limits.sockets as f64 * fraction).max(1.0) as usize;
+        let memory = |fraction: f64| limits.memory_mb * BYTES_PER_MB * fraction;
         let peers = settings.peers.len().max(1) as f64;
         Self {
             connections: sockets(INCOMING_CONNECTIONS_FRACTION),
@@ -93,38 +96,38 @@
             forwarded_requests: sockets(INCOMING_CONNECTIONS_FRACTION),
             cached_jobs: at_least_one(memory(CACHED_JOBS_MEMORY_FRACTION) / CACHED_JOB_BYTES),
             image_names: at_least_one(memory(IMAGE_NAMES_MEMORY_FRACTION) / IMAGE_NAME_BYTES),
-            // Any single message has room.
+            // The queue must be able to hold a message of maximum size.
             peer_queue_bytes: ((memory(PEER_QUEUE_MEMORY_FRACTION) / peers) as usize)
                 .max(MAX_MESSAGE_BYTES),
             answer_bytes: (memory(ANSWER_MEMORY_FRACTION) as u64).max(MIN_ANSWER_BYTES),
-            tasks_per_round: tasks_recorded_in(round_s, settings).max(MIN_TASKS_PER_ROUND),
+            tasks_per_round: recordable_tasks(round_s, settings).max(MIN_TASKS_PER_ROUND),
             list_bytes: (MAX_MESSAGE_BYTES as f64 * MESSAGE_LIST_FRACTION) as usize,
         }
     }
 }
 
-/// Tasks that one controller can record in some seconds with an even part of the changes
-/// that the key-value store accepts.
-fn tasks_recorded_in(seconds: f64, settings: &Settings) -> usize {
+/// Number of tasks that one controller can record in `seconds`, with an equal share of the
+/// writes that the key-value store accepts from all controllers.
+fn recordable_tasks(seconds: f64, settings: &Settings) -> usize {
     let state = &settings.cluster.state;
-    let tasks_per_change = state.max_value_kib * BYTES_PER_KB / MAX_TASK_RECORD_BYTES as f64;
-    let changes = state.writes_per_s / (settings.peers.len() + 1) as f64 * seconds;
-    (tasks_per_change * changes) as usize
+    let tasks_per_write = state.max_value_kib * BYTES_PER_KB / MAX_TASK_RECORD_BYTES as f64;
+    let writes = state.writes_per_s / (settings.peers.len() + 1) as f64 * seconds;
+    (tasks_per_write * writes) as usize
 }
 
-/// A count, rounded down, but at least one.
+/// Rounds a count down to an integer of at least 1.
 fn at_least_one(count: f64) -> usize {
     count.max(1.0) as usize
 }
 
-/// Bytes of a name in a list in a message.
+/// Size of a name in a list of a message, in bytes.
 pub(crate) fn encoded_name_bytes(name: &str) -> usize {
     name.len() + NAME_LENGTH_BYTES
 }
 
-/// One in `divisor` of a shard's machines, at least `min`. For work that is done
-/// a few machines at a time: a larger shard does more of it at once, so that it takes
-/// no longer.
+/// The number of machines in a shard divided by `divisor`, but at least `min`. Limits
+/// operations that affect a few machines at a time; the limit grows with the shard, so that
+/// the operation takes no longer in a large shard.
 pub(crate) fn fraction_of_machines(machines: usize, divisor: usize, min: usize) -> usize {
     (machines / divisor).max(min)
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a controller.
+//! The configuration of a controller, derived from its settings file and the operators' options.
 
 use crate::bounds::{Bounds, BYTES_PER_KB};
 use crate::membership::format::FormatVersion;
@@ -11,28 +11,29 @@
 use forkshift_wire::NodeName;
 use std::collections::BTreeMap;
 
-/// Settings that operators may change; all have defaults.
+/// Tuning options that operators may set in a file of their own. All have defaults.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Weights of the score by which machines are chosen.
+    /// Weights of the terms of the score by which a machine is chosen for a task.
     pub weights: Weights,
-    /// Seconds between the starts of two scheduling rounds.
+    /// Interval between the starts of two scheduling rounds, in seconds.
     pub round_interval_s: f64,
-    /// Least seconds between two rounds that arrivals trigger.
+    /// Minimum interval between two rounds that are triggered by new jobs, in seconds.
     pub min_round_interval_s: f64,
-    /// Seconds between two checks of the shards' assignment by the leader.
+    /// Interval between two checks of the shard assignment by the leader, in seconds.
     pub assignment_interval_s: f64,
-    /// Spare places for classes with a short wait, as a multiple of the tasks that
-    /// arrive while a machine boots.
+    /// Headroom for job classes whose wait objective is shorter than a machine's boot time, as
+    /// a multiple of the number of tasks that are expected to arrive during a boot.
     pub headroom_ratio: f64,
-    /// An empty machine is released after this part of its boot time.
+    /// Time after which an empty machine is released, as a multiple of its boot time.
     pub idle_boots: f64,
-    /// A silent machine is decommissioned after this part of a lease.
+    /// Time without a heartbeat after which a machine is decommissioned, as a multiple of the
+    /// worker lease.
     pub max_silence_leases: f64,
-    /// The largest fleet that is expected, in machines. Limits that are too small for it
-    /// are logged.
+    /// Number of machines in the largest fleet that is expected. Limits that are too small for
+    /// such a fleet are logged; if absent, no limit is checked.
     pub expected_machines: Option<u32>,
-    /// Warm pools; none: they are disabled.
+    /// Declared warm pools. If there are none, warm pools are disabled.
     pub pools: Pools,
 }
 
@@ -59,18 +60,18 @@
 /// A team with its quota.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Its name.
+    /// Name, which submissions refer to.
     pub name: String,
-    /// Resources that it is guaranteed.
+    /// Resources that the team is guaranteed.
     pub guarantee: Resources,
-    /// Resources that it may use at most.
+    /// Maximum resources that the team's tasks may use at a time.
     pub limit: Resources,
-    /// The shard that its jobs belong to.
+    /// The shard that the team's jobs belong to.
     pub shard: ShardId,
 }
 
 impl Team {
-    /// A team of the settings, whose jobs belong to a shard.
+    /// A team from the settings, whose jobs belong to `shard`.
     fn new(settings: &TeamSettings, shard: ShardId) -> Self {
         Self {
             name: settings.name.clone(),
@@ -81,25 +82,26 @@
     }
 }
 
-/// Least sum of a resource that teams are guaranteed, as a divisor.
+/// Lower bound on the sum of all guarantees of a resource. Avoids a division by zero.
 const MIN_GUARANTEE_TOTAL: f64 = 1e-9;
-/// Least weight of a team, so that guests are spread over the shards, too.
+/// Lower bound on the weight of a team, so that teams without a guarantee are also distributed
+/// over the shards.
 const MIN_TEAM_WEIGHT: f64 = 1e-6;
 
-/// Limits of the key-value store.
+/// Limits of the key-value store on all controllers together.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers together.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Changes a second, of all controllers together.
+    /// Maximum writes per second.
     pub write_rps: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
-    /// Largest value, in bytes.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
 }
 
-/// Conditions that a transaction may have for each change.
+/// Preconditions that the store accepts in a transaction for each allowed write.
 const PRECONDITIONS_PER_WRITE: usize = 4;
 
 impl StateLimits {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// The smaller of each limit and the one that is announced for later.
+    /// The minimum of each limit and of the limit that is announced to replace it.
     fn min_with(&self, next: &NextStateLimits) -> Self {
         let value_bytes = next.max_value_kib.map(|kb| (kb * BYTES_PER_KB) as usize);
         Self {
@@ -129,78 +131,78 @@
         }
     }
 
-    /// Most conditions in a transaction.
+    /// Maximum number of preconditions in a transaction.
     pub fn max_preconditions(&self) -> usize {
         self.txn_ops * PRECONDITIONS_PER_WRITE
     }
 }
 
-/// The settings in the form that the controller works with.
+/// The configuration of a controller, in the units that the core uses.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of this controller.
     pub node: NodeName,
-    /// Names of all controllers, in order.
+    /// Names of all controllers, including this one, in alphabetical order.
     pub nodes: Vec<NodeName>,
-    /// Zones of all controllers, by name.
+    /// Zone of each controller.
     pub zones: BTreeMap<NodeName, String>,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
-    /// Whether some teams are guests: they are guaranteed nothing, while others are
-    /// guaranteed something.
+    /// Whether teams may borrow capacity: some teams have no guarantee, while others have one.
     pub allows_borrowing: bool,
-    /// Shortest `wait` objective of each class, in seconds.
+    /// Shortest `wait` objective of each job class, in seconds. Classes without one are absent.
     pub wait_objectives: BTreeMap<String, f64>,
-    /// Shortest `finished` objective of each class, in seconds.
+    /// Shortest `finished` objective of each job class, in seconds. Classes without one are
+    /// absent.
     pub completion_objectives: BTreeMap<String, f64>,
-    /// Lease of a worker, in milliseconds.
+    /// Duration of a worker's lease, in milliseconds.
     pub lease_ms: Ms,
-    /// Interval between two heartbeats of a worker, in milliseconds.
+    /// Nominal interval between two heartbeats of a worker, in milliseconds.
     pub heartbeat_interval_ms: Ms,
     /// Time within which the tasks of a cancelled job must have exited, in milliseconds.
     pub cancellation_timeout_ms: Ms,
-    /// Bound on the error of the time of day, in milliseconds.
+    /// Maximum error of a controller's wall clock, in milliseconds.
     pub max_clock_error_ms: Ms,
-    /// Time within which a gang must be complete, in milliseconds.
+    /// Time within which all tasks of a gang must have started, in milliseconds.
     pub gang_start_timeout_ms: Ms,
-    /// Limits of the key-value store as they are now.
+    /// Limits of the key-value store that are in force now.
     pub state_limits: StateLimits,
-    /// The smaller of those and of the limits that are announced for after the
-    /// upgrade.
+    /// The minimum of each limit in force and of the limit that is announced for the time
+    /// after the upgrade.
     pub min_state_limits: StateLimits,
-    /// The newest format that this controller reads and writes.
+    /// The newest record format that this controller can read and write.
     pub format: FormatVersion,
-    /// Rate limit of the cloud, in requests a second.
+    /// Rate limit of the cloud, in requests per second.
     pub cloud_rps: f64,
-    /// Lag of the cloud's machine list, in milliseconds.
+    /// Typical staleness of the cloud's machine list, in milliseconds.
     pub list_lag_ms: Ms,
-    /// Bounds on what is held and sent.
+    /// Bounds on queues, caches, connections and messages.
     pub bounds: Bounds,
-    /// The operators' own settings.
+    /// Tuning options of the operators.
     pub operator: Operator,
 }
 
-/// The part of the time for a cancellation that is reserved for clock drift and late timers.
+/// Fraction of the cancellation timeout that is reserved for clock drift and late timers.
 const CLOCK_DRIFT_FRACTION: f64 = 0.01;
 
-/// The longest pause between two heartbeats, as a multiple of the interval.
+/// Maximum interval between two heartbeats of a worker, as a multiple of the nominal interval.
 const MAX_HEARTBEAT_JITTER: f64 = 1.25;
-/// Allowance for delays of a heartbeat on the network and for late timers, in milliseconds.
+/// Allowance for network delay of a heartbeat and for late timers, in milliseconds.
 pub(crate) const HEARTBEAT_DELAY_ALLOWANCE_MS: Ms = 500;
 
-/// Time that a worker's attempt at a controller that does not answer takes, in
-/// milliseconds: 4 s without an answer and 1 s more.
+/// Time that a worker spends on a controller that does not answer, in milliseconds: a timeout
+/// of 4 s, and 1 s before the next controller is tried.
 const UNANSWERED_ATTEMPT_MS: f64 = 5_000.0;
 
-/// Bounds of the timeout of calls to workers, in milliseconds.
+/// Lower and upper bound on the timeout of calls to workers, in milliseconds.
 const MIN_WORKER_CALL_TIMEOUT_MS: Ms = 1_000;
 const MAX_WORKER_CALL_TIMEOUT_MS: Ms = 4_000;
-/// Bounds of the duration of a controller's lease, in milliseconds.
+/// Lower and upper bound on the duration of a controller's lease, in milliseconds.
 const MIN_NODE_LEASE_MS: Ms = 2_000;
 const MAX_NODE_LEASE_MS: Ms = 5_000;
 
 impl Config {
-    /// The configuration from settings that were validated.
+    /// Derives the configuration from validated settings and the operators' options.
     pub fn new(settings: &Settings, ops: Operator) -> Self {
         let cluster = &settings.cluster;
         let zones = zones_by_node(settings);
@@ -208,7 +210,7 @@
         let shard_count = nodes.len().max(cluster.node_count as usize);
         let ms = |seconds: f64| (seconds * 1000.0) as Ms;
         let state_limits = StateLimits::new(&cluster.state);
-        let next_limits = cluster.state.next.clone().unwrap_or_default();
+        let announced_limits = cluster.state.next.clone().unwrap_or_default();
         Self {
             node: settings.node.clone(),
             teams: assign_teams(&cluster.teams, shard_count),
@@ -223,7 +225,7 @@
             max_clock_error_ms: cluster.max_clock_error_ms.max(0.0) as Ms,
             gang_start_timeout_ms: ms(cluster.workers.gang_start_timeout_s),
             state_limits,
-            min_state_limits: state_limits.min_with(&next_limits),
+            min_state_limits: state_limits.min_with(&announced_limits),
             format: FormatVersion::CURRENT,
             cloud_rps: cluster.cloud.requests_per_s,
             list_lag_ms: ms(cluster.cloud.list_lag_s),
@@ -232,9 +234,9 @@
         }
     }
 
-    /// The format with which this controller registers while another one is finalized.
-    /// That of warm pools is registered by controllers that have them enabled, and by all
-    /// others once it is finalized.
+    /// The record format that this controller registers as supported, given the finalized one.
+    /// Controllers without warm pools register the format of warm pools only after it is
+    /// finalized, so that it is not finalized before all controllers have pools enabled.
     pub fn registered_format(&self, finalized: FormatVersion) -> FormatVersion {
         if !self.operator.pools.is_empty() || finalized >= FormatVersion::POOLS {
             self.format
@@ -243,42 +245,45 @@
         }
     }
 
-    /// All controllers but this one, in order.
+    /// Names of all other controllers, in alphabetical order.
     pub fn other_nodes(&self) -> impl Iterator<Item = &NodeName> {
         self.nodes.iter().filter(|node| **node != self.node)
     }
 
-    /// Number of shards.
+    /// Number of shards: one for each controller in the settings.
     pub fn shard_count(&self) -> u32 {
         self.nodes.len() as u32
     }
 
-    /// For how long a worker may be answered after a cancellation that is not known
-    /// here, in milliseconds: its lease expires in time all the same.
+    /// Time after a cancellation for which this controller may still renew the worker's lease
+    /// without knowing of the cancellation, in milliseconds. A lease that was renewed at the
+    /// end of this time still expires within the cancellation timeout.
     pub fn grace_ms(&self) -> Ms {
         self.cancellation_budget_ms().saturating_sub(self.lease_ms)
     }
 
-    /// For how long a worker may be answered by a new holder that does not know
-    /// yet what was cancelled, in milliseconds: the cancellation may be a lease old.
+    /// Time after a controller starts to hold a shard for which it may renew the leases of
+    /// the shard's workers without knowing which jobs were cancelled, in milliseconds. One
+    /// lease shorter than [`Self::grace_ms`], because an earlier holder may have confirmed a
+    /// cancellation up to one lease before.
     pub fn recovery_grace_ms(&self) -> Ms {
         self.cancellation_budget_ms()
             .saturating_sub(self.lease_ms * 2)
     }
 
-    /// Timeout of calls to workers, in milliseconds. A start whose call times out late
-    /// delays its task for as long.
+    /// Timeout of calls to workers, in milliseconds. A longer timeout delays a task whose start
+    /// command gets no response.
     pub fn worker_call_timeout_ms(&self) -> Ms {
         (self.heartbeat_interval_ms * 2)
             .clamp(MIN_WORKER_CALL_TIMEOUT_MS, MAX_WORKER_CALL_TIMEOUT_MS)
     }
 
-    /// The longest pause between two heartbeats, in milliseconds.
+    /// Maximum interval between two heartbeats of a worker, in milliseconds.
     pub fn max_heartbeat_interval_ms(&self) -> Ms {
         (self.heartbeat_interval_ms as f64 * MAX_HEARTBEAT_JITTER) as Ms
     }
 
-    /// Timing of the links to workers.
+    /// Timing by which the state of links to workers is judged.
     pub fn link_timing(&self) -> Timing {
         Timing {
             heartbeat_interval_ms: self.max_heartbeat_interval_ms() + HEARTBEAT_DELAY_ALLOWANCE_MS,
@@ -286,32 +291,34 @@
         }
     }
 
-    /// The time that a cancellation has, less the allowance for clock drift and late
-    /// timers, in milliseconds.
+    /// The cancellation timeout less the reserve for clock drift and late timers, in
+    /// milliseconds.
     fn cancellation_budget_ms(&self) -> Ms {
         (self.cancellation_timeout_ms as f64 * (1.0 - CLOCK_DRIFT_FRACTION)) as Ms
     }
 
-    /// The part of a zone's workers that find a controller inside before their
-    /// leases expire, if the zone is partitioned from all others.
+    /// Expected fraction of a zone's workers that reach a controller inside the zone before
+    /// their leases expire, if the zone is partitioned from all others. The estimate treats
+    /// each attempt of a worker as a random choice among the other controllers.
     pub fn partition_survival_fraction(&self, zone: &str) -> f64 {
         let controllers_inside = self.zones.values().filter(|z| *z == zone).count() as f64;
         let other_controllers = self.nodes.len().saturating_sub(1).max(1) as f64;
-        let time_ms = self.lease_ms.saturating_sub(self.heartbeat_interval_ms) as f64;
-        let attempts = time_ms / UNANSWERED_ATTEMPT_MS;
+        let remaining_ms = self.lease_ms.saturating_sub(self.heartbeat_interval_ms) as f64;
+        let attempts = remaining_ms / UNANSWERED_ATTEMPT_MS;
         let hit_rate = (controllers_inside / other_controllers).min(1.0);
         1.0 - (1.0 - hit_rate).powf(attempts)
     }
 
-    /// Duration of a controller's own lease at the key-value store, in milliseconds: a
-    /// crash must be detected, and its shard recovered elsewhere, well within the lease
-    /// of its workers.
+    /// Duration of this controller's own lease in the key-value store, in milliseconds. The
+    /// lease is a fraction of the worker lease: after a crash, its expiry must be detected and
+    /// the shard recovered by another controller before the leases of the shard's workers
+    /// expire.
     pub fn node_lease_ms(&self) -> Ms {
         (self.lease_ms / 4).clamp(MIN_NODE_LEASE_MS, MAX_NODE_LEASE_MS)
     }
 }
 
-/// Zones of all controllers, by name.
+/// Zone of each controller, this one included.
 fn zones_by_node(settings: &Settings) -> BTreeMap<NodeName, String> {
     let peers = settings.peers.iter().map(|peer| (&peer.node, &peer.zone));
     peers
@@ -320,13 +327,14 @@
         .collect()
 }
 
-/// Whether some teams are guaranteed nothing, and others something.
+/// Whether some teams have no guarantee while others have one.
 fn allows_borrowing(teams: &[TeamSettings]) -> bool {
-    let is_guest = |team: &TeamSettings| team.guaranteed_cpus <= 0.0 && team.guaranteed_gpus <= 0.0;
-    teams.iter().any(is_guest) && !teams.iter().all(is_guest)
+    let has_no_guarantee =
+        |team: &TeamSettings| team.guaranteed_cpus <= 0.0 && team.guaranteed_gpus <= 0.0;
+    teams.iter().any(has_no_guarantee) && !teams.iter().all(has_no_guarantee)
 }
 
-/// The shortest time of each class among the objectives of a kind, in seconds.
+/// The shortest objective of a kind for each job class, in seconds.
 fn shortest_objectives(objectives: &[Objective], kind: &str) -> BTreeMap<String, f64> {
     let mut times = BTreeMap::new();
     for objective in objectives.iter().filter(|objective| objective.kind == kind) {
@@ -338,8 +346,9 @@
     times
 }
 
-/// Assigns the teams to shards by their guarantees, the largest first to the shard with
-/// the least. Every controller comes to the same result from the same settings.
+/// Assigns the teams to shards so that the guarantees are balanced: in descending order of
+/// guarantee, each team goes to the least loaded shard. The result depends only on the
+/// settings, so that all controllers agree.
 fn assign_teams(teams: &[TeamSettings], shard_count: usize) -> BTreeMap<String, Team> {
     let total = |resource: fn(&TeamSettings) -> f64| {
         let sum = teams.iter().map(resource).sum::<f64>();
@@ -363,7 +372,7 @@
     assigned
 }
 
-/// The first of the shards with the smallest load.
+/// Index of the least loaded shard; the first one on a tie.
 fn least_loaded(loads: &[f64]) -> usize {
     let mut least = 0;
     for shard in 1..loads.len() {
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,24 +1,24 @@
-//! The inputs of a controller, and the effects that it wants carried out.
+//! The inputs of a controller, and the effects that it requests from its caller.
 
 use crate::Ms;
 use forkshift_wire::NodeName;
 use serde::Serialize;
 
-/// Names a call in flight.
+/// Identifies a call in flight. Unique within the process.
 pub type CallId = u64;
 
-/// Names a request that has not been answered.
+/// Identifies a request until it is answered.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RequestId(pub u64);
 
-/// The `Retry-After` of a 503, in seconds.
+/// Value of the `Retry-After` header of a 503 response, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// Set in the names of requests that other controllers have forwarded.
+/// Bit that is set in the ids of requests that other controllers have forwarded.
 pub(crate) const PEER_REQUEST_BIT: u64 = 1 << 63;
 
 impl RequestId {
-    /// Whether another controller has forwarded the request.
+    /// Whether the request was forwarded by another controller.
     pub(crate) fn is_from_peer(self) -> bool {
         self.0 & PEER_REQUEST_BIT != 0
     }
@@ -29,24 +29,24 @@
 pub enum Input {
     /// A request from a user, a worker or a probe.
     Request {
-        /// Named in [`Effect::Respond`].
+        /// Id to pass back in [`Effect::Respond`].
         request: RequestId,
-        /// `GET`, `POST`, …
+        /// HTTP method, such as `GET` or `POST`.
         method: String,
-        /// Path and query.
+        /// Path with query.
         path: String,
-        /// The body; none if it exceeded the limit.
+        /// Body; `None` if it exceeded the limit.
         body: Option<Vec<u8>>,
     },
     /// An encoded message from another controller.
     Peer(Vec<u8>),
-    /// The end of a call.
+    /// The response to a call, or its failure.
     Response {
-        /// Which call.
+        /// Id of the call, from [`Effect::Call`].
         call: CallId,
-        /// HTTP status; 0 without an answer.
+        /// HTTP status; 0 if no response was received.
         status: u16,
-        /// The unparsed body.
+        /// Unparsed response body.
         body: Vec<u8>,
     },
 }
@@ -56,25 +56,25 @@
 pub enum Target {
     /// The key-value store.
     Store,
-    /// The cloud.
+    /// The API of the cloud.
     Cloud,
-    /// A worker, by its address.
+    /// A worker, by its network address.
     Worker(String),
 }
 
-/// An answer to a request.
+/// The response to a request.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// JSON.
+    /// JSON body.
     pub body: Vec<u8>,
-    /// The `Retry-After` header, in seconds.
+    /// Value of the `Retry-After` header in seconds; `None` omits the header.
     pub retry_after_s: Option<u32>,
 }
 
 impl Reply {
-    /// An answer with a JSON body.
+    /// A response with a JSON body.
     pub(crate) fn json(status: u16, body: &impl Serialize) -> Self {
         Self {
             status,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// An answer with an error message.
+    /// A response with an error message.
     pub(crate) fn error(status: u16, error: &str) -> Self {
         let error = error.to_owned();
         Self::json(status, &forkshift_wire::users::ErrorBody { error })
     }
 
-    /// A 503 with an error message, to be retried after a second.
+    /// A 503 response with an error message and a `Retry-After` header.
     pub(crate) fn unavailable(error: &str) -> Self {
         Self {
             retry_after_s: Some(RETRY_AFTER_S),
@@ -98,36 +98,36 @@
     }
 }
 
-/// An effect that the controller wants carried out.
+/// An effect that the caller must carry out for the controller.
 #[derive(Debug)]
 pub enum Effect {
-    /// Answer a request.
+    /// Respond to a request.
     Respond {
-        /// Which request.
+        /// Id of the request, from [`Input::Request`].
         request: RequestId,
-        /// The answer.
+        /// The response.
         reply: Reply,
     },
-    /// Send a message to another controller. It may be lost.
+    /// Send a message to another controller. Delivery is not guaranteed.
     SendToPeer {
-        /// The receiver.
+        /// Name of the receiver.
         node: NodeName,
-        /// The encoded message.
+        /// Encoded message.
         message: Vec<u8>,
     },
-    /// Make a call, without retries.
+    /// Make an HTTP call, without retries.
     Call {
-        /// Named in [`Input::Response`].
+        /// Id to pass back in [`Input::Response`].
         id: CallId,
-        /// The service to be called.
+        /// Service to call.
         target: Target,
-        /// `GET`, `POST` or `DELETE`.
+        /// HTTP method: `GET`, `POST` or `DELETE`.
         method: &'static str,
-        /// Path and query.
+        /// Path with query.
         path: String,
-        /// JSON.
+        /// JSON body; `None` if the call has none.
         body: Option<Vec<u8>>,
-        /// Time for the answer, in milliseconds.
+        /// Time after which the call fails without a response, in milliseconds.
         timeout: Ms,
     },
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,23 +1,24 @@
 //! The logic of a forkshift controller, without I/O.
 //!
-//! [`Node`] is a deterministic state machine. It handles batches of [`Input`]s and returns
-//! [`Effect`]s; time is passed in, and its random numbers come from a seed. The daemon runs
-//! it against the real services, the testkit against simulated ones in virtual time.
+//! [`Node`] is a deterministic state machine. It processes batches of [`Input`]s and returns
+//! [`Effect`]s. The caller passes in the time, and all random numbers come from a seed. The
+//! daemon runs the state machine against the real services, the testkit against simulated
+//! services in virtual time.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `node` | the step: dispatch of inputs and responses, shard ownership, keeping the view |
-//! | `membership` | lease, election, failure detection, what peers confirm |
-//! | `store` | queue, rates, budget and local view of the key-value store |
-//! | `shard` | jobs and machines of a shard |
-//! | `leader` | assignment of shards, scale-out and scale-in, rebalancing, finalization |
-//! | `api` | requests of users, heartbeats of workers |
-//! | `protocol` | messages between controllers, forwarding, relays |
+//! | `node` | the step: dispatch of inputs and responses, shard ownership, syncing of the view |
+//! | `membership` | leases, leader election, failure detection, confirmations by peers |
+//! | `store` | queue, rate limits and budget of store calls, local view of the records |
+//! | `shard` | scheduling and state of a shard's jobs and machines |
+//! | `leader` | shard assignment, scale-out and scale-in, rebalancing, format finalization |
+//! | `api` | HTTP requests of users, heartbeats of workers |
+//! | `protocol` | messages between controllers, request forwarding, heartbeat relays |
 //! | `pools` | warm pools of a shard's teams |
-//! | [`records`] | keys and records at the key-value store |
+//! | [`records`] | keys and records in the key-value store |
 //! | [`config`] | settings in the form that the core uses |
 //!
-//! `docs/architecture.md` shows who owns which state and the path of a request.
+//! `docs/architecture.md` describes which module owns which state, and the path of a request.
 
 mod api;
 mod bounds;
@@ -51,10 +52,10 @@
 pub use shard::epoch_of_token;
 pub use sizing::{shortfalls, Shortfall};
 
-/// A time of the steady clock, or a duration, in milliseconds.
+/// A time of the monotonic clock, or a duration, in milliseconds.
 pub type Ms = u64;
 
-/// Seconds in milliseconds; 0 for negative ones.
+/// Converts seconds to milliseconds. Negative values become 0.
 pub(crate) fn seconds_to_ms(seconds: f64) -> Ms {
     (seconds * 1000.0).max(0.0) as Ms
 }
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -1,11 +1,12 @@
-//! Interned names: numbers that stand for names within this process.
+//! Interned names: compact numbers in place of names, valid within this process.
 //!
-//! Machine types and zones have numbers of 16 bits, images of 32, each counted apart:
-//! users may name any number of images, and must not use up the numbers of zones.
+//! Machine types and zones share a space of 16-bit numbers. Images have a separate space of
+//! 32-bit numbers, because users may name any number of images and must not exhaust the
+//! numbers of machine types and zones.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Numbers of machine types and zones.
+/// Interned names of machine types and zones.
 #[derive(Default)]
 pub(crate) struct TypeAndZoneNames {
     numbers: HashMap<String, u16>,
@@ -13,16 +14,16 @@
 }
 
 impl TypeAndZoneNames {
-    /// The number of all names beyond the last number. No machine has it.
+    /// Number that all names share for which no number is left. It resolves to no name.
     pub(crate) const OVERFLOW_NUMBER: u16 = u16::MAX;
 
-    /// The number of a machine type or a zone.
+    /// The number of a machine type or a zone. Assigns a number to a new name.
     pub(crate) fn intern(&mut self, name: &str) -> u16 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
-        let Some(number) = self.next_number() else {
-            log::error!("names: too many machine types and zones, {name} ignored");
+        let Some(number) = self.unused_number() else {
+            log::error!("names: no number left for machine type or zone {name}, ignoring it");
             return Self::OVERFLOW_NUMBER;
         };
         self.numbers.insert(name.to_owned(), number);
@@ -30,62 +31,62 @@
         number
     }
 
-    /// The name that a number stands for.
+    /// The name with a number; `None` for [`Self::OVERFLOW_NUMBER`].
     pub(crate) fn name(&self, number: u16) -> Option<&str> {
         self.names.get(usize::from(number)).map(String::as_str)
     }
 
-    /// The next free number, if there is one.
-    fn next_number(&self) -> Option<u16> {
+    /// The next unused number, or `None` if all are used.
+    fn unused_number(&self) -> Option<u16> {
         let number = u16::try_from(self.names.len()).ok();
         number.filter(|number| *number != Self::OVERFLOW_NUMBER)
     }
 }
 
-/// Numbers of images. None is used twice, even if its name was forgotten.
+/// Interned names of images. A number is never reused, even after its name was evicted.
 pub(crate) struct ImageNames {
     numbers: HashMap<String, u32>,
     names: HashMap<u32, String>,
-    next: u32,
-    /// Number of names beyond which those out of use are forgotten.
+    next_number: u32,
+    /// Number of names above which unused ones are evicted.
     max_names: usize,
 }
 
 impl ImageNames {
-    /// `max_names` is the number of names beyond which those out of use are forgotten.
+    /// `max_names` is the number of names above which unused ones are evicted.
     pub(crate) fn new(max_names: usize) -> Self {
         Self {
             numbers: HashMap::new(),
             names: HashMap::new(),
-            next: 0,
+            next_number: 0,
             max_names,
         }
     }
 
-    /// The number of an image.
+    /// The number of an image. Assigns a number to a new name.
     pub(crate) fn intern(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.numbers.insert(name.to_owned(), number);
         self.names.insert(number, name.to_owned());
         number
     }
 
-    /// The name that a number stands for.
+    /// The name with a number; `None` if the name was evicted.
     pub(crate) fn name(&self, number: u32) -> Option<&str> {
         self.names.get(&number).map(String::as_str)
     }
 
-    /// Whether there are so many names that those out of use should be forgotten.
+    /// Whether there are so many names that unused ones should be evicted.
     pub(crate) fn is_over_limit(&self) -> bool {
         self.names.len() > self.max_names
     }
 
-    /// Forgets all images that are not in use. The limit grows to twice the number of those
-    /// that are, so that this is not done too often.
+    /// Evicts all images that are not in `used`. The limit grows to at least twice the number
+    /// of the remaining names, so that evictions stay rare when many images are in use.
     pub(crate) fn retain_used(&mut self, used: &BTreeSet<u32>) {
         self.names.retain(|number, _| used.contains(number));
         self.numbers.retain(|_, number| used.contains(number));
--- a/crates/core/src/overflow.rs
+++ b/crates/core/src/overflow.rs
@@ -1,20 +1,21 @@
-//! Rate-limited log of exceeded bounds, with counts.
+//! Rate-limited log of exceeded bounds.
 
 use crate::Ms;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Least time between two log lines about the same bound, in milliseconds.
+/// Minimum time between two log lines about the same bound, in milliseconds.
 const LOG_INTERVAL_MS: Ms = 10_000;
 
-/// A bound that was exceeded.
+/// The kinds of exceeded bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Overflow {
-    /// A request forwarded by another controller was refused.
+    /// A request that another controller forwarded was refused.
     ForwardedRequests,
-    /// A shard has too many machines with cancelled tasks to name them in a heartbeat.
+    /// A shard has more machines with cancelled tasks than a heartbeat between controllers can
+    /// list.
     UnsettledMachines,
-    /// Part of a shard's unmet demand was omitted from the message to the leader.
+    /// A shard's unmet demand was truncated to fit in a message to the leader.
     Demand,
 }
 
@@ -30,24 +31,24 @@
     }
 }
 
-/// How often a bound was exceeded.
+/// Occurrences of an exceeded bound.
 #[derive(Debug, Default)]
 struct Count {
-    /// Since the last log line.
+    /// Occurrences since the last log line.
     since_logged: u64,
-    /// When it may be logged next.
+    /// Earliest time of the next log line.
     next_log_at: Ms,
 }
 
-/// Counts and logs exceeded bounds.
+/// Counts exceeded bounds, and logs each kind at most once per [`LOG_INTERVAL_MS`].
 #[derive(Debug, Default)]
 pub(crate) struct OverflowLog {
     counts: BTreeMap<Overflow, Count>,
 }
 
 impl OverflowLog {
-    /// A bound was exceeded. Returns how often it was since the last log line, if
-    /// one is written now.
+    /// Counts an exceeded bound. If this writes a log line, returns the number of occurrences
+    /// since the previous one.
     pub(crate) fn record(&mut self, now: Ms, bound: Overflow) -> Option<u64> {
         let count = self.counts.entry(bound).or_default();
         count.since_logged += 1;
--- a/crates/core/src/recent_jobs.rs
+++ b/crates/core/src/recent_jobs.rs
@@ -1,22 +1,22 @@
-//! Bounded memory of jobs, including those that this controller does not hold.
+//! Bounded caches of facts about jobs, including jobs that this controller does not hold.
 
 use forkshift_wire::users::JobStage;
 use forkshift_wire::JobId;
 use std::collections::{HashMap, VecDeque};
 
-/// A value for each of the most recent jobs.
+/// A bounded cache with one value per job. The oldest entry is evicted first.
 ///
-/// Invariant: `oldest_first` holds just the keys of `values`.
+/// Invariant: `oldest_first` holds exactly the keys of `values`.
 pub(crate) struct RecentJobs<T> {
-    /// Most jobs that are remembered.
+    /// Maximum number of jobs.
     capacity: usize,
     values: HashMap<JobId, T>,
-    /// Jobs in the order in which they were inserted.
+    /// Jobs in the order of their first insertion.
     oldest_first: VecDeque<JobId>,
 }
 
 impl<T: Copy> RecentJobs<T> {
-    /// Remembers up to `capacity` jobs.
+    /// An empty cache of up to `capacity` jobs.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Sets the value of a job, and drops the oldest jobs beyond the capacity. Returns
-    /// whether the job had no value.
+    /// Sets the value of a job, and evicts the oldest jobs beyond the capacity. Returns whether
+    /// the job was not in the cache.
     pub(crate) fn insert(&mut self, id: JobId, value: T) -> bool {
         let is_new = self.values.insert(id.clone(), value).is_none();
         if is_new {
@@ -40,30 +40,31 @@
         is_new
     }
 
-    /// The value of a job, if it is remembered.
+    /// The value of a job, if it is in the cache.
     pub(crate) fn get(&self, id: &JobId) -> Option<T> {
         self.values.get(id).copied()
     }
 }
 
-/// A final stage that has just become known.
+/// A final stage of a job that is new to the cache and not yet processed.
 #[derive(Clone, Debug)]
 pub(crate) struct FinalStage {
     pub(crate) id: JobId,
     pub(crate) stage: JobStage,
-    /// Whether this controller has recorded it, and notifies the others.
+    /// Whether this controller has written the stage to the key-value store, and therefore
+    /// notifies the other controllers.
     pub(crate) is_recorded_here: bool,
 }
 
-/// Final stages of recent jobs.
+/// Bounded cache of the final stages of jobs.
 pub(crate) struct FinalStages {
     stages: RecentJobs<JobStage>,
-    /// Those that became known since they were last taken.
+    /// Stages that were added since the last call of [`Self::take_unannounced`].
     unannounced: Vec<FinalStage>,
 }
 
 impl FinalStages {
-    /// Remembers the final stages of up to `capacity` jobs.
+    /// An empty cache of the final stages of up to `capacity` jobs.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             stages: RecentJobs::new(capacity),
@@ -71,12 +72,13 @@
         }
     }
 
-    /// A final stage was read, or was received from another controller.
+    /// Adds a final stage that was read from the key-value store, or received from another
+    /// controller.
     pub(crate) fn insert(&mut self, id: JobId, stage: JobStage) {
         self.insert_stage(id, stage, false);
     }
 
-    /// A final stage was recorded by this controller.
+    /// Adds a final stage that this controller has written to the key-value store.
     pub(crate) fn insert_written(&mut self, id: JobId, stage: JobStage) {
         self.insert_stage(id, stage, true);
     }
@@ -91,12 +93,13 @@
         }
     }
 
-    /// The final stage of a job, if it is known.
+    /// The final stage of a job, if it is in the cache.
     pub(crate) fn get(&self, id: &JobId) -> Option<JobStage> {
         self.stages.get(id)
     }
 
-    /// Takes the final stages that have become known since the last call.
+    /// Removes and returns the final stages that were added since the last call, for the jobs
+    /// that depend on them and for the other controllers.
     pub(crate) fn take_unannounced(&mut self) -> Vec<FinalStage> {
         std::mem::take(&mut self.unannounced)
     }
--- a/crates/core/src/sizing.rs
+++ b/crates/core/src/sizing.rs
@@ -1,34 +1,34 @@
-//! Whether a controller's limits suffice for the expected size of the fleet.
+//! Checks whether a controller's resource limits suffice for the expected size of the fleet.
 //!
-//! In the worst case one controller holds every shard and serves every worker, as all
-//! others have failed. Its needs then follow from the slopes that were measured, see
-//! `docs/CAPACITY.md`.
+//! The check assumes the worst case: all other controllers have failed, so that one controller
+//! holds every shard and serves every worker. `docs/CAPACITY.md` shows how resource usage grows
+//! with the fleet.
 
 use forkshift_wire::settings::Settings;
 use std::fmt;
 
-/// Memory of a controller without machines, in MB.
+/// Memory usage of a controller without machines, in MB.
 const BASE_MEMORY_MB: f64 = 6.7;
-/// Memory for one machine, its record and its tasks, in MB: 2.5 KB, and sixteen tasks of
-/// 0.8 KB, as at the measured peak.
+/// Memory usage per machine, in MB: 2.5 KB for the machine and its record, and 0.8 KB for each
+/// of 16 tasks, the peak number of tasks on a machine.
 const MEMORY_MB_PER_MACHINE: f64 = 0.0153;
-/// The part of the memory that remains beside bounded queues, names and answers.
+/// Fraction of the memory that is left for this state by bounded queues, names and responses.
 const STATE_MEMORY_FRACTION: f64 = 0.75;
-/// Time for which a heartbeat takes a connection, including its opening, in seconds.
+/// Time for which a heartbeat occupies a connection, including connection setup, in seconds.
 const HEARTBEAT_CONNECTION_S: f64 = 1.0;
 
-/// A limit that is too small for the fleet.
+/// A limit in the settings that is too small for the expected fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortfall {
-    /// Path of the field in the settings.
+    /// Path of the limit in the settings.
     pub field: &'static str,
-    /// Its value.
+    /// Configured value of the limit.
     pub has: f64,
-    /// The least value that suffices.
+    /// Smallest value that suffices.
     pub needs: f64,
-    /// Machines in the fleet.
+    /// Number of machines in the expected fleet.
     pub machines: u32,
-    /// The effect of the limit as it is.
+    /// Effect of the configured limit on the operation of the controller.
     pub effect: &'static str,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Limits of a controller that are too small for a fleet of `machines` machines.
+/// The limits of a controller that are too small for a fleet of `machines` machines.
 pub fn shortfalls(settings: &Settings, machines: u32) -> Vec<Shortfall> {
     let cluster = &settings.cluster;
     let fleet = f64::from(machines);
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,15 +1,15 @@
-//! Timer queues: which machines and jobs are due to be checked.
+//! Timer queues: the machines and jobs that are due for processing.
 //!
-//! A controller runs a step for every message. A step must process what has
-//! changed and what is due, not the whole fleet: with 1,240 machines, passes
-//! over all of them and over all jobs took most of the CPU time.
+//! A controller runs a step for every message. A step must process only the items that have
+//! changed or whose deadline has passed: in a fleet of 1,240 machines, iterating over all
+//! machines and jobs in each step used most of the CPU time.
 
 use crate::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys that are due: those that were marked due, and others at their deadlines.
+/// A set of keys that become due when they are marked or when their deadline passes.
 ///
-/// Invariant: `by_deadline` and `deadlines` hold the same pairs.
+/// Invariant: `by_deadline` and `deadlines` hold the same pairs of key and deadline.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<K> {
     due_now: BTreeSet<K>,
@@ -28,14 +28,14 @@
 }
 
 impl<K: Ord + Clone> TimerQueue<K> {
-    /// Makes a key due at once.
+    /// Makes a key due immediately.
     pub(crate) fn mark_due(&mut self, key: &K) {
         if !self.due_now.contains(key) {
             self.due_now.insert(key.clone());
         }
     }
 
-    /// Sets the deadline of a key, in place of any that was set before.
+    /// Sets the deadline of a key. Replaces an earlier deadline of the key.
     pub(crate) fn set_deadline(&mut self, key: &K, at: Ms) {
         match self.deadlines.insert(key.clone(), at) {
             Some(old) if old == at => return,
@@ -45,7 +45,7 @@
         self.by_deadline.insert((at, key.clone()));
     }
 
-    /// Drops a key and its deadline.
+    /// Removes a key and its deadline.
     pub(crate) fn remove(&mut self, key: &K) {
         self.due_now.remove(key);
         if let Some(old) = self.deadlines.remove(key) {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Takes all keys that are due. Their deadlines are dropped with them:
-    /// a key that has to be checked again must be given a new one.
+    /// Removes and returns all keys that are due, in order, together with their deadlines: a
+    /// key that must be processed again needs a new deadline.
     pub(crate) fn pop_due(&mut self, now: Ms) -> Vec<K> {
         while let Some((at, _)) = self.by_deadline.first() {
             if *at > now {
