--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -1,6 +1,6 @@
-//! The HTTP API: requests of users, workers and probes, routed by method and path.
+//! The HTTP API: requests of users, workers and readiness probes, routed by method and path.
 //!
-//! A handler returns `None` if the request is answered later, by [`Context::respond`].
+//! A handler returns the response, or `None` if it responds later by [`Context::respond`].
 //!
 //! [`Context::respond`]: crate::context::Context::respond
 
@@ -19,11 +19,11 @@
 use forkshift_wire::users::{JobStage, JobStatus};
 use forkshift_wire::JobId;
 
-/// Time within which a submission or a cancellation is answered, in milliseconds:
-/// users give up after 5 s.
+/// Time within which a submission or a cancellation is answered, in milliseconds. Clients of
+/// users time out after 5 s.
 pub(crate) const USER_ANSWER_TIMEOUT_MS: Ms = 4_000;
 
-/// The status of a job without counts of its tasks.
+/// The status of a job by its stage alone, without counts of its tasks.
 pub(crate) fn status_of_stage(id: &JobId, stage: JobStage) -> JobStatus {
     JobStatus {
         id: id.clone(),
@@ -34,7 +34,7 @@
 }
 
 impl Node {
-    /// Handles a request, or forwards it to another controller.
+    /// Forwards a request to another controller if necessary, or processes it here.
     pub(crate) fn on_request(
         &mut self,
         request: RequestId,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Handles a request without forwarding it.
+    /// Processes a request on this controller, without forwarding it.
     pub(crate) fn handle_locally(
         &mut self,
         request: RequestId,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The answer of the readiness probe.
+    /// The response to a readiness probe.
     fn readiness(&self) -> Reply {
         if self.is_ready() {
             Reply::json(200, &serde_json::json!({}))
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -1,5 +1,7 @@
-//! Admission of jobs with dependencies: whether the dependencies were accepted is
-//! decided by reading their permanent records, and the acceptance of the job is
+//! Admission of jobs with dependencies.
+//!
+//! A job is accepted only if all of its dependencies were accepted before. The permanent
+//! records of the dependencies are read first; the transaction that accepts the job is
 //! conditional on the versions that were read.
 
 use crate::api::parse_versioned_job_record;
@@ -12,7 +14,7 @@
 use forkshift_wire::JobId;
 use std::collections::BTreeSet;
 
-/// A submission whose dependencies are being read.
+/// A submitted job whose dependencies are being read.
 pub(crate) struct Admission {
     creation: JobCreation,
     /// Dependencies whose records have not been read yet.
@@ -20,19 +22,20 @@
 }
 
 impl Node {
-    /// The refusal of a job whose dependencies need not be read, as they are not allowed.
+    /// The response that refuses a job because of its list of dependencies; `None` if the list
+    /// is valid. Does not check whether the dependencies exist.
     pub(crate) fn dependency_refusal(&self, spec: &JobSpec) -> Option<Reply> {
         if spec.dependencies.is_empty() {
             return None;
         }
-        // Controllers of the first release would start such a job at once.
+        // Controllers of the first release ignore dependencies and would start the job at once.
         if self.ctx.format.is_first() {
             return Some(Reply::unavailable("not until all controllers are upgraded"));
         }
         if spec.dependencies.contains(&spec.id) {
             return Some(Reply::error(422, "a job can't await itself"));
         }
-        // One condition is for the job's own record.
+        // The transaction has one more precondition, on the job's own record.
         let max_dependencies = self.ctx.limits.max_preconditions() - 1;
         if spec.dependencies.len() > max_dependencies {
             let why = format!("`awaits` names more than {max_dependencies} jobs");
@@ -41,7 +44,7 @@
         None
     }
 
-    /// Reads the records of a job's dependencies before it is created.
+    /// Reads the records of a job's dependencies, then accepts the job.
     pub(crate) fn admit(&mut self, creation: JobCreation) {
         if creation.spec.dependencies.is_empty() {
             return self.create_job(creation);
@@ -71,7 +74,7 @@
         self.ctx.read_store(Urgency::User, path, pending);
     }
 
-    /// The record of a dependency of a new job was read.
+    /// Processes the response to the read of a dependency's record.
     pub(crate) fn on_admission_read(
         &mut self,
         request: RequestId,
@@ -82,11 +85,11 @@
         let Some(admission) = self.admissions.get_mut(&request) else {
             return;
         };
-        // An earlier attempt at the same submission has read it.
+        // The response to an earlier read for the same request has provided the record.
         if !admission.pending_reads.contains(id) {
             return;
         }
-        let until = admission.creation.deadline;
+        let deadline = admission.creation.deadline;
         match (status, parse_versioned_job_record(body)) {
             (200, Some((record, _))) if record.spec.kind == JobKind::Service => {
                 self.refuse_admission(request, &format!("{id} is a service"));
@@ -95,7 +98,7 @@
                 self.on_dependency_found(request, id, record.stage, version);
             }
             (404, _) => self.refuse_admission(request, &format!("{id} was never accepted")),
-            (0, _) if self.ctx.now < until => self.read_for_admission(request, id.clone()),
+            (0, _) if self.ctx.now < deadline => self.read_for_admission(request, id.clone()),
             _ => {
                 self.admissions.remove(&request);
                 self.ctx.respond(request, Reply::unavailable("not now"));
@@ -103,7 +106,7 @@
         }
     }
 
-    /// A dependency was accepted. The job is created once this is known of all.
+    /// Records that a dependency exists. Accepts the job once this is known of all.
     fn on_dependency_found(
         &mut self,
         request: RequestId,
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Refuses a job, unless its own record shows that it was accepted before.
+    /// Refuses a job, unless its own record shows that an earlier submission was accepted.
     fn refuse_admission(&mut self, request: RequestId, why: &str) {
         let Some(admission) = self.admissions.remove(&request) else {
             return;
--- a/crates/core/src/api/cancellations.rs
+++ b/crates/core/src/api/cancellations.rs
@@ -1,5 +1,6 @@
-//! Cancellations of jobs that are held here, and requests to other holders to cancel
-//! theirs.
+//! Cancellations: of jobs in shards held here, and of jobs that other controllers hold.
+//!
+//! A cancellation is confirmed to the user only after it is durable in the key-value store.
 
 use crate::api::status_queries::parse_job_record;
 use crate::api::{status_of_stage, USER_ANSWER_TIMEOUT_MS};
@@ -14,12 +15,12 @@
 use forkshift_wire::users::JobStage;
 use forkshift_wire::JobId;
 
-/// Pause between two reads that show whether a cancellation was carried out, in
+/// Interval between two reads of a job's record while its holder cancels the job, in
 /// milliseconds.
 const CANCELLATION_POLL_INTERVAL_MS: Ms = 250;
 
 impl Node {
-    /// A user requests the cancellation of a job.
+    /// Processes a user's request to cancel a job.
     pub(crate) fn cancel_job(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
@@ -34,25 +35,25 @@
         };
         shard.cancel(ctx, &id);
         let job = shard.jobs.get_mut(&id)?;
-        // An earlier holder may have confirmed it already; the remaining tasks of
-        // the job may take long to end.
+        // An earlier holder may have confirmed the cancellation. The user need not wait for the
+        // remaining tasks, which may take long to stop.
         if job.is_cancellation_durable {
             return Some(Reply::json(200, &status_of_stage(&id, JobStage::Cancelled)));
         }
-        // Stopping is always allowed, but only a valid lease allows to confirm it.
+        // Tasks may be stopped without a valid lease, but the cancellation may not be confirmed.
         if !has_valid_lease {
             return Some(Reply::unavailable("not now"));
         }
         job.cancel_waiters.push(request);
-        let until = ctx.now + USER_ANSWER_TIMEOUT_MS;
-        self.cancel_deadlines.push_back((until, request, id));
+        let deadline = ctx.now + USER_ANSWER_TIMEOUT_MS;
+        self.cancel_deadlines.push_back((deadline, request, id));
         None
     }
 
-    /// Requests a cancellation from the holder of a job, by a message and by a key that
-    /// the holder watches.
+    /// Requests a cancellation from the holder of a job: by a message, which may be lost, and
+    /// by a key that the holder watches. The job's record is then polled for the result.
     pub(crate) fn forward_cancellation(&mut self, request: RequestId, id: JobId, shard: ShardId) {
-        let until = self.ctx.now + USER_ANSWER_TIMEOUT_MS * 3 / 4;
+        let deadline = self.ctx.now + USER_ANSWER_TIMEOUT_MS * 3 / 4;
         self.send_cancel(&id, shard);
         let known = self.view.cancellations.get(&id).copied();
         let key = cancellation_key(&id);
@@ -60,7 +61,7 @@
             request,
             id,
             version: known.unwrap_or(0),
-            deadline: until,
+            deadline,
         };
         if known.is_some() {
             return self.poll_cancellation(poll);
@@ -76,7 +77,7 @@
         );
     }
 
-    /// The write of a key that requests a cancellation was answered.
+    /// Processes the response to the write of the key that requests a cancellation.
     pub(crate) fn on_cancellation_written(
         &mut self,
         mut poll: CancellationPoll,
@@ -98,13 +99,13 @@
             .read_store(Urgency::User, path, PendingCall::CancellationPoll(poll));
     }
 
-    /// A read that shows whether a cancellation was carried out was answered.
+    /// Processes the response to a read of a job's record while its holder cancels the job.
     pub(crate) fn on_cancellation_poll(&mut self, poll: CancellationPoll, code: u16, body: &[u8]) {
         let CancellationPoll {
             request,
             id,
             version,
-            deadline: until,
+            deadline,
         } = &poll;
         let record = if code == 200 {
             parse_job_record(body)
@@ -116,12 +117,13 @@
                 self.final_stages.insert(id.clone(), record.stage);
                 let reply = Reply::json(200, &status_of_stage(id, record.stage));
                 self.ctx.respond(*request, reply);
-                // The holder may have had the message, and have carried it out before any
-                // view showed the key: then the key is removed here.
+                // The holder may have cancelled the job upon the message, before the key
+                // appeared in any view. The key is obsolete and is removed here; otherwise the
+                // leader would remove it only after the cancellation timeout.
                 crate::shard::remove_key(&mut self.ctx, cancellation_key(id), *version);
             }
             _ if code == 503 => self.ctx.respond(*request, Reply::unavailable("not now")),
-            _ if self.ctx.now < *until => self
+            _ if self.ctx.now < *deadline => self
                 .delayed_cancellation_polls
                 .push((self.ctx.now + CANCELLATION_POLL_INTERVAL_MS, poll)),
             _ => self
@@ -130,13 +132,13 @@
         }
     }
 
-    /// Answers users whose cancellation could not be written in time.
+    /// Responds with 503 to users whose cancellation has not become durable in time.
     pub(crate) fn expire_cancel_waits(&mut self) {
         let now = self.ctx.now;
         while self
             .cancel_deadlines
             .front()
-            .is_some_and(|(until, ..)| now >= *until)
+            .is_some_and(|(deadline, ..)| now >= *deadline)
         {
             let Some((_, request, id)) = self.cancel_deadlines.pop_front() else {
                 return;
@@ -147,16 +149,16 @@
             else {
                 continue;
             };
-            let waiting = job.cancel_waiters.len();
+            let waiter_count = job.cancel_waiters.len();
             job.cancel_waiters.retain(|waiter| *waiter != request);
-            if job.cancel_waiters.len() < waiting {
+            if job.cancel_waiters.len() < waiter_count {
                 self.ctx
                     .respond(request, Reply::unavailable("being cancelled"));
             }
         }
     }
 
-    /// Repeats the reads for cancellations that other holders are to carry out.
+    /// Repeats the reads of job records that are due, for cancellations by other holders.
     pub(crate) fn repeat_cancellation_polls(&mut self) {
         let now = self.ctx.now;
         let polls = std::mem::take(&mut self.delayed_cancellation_polls);
--- a/crates/core/src/api/heartbeats.rs
+++ b/crates/core/src/api/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of workers.
+//! Heartbeats of workers: processed for machines in shards held here, otherwise relayed or
+//! redirected to the holder.
 
 use crate::context::Context;
 use crate::io::{Reply, RequestId};
@@ -11,8 +12,8 @@
 use forkshift_wire::MachineId;
 
 impl Node {
-    /// A worker has sent a heartbeat, to this controller or to one that relays it.
-    /// Returns `None` if it is relayed to the holder.
+    /// Processes a worker's heartbeat, which the worker has sent to this controller or another
+    /// controller has relayed. Returns `None` if the heartbeat is relayed to the holder.
     pub(crate) fn on_heartbeat_request(
         &mut self,
         request: RequestId,
@@ -64,7 +65,8 @@
         redirect_to_next()
     }
 
-    /// Answers a worker whose shard is held by another controller.
+    /// Responds to a worker whose shard another controller holds: renews its lease if that is
+    /// allowed, otherwise redirects the worker.
     fn answer_for_other_holder(&mut self, heartbeat: &WorkerHeartbeat, shard_id: ShardId) -> Reply {
         if self.may_keep_worker_alive(shard_id, &heartbeat.machine) {
             return accept(heartbeat.token, Vec::new());
@@ -78,7 +80,7 @@
         )
     }
 
-    /// Answers a worker of a shard that is active here.
+    /// Responds to a worker whose shard is held here and active.
     fn answer_as_holder(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -93,15 +95,15 @@
         let id = &heartbeat.machine;
         let machine = shard.machines.get(id);
         if machine.is_none_or(|machine| heartbeat.token > machine.token) {
-            // A newer holder has the machine. A 200 would be dropped, and
-            // the worker would stay here while its lease expires.
+            // A newer holder has issued the token. The worker would ignore a 200 with an older
+            // token, and send its heartbeats here until its lease expires.
             let epoch = epoch_of_token(heartbeat.token);
             if epoch > newest_epoch {
                 shard.mark_superseded(&format!("{id} has a token of epoch {epoch}"));
             }
             return redirect_to_next();
         }
-        // A late copy shows nothing of the route by which heartbeats come now.
+        // A delayed duplicate says nothing about the route of current heartbeats.
         if shard.on_worker_heartbeat(ctx, heartbeat) {
             shard.record_heartbeat_route(ctx, id, route);
         }
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The controller that a worker is redirected to, by name; none: the next one in
+    /// Name of the controller that a worker is redirected to; `None` for the next controller in
     /// the worker's list.
     fn redirect_target(&mut self, shard_id: ShardId, machine: &MachineId) -> Option<String> {
         let shard = &self.view.shards.get(&shard_id)?.record;
@@ -119,9 +121,9 @@
         if holder == self.ctx.config.node || self.unreachable_holder(machine).is_some() {
             return None;
         }
-        // Without a valid lease the view may be out of date. A worker that is redirected
-        // to a holder that it can't reach comes back here again and again, as the next one
-        // in its list, until its lease expires.
+        // Without a valid lease the view may be out of date. A worker that is redirected to an
+        // unreachable holder returns to this controller, as the next one in its list, and
+        // repeats this until its lease expires.
         if !self.ctx.has_valid_lease && !self.ctx.is_peer_answering(&holder) {
             return None;
         }
@@ -134,12 +136,12 @@
     }
 }
 
-/// Renews the lease of a worker.
+/// The response that renews a worker's lease, with commands.
 fn accept(token: u64, commands: Vec<Command>) -> Reply {
     Reply::json(200, &HeartbeatReply { token, commands })
 }
 
-/// Sends a worker to the next controller in its list.
+/// The response that redirects a worker to the next controller in its list.
 fn redirect_to_next() -> Reply {
     Reply::json(421, &Redirect::default())
 }
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -1,4 +1,5 @@
-//! Status queries: answered from memory under a valid lease, or from the jobs' records.
+//! Status queries: answered from memory under a valid lease, otherwise from the job's record in
+//! the key-value store.
 
 use crate::api::status_of_stage;
 use crate::io::{Reply, RequestId};
@@ -12,12 +13,12 @@
 use forkshift_wire::JobId;
 use serde_json::from_value;
 
-/// A read of a job's record is repeated if its connection breaks within this, in
-/// milliseconds; users wait 2 s for an answer.
+/// Time within which the read of a job's record is retried after a broken connection, in
+/// milliseconds. Users wait 2 s for a response.
 const LOOKUP_RETRY_TIMEOUT_MS: Ms = 1_000;
 
 impl Node {
-    /// A user requests the status of a job.
+    /// Processes a user's query for the status of a job.
     pub(crate) fn answer_status_query(&mut self, request: RequestId, id: &str) -> Option<Reply> {
         let Some(id) = JobId::parse(id) else {
             return Some(Reply::error(404, "no such job"));
@@ -33,99 +34,102 @@
         self.look_up_job(request, id, LookupPurpose::StatusQuery)
     }
 
-    /// The status of a job that is held here, from memory; none, if its record may be
-    /// newer.
+    /// The status of a job from memory; `None` if the job is not held here, or if its record in
+    /// the key-value store may be newer.
     pub(crate) fn status_from_memory(&self, id: &JobId) -> Option<Reply> {
         let shard = active_shard_of(&self.shards, id)?;
-        // The view may show since this batch that the shard has a new holder.
+        // An input of the current batch may have updated the view to a new holder of the shard,
+        // before the shard is dropped.
         let current = self.view.shards.get(&shard.id);
         let is_current = current.is_some_and(|current| current.record.epoch == shard.epoch);
         let job = shard.jobs.get(id).filter(|_| is_current)?;
         if !job.is_status_certain() {
             return None;
         }
-        // A cancellation that is not known here may have been confirmed.
+        // A dependency may have been cancelled without this controller's knowledge, and the job
+        // with it.
         if !self.are_dependencies_known_unfinished(job) {
             return Some(Reply::unavailable("not known at the moment"));
         }
         Some(Reply::json(200, &job.status()))
     }
 
-    /// Reads a job's record, for an answer that must not be older than what
-    /// any controller has answered.
+    /// Reads a job's record to answer a request. The answer must not be older than any status
+    /// that a controller has reported for the job, so it is read from the key-value store.
+    /// Always returns `None`, as the response follows the read.
     pub(crate) fn look_up_job(
         &mut self,
         request: RequestId,
         id: JobId,
-        why: LookupPurpose,
+        purpose: LookupPurpose,
     ) -> Option<Reply> {
-        let until = self.ctx.now + LOOKUP_RETRY_TIMEOUT_MS;
-        self.read_job(request, id, why, until);
+        let deadline = self.ctx.now + LOOKUP_RETRY_TIMEOUT_MS;
+        self.read_job(request, id, purpose, deadline);
         None
     }
 
-    fn read_job(&mut self, request: RequestId, id: JobId, why: LookupPurpose, until: Ms) {
+    fn read_job(&mut self, request: RequestId, id: JobId, purpose: LookupPurpose, deadline: Ms) {
         let path = format!("/kv/{}", job_key(&id));
         let pending = PendingCall::JobLookup {
             request,
             id,
-            purpose: why,
-            deadline: until,
+            purpose,
+            deadline,
         };
         self.ctx.read_store(Urgency::User, path, pending);
     }
 
-    /// The read of a job's record was answered.
+    /// Processes the response to the read of a job's record.
     pub(crate) fn on_lookup(
         &mut self,
         request: RequestId,
         id: JobId,
-        why: LookupPurpose,
-        until: Ms,
+        purpose: LookupPurpose,
+        deadline: Ms,
         status_code: u16,
         body: &[u8],
     ) {
-        // A final stage that became known meanwhile is newer than what was read.
+        // A final stage that became known during the read is newer than the record.
         if let Some(stage) = self.final_stages.get(&id) {
             let reply = Reply::json(200, &status_of_stage(&id, stage));
             return self.ctx.respond(request, reply);
         }
         let record = match status_code {
             200 => parse_job_record(body),
-            // It was accepted after the read.
+            // The job was accepted after the read.
             404 if self.job_shards.get(&id).is_some()
                 || self.active_shard_of_mut(&id).is_some() =>
             {
-                if self.ctx.now < until {
-                    return self.read_job(request, id, why, until);
+                if self.ctx.now < deadline {
+                    return self.read_job(request, id, purpose, deadline);
                 }
                 None
             }
             404 => {
-                let reply = match why {
-                    LookupPurpose::Submission(otherwise) => otherwise,
+                let reply = match purpose {
+                    LookupPurpose::Submission(reply_if_missing) => reply_if_missing,
                     LookupPurpose::StatusQuery | LookupPurpose::Cancellation => {
                         Reply::error(404, "no such job")
                     }
                 };
                 return self.ctx.respond(request, reply);
             }
-            // A broken connection is no outage: the read may be repeated.
-            0 if self.ctx.now < until => return self.read_job(request, id, why, until),
+            // A broken connection does not imply an outage of the store, so the read is retried.
+            0 if self.ctx.now < deadline => return self.read_job(request, id, purpose, deadline),
             _ => None,
         };
         let Some(record) = record.filter(|r| !self.is_cancelled_by_dependency(r)) else {
             return self.ctx.respond(request, Reply::unavailable("not now"));
         };
-        self.on_record_found(request, id, &why, &record);
+        self.on_record_found(request, id, &purpose, &record);
     }
 
-    /// Answers a request by the record of its job.
+    /// Responds to a request by the record of its job.
     fn on_record_found(
         &mut self,
         request: RequestId,
         id: JobId,
-        why: &LookupPurpose,
+        purpose: &LookupPurpose,
         record: &JobRecord,
     ) {
         if record.stage.is_final() {
@@ -133,7 +137,7 @@
         } else {
             self.job_shards.insert(id.clone(), record.shard);
         }
-        if !record.stage.is_final() && matches!(why, LookupPurpose::Cancellation) {
+        if !record.stage.is_final() && matches!(purpose, LookupPurpose::Cancellation) {
             return self.forward_cancellation(request, id, record.shard);
         }
         self.ctx.respond(
@@ -142,8 +146,8 @@
         );
     }
 
-    /// Whether a job is known to be cancelled with one of its dependencies, while its
-    /// record does not say so yet. It must not be called queued for long.
+    /// Whether a job is known to be cancelled because of a dependency although its record does
+    /// not show the cancellation yet. Such a job must not be reported as queued.
     fn is_cancelled_by_dependency(&self, record: &JobRecord) -> bool {
         let dependencies = &record.spec.dependencies;
         if record.stage.is_final() || dependencies.is_empty() {
@@ -160,12 +164,13 @@
     }
 }
 
-/// The record of a job in an answer of the key-value store.
+/// Parses the record of a job from a response of the key-value store; `None` if it is
+/// malformed.
 pub(crate) fn parse_job_record(body: &[u8]) -> Option<JobRecord> {
     parse_versioned_job_record(body).map(|(record, _)| record)
 }
 
-/// The record of a job in an answer of the key-value store, with its version.
+/// Parses the record of a job and its version from a response of the key-value store.
 pub(crate) fn parse_versioned_job_record(body: &[u8]) -> Option<(JobRecord, u64)> {
     let item: Item = serde_json::from_slice(body).ok()?;
     let record = from_value(item.value).ok()?;
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -1,4 +1,7 @@
-//! Submissions: the validation of a job, and the transaction that accepts it.
+//! Submissions: validation of a job, and the transaction that accepts the job.
+//!
+//! Submissions are idempotent: a repeated submission is answered with the status of the job,
+//! even if the job would no longer be valid.
 
 use crate::api::{status_of_stage, USER_ANSWER_TIMEOUT_MS};
 use crate::context::revision_of;
@@ -19,7 +22,7 @@
 use serde_json::to_value;
 
 impl Node {
-    /// A user submits a job.
+    /// Processes a user's submission of a job.
     pub(crate) fn submit(&mut self, request: RequestId, body: Option<Vec<u8>>) -> Option<Reply> {
         let Some(body) = body else {
             return Some(Reply::error(413, "too large"));
@@ -27,8 +30,8 @@
         let spec = match JobSpec::parse(&body) {
             Ok(spec) => spec,
             Err(e) => {
-                // A repeated submission of a job that is known gets its status, even if
-                // it would not be accepted any more.
+                // A repeated submission of an accepted job is answered with the job's status,
+                // even if it is no longer valid.
                 let refusal = Reply::error(400, &e.to_string());
                 return match job_id_of(&body) {
                     Some(id) => self.look_up_job(request, id, LookupPurpose::Submission(refusal)),
@@ -45,8 +48,8 @@
                 return Some(reply);
             }
             if self.active_shard_of_mut(&id).is_some() {
-                let unknown = LookupPurpose::Submission(Reply::unavailable("try again"));
-                return self.look_up_job(request, id, unknown);
+                let retry_later = LookupPurpose::Submission(Reply::unavailable("try again"));
+                return self.look_up_job(request, id, retry_later);
             }
         }
         if let Some(refusal) = self.dependency_refusal(&spec) {
@@ -54,12 +57,12 @@
         }
         match self.validate(&spec) {
             Ok(shard) => {
-                let until = self.ctx.now + USER_ANSWER_TIMEOUT_MS;
+                let deadline = self.ctx.now + USER_ANSWER_TIMEOUT_MS;
                 let creation = JobCreation {
                     request,
                     spec,
                     shard,
-                    deadline: until,
+                    deadline,
                     dependencies: Vec::new(),
                     is_cancelled: false,
                 };
@@ -70,7 +73,8 @@
         }
     }
 
-    /// The shard of a job that can run; else the refusal.
+    /// Checks whether the job could ever run, and returns its shard. Otherwise returns the
+    /// response that refuses the job.
     fn validate(&self, spec: &JobSpec) -> Result<ShardId, Reply> {
         let Some(team) = self.ctx.config.teams.get(&spec.team) else {
             return Err(Reply::error(422, "unknown team"));
@@ -100,15 +104,16 @@
         Ok(team.shard)
     }
 
-    /// Writes the records by which a job is accepted.
+    /// Writes the records that make a job accepted.
     pub(crate) fn create_job(&mut self, creation: JobCreation) {
         let transaction = self.creation_transaction(&creation);
         let pending = PendingCall::JobCreation(Box::new(creation));
         self.ctx.transact(Urgency::User, &transaction, pending);
     }
 
-    /// Writes the records of a new job, on condition that it has none and that its
-    /// dependencies have not changed. A job that is cancelled at once has no head.
+    /// The transaction that accepts a job, on condition that the job has no record yet and that
+    /// the records of its dependencies are unchanged. A job that is cancelled upon acceptance
+    /// gets no head record, as it needs no scheduling.
     fn creation_transaction(&self, creation: &JobCreation) -> Transaction {
         let JobCreation { spec, shard, .. } = creation;
         let record = JobRecord {
@@ -147,22 +152,22 @@
         transaction
     }
 
-    /// The transaction that accepts a job was answered.
+    /// Processes the response to the transaction that accepts a job.
     pub(crate) fn on_job_created(&mut self, creation: JobCreation, status_code: u16, body: &[u8]) {
         let is_in_time = self.ctx.now < creation.deadline;
         match status_code {
             200 => self.on_accepted(creation, revision_of(body)),
-            // A dependency has changed since it was read.
+            // A dependency has changed since it was read: all dependencies are read again.
             409 if is_in_time && !was_accepted_before(&creation, body) => self.admit(creation),
             409 => {
-                let otherwise = LookupPurpose::Submission(Reply::unavailable("try again"));
+                let retry_later = LookupPurpose::Submission(Reply::unavailable("try again"));
                 let JobCreation { request, spec, .. } = creation;
-                if let Some(reply) = self.look_up_job(request, spec.id, otherwise) {
+                if let Some(reply) = self.look_up_job(request, spec.id, retry_later) {
                     self.ctx.respond(request, reply);
                 }
             }
-            // If an earlier copy is carried out after all, the condition fails and the
-            // job is found.
+            // The retry is safe: if the earlier transaction commits after all, the retry fails
+            // with 409 and the job's record is found.
             0 | 429 if is_in_time => self.create_job(creation),
             _ => self
                 .ctx
@@ -170,7 +175,7 @@
         }
     }
 
-    /// A job was accepted: its holder is notified, and its user is answered.
+    /// Notifies the holder of an accepted job, and responds to the user.
     fn on_accepted(&mut self, creation: JobCreation, revision: u64) {
         let stage = creation.stage();
         let JobCreation {
@@ -195,7 +200,7 @@
     }
 }
 
-/// Whether a task of a job may run on a machine type.
+/// Whether a task of a job is allowed on a machine type and fits on it.
 fn fits_type(spec: &JobSpec, task: &Resources, machine_type: &MachineType) -> bool {
     let (types, zone) = (spec.machine_types.as_ref(), spec.zone.as_ref());
     types.is_none_or(|names| names.contains(&machine_type.name))
@@ -203,15 +208,15 @@
         && task.fits_in(&capacity_of(machine_type))
 }
 
-/// Whether a transaction that was to accept a job failed because the job was
-/// accepted before.
+/// Whether a transaction to accept a job failed because the job was accepted before. Assumed if
+/// the response does not list the failed preconditions.
 fn was_accepted_before(creation: &JobCreation, body: &[u8]) -> bool {
     let reply: TransactionReply = serde_json::from_slice(body).unwrap_or_default();
     let key = job_key(&creation.spec.id);
     reply.failed.is_empty() || reply.failed.contains(&key)
 }
 
-/// The id in a submission that is otherwise malformed.
+/// The job id in a malformed submission, if it has a valid one.
 fn job_id_of(body: &[u8]) -> Option<JobId> {
     let value: serde_json::Value = serde_json::from_slice(body).ok()?;
     JobId::parse(value.get("uid")?.as_str()?)
--- a/crates/core/src/pending_call.rs
+++ b/crates/core/src/pending_call.rs
@@ -1,6 +1,6 @@
-//! Calls in flight, and what is to be done when each of them ends.
+//! Calls in flight, with the context that is needed to process their responses.
 //!
-//! Pure data: the answers are handled in `node::responses`.
+//! This module is data only: `node::responses` dispatches the responses.
 
 use crate::io::{Reply, RequestId};
 use crate::records::ShardId;
@@ -19,73 +19,74 @@
     Worker,
 }
 
-/// A call in flight, with what is needed to handle its answer.
+/// A call in flight, by its purpose.
 ///
-/// Calls for a shard name the epoch under which the shard was held; their answers are
-/// dropped if it is not held under that epoch any more.
+/// Calls for a shard carry the epoch under which the shard was held when the call was made.
+/// The response is dropped if the shard is no longer held under that epoch.
 #[derive(Debug)]
 pub(crate) enum PendingCall {
-    /// Requests a lease.
+    /// Requests this controller's lease from the key-value store.
     LeaseGrant { sent: Ms },
-    /// Renews the lease.
+    /// Renews this controller's lease.
     LeaseRenewal { sent: Ms },
-    /// Writes this controller's record on a lease.
+    /// Writes this controller's record, bound to a lease.
     NodeRecordWrite { lease: u64 },
     /// Writes or removes the leader's record.
     LeaderRecordWrite,
-    /// Requests a worker's status for the holder of its machine.
+    /// Requests a worker's status on behalf of `holder`, which holds the worker's machine.
     ProbeWorker { holder: NodeName },
-    /// Reads a page of the records that the view consists of.
+    /// Reads a page of the cluster records, which make up the view.
     ViewList,
-    /// Watches those records.
+    /// Watches the cluster records: the response comes with the next change.
     ViewWatch {
-        /// Number of the watch; the answers to earlier ones do not count.
+        /// Serial number of the watch. Responses to earlier watches are ignored.
         serial: u64,
     },
-    /// Reads the changes of those records at once.
+    /// Reads the latest changes of the cluster records without waiting for one.
     ViewPoll,
-    /// Assigns shards to controllers under new epochs.
+    /// Assigns shards to new holders under new epochs, for the leader.
     ShardHandover(Vec<ShardId>),
-    /// Reads a page of a shard's jobs.
+    /// Reads a page of the records of a shard's unfinished jobs.
     ShardList { shard: ShardId, epoch: u64 },
-    /// Watches a shard's jobs.
+    /// Watches the records of a shard's unfinished jobs.
     ShardWatch {
         shard: ShardId,
         epoch: u64,
-        /// Number of the watch; the answers to earlier ones do not count.
+        /// Serial number of the watch. Responses to earlier watches are ignored.
         serial: u64,
     },
-    /// Writes the records of a submission.
+    /// Writes the records of a submitted job, which accepts the job.
     JobCreation(Box<JobCreation>),
-    /// Reads the record of a job that is not held here.
+    /// Reads the record of a job whose status is not known in memory.
     JobLookup {
         request: RequestId,
         id: JobId,
         purpose: LookupPurpose,
         deadline: Ms,
     },
-    /// Reads a dependency of a submission.
+    /// Reads the record of a dependency of a submitted job.
     AdmissionRead { request: RequestId, id: JobId },
-    /// Reads a dependency of an accepted job.
+    /// Reads the record of a dependency of an accepted job.
     DependencyRead { id: JobId, sent: Ms },
-    /// Writes a cancellation for the holder of the job.
+    /// Writes the key that requests a cancellation from the holder of the job.
     CancellationWrite(CancellationPoll),
-    /// Reads whether the holder has carried a cancellation out.
+    /// Reads a job's record to find out whether the holder has cancelled the job.
     CancellationPoll(CancellationPoll),
-    /// Writes the records of jobs.
+    /// Writes changes of a shard's jobs.
     JobTransaction {
         shard: ShardId,
         epoch: u64,
         jobs: Vec<JobWrite>,
     },
-    /// Reads a block of a job's tasks after a conflict.
+    /// Reads a block of a job's tasks after a failed precondition.
     JobBlockRead {
         shard: ShardId,
         epoch: u64,
         id: JobId,
         block: u32,
     },
-    /// Reads a job's final record after a conflict.
+    /// Reads a job's permanent record after a failed precondition, when the job's head record
+    /// no longer exists.
     JobFinalRead {
         shard: ShardId,
         epoch: u64,
@@ -93,27 +94,27 @@
     },
     /// Writes a machine's record.
     MachineRecordWrite(MachineId),
-    /// Reads the requests for pools.
+    /// Reads the recorded pool requests.
     PoolRecordsRead { shard: ShardId, epoch: u64 },
-    /// Writes a request for a pool.
+    /// Writes the number of machines that a pool requests.
     PoolRequestWrite {
         shard: ShardId,
         epoch: u64,
         request: Box<PoolRequest>,
     },
-    /// Writes a row of a pool's account in a transaction of its own.
+    /// Writes a row of a pool's account that belongs to no other record.
     PoolRowWrite {
         shard: ShardId,
         epoch: u64,
         key: String,
     },
-    /// Writes a machine type's price.
+    /// Writes the price of a machine type to the account of pools.
     PriceRowWrite(Box<Price>),
     /// Writes a shard's unmet demand.
     DemandWrite { shard: ShardId },
-    /// Removes records; nothing depends on the answer.
+    /// A write whose response is ignored.
     Housekeeping,
-    /// Sends commands to a worker.
+    /// Sends commands to a worker, under a fencing token.
     Commands {
         shard: ShardId,
         epoch: u64,
@@ -121,16 +122,16 @@
         token: u64,
         commands: Vec<Command>,
     },
-    /// Reads the cloud's machine types.
+    /// Reads the cloud's catalog of machine types.
     Catalog,
     /// Reads a page of the cloud's list of machines.
     MachineList {
-        /// The machines of earlier pages.
+        /// Machines from the earlier pages of the same listing.
         page: Vec<forkshift_wire::cloud::ListedMachine>,
     },
-    /// Records the intent to provision machines.
+    /// Writes the intent to provision machines, before they are requested.
     ProvisioningIntentWrite { request: String },
-    /// Requests machines from the cloud.
+    /// Requests machines from the cloud, under the id of a recorded intent.
     Provision { request: String },
     /// Writes the records of provisioned machines.
     ProvisionedRecordsWrite { request: String },
@@ -142,12 +143,12 @@
         epoch: u64,
         machines: Vec<MachineId>,
     },
-    /// Removes the records of deleted machines.
+    /// Removes the records of machines that the cloud has deleted.
     MachineRecordsRemoval { machines: Vec<MachineId> },
 }
 
 impl PendingCall {
-    /// The service that the call went to.
+    /// The service that the call was sent to.
     pub(crate) fn service(&self) -> Service {
         match self {
             Self::Catalog
@@ -161,22 +162,24 @@
     }
 }
 
-/// A submission whose records are being written.
+/// A submitted job that is being accepted.
 #[derive(Debug)]
 pub(crate) struct JobCreation {
     pub(crate) request: RequestId,
     pub(crate) spec: JobSpec,
     pub(crate) shard: ShardId,
-    /// When the user is answered at the latest.
+    /// Time at which the user gets a response at the latest.
     pub(crate) deadline: Ms,
-    /// The versions of its dependencies' records that its stage was decided on.
+    /// The dependencies, with the versions of their records as read. The job is accepted on
+    /// condition that the versions are unchanged.
     pub(crate) dependencies: Vec<(JobId, u64)>,
-    /// A dependency is cancelled, so the job is cancelled in the same transaction.
+    /// Whether a dependency is cancelled. The job is then cancelled by the transaction that
+    /// accepts it.
     pub(crate) is_cancelled: bool,
 }
 
 impl JobCreation {
-    /// The stage of the job when it is accepted.
+    /// The stage of the job upon acceptance.
     pub(crate) fn stage(&self) -> JobStage {
         if self.is_cancelled {
             JobStage::Cancelled
@@ -186,33 +189,40 @@
     }
 }
 
-/// A cancellation that the holder of the job is to carry out.
+/// A requested cancellation of a job that another controller holds.
 #[derive(Clone, Debug)]
 pub(crate) struct CancellationPoll {
     pub(crate) request: RequestId,
     pub(crate) id: JobId,
-    /// Version of the cancellation's key, for its removal.
+    /// Version of the key that requests the cancellation, on which its removal is conditional;
+    /// 0 if the version is not known yet.
     pub(crate) version: u64,
     pub(crate) deadline: Ms,
 }
 
-/// What a job is looked up for, as it is not held here.
+/// The request for which a job's record is read.
 #[derive(Debug)]
 pub(crate) enum LookupPurpose {
     /// A status query.
     StatusQuery,
-    /// A repeated submission; if the job does not exist, this is the answer.
+    /// A submission that may be a repetition. Carries the response for the case that the job
+    /// does not exist.
     Submission(Reply),
     /// A cancellation.
     Cancellation,
 }
 
-/// What a transaction writes of one job.
+/// The changes of one job in a transaction.
 #[derive(Debug, Clone)]
 pub(crate) struct JobWrite {
     pub(crate) id: JobId,
+    /// The job's `memory_version` when the writes were built. State up to this version is
+    /// durable in the written blocks once the transaction commits.
     pub(crate) version: u64,
+    /// Blocks of tasks that are written.
     pub(crate) blocks: Vec<u32>,
+    /// Whether the job has ended, so that its head record is removed.
     pub(crate) is_final: bool,
+    /// Whether the job's cancellation becomes durable.
     pub(crate) records_cancellation: bool,
 }
--- a/crates/core/src/pools.rs
+++ b/crates/core/src/pools.rs
@@ -1,20 +1,22 @@
 //! Warm pools of a shard's teams.
 //!
-//! The holder of a team's shard manages the team's pools. `forkshift-pools` decides how
-//! many machines a pool has and which; the modules here carry that out:
+//! A warm pool keeps machines ready, with an image in their cache, for the jobs of one team
+//! that use the image. The holder of a team's shard manages the team's pools.
+//! `forkshift-pools` decides how many machines a pool should have and which machines to
+//! choose; the modules here execute these decisions:
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`sizing`] | after each round, machines join and leave, and missing ones are requested |
-//! | [`membership`] | a machine's state in its pool is recorded, with the time charged for it |
-//! | [`prefetch`] | a member is sent its pool's image, and decommissioned if that stalls |
-//! | [`placement`] | whose tasks may use a pool's machine |
-//! | [`requests`] | how many machines each pool requests is recorded in its account |
-//! | [`ledger`] | rows of pools' accounts that are written on their own |
+//! | [`sizing`] | after each round, machines join and leave pools, and missing ones are requested |
+//! | [`membership`] | records a machine's state in its pool and the time charged to the pool |
+//! | [`prefetch`] | commands members to fetch the image, decommissions those whose fetch stalls |
+//! | [`placement`] | which tasks may use a pool's machines |
+//! | [`requests`] | records the number of machines that each pool requests |
+//! | [`ledger`] | account rows that are written on their own, such as cold starts |
 //!
-//! A machine's membership is in its record, so it survives a failover, and is written in
-//! one transaction with the account row that it ends. Nothing of it is written before the
-//! format of pools is finalized.
+//! A machine's membership is part of the machine's record, so that it survives a failover.
+//! The end of a charged interval is written in the same transaction as its account row.
+//! Nothing is written before the record format of warm pools is finalized.
 
 mod ledger;
 mod membership;
--- a/crates/core/src/pools/ledger.rs
+++ b/crates/core/src/pools/ledger.rs
@@ -1,5 +1,5 @@
-//! Rows of pools' accounts that are written on their own, such as jobs that found no
-//! machine of a pool.
+//! Account rows of warm pools that are written in a transaction of their own: the cold starts,
+//! which are jobs that found no machine in their pool.
 
 use super::requests::{ReadState, StoredRequest};
 use crate::context::Context;
@@ -16,11 +16,11 @@
 use serde_json::{to_value, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Pause before a read or write that failed is retried.
+/// Time before a failed read or write is retried, in milliseconds.
 pub(super) const RETRY_PAUSE_MS: Ms = 1_000;
 
-/// Adds an account row to a transaction, on condition that its key does not exist. Keys
-/// name what a row is about, so writing a row again is idempotent.
+/// Adds an account row to a transaction, on condition that its key does not exist. The key is
+/// derived from the event that the row records, so that a repeated write is idempotent.
 pub(crate) fn add_account_row(transaction: &mut Transaction, key: String, row: &impl Serialize) {
     transaction.preconditions.push(Precondition {
         key: key.clone(),
@@ -30,13 +30,13 @@
     transaction.writes.push(Write::put(key, value));
 }
 
-/// An account row that is to be written.
+/// An account row that is not written yet.
 #[derive(Debug)]
 struct PendingRow {
     value: Value,
     /// Whether a write is in flight.
     is_writing: bool,
-    /// Not written before this.
+    /// Earliest time of the next write attempt.
     retry_at: Ms,
 }
 
@@ -54,25 +54,25 @@
     }
 }
 
-/// A shard's state of its teams' pools.
+/// State of the warm pools of a shard's teams.
 #[derive(Debug, Default)]
 pub(crate) struct ShardPools {
-    /// The recorded request of each pool.
+    /// Recorded number of requested machines, by pool.
     pub(super) requests: BTreeMap<PoolName, StoredRequest>,
-    /// Whether these were read.
+    /// Whether `requests` was read from the key-value store.
     pub(super) requests_read: ReadState,
-    /// Rows to be written, by key.
+    /// Account rows that are not written yet, by key.
     pending_rows: BTreeMap<String, PendingRow>,
-    /// Jobs whose miss was counted.
+    /// Unfinished jobs whose cold start was recorded.
     counted_cold_starts: BTreeSet<JobId>,
-    /// When machines of each pool were handed out, the oldest first.
+    /// Times at which machines were allocated to tasks, the oldest first, by pool.
     allocated_at: BTreeMap<PoolName, VecDeque<Ms>>,
-    /// Pools that the catalogue rules out, and why.
+    /// Pools for which the cloud's catalog has no machine type, with the logged error.
     pub(super) catalog_errors: BTreeMap<PoolName, PoolError>,
 }
 
 impl ShardPools {
-    /// Records that a machine was handed out.
+    /// Records that a machine of a pool was allocated to a task of the pool's jobs.
     pub(super) fn record_allocation(&mut self, pool: &PoolName, now: Ms) {
         self.allocated_at
             .entry(pool.clone())
@@ -80,7 +80,8 @@
             .push_back(now);
     }
 
-    /// How many machines a pool has handed out within the last `period`.
+    /// Number of machines that a pool has allocated within the last `period` milliseconds. Older
+    /// allocations are dropped.
     pub(super) fn allocations_within(&mut self, pool: &PoolName, now: Ms, period: Ms) -> u32 {
         let Some(times) = self.allocated_at.get_mut(pool) else {
             return 0;
@@ -91,28 +92,28 @@
         times.len() as u32
     }
 
-    /// Records that a job found no machine of its pool, once for each job.
-    pub(super) fn add_cold_start(&mut self, id: &JobId, miss: ColdStart) {
+    /// Records the cold start of a job that found no machine in its pool, once for each job.
+    pub(super) fn add_cold_start(&mut self, id: &JobId, cold_start: ColdStart) {
         if !self.counted_cold_starts.insert(id.clone()) {
             return;
         }
         log::info!(
             "pool {}: no machine for job {id}, {} tasks",
-            miss.pool,
-            miss.tasks
+            cold_start.pool,
+            cold_start.tasks
         );
-        let row = PendingRow::new(to_value(&miss).unwrap_or_default());
-        self.pending_rows.insert(miss.key(), row);
+        let row = PendingRow::new(to_value(&cold_start).unwrap_or_default());
+        self.pending_rows.insert(cold_start.key(), row);
     }
 
-    /// Forgets the counted misses of jobs that are over.
+    /// Drops the entries of finished jobs from the set of recorded cold starts.
     pub(super) fn retain_cold_starts(&mut self, is_unfinished: impl Fn(&JobId) -> bool) {
         self.counted_cold_starts.retain(is_unfinished);
     }
 }
 
 impl Shard {
-    /// Reads the recorded requests if that is due, and writes the rows that are due.
+    /// Reads the recorded requests if a read is due, and writes the account rows that are due.
     pub(crate) fn sync_pool_records(&mut self, ctx: &mut Context) {
         if ctx.format < FormatVersion::POOLS {
             return;
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Handles the answer to the write of a row: 409 means that it had been written
-    /// before.
+    /// Processes the response to the write of an account row. A 409 means that an earlier write
+    /// of the row has succeeded.
     pub(crate) fn on_pool_row_written(&mut self, ctx: &Context, key: &str, status: u16) {
         if matches!(status, 200 | 409) {
             self.pools.pending_rows.remove(key);
--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -1,5 +1,5 @@
-//! A machine's membership in a pool: its state as heartbeats show it, and as it is
-//! recorded.
+//! A machine's membership in a warm pool: the state that heartbeats show, the state in the
+//! machine's record, and their reconciliation.
 
 use super::prefetch::STALLED_REASON;
 use crate::context::Context;
@@ -14,27 +14,27 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A machine's state with regard to warm pools.
+/// State of a machine that concerns warm pools.
 #[derive(Debug, Default)]
 pub(crate) struct MachinePool {
-    /// Its membership, as its record has it.
+    /// Membership according to the machine's record; `None` outside of pools.
     pub(crate) membership: Option<Membership>,
-    /// The pool that it is to join.
+    /// Pool that the machine was chosen for, until the membership is recorded.
     pub(crate) joining: Option<PoolName>,
-    /// Whether it is to leave its pool, which has too many machines.
+    /// Whether the machine must leave its pool because the pool has too many machines.
     pub(crate) is_surplus: bool,
-    /// Images that its worker reports; none: the worker reports no images.
+    /// Images in the worker's cache; `None` if the worker does not report them.
     held_images: Option<BTreeSet<String>>,
-    /// Since when its pool's image has been missing.
+    /// Time since which the image of the pool has been missing on the machine.
     pub(super) missing_since: Option<Ms>,
-    /// When the command to fetch that image was sent.
+    /// Time at which the command to fetch the image was last sent.
     pub(super) prefetch_sent_at: Option<Ms>,
-    /// Whether its state is not the recorded one.
+    /// Whether the machine's state differs from the recorded one.
     has_unrecorded_change: bool,
 }
 
 impl MachinePool {
-    /// The state of a machine that has just become known by its record.
+    /// The initial state of a machine, from its record.
     pub(crate) fn new(record: &MachineRecord) -> Self {
         Self {
             membership: record.pool.clone(),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes in a changed record.
+    /// Adopts the membership of a changed record. Other state is reset if the pool changed.
     pub(crate) fn update_from_record(&mut self, record: &MachineRecord) {
         let previous = std::mem::replace(&mut self.membership, record.pool.clone());
         if previous.map(|m| m.pool) != self.membership.as_ref().map(|m| m.pool.clone()) {
@@ -53,22 +53,22 @@
         }
     }
 
-    /// Whether a write or a fetch is outstanding, so that the machine is to be checked
-    /// again soon.
+    /// Whether a change must be written or an image fetched, so that the machine must be
+    /// reconciled again soon.
     pub(crate) fn is_pending(&self) -> bool {
         self.has_unrecorded_change || self.joining.is_some() || self.missing_since.is_some()
     }
 }
 
 impl Machine {
-    /// Whether it is a pool's machine, and used by nobody.
+    /// Whether the machine is a member of a pool and has no tasks.
     pub(crate) fn is_unused_pool_member(&self) -> bool {
         self.pool.membership.is_some()
             && self.tasks.is_empty()
             && self.decommission_reason.is_none()
     }
 
-    /// Takes in which images its worker reports.
+    /// Updates the images in the worker's cache from a heartbeat.
     pub(crate) fn update_held_images(&mut self, ctx: &mut Context, reported: Option<&HeldImages>) {
         let Some(reported) = reported else {
             self.pool.held_images = None;
@@ -78,7 +78,7 @@
         if self.pool.held_images.as_ref() == Some(&held) {
             return;
         }
-        // Images that the worker does not hold are removed; the order of use is kept.
+        // Drops the images that the worker no longer has. The order of last use is preserved.
         if self.tasks.is_empty() {
             let numbers: BTreeSet<u32> = held.iter().map(|i| ctx.images.intern(i)).collect();
             self.cached_images
@@ -87,9 +87,9 @@
         self.pool.held_images = Some(held);
     }
 
-    /// Its state in a pool, as its worker's heartbeats show it. Before the first one
-    /// reaches a new holder it is the recorded state, so that warm machines don't look as
-    /// if they booted after a failover.
+    /// The machine's state in a pool according to its worker's heartbeats. Until a new holder
+    /// has received the first heartbeat, the recorded state applies, so that warm machines do
+    /// not appear to be booting after a failover.
     pub(crate) fn state_for(&self, pool: &Pool) -> PoolState {
         let recorded = self.pool.membership.as_ref().map(|m| m.state);
         match &self.pool.held_images {
@@ -100,12 +100,13 @@
         }
     }
 
-    /// Whether its record may be written in sight of this view.
+    /// Whether the machine's record may be written: no write is in flight, and the view includes
+    /// the previous one.
     fn may_write_record(&self, view: &ClusterView) -> bool {
         !self.is_writing_record && view.revision >= self.record_required_revision
     }
 
-    /// Whether nothing uses it or has requested it, so that it may join a pool.
+    /// Whether the machine may join a pool: it is unused, and no other shard has requested it.
     fn may_join_pool(&self, view: &ClusterView) -> bool {
         self.tasks.is_empty()
             && self.decommission_reason.is_none()
@@ -122,9 +123,9 @@
 }
 
 impl Shard {
-    /// Reconciles a machine's recorded membership with its state: it joins, changes its
-    /// state, or leaves. One charged interval ends and the next begins at the moment at
-    /// which this is decided.
+    /// Reconciles a machine's recorded membership with its actual state: the machine joins a
+    /// pool, changes its state in the pool, or leaves it. The charged interval of the previous
+    /// state ends at the time of this decision, when the next interval begins.
     pub(crate) fn reconcile_membership(
         &mut self,
         ctx: &mut Context,
@@ -165,8 +166,8 @@
         });
     }
 
-    /// Writes that a machine joins the pool that was chosen for it, unless it has been
-    /// used or requested since.
+    /// Records that a machine joins the pool that it was chosen for, unless the machine has
+    /// been used or requested in the meantime.
     fn join(&mut self, ctx: &mut Context, view: &ClusterView, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -192,7 +193,7 @@
         });
     }
 
-    /// The state that a member is in now, or why it leaves.
+    /// The current state of a member, or the reason for which it leaves the pool.
     fn next_state(
         &self,
         ctx: &Context,
@@ -223,7 +224,7 @@
         }
     }
 
-    /// When and why the membership of a machine ends that is decommissioned.
+    /// Time and reason of the end of membership of a decommissioned machine.
     pub(crate) fn end_of_membership(&self, ctx: &Context, id: &MachineId) -> (u64, EndReason) {
         let machine = self.machines.get(id);
         let ended = match machine.and_then(|m| m.decommission_reason.as_deref()) {
@@ -233,8 +234,8 @@
         (self.transition_time(ctx, id, Err(ended)), ended)
     }
 
-    /// The wall-clock time, in milliseconds, at which a member leaves or changes its
-    /// state. A machine that is lost was of use until its last heartbeat.
+    /// The wall-clock time at which a member leaves the pool or changes its state, in
+    /// milliseconds. A failed machine is charged only until its last heartbeat.
     fn transition_time(
         &self,
         ctx: &Context,
@@ -251,7 +252,7 @@
     }
 }
 
-/// Whether a pool may have a machine, by its type, zone and kind.
+/// Whether a pool allows a machine, by the machine's type, zone and spot status.
 pub(super) fn pool_allows_machine(ctx: &Context, pool: &Pool, machine: &Machine) -> bool {
     let machine_type = ctx
         .types_and_zones
--- a/crates/core/src/pools/placement.rs
+++ b/crates/core/src/pools/placement.rs
@@ -1,10 +1,11 @@
-//! Whose tasks may use a pool's machine.
+//! Reservation of warm pools' machines, and placement of tasks on them.
 //!
-//! In a round a pool's machines are reserved: only tasks of the pool's team and image may
-//! use them, and find them by the ordinary score, as the image is there. Tasks within their
-//! team's guarantee that find no room afterwards may use such a machine as well: gangs,
-//! which need several at once, any; other jobs only those beyond the pool's minimum, as
-//! machines are provisioned for them one after another.
+//! In a scheduling round, the unused machines of a pool are reserved for tasks with the pool's
+//! team and image. The ordinary score prefers these machines, because they hold the image.
+//! Tasks within their team's guarantee that are unschedulable afterwards may use reserved
+//! machines of other pools as well. Gangs may use all of them, as a gang needs several machines
+//! at once. Other jobs may use only the machines beyond a pool's minimum, as new machines can be
+//! provisioned for their tasks one by one.
 
 use super::sizing::price_per_hour;
 use crate::context::Context;
@@ -20,22 +21,23 @@
 use forkshift_wire::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The reservation of the machines that make up a pool's minimum.
+/// Number of the reservation of a pool's machines within its minimum. `pool` is the pool's
+/// index among the declared pools.
 fn minimum_reservation(pool: usize) -> u32 {
     pool as u32 * 2
 }
 
-/// The reservation of a pool's machines beyond its minimum.
+/// Number of the reservation of a pool's machines beyond its minimum.
 fn surplus_reservation(pool: usize) -> u32 {
     pool as u32 * 2 + 1
 }
 
-/// Whether a reservation is one of machines beyond a pool's minimum.
+/// Whether a reservation covers machines beyond a pool's minimum.
 fn is_surplus_reservation(reservation: u32) -> bool {
     reservation % 2 == 1
 }
 
-/// The reservations that are open to a job of a team with an image.
+/// The reservations whose machines a job with this team and image may use.
 pub(crate) fn open_reservations(ctx: &Context, team: &str, image: &str) -> BTreeSet<u32> {
     let pools = ctx.config.operator.pools.iter().enumerate();
     let own = pools.filter(|(_, pool)| pool.team == team && pool.image == image);
@@ -44,7 +46,7 @@
 }
 
 impl Shard {
-    /// Whether a job has the team and image that a pool is kept for.
+    /// Whether a job has the team and image of a pool.
     pub(super) fn is_for_pool(&self, id: &JobId, pool: Option<&Pool>) -> bool {
         let job = self.jobs.get(id);
         let matches =
@@ -52,7 +54,7 @@
         job.zip(pool).is_some_and(|(job, pool)| matches(job, pool))
     }
 
-    /// The unused machines of each pool.
+    /// The unused machines of the shard's pools, by pool.
     pub(super) fn unused_pool_members(&self) -> BTreeMap<PoolName, Vec<MachineId>> {
         let mut members: BTreeMap<PoolName, Vec<MachineId>> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.is_unused_pool_member()) {
@@ -64,7 +66,7 @@
         members
     }
 
-    /// Machines of a pool, as input of the choices on its size.
+    /// Converts machines of a pool to the input of the choice which members to keep.
     pub(super) fn to_pool_members(&self, pool: &Pool, ids: &[&MachineId]) -> Vec<PoolMember> {
         let machines = ids.iter().filter_map(|id| self.machines.get(*id));
         let member = |machine: &Machine| PoolMember {
@@ -74,7 +76,7 @@
         machines.map(member).collect()
     }
 
-    /// The reservations of all unused machines of pools.
+    /// The reservation of each unused machine of a pool.
     fn pool_reservations(&self, ctx: &Context) -> BTreeMap<MachineId, u32> {
         let mut reservations = BTreeMap::new();
         let members = self.unused_pool_members();
@@ -84,9 +86,9 @@
             };
             let minimum = pool.calendar.size_at(ctx.wall_clock_ms).min_machines;
             let id_refs: Vec<&MachineId> = ids.iter().collect();
-            let core = retained_members(&self.to_pool_members(pool, &id_refs), minimum);
+            let within_minimum = retained_members(&self.to_pool_members(pool, &id_refs), minimum);
             for (member, id) in ids.iter().enumerate() {
-                let reservation = match core.contains(&member) {
+                let reservation = match within_minimum.contains(&member) {
                     true => minimum_reservation(pool_index),
                     false => surplus_reservation(pool_index),
                 };
@@ -96,7 +98,7 @@
         reservations
     }
 
-    /// Reserves the hosts that are pools' machines.
+    /// Sets the reservation of each host that is an unused machine of a pool.
     pub(crate) fn reserve_pool_machines(
         &self,
         ctx: &Context,
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Adds pools' machines to a demand record, as offered to other shards for tasks
-    /// within their teams' guarantees.
+    /// Adds the machines of pools to a demand record, which offers them to other shards for
+    /// tasks within their teams' guarantees.
     pub(crate) fn with_offered_pool_machines(
         &self,
         ctx: &Context,
@@ -133,7 +135,8 @@
         demand
     }
 
-    /// Places tasks within their teams' guarantees that found no room on pools' machines.
+    /// Places tasks on reserved machines that are within their teams' guarantees and
+    /// unschedulable elsewhere.
     pub(crate) fn place_on_pool_machines(
         &self,
         ctx: &Context,
@@ -146,25 +149,26 @@
             return Vec::new();
         }
         let jobs = pending.iter().enumerate();
-        let reclaiming: Vec<usize> = jobs
+        let allowed_jobs: Vec<usize> = jobs
             .filter(|(_, (id, tasks))| self.may_use_pool_machines(ctx, id, tasks, quotas))
             .map(|(job, _)| job)
             .collect();
         let open = |job: &usize| with_pools_open(&pending.tasks[*job], &reserved);
-        let mut opened: Vec<PendingTasks> = reclaiming.iter().map(open).collect();
+        let mut opened: Vec<PendingTasks> = allowed_jobs.iter().map(open).collect();
         let mut placements = run_round(&mut opened, hosts, quotas, &ctx.config.operator.weights);
-        for (job, tasks) in reclaiming.iter().zip(opened) {
+        for (job, tasks) in allowed_jobs.iter().zip(opened) {
             pending.tasks[*job].waiting = tasks.waiting;
             pending.tasks[*job].tasks_by_zone = tasks.tasks_by_zone;
         }
         for placement in &mut placements {
-            placement.job = reclaiming[placement.job];
+            placement.job = allowed_jobs[placement.job];
         }
         placements
     }
 
-    /// Whether a job's waiting tasks are within its team's guarantee, and have waited for
-    /// long enough to know that there is no other room.
+    /// Whether a job's pending tasks may use machines of any pool: they are within their team's
+    /// guarantee, and the job is old enough that the ordinary rounds have proved to have no
+    /// capacity for it.
     fn may_use_pool_machines(
         &self,
         ctx: &Context,
@@ -172,17 +176,17 @@
         pending: &PendingTasks,
         quotas: &[Quota],
     ) -> bool {
-        let patience = crate::seconds_to_ms(
+        let reclaim_delay_ms = crate::seconds_to_ms(
             ctx.config.operator.round_interval_s * MACHINE_RECLAIM_DELAY_ROUNDS,
         );
-        let has_waited = |job: &Job| job.age_ms(ctx.now) > patience;
+        let has_waited = |job: &Job| job.age_ms(ctx.now) > reclaim_delay_ms;
         !pending.waiting.is_empty()
             && quotas[pending.team].is_within_guarantee(&pending.minimum_resources())
             && self.jobs.get(id).is_some_and(has_waited)
     }
 
-    /// How many ready machines of a pool may not be used yet, such as those that have not
-    /// reported since a failover.
+    /// Number of ready machines of a pool that are not usable yet, such as those without a
+    /// heartbeat since a failover.
     fn unconfirmed_members(&self, ctx: &Context, pool: &Pool) -> usize {
         let is_unconfirmed = |machine: &&Machine| {
             let membership = machine.pool.membership.as_ref();
@@ -192,22 +196,22 @@
         self.machines.values().filter(is_unconfirmed).count()
     }
 
-    /// Records the jobs of each pool's team and image that found no machine of it, once
-    /// each.
+    /// Records the cold starts of jobs that found no machine in their pool.
     pub(crate) fn record_cold_starts(&mut self, ctx: &Context, pending: &PendingJobs) {
         if !ctx.has_pools() {
             return;
         }
         for (id, tasks) in pending.iter().filter(|(_, p)| !p.waiting.is_empty()) {
-            if let Some(miss) = self.cold_start_of(ctx, id, tasks) {
-                self.pools.add_cold_start(id, miss);
+            if let Some(cold_start) = self.cold_start_of(ctx, id, tasks) {
+                self.pools.add_cold_start(id, cold_start);
             }
         }
         let jobs = &self.jobs;
         self.pools.retain_cold_starts(|id| jobs.contains_key(id));
     }
 
-    /// The miss of a job with waiting tasks, if a pool should have had machines for it.
+    /// The cold start of a job with pending tasks, if its pool should have had machines for the
+    /// tasks: a window of the pool is open, and fewer machines are awaited after a failover.
     fn cold_start_of(
         &self,
         ctx: &Context,
@@ -228,8 +232,8 @@
     }
 }
 
-/// Waiting tasks to which pools' machines are open: all to a gang, and to other jobs those
-/// beyond the pools' minimum.
+/// A copy of pending tasks that may use reserved machines: a gang all of them, other jobs only
+/// those beyond the pools' minimum.
 fn with_pools_open(pending: &PendingTasks, reserved: &BTreeSet<u32>) -> PendingTasks {
     let is_open = |reservation: &u32| pending.is_gang || is_surplus_reservation(*reservation);
     PendingTasks {
--- a/crates/core/src/pools/prefetch.rs
+++ b/crates/core/src/pools/prefetch.rs
@@ -1,5 +1,5 @@
-//! Fetches of a pool's image by its members: they are commanded, and members whose fetch
-//! stalls are decommissioned.
+//! Prefetching of a pool's image: members are commanded to fetch the image, and members whose
+//! fetch stalls are decommissioned.
 
 use crate::context::Context;
 use crate::shard::machine::Machine;
@@ -9,17 +9,18 @@
 use forkshift_wire::workers::Prefetch;
 use forkshift_wire::MachineId;
 
-/// A fetch has stalled if it takes this many times as long as expected, and a lease.
+/// A fetch has stalled if it takes longer than this multiple of the expected time, plus a
+/// worker lease.
 const STALLED_FETCH_FACTOR: f64 = 4.0;
-/// The lowest fetch rate, in GB a second, by which image sizes are divided.
+/// Lower bound on the fetch rate, in GB per second. Avoids a division by zero.
 pub(super) const MIN_FETCH_RATE: f64 = 1e-9;
-/// Heartbeats after which the command to fetch an image is repeated.
+/// Number of heartbeat intervals after which the command to fetch an image is sent again.
 const RESEND_AFTER_HEARTBEATS: Ms = 2;
-/// Why a machine is decommissioned that does not get its pool's image.
+/// Recorded reason for decommissioning a machine whose fetch of the image has stalled.
 pub(super) const STALLED_REASON: &str = "it does not fetch its pool's image";
 
 impl Shard {
-    /// Records since when a member's image has been missing, and decommissions the machine
+    /// Tracks for how long the image has been missing on a member, and decommissions the machine
     /// if the fetch has stalled.
     pub(super) fn track_fetch(
         &mut self,
@@ -45,7 +46,8 @@
         }
     }
 
-    /// The images that a machine is to be commanded to fetch now.
+    /// The prefetch commands that are due for a machine: one for the pool's image, if the image
+    /// is missing and no command was sent recently.
     pub(crate) fn due_prefetches(&mut self, ctx: &Context, id: &MachineId) -> Vec<Prefetch> {
         let Some(machine) = self.machines.get_mut(id) else {
             return Vec::new();
@@ -56,10 +58,10 @@
         else {
             return Vec::new();
         };
-        let repeat_after = ctx.config.heartbeat_interval_ms * RESEND_AFTER_HEARTBEATS;
+        let resend_after_ms = ctx.config.heartbeat_interval_ms * RESEND_AFTER_HEARTBEATS;
         let sent_at = machine.pool.prefetch_sent_at;
-        let was_sent = sent_at.is_some_and(|at| ctx.now < at + repeat_after);
-        if machine.state_for(pool) != PoolState::Fetching || was_sent {
+        let was_sent_recently = sent_at.is_some_and(|at| ctx.now < at + resend_after_ms);
+        if machine.state_for(pool) != PoolState::Fetching || was_sent_recently {
             return Vec::new();
         }
         machine.pool.prefetch_sent_at = Some(ctx.now);
@@ -70,7 +72,7 @@
     }
 }
 
-/// How long a machine may take to fetch a pool's image.
+/// Time that a machine may take to fetch a pool's image, in milliseconds.
 fn fetch_timeout(machine: &Machine, ctx: &Context, pool: &Pool) -> Ms {
     let fetch_s = pool.image_gb / machine.image_fetch_gb_per_s.max(MIN_FETCH_RATE);
     crate::seconds_to_ms(fetch_s * STALLED_FETCH_FACTOR) + ctx.config.lease_ms
--- a/crates/core/src/pools/requests.rs
+++ b/crates/core/src/pools/requests.rs
@@ -1,4 +1,5 @@
-//! How many machines each pool requests, as recorded in the pool's account.
+//! Recorded requests: the number of machines that each pool requests, written to the pool's
+//! account whenever it changes.
 
 use super::ledger::{add_account_row, RETRY_PAUSE_MS};
 use crate::context::{revision_of, Context};
@@ -12,27 +13,27 @@
 use forkshift_wire::state::{Item, Page, Precondition, Transaction, Write};
 use serde_json::{from_value, to_value};
 
-/// The request of a pool, as it is recorded.
+/// The recorded request of a pool.
 #[derive(Debug)]
 pub(super) struct StoredRequest {
-    /// Version of its key; 0 if the key does not exist.
+    /// Version of the record; 0 if there is none.
     version: u64,
     request: PoolRequest,
     /// Whether a write is in flight.
     is_writing: bool,
 }
 
-/// Whether the recorded requests were read.
+/// State of the read of the recorded requests.
 #[derive(Debug, Default, PartialEq)]
 pub(super) enum ReadState {
-    /// They must be read.
+    /// The requests must be read.
     #[default]
     Due,
-    /// A read failed; they are not read before this.
+    /// A read failed. The next one follows at this time.
     Pause(Ms),
     /// A read is in flight.
     InFlight,
-    /// They were read.
+    /// The requests were read.
     Done,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl Shard {
-    /// Records how many machines a pool requests, if that has changed.
+    /// Records the number of machines that a pool requests, if it differs from the record.
     pub(super) fn record_request(&mut self, ctx: &mut Context, pool: &Pool, machines: u32) {
         if self.pools.requests_read != ReadState::Done || ctx.format < FormatVersion::POOLS {
             return;
@@ -77,7 +78,7 @@
         self.write_request(ctx, request, 0, None);
     }
 
-    /// Records that pools of our teams that are no longer declared request no machine.
+    /// Records that pools of the shard's teams that are no longer declared request no machines.
     pub(super) fn withdraw_undeclared_pools(&mut self, ctx: &mut Context) {
         let declared = &ctx.config.operator.pools;
         let requests = self.pools.requests.iter();
@@ -111,8 +112,8 @@
         self.write_request(ctx, next, version, Some(ended));
     }
 
-    /// Writes a pool's request on condition of the recorded one's version, with the row of
-    /// the request that it ends.
+    /// Writes a pool's request on condition that the record has `version`, together with the
+    /// account row of the request that ends.
     fn write_request(
         &mut self,
         ctx: &mut Context,
@@ -140,7 +141,7 @@
         ctx.transact(Urgency::Background, &transaction, call);
     }
 
-    /// Handles the answer to the write of a request. If the write may have failed, all
+    /// Processes the response to the write of a request. If the write may have failed, all
     /// requests are read again.
     pub(crate) fn on_pool_request_written(
         &mut self,
@@ -155,8 +156,8 @@
         self.store_request(request, revision_of(body));
     }
 
-    /// Reads the recorded requests, if that is due: once after a failover, and after
-    /// writes that may have failed.
+    /// Reads the recorded requests if a read is due: once after a failover, and after a write
+    /// that may have failed.
     pub(super) fn read_due_requests(&mut self, ctx: &mut Context) {
         if !self.pools.requests_read.is_due(ctx.now) {
             return;
@@ -170,7 +171,7 @@
         ctx.read_store(Urgency::Background, path, call);
     }
 
-    /// Handles the answer to the read of the recorded requests.
+    /// Processes the response to the read of the recorded requests.
     pub(crate) fn on_pool_requests_read(&mut self, ctx: &Context, status: u16, body: &[u8]) {
         let page: Option<Page> = serde_json::from_slice(body).ok();
         let Some(page) = page.filter(|page| status == 200 && !page.has_next) else {
@@ -184,7 +185,7 @@
         self.pools.requests_read = ReadState::Done;
     }
 
-    /// Takes in a record that was read, if it is a request of one of our teams.
+    /// Stores a record that was read, if it is a request of one of the shard's teams.
     fn store_read_request(&mut self, item: Item) {
         match from_value::<PoolRequest>(item.value) {
             Ok(request) if self.teams.contains_key(&request.team) => {
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -1,9 +1,8 @@
-//! How many machines a pool has: which join and leave, and which the leader is requested
-//! to provision.
+//! Sizing of warm pools: which machines join and leave, and which the leader must provision.
 //!
-//! Sizes are settled at the end of a round, after everything that waits for room and after
-//! spare places: a pool takes only machines that nothing needs, and machines are
-//! provisioned for it only after all else.
+//! Pools are resized at the end of a scheduling round, after the placement of pending tasks and
+//! headroom. A pool therefore gets only machines that nothing else needs, and its demand for
+//! new machines has the lowest urgency.
 
 use super::membership::{is_requested_by_other_shard, pool_allows_machine};
 use super::prefetch::MIN_FETCH_RATE;
@@ -25,7 +24,7 @@
 use forkshift_wire::MachineId;
 use std::collections::BTreeSet;
 
-/// A machine that is being provisioned and that nothing waits for.
+/// A machine that is being provisioned and that neither pending tasks nor headroom need.
 struct ProvisionedMachine {
     machine_type: u16,
     zone: u16,
@@ -42,17 +41,18 @@
     }
 }
 
-/// Machines that nothing needs, for pools to take in turn.
+/// Machines that neither tasks nor headroom need. The pools choose from them in the order of
+/// their declaration.
 struct SurplusMachines {
-    /// Machines that exist.
+    /// Existing machines.
     machines: BTreeSet<MachineId>,
     /// Machines that are being provisioned.
     provisioned: Vec<ProvisionedMachine>,
 }
 
 impl SurplusMachines {
-    /// Removes up to `max` machines that are being provisioned and that a pool may have.
-    /// Returns how many.
+    /// Assigns up to `max` machines that are being provisioned to a pool that allows them.
+    /// Returns their number.
     fn claim_provisioned(&mut self, ctx: &Context, pool: &Pool, max: u32) -> u32 {
         let mut taken = 0;
         self.provisioned.retain(|machine| {
@@ -70,8 +70,9 @@
 }
 
 impl Shard {
-    /// Lets machines join and leave the shard's pools, and returns what is to be
-    /// provisioned for them. `hosts` shows what is free once everything is booked.
+    /// Chooses the machines that join and leave the shard's pools, and returns the unmet demand
+    /// of the pools. `hosts` shows the free capacity after the placement of pending tasks and
+    /// headroom.
     pub(crate) fn resize_pools(
         &mut self,
         ctx: &mut Context,
@@ -103,35 +104,39 @@
         shapes
     }
 
-    /// How many machines a pool should have now. It is made ready ahead of its window, and
-    /// has none as long as the catalogue rules it out.
+    /// The number of machines that a pool should have now. Machines are requested ahead of the
+    /// pool's window, so that they are ready when the window opens. The size is 0 while the
+    /// cloud's catalog has no machine type for the pool.
     fn target_size(&mut self, ctx: &Context, pool: &Pool, catalog: &[MachineType]) -> u32 {
         if !self.is_in_catalog(pool, catalog) {
             return 0;
         }
-        let lead = max_startup_ms(pool, catalog);
+        let lead_time_ms = max_startup_ms(pool, catalog);
         let size = pool
             .calendar
-            .size_within(ctx.wall_clock_ms, ctx.wall_clock_ms + lead);
-        let handed_out = self.pools.allocations_within(&pool.name, ctx.now, lead);
-        target_size(size, handed_out)
+            .size_within(ctx.wall_clock_ms, ctx.wall_clock_ms + lead_time_ms);
+        let allocated = self
+            .pools
+            .allocations_within(&pool.name, ctx.now, lead_time_ms);
+        target_size(size, allocated)
     }
 
-    /// Whether the catalogue has machines for a pool. If not, the reason is logged once.
+    /// Whether the cloud's catalog has a machine type for a pool. If not, the reason is logged
+    /// once.
     fn is_in_catalog(&mut self, pool: &Pool, catalog: &[MachineType]) -> bool {
         let errors = &mut self.pools.catalog_errors;
         let Err(error) = pool.check_catalog(catalog) else {
             errors.remove(&pool.name);
             return true;
         };
-        let known = errors.insert(pool.name.clone(), error.clone());
-        if known.as_ref() != Some(&error) {
-            log::error!("{error}, it gets no machine");
+        let logged = errors.insert(pool.name.clone(), error.clone());
+        if logged.as_ref() != Some(&error) {
+            log::error!("{error}, no machines are provisioned for the pool");
         }
         false
     }
 
-    /// Chooses which machines join and leave one pool, and returns what is missing.
+    /// Chooses the machines that join and leave one pool, and returns the pool's unmet demand.
     fn resize_pool(
         &mut self,
         ctx: &mut Context,
@@ -160,7 +165,7 @@
         missing_shape(pool, missing, budget, catalog)
     }
 
-    /// Marks which members are to leave their pool, by indices.
+    /// Marks the members whose indices are in `leaving` as surplus, and the others as needed.
     fn mark_surplus_members(&mut self, ids: &[&MachineId], leaving: &[usize]) {
         for (member, id) in ids.iter().enumerate() {
             if let Some(machine) = self.machines.get_mut(*id) {
@@ -172,14 +177,15 @@
         }
     }
 
-    /// Whether a machine should be up by now. It may come much later, or never, so another
-    /// one is requested in its place; if it comes after all, one of them leaves.
+    /// Whether a machine should have sent its first heartbeat by now. It may start much later or
+    /// never, so a replacement is requested. If the machine starts after all, the pool has a
+    /// surplus and one machine leaves.
     fn is_overdue(&self, ctx: &Context, id: &MachineId) -> bool {
         let machine = self.machines.get(id);
         machine.is_some_and(|m| m.last_heartbeat_at.is_none() && ctx.now >= overdue_at(m))
     }
 
-    /// Machines that were chosen for a pool, and are not recorded as its members yet.
+    /// Machines that were chosen for a pool and are not yet recorded as its members.
     fn joining_machines(&self, pool: &PoolName) -> Vec<MachineId> {
         let machines = self.machines.values();
         let chosen = machines
@@ -187,13 +193,14 @@
         chosen.map(|m| m.id.clone()).collect()
     }
 
-    /// What machines cost an hour.
+    /// The total price of machines per hour.
     fn cost_per_hour<'a>(&self, ids: impl IntoIterator<Item = &'a MachineId>) -> f64 {
         let machines = ids.into_iter().filter_map(|id| self.machines.get(id));
         machines.map(price_per_hour).sum()
     }
 
-    /// Chooses machines that nothing needs to join a pool.
+    /// Chooses up to `missing` surplus machines within the budget to join a pool. `budget` is a
+    /// price per hour; `None` means no limit.
     fn choose_joining(
         &mut self,
         ctx: &mut Context,
@@ -227,7 +234,7 @@
         chosen
     }
 
-    /// Machines that nothing needs, and those being provisioned that nothing waits for.
+    /// The existing machines and the machines being provisioned that nothing needs.
     fn surplus_machines(
         &self,
         view: &ClusterView,
@@ -252,7 +259,7 @@
     }
 }
 
-/// Whether a machine without tasks is free to join a pool.
+/// Whether a machine is unused and in a state that allows it to join a pool.
 fn is_unneeded(machine: &Machine) -> bool {
     machine.tasks.is_empty()
         && machine.orphans.is_empty()
@@ -265,20 +272,21 @@
         && machine.pool.joining.is_none()
 }
 
-/// A machine's price an hour.
+/// The price of a machine per hour.
 pub(super) fn price_per_hour(machine: &Machine) -> f64 {
     machine.price_per_second * SECONDS_PER_HOUR
 }
 
-/// How long a machine takes to be ready, of the slowest type that a pool may use.
+/// Time from the request of a machine until it holds the pool's image, in milliseconds, for the
+/// slowest machine type that the pool allows.
 fn max_startup_ms(pool: &Pool, catalog: &[MachineType]) -> Ms {
     let allowed = catalog.iter().filter(|t| pool.price_of(t).is_some());
     let ready_s = allowed.map(|t| t.boot_s + pool.image_gb / t.fetch_gb_per_s.max(MIN_FETCH_RATE));
     crate::seconds_to_ms(ready_s.fold(0.0, f64::max))
 }
 
-/// Machines that are to be provisioned for a pool: of any type that it may use and afford,
-/// as a shape that takes the whole of the smallest of them.
+/// The unmet demand of a pool: machines of any type that the pool allows and its budget covers.
+/// Each requires the whole capacity of the smallest of these types.
 fn missing_shape(
     pool: &Pool,
     missing: u32,
@@ -304,7 +312,8 @@
         types: Some(types.iter().map(|t| t.name.clone()).collect()),
         zones: (!pool.zones.is_empty()).then(|| pool.zones.clone()),
         spot: pool.spot,
-        // Machines that other shards don't need serve as well, unless only spot will do.
+        // Machines that other shards do not need also satisfy the demand, unless the pool allows
+        // only spot machines.
         is_headroom: !pool.spot,
         may_reclaim: false,
         is_borrowing: pool.spot,
