--- a/crates/core/src/api/admission/tests.rs
+++ b/crates/core/src/api/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of admission.
+//! Tests of the admission of jobs with dependencies.
 
 use super::*;
 use crate::fixture::{answer_to, spec, team_of, Fixture};
@@ -21,8 +21,8 @@
     }
 }
 
-/// The record of a dependency, as the state service answers.
-fn record(f: &mut Fixture, n: u32, kind: JobKind, stage: JobStage) -> Value {
+/// The record of a dependency, as the key-value store returns it.
+fn job_record_item(f: &mut Fixture, n: u32, kind: JobKind, stage: JobStage) -> Value {
     let team = team_of(f);
     let record = JobRecord {
         spec: spec(&id(n), &team, kind, 1),
@@ -32,7 +32,7 @@
     json!({"key": job_key(&id(n)), "data": record, "stamp": 40 + n})
 }
 
-fn reads(n: u32) -> impl Fn(&PendingCall) -> bool {
+fn is_read_of(n: u32) -> impl Fn(&PendingCall) -> bool {
     move |p| matches!(p, PendingCall::AdmissionRead { id: read, .. } if *read == id(n))
 }
 
@@ -40,7 +40,7 @@
     matches!(pending, PendingCall::JobLookup { .. })
 }
 
-fn is_create(pending: &PendingCall) -> bool {
+fn is_job_creation(pending: &PendingCall) -> bool {
     matches!(pending, PendingCall::JobCreation(_))
 }
 
@@ -49,7 +49,7 @@
     status.map(|s| s.stage)
 }
 
-/// The transaction that is sent, if one is.
+/// The transaction that accepts a job, if it was sent.
 fn transaction(effects: &[Effect]) -> Option<Transaction> {
     effects.iter().find_map(|e| match e {
         Effect::Call { path, body, .. } if path == "/txn" => {
@@ -62,8 +62,9 @@
     })
 }
 
-/// Before all controllers know dependencies they are refused for now, and a list that
-/// can never be accepted is refused for good, unless the job is known.
+/// Controllers of the first release would ignore dependencies and start a job too early, so
+/// dependencies are refused with 503 until the upgrade is finalized. Lists that can never be
+/// satisfied are refused with 422. A job that was accepted before is answered with its status.
 #[test]
 fn invalid_dependencies_are_refused_without_reading_their_records() {
     let many: Vec<u32> = (10..60).collect();
@@ -83,7 +84,7 @@
             assert_eq!(f.submit(1, &spec), None, "{name}");
             let effects = match is_known {
                 true => {
-                    let found = record(&mut f, 1, JobKind::Array, JobStage::Queued);
+                    let found = job_record_item(&mut f, 1, JobKind::Array, JobStage::Queued);
                     f.answer(is_lookup, 200, &found)
                 }
                 false => f.answer(is_lookup, 404, &json!({"ledger_rev": 5})),
@@ -95,13 +96,13 @@
     }
 }
 
-/// The record of a dependency decides; without an answer of the store the user is to
-/// come back.
+/// The records of the dependencies decide on a submission. If the key-value store does not
+/// answer, the user must get a 503, and not a refusal that would be final.
 #[test]
 fn submission_is_decided_by_the_records_of_its_dependencies() {
     use JobKind::{Array, Service};
     use JobStage::{Cancelled, Done, Queued};
-    /// Name, answer to the read of a dependency, and answer to the user.
+    /// Name of the case, response to the read of a dependency, and response to the user.
     type Case = (
         &'static str,
         u16,
@@ -129,15 +130,15 @@
         f.finalize_format();
         let spec = dependent(&mut f, 1, &[2, 3]);
         assert_eq!(f.submit(1, &spec), None, "{name}");
-        let other = record(&mut f, 3, Array, Queued);
-        f.answer(reads(3), 200, &other);
+        let other = job_record_item(&mut f, 3, Array, Queued);
+        f.answer(is_read_of(3), 200, &other);
         let body = match found {
-            Some((kind, stage)) => record(&mut f, 2, kind, stage),
+            Some((kind, stage)) => job_record_item(&mut f, 2, kind, stage),
             None => json!({"error": "no"}),
         };
-        let mut effects = f.answer(reads(2), read_status, &body);
+        let mut effects = f.answer(is_read_of(2), read_status, &body);
         if let Some(transaction) = transaction(&effects) {
-            // On condition of just what was read.
+            // The transaction is conditional on exactly the versions that were read.
             let versions: Vec<u64> = transaction
                 .preconditions
                 .iter()
@@ -147,7 +148,7 @@
             assert!(versions.contains(&42) && versions.contains(&43), "{name}");
             let has_head = transaction.writes.len() == 2;
             assert_eq!(has_head, answered != Some(Cancelled), "{name}");
-            effects = f.answer(is_create, 200, &json!({"ledger_rev": 50}));
+            effects = f.answer(is_job_creation, 200, &json!({"ledger_rev": 50}));
         } else if answer_to(&effects, 1).is_none() {
             effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
         }
@@ -155,29 +156,30 @@
         assert_eq!(code, status, "{name}");
         assert_eq!(stage(&body), answered, "{name}");
         assert!(f.node.admissions.is_empty(), "{name}");
-        // A job that is cancelled at once is never sent to its holder.
+        // A job that is cancelled upon acceptance is not added to the holder's shard.
         let is_held = f.shard().jobs.contains_key(&id(1));
         assert_eq!(is_held, answered == Some(Queued), "{name}");
     }
 }
 
-/// A dependency that ends between the read and the transaction is read again;
-/// for a job that was accepted meanwhile its status is answered.
+/// A dependency may end between its read and the transaction that accepts the job: then it must
+/// be read again. If the conflict is on the job itself, the job was accepted by another request
+/// in the meantime, and its status is read instead.
 #[test]
-fn acceptance_with_a_conflict_is_decided_again() {
+fn acceptance_with_a_failed_precondition_is_decided_again() {
     for (name, failed, is_read_again) in [("the dependency", 2, true), ("the job", 1, false)] {
         let mut f = Fixture::new();
         f.finalize_format();
         let spec = dependent(&mut f, 1, &[2]);
         f.submit(1, &spec);
-        let unfinished = record(&mut f, 2, JobKind::Array, JobStage::Queued);
-        f.answer(reads(2), 200, &unfinished);
+        let unfinished = job_record_item(&mut f, 2, JobKind::Array, JobStage::Queued);
+        f.answer(is_read_of(2), 200, &unfinished);
         let conflict = json!({"failed": [job_key(&id(failed))], "ledger_rev": 60});
-        f.answer(is_create, 409, &conflict);
+        f.answer(is_job_creation, 409, &conflict);
         let is_pending = |f: &Fixture, which: &dyn Fn(&PendingCall) -> bool| {
             f.node.ctx.pending_calls.values().any(which)
         };
-        assert_eq!(is_pending(&f, &reads(2)), is_read_again, "{name}");
+        assert_eq!(is_pending(&f, &is_read_of(2)), is_read_again, "{name}");
         assert_eq!(is_pending(&f, &is_lookup), !is_read_again, "{name}");
     }
 }
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the API.
+//! Tests of the HTTP API.
 
 use super::*;
 use crate::fixture::{answer_to, Fixture, EPOCH};
@@ -13,7 +13,7 @@
     matches!(pending, PendingCall::JobLookup { .. })
 }
 
-fn record(f: &mut Fixture, id: &JobId, stage: JobStage) -> serde_json::Value {
+fn job_record_item(f: &mut Fixture, id: &JobId, stage: JobStage) -> serde_json::Value {
     let spec = (*f.shard().jobs[id].spec).clone();
     let record = JobRecord {
         spec,
@@ -23,17 +23,18 @@
     json!({"key": job_key(id), "data": record, "stamp": 7})
 }
 
-/// A cancellation is confirmed at once if it is recorded, and refused at once by a
-/// holder without a valid lease.
+/// A durable cancellation must be confirmed at once, and a holder without a valid lease must
+/// refuse to confirm at once: the user would otherwise wait for a write that is not needed, or
+/// for one that this holder may not make.
 #[test]
 fn cancellation_is_answered_at_once_if_its_outcome_is_known() {
     #[derive(Debug)]
     enum Case {
-        /// An earlier holder has recorded it; tasks remain.
+        /// An earlier holder has recorded the cancellation; tasks remain.
         Recorded,
-        /// It has to be recorded.
+        /// The cancellation must be recorded.
         New,
-        /// It has to be recorded by another holder.
+        /// The cancellation must be recorded, and this holder's lease has expired.
         WithoutLease,
     }
     let answers = [
@@ -59,7 +60,7 @@
             f.shard().jobs[&id].is_cancelled,
             "{case:?}: its tasks are stopped"
         );
-        // A request is answered before its user gives up.
+        // The request is answered before the user's client times out.
         if status.is_none() {
             let mut late_answer = None;
             for _ in 0..50 {
@@ -71,7 +72,8 @@
     }
 }
 
-/// A record that was read before a newer stage became known is not answered any more.
+/// A job's record may be outdated when the response to its read arrives. The user must not get
+/// an older status than a controller has reported before.
 #[test]
 fn status_is_never_older_than_a_stage_that_became_known_during_the_read() {
     let stage = |answer: Option<(u16, String)>| {
@@ -79,36 +81,36 @@
         let reported = serde_json::from_str::<JobStatus>(&body).ok();
         (status, reported.map(|reported| reported.stage))
     };
-    // Its final stage became known while its record was read.
+    // The job's final stage became known while the record was read.
     let mut f = Fixture::new();
     let id = f.job("j-1", JobKind::Service, 1);
-    let old = record(&mut f, &id, JobStage::Queued);
+    let old = job_record_item(&mut f, &id, JobStage::Queued);
     f.shard().remove_job(&id, 9);
     assert_eq!(f.request(1, "GET", "/submissions/j-1"), None);
     f.node.final_stages.insert(id.clone(), JobStage::Cancelled);
     let effects = f.answer(is_lookup, 200, &old);
     let cancelled = (200, Some(JobStage::Cancelled));
     assert_eq!(stage(answer_to(&effects, 1)), cancelled, "final meanwhile");
-    // It was accepted here while its record was not found: it is read again.
+    // The job was accepted here after its record was not found: the record is read again.
     let mut f = Fixture::new();
     assert_eq!(f.request(1, "GET", "/submissions/j-2"), None);
     let id = f.job("j-2", JobKind::Service, 1);
-    let new = record(&mut f, &id, JobStage::Queued);
+    let new = job_record_item(&mut f, &id, JobStage::Queued);
     let shard = f.shard;
     f.node.job_shards.insert(id, shard);
     let effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
     assert_eq!(answer_to(&effects, 1), None, "accepted meanwhile");
     let effects = f.answer(is_lookup, 200, &new);
     assert_eq!(stage(answer_to(&effects, 1)), (200, Some(JobStage::Queued)));
-    // It was never accepted.
+    // The job was never accepted.
     let mut f = Fixture::new();
     assert_eq!(f.request(1, "GET", "/submissions/j-3"), None);
     let effects = f.answer(is_lookup, 404, &json!({"ledger_rev": 5}));
     assert_eq!(stage(answer_to(&effects, 1)), (404, None));
 }
 
-/// The view may show within a batch that the shard has a new holder, before
-/// the shard is dropped.
+/// An input may update the view to a new holder of the shard before the same batch drops the
+/// shard. The status in memory may then be outdated.
 #[test]
 fn status_is_answered_from_memory_only_under_the_current_epoch() {
     for (epoch, answers) in [(EPOCH, true), (EPOCH + 1, false)] {
@@ -122,9 +124,10 @@
     }
 }
 
-/// A cancellation that is seen before its job is carried out as soon as the job is seen.
+/// The watch of cancellations may be ahead of the watch of jobs. A cancellation of a job that is
+/// not known yet must be executed when the job becomes known.
 #[test]
-fn cancellation_that_is_seen_before_its_job_is_carried_out() {
+fn cancellation_that_arrives_before_its_job_is_executed_with_the_job() {
     let mut f = Fixture::new();
     let id = JobId::parse("j-1").expect("an id");
     f.node.view.cancellations.insert(id.clone(), 6);
@@ -135,14 +138,14 @@
     assert!(job.is_none_or(|job| job.is_cancelled));
 }
 
-/// Heartbeats that waited in the sockets while their holder was paused are
-/// answered by the lease that it has when it resumes.
+/// Heartbeats queue in the sockets while the process of their holder is paused. When it resumes,
+/// they must be answered according to the state of its lease at that time.
 #[test]
-fn heartbeat_that_waited_during_a_pause_is_answered_by_the_remaining_lease() {
+fn heartbeat_queued_during_a_pause_is_answered_according_to_the_lease_after_it() {
     let settings = Fixture::new().node.ctx.config.clone();
     let lease = settings.node_lease_ms();
-    // Without a valid lease a holder goes on answering while no other holder can have
-    // confirmed a cancellation for too long.
+    // A holder without a valid lease continues to answer during the grace period, in which
+    // the worker's lease still expires in time after a cancellation by another holder.
     let grace = settings.grace_ms();
     for (pause, status) in [(lease / 2, 200), (lease + grace + 1_000, 421)] {
         let mut f = Fixture::new();
@@ -163,15 +166,16 @@
     }
 }
 
-/// A renewal of the lease that was answered while its controller was paused
-/// counts from when it was sent: nothing is answered from memory.
+/// The response to a lease renewal may arrive during a pause of the process. The lease counts
+/// from the time at which the renewal was sent; counted from the response, the controller would
+/// answer from memory after the lease expired.
 #[test]
-fn lease_renewal_that_is_answered_during_a_pause_counts_from_when_it_was_sent() {
+fn lease_renewed_during_a_pause_counts_from_the_time_of_the_request() {
     let lease = Fixture::new().node.ctx.config.node_lease_ms();
     for (pause, from_memory) in [(lease / 2, true), (lease * 2, false)] {
         let mut f = Fixture::new();
         f.job("j-1", JobKind::Array, 1);
-        // It is sent, and the process pauses.
+        // The renewal is sent, and the process pauses.
         f.step(lease / 4);
         f.node.ctx.now += pause;
         f.answer(
--- a/crates/core/src/bounds/tests.rs
+++ b/crates/core/src/bounds/tests.rs
@@ -5,7 +5,7 @@
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 
-/// Settings of a controller with these limits and this many peers.
+/// Settings of a controller with the given limits and number of peers.
 fn settings(memory_mb: f64, sockets: usize, peers: usize) -> Settings {
     let mut settings = Settings::parse(SETTINGS).expect("the example is good");
     settings.cluster.limits.memory_mb = memory_mb;
@@ -20,7 +20,7 @@
     settings
 }
 
-/// Every bound is a ratio to a setting: with twice as much it is twice as large.
+/// No bound is a fixed number: with twice the memory and sockets, each is twice as large.
 #[test]
 fn bounds_are_proportional_to_the_settings() {
     let small = Bounds::new(&settings(100.0, 1_000, 4), 1.0);
@@ -50,8 +50,9 @@
     }
 }
 
+/// Fractions of small limits must not round down to 0, which would block the controller.
 #[test]
-fn smallest_controller_has_room_for_one_of_each() {
+fn every_bound_of_the_smallest_controller_is_at_least_one() {
     let bounds = Bounds::new(&settings(0.001, 32, 64), 1.0);
     assert!(bounds.cached_jobs >= 1 && bounds.image_names >= 1);
     assert!(bounds.worker_calls >= 1 && bounds.forwarded_requests >= 1);
@@ -62,10 +63,10 @@
     assert_eq!(bounds.answer_bytes, MIN_ANSWER_BYTES, "any page");
 }
 
-/// The names of all machines of a shard must have room in a message, even if one
-/// controller holds the whole fleet.
+/// A message must be able to list all machines of a shard, even if one shard has the whole fleet.
+/// If the list were truncated, some machines would be missing from it.
 #[test]
-fn names_of_four_thousand_machines_fit_a_message() {
+fn names_of_4000_machines_fit_in_one_message() {
     let bounds = Bounds::new(&settings(40.0, 600, 4), 1.0);
     let names = (0..4_000).map(|n| MachineId::new(&format!("host-{n:06}")));
     let names: Vec<String> = names.map(|id| id.to_string()).collect();
@@ -76,6 +77,7 @@
     assert!(bounds.list_bytes < MAX_MESSAGE_BYTES);
 }
 
+/// Operations that are limited to a fraction of the machines must proceed in small shards, too.
 #[test]
 fn fraction_of_machines_is_at_least_the_minimum() {
     let cases = [
@@ -96,14 +98,14 @@
     }
 }
 
-/// With a fixed number of tasks, an array of thousands would be given machines for that
-/// number of tasks a boot.
+/// With a fixed number of tasks per round, machines for a large array job would be provisioned
+/// only for that number of tasks in each boot time.
 #[test]
-fn round_considers_as_many_tasks_as_can_be_recorded() {
-    let tasks_a_round = |write_rps: f64, value_kb: f64, round_s: f64| {
+fn round_considers_as_many_tasks_as_can_be_recorded_before_the_next_one() {
+    let tasks_a_round = |write_rps: f64, value_kib: f64, round_s: f64| {
         let mut settings = settings(40.0, 600, 4);
         settings.cluster.state.writes_per_s = write_rps;
-        settings.cluster.state.max_value_kib = value_kb;
+        settings.cluster.state.max_value_kib = value_kib;
         Bounds::new(&settings, round_s).tasks_per_round
     };
     let cases = [
--- a/crates/core/src/fixture.rs
+++ b/crates/core/src/fixture.rs
@@ -23,21 +23,21 @@
 use std::rc::Rc;
 
 const SETTINGS: &str = include_str!("../../../examples/settings.toml");
-/// Steady clock at the start, in milliseconds.
+/// Monotonic clock at the start, in milliseconds.
 pub(crate) const NOW: Ms = 100_000;
-/// Time of day at the start, in milliseconds.
+/// Wall-clock time at the start, in milliseconds since 1970.
 pub(crate) const WALL: Ms = 5_000_000;
-/// Epoch under which the shard is held.
+/// Epoch under which the controller holds the shard.
 pub(crate) const EPOCH: u64 = 3;
 /// Incarnation of the controller.
 const INCARNATION: u64 = 1;
 /// Address of the machine's worker.
 const WORKER_ADDR: &str = "10.1.0.1:9000";
 
-/// A controller with a valid lease, and an active shard with one machine.
+/// A controller with a valid lease that holds an active shard with one machine.
 pub(crate) struct Fixture {
     pub(crate) node: Node,
-    /// The shard that it holds.
+    /// The shard that the controller holds.
     pub(crate) shard: ShardId,
     /// The shard's machine.
     pub(crate) machine: MachineId,
@@ -46,7 +46,8 @@
 }
 
 impl Fixture {
-    /// A controller that leads, with all of the cluster's records in its view.
+    /// A controller that is the leader, with all cluster records in its view. The machine has
+    /// sent one heartbeat.
     pub(crate) fn new() -> Self {
         let settings = Settings::parse(SETTINGS).expect("the example is valid");
         let config = Config::new(&settings, Operator::default());
@@ -72,7 +73,7 @@
         fixture
     }
 
-    /// The shard that is held.
+    /// The state of the held shard.
     pub(crate) fn shard(&mut self) -> &mut Shard {
         self.node
             .shards
@@ -86,7 +87,7 @@
         self.shard().machines[&id].token
     }
 
-    /// The controller's lease expires.
+    /// Lets the controller's lease expire.
     pub(crate) fn lose_lease(&mut self) {
         self.node.ctx.now += self.node.ctx.config.node_lease_ms();
         self.node.run_failure_detector();
@@ -103,7 +104,7 @@
         id
     }
 
-    /// Binds a task to the machine, by a record that is written.
+    /// Binds a task to the machine in its first attempt, with a recorded binding.
     pub(crate) fn bind(&mut self, id: &JobId, index: u32, start: StartState) {
         let (machine, since) = (self.machine.clone(), self.node.ctx.now);
         let binding = Binding {
@@ -119,7 +120,7 @@
         self.shard().bind(id, index, binding);
     }
 
-    /// The machine sends a heartbeat that lists tasks in their first attempt.
+    /// Delivers a heartbeat of the machine that lists tasks in their first attempt.
     pub(crate) fn heartbeat(
         &mut self,
         incarnation: u64,
@@ -132,7 +133,7 @@
         shard.on_worker_heartbeat(ctx, &heartbeat);
     }
 
-    /// A heartbeat of the machine that lists tasks in their first attempt.
+    /// The next heartbeat of the machine, which lists tasks in their first attempt.
     pub(crate) fn heartbeat_message(
         &mut self,
         incarnation: u64,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// All controllers know the newest format, and the announced limits come into force.
+    /// Finalizes the newest format, with which the announced limits come into force.
     pub(crate) fn finalize_format(&mut self) {
         let mut config = (*self.node.ctx.config).clone();
         config.min_state_limits.value_bytes = 2_048;
@@ -178,7 +179,7 @@
         self.step(0);
     }
 
-    /// A task on the machine completes.
+    /// Completes a task on the machine.
     pub(crate) fn exit_task(&mut self, id: &JobId, index: u32) {
         let shard = self.shard();
         shard.unbind(id, index);
@@ -186,7 +187,7 @@
         job.completed.insert(index);
     }
 
-    /// Recovers the shard again, from these records.
+    /// Recovers the shard anew from the given records.
     pub(crate) fn recover_shard(&mut self, items: Vec<Item>) {
         let Node { ctx, view, .. } = &mut self.node;
         let mut shard = Shard::new(ctx, self.shard, EPOCH, 3);
@@ -197,13 +198,13 @@
         self.node.shards.insert(self.shard, shard);
     }
 
-    /// Runs a step without inputs after `by` milliseconds.
+    /// Advances the clocks by `by` milliseconds and runs a step without inputs.
     pub(crate) fn step(&mut self, by: Ms) -> Vec<Effect> {
         let now = self.node.ctx.now + by;
         self.node.step(now, WALL + now - NOW, Vec::new())
     }
 
-    /// Sends a request without a body. Returns status and body if it is answered at once.
+    /// Sends a request without a body. Returns status and body of an immediate response.
     pub(crate) fn request(
         &mut self,
         request: u64,
@@ -213,7 +214,7 @@
         self.send(request, method, path, Vec::new())
     }
 
-    /// Submits a job. Returns status and body if that is answered at once.
+    /// Submits a job. Returns status and body of an immediate response.
     pub(crate) fn submit(&mut self, request: u64, spec: &JobSpec) -> Option<(u16, String)> {
         let body = serde_json::to_vec(spec).expect("a submission");
         self.send(request, "POST", "/submissions", body)
@@ -237,7 +238,7 @@
         answer_to(&effects, request)
     }
 
-    /// Answers the last pending call of a kind.
+    /// Responds to the last pending call that matches `is_kind`. Returns the effects.
     pub(crate) fn answer(
         &mut self,
         is_kind: impl Fn(&PendingCall) -> bool,
@@ -254,7 +255,7 @@
     }
 }
 
-/// Records of the cluster: the controller, which leads, its shard, and a machine of it.
+/// Cluster records: the controller, which is the leader, the shard, and its machine.
 fn cluster_items(config: &Config, shard: ShardId, machine: &MachineId, zone: &str) -> Vec<Item> {
     let node = NodeRecord {
         incarnation: INCARNATION,
@@ -287,7 +288,7 @@
     ]
 }
 
-/// The controller's lease is granted, and its record is written.
+/// Grants the controller's lease and confirms the write of its record.
 fn acquire_lease(node: &mut Node) {
     node.membership
         .on_lease_granted(&node.ctx, NOW, 200, br#"{"hold":7}"#);
@@ -295,7 +296,7 @@
         .on_node_record_written(7, 200, br#"{"ledger_rev":1}"#);
 }
 
-/// The controller has recovered the shard, which had no jobs.
+/// Activates the shard, as after a recovery without jobs.
 fn activate_shard(node: &mut Node, shard_id: ShardId) {
     let mut shard = Shard::new(&mut node.ctx, shard_id, EPOCH, 3);
     shard.recovery_state = RecoveryState::AwaitingView(5);
@@ -303,7 +304,7 @@
     node.shards.insert(shard_id, shard);
 }
 
-/// A record as the key-value store lists it.
+/// A record as an item of the key-value store.
 fn item(key: String, record: &impl Serialize, version: u64) -> Item {
     Item {
         key,
@@ -317,7 +318,7 @@
     f.shard().teams.keys().next().expect("a team").clone()
 }
 
-/// Status and body of the answer to a request.
+/// Status and body of the response to a request, if it is among the effects.
 pub(crate) fn answer_to(effects: &[Effect], request: u64) -> Option<(u16, String)> {
     let text = |r: &Reply| (r.status, String::from_utf8_lossy(&r.body).into_owned());
     effects.iter().find_map(|e| match e {
@@ -326,7 +327,7 @@
     })
 }
 
-/// A job whose tasks need one CPU and 1 GB each.
+/// The specification of a job whose tasks require one CPU and 1 GB of memory each.
 pub(crate) fn spec(id: &JobId, team: &str, kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.clone(),
@@ -353,7 +354,7 @@
     }
 }
 
-/// Indices of a job's tasks that are to be stopped.
+/// Indices of a job's tasks that must be stopped.
 pub(crate) fn stopping_tasks(f: &mut Fixture, id: &JobId) -> Vec<u32> {
     let bound = f.shard().jobs[id].bindings.iter();
     bound
--- a/crates/core/src/golden/calls.rs
+++ b/crates/core/src/golden/calls.rs
@@ -1,4 +1,4 @@
-//! Golden requests and answers: what a controller sends in some scripted situations.
+//! Golden tests of requests and responses: what a controller sends in scripted situations.
 
 use super::{compare, Case};
 use crate::config::{Config, Operator};
@@ -16,7 +16,7 @@
 use serde_json::{json, to_string, to_value, Value};
 use std::rc::Rc;
 
-/// All that was sent, in order.
+/// Everything that was sent, in order, with a name for each effect.
 #[derive(Default)]
 struct Transcript(Vec<Case>);
 
@@ -60,7 +60,8 @@
     }
 }
 
-/// What the state service answers: to a controller that starts, and to one that works.
+/// The responses of the key-value store to a starting and to a running controller; `None` for
+/// calls that get no response.
 fn answer_to(path: &str) -> Option<Value> {
     let epoch = json!({"key": "c/epoch", "data": 3, "stamp": 2});
     let registered = json!({"put": "c/node/berth-0", "data": {"inc": 1, "format": 2}, "stamp": 6});
@@ -81,7 +82,7 @@
     }
 }
 
-/// Lets time pass, while calls are answered.
+/// Runs steps at intervals of 300 ms, in which calls are answered by [`answer_to`].
 fn run(node: &mut Node, turns: u64, transcript: &mut Transcript) {
     let start = node.ctx.now.max(NOW);
     let mut inputs = Vec::new();
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn start() {
+fn calls_of_a_starting_controller_match_the_golden_file() {
     let settings = include_str!("../../../../examples/settings.toml");
     let settings = Settings::parse(settings).expect("the example is good");
     let mut node = Node::new(Config::new(&settings, Operator::default()), 1, 1);
@@ -112,7 +113,7 @@
     compare(include_str!("start.tsv"), &transcript.0);
 }
 
-/// A request to the controller, and all that it sends in return.
+/// Sends a request to the controller. Returns the effects.
 fn request(f: &mut Fixture, method: &str, path: &str, body: &str) -> Vec<Effect> {
     let input = Input::Request {
         request: RequestId(1),
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn answers() {
+fn responses_to_requests_match_the_golden_file() {
     let mut f = Fixture::new();
     f.step(0);
     f.job("j-1", JobKind::Array, 2);
@@ -213,7 +214,7 @@
 
 /// A job from its submission to the commands that start its tasks.
 #[test]
-fn job() {
+fn effects_of_a_job_match_the_golden_file() {
     let mut f = Fixture::new();
     f.step(0);
     let token = f.token();
@@ -233,7 +234,7 @@
     compare(include_str!("job.tsv"), &transcript.0);
 }
 
-/// The cloud tells of a new machine type.
+/// The cloud's catalog adds a machine type.
 fn record_catalog(f: &mut Fixture) {
     let catalog = json!({"rigs": [{"name": "new", "cpus": 1, "mem_gb": 2, "hourly": 3,
         "market_price": 1.5}]});
@@ -245,7 +246,7 @@
 }
 
 #[test]
-fn cloud_and_workers() {
+fn calls_to_cloud_and_workers_match_the_golden_file() {
     let mut f = Fixture::new();
     let mut transcript = Transcript::default();
     for turn in 0..3 {
@@ -280,9 +281,9 @@
     compare(include_str!("cloud_and_workers.tsv"), &transcript.0);
 }
 
-/// A shard that is taken, and a job of it that is cancelled before it is loaded.
+/// A shard that is newly held, and a job of it that is cancelled before the shard is loaded.
 #[test]
-fn shard() {
+fn effects_of_loading_a_shard_match_the_golden_file() {
     let mut f = Fixture::new();
     f.step(0);
     let mut transcript = Transcript::default();
@@ -307,9 +308,9 @@
     compare(include_str!("share.tsv"), &transcript.0);
 }
 
-/// A controller with a warm pool that is asked for two machines.
+/// A controller with a warm pool of two machines.
 #[test]
-fn warm_pool() {
+fn effects_of_a_warm_pool_match_the_golden_file() {
     let mut f = Fixture::new();
     f.step(0);
     let spec = PoolSpec {
--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -1,4 +1,4 @@
-//! Golden keys of the state service.
+//! Golden tests of the keys in the key-value store.
 
 use super::{compare, Case};
 use crate::config::StateLimits;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn keys() {
+fn keys_match_the_golden_file() {
     let job = JobId::parse("j-412").expect("an id");
     let shard = ShardId(2);
     let pool = PoolName::parse("exam-help").expect("a name");
@@ -70,9 +70,10 @@
     assert_eq!(named.parse_block("3"), None);
 }
 
-/// Every kind of record below the common prefix is read from its key.
+/// The view must assign every kind of cluster record by its key. A kind that it did not
+/// recognize would silently be missing.
 #[test]
-fn keys_are_read() {
+fn view_reads_every_kind_of_cluster_record_from_its_key() {
     let records = [
         ("c/node/berth-0", json!({"inc": 5})),
         ("c/leader", json!({"node": "berth-0", "inc": 5})),
--- a/crates/core/src/golden/records.rs
+++ b/crates/core/src/golden/records.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the values at the state service.
+//! Golden tests of the values in the key-value store.
 
 use super::{compare, Case};
 use crate::fixture::spec;
@@ -16,7 +16,8 @@
 use serde::Serialize;
 use serde_json::{from_str, from_value, to_string, to_value, Value};
 
-/// A record as a transaction holds it, read back to the same.
+/// The bytes of a record as a transaction contains it. Asserts that the bytes read back to the
+/// same record.
 fn stored<T: Serialize + DeserializeOwned>(name: &str, record: &T) -> Case {
     let value = to_value(record).expect("JSON");
     let bytes = value.to_string();
@@ -26,7 +27,7 @@
     (name.to_owned(), bytes)
 }
 
-/// What is read from bytes, written again.
+/// The bytes of a record that was read from `bytes`, which may omit fields.
 fn read<T: Serialize + DeserializeOwned>(name: &str, bytes: &str) -> Case {
     let record: T = from_str(bytes).expect(name);
     (
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn controllers_and_shards() {
+fn records_of_controllers_and_shards_match_the_golden_file() {
     let node = |blind, format| NodeRecord {
         incarnation: 5,
         receives_no_heartbeats: blind,
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn machines_and_rentals() {
+fn records_of_machines_and_provisioning_match_the_golden_file() {
     let least = MachineRecord {
         addr: None,
         decommission_reason: None,
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn demand() {
+fn records_of_demand_match_the_golden_file() {
     let least = ShapeRecord {
         types: None,
         zones: None,
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn jobs() {
+fn records_of_jobs_match_the_golden_file() {
     let record = |stage| JobRecord {
         spec: submission(),
         shard: ShardId(2),
@@ -249,7 +250,7 @@
 }
 
 #[test]
-fn pools() {
+fn records_of_pools_match_the_golden_file() {
     let interval = |ended| UsageInterval {
         pool: pool(),
         machine: MachineId::new("m-1"),
--- a/crates/core/src/names/tests.rs
+++ b/crates/core/src/names/tests.rs
@@ -3,10 +3,10 @@
 use super::{ImageNames, TypeAndZoneNames};
 use std::collections::BTreeSet;
 
-/// Zones have 16 bits: if they were counted together with images, a new zone after 65,536
-/// images would get the number of one of the first ones.
+/// Numbers of zones have 16 bits. If zones and images shared a number space, a new zone after
+/// 65,536 images would get the number of an earlier name.
 #[test]
-fn numbers_of_places_do_not_depend_on_the_number_of_images() {
+fn numbers_of_types_and_zones_are_independent_of_the_number_of_images() {
     let mut images = ImageNames::new(usize::MAX);
     let mut types_and_zones = TypeAndZoneNames::default();
     let first = types_and_zones.intern("a");
@@ -19,8 +19,9 @@
     assert_eq!(types_and_zones.intern("a"), first);
 }
 
+/// Names beyond the last number must not get the number of another name.
 #[test]
-fn places_beyond_the_last_number_share_one_and_known_ones_keep_theirs() {
+fn names_beyond_the_last_number_share_one_and_earlier_names_keep_theirs() {
     let mut types_and_zones = TypeAndZoneNames::default();
     let last = TypeAndZoneNames::OVERFLOW_NUMBER - 1;
     for n in 0..=last {
@@ -38,8 +39,9 @@
     assert_eq!(types_and_zones.intern("z-0"), 0);
 }
 
+/// A reused number would stand for two images, as machines may still refer to the evicted one.
 #[test]
-fn images_out_of_use_are_forgotten_and_their_numbers_are_not_reused() {
+fn unused_images_are_evicted_and_their_numbers_are_not_reused() {
     let mut images = ImageNames::new(3);
     for n in 0..3 {
         images.intern(&format!("img-{n}"));
@@ -55,8 +57,10 @@
     assert_eq!(images.intern("img-0"), 4);
 }
 
+/// With a constant limit, every new image would trigger an eviction when more images are in use
+/// than the limit allows.
 #[test]
-fn limit_of_images_doubles_when_all_are_in_use() {
+fn eviction_limit_doubles_when_all_images_are_in_use() {
     let mut images = ImageNames::new(2);
     let used: BTreeSet<u32> = (0..3).map(|n| images.intern(&format!("img-{n}"))).collect();
     images.retain_used(&used);
--- a/crates/core/src/pools/tests.rs
+++ b/crates/core/src/pools/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of memberships in pools, beside those of the simulated days.
+//! Tests of membership in warm pools. The simulated days of the testkit cover the other cases.
 
 use crate::fixture::{Fixture, WALL};
 use crate::io::Effect;
@@ -8,7 +8,7 @@
 use forkshift_wire::MachineId;
 use serde_json::from_value;
 
-/// When the machine's membership began.
+/// Time at which the machine's membership began.
 const SINCE: u64 = WALL - 60_000;
 
 /// Records the machine as a member of a pool.
@@ -25,7 +25,7 @@
     machine.pool.update_from_record(&record);
 }
 
-/// Transactions that were sent.
+/// The transactions among the effects.
 fn sent_transactions(effects: &[Effect]) -> Vec<Transaction> {
     let bodies = effects.iter().filter_map(|e| match e {
         Effect::Call { path, body, .. } if path == "/txn" => body.as_deref(),
@@ -36,8 +36,8 @@
         .collect()
 }
 
-/// The transaction that writes or removes a machine's record, and the row of an account
-/// that is written with it.
+/// The machine record that a transaction writes, and the account row that the same transaction
+/// writes. The record is `None` if the transaction removes it.
 fn machine_change(
     effects: &[Effect],
     id: &MachineId,
@@ -72,10 +72,11 @@
     found
 }
 
-/// The holder may not have recorded the end of a machine that the cloud has deleted: its
-/// membership is closed with its record.
+/// The holder may not have recorded the end of the membership of a machine that the cloud has
+/// deleted. The leader must close the membership when it removes the machine's record, or the
+/// last charged interval would be missing from the account.
 #[test]
-fn the_leader_closes_a_membership_with_the_record_that_it_removes() {
+fn leader_closes_the_membership_when_it_removes_the_record_of_a_machine() {
     for is_member in [true, false] {
         let mut fixture = Fixture::new();
         if is_member {
@@ -94,10 +95,11 @@
     }
 }
 
-/// A pool's machine is transferred to another shard only if it was offered, and its
-/// membership ends in the same transaction.
+/// A requested machine may have joined a pool since the request. It must be transferred only if
+/// the shard has offered it as a pool's machine, and its membership must end in the same
+/// transaction.
 #[test]
-fn a_member_is_transferred_only_if_it_was_offered() {
+fn pool_member_is_transferred_only_if_it_was_offered() {
     for is_offered in [true, false] {
         let mut fixture = Fixture::new();
         record_membership(&mut fixture);
--- a/crates/core/src/recent_jobs/tests.rs
+++ b/crates/core/src/recent_jobs/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `recent_jobs`.
+//! Tests of the bounded caches of jobs.
 
 use super::*;
 
@@ -6,9 +6,9 @@
     JobId::parse(&format!("j-{number}")).expect("an id")
 }
 
-/// At the capacity all are remembered; beyond it the oldest is forgotten, and no other.
+/// A cache at its capacity holds all jobs. One job more evicts the oldest job and no other.
 #[test]
-fn oldest_job_is_forgotten_beyond_the_capacity() {
+fn oldest_job_is_evicted_beyond_the_capacity() {
     let capacity = 5;
     let mut recent = RecentJobs::new(capacity);
     for n in 0..capacity {
@@ -21,10 +21,10 @@
     assert!((1..=capacity).all(|n| recent.get(&id(n)) == Some(n)));
 }
 
-/// A final stage that was forgotten is announced again when it is read again: other
-/// controllers with jobs that depend on it may have forgotten it as well.
+/// Other controllers may have evicted a final stage as well while their jobs depend on it. An
+/// evicted stage must therefore be announced again when it is read again.
 #[test]
-fn forgotten_final_stage_is_announced_again() {
+fn evicted_final_stage_is_announced_again() {
     let mut final_stages = FinalStages::new(1);
     final_stages.insert(id(1), JobStage::Done);
     final_stages.insert(id(1), JobStage::Done);
--- a/crates/core/src/sizing/tests.rs
+++ b/crates/core/src/sizing/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of sizing.
+//! Tests of the check of limits against the expected fleet.
 
 use super::*;
 
 const SETTINGS: &str = include_str!("../../../../examples/settings.toml");
 
-/// Each limit just large enough, and one less.
+/// Each limit is tested at the smallest sufficient value and one below.
 #[test]
-fn shortfall_names_the_field_and_the_least_value_that_suffices() {
+fn shortfall_names_the_limit_and_the_smallest_sufficient_value() {
     let cases: [(u32, f64, usize, f64, &[&str]); 5] = [
         (4_000, 5.0, 1_334, 91.0, &[]),
         (4_000, 5.0, 1_333, 91.0, &["cluster.limits.sockets"]),
@@ -28,7 +28,7 @@
         let found = shortfalls(&settings, machines);
         let named: Vec<&str> = found.iter().map(|s| s.field).collect();
         assert_eq!(named, fields, "{machines} machines, {sockets} sockets");
-        // The values that it names suffice.
+        // The required values of the shortfalls suffice.
         settings.cluster.limits.sockets = found.iter().fold(sockets, |n, s| match s.field {
             "cluster.limits.sockets" => s.needs as usize,
             _ => n,
@@ -41,8 +41,9 @@
     }
 }
 
+/// Operators see only this text, in the log and in the output of the settings check.
 #[test]
-fn shortfall_displays_value_need_and_effect() {
+fn shortfall_displays_configured_value_required_value_and_effect() {
     let mut settings = Settings::parse(SETTINGS).expect("the example is good");
     settings.cluster.workers.heartbeat_interval_s = 1.0;
     settings.cluster.limits.memory_mb = 500.0;
--- a/crates/core/src/timers/tests.rs
+++ b/crates/core/src/timers/tests.rs
@@ -2,8 +2,10 @@
 
 use super::*;
 
+/// A key must be returned once when it is marked and when its deadline passes. Only the last
+/// deadline counts, and removed keys never become due.
 #[test]
-fn touched_and_due_keys_are_taken_once() {
+fn marked_keys_and_keys_past_their_deadline_are_returned_once() {
     let mut timers = TimerQueue::default();
     for (key, at) in [("a", 10), ("b", 20), ("c", 30), ("a", 25)] {
         timers.set_deadline(&key, at);
