--- a/crates/core/src/pools/membership.rs
+++ b/crates/core/src/pools/membership.rs
@@ -61,7 +61,7 @@
 }
 
 impl Machine {
-    /// Whether the machine is a member of a pool and has no tasks.
+    /// Whether the machine is a member of a pool, has no tasks and is not being decommissioned.
     pub(crate) fn is_unused_pool_member(&self) -> bool {
         self.pool.membership.is_some()
             && self.tasks.is_empty()
--- a/crates/core/src/pools/sizing.rs
+++ b/crates/core/src/pools/sizing.rs
@@ -97,9 +97,9 @@
         let mut shapes = Vec::new();
         for pool in &pools {
             let ids = members.get(&pool.name).map_or(&[][..], Vec::as_slice);
-            let machines = self.target_size(ctx, pool, &catalog);
-            self.record_request(ctx, pool, machines);
-            shapes.extend(self.resize_pool(ctx, pool, machines, ids, &mut surplus, &catalog));
+            let target_size = self.target_size(ctx, pool, &catalog);
+            self.record_request(ctx, pool, target_size);
+            shapes.extend(self.resize_pool(ctx, pool, target_size, ids, &mut surplus, &catalog));
         }
         shapes
     }
@@ -137,11 +137,12 @@
     }
 
     /// Chooses the machines that join and leave one pool, and returns the pool's unmet demand.
+    /// `ids` are the unused members of the pool.
     fn resize_pool(
         &mut self,
         ctx: &mut Context,
         pool: &Pool,
-        machines: u32,
+        target_size: u32,
         ids: &[MachineId],
         surplus: &mut SurplusMachines,
         catalog: &[MachineType],
@@ -149,13 +150,13 @@
         let (overdue, ids): (Vec<&MachineId>, Vec<&MachineId>) =
             ids.iter().partition(|id| self.is_overdue(ctx, id));
         let members = self.to_pool_members(pool, &ids);
-        let leave = members_to_remove(&members, machines, pool.max_cost_per_hour);
-        self.mark_surplus_members(&ids, &leave);
+        let leaving = members_to_remove(&members, target_size, pool.max_cost_per_hour);
+        self.mark_surplus_members(&ids, &leaving);
         let joining = self.joining_machines(&pool.name);
-        let staying = ids.len() - leave.len() + joining.len();
-        let mut missing = machines.saturating_sub(staying as u32);
+        let staying = ids.len() - leaving.len() + joining.len();
+        let mut missing = target_size.saturating_sub(staying as u32);
         let mut cost = self.cost_per_hour(ids.iter().copied());
-        cost -= self.cost_per_hour(leave.iter().map(|member| ids[*member]));
+        cost -= self.cost_per_hour(leaving.iter().map(|member| ids[*member]));
         cost += self.cost_per_hour(overdue) + self.cost_per_hour(&joining);
         let mut budget = pool.max_cost_per_hour.map(|max| max - cost);
         let joined = self.choose_joining(ctx, pool, missing, budget, surplus);
