--- a/crates/pools/src/choice/tests.rs
+++ b/crates/pools/src/scaling/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of machines.
+//! Tests of the target size, and of the choice of machines that join and leave.
 
 use super::*;
 use PoolState::{Booting, Fetching, Up, Warm};
@@ -12,19 +12,23 @@
 }
 
 #[test]
-fn target_is_the_allocated_number_within_the_bounds() {
+fn target_is_the_recently_allocated_number_within_the_bounds() {
     let size = PoolSize {
         min_machines: 2,
         max_machines: 5,
     };
-    for (handed_out, expected) in [(0, 2), (2, 2), (3, 3), (5, 5), (9, 5)] {
-        assert_eq!(target_size(size, handed_out), expected, "{handed_out}");
+    for (recently_allocated, expected) in [(0, 2), (2, 2), (3, 3), (5, 5), (9, 5)] {
+        assert_eq!(
+            target_size(size, recently_allocated),
+            expected,
+            "{recently_allocated}"
+        );
     }
     assert_eq!(target_size(PoolSize::default(), 9), 0);
 }
 
 #[test]
-fn members_farthest_from_warm_leave_first_then_the_most_expensive() {
+fn members_farthest_from_warm_leave_first_and_then_the_most_expensive() {
     let list = members(&[
         (Warm, 1.0),
         (Booting, 1.0),
--- a/crates/sched/src/machine_table/tests.rs
+++ b/crates/sched/src/machine_table/tests.rs
@@ -1,8 +1,9 @@
-//! Grouping machines into classes changes no placement.
+//! Compares rounds that group machines into classes with the reference, which scores every
+//! machine: the placements must be equal.
 
 mod reference;
 
-use crate::entitlement::Reservation;
+use crate::entitlement::AgedJobReservation;
 use crate::machine::MachineSnapshot;
 use crate::pending::PendingTasks;
 use crate::quota::Quota;
@@ -22,7 +23,7 @@
 };
 const TEAMS: usize = 2;
 
-/// Machines of a few types; many are equal, some are partly filled.
+/// Machines of a few types. Many are in the same class, and some are partly used.
 fn machines() -> impl Strategy<Value = Vec<MachineSnapshot>> {
     let machine = (
         0..3_u16,
@@ -47,7 +48,7 @@
                 price_per_s: if spot { 1.0 } else { 3.0 } * size as f64,
                 fetch_gb_per_s: f64::from(machine_type),
                 images,
-                is_held: held,
+                is_held_for_aged_job: held,
                 startup_delay_s: delay,
                 reserved_for,
             }
@@ -56,7 +57,7 @@
     vec(machine, 0..24)
 }
 
-/// What distinguishes a job from others of the same template.
+/// The attributes of a job that are not taken from its template.
 #[derive(Clone, Debug)]
 struct JobVariant {
     template: prop::sample::Index,
@@ -69,7 +70,7 @@
 impl JobVariant {
     fn apply(self, templates: &[PendingTasks]) -> PendingTasks {
         PendingTasks {
-            waiting: (0..self.tasks).collect(),
+            unplaced_tasks: (0..self.tasks).collect(),
             total_tasks: self.tasks,
             is_gang: self.gang,
             priority_band: self.band,
@@ -98,7 +99,7 @@
     vec(variant, 0..16)
 }
 
-/// Jobs of a few templates: many have the same requirement, as gangs and not.
+/// Jobs of a few templates, so that gangs and other jobs often have equal requirements.
 fn jobs() -> impl Strategy<Value = Vec<PendingTasks>> {
     (vec(job_templates(), 1..4), job_variants()).prop_map(|(templates, variants)| {
         let variants = variants.into_iter();
@@ -106,10 +107,10 @@
     })
 }
 
-/// A job with any resources and constraints.
+/// A job with random resources and constraints.
 fn job_templates() -> impl Strategy<Value = PendingTasks> {
-    let shape = (0..4_i64, 0..3_i64, 1..5_u32, any::<bool>(), 0..4_i32);
-    let place = (
+    let size = (0..4_i64, 0..3_i64, 1..5_u32, any::<bool>(), 0..4_i32);
+    let constraints = (
         proptest::option::of(vec(0..3_u16, 1..3)),
         proptest::option::of(0..3_u16),
         any::<bool>(),
@@ -117,19 +118,19 @@
         any::<bool>(),
     );
     let reservation = prop_oneof![
-        Just(Reservation::None),
-        Just(Reservation::Capacity),
-        Just(Reservation::CapacityAndQuota),
+        Just(AgedJobReservation::None),
+        Just(AgedJobReservation::Capacity),
+        Just(AgedJobReservation::CapacityAndQuota),
     ];
     let reservations = btree_set(0..2_u32, 0..2);
     let rest = (0..3_u32, 0..TEAMS, reservation, 0..3_u32, reservations);
-    (shape, place, rest).prop_map(|(shape, place, rest)| {
-        let (cpus, gpus, tasks, gang, band) = shape;
-        let (types, zone, one_zone, spread, spot) = place;
+    (size, constraints, rest).prop_map(|(size, constraints, rest)| {
+        let (cpus, gpus, tasks, gang, band) = size;
+        let (types, zone, require_same_zone, spread, spot) = constraints;
         let (image, team, reservation, estimate, reservations) = rest;
         PendingTasks {
             task_resources: Resources::new(cpus as f64, gpus as f64 * 0.5, 2.0),
-            waiting: (0..tasks).collect(),
+            unplaced_tasks: (0..tasks).collect(),
             total_tasks: tasks,
             is_gang: gang,
             priority_band: band,
@@ -140,8 +141,8 @@
             image_gb: f64::from(image) * 4.0,
             allowed_types: types,
             required_zone: zone,
-            one_zone,
-            spread: spread && !one_zone,
+            require_same_zone,
+            spread_over_zones: spread && !require_same_zone,
             allows_spot: spot,
             open_reservations: reservations,
             ..PendingTasks::default()
@@ -170,8 +171,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Every task is placed as by a scan of every machine, and machines, jobs and quotas
-    /// are the same afterwards.
+    /// The placements are equal to those of a scan of every machine, and the state of
+    /// machines, jobs and quotas is equal afterwards.
     #[test]
     fn round_places_like_a_scan_of_every_machine(machines in machines(), jobs in jobs()) {
         let (mut grouped, mut scanned) = (machines.clone(), machines);
@@ -186,8 +187,9 @@
     }
 }
 
-/// Unmet requirements are remembered with a bit for each zone. With one zone more than
-/// there are bits none are remembered, and the placements stay the same.
+/// Guards against a wrong or overflowing zone mask. Unsatisfiable requirements are recorded
+/// with one bit for each zone; if there are more zones than bits, none are recorded. The
+/// placements must be equal in both cases.
 #[test]
 fn more_zones_than_mask_bits_change_no_placement() {
     for zones in [MAX_ZONES as u16, MAX_ZONES as u16 + 1] {
@@ -202,14 +204,14 @@
         };
         let job = |zone: Option<u16>, tasks: u32| PendingTasks {
             task_resources: Resources::new(5.0, 0.0, 2.0),
-            waiting: (0..tasks).collect(),
+            unplaced_tasks: (0..tasks).collect(),
             total_tasks: tasks,
             estimated_run_s: 1.0,
             required_zone: zone,
             ..PendingTasks::default()
         };
-        // Two tasks for the last zone, which has room for one, and more for any zone than
-        // there is room for.
+        // Each zone has capacity for one task. Two tasks require the last zone, and the
+        // tasks for any zone are more than fit.
         let jobs = vec![job(Some(zones - 1), 2), job(None, u32::from(zones) + 3)];
         let machines: Vec<MachineSnapshot> = (0..zones).map(machine).collect();
         let (mut grouped, mut scanned) = (machines.clone(), machines);
