--- a/crates/daemon/src/pools/records.rs
+++ b/crates/daemon/src/pools/records.rs
@@ -1,6 +1,6 @@
 //! Reads records from the key-value store, page by page.
 
-use forkshift_core::records::{MachineRecord, CLUSTER};
+use forkshift_core::records::{MachineRecord, CLUSTER_PREFIX};
 use forkshift_net::{Call, Client, ClientLimits};
 use forkshift_pools::account::{PoolRequest, CURRENT_REQUEST_PREFIX};
 use forkshift_wire::state::{Item, Page};
@@ -116,7 +116,7 @@
         &self,
         kind: &str,
     ) -> Result<BTreeMap<String, T>, RecordsError> {
-        let prefix = format!("{CLUSTER}{kind}/");
+        let prefix = format!("{CLUSTER_PREFIX}{kind}/");
         let items = self.read_prefix(&prefix)?;
         let parse_named = |item: &Item| {
             let name = item.key.strip_prefix(&prefix).unwrap_or_default();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -101,7 +101,7 @@
         .map_err(listen_error("cluster_listen", settings.peer_listen))?;
     let server_limits = ServerLimits {
         max_connections: bounds.connections,
-        max_keep_alive_connections: bounds.kept_connections,
+        max_keep_alive_connections: bounds.keep_alive_connections,
         max_body_bytes: MAX_BODY_BYTES,
         idle_timeout: IDLE_TIMEOUT,
         body_timeout: BODY_TIMEOUT,
