--- a/crates/emulator/src/addresses.rs
+++ b/crates/emulator/src/addresses.rs
@@ -10,13 +10,13 @@
 /// Number of ports of the model servers of a machine.
 const MODEL_SERVER_PORTS: u32 = 1_000;
 /// Second octet of the workers' first addresses.
-const WORKER_NETWORK: u8 = 64;
+const FIRST_WORKER_SECOND_OCTET: u8 = 64;
 /// Number of second octets for workers; their addresses end before 127.192.0.0.
-const WORKER_NETWORKS: u8 = 128;
+const WORKER_SECOND_OCTETS: u8 = 128;
 /// Third octets of the addresses of controllers and services.
-const CONTROLLER_SUBNET: u8 = 1;
-const STATE_SUBNET: u8 = 2;
-const CLOUD_SUBNET: u8 = 3;
+const CONTROLLER_THIRD_OCTET: u8 = 1;
+const STORE_THIRD_OCTET: u8 = 2;
+const CLOUD_THIRD_OCTET: u8 = 3;
 
 /// Addresses of the services and the controllers of a run.
 #[derive(Clone, Copy, Debug)]
@@ -32,27 +32,27 @@
 
     /// Address of the key-value store for one controller. Each controller has its own, so
     /// that its link can be cut alone.
-    pub(crate) fn state(self, controller: usize) -> SocketAddr {
-        self.at(STATE_SUBNET, controller, self.base_port)
+    pub(crate) fn store(self, controller: usize) -> SocketAddr {
+        self.controller_address(STORE_THIRD_OCTET, controller, self.base_port)
     }
 
     /// Address of the cloud for one controller. Each controller has its own.
     pub(crate) fn cloud(self, controller: usize) -> SocketAddr {
-        self.at(CLOUD_SUBNET, controller, self.base_port)
+        self.controller_address(CLOUD_THIRD_OCTET, controller, self.base_port)
     }
 
     /// Address at which a controller serves users and workers.
     pub(crate) fn controller(self, index: usize) -> SocketAddr {
-        self.at(CONTROLLER_SUBNET, index, self.base_port)
+        self.controller_address(CONTROLLER_THIRD_OCTET, index, self.base_port)
     }
 
     /// Address at which a controller receives messages of its peers.
     pub(crate) fn controller_peer(self, index: usize) -> SocketAddr {
-        self.at(CONTROLLER_SUBNET, index, self.base_port + 1)
+        self.controller_address(CONTROLLER_THIRD_OCTET, index, self.base_port + 1)
     }
 
-    fn at(self, subnet: u8, controller: usize, port: u16) -> SocketAddr {
-        let ip = Ipv4Addr::new(127, 0, subnet, controller as u8 + 1);
+    fn controller_address(self, third_octet: u8, controller: usize, port: u16) -> SocketAddr {
+        let ip = Ipv4Addr::new(127, 0, third_octet, controller as u8 + 1);
         SocketAddr::new(IpAddr::V4(ip), port)
     }
 }
@@ -71,6 +71,6 @@
     let suffix = machine.as_str().rsplit('-').next();
     let number: u32 = suffix.and_then(|text| text.parse().ok()).unwrap_or(0);
     let [_, high, middle, low] = number.to_be_bytes();
-    let network = WORKER_NETWORK + high % WORKER_NETWORKS;
-    format!("127.{network}.{middle}.{low}:{WORKER_PORT}")
+    let second_octet = FIRST_WORKER_SECOND_OCTET + high % WORKER_SECOND_OCTETS;
+    format!("127.{second_octet}.{middle}.{low}:{WORKER_PORT}")
 }
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -2,7 +2,7 @@
 
 use crate::addresses::Addresses;
 use crate::process::ProcessUsage;
-use crate::settings::{controller_name, settings};
+use crate::settings::{controller_name, controller_settings};
 use crate::site::Site;
 use std::fs::{self, File};
 use std::io;
@@ -31,8 +31,8 @@
 /// One controller.
 struct Controller {
     child: Option<Child>,
-    settings: PathBuf,
-    log: PathBuf,
+    settings_path: PathBuf,
+    log_path: PathBuf,
     /// Processor seconds of the controller's earlier processes.
     exited_cpu_s: f64,
 }
@@ -47,19 +47,23 @@
     ) -> Result<Self, ControllerError> {
         let name = controller_name(index);
         let path = directory.join(format!("{name}.toml"));
-        let text = toml::to_string(&settings(site, addresses, index)).unwrap_or_default();
+        let text =
+            toml::to_string(&controller_settings(site, addresses, index)).unwrap_or_default();
         fs::write(&path, text).map_err(|source| file_error(&path, source))?;
         Ok(Self {
             child: None,
-            settings: path,
-            log: directory.join(format!("{name}.log")),
+            settings_path: path,
+            log_path: directory.join(format!("{name}.log")),
             exited_cpu_s: 0.0,
         })
     }
 
     fn open_log(&self) -> Result<File, ControllerError> {
-        let file = File::options().create(true).append(true).open(&self.log);
-        file.map_err(|source| file_error(&self.log, source))
+        let file = File::options()
+            .create(true)
+            .append(true)
+            .open(&self.log_path);
+        file.map_err(|source| file_error(&self.log_path, source))
     }
 
     /// Resources that the controller has used. Memory is that of the present process.
@@ -84,9 +88,9 @@
 /// All controllers of a run. They are killed on drop.
 pub(crate) struct Controllers {
     program: PathBuf,
-    operator: Option<PathBuf>,
-    arguments: Vec<String>,
-    all: Vec<Controller>,
+    operator_settings: Option<PathBuf>,
+    serve_arguments: Vec<String>,
+    controllers: Vec<Controller>,
 }
 
 impl Controllers {
@@ -100,35 +104,35 @@
         if !program.is_file() {
             return Err(ControllerError::ProgramNotFound(program));
         }
-        let all = (0..site.controllers.count)
+        let controllers = (0..site.controllers.count)
             .map(|index| Controller::prepare(site, addresses, index, directory));
         Ok(Self {
             program,
-            operator: site.controllers.operator.clone(),
-            arguments: site.controllers.arguments.clone(),
-            all: all.collect::<Result<_, _>>()?,
+            operator_settings: site.controllers.operator.clone(),
+            serve_arguments: site.controllers.arguments.clone(),
+            controllers: controllers.collect::<Result<_, _>>()?,
         })
     }
 
     /// Number of controllers.
     pub(crate) fn len(&self) -> usize {
-        self.all.len()
+        self.controllers.len()
     }
 
     /// Starts a controller; does nothing if it is running.
     pub(crate) fn start(&mut self, index: usize) -> Result<(), ControllerError> {
-        let controller = &mut self.all[index];
+        let controller = &mut self.controllers[index];
         if controller.child.is_some() {
             return Ok(());
         }
         let log = controller.open_log()?;
         let mut command = Command::new(&self.program);
         command.arg("serve");
-        if let Some(operator) = &self.operator {
+        if let Some(operator) = &self.operator_settings {
             command.arg("--operator").arg(operator);
         }
-        command.args(&self.arguments);
-        command.arg("--config").arg(&controller.settings);
+        command.args(&self.serve_arguments);
+        command.arg("--config").arg(&controller.settings_path);
         command.stdin(Stdio::null()).stdout(Stdio::null());
         let child = command
             .stderr(log)
@@ -140,7 +144,7 @@
 
     /// Kills a controller with a signal that it can't catch.
     pub(crate) fn kill(&mut self, index: usize) {
-        let controller = &mut self.all[index];
+        let controller = &mut self.controllers[index];
         if let Some(mut child) = controller.child.take() {
             let usage = ProcessUsage::of_process(child.id());
             controller.exited_cpu_s += usage.map_or(0.0, |usage| usage.cpu_s);
@@ -151,9 +155,9 @@
     }
 
     /// Indexes of the controllers that exited without [`Self::kill`] since the last call.
-    pub(crate) fn take_exited(&mut self) -> Vec<usize> {
+    pub(crate) fn reap_exited(&mut self) -> Vec<usize> {
         let mut exited = Vec::new();
-        for (index, controller) in self.all.iter_mut().enumerate() {
+        for (index, controller) in self.controllers.iter_mut().enumerate() {
             let child = controller.child.as_mut();
             if child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_)))) {
                 controller.child = None;
@@ -165,12 +169,12 @@
 
     /// A function that runs the program's `pools report` over all time and returns its JSON,
     /// or `None` if it fails.
-    pub(crate) fn pools_report(&self) -> impl FnOnce() -> Option<String> + Send + 'static {
+    pub(crate) fn pools_report_command(&self) -> impl FnOnce() -> Option<String> + Send + 'static {
         let program = self.program.clone();
         let settings = self
-            .all
+            .controllers
             .first()
-            .map(|controller| controller.settings.clone());
+            .map(|controller| controller.settings_path.clone());
         move || {
             let mut command = Command::new(program);
             command.args(["pools", "report", "--json", "--from", "1970-01-01"]);
@@ -187,13 +191,13 @@
 
     /// Resources that each controller has used, over all its processes.
     pub(crate) fn usage(&self) -> Vec<ProcessUsage> {
-        self.all.iter().map(Controller::usage).collect()
+        self.controllers.iter().map(Controller::usage).collect()
     }
 }
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        for index in 0..self.all.len() {
+        for index in 0..self.controllers.len() {
             self.kill(index);
         }
     }
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -8,7 +8,7 @@
 use crate::addresses::Addresses;
 use crate::controllers::{ControllerError, Controllers};
 use crate::load;
-use crate::pools::AnsweringJobs;
+use crate::pools::ModelServerJobs;
 use crate::preflight::{MachineLimits, PreflightError};
 use crate::progress::Progress;
 use crate::report::Report;
@@ -27,7 +27,7 @@
 use temporary_directory::TemporaryDirectory;
 
 /// Interval at which a run checks its faults, its child processes and its progress.
-const STEP_INTERVAL: Duration = Duration::from_millis(250);
+const RUN_STEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why a run can't be made.
 #[derive(Debug, thiserror::Error)]
@@ -75,8 +75,8 @@
     let addresses = Addresses::new(site.controllers.base_port);
     let mut controllers = Controllers::prepare(site, addresses, directory.path())?;
     let executor: Executor = Rc::new(LocalExecutor::new());
-    let plans = load::plans(site);
-    let jobs = AnsweringJobs::new(site, &plans);
+    let plans = load::draw_job_plans(site);
+    let jobs = ModelServerJobs::new(site, &plans);
     let world = simulation::world(site, plans);
     let bridge = SocketBridge::start(&executor, world, addresses, controllers.len(), jobs)?;
     for index in 0..controllers.len() {
@@ -106,7 +106,7 @@
 impl Run<'_> {
     async fn execute(mut self, stop: &AtomicBool) -> Result<Report, EmulationError> {
         loop {
-            Timer::after(STEP_INTERVAL).await;
+            Timer::after(RUN_STEP_INTERVAL).await;
             let now_s = self.bridge.elapsed().as_secs_f64();
             self.step(now_s)?;
             let is_interrupted = stop.load(Ordering::Relaxed);
@@ -124,13 +124,13 @@
         self.inject_crashes(now_s);
         self.inject_link_cuts(now_s);
         self.detect_exits(now_s);
-        self.restart_due(now_s)?;
+        self.start_due_controllers(now_s)?;
         self.show_progress(now_s);
         Ok(())
     }
 
     fn detect_exits(&mut self, now_s: f64) {
-        for index in self.controllers.take_exited() {
+        for index in self.controllers.reap_exited() {
             self.unexpected_exits += 1;
             let name = controller_name(index);
             self.print_event(now_s, &format!("{name} has ended by itself"));
@@ -145,7 +145,7 @@
         });
     }
 
-    fn restart_due(&mut self, now_s: f64) -> Result<(), EmulationError> {
+    fn start_due_controllers(&mut self, now_s: f64) -> Result<(), EmulationError> {
         let is_due = |restart: &ScheduledRestart| restart.at_s <= now_s;
         let (due, later): (Vec<_>, Vec<_>) = self.restarts.drain(..).partition(is_due);
         self.restarts = later;
@@ -158,7 +158,8 @@
     }
 
     fn print_event(&self, now_s: f64, event: &str) {
-        self.progress.event(&format!("{now_s:>4.0} s: {event}"));
+        self.progress
+            .print_event(&format!("{now_s:>4.0} s: {event}"));
     }
 
     fn show_progress(&mut self, now_s: f64) {
--- a/crates/emulator/src/emulation/faults.rs
+++ b/crates/emulator/src/emulation/faults.rs
@@ -10,7 +10,7 @@
 impl Run<'_> {
     /// Injects the crashes that are due.
     pub(super) fn inject_crashes(&mut self, now_s: f64) {
-        while let Some(crash) = pop_if(&mut self.crashes, |crash| crash.at_s <= now_s) {
+        while let Some(crash) = pop_if_due(&mut self.crashes, |crash| crash.at_s <= now_s) {
             self.inject_crash(now_s, &crash);
         }
     }
@@ -19,7 +19,7 @@
         match crash.target() {
             Some(CrashTarget::Controller(index)) => self.crash_controller(now_s, index),
             Some(CrashTarget::ShardHolder) => {
-                if let Some(index) = self.bridge.answering_shard_holder() {
+                if let Some(index) = self.bridge.model_server_shard_holder() {
                     self.crash_controller(now_s, index);
                 }
             }
@@ -53,10 +53,10 @@
 
     /// Cuts the links that are due.
     pub(super) fn inject_link_cuts(&mut self, now_s: f64) {
-        while let Some(cut) = pop_if(&mut self.link_cuts, |cut| cut.at_s <= now_s) {
+        while let Some(cut) = pop_if_due(&mut self.link_cuts, |cut| cut.at_s <= now_s) {
             let index = cut
                 .controller
-                .or_else(|| self.bridge.answering_shard_holder());
+                .or_else(|| self.bridge.model_server_shard_holder());
             if let Some(index) = index {
                 self.cut_link(now_s, &cut, index);
             }
@@ -74,7 +74,7 @@
 }
 
 /// Removes the first fault of a queue if it is due.
-fn pop_if<T>(queue: &mut VecDeque<T>, is_due: impl Fn(&T) -> bool) -> Option<T> {
+fn pop_if_due<T>(queue: &mut VecDeque<T>, is_due: impl Fn(&T) -> bool) -> Option<T> {
     queue.front().filter(|fault| is_due(fault))?;
     queue.pop_front()
 }
@@ -82,7 +82,7 @@
 /// A cut of the site file as a fault of the simulated world.
 fn link_fault(cut: &LinkCutSpec, node: usize, world: &Simulation) -> FaultKind {
     let time = milliseconds(cut.for_s);
-    let lost = match cut.link {
+    let direction = match cut.link {
         LinkKind::State | LinkKind::Cloud => {
             return FaultKind::ServicePartition {
                 node,
@@ -102,7 +102,7 @@
     FaultKind::LinkPartition {
         node,
         machines,
-        direction: lost,
+        direction,
         time,
         holds_messages: false,
     }
--- a/crates/emulator/src/emulation/measurement.rs
+++ b/crates/emulator/src/emulation/measurement.rs
@@ -8,7 +8,7 @@
 use forkshift_testkit::Simulation;
 
 /// Largest number of rule violations that a report lists.
-const MAX_VIOLATIONS: usize = 20;
+const MAX_LISTED_VIOLATIONS: usize = 20;
 /// Shortest measured time, in seconds, so that rates are finite.
 const MIN_MEASURED_S: f64 = 1e-3;
 
@@ -70,7 +70,7 @@
             controllers: self.controllers.len() as u64,
             controllers_exited: self.unexpected_exits,
             teams: self.site.teams.iter().map(|team| team.count as u64).sum(),
-            hollow_process: load("hollow process", start.emulator, end.emulator),
+            emulator_load: load("hollow process", start.emulator, end.emulator),
             ..Report::default()
         };
         self.bridge
@@ -87,7 +87,7 @@
 
     /// Adds the state of the simulated world at the end of the run.
     fn add_world_state(&self, report: &mut Report, world: &Simulation) {
-        let violations = world.checker.violations.iter().take(MAX_VIOLATIONS);
+        let violations = world.checker.violations.iter().take(MAX_LISTED_VIOLATIONS);
         report.rule_violations = violations
             .map(|violation| format!("{violation:?}"))
             .collect();
@@ -98,7 +98,7 @@
         report.jobs_done = jobs.done;
         report.jobs_cancelled = jobs.cancelled;
         report.jobs_running = jobs.running;
-        report.jobs_waiting = jobs.waiting;
+        report.jobs_pending = jobs.waiting;
         report.replicas_restarted = world.replicas_restarted();
         let pools = pool_summary(world, self.site, self.bridge.start_time_ms());
         report.pools = (pools.machines > 0).then_some(pools);
@@ -107,7 +107,7 @@
     /// The pools' cost by the report of the controller's program; `None` if it fails.
     async fn reported_pool_cost(&self) -> Option<f64> {
         let (sender, receiver) = async_channel::bounded(1);
-        let request = self.controllers.pools_report();
+        let request = self.controllers.pools_report_command();
         // The program reads the key-value store that this thread serves, so another
         // thread must wait for it.
         std::thread::spawn(move || {
--- a/crates/emulator/src/emulation/temporary_directory.rs
+++ b/crates/emulator/src/emulation/temporary_directory.rs
@@ -4,7 +4,7 @@
 use std::{env, fs, io, process};
 
 /// If this environment variable is set, the directory is kept after the run.
-const KEEP_VARIABLE: &str = "FORKSHIFT_KEEP_LOGS";
+const KEEP_LOGS_VARIABLE: &str = "FORKSHIFT_KEEP_LOGS";
 
 /// A directory of this process that is removed on drop.
 pub(super) struct TemporaryDirectory(PathBuf);
@@ -26,7 +26,7 @@
 
 impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
-        if env::var_os(KEEP_VARIABLE).is_none() {
+        if env::var_os(KEEP_LOGS_VARIABLE).is_none() {
             // A directory that can't be removed does no harm.
             let _ = fs::remove_dir_all(&self.0);
         }
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -15,16 +15,16 @@
 const FIRST_SUBMISSION_S: f64 = 3.0;
 
 /// All jobs of a run, drawn from the site's seed.
-pub(crate) fn plans(site: &Site) -> Vec<JobPlan> {
+pub(crate) fn draw_job_plans(site: &Site) -> Vec<JobPlan> {
     let mut rng = StdRng::seed_from_u64(site.seed);
     let teams = site.team_names();
     let mut plans = Vec::new();
     for class in &site.classes {
-        for at_s in submission_times(class, site.duration_s, &mut rng) {
+        for at_s in draw_submission_times(class, site.duration_s, &mut rng) {
             let number = plans.len();
             let next_team = &teams[number % teams.len()];
             let team = class.team.as_ref().unwrap_or(next_team);
-            plans.push(plan(class, number, team, at_s, &mut rng));
+            plans.push(draw_job_plan(class, number, team, at_s, &mut rng));
         }
     }
     plans
@@ -32,7 +32,7 @@
 
 /// Submission times of the jobs of a class, in seconds: those of the initial jobs, then a
 /// Poisson process with the class's rate.
-fn submission_times(class: &JobClass, duration_s: f64, rng: &mut StdRng) -> Vec<f64> {
+fn draw_submission_times(class: &JobClass, duration_s: f64, rng: &mut StdRng) -> Vec<f64> {
     let spread_s = f64::from(class.initial) * INITIAL_SPREAD_S_PER_1000 / 1000.0;
     let initial = (0..class.initial).map(|_| match class.burst_s {
         Some(at_s) => at_s,
@@ -52,7 +52,13 @@
 }
 
 /// Draws a job of a class that is submitted at a time, in seconds.
-fn plan(class: &JobClass, number: usize, team: &str, at_s: f64, rng: &mut StdRng) -> JobPlan {
+fn draw_job_plan(
+    class: &JobClass,
+    number: usize,
+    team: &str,
+    at_s: f64,
+    rng: &mut StdRng,
+) -> JobPlan {
     let run_s = match class.kind {
         JobKindSpec::Service => 0.0,
         _ => class.run_s * rng.random_range(0.5..1.5),
@@ -69,7 +75,7 @@
         cpus: class.cpus,
         gpus: class.gpus,
         memory_gb: class.memory_gb,
-        image: image(class, rng),
+        image: draw_image(class, rng),
         image_gb: class.image_gb,
         machine_types: None,
         zone: None,
@@ -93,7 +99,7 @@
 }
 
 /// Name of the image of a job.
-fn image(class: &JobClass, rng: &mut StdRng) -> String {
+fn draw_image(class: &JobClass, rng: &mut StdRng) -> String {
     match &class.image {
         Some(image) => image.clone(),
         None => format!("{}-{}", class.name, rng.random_range(0..class.images)),
--- a/crates/emulator/src/load/tests.rs
+++ b/crates/emulator/src/load/tests.rs
@@ -1,13 +1,13 @@
-use super::plans;
+use super::draw_job_plans;
 use crate::site::Site;
 use std::collections::BTreeSet;
 
 #[test]
-fn the_drawn_load_matches_the_site() {
+fn drawn_jobs_repeat_and_match_the_rates_of_the_site() {
     let text = include_str!("../../../../examples/emulation.toml");
     let site = Site::parse(text).expect("a valid site");
-    let drawn = plans(&site);
-    let again = plans(&site);
+    let drawn = draw_job_plans(&site);
+    let again = draw_job_plans(&site);
     let shape =
         |p: &forkshift_testkit::JobPlan| (p.submit_at, p.spec.clone(), p.run_ms, p.cancel_at);
     assert!(
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -145,7 +145,7 @@
 }
 
 impl Outcome {
-    fn of(has_violations: bool) -> Self {
+    fn from_violations(has_violations: bool) -> Self {
         match has_violations {
             true => Self::RulesViolated,
             false => Self::RulesKept,
@@ -211,14 +211,14 @@
         let json = serde_json::to_string(&report).unwrap_or_default();
         fs::write(path, json + "\n").map_err(|source| file_error(path, source))?;
     }
-    Ok(Outcome::of(report.has_failures()))
+    Ok(Outcome::from_violations(report.has_failures()))
 }
 
 /// Runs a sweep of a valid site file.
 fn sweep(sweep: &Sweep) -> Result<Outcome, CommandError> {
     read_site(sweep.site)?;
     let has_violations = sweep.run(&*stop_flag()?)?;
-    Ok(Outcome::of(has_violations))
+    Ok(Outcome::from_violations(has_violations))
 }
 
 /// A flag that Ctrl-C sets.
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -45,7 +45,7 @@
     /// Use of the key-value store, by category.
     pub store: BTreeMap<RequestCategory, StoreUsage>,
     /// Requests that the key-value store refused with 429 or 503.
-    pub store_refused: u64,
+    pub store_requests_refused: u64,
     /// Largest lag of the simulated time behind the clock.
     pub max_lag_ms: u64,
 }
@@ -66,7 +66,7 @@
             commands: 0,
             worker_traffic: Traffic::default(),
             store: BTreeMap::new(),
-            store_refused: 0,
+            store_requests_refused: 0,
             max_lag_ms: 0,
         }
     }
@@ -111,7 +111,7 @@
     pub(crate) fn record_store_request(&mut self, request: &ClassifiedRequest, status: u16) {
         self.store.entry(request.category).or_default().requests += 1;
         if matches!(status, HTTP_TOO_MANY_REQUESTS | HTTP_UNAVAILABLE) {
-            self.store_refused += 1;
+            self.store_requests_refused += 1;
         }
         if status == HTTP_OK {
             for category in &request.writes {
--- a/crates/emulator/src/model_servers.rs
+++ b/crates/emulator/src/model_servers.rs
@@ -24,7 +24,7 @@
 /// Largest number of connections that a server accepts.
 const MAX_CONNECTIONS: usize = 16;
 /// Idle connections are closed after this.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest body of a request or response, in bytes.
 const MAX_BODY_BYTES: usize = 1_024;
 const HTTP_OK: u16 = 200;
@@ -57,7 +57,7 @@
         let (replicas, updates) = async_channel::unbounded();
         let first_answers = FirstAnswers::default();
         let answers = first_answers.clone();
-        let thread = std::thread::spawn(move || run(started, &updates, answers));
+        let thread = std::thread::spawn(move || run_servers(started, &updates, answers));
         Self {
             replicas,
             first_answers,
@@ -88,24 +88,24 @@
 }
 
 /// The model server of a replica.
-struct Server {
+struct ModelServer {
     address: SocketAddr,
     is_ready: Rc<Cell<bool>>,
     /// Serves until it is dropped.
     _task: Task<()>,
 }
 
-/// Servers by the replicas' tasks and machines.
-type Servers = Rc<RefCell<BTreeMap<(TaskRef, MachineId), Server>>>;
+/// ModelServerMap by the replicas' tasks and machines.
+type ModelServerMap = Rc<RefCell<BTreeMap<(TaskRef, MachineId), ModelServer>>>;
 
-fn run(started: Instant, updates: &Receiver<Vec<Replica>>, first_answers: FirstAnswers) {
+fn run_servers(started: Instant, updates: &Receiver<Vec<Replica>>, first_answers: FirstAnswers) {
     let executor: Executor = Rc::new(LocalExecutor::new());
-    let servers: Servers = Rc::default();
+    let servers: ModelServerMap = Rc::default();
     let generator = LoadGenerator::new(&executor, started, servers.clone(), first_answers);
     let load = executor.spawn(generator.run());
     let updating = async {
         while let Ok(replicas) = updates.recv().await {
-            update_servers(&executor, &servers, &replicas);
+            reconcile_servers(&executor, &servers, &replicas);
         }
     };
     async_io::block_on(executor.run(updating));
@@ -113,7 +113,7 @@
 }
 
 /// Starts and stops servers, so that each replica has one.
-fn update_servers(executor: &Executor, servers: &Servers, replicas: &[Replica]) {
+fn reconcile_servers(executor: &Executor, servers: &ModelServerMap, replicas: &[Replica]) {
     let mut servers = servers.borrow_mut();
     let key = |replica: &Replica| (replica.task.clone(), replica.machine.clone());
     servers.retain(|existing, _| replicas.iter().any(|replica| key(replica) == *existing));
@@ -122,7 +122,7 @@
             server.is_ready.set(replica.is_ready);
             continue;
         }
-        match serve(executor, replica) {
+        match start_server(executor, replica) {
             Ok(server) => drop(servers.insert(key(replica), server)),
             Err(error) => {
                 log::error!("model server of {}: listener failed, {error}", replica.task);
@@ -131,15 +131,15 @@
     }
 }
 
-fn serve(executor: &Executor, replica: &Replica) -> std::io::Result<Server> {
+fn start_server(executor: &Executor, replica: &Replica) -> std::io::Result<ModelServer> {
     let address = addresses::model_server(&replica.machine, replica.task.index);
     let listener = forkshift_net::bind(address, MAX_CONNECTIONS)?;
     let limits = ServerLimits {
         max_connections: MAX_CONNECTIONS,
         max_keep_alive_connections: MAX_CONNECTIONS,
         max_body_bytes: MAX_BODY_BYTES,
-        idle_timeout: IDLE_TIMEOUT,
-        body_timeout: IDLE_TIMEOUT,
+        idle_timeout: IDLE_CONNECTION_TIMEOUT,
+        body_timeout: IDLE_CONNECTION_TIMEOUT,
     };
     let is_ready = Rc::new(Cell::new(replica.is_ready));
     let is_ready_now = is_ready.clone();
@@ -157,7 +157,7 @@
         }
     };
     let server = forkshift_net::serve(executor.clone(), listener, limits, handler);
-    Ok(Server {
+    Ok(ModelServer {
         address,
         is_ready,
         _task: executor.spawn(server),
--- a/crates/emulator/src/model_servers/load_generator.rs
+++ b/crates/emulator/src/model_servers/load_generator.rs
@@ -1,6 +1,6 @@
 //! Open-loop load generator over all model servers.
 
-use super::{FirstAnswers, Servers, HTTP_OK, IDLE_TIMEOUT, MAX_BODY_BYTES};
+use super::{FirstAnswers, ModelServerMap, HTTP_OK, IDLE_CONNECTION_TIMEOUT, MAX_BODY_BYTES};
 use async_io::Timer;
 use forkshift_net::{Call, Client, ClientLimits, Executor};
 use forkshift_wire::TaskRef;
@@ -23,7 +23,7 @@
     executor: Executor,
     /// Start of the run, from which the times of answers count.
     started: Instant,
-    servers: Servers,
+    servers: ModelServerMap,
     first_answers: FirstAnswers,
     client: Client,
     concurrent_requests: Cell<usize>,
@@ -33,13 +33,13 @@
     pub(super) fn new(
         executor: &Executor,
         started: Instant,
-        servers: Servers,
+        servers: ModelServerMap,
         first_answers: FirstAnswers,
     ) -> Rc<Self> {
         let client = Client::new(ClientLimits {
             max_idle_per_host: 1,
             max_idle: MAX_CONCURRENT_REQUESTS,
-            idle_timeout: IDLE_TIMEOUT,
+            idle_timeout: IDLE_CONNECTION_TIMEOUT,
             max_response_bytes: MAX_BODY_BYTES as u64,
         });
         Rc::new(Self {
--- a/crates/emulator/src/model_servers/tests.rs
+++ b/crates/emulator/src/model_servers/tests.rs
@@ -2,7 +2,7 @@
 use forkshift_wire::JobId;
 
 /// Waits until a condition holds, for a while.
-fn holds_soon(condition: impl Fn() -> bool) -> bool {
+fn becomes_true_within_10_s(condition: impl Fn() -> bool) -> bool {
     let until = Instant::now() + Duration::from_secs(10);
     while Instant::now() < until {
         if condition() {
@@ -28,9 +28,13 @@
     };
     let servers = ModelServers::start(Instant::now());
     servers.set_replicas(vec![replica(0, true), replica(1, false), replica(2, false)]);
-    assert!(holds_soon(|| servers.first_answers().len() == 1));
+    assert!(becomes_true_within_10_s(
+        || servers.first_answers().len() == 1
+    ));
     servers.set_replicas(vec![replica(0, true), replica(1, true), replica(2, false)]);
-    assert!(holds_soon(|| servers.first_answers().len() == 2));
+    assert!(becomes_true_within_10_s(
+        || servers.first_answers().len() == 2
+    ));
     let answered: Vec<u32> = servers
         .first_answers()
         .keys()
--- a/crates/emulator/src/plot.rs
+++ b/crates/emulator/src/plot.rs
@@ -7,12 +7,12 @@
 use std::path::Path;
 
 /// Width and height, in pixels.
-const SIZE_PIXELS: (u32, u32) = (640, 400);
+const IMAGE_SIZE_PIXELS: (u32, u32) = (640, 400);
 /// Ratio of the end of an axis to the largest value.
-const HEADROOM: f64 = 1.1;
+const AXIS_LENGTH_FACTOR: f64 = 1.1;
 /// Shortest axes.
-const MIN_SIZE: f64 = 1.0;
-const MIN_FIGURE: f64 = 1e-6;
+const MIN_X_AXIS_LENGTH: f64 = 1.0;
+const MIN_Y_AXIS_LENGTH: f64 = 1e-6;
 
 /// An error of the drawing library.
 type ChartError = DrawingAreaErrorKind<io::Error>;
@@ -28,9 +28,9 @@
 /// A figure over a size.
 pub(crate) struct Plot<'a> {
     /// Name of the figure.
-    pub figure: &'a str,
+    pub metric: &'a str,
     /// Name of the size.
-    pub size: &'a str,
+    pub dimension: &'a str,
     /// Points of size and figure.
     pub points: &'a [Point],
     /// The regression of the points, if there is one.
@@ -47,17 +47,20 @@
     }
 
     fn draw(&self, path: &Path) -> Result<(), ChartError> {
-        let max_x = upper_bound(self.points.iter().map(|point| point.0));
-        let max_y = upper_bound(self.points.iter().map(|point| point.1));
-        let root = SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
+        let max_x = axis_end(self.points.iter().map(|point| point.0));
+        let max_y = axis_end(self.points.iter().map(|point| point.1));
+        let root = SVGBackend::new(path, IMAGE_SIZE_PIXELS).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
-            .caption(self.figure, ("sans-serif", 18))
+            .caption(self.metric, ("sans-serif", 18))
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.0..max_x.max(MIN_SIZE), 0.0..max_y.max(MIN_FIGURE))?;
-        chart.configure_mesh().x_desc(self.size).draw()?;
+            .build_cartesian_2d(
+                0.0..max_x.max(MIN_X_AXIS_LENGTH),
+                0.0..max_y.max(MIN_Y_AXIS_LENGTH),
+            )?;
+        chart.configure_mesh().x_desc(self.dimension).draw()?;
         if let Some(regression) = self.regression {
             let point_at = |size| (size, regression.value_at(size));
             chart.draw_series(LineSeries::new([point_at(0.0), point_at(max_x)], &BLUE))?;
@@ -69,6 +72,6 @@
 }
 
 /// End of an axis with these values.
-fn upper_bound(values: impl Iterator<Item = f64>) -> f64 {
-    values.fold(0.0, f64::max) * HEADROOM
+fn axis_end(values: impl Iterator<Item = f64>) -> f64 {
+    values.fold(0.0, f64::max) * AXIS_LENGTH_FACTOR
 }
--- a/crates/emulator/src/pools.rs
+++ b/crates/emulator/src/pools.rs
@@ -1,5 +1,5 @@
 //! Results of warm pools: how soon the replicas of a burst answer, and whether the pools'
-//! accounts agree with the charges of the simulated cloud.
+//! records agree with the charges of the simulated cloud.
 
 use crate::model_servers::Replica;
 use crate::site::Site;
@@ -14,12 +14,12 @@
 
 /// Largest time by which an interval may exceed a machine's lifetime, in milliseconds: both
 /// are recorded in steps of the simulation, and a crash is detected by missed heartbeats.
-const MAX_CLOCK_ERROR_MS: u64 = 250;
+const MAX_INTERVAL_ERROR_MS: u64 = 250;
 const MILLISECONDS_PER_S: f64 = 1_000.0;
 const MILLISECONDS_PER_HOUR: f64 = 3_600_000.0;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 /// Lower bound of a price, so that a difference of machines without a price is finite.
-const MIN_HOURLY_PRICE: f64 = 1e-9;
+const MIN_PRICE_PER_HOUR: f64 = 1e-9;
 
 /// Answers of the replicas of bursts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     pub all_answered_ms: Option<u64>,
 }
 
-/// Totals of the pools' accounts, compared with the charges of the cloud.
+/// Totals of the pools' records, compared with the charges of the cloud.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PoolSummary {
     /// Number of machines that were in pools.
@@ -43,25 +43,28 @@
     #[serde(rename = "asked_s")]
     pub requested_s: f64,
     /// Machine-seconds by which ready machines were too few.
-    pub short_s: f64,
+    #[serde(rename = "short_s")]
+    pub unmet_s: f64,
     /// Machine-seconds of warm machines.
     pub warm_s: f64,
-    /// Cost of the pools by their accounts.
+    /// Cost of the pools by their records.
     pub cost: f64,
     /// Charges of the cloud for the same intervals of the same machines.
     pub cloud_cost: f64,
     /// Largest difference between the two for one machine, in seconds of its price.
     #[serde(rename = "largest_difference_s")]
-    pub max_difference_s: f64,
+    pub max_cost_difference_s: f64,
     /// Machines handed out to jobs.
-    pub handed_out: u64,
+    #[serde(rename = "handed_out")]
+    pub allocated: u64,
     /// Jobs that found no warm machine.
-    pub missed: u64,
+    #[serde(rename = "missed")]
+    pub cold_starts: u64,
     /// Machines reclaimed.
     pub reclaimed: u64,
     /// Machines lost.
     pub lost: u64,
-    /// Violated rules of the accounts.
+    /// Violated rules of the records.
     #[serde(rename = "mistakes")]
     pub discrepancies: Vec<String>,
     /// Cost of the pools by `forkshift pools report`; `None` if that failed.
@@ -70,7 +73,7 @@
 
 /// A job whose replicas start together and answer requests.
 #[derive(Clone, Debug)]
-pub(crate) struct Burst {
+pub(crate) struct BurstJob {
     /// Time of the submission, in seconds since the start of the run.
     pub at_s: f64,
     /// The job.
@@ -81,14 +84,14 @@
 
 /// The jobs whose replicas answer requests.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct AnsweringJobs {
+pub(crate) struct ModelServerJobs {
     /// All of the jobs.
     pub all: BTreeSet<JobId>,
     /// The jobs that are submitted in bursts.
-    pub bursts: Vec<Burst>,
+    pub bursts: Vec<BurstJob>,
 }
 
-impl AnsweringJobs {
+impl ModelServerJobs {
     /// Selects the planned jobs whose class has answering replicas.
     pub(crate) fn new(site: &Site, plans: &[JobPlan]) -> Self {
         let mut jobs = Self::default();
@@ -98,7 +101,7 @@
                 continue;
             };
             jobs.all.insert(spec.id.clone());
-            jobs.bursts.extend(class.burst_s.map(|at_s| Burst {
+            jobs.bursts.extend(class.burst_s.map(|at_s| BurstJob {
                 at_s,
                 job: spec.id.clone(),
                 replicas: spec.tasks,
@@ -143,7 +146,7 @@
     }
 }
 
-impl Burst {
+impl BurstJob {
     /// From the submission until each replica's first answer.
     fn latencies_ms<'a>(
         &'a self,
@@ -158,51 +161,51 @@
     }
 }
 
-/// Compares the pools' accounts in the key-value store with the charges of the cloud. The
+/// Compares the pools' records in the key-value store with the charges of the cloud. The
 /// run started at `start_time_ms`, in milliseconds since 1970.
 pub(crate) fn pool_summary(world: &Simulation, site: &Site, start_time_ms: u64) -> PoolSummary {
     let now_ms = start_time_ms + world.now();
-    let accounts = world.pool_accounts(now_ms);
-    let lives = world.pool_lives(start_time_ms);
+    let records = world.pool_accounts(now_ms);
+    let billing_periods = world.pool_lives(start_time_ms);
     let whole_run = TimeSpan {
         from_ms: 0,
         to_ms: now_ms + 1,
     };
-    let discrepancies = audit_errors(&accounts.intervals, &lives, MAX_CLOCK_ERROR_MS);
+    let discrepancies = audit_errors(&records.intervals, &billing_periods, MAX_INTERVAL_ERROR_MS);
     let mut summary = PoolSummary {
         discrepancies: discrepancies.iter().map(ToString::to_string).collect(),
         ..PoolSummary::default()
     };
-    for pool in &usage_report(&accounts, whole_run, now_ms).pools {
+    for pool in &usage_report(&records, whole_run, now_ms).pools {
         summary.requested_s += pool.requested_s;
-        summary.short_s += pool.unmet_s;
+        summary.unmet_s += pool.unmet_s;
         summary.warm_s += pool.machine_s.warm;
         summary.cost += pool.cost.sum();
-        summary.handed_out += u64::from(pool.allocated);
-        summary.missed += u64::from(pool.cold_starts);
+        summary.allocated += u64::from(pool.allocated);
+        summary.cold_starts += u64::from(pool.cold_starts);
         summary.reclaimed += u64::from(pool.reclaimed);
         summary.lost += u64::from(pool.lost);
     }
-    summary.add_machine_costs(&machine_costs(&accounts, &lives, site, whole_run));
+    summary.add_machine_costs(&machine_costs(&records, &billing_periods, site, whole_run));
     summary
 }
 
 /// Cost of one machine while it was in pools.
 #[derive(Default)]
 struct MachineCost {
-    /// Cost by the accounts.
-    accounted: f64,
+    /// Cost by the records.
+    recorded: f64,
     /// Charges of the cloud.
     charged: f64,
     /// Price an hour of the cloud.
-    hourly_price: f64,
+    price_per_hour: f64,
 }
 
 impl MachineCost {
-    /// Difference between accounts and charges, in seconds of the machine's price.
+    /// Difference between records and charges, in seconds of the machine's price.
     fn difference_s(&self) -> f64 {
-        let difference = (self.accounted - self.charged).abs();
-        difference / self.hourly_price.max(MIN_HOURLY_PRICE) * SECONDS_PER_HOUR
+        let difference = (self.recorded - self.charged).abs();
+        difference / self.price_per_hour.max(MIN_PRICE_PER_HOUR) * SECONDS_PER_HOUR
     }
 }
 
@@ -211,30 +214,33 @@
         self.machines = costs.len() as u64;
         for cost in costs.values() {
             self.cloud_cost += cost.charged;
-            self.max_difference_s = self.max_difference_s.max(cost.difference_s());
+            self.max_cost_difference_s = self.max_cost_difference_s.max(cost.difference_s());
         }
     }
 }
 
-/// Cost of each machine of the accounts.
+/// Cost of each machine of the records.
 fn machine_costs<'a>(
-    accounts: &'a UsageRecords,
-    lives: &BTreeMap<MachineId, BillingPeriod>,
+    records: &'a UsageRecords,
+    billing_periods: &BTreeMap<MachineId, BillingPeriod>,
     site: &Site,
     span: TimeSpan,
 ) -> BTreeMap<&'a MachineId, MachineCost> {
-    let prices = PriceList::new(&accounts.prices);
+    let prices = PriceList::new(&records.prices);
     let mut costs: BTreeMap<&MachineId, MachineCost> = BTreeMap::new();
-    for interval in &accounts.intervals {
-        let hourly_price = cloud_price(site, interval);
-        let (created_ms, removed_ms) = lives.get(&interval.machine).copied().unwrap_or_default();
+    for interval in &records.intervals {
+        let price_per_hour = cloud_price(site, interval);
+        let (created_ms, removed_ms) = billing_periods
+            .get(&interval.machine)
+            .copied()
+            .unwrap_or_default();
         let start_ms = interval.from_ms.max(created_ms);
         let end_ms = interval.to_ms.min(removed_ms);
         let charged_ms = end_ms.saturating_sub(start_ms);
         let cost = costs.entry(&interval.machine).or_default();
-        cost.accounted += prices.cost(interval, span).0;
-        cost.charged += hourly_price * charged_ms as f64 / MILLISECONDS_PER_HOUR;
-        cost.hourly_price = hourly_price;
+        cost.recorded += prices.cost(interval, span).0;
+        cost.charged += price_per_hour * charged_ms as f64 / MILLISECONDS_PER_HOUR;
+        cost.price_per_hour = price_per_hour;
     }
     costs
 }
--- a/crates/emulator/src/pools/tests.rs
+++ b/crates/emulator/src/pools/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn jobs() -> AnsweringJobs {
+fn model_server_jobs() -> ModelServerJobs {
     let job = |n: u32| JobId::new(&format!("j-00000{n}"));
-    let burst = |job, replicas| Burst {
+    let burst = |job, replicas| BurstJob {
         at_s: 80.0,
         job,
         replicas,
     };
-    AnsweringJobs {
+    ModelServerJobs {
         all: (0..3).map(job).collect(),
         bursts: vec![burst(job(1), 2), burst(job(2), 1)],
     }
@@ -38,7 +38,8 @@
         ),
     ];
     for (answers, answered, first, all) in cases {
-        let found = jobs().burst_summary(&answers.iter().copied().map(answer).collect());
+        let found =
+            model_server_jobs().burst_summary(&answers.iter().copied().map(answer).collect());
         let expected = BurstSummary {
             replicas: 3,
             answered,
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -6,13 +6,13 @@
 /// Open files of a hollow worker: its listener and its connection to a controller.
 const FILES_PER_WORKER: u64 = 2;
 /// Of so many sockets, a controller keeps one open to a worker between calls.
-const SOCKETS_PER_KEPT_CONNECTION: u64 = 10;
+const SOCKETS_PER_IDLE_CONNECTION: u64 = 10;
 /// Open files besides the workers': services, users and logs.
-const OTHER_FILES: u64 = 500;
+const OTHER_OPEN_FILES: u64 = 500;
 /// Upper bound of the memory of a hollow worker with its tasks, in KiB.
-const KB_PER_WORKER: u64 = 128;
+const KIB_PER_WORKER: u64 = 128;
 /// Upper bound of the memory of a controller, in KiB.
-const KB_PER_CONTROLLER: u64 = 200 * 1024;
+const KIB_PER_CONTROLLER: u64 = 200 * 1024;
 /// Largest fraction of the machine's memory that a run may use.
 const MAX_MEMORY_FRACTION: f64 = 0.5;
 
@@ -49,12 +49,12 @@
         max_workers: u64,
     },
     /// The run may need more memory than it may use.
-    #[error("the run may need {needed_mb} MB, half of this machine's memory is {allowed_mb} MB")]
+    #[error("the run may need {needed_mib} MB, half of this machine's memory is {allowed_mib} MB")]
     Memory {
         /// Upper bound of the memory that the run needs, in MiB.
-        needed_mb: u64,
+        needed_mib: u64,
         /// Memory that the run may use, in MiB.
-        allowed_mb: u64,
+        allowed_mib: u64,
     },
 }
 
@@ -62,17 +62,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MachineLimits {
     /// Limit of open files of a process.
-    pub files: u64,
+    pub max_open_files: u64,
     /// Memory, in KiB.
-    pub memory_kb: u64,
+    pub memory_kib: u64,
 }
 
 impl MachineLimits {
     /// Reads the limits of this machine.
     pub(crate) fn read() -> Result<Self, PreflightError> {
         Ok(Self {
-            files: read("/proc/self/limits", parse_open_files)?,
-            memory_kb: read("/proc/meminfo", parse_total_memory_kb)?,
+            max_open_files: read("/proc/self/limits", parse_open_files)?,
+            memory_kib: read("/proc/meminfo", parse_total_memory_kib)?,
         })
     }
 
@@ -85,14 +85,14 @@
 
     fn check_files(&self, site: &Site, workers: u32) -> Result<(), PreflightError> {
         let sockets = (site.controllers.count * site.controllers.sockets) as u64;
-        let other_files = OTHER_FILES + sockets / SOCKETS_PER_KEPT_CONNECTION;
+        let other_files = OTHER_OPEN_FILES + sockets / SOCKETS_PER_IDLE_CONNECTION;
         let needed = u64::from(workers) * FILES_PER_WORKER + other_files;
-        if needed > self.files {
+        if needed > self.max_open_files {
             return Err(PreflightError::Files {
                 workers,
                 needed,
-                allowed: self.files,
-                max_workers: self.files.saturating_sub(other_files) / FILES_PER_WORKER,
+                allowed: self.max_open_files,
+                max_workers: self.max_open_files.saturating_sub(other_files) / FILES_PER_WORKER,
             });
         }
         Ok(())
@@ -100,12 +100,12 @@
 
     fn check_memory(&self, site: &Site, workers: u32) -> Result<(), PreflightError> {
         let controllers = site.controllers.count as u64;
-        let needed_kb = u64::from(workers) * KB_PER_WORKER + controllers * KB_PER_CONTROLLER;
-        let allowed_kb = (self.memory_kb as f64 * MAX_MEMORY_FRACTION) as u64;
-        if needed_kb > allowed_kb {
+        let needed_kib = u64::from(workers) * KIB_PER_WORKER + controllers * KIB_PER_CONTROLLER;
+        let allowed_kib = (self.memory_kib as f64 * MAX_MEMORY_FRACTION) as u64;
+        if needed_kib > allowed_kib {
             return Err(PreflightError::Memory {
-                needed_mb: needed_kb / 1024,
-                allowed_mb: allowed_kb / 1024,
+                needed_mib: needed_kib / 1024,
+                allowed_mib: allowed_kib / 1024,
             });
         }
         Ok(())
@@ -126,7 +126,7 @@
 }
 
 /// Parses the total memory, in KiB, in the text of `/proc/meminfo`.
-fn parse_total_memory_kb(text: &str) -> Option<u64> {
+fn parse_total_memory_kib(text: &str) -> Option<u64> {
     let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/emulator/src/preflight/tests.rs
+++ b/crates/emulator/src/preflight/tests.rs
@@ -1,4 +1,4 @@
-use super::{parse_open_files, parse_total_memory_kb, MachineLimits, PreflightError};
+use super::{parse_open_files, parse_total_memory_kib, MachineLimits, PreflightError};
 use crate::site::Site;
 
 #[test]
@@ -8,23 +8,23 @@
                   Max open files            1024                 20000                files     \n";
     assert_eq!(parse_open_files(limits), Some(1_024));
     assert_eq!(
-        parse_total_memory_kb("MemTotal:       24618936 kB\n"),
+        parse_total_memory_kib("MemTotal:       24618936 kB\n"),
         Some(24_618_936)
     );
     assert_eq!(parse_open_files("Max open files unlimited"), None);
 }
 
 #[test]
-fn a_run_beyond_the_limits_is_refused_with_its_needs() {
+fn run_beyond_a_machine_limit_is_refused_with_the_limit_it_needs() {
     let text = include_str!("../../../../examples/emulation.toml");
     let site = Site::parse(text).expect("a valid site");
     let enough = MachineLimits {
-        files: 20_000,
-        memory_kb: 16 * 1024 * 1024,
+        max_open_files: 20_000,
+        memory_kib: 16 * 1024 * 1024,
     };
     assert!(enough.check(&site).is_ok());
     let few_files = MachineLimits {
-        files: 1_000,
+        max_open_files: 1_000,
         ..enough
     };
     let refused = few_files.check(&site).expect_err("too few files");
@@ -34,7 +34,7 @@
         "{message}"
     );
     let little_memory = MachineLimits {
-        memory_kb: 1024 * 1024,
+        memory_kib: 1024 * 1024,
         ..enough
     };
     let refused = little_memory.check(&site);
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -13,7 +13,7 @@
     /// Processor seconds in user and kernel mode since the start of the process.
     pub cpu_s: f64,
     /// Resident memory, in KiB.
-    pub resident_kb: u64,
+    pub resident_kib: u64,
 }
 
 impl ProcessUsage {
@@ -23,7 +23,7 @@
         let rollup = fs::read_to_string(format!("/proc/{pid}/smaps_rollup")).ok()?;
         Some(Self {
             cpu_s: parse_cpu_s(&stat)?,
-            resident_kb: parse_resident_kb(&rollup)?,
+            resident_kib: parse_resident_kib(&rollup)?,
         })
     }
 
@@ -44,7 +44,7 @@
 }
 
 /// Parses the resident memory, in KiB, in the text of `/proc/PID/smaps_rollup`.
-fn parse_resident_kb(rollup: &str) -> Option<u64> {
+fn parse_resident_kib(rollup: &str) -> Option<u64> {
     let line = rollup.lines().find(|line| line.starts_with("Rss:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/emulator/src/process/tests.rs
+++ b/crates/emulator/src/process/tests.rs
@@ -1,4 +1,4 @@
-use super::{parse_cpu_s, parse_resident_kb, ProcessUsage};
+use super::{parse_cpu_s, parse_resident_kib, ProcessUsage};
 
 #[test]
 fn usage_is_parsed_from_proc_files() {
@@ -8,7 +8,7 @@
     assert_eq!(parse_cpu_s("4711"), None);
     let rollup =
         "00400000-7fff [rollup]\nRss:               10248 kB\nPss:                9000 kB\n";
-    assert_eq!(parse_resident_kb(rollup), Some(10_248));
+    assert_eq!(parse_resident_kib(rollup), Some(10_248));
     let usage = ProcessUsage::of_this_process().expect("this process runs");
-    assert!(usage.resident_kb > 0);
+    assert!(usage.resident_kib > 0);
 }
--- a/crates/emulator/src/progress.rs
+++ b/crates/emulator/src/progress.rs
@@ -48,7 +48,7 @@
     }
 
     /// Prints an event on a line of its own.
-    pub(crate) fn event(&self, message: &str) {
+    pub(crate) fn print_event(&self, message: &str) {
         match &self.bar {
             Some(bar) => bar.println(message),
             None => eprintln!("{message}"),
--- a/crates/emulator/src/regression/tests.rs
+++ b/crates/emulator/src/regression/tests.rs
@@ -1,7 +1,7 @@
 use super::Regression;
 
 #[test]
-fn slopes_and_exponents_are_fitted() {
+fn fit_finds_the_slope_and_the_exponent() {
     let sizes = [500.0, 1_000.0, 2_000.0, 4_000.0];
     let points = |figure: fn(f64) -> f64| sizes.map(|x| (x, figure(x)));
     // Points; slope, exponent.
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn points_without_a_regression_have_none() {
+fn fit_needs_two_different_sizes_and_an_exponent_needs_positive_values() {
     assert_eq!(Regression::fit(&[]), None);
     assert_eq!(
         Regression::fit(&[(5.0, 1.0), (5.0, 2.0)]),
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -81,7 +81,7 @@
         Self {
             name: name.to_owned(),
             cpu_cores: (end.cpu_s - start.cpu_s).max(0.0) / seconds,
-            resident_mb: end.resident_kb as f64 / KIB_PER_MIB,
+            resident_mb: end.resident_kib as f64 / KIB_PER_MIB,
         }
     }
 }
@@ -125,7 +125,8 @@
     /// Accepted jobs with running tasks at the end.
     pub jobs_running: u64,
     /// Accepted jobs without a running task at the end.
-    pub jobs_waiting: u64,
+    #[serde(rename = "jobs_waiting")]
+    pub jobs_pending: u64,
     /// Restarts of replicas.
     #[serde(default)]
     pub replicas_restarted: u64,
@@ -161,7 +162,7 @@
     pub store_total: StoreRates,
     /// Requests that the key-value store refused.
     #[serde(rename = "state_refused")]
-    pub store_refused: u64,
+    pub store_requests_refused: u64,
     /// Load of each controller.
     #[serde(rename = "controller_use")]
     pub controller_loads: Vec<ProcessLoad>,
@@ -172,11 +173,11 @@
     pub max_controller_mb: f64,
     /// Load of the emulator itself: hollow workers, users and services.
     #[serde(rename = "hollow_use")]
-    pub hollow_process: ProcessLoad,
+    pub emulator_load: ProcessLoad,
     /// Largest lag of the emulator's simulated time behind the clock, in milliseconds.
     /// Beyond a few hundred, latencies are the emulator's rather than the controllers'.
     #[serde(rename = "hollow_behind_ms")]
-    pub hollow_lag_ms: u64,
+    pub emulator_lag_ms: u64,
     /// Times until the replicas of bursts answered; `None` without bursts.
     #[serde(default)]
     pub burst: Option<BurstSummary>,
@@ -215,7 +216,7 @@
         self.set_start_metrics(metrics, seconds);
         self.set_worker_metrics(metrics, seconds);
         self.set_store_metrics(metrics, seconds);
-        self.hollow_lag_ms = metrics.max_lag_ms;
+        self.emulator_lag_ms = metrics.max_lag_ms;
     }
 
     fn set_start_metrics(&mut self, metrics: &Metrics, seconds: f64) {
@@ -249,7 +250,7 @@
             requests_per_s: self.store.values().map(|rates| rates.requests_per_s).sum(),
             writes_per_s: self.store.values().map(|rates| rates.writes_per_s).sum(),
         };
-        self.store_refused = metrics.store_refused;
+        self.store_requests_refused = metrics.store_requests_refused;
     }
 
     /// Sets the loads of the controllers, with their sum and maximum.
--- a/crates/emulator/src/report/table.rs
+++ b/crates/emulator/src/report/table.rs
@@ -77,7 +77,7 @@
                 self.jobs_done,
                 self.jobs_cancelled,
                 self.jobs_running,
-                self.jobs_waiting
+                self.jobs_pending
             ),
         )?;
         table.row(
@@ -119,17 +119,17 @@
                 ),
             )?;
         }
-        table.row("state service, refused", self.store_refused)
+        table.row("state service, refused", self.store_requests_refused)
     }
 
     fn write_processes(&self, table: &mut Table) -> fmt::Result {
         for load in &self.controller_loads {
             table.row(&load.name, load)?;
         }
-        table.row("hollow process", &self.hollow_process)?;
+        table.row("hollow process", &self.emulator_load)?;
         table.row(
             "hollow process behind by",
-            format_args!("{} ms", self.hollow_lag_ms),
+            format_args!("{} ms", self.emulator_lag_ms),
         )?;
         table.row("controllers ended by themselves", self.controllers_exited)
     }
@@ -161,14 +161,14 @@
         "pools",
         format_args!(
             "{} machines, {:.0} machine-seconds asked for, {:.0} warm, {:.0} short",
-            pools.machines, pools.requested_s, pools.warm_s, pools.short_s
+            pools.machines, pools.requested_s, pools.warm_s, pools.unmet_s
         ),
     )?;
     table.row(
         "",
         format_args!(
             "{} handed out, {} missed, {} reclaimed, {} lost",
-            pools.handed_out, pools.missed, pools.reclaimed, pools.lost
+            pools.allocated, pools.cold_starts, pools.reclaimed, pools.lost
         ),
     )?;
     let reported_cost = pools.reported_cost;
@@ -180,7 +180,7 @@
             pools.cost,
             reported_cost.map_or("none".to_owned(), |cost| format!("{cost:.4}")),
             pools.cloud_cost,
-            pools.max_difference_s
+            pools.max_cost_difference_s
         ),
     )?;
     pools
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -15,7 +15,7 @@
 }
 
 /// Metrics of ten measured seconds with two workers.
-fn some_metrics() -> Metrics {
+fn metrics_of_two_workers() -> Metrics {
     let mut metrics = Metrics::default();
     let start = |after| FirstStart {
         priority: Priority::High,
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn metrics_become_rates_and_summaries() {
-    let mut metrics = some_metrics();
+fn report_has_rates_and_latency_summaries_of_the_metrics() {
+    let mut metrics = metrics_of_two_workers();
     let mut report = Report {
         workers: 2,
         measured_s: 10.0,
@@ -75,17 +75,17 @@
     assert_eq!(store("job"), (0.2, 0.1), "what fails changes nothing");
     assert_eq!(store("task"), (0.0, 0.1));
     assert!((report.store_total.requests_per_s - 0.3).abs() < 1e-9);
-    assert_eq!(report.store_refused, 1);
+    assert_eq!(report.store_requests_refused, 1);
     metrics.reset();
     report.set_metrics(&metrics);
     assert_eq!(report.task_starts, 0, "the warm-up is not counted");
 }
 
 #[test]
-fn a_report_survives_its_json() {
+fn report_is_equal_after_serialization_to_json_and_back() {
     let usage = |cpu_s| ProcessUsage {
         cpu_s,
-        resident_kb: 2_048,
+        resident_kib: 2_048,
     };
     let load = ProcessLoad::between("berth-0", usage(1.0), usage(3.0), 10.0);
     assert_eq!((load.cpu_cores, load.resident_mb), (0.2, 2.0));
@@ -157,13 +157,13 @@
     PoolSummary {
         machines: 4,
         requested_s: 100.25,
-        short_s: 10.5,
+        unmet_s: 10.5,
         warm_s: 80.75,
         cost: 1.25,
         cloud_cost: 1.5,
-        max_difference_s: 0.125,
-        handed_out: 3,
-        missed: 2,
+        max_cost_difference_s: 0.125,
+        allocated: 3,
+        cold_starts: 2,
         reclaimed: 1,
         lost: 5,
         discrepancies: vec!["a mistake".to_owned()],
@@ -190,9 +190,9 @@
         jobs_done: 2,
         jobs_cancelled: 3,
         jobs_running: 4,
-        jobs_waiting: 5,
+        jobs_pending: 5,
         replicas_restarted: 9,
-        hollow_process: process_load("hollow", 1.5),
+        emulator_load: process_load("hollow", 1.5),
         burst: Some(full_burst()),
         pools: Some(full_pools()),
         ..Report::default()
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -24,27 +24,27 @@
 }
 
 /// Zone of a controller: zones are assigned round-robin.
-fn zone_of(site: &Site, index: usize) -> String {
+fn zone_of_controller(site: &Site, index: usize) -> String {
     site.zones[index % site.zones.len()].clone()
 }
 
 /// Settings of one controller.
-pub(crate) fn settings(site: &Site, addresses: Addresses, index: usize) -> Settings {
+pub(crate) fn controller_settings(site: &Site, addresses: Addresses, index: usize) -> Settings {
     let peers = (0..site.controllers.count).filter(|peer| *peer != index);
     let peer = |peer| Peer {
         node: NodeName::new(&controller_name(peer)),
-        zone: zone_of(site, peer),
+        zone: zone_of_controller(site, peer),
         addr: addresses.controller_peer(peer),
     };
     Settings {
         node: NodeName::new(&controller_name(index)),
-        zone: zone_of(site, index),
+        zone: zone_of_controller(site, index),
         listen: addresses.controller(index),
         peer_listen: addresses.controller_peer(index),
         peers: peers.map(peer).collect(),
         services: Services {
             cloud: addresses.cloud(index),
-            state: addresses.state(index),
+            state: addresses.store(index),
         },
         cluster: cluster(site),
     }
--- a/crates/emulator/src/site/overrides.rs
+++ b/crates/emulator/src/site/overrides.rs
@@ -53,7 +53,7 @@
             self.controllers.count = count;
         }
         if let Some(count) = overrides.teams {
-            self.divide_teams(count);
+            self.set_teams_per_entry(count);
         }
         if let Some(duration_s) = overrides.duration_s {
             self.warmup_s *= duration_s / self.duration_s;
@@ -63,14 +63,14 @@
             self.scale_to_workers(workers);
         }
         if let Some(starts_per_s) = overrides.starts_per_s {
-            self.scale_to_starts(starts_per_s);
+            self.scale_to_starts_per_s(starts_per_s);
         }
         validation::validate(&self)?;
         Ok(self)
     }
 
     /// Divides the quotas of each entry among another number of teams.
-    fn divide_teams(&mut self, count: usize) {
+    fn set_teams_per_entry(&mut self, count: usize) {
         for team in &mut self.teams {
             let factor = team.count as f64 / count.max(1) as f64;
             team.count = count;
@@ -96,10 +96,10 @@
     }
 
     /// Scales the arrival rates so that so many tasks start a second.
-    fn scale_to_starts(&mut self, starts_per_s: f64) {
-        let present = self.starts_per_s();
-        let factor = if present > 0.0 {
-            starts_per_s / present
+    fn scale_to_starts_per_s(&mut self, starts_per_s: f64) {
+        let present_starts_per_s = self.starts_per_s();
+        let factor = if present_starts_per_s > 0.0 {
+            starts_per_s / present_starts_per_s
         } else {
             0.0
         };
--- a/crates/emulator/src/site/tests.rs
+++ b/crates/emulator/src/site/tests.rs
@@ -2,13 +2,13 @@
 
 const EXAMPLE: &str = include_str!("../../../../examples/emulation.toml");
 
-fn parse_with(from: &str, to: &str) -> Result<Site, String> {
+fn parse_example_with(from: &str, to: &str) -> Result<Site, String> {
     assert!(EXAMPLE.contains(from), "{from}");
     Site::parse(&EXAMPLE.replacen(from, to, 1)).map_err(|e| e.to_string())
 }
 
 #[test]
-fn the_example_sites_are_valid() {
+fn example_sites_are_valid() {
     let capacity = include_str!("../../../../examples/capacity.toml");
     let pools = include_str!("../../../../examples/warm-pools.toml");
     for text in [EXAMPLE, capacity, pools] {
@@ -61,15 +61,15 @@
         ),
     ];
     for (from, to, named) in cases {
-        let error = parse_with(from, to).expect_err(to);
+        let error = parse_example_with(from, to).expect_err(to);
         assert!(error.contains(named), "{to}: {error}");
     }
-    let error = parse_with("kind = \"gang\"", "kind = \"gong\"").expect_err("no kind");
+    let error = parse_example_with("kind = \"gang\"", "kind = \"gong\"").expect_err("no kind");
     assert!(error.contains("line "), "{error}");
 }
 
 #[test]
-fn overrides_scale_the_site() {
+fn overrides_scale_capacity_quotas_rates_and_times() {
     let site = Site::parse(EXAMPLE).expect("a valid site");
     let before = site.clone();
     let overrides = Overrides {
--- a/crates/emulator/src/socket_bridge.rs
+++ b/crates/emulator/src/socket_bridge.rs
@@ -13,7 +13,7 @@
 use crate::addresses::Addresses;
 use crate::metrics::Metrics;
 use crate::model_servers::{ModelServers, Replica};
-use crate::pools::{AnsweringJobs, BurstSummary};
+use crate::pools::{BurstSummary, ModelServerJobs};
 use async_channel::Sender;
 use async_io::Timer;
 use forkshift_net::{Client, ClientLimits, Executor, Response};
@@ -29,17 +29,17 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Interval at which the simulated time is advanced.
-const TICK_INTERVAL: Duration = Duration::from_millis(40);
+const CLOCK_INTERVAL: Duration = Duration::from_millis(40);
 /// Longest step of the simulated time, in milliseconds.
-const MAX_STEP_MS: u64 = 100;
+const MAX_CLOCK_STEP_MS: u64 = 100;
 /// Idle connections are closed after this.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
 /// Largest number of connections that a service accepts.
 const MAX_SERVICE_CONNECTIONS: usize = 1_000;
 /// Largest response of a controller, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
 /// Connections that users keep open to a controller.
-const USER_CONNECTIONS: usize = 64;
+const USER_CONNECTIONS_PER_CONTROLLER: usize = 64;
 
 /// Everything of a run but the controllers.
 pub(crate) struct SocketBridge {
@@ -57,7 +57,7 @@
     started: Instant,
     /// Time of day at the start, in milliseconds since 1970.
     start_time_ms: u64,
-    jobs: AnsweringJobs,
+    jobs: ModelServerJobs,
     model_servers: ModelServers,
     /// The replicas that the model servers were last notified of.
     replicas: RefCell<Vec<Replica>>,
@@ -71,12 +71,12 @@
         world: Simulation,
         addresses: Addresses,
         controllers: usize,
-        jobs: AnsweringJobs,
+        jobs: ModelServerJobs,
     ) -> io::Result<Rc<Self>> {
         let bridge = Rc::new(Self::new(executor, world, addresses, controllers, jobs));
         for index in 0..controllers {
             let services = [
-                (addresses.state(index), Service::Store(index)),
+                (addresses.store(index), Service::Store(index)),
                 (addresses.cloud(index), Service::Cloud(index)),
             ];
             for (address, service) in services {
@@ -96,7 +96,7 @@
         world: Simulation,
         addresses: Addresses,
         controllers: usize,
-        jobs: AnsweringJobs,
+        jobs: ModelServerJobs,
     ) -> Self {
         let started = Instant::now();
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -109,8 +109,8 @@
             controllers: addresses.collect(),
             workers: RefCell::default(),
             user_client: Rc::new(http_client(
-                USER_CONNECTIONS,
-                USER_CONNECTIONS * controllers,
+                USER_CONNECTIONS_PER_CONTROLLER,
+                USER_CONNECTIONS_PER_CONTROLLER * controllers,
             )),
             probe_client: Rc::new(http_client(1, controllers)),
             probe_failures: RefCell::new(ProbeFailures::new(controllers)),
@@ -144,7 +144,7 @@
     }
 
     /// Index of the controller that holds the shard of the answering replicas.
-    pub(crate) fn answering_shard_holder(&self) -> Option<usize> {
+    pub(crate) fn model_server_shard_holder(&self) -> Option<usize> {
         let job = self.jobs.all.first()?;
         self.with_world(|world| world.holder_of(job))
     }
@@ -156,9 +156,9 @@
 
     async fn run_clock(self: Rc<Self>) {
         loop {
-            Timer::after(TICK_INTERVAL).await;
+            Timer::after(CLOCK_INTERVAL).await;
             self.advance_world();
-            self.dispatch();
+            self.dispatch_world_output();
             self.update_model_servers();
         }
     }
@@ -168,7 +168,7 @@
         let mut world = self.world.borrow_mut();
         let mut metrics = self.metrics.borrow_mut();
         metrics.record_lag(now_ms.saturating_sub(world.now()));
-        world.advance_to(now_ms, MAX_STEP_MS);
+        world.advance_to(now_ms, MAX_CLOCK_STEP_MS);
         let (starts, acceptances) = world.checker.take_observations();
         metrics.record_observations(&starts, &acceptances);
     }
@@ -187,7 +187,7 @@
 
     /// Dispatches what the world has produced: responses to controllers, changes of
     /// machines, and requests of users and workers.
-    fn dispatch(self: &Rc<Self>) {
+    fn dispatch_world_output(self: &Rc<Self>) {
         let (requests, answers, machines) = self.with_world(|world| {
             (
                 world.take_requests(),
@@ -199,7 +199,7 @@
             self.complete_call(answer);
         }
         for change in machines {
-            self.apply_machine_change(change);
+            self.update_worker_sockets(change);
         }
         for request in requests {
             self.executor
@@ -213,7 +213,7 @@
     Client::new(ClientLimits {
         max_idle_per_host: connections_per_host,
         max_idle: idle_connections,
-        idle_timeout: IDLE_TIMEOUT,
+        idle_timeout: IDLE_CONNECTION_TIMEOUT,
         max_response_bytes: MAX_RESPONSE_BYTES,
     })
 }
--- a/crates/emulator/src/socket_bridge/hollow_workers.rs
+++ b/crates/emulator/src/socket_bridge/hollow_workers.rs
@@ -23,7 +23,7 @@
 
 impl SocketBridge {
     /// Opens or closes the sockets of a worker after its machine came up or was removed.
-    pub(super) fn apply_machine_change(self: &Rc<Self>, change: MachineChange) {
+    pub(super) fn update_worker_sockets(self: &Rc<Self>, change: MachineChange) {
         match change {
             MachineChange::Removed(machine) => {
                 self.workers.borrow_mut().remove(&machine);
--- a/crates/emulator/src/socket_bridge/requests.rs
+++ b/crates/emulator/src/socket_bridge/requests.rs
@@ -40,7 +40,7 @@
             metrics.record_worker_traffic(client.take_traffic());
         }
         self.with_world(|world| world.deliver(request.requester, outcome.status, outcome.body));
-        self.dispatch();
+        self.dispatch_world_output();
     }
 }
 
--- a/crates/emulator/src/socket_bridge/services.rs
+++ b/crates/emulator/src/socket_bridge/services.rs
@@ -1,6 +1,6 @@
 //! HTTP servers of the simulated services and workers, which the controllers call.
 
-use super::{SocketBridge, IDLE_TIMEOUT};
+use super::{SocketBridge, IDLE_CONNECTION_TIMEOUT};
 use crate::request_category::{classify, ClassifiedRequest};
 use async_executor::Task;
 use forkshift_net::{Request, Response, ServerLimits, Traffic};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Timeout of reading the body of a request.
-const READ_TIMEOUT: Duration = Duration::from_secs(5);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 const HTTP_BAD_REQUEST: u16 = 400;
@@ -44,13 +44,13 @@
             max_connections,
             max_keep_alive_connections: max_connections,
             max_body_bytes: MAX_BODY_BYTES,
-            idle_timeout: IDLE_TIMEOUT,
-            body_timeout: READ_TIMEOUT,
+            idle_timeout: IDLE_CONNECTION_TIMEOUT,
+            body_timeout: BODY_READ_TIMEOUT,
         };
         let bridge = self.clone();
         let handler = move |request| {
             let (bridge, service) = (bridge.clone(), service.clone());
-            async move { bridge.handle(service, request).await }
+            async move { bridge.answer_call(service, request).await }
         };
         let server = forkshift_net::serve(self.executor.clone(), listener, limits, handler);
         Ok(self.executor.spawn(server))
@@ -58,7 +58,7 @@
 
     /// Passes a controller's call to the world and waits for the response. A call that the
     /// world never answers waits until the caller's timeout.
-    async fn handle(self: Rc<Self>, service: Service, request: Request) -> Response {
+    async fn answer_call(self: Rc<Self>, service: Service, request: Request) -> Response {
         let Some(body) = request.body else {
             return body_too_large();
         };
@@ -97,7 +97,7 @@
             number,
         };
         self.with_world(|world| world.call(number, service, method, path, body));
-        self.dispatch();
+        self.dispatch_world_output();
         match receiver.recv().await {
             Ok(response) => response,
             Err(_) => future::pending().await,
--- a/crates/emulator/src/sweep.rs
+++ b/crates/emulator/src/sweep.rs
@@ -5,7 +5,7 @@
 use crate::plot::{Plot, PlotError};
 use crate::report::Report;
 use crate::site::Overrides;
-use growth::{growth_of_figures, Growth};
+use growth::{growth_of_metrics, Growth};
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -124,7 +124,7 @@
     /// regressions and plots. Returns whether a rule was violated.
     pub(crate) fn run(&self, stop: &AtomicBool) -> Result<bool, SweepError> {
         fs::create_dir_all(self.directory).map_err(SweepError::file(self.directory))?;
-        let path = self.file("jsonl");
+        let path = self.result_path("jsonl");
         let mut lines = File::create(&path).map_err(SweepError::file(&path))?;
         let mut reports = Vec::new();
         for size in self.sizes {
@@ -136,7 +136,7 @@
             writeln!(lines, "{line}").map_err(SweepError::file(&path))?;
             reports.push(report);
         }
-        self.write_growth(&reports)?;
+        self.write_fits(&reports)?;
         Ok(reports
             .iter()
             .any(|report| !report.rule_violations.is_empty()))
@@ -145,7 +145,7 @@
     /// Runs one size in a process of its own, so that sockets and memory of one run do not
     /// affect the next.
     fn run_size(&self, size: f64) -> Result<Report, SweepError> {
-        let path = self.file("run.json");
+        let path = self.result_path("run.json");
         let overrides = self.dimension.overrides(size, &self.overrides);
         let program = std::env::current_exe().map_err(SweepError::file(&path))?;
         let mut command = Command::new(program);
@@ -164,14 +164,14 @@
     }
 
     /// Path of a result of the sweep.
-    fn file(&self, ending: &str) -> PathBuf {
+    fn result_path(&self, ending: &str) -> PathBuf {
         let name = format!("{}-{}.{ending}", self.label, self.dimension.name());
         self.directory.join(name)
     }
 
-    fn write_growth(&self, reports: &[Report]) -> Result<(), SweepError> {
-        let growth = growth_of_figures(self.dimension, reports);
-        let path = self.file("fits.json");
+    fn write_fits(&self, reports: &[Report]) -> Result<(), SweepError> {
+        let growth = growth_of_metrics(self.dimension, reports);
+        let path = self.result_path("fits.json");
         let text = serde_json::to_string_pretty(&growth).unwrap_or_default();
         fs::write(&path, text + "\n").map_err(SweepError::file(&path))?;
         for growth in &growth {
@@ -183,12 +183,12 @@
 
     fn write_plot(&self, growth: &Growth) -> Result<(), SweepError> {
         let plot = Plot {
-            figure: growth.figure,
-            size: growth.dimension,
+            metric: growth.metric,
+            dimension: growth.dimension,
             points: &growth.points,
             regression: growth.regression.as_ref(),
         };
-        Ok(plot.write(&self.file(&format!("{}.svg", growth.figure)))?)
+        Ok(plot.write(&self.result_path(&format!("{}.svg", growth.metric)))?)
     }
 }
 
--- a/crates/emulator/src/sweep/growth.rs
+++ b/crates/emulator/src/sweep/growth.rs
@@ -7,7 +7,7 @@
 use std::fmt::{self, Display, Formatter};
 
 /// A figure of a report whose growth is computed.
-struct TrackedFigure {
+struct TrackedMetric {
     name: &'static str,
     value: fn(&Report) -> f64,
 }
@@ -18,46 +18,46 @@
     cores.fold(0.0, f64::max)
 }
 
-const FIGURES: [TrackedFigure; 10] = [
-    TrackedFigure {
+const TRACKED_METRICS: [TrackedMetric; 10] = [
+    TrackedMetric {
         name: "controllers_cores",
         value: |report| report.controllers_cpu_cores,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "busiest_controller_cores",
         value: max_controller_cores,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "largest_controller_mb",
         value: |report| report.max_controller_mb,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "state_requests_per_s",
         value: |report| report.store_total.requests_per_s,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "state_changes_per_s",
         value: |report| report.store_total.writes_per_s,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "report_p99_ms",
         value: |report| report.heartbeats.p99_ms as f64,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "submission_p99_ms",
         value: |report| report.submissions.p99_ms as f64,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "worker_sent_bytes_per_s",
         value: |report| report.sent_per_worker_s,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "worker_messages_per_s",
         value: |report| report.messages_per_worker_s,
     },
-    TrackedFigure {
+    TrackedMetric {
         name: "hollow_process_cores",
-        value: |report| report.hollow_process.cpu_cores,
+        value: |report| report.emulator_load.cpu_cores,
     },
 ];
 
@@ -66,8 +66,9 @@
 pub(super) struct Growth {
     /// Name of the size.
     pub dimension: &'static str,
-    /// Name of the figure.
-    pub figure: &'static str,
+    /// Name of the metric.
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// Measured sizes with the figure at each.
     pub points: Vec<Point>,
     /// The regression; `None` unless there are two different sizes.
@@ -76,14 +77,14 @@
 }
 
 impl Growth {
-    fn new(figure: &TrackedFigure, dimension: Dimension, reports: &[Report]) -> Self {
+    fn new(metric: &TrackedMetric, dimension: Dimension, reports: &[Report]) -> Self {
         let points: Vec<Point> = reports
             .iter()
-            .map(|report| (dimension.measured_size(report), (figure.value)(report)))
+            .map(|report| (dimension.measured_size(report), (metric.value)(report)))
             .collect();
         Self {
             dimension: dimension.name(),
-            figure: figure.name,
+            metric: metric.name,
             regression: Regression::fit(&points),
             points,
         }
@@ -91,18 +92,18 @@
 }
 
 /// Growth of all tracked figures over reports.
-pub(super) fn growth_of_figures(dimension: Dimension, reports: &[Report]) -> Vec<Growth> {
-    FIGURES
+pub(super) fn growth_of_metrics(dimension: Dimension, reports: &[Report]) -> Vec<Growth> {
+    TRACKED_METRICS
         .iter()
-        .map(|figure| Growth::new(figure, dimension, reports))
+        .map(|metric| Growth::new(metric, dimension, reports))
         .collect()
 }
 
 impl Display for Growth {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let (figure, dimension) = (self.figure, self.dimension);
+        let (metric, dimension) = (self.metric, self.dimension);
         let Some(regression) = &self.regression else {
-            return write!(f, "{figure}: one size, no fit");
+            return write!(f, "{metric}: one size, no fit");
         };
         let Regression {
             intercept,
@@ -113,7 +114,7 @@
         let exponent = exponent.map_or("none".to_owned(), |value| format!("{value:.2}"));
         write!(
             f,
-            "{figure:<28} {intercept:.5} + {slope:.8} a unit of {dimension}, \
+            "{metric:<28} {intercept:.5} + {slope:.8} a unit of {dimension}, \
              exponent {exponent}, residual {residual:.5}"
         )
     }
--- a/crates/emulator/src/sweep/tests.rs
+++ b/crates/emulator/src/sweep/tests.rs
@@ -1,4 +1,4 @@
-use super::{growth_of_figures, Dimension};
+use super::{growth_of_metrics, Dimension};
 use crate::report::{ProcessLoad, Report};
 
 fn report(workers: u64, cores: f64) -> Report {
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn figures_are_fitted_over_the_measured_sizes() {
+fn metrics_are_fitted_over_the_measured_sizes() {
     let reports = [report(100, 0.1), report(200, 0.4), report(400, 1.6)];
-    let all = growth_of_figures(Dimension::Workers, &reports);
+    let all = growth_of_metrics(Dimension::Workers, &reports);
     let of = |name: &str| {
         let found = all
             .iter()
-            .find(|growth| growth.figure == name)
+            .find(|growth| growth.metric == name)
             .expect("a figure");
         (found.points.clone(), found.regression.expect("three sizes"))
     };
@@ -40,7 +40,7 @@
 #[test]
 fn golden_fits_keep_their_form() {
     let reports = [report(100, 0.25), report(200, 0.5)];
-    let mut all = growth_of_figures(Dimension::Workers, &reports);
+    let mut all = growth_of_metrics(Dimension::Workers, &reports);
     // The last bits of logarithms are the machine's.
     let regressions = all
         .iter_mut()
@@ -48,7 +48,7 @@
     regressions.for_each(|regression| regression.exponent = regression.exponent.map(f64::round));
     let mut seen = serde_json::to_string_pretty(&all[..3]).expect("JSON") + "\n";
     for growth in &all {
-        seen += &format!("{} over {}\n", growth.figure, growth.dimension);
+        seen += &format!("{} over {}\n", growth.metric, growth.dimension);
     }
     assert!(seen == include_str!("golden/fits.txt"), "{seen}");
 }
