--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers: child processes of the real program.
+//! Starts, kills and restarts the controllers, which are child processes of the real program.
 
 use crate::addresses::Addresses;
 use crate::process::ProcessUsage;
@@ -13,7 +13,10 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ControllerError {
     /// The controller's program does not exist.
-    #[error("{0}: not found; build it with `cargo build --release --locked`")]
+    #[error(
+        "{0}: not found; build it with `cargo build --release --locked`, or set \
+         `controllers.program` to another path"
+    )]
     ProgramNotFound(PathBuf),
     /// A settings or log file can't be written.
     #[error("{path}: {source}")]
@@ -23,22 +26,29 @@
         /// Why it can't be written.
         source: io::Error,
     },
-    /// A process can't be started.
-    #[error("{0}")]
-    Spawn(#[source] io::Error),
+    /// A controller's process can't be started.
+    #[error("{program}: can't be started, {source}")]
+    Spawn {
+        /// Path of the program.
+        program: PathBuf,
+        /// Why it can't be started.
+        source: io::Error,
+    },
 }
 
-/// One controller.
+/// A controller and its files. A restarted controller keeps its settings and appends to its
+/// log.
 struct Controller {
+    /// `None` before the first start, and after a kill or an exit.
     child: Option<Child>,
     settings_path: PathBuf,
     log_path: PathBuf,
-    /// Processor seconds of the controller's earlier processes.
+    /// Processor seconds of the controller's killed processes.
     exited_cpu_s: f64,
 }
 
 impl Controller {
-    /// Writes the settings of one controller to a directory.
+    /// Writes the settings of a controller to a directory. Its log will be there too.
     fn prepare(
         site: &Site,
         addresses: Addresses,
@@ -66,7 +76,7 @@
         file.map_err(|source| file_error(&self.log_path, source))
     }
 
-    /// Resources that the controller has used. Memory is that of the present process.
+    /// Processor seconds over the controller's processes, and memory of the present process.
     fn usage(&self) -> ProcessUsage {
         let child = self.child.as_ref();
         let present = child.and_then(|child| ProcessUsage::of_process(child.id()));
@@ -88,13 +98,14 @@
 /// All controllers of a run. They are killed on drop.
 pub(crate) struct Controllers {
     program: PathBuf,
+    /// The file for `--operator`; `None` leaves the argument out.
     operator_settings: Option<PathBuf>,
     serve_arguments: Vec<String>,
     controllers: Vec<Controller>,
 }
 
 impl Controllers {
-    /// Writes the settings of a site's controllers to a directory. None is started.
+    /// Writes the settings of a site's controllers to a directory, without starting any.
     pub(crate) fn prepare(
         site: &Site,
         addresses: Addresses,
@@ -114,7 +125,7 @@
         })
     }
 
-    /// Number of controllers.
+    /// Number of controllers, running or not.
     pub(crate) fn len(&self) -> usize {
         self.controllers.len()
     }
@@ -137,24 +148,29 @@
         let child = command
             .stderr(log)
             .spawn()
-            .map_err(ControllerError::Spawn)?;
+            .map_err(|source| ControllerError::Spawn {
+                program: self.program.clone(),
+                source,
+            })?;
         controller.child = Some(child);
         Ok(())
     }
 
-    /// Kills a controller with a signal that it can't catch.
+    /// Kills a controller with SIGKILL, which it can't catch, and reaps its process. Does
+    /// nothing if it isn't running.
     pub(crate) fn kill(&mut self, index: usize) {
         let controller = &mut self.controllers[index];
         if let Some(mut child) = controller.child.take() {
             let usage = ProcessUsage::of_process(child.id());
             controller.exited_cpu_s += usage.map_or(0.0, |usage| usage.cpu_s);
-            // The process may have exited already; it is reaped either way.
+            // The process may have exited already; `wait` reaps it in both cases.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Indexes of the controllers that exited without [`Self::kill`] since the last call.
+    /// Reaps the controllers that exited without [`Self::kill`] since the last call, and
+    /// returns their indexes.
     pub(crate) fn reap_exited(&mut self) -> Vec<usize> {
         let mut exited = Vec::new();
         for (index, controller) in self.controllers.iter_mut().enumerate() {
@@ -167,8 +183,8 @@
         exited
     }
 
-    /// A function that runs the program's `pools report` over all time and returns its JSON,
-    /// or `None` if it fails.
+    /// A function that runs `pools report` of the controllers' program over all dates, and
+    /// returns its JSON or `None` if it fails. The function blocks until the program exits.
     pub(crate) fn pools_report_command(&self) -> impl FnOnce() -> Option<String> + Send + 'static {
         let program = self.program.clone();
         let settings = self
@@ -182,14 +198,14 @@
             let output = command.arg(settings?).output().ok()?;
             if !output.status.success() {
                 let error = String::from_utf8_lossy(&output.stderr);
-                log::error!("pools report: failed, {error}");
+                log::error!("pools report: failed, no cost in the run's report, {error}");
                 return None;
             }
             String::from_utf8(output.stdout).ok()
         }
     }
 
-    /// Resources that each controller has used, over all its processes.
+    /// Resources that each controller has used, by index.
     pub(crate) fn usage(&self) -> Vec<ProcessUsage> {
         self.controllers.iter().map(Controller::usage).collect()
     }
--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -1,4 +1,5 @@
-//! One run: starts the controllers and the simulated world, injects faults, and reports.
+//! One run: starts the simulated world and the controllers, injects the site's faults, and
+//! builds the report.
 
 mod faults;
 mod measurement;
@@ -26,19 +27,20 @@
 use std::time::Duration;
 use temporary_directory::TemporaryDirectory;
 
-/// Interval at which a run checks its faults, its child processes and its progress.
+/// Interval at which a run injects due faults, checks its child processes and shows its
+/// progress.
 const RUN_STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a run can't be made.
+/// Why a run can't be started or completed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EmulationError {
-    /// The limits of this machine are too low.
+    /// This machine lacks the open files or the memory that the run needs.
     #[error(transparent)]
     Preflight(#[from] PreflightError),
     /// The controllers can't be started.
     #[error(transparent)]
     Controllers(#[from] ControllerError),
-    /// A socket can't be opened, or the directory for logs can't be created.
+    /// A socket can't be opened, or the directory for settings and logs can't be created.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -47,7 +49,7 @@
 struct ScheduledRestart {
     /// Seconds since the start of the run.
     at_s: f64,
-    /// Index of the controller.
+    /// Index of the controller that exited.
     controller: usize,
 }
 
@@ -56,9 +58,9 @@
     site: &'a Site,
     bridge: Rc<SocketBridge>,
     controllers: Controllers,
-    /// Crashes that are still to come, in the order of their times.
+    /// Crashes that are not injected yet, in the order of their times.
     crashes: VecDeque<CrashSpec>,
-    /// Link cuts that are still to come, in the order of their times.
+    /// Link cuts that are not injected yet, in the order of their times.
     link_cuts: VecDeque<LinkCutSpec>,
     restarts: Vec<ScheduledRestart>,
     /// Controllers that exited without being killed by a fault.
@@ -68,7 +70,8 @@
     progress: Progress,
 }
 
-/// Runs a site. The run ends early once `stop` is set.
+/// Runs a site and returns its report. Once `stop` is set, the run ends early and the report
+/// is marked as interrupted.
 pub(crate) fn run(site: &Site, stop: &AtomicBool) -> Result<Report, EmulationError> {
     MachineLimits::read()?.check(site)?;
     let directory = TemporaryDirectory::create()?;
@@ -96,7 +99,7 @@
     async_io::block_on(executor.run(run.execute(stop)))
 }
 
-/// Faults in the order of their times; those of the same time stay in the file's order.
+/// Sorts faults by their times. Faults of the same time stay in the order of the site file.
 fn sorted_by_time<T: Clone>(faults: &[T], at_s: fn(&T) -> f64) -> VecDeque<T> {
     let mut sorted = faults.to_vec();
     sorted.sort_by(|first, second| at_s(first).total_cmp(&at_s(second)));
@@ -133,7 +136,9 @@
         for index in self.controllers.reap_exited() {
             self.unexpected_exits += 1;
             let name = controller_name(index);
-            self.print_event(now_s, &format!("{name} has ended by itself"));
+            let restart_s = self.site.controllers.restart_s;
+            let event = format!("{name}: exited unexpectedly, restart in {restart_s} s");
+            self.print_event(now_s, &event);
             self.schedule_restart(now_s, index);
         }
     }
@@ -152,7 +157,7 @@
         for restart in due {
             self.controllers.start(restart.controller)?;
             let name = controller_name(restart.controller);
-            self.print_event(now_s, &format!("{name} is started again"));
+            self.print_event(now_s, &format!("{name}: restarted"));
         }
         Ok(())
     }
@@ -174,7 +179,7 @@
         });
         let message = format!(
             "{} of {} controllers healthy, {machines} of {} workers up, {running} tasks running, \
-             {starts} started, {violations} rules broken",
+             {starts} task starts, {violations} rule violations",
             self.bridge.healthy_controllers().len(),
             self.controllers.len(),
             self.site.on_demand_machines(),
--- a/crates/emulator/src/emulation/faults.rs
+++ b/crates/emulator/src/emulation/faults.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of the site file when they are due.
+//! Injects the faults of the site file (`kills` and `cuts`) when they are due.
 
 use super::Run;
 use crate::load::milliseconds;
@@ -32,7 +32,7 @@
                 let description = format!("all {} workers of zone {zone}", machines.len());
                 self.crash_workers(now_s, MachineSelector::Named(machines), &description);
             }
-            // Validation of the site ensures a target.
+            // Validation of the site rejects a crash without exactly one target.
             None => {}
         }
     }
@@ -41,17 +41,17 @@
         self.controllers.kill(index);
         self.schedule_restart(now_s, index);
         let name = controller_name(index);
-        self.print_event(now_s, &format!("{name} is killed"));
+        self.print_event(now_s, &format!("{name}: killed"));
     }
 
     /// Crashes workers together with their machines.
     fn crash_workers(&self, now_s: f64, which: MachineSelector, description: &str) {
         let fault = FaultKind::Machines(which, MachineFault::Crash);
         self.bridge.with_world(|world| world.inject_fault(fault));
-        self.print_event(now_s, &format!("{description} are killed"));
+        self.print_event(now_s, &format!("{description}: killed"));
     }
 
-    /// Cuts the links that are due.
+    /// Injects the link cuts that are due.
     pub(super) fn inject_link_cuts(&mut self, now_s: f64) {
         while let Some(cut) = pop_if_due(&mut self.link_cuts, |cut| cut.at_s <= now_s) {
             let index = cut
@@ -69,17 +69,18 @@
             world.inject_fault(fault);
         });
         let (name, link, for_s) = (controller_name(index), cut.link, cut.for_s);
-        self.print_event(now_s, &format!("{name} loses {link:?} for {for_s} s"));
+        self.print_event(now_s, &format!("{name}: link {link:?} cut for {for_s} s"));
     }
 }
 
-/// Removes the first fault of a queue if it is due.
+/// Removes and returns the first fault of a queue if it is due.
 fn pop_if_due<T>(queue: &mut VecDeque<T>, is_due: impl Fn(&T) -> bool) -> Option<T> {
     queue.front().filter(|fault| is_due(fault))?;
     queue.pop_front()
 }
 
-/// A cut of the site file as a fault of the simulated world.
+/// Converts a cut of the site file to a fault of the simulated world. A cut of links to
+/// workers affects every `every`-th machine that is present at the time.
 fn link_fault(cut: &LinkCutSpec, node: usize, world: &Simulation) -> FaultKind {
     let time = milliseconds(cut.for_s);
     let direction = match cut.link {
--- a/crates/emulator/src/emulation/measurement.rs
+++ b/crates/emulator/src/emulation/measurement.rs
@@ -1,4 +1,4 @@
-//! Measures the part of a run after the warm-up and builds its report.
+//! Builds the report of a run from the measurements after the warm-up.
 
 use super::Run;
 use crate::pools::pool_summary;
@@ -12,13 +12,13 @@
 /// Shortest measured time, in seconds, so that rates are finite.
 const MIN_MEASURED_S: f64 = 1e-3;
 
-/// Resources that all processes of a run have used up to a moment.
+/// Resources that all processes of a run have used since their start.
 pub(super) struct ResourceUsage {
     controllers: Vec<ProcessUsage>,
     emulator: ProcessUsage,
 }
 
-/// The end of the warm-up.
+/// The end of the warm-up, from which processor use and rates are measured.
 pub(super) struct MeasurementStart {
     /// Seconds since the start of the run.
     at_s: f64,
@@ -26,7 +26,7 @@
 }
 
 impl Run<'_> {
-    /// Ends the warm-up: metrics and resource usage count from now on.
+    /// Ends the warm-up: resets the metrics and records the resource usage so far.
     pub(super) fn start_measurement(&mut self, now_s: f64) {
         self.measurement_start = Some(MeasurementStart {
             at_s: now_s,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// The report of the run, with the pools' cost as the controller's program reports it.
+    /// The report of the run. Its pool costs include those that `forkshift pools report`
+    /// computes, so that the command is checked against the charges of the cloud.
     pub(super) async fn final_report(&self, now_s: f64, is_interrupted: bool) -> Report {
         let mut report = self.report(now_s, is_interrupted);
         if let Some(pools) = &mut report.pools {
@@ -104,12 +105,12 @@
         report.pools = (pools.machines > 0).then_some(pools);
     }
 
-    /// The pools' cost by the report of the controller's program; `None` if it fails.
+    /// The cost of all teams' pools by `forkshift pools report`; `None` if the command fails.
     async fn reported_pool_cost(&self) -> Option<f64> {
         let (sender, receiver) = async_channel::bounded(1);
         let request = self.controllers.pools_report_command();
-        // The program reads the key-value store that this thread serves, so another
-        // thread must wait for it.
+        // The command reads the key-value store that this thread serves, so the wait for its
+        // exit must not block this thread.
         std::thread::spawn(move || {
             let _ = sender.send_blocking(request());
         });
--- a/crates/emulator/src/emulation/simulation.rs
+++ b/crates/emulator/src/emulation/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated world of a site: fleet, cloud, key-value store, users and workers.
+//! Builds the simulated world of a site: cloud, key-value store, users and hollow workers.
 
 use crate::addresses;
 use crate::load::milliseconds;
@@ -9,7 +9,8 @@
 /// Interval at which users poll the status of their jobs, in milliseconds.
 const STATUS_POLL_MS: u64 = 5_000;
 
-/// The simulated world of a site with the planned jobs; it has no controllers.
+/// The simulated world of a site whose users submit the planned jobs. Its controllers are
+/// processes that connect over sockets.
 pub(super) fn world(site: &Site, plans: Vec<JobPlan>) -> Simulation {
     let deployment = Deployment {
         fleet: fleet(site),
@@ -37,7 +38,7 @@
     }
 }
 
-/// Limits of CPUs and GPUs of each team of an entry, by name.
+/// Limits of CPUs and GPUs of each team of an entry, by the team's name; 0: no limit.
 fn team_limits(team: &TeamSpec) -> impl Iterator<Item = (String, (f64, f64))> {
     let limit = (team.cpus_max, team.gpus_max);
     team.names().into_iter().map(move |name| (name, limit))
--- a/crates/emulator/src/emulation/temporary_directory.rs
+++ b/crates/emulator/src/emulation/temporary_directory.rs
@@ -1,20 +1,22 @@
-//! The directory for the settings and logs of the controllers.
+//! The temporary directory for the settings and logs of the controllers.
 
 use std::path::{Path, PathBuf};
 use std::{env, fs, io, process};
 
-/// If this environment variable is set, the directory is kept after the run.
+/// If this environment variable is set to any value, the directory is kept after the run.
 const KEEP_LOGS_VARIABLE: &str = "FORKSHIFT_KEEP_LOGS";
 
-/// A directory of this process that is removed on drop.
+/// A directory named after this process's id, which is removed on drop.
 pub(super) struct TemporaryDirectory(PathBuf);
 
 impl TemporaryDirectory {
-    /// Creates the directory.
+    /// Creates the directory in the system's directory for temporary files.
     pub(super) fn create() -> io::Result<Self> {
         let name = format!("forkshift-emulator-{}", process::id());
         let path = env::temp_dir().join(name);
-        fs::create_dir_all(&path)?;
+        fs::create_dir_all(&path).map_err(|error| {
+            io::Error::new(error.kind(), format!("{}: {error}", path.display()))
+        })?;
         Ok(Self(path))
     }
 
@@ -27,7 +29,7 @@
 impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         if env::var_os(KEEP_LOGS_VARIABLE).is_none() {
-            // A directory that can't be removed does no harm.
+            // A directory that can't be removed is left to the system's cleanup.
             let _ = fs::remove_dir_all(&self.0);
         }
     }
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,4 +1,4 @@
-//! Draws the jobs that users submit during a run.
+//! Draws the jobs that simulated users submit during a run.
 
 use crate::site::{JobClass, JobKindSpec, Site};
 use forkshift_testkit::JobPlan;
@@ -8,13 +8,15 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// Time over which the initial jobs are submitted, in seconds for every thousand jobs.
+/// Length of the period over which a class's initial jobs are submitted, in seconds per 1,000
+/// jobs.
 const INITIAL_SPREAD_S_PER_1000: f64 = 10.0;
 const MILLISECONDS_PER_S: f64 = 1000.0;
-/// Second of the first submissions, so that the controllers are up.
+/// Second of the run at which the first jobs are submitted. Until then the controllers start.
 const FIRST_SUBMISSION_S: f64 = 3.0;
 
-/// All jobs of a run, drawn from the site's seed.
+/// Draws all jobs of a run. The site's seed determines them. Classes without a team submit for
+/// all teams in turn.
 pub(crate) fn draw_job_plans(site: &Site) -> Vec<JobPlan> {
     let mut rng = StdRng::seed_from_u64(site.seed);
     let teams = site.team_names();
@@ -30,8 +32,9 @@
     plans
 }
 
-/// Submission times of the jobs of a class, in seconds: those of the initial jobs, then a
-/// Poisson process with the class's rate.
+/// Draws the submission times of the jobs of a class, in seconds since the start of the run.
+/// Initial jobs are submitted together at `burst_s`, or else uniformly over a short period.
+/// Further jobs arrive by a Poisson process with the rate `per_s`.
 fn draw_submission_times(class: &JobClass, duration_s: f64, rng: &mut StdRng) -> Vec<f64> {
     let spread_s = f64::from(class.initial) * INITIAL_SPREAD_S_PER_1000 / 1000.0;
     let initial = (0..class.initial).map(|_| match class.burst_s {
@@ -51,7 +54,7 @@
     times
 }
 
-/// Draws a job of a class that is submitted at a time, in seconds.
+/// Draws a job of a class that is submitted at `at_s`, in seconds since the start of the run.
 fn draw_job_plan(
     class: &JobClass,
     number: usize,
@@ -98,7 +101,7 @@
     }
 }
 
-/// Name of the image of a job.
+/// The class's only image, or one drawn from its `images` numbered images.
 fn draw_image(class: &JobClass, rng: &mut StdRng) -> String {
     match &class.image {
         Some(image) => image.clone(),
@@ -106,7 +109,7 @@
     }
 }
 
-/// Converts seconds to milliseconds, rounded towards 0.
+/// Converts seconds to milliseconds, rounded towards 0. A negative value gives 0.
 pub(crate) fn milliseconds(seconds: f64) -> u64 {
     (seconds * MILLISECONDS_PER_S) as u64
 }
--- a/crates/emulator/src/load/tests.rs
+++ b/crates/emulator/src/load/tests.rs
@@ -2,6 +2,8 @@
 use crate::site::Site;
 use std::collections::BTreeSet;
 
+/// Guards against jobs that differ between runs of one seed, share ids, arrive at another rate
+/// than their class's, or have a number of tasks that the class does not list.
 #[test]
 fn drawn_jobs_repeat_and_match_the_rates_of_the_site() {
     let text = include_str!("../../../../examples/emulation.toml");
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,8 +1,10 @@
-//! Runs real controllers with hollow workers on one machine, and measures them.
+//! Runs real controllers with thousands of hollow workers on one machine, and measures them.
 //!
-//! One process simulates everything around the controllers: the key-value store, the cloud,
-//! users, and thousands of workers, each with its own sockets on the loopback network. The
-//! rules of the simulation are checked during the run.
+//! A hollow worker speaks the workers' protocol over its own sockets but runs no task
+//! processes. The emulator simulates everything around the controllers in one process: the
+//! key-value store, the cloud, users, and the hollow workers, each with an address of its own
+//! on the loopback network. The controllers are child processes of the real program. The
+//! checker of the simulation verifies the scheduler's rules during the run.
 
 mod addresses;
 mod controllers;
@@ -33,12 +35,12 @@
 use std::{fs, io};
 use sweep::{Dimension, Sweep, SweepError};
 
-/// Exit status if a rule was violated or an account is wrong.
+/// Exit status if a scheduling rule was violated or a pool's usage records are wrong.
 const EXIT_VIOLATION: u8 = 1;
-/// Exit status if the run could not be made.
+/// Exit status if a run could not be started or completed.
 const EXIT_ERROR: u8 = 2;
 
-/// Real controllers with hollow workers on one machine.
+/// Runs real controllers with hollow workers on one machine.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -48,41 +50,43 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a site once and print what it showed.
+    /// Run a site once and print the report.
     Run {
         /// The site file (TOML).
         site: PathBuf,
         #[command(flatten)]
         load: LoadArguments,
-        /// Workers in all; capacity, teams and jobs at the start follow.
+        /// Total on-demand machines; `count` and `spot` of `capacity`, the quotas of `teams`, and
+        /// `initial` and `per_s` of `classes` are scaled in proportion.
         #[arg(long)]
         workers: Option<u32>,
-        /// The operators' settings of the controllers, instead of the site's.
+        /// Operators' settings (text protobuf) for the controllers, in place of
+        /// `controllers.operator`.
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
-        /// Write the report here too (JSON).
+        /// Also write the report to this file, as JSON.
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
     },
-    /// Run a site at several sizes, and tell how each figure grows.
+    /// Run a site at several sizes, and fit how each metric of the report grows.
     Sweep {
         /// The site file (TOML).
         site: PathBuf,
         #[command(flatten)]
         load: LoadArguments,
-        /// What is varied.
+        /// The dimension that `--sizes` sets.
         #[arg(long, value_enum, default_value_t = Dimension::Workers)]
         over: Dimension,
-        /// The sizes.
+        /// Values of the dimension, separated by commas; each is one run.
         #[arg(long, value_delimiter = ',', required = true)]
         sizes: Vec<f64>,
-        /// Workers in all, where something else is varied.
+        /// Total on-demand machines of each run, if another dimension is varied.
         #[arg(long)]
         workers: Option<u32>,
-        /// The folder for reports, fits and plots.
+        /// Directory for reports, regressions and plots.
         #[arg(long, default_value = "docs/capacity")]
         folder: PathBuf,
-        /// Begins the names of the files.
+        /// Prefix of the names of the files.
         #[arg(long, default_value = "sweep")]
         label: String,
     },
@@ -90,19 +94,19 @@
 
 #[derive(Args, Clone, Copy)]
 struct LoadArguments {
-    /// Task starts a second of what arrives.
+    /// Mean task starts per second of the jobs that arrive; `per_s` of all classes is scaled.
     #[arg(long)]
     starts_per_second: Option<f64>,
-    /// Controllers.
+    /// Number of controllers, in place of `controllers.count`.
     #[arg(long)]
     controllers: Option<usize>,
-    /// Teams of each entry; what they have together stays.
+    /// Number of teams of each entry of `teams`; the sum of the entry's quotas stays.
     #[arg(long)]
     teams: Option<usize>,
-    /// Length of a run, in seconds.
+    /// Length of a run, in seconds; `warmup_s` is scaled in proportion.
     #[arg(long)]
     duration_s: Option<f64>,
-    /// Seed of everything that is drawn.
+    /// Seed of all random draws.
     #[arg(long)]
     seed: Option<u64>,
 }
@@ -123,7 +127,7 @@
 /// Why a command fails.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// A file can't be read or written.
+    /// A site file can't be read, or a report can't be written.
     #[error("{path}: {source}")]
     File { path: String, source: io::Error },
     /// A site file, or a site with the overrides, is invalid.
@@ -133,11 +137,11 @@
     Run(#[from] EmulationError),
     #[error(transparent)]
     Sweep(#[from] SweepError),
-    #[error("Ctrl-C can't be caught: {0}")]
+    #[error("the handler of Ctrl-C can't be installed: {0}")]
     Signal(#[from] ctrlc::Error),
 }
 
-/// Whether the rules were kept in all runs of a command.
+/// Whether all runs of a command kept the scheduling rules.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     RulesKept,
@@ -214,14 +218,14 @@
     Ok(Outcome::from_violations(report.has_failures()))
 }
 
-/// Runs a sweep of a valid site file.
+/// Runs a sweep. The site file is validated first, so that an invalid one starts no run.
 fn sweep(sweep: &Sweep) -> Result<Outcome, CommandError> {
     read_site(sweep.site)?;
     let has_violations = sweep.run(&*stop_flag()?)?;
     Ok(Outcome::from_violations(has_violations))
 }
 
-/// A flag that Ctrl-C sets.
+/// A flag that Ctrl-C sets. Runs then end early and still report.
 fn stop_flag() -> Result<Arc<AtomicBool>, CommandError> {
     let stop = Arc::new(AtomicBool::new(false));
     let handler_stop = stop.clone();
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -9,7 +9,8 @@
 
 /// Significant digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Largest value of the histograms, in milliseconds.
+/// Largest value of the histograms, in milliseconds: the longest run that a site may have.
+/// Larger values are recorded as this one.
 const MAX_LATENCY_MS: u64 = 3_600_000;
 
 const HTTP_OK: u16 = 200;
@@ -17,36 +18,38 @@
 const HTTP_TOO_MANY_REQUESTS: u16 = 429;
 const HTTP_UNAVAILABLE: u16 = 503;
 
-/// Requests and writes of one category.
+/// Requests to the key-value store and writes in it, of one category.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct StoreUsage {
-    /// Requests.
+    /// Completed requests, with any status.
     pub requests: u64,
-    /// Puts and deletes of successful transactions.
+    /// Puts and deletes in successful transactions.
     pub writes: u64,
 }
 
 /// Counters and histograms since the last [`Metrics::reset`]. Latencies are in milliseconds.
 pub(crate) struct Metrics {
-    /// From a user's first attempt to submit until a task's first start, by priority.
+    /// From a user's first attempt to submit a job until each task's first start, by priority.
     pub start_latencies: BTreeMap<Priority, Histogram<u64>>,
-    /// From a user's first attempt to submit until the job was accepted.
+    /// From a user's first attempt to submit a job until a controller accepted it.
     pub submission_latencies: Histogram<u64>,
-    /// From sending a heartbeat until its response.
+    /// From sending a heartbeat until its response or its failure.
     pub heartbeat_latencies: Histogram<u64>,
-    /// Heartbeats without a response, or with another than 200 and 421.
+    /// Heartbeats without a response, or with a status other than 200 and 421.
     pub heartbeats_failed: u64,
-    /// Heartbeats that were redirected to another controller.
+    /// Heartbeats that the controller redirected with 421, because another one holds the
+    /// machine's shard.
     pub heartbeats_redirected: u64,
-    /// Calls of the workers' `/commands` and `/status`.
+    /// Controllers' calls of the workers' `/commands` and `/status`.
     pub commands: u64,
-    /// Bytes of workers: heartbeats with their HTTP heads, and bodies of commands.
+    /// Bytes that workers sent and received: heartbeats with their HTTP heads, and the bodies
+    /// of commands without heads.
     pub worker_traffic: Traffic,
-    /// Use of the key-value store, by category.
+    /// Requests to the key-value store, by category. A category without requests is absent.
     pub store: BTreeMap<RequestCategory, StoreUsage>,
     /// Requests that the key-value store refused with 429 or 503.
     pub store_requests_refused: u64,
-    /// Largest lag of the simulated time behind the clock.
+    /// Largest lag of the simulated time behind the clock, in milliseconds.
     pub max_lag_ms: u64,
 }
 
@@ -73,7 +76,7 @@
 }
 
 impl Metrics {
-    /// Clears all values, at the end of the warm-up.
+    /// Clears all values. Called at the end of the warm-up.
     pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Records bytes that a worker sent and received.
+    /// Adds bytes that a worker sent and received.
     pub(crate) fn record_worker_traffic(&mut self, traffic: Traffic) {
         self.worker_traffic.sent += traffic.sent;
         self.worker_traffic.received += traffic.received;
@@ -120,12 +123,12 @@
         }
     }
 
-    /// Records the lag of the simulated time behind the clock.
+    /// Records the present lag of the simulated time behind the clock.
     pub(crate) fn record_lag(&mut self, lag_ms: u64) {
         self.max_lag_ms = self.max_lag_ms.max(lag_ms);
     }
 
-    /// Number of first starts of tasks.
+    /// Number of tasks that started for the first time.
     pub(crate) fn task_starts(&self) -> u64 {
         self.start_latencies.values().map(Histogram::len).sum()
     }
--- a/crates/emulator/src/model_servers.rs
+++ b/crates/emulator/src/model_servers.rs
@@ -1,9 +1,9 @@
-//! Simulated model servers and the load on them, in a thread of their own.
+//! Simulated model servers and the load on them, in a separate thread.
 //!
-//! Each replica of a class that answers has a server on the loopback network while its task
-//! is on a machine. The server responds with 503 until the weights are loaded. An open-loop
-//! load generator sends requests to all servers in turn at a fixed rate, and records when
-//! each replica answers for the first time.
+//! Each replica of a class with `answers` has an HTTP server on the loopback network while its
+//! task is on a machine. The server responds with 503 until the weights are loaded, and with
+//! 200 afterwards. An open-loop load generator sends requests to all servers in turn at a fixed
+//! rate, and records when each replica answers for the first time.
 
 mod load_generator;
 
@@ -23,7 +23,7 @@
 
 /// Largest number of connections that a server accepts.
 const MAX_CONNECTIONS: usize = 16;
-/// Idle connections are closed after this.
+/// Time after which an idle connection, or one whose body is incomplete, is closed.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest body of a request or response, in bytes.
 const MAX_BODY_BYTES: usize = 1_024;
@@ -33,7 +33,7 @@
 /// A replica on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Replica {
-    /// The task of the replica.
+    /// The task that the replica is.
     pub task: TaskRef,
     /// The machine that the task is on.
     pub machine: MachineId,
@@ -52,7 +52,7 @@
 }
 
 impl ModelServers {
-    /// Starts the thread. The times of answers count from `started`.
+    /// Starts the thread. Times of answers are relative to `started`, the start of the run.
     pub(crate) fn start(started: Instant) -> Self {
         let (replicas, updates) = async_channel::unbounded();
         let first_answers = FirstAnswers::default();
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Replaces the set of replicas.
+    /// Replaces the set of replicas. Servers of replicas that are not in the set stop.
     pub(crate) fn set_replicas(&self, replicas: Vec<Replica>) {
-        // The receiver is dropped only after this sender was closed.
+        // Sending fails only if the thread has ended, which it does after the channel closes.
         let _ = self.replicas.try_send(replicas);
     }
 
-    /// Time of the first answer of each replica that has answered.
+    /// Time from the start of the run to the first answer of each replica that has answered.
     pub(crate) fn first_answers(&self) -> BTreeMap<TaskRef, Duration> {
         let answers = self.first_answers.lock();
         answers.map(|answers| answers.clone()).unwrap_or_default()
@@ -87,15 +87,17 @@
     }
 }
 
-/// The model server of a replica.
+/// The running model server of a replica.
 struct ModelServer {
     address: SocketAddr,
+    /// Shared with the request handler, so that the server becomes ready while it runs.
     is_ready: Rc<Cell<bool>>,
-    /// Serves until it is dropped.
+    /// Accepts connections until it is dropped.
     _task: Task<()>,
 }
 
-/// ModelServerMap by the replicas' tasks and machines.
+/// Model servers by the tasks and machines of their replicas. A task that restarts on another
+/// machine gets another server.
 type ModelServerMap = Rc<RefCell<BTreeMap<(TaskRef, MachineId), ModelServer>>>;
 
 fn run_servers(started: Instant, updates: &Receiver<Vec<Replica>>, first_answers: FirstAnswers) {
@@ -112,7 +114,8 @@
     drop(load);
 }
 
-/// Starts and stops servers, so that each replica has one.
+/// Starts and stops servers so that exactly the given replicas have one, and updates the
+/// readiness of the running ones.
 fn reconcile_servers(executor: &Executor, servers: &ModelServerMap, replicas: &[Replica]) {
     let mut servers = servers.borrow_mut();
     let key = |replica: &Replica| (replica.task.clone(), replica.machine.clone());
@@ -125,7 +128,11 @@
         match start_server(executor, replica) {
             Ok(server) => drop(servers.insert(key(replica), server)),
             Err(error) => {
-                log::error!("model server of {}: listener failed, {error}", replica.task);
+                log::error!(
+                    "model server of {}: listener failed, retrying at the next change of \
+                     replicas, {error}",
+                    replica.task
+                );
             }
         }
     }
--- a/crates/emulator/src/model_servers/load_generator.rs
+++ b/crates/emulator/src/model_servers/load_generator.rs
@@ -1,4 +1,5 @@
-//! Open-loop load generator over all model servers.
+//! Open-loop load generator over all model servers: its request rate does not depend on how
+//! fast the servers answer.
 
 use super::{FirstAnswers, ModelServerMap, HTTP_OK, IDLE_CONNECTION_TIMEOUT, MAX_BODY_BYTES};
 use async_io::Timer;
@@ -10,9 +11,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Requests a second over all servers.
+/// Requests per second over all servers.
 const REQUESTS_PER_S: u64 = 200;
-/// Largest number of concurrent requests; further ones are skipped.
+/// Largest number of in-flight requests. Requests beyond it are skipped, not delayed.
 const MAX_CONCURRENT_REQUESTS: usize = 500;
 /// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
@@ -21,7 +22,7 @@
 /// Sends requests to all servers in turn, at a fixed rate.
 pub(super) struct LoadGenerator {
     executor: Executor,
-    /// Start of the run, from which the times of answers count.
+    /// Start of the run. Times of answers are relative to it.
     started: Instant,
     servers: ModelServerMap,
     first_answers: FirstAnswers,
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Sends requests until the task is dropped.
+    /// Sends requests at the fixed rate until the task is dropped.
     pub(super) async fn run(self: Rc<Self>) {
         let load_started = Instant::now();
         for number in 0_u64.. {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The server of the request of this number; `None` if there are no servers.
+    /// The server for the request of this number, round-robin; `None` if there are no servers.
     fn target(&self, number: u64) -> Option<(TaskRef, SocketAddr)> {
         let servers = self.servers.borrow();
         let count = servers.len().max(1) as u64;
@@ -79,7 +80,8 @@
         Some((task.clone(), server.address))
     }
 
-    /// Sends a request and records the time if it is the first one that is answered.
+    /// Sends a request, and records the time if it is the first one that the replica answers
+    /// with 200.
     async fn send_request(self: Rc<Self>, task: TaskRef, address: SocketAddr) {
         let call = Call {
             addr: address,
--- a/crates/emulator/src/model_servers/tests.rs
+++ b/crates/emulator/src/model_servers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use forkshift_wire::JobId;
 
-/// Waits until a condition holds, for a while.
+/// Waits until a condition holds. Returns false if it does not within 10 seconds.
 fn becomes_true_within_10_s(condition: impl Fn() -> bool) -> bool {
     let until = Instant::now() + Duration::from_secs(10);
     while Instant::now() < until {
@@ -13,8 +13,8 @@
     false
 }
 
-/// A replica answers from the moment at which it has its weights, and one that never
-/// gets them never does.
+/// Guards against first answers that are recorded before a replica has loaded its weights: one
+/// that becomes ready later answers then, and one that never does has no answer.
 #[test]
 fn a_replica_answers_once_it_is_ready() {
     let replica = |index, is_ready| Replica {
--- a/crates/emulator/src/plot.rs
+++ b/crates/emulator/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of figures over sizes, as SVG files.
+//! Plots metrics of reports over a dimension of a sweep, as SVG files.
 
 use crate::regression::{Point, Regression};
 use plotters::drawing::DrawingAreaErrorKind;
@@ -6,18 +6,18 @@
 use std::io;
 use std::path::Path;
 
-/// Width and height, in pixels.
+/// Width and height of a plot, in pixels.
 const IMAGE_SIZE_PIXELS: (u32, u32) = (640, 400);
-/// Ratio of the end of an axis to the largest value.
+/// Ratio of the end of an axis to its largest value.
 const AXIS_LENGTH_FACTOR: f64 = 1.1;
-/// Shortest axes.
+/// Lower bounds of the ends of the axes, so that an axis with only zeros is not empty.
 const MIN_X_AXIS_LENGTH: f64 = 1.0;
 const MIN_Y_AXIS_LENGTH: f64 = 1e-6;
 
-/// An error of the drawing library.
+/// An error of the plotting library.
 type ChartError = DrawingAreaErrorKind<io::Error>;
 
-/// A plot that can't be written.
+/// A plot can't be written to its file.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {source}")]
 pub(crate) struct PlotError {
@@ -25,15 +25,15 @@
     source: ChartError,
 }
 
-/// A figure over a size.
+/// A plot of a metric over a dimension.
 pub(crate) struct Plot<'a> {
-    /// Name of the figure.
+    /// Name of the metric, which is the plot's caption.
     pub metric: &'a str,
-    /// Name of the size.
+    /// Name of the dimension, which labels the x axis.
     pub dimension: &'a str,
-    /// Points of size and figure.
+    /// Sizes with the metric's value at each.
     pub points: &'a [Point],
-    /// The regression of the points, if there is one.
+    /// The regression of the points, which is drawn as a line; `None` if it can't be fitted.
     pub regression: Option<&'a Regression>,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// End of an axis with these values.
+/// End of an axis for values.
 fn axis_end(values: impl Iterator<Item = f64>) -> f64 {
     values.fold(0.0, f64::max) * AXIS_LENGTH_FACTOR
 }
--- a/crates/emulator/src/pools.rs
+++ b/crates/emulator/src/pools.rs
@@ -1,5 +1,5 @@
-//! Results of warm pools: how soon the replicas of a burst answer, and whether the pools'
-//! records agree with the charges of the simulated cloud.
+//! Results of warm pools: how soon the replicas of a burst answer, and whether the usage
+//! records of the pools agree with the charges of the simulated cloud.
 
 use crate::model_servers::Replica;
 use crate::site::Site;
@@ -12,87 +12,92 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Largest time by which an interval may exceed a machine's lifetime, in milliseconds: both
-/// are recorded in steps of the simulation, and a crash is detected by missed heartbeats.
+/// Largest time by which a recorded interval may begin before or end after the cloud's
+/// billing period of the machine, in milliseconds. Both are recorded in steps of the
+/// simulation, and a crash is detected only by missed heartbeats.
 const MAX_INTERVAL_ERROR_MS: u64 = 250;
 const MILLISECONDS_PER_S: f64 = 1_000.0;
 const MILLISECONDS_PER_HOUR: f64 = 3_600_000.0;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
-/// Lower bound of a price, so that a difference of machines without a price is finite.
+/// Lower bound of the price that a cost difference is divided by, so that the quotient is
+/// finite for machines without a price.
 const MIN_PRICE_PER_HOUR: f64 = 1e-9;
 
-/// Answers of the replicas of bursts.
+/// First answers of the replicas of bursts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct BurstSummary {
-    /// Replicas that the jobs of bursts have.
+    /// Number of replicas of all jobs of bursts.
     pub replicas: u64,
-    /// Replicas that have answered.
+    /// Number of these replicas that have answered a request.
     pub answered: u64,
-    /// From the submission until the first replica answered, in milliseconds.
+    /// From the submission until the first replica answered, in milliseconds; `None` if none
+    /// has answered.
     pub first_answer_ms: Option<u64>,
-    /// From the submission until all replicas had answered, in milliseconds.
+    /// From the submission until all replicas had answered, in milliseconds; `None` if some
+    /// have not.
     pub all_answered_ms: Option<u64>,
 }
 
-/// Totals of the pools' records, compared with the charges of the cloud.
+/// Totals of the pools' usage records, compared with the charges of the cloud.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PoolSummary {
     /// Number of machines that were in pools.
     pub machines: u64,
-    /// Machine-seconds that the pools' sizes required.
+    /// Machine-seconds that the configured sizes of the pools required.
     #[serde(rename = "asked_s")]
     pub requested_s: f64,
-    /// Machine-seconds by which ready machines were too few.
+    /// Machine-seconds by which the ready machines fell short of the configured sizes.
     #[serde(rename = "short_s")]
     pub unmet_s: f64,
-    /// Machine-seconds of warm machines.
+    /// Machine-seconds of machines that were up with the pool's image cached.
     pub warm_s: f64,
-    /// Cost of the pools by their records.
+    /// Cost of the pools by their usage records.
     pub cost: f64,
-    /// Charges of the cloud for the same intervals of the same machines.
+    /// Charges of the cloud for the recorded intervals of the same machines.
     pub cloud_cost: f64,
-    /// Largest difference between the two for one machine, in seconds of its price.
+    /// Largest difference between recorded cost and charge of one machine, in seconds of its
+    /// price.
     #[serde(rename = "largest_difference_s")]
     pub max_cost_difference_s: f64,
-    /// Machines handed out to jobs.
+    /// Number of machines that were allocated to tasks of the pool's team and image.
     #[serde(rename = "handed_out")]
     pub allocated: u64,
-    /// Jobs that found no warm machine.
+    /// Number of cold starts: starts that found no warm machine in their pool.
     #[serde(rename = "missed")]
     pub cold_starts: u64,
-    /// Machines reclaimed.
+    /// Number of machines that were reclaimed for other tasks.
     pub reclaimed: u64,
-    /// Machines lost.
+    /// Number of machines that failed, were preempted by the cloud, or did not get the image.
     pub lost: u64,
-    /// Violated rules of the records.
+    /// Errors of the audit of the records against the billing periods; empty if they agree.
     #[serde(rename = "mistakes")]
     pub discrepancies: Vec<String>,
-    /// Cost of the pools by `forkshift pools report`; `None` if that failed.
+    /// Cost of the pools by `forkshift pools report`; `None` if the command failed.
     pub reported_cost: Option<f64>,
 }
 
-/// A job whose replicas start together and answer requests.
+/// A service whose replicas are model servers and which is submitted at a fixed time.
 #[derive(Clone, Debug)]
 pub(crate) struct BurstJob {
     /// Time of the submission, in seconds since the start of the run.
     pub at_s: f64,
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
     /// Number of replicas.
     pub replicas: u32,
 }
 
-/// The jobs whose replicas answer requests.
+/// The planned jobs whose replicas are model servers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ModelServerJobs {
-    /// All of the jobs.
+    /// Ids of all these jobs, in bursts or not.
     pub all: BTreeSet<JobId>,
     /// The jobs that are submitted in bursts.
     pub bursts: Vec<BurstJob>,
 }
 
 impl ModelServerJobs {
-    /// Selects the planned jobs whose class has answering replicas.
+    /// Selects the planned jobs of the classes that set `answers`.
     pub(crate) fn new(site: &Site, plans: &[JobPlan]) -> Self {
         let mut jobs = Self::default();
         for JobPlan { spec, .. } in plans {
@@ -110,7 +115,7 @@
         jobs
     }
 
-    /// The replicas of the jobs that are on machines.
+    /// The replicas that are on machines, with their machines and readiness.
     pub(crate) fn replicas(&self, world: &Simulation) -> Vec<Replica> {
         let tasks = world.tasks_of(&self.all).into_iter();
         tasks
@@ -122,8 +127,8 @@
             .collect()
     }
 
-    /// Summarises the first answers of the replicas of bursts. Times count from the start
-    /// of the run.
+    /// Summarises the first answers of the replicas of bursts. `first_answers` has times since
+    /// the start of the run; answers of other jobs are ignored.
     pub(crate) fn burst_summary(
         &self,
         first_answers: &BTreeMap<TaskRef, Duration>,
@@ -147,7 +152,8 @@
 }
 
 impl BurstJob {
-    /// From the submission until each replica's first answer.
+    /// Time from the submission until the first answer of each replica that has answered, in
+    /// milliseconds.
     fn latencies_ms<'a>(
         &'a self,
         first_answers: &'a BTreeMap<TaskRef, Duration>,
@@ -161,8 +167,8 @@
     }
 }
 
-/// Compares the pools' records in the key-value store with the charges of the cloud. The
-/// run started at `start_time_ms`, in milliseconds since 1970.
+/// Compares the pools' usage records in the key-value store with the charges of the cloud.
+/// The run started at `start_time_ms`, in milliseconds since 1970.
 pub(crate) fn pool_summary(world: &Simulation, site: &Site, start_time_ms: u64) -> PoolSummary {
     let now_ms = start_time_ms + world.now();
     let records = world.pool_accounts(now_ms);
@@ -193,16 +199,16 @@
 /// Cost of one machine while it was in pools.
 #[derive(Default)]
 struct MachineCost {
-    /// Cost by the records.
+    /// Cost by the usage records.
     recorded: f64,
-    /// Charges of the cloud.
+    /// Charges of the cloud for the recorded intervals.
     charged: f64,
-    /// Price an hour of the cloud.
+    /// The cloud's price per hour.
     price_per_hour: f64,
 }
 
 impl MachineCost {
-    /// Difference between records and charges, in seconds of the machine's price.
+    /// Difference between recorded cost and charge, in seconds of the machine's price.
     fn difference_s(&self) -> f64 {
         let difference = (self.recorded - self.charged).abs();
         difference / self.price_per_hour.max(MIN_PRICE_PER_HOUR) * SECONDS_PER_HOUR
@@ -219,7 +225,8 @@
     }
 }
 
-/// Cost of each machine of the records.
+/// Cost of each machine in the records. The part of an interval outside the machine's billing
+/// period is not charged; a machine without a billing period is not charged at all.
 fn machine_costs<'a>(
     records: &'a UsageRecords,
     billing_periods: &BTreeMap<MachineId, BillingPeriod>,
@@ -245,7 +252,8 @@
     costs
 }
 
-/// Price an hour of the simulated cloud. Its prices never change.
+/// The simulated cloud's price per hour of a recorded machine; 0 if the site has no price for
+/// it. Prices are constant during a run.
 fn cloud_price(site: &Site, interval: &UsageInterval) -> f64 {
     let machine_type = site
         .machine_types
--- a/crates/emulator/src/pools/tests.rs
+++ b/crates/emulator/src/pools/tests.rs
@@ -13,10 +13,12 @@
     }
 }
 
-/// Job, task and time of each answer; expected count, first latency and latency of all.
+/// Job number, task index and time in milliseconds of each answer; expected number of answers,
+/// first latency, and latency of the last answer.
 type Case = (&'static [(u32, u32, u64)], u64, Option<u64>, Option<u64>);
 
-/// Only replicas of bursts count, and "all" only once each of them has answered.
+/// Answers of other jobs than bursts must not count, and the time until all replicas answered
+/// must be absent until each of them has.
 #[test]
 fn burst_latencies_count_from_the_submission() {
     let answer = |(job, index, at_ms): (u32, u32, u64)| {
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -1,20 +1,25 @@
-//! Checks that this machine has the resources for a run before anything is started.
+//! Checks before a run that this machine has the open files and the memory for it.
 
 use crate::site::Site;
 use std::{fs, io};
 
-/// Open files of a hollow worker: its listener and its connection to a controller.
+/// Open files of a hollow worker: its listener, and its connection to a controller.
 const FILES_PER_WORKER: u64 = 2;
-/// Of so many sockets, a controller keeps one open to a worker between calls.
+/// A controller keeps idle connections to workers on one in this many of the sockets that it
+/// may open; the emulator holds the other end of each.
 const SOCKETS_PER_IDLE_CONNECTION: u64 = 10;
-/// Open files besides the workers': services, users and logs.
+/// Open files of the emulator for services, users and logs.
 const OTHER_OPEN_FILES: u64 = 500;
 /// Upper bound of the memory of a hollow worker with its tasks, in KiB.
 const KIB_PER_WORKER: u64 = 128;
 /// Upper bound of the memory of a controller, in KiB.
 const KIB_PER_CONTROLLER: u64 = 200 * 1024;
-/// Largest fraction of the machine's memory that a run may use.
+/// Largest fraction of the machine's memory that a run may need.
 const MAX_MEMORY_FRACTION: f64 = 0.5;
+/// Start of the line of `/proc/self/limits` with the limit of open files.
+const OPEN_FILES_LINE: &str = "Max open files";
+/// Start of the line of `/proc/meminfo` with the total memory.
+const TOTAL_MEMORY_LINE: &str = "MemTotal:";
 
 /// Why a run is refused on this machine.
 #[derive(Debug, thiserror::Error)]
@@ -27,13 +32,15 @@
         /// Why it can't be read.
         source: io::Error,
     },
-    /// A file of `/proc` has no line with the limit.
-    #[error("{path}: has no such line")]
+    /// A file of `/proc` has no line with the limit, or the line has no number.
+    #[error("{path}: no line `{line}` with a number")]
     Parse {
         /// Path of the file.
         path: &'static str,
+        /// Start of the line.
+        line: &'static str,
     },
-    /// The limit of open files is too low.
+    /// The run needs more open files than a process may have.
     #[error(
         "{workers} workers need {needed} open files, and RLIMIT_NOFILE allows {allowed}: \
          raise it (`ulimit -n {needed}`) or run at most {max_workers} workers"
@@ -48,12 +55,19 @@
         /// Largest number of workers within the limit.
         max_workers: u64,
     },
-    /// The run may need more memory than it may use.
-    #[error("the run may need {needed_mib} MB, half of this machine's memory is {allowed_mib} MB")]
+    /// The run may need more memory than [`MAX_MEMORY_FRACTION`] of the machine's.
+    #[error(
+        "{workers} workers and {controllers} controllers may need {needed_mib} MiB of memory, and \
+         a run may need at most half of this machine's, {allowed_mib} MiB: run fewer workers"
+    )]
     Memory {
+        /// Workers of the site.
+        workers: u32,
+        /// Controllers of the site.
+        controllers: u64,
         /// Upper bound of the memory that the run needs, in MiB.
         needed_mib: u64,
-        /// Memory that the run may use, in MiB.
+        /// Largest memory that a run may need, in MiB.
         allowed_mib: u64,
     },
 }
@@ -61,9 +75,9 @@
 /// Resource limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MachineLimits {
-    /// Limit of open files of a process.
+    /// Soft limit of the open files of this process.
     pub max_open_files: u64,
-    /// Memory, in KiB.
+    /// Total memory, in KiB.
     pub memory_kib: u64,
 }
 
@@ -71,8 +85,8 @@
     /// Reads the limits of this machine.
     pub(crate) fn read() -> Result<Self, PreflightError> {
         Ok(Self {
-            max_open_files: read("/proc/self/limits", parse_open_files)?,
-            memory_kib: read("/proc/meminfo", parse_total_memory_kib)?,
+            max_open_files: read("/proc/self/limits", OPEN_FILES_LINE, parse_open_files)?,
+            memory_kib: read("/proc/meminfo", TOTAL_MEMORY_LINE, parse_total_memory_kib)?,
         })
     }
 
@@ -104,6 +118,8 @@
         let allowed_kib = (self.memory_kib as f64 * MAX_MEMORY_FRACTION) as u64;
         if needed_kib > allowed_kib {
             return Err(PreflightError::Memory {
+                workers,
+                controllers,
                 needed_mib: needed_kib / 1024,
                 allowed_mib: allowed_kib / 1024,
             });
@@ -112,22 +128,29 @@
     }
 }
 
-fn read(path: &'static str, parse: fn(&str) -> Option<u64>) -> Result<u64, PreflightError> {
+/// Reads a value from a file of `/proc`. The value's line starts with `line`.
+fn read(
+    path: &'static str,
+    line: &'static str,
+    parse: fn(&str) -> Option<u64>,
+) -> Result<u64, PreflightError> {
     let text = fs::read_to_string(path).map_err(|source| PreflightError::Read { path, source })?;
-    parse(&text).ok_or(PreflightError::Parse { path })
+    parse(&text).ok_or(PreflightError::Parse { path, line })
 }
 
 /// Parses the soft limit of open files in the text of `/proc/self/limits`.
 fn parse_open_files(text: &str) -> Option<u64> {
     let line = text
         .lines()
-        .find(|line| line.starts_with("Max open files"))?;
+        .find(|line| line.starts_with(OPEN_FILES_LINE))?;
     line.split_whitespace().nth(3)?.parse().ok()
 }
 
 /// Parses the total memory, in KiB, in the text of `/proc/meminfo`.
 fn parse_total_memory_kib(text: &str) -> Option<u64> {
-    let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
+    let line = text
+        .lines()
+        .find(|line| line.starts_with(TOTAL_MEMORY_LINE))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
--- a/crates/emulator/src/preflight/tests.rs
+++ b/crates/emulator/src/preflight/tests.rs
@@ -14,6 +14,7 @@
     assert_eq!(parse_open_files("Max open files unlimited"), None);
 }
 
+/// A run that exceeds a limit would fail half-way with an error that does not name the limit.
 #[test]
 fn run_beyond_a_machine_limit_is_refused_with_the_limit_it_needs() {
     let text = include_str!("../../../../examples/emulation.toml");
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -1,10 +1,11 @@
-//! Processor time and memory of processes, read from Linux's `/proc`.
+//! Processor time and resident memory of processes, read from Linux's `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second in `/proc/PID/stat`; Linux uses 100 on all machines.
+/// Clock ticks per second in `/proc/PID/stat`. Linux reports 100 on all machines.
 const TICKS_PER_S: f64 = 100.0;
-/// Fields of `/proc/PID/stat` between the program's name and the user time.
+/// Number of fields of `/proc/PID/stat` between the program's name and the user time. The
+/// kernel time is the field after the user time.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 
 /// Resources that a process has used.
@@ -17,7 +18,7 @@
 }
 
 impl ProcessUsage {
-    /// Usage of a running process. `None` if it can't be read.
+    /// Usage of a running process. `None` if the process has exited or can't be read.
     pub(crate) fn of_process(pid: u32) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let rollup = fs::read_to_string(format!("/proc/{pid}/smaps_rollup")).ok()?;
@@ -34,7 +35,7 @@
 }
 
 /// Parses the processor seconds in the text of `/proc/PID/stat`. The program's name may
-/// contain spaces, so fields are counted from its end.
+/// contain spaces and parentheses, so fields are counted from the last `)`.
 fn parse_cpu_s(stat: &str) -> Option<f64> {
     let (_, fields) = stat.rsplit_once(')')?;
     let mut times = fields.split_whitespace().skip(FIELDS_BEFORE_USER_TIME);
--- a/crates/emulator/src/process/tests.rs
+++ b/crates/emulator/src/process/tests.rs
@@ -1,5 +1,7 @@
 use super::{parse_cpu_s, parse_resident_kib, ProcessUsage};
 
+/// The program's name in `/proc/PID/stat` may contain spaces and parentheses, which must not
+/// shift the fields after it.
 #[test]
 fn usage_is_parsed_from_proc_files() {
     let stat =
--- a/crates/emulator/src/progress.rs
+++ b/crates/emulator/src/progress.rs
@@ -1,22 +1,23 @@
-//! Shows the progress of a run on standard error: a progress bar on a terminal, plain lines
-//! elsewhere.
+//! Shows the progress of a run on standard error: as a progress bar on a terminal, and as
+//! plain lines elsewhere.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 use std::time::{Duration, Instant};
 
-/// Interval between two plain lines.
+/// Shortest interval between two plain lines.
 const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The progress of a run.
 pub(crate) struct Progress {
+    /// `None` if standard error is not a terminal.
     bar: Option<ProgressBar>,
     /// Time of the last plain line.
     last_line: Option<Instant>,
 }
 
 impl Progress {
-    /// Starts the progress of a run of so many seconds.
+    /// Starts to show the progress of a run that takes `seconds`.
     pub(crate) fn new(seconds: u64) -> Self {
         let template = "[{elapsed_precise}] {bar:24} {msg}";
         let style = ProgressStyle::with_template(template);
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Shows the elapsed seconds with a message. Plain lines are rate-limited.
+    /// Shows the elapsed seconds with a message. Of plain lines, one per [`LINE_INTERVAL`] is
+    /// printed.
     pub(crate) fn show(&mut self, seconds: u64, message: &str) {
         if let Some(bar) = &self.bar {
             bar.set_position(seconds);
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Prints an event on a line of its own.
+    /// Prints an event at once, on a line of its own.
     pub(crate) fn print_event(&self, message: &str) {
         match &self.bar {
             Some(bar) => bar.println(message),
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Leaves the progress bar as it is, at the end of the run.
+    /// Completes the progress bar at the end of the run.
     pub(crate) fn finish(&self) {
         if let Some(bar) = &self.bar {
             bar.finish();
--- a/crates/emulator/src/regression.rs
+++ b/crates/emulator/src/regression.rs
@@ -1,19 +1,20 @@
-//! Least-squares regression of a figure over a size.
+//! Least-squares regression of a metric over the sizes of a sweep.
 
 use serde::Serialize;
 
-/// A point of size and figure.
+/// A size, with the value of a metric at it.
 pub(crate) type Point = (f64, f64);
 
-/// A linear regression `figure = intercept + slope * size`, with the exponent of a power
-/// law `figure ~ size ^ exponent`.
+/// A linear regression `value = intercept + slope * size`, with the exponent of a power law
+/// `value ~ size ^ exponent`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct Regression {
-    /// The figure at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// Increase of the figure by one unit of the size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// Exponent of the power law: 1 is linear growth. `None` if a value is not above 0.
+    /// Exponent of the power law: 1 is linear growth. `None` if a size or a value is not above
+    /// 0, as it has no logarithm then.
     pub exponent: Option<f64>,
     /// Root mean square of the residuals of the line.
     pub residual: f64,
@@ -31,13 +32,13 @@
         })
     }
 
-    /// The figure of the line at a size.
+    /// Value of the line at a size.
     pub(crate) fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// Exponent of the power law through points: the slope of the line through logarithms.
+/// Exponent of the power law through points: the slope of the line through their logarithms.
 fn power_exponent(points: &[Point]) -> Option<f64> {
     let are_positive = points.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
     if !are_positive {
@@ -47,20 +48,20 @@
     Line::fit(&logarithms).map(|line| line.slope)
 }
 
-/// A straight line.
+/// A straight line `y = intercept + slope * x`.
 struct Line {
     intercept: f64,
     slope: f64,
 }
 
 impl Line {
-    /// The line of least squares through points.
+    /// Fits a line by least squares. `None` unless there are two different x.
     fn fit(points: &[Point]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
         let squares: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        // Without points the mean is not a number.
+        // Without points the means, and so the sum, are not numbers.
         if squares.is_nan() || squares <= 0.0 {
             return None;
         }
@@ -70,7 +71,7 @@
         Some(Self { intercept, slope })
     }
 
-    /// Root mean square of the residuals.
+    /// Root mean square of the residuals of points.
     fn residual(&self, points: &[Point]) -> f64 {
         let squares = points
             .iter()
--- a/crates/emulator/src/regression/tests.rs
+++ b/crates/emulator/src/regression/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn fit_finds_the_slope_and_the_exponent() {
     let sizes = [500.0, 1_000.0, 2_000.0, 4_000.0];
-    let points = |figure: fn(f64) -> f64| sizes.map(|x| (x, figure(x)));
-    // Points; slope, exponent.
+    let points = |value_at: fn(f64) -> f64| sizes.map(|x| (x, value_at(x)));
+    // Points, expected slope, expected exponent.
     let cases = [
         (points(|x| 2.0 * x), 2.0, 1.0),
         (points(|_| 7.0), 0.0, 0.0),
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,5 @@
-//! The report of a run. Serialised names are those of the report's JSON.
+//! The report of a run. Serialized names are those of the report's JSON, which sweeps
+//! read back.
 
 mod table;
 
@@ -15,16 +16,16 @@
 const MIN_MEASURED_S: f64 = 1e-3;
 const KIB_PER_MIB: f64 = 1024.0;
 
-/// Summary of a latency distribution, in milliseconds.
+/// Summary of a latency distribution, in milliseconds. All fields are 0 without values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LatencySummary {
-    /// Number of values.
+    /// Number of measured values.
     pub count: u64,
-    /// Median.
+    /// The 50th percentile.
     pub median_ms: u64,
-    /// 99th percentile.
+    /// The 99th percentile.
     pub p99_ms: u64,
-    /// Maximum.
+    /// The largest value.
     #[serde(rename = "most_ms")]
     pub max_ms: u64,
 }
@@ -43,9 +44,9 @@
 /// Rates of requests and writes at the key-value store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StoreRates {
-    /// Requests a second.
+    /// Requests per second, with any status.
     pub requests_per_s: f64,
-    /// Writes a second.
+    /// Puts and deletes of successful transactions per second.
     #[serde(rename = "changes_per_s")]
     pub writes_per_s: f64,
 }
@@ -62,7 +63,7 @@
 /// Load of a process over the measured part of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ProcessLoad {
-    /// Name of the process.
+    /// Name of the controller, or of the emulator's process.
     pub name: String,
     /// Mean processor use, in cores.
     pub cpu_cores: f64,
@@ -71,7 +72,8 @@
 }
 
 impl ProcessLoad {
-    /// The load between two moments that are so many seconds apart.
+    /// The load between two measurements that are `seconds` apart. The processor use is 0 if
+    /// the processor time decreased, as it may for a restarted process.
     pub(crate) fn between(
         name: &str,
         start: ProcessUsage,
@@ -89,22 +91,22 @@
 /// Results of one run. Rates and latencies are those after the warm-up.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Report {
-    /// Name of the site.
+    /// Name of the site, from its file.
     pub site: String,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Whether the run was interrupted.
+    /// Whether Ctrl-C ended the run early.
     pub interrupted: bool,
     /// Length of the whole run, in seconds.
     pub duration_s: f64,
-    /// Length of the part that was measured, in seconds.
+    /// Length of the measured part after the warm-up, in seconds.
     pub measured_s: f64,
-    /// Violations of the checked rules, at most twenty: which, when, and how.
+    /// Violations of the scheduling rules, at most twenty: the rule, the time and the details.
     #[serde(rename = "rules_broken")]
     pub rule_violations: Vec<String>,
-    /// Workers that are up at the end.
+    /// Number of machines with a worker that is up at the end.
     pub workers: u64,
-    /// Workers that the site asks for.
+    /// Number of on-demand machines of the site's capacity.
     #[serde(rename = "workers_asked")]
     pub workers_expected: u64,
     /// Number of controllers.
@@ -114,74 +116,74 @@
     pub controllers_exited: u64,
     /// Number of teams.
     pub teams: u64,
-    /// Tasks that run at the end.
+    /// Number of tasks on machines at the end.
     pub tasks_running: u64,
-    /// Accepted jobs.
+    /// Number of accepted jobs.
     pub jobs_accepted: u64,
-    /// Accepted jobs that are done at the end.
+    /// Number of accepted jobs that are done at the end.
     pub jobs_done: u64,
-    /// Accepted jobs that were cancelled.
+    /// Number of accepted jobs that were cancelled.
     pub jobs_cancelled: u64,
-    /// Accepted jobs with running tasks at the end.
+    /// Number of accepted jobs with running tasks at the end.
     pub jobs_running: u64,
-    /// Accepted jobs without a running task at the end.
+    /// Number of accepted jobs that are not over and have no running task at the end.
     #[serde(rename = "jobs_waiting")]
     pub jobs_pending: u64,
-    /// Restarts of replicas.
+    /// Number of restarts of replicas of services.
     #[serde(default)]
     pub replicas_restarted: u64,
-    /// First starts of tasks.
+    /// Number of tasks that started for the first time.
     pub task_starts: u64,
-    /// First starts of tasks a second.
+    /// First starts of tasks per second.
     pub starts_per_s: f64,
-    /// From a user's first attempt to submit until a task's first start, by priority.
+    /// From a user's first attempt to submit a job until each task's first start, by priority.
     #[serde(rename = "start_times")]
     pub start_latencies: BTreeMap<String, LatencySummary>,
-    /// From a user's first attempt to submit until the job was accepted.
+    /// From a user's first attempt to submit a job until a controller accepted it.
     pub submissions: LatencySummary,
-    /// From sending a heartbeat until its response.
+    /// From sending a heartbeat until its response or its failure.
     #[serde(rename = "reports")]
     pub heartbeats: LatencySummary,
-    /// Heartbeats without a response, or with another than 200 and 421.
+    /// Number of heartbeats without a response, or with a status other than 200 and 421.
     #[serde(rename = "reports_failed")]
     pub heartbeats_failed: u64,
-    /// Heartbeats that were redirected to another controller.
+    /// Number of heartbeats that were redirected to another controller with 421.
     #[serde(rename = "reports_redirected")]
     pub heartbeats_redirected: u64,
-    /// Heartbeats and commands per worker and second.
+    /// Heartbeats and commands, per worker and second.
     pub messages_per_worker_s: f64,
-    /// Bytes sent per worker and second.
+    /// Bytes that workers sent, per worker and second.
     pub sent_per_worker_s: f64,
-    /// Bytes received per worker and second.
+    /// Bytes that workers received, per worker and second.
     pub received_per_worker_s: f64,
     /// Rates at the key-value store, by category.
     #[serde(rename = "state")]
     pub store: BTreeMap<String, StoreRates>,
-    /// Rates at the key-value store in all.
+    /// Sum of the rates at the key-value store over all categories.
     #[serde(rename = "state_total")]
     pub store_total: StoreRates,
-    /// Requests that the key-value store refused.
+    /// Number of requests that the key-value store refused with 429 or 503.
     #[serde(rename = "state_refused")]
     pub store_requests_refused: u64,
-    /// Load of each controller.
+    /// Load of each controller, by index.
     #[serde(rename = "controller_use")]
     pub controller_loads: Vec<ProcessLoad>,
-    /// Processor use of all controllers, in cores.
+    /// Sum of the mean processor use of the controllers, in cores.
     pub controllers_cpu_cores: f64,
-    /// Resident memory of the largest controller, in MiB.
+    /// Resident memory of the controller that has the most at the end, in MiB.
     #[serde(rename = "controller_most_mb")]
     pub max_controller_mb: f64,
-    /// Load of the emulator itself: hollow workers, users and services.
+    /// Load of the emulator's process: hollow workers, users and services.
     #[serde(rename = "hollow_use")]
     pub emulator_load: ProcessLoad,
-    /// Largest lag of the emulator's simulated time behind the clock, in milliseconds.
-    /// Beyond a few hundred, latencies are the emulator's rather than the controllers'.
+    /// Largest lag of the emulator's simulated time behind the clock, in milliseconds. Beyond a
+    /// few hundred, latencies measure the emulator rather than the controllers.
     #[serde(rename = "hollow_behind_ms")]
     pub emulator_lag_ms: u64,
-    /// Times until the replicas of bursts answered; `None` without bursts.
+    /// First answers of the replicas of bursts; `None` without bursts.
     #[serde(default)]
     pub burst: Option<BurstSummary>,
-    /// Warm pools; `None` if no machine was in one.
+    /// Totals of the warm pools; `None` if no machine was in one.
     #[serde(default)]
     pub pools: Option<PoolSummary>,
 }
@@ -203,14 +205,14 @@
 }
 
 impl Report {
-    /// Whether a rule was violated, or the accounts of the pools are wrong.
+    /// Whether a scheduling rule was violated, or the usage records of the pools are wrong.
     pub(crate) fn has_failures(&self) -> bool {
         let discrepancies = self.pools.as_ref().map(|pools| &pools.discrepancies);
         !self.rule_violations.is_empty() || discrepancies.is_some_and(|list| !list.is_empty())
     }
 
-    /// Sets the fields that are computed from metrics. The measured time and the number of
-    /// workers must be set before.
+    /// Sets the fields that are computed from metrics. `measured_s` and `workers` must be set
+    /// before, as the rates are computed with them.
     pub(crate) fn set_metrics(&mut self, metrics: &Metrics) {
         let seconds = self.measured_s.max(MIN_MEASURED_S);
         self.set_start_metrics(metrics, seconds);
--- a/crates/emulator/src/report/table.rs
+++ b/crates/emulator/src/report/table.rs
@@ -1,10 +1,10 @@
-//! The report as a table for people.
+//! Formats the report as a table of names and values, for the terminal.
 
 use super::{LatencySummary, ProcessLoad, Report};
 use crate::pools::{BurstSummary, PoolSummary};
 use std::fmt::{self, Display, Formatter};
 
-/// Writes rows of a name and a value.
+/// Writes rows of a name and a value. A row that continues the one above has no name.
 struct Table<'a, 'b>(&'a mut Formatter<'b>);
 
 impl Table<'_, '_> {
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Metrics of ten measured seconds with two workers.
+/// Metrics of a measurement of ten seconds with two workers.
 fn metrics_of_two_workers() -> Metrics {
     let mut metrics = Metrics::default();
     let start = |after| FirstStart {
@@ -43,6 +43,7 @@
     metrics
 }
 
+/// Guards against rates that count failed writes, or values from before the warm-up's end.
 #[test]
 fn report_has_rates_and_latency_summaries_of_the_metrics() {
     let mut metrics = metrics_of_two_workers();
@@ -97,7 +98,7 @@
     assert_eq!(back, report);
 }
 
-/// Metrics in which every field has a value of its own.
+/// Metrics in which each field has a different value, so that swapped fields are found.
 fn full_metrics() -> Metrics {
     let mut metrics = Metrics::default();
     let priorities = [
@@ -171,7 +172,7 @@
     }
 }
 
-/// A report in which every field has a value of its own.
+/// A report in which each field has a different value, so that swapped fields are found.
 fn full_report() -> Report {
     let mut report = Report {
         site: "full".to_owned(),
@@ -213,7 +214,8 @@
     }
 }
 
-/// A report's JSON and table have the forms in `golden/`, and the JSON is read back.
+/// Reports keep the JSON and the table in `golden/`, and a stored JSON report is read back
+/// unchanged. Sweeps read the JSON of their runs.
 #[test]
 fn golden_reports_keep_their_forms() {
     let reports = [full_report(), Report::default()];
--- a/crates/emulator/src/request_category.rs
+++ b/crates/emulator/src/request_category.rs
@@ -1,12 +1,14 @@
-//! Classifies requests to the key-value store by their paths and keys, for the report.
+//! Classifies requests to the key-value store by their paths and keys. The report has rates
+//! by category.
 
 use forkshift_wire::state::{Transaction, Write};
 use serde::Serialize;
 
 /// Category of a request to the key-value store, or of a write.
 ///
-/// Variants are ordered: the least one of a transaction's keys gives its category. The
-/// serialised names are those of the report.
+/// A transaction with keys of several categories counts as [`Self::Job`] if it has a key of a
+/// job, and otherwise as the first of its categories in the order of the variants. The
+/// serialized names are those of the report.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RequestCategory {
@@ -16,34 +18,34 @@
     Lease,
     /// Reading keys.
     Read,
-    /// Live controllers, the leader, holders of shards, and the version of the format.
+    /// Keys of live controllers, the leader, the holders of shards, and the format version.
     Membership,
-    /// Records of machines.
+    /// Keys of machines.
     Machine,
-    /// Provisioning requests, machine types and unmet demand.
+    /// Keys of provisioning requests, machine types and the shards' unmet demand.
     #[serde(rename = "renting")]
     Provisioning,
-    /// Acceptance of jobs, and their final states.
+    /// Keys of accepted jobs and their final states.
     Job,
-    /// Starts, ends and progress of tasks.
+    /// Keys of tasks: starts, exits and progress.
     Task,
-    /// Cancellations that wait for the holder of the shard.
+    /// Keys of cancellations that the holder of the job's shard has yet to execute.
     Cancellation,
-    /// All others.
+    /// All other keys and unreadable transactions.
     Other,
 }
 
 /// A request to the key-value store with its categories.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ClassifiedRequest {
-    /// Category of the request.
+    /// Category of the request as a whole.
     pub category: RequestCategory,
-    /// Category of each write of a transaction.
+    /// Category of each write of a transaction; empty for other requests.
     pub writes: Vec<RequestCategory>,
 }
 
 impl ClassifiedRequest {
-    /// A request without writes.
+    /// A request that is not a transaction with writes.
     pub(crate) fn without_writes(category: RequestCategory) -> Self {
         Self {
             category,
@@ -72,7 +74,8 @@
     let preconditions = transaction.preconditions.iter();
     let preconditions = preconditions.map(|precondition| category_of_key(&precondition.key));
     let categories = writes.iter().copied().chain(preconditions);
-    // Acceptance writes keys of tasks too, but it is the rarer event.
+    // Accepting a job writes keys of tasks too. Such a transaction counts as one of a job,
+    // since acceptances are rarer than changes of tasks.
     let category = categories.min_by_key(|category| (*category != RequestCategory::Job, *category));
     ClassifiedRequest {
         category: category.unwrap_or(RequestCategory::Other),
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -7,28 +7,31 @@
 };
 use forkshift_wire::NodeName;
 
-/// Bound on the clock error, in milliseconds: all processes run on one machine.
+/// Bound on the difference of the controllers' clocks, in milliseconds. All processes read
+/// the clock of one machine.
 const MAX_CLOCK_ERROR_MS: f64 = 50.0;
-/// Processor limit in the settings, in cores. The emulator does not enforce it.
+/// Processor limit that the settings state, in cores. The emulator does not enforce it.
 const MAX_CPU_CORES: f64 = 1.0;
-/// Memory limit in the settings, in MB. The emulator does not enforce it.
+/// Memory limit that the settings state, in MB. The emulator does not enforce it.
 const MAX_MEMORY_MB: f64 = 512.0;
-/// Lag of the cloud's list of machines, in seconds.
+/// Lag of the cloud's list of machines that the controllers must expect, in seconds; the
+/// simulated cloud draws its lag around the same value.
 const CLOUD_LIST_LAG_S: f64 = 4.0;
 /// Fraction of a class's tasks that must start within the objective.
 const START_OBJECTIVE_FRACTION: f64 = 0.9;
 
-/// Name of a controller.
+/// Name of the controller of an index. It appears in reports and names the log files.
 pub(crate) fn controller_name(index: usize) -> String {
     format!("berth-{index}")
 }
 
-/// Zone of a controller: zones are assigned round-robin.
+/// Zone of the controller of an index. Zones are assigned round-robin.
 fn zone_of_controller(site: &Site, index: usize) -> String {
     site.zones[index % site.zones.len()].clone()
 }
 
-/// Settings of one controller.
+/// Settings of the controller of an index. It reaches the services under addresses of its
+/// own, so that a fault can cut the links of one controller.
 pub(crate) fn controller_settings(site: &Site, addresses: Addresses, index: usize) -> Settings {
     let peers = (0..site.controllers.count).filter(|peer| *peer != index);
     let peer = |peer| Peer {
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -1,6 +1,6 @@
 //! The site file: a deployment, its load, and the faults that a run injects.
 //!
-//! Fields have the names of the TOML file. Times are in seconds unless said otherwise.
+//! Fields have the names of the keys in the TOML file. Times are in seconds.
 
 mod controllers;
 mod error;
@@ -21,27 +21,27 @@
 pub(crate) use services::{CloudSpec, StateStoreSpec, WorkerTimeouts};
 pub(crate) use workload::{JobClass, JobKindSpec, TeamSpec};
 
-/// A whole site file.
+/// A site file. An unknown key anywhere in it is an error.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Site {
-    /// Name of the site, for reports.
+    /// Name of the site, which reports contain.
     pub name: String,
-    /// Seed of all random draws.
+    /// Seed of all random draws; 1 if left out.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Length of a run, in seconds.
+    /// Length of a run, in seconds; at most 3,600.
     pub duration_s: f64,
-    /// Measurements start at this second of the run.
+    /// Length of the warm-up at the start of a run, which is not measured, in seconds.
     #[serde(default)]
     pub warmup_s: f64,
     /// Names of the zones. Controllers are assigned to them round-robin.
     pub zones: Vec<String>,
     /// The controllers.
     pub controllers: ControllersSpec,
-    /// Machine types on offer.
+    /// Machine types that the simulated cloud offers.
     pub machine_types: Vec<MachineTypeSpec>,
-    /// Number of machines of each type in each zone.
+    /// Number of machines that the cloud has of each type in each zone.
     pub capacity: Vec<CapacitySpec>,
     /// Teams with their quotas.
     pub teams: Vec<TeamSpec>,
@@ -49,7 +49,7 @@
     pub workers: WorkerTimeouts,
     /// Limits of the key-value store.
     pub state: StateStoreSpec,
-    /// The cloud.
+    /// Limits and failures of the cloud.
     pub cloud: CloudSpec,
     /// Classes of jobs.
     pub classes: Vec<JobClass>,
@@ -66,29 +66,30 @@
 }
 
 impl Site {
-    /// Parses and validates a site file.
+    /// Parses and validates the text of a site file.
     pub(crate) fn parse(text: &str) -> Result<Self, SiteError> {
         let site: Self = toml::from_str(text)?;
         validation::validate(&site)?;
         Ok(site)
     }
 
-    /// The largest number of on-demand machines; spot machines are not counted.
+    /// Number of on-demand machines that the cloud has; spot machines are not counted.
     pub(crate) fn on_demand_machines(&self) -> u32 {
         self.capacity.iter().map(|capacity| capacity.count).sum()
     }
 
-    /// The largest number of spot machines.
+    /// Number of spot machines that the cloud has.
     pub(crate) fn spot_machines(&self) -> u32 {
         self.capacity.iter().map(|capacity| capacity.spot).sum()
     }
 
-    /// Names of all teams, in the order of the file.
+    /// Names of all teams, in the order of the file. Entries with several teams are expanded.
     pub(crate) fn team_names(&self) -> Vec<String> {
         self.teams.iter().flat_map(TeamSpec::names).collect()
     }
 
-    /// Mean task starts a second of the jobs that arrive after the start of the run.
+    /// Mean task starts per second of the jobs that arrive during the run; initial jobs are not
+    /// counted.
     pub(crate) fn starts_per_s(&self) -> f64 {
         let rates = self
             .classes
--- a/crates/emulator/src/site/controllers.rs
+++ b/crates/emulator/src/site/controllers.rs
@@ -3,27 +3,30 @@
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// The controllers, each a process of its own.
+/// The controllers. Each is a separate process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ControllersSpec {
-    /// Number of controllers.
+    /// Number of controllers, from 1 to 64.
     pub count: usize,
-    /// Path of the controller's program.
+    /// Path of the controller's program, relative to the working directory; that of a release
+    /// build if left out.
     #[serde(default = "default_program")]
     pub program: PathBuf,
-    /// Path of the operators' settings that each controller is given.
+    /// Path of the operators' settings that each controller gets with `--operator`; if left out,
+    /// the argument is too.
     pub operator: Option<PathBuf>,
     /// Further arguments of the program's `serve` command.
     #[serde(default)]
     pub arguments: Vec<String>,
-    /// Delay until a controller that exited is started again, in seconds.
+    /// Delay until a controller that exited or was killed is restarted, in seconds.
     #[serde(default = "default_restart_s")]
     pub restart_s: f64,
     /// Largest number of sockets that each controller may open.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// First of the ports that the run listens on in 127.0.0.0/8.
+    /// Port of services and controllers in 127.0.0.0/8. The next port is that of the
+    /// controllers' messages to each other. Concurrent runs need different ports.
     #[serde(default = "default_base_port")]
     pub base_port: u16,
 }
--- a/crates/emulator/src/site/error.rs
+++ b/crates/emulator/src/site/error.rs
@@ -3,13 +3,13 @@
 /// Why a site file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SiteError {
-    /// Not TOML, or a field is unknown, missing or of another type.
+    /// The text is not TOML, or a field is unknown, missing or of another type.
     #[error(transparent)]
     Toml(#[from] toml::de::Error),
     /// The value of a field is invalid.
     #[error("`{field}` {problem}")]
     Field {
-        /// Path of the field in the file, such as `classes[1].tasks`.
+        /// Path of the field in the file, such as `classes[1].tasks`, or the sum of one.
         field: String,
         /// The rule that the value violates.
         problem: FieldProblem,
@@ -19,52 +19,90 @@
 /// The rule that the value of a field violates.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FieldProblem {
-    /// Must be finite and above 0.
-    #[error("must be above 0")]
-    NotPositive,
-    /// Must not be below 0.
-    #[error("must not be negative")]
-    Negative,
-    /// Must be from 0 to 1.
-    #[error("must be from 0 to 1")]
-    NotAFraction,
-    /// Must be from 1 to a limit.
-    #[error("must be from 1 to {max}")]
+    /// The value must be finite and above 0.
+    #[error("must be above 0, but is {value}")]
+    NotPositive {
+        /// The value in the file.
+        value: f64,
+    },
+    /// The value must be finite and not below 0.
+    #[error("must be 0 or above, but is {value}")]
+    Negative {
+        /// The value in the file.
+        value: f64,
+    },
+    /// The value must be from 0 to 1.
+    #[error("must be from 0 to 1, but is {value}")]
+    NotAFraction {
+        /// The value in the file.
+        value: f64,
+    },
+    /// The value, or the sum of the counts of a list, must be from 1 to a limit.
+    #[error("must be from 1 to {max}, but is {value}")]
     CountOutOfRange {
+        /// The value in the file, or the sum.
+        value: usize,
         /// The largest value allowed.
         max: usize,
     },
-    /// Must not exceed a limit.
-    #[error("must be at most {max}")]
+    /// The value must not exceed a limit.
+    #[error("must be at most {max}, but is {value}")]
     TooLarge {
+        /// The value in the file.
+        value: f64,
         /// The largest value allowed.
         max: f64,
     },
     /// The warm-up must end before the run does.
-    #[error("must be below duration_s")]
-    NotBelowDuration,
-    /// A list must have an entry.
-    #[error("must not be empty")]
+    #[error("must be from 0 to below `duration_s` ({duration_s}), but is {value}")]
+    NotBelowDuration {
+        /// The value in the file.
+        value: f64,
+        /// Length of a run, in seconds.
+        duration_s: f64,
+    },
+    /// The list must have an entry.
+    #[error("must have at least one entry, but is empty")]
     Empty,
-    /// Every number of the list must be above 0, and there must be one.
-    #[error("must be a list of numbers above 0")]
-    NotPositiveNumbers,
+    /// The list must have a number, and none that is 0.
+    #[error("must be a list of at least one number, each above 0, but is {values:?}")]
+    NotPositiveNumbers {
+        /// The list in the file.
+        values: Vec<u32>,
+    },
     /// No machine type has this name.
-    #[error("names no machine type")]
-    UnknownMachineType,
+    #[error("must be the name of an entry of `machine_types`, but is `{name}`")]
+    UnknownMachineType {
+        /// The name in the file.
+        name: String,
+    },
     /// No zone has this name.
-    #[error("names no zone")]
-    UnknownZone,
+    #[error("must be one of `zones`, but is `{name}`")]
+    UnknownZone {
+        /// The name in the file.
+        name: String,
+    },
     /// No team has this name.
-    #[error("names no team")]
-    UnknownTeam,
+    #[error(
+        "must be the name of a team of `teams`, with its index if `count` is above 1, \
+         but is `{name}`"
+    )]
+    UnknownTeam {
+        /// The name in the file.
+        name: String,
+    },
     /// No controller has this index.
-    #[error("is not the index of a controller")]
-    UnknownController,
+    #[error("must be an index below `controllers.count` ({controllers}), but is {index}")]
+    UnknownController {
+        /// The index in the file.
+        index: usize,
+        /// Number of controllers.
+        controllers: usize,
+    },
     /// Only classes of services may set the field.
-    #[error("is for classes of kind `service`")]
+    #[error("may be true only if `kind` is `service`")]
     ServicesOnly,
-    /// A crash needs exactly one target.
-    #[error("must name one of `controller`, `workers`, `zone` and `holder`")]
+    /// A crash must have exactly one target.
+    #[error("must set exactly one of `controller`, `workers`, `zone` and `holder`")]
     NotOneCrashTarget,
 }
--- a/crates/emulator/src/site/faults.rs
+++ b/crates/emulator/src/site/faults.rs
@@ -1,4 +1,5 @@
-//! Faults that a run injects: crashes of processes and machines, and cut links.
+//! Faults that a run injects: crashes of controllers and machines (`kills`), and link cuts
+//! (`cuts`).
 
 use serde::Deserialize;
 
@@ -11,21 +12,22 @@
     pub at_s: f64,
     /// Index of the controller that crashes.
     pub controller: Option<usize>,
-    /// Number of workers, drawn at random, that crash with their machines.
+    /// Number of workers, drawn at random, that crash together with their machines.
     pub workers: Option<usize>,
-    /// Name of the zone whose workers all crash with their machines.
+    /// Name of the zone whose workers all crash together with their machines.
     pub zone: Option<String>,
-    /// Whether the controller crashes that holds the shard of the answering replicas.
+    /// Whether the controller crashes that holds the shard of the first job of model servers.
+    /// Without such a job nothing crashes.
     #[serde(default)]
     pub holder: bool,
 }
 
-/// What crashes.
+/// The processes or machines that crash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CrashTarget {
     /// The controller of this index.
     Controller(usize),
-    /// The controller that holds the shard of the answering replicas.
+    /// The controller that holds the shard of the first job of model servers.
     ShardHolder,
     /// This many workers, drawn at random.
     Workers(usize),
@@ -34,7 +36,7 @@
 }
 
 impl CrashSpec {
-    /// The target, or `None` unless exactly one is set.
+    /// The target; `None` unless exactly one is set.
     pub(crate) fn target(&self) -> Option<CrashTarget> {
         match (self.controller, self.workers, &self.zone, self.holder) {
             (Some(index), None, None, false) => Some(CrashTarget::Controller(index)),
@@ -54,12 +56,13 @@
     pub at_s: f64,
     /// Duration of the cut, in seconds.
     pub for_s: f64,
-    /// Index of the controller; if left out, the one that holds the shard of the
-    /// answering replicas.
+    /// Index of the controller; if left out, the one that holds the shard of the first job of
+    /// model servers.
     pub controller: Option<usize>,
     /// The link that is cut.
     pub link: LinkKind,
-    /// Of the links to workers, every n-th is cut.
+    /// Of the links to workers, every n-th is cut; 1, the default, cuts all. Cuts of the links
+    /// `state` and `cloud` ignore it.
     #[serde(default = "default_every")]
     pub every: usize,
 }
--- a/crates/emulator/src/site/fleet.rs
+++ b/crates/emulator/src/site/fleet.rs
@@ -1,4 +1,4 @@
-//! Machine types on offer and how many machines of each there are.
+//! Machine types that the simulated cloud offers, and how many machines of each it has.
 
 use serde::Deserialize;
 
@@ -8,20 +8,20 @@
 pub(crate) struct MachineTypeSpec {
     /// Name of the type.
     pub name: String,
-    /// CPUs of a machine.
+    /// Number of CPUs of a machine.
     pub cpus: f64,
-    /// GPUs of a machine.
+    /// Number of GPUs of a machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory, in GB.
+    /// Memory of a machine, in GB.
     pub memory_gb: f64,
     /// Size of the image cache, in GB.
     pub cache_gb: f64,
-    /// Rate at which images are fetched, in GB a second.
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price an hour of an on-demand machine.
+    /// Price per hour of an on-demand machine.
     pub price: f64,
-    /// Price an hour of a spot machine; without it the type has no spot machines.
+    /// Price per hour of a spot machine; if left out, the type has no spot machines.
     pub spot_price: Option<f64>,
     /// Usual time from the request until a machine is up, in seconds.
     pub boot_s: f64,
@@ -31,14 +31,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct CapacitySpec {
-    /// Name of the machine type.
+    /// Name of a machine type of `machine_types`.
     #[serde(rename = "type")]
     pub machine_type: String,
-    /// Name of the zone.
+    /// Name of a zone of `zones`.
     pub zone: String,
-    /// On-demand machines.
+    /// Number of on-demand machines.
     pub count: u32,
-    /// Spot machines.
+    /// Number of spot machines.
     #[serde(default)]
     pub spot: u32,
 }
--- a/crates/emulator/src/site/overrides.rs
+++ b/crates/emulator/src/site/overrides.rs
@@ -1,26 +1,28 @@
-//! Values of the command line that replace those of the site file.
+//! Options of the command line that replace or scale values of the site file.
 
 use super::{validation, Site, SiteError};
 
-/// Values that the command line sets in place of those of the site file.
+/// Options of the command line that replace or scale values of the site file. `None` leaves
+/// the site's value.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Overrides {
-    /// Workers in all; capacity, the teams' quotas and the load are scaled with them.
+    /// Total on-demand machines; spot machines, the teams' quotas and the load are scaled in
+    /// proportion.
     pub workers: Option<u32>,
-    /// Task starts a second of the jobs that arrive; the rates of all classes are scaled.
+    /// Mean task starts per second of the jobs that arrive; the rates of all classes are scaled.
     pub starts_per_s: Option<f64>,
     /// Number of controllers.
     pub controllers: Option<usize>,
-    /// Teams of each entry; the sum of their quotas stays.
+    /// Number of teams of each entry; the sum of an entry's quotas stays.
     pub teams: Option<usize>,
-    /// Length of the run, in seconds; the warm-up is scaled with it.
+    /// Length of the run, in seconds; the warm-up is scaled in proportion.
     pub duration_s: Option<f64>,
     /// Seed of all random draws.
     pub seed: Option<u64>,
 }
 
 impl Overrides {
-    /// The arguments of the command line that set the same values.
+    /// The command-line arguments that set the same values, for a run in another process.
     pub(crate) fn to_arguments(self) -> Vec<String> {
         let options = [
             ("--workers", self.workers.map(|n| n.to_string())),
@@ -44,7 +46,7 @@
 }
 
 impl Site {
-    /// The site with the values of the command line, validated again.
+    /// The site with the overrides. It is validated again, since they may make it invalid.
     pub(crate) fn with_overrides(mut self, overrides: &Overrides) -> Result<Self, SiteError> {
         if let Some(seed) = overrides.seed {
             self.seed = seed;
@@ -69,7 +71,7 @@
         Ok(self)
     }
 
-    /// Divides the quotas of each entry among another number of teams.
+    /// Sets the number of teams of each entry, and divides the entry's quotas among them.
     fn set_teams_per_entry(&mut self, count: usize) {
         for team in &mut self.teams {
             let factor = team.count as f64 / count.max(1) as f64;
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Scales capacity, quotas and load so that there are so many workers.
+    /// Scales capacity, quotas and load so that the site has `workers` on-demand machines.
+    /// Machines are rounded up for each type and zone, so there may be a few more.
     fn scale_to_workers(&mut self, workers: u32) {
         let factor = f64::from(workers) / f64::from(self.on_demand_machines().max(1));
         let scaled = |count: u32| (f64::from(count) * factor).ceil() as u32;
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Scales the arrival rates so that so many tasks start a second.
+    /// Scales the arrival rates so that on average `starts_per_s` tasks start per second. Does
+    /// nothing if no jobs arrive.
     fn scale_to_starts_per_s(&mut self, starts_per_s: f64) {
         let present_starts_per_s = self.starts_per_s();
         let factor = if present_starts_per_s > 0.0 {
--- a/crates/emulator/src/site/services.rs
+++ b/crates/emulator/src/site/services.rs
@@ -8,9 +8,9 @@
 pub(crate) struct WorkerTimeouts {
     /// Interval between two heartbeats.
     pub report_s: f64,
-    /// A worker stops its tasks after this long without an acknowledged heartbeat.
+    /// Lease of a worker: it stops its tasks after this long without an acknowledged heartbeat.
     pub lease_s: f64,
-    /// A gang whose tasks are not all running after this long aborts.
+    /// Start timeout of a gang: it aborts if not all of its tasks run after this long.
     pub gang_wait_s: f64,
     /// Time within which a gang detects that one of its tasks has exited.
     pub gang_peer_s: f64,
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct StateStoreSpec {
-    /// Requests a second.
+    /// Largest rate of requests, per second.
     pub rps: f64,
-    /// Writes a second.
+    /// Largest rate of writes, per second.
     pub write_rps: f64,
     /// Largest value, in KiB.
     pub value_kb: f64,
@@ -39,9 +39,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct CloudSpec {
-    /// Requests a second.
+    /// Largest rate of requests, per second.
     pub rps: f64,
-    /// Fraction of the new machines that never come up, from 0 to 1.
+    /// Probability that a new machine never comes up, from 0 to 1.
     #[serde(default)]
     pub boot_fail: f64,
 }
--- a/crates/emulator/src/site/tests.rs
+++ b/crates/emulator/src/site/tests.rs
@@ -16,6 +16,7 @@
     }
 }
 
+/// An error that doesn't name the field with its path leaves the user to search a long file.
 #[test]
 fn an_invalid_field_is_named_with_its_path() {
     let cases = [
@@ -68,6 +69,8 @@
     assert!(error.contains("line "), "{error}");
 }
 
+/// Guards against overrides that change a site's proportions: machines without the quotas or
+/// the load for them, or a warm-up that takes another part of the run.
 #[test]
 fn overrides_scale_capacity_quotas_rates_and_times() {
     let site = Site::parse(EXAMPLE).expect("a valid site");
@@ -98,7 +101,7 @@
     assert!(before.with_overrides(&none).is_err());
 }
 
-/// A class with the value of each field, under its name in the file.
+/// Formats a class with the value of each field, under its key in the file.
 fn show_class(class: &super::JobClass) -> String {
     let super::JobClass {
         name,
@@ -241,7 +244,7 @@
     )
 }
 
-/// A site with the value of each field, under its name in the file.
+/// Formats a site with the value of each field, under its key in the file.
 fn show(site: &Site) -> String {
     let mut text = format!(
         "name {} seed {} duration_s {} warmup_s {} zones {:?}\n",
@@ -256,7 +259,8 @@
     text + &show_faults(site)
 }
 
-/// Site files are parsed to the values in `golden/values.txt`.
+/// Site files keep their keys: the example files and one with every key are parsed to the values
+/// in `golden/values.txt`.
 #[test]
 fn golden_site_files_keep_their_values() {
     let files = [
--- a/crates/emulator/src/site/validation.rs
+++ b/crates/emulator/src/site/validation.rs
@@ -1,19 +1,20 @@
-//! Checks of a site file beyond the types of its fields.
+//! Validates the values of a site file, and the names and indexes that refer to other entries.
 
 use super::error::FieldProblem;
 use super::{CapacitySpec, CrashSpec, JobClass, JobKindSpec, LinkCutSpec, Site, SiteError};
 
-/// Largest number of controllers: each is a process.
+/// Largest number of controllers. Each is a process with up to 200 MiB of memory.
 const MAX_CONTROLLERS: usize = 64;
 /// Largest number of teams of an entry.
 const MAX_TEAMS: usize = 1_000;
 /// Longest run, in seconds.
 const MAX_DURATION_S: f64 = 3_600.0;
-/// Largest number of machines: each has an address below 127.64.0.0.
+/// Largest number of on-demand machines. Each hollow worker has a loopback address, sockets and
+/// memory.
 const MAX_MACHINES: usize = 20_000;
 /// Largest number of images of a class.
 const MAX_IMAGES: usize = 10_000;
-/// Largest step over the links to workers that a cut takes.
+/// Largest `every` of a cut, which cuts every n-th link to workers.
 const MAX_CUT_STEP: usize = 1_000;
 
 fn invalid(field: impl Into<String>, problem: FieldProblem) -> SiteError {
@@ -23,7 +24,7 @@
     }
 }
 
-/// Rejects a field with a problem unless its value is valid.
+/// Returns an error for the field with the problem, unless its value is valid.
 fn require(is_valid: bool, field: &str, problem: FieldProblem) -> Result<(), SiteError> {
     match is_valid {
         true => Ok(()),
@@ -33,20 +34,24 @@
 
 fn require_positive(field: &str, value: f64) -> Result<(), SiteError> {
     let is_valid = value.is_finite() && value > 0.0;
-    require(is_valid, field, FieldProblem::NotPositive)
+    require(is_valid, field, FieldProblem::NotPositive { value })
 }
 
 fn require_fraction(field: &str, value: f64) -> Result<(), SiteError> {
     let is_valid = (0.0..=1.0).contains(&value);
-    require(is_valid, field, FieldProblem::NotAFraction)
+    require(is_valid, field, FieldProblem::NotAFraction { value })
 }
 
 fn require_count(field: &str, value: usize, max: usize) -> Result<(), SiteError> {
     let is_valid = (1..=max).contains(&value);
-    require(is_valid, field, FieldProblem::CountOutOfRange { max })
+    require(
+        is_valid,
+        field,
+        FieldProblem::CountOutOfRange { value, max },
+    )
 }
 
-/// Validates a whole site. The first invalid field is the error.
+/// Validates a whole site. The error is about the first invalid field that is found.
 pub(super) fn validate(site: &Site) -> Result<(), SiteError> {
     validate_positive_values(site)?;
     validate_run_times(site)?;
@@ -84,23 +89,23 @@
 }
 
 fn validate_run_times(site: &Site) -> Result<(), SiteError> {
-    let max = MAX_DURATION_S;
-    require(
-        site.duration_s <= max,
-        "duration_s",
-        FieldProblem::TooLarge { max },
-    )?;
+    let (value, max) = (site.duration_s, MAX_DURATION_S);
+    let too_large = FieldProblem::TooLarge { value, max };
+    require(value <= max, "duration_s", too_large)?;
     require(
         (0.0..site.duration_s).contains(&site.warmup_s),
         "warmup_s",
-        FieldProblem::NotBelowDuration,
+        FieldProblem::NotBelowDuration {
+            value: site.warmup_s,
+            duration_s: site.duration_s,
+        },
     )
 }
 
 fn validate_sizes(site: &Site) -> Result<(), SiteError> {
     require_count("controllers.count", site.controllers.count, MAX_CONTROLLERS)?;
     let machines = site.on_demand_machines() as usize;
-    require_count("capacity", machines, MAX_MACHINES)?;
+    require_count("sum of capacity[].count", machines, MAX_MACHINES)?;
     require_fraction("cloud.boot_fail", site.cloud.boot_fail)?;
     for (field, is_empty) in [
         ("zones", site.zones.is_empty()),
@@ -120,12 +125,16 @@
     require(
         types.any(|machine_type| machine_type.name == capacity.machine_type),
         &format!("{path}.type"),
-        FieldProblem::UnknownMachineType,
+        FieldProblem::UnknownMachineType {
+            name: capacity.machine_type.clone(),
+        },
     )?;
     require(
         site.zones.contains(&capacity.zone),
         &format!("{path}.zone"),
-        FieldProblem::UnknownZone,
+        FieldProblem::UnknownZone {
+            name: capacity.zone.clone(),
+        },
     )
 }
 
@@ -136,7 +145,8 @@
         validate_class(&path, class)?;
         if let Some(team) = &class.team {
             let is_known = team_names.contains(team);
-            require(is_known, &format!("{path}.team"), FieldProblem::UnknownTeam)?;
+            let unknown = FieldProblem::UnknownTeam { name: team.clone() };
+            require(is_known, &format!("{path}.team"), unknown)?;
         }
     }
     Ok(())
@@ -147,7 +157,9 @@
     require(
         !class.tasks.is_empty() && !class.tasks.contains(&0),
         &format!("{path}.tasks"),
-        FieldProblem::NotPositiveNumbers,
+        FieldProblem::NotPositiveNumbers {
+            values: class.tasks.clone(),
+        },
     )?;
     if !is_service {
         require_positive(&format!("{path}.run_s"), class.run_s)?;
@@ -159,7 +171,7 @@
     require(
         class.per_s.is_finite() && class.per_s >= 0.0,
         &format!("{path}.per_s"),
-        FieldProblem::Negative,
+        FieldProblem::Negative { value: class.per_s },
     )?;
     require(
         is_service || !class.answers,
@@ -179,7 +191,8 @@
     require(has_one_target, path, FieldProblem::NotOneCrashTarget)?;
     if let Some(zone) = &crash.zone {
         let is_known = site.zones.contains(zone);
-        require(is_known, &format!("{path}.zone"), FieldProblem::UnknownZone)?;
+        let unknown = FieldProblem::UnknownZone { name: zone.clone() };
+        require(is_known, &format!("{path}.zone"), unknown)?;
     }
     validate_controller_index(path, crash.controller, site)
 }
@@ -196,9 +209,10 @@
     index: Option<usize>,
     site: &Site,
 ) -> Result<(), SiteError> {
-    require(
-        index.is_none_or(|index| index < site.controllers.count),
-        &format!("{path}.controller"),
-        FieldProblem::UnknownController,
-    )
+    let controllers = site.controllers.count;
+    let Some(index) = index.filter(|index| *index >= controllers) else {
+        return Ok(());
+    };
+    let unknown = FieldProblem::UnknownController { index, controllers };
+    Err(invalid(format!("{path}.controller"), unknown))
 }
--- a/crates/emulator/src/site/workload.rs
+++ b/crates/emulator/src/site/workload.rs
@@ -1,4 +1,4 @@
-//! Teams and the classes of jobs that they submit.
+//! Teams, and the classes of jobs that they submit.
 
 use forkshift_wire::users::{JobKind, Priority};
 use serde::Deserialize;
@@ -7,21 +7,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TeamSpec {
-    /// Name of the team; a number is appended to it where there are several.
+    /// Name of the team; if `count` is above 1, an index is appended for each team.
     pub name: String,
-    /// Number of teams.
+    /// Number of teams of this entry, from 1 to 1,000; 1 if left out.
     #[serde(default = "default_team_count")]
     pub count: usize,
     /// Guaranteed CPUs of each team.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of the CPUs of each team; 0: no limit.
+    /// Limit of the CPUs that each team may use; 0: no limit.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs of each team.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of the GPUs of each team; 0: no limit.
+    /// Limit of the GPUs that each team may use; 0: no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -31,7 +31,7 @@
 }
 
 impl TeamSpec {
-    /// Multiplies guarantees and limits of each team by a factor.
+    /// Multiplies the guaranteed resources and the limits of each team by a factor.
     pub(super) fn scale_quotas(&mut self, factor: f64) {
         self.cpus *= factor;
         self.cpus_max *= factor;
@@ -107,7 +107,7 @@
     pub kind: JobKindSpec,
     /// Priority of the jobs.
     pub priority: PrioritySpec,
-    /// Numbers of tasks that a job may have, drawn uniformly.
+    /// Numbers of tasks that a job may have; each job's is drawn uniformly from them.
     pub tasks: Vec<u32>,
     /// CPUs of each task.
     pub cpus: f64,
@@ -116,22 +116,23 @@
     pub gpus: f64,
     /// Memory of each task, in GB.
     pub memory_gb: f64,
-    /// Size of the image, in GB.
+    /// Size of each image, in GB.
     #[serde(default)]
     pub image_gb: f64,
-    /// Number of different images.
+    /// Number of different images that are drawn from, if `image` is left out.
     #[serde(default = "default_images")]
     pub images: u32,
-    /// Mean run time of a task, in seconds; drawn from half of it to one and a half times it.
+    /// Mean run time of a task, in seconds. A job's is drawn uniformly from 0.5 to 1.5 times the
+    /// mean. Services ignore it: they run until they are cancelled.
     #[serde(default)]
     pub run_s: f64,
-    /// Jobs submitted at the start.
+    /// Number of jobs that are submitted at the start of the run, or at `burst_s`.
     #[serde(default)]
     pub initial: u32,
-    /// Mean arrivals a second after the start.
+    /// Mean rate of further jobs, which arrive by a Poisson process, per second.
     #[serde(default)]
     pub per_s: f64,
-    /// Arrivals begin at this second.
+    /// Second of the run at which further jobs begin to arrive.
     #[serde(default)]
     pub from_s: f64,
     /// Fraction of the jobs that are cancelled, from 0 to 1.
@@ -149,17 +150,18 @@
     /// Whether tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
-    /// Objective of the time until a task starts, in seconds; none if left out.
+    /// Objective for the time until a task starts, in seconds; no objective if left out.
     pub wait_s: Option<f64>,
-    /// Name of the team that submits the jobs; if left out, teams take turns.
+    /// Name of the team that submits the jobs; if left out, all teams do in turn.
     pub team: Option<String>,
-    /// Name of the only image; if left out, images are drawn.
+    /// Name of the only image; if left out, each job's is drawn from `images` images.
     pub image: Option<String>,
     /// Whether replicas are model servers, which answer requests once their weights are
     /// loaded.
     #[serde(default)]
     pub answers: bool,
-    /// Second at which the initial jobs are submitted together.
+    /// Second of the run at which the initial jobs are submitted all together; if left out, they
+    /// are spread over a period at the start.
     pub burst_s: Option<f64>,
 }
 
--- a/crates/emulator/src/socket_bridge.rs
+++ b/crates/emulator/src/socket_bridge.rs
@@ -1,9 +1,9 @@
-//! Connects the simulated world with the real sockets of the controllers.
+//! Connects the simulated world with the controllers over real sockets.
 //!
-//! The world simulates users, workers, cloud and key-value store without any socket. The
+//! The simulation of users, workers, cloud and key-value store opens no sockets itself. The
 //! bridge serves HTTP for the simulated services and for every hollow worker, sends the
-//! requests of users and workers to the controllers, and advances the simulated time with
-//! the clock.
+//! requests of users and workers to the controllers, and advances the simulated time with the
+//! clock.
 
 mod health;
 mod hollow_workers;
@@ -30,24 +30,26 @@
 
 /// Interval at which the simulated time is advanced.
 const CLOCK_INTERVAL: Duration = Duration::from_millis(40);
-/// Longest step of the simulated time, in milliseconds.
+/// Longest step of the simulated time, in milliseconds. A simulation that lags behind the clock
+/// catches up in steps of this length.
 const MAX_CLOCK_STEP_MS: u64 = 100;
-/// Idle connections are closed after this.
+/// Time after which an idle connection is closed.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Largest number of connections that a service accepts.
+/// Largest number of connections that one address of a service accepts.
 const MAX_SERVICE_CONNECTIONS: usize = 1_000;
 /// Largest response of a controller, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
-/// Connections that users keep open to a controller.
+/// Idle connections that the users' client keeps open to each controller.
 const USER_CONNECTIONS_PER_CONTROLLER: usize = 64;
 
-/// Everything of a run but the controllers.
+/// The simulated world of a run and its sockets: everything but the controllers' processes.
 pub(crate) struct SocketBridge {
     executor: Executor,
     world: RefCell<Simulation>,
-    /// Calls of controllers that wait for a response of the world, by call number.
+    /// Calls of controllers that the world has not answered yet, by call number.
     pending_calls: RefCell<HashMap<u64, Sender<Response>>>,
     next_call_number: Cell<u64>,
+    /// Addresses of the controllers, by index.
     controllers: Vec<SocketAddr>,
     workers: RefCell<HashMap<MachineId, HollowWorker>>,
     user_client: Rc<Client>,
@@ -55,17 +57,18 @@
     probe_failures: RefCell<ProbeFailures>,
     metrics: RefCell<Metrics>,
     started: Instant,
-    /// Time of day at the start, in milliseconds since 1970.
+    /// Wall-clock time at the start, in milliseconds since 1970.
     start_time_ms: u64,
     jobs: ModelServerJobs,
     model_servers: ModelServers,
-    /// The replicas that the model servers were last notified of.
+    /// The replicas that were last passed to the model servers.
     replicas: RefCell<Vec<Replica>>,
 }
 
 impl SocketBridge {
-    /// Serves the world's cloud and key-value store to each controller, and starts to
-    /// advance the simulated time and to probe the controllers.
+    /// Serves the world's cloud and key-value store to each controller, and spawns the tasks
+    /// that advance the simulated time and probe the controllers. Fails if an address is in
+    /// use.
     pub(crate) fn start(
         executor: &Executor,
         world: Simulation,
@@ -133,7 +136,7 @@
         function(&mut self.metrics.borrow_mut())
     }
 
-    /// Time of day at the start of the run, in milliseconds since 1970.
+    /// Wall-clock time at the start of the run, in milliseconds since 1970.
     pub(crate) fn start_time_ms(&self) -> u64 {
         self.start_time_ms
     }
@@ -143,13 +146,14 @@
         self.started.elapsed()
     }
 
-    /// Index of the controller that holds the shard of the answering replicas.
+    /// Index of the controller that holds the shard of the first job of model servers. `None`
+    /// without such jobs, or while no controller holds the shard.
     pub(crate) fn model_server_shard_holder(&self) -> Option<usize> {
         let job = self.jobs.all.first()?;
         self.with_world(|world| world.holder_of(job))
     }
 
-    /// Times until the replicas of bursts answered.
+    /// Summary of the first answers of the replicas of bursts so far.
     pub(crate) fn burst_summary(&self) -> BurstSummary {
         self.jobs.burst_summary(&self.model_servers.first_answers())
     }
@@ -173,7 +177,7 @@
         metrics.record_observations(&starts, &acceptances);
     }
 
-    /// Notifies the model servers of the present replicas if those changed.
+    /// Passes the present replicas to the model servers if the replicas have changed.
     fn update_model_servers(&self) {
         if self.jobs.all.is_empty() {
             return;
@@ -185,8 +189,8 @@
         }
     }
 
-    /// Dispatches what the world has produced: responses to controllers, changes of
-    /// machines, and requests of users and workers.
+    /// Dispatches the queued output of the world: completes controllers' calls, opens and
+    /// closes sockets of workers, and sends the requests of users and workers.
     fn dispatch_world_output(self: &Rc<Self>) {
         let (requests, answers, machines) = self.with_world(|world| {
             (
--- a/crates/emulator/src/socket_bridge/health.rs
+++ b/crates/emulator/src/socket_bridge/health.rs
@@ -1,4 +1,5 @@
-//! Health probes of the controllers, as a load balancer sends them.
+//! Health probes of the controllers, as a load balancer in front of them sends. Simulated
+//! users send requests to healthy controllers, or to any if none is healthy.
 
 use super::SocketBridge;
 use async_io::Timer;
@@ -6,13 +7,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval between two probes of a controller, and the timeout of each.
+/// Delay between two probes of a controller, and the timeout of each.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Consecutive failed probes after which a controller is unhealthy.
+/// Number of consecutive failed probes from which on a controller is unhealthy.
 const UNHEALTHY_THRESHOLD: u32 = 2;
 const HTTP_OK: u16 = 200;
 
-/// Consecutive failed probes of each controller. All are unhealthy at first.
+/// Number of consecutive failed probes of each controller, by index. All controllers are
+/// unhealthy at first.
 pub(super) struct ProbeFailures(Vec<u32>);
 
 impl ProbeFailures {
@@ -33,7 +35,7 @@
 }
 
 impl SocketBridge {
-    /// Indexes of the controllers that the load balancer finds healthy.
+    /// Indexes of the controllers that pass the load balancer's health probes.
     pub(crate) fn healthy_controllers(&self) -> Vec<usize> {
         self.probe_failures.borrow().healthy()
     }
--- a/crates/emulator/src/socket_bridge/hollow_workers.rs
+++ b/crates/emulator/src/socket_bridge/hollow_workers.rs
@@ -1,4 +1,4 @@
-//! Sockets of the hollow workers: workers without a machine.
+//! Sockets of the hollow workers, which are simulated workers without a machine.
 
 use super::{http_client, SocketBridge};
 use crate::addresses;
@@ -9,15 +9,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Largest number of connections that a worker accepts.
+/// Largest number of connections that a hollow worker accepts.
 const MAX_WORKER_CONNECTIONS: usize = 16;
 
-/// The sockets of a worker.
+/// The sockets of a hollow worker.
 pub(super) struct HollowWorker {
+    /// The client for heartbeats.
     client: Rc<Client>,
-    /// Index of the controller that the client is connected to.
+    /// Index of the controller that the client connects to.
     controller: usize,
-    /// Serves the worker's commands until it is dropped.
+    /// Serves the worker's commands until it is dropped. `None` if the listener failed.
     _server: Option<Task<()>>,
 }
 
@@ -37,7 +38,7 @@
         let service = Service::Worker(machine.clone());
         let server = address.map(|address| self.serve(address, service, MAX_WORKER_CONNECTIONS));
         let server = server.transpose().unwrap_or_else(|error| {
-            log::error!("worker {machine}: listener failed, {error}");
+            log::error!("worker {machine}: listener failed, running without commands, {error}");
             None
         });
         let worker = HollowWorker {
@@ -48,8 +49,8 @@
         self.workers.borrow_mut().insert(machine, worker);
     }
 
-    /// The client of a worker, connected to one controller only: a client of another
-    /// controller is closed first. `None` if the worker was removed.
+    /// The client of a worker, which connects to one controller only: if the worker changes
+    /// its controller, the old connection is closed. `None` if the worker was removed.
     pub(super) fn worker_client(
         &self,
         machine: &MachineId,
--- a/crates/emulator/src/socket_bridge/requests.rs
+++ b/crates/emulator/src/socket_bridge/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of simulated users and workers to the controllers.
+//! Sends the requests of simulated users and workers to the controllers.
 
 use super::SocketBridge;
 use forkshift_net::Call;
@@ -14,7 +14,8 @@
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl SocketBridge {
-    /// Sends a request of a user or a worker to a controller, and delivers the response.
+    /// Sends a request of a user or a worker to a controller, and delivers the response to the
+    /// requester. A request of a worker that was removed meanwhile is dropped.
     pub(super) async fn send_request(self: Rc<Self>, request: ControllerRequest) {
         let machine = request.requester.machine().cloned();
         let client = match &machine {
--- a/crates/emulator/src/socket_bridge/services.rs
+++ b/crates/emulator/src/socket_bridge/services.rs
@@ -1,4 +1,4 @@
-//! HTTP servers of the simulated services and workers, which the controllers call.
+//! HTTP servers of the simulated services and hollow workers, which the controllers call.
 
 use super::{SocketBridge, IDLE_CONNECTION_TIMEOUT};
 use crate::request_category::{classify, ClassifiedRequest};
@@ -13,11 +13,11 @@
 
 /// Timeout of reading the body of a request.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest body of a request, in bytes.
+/// Largest body of a request, in bytes. A larger one is answered with 400.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 const HTTP_BAD_REQUEST: u16 = 400;
 
-/// Removes a pending call on drop, also if the caller disconnects before the response.
+/// Removes a pending call on drop, also if the caller disconnects before the world answers.
 struct PendingCall {
     bridge: Rc<SocketBridge>,
     number: u64,
@@ -31,7 +31,8 @@
 }
 
 impl SocketBridge {
-    /// Serves a service at an address until the task is dropped.
+    /// Serves a service at an address until the returned task is dropped. Fails if the address
+    /// can't be bound.
     pub(super) fn serve(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -56,8 +57,9 @@
         Ok(self.executor.spawn(server))
     }
 
-    /// Passes a controller's call to the world and waits for the response. A call that the
-    /// world never answers waits until the caller's timeout.
+    /// Passes a controller's call to the world, waits for the response, and records the call
+    /// in the metrics. A call that the world never answers, such as over a cut link, waits
+    /// until the caller's timeout.
     async fn answer_call(self: Rc<Self>, service: Service, request: Request) -> Response {
         let Some(body) = request.body else {
             return body_too_large();
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Completes a controller's call with the answer of the world.
+    /// Completes a controller's call with the response of the world.
     pub(super) fn complete_call(&self, answer: CallResponse) {
         if let Some(sender) = self.pending_calls.borrow_mut().remove(&answer.call) {
             let response = Response {
--- a/crates/emulator/src/sweep.rs
+++ b/crates/emulator/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Runs a site at several sizes and writes how each figure grows, with plots.
+//! Runs a site at several sizes and fits how each metric of the reports grows, with plots.
 
 mod growth;
 
@@ -12,21 +12,21 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The size that a sweep varies.
+/// The dimension of the load that a sweep varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(crate) enum Dimension {
-    /// Workers, with all that goes with them.
+    /// Number of workers; capacity, quotas and load are scaled in proportion.
     Workers,
-    /// Task starts a second.
+    /// Task starts per second.
     Starts,
-    /// Teams.
+    /// Number of teams per entry.
     Teams,
-    /// Controllers.
+    /// Number of controllers.
     Controllers,
 }
 
 impl Dimension {
-    /// Name of the size, for files and plots.
+    /// Name of the dimension in file names, fits and plots.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Workers => "workers",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Overrides that set the size.
+    /// The base overrides with a size of this dimension. Counts are rounded.
     fn overrides(self, size: f64, base: &Overrides) -> Overrides {
         let count = size.round();
         match self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The size that a run reached.
+    /// The size that a run reached by its report, which may differ from the configured one.
     fn measured_size(self, report: &Report) -> f64 {
         match self {
             Self::Workers => report.workers as f64,
@@ -73,12 +73,12 @@
 /// Why a sweep fails.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SweepError {
-    /// A run ended without a report; it has printed the reason.
-    #[error("the run of {size} {dimension} has made no report")]
+    /// A run ended without a valid report. Its process has printed the reason.
+    #[error("the run with {size} {dimension} wrote no valid report; its error is printed above")]
     NoReport {
-        /// The size of the run.
+        /// Size of the run.
         size: f64,
-        /// Name of the size.
+        /// Name of the dimension.
         dimension: &'static str,
     },
     /// A file can't be read, written or run.
@@ -86,7 +86,7 @@
     File {
         /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Why the operation failed.
         source: io::Error,
     },
     /// A plot can't be written.
@@ -103,25 +103,26 @@
     }
 }
 
-/// A sweep and the directory of its results.
+/// A sweep, and the directory for its results.
 pub(crate) struct Sweep<'a> {
     /// Path of the site file.
     pub site: &'a Path,
-    /// The size that is varied.
+    /// The dimension that is varied.
     pub dimension: Dimension,
-    /// The values of the size.
+    /// Sizes in the dimension; each is one run.
     pub sizes: &'a [f64],
-    /// Overrides of all runs.
+    /// Overrides of all runs; the size of each run is added to them.
     pub overrides: Overrides,
     /// Directory for reports, regressions and plots.
     pub directory: &'a Path,
-    /// Prefix of the files' names.
+    /// Prefix of the names of the files.
     pub label: &'a str,
 }
 
 impl Sweep<'_> {
-    /// Runs all sizes until `stop` is set, and writes each report as it is made, then
-    /// regressions and plots. Returns whether a rule was violated.
+    /// Runs the sizes one after the other until `stop` is set. Writes the report of each run
+    /// when it ends, and regressions and plots at the end. Returns whether a run violated a
+    /// scheduling rule.
     pub(crate) fn run(&self, stop: &AtomicBool) -> Result<bool, SweepError> {
         fs::create_dir_all(self.directory).map_err(SweepError::file(self.directory))?;
         let path = self.result_path("jsonl");
@@ -142,8 +143,8 @@
             .any(|report| !report.rule_violations.is_empty()))
     }
 
-    /// Runs one size in a process of its own, so that sockets and memory of one run do not
-    /// affect the next.
+    /// Runs one size in a separate process, so that sockets and memory of one run do not affect
+    /// the next.
     fn run_size(&self, size: f64) -> Result<Report, SweepError> {
         let path = self.result_path("run.json");
         let overrides = self.dimension.overrides(size, &self.overrides);
@@ -152,7 +153,7 @@
         command.arg("run").arg(self.site);
         command.arg("--report").arg(&path);
         command.args(overrides.to_arguments());
-        // The exit status is not needed: the report lists violated rules too.
+        // The exit status is ignored, since the report lists rule violations too.
         command.status().map_err(SweepError::file(&path))?;
         let no_report = || SweepError::NoReport {
             size,
@@ -163,7 +164,7 @@
         serde_json::from_str(&text).map_err(|_| no_report())
     }
 
-    /// Path of a result of the sweep.
+    /// Path of a result file of the sweep, with the sweep's label and dimension in its name.
     fn result_path(&self, ending: &str) -> PathBuf {
         let name = format!("{}-{}.{ending}", self.label, self.dimension.name());
         self.directory.join(name)
--- a/crates/emulator/src/sweep/growth.rs
+++ b/crates/emulator/src/sweep/growth.rs
@@ -1,4 +1,4 @@
-//! How the figures of reports grow with a size.
+//! Fits how the metrics of reports grow with the size of a sweep.
 
 use super::Dimension;
 use crate::regression::{Point, Regression};
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::fmt::{self, Display, Formatter};
 
-/// A figure of a report whose growth is computed.
+/// A metric of a report whose growth is fitted.
 struct TrackedMetric {
     name: &'static str,
     value: fn(&Report) -> f64,
@@ -61,17 +61,17 @@
     },
 ];
 
-/// Growth of one figure with a size.
+/// Growth of one metric with the size. Serialized names are those of the sweep's `fits.json`.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Growth {
-    /// Name of the size.
+    /// Name of the dimension.
     pub dimension: &'static str,
     /// Name of the metric.
     #[serde(rename = "figure")]
     pub metric: &'static str,
-    /// Measured sizes with the figure at each.
+    /// Measured sizes with the metric's value at each.
     pub points: Vec<Point>,
-    /// The regression; `None` unless there are two different sizes.
+    /// The regression of the points; `None` unless there are two different sizes.
     #[serde(rename = "fit")]
     pub regression: Option<Regression>,
 }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Growth of all tracked figures over reports.
+/// Fits the growth of all tracked metrics over the reports of a sweep.
 pub(super) fn growth_of_metrics(dimension: Dimension, reports: &[Report]) -> Vec<Growth> {
     TRACKED_METRICS
         .iter()
--- a/crates/emulator/src/sweep/tests.rs
+++ b/crates/emulator/src/sweep/tests.rs
@@ -41,7 +41,7 @@
 fn golden_fits_keep_their_form() {
     let reports = [report(100, 0.25), report(200, 0.5)];
     let mut all = growth_of_metrics(Dimension::Workers, &reports);
-    // The last bits of logarithms are the machine's.
+    // The last bits of logarithms differ between machines.
     let regressions = all
         .iter_mut()
         .filter_map(|growth| growth.regression.as_mut());
--- a/crates/emulator/tests/command_line.rs
+++ b/crates/emulator/tests/command_line.rs
@@ -1,4 +1,5 @@
-//! Exit codes and messages of rejected command lines and site files. Nothing is started.
+//! Exit codes and messages of rejected command lines and site files. Each is rejected before
+//! any controller or socket is started.
 
 use std::fs;
 use std::path::PathBuf;
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden names of the emulator's command line, and its exit codes where nothing runs.
-//! The expected names are in `golden/options.txt`.
+//! The emulator's command line keeps its commands, options and defaults, which are in
+//! `golden/options.txt`, and its exit code for rejected command lines.
 
 #[path = "../../testkit/tests/golden/help.rs"]
 mod help;
