--- a/crates/emulator/src/site/error.rs
+++ b/crates/emulator/src/site/error.rs
@@ -22,25 +22,25 @@
     /// The value must be finite and above 0.
     #[error("must be above 0, but is {value}")]
     NotPositive {
-        /// The value in the file.
+        /// The invalid value, from the file or an override.
         value: f64,
     },
     /// The value must be finite and not below 0.
     #[error("must be 0 or above, but is {value}")]
     Negative {
-        /// The value in the file.
+        /// The invalid value, from the file or an override.
         value: f64,
     },
     /// The value must be from 0 to 1.
     #[error("must be from 0 to 1, but is {value}")]
     NotAFraction {
-        /// The value in the file.
+        /// The invalid value, from the file or an override.
         value: f64,
     },
     /// The value, or the sum of the counts of a list, must be from 1 to a limit.
     #[error("must be from 1 to {max}, but is {value}")]
     CountOutOfRange {
-        /// The value in the file, or the sum.
+        /// The invalid value or sum, from the file or an override.
         value: usize,
         /// The largest value allowed.
         max: usize,
@@ -48,7 +48,7 @@
     /// The value must not exceed a limit.
     #[error("must be at most {max}, but is {value}")]
     TooLarge {
-        /// The value in the file.
+        /// The invalid value, from the file or an override.
         value: f64,
         /// The largest value allowed.
         max: f64,
@@ -56,7 +56,7 @@
     /// The warm-up must end before the run does.
     #[error("must be from 0 to below `duration_s` ({duration_s}), but is {value}")]
     NotBelowDuration {
-        /// The value in the file.
+        /// The invalid value, from the file or an override.
         value: f64,
         /// Length of a run, in seconds.
         duration_s: f64,
@@ -67,19 +67,19 @@
     /// The list must have a number, and none that is 0.
     #[error("must be a list of at least one number, each above 0, but is {values:?}")]
     NotPositiveNumbers {
-        /// The list in the file.
+        /// The invalid list.
         values: Vec<u32>,
     },
     /// No machine type has this name.
     #[error("must be the name of an entry of `machine_types`, but is `{name}`")]
     UnknownMachineType {
-        /// The name in the file.
+        /// The unknown name.
         name: String,
     },
     /// No zone has this name.
     #[error("must be one of `zones`, but is `{name}`")]
     UnknownZone {
-        /// The name in the file.
+        /// The unknown name.
         name: String,
     },
     /// No team has this name.
@@ -88,13 +88,13 @@
          but is `{name}`"
     )]
     UnknownTeam {
-        /// The name in the file.
+        /// The unknown name.
         name: String,
     },
     /// No controller has this index.
     #[error("must be an index below `controllers.count` ({controllers}), but is {index}")]
     UnknownController {
-        /// The index in the file.
+        /// The invalid index.
         index: usize,
         /// Number of controllers.
         controllers: usize,
