--- a/crates/pools/tests/golden.rs
+++ b/crates/pools/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden bytes of warm pools: stored account rows with their keys, the report as JSON,
-//! and parsed declarations. The expected forms are in `golden/`.
+//! Guards against incompatible changes of the outer forms of warm pools: stored account rows
+//! with their keys, the report as JSON, and parsed declarations. The expected bytes are in
+//! `golden/`.
 
 use forkshift_pools::account::{AccountRow, Price, PRICE_PREFIX};
 use forkshift_pools::report::{usage_report, TimeSpan, UsageRecords};
@@ -10,7 +11,7 @@
 const ACCOUNT: &str = include_str!("golden/account.jsonl");
 const HOUR_MS: u64 = 3_600_000;
 
-/// The rows of the fixture: each key with its stored value.
+/// The rows of the fixture `golden/account.jsonl`, each as a key and its value.
 fn rows() -> impl Iterator<Item = (String, Value)> {
     ACCOUNT.lines().map(|line| {
         let row: Value = serde_json::from_str(line).expect("JSON");
@@ -43,7 +44,7 @@
     accounts
 }
 
-/// A row's key and its bytes as they would be stored now.
+/// The key and the bytes with which a row is stored after it was read.
 fn stored(key: &str, data: &Value) -> (String, String) {
     let text = data.to_string();
     if key.starts_with(PRICE_PREFIX) {
@@ -57,21 +58,21 @@
     }
 }
 
-/// Rows are stored as they were read. One line of the fixture lacks `spot`, which is then
-/// stored.
+/// Rows that are read and stored again keep their bytes. One line of the fixture has no field
+/// `spot`; the field is added when the row is stored.
 #[test]
 fn stored_rows_keep_their_keys_and_bytes() {
-    let mut seen = Vec::new();
+    let mut actual = Vec::new();
     for line in ACCOUNT.lines() {
         let row: Value = serde_json::from_str(line).expect("JSON");
         let (key, bytes) = stored(row["key"].as_str().expect("a key"), &row["data"]);
-        seen.push(format!(r#"{{"key":"{key}","data":{bytes}}}"#));
+        actual.push(format!(r#"{{"key":"{key}","data":{bytes}}}"#));
     }
     let expected = ACCOUNT.replace(
         r#""type":"g8","state""#,
         r#""type":"g8","spot":false,"state""#,
     );
-    assert_eq!(seen, expected.lines().collect::<Vec<_>>());
+    assert_eq!(actual, expected.lines().collect::<Vec<_>>());
 }
 
 #[test]
@@ -81,17 +82,17 @@
         to_ms: to * HOUR_MS,
     };
     let accounts = accounts();
-    let mut seen = String::new();
+    let mut actual = String::new();
     for span in [span(0, 10), span(2, 4), span(20, 21)] {
         let found = usage_report(&accounts, span, 8 * HOUR_MS);
-        seen += &serde_json::to_string(&found).expect("JSON");
-        seen += "\n";
+        actual += &serde_json::to_string(&found).expect("JSON");
+        actual += "\n";
     }
-    assert!(seen == include_str!("golden/report.jsonl"), "{seen}");
+    assert!(actual == include_str!("golden/report.jsonl"), "{actual}");
 }
 
-/// A declaration with every field.
-fn full() -> PoolSpec {
+/// A valid declaration with a value in every field.
+fn full_spec() -> PoolSpec {
     let text = str::to_owned;
     PoolSpec {
         name: text("exam-help"),
@@ -142,7 +143,7 @@
     "2027-01-01T00:30:00Z",
 ];
 
-fn show(pool: &Pool) -> String {
+fn describe(pool: &Pool) -> String {
     let mut text = format!(
         "name {}\nteam {}\nimage {}\nimage_gb {}\n",
         pool.name, pool.team, pool.image, pool.image_gb
@@ -173,18 +174,19 @@
         max_cost_per_hour: None,
         time_zone: String::new(),
         windows: Vec::new(),
-        ..full()
+        ..full_spec()
     };
-    let pools = parse(&[full(), short]).expect("both are valid");
-    let seen: Vec<String> = pools.iter().map(show).collect();
-    let seen = seen.join("\n");
-    assert!(seen == include_str!("golden/declaration.txt"), "{seen}");
+    let pools = parse(&[full_spec(), short]).expect("both are valid");
+    let actual: Vec<String> = pools.iter().map(describe).collect();
+    let actual = actual.join("\n");
+    assert!(actual == include_str!("golden/declaration.txt"), "{actual}");
 }
 
-/// A change that makes a declaration invalid.
+/// A change that makes a valid declaration invalid.
 type Change = fn(&mut PoolSpec);
 
-/// The fields that errors name, in the order of the fixture's lines.
+/// The changes are in the order of the lines of `golden/wrong_fields.txt`, which holds the
+/// field that each error names.
 #[test]
 fn invalid_declaration_names_the_golden_field() {
     let changes: [Change; 18] = [
@@ -212,12 +214,15 @@
             }
         },
     ];
-    let mut seen = String::new();
+    let mut actual = String::new();
     for change in changes {
-        let mut spec = full();
+        let mut spec = full_spec();
         change(&mut spec);
         let error = parse(&[spec]).expect_err("it is invalid");
-        seen += &format!("{}: {}\n", error.pool, error.field);
+        actual += &format!("{}: {}\n", error.pool, error.field);
     }
-    assert!(seen == include_str!("golden/wrong_fields.txt"), "{seen}");
+    assert!(
+        actual == include_str!("golden/wrong_fields.txt"),
+        "{actual}"
+    );
 }
