--- a/crates/emulator/src/model_servers.rs
+++ b/crates/emulator/src/model_servers.rs
@@ -140,7 +140,7 @@
 
 fn start_server(executor: &Executor, replica: &Replica) -> std::io::Result<ModelServer> {
     let address = addresses::model_server(&replica.machine, replica.task.index);
-    let listener = forkshift_net::bind(address, MAX_CONNECTIONS)?;
+    let listener = forkshift_net::bind_listener(address, MAX_CONNECTIONS)?;
     let limits = ServerLimits {
         max_connections: MAX_CONNECTIONS,
         max_keep_alive_connections: MAX_CONNECTIONS,
@@ -163,7 +163,7 @@
             }
         }
     };
-    let server = forkshift_net::serve(executor.clone(), listener, limits, handler);
+    let server = forkshift_net::serve_http(executor.clone(), listener, limits, handler);
     Ok(ModelServer {
         address,
         is_ready,
