--- a/crates/emulator/src/emulation.rs
+++ b/crates/emulator/src/emulation.rs
@@ -1,4 +1,5 @@
-//! One run: starts the controllers and the simulated world, injects faults, and reports.
+//! One run: starts the simulated world and the controllers, injects the site's faults, and
+//! builds the report.
 
 mod faults;
 mod measurement;
@@ -8,7 +9,7 @@
 use crate::addresses::Addresses;
 use crate::controllers::{ControllerError, Controllers};
 use crate::load;
-use crate::pools::AnsweringJobs;
+use crate::pools::ModelServerJobs;
 use crate::preflight::{MachineLimits, PreflightError};
 use crate::progress::Progress;
 use crate::report::Report;
@@ -26,19 +27,20 @@
 use std::time::Duration;
 use temporary_directory::TemporaryDirectory;
 
-/// Interval at which a run checks its faults, its child processes and its progress.
-const STEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which a run injects due faults, checks its child processes and shows its
+/// progress.
+const RUN_STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a run can't be made.
+/// Why a run can't be started or completed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EmulationError {
-    /// The limits of this machine are too low.
+    /// This machine lacks the open files or the memory that the run needs.
     #[error(transparent)]
     Preflight(#[from] PreflightError),
     /// The controllers can't be started.
     #[error(transparent)]
     Controllers(#[from] ControllerError),
-    /// A socket can't be opened, or the directory for logs can't be created.
+    /// A socket can't be opened, or the directory for settings and logs can't be created.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -47,7 +49,7 @@
 struct ScheduledRestart {
     /// Seconds since the start of the run.
     at_s: f64,
-    /// Index of the controller.
+    /// Index of the controller that exited.
     controller: usize,
 }
 
@@ -56,9 +58,9 @@
     site: &'a Site,
     bridge: Rc<SocketBridge>,
     controllers: Controllers,
-    /// Crashes that are still to come, in the order of their times.
+    /// Crashes that are not injected yet, in the order of their times.
     crashes: VecDeque<CrashSpec>,
-    /// Link cuts that are still to come, in the order of their times.
+    /// Link cuts that are not injected yet, in the order of their times.
     link_cuts: VecDeque<LinkCutSpec>,
     restarts: Vec<ScheduledRestart>,
     /// Controllers that exited without being killed by a fault.
@@ -68,15 +70,16 @@
     progress: Progress,
 }
 
-/// Runs a site. The run ends early once `stop` is set.
+/// Runs a site and returns its report. Once `stop` is set, the run ends early and the report
+/// is marked as interrupted.
 pub(crate) fn run(site: &Site, stop: &AtomicBool) -> Result<Report, EmulationError> {
     MachineLimits::read()?.check(site)?;
     let directory = TemporaryDirectory::create()?;
     let addresses = Addresses::new(site.controllers.base_port);
     let mut controllers = Controllers::prepare(site, addresses, directory.path())?;
     let executor: Executor = Rc::new(LocalExecutor::new());
-    let plans = load::plans(site);
-    let jobs = AnsweringJobs::new(site, &plans);
+    let plans = load::draw_job_plans(site);
+    let jobs = ModelServerJobs::new(site, &plans);
     let world = simulation::world(site, plans);
     let bridge = SocketBridge::start(&executor, world, addresses, controllers.len(), jobs)?;
     for index in 0..controllers.len() {
@@ -96,7 +99,7 @@
     async_io::block_on(executor.run(run.execute(stop)))
 }
 
-/// Faults in the order of their times; those of the same time stay in the file's order.
+/// Sorts faults by their times. Faults of the same time stay in the order of the site file.
 fn sorted_by_time<T: Clone>(faults: &[T], at_s: fn(&T) -> f64) -> VecDeque<T> {
     let mut sorted = faults.to_vec();
     sorted.sort_by(|first, second| at_s(first).total_cmp(&at_s(second)));
@@ -106,7 +109,7 @@
 impl Run<'_> {
     async fn execute(mut self, stop: &AtomicBool) -> Result<Report, EmulationError> {
         loop {
-            Timer::after(STEP_INTERVAL).await;
+            Timer::after(RUN_STEP_INTERVAL).await;
             let now_s = self.bridge.elapsed().as_secs_f64();
             self.step(now_s)?;
             let is_interrupted = stop.load(Ordering::Relaxed);
@@ -124,16 +127,18 @@
         self.inject_crashes(now_s);
         self.inject_link_cuts(now_s);
         self.detect_exits(now_s);
-        self.restart_due(now_s)?;
+        self.start_due_controllers(now_s)?;
         self.show_progress(now_s);
         Ok(())
     }
 
     fn detect_exits(&mut self, now_s: f64) {
-        for index in self.controllers.take_exited() {
+        for index in self.controllers.reap_exited() {
             self.unexpected_exits += 1;
             let name = controller_name(index);
-            self.print_event(now_s, &format!("{name} has ended by itself"));
+            let restart_s = self.site.controllers.restart_s;
+            let event = format!("{name}: exited unexpectedly, restart in {restart_s} s");
+            self.print_event(now_s, &event);
             self.schedule_restart(now_s, index);
         }
     }
@@ -145,20 +150,21 @@
         });
     }
 
-    fn restart_due(&mut self, now_s: f64) -> Result<(), EmulationError> {
+    fn start_due_controllers(&mut self, now_s: f64) -> Result<(), EmulationError> {
         let is_due = |restart: &ScheduledRestart| restart.at_s <= now_s;
         let (due, later): (Vec<_>, Vec<_>) = self.restarts.drain(..).partition(is_due);
         self.restarts = later;
         for restart in due {
             self.controllers.start(restart.controller)?;
             let name = controller_name(restart.controller);
-            self.print_event(now_s, &format!("{name} is started again"));
+            self.print_event(now_s, &format!("{name}: restarted"));
         }
         Ok(())
     }
 
     fn print_event(&self, now_s: f64, event: &str) {
-        self.progress.event(&format!("{now_s:>4.0} s: {event}"));
+        self.progress
+            .print_event(&format!("{now_s:>4.0} s: {event}"));
     }
 
     fn show_progress(&mut self, now_s: f64) {
@@ -173,7 +179,7 @@
         });
         let message = format!(
             "{} of {} controllers healthy, {machines} of {} workers up, {running} tasks running, \
-             {starts} started, {violations} rules broken",
+             {starts} task starts, {violations} rule violations",
             self.bridge.healthy_controllers().len(),
             self.controllers.len(),
             self.site.on_demand_machines(),
--- a/crates/emulator/src/pools/tests.rs
+++ b/crates/emulator/src/pools/tests.rs
@@ -1,22 +1,24 @@
 use super::*;
 
-fn jobs() -> AnsweringJobs {
+fn model_server_jobs() -> ModelServerJobs {
     let job = |n: u32| JobId::new(&format!("j-00000{n}"));
-    let burst = |job, replicas| Burst {
+    let burst = |job, replicas| BurstJob {
         at_s: 80.0,
         job,
         replicas,
     };
-    AnsweringJobs {
+    ModelServerJobs {
         all: (0..3).map(job).collect(),
         bursts: vec![burst(job(1), 2), burst(job(2), 1)],
     }
 }
 
-/// Job, task and time of each answer; expected count, first latency and latency of all.
+/// Job number, task index and time in milliseconds of each answer; expected number of answers,
+/// first latency, and latency of the last answer.
 type Case = (&'static [(u32, u32, u64)], u64, Option<u64>, Option<u64>);
 
-/// Only replicas of bursts count, and "all" only once each of them has answered.
+/// Answers of other jobs than bursts must not count, and the time until all replicas answered
+/// must be absent until each of them has.
 #[test]
 fn burst_latencies_count_from_the_submission() {
     let answer = |(job, index, at_ms): (u32, u32, u64)| {
@@ -38,7 +40,8 @@
         ),
     ];
     for (answers, answered, first, all) in cases {
-        let found = jobs().burst_summary(&answers.iter().copied().map(answer).collect());
+        let found =
+            model_server_jobs().burst_summary(&answers.iter().copied().map(answer).collect());
         let expected = BurstSummary {
             replicas: 3,
             answered,
--- a/crates/emulator/src/preflight.rs
+++ b/crates/emulator/src/preflight.rs
@@ -1,20 +1,25 @@
-//! Checks that this machine has the resources for a run before anything is started.
+//! Checks before a run that this machine has the open files and the memory for it.
 
 use crate::site::Site;
 use std::{fs, io};
 
-/// Open files of a hollow worker: its listener and its connection to a controller.
+/// Open files of a hollow worker: its listener, and its connection to a controller.
 const FILES_PER_WORKER: u64 = 2;
-/// Of so many sockets, a controller keeps one open to a worker between calls.
-const SOCKETS_PER_KEPT_CONNECTION: u64 = 10;
-/// Open files besides the workers': services, users and logs.
-const OTHER_FILES: u64 = 500;
+/// A controller keeps idle connections to workers on one in this many of the sockets that it
+/// may open; the emulator holds the other end of each.
+const SOCKETS_PER_IDLE_CONNECTION: u64 = 10;
+/// Open files of the emulator for services, users and logs.
+const OTHER_OPEN_FILES: u64 = 500;
 /// Upper bound of the memory of a hollow worker with its tasks, in KiB.
-const KB_PER_WORKER: u64 = 128;
+const KIB_PER_WORKER: u64 = 128;
 /// Upper bound of the memory of a controller, in KiB.
-const KB_PER_CONTROLLER: u64 = 200 * 1024;
-/// Largest fraction of the machine's memory that a run may use.
+const KIB_PER_CONTROLLER: u64 = 200 * 1024;
+/// Largest fraction of the machine's memory that a run may need.
 const MAX_MEMORY_FRACTION: f64 = 0.5;
+/// Start of the line of `/proc/self/limits` with the limit of open files.
+const OPEN_FILES_LINE: &str = "Max open files";
+/// Start of the line of `/proc/meminfo` with the total memory.
+const TOTAL_MEMORY_LINE: &str = "MemTotal:";
 
 /// Why a run is refused on this machine.
 #[derive(Debug, thiserror::Error)]
@@ -27,13 +32,15 @@
         /// Why it can't be read.
         source: io::Error,
     },
-    /// A file of `/proc` has no line with the limit.
-    #[error("{path}: has no such line")]
+    /// A file of `/proc` has no line with the limit, or the line has no number.
+    #[error("{path}: no line `{line}` with a number")]
     Parse {
         /// Path of the file.
         path: &'static str,
+        /// Start of the line.
+        line: &'static str,
     },
-    /// The limit of open files is too low.
+    /// The run needs more open files than a process may have.
     #[error(
         "{workers} workers need {needed} open files, and RLIMIT_NOFILE allows {allowed}: \
          raise it (`ulimit -n {needed}`) or run at most {max_workers} workers"
@@ -48,31 +55,38 @@
         /// Largest number of workers within the limit.
         max_workers: u64,
     },
-    /// The run may need more memory than it may use.
-    #[error("the run may need {needed_mb} MB, half of this machine's memory is {allowed_mb} MB")]
+    /// The run may need more memory than [`MAX_MEMORY_FRACTION`] of the machine's.
+    #[error(
+        "{workers} workers and {controllers} controllers may need {needed_mib} MiB of memory, and \
+         a run may need at most half of this machine's, {allowed_mib} MiB: run fewer workers"
+    )]
     Memory {
+        /// Workers of the site.
+        workers: u32,
+        /// Controllers of the site.
+        controllers: u64,
         /// Upper bound of the memory that the run needs, in MiB.
-        needed_mb: u64,
-        /// Memory that the run may use, in MiB.
-        allowed_mb: u64,
+        needed_mib: u64,
+        /// Largest memory that a run may need, in MiB.
+        allowed_mib: u64,
     },
 }
 
 /// Resource limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MachineLimits {
-    /// Limit of open files of a process.
-    pub files: u64,
-    /// Memory, in KiB.
-    pub memory_kb: u64,
+    /// Soft limit of the open files of this process.
+    pub max_open_files: u64,
+    /// Total memory, in KiB.
+    pub memory_kib: u64,
 }
 
 impl MachineLimits {
     /// Reads the limits of this machine.
     pub(crate) fn read() -> Result<Self, PreflightError> {
         Ok(Self {
-            files: read("/proc/self/limits", parse_open_files)?,
-            memory_kb: read("/proc/meminfo", parse_total_memory_kb)?,
+            max_open_files: read("/proc/self/limits", OPEN_FILES_LINE, parse_open_files)?,
+            memory_kib: read("/proc/meminfo", TOTAL_MEMORY_LINE, parse_total_memory_kib)?,
         })
     }
 
@@ -85,14 +99,14 @@
 
     fn check_files(&self, site: &Site, workers: u32) -> Result<(), PreflightError> {
         let sockets = (site.controllers.count * site.controllers.sockets) as u64;
-        let other_files = OTHER_FILES + sockets / SOCKETS_PER_KEPT_CONNECTION;
+        let other_files = OTHER_OPEN_FILES + sockets / SOCKETS_PER_IDLE_CONNECTION;
         let needed = u64::from(workers) * FILES_PER_WORKER + other_files;
-        if needed > self.files {
+        if needed > self.max_open_files {
             return Err(PreflightError::Files {
                 workers,
                 needed,
-                allowed: self.files,
-                max_workers: self.files.saturating_sub(other_files) / FILES_PER_WORKER,
+                allowed: self.max_open_files,
+                max_workers: self.max_open_files.saturating_sub(other_files) / FILES_PER_WORKER,
             });
         }
         Ok(())
@@ -100,34 +114,43 @@
 
     fn check_memory(&self, site: &Site, workers: u32) -> Result<(), PreflightError> {
         let controllers = site.controllers.count as u64;
-        let needed_kb = u64::from(workers) * KB_PER_WORKER + controllers * KB_PER_CONTROLLER;
-        let allowed_kb = (self.memory_kb as f64 * MAX_MEMORY_FRACTION) as u64;
-        if needed_kb > allowed_kb {
+        let needed_kib = u64::from(workers) * KIB_PER_WORKER + controllers * KIB_PER_CONTROLLER;
+        let allowed_kib = (self.memory_kib as f64 * MAX_MEMORY_FRACTION) as u64;
+        if needed_kib > allowed_kib {
             return Err(PreflightError::Memory {
-                needed_mb: needed_kb / 1024,
-                allowed_mb: allowed_kb / 1024,
+                workers,
+                controllers,
+                needed_mib: needed_kib / 1024,
+                allowed_mib: allowed_kib / 1024,
             });
         }
         Ok(())
     }
 }
 
-fn read(path: &'static str, parse: fn(&str) -> Option<u64>) -> Result<u64, PreflightError> {
+/// Reads a value from a file of `/proc`. The value's line starts with `line`.
+fn read(
+    path: &'static str,
+    line: &'static str,
+    parse: fn(&str) -> Option<u64>,
+) -> Result<u64, PreflightError> {
     let text = fs::read_to_string(path).map_err(|source| PreflightError::Read { path, source })?;
-    parse(&text).ok_or(PreflightError::Parse { path })
+    parse(&text).ok_or(PreflightError::Parse { path, line })
 }
 
 /// Parses the soft limit of open files in the text of `/proc/self/limits`.
 fn parse_open_files(text: &str) -> Option<u64> {
     let line = text
         .lines()
-        .find(|line| line.starts_with("Max open files"))?;
+        .find(|line| line.starts_with(OPEN_FILES_LINE))?;
     line.split_whitespace().nth(3)?.parse().ok()
 }
 
 /// Parses the total memory, in KiB, in the text of `/proc/meminfo`.
-fn parse_total_memory_kb(text: &str) -> Option<u64> {
-    let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
+fn parse_total_memory_kib(text: &str) -> Option<u64> {
+    let line = text
+        .lines()
+        .find(|line| line.starts_with(TOTAL_MEMORY_LINE))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -1,10 +1,11 @@
-//! Processor time and memory of processes, read from Linux's `/proc`.
+//! Processor time and resident memory of processes, read from Linux's `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second in `/proc/PID/stat`; Linux uses 100 on all machines.
+/// Clock ticks per second in `/proc/PID/stat`. Linux reports 100 on all machines.
 const TICKS_PER_S: f64 = 100.0;
-/// Fields of `/proc/PID/stat` between the program's name and the user time.
+/// Number of fields of `/proc/PID/stat` between the program's name and the user time. The
+/// kernel time is the field after the user time.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 
 /// Resources that a process has used.
@@ -13,17 +14,17 @@
     /// Processor seconds in user and kernel mode since the start of the process.
     pub cpu_s: f64,
     /// Resident memory, in KiB.
-    pub resident_kb: u64,
+    pub resident_kib: u64,
 }
 
 impl ProcessUsage {
-    /// Usage of a running process. `None` if it can't be read.
+    /// Usage of a running process. `None` if the process has exited or can't be read.
     pub(crate) fn of_process(pid: u32) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let rollup = fs::read_to_string(format!("/proc/{pid}/smaps_rollup")).ok()?;
         Some(Self {
             cpu_s: parse_cpu_s(&stat)?,
-            resident_kb: parse_resident_kb(&rollup)?,
+            resident_kib: parse_resident_kib(&rollup)?,
         })
     }
 
@@ -34,7 +35,7 @@
 }
 
 /// Parses the processor seconds in the text of `/proc/PID/stat`. The program's name may
-/// contain spaces, so fields are counted from its end.
+/// contain spaces and parentheses, so fields are counted from the last `)`.
 fn parse_cpu_s(stat: &str) -> Option<f64> {
     let (_, fields) = stat.rsplit_once(')')?;
     let mut times = fields.split_whitespace().skip(FIELDS_BEFORE_USER_TIME);
@@ -44,7 +45,7 @@
 }
 
 /// Parses the resident memory, in KiB, in the text of `/proc/PID/smaps_rollup`.
-fn parse_resident_kb(rollup: &str) -> Option<u64> {
+fn parse_resident_kib(rollup: &str) -> Option<u64> {
     let line = rollup.lines().find(|line| line.starts_with("Rss:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -14,8 +14,8 @@
     }
 }
 
-/// Metrics of ten measured seconds with two workers.
-fn some_metrics() -> Metrics {
+/// Metrics of a measurement of ten seconds with two workers.
+fn metrics_of_two_workers() -> Metrics {
     let mut metrics = Metrics::default();
     let start = |after| FirstStart {
         priority: Priority::High,
@@ -43,9 +43,10 @@
     metrics
 }
 
+/// Guards against rates that count failed writes, or values from before the warm-up's end.
 #[test]
-fn metrics_become_rates_and_summaries() {
-    let mut metrics = some_metrics();
+fn report_has_rates_and_latency_summaries_of_the_metrics() {
+    let mut metrics = metrics_of_two_workers();
     let mut report = Report {
         workers: 2,
         measured_s: 10.0,
@@ -75,17 +76,17 @@
     assert_eq!(store("job"), (0.2, 0.1), "what fails changes nothing");
     assert_eq!(store("task"), (0.0, 0.1));
     assert!((report.store_total.requests_per_s - 0.3).abs() < 1e-9);
-    assert_eq!(report.store_refused, 1);
+    assert_eq!(report.store_requests_refused, 1);
     metrics.reset();
     report.set_metrics(&metrics);
     assert_eq!(report.task_starts, 0, "the warm-up is not counted");
 }
 
 #[test]
-fn a_report_survives_its_json() {
+fn report_is_equal_after_serialization_to_json_and_back() {
     let usage = |cpu_s| ProcessUsage {
         cpu_s,
-        resident_kb: 2_048,
+        resident_kib: 2_048,
     };
     let load = ProcessLoad::between("berth-0", usage(1.0), usage(3.0), 10.0);
     assert_eq!((load.cpu_cores, load.resident_mb), (0.2, 2.0));
@@ -97,7 +98,7 @@
     assert_eq!(back, report);
 }
 
-/// Metrics in which every field has a value of its own.
+/// Metrics in which each field has a different value, so that swapped fields are found.
 fn full_metrics() -> Metrics {
     let mut metrics = Metrics::default();
     let priorities = [
@@ -157,13 +158,13 @@
     PoolSummary {
         machines: 4,
         requested_s: 100.25,
-        short_s: 10.5,
+        unmet_s: 10.5,
         warm_s: 80.75,
         cost: 1.25,
         cloud_cost: 1.5,
-        max_difference_s: 0.125,
-        handed_out: 3,
-        missed: 2,
+        max_cost_difference_s: 0.125,
+        allocated: 3,
+        cold_starts: 2,
         reclaimed: 1,
         lost: 5,
         discrepancies: vec!["a mistake".to_owned()],
@@ -171,7 +172,7 @@
     }
 }
 
-/// A report in which every field has a value of its own.
+/// A report in which each field has a different value, so that swapped fields are found.
 fn full_report() -> Report {
     let mut report = Report {
         site: "full".to_owned(),
@@ -190,9 +191,9 @@
         jobs_done: 2,
         jobs_cancelled: 3,
         jobs_running: 4,
-        jobs_waiting: 5,
+        jobs_pending: 5,
         replicas_restarted: 9,
-        hollow_process: process_load("hollow", 1.5),
+        emulator_load: process_load("hollow", 1.5),
         burst: Some(full_burst()),
         pools: Some(full_pools()),
         ..Report::default()
@@ -213,7 +214,8 @@
     }
 }
 
-/// A report's JSON and table have the forms in `golden/`, and the JSON is read back.
+/// Reports keep the JSON and the table in `golden/`, and a stored JSON report is read back
+/// unchanged. Sweeps read the JSON of their runs.
 #[test]
 fn golden_reports_keep_their_forms() {
     let reports = [full_report(), Report::default()];
--- a/crates/emulator/src/site/tests.rs
+++ b/crates/emulator/src/site/tests.rs
@@ -2,13 +2,13 @@
 
 const EXAMPLE: &str = include_str!("../../../../examples/emulation.toml");
 
-fn parse_with(from: &str, to: &str) -> Result<Site, String> {
+fn parse_example_with(from: &str, to: &str) -> Result<Site, String> {
     assert!(EXAMPLE.contains(from), "{from}");
     Site::parse(&EXAMPLE.replacen(from, to, 1)).map_err(|e| e.to_string())
 }
 
 #[test]
-fn the_example_sites_are_valid() {
+fn example_sites_are_valid() {
     let capacity = include_str!("../../../../examples/capacity.toml");
     let pools = include_str!("../../../../examples/warm-pools.toml");
     for text in [EXAMPLE, capacity, pools] {
@@ -16,6 +16,7 @@
     }
 }
 
+/// An error that doesn't name the field with its path leaves the user to search a long file.
 #[test]
 fn an_invalid_field_is_named_with_its_path() {
     let cases = [
@@ -61,15 +62,17 @@
         ),
     ];
     for (from, to, named) in cases {
-        let error = parse_with(from, to).expect_err(to);
+        let error = parse_example_with(from, to).expect_err(to);
         assert!(error.contains(named), "{to}: {error}");
     }
-    let error = parse_with("kind = \"gang\"", "kind = \"gong\"").expect_err("no kind");
+    let error = parse_example_with("kind = \"gang\"", "kind = \"gong\"").expect_err("no kind");
     assert!(error.contains("line "), "{error}");
 }
 
+/// Guards against overrides that change a site's proportions: machines without the quotas or
+/// the load for them, or a warm-up that takes another part of the run.
 #[test]
-fn overrides_scale_the_site() {
+fn overrides_scale_capacity_quotas_rates_and_times() {
     let site = Site::parse(EXAMPLE).expect("a valid site");
     let before = site.clone();
     let overrides = Overrides {
@@ -98,7 +101,7 @@
     assert!(before.with_overrides(&none).is_err());
 }
 
-/// A class with the value of each field, under its name in the file.
+/// Formats a class with the value of each field, under its key in the file.
 fn show_class(class: &super::JobClass) -> String {
     let super::JobClass {
         name,
@@ -241,7 +244,7 @@
     )
 }
 
-/// A site with the value of each field, under its name in the file.
+/// Formats a site with the value of each field, under its key in the file.
 fn show(site: &Site) -> String {
     let mut text = format!(
         "name {} seed {} duration_s {} warmup_s {} zones {:?}\n",
@@ -256,7 +259,8 @@
     text + &show_faults(site)
 }
 
-/// Site files are parsed to the values in `golden/values.txt`.
+/// Site files keep their keys: the example files and one with every key are parsed to the values
+/// in `golden/values.txt`.
 #[test]
 fn golden_site_files_keep_their_values() {
     let files = [
--- a/crates/emulator/src/socket_bridge.rs
+++ b/crates/emulator/src/socket_bridge.rs
@@ -1,9 +1,9 @@
-//! Connects the simulated world with the real sockets of the controllers.
+//! Connects the simulated world with the controllers over real sockets.
 //!
-//! The world simulates users, workers, cloud and key-value store without any socket. The
+//! The simulation of users, workers, cloud and key-value store opens no sockets itself. The
 //! bridge serves HTTP for the simulated services and for every hollow worker, sends the
-//! requests of users and workers to the controllers, and advances the simulated time with
-//! the clock.
+//! requests of users and workers to the controllers, and advances the simulated time with the
+//! clock.
 
 mod health;
 mod hollow_workers;
@@ -13,7 +13,7 @@
 use crate::addresses::Addresses;
 use crate::metrics::Metrics;
 use crate::model_servers::{ModelServers, Replica};
-use crate::pools::{AnsweringJobs, BurstSummary};
+use crate::pools::{BurstSummary, ModelServerJobs};
 use async_channel::Sender;
 use async_io::Timer;
 use forkshift_net::{Client, ClientLimits, Executor, Response};
@@ -29,25 +29,27 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Interval at which the simulated time is advanced.
-const TICK_INTERVAL: Duration = Duration::from_millis(40);
-/// Longest step of the simulated time, in milliseconds.
-const MAX_STEP_MS: u64 = 100;
-/// Idle connections are closed after this.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Largest number of connections that a service accepts.
+const CLOCK_INTERVAL: Duration = Duration::from_millis(40);
+/// Longest step of the simulated time, in milliseconds. A simulation that lags behind the clock
+/// catches up in steps of this length.
+const MAX_CLOCK_STEP_MS: u64 = 100;
+/// Time after which an idle connection is closed.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Largest number of connections that one address of a service accepts.
 const MAX_SERVICE_CONNECTIONS: usize = 1_000;
 /// Largest response of a controller, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
-/// Connections that users keep open to a controller.
-const USER_CONNECTIONS: usize = 64;
+/// Idle connections that the users' client keeps open to each controller.
+const USER_CONNECTIONS_PER_CONTROLLER: usize = 64;
 
-/// Everything of a run but the controllers.
+/// The simulated world of a run and its sockets: everything but the controllers' processes.
 pub(crate) struct SocketBridge {
     executor: Executor,
     world: RefCell<Simulation>,
-    /// Calls of controllers that wait for a response of the world, by call number.
+    /// Calls of controllers that the world has not answered yet, by call number.
     pending_calls: RefCell<HashMap<u64, Sender<Response>>>,
     next_call_number: Cell<u64>,
+    /// Addresses of the controllers, by index.
     controllers: Vec<SocketAddr>,
     workers: RefCell<HashMap<MachineId, HollowWorker>>,
     user_client: Rc<Client>,
@@ -55,28 +57,29 @@
     probe_failures: RefCell<ProbeFailures>,
     metrics: RefCell<Metrics>,
     started: Instant,
-    /// Time of day at the start, in milliseconds since 1970.
+    /// Wall-clock time at the start, in milliseconds since 1970.
     start_time_ms: u64,
-    jobs: AnsweringJobs,
+    jobs: ModelServerJobs,
     model_servers: ModelServers,
-    /// The replicas that the model servers were last notified of.
+    /// The replicas that were last passed to the model servers.
     replicas: RefCell<Vec<Replica>>,
 }
 
 impl SocketBridge {
-    /// Serves the world's cloud and key-value store to each controller, and starts to
-    /// advance the simulated time and to probe the controllers.
+    /// Serves the world's cloud and key-value store to each controller, and spawns the tasks
+    /// that advance the simulated time and probe the controllers. Fails if an address is in
+    /// use.
     pub(crate) fn start(
         executor: &Executor,
         world: Simulation,
         addresses: Addresses,
         controllers: usize,
-        jobs: AnsweringJobs,
+        jobs: ModelServerJobs,
     ) -> io::Result<Rc<Self>> {
         let bridge = Rc::new(Self::new(executor, world, addresses, controllers, jobs));
         for index in 0..controllers {
             let services = [
-                (addresses.state(index), Service::Store(index)),
+                (addresses.store(index), Service::Store(index)),
                 (addresses.cloud(index), Service::Cloud(index)),
             ];
             for (address, service) in services {
@@ -96,7 +99,7 @@
         world: Simulation,
         addresses: Addresses,
         controllers: usize,
-        jobs: AnsweringJobs,
+        jobs: ModelServerJobs,
     ) -> Self {
         let started = Instant::now();
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -109,8 +112,8 @@
             controllers: addresses.collect(),
             workers: RefCell::default(),
             user_client: Rc::new(http_client(
-                USER_CONNECTIONS,
-                USER_CONNECTIONS * controllers,
+                USER_CONNECTIONS_PER_CONTROLLER,
+                USER_CONNECTIONS_PER_CONTROLLER * controllers,
             )),
             probe_client: Rc::new(http_client(1, controllers)),
             probe_failures: RefCell::new(ProbeFailures::new(controllers)),
@@ -133,7 +136,7 @@
         function(&mut self.metrics.borrow_mut())
     }
 
-    /// Time of day at the start of the run, in milliseconds since 1970.
+    /// Wall-clock time at the start of the run, in milliseconds since 1970.
     pub(crate) fn start_time_ms(&self) -> u64 {
         self.start_time_ms
     }
@@ -143,22 +146,23 @@
         self.started.elapsed()
     }
 
-    /// Index of the controller that holds the shard of the answering replicas.
-    pub(crate) fn answering_shard_holder(&self) -> Option<usize> {
+    /// Index of the controller that holds the shard of the first job of model servers. `None`
+    /// without such jobs, or while no controller holds the shard.
+    pub(crate) fn model_server_shard_holder(&self) -> Option<usize> {
         let job = self.jobs.all.first()?;
         self.with_world(|world| world.holder_of(job))
     }
 
-    /// Times until the replicas of bursts answered.
+    /// Summary of the first answers of the replicas of bursts so far.
     pub(crate) fn burst_summary(&self) -> BurstSummary {
         self.jobs.burst_summary(&self.model_servers.first_answers())
     }
 
     async fn run_clock(self: Rc<Self>) {
         loop {
-            Timer::after(TICK_INTERVAL).await;
+            Timer::after(CLOCK_INTERVAL).await;
             self.advance_world();
-            self.dispatch();
+            self.dispatch_world_output();
             self.update_model_servers();
         }
     }
@@ -168,12 +172,12 @@
         let mut world = self.world.borrow_mut();
         let mut metrics = self.metrics.borrow_mut();
         metrics.record_lag(now_ms.saturating_sub(world.now()));
-        world.advance_to(now_ms, MAX_STEP_MS);
+        world.advance_to(now_ms, MAX_CLOCK_STEP_MS);
         let (starts, acceptances) = world.checker.take_observations();
         metrics.record_observations(&starts, &acceptances);
     }
 
-    /// Notifies the model servers of the present replicas if those changed.
+    /// Passes the present replicas to the model servers if the replicas have changed.
     fn update_model_servers(&self) {
         if self.jobs.all.is_empty() {
             return;
@@ -185,9 +189,9 @@
         }
     }
 
-    /// Dispatches what the world has produced: responses to controllers, changes of
-    /// machines, and requests of users and workers.
-    fn dispatch(self: &Rc<Self>) {
+    /// Dispatches the queued output of the world: completes controllers' calls, opens and
+    /// closes sockets of workers, and sends the requests of users and workers.
+    fn dispatch_world_output(self: &Rc<Self>) {
         let (requests, answers, machines) = self.with_world(|world| {
             (
                 world.take_requests(),
@@ -199,7 +203,7 @@
             self.complete_call(answer);
         }
         for change in machines {
-            self.apply_machine_change(change);
+            self.update_worker_sockets(change);
         }
         for request in requests {
             self.executor
@@ -213,7 +217,7 @@
     Client::new(ClientLimits {
         max_idle_per_host: connections_per_host,
         max_idle: idle_connections,
-        idle_timeout: IDLE_TIMEOUT,
+        idle_timeout: IDLE_CONNECTION_TIMEOUT,
         max_response_bytes: MAX_RESPONSE_BYTES,
     })
 }
--- a/crates/emulator/src/socket_bridge/services.rs
+++ b/crates/emulator/src/socket_bridge/services.rs
@@ -1,6 +1,6 @@
-//! HTTP servers of the simulated services and workers, which the controllers call.
+//! HTTP servers of the simulated services and hollow workers, which the controllers call.
 
-use super::{SocketBridge, IDLE_TIMEOUT};
+use super::{SocketBridge, IDLE_CONNECTION_TIMEOUT};
 use crate::request_category::{classify, ClassifiedRequest};
 use async_executor::Task;
 use forkshift_net::{Request, Response, ServerLimits, Traffic};
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 /// Timeout of reading the body of a request.
-const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest body of a request, in bytes.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest body of a request, in bytes. A larger one is answered with 400.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 const HTTP_BAD_REQUEST: u16 = 400;
 
-/// Removes a pending call on drop, also if the caller disconnects before the response.
+/// Removes a pending call on drop, also if the caller disconnects before the world answers.
 struct PendingCall {
     bridge: Rc<SocketBridge>,
     number: u64,
@@ -31,7 +31,8 @@
 }
 
 impl SocketBridge {
-    /// Serves a service at an address until the task is dropped.
+    /// Serves a service at an address until the returned task is dropped. Fails if the address
+    /// can't be bound.
     pub(super) fn serve(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -44,21 +45,22 @@
             max_connections,
             max_keep_alive_connections: max_connections,
             max_body_bytes: MAX_BODY_BYTES,
-            idle_timeout: IDLE_TIMEOUT,
-            body_timeout: READ_TIMEOUT,
+            idle_timeout: IDLE_CONNECTION_TIMEOUT,
+            body_timeout: BODY_READ_TIMEOUT,
         };
         let bridge = self.clone();
         let handler = move |request| {
             let (bridge, service) = (bridge.clone(), service.clone());
-            async move { bridge.handle(service, request).await }
+            async move { bridge.answer_call(service, request).await }
         };
         let server = forkshift_net::serve_http(self.executor.clone(), listener, limits, handler);
         Ok(self.executor.spawn(server))
     }
 
-    /// Passes a controller's call to the world and waits for the response. A call that the
-    /// world never answers waits until the caller's timeout.
-    async fn handle(self: Rc<Self>, service: Service, request: Request) -> Response {
+    /// Passes a controller's call to the world, waits for the response, and records the call
+    /// in the metrics. A call that the world never answers, such as over a cut link, waits
+    /// until the caller's timeout.
+    async fn answer_call(self: Rc<Self>, service: Service, request: Request) -> Response {
         let Some(body) = request.body else {
             return body_too_large();
         };
@@ -97,14 +99,14 @@
             number,
         };
         self.with_world(|world| world.call(number, service, method, path, body));
-        self.dispatch();
+        self.dispatch_world_output();
         match receiver.recv().await {
             Ok(response) => response,
             Err(_) => future::pending().await,
         }
     }
 
-    /// Completes a controller's call with the answer of the world.
+    /// Completes a controller's call with the response of the world.
     pub(super) fn complete_call(&self, answer: CallResponse) {
         if let Some(sender) = self.pending_calls.borrow_mut().remove(&answer.call) {
             let response = Response {
