--- a/crates/testkit/tests/combined_faults.rs
+++ b/crates/testkit/tests/combined_faults.rs
@@ -1,6 +1,6 @@
-//! Combined faults: two at a time, each at a set moment.
-//! What every checker rule says must hold in all of them; besides, each test
-//! makes sure that its faults did coincide.
+//! Faults in combination, each injected at a fixed virtual time. Every checker rule must
+//! hold in each combination and every job must be served; the times are set so that the
+//! faults of a test overlap.
 
 mod common;
 
@@ -33,7 +33,7 @@
     )
 }
 
-fn lost(
+fn lost_responses(
     key_prefix: Option<&'static str>,
     executes_at_once: bool,
     percent: u32,
@@ -47,12 +47,20 @@
     }
 }
 
-/// Plays a day to its end. Nobody is left unserved, and no rule is broken.
-fn play(name: &str, seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, end: Ms) -> Simulation {
-    play_sized(name, seed, plans, faults, end, Size::default())
+/// Runs a simulation of the default size until `end`. Every job must be served and no
+/// checker rule violated.
+fn run_simulation(
+    name: &str,
+    seed: u64,
+    plans: Vec<JobPlan>,
+    faults: Vec<Fault>,
+    end: Ms,
+) -> Simulation {
+    run_simulation_sized(name, seed, plans, faults, end, Size::default())
 }
 
-fn play_sized(
+/// Like [`run_simulation`], with a fleet of the given size.
+fn run_simulation_sized(
     name: &str,
     seed: u64,
     plans: Vec<JobPlan>,
@@ -68,21 +76,21 @@
     simulation
 }
 
-/// Users ask at all controllers within milliseconds after something was told,
-/// repeat submissions and cancel at once: no controller answers anything older.
+/// Users query every controller within milliseconds of a response, repeat submissions and
+/// cancel immediately. No controller may report a state older than one already reported.
 #[test]
 fn no_controller_reports_an_older_state_during_status_bursts() {
-    let looks = || fault(10_000, FaultKind::StatusBursts(150_000));
+    let status_bursts = || fault(10_000, FaultKind::StatusBursts(150_000));
     let time = 15_000;
     let node = 0;
     let with: [(&str, Vec<Fault>); 8] = [
         ("alone", vec![]),
         (
-            "odd requests",
+            "unusual requests",
             vec![fault(10_000, FaultKind::UnusualRequests(150_000))],
         ),
         (
-            "jobs end as they are cancelled",
+            "jobs complete while they are cancelled",
             vec![fault(
                 10_000,
                 FaultKind::CancelCompletingJobs {
@@ -92,26 +100,26 @@
             )],
         ),
         (
-            "answers of writes are lost",
-            vec![fault(40_000, lost(None, true, 30, 40_000))],
+            "write responses are lost",
+            vec![fault(40_000, lost_responses(None, true, 30, 40_000))],
         ),
         (
-            "writes land late",
-            vec![fault(40_000, lost(None, false, 20, 40_000))],
+            "writes are executed late",
+            vec![fault(40_000, lost_responses(None, false, 20, 40_000))],
         ),
         (
-            "the service is slow",
+            "the state service is slow",
             vec![fault(40_000, FaultKind::SlowStore(40_000))],
         ),
         (
-            "holders change",
+            "shard holders change",
             vec![
                 crash(40_000, ControllerSelector::Leader, 300),
                 crash(55_000, ControllerSelector::Leader, 3_000),
             ],
         ),
         (
-            "a controller loses the service and its peers",
+            "a controller loses the state service and its peers",
             vec![
                 fault(40_000, FaultKind::StoreLockout { node, time }),
                 fault(
@@ -127,22 +135,23 @@
         ),
     ];
     for (seed, (name, faults)) in (300..).zip(with) {
-        let faults = faults.into_iter().chain([looks()]).collect();
-        play(name, seed, random_plans_of_seed(seed, 30), faults, 260_000);
+        let faults = faults.into_iter().chain([status_bursts()]).collect();
+        run_simulation(name, seed, random_plans_of_seed(seed, 30), faults, 260_000);
     }
 }
 
-/// Each kind of write is carried out at once with its answer lost, or 2 to 12 s
-/// late, after newer ones of the same controller, while others read what it wrote.
+/// For each kind of record, a write is executed at once and its response lost, or executed
+/// 2 to 12 s late, after newer writes of the same controller. Other controllers read the
+/// record meanwhile.
 #[test]
 fn rules_hold_when_responses_to_any_kind_of_write_are_lost() {
     let kinds = [
-        ("accept and end", "job/"),
-        ("start and progress", "live/"),
-        ("share", "c/share/"),
+        ("job acceptance and completion", "job/"),
+        ("job start and progress", "live/"),
+        ("shard", "c/share/"),
         ("leader", "c/leader"),
         ("controller", "c/node/"),
-        ("rental intent", "c/charter/"),
+        ("provisioning intent", "c/charter/"),
         ("machine", "c/machine/"),
         ("cancellation", "c/abort/"),
         ("demand", "c/demand/"),
@@ -152,22 +161,26 @@
             let seed = 320 + 2 * n + u64::from(executes_at_once);
             let faults = vec![
                 fault(20_000, FaultKind::StatusBursts(60_000)),
-                fault(25_000, lost(Some(key_prefix), executes_at_once, 50, 30_000)),
-                // A new leader and a new holder write, too.
+                fault(
+                    25_000,
+                    lost_responses(Some(key_prefix), executes_at_once, 50, 30_000),
+                ),
+                // The new leader and the new shard holders write these records too.
                 crash(35_000, ControllerSelector::Leader, 3_000),
             ];
-            let name = format!("{name}, at once: {executes_at_once}");
-            play(&name, seed, random_plans_of_seed(seed, 25), faults, 260_000);
+            let name = format!("{name}, executed at once: {executes_at_once}");
+            run_simulation(&name, seed, random_plans_of_seed(seed, 25), faults, 260_000);
         }
     }
 }
 
-/// Every team is at its limit while jobs are cancelled whose machines are cut
-/// off or hang, and the leader changes: places count until there is evidence.
+/// Every team is at its limit, and jobs are cancelled whose machines are partitioned or
+/// hang, while the leader changes. A cancelled task counts towards the limit until there is
+/// evidence that it has exited.
 #[test]
 fn teams_stay_within_their_limits_when_the_leader_changes() {
     let time = 20_000;
-    for (seed, what) in [
+    for (seed, machine_fault) in [
         (350, MachineFault::Partition(time)),
         (351, MachineFault::Hang(time)),
         (352, MachineFault::InboundLoss(time)),
@@ -182,7 +195,8 @@
         let mut plans: Vec<JobPlan> = (0..24)
             .map(|n| {
                 let kind = kinds[n as usize % 3];
-                // Two are cancelled; services end some day.
+                // The first six jobs are cancelled while they run. Later services are
+                // cancelled too, because a service has no end of its own.
                 let early = n < 6;
                 let cancel_at = match kind {
                     JobKind::Service if !early => Some(110_000 + 1_000 * Ms::from(n)),
@@ -206,27 +220,27 @@
         let faults = vec![
             fault(
                 50_000,
-                FaultKind::Machines(MachineSelector::RunningJob(id(0)), what),
+                FaultKind::Machines(MachineSelector::RunningJob(id(0)), machine_fault),
             ),
             fault(
                 50_000,
-                FaultKind::Machines(MachineSelector::RunningJob(id(1)), what),
+                FaultKind::Machines(MachineSelector::RunningJob(id(1)), machine_fault),
             ),
             crash(51_500, ControllerSelector::HolderOfJob(id(0)), 3_000),
             crash(58_000, ControllerSelector::Leader, 3_000),
         ];
-        let name = format!("{what:?}");
-        play_sized(&name, seed, plans, faults, 320_000, size);
+        let name = format!("{machine_fault:?}");
+        run_simulation_sized(&name, seed, plans, faults, 320_000, size);
     }
 }
 
-/// A job is cancelled in the seconds in which its shard changes hands, by a
-/// crash and in order, wherever in that time the request falls.
+/// Jobs are cancelled at any moment of the seconds in which their shard changes its holder,
+/// once by a crash and once by a planned handover.
 #[test]
 fn jobs_cancelled_during_a_failover_of_their_shard_exit_in_time() {
     for step in 0..10 {
-        // The holder ends at 50 s and is back at 53 s; later it gets its shard
-        // back, in order.
+        // The holder crashes at 50 s and restarts at 53 s; later the shard is handed back
+        // to it as planned.
         let at = 49_800 + 400 * step;
         let plans = (0..6).map(|n| {
             let cancel = at + 70 * Ms::from(n);
@@ -240,19 +254,23 @@
             fault(45_000, FaultKind::StatusBursts(40_000)),
             crash(50_000, ControllerSelector::HolderOfJob(id(0)), 3_000),
         ];
-        let name = format!("at {at}");
+        let name = format!("cancelled from {at} ms");
         let plans: Vec<JobPlan> = plans.chain(later).collect();
-        let simulation = play(&name, 360 + step, plans, faults, 160_000);
+        let simulation = run_simulation(&name, 360 + step, plans, faults, 160_000);
         for n in 0..12 {
-            let told = simulation.cancelled_at(&id(n)).expect("cancelled");
-            assert!(told < at + 30_000, "{name}: {n} was told at {told}");
+            let cancelled_at = simulation.cancelled_at(&id(n)).expect("cancelled");
+            assert!(
+                cancelled_at < at + 30_000,
+                "{name}: cancellation of {n} confirmed at {cancelled_at} ms"
+            );
             assert_eq!(simulation.checker.running_tasks(&id(n)), 0, "{name}: {n}");
         }
     }
 }
 
-/// New machines are up within two seconds and get work at once while writes
-/// lag, and the leader ends: they are adopted or returned, never both.
+/// New machines boot within two seconds and get tasks at once, while writes are executed
+/// late and the leader crashes. Each machine is adopted by the new leader or returned to
+/// the cloud, never both.
 #[test]
 fn rules_hold_when_machines_boot_fast_while_writes_are_late_and_the_leader_crashes() {
     for (seed, key_prefix) in [
@@ -264,7 +282,7 @@
         for (n, restart_after) in [300, 6_000].into_iter().enumerate() {
             let faults = vec![
                 fault(1_000, FaultKind::FastBoots(60_000)),
-                fault(4_000, lost(key_prefix, false, 50, 12_000)),
+                fault(4_000, lost_responses(key_prefix, false, 50, 12_000)),
                 crash(7_000, ControllerSelector::Leader, restart_after),
                 crash(13_000, ControllerSelector::Leader, restart_after),
             ];
@@ -278,17 +296,17 @@
                 plan.spec.team = format!("team-{}", n % 4);
                 plan
             });
-            let name = format!("{key_prefix:?}, back after {restart_after} ms");
+            let name = format!("{key_prefix:?}, restart after {restart_after} ms");
             let seed = seed + 10 * n as u64;
-            let simulation = play(&name, seed, plans.collect(), faults, 200_000);
+            let simulation = run_simulation(&name, seed, plans.collect(), faults, 200_000);
             assert!(simulation.max_machines() > 0, "{name}");
         }
     }
 }
 
-/// Old reports reach every controller just as a new leader begins, or once it
-/// has acted, of earlier sessions and attempts too: nothing is believed gone,
-/// nothing is made current.
+/// Delayed heartbeats, some from earlier worker sessions and task attempts, reach every
+/// controller just as a new leader starts or after it has acted. They must not make a
+/// running task look exited, nor replace newer state.
 #[test]
 fn old_heartbeats_change_nothing_when_they_reach_a_new_leader() {
     for (seed, until_failover) in [(400, true), (401, false), (402, true), (403, false)] {
@@ -327,8 +345,8 @@
             crash(81_000, ControllerSelector::Leader, 300),
             crash(81_000, ControllerSelector::Leader, 300),
         ];
-        play(
-            &format!("for next: {until_failover}"),
+        run_simulation(
+            &format!("delayed until the failover: {until_failover}"),
             seed,
             random_plans_of_seed(seed, 30),
             faults,
@@ -337,27 +355,28 @@
     }
 }
 
-/// One-task jobs come four a second for two minutes, a quarter of them
-/// cancelled, alone and with one other trouble.
+/// Users submit four one-task jobs a second for two minutes and cancel a quarter of them,
+/// without a fault and with one fault at a time. Without a fault each job is accepted
+/// within a second.
 #[test]
 fn rules_hold_for_many_small_jobs_under_each_fault() {
     let (node, time) = (0, 10_000);
     let with: [(&str, Vec<Fault>); 5] = [
         ("alone", vec![]),
         (
-            "the leader ends",
+            "the leader crashes",
             vec![crash(70_000, ControllerSelector::Leader, 3_000)],
         ),
         (
-            "writes land late",
-            vec![fault(60_000, lost(None, false, 10, 20_000))],
+            "writes are executed late",
+            vec![fault(60_000, lost_responses(None, false, 10, 20_000))],
         ),
         (
-            "a controller is refused",
+            "the state service refuses one controller",
             vec![fault(60_000, FaultKind::StoreRefusal { node, time })],
         ),
         (
-            "an outage",
+            "the state service is out",
             vec![fault(60_000, FaultKind::StoreOutage(time))],
         ),
     ];
@@ -367,7 +386,7 @@
             limit: (400.0, 0.0),
             ..Size::default()
         };
-        let quiet = faults.is_empty();
+        let is_fault_free = faults.is_empty();
         let mut rng = StdRng::seed_from_u64(seed);
         let plans = (0..480).map(|n| {
             let at = 20_000 + 250 * Ms::from(n);
@@ -384,15 +403,16 @@
             plan.spec.team = format!("team-{}", n % 4);
             plan
         });
-        let simulation = play_sized(name, seed, plans.collect(), faults, 280_000, size);
-        if quiet {
-            let slow = simulation.checker.max_acceptance_ms();
-            assert!(slow < 1_000, "{name}: accepted after {slow} ms");
+        let simulation = run_simulation_sized(name, seed, plans.collect(), faults, 280_000, size);
+        if is_fault_free {
+            let slowest_ms = simulation.checker.max_acceptance_ms();
+            assert!(slowest_ms < 1_000, "{name}: accepted after {slowest_ms} ms");
         }
     }
 }
 
-/// Jobs of two tasks whose ends lie far apart, over a change of leader.
+/// The tasks of a job end far apart, and its shard holder and the leader crash in between.
+/// The ends recorded before the crashes must not be lost.
 #[test]
 fn tasks_that_end_far_apart_are_recorded_across_a_change_of_leader() {
     for (seed, at) in [(440, 40_000), (441, 50_000), (442, 60_000)] {
@@ -405,7 +425,7 @@
                 12_000,
                 None,
             );
-            // Two fit at a time, so the third ends much later.
+            // Two tasks of a job fit at a time, so the third ends much later.
             plan.spec.gpus = 8.0;
             plan.spec.team = format!("team-{}", n % 4);
             plan
@@ -419,8 +439,8 @@
             crash(at, ControllerSelector::HolderOfJob(id(0)), 3_000),
             crash(at + 9_000, ControllerSelector::Leader, 50),
         ];
-        play_sized(
-            &format!("at {at}"),
+        run_simulation_sized(
+            &format!("holder crashes at {at} ms"),
             seed,
             plans.collect(),
             faults,
@@ -430,33 +450,29 @@
     }
 }
 
-/// Leaders change ten times in two minutes, also inside an outage.
+/// The leader crashes ten times in two minutes, in one case also during an outage of the
+/// state service.
 #[test]
 fn rules_hold_over_ten_changes_of_leader_in_two_minutes() {
     for (seed, outage) in [(450, None), (451, Some(80_000))] {
         let crashes =
             (0..10).map(|n| crash(40_000 + 12_000 * n, ControllerSelector::Leader, 2_000));
+        let name = format!("outage: {}", outage.is_some());
         let outage = outage.map(|at| fault(at, FaultKind::StoreOutage(20_000)));
-        let more = [fault(
+        let cancellations = [fault(
             70_000,
             FaultKind::CancelRunningJobs {
                 count: 4,
                 hang_ms: 6_000,
             },
         )];
-        let faults = crashes.chain(outage).chain(more).collect();
-        play(
-            &format!("outage: {seed}"),
-            seed,
-            random_plans_of_seed(seed, 30),
-            faults,
-            330_000,
-        );
+        let faults = crashes.chain(outage).chain(cancellations).collect();
+        run_simulation(&name, seed, random_plans_of_seed(seed, 30), faults, 330_000);
     }
 }
 
-/// All controllers are away for longer than a lease, and hand over and back
-/// within a second.
+/// All controllers crash: for longer than a lease, repeatedly within a second, and one
+/// after the other. Jobs are cancelled just before.
 #[test]
 fn rules_hold_after_all_controllers_crash_and_restart() {
     let all = |at, restart_after| {
@@ -482,7 +498,7 @@
     let cases = [
         ("longer than a lease", vec![cancel(), all(50_000, 14_000)]),
         (
-            "within a second",
+            "repeated within a second",
             vec![cancel(), all(50_000, 50), all(50_600, 300), all(52_000, 50)],
         ),
         (
@@ -497,16 +513,17 @@
         ),
     ];
     for (seed, (name, faults)) in (460..).zip(cases) {
-        play(name, seed, random_plans_of_seed(seed, 25), faults, 260_000);
+        run_simulation(name, seed, random_plans_of_seed(seed, 25), faults, 260_000);
     }
 }
 
-/// Machines that hear nothing, or reach nobody, or hang with a cancelled task,
-/// while the leader ends: the task is gone in time and does not go on.
+/// A machine with a cancelled task loses its inbound or outbound messages, hangs, is
+/// partitioned or has a slow link, while the holder of the job crashes. The task must exit
+/// by its deadline and not resume.
 #[test]
 fn cancelled_tasks_on_lost_machines_exit_when_the_leader_changes() {
     let time = 25_000;
-    for (seed, what) in [
+    for (seed, machine_fault) in [
         (470, MachineFault::InboundLoss(time)),
         (471, MachineFault::OutboundLoss(time)),
         (472, MachineFault::Hang(8_000)),
@@ -519,27 +536,36 @@
             let run = if n < 4 { 200_000 } else { 70_000 };
             job(n, 2_000, JobKind::Array, 2, run, cancel)
         });
-        let lose = |n| {
+        let fail_machine_of = |n| {
             fault(
                 50_000,
-                FaultKind::Machines(MachineSelector::RunningJob(id(n)), what),
+                FaultKind::Machines(MachineSelector::RunningJob(id(n)), machine_fault),
             )
         };
         let faults = vec![
-            lose(0),
-            lose(1),
-            lose(5),
+            fail_machine_of(0),
+            fail_machine_of(1),
+            fail_machine_of(5),
             crash(53_000, ControllerSelector::HolderOfJob(id(0)), 3_000),
         ];
-        let simulation = play(&format!("{what:?}"), seed, plans.collect(), faults, 260_000);
+        let simulation = run_simulation(
+            &format!("{machine_fault:?}"),
+            seed,
+            plans.collect(),
+            faults,
+            260_000,
+        );
         for n in 0..4 {
-            assert!(simulation.cancelled_at(&id(n)).is_some(), "{what:?}: {n}");
+            assert!(
+                simulation.cancelled_at(&id(n)).is_some(),
+                "{machine_fault:?}: {n}"
+            );
         }
     }
 }
 
-/// Jobs that are bound to one zone, arrays too, lose machines, and a zone with
-/// a controller is cut off for longer than a lease.
+/// Jobs bound to one zone lose machines, and then a zone with a controller is partitioned
+/// for longer than a lease. The jobs must be placed again in a zone that they allow.
 #[test]
 fn jobs_of_one_zone_restart_after_they_lose_machines() {
     for (seed, holds_messages) in [(480, true), (481, false)] {
@@ -552,7 +578,7 @@
             plan.spec.team = format!("team-{}", n % 4);
             plan
         });
-        let die = |n| {
+        let crash_machine_of = |n| {
             fault(
                 40_000,
                 FaultKind::Machines(MachineSelector::RunningJob(id(n)), MachineFault::Crash),
@@ -560,8 +586,8 @@
         };
         let (zone, time) = ("b", 16_000);
         let faults = vec![
-            die(0),
-            die(1),
+            crash_machine_of(0),
+            crash_machine_of(1),
             fault(
                 60_000,
                 FaultKind::ZonePartition {
@@ -578,8 +604,8 @@
                 },
             ),
         ];
-        play(
-            &format!("held: {holds_messages}"),
+        run_simulation(
+            &format!("messages held: {holds_messages}"),
             seed,
             plans.collect(),
             faults,
@@ -588,10 +614,11 @@
     }
 }
 
-/// Commands and their answers are held up for seconds, and machines go on.
+/// Commands and their responses are delayed by seconds while workers keep running their
+/// tasks, with and without a crash of the leader.
 #[test]
 fn rules_hold_when_commands_are_delayed_for_seconds() {
-    for (seed, with) in [(490, false), (491, true)] {
+    for (seed, leader_crashes) in [(490, false), (491, true)] {
         let mut faults = vec![
             fault(
                 20_000,
@@ -608,11 +635,11 @@
                 },
             ),
         ];
-        if with {
+        if leader_crashes {
             faults.push(crash(41_000, ControllerSelector::Leader, 3_000));
         }
-        play(
-            &format!("a new leader: {with}"),
+        run_simulation(
+            &format!("the leader crashes: {leader_crashes}"),
             seed,
             random_plans_of_seed(seed, 30),
             faults,
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What several test programs share: random jobs, faults at a time, and the checks of a
+//! Helpers shared by the test programs: random jobs, timed faults, and the checks of a
 //! finished simulation.
 
-// Each test program uses a part of it.
+// Each test program compiles this module and uses only some of its items.
 #![allow(dead_code)]
 
 use forkshift_testkit::{Fault, FaultKind, JobPlan, Simulation};
@@ -11,12 +11,12 @@
 /// Milliseconds of virtual time.
 pub(crate) type Ms = u64;
 
-/// A fault that begins at a time.
+/// A fault that begins at the virtual time `at`.
 pub(crate) fn fault(at: Ms, kind: FaultKind) -> Fault {
     Fault { at, kind }
 }
 
-/// Random jobs that are submitted within the first 90 seconds.
+/// `count` random jobs, submitted between 2 s and 90 s of virtual time.
 pub(crate) fn random_plans(rng: &mut StdRng, count: u32) -> Vec<JobPlan> {
     let plans = (0..count).map(|number| {
         let at = rng.random_range(2_000..90_000);
@@ -25,28 +25,28 @@
     plans.collect()
 }
 
-/// Random jobs of a seed.
+/// Like [`random_plans`], with a generator seeded by `seed`.
 pub(crate) fn random_plans_of_seed(seed: u64, count: u32) -> Vec<JobPlan> {
     random_plans(&mut StdRng::seed_from_u64(seed), count)
 }
 
-/// Checks that no rule was violated and that every job is done, runs, or is cancelled as
-/// its user wants.
+/// Asserts that no checker rule was violated and that every job is in the state that its
+/// user asked for: done, running or cancelled.
 pub(crate) fn assert_rules_kept(name: &str, simulation: &Simulation) {
     assert_eq!(
         simulation.checker.violations,
         vec![],
-        "{name}: rules broken"
+        "{name}: rules violated"
     );
     assert_eq!(
         simulation.unfinished_jobs(),
         Vec::<String>::new(),
-        "{name}: unserved"
+        "{name}: unfinished jobs"
     );
 }
 
-/// Checks that tasks ran and that all rules were kept.
+/// Asserts that at least one task started, and [`assert_rules_kept`].
 pub(crate) fn assert_ran_and_rules_kept(name: &str, simulation: &Simulation) {
-    assert!(simulation.checker.starts > 0, "{name}: nothing ran");
+    assert!(simulation.checker.starts > 0, "{name}: no task started");
     assert_rules_kept(name, simulation);
 }
