--- a/crates/testkit/tests/broken_jobs.rs
+++ b/crates/testkit/tests/broken_jobs.rs
@@ -167,7 +167,7 @@
 const TASK_LIMIT_PER_TEAM: u32 = 48;
 
 /// Machines needed for all tasks of the defective jobs before the first has failed.
-fn machines_for_all_tasks(jobs: &[DefectiveJob]) -> usize {
+fn initial_demand(jobs: &[DefectiveJob]) -> usize {
     let tasks: u32 = jobs.iter().map(|(_, tasks, _)| tasks).sum();
     tasks.min(TASK_LIMIT_PER_TEAM).div_ceil(TASKS_PER_MACHINE) as usize
 }
@@ -209,11 +209,8 @@
     let mut errors = Vec::new();
     for fleet in [Fleet::Mixed, Fleet::OneType, Fleet::Few(1), Fleet::Few(2)] {
         let baseline = run_simulation(healthy_jobs(fleet, HEALTHY_JOB_INTERVAL), vec![], fleet);
-        assert_eq!(
-            rule_violations(&baseline.simulation),
-            Vec::<String>::new(),
-            "{fleet:?}"
-        );
+        let violations = rule_violations(&baseline.simulation);
+        assert_eq!(violations, Vec::<String>::new(), "{fleet:?}");
         for (set, jobs) in &sets {
             let name = format!("{set}, {fleet:?}");
             let mut plans = healthy_jobs(fleet, HEALTHY_JOB_INTERVAL);
@@ -227,12 +224,10 @@
             for what in rule_violations(&outcome.simulation) {
                 check(false, what);
             }
+            let decommissioned = &outcome.decommissioned_at;
             check(
-                outcome.decommissioned_at.is_empty(),
-                format!(
-                    "healthy machines decommissioned: {:?}",
-                    outcome.decommissioned_at
-                ),
+                decommissioned.is_empty(),
+                format!("healthy machines decommissioned: {decommissioned:?}"),
             );
             let (wait, before) = (outcome.longest_wait, baseline.longest_wait);
             check(
@@ -245,9 +240,7 @@
             );
             check(
                 provisioned
-                    <= before
-                        + machines_for_all_tasks(jobs)
-                        + MAX_EXTRA_MACHINES_PER_JOB * jobs.len(),
+                    <= before + initial_demand(jobs) + MAX_EXTRA_MACHINES_PER_JOB * jobs.len(),
                 format!("{provisioned} machines provisioned, {before} without defective jobs"),
             );
             for n in 1..=jobs.len() as u32 {
@@ -262,10 +255,7 @@
                 );
                 let count = |from, to| failures(&outcome.simulation, &id(n), from, to);
                 let late = count(at + 5_000, END);
-                check(
-                    late == 0,
-                    format!("{} failed after its cancellation", id(n)),
-                );
+                check(late == 0, format!("{} failed after cancellation", id(n)));
                 let last = count(CANCEL_AT - TWO_MINUTES, CANCEL_AT);
                 let tasks = jobs[n as usize - 1].1 as usize;
                 // A gang is retried as a whole: all its tasks fail together.
--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -1,7 +1,7 @@
-//! A long outage after a failover: the state service refuses the holder of a
-//! shard alone, another takes the shard and confirms a cancellation, then the service is out for
-//! all, for longer than a cancelled task may stay. Workers go on reporting to
-//! the old holder. The task must be gone in time all the same.
+//! A long outage right after a failover. The state service refuses only the holder of a
+//! shard; a new holder acquires the shard and confirms a cancellation; then the service is
+//! out for all controllers, for longer than the deadline of the cancellation, while workers
+//! still send heartbeats to the old holder. The cancelled task must exit by its deadline.
 
 use forkshift_testkit::job_id as id;
 use forkshift_testkit::{
@@ -9,57 +9,58 @@
 };
 use forkshift_wire::users::JobKind;
 
-/// When the service begins to refuse the holder.
-const REFUSED: u64 = 50_000;
-/// Until the outage: longer than the holder's own lease, or shorter.
-const LONG: u64 = 9_000;
-const SHORT: u64 = 1_500;
-/// How long the outage is: the users' 61 s of 49 s, in this world's measure.
-const OUTAGE: u64 = 44_000;
-const CANCEL: u64 = 35_000;
-const NODES: usize = 5;
+/// When the state service begins to refuse the holder.
+const FIRST_LOCKOUT_AT: u64 = 50_000;
+/// Milliseconds from the refusal to the outage: longer or shorter than the holder's lease.
+const LOCKOUT_BEYOND_LEASE_MS: u64 = 9_000;
+const LOCKOUT_WITHIN_LEASE_MS: u64 = 1_500;
+/// The outage lasts 44 s with a cancellation deadline of 35 s, in about the ratio of the
+/// case that users reported: 61 s with a deadline of 49 s.
+const OUTAGE_MS: u64 = 44_000;
+const CANCEL_DEADLINE_MS: u64 = 35_000;
+const CONTROLLERS: usize = 5;
 
-/// Which of the others the old holder hears.
+/// From which other controllers the old holder receives messages.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Hears {
-    All,
-    Some,
-    None,
+enum PeerMessages {
+    AllPeers,
+    SomePeers,
+    NoPeer,
 }
 
-/// How the new holder reaches the workers directly.
+/// When direct commands of the new holder reach the workers.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Reaches {
+enum DirectCommands {
     AtOnce,
     Late,
     Never,
 }
 
-/// What becomes of the new holder after it confirmed.
+/// Whether the new holder keeps running after it confirmed the cancellation.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Then {
-    Stays,
-    Ends,
+enum NewHolder {
+    KeepsRunning,
+    Crashes,
 }
 
 #[derive(Clone, Debug)]
 struct Variant {
-    before: u64,
-    hears: Hears,
-    reaches: Reaches,
-    then: Then,
-    machines: Option<MachineFault>,
+    lockout_ms: u64,
+    peer_messages: PeerMessages,
+    direct_commands: DirectCommands,
+    new_holder: NewHolder,
+    machine_fault: Option<MachineFault>,
 }
 
-const PLAIN: Variant = Variant {
-    before: LONG,
-    hears: Hears::All,
-    reaches: Reaches::Never,
-    then: Then::Stays,
-    machines: None,
+const BASE_VARIANT: Variant = Variant {
+    lockout_ms: LOCKOUT_BEYOND_LEASE_MS,
+    peer_messages: PeerMessages::AllPeers,
+    direct_commands: DirectCommands::Never,
+    new_holder: NewHolder::KeepsRunning,
+    machine_fault: None,
 };
 
-/// A long array of two tasks.
+/// An array of two tasks that run for 300 s, submitted to the holder of its shard.
 fn job(n: u32, cancel_at: Option<u64>) -> JobPlan {
     JobPlan {
         cancel_at,
@@ -72,52 +73,52 @@
     ControllerSelector::HolderOfJob(id(0))
 }
 
-/// The faults of one pair of troubles that begins at a time.
-fn pair(at: u64, v: &Variant) -> Vec<Fault> {
-    let (node, hold) = (0, false);
-    let outage = at + v.before;
+/// The faults of one lockout, which begins at `at`, and the outage that follows.
+fn lockout_and_outage(at: u64, variant: &Variant) -> Vec<Fault> {
+    let (node, holds_messages) = (0, false);
+    let outage = at + variant.lockout_ms;
     let fault = |at, kind| Fault { at, kind };
-    let all = OUTAGE + v.before;
+    let until_outage_end = OUTAGE_MS + variant.lockout_ms;
     let mut faults = vec![
         fault(
             at,
             FaultKind::StoreLockout { node, time: 14_000 }.at(holder()),
         ),
-        fault(outage, FaultKind::StoreOutage(OUTAGE)),
+        fault(outage, FaultKind::StoreOutage(OUTAGE_MS)),
     ];
-    let cut = |peers| FaultKind::PeerPartition {
+    let partition = |peers| FaultKind::PeerPartition {
         node,
         peers,
-        time: all,
-        holds_messages: hold,
+        time: until_outage_end,
+        holds_messages,
     };
-    match v.hears {
-        Hears::All => {}
-        Hears::Some => faults.push(fault(at, cut(Some(vec![0])).at(holder()))),
-        Hears::None => faults.push(fault(at, cut(None).at(holder()))),
+    match variant.peer_messages {
+        PeerMessages::AllPeers => {}
+        PeerMessages::SomePeers => faults.push(fault(at, partition(Some(vec![0])).at(holder()))),
+        PeerMessages::NoPeer => faults.push(fault(at, partition(None).at(holder()))),
     }
-    // Whoever takes over: direct commands are cut off from all of them.
-    let time = match v.reaches {
-        Reaches::AtOnce => 0,
-        Reaches::Late => 20_000,
-        Reaches::Never => all,
+    // Any controller may become the new holder, so commands are cut off from all of them.
+    let time = match variant.direct_commands {
+        DirectCommands::AtOnce => 0,
+        DirectCommands::Late => 20_000,
+        DirectCommands::Never => until_outage_end,
     };
-    for node in (0..NODES).filter(|_| time > 0) {
+    for node in (0..CONTROLLERS).filter(|_| time > 0) {
         faults.push(fault(
             at,
             FaultKind::CommandPartition {
                 node,
                 time,
-                holds_messages: hold,
+                holds_messages,
             },
         ));
     }
-    let taken_over = at + v.before / 2;
-    if let Some(what) = v.machines {
+    let machine_fault_at = at + variant.lockout_ms / 2;
+    if let Some(what) = variant.machine_fault {
         let kind = FaultKind::Machines(MachineSelector::RunningJob(id(0)), what);
-        faults.push(fault(taken_over, kind));
+        faults.push(fault(machine_fault_at, kind));
     }
-    if v.then == Then::Ends {
+    if variant.new_holder == NewHolder::Crashes {
         let (count, restart_after) = (1, 3_000);
         let crash = FaultKind::Crash {
             node,
@@ -129,143 +130,153 @@
     faults
 }
 
-fn play(name: &str, seed: u64, v: &Variant, pairs: u64) {
-    let gap = v.before + OUTAGE + 30_000;
-    let cancel = |n: u64| REFUSED + n * gap + v.before.saturating_sub(3_500);
-    let plans = (0..pairs).map(|n| job(n as u32, Some(cancel(n))));
-    let mut faults: Vec<Fault> = (0..pairs)
-        .flat_map(|n| pair(REFUSED + n * gap, v))
+fn run_simulation(name: &str, seed: u64, variant: &Variant, repetitions: u64) {
+    let gap = variant.lockout_ms + OUTAGE_MS + 30_000;
+    let cancel = |n: u64| FIRST_LOCKOUT_AT + n * gap + variant.lockout_ms.saturating_sub(3_500);
+    let plans = (0..repetitions).map(|n| job(n as u32, Some(cancel(n))));
+    let mut faults: Vec<Fault> = (0..repetitions)
+        .flat_map(|n| lockout_and_outage(FIRST_LOCKOUT_AT + n * gap, variant))
         .collect();
     faults.sort_by_key(|f| f.at);
     let size = Size {
-        controllers: NODES,
-        cancel_ms: CANCEL,
+        controllers: CONTROLLERS,
+        cancel_ms: CANCEL_DEADLINE_MS,
         ..Size::default()
     };
     let mut simulation = Simulation::with_size(seed, plans.collect(), faults, size);
-    simulation.run_until(REFUSED - 10);
+    simulation.run_until(FIRST_LOCKOUT_AT - 10);
     assert_eq!(
         simulation.checker.running_tasks(&id(0)),
         2,
-        "{name}: the job runs"
+        "{name}: tasks that run"
     );
     let epoch = simulation.epoch_of(&id(0));
-    simulation.run_until(REFUSED + v.before);
-    if v.before == LONG {
+    simulation.run_until(FIRST_LOCKOUT_AT + variant.lockout_ms);
+    if variant.lockout_ms == LOCKOUT_BEYOND_LEASE_MS {
         assert!(
             simulation.epoch_of(&id(0)) > epoch,
-            "{name}: another holds it"
+            "{name}: no other controller holds the shard"
         );
         assert!(
             simulation.cancelled_at(&id(0)).is_some(),
-            "{name}: confirmed"
+            "{name}: cancellation not confirmed"
         );
-        let cut = v.reaches == Reaches::Never && v.hears == Hears::None;
-        if cut && v.then == Then::Stays {
+        let is_isolated = variant.direct_commands == DirectCommands::Never
+            && variant.peer_messages == PeerMessages::NoPeer;
+        if is_isolated && variant.new_holder == NewHolder::KeepsRunning {
             assert_eq!(
                 simulation.checker.running_tasks(&id(0)),
                 2,
-                "{name}: it still runs"
+                "{name}: tasks that still run"
             );
         }
     }
-    simulation.run_until(REFUSED + pairs * gap + 60_000);
+    simulation.run_until(FIRST_LOCKOUT_AT + repetitions * gap + 60_000);
     assert_eq!(simulation.checker.violations, vec![], "{name}");
-    for n in 0..pairs as u32 {
+    for n in 0..repetitions as u32 {
         assert!(simulation.cancelled_at(&id(n)).is_some(), "{name}: {n}");
         assert_eq!(simulation.checker.running_tasks(&id(n)), 0, "{name}: {n}");
     }
 }
 
-/// Each way in which the pair of troubles can fall, alone.
+/// A single lockout and outage, in each combination of the message losses, crashes and
+/// machine faults in between.
 #[test]
 fn a_cancelled_task_exits_in_time_whatever_fails_between_lockout_and_outage() {
-    let long = OUTAGE + LONG;
+    let long = OUTAGE_MS + LOCKOUT_BEYOND_LEASE_MS;
     let variants = [
-        PLAIN,
+        BASE_VARIANT,
         Variant {
-            before: SHORT,
-            ..PLAIN
+            lockout_ms: LOCKOUT_WITHIN_LEASE_MS,
+            ..BASE_VARIANT
         },
         Variant {
-            hears: Hears::Some,
-            ..PLAIN
+            peer_messages: PeerMessages::SomePeers,
+            ..BASE_VARIANT
         },
         Variant {
-            hears: Hears::None,
-            ..PLAIN
+            peer_messages: PeerMessages::NoPeer,
+            ..BASE_VARIANT
         },
         Variant {
-            reaches: Reaches::AtOnce,
-            ..PLAIN
+            direct_commands: DirectCommands::AtOnce,
+            ..BASE_VARIANT
         },
         Variant {
-            reaches: Reaches::Late,
-            ..PLAIN
+            direct_commands: DirectCommands::Late,
+            ..BASE_VARIANT
         },
         Variant {
-            then: Then::Ends,
-            ..PLAIN
+            new_holder: NewHolder::Crashes,
+            ..BASE_VARIANT
         },
         Variant {
-            hears: Hears::Some,
-            then: Then::Ends,
-            ..PLAIN
+            peer_messages: PeerMessages::SomePeers,
+            new_holder: NewHolder::Crashes,
+            ..BASE_VARIANT
         },
         Variant {
-            hears: Hears::None,
-            then: Then::Ends,
-            ..PLAIN
+            peer_messages: PeerMessages::NoPeer,
+            new_holder: NewHolder::Crashes,
+            ..BASE_VARIANT
         },
         Variant {
-            reaches: Reaches::AtOnce,
-            then: Then::Ends,
-            machines: Some(MachineFault::InboundLoss(9_000)),
-            ..PLAIN
+            direct_commands: DirectCommands::AtOnce,
+            new_holder: NewHolder::Crashes,
+            machine_fault: Some(MachineFault::InboundLoss(9_000)),
+            ..BASE_VARIANT
         },
         Variant {
-            reaches: Reaches::AtOnce,
-            machines: Some(MachineFault::Hang(long)),
-            ..PLAIN
+            direct_commands: DirectCommands::AtOnce,
+            machine_fault: Some(MachineFault::Hang(long)),
+            ..BASE_VARIANT
         },
         Variant {
-            reaches: Reaches::AtOnce,
-            machines: Some(MachineFault::Hang(9_000)),
-            ..PLAIN
+            direct_commands: DirectCommands::AtOnce,
+            machine_fault: Some(MachineFault::Hang(9_000)),
+            ..BASE_VARIANT
         },
         Variant {
-            reaches: Reaches::AtOnce,
-            machines: Some(MachineFault::Partition(long)),
-            ..PLAIN
+            direct_commands: DirectCommands::AtOnce,
+            machine_fault: Some(MachineFault::Partition(long)),
+            ..BASE_VARIANT
         },
         Variant {
-            reaches: Reaches::AtOnce,
-            machines: Some(MachineFault::Partition(9_000)),
-            then: Then::Ends,
-            ..PLAIN
+            direct_commands: DirectCommands::AtOnce,
+            machine_fault: Some(MachineFault::Partition(9_000)),
+            new_holder: NewHolder::Crashes,
+            ..BASE_VARIANT
         },
         Variant {
-            machines: Some(MachineFault::OutboundLoss(9_000)),
-            ..PLAIN
+            machine_fault: Some(MachineFault::OutboundLoss(9_000)),
+            ..BASE_VARIANT
         },
     ];
     for (seed, variant) in (60..).zip(variants) {
-        play(&format!("{variant:?}"), seed, &variant, 1);
+        run_simulation(&format!("{variant:?}"), seed, &variant, 1);
     }
 }
 
-/// As on the users' day, the two pairs one after the other.
+/// The lockout and the outage come twice, as in the case that users reported.
 #[test]
 fn a_cancelled_task_exits_in_time_when_lockout_and_outage_come_twice() {
-    for (seed, then) in [(80, Then::Stays), (81, Then::Ends)] {
-        let variant = Variant { then, ..PLAIN };
-        play(&format!("twice, {then:?}"), seed, &variant, 2);
+    for (seed, new_holder) in [(80, NewHolder::KeepsRunning), (81, NewHolder::Crashes)] {
+        let variant = Variant {
+            new_holder,
+            ..BASE_VARIANT
+        };
+        run_simulation(
+            &format!("twice, new holder {new_holder:?}"),
+            seed,
+            &variant,
+            2,
+        );
     }
 }
 
-/// The time for a cancellation counts from the first request, however many
-/// holders the job has had since: its machines hang, and holders end one after
-/// the other before any of them would give the machines up on its own count.
+/// The deadline of a cancellation counts from its confirmation, however often the holder
+/// changes. The job's machines hang, and each holder crashes before it would decommission
+/// them for missing heartbeats that it counted itself.
 #[test]
 fn the_deadline_of_a_cancellation_survives_changes_of_its_holder() {
     for (seed, restart_after) in [(90, 4_000), (91, 6_000)] {
@@ -279,42 +290,42 @@
             }
             .at(holder()),
         };
-        let hang_ms = FaultKind::Machines(
+        let hang = FaultKind::Machines(
             MachineSelector::RunningJob(id(0)),
             MachineFault::Hang(60_000),
         );
-        let hang_ms = Fault {
-            at: REFUSED,
-            kind: hang_ms,
+        let hang = Fault {
+            at: FIRST_LOCKOUT_AT,
+            kind: hang,
         };
-        // Before a holder takes the machines for silent, it ends.
-        let crashes = (0..6).map(|n| crash(REFUSED + 5_500 + n * 6_000));
-        let faults = [hang_ms].into_iter().chain(crashes).collect();
+        // Each holder crashes before it would consider the machines silent.
+        let crashes = (0..6).map(|n| crash(FIRST_LOCKOUT_AT + 5_500 + n * 6_000));
+        let faults = [hang].into_iter().chain(crashes).collect();
         let size = Size {
-            controllers: NODES,
-            cancel_ms: CANCEL,
+            controllers: CONTROLLERS,
+            cancel_ms: CANCEL_DEADLINE_MS,
             ..Size::default()
         };
-        let plans = vec![job(0, Some(REFUSED + 100))];
+        let plans = vec![job(0, Some(FIRST_LOCKOUT_AT + 100))];
         let mut simulation = Simulation::with_size(seed, plans, faults, size);
-        simulation.run_until(REFUSED + 5_000);
+        simulation.run_until(FIRST_LOCKOUT_AT + 5_000);
         let confirmed = simulation.cancelled_at(&id(0)).expect("confirmed");
         assert_eq!(
             simulation.checker.running_tasks(&id(0)),
             2,
-            "its machines hang"
+            "tasks on the hanging machines"
         );
-        simulation.run_until(confirmed + CANCEL);
+        simulation.run_until(confirmed + CANCEL_DEADLINE_MS);
         assert_eq!(
             simulation.checker.running_tasks(&id(0)),
             0,
-            "back after {restart_after} ms"
+            "holders restart after {restart_after} ms"
         );
         simulation.run_until(200_000);
         assert_eq!(
             simulation.checker.violations,
             vec![],
-            "back after {restart_after} ms"
+            "holders restart after {restart_after} ms"
         );
     }
 }
