--- a/crates/testkit/tests/controller_pauses.rs
+++ b/crates/testkit/tests/controller_pauses.rs
@@ -1,9 +1,9 @@
-//! Controllers that stand still while their clocks run, and controllers that
-//! are away for a minute or more.
+//! Controllers whose process is paused while their clock runs, and controllers that are down
+//! for a minute or more.
 //!
-//! What waits in the sockets of a controller that stands still is delivered at
-//! once when it goes on, in any order (`Simulation::wake`). By then others may hold
-//! its shards and have told users what it does not know.
+//! Messages buffered in the sockets of a paused controller are delivered all at once, in any
+//! order, when it resumes (`Simulation::wake`). By then other controllers may hold its shards
+//! and have reported to users states that it has not read.
 
 mod common;
 
@@ -12,12 +12,12 @@
 use forkshift_testkit::{ControllerSelector, Fault, FaultKind, JobPlan, Simulation, Size};
 use forkshift_wire::users::JobKind;
 
-/// When the trouble begins: all jobs of the first seconds run by then.
-const TROUBLE: Ms = 60_000;
-/// A controller's lease at the state service with the usual settings.
-const NODE_LEASE: Ms = 2_500;
+/// When controllers pause or crash: all jobs submitted in the first seconds run by then.
+const FAULT_AT: Ms = 60_000;
+/// A controller's lease at the state service with the default settings.
+const NODE_LEASE_MS: Ms = 2_500;
 
-/// An array whose tasks run for a while.
+/// An array of small tasks, in one of four teams by its number.
 fn job(n: u32, at: Ms, tasks: u32, run_ms: Ms, cancel_at: Option<Ms>) -> JobPlan {
     let mut plan = JobPlan::plain(n, at, JobKind::Array, tasks, run_ms);
     plan.spec.team = format!("team-{}", n % 4);
@@ -27,35 +27,35 @@
     plan
 }
 
-/// Jobs that run through the trouble, jobs that are submitted around its
-/// beginning and in it, and cancellations of both before, in and after it.
-fn through_the_trouble(stop: Ms) -> Vec<JobPlan> {
+/// Jobs that run before, during and after a pause of `pause_ms`, jobs that are submitted
+/// around its beginning and during it, and cancellations before, during and after it.
+fn jobs_around_pause(pause_ms: Ms) -> Vec<JobPlan> {
     let mut plans = Vec::new();
     for n in 0..8 {
-        let cancel_at = TROUBLE - 200 + u64::from(n) * (stop + 400) / 8;
+        let cancel_at = FAULT_AT - 200 + u64::from(n) * (pause_ms + 400) / 8;
         let cancel_at = (n % 2 == 1).then_some(cancel_at);
         plans.push(job(n, 2_000, 2, 150_000, cancel_at));
     }
     for n in 8..20 {
-        let at = TROUBLE - 600 + u64::from(n - 8) * 150;
-        let cancel_at = (n % 3 == 0).then_some(at + stop / 2 + 300);
+        let at = FAULT_AT - 600 + u64::from(n - 8) * 150;
+        let cancel_at = (n % 3 == 0).then_some(at + pause_ms / 2 + 300);
         plans.push(job(n, at, 2, 20_000, cancel_at));
     }
     for n in 20..26 {
-        let at = TROUBLE + stop * u64::from(n - 19) / 7;
+        let at = FAULT_AT + pause_ms * u64::from(n - 19) / 7;
         plans.push(job(n, at, 1, 10_000, None));
     }
     plans
 }
 
-/// What a controller does as it stops.
+/// The role of a controller at the time it is paused.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Role {
     Leader,
     Holder,
-    /// It has just been given the shard of a controller that ended.
-    TakingOver,
-    /// All controllers stop.
+    /// It has just acquired the shard of a crashed controller.
+    AcquiringShard,
+    /// All controllers are paused.
     All,
 }
 
@@ -63,15 +63,15 @@
     FaultKind::Pause { node, time }
 }
 
-/// Plays until controllers in a role stop for a while.
-fn stop_in_role(simulation: &mut Simulation, role: Role, time: Ms) {
-    simulation.run_until(TROUBLE);
+/// Runs the simulation until `FAULT_AT` and pauses the controllers in a role for `time`.
+fn pause_controllers(simulation: &mut Simulation, role: Role, time: Ms) {
+    simulation.run_until(FAULT_AT);
     match role {
         Role::Leader => simulation.inject_fault(pause(0, time).at(ControllerSelector::Leader)),
         Role::Holder => {
             simulation.inject_fault(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))));
         }
-        Role::TakingOver => {
+        Role::AcquiringShard => {
             let (node, count, restart_after) = (0, 1, 30_000);
             let before = simulation.epoch_of(&id(0));
             let crash = FaultKind::Crash {
@@ -82,7 +82,10 @@
             simulation.inject_fault(crash.at(ControllerSelector::HolderOfJob(id(0))));
             while simulation.epoch_of(&id(0)) == before {
                 simulation.run_until(simulation.now() + 10);
-                assert!(simulation.now() < TROUBLE + 10_000, "nobody takes over");
+                assert!(
+                    simulation.now() < FAULT_AT + 10_000,
+                    "no controller acquires the shard"
+                );
             }
             simulation.inject_fault(pause(0, time).at(ControllerSelector::HolderOfJob(id(0))));
         }
@@ -94,37 +97,46 @@
     }
 }
 
-/// Whoever goes on after standing still answers nothing older than what others
-/// have told meanwhile, starts nothing that was cancelled meanwhile, and takes
-/// no machine for silent that it could not have heard.
+/// A controller that resumes after a pause must report no state older than one reported by
+/// others, start no task of a job cancelled meanwhile, and not decommission machines whose
+/// heartbeats it missed only because of its own pause.
 #[test]
 fn rules_hold_when_a_paused_controller_resumes() {
-    let stops = [NODE_LEASE / 2, NODE_LEASE + 500, 8_000, 40_000];
-    let roles = [Role::Leader, Role::Holder, Role::TakingOver, Role::All];
-    for (seed, (role, stop)) in (500..).zip(
+    let pauses_ms = [NODE_LEASE_MS / 2, NODE_LEASE_MS + 500, 8_000, 40_000];
+    let roles = [Role::Leader, Role::Holder, Role::AcquiringShard, Role::All];
+    for (seed, (role, pause_ms)) in (500..).zip(
         roles
             .iter()
-            .flat_map(|r| stops.iter().map(move |s| (*r, *s))),
+            .flat_map(|r| pauses_ms.iter().map(move |s| (*r, *s))),
     ) {
-        let name = format!("{role:?} for {stop} ms");
-        let looks = FaultKind::StatusBursts(TROUBLE + stop + 20_000);
-        // Calls are under way as it stops.
-        let slow = FaultKind::SlowStore(3_000);
-        let at = TROUBLE - 2_000;
-        let faults = vec![Fault { at: 0, kind: looks }, Fault { at, kind: slow }];
-        let plans = through_the_trouble(stop);
+        let name = format!("{role:?} paused for {pause_ms} ms");
+        let status_bursts = FaultKind::StatusBursts(FAULT_AT + pause_ms + 20_000);
+        // A slow state service leaves calls in flight when the pause begins.
+        let slow_store = FaultKind::SlowStore(3_000);
+        let at = FAULT_AT - 2_000;
+        let faults = vec![
+            Fault {
+                at: 0,
+                kind: status_bursts,
+            },
+            Fault {
+                at,
+                kind: slow_store,
+            },
+        ];
+        let plans = jobs_around_pause(pause_ms);
         let mut simulation = Simulation::with_size(seed, plans, faults, Size::default());
-        stop_in_role(&mut simulation, role, stop);
-        let ended = simulation.terminated_machines();
-        simulation.run_until(TROUBLE + stop + 8_000);
-        if stop < 10_000 {
+        pause_controllers(&mut simulation, role, pause_ms);
+        let terminated_before = simulation.terminated_machines();
+        simulation.run_until(FAULT_AT + pause_ms + 8_000);
+        if pause_ms < 10_000 {
             assert_eq!(
                 simulation.terminated_machines(),
-                ended,
-                "{name}: a machine was given up"
+                terminated_before,
+                "{name}: machines terminated"
             );
         }
-        simulation.run_until(TROUBLE + stop + 200_000);
+        simulation.run_until(FAULT_AT + pause_ms + 200_000);
         assert_eq!(simulation.checker.violations, vec![], "{name}");
         let after_cancel = &simulation.checker.starts_after_cancel;
         assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
@@ -138,51 +150,58 @@
     }
 }
 
-/// How long controllers are away, from now on.
-type Away = [Option<Ms>; 3];
+/// For each controller, how many milliseconds it is down from `FAULT_AT`; `None` for a
+/// controller that keeps running.
+type Downtimes = [Option<Ms>; 3];
 
-/// What is seen of a day on which controllers were away.
-struct Seen {
-    /// From when the first was there to when all that had been lost ran again.
-    resumed: Ms,
-    /// Tasks of the long jobs that had to begin anew.
-    begun_anew: u64,
+/// Results of a simulation in which controllers were down.
+struct DowntimeResult {
+    /// Milliseconds from the first controller's restart, or from `FAULT_AT` if one kept
+    /// running, until all long jobs ran again.
+    resumed_after_ms: Ms,
+    /// Tasks of the long jobs that were restarted.
+    restarted_tasks: u64,
 }
 
-/// Long jobs, one of which is cancelled just before and two in the time, and
-/// a few short ones for that time.
-fn while_away() -> Vec<JobPlan> {
+/// Long jobs, one of which is cancelled just before the controllers crash and two while they
+/// are down, and short jobs submitted while they are down.
+fn jobs_around_downtime() -> Vec<JobPlan> {
     let long = (0..8).map(|n| {
         let cancel_at = match n {
-            1 => Some(TROUBLE - 150),
-            3 => Some(TROUBLE + 500),
-            5 => Some(TROUBLE + 30_000),
+            1 => Some(FAULT_AT - 150),
+            3 => Some(FAULT_AT + 500),
+            5 => Some(FAULT_AT + 30_000),
             _ => None,
         };
         job(n, 2_000, 2, 400_000, cancel_at)
     });
-    let short = (8..14).map(|n| job(n, TROUBLE + u64::from(n - 8) * 10_000, 1, 2_000, None));
+    let short = (8..14).map(|n| job(n, FAULT_AT + u64::from(n - 8) * 10_000, 1, 2_000, None));
     long.chain(short).collect()
 }
 
-fn play_away(name: &str, seed: u64, away: Away) -> Seen {
-    // The service takes little: a burst shows.
+fn run_with_downtimes(name: &str, seed: u64, downtimes: Downtimes) -> DowntimeResult {
+    // Low rate limits of the state service reveal a burst of requests after the restart.
     let size = Size {
         store_rps: 80.0,
         store_write_rps: 30.0,
         ..Size::default()
     };
-    let mut simulation = Simulation::with_size(seed, while_away(), Vec::new(), size);
-    simulation.run_until(TROUBLE);
+    let mut simulation = Simulation::with_size(seed, jobs_around_downtime(), Vec::new(), size);
+    simulation.run_until(FAULT_AT);
     let running = |simulation: &Simulation| -> usize {
-        let kept = [0, 2, 4, 6].map(id);
-        kept.iter()
+        let uncancelled = [0, 2, 4, 6].map(id);
+        uncancelled
+            .iter()
             .map(|j| simulation.checker.running_tasks(j))
             .sum()
     };
-    assert_eq!(running(&simulation), 8, "{name}: the long jobs run");
+    assert_eq!(
+        running(&simulation),
+        8,
+        "{name}: running tasks of the long jobs"
+    );
     let starts = simulation.checker.starts;
-    for (node, restart_after) in away.into_iter().enumerate() {
+    for (node, restart_after) in downtimes.into_iter().enumerate() {
         if let Some(restart_after) = restart_after {
             let count = 1;
             simulation.inject_fault(FaultKind::Crash {
@@ -192,24 +211,24 @@
             });
         }
     }
-    let first = away.iter().map(|a| a.unwrap_or(0)).min().unwrap_or(0);
-    simulation.run_until(TROUBLE + first);
-    let mut resumed = 0;
-    while simulation.now() < TROUBLE + 200_000 {
+    let first_restart = downtimes.iter().map(|a| a.unwrap_or(0)).min().unwrap_or(0);
+    simulation.run_until(FAULT_AT + first_restart);
+    let mut resumed_after_ms = 0;
+    while simulation.now() < FAULT_AT + 200_000 {
         simulation.run_until(simulation.now() + 100);
         if running(&simulation) < 8 {
-            resumed = simulation.now() - TROUBLE - first;
+            resumed_after_ms = simulation.now() - FAULT_AT - first_restart;
         }
     }
     let short = (8..14).filter(|n| simulation.checker.began_at(&id(*n)).is_some());
-    let begun_anew = simulation.checker.starts - starts - short.count() as u64;
+    let restarted_tasks = simulation.checker.starts - starts - short.count() as u64;
     assert_eq!(simulation.checker.violations, vec![], "{name}");
     let after_cancel = &simulation.checker.starts_after_cancel;
     assert_eq!(after_cancel, &vec![], "{name}: started though cancelled");
     for n in [1, 3, 5].map(id) {
         assert!(
             simulation.cancelled_at(&n).is_some(),
-            "{name}: {n} is cancelled"
+            "{name}: {n} is not cancelled"
         );
     }
     let (over, all) = simulation.over_limit();
@@ -220,34 +239,42 @@
         Vec::<String>::new(),
         "{name}: unserved"
     );
-    Seen {
-        resumed,
-        begun_anew,
+    DowntimeResult {
+        resumed_after_ms,
+        restarted_tasks,
     }
 }
 
-/// Controllers are away for a minute or more, and come back together or one by
-/// one. What runs goes on if one has stayed; else it begins anew within
-/// seconds, what was cancelled does not, and the state service is not flooded.
+/// Controllers are down for a minute or more and restart together or one by one. Running
+/// tasks must continue if one controller kept running; otherwise they must be restarted
+/// within 12 s, without those of cancelled jobs and without exceeding the rate limits of the
+/// state service.
 #[test]
 fn rules_hold_when_controllers_were_down_for_a_minute() {
-    let (minute, more) = (Some(60_000), Some(90_000));
-    let cases: [(&str, Away); 6] = [
-        ("one", [minute, None, None]),
-        ("most, together", [minute, minute, None]),
+    let (one_minute, ninety_seconds) = (Some(60_000), Some(90_000));
+    let cases: [(&str, Downtimes); 6] = [
+        ("one", [one_minute, None, None]),
+        ("most, together", [one_minute, one_minute, None]),
         ("most, one by one", [Some(60_000), Some(75_000), None]),
-        ("all, together", [minute, minute, minute]),
-        ("all, one by one", [minute, Some(65_000), more]),
+        ("all, together", [one_minute, one_minute, one_minute]),
+        (
+            "all, one by one",
+            [one_minute, Some(65_000), ninety_seconds],
+        ),
         (
             "all, in the same second",
-            [minute, Some(60_300), Some(60_900)],
+            [one_minute, Some(60_300), Some(60_900)],
         ),
     ];
-    for (seed, (name, away)) in (540..).zip(cases) {
-        let seen = play_away(name, seed, away);
-        if away.contains(&None) {
-            assert_eq!(seen.begun_anew, 0, "{name}: what ran goes on");
+    for (seed, (name, downtimes)) in (540..).zip(cases) {
+        let result = run_with_downtimes(name, seed, downtimes);
+        if downtimes.contains(&None) {
+            assert_eq!(result.restarted_tasks, 0, "{name}: restarted tasks");
         }
-        assert!(seen.resumed < 12_000, "{name}: {} ms", seen.resumed);
+        assert!(
+            result.resumed_after_ms < 12_000,
+            "{name}: resumed after {} ms",
+            result.resumed_after_ms
+        );
     }
 }
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -1,8 +1,7 @@
-//! Cuts that leave some links of a controller up, while replicas serve and a sweep runs.
-//!
-//! What is asserted for each link in turn: no rule is broken, every job has one final
-//! answer, no replica is dropped, no task of the sweep runs a second time, and the
-//! sweep goes on while the cut lasts.
+//! Partial partitions: a controller loses some of its links while replicas serve and users
+//! submit a sweep of array jobs. For each link no rule may be violated, every job must reach
+//! one final state, no replica or sweep task may be restarted, and sweep jobs must keep
+//! starting during the partition.
 
 mod common;
 
@@ -14,30 +13,32 @@
 use forkshift_wire::users::{JobKind, Priority};
 use forkshift_wire::{JobId, MachineId};
 
-/// When the trouble begins: the replicas serve by then.
-const TROUBLE: Ms = 90_000;
+/// When the partitions begin: all replicas are running by then.
+const PARTITION_AT: Ms = 90_000;
 const SERVICES: u32 = 4;
 const REPLICAS: u32 = 3;
-/// Jobs of the sweep, from a little before the trouble on, and the pause between two.
-const SWEEPS: u32 = 40;
-const SWEEP_EVERY: Ms = 1_500;
+/// Array jobs of the sweep; the first is submitted 5 s before the partitions begin.
+const SWEEP_JOBS: u32 = 40;
+/// The time between two submissions of the sweep.
+const SWEEP_INTERVAL: Ms = 1_500;
 const SWEEP_TASKS: u32 = 6;
-/// One in so many jobs of the sweep is cancelled.
-const CANCELLED: u32 = 5;
+/// One in this many sweep jobs is cancelled, 2 s after its submission.
+const CANCEL_EVERY_NTH_JOB: u32 = 5;
 
-/// Reports and leases of workers.
+/// Heartbeat interval, lease and cancellation deadline of workers.
 #[derive(Clone, Copy, Debug)]
-enum Pace {
-    /// Of 1 s and 10 s: two tries at controllers that do not answer are a lease.
+enum WorkerTiming {
+    /// Heartbeats each 1 s and leases of 10 s: two attempts at controllers that do not answer
+    /// take as long as a lease.
     Short,
-    /// Of 5 s and 24 s.
+    /// Heartbeats each 5 s and leases of 24 s.
     Long,
 }
 
-fn size(pace: Pace) -> Size {
-    let (report_ms, lease_ms, cancel_ms) = match pace {
-        Pace::Short => (1_000, 10_000, 35_000),
-        Pace::Long => (5_000, 24_000, 49_000),
+fn size(timing: WorkerTiming) -> Size {
+    let (report_ms, lease_ms, cancel_ms) = match timing {
+        WorkerTiming::Short => (1_000, 10_000, 35_000),
+        WorkerTiming::Long => (5_000, 24_000, 49_000),
     };
     Size {
         controllers: 5,
@@ -49,8 +50,8 @@
     }
 }
 
-/// Replicas of a team that take so much of a machine that none is moved to save money, and
-/// a sweep of the same team in what is left.
+/// Services whose replicas nearly fill a machine, so that none is migrated to save cost, and
+/// a sweep of the same team in the remaining capacity.
 fn plans() -> Vec<JobPlan> {
     let services = (0..SERVICES).map(|n| {
         let mut plan = JobPlan::plain(n, 1_000, JobKind::Service, REPLICAS, 0);
@@ -58,54 +59,56 @@
         (plan.spec.cpus, plan.spec.gpus, plan.spec.memory_gb) = (1.0, 7.0, 1.0);
         plan
     });
-    let sweep = (SERVICES..SERVICES + SWEEPS).map(|n| {
-        let at = TROUBLE - 5_000 + u64::from(n - SERVICES) * SWEEP_EVERY;
+    let sweep = (SERVICES..SERVICES + SWEEP_JOBS).map(|n| {
+        let at = PARTITION_AT - 5_000 + u64::from(n - SERVICES) * SWEEP_INTERVAL;
         let mut plan = JobPlan::plain(n, at, JobKind::Array, SWEEP_TASKS, 4_000);
         (plan.spec.cpus, plan.spec.gpus, plan.spec.memory_gb) = (0.5, 0.25, 0.5);
-        plan.cancel_at = (n % CANCELLED == 0).then_some(at + 2_000);
+        plan.cancel_at = (n % CANCEL_EVERY_NTH_JOB == 0).then_some(at + 2_000);
         plan
     });
     services.chain(sweep).collect()
 }
 
+/// The links that a controller loses.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Lost {
-    State,
+enum LostLinks {
+    StateService,
     Cloud,
     Peers,
-    /// Workers: which part of the controller's, and in which direction.
-    Workers(Part, LinkDirection),
+    /// Links to some or all workers, in one direction or both.
+    Workers(WorkerSet, LinkDirection),
 }
 
+/// The workers whose links are lost.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Part {
-    /// Every other machine of the replicas.
-    Some,
+enum WorkerSet {
+    /// Workers on every other machine with replicas.
+    EveryOther,
     All,
 }
 
-fn lose(simulation: &mut Simulation, node: usize, lost: Lost, time: Ms) {
-    let cut = |state, cloud| FaultKind::ServicePartition {
+fn partition_links(simulation: &mut Simulation, node: usize, lost: LostLinks, time: Ms) {
+    let service_partition = |store, cloud| FaultKind::ServicePartition {
         node,
-        store: state,
+        store,
         workers: false,
         cloud,
         time,
         holds_messages: true,
     };
     match lost {
-        Lost::State => simulation.inject_fault(cut(true, false)),
-        Lost::Cloud => simulation.inject_fault(cut(false, true)),
-        Lost::Peers => simulation.inject_fault(FaultKind::PeerPartition {
+        LostLinks::StateService => simulation.inject_fault(service_partition(true, false)),
+        LostLinks::Cloud => simulation.inject_fault(service_partition(false, true)),
+        LostLinks::Peers => simulation.inject_fault(FaultKind::PeerPartition {
             node,
             peers: None,
             time,
             holds_messages: true,
         }),
-        Lost::Workers(part, lost) => {
-            let machines = match part {
-                Part::All => MachineSelector::All,
-                Part::Some => MachineSelector::Named(
+        LostLinks::Workers(workers, direction) => {
+            let machines = match workers {
+                WorkerSet::All => MachineSelector::All,
+                WorkerSet::EveryOther => MachineSelector::Named(
                     replica_machines(simulation)
                         .into_iter()
                         .step_by(2)
@@ -115,7 +118,7 @@
             simulation.inject_fault(FaultKind::LinkPartition {
                 node,
                 machines,
-                direction: lost,
+                direction,
                 time,
                 holds_messages: true,
             });
@@ -123,7 +126,7 @@
     }
 }
 
-/// Machines with replicas, in order.
+/// Machines with replicas, sorted by id.
 fn replica_machines(simulation: &Simulation) -> Vec<MachineId> {
     let services =
         (0..SERVICES).flat_map(|n| simulation.select_machines(&MachineSelector::RunningJob(id(n))));
@@ -133,93 +136,116 @@
     machines
 }
 
-/// What a cut has cost.
+/// The effects of partitions on running and submitted jobs.
 #[derive(Default, Debug)]
-struct Cost {
-    /// Replicas that were started again.
-    dropped: u64,
-    /// Tasks of the sweep that were started again.
-    repeated: u64,
-    /// The longest time from a submission of the sweep to its first start.
-    stood_still: Ms,
+struct Impact {
+    /// Replicas that were restarted.
+    restarted_replicas: u64,
+    /// Sweep tasks that were restarted.
+    restarted_sweep_tasks: u64,
+    /// The longest time from the submission of a sweep job to its first start.
+    longest_start_delay: Ms,
 }
 
-/// The longest time without a start: two calls without an answer and a handover, or a start
-/// without an answer and two reports until it is known to be void.
-fn still_most(pace: Pace) -> Ms {
-    match pace {
-        Pace::Short => 12_000,
-        Pace::Long => 18_000,
+/// Upper bound for [`Impact::longest_start_delay`]: two calls without a response and a
+/// handover of the shard, or a start command without a response and the two heartbeats after
+/// which it is known not to have been executed.
+fn max_start_delay(timing: WorkerTiming) -> Ms {
+    match timing {
+        WorkerTiming::Short => 12_000,
+        WorkerTiming::Long => 18_000,
     }
 }
 
-impl Cost {
-    fn assert_small(&self, name: &str, pace: Pace) {
-        assert_eq!((self.dropped, self.repeated), (0, 0), "{name}: {self:?}");
-        assert!(self.stood_still < still_most(pace), "{name}: {self:?}");
+impl Impact {
+    fn assert_within_bounds(&self, name: &str, timing: WorkerTiming) {
+        assert_eq!(
+            (self.restarted_replicas, self.restarted_sweep_tasks),
+            (0, 0),
+            "{name}: {self:?}"
+        );
+        assert!(
+            self.longest_start_delay < max_start_delay(timing),
+            "{name}: {self:?}"
+        );
     }
 }
 
-fn play(name: &str, seed: u64, pace: Pace, cuts: &[(ControllerSelector, Lost, Ms)]) -> Cost {
-    let mut simulation = Simulation::with_size(seed, plans(), Vec::new(), size(pace));
-    simulation.run_until(TROUBLE);
+fn run_simulation(
+    name: &str,
+    seed: u64,
+    timing: WorkerTiming,
+    partitions: &[(ControllerSelector, LostLinks, Ms)],
+) -> Impact {
+    let mut simulation = Simulation::with_size(seed, plans(), Vec::new(), size(timing));
+    simulation.run_until(PARTITION_AT);
     let starts = |simulation: &Simulation, jobs: std::ops::Range<u32>| -> u64 {
         jobs.map(|n| simulation.checker.starts_of(&id(n))).sum()
     };
-    let up: usize = (0..SERVICES)
+    let running_replicas: usize = (0..SERVICES)
         .map(|n| simulation.checker.running_tasks(&id(n)))
         .sum();
-    assert_eq!(up as u32, SERVICES * REPLICAS, "{name}: replicas serve");
+    assert_eq!(
+        running_replicas as u32,
+        SERVICES * REPLICAS,
+        "{name}: running replicas"
+    );
     let serving = starts(&simulation, 0..SERVICES);
     let mut longest = 0;
-    let mut lost_at = Vec::new();
-    for (who, lost, time) in cuts {
-        let node = simulation.select_controller(who).expect("there is one");
-        lose(&mut simulation, node, *lost, *time);
-        lost_at.push(node);
+    let mut partitioned_nodes = Vec::new();
+    for (who, lost, time) in partitions {
+        let node = simulation
+            .select_controller(who)
+            .expect("a controller in this role");
+        partition_links(&mut simulation, node, *lost, *time);
+        partitioned_nodes.push(node);
         longest = longest.max(*time);
     }
-    // A load balancer may send users to such a controller all the same. How long they
-    // wait for an answer there is not what is measured.
-    let mut nodes = 0..size(pace).controllers;
-    let other = nodes.find(|n| !lost_at.contains(n));
-    simulation.route_users_to(other.expect("one has no trouble"));
-    simulation.run_until(TROUBLE + longest + 180_000);
+    // Users are routed to a controller without a partition, because the time until a
+    // partitioned controller answers them is not measured here.
+    let mut nodes = 0..size(timing).controllers;
+    let other = nodes.find(|n| !partitioned_nodes.contains(n));
+    simulation.route_users_to(other.expect("a controller without a partition"));
+    simulation.run_until(PARTITION_AT + longest + 180_000);
     assert_eq!(simulation.checker.violations, vec![], "{name}");
     assert_eq!(
         simulation.unfinished_jobs(),
         Vec::<String>::new(),
-        "{name}: unserved"
+        "{name}: unfinished jobs"
     );
     let sweep = plans().into_iter().skip(SERVICES as usize);
-    let kept: Vec<JobPlan> = sweep.filter(|p| p.cancel_at.is_none()).collect();
-    let ids: Vec<JobId> = kept.iter().map(|p| p.spec.id.clone()).collect();
+    let not_cancelled: Vec<JobPlan> = sweep.filter(|p| p.cancel_at.is_none()).collect();
+    let ids: Vec<JobId> = not_cancelled.iter().map(|p| p.spec.id.clone()).collect();
     let started: u64 = ids.iter().map(|id| simulation.checker.starts_of(id)).sum();
-    let wait = |p: &JobPlan| simulation.checker.began_at(&p.spec.id).expect("it ran") - p.submit_at;
-    Cost {
-        dropped: starts(&simulation, 0..SERVICES) - serving,
-        repeated: started - ids.len() as u64 * u64::from(SWEEP_TASKS),
-        stood_still: kept.iter().map(wait).max().unwrap_or(0),
+    let wait =
+        |p: &JobPlan| simulation.checker.began_at(&p.spec.id).expect("started") - p.submit_at;
+    Impact {
+        restarted_replicas: starts(&simulation, 0..SERVICES) - serving,
+        restarted_sweep_tasks: started - ids.len() as u64 * u64::from(SWEEP_TASKS),
+        longest_start_delay: not_cancelled.iter().map(wait).max().unwrap_or(0),
     }
 }
 
-const LINKS: [Lost; 9] = [
-    Lost::State,
-    Lost::Cloud,
-    Lost::Peers,
-    Lost::Workers(Part::Some, LinkDirection::Both),
-    Lost::Workers(Part::Some, LinkDirection::Heartbeats),
-    Lost::Workers(Part::Some, LinkDirection::Commands),
-    Lost::Workers(Part::All, LinkDirection::Both),
-    Lost::Workers(Part::All, LinkDirection::Heartbeats),
-    Lost::Workers(Part::All, LinkDirection::Commands),
+const LINKS: [LostLinks; 9] = [
+    LostLinks::StateService,
+    LostLinks::Cloud,
+    LostLinks::Peers,
+    LostLinks::Workers(WorkerSet::EveryOther, LinkDirection::Both),
+    LostLinks::Workers(WorkerSet::EveryOther, LinkDirection::Heartbeats),
+    LostLinks::Workers(WorkerSet::EveryOther, LinkDirection::Commands),
+    LostLinks::Workers(WorkerSet::All, LinkDirection::Both),
+    LostLinks::Workers(WorkerSet::All, LinkDirection::Heartbeats),
+    LostLinks::Workers(WorkerSet::All, LinkDirection::Commands),
 ];
 
-/// Several leases of workers.
-const CUT_FOR: Ms = 45_000;
-/// For how long: a lost report, less than a worker's lease, and several of them.
-const TIMES: [Ms; 3] = [1_500, 6_000, CUT_FOR];
+/// Longer than several of the workers' short leases.
+const LONG_PARTITION_MS: Ms = 45_000;
+/// Durations of a partition: one lost heartbeat, less than a worker's lease, and several
+/// leases.
+const PARTITION_TIMES_MS: [Ms; 3] = [1_500, 6_000, LONG_PARTITION_MS];
 
+/// A controller that loses one kind of link may wrongly take working machines or peers for
+/// failed. The holder of a service's shard and the leader lose each kind in turn.
 #[test]
 fn rules_hold_when_each_link_is_partitioned_in_turn() {
     let mut seed = 4_100;
@@ -228,18 +254,24 @@
         ControllerSelector::Leader,
     ] {
         for lost in LINKS {
-            for time in TIMES {
-                let name = format!("{lost:?} at {who:?} for {time} ms");
-                let cost = play(&name, seed, Pace::Short, &[(who.clone(), lost, time)]);
-                cost.assert_small(&name, Pace::Short);
+            for time in PARTITION_TIMES_MS {
+                let name = format!("{lost:?} lost at {who:?} for {time} ms");
+                let impact = run_simulation(
+                    &name,
+                    seed,
+                    WorkerTiming::Short,
+                    &[(who.clone(), lost, time)],
+                );
+                impact.assert_within_bounds(&name, WorkerTiming::Short);
                 seed += 1;
             }
         }
     }
 }
 
-/// The holder loses workers, and something happens to a second controller: to the leader,
-/// or to one that passes reports on, or that is about to take over.
+/// The holder loses links to workers while a second controller loses another kind of link.
+/// The second controller may be the leader, may forward heartbeats, or may be about to
+/// acquire the holder's shard.
 #[test]
 fn rules_hold_when_two_controllers_have_different_partitions() {
     let holder = ControllerSelector::HolderOfJob(id(0));
@@ -252,69 +284,85 @@
     ] {
         let first = (
             holder.clone(),
-            Lost::Workers(Part::Some, direction),
-            CUT_FOR,
+            LostLinks::Workers(WorkerSet::EveryOther, direction),
+            LONG_PARTITION_MS,
         );
         for lost in LINKS {
-            let name = format!("{first:?} and {lost:?} at {second:?}");
-            let cuts = [first.clone(), (second.clone(), lost, CUT_FOR)];
-            play(&name, seed, Pace::Long, &cuts).assert_small(&name, Pace::Long);
+            let name = format!("{first:?} and {lost:?} lost at {second:?}");
+            let partitions = [first.clone(), (second.clone(), lost, LONG_PARTITION_MS)];
+            run_simulation(&name, seed, WorkerTiming::Long, &partitions)
+                .assert_within_bounds(&name, WorkerTiming::Long);
             seed += 1;
         }
     }
 }
 
-/// The leader alone speaks to the cloud. One that lost it went on leading, and nothing was
-/// provisioned until its link was back.
+/// Only the leader calls the cloud. If a leader that cannot reach the cloud does not resign,
+/// no machine is provisioned until its link is restored.
 #[test]
 fn a_leader_without_the_cloud_resigns() {
-    let cut: Ms = 300_000;
-    // No machine that is up has room for it.
-    let mut large = JobPlan::plain(SERVICES + SWEEPS, TROUBLE + 5_000, JobKind::Array, 4, 5_000);
+    let partition_ms: Ms = 300_000;
+    // No running machine has enough free capacity for this job.
+    let mut large = JobPlan::plain(
+        SERVICES + SWEEP_JOBS,
+        PARTITION_AT + 5_000,
+        JobKind::Array,
+        4,
+        5_000,
+    );
     (large.spec.cpus, large.spec.gpus) = (1.0, 8.0);
     let large_id = large.spec.id.clone();
     let all = plans().into_iter().chain([large]).collect();
-    let mut simulation = Simulation::with_size(4_300, all, Vec::new(), size(Pace::Short));
-    simulation.run_until(TROUBLE);
-    let first = simulation.leader().expect("somebody leads");
-    lose(&mut simulation, first, Lost::Cloud, cut);
-    simulation.run_until(TROUBLE + cut);
+    let mut simulation = Simulation::with_size(4_300, all, Vec::new(), size(WorkerTiming::Short));
+    simulation.run_until(PARTITION_AT);
+    let first = simulation.leader().expect("a leader");
+    partition_links(&mut simulation, first, LostLinks::Cloud, partition_ms);
+    simulation.run_until(PARTITION_AT + partition_ms);
     let began = simulation
         .checker
         .began_at(&large_id)
-        .expect("it began in the cut");
-    assert!(began < TROUBLE + cut / 2, "after {} ms", began - TROUBLE);
-    assert_ne!(simulation.leader(), Some(first), "another leads");
-    simulation.run_until(TROUBLE + cut + 120_000);
+        .expect("started during the partition");
+    assert!(
+        began < PARTITION_AT + partition_ms / 2,
+        "started after {} ms",
+        began - PARTITION_AT
+    );
+    assert_ne!(
+        simulation.leader(),
+        Some(first),
+        "the same controller leads"
+    );
+    simulation.run_until(PARTITION_AT + partition_ms + 120_000);
     assert_eq!(simulation.checker.violations, vec![]);
     assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new());
 }
 
-/// Where no controller reaches the cloud leadership goes round, more and more seldom, and
-/// nothing that runs is touched.
+/// If no controller reaches the cloud, leaders resign one after the other. The changes of the
+/// leader must become rarer, and running tasks must not be affected.
 #[test]
 fn an_unreachable_cloud_moves_leadership_ever_more_seldom() {
-    let cut: Ms = 240_000;
-    let mut simulation = Simulation::with_size(4_301, plans(), Vec::new(), size(Pace::Short));
-    simulation.run_until(TROUBLE);
-    for node in 0..size(Pace::Short).controllers {
-        lose(&mut simulation, node, Lost::Cloud, cut);
+    let partition_ms: Ms = 240_000;
+    let mut simulation =
+        Simulation::with_size(4_301, plans(), Vec::new(), size(WorkerTiming::Short));
+    simulation.run_until(PARTITION_AT);
+    for node in 0..size(WorkerTiming::Short).controllers {
+        partition_links(&mut simulation, node, LostLinks::Cloud, partition_ms);
     }
     let mut changes = [0_u32; 2];
     let mut leader = simulation.leader();
-    for half in &mut changes {
-        for _ in 0..cut / 2 / 500 {
+    for changes_in_half in &mut changes {
+        for _ in 0..partition_ms / 2 / 500 {
             simulation.run_until(simulation.now() + 500);
             let now = simulation.leader();
             if now.is_some() && now != leader {
-                *half += 1;
+                *changes_in_half += 1;
                 leader = now;
             }
         }
     }
     assert!(changes[0] >= 1, "{changes:?}");
     assert!(changes[1] * 3 < changes[0] * 2, "{changes:?}");
-    simulation.run_until(TROUBLE + cut + 120_000);
+    simulation.run_until(PARTITION_AT + partition_ms + 120_000);
     assert_eq!(simulation.checker.violations, vec![]);
     assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new());
 }
--- a/crates/testkit/tests/upgrade.rs
+++ b/crates/testkit/tests/upgrade.rs
@@ -1,4 +1,6 @@
-//! Upgrades from the first release while it serves, and limits that fall.
+//! Rolling upgrades from the first release under load, and a lowering of the state
+//! service's limits. Records and messages must stay readable for both releases until the new
+//! format is finalized, and large records must be rewritten to fit the lower limits.
 
 mod common;
 #[allow(unreachable_pub, reason = "a frozen copy of the first release's types")]
@@ -11,7 +13,8 @@
 };
 use forkshift_wire::users::{JobKind, JobStage};
 
-const LIMITS: NextLimits = NextLimits {
+/// The limits of the state service after `FaultKind::LowerLimits`.
+const LOWERED_LIMITS: NextLimits = NextLimits {
     write_rps: 56.0,
     value_kb: 2,
     txn_ops: 4,
@@ -19,7 +22,7 @@
 
 fn size() -> Size {
     Size {
-        next_limits: Some(LIMITS),
+        next_limits: Some(LOWERED_LIMITS),
         begins_old: true,
         ..Size::default()
     }
@@ -35,7 +38,7 @@
     )
 }
 
-/// An array of which no task is too large for anything.
+/// An array with tasks small enough for any machine and any team limit.
 fn array(n: u32, at: u64, tasks: u32, run_ms: u64) -> JobPlan {
     let mut plan = JobPlan::plain(n, at, JobKind::Array, tasks, run_ms);
     plan.spec.cpus = 0.5;
@@ -44,13 +47,15 @@
     plan
 }
 
-fn chained(n: u32, at: u64, needs: &[u32]) -> JobPlan {
+/// An array of two short tasks that depends on the jobs `dependencies`.
+fn chained(n: u32, at: u64, dependencies: &[u32]) -> JobPlan {
     let mut plan = array(n, at, 2, 3_000);
-    plan.spec.dependencies = needs.iter().map(|n| id(*n)).collect();
+    plan.spec.dependencies = dependencies.iter().map(|n| id(*n)).collect();
     plan
 }
 
-/// A service, an array of two records, and a pipeline with a fan-out and a join.
+/// A service, an array whose state fills two records, and a pipeline with a fan-out and a
+/// join.
 fn plans() -> Vec<JobPlan> {
     let mut service = JobPlan::plain(1, 2_000, JobKind::Service, 2, 1_000_000);
     service.spec.class = "serve".to_owned();
@@ -68,8 +73,9 @@
     ]
 }
 
-/// All orders in which three controllers take their turns; before, during and
-/// after a turn another one ends, and limits fall while that is so.
+/// Three controllers are upgraded in every order. Another controller crashes before, during
+/// or after an upgrade, and the limits of the state service are lowered afterwards. Every job
+/// must be done and no record exceed the limits.
 #[test]
 fn rules_hold_for_every_order_of_an_upgrade() {
     let orders = [
@@ -92,17 +98,17 @@
         )
     };
     for order in orders {
-        for ends_at in [15_000, 21_000, 26_000, 36_000] {
+        for crash_at in [15_000, 21_000, 26_000, 36_000] {
             let mut faults: Vec<Fault> = (0..)
                 .zip(order)
                 .map(|(i, n)| upgrade(20_000 + i * 8_000, n))
                 .collect();
-            faults.push(crash(ends_at, order[2]));
+            faults.push(crash(crash_at, order[2]));
             faults.push(fault(50_000, FaultKind::LowerLimits));
             faults.push(crash(70_000, order[1]));
             let mut simulation = Simulation::with_size(41, plans(), faults, size());
             simulation.run_until(240_000);
-            let name = format!("{order:?}, one ends at {ends_at}");
+            let name = format!("order {order:?}, crash at {crash_at} ms");
             assert_ran_and_rules_kept(&name, &simulation);
             assert_eq!(simulation.finalized_format(), Some(2), "{name}");
             assert_eq!(
@@ -110,16 +116,21 @@
                 Some(JobStage::Done),
                 "{name}"
             );
-            assert_eq!(simulation.too_large(), 0, "{name}: too large");
+            assert_eq!(
+                simulation.too_large(),
+                0,
+                "{name}: records beyond the limits"
+            );
         }
     }
 }
 
-/// Nothing is finalized while one has not registered as the new release, be it
-/// there or not, and jobs that would need it are not accepted.
+/// The format must not be finalized while one controller has not registered with the new
+/// release, whether that controller is running or down. Until then jobs that need the new
+/// format are not accepted.
 #[test]
 fn a_format_is_not_finalized_while_a_controller_is_down() {
-    let away = |node| {
+    let down = |node| {
         fault(
             22_000,
             FaultKind::Crash {
@@ -130,10 +141,13 @@
         )
     };
     for (name, faults) in [
-        ("it is there", vec![upgrade(20_000, 0), upgrade(24_000, 1)]),
         (
-            "it is away",
-            vec![upgrade(20_000, 0), away(2), upgrade(24_000, 1)],
+            "the old controller is running",
+            vec![upgrade(20_000, 0), upgrade(24_000, 1)],
+        ),
+        (
+            "the old controller is down",
+            vec![upgrade(20_000, 0), down(2), upgrade(24_000, 1)],
         ),
     ] {
         let mut simulation = Simulation::with_size(42, plans(), faults, size());
@@ -145,8 +159,9 @@
     }
 }
 
-/// Until finalization every record and message is one that the first release
-/// reads without a loss, apart from what a controller says of itself.
+/// Until finalization a controller of the first release must be able to read every record
+/// and message without loss. The only exception is the `format` field that a controller
+/// writes in its own record.
 #[test]
 fn the_first_release_reads_all_that_is_written_before_finalization() {
     let faults = vec![upgrade(20_000, 0), upgrade(24_000, 1)];
@@ -158,7 +173,10 @@
     ] {
         let prefix = format!("c/{kind}");
         let mut keys = simulation.kept_records().iter().map(|(key, _)| key);
-        assert!(keys.any(|key| key.starts_with(&prefix)), "no {prefix}");
+        assert!(
+            keys.any(|key| key.starts_with(&prefix)),
+            "no record under {prefix}"
+        );
     }
     assert!(!simulation.kept_messages().is_empty());
     for (key, value) in simulation.kept_records() {
@@ -175,19 +193,19 @@
     }
 }
 
-/// What the first release wrote and told, recorded from it, is read and written
-/// again to the same bytes.
+/// Records and messages captured from the first release must be decoded, and encoded again
+/// to the same JSON value or the same bytes.
 #[test]
 fn records_and_messages_of_the_first_release_are_readable() {
     use forkshift_core::records as new;
     use serde_json::{from_value, to_value, Value};
-    let mut kinds = std::collections::BTreeSet::new();
+    let mut record_kinds = std::collections::BTreeSet::new();
     for line in include_str!("production/records.jsonl").lines() {
         let record: Value = serde_json::from_str(line).expect("a recorded line");
         let key = record["key"].as_str().expect("a key").to_owned();
         let value = record["data"].clone();
         let parts: Vec<&str> = key.split('/').collect();
-        let again = match parts.as_slice() {
+        let rewritten = match parts.as_slice() {
             ["c", "node", _] => from_value::<new::NodeRecord>(value.clone()).and_then(to_value),
             ["c", "leader"] => from_value::<new::LeaderRecord>(value.clone()).and_then(to_value),
             ["c", "share", _] => from_value::<new::ShardRecord>(value.clone()).and_then(to_value),
@@ -202,15 +220,15 @@
             ["live", _, _] => from_value::<new::JobHeadRecord>(value.clone()).and_then(to_value),
             _ => Ok(value.clone()),
         };
-        assert_eq!(again.expect("it is read"), value, "{key}");
-        kinds.insert(
+        assert_eq!(rewritten.expect("decodes"), value, "{key}");
+        record_kinds.insert(
             parts[..parts.len() - 1]
                 .join("/")
                 .trim_end_matches(char::is_numeric)
                 .to_owned(),
         );
     }
-    assert!(kinds.len() >= 8, "{kinds:?}");
+    assert!(record_kinds.len() >= 8, "{record_kinds:?}");
     let hex = |line: &str| -> Vec<u8> {
         let pairs = (0..line.len()).step_by(2).map(|i| &line[i..i + 2]);
         pairs
@@ -219,13 +237,13 @@
     };
     for line in include_str!("production/messages.hex").lines() {
         let bytes = hex(line);
-        let message = forkshift_wire::peer::Envelope::decode(&bytes).expect("it is read");
-        assert_eq!(message.encode().expect("it is written"), bytes);
+        let message = forkshift_wire::peer::Envelope::decode(&bytes).expect("decodes");
+        assert_eq!(message.encode().expect("encodes"), bytes);
     }
 }
 
-/// A controller that comes back as the old release after finalization can't
-/// read what is written: it gets no share, whatever it does.
+/// A controller that is downgraded after finalization cannot read the new records. It must
+/// never be assigned a shard.
 #[test]
 fn an_old_controller_after_finalization_gets_no_shard() {
     let mut faults: Vec<Fault> = (0..3)
@@ -244,13 +262,18 @@
     while simulation.now() < 200_000 {
         simulation.run_until(simulation.now() + 500);
         let held = simulation.holds_shards(1);
-        assert!(!held, "it holds a shard at {}", simulation.now());
+        assert!(
+            !held,
+            "the old controller holds a shard at {} ms",
+            simulation.now()
+        );
     }
     assert_ran_and_rules_kept("downgrade", &simulation);
 }
 
-/// The state service is out as the last controller comes back, and late
-/// transactions of the old ones land after that.
+/// The state service is out while the last upgraded controller restarts, and transactions of
+/// the old release are executed late, after the upgrade. Finalization must still succeed
+/// without a rule violation.
 #[test]
 fn rules_hold_when_an_outage_and_late_writes_surround_finalization() {
     for from in [32_000, 34_000, 36_500] {
@@ -267,8 +290,9 @@
     }
 }
 
-/// A job of several hundred tasks, recorded by the first release, while the
-/// limits fall and its holders end one after the other.
+/// The records of a job with several hundred tasks, written by the first release, exceed the
+/// lowered limits and must be rewritten in smaller parts, although the shard's holders crash
+/// one after the other.
 #[test]
 fn large_records_are_moved_while_holders_end() {
     for pause in [300, 700, 1_500] {
@@ -291,12 +315,12 @@
         let plans = vec![array(1, 3_000, 280, 6_000), array(2, 4_000, 120, 40_000)];
         let mut simulation = Simulation::with_size(46, plans, faults, size());
         simulation.run_until(300_000);
-        assert_ran_and_rules_kept(&format!("pause {pause}"), &simulation);
+        assert_ran_and_rules_kept(&format!("pause of {pause} ms"), &simulation);
     }
 }
 
-/// A long chain is cancelled in time by the cancellation of its first job, and
-/// so is what is submitted after it.
+/// The cancellation of a job must reach a chain of 249 dependent jobs by its deadline, and
+/// a dependent job that is submitted after it.
 #[test]
 fn a_chain_of_hundreds_is_cancelled_with_its_first_job() {
     let length = 250;
@@ -318,7 +342,7 @@
     }
 }
 
-/// Many jobs wait for one.
+/// One job's completion must release 199 pending jobs that depend on it.
 #[test]
 fn hundreds_of_dependents_begin_when_their_job_is_done() {
     let dependents = 200;
@@ -338,6 +362,7 @@
     }
 }
 
+/// Random jobs and faults during an upgrade; each seed stands for one simulation.
 #[test]
 fn rules_hold_on_random_days_with_upgrades() {
     for (seed, faults) in [
