--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -1,5 +1,6 @@
-//! Days in virtual time, each with the faults that once broke a rule or left
-//! a job unserved, and some random ones from fixed seeds.
+//! Simulations of a few minutes of virtual time: faults that violated a checker rule or left
+//! a job unserved in an earlier version, each kind of fault alone, and random faults from
+//! fixed seeds.
 
 mod common;
 
@@ -11,12 +12,20 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Plays a day and checks that no rule was broken and nobody left unserved.
-fn play(name: &str, seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, end: u64) -> Simulation {
-    play_sized(name, seed, plans, faults, end, Size::default())
+/// Runs a simulation of the default size until `end`. Every job must be served and no
+/// checker rule violated.
+fn run_simulation(
+    name: &str,
+    seed: u64,
+    plans: Vec<JobPlan>,
+    faults: Vec<Fault>,
+    end: u64,
+) -> Simulation {
+    run_simulation_sized(name, seed, plans, faults, end, Size::default())
 }
 
-fn play_sized(
+/// Like [`run_simulation`], with a fleet of the given size.
+fn run_simulation_sized(
     name: &str,
     seed: u64,
     plans: Vec<JobPlan>,
@@ -30,13 +39,15 @@
     simulation
 }
 
-type Draw = fn(&mut StdRng, u64, u64, usize) -> Vec<Fault>;
+/// Draws random faults: generator, first and last time in milliseconds, number of faults.
+type DrawFaults = fn(&mut StdRng, u64, u64, usize) -> Vec<Fault>;
 
-fn random_day(seed: u64, faults: usize, draw: Draw) {
+/// Runs 30 random jobs with `faults` random faults.
+fn run_random_simulation(seed: u64, faults: usize, draw: DrawFaults) {
     let mut rng = StdRng::seed_from_u64(seed);
     let plans = random_plans(&mut rng, 30);
     let faults = draw(&mut rng, 15_000, 110_000, faults);
-    play(&format!("seed {seed}"), seed, plans, faults, 260_000);
+    run_simulation(&format!("seed {seed}"), seed, plans, faults, 260_000);
 }
 
 #[test]
@@ -51,14 +62,14 @@
         (7, 14),
         (8, 20),
     ] {
-        random_day(seed, faults, random_faults);
+        run_random_simulation(seed, faults, random_faults);
     }
 }
 
-/// Seeds that showed a failure when it was found.
+/// Seeds on which a fault of the scheduler was found. The reasons are given in the code that
+/// prevents these faults.
 #[test]
 fn rules_hold_on_days_that_once_failed() {
-    // What each showed is told where the code guards against it.
     for (seed, faults) in [
         (1123, 8),
         (1058, 8),
@@ -67,20 +78,21 @@
         (5030, 14),
         (5101, 14),
         (9085, 4),
-        // A holder that had not heard of its own cancellation's landing
-        // answered `queued` after another had read and told `cancelled`.
+        // A shard holder that had no response yet to its own write of a cancellation
+        // reported `queued` after another controller had read and reported `cancelled`.
         (200_160, 12),
     ] {
-        random_day(seed, faults, random_early_faults);
+        run_random_simulation(seed, faults, random_early_faults);
     }
-    random_day(4_000_016, 20, random_faults);
+    run_random_simulation(4_000_016, 20, random_faults);
 }
 
+/// Each kind of fault alone at 40 s, with random jobs.
 #[test]
 fn rules_hold_under_each_kind_of_fault_alone() {
     let node = 0;
-    let (time, hold) = (15_000, true);
-    let kinds = [
+    let (time, holds_messages) = (15_000, true);
+    let fault_kinds = [
         FaultKind::Crash {
             node,
             count: 1,
@@ -112,7 +124,7 @@
             workers: false,
             cloud: false,
             time,
-            holds_messages: hold,
+            holds_messages,
         },
         FaultKind::ServicePartition {
             node,
@@ -120,7 +132,7 @@
             workers: true,
             cloud: false,
             time,
-            holds_messages: hold,
+            holds_messages,
         },
         FaultKind::ServicePartition {
             node,
@@ -128,7 +140,7 @@
             workers: true,
             cloud: true,
             time,
-            holds_messages: hold,
+            holds_messages,
         },
         FaultKind::StoreRefusal { node, time },
         FaultKind::StoreOutage(time),
@@ -144,15 +156,17 @@
         FaultKind::LateHeartbeatCopies(time),
         FaultKind::LostResponses(time),
     ];
-    for (i, kind) in kinds.into_iter().enumerate() {
+    for (i, kind) in fault_kinds.into_iter().enumerate() {
         let seed = 100 + i as u64;
         let name = format!("{kind:?}");
         let plans = random_plans_of_seed(seed, 20);
         let fault = Fault { at: 40_000, kind };
-        play(&name, seed, plans, vec![fault], 200_000);
+        run_simulation(&name, seed, plans, vec![fault], 200_000);
     }
 }
 
+/// All controllers restart during an outage, so none of them can read the stored state until
+/// the state service is back.
 #[test]
 fn rules_hold_when_all_controllers_restart_during_a_store_outage() {
     let plans = random_plans_of_seed(77, 25);
@@ -171,9 +185,11 @@
             kind: crash,
         },
     ];
-    play("restart within an outage", 77, plans, faults, 240_000);
+    run_simulation("restart during an outage", 77, plans, faults, 240_000);
 }
 
+/// The controllers are restarted one by one, 15 s apart, so that shards and leadership move
+/// several times.
 #[test]
 fn rules_hold_during_a_rolling_restart_of_all_controllers() {
     let plans = random_plans_of_seed(78, 25);
@@ -186,11 +202,12 @@
         at: 40_000 + 15_000 * node as u64,
         kind: crash(node),
     });
-    play("roll", 78, plans, faults.collect(), 240_000);
+    run_simulation("rolling restart", 78, plans, faults.collect(), 240_000);
 }
 
-/// A leader that loses its key and leads again must not reuse the names of
-/// its requests: the cloud would repeat old answers, and nothing would be provisioned.
+/// A leader that loses its leader key and is elected again must not reuse the idempotency
+/// keys of its cloud requests: the cloud would repeat old responses, and no machine would be
+/// provisioned.
 #[test]
 fn a_controller_that_is_elected_twice_still_provisions_machines() {
     let job = |n: u32, at: u64| JobPlan::plain(n, at, JobKind::Array, 2, 5_000);
@@ -206,12 +223,13 @@
         refuse(1, 150_000, 15_000),
     ];
     let plans = (0..8).map(|n| job(n, 2_000 + 30_000 * u64::from(n)));
-    let simulation = play("leads twice", 5, plans.collect(), faults, 330_000);
+    let simulation = run_simulation("elected twice", 5, plans.collect(), faults, 330_000);
     assert!(simulation.checker.starts >= 16);
 }
 
-/// Seven controllers, sixteen teams, and a state service that takes few
-/// requests: most controllers end at once, and again during the failover.
+/// Seven controllers and sixteen teams share a state service with low rate limits. Five
+/// controllers crash at once, six during the failover, and later all seven. The writes must
+/// stay within the rate limit.
 #[test]
 fn rules_hold_when_a_large_deployment_loses_most_controllers_twice() {
     let size = Size {
@@ -240,8 +258,15 @@
         crash(64_000, 0, 6),
         crash(100_000, 0, 7),
     ];
-    let simulation = play_sized("grown", 700, plans.collect(), faults, 300_000, size);
-    // The budget of the state service is kept, whoever needs it.
+    let simulation = run_simulation_sized(
+        "seven controllers",
+        700,
+        plans.collect(),
+        faults,
+        300_000,
+        size,
+    );
+    // 30 writes per second over 300 s is the rate limit of the state service.
     assert!(
         simulation.writes() < 30 * 300,
         "{} writes",
@@ -249,9 +274,9 @@
     );
 }
 
-/// From nothing, a large fleet is asked for in few calls and recorded bit by
-/// bit: once, the outcome of one request was more than the leader might write,
-/// and was repeated without end.
+/// A large fleet is provisioned in a few cloud calls and recorded in several transactions.
+/// If one call returns more machines than the leader may write at a time, the leader must
+/// not repeat the call for ever.
 #[test]
 fn a_large_fleet_is_up_within_a_few_boots() {
     let size = Size {
@@ -277,7 +302,14 @@
         plan.cancel_at = None;
         plan
     });
-    let simulation = play_sized("large", 701, plans.collect(), Vec::new(), 90_000, size);
+    let simulation = run_simulation_sized(
+        "large fleet",
+        701,
+        plans.collect(),
+        Vec::new(),
+        90_000,
+        size,
+    );
     assert!(
         simulation.checker.starts >= 240,
         "{} starts",
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -1,5 +1,5 @@
-//! Troubles that come in pairs, each new one alone, and what the stand-ins do
-//! in them.
+//! Random pairs of overlapping faults, each newer kind of fault alone, and tests that the
+//! simulated services, workers and users really show these faults.
 
 mod common;
 
@@ -11,6 +11,8 @@
 use forkshift_wire::users::{JobKind, JobStage};
 use forkshift_wire::JobId;
 
+/// Random jobs under random pairs of overlapping faults. Some seeds violated a rule or left
+/// a job unserved in an earlier version.
 #[test]
 fn rules_hold_under_random_pairs_of_faults() {
     for (seed, faults) in [
@@ -20,14 +22,14 @@
         (80_002, 30),
         (100_001, 8),
         (100_002, 16),
-        // A team at its limit of GPUs, with an aged job that waited for some,
-        // kept its jobs without GPUs waiting.
+        // A team was at its GPU limit. Its long-pending job that needs GPUs blocked its
+        // jobs that need none.
         (8_000_057, 8),
-        // Machines hung with cancelled tasks beyond their leases, while no
-        // controller was there; what had ended with the lease was counted.
+        // Machines with cancelled tasks hung beyond their leases while no controller was
+        // running. Tasks that had ended with the lease still counted as running.
         (200_152, 8),
-        // One of the largest jobs began after 289 s: a long array went before
-        // it each time a task of that ended.
+        // One of the largest jobs started only after 289 s: whenever a task of a long array
+        // ended, another task of that array took the free capacity.
         (200_195, 8),
     ] {
         let mut day = Day::new(seed, faults, FaultSchedule::Pairs);
@@ -36,29 +38,30 @@
     }
 }
 
+/// Each kind of fault that is newer than those in `days.rs`, alone at 40 s.
 #[test]
 fn rules_hold_under_each_later_kind_of_fault_alone() {
-    let (node, time, percent, hold) = (0, 15_000, 50, false);
-    let lost = |key_prefix, executes_at_once| FaultKind::LostWriteResponses {
+    let (node, time, percent, holds_messages) = (0, 15_000, 50, false);
+    let lost_responses = |key_prefix, executes_at_once| FaultKind::LostWriteResponses {
         percent,
         key_prefix,
         executes_at_once,
         time,
     };
-    let reports = |until_failover| FaultKind::LateHeartbeats {
+    let late_heartbeats = |until_failover| FaultKind::LateHeartbeats {
         percent,
         until_failover,
         time,
     };
     let machines = |fault| FaultKind::Machines(MachineSelector::Random(4), fault);
-    let kinds = [
-        lost(None, true),
-        lost(None, false),
-        lost(Some("c/"), true),
-        lost(Some("live/"), true),
-        lost(Some("job/"), false),
-        reports(true),
-        reports(false),
+    let fault_kinds = [
+        lost_responses(None, true),
+        lost_responses(None, false),
+        lost_responses(Some("c/"), true),
+        lost_responses(Some("live/"), true),
+        lost_responses(Some("job/"), false),
+        late_heartbeats(true),
+        late_heartbeats(false),
         FaultKind::FastBoots(60_000),
         FaultKind::DelayedCommands { percent, time },
         FaultKind::CancelRunningJobs {
@@ -77,13 +80,13 @@
             node,
             peers: None,
             time,
-            holds_messages: hold,
+            holds_messages,
         }
         .at(ControllerSelector::Leader),
         FaultKind::CommandPartition {
             node,
             time,
-            holds_messages: hold,
+            holds_messages,
         }
         .at(ControllerSelector::Leader),
         FaultKind::Pause { node, time }.at(ControllerSelector::Leader),
@@ -96,7 +99,7 @@
         machines(MachineFault::FailTasks(time)),
         machines(MachineFault::Crash),
     ];
-    for (i, kind) in kinds.into_iter().enumerate() {
+    for (i, kind) in fault_kinds.into_iter().enumerate() {
         let seed = 300 + i as u64;
         let name = format!("{kind:?}");
         let plans = random_plans_of_seed(seed, 20);
@@ -108,6 +111,7 @@
     }
 }
 
+/// A one-task array that needs one GPU.
 fn job(n: u32, at: u64, run_ms: u64) -> JobPlan {
     let mut plan = JobPlan::plain(n, at, JobKind::Array, 1, run_ms);
     plan.spec.cpus = 1.0;
@@ -116,12 +120,12 @@
     plan
 }
 
-/// A submission is written at once or seconds later, and in both cases nobody
-/// is told for as long as every answer is lost.
+/// A submission whose write response is lost is recorded at once or seconds later. In both
+/// cases it must not be reported as accepted while every response is lost.
 #[test]
 fn writes_whose_responses_are_lost_are_executed() {
-    for (executes_at_once, there) in [(true, true), (false, false)] {
-        let lost = FaultKind::LostWriteResponses {
+    for (executes_at_once, is_recorded) in [(true, true), (false, false)] {
+        let lost_responses = FaultKind::LostWriteResponses {
             percent: 100,
             key_prefix: Some("job/"),
             executes_at_once,
@@ -129,14 +133,14 @@
         };
         let fault = Fault {
             at: 30_000,
-            kind: lost,
+            kind: lost_responses,
         };
         let mut simulation = Simulation::new(40, vec![job(0, 30_000, 5_000)], vec![fault]);
         let id = JobId::new("j-0");
         simulation.run_until(31_400);
         assert_eq!(
             simulation.holder_of(&id).is_some(),
-            there,
+            is_recorded,
             "at once: {executes_at_once}"
         );
         assert!(
@@ -149,27 +153,31 @@
     }
 }
 
-/// Machines are up at once while it lasts.
+/// With the fast-boot fault, and only with it, machines are up within two seconds.
 #[test]
 fn machines_are_up_within_two_seconds_under_fast_boots() {
-    for quick in [true, false] {
+    for has_fast_boots in [true, false] {
         let fault = Fault {
             at: 1_000,
             kind: FaultKind::FastBoots(60_000),
         };
-        let faults = if quick { vec![fault] } else { Vec::new() };
+        let faults = if has_fast_boots {
+            vec![fault]
+        } else {
+            Vec::new()
+        };
         let mut simulation = Simulation::new(41, vec![job(0, 2_000, 5_000)], faults);
         simulation.run_until(7_500);
-        assert_eq!(simulation.machines() > 0, quick);
+        assert_eq!(simulation.machines() > 0, has_fast_boots);
         simulation.run_until(60_000);
-        assert_ran_and_rules_kept("quick boots", &simulation);
+        assert_ran_and_rules_kept("fast boots", &simulation);
     }
 }
 
-/// Copies are kept until another has taken over.
+/// Copies of heartbeats are delayed until a new leader is elected, and then delivered.
 #[test]
 fn late_heartbeats_are_kept_until_the_next_leader() {
-    let late = FaultKind::LateHeartbeats {
+    let late_heartbeats = FaultKind::LateHeartbeats {
         percent: 100,
         until_failover: true,
         time: 10_000,
@@ -182,7 +190,7 @@
     let faults = vec![
         Fault {
             at: 30_000,
-            kind: late,
+            kind: late_heartbeats,
         },
         Fault {
             at: 45_000,
@@ -192,14 +200,15 @@
     let mut simulation = Simulation::new(42, vec![job(0, 2_000, 100_000)], faults);
     simulation.run_until(44_900);
     let kept = simulation.kept_heartbeats();
-    assert!(kept > 5, "{kept} kept");
+    assert!(kept > 5, "{kept} heartbeats kept");
     simulation.run_until(60_000);
     assert_eq!(simulation.kept_heartbeats(), 0);
     simulation.run_until(200_000);
-    assert_ran_and_rules_kept("kept reports", &simulation);
+    assert_ran_and_rules_kept("kept heartbeats", &simulation);
 }
 
-/// Users cancel all at once, or as a job ends, and their answers are final.
+/// Users cancel all jobs at once, or each job as it ends. Every job must be reported in a
+/// final stage.
 #[test]
 fn users_cancel_at_once_and_at_the_end() {
     let cases = [
@@ -227,14 +236,18 @@
         for n in 0..4 {
             let id = JobId::new(&format!("j-{n}"));
             assert!(simulation.checker.is_cancel_requested(&id), "{name}: {id}");
-            let told = simulation.checker.final_stage(&id);
-            assert!(told.is_some_and(JobStage::is_final), "{name}: {told:?}");
+            let final_stage = simulation.checker.final_stage(&id);
+            assert!(
+                final_stage.is_some_and(JobStage::is_final),
+                "{name}: {final_stage:?}"
+            );
         }
         assert_ran_and_rules_kept(&name, &simulation);
     }
 }
 
-/// Odd requests and close looks are sent, and get what they get on a quiet day.
+/// Unusual requests and bursts of status queries are sent, and more than 90 % of them are
+/// answered.
 #[test]
 fn unusual_requests_and_status_bursts_are_answered() {
     let cases = [
@@ -248,9 +261,12 @@
         let mut simulation =
             Simulation::with_size(44, plans.collect(), vec![fault], Size::default());
         simulation.run_until(90_000);
-        let (asked, answered) = simulation.unusual_request_counts();
-        assert!(asked > 60, "{name}: {asked} asked");
-        assert!(answered * 10 > asked * 9, "{name}: {answered} of {asked}");
+        let (requests, answered) = simulation.unusual_request_counts();
+        assert!(requests > 60, "{name}: {requests} requests");
+        assert!(
+            answered * 10 > requests * 9,
+            "{name}: {answered} of {requests} answered"
+        );
         assert_ran_and_rules_kept(&name, &simulation);
     }
 }
