--- a/crates/testkit/tests/golden.rs
+++ b/crates/testkit/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden bytes of the soak: the lines that it prints of short days, whose digests cover
-//! every request, answer and message of the controllers, and the names of its options.
-//! The files of `days/` are read too. The expected forms are in `golden/`.
+//! Golden output of the soak program: its lines for short simulations, with digests over
+//! every request, response and message of the controllers, and the names of its options.
+//! The fields of the files in `days/` are compared too. The expected texts are in `golden/`.
 
 #[path = "golden/help.rs"]
 mod help;
@@ -8,44 +8,47 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the soak; gives its exit code and what it printed.
+/// Runs the soak program with space-separated arguments; returns its exit code and standard
+/// output.
 fn soak(arguments: &str) -> (i32, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_forkshift-soak"));
-    let ran = command
+    let output = command
         .args(arguments.split(' '))
         .env_remove("LOG_LEVEL")
         .output();
-    let ran = ran.expect("the program runs");
-    let printed = String::from_utf8(ran.stdout).expect("text");
-    (ran.status.code().expect("an exit code"), printed)
+    let output = output.expect("the program runs");
+    let printed = String::from_utf8(output.stdout).expect("text");
+    (output.status.code().expect("an exit code"), printed)
 }
 
+/// A digest that differs means a change of the scheduler's behaviour for the same seed.
 #[test]
-fn short_days_print_these_lines() {
+fn short_simulations_print_the_golden_lines() {
     const DAYS: [&str; 4] = [
         "--seed 2 --days 3",
         "--seed 3 --days 2 --draw once --faults 12",
         "--seed 1 --days 2 --draw pairs",
         "--seed 2 --days 2 --draw upgrade",
     ];
-    let mut seen = String::new();
+    let mut actual = String::new();
     for arguments in DAYS {
         let (code, printed) = soak(arguments);
-        seen += &format!("== {arguments}: exit {code}\n{printed}");
+        actual += &format!("== {arguments}: exit {code}\n{printed}");
     }
-    assert!(seen == include_str!("golden/days.txt"), "{seen}");
+    assert!(actual == include_str!("golden/days.txt"), "{actual}");
 }
 
+/// Scripts use the options by name, and a value that is unknown must end with exit code 2.
 #[test]
-fn the_command_line_has_these_options() {
+fn the_command_line_has_the_golden_options() {
     let (code, help) = soak("--help");
-    let (refused, _) = soak("--draw none");
-    assert_eq!((code, refused), (0, 2));
-    let seen = help::option_names(&help);
-    assert!(seen == include_str!("golden/options.txt"), "{seen}");
+    let (unknown_value_code, _) = soak("--draw none");
+    assert_eq!((code, unknown_value_code), (0, 2));
+    let actual = help::option_names(&help);
+    assert!(actual == include_str!("golden/options.txt"), "{actual}");
 }
 
-/// One day's file: its own fields, and when which fault comes.
+/// The top-level fields of a file in `days/`, and a line with time and kind for each fault.
 fn show_day(file: &str, day: &toml::Table) -> String {
     let mut text = format!("== {file}\n");
     for (name, value) in day.iter().filter(|(name, _)| *name != "faults") {
@@ -57,8 +60,9 @@
     text
 }
 
+/// A change of the file format must not drop or rename fields of the recorded days.
 #[test]
-fn the_files_of_days_hold_these_days() {
+fn day_files_have_the_golden_fields() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
     let files = std::fs::read_dir(folder).expect("the folder");
     let mut days: Vec<String> = files
@@ -70,6 +74,6 @@
         })
         .collect();
     days.sort();
-    let seen = days.concat();
-    assert!(seen == include_str!("golden/day_files.txt"), "{seen}");
+    let actual = days.concat();
+    assert!(actual == include_str!("golden/day_files.txt"), "{actual}");
 }
--- a/crates/testkit/tests/hollow_workers.rs
+++ b/crates/testkit/tests/hollow_workers.rs
@@ -1,5 +1,6 @@
-//! Workers of a world whose controllers are elsewhere, against the protocol's
-//! tables: when they report, to whom, and which answers and commands count.
+//! Simulated workers whose controllers are outside of the simulation must follow the worker
+//! protocol: when and to which controller they send heartbeats, and which responses and
+//! commands they accept.
 
 mod common;
 
@@ -13,29 +14,32 @@
 use forkshift_wire::MachineId;
 use serde_json::{json, Value};
 
-const REPORT_MS: Ms = 1_000;
+const HEARTBEAT_INTERVAL_MS: Ms = 1_000;
 const LEASE_MS: Ms = 10_000;
 const STEP_MS: Ms = 20;
 
-/// A world with one worker that is up, and the controller that it reports to.
-struct Scene {
+/// A simulation with one running worker, in which the test acts as the controllers.
+struct WorkerTest {
     simulation: Simulation,
     machine: MachineId,
+    /// The number of calls so far, which is the id of the last one.
     calls: u64,
 }
 
-/// A report that was sent: when, to which controller, what, and by whom.
-struct Sent {
+/// A heartbeat that a worker sent and that the test has not answered yet.
+struct SentHeartbeat {
     at: Ms,
+    /// The index of the controller that the heartbeat was sent to.
     node: usize,
-    report: WorkerHeartbeat,
-    asker: Requester,
+    heartbeat: WorkerHeartbeat,
+    /// Where the response is delivered.
+    requester: Requester,
 }
 
-impl Scene {
+impl WorkerTest {
     fn new() -> Self {
         let size = Size {
-            heartbeat_ms: REPORT_MS,
+            heartbeat_ms: HEARTBEAT_INTERVAL_MS,
             lease_ms: LEASE_MS,
             ..Size::default()
         };
@@ -51,31 +55,31 @@
             max_value_bytes: 8_192,
             max_transaction_writes: 12,
         };
-        // Its user submits it at once, which is when workers can fetch it.
+        // The job is submitted at time 0, because workers can fetch only submitted jobs.
         let mut plan = JobPlan::plain(0, 0, JobKind::Array, 2, 60_000);
         plan.spec.gpus = 1.0;
         plan.spec.image_gb = 8.0;
         let simulation = Simulation::remote(1, vec![plan], Vec::new(), size, deployment);
-        let mut scene = Self {
+        let mut test = Self {
             simulation,
             machine: MachineId::new("none"),
             calls: 0,
         };
-        let rent = json!({"charter": "r-1", "rig": "g8", "yard": "a", "loaner": false, "count": 1});
-        assert_eq!(scene.call(Service::Cloud(0), "/machines", &rent).0, 200);
+        let provision =
+            json!({"charter": "r-1", "rig": "g8", "yard": "a", "loaner": false, "count": 1});
+        assert_eq!(test.call(Service::Cloud(0), "/machines", &provision).0, 200);
         let mut up = None;
         while up.is_none() {
-            scene
-                .simulation
-                .advance_to(scene.simulation.now() + STEP_MS, STEP_MS);
-            let changes = scene.simulation.take_machine_changes().into_iter();
+            test.simulation
+                .advance_to(test.simulation.now() + STEP_MS, STEP_MS);
+            let changes = test.simulation.take_machine_changes().into_iter();
             up = changes.into_iter().find_map(|change| match change {
                 MachineChange::Up(id) => Some(id),
                 MachineChange::Removed(_) => None,
             });
         }
-        scene.machine = up.expect("it is up");
-        scene
+        test.machine = up.expect("a running machine");
+        test
     }
 
     fn call(&mut self, to: Service, path: &str, body: &Value) -> (u16, Value) {
@@ -84,7 +88,7 @@
         self.simulation.call(self.calls, to, "POST", path, body);
         let answers = self.simulation.take_responses();
         let answer = answers.into_iter().find(|a| a.call == self.calls);
-        let answer = answer.expect("it is answered at once");
+        let answer = answer.expect("an immediate response");
         let body = serde_json::from_slice(&answer.body).unwrap_or_default();
         (answer.status, body)
     }
@@ -94,15 +98,15 @@
         self.call(worker, path, body)
     }
 
-    /// The reports of the next so many milliseconds. None is answered.
-    fn reports(&mut self, time: Ms) -> Vec<Sent> {
+    /// Advances by `time` and returns the heartbeats sent meanwhile, without answering them.
+    fn heartbeats_during(&mut self, time: Ms) -> Vec<SentHeartbeat> {
         let until = self.simulation.now() + time;
         let mut sent = Vec::new();
         loop {
             let now = self.simulation.now();
             let requests = self.simulation.take_requests().into_iter();
-            let reports = requests.filter(|r| r.path == "/v1/report");
-            sent.extend(reports.map(|r| Sent::new(now, r)));
+            let heartbeats = requests.filter(|r| r.path == "/v1/report");
+            sent.extend(heartbeats.map(|r| SentHeartbeat::new(now, r)));
             if now >= until {
                 return sent;
             }
@@ -110,99 +114,113 @@
         }
     }
 
-    /// The next report. It waits for its answer.
-    fn next(&mut self) -> Sent {
+    /// Advances until the worker sends a heartbeat, and returns it without answering it.
+    fn next_heartbeat(&mut self) -> SentHeartbeat {
         loop {
-            if let Some(sent) = self.reports(STEP_MS).pop() {
+            if let Some(sent) = self.heartbeats_during(STEP_MS).pop() {
                 return sent;
             }
         }
     }
 
-    fn answer(&mut self, sent: Sent, status: u16, body: &Value) {
+    fn answer(&mut self, sent: SentHeartbeat, status: u16, body: &Value) {
         let body = body.to_string().into_bytes();
-        self.simulation.deliver(sent.asker, status, body);
+        self.simulation.deliver(sent.requester, status, body);
     }
 }
 
-impl Sent {
+impl SentHeartbeat {
     fn new(at: Ms, request: ControllerRequest) -> Self {
         Self {
             at,
             node: request.controller,
-            report: serde_json::from_slice(&request.body).expect("a report"),
-            asker: request.requester,
+            heartbeat: serde_json::from_slice(&request.body).expect("a heartbeat"),
+            requester: request.requester,
         }
     }
 }
 
+/// Heartbeats that come late cost the worker its lease; several at a time could arrive out of
+/// order. An unanswered heartbeat must be abandoned and sent to the next controller.
 #[test]
 fn heartbeats_are_sent_in_time_and_one_at_a_time() {
-    let mut scene = Scene::new();
-    let mut last = scene.next();
+    let mut test = WorkerTest::new();
+    let mut last = test.next_heartbeat();
     for _ in 0..40 {
-        let (at, seq) = (last.at, last.report.sequence);
-        scene.answer(last, 200, &json!({"baton": 1, "orders": []}));
-        last = scene.next();
+        let (at, seq) = (last.at, last.heartbeat.sequence);
+        test.answer(last, 200, &json!({"baton": 1, "orders": []}));
+        last = test.next_heartbeat();
         let gap = last.at - at;
-        // The first higher token is news, which need not wait for the period.
-        let least = if seq == 1 { 500 } else { REPORT_MS * 3 / 4 };
+        // A higher fencing token is reported early, without waiting for the interval.
+        let min_gap = if seq == 1 {
+            500
+        } else {
+            HEARTBEAT_INTERVAL_MS * 3 / 4
+        };
         assert!(
-            (least..=REPORT_MS * 5 / 4 + STEP_MS).contains(&gap),
+            (min_gap..=HEARTBEAT_INTERVAL_MS * 5 / 4 + STEP_MS).contains(&gap),
             "{gap} ms"
         );
-        assert!(last.report.sequence > seq);
+        assert!(last.heartbeat.sequence > seq);
     }
-    // What has no answer is given up after four seconds, and the next
-    // controller is tried a second later.
+    // A heartbeat without a response times out after 4 s, and the next controller is tried
+    // one second later.
     let node = last.node;
-    let later = scene.reports(5_200);
-    assert_eq!(later.len(), 1, "one report in flight at a time");
+    let later = test.heartbeats_during(5_200);
+    assert_eq!(later.len(), 1, "more or less than one heartbeat in flight");
     assert_eq!(later[0].node, (node + 1) % 3);
     assert!((4_900..5_200).contains(&(later[0].at - last.at)));
 }
 
+/// A worker must find the controller responsible for it by redirects, and must not stay with
+/// a controller that cannot serve it.
 #[test]
 fn heartbeats_follow_redirects_and_move_on_after_errors() {
-    // Status, whom it names, counted from the one that answers; whom the next
-    // report goes to, and after how long at most.
+    // Status; the controller named by a redirect and the controller that gets the next
+    // heartbeat, both as offsets from the responding one; and the longest time until then.
     let cases = [
-        (200, None, 0, REPORT_MS * 5 / 4 + STEP_MS),
+        (200, None, 0, HEARTBEAT_INTERVAL_MS * 5 / 4 + STEP_MS),
         (421, Some(2), 2, 500 + STEP_MS),
         (421, Some(0), 1, 1_000 + STEP_MS),
         (421, None, 1, 1_000 + STEP_MS),
         (503, None, 1, 1_000 + STEP_MS),
     ];
-    for (status, named, next, within) in cases {
-        let mut scene = Scene::new();
-        let sent = scene.next();
+    for (status, redirect_offset, next, max_delay) in cases {
+        let mut test = WorkerTest::new();
+        let sent = test.next_heartbeat();
         let (at, node) = (sent.at, sent.node);
-        let redirect = named.map(|n: usize| format!("berth-{}", (node + n) % 3));
+        let redirect = redirect_offset.map(|n: usize| format!("berth-{}", (node + n) % 3));
         let body = match status {
             200 => json!({"baton": 1, "orders": []}),
             _ => json!({"foreman": redirect}),
         };
-        scene.answer(sent, status, &body);
-        let then = scene.next();
-        assert_eq!(then.node, (node + next) % 3, "{status} {named:?}");
+        test.answer(sent, status, &body);
+        let next_heartbeat = test.next_heartbeat();
+        assert_eq!(
+            next_heartbeat.node,
+            (node + next) % 3,
+            "{status} {redirect_offset:?}"
+        );
         assert!(
-            then.at - at <= within,
-            "{status} {named:?}: {}",
-            then.at - at
+            next_heartbeat.at - at <= max_delay,
+            "{status} {redirect_offset:?}: {}",
+            next_heartbeat.at - at
         );
     }
 }
 
+/// A command with a stale fencing token or for another incarnation of the worker comes from a
+/// controller that no longer holds the shard. Accepting it could run a task twice.
 #[test]
 fn commands_with_older_tokens_or_incarnations_are_refused() {
-    let mut scene = Scene::new();
+    let mut test = WorkerTest::new();
     let start = |token: u64, session: u64, index: u32| {
         json!({"baton": token, "watch": session, "orders": [
             {"verb": "start", "shift": format!("j-0/{index}"), "try": 1}]})
     };
-    let sent = scene.next();
-    scene.answer(sent, 200, &json!({"baton": 5, "orders": []}));
-    // Body, status, tasks that are there afterwards, highest token.
+    let sent = test.next_heartbeat();
+    test.answer(sent, 200, &json!({"baton": 5, "orders": []}));
+    // Body, expected status, tasks on the worker afterwards, highest token.
     let cases = [
         (json!({"orders": []}), 400, 0, 5),
         (start(4, 1, 0), 409, 0, 5),
@@ -213,83 +231,93 @@
         (start(6, 1, 1), 409, 2, 7),
     ];
     for (body, status, tasks, token) in cases {
-        assert_eq!(scene.command("/commands", &body).0, status, "{body}");
-        let (status, report) = scene.command("/status", &json!(null));
-        let report: WorkerHeartbeat = serde_json::from_value(report).expect("a report");
-        assert_eq!((status, report.tasks.len()), (200, tasks), "{body}");
-        assert_eq!((report.token, report.incarnation), (token, 1), "{body}");
+        assert_eq!(test.command("/commands", &body).0, status, "{body}");
+        let (status, heartbeat) = test.command("/status", &json!(null));
+        let heartbeat: WorkerHeartbeat = serde_json::from_value(heartbeat).expect("a heartbeat");
+        assert_eq!((status, heartbeat.tasks.len()), (200, tasks), "{body}");
+        assert_eq!(
+            (heartbeat.token, heartbeat.incarnation),
+            (token, 1),
+            "{body}"
+        );
     }
-    // A response with a lower token renews nothing: the lease runs out, the tasks
-    // are killed and forgotten, and the next session begins.
-    let end = scene.simulation.now() + LEASE_MS + 2_000;
-    let mut last = scene.next();
-    while scene.simulation.now() < end {
-        scene.answer(last, 200, &json!({"baton": 6, "orders": []}));
-        last = scene.next();
+    // A response with a lower token does not renew the lease. When the lease expires, the
+    // worker kills its tasks, drops their state and starts its next incarnation.
+    let end = test.simulation.now() + LEASE_MS + 2_000;
+    let mut last = test.next_heartbeat();
+    while test.simulation.now() < end {
+        test.answer(last, 200, &json!({"baton": 6, "orders": []}));
+        last = test.next_heartbeat();
     }
-    assert_eq!(last.report.incarnation, 2);
-    assert!(last.report.tasks.is_empty(), "all forgotten");
-    assert_eq!(scene.simulation.checker.tasks_on_machines(), 0);
+    assert_eq!(last.heartbeat.incarnation, 2);
+    assert!(
+        last.heartbeat.tasks.is_empty(),
+        "tasks of the previous incarnation"
+    );
+    assert_eq!(test.simulation.checker.tasks_on_machines(), 0);
 }
 
+/// A started task must be reported soon after the start, not only at the next interval.
 #[test]
 fn a_heartbeat_follows_soon_after_a_change_of_tasks() {
-    let mut scene = Scene::new();
-    let sent = scene.next();
+    let mut test = WorkerTest::new();
+    let sent = test.next_heartbeat();
     let token = json!({"baton": 1, "orders": []});
-    scene.answer(sent, 200, &token);
-    let mut last = scene.next();
-    scene.answer(last, 200, &token);
+    test.answer(sent, 200, &token);
+    let mut last = test.next_heartbeat();
+    test.answer(last, 200, &token);
     let start = json!({"baton": 1, "watch": 1, "orders": [
         {"verb": "start", "shift": "j-0/0", "try": 1}]});
-    let at = scene.simulation.now();
-    assert_eq!(scene.command("/commands", &start).0, 200);
-    last = scene.next();
+    let at = test.simulation.now();
+    assert_eq!(test.command("/commands", &start).0, 200);
+    last = test.next_heartbeat();
     assert!(last.at - at <= 500 + STEP_MS, "{} ms", last.at - at);
-    let stages: Vec<TaskStage> = last.report.tasks.iter().map(|t| t.stage).collect();
+    let stages: Vec<TaskStage> = last.heartbeat.tasks.iter().map(|t| t.stage).collect();
     assert_eq!(stages, [TaskStage::Fetching]);
 }
 
-/// Steps of a world in real time end anywhere, and the checker looks all the same: at
-/// first it did so only where a step happened to end at a multiple of half a second.
+/// In a simulation driven in real time, steps end at arbitrary times. A checker that runs
+/// only at steps which end at a multiple of 500 ms misses violations; it must run at least
+/// once in 500 ms whatever the length of the steps.
 #[test]
 fn the_checker_runs_however_long_the_steps_are() {
     for step in [20, 70, 130, 990] {
-        let mut scene = Scene::new();
+        let mut test = WorkerTest::new();
         let start = json!({"baton": 1, "watch": 1, "orders": [
             {"verb": "start", "shift": "j-0/0", "try": 1}]});
-        assert_eq!(scene.command("/commands", &start).0, 200);
-        scene
-            .simulation
-            .advance_to(scene.simulation.now() + 3_000, step);
+        assert_eq!(test.command("/commands", &start).0, 200);
+        test.simulation
+            .advance_to(test.simulation.now() + 3_000, step);
         assert_eq!(
-            scene.simulation.checker.tasks_on_machines(),
+            test.simulation.checker.tasks_on_machines(),
             1,
             "step {step}"
         );
-        let (id, now) = (forkshift_testkit::job_id(0), scene.simulation.now());
-        scene.simulation.checker.on_cancel_requested(&id);
-        let told = Some(JobStage::Cancelled);
-        scene
-            .simulation
+        let (id, now) = (forkshift_testkit::job_id(0), test.simulation.now());
+        test.simulation.checker.on_cancel_requested(&id);
+        let cancelled = Some(JobStage::Cancelled);
+        test.simulation
             .checker
-            .on_immediate_response(now, &id, false, 200, told);
-        // The lease is lost before that, if nobody answers its reports.
-        let mut broken_at = None;
-        while broken_at.is_none() && scene.simulation.now() < now + 40_000 {
-            scene
-                .simulation
-                .advance_to(scene.simulation.now() + step, step);
-            for request in scene.simulation.take_requests() {
+            .on_immediate_response(now, &id, false, 200, cancelled);
+        // The heartbeats are answered, because otherwise the lease would expire and the task
+        // be killed before its cancellation is overdue.
+        let mut violated_at = None;
+        while violated_at.is_none() && test.simulation.now() < now + 40_000 {
+            test.simulation
+                .advance_to(test.simulation.now() + step, step);
+            for request in test.simulation.take_requests() {
                 let body = json!({"baton": 1, "orders": []}).to_string().into_bytes();
-                scene.simulation.deliver(request.requester, 200, body);
+                test.simulation.deliver(request.requester, 200, body);
             }
-            let broken = scene.simulation.checker.violations.first();
-            broken_at = broken.map(|(rule, at, _)| (*rule, *at));
+            let violation = test.simulation.checker.violations.first();
+            violated_at = violation.map(|(rule, at, _)| (*rule, *at));
         }
-        let (rule, at) = broken_at.expect("the task is still there");
+        let (rule, at) = violated_at.expect("a rule violation, because the task still runs");
         assert_eq!(rule, Rule::RanCancelled, "step {step}");
         let late = at - now - Size::default().cancel_ms;
-        assert!(late <= 500 + step, "step {step}: seen {late} ms late");
+        assert!(
+            late <= 500 + step,
+            "step of {step} ms: violation detected {late} ms late"
+        );
     }
 }
--- a/crates/testkit/tests/large_gang.rs
+++ b/crates/testkit/tests/large_gang.rs
@@ -1,5 +1,6 @@
-//! A gang of 512 tasks: it is recorded and started within the transactions that the
-//! state service takes, also when its holder ends between any two writes.
+//! A gang of 512 tasks needs more records than one transaction of the state service may
+//! write. The gang must be recorded and started in several transactions, even if its shard
+//! holder crashes between any two of them.
 
 mod common;
 
@@ -9,12 +10,14 @@
 use forkshift_wire::users::{JobKind, JobStage};
 
 const TASKS: u32 = 512;
-const SUBMITTED: Ms = 25_000;
-const RUN: Ms = 15_000;
+/// When the gang is submitted.
+const SUBMITTED_AT: Ms = 25_000;
+/// How long each task runs.
+const RUN_MS: Ms = 15_000;
 const END: Ms = 200_000;
 
 fn simulation(seed: u64) -> Simulation {
-    let mut gang = JobPlan::plain(0, SUBMITTED, JobKind::Gang, TASKS, RUN);
+    let mut gang = JobPlan::plain(0, SUBMITTED_AT, JobKind::Gang, TASKS, RUN_MS);
     gang.spec.cpus = 1.0;
     gang.spec.gpus = 0.0;
     gang.spec.memory_gb = 1.0;
@@ -26,8 +29,8 @@
     Simulation::with_size(seed, vec![gang], Vec::new(), size)
 }
 
-/// Plays until so many changes were written since the gang was accepted, or the end.
-fn play_writes(simulation: &mut Simulation, writes: u64) {
+/// Runs until `writes` keys were written after the gang's acceptance, or until `END`.
+fn run_until_writes(simulation: &mut Simulation, writes: u64) {
     while !simulation.checker.is_accepted(&id(0)) && simulation.now() < END {
         simulation.run_until(simulation.now() + 10);
     }
@@ -37,7 +40,9 @@
     }
 }
 
-fn finish(simulation: &mut Simulation, what: &str) {
+/// Runs until the gang has a final stage. It must be done, without a violated checker rule
+/// or a transaction beyond the limits of the state service.
+fn finish(simulation: &mut Simulation, name: &str) {
     while simulation.checker.final_stage(&id(0)).is_none() && simulation.now() < END {
         simulation.run_until(simulation.now() + 1_000);
     }
@@ -45,48 +50,51 @@
     assert_eq!(
         simulation.checker.final_stage(&id(0)),
         Some(JobStage::Done),
-        "{what}"
+        "{name}"
     );
-    assert_eq!(simulation.checker.violations, vec![], "{what}");
-    assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new(), "{what}");
+    assert_eq!(simulation.checker.violations, vec![], "{name}");
+    assert_eq!(simulation.unfinished_jobs(), Vec::<String>::new(), "{name}");
     assert_eq!(
         simulation.too_large(),
         0,
-        "{what}: a transaction was too large"
+        "{name}: transactions beyond the limits"
     );
 }
 
-/// What a whole gang writes fits into the service's transactions.
+/// Without faults, every transaction of the gang must be within the limits of the state
+/// service, and the gang must start within 60 s.
 #[test]
 fn a_gang_of_512_is_recorded_within_the_limits() {
     let mut simulation = simulation(900);
     simulation.record_formats();
-    finish(&mut simulation, "nothing goes wrong");
+    finish(&mut simulation, "no fault");
     let mut records = simulation.kept_records().iter();
     assert!(
         records.any(|(key, _)| key.ends_with("/5")),
-        "its last block"
+        "no record of the last block of tasks"
     );
-    let began = simulation.checker.began_at(&id(0)).expect("it began");
-    assert!(began < SUBMITTED + 60_000, "it began at {began}");
+    let began = simulation.checker.began_at(&id(0)).expect("started");
+    assert!(began < SUBMITTED_AT + 60_000, "started at {began} ms");
 }
 
-/// The holder ends after each number of changes that the gang takes from its
-/// acceptance until it is done; all 512 tasks run at the same time all the same.
+/// A simulation without faults counts the changes from the gang's acceptance to its end. The
+/// simulation is then repeated for each number of changes, with a crash of the shard holder
+/// after that many. The gang must be done each time, and the checker requires that all its
+/// tasks run at the same time.
 #[test]
 fn a_large_gang_completes_when_its_holder_crashes_between_any_two_writes() {
-    let mut whole = simulation(900);
-    play_writes(&mut whole, 0);
-    let from = whole.writes();
-    finish(&mut whole, "nothing goes wrong");
-    let changes = whole.writes() - from;
+    let mut reference = simulation(900);
+    run_until_writes(&mut reference, 0);
+    let from = reference.writes();
+    finish(&mut reference, "no fault");
+    let changes = reference.writes() - from;
     assert!(
         changes > 12,
-        "it takes several transactions: {changes} changes"
+        "one transaction may hold all {changes} changes"
     );
     for writes in 0..changes {
         let mut simulation = simulation(900);
-        play_writes(&mut simulation, writes);
+        run_until_writes(&mut simulation, writes);
         let crash = FaultKind::Crash {
             node: 0,
             count: 1,
@@ -98,7 +106,7 @@
         ));
         finish(
             &mut simulation,
-            &format!("the holder ends after {writes} changes"),
+            &format!("the holder crashes after {writes} changes"),
         );
     }
 }
--- a/crates/testkit/tests/pairs.rs
+++ b/crates/testkit/tests/pairs.rs
@@ -210,7 +210,7 @@
 /// Users cancel all jobs at once, or each job as it ends. Every job must be reported in a
 /// final stage.
 #[test]
-fn users_cancel_at_once_and_at_the_end() {
+fn cancelled_jobs_reach_a_final_stage_when_cancelled_at_once_or_as_they_end() {
     let cases = [
         (
             FaultKind::CancelRunningJobs {
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -340,7 +340,7 @@
 /// If no controller reaches the cloud, leaders resign one after the other. The changes of the
 /// leader must become rarer, and running tasks must not be affected.
 #[test]
-fn an_unreachable_cloud_moves_leadership_ever_more_seldom() {
+fn leader_changes_become_rarer_while_no_controller_reaches_the_cloud() {
     let partition_ms: Ms = 240_000;
     let mut simulation =
         Simulation::with_size(4_301, plans(), Vec::new(), size(WorkerTiming::Short));
--- a/crates/testkit/tests/warm_pools.rs
+++ b/crates/testkit/tests/warm_pools.rs
@@ -116,7 +116,7 @@
 /// Replicas that need a boot and a fetch start late. Those of a burst must start at once on
 /// warm machines, and the pool must be refilled afterwards.
 #[test]
-fn a_burst_begins_at_once_where_a_pool_is_warm_and_after_a_boot_where_there_is_none() {
+fn a_burst_starts_at_once_with_a_warm_pool_and_after_a_boot_without() {
     for seed in 1..=5 {
         let burst = || vec![replica_service(0, POOLS_FULL_AT, 3, "weights")];
         let mut with = simulation(seed, burst(), size(), &[pool(3, 6)]);
@@ -464,7 +464,7 @@
 /// A pool's time window ends during an outage of the state service. The pool must keep its
 /// machines until their return can be recorded, then return them and not be refilled.
 #[test]
-fn an_outage_across_a_windows_end_keeps_the_pool_until_it_can_be_recorded() {
+fn a_pool_keeps_its_machines_while_an_outage_covers_the_end_of_its_window() {
     // Simulations start 1,000 s after the Unix epoch, so the window, which ends at 00:18,
     // ends after 80 s of virtual time.
     let windowed = PoolSpec {
@@ -579,7 +579,7 @@
 /// controllers have registered with the new release, so that an upgrade can be rolled back
 /// until then.
 #[test]
-fn nothing_of_pools_is_written_beside_an_old_release() {
+fn no_pool_record_is_written_while_a_controller_runs_an_old_release() {
     let size = Size {
         begins_old: true,
         ..size()
@@ -625,7 +625,7 @@
 /// A pool's cost limit must bound the number of its machines even below its minimum, and the
 /// unmet minimum is reported.
 #[test]
-fn a_pool_is_no_larger_than_what_it_may_cost() {
+fn the_cost_limit_of_a_pool_bounds_its_machines() {
     let limited_pool = PoolSpec {
         max_cost_per_hour: Some(33.0),
         ..pool(4, 4)
