--- a/crates/testkit/tests/long_outage.rs
+++ b/crates/testkit/tests/long_outage.rs
@@ -274,7 +274,7 @@
     }
 }
 
-/// The deadline of a cancellation counts from its confirmation, however often the holder
+/// The deadline of a cancellation counts from the first request, however often the holder
 /// changes. The job's machines hang, and each holder crashes before it would decommission
 /// them for missing heartbeats that it counted itself.
 #[test]
--- a/crates/testkit/tests/partial_cuts.rs
+++ b/crates/testkit/tests/partial_cuts.rs
@@ -238,7 +238,7 @@
     LostLinks::Workers(WorkerSet::All, LinkDirection::Commands),
 ];
 
-/// Longer than several of the workers' short leases.
+/// More than four of the workers' short leases.
 const LONG_PARTITION_MS: Ms = 45_000;
 /// Durations of a partition: one lost heartbeat, less than a worker's lease, and several
 /// leases.
--- a/crates/testkit/tests/slow_boots.rs
+++ b/crates/testkit/tests/slow_boots.rs
@@ -144,9 +144,9 @@
 }
 
 /// If its machines come up within 1.5 boot times, a replica waits at most two boot times. An
-/// overdue machine must be replaced after 1.5 boot times, so each one may lengthen the wait
-/// by `REPLACED_WITHIN_MS`. A bound without that term would fail on some seeds for any scheduler
-/// that does not provision twice, because one in ten simulated machines boots late or never.
+/// overdue machine must be replaced after 1.5 boot times, so each one may lengthen the
+/// wait by `REPLACED_WITHIN_MS`. Without that term any scheduler that does not provision
+/// twice would fail on some seeds, as one in ten simulated machines boots late or never.
 #[test]
 fn an_overdue_machine_is_replaced_at_once() {
     let mut overdue = 0;
--- a/crates/testkit/tests/warm_pools.rs
+++ b/crates/testkit/tests/warm_pools.rs
@@ -464,7 +464,7 @@
 /// A pool's time window ends during an outage of the state service. The pool must keep its
 /// machines until their return can be recorded, then return them and not be refilled.
 #[test]
-fn a_pool_keeps_its_machines_while_an_outage_covers_the_end_of_its_window() {
+fn an_outage_across_a_windows_end_keeps_the_pool_until_it_can_be_recorded() {
     // Simulations start 1,000 s after the Unix epoch, so the window, which ends at 00:18,
     // ends after 80 s of virtual time.
     let windowed = PoolSpec {
@@ -579,7 +579,7 @@
 /// controllers have registered with the new release, so that an upgrade can be rolled back
 /// until then.
 #[test]
-fn no_pool_record_is_written_while_a_controller_runs_an_old_release() {
+fn nothing_of_pools_is_written_beside_an_old_release() {
     let size = Size {
         begins_old: true,
         ..size()
