--- a/crates/emulator/src/socket_bridge/requests.rs
+++ b/crates/emulator/src/socket_bridge/requests.rs
@@ -41,7 +41,7 @@
             metrics.record_worker_traffic(client.take_traffic());
         }
         self.with_world(|world| {
-            world.deliver_reply(request.requester, outcome.status, outcome.body)
+            world.deliver_reply(request.requester, outcome.status, outcome.body);
         });
         self.dispatch_world_output();
     }
