--- a/crates/core/src/golden/keys.rs
+++ b/crates/core/src/golden/keys.rs
@@ -1,11 +1,11 @@
-//! Golden keys of the state service.
+//! Golden tests of the keys in the key-value store.
 
 use super::{compare, Case};
 use crate::config::StateLimits;
 use crate::records::{
     cancellation_key, demand_key, job_key, machine_key, machine_type_key, node_key,
     provisioning_intent_key, shard_key, unfinished_job_key, unfinished_jobs_prefix, ShardId,
-    CLUSTER, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
+    CLUSTER_PREFIX, EPOCH_KEY, FINALIZED_FORMAT_KEY, LEADER_KEY,
 };
 use crate::shard::layout::BlockLayout;
 use crate::store::view::ClusterView;
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn keys() {
+fn keys_match_the_golden_file() {
     let job = JobId::parse("j-412").expect("an id");
     let shard = ShardId(2);
     let pool = PoolName::parse("exam-help").expect("a name");
     let unnamed = BlockLayout::from_head(None, &LIMITS);
     let named = BlockLayout::from_head(Some(40), &LIMITS);
     let cases = [
-        key("cluster", CLUSTER),
+        key("cluster", CLUSTER_PREFIX),
         key("epoch", EPOCH_KEY),
         key("format", FINALIZED_FORMAT_KEY),
         key("leader", LEADER_KEY),
@@ -70,9 +70,10 @@
     assert_eq!(named.parse_block("3"), None);
 }
 
-/// Every kind of record below the common prefix is read from its key.
+/// The view must assign every kind of cluster record by its key. A kind that it did not
+/// recognize would silently be missing.
 #[test]
-fn keys_are_read() {
+fn view_reads_every_kind_of_cluster_record_from_its_key() {
     let records = [
         ("c/node/berth-0", json!({"inc": 5})),
         ("c/leader", json!({"node": "berth-0", "inc": 5})),
--- a/crates/emulator/src/pools.rs
+++ b/crates/emulator/src/pools.rs
@@ -172,7 +172,7 @@
 pub(crate) fn pool_summary(world: &Simulation, site: &Site, start_time_ms: u64) -> PoolSummary {
     let now_ms = start_time_ms + world.now();
     let records = world.pool_accounts(now_ms);
-    let billing_periods = world.pool_lives(start_time_ms);
+    let billing_periods = world.billing_periods_from(start_time_ms);
     let whole_run = TimeSpan {
         from_ms: 0,
         to_ms: now_ms + 1,
--- a/crates/testkit/src/cloud/boots.rs
+++ b/crates/testkit/src/cloud/boots.rs
@@ -1,34 +1,36 @@
-//! How long new machines take until they are up.
+//! Boot times of new machines.
 
 use super::CloudModel;
-use crate::fleet::{BootModel, BOOT_MS};
+use crate::fleet::{BootModel, NOMINAL_BOOT_MS};
 use crate::Ms;
 use forkshift_wire::cloud::ProvisionRequest;
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Boot time of a machine that never comes up.
-const NEVER_MS: Ms = Ms::MAX / 2;
-/// Least boot time that is drawn around.
+/// Boot time of a machine that never boots. It is half the maximum, so that adding it to a time
+/// does not overflow.
+const NEVER_BOOTS_MS: Ms = Ms::MAX / 2;
+/// Minimum nominal boot time, in milliseconds, so that the range of drawn times is not empty.
 const MIN_BOOT_MS: f64 = 10.0;
 
 /// The boot of one machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Boot {
-    /// When it was provisioned.
+    /// When the machine was provisioned.
     pub provisioned_at: Ms,
-    /// When it is up, unless it is deleted before. A time far off stands for never.
+    /// When the machine is up, unless it is deleted before. A time far in the future stands for
+    /// never.
     pub up_at: Ms,
 }
 
-/// New machines that come up late or never.
+/// Selects new machines that boot late or never.
 #[derive(Clone, Debug)]
 pub struct SlowBoots {
-    /// Of this type; of any if left out.
+    /// Machine type; any if absent.
     pub machine_type: Option<&'static str>,
-    /// In this zone; in any if left out.
+    /// Zone; any if absent.
     pub zone: Option<&'static str>,
-    /// Nominal boot times that they take; never up if left out.
+    /// Boot time as a multiple of the nominal boot time of 10 s; never up if absent.
     pub boots: Option<u32>,
 }
 
@@ -41,12 +43,12 @@
 
     fn boot_ms(&self) -> Ms {
         self.boots
-            .map_or(NEVER_MS, |boots| BOOT_MS * Ms::from(boots))
+            .map_or(NEVER_BOOTS_MS, |boots| NOMINAL_BOOT_MS * Ms::from(boots))
     }
 }
 
 impl CloudModel {
-    /// Draws how long a new machine takes until it is up.
+    /// Draws the boot time of a new machine, subject to the active faults.
     pub(super) fn random_boot_ms(
         &self,
         now: Ms,
@@ -68,14 +70,14 @@
             |boot_ms: Ms, rng: &mut StdRng| rng.random_range(boot_ms * 6 / 10..boot_ms * 15 / 10);
         match self.fleet.boots {
             BootModel::Adverse => match rng.random_range(0..20) {
-                0 => NEVER_MS,
+                0 => NEVER_BOOTS_MS,
                 1 => 500,
-                2 => BOOT_MS * 4,
-                _ => around(BOOT_MS, rng),
+                2 => NOMINAL_BOOT_MS * 4,
+                _ => around(NOMINAL_BOOT_MS, rng),
             },
             BootModel::Normal {
                 failure_probability: fails,
-            } if rng.random_bool(fails) => NEVER_MS,
+            } if rng.random_bool(fails) => NEVER_BOOTS_MS,
             BootModel::Normal { .. } => {
                 let of_type = self.fleet.machine_type(machine_type);
                 let boot_s = of_type.map_or(0.0, |machine_type| machine_type.boot_s);
--- a/crates/testkit/src/simulation/build.rs
+++ b/crates/testkit/src/simulation/build.rs
@@ -1,16 +1,16 @@
 //! Construction of simulations.
 
+use super::adversarial_requests::{AdversarialRequests, UserRequestFaults};
+use super::config::{INITIAL_MAX_TRANSACTION_WRITES, INITIAL_MAX_VALUE_KB};
 use super::controllers::Controller;
-use super::digest::Traffic;
+use super::digest::ControllerTraffic;
 use super::events::EventQueue;
 use super::fault_injection::FaultTimeline;
 use super::network_faults::NetworkFaults;
 use super::remote::RemoteQueues;
-use super::size::{MAX_TRANSACTION_WRITES, MAX_VALUE_KB};
-use super::unusual_requests::{RequestFaults, UnusualRequests};
 use super::users::User;
 use super::workers::WorkerFleet;
-use super::{JobPlan, Simulation, Size};
+use super::{DeploymentConfig, JobPlan, Simulation};
 use crate::checker::Checker;
 use crate::cloud::CloudModel;
 use crate::faults::Fault;
@@ -21,80 +21,87 @@
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// Largest page of the store's listings where controllers run as processes.
+/// Maximum page size of the store's listings if controllers run as separate processes.
 const MAX_LIST_ITEMS: usize = 1_000;
 
-/// The external services of a simulation.
-struct Services {
+/// Configuration of the simulated services, for controllers of either kind.
+struct ExternalServices {
     fleet: Fleet,
-    /// Limits on the CPUs and GPUs of each team.
+    /// CPU and GPU limits of each team; 0: no limit.
     team_limits: BTreeMap<String, (f64, f64)>,
     size_limits: SizeLimits,
     behavior: StoreBehavior,
 }
 
-/// What a simulation whose controllers run as processes consists of, beside its size.
+/// Configuration of the services in a simulation whose controllers run as separate processes, in
+/// addition to [`DeploymentConfig`]. Simulated controllers use built-in defaults for these.
 #[derive(Clone, Debug)]
-pub struct Deployment {
-    /// Machine types on offer and how they boot.
+pub struct ServicesConfig {
+    /// Machine types, capacities and boot times of the cloud.
     pub fleet: Fleet,
-    /// Limits on the CPUs and GPUs of each team; 0: no limit.
+    /// CPU and GPU limits of each team; 0: no limit.
     pub team_limits: BTreeMap<String, (f64, f64)>,
-    /// Largest value that the store accepts, in bytes.
+    /// Maximum size of a value in the store, in bytes.
     pub max_value_bytes: usize,
-    /// Most writes in one of the store's transactions.
+    /// Maximum number of writes in a transaction of the store.
     pub max_transaction_writes: usize,
 }
 
 impl Simulation {
-    /// A simulation with three controllers that are about to start.
+    /// A simulation with the default configuration: three controllers, which start at time 0.
     pub fn new(seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>) -> Self {
-        Self::with_size(seed, plans, faults, Size::default())
+        Self::with_config(seed, plans, faults, DeploymentConfig::default())
     }
 
-    /// A simulation of any size.
-    pub fn with_size(seed: u64, plans: Vec<JobPlan>, faults: Vec<Fault>, size: Size) -> Self {
-        Self::with_pools(seed, plans, faults, size, Vec::new())
+    /// A simulation with the given configuration.
+    pub fn with_config(
+        seed: u64,
+        plans: Vec<JobPlan>,
+        faults: Vec<Fault>,
+        config: DeploymentConfig,
+    ) -> Self {
+        Self::with_pools(seed, plans, faults, config, Vec::new())
     }
 
-    /// A simulation whose controllers declare warm pools, each its own.
+    /// A simulation whose controllers declare warm pools: the controller with index `i` declares
+    /// `pools[i]`. Controllers without an entry declare none.
     pub fn with_pools(
         seed: u64,
         plans: Vec<JobPlan>,
         faults: Vec<Fault>,
-        size: Size,
+        config: DeploymentConfig,
         pools: Vec<Vec<PoolSpec>>,
     ) -> Self {
-        let team_limits = (0..size.teams).map(|team| (format!("team-{team}"), size.limit));
-        let services = Services {
+        let team_limits = (0..config.teams).map(|team| (format!("team-{team}"), config.limit));
+        let services = ExternalServices {
             fleet: Fleet::default(),
             team_limits: team_limits.collect(),
             size_limits: SizeLimits {
-                value_bytes: MAX_VALUE_KB * 1024,
-                txn_ops: MAX_TRANSACTION_WRITES,
+                value_bytes: INITIAL_MAX_VALUE_KB * 1024,
+                txn_ops: INITIAL_MAX_TRANSACTION_WRITES,
             },
             behavior: StoreBehavior::default(),
         };
-        let mut simulation = Self::without_controllers(seed, plans, faults, size, services);
+        let mut simulation = Self::without_controllers(seed, plans, faults, config, services);
         for (controller, pools) in simulation.controllers.iter_mut().zip(pools) {
             controller.pools = pools;
         }
-        for index in 0..size.controllers {
+        for index in 0..config.controllers {
             simulation.start_controller(index);
         }
         simulation
     }
 
-    /// A simulation whose controllers are processes of their own; see
-    /// [`Simulation::advance_to`]. The store refuses requests beyond its limits.
+    /// A simulation whose controllers run as separate processes, driven with
+    /// [`Simulation::advance_to`]. The store refuses requests beyond its rate limits.
     pub fn remote(
         seed: u64,
         plans: Vec<JobPlan>,
         faults: Vec<Fault>,
-        size: Size,
-        deployment: Deployment,
+        config: DeploymentConfig,
+        deployment: ServicesConfig,
     ) -> Self {
-        let services = Services {
+        let services = ExternalServices {
             fleet: deployment.fleet,
             team_limits: deployment.team_limits,
             size_limits: SizeLimits {
@@ -106,7 +113,7 @@
                 enforces_limits: true,
             },
         };
-        let mut simulation = Self::without_controllers(seed, plans, faults, size, services);
+        let mut simulation = Self::without_controllers(seed, plans, faults, config, services);
         simulation.remote = Some(RemoteQueues::default());
         simulation.checker.observe();
         simulation
@@ -116,12 +123,12 @@
         seed: u64,
         plans: Vec<JobPlan>,
         faults: Vec<Fault>,
-        size: Size,
-        services: Services,
+        config: DeploymentConfig,
+        services: ExternalServices,
     ) -> Self {
         let store = StoreModel::new(
-            size.store_rps,
-            size.store_write_rps,
+            config.store_rps,
+            config.store_write_rps,
             services.size_limits,
             services.behavior,
         );
@@ -130,23 +137,23 @@
             previous_step_at: 0,
             rng: StdRng::seed_from_u64(seed),
             events: EventQueue::default(),
-            controllers: (0..size.controllers)
-                .map(|_| Controller::new(size.begins_old))
+            controllers: (0..config.controllers)
+                .map(|_| Controller::new(config.starts_with_old_release))
                 .collect(),
             controller_starts: 0,
             store,
-            cloud: CloudModel::new(size.capacity, services.fleet),
-            size,
+            cloud: CloudModel::new(config.capacity, services.fleet),
+            config,
             workers: WorkerFleet::default(),
             ground_truths: BTreeMap::new(),
             users: plans.into_iter().map(User::new).collect(),
             faults: FaultTimeline::new(faults),
             network_faults: NetworkFaults::default(),
-            request_faults: RequestFaults::default(),
-            unusual_requests: UnusualRequests::default(),
-            traffic: Traffic::default(),
+            user_request_faults: UserRequestFaults::default(),
+            adversarial_requests: AdversarialRequests::default(),
+            traffic: ControllerTraffic::default(),
             remote: None,
-            checker: Checker::new(services.team_limits, size.cancel_ms),
+            checker: Checker::new(services.team_limits, config.cancel_ms),
         }
     }
 }
--- a/crates/testkit/src/store/transactions.rs
+++ b/crates/testkit/src/store/transactions.rs
@@ -6,31 +6,33 @@
 use forkshift_wire::MachineId;
 use serde_json::{json, Value};
 
-/// Largest transaction, in bytes.
+/// Maximum size of the body of a transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 /// Prefix of the keys of machine records.
-const MACHINES: &str = "c/machine/";
+const MACHINE_KEY_PREFIX: &str = "c/machine/";
 
 impl<W> StoreModel<W> {
-    /// Responds to a transaction.
+    /// Responds to a request to execute a transaction.
     pub(super) fn handle_transaction(
         &mut self,
         body: &[u8],
         transaction: serde_json::Result<Transaction>,
     ) -> Response {
         if body.len() > MAX_TRANSACTION_BYTES {
-            self.too_large += 1;
+            self.oversized_transactions += 1;
             return (400, json!({"error": "too large"}));
         }
         match transaction {
-            Ok(transaction) => self.transact(transaction),
+            Ok(transaction) => self.execute_transaction(transaction),
             Err(e) => (400, json!({"error": e.to_string()})),
         }
     }
 
-    fn transact(&mut self, transaction: Transaction) -> Response {
+    /// Executes all writes of a transaction at one revision, or none: 400 if it exceeds a limit or
+    /// names an expired lease, 409 with the failed keys if a precondition does not hold.
+    fn execute_transaction(&mut self, transaction: Transaction) -> Response {
         if let Err(e) = self.size_limits.check(&transaction) {
-            self.too_large += 1;
+            self.oversized_transactions += 1;
             log::info!("store: transaction refused: {e}");
             return (400, json!({"error": e.to_string()}));
         }
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Keys whose version is not the expected one. A missing key has version 0.
+    /// Keys whose version differs from the expected version. A missing key has version 0.
     fn failed_preconditions<'a>(&self, transaction: &'a Transaction) -> Vec<&'a str> {
         let version = |key: &str| self.entries.get(key).map_or(0, |entry| entry.version);
         let preconditions = transaction.preconditions.iter();
@@ -102,14 +104,14 @@
         }
     }
 
-    /// Notes the machines whose records say that they are decommissioned.
+    /// Records the machines whose new records are marked as decommissioned, with the first reason.
     fn record_decommissioned(&mut self, transaction: &Transaction) {
         for write in &transaction.writes {
             let Write::Put { key, value, .. } = write else {
                 continue;
             };
             let reason = value.get("condemned").and_then(Value::as_str);
-            if let (Some(id), Some(reason)) = (key.strip_prefix(MACHINES), reason) {
+            if let (Some(id), Some(reason)) = (key.strip_prefix(MACHINE_KEY_PREFIX), reason) {
                 let first = self.decommissioned.entry(MachineId::new(id));
                 first.or_insert_with(|| reason.to_owned());
             }
--- a/crates/testkit/src/worker/tests.rs
+++ b/crates/testkit/src/worker/tests.rs
@@ -1,4 +1,4 @@
-//! A machine that hangs and resumes.
+//! Tests of a machine that hangs and resumes, with the checker's rule for cancelled jobs.
 
 use super::*;
 use crate::checker::Rule;
@@ -36,25 +36,25 @@
 const LEASE_MS: Ms = 10_000;
 const CANCELLED_AT: Ms = 1_000;
 
-/// A machine whose one task's job was confirmed as cancelled at `CANCELLED_AT`.
-struct Bench {
+/// A worker with one running task, the job of which was confirmed as cancelled at `CANCELLED_AT`.
+struct HungWorkerFixture {
     ground_truths: BTreeMap<JobId, GroundTruth>,
     checker: Checker,
     worker: Worker,
 }
 
-impl Bench {
+impl HungWorkerFixture {
     fn new(cancel_ms: Ms) -> Self {
         let spec = spec();
-        let truth = GroundTruth {
+        let ground_truth = GroundTruth {
             defect: None,
             spec: spec.clone(),
             run_ms: 60_000,
         };
         let mut checker = Checker::new(BTreeMap::new(), cancel_ms);
         checker.on_submitted(&spec);
-        let mut bench = Self {
-            ground_truths: BTreeMap::from([(spec.id.clone(), truth)]),
+        let mut fixture = Self {
+            ground_truths: BTreeMap::from([(spec.id.clone(), ground_truth)]),
             checker,
             worker: Worker::new(
                 (MachineId::new("m"), "m".to_owned()),
@@ -65,14 +65,14 @@
                 false,
             ),
         };
-        assert_eq!(bench.command_start(0), 200);
-        bench.step(10);
-        assert_eq!(bench.checker.running_tasks(&spec.id), 1);
-        bench.checker.on_cancel_requested(&spec.id);
+        assert_eq!(fixture.command_start(0), 200);
+        fixture.step(10);
+        assert_eq!(fixture.checker.running_tasks(&spec.id), 1);
+        fixture.checker.on_cancel_requested(&spec.id);
         let stage = Some(JobStage::Cancelled);
-        let checker = &mut bench.checker;
+        let checker = &mut fixture.checker;
         checker.on_immediate_response(CANCELLED_AT, &spec.id, false, 200, stage);
-        bench
+        fixture
     }
 
     fn context(&mut self, now: Ms) -> (&mut Worker, WorkerContext<'_>) {
@@ -103,7 +103,7 @@
         };
         let body = serde_json::to_vec(&commands).unwrap();
         let (worker, mut context) = self.context(now);
-        worker.handle_commands(&mut context, &body).0
+        worker.respond_to_commands(&mut context, &body).0
     }
 
     fn step(&mut self, now: Ms) {
@@ -114,7 +114,7 @@
     fn check(&mut self, now: Ms) {
         let hung = self.worker.is_hung_without_lease(now, LEASE_MS);
         let expired = hung.then(|| self.worker.id.clone()).into_iter().collect();
-        self.checker.tick(now, &expired);
+        self.checker.check_time_limits(now, &expired);
     }
 
     fn violations(&self) -> Vec<Rule> {
@@ -126,13 +126,13 @@
     }
 }
 
-/// A task of a cancelled job that runs, or may run, after its machine resumes violates the
-/// rule. Once the lease has expired it can not: it is killed before the machine does
-/// anything.
+/// Guards against a checker that excuses all tasks on hung machines: the task of a cancelled job
+/// violates the rule if it runs, or may still run, after the machine resumes. It cannot run once
+/// the lease has expired, as the worker kills it first.
 #[test]
 fn a_cancelled_task_on_a_hung_machine_violates_the_rule_unless_the_lease_has_expired() {
-    // Time for a cancellation, how long the machine hangs, when the checker runs, and
-    // whether it finds a violation.
+    // Case, allowed cancellation time, duration of the hang, time of the check, and whether the
+    // check finds a violation.
     let cases = [
         ("it resumes in time", 6_000, 4_000, 5_000, false),
         ("it resumes too late", 6_000, 8_000, 9_000, true),
@@ -153,48 +153,49 @@
         ),
     ];
     for (name, cancel_ms, hang, check_at, is_violated) in cases {
-        let mut bench = Bench::new(cancel_ms);
-        bench.worker.hung_until = CANCELLED_AT + hang;
-        // Nothing happens on it until it resumes.
-        if check_at >= bench.worker.hung_until {
-            bench.step(check_at);
+        let mut fixture = HungWorkerFixture::new(cancel_ms);
+        fixture.worker.hung_until = CANCELLED_AT + hang;
+        // The worker does not run until it resumes.
+        if check_at >= fixture.worker.hung_until {
+            fixture.step(check_at);
         }
-        bench.check(check_at);
+        fixture.check(check_at);
         let expected = if is_violated {
             vec![Rule::RanCancelled]
         } else {
             vec![]
         };
-        assert_eq!(bench.violations(), expected, "{name}");
+        assert_eq!(fixture.violations(), expected, "{name}");
     }
 }
 
-/// A worker that resumes its tasks although its lease expired while it hung violates the
-/// rule.
+/// Guards against a checker that excuses a task for good: a worker that resumes its tasks although
+/// its lease expired during the hang violates the rule.
 #[test]
 fn a_task_that_resumes_after_the_lease_expired_in_a_hang_violates_the_rule() {
-    let mut bench = Bench::new(12_000);
-    bench.worker.hung_until = 20_000;
-    bench.check(15_000);
-    assert_eq!(bench.violations(), []);
-    // It resumes without the step that would kill its tasks.
-    bench.check(20_000);
-    assert_eq!(bench.violations(), [Rule::RanCancelled]);
+    let mut fixture = HungWorkerFixture::new(12_000);
+    fixture.worker.hung_until = 20_000;
+    fixture.check(15_000);
+    assert_eq!(fixture.violations(), []);
+    // The hang is over, but the step that would kill the tasks has not run.
+    fixture.check(20_000);
+    assert_eq!(fixture.violations(), [Rule::RanCancelled]);
 }
 
-/// A command that was held up by a hang finds another incarnation once the lease expired.
+/// A start command that was delayed by a hang must not start a task after the lease has expired,
+/// as the worker has a new incarnation then.
 #[test]
 fn a_command_is_refused_after_the_lease_expired_in_a_hang() {
     for (resumes_at, status) in [(9_000, 200), (12_000, 409)] {
-        let mut bench = Bench::new(20_000);
-        bench.worker.hung_until = resumes_at;
-        assert_eq!(bench.command_start(resumes_at), status, "at {resumes_at}");
-        let running = bench.checker.running_tasks(&spec().id);
+        let mut fixture = HungWorkerFixture::new(20_000);
+        fixture.worker.hung_until = resumes_at;
+        assert_eq!(fixture.command_start(resumes_at), status, "at {resumes_at}");
+        let running = fixture.checker.running_tasks(&spec().id);
         assert_eq!(running, usize::from(status == 200), "at {resumes_at}");
     }
 }
 
-/// A machine type of the default fleet.
+/// The machine type of the default fleet with a name.
 fn machine_type(name: &str) -> MachineType {
     let fleet = Fleet::default();
     fleet.machine_type(name).expect("a type").clone()
